--- a/decide/hand.go
+++ b/decide/hand.go
@@ -9,28 +9,33 @@
 // Adopted is an invocation that one process of this dispatcher hands to another, with the terms that it
 // landed with.
 type Adopted struct {
-	Name             string
-	Objective        Time
-	Window, ComeBack Time
-	Value, Slack     float64
-	Tardy            float64
-	Repeat           Repeat
-	Scope            Scope
-	Kind             Kind
+	Name      string  `json:"Name"`
+	Objective Time    `json:"Objective"`
+	Window    Time    `json:"Window"`
+	ComeBack  Time    `json:"ComeBack"`
+	Value     float64 `json:"Value"`
+	Slack     float64 `json:"Slack"`
+	Tardy     float64 `json:"Tardy"`
+	Repeat    Repeat  `json:"Repeat"`
+	Scope     Scope   `json:"Scope"`
+	Kind      Kind    `json:"Kind"`
 
-	Until        time.Time // the client's
-	Latest       Time
-	Size         Work
-	Counts       float64
-	Beyond, Most int // of the forwards that are allowed, those not to it
-	Forwards     []AdoptedForward
+	Until    time.Time        `json:"Until"` // the client's
+	Latest   Time             `json:"Latest"`
+	Size     Work             `json:"Size"`
+	Counts   float64          `json:"Counts"`
+	Beyond   int              `json:"Beyond"`
+	Most     int              `json:"Most"` // of the forwards that are allowed, those not to it
+	Forwards []AdoptedForward `json:"Forwards"`
 }
 
 // AdoptedForward is one forward of it, by its number.
 type AdoptedForward struct {
-	Tgt           Worker
-	Sent, Started Time
-	Out, Ran      bool
+	Tgt     Worker `json:"Tgt"`
+	Sent    Time   `json:"Sent"`
+	Started Time   `json:"Started"`
+	Out     bool   `json:"Out"`
+	Ran     bool   `json:"Ran"`
 }
 
 // Hand takes an invocation out of the decisions, for another process to go on with. It holds only while it is
--- a/decide/legacy.go
+++ b/decide/legacy.go
@@ -6,67 +6,72 @@
 // numbers; operations, customers and kinds stand in the order of the successor's terms, with nothing learnt
 // of new ones.
 type Legacy struct {
-	Operations []LearntOperation
-	Customers  []LearntCustomer
-	Kinds      []LearntKind
-	Zones      []LearntZone
-	Workers    []LearntWorker
-
-	Sample      []Work
-	Sampled     int
-	Worth, Luck float64
-	BlindAt     Time
-	Landings    int
+	Operations []LearntOperation `json:"Operations"`
+	Customers  []LearntCustomer  `json:"Customers"`
+	Kinds      []LearntKind      `json:"Kinds"`
+	Zones      []LearntZone      `json:"Zones"`
+	Workers    []LearntWorker    `json:"Workers"`
+
+	Sample   []Work  `json:"Sample"`
+	Sampled  int     `json:"Sampled"`
+	Worth    float64 `json:"Worth"`
+	Luck     float64 `json:"Luck"`
+	BlindAt  Time    `json:"BlindAt"`
+	Landings int     `json:"Landings"`
 }
 
 // LearntOperation is what was learnt of one operation.
 type LearntOperation struct {
-	Name              string
-	Longest           Time
-	Mean, Asked, Lost float64
-	Landed            int
-	Run               float64
-	Runs              int
+	Name    string  `json:"Name"`
+	Longest Time    `json:"Longest"`
+	Mean    float64 `json:"Mean"`
+	Asked   float64 `json:"Asked"`
+	Lost    float64 `json:"Lost"`
+	Landed  int     `json:"Landed"`
+	Run     float64 `json:"Run"`
+	Runs    int     `json:"Runs"`
 }
 
 // LearntCustomer is the traffic of one customer here.
 type LearntCustomer struct {
-	Used float64
-	At   Time
+	Used float64 `json:"Used"`
+	At   Time    `json:"At"`
 }
 
 // LearntKind is what was learnt of the slots of a kind; Slots is 0 for nothing.
 type LearntKind struct {
-	Slots, Most float64
-	Votes       []int
+	Slots float64 `json:"Slots"`
+	Most  float64 `json:"Most"`
+	Votes []int   `json:"Votes"`
 }
 
 // LearntZone is what failures have shown of one zone.
 type LearntZone struct {
-	Quiet int
-	At    Time
+	Quiet int  `json:"Quiet"`
+	At    Time `json:"At"`
 }
 
 // LearntWorker is what is known of one worker beside the list.
 type LearntWorker struct {
-	Fails           int
-	Ruined          bool // what failed may have run
-	TrialAt, OpenAt Time
-	Heard           []Heard
-	Spent           []Spending
+	Fails   int        `json:"Fails"`
+	Ruined  bool       `json:"Ruined"` // what failed may have run
+	TrialAt Time       `json:"TrialAt"`
+	OpenAt  Time       `json:"OpenAt"`
+	Heard   []Heard    `json:"Heard"`
+	Spent   []Spending `json:"Spent"`
 }
 
 // Heard is what a peer last told of a worker.
 type Heard struct {
-	From     Peer
-	InFlight int
-	At       Time
+	From     Peer `json:"From"`
+	InFlight int  `json:"InFlight"`
+	At       Time `json:"At"`
 }
 
 // Spending is work sent to a worker at a time.
 type Spending struct {
-	At   Time
-	Work Work
+	At   Time `json:"At"`
+	Work Work `json:"Work"`
 }
 
 // Legacy is what was learnt here.
--- a/internal/protocol/invocation.go
+++ b/internal/protocol/invocation.go
@@ -26,11 +26,17 @@
 
 // carried is an invocation as one process of a dispatcher hands it to another.
 type carried struct {
-	Method, Target, ID, Operation, Owner, Dedup string
-	Timeout, Hint                               time.Duration
-	Slots                                       float64
-	Body                                        []byte
-	Passed                                      [][2]string
+	Method    string        `json:"Method"`
+	Target    string        `json:"Target"`
+	ID        string        `json:"ID"`
+	Operation string        `json:"Operation"`
+	Owner     string        `json:"Owner"`
+	Dedup     string        `json:"Dedup"`
+	Timeout   time.Duration `json:"Timeout"`
+	Hint      time.Duration `json:"Hint"`
+	Slots     float64       `json:"Slots"`
+	Body      []byte        `json:"Body"`
+	Passed    [][2]string   `json:"Passed"`
 }
 
 // MarshalJSON writes all of an invocation.
--- a/internal/protocol/list.go
+++ b/internal/protocol/list.go
@@ -14,10 +14,13 @@
 
 // Entry is one worker in a list.
 type Entry struct {
-	ID, Address, Zone, Kind string
-	Cell                    int
-	State                   string
-	BornMs                  float64 // Unix time; 0 for long ago
+	ID      string  `json:"ID"`
+	Address string  `json:"Address"`
+	Zone    string  `json:"Zone"`
+	Kind    string  `json:"Kind"`
+	Cell    int     `json:"Cell"`
+	State   string  `json:"State"`
+	BornMs  float64 `json:"BornMs"` // Unix time; 0 for long ago
 }
 
 // The states that a list can tell.
--- a/internal/routing/hand.go
+++ b/internal/routing/hand.go
@@ -22,14 +22,14 @@
 // Handed is an invocation that is under way, as one process of this dispatcher hands it to another. Its
 // sockets come with it: the client's, and one for each forward that is out.
 type Handed struct {
-	Invocation *protocol.Invocation
-	Decided    decide.Adopted
-	Hosts      []string // the workers of its forwards
-	Early      []byte   // what the client has sent beyond it
-	Came       [][]byte // on each forward's connection since it was sent
-	Used       []bool   // those connections were used before
-	Closes     bool     // the client's connection ends with the answer
-	Interim    bool     // the client takes interim answers
+	Invocation *protocol.Invocation `json:"Invocation"`
+	Decided    decide.Adopted       `json:"Decided"`
+	Hosts      []string             `json:"Hosts"`   // the workers of its forwards
+	Early      []byte               `json:"Early"`   // what the client has sent beyond it
+	Came       [][]byte             `json:"Came"`    // on each forward's connection since it was sent
+	Used       []bool               `json:"Used"`    // those connections were used before
+	Closes     bool                 `json:"Closes"`  // the client's connection ends with the answer
+	Interim    bool                 `json:"Interim"` // the client takes interim answers
 }
 
 // Carrier takes what is handed over, with the client's socket and those of the forwards that are out, by
--- a/internal/routing/legacy.go
+++ b/internal/routing/legacy.go
@@ -13,13 +13,14 @@
 // Legacy is what a router hands on to the one that goes on in its place: what was learnt, with the names by
 // which it is found again where the successor has other settings.
 type Legacy struct {
-	Version       int64
-	Workers       []protocol.Entry // by their numbers, those that are gone too
-	Zones         []string         // by their numbers
-	Kinds, Owners []string
-	Learnt        []decide.Legacy
-	Twin          Twin
-	Left          bool // it was told to leave, which holds for its successor too
+	Version int64            `json:"Version"`
+	Workers []protocol.Entry `json:"Workers"` // by their numbers, those that are gone too
+	Zones   []string         `json:"Zones"`   // by their numbers
+	Kinds   []string         `json:"Kinds"`
+	Owners  []string         `json:"Owners"`
+	Learnt  []decide.Legacy  `json:"Learnt"`
+	Twin    Twin             `json:"Twin"`
+	Left    bool             `json:"Left"` // it was told to leave, which holds for its successor too
 }
 
 // Legacy is what is known here now. What is told of what is open begins with it.
--- a/internal/routing/twin.go
+++ b/internal/routing/twin.go
@@ -7,11 +7,12 @@
 // Twin is what one process of a dispatcher tells the other during an upgrade, again and again. The two are
 // one dispatcher to workers, peers and clients.
 type Twin struct {
-	Loads          map[string]int         `json:",omitempty"` // forwards out, by worker
-	Spent          map[string]decide.Work `json:",omitempty"` // work sent since it last told, by worker
-	Opened, Closed []string               `json:",omitempty"` // ids since it last told
-	Clients        int                    // connections that it has, or may still have
-	Workers        int
+	Loads   map[string]int         `json:"Loads,omitempty"`  // forwards out, by worker
+	Spent   map[string]decide.Work `json:"Spent,omitempty"`  // work sent since it last told, by worker
+	Opened  []string               `json:"Opened,omitempty"` // ids since it last told
+	Closed  []string               `json:"Closed,omitempty"` // ids since it last told
+	Clients int                    `json:"Clients"`          // connections that it has, or may still have
+	Workers int                    `json:"Workers"`
 }
 
 // Twin is what a side is to be told now.
