--- /dev/null
+++ b/internal/protocol/wire_test.go
@@ -0,0 +1,149 @@
+package protocol
+
+import (
+	"encoding/hex"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+)
+
+// The tests of this file pin bytes and words on the wire by literals, as commit b8e4a37 had them. Other programs hold
+// the same ones: a test that fails here tells of a change that they would notice.
+
+// TestLoadDatagramBytes checks what dispatchers send to each other about workers' load.
+func TestLoadDatagramBytes(t *testing.T) {
+	loads := []Load{{Tag: 0x0102, InFlight: 3}, {Tag: 0xfffe, InFlight: 300}}
+	for _, c := range []struct {
+		name     string
+		instance int
+		loads    []Load
+		want     string
+	}{
+		{"greeting of a process that has just started", -1, nil, "abcd"},
+		{"only instance of a process", -1, loads, "abcd" + "010203" + "fffeff"},
+		{"first of several instances", 0, loads, "abcd" + "00" + "010203" + "fffeff"},
+		{"last of several instances", 63, loads[:1], "abcd" + "3f" + "010203"},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			b := AppendNews(nil, 0xabcd, c.instance, c.loads)
+			assert.Equal(t, c.want, hex.EncodeToString(b))
+			stamp, instance, read, err := ParseNews(b)
+			assert.NoError(t, err)
+			assert.Equal(t, []any{uint16(0xabcd), max(c.instance, 0), len(c.loads)}, []any{stamp, instance, len(read)})
+		})
+	}
+	assert.Len(t, AppendNews(nil, 0, 5, make([]Load, 1000)), 255, "84 loads at the most")
+}
+
+// TestWorkerTagBytes checks the short form of a worker's name, which all dispatchers have to agree on.
+func TestWorkerTagBytes(t *testing.T) {
+	for name, want := range map[string]uint16{"": 0x1cd9, "w": 0xcd3a, "s-1": 0xb53f, "s-00ffa1c2": 0xd52d} {
+		assert.Equal(t, want, Tag(name), name)
+	}
+}
+
+// TestWorkerRequestBytes checks what goes to a worker.
+func TestWorkerRequestBytes(t *testing.T) {
+	all := askHead(t, "Req-Id: 9b\r\nReq-Kind: render\r\nReq-Owner: acme\r\nReq-Deadline: 9\r\nReq-Cost: 1500\r\n"+
+		"Req-Extra: slots=2\r\nReq-Retry: 1\r\nIdempotency-Key: k1\r\nContent-Type: text/plain\r\nX-Other: y")
+	assert.Equal(t, []any{"render", true}, []any{all.Operation(), all.Again()})
+	for _, c := range []struct {
+		name string
+		head *Head
+		body string
+		left time.Duration
+		want string
+	}{
+		{"all fields", all, "body", 1234567 * time.Microsecond,
+			"POST /api?q=1 HTTP/1.1\r\nHost: origin.svc\r\nReq-Id: 9b\r\nReq-Deadline: 1.235\r\n" +
+				"Idempotency-Key: k1\r\nContent-Type: text/plain\r\nContent-Length: 4\r\n\r\nbody"},
+		{"least fields, no time left", askHead(t, "Req-Id: 9c\r\nReq-Kind: render"), "", -time.Second,
+			"POST /api?q=1 HTTP/1.1\r\nHost: origin.svc\r\nReq-Id: 9c\r\nReq-Deadline: 0.000\r\n" +
+				"Content-Length: 0\r\n\r\n"},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			inv, err := ParseInvocation(c.head)
+			assert.NoError(t, err)
+			inv.Body = []byte(c.body)
+			assert.Equal(t, c.want, string(AppendForward(nil, inv, c.left)))
+		})
+	}
+}
+
+// TestGetRequestBytes checks the requests for the list of workers, and for a worker's load and health.
+func TestGetRequestBytes(t *testing.T) {
+	for _, c := range []struct{ name, target, want string }{
+		{"watch of the list", WatchTarget(9007199254740993),
+			"GET /catalog/members?stream=1&index=9007199254740993 HTTP/1.1\r\nHost: origin.svc\r\n\r\n"},
+		{"list", PathList, "GET /catalog/members HTTP/1.1\r\nHost: origin.svc\r\n\r\n"},
+		{"load", PathLoad, "GET /_load HTTP/1.1\r\nHost: origin.svc\r\n\r\n"},
+		{"health", PathReady, "GET /_health HTTP/1.1\r\nHost: origin.svc\r\n\r\n"},
+	} {
+		assert.Equal(t, c.want, string(AppendGet(nil, c.target)), c.name)
+	}
+	assert.Equal(t, "/api", PathInvoke)
+}
+
+// TestClientAnswerBytes checks the head of each answer that a client can get.
+func TestClientAnswerBytes(t *testing.T) {
+	for _, c := range []struct {
+		name   string
+		answer Answer
+		closes bool
+		want   string
+	}{
+		{"success", Answer{Status: 200, Body: []byte("made")}, false, "200 OK\r\nContent-Length: 4"},
+		{"malformed", Answer{Status: 400}, true, "400 Bad Request\r\nContent-Length: 0\r\nConnection: close"},
+		{"unknown path", Answer{Status: 404}, false, "404 Not Found\r\nContent-Length: 0"},
+		{"wrong method", Answer{Status: 405, Allow: "GET, HEAD"}, false,
+			"405 Method Not Allowed\r\nContent-Length: 0\r\nAllow: GET, HEAD"},
+		{"too slow", Answer{Status: 408}, true, "408 Request Timeout\r\nContent-Length: 0\r\nConnection: close"},
+		{"id is open", Answer{Status: 409}, false, "409 Conflict\r\nContent-Length: 0"},
+		{"large body", Answer{Status: 413}, false, "413 Content Too Large\r\nContent-Length: 0"},
+		{"throttled", Answer{Status: 429, ComeBack: 1500 * time.Millisecond}, false,
+			"429 Too Many Requests\r\nContent-Length: 0\r\nRetry-After: 1.5"},
+		{"throttled without advice", Answer{Status: 429}, false, "429 Too Many Requests\r\nContent-Length: 0"},
+		{"large head", Answer{Status: 431}, false, "431 Request Header Fields Too Large\r\nContent-Length: 0"},
+		{"error", Answer{Status: 502}, false, "502 Bad Gateway\r\nContent-Length: 0"},
+		{"not ready", Answer{Status: 503, ComeBack: 2 * time.Second}, true,
+			"503 Service Unavailable\r\nContent-Length: 0\r\nRetry-After: 2\r\nConnection: close"},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			assert.Equal(t, "HTTP/1.1 "+c.want+"\r\n\r\n", string(AppendAnswerHead(nil, &c.answer, c.closes)))
+		})
+	}
+	assert.Equal(t, "HTTP/1.1 100 Continue\r\n\r\n", Continue)
+}
+
+// TestWorkerLineStates checks the words by which a worker tells how far a request is, and their numbers.
+func TestWorkerLineStates(t *testing.T) {
+	for word, want := range map[string]State{"started": 1, "running": 2, "done": 3, "failed": 4, "returned": 5, "lost": 6,
+		"Done": 0, "resting": 0} {
+		line, err := ParseLine([]byte(`{"id":"a","state":"` + word + `","result":"r"}`))
+		assert.NoError(t, err)
+		assert.Equal(t, Line{ID: "a", State: want, Result: "r"}, line, word)
+	}
+}
+
+// TestListedWorkerStates checks the words by which the list tells a worker's state.
+func TestListedWorkerStates(t *testing.T) {
+	for _, word := range []string{"Ready", "Terminating", "Gone"} {
+		l, err := ParseList([]byte(`{"seq":1,"hosts":[{"host":"a","health":"` + word + `"}]}`))
+		assert.NoError(t, err)
+		assert.Equal(t, []Entry{{ID: "a", State: word}}, l.Entries)
+	}
+}
+
+// TestOperatorCommands checks the words of operators' commands, and the forms of the answers.
+func TestOperatorCommands(t *testing.T) {
+	for _, word := range []string{"HEALTH", "DUMP", "LEAVE", "JOIN"} {
+		call, whole, err := ParseCall([]byte(word + "\n"))
+		assert.NoError(t, err)
+		assert.Equal(t, []any{word, true}, []any{string(call), whole})
+	}
+	assert.Equal(t, "done\n", string(AppendCalled(nil, nil)))
+	assert.Equal(t, "error malformed datagram\n", string(AppendCalled(nil, ErrDatagram)))
+	assert.Equal(t, "done\nsvc.succeeded.render=7\nsvc.forwards=-1\nend\n", string(AppendDump(nil,
+		[]Figure{{Name: "succeeded", Operation: "render", Value: 7}, {Name: "forwards", Value: -1}})))
+}
