--- /dev/null
+++ b/internal/fleet/operators_test.go
@@ -0,0 +1,78 @@
+package fleet
+
+import (
+	"os"
+	"path/filepath"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+)
+
+// TestCounterNamesOfDump pins the names that operators read in the answer to DUMP, in their order.
+func TestCounterNamesOfDump(t *testing.T) {
+	node, _ := onHungDisk(t)
+	defer node.socket.Close()
+	var names []string
+	for _, f := range node.Figures() {
+		assert.Empty(t, f.Operation)
+		names = append(names, f.Name)
+	}
+	assert.Equal(t, []string{"return_phase", "return_case", "return_phase_ms", "return_life", "return_answered",
+		"return_silent", "return_turned_away", "state_trusted", "state_dropped", "state_writes", "state_failures",
+		"keys_kept", "keys_unkept", "keys_before", "keys_open", "keys_held", "keys_barred", "link_sent", "link_bytes",
+		"link_heard", "link_malformed", "link_strangers"}, names)
+}
+
+// TestEachKeyOfTheFleetFile pins the keys of the operators' file: each is read, with a value that is not its default.
+func TestEachKeyOfTheFleetFile(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "fleet.toml")
+	assert.NoError(t, os.WriteFile(path, []byte(`
+[state]
+folder = "/var/lib/other"
+every = "7s"
+doubt-disk = true
+[link]
+listen = "10.0.0.1:7950"
+[recovery]
+identity-within = "11ms"
+list-within = "12ms"
+others-within = "13ms"
+trickle-within = "14ms"
+ask-every = "15ms"
+keep-within = "16ms"
+[[member]]
+name = "n0"
+address = "10.0.0.1:7950"
+[[member]]
+name = "n1"
+address = "10.0.0.2:7950"
+`), 0o600))
+	read, err := Read(path, "n0", 0, 2)
+	assert.NoError(t, err)
+	want := &Settings{Members: []Member{{Name: "n0", Address: "10.0.0.1:7950"}, {Name: "n1", Address: "10.0.0.2:7950"}}}
+	want.State.Folder, want.State.Every, want.State.Doubt = "/var/lib/other", Span(7*time.Second), true
+	want.Link.Listen = "10.0.0.1:7950"
+	r := &want.Recovery
+	r.IdentityWithin, r.ListWithin, r.OthersWithin = ms(11), ms(12), ms(13)
+	r.TrickleWithin, r.AskEvery, r.KeepWithin = ms(14), ms(15), ms(16)
+	want.listen, want.addresses = read.listen, read.addresses // derived
+	assert.Equal(t, want, read)
+}
+
+// TestDeployedFleetFileIsRead checks that the example in deploy has no key that is unknown, and what it leaves unsaid.
+func TestDeployedFleetFileIsRead(t *testing.T) {
+	const example = "../../deploy/fleet.toml"
+	read, err := Read(example, "n1", 1, 2)
+	assert.NoError(t, err)
+	assert.Equal(t, "/var/lib/canvasroute", read.State.Folder)
+	least := filepath.Join(t.TempDir(), "fleet.toml")
+	assert.NoError(t, os.WriteFile(least, []byte("state.folder = \"/var/lib/canvasroute\"\nlink.listen = \"10.0.0.1:7950\"\n"+
+		"member = [{name = \"n0\", address = \"10.0.0.1:7950\"}, {name = \"n1\", address = \"10.0.0.2:7950\"}]\n"), 0o600))
+	defaults, err := Read(least, "n1", 1, 2)
+	assert.NoError(t, err)
+	assert.Equal(t, defaults, read, "the example states the defaults")
+}
+
+// ms is a span in milliseconds.
+func ms(n int) Span { return Span(time.Duration(n) * time.Millisecond) }
--- /dev/null
+++ b/internal/routing/operators_test.go
@@ -0,0 +1,113 @@
+package routing
+
+import (
+	"bytes"
+	"encoding/json"
+	"testing"
+	"time"
+
+	"github.com/rs/zerolog"
+	"github.com/stretchr/testify/assert"
+
+	"canvasroute/decide"
+	"canvasroute/internal/protocol"
+)
+
+// TestCounterNamesOfDump pins the names that operators read in the answer to DUMP, in their order, and which count each
+// one tells.
+func TestCounterNamesOfDump(t *testing.T) {
+	r := routerTo("127.0.0.1:1")
+	idem := r.tally.of("idem")
+	idem.succeeded.Store(1)
+	idem.declined.Store(2)
+	idem.aborted.Store(3)
+	idem.out.Store(4)
+	r.counts.Sent.Store(5)
+	assert.Equal(t, []protocol.Figure{
+		{Name: "succeeded", Operation: "idem", Value: 1}, {Name: "declined", Operation: "idem", Value: 2},
+		{Name: "aborted", Operation: "idem", Value: 3},
+		{Name: "succeeded", Operation: "once"}, {Name: "declined", Operation: "once"},
+		{Name: "aborted", Operation: "once"},
+		{Name: "succeeded", Operation: "keyed"}, {Name: "declined", Operation: "keyed"},
+		{Name: "aborted", Operation: "keyed"},
+		{Name: "forwards", Value: 5}, {Name: "outstanding", Value: 4}, {Name: "discovered", Value: 1},
+		{Name: "ejected", Value: 0},
+	}, r.Figures())
+}
+
+// TestCountersLogLine pins the keys of the log line that SIGUSR1 asks for, and which count each one tells. Each outcome
+// of an attempt is pinned with its number.
+func TestCountersLogLine(t *testing.T) {
+	r, log := routerTo("127.0.0.1:1"), &bytes.Buffer{}
+	r.log = zerolog.New(log)
+	c := &r.counts
+	c.Taken.Store(11)
+	c.Succeeded.Store(12)
+	c.Throttled.Store(13)
+	c.Errored.Store(14)
+	c.Left.Store(15)
+	c.Malformed.Store(16)
+	c.Overfull.Store(17)
+	c.AtDoor.Store(18)
+	c.Handed.Store(19)
+	c.Sent.Store(20)
+	c.Probes.Store(21)
+	c.Lists.Store(22)
+	c.WatchesLost.Store(23)
+	c.DatagramsSent.Store(24)
+	c.DatagramsFailed.Store(25)
+	c.DatagramsHeard.Store(26)
+	c.DatagramsBroken.Store(27)
+	c.Strangers.Store(28)
+	c.Overtaken.Store(29)
+	for outcome := range decide.Outcome(11) {
+		c.outcomes[outcome].Store(100 + int64(outcome))
+	}
+	r.Print("asked")
+	var line map[string]any
+	assert.NoError(t, json.Unmarshal(log.Bytes(), &line))
+	for _, memory := range []string{"mallocs", "alloc_bytes"} {
+		assert.Positive(t, line[memory], memory)
+		delete(line, memory)
+	}
+	assert.Equal(t, map[string]any{"level": "info", "message": "counters", "why": "asked", "open": 0.0, "taken": 11.0,
+		"succeeded": 12.0, "throttled": 13.0, "errored": 14.0, "client_left": 15.0, "turned_away": 16.0, "overfull": 17.0,
+		"at_door": 18.0, "handed_over": 19.0, "probes": 21.0, "lists": 22.0, "watches_lost": 23.0,
+		"forwards": map[string]any{"sent": 20.0, "succeeded": 101.0, "worker_error": 102.0, "full": 103.0,
+			"timed_out": 104.0, "no_connection": 105.0, "reset": 106.0, "called_off": 107.0, "never_sent": 108.0,
+			"stale_connection": 109.0, "refused": 110.0},
+		"datagrams": map[string]any{"sent": 24.0, "failed": 25.0, "heard": 26.0, "malformed": 27.0, "strangers": 28.0,
+			"overtaken": 29.0}}, line)
+}
+
+// TestAnswersByPathAndMethod pins the answers that follow from the head alone.
+func TestAnswersByPathAndMethod(t *testing.T) {
+	r := routerTo("127.0.0.1:1")
+	r.settled.Store(true)
+	for _, c := range []struct {
+		name, method, target string
+		want                 *protocol.Answer
+	}{
+		{"health", "GET", "/_health", &protocol.Answer{Status: 200}},
+		{"head of health", "HEAD", "/_health", &protocol.Answer{Status: 200}},
+		{"wrong method of health", "POST", "/_health", &protocol.Answer{Status: 405, Allow: "GET, HEAD"}},
+		{"wrong method of a request", "GET", "/api", &protocol.Answer{Status: 405, Allow: "POST"}},
+		{"unknown path", "GET", "/metrics", &protocol.Answer{Status: 404}},
+		{"a request", "POST", "/api?q=1", nil},
+	} {
+		assert.Equal(t, c.want, r.Check(&protocol.Head{Method: c.method, Target: c.target}), c.name)
+	}
+}
+
+// TestReasonsOfNotBeingReady pins what operators read in the answer to HEALTH.
+func TestReasonsOfNotBeingReady(t *testing.T) {
+	r := routerTo("127.0.0.1:1")
+	assert.EqualError(t, r.Ready(), "takes no clients: no list of workers yet")
+	r.settled.Store(true)
+	assert.NoError(t, r.Ready())
+	r.drain.Leave(time.Now())
+	assert.EqualError(t, r.Ready(), "takes no clients: leaving")
+	assert.NoError(t, r.drain.Join(time.Now()))
+	r.fleet.take(&protocol.List{Whole: true})
+	assert.EqualError(t, r.Ready(), "takes no clients: no worker is listed")
+}
