--- /dev/null
+++ b/internal/program/operators_test.go
@@ -0,0 +1,179 @@
+package program
+
+import (
+	"bytes"
+	"net"
+	"net/netip"
+	"os"
+	"path/filepath"
+	"reflect"
+	"strings"
+	"syscall"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+
+	"canvasroute/internal/protocol"
+	"canvasroute/internal/routing"
+	"canvasroute/internal/upgrade"
+)
+
+// allKeys is a configuration with each key that is read beside those of package terms, and no default among its values.
+const allKeys = `{"name":"n3","listen":"127.0.0.1:8080","discovery":"127.0.0.1:8500","mgmt":"127.0.0.1:8600",
+"seed":"8c1f30d27a5be964","limits":{"cores":2.5,"memory_mb":200,"sockets":2048},
+"peer_listen":"127.0.0.1:7946","peers":["127.0.0.1:7946","127.0.0.2:7946"],"peers_all":"127.3.255.1:7946",
+"known":{"seq":41,"whole":true,"hosts":[{"host":"s-1","dial":"127.0.0.3:8080","site":"a","class":"m","block":3,
+"health":"Ready","born_ms":5}]},
+"settings":{"balancers":2,"position":1,"shapes":["m"],"zones":["a","b"],"report":{"names":["rif"]},
+"rules":{"askWithinS":7},
+"orgs":[{"name":"acme","quotaPerS":3}],
+"operations":[{"name":"render","repeat":"deduplicated","dedupScope":"cell","dedupWindowS":60,"latencyObjectiveS":1,
+"clientTimeoutS":2.5,"billedValue":1}],
+"policyLimits":{"peers":true,"maxForwards":3,"mayCancel":true,"connIdleS":8,"dialTimeoutS":0.2,"retryAfter":true,
+"maxRetryAfterS":2}}}`
+
+// TestEachKeyOfTheConfiguration pins the keys of the configuration file.
+func TestEachKeyOfTheConfiguration(t *testing.T) {
+	read, err := parse([]byte(allKeys), environment())
+	assert.NoError(t, err)
+	want := &Placement{Name: "n3", Listen: "127.0.0.1:8080", PeerListen: "127.0.0.1:7946", Mgmt: "127.0.0.1:8600",
+		Seed: 0x8c1f30d27a5be964, Cores: 2.5, MemoryMB: 200, Sockets: 2048, Idle: 8 * time.Second,
+		Longest: 2500 * time.Millisecond,
+		Routing: routing.Terms{
+			Operations: []routing.Operation{{Name: "render", Timeout: 2500 * time.Millisecond, Keyed: true, Scope: 2,
+				Window: time.Minute}},
+			Owners: []string{"acme"}, Zones: []string{"a", "b"}, Kinds: []string{"m"}, Report: []string{"rif"},
+			DialWithin: 200 * time.Millisecond, ComeBackMost: 2 * time.Second, Discovery: "127.0.0.1:8500",
+			Peers: []netip.AddrPort{netip.MustParseAddrPort("127.0.0.1:7946"),
+				netip.MustParseAddrPort("127.0.0.2:7946")},
+			Position: 1,
+			Known: &protocol.List{Version: 41, Whole: true, Entries: []protocol.Entry{{ID: "s-1",
+				Address: "127.0.0.3:8080", Zone: "a", Kind: "m", Cell: 3, State: "Ready", BornMs: 5}}},
+		}}
+	d := read.Decisions
+	assert.Equal(t, []any{int64(70_000), int64(60_000), true, true},
+		[]any{int64(d.AskWithin), int64(d.ToldWithin), d.Takes, d.AskForList})
+	want.Decisions, want.keys, want.settings = d, read.keys, read.settings
+	assert.Equal(t, want, read)
+	unset := []string{}
+	v := reflect.ValueOf(*read)
+	for n := range v.NumField() {
+		if v.Field(n).IsZero() {
+			unset = append(unset, v.Type().Field(n).Name)
+		}
+	}
+	assert.Equal(t, []string{"Fleet"}, unset, "it has a file of its own")
+}
+
+// TestSettingsHash pins the hash that the folder on disk holds: with another one, what was learnt is not believed.
+func TestSettingsHash(t *testing.T) {
+	read, err := parse([]byte(allKeys), environment())
+	assert.NoError(t, err)
+	assert.Equal(t, "8aeee8ff73cee782", read.settings)
+}
+
+// TestEachVariableOfTheEnvironment pins the variables, which go before the file.
+func TestEachVariableOfTheEnvironment(t *testing.T) {
+	dir := t.TempDir()
+	config, fleetPath := filepath.Join(dir, "config.json"), filepath.Join(dir, "fleet.toml")
+	assert.NoError(t, os.WriteFile(config, []byte(configuration), 0o600))
+	assert.NoError(t, os.WriteFile(fleetPath, []byte(strings.Replace(fleetFile, `"n3"`, `"n9"`, 1)), 0o600))
+	variables := environment("LB_CONFIG", config, "LB_FLEET", fleetPath, "LB_NAME", "n9", "LB_LISTEN", "127.0.0.9:1",
+		"LB_DISCOVERY", "127.0.0.9:2", "LB_MGMT", "127.0.0.9:3")
+	read, err := Read(variables)
+	assert.NoError(t, err)
+	assert.Equal(t, []string{"n9", "127.0.0.9:1", "127.0.0.9:2", "127.0.0.9:3", "/tmp/canvasroute-state"},
+		[]string{read.Name, read.Listen, read.Routing.Discovery, read.Mgmt, read.Fleet.State.Folder})
+	again, err := ReadAnew(variables)
+	assert.NoError(t, err)
+	assert.Equal(t, "127.0.0.1:8500", again.Routing.Discovery, "a running dispatcher takes the file's list service")
+	assert.Equal(t, "127.0.0.9:3", again.Mgmt)
+}
+
+// TestProcessExitCodes pins the codes that a service manager sees.
+func TestProcessExitCodes(t *testing.T) {
+	taken, err := net.Listen("tcp", "127.0.0.1:0")
+	assert.NoError(t, err)
+	defer taken.Close()
+	write := func(listen string) string {
+		path := filepath.Join(t.TempDir(), "config.json")
+		text := strings.NewReplacer("127.0.0.1:8080", listen, "127.0.0.1:8500", "127.0.0.1:9", `"peers":true`,
+			`"peers":false`).Replace(configuration)
+		assert.NoError(t, os.WriteFile(path, []byte(text), 0o600))
+		return path
+	}
+	free := freeAddress(t)
+	for _, c := range []struct {
+		name, config string
+		want         int
+	}{
+		{"no configuration", "", 2},
+		{"a configuration that is not there", filepath.Join(t.TempDir(), "none"), 2},
+		{"an address that another program has", write(taken.Addr().String()), 1},
+		{"told to end", write(free), 0},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			t.Setenv("LB_CONFIG", c.config)
+			ended := make(chan int, 1)
+			go func() { ended <- Main() }()
+			if c.want == 0 {
+				serves := func() bool {
+					conn, err := net.Dial("tcp", free)
+					if err == nil {
+						conn.Close()
+					}
+					return err == nil
+				}
+				assert.Eventually(t, serves, 5*time.Second, time.Millisecond)
+				assert.NoError(t, syscall.Kill(os.Getpid(), syscall.SIGTERM))
+			}
+			select {
+			case code := <-ended:
+				assert.Equal(t, c.want, code)
+			case <-time.After(10 * time.Second):
+				t.Fatal("it does not end")
+			}
+		})
+	}
+	var out, wrong bytes.Buffer
+	assert.Equal(t, 1, Call([]string{"serve"}, &out, &wrong), "an unknown command")
+	assert.Equal(t, 0, Call([]string{"--help"}, &out, &wrong))
+}
+
+// TestStateShowOfEarlierRelease reads the folder that an earlier release wrote, with the snapshot in it, and compares what
+// operators are shown with what that release showed.
+func TestStateShowOfEarlierRelease(t *testing.T) {
+	const folder = "../fleet/store/testdata/folder"
+	for golden, args := range map[string][]string{
+		"state_show.json": {"state", "show", folder, "--json"},
+		"state_show.txt":  {"state", "show", folder},
+	} {
+		want, err := os.ReadFile(filepath.Join("testdata", golden))
+		assert.NoError(t, err)
+		var out, wrong bytes.Buffer
+		assert.Equal(t, 0, Call(args, &out, &wrong), wrong.String())
+		assert.Equal(t, string(want), out.String())
+	}
+}
+
+// TestStateShowOfTornFolder pins the key under which faults are shown, and the exit code.
+func TestStateShowOfTornFolder(t *testing.T) {
+	folder := t.TempDir()
+	assert.NoError(t, os.WriteFile(filepath.Join(folder, "life.a"), []byte("x"), 0o600))
+	var out, wrong bytes.Buffer
+	assert.Equal(t, 1, Call([]string{"state", "show", folder, "--json"}, &out, &wrong))
+	assert.Contains(t, out.String(), "\n \"not_believed\": [\n  \"life.a: ")
+}
+
+// TestMeetingPlaceOfAnUpgrade pins by what the processes of one dispatcher find each other: another release has to look
+// in the same place.
+func TestMeetingPlaceOfAnUpgrade(t *testing.T) {
+	dir := t.TempDir()
+	t.Setenv("TMPDIR", dir)
+	p, err := parse([]byte(allKeys), environment())
+	assert.NoError(t, err)
+	assert.Equal(t, upgrade.PlaceOf(dir, "n3", "127.0.0.1:8080", "127.0.0.1:7946"), meet(p, nop).place)
+	p.Mgmt = ""
+	assert.Nil(t, meet(p, nop), "without an address for operators there is no upgrade")
+}
