--- a/decide/facade.go
+++ b/decide/facade.go
@@ -26,6 +26,7 @@
 	N        int
 	Ctx      context.Context // of a Send: ends when the forward is called off or the client's time is up
 	Repeat   Repeat          // of a Send: whether it may run again, and so how sure its connection should be
+	SendBy   time.Time       // of a Send: it has to be sent by then, as the retry window closes; zero where none does
 	ComeBack Time            // of AnswerThrottled: how long the client should stay away, 0 for no advice
 }
 
@@ -494,7 +495,24 @@
 	}
 	ctx := t.begin(until)
 	repeat := l.f.d.ops[l.f.d.invs[inv].op].repeat
-	t.push(Choice{Do: Send, Tgt: tgt, N: len(t.cancels) - 1, Ctx: ctx, Repeat: repeat})
+	t.push(Choice{Do: Send, Tgt: tgt, N: len(t.cancels) - 1, Ctx: ctx, Repeat: repeat, SendBy: l.f.sendBy(inv)})
+}
+
+// sendBy is when the retry window closes for the invocation's last forward, zero where none does. It guards
+// against a repeat that is decided on within the window, and sent behind it, as its connection came up late.
+func (f *Facade) sendBy(inv Inv) (closes time.Time) {
+	i := &f.d.invs[inv]
+	o := &f.d.ops[i.op]
+	if o.repeat != Deduplicated {
+		return closes
+	}
+	for _, earlier := range i.forwards[:len(i.forwards)-1] { // the first one was sent first
+		if earlier.out || earlier.ran {
+			left := earlier.sent + o.window - f.d.margin - f.d.now
+			return time.Now().Add(left.Duration())
+		}
+	}
+	return closes
 }
 
 // begin counts one more forward out, which ends by itself at a time, and returns its context.
--- a/decide/facade_test.go
+++ b/decide/facade_test.go
@@ -67,6 +67,41 @@
 	assert.Equal(t, Send, pick(t, ticket).Do)
 }
 
+func TestRepeatHasToBeSentBeforeItsRetryWindowCloses(t *testing.T) {
+	const zoned, step = Operation(2), Second / 4
+	window := someTerms.Operations[zoned].Window
+	for name, c := range map[string]struct {
+		op   Operation
+		ends []Outcome // of the attempts before the last one, a step apart
+		left Time      // of the window as the last one is decided on, 0 for no bound
+	}{
+		"the first attempt":                     {op: zoned},
+		"after one that may have run":           {zoned, []Outcome{Reset}, window - step},
+		"after one that never ran":              {zoned, []Outcome{NoConnection}, 0},
+		"after one that never ran, and another": {zoned, []Outcome{NoConnection, Reset}, window - step},
+		"where it may run again anyway":         {0, []Outcome{Reset}, 0},
+	} {
+		t.Run(name, func(t *testing.T) {
+			f, now := facadeOf(someTerms, 8)
+			ticket := f.Land(Landing{Operation: c.op, Grace: 30 * Second})
+			choice := pick(t, ticket)
+			var before time.Time
+			for _, how := range c.ends {
+				*now += step
+				before = time.Now()
+				ticket.Report(choice.N, how)
+				choice = pick(t, ticket)
+			}
+			if c.left == 0 {
+				assert.Zero(t, choice.SendBy)
+				return
+			}
+			left := (c.left - f.d.margin).Duration()
+			assert.WithinRange(t, choice.SendBy, before.Add(left), time.Now().Add(left))
+		})
+	}
+}
+
 func TestClientThatLeavesCallsItsForwardsOff(t *testing.T) {
 	f, _ := facadeOf(someTerms, 2)
 	ticket := f.Land(Landing{Grace: 3 * Second})
--- a/internal/routing/crossings_test.go
+++ b/internal/routing/crossings_test.go
@@ -230,6 +230,55 @@
 	}
 }
 
+// repeating are settings by which the last operation may be sent again within a window, in one group.
+func repeating(window decide.Time) func(*decide.Terms, *Terms) {
+	return func(d *decide.Terms, terms *Terms) {
+		d.ForwardsMost, d.Operations[2].Window = 4, window
+		d.Operations[2].Scope, terms.Operations[2].Scope = decide.ScopeZone, decide.ScopeZone
+		terms.DialWithin = time.Minute
+	}
+}
+
+// A repeat is decided on within its retry window, which closes while the connection comes up.
+func TestNothingIsSentAgainBehindItsRetryWindowAsTheConnectionCameUpLate(t *testing.T) {
+	var forwards atomic.Int32
+	const window = time.Second
+	addr := standIn(t, func(c net.Conn, _ *http.Request) {
+		forwards.Add(1)
+		io.WriteString(c, "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n") // it may have run
+	})
+	r := routerBy(addr, repeating(spanOf(window)))
+	attempts := 0
+	r.beforeSent = func() {
+		if attempts++; attempts > 1 {
+			time.Sleep(window)
+		}
+	}
+	answered := make(chan *protocol.Answer, 1)
+	go func() { answered <- r.Serve(context.Background(), keyed(), nil, time.Now()) }()
+	assert.Equal(t, 502, within(t, answered).Status)
+	ended(t, r)
+	assert.EqualValues(t, 1, forwards.Load(), "from then on its worker would run it a second time")
+	assert.Greater(t, attempts, 1, "it was decided on")
+	assert.EqualValues(t, 1, r.counts.outcomes[decide.WorkerError].Load())
+}
+
+// A connection that does not come up is waited for no longer than a repeat may be sent.
+func TestWaitForAConnectionEndsWithTheRetryWindow(t *testing.T) {
+	r := routerBy(unready(t), repeating(decide.Second))
+	inv, err := protocol.ParseInvocation(keyed())
+	assert.NoError(t, err)
+	f := &passage{r: r, ctx: context.Background(), inv: inv, now: r.now.Load(), until: time.Now().Add(time.Minute),
+		sendBy: time.Now().Add(50 * time.Millisecond)}
+	outcomes := make(chan decide.Outcome, 1)
+	go func() {
+		how, _, _ := f.run(0)
+		outcomes <- how
+	}()
+	assert.Equal(t, decide.Moot, within(t, outcomes), "that says nothing of the worker")
+	assert.Zero(t, r.pool.Held())
+}
+
 // As soon as the decisions know of a restart, held work goes to the worker: by then nothing is left that
 // leads to the process before.
 func TestNothingLeadsToTheProcessBeforeOnceTheDecisionsKnowOfItsEnd(t *testing.T) {
--- a/internal/routing/forward.go
+++ b/internal/routing/forward.go
@@ -24,7 +24,8 @@
 }
 
 func (r *Router) passage(c *carrying, choice decide.Choice) *passage {
-	return &passage{r: r, ctx: choice.Ctx, inv: c.inv, now: c.now, until: c.until, need: needs[choice.Repeat],
+	return &passage{r: r, ctx: choice.Ctx, inv: c.inv, now: c.now, until: c.until, sendBy: choice.SendBy,
+		need:    needs[choice.Repeat],
 		started: func() { c.ticket.ReportStart(choice.N) }, withdraw: c.ticket.Withdraw,
 		taken:  func() { c.ticket.ReportTaken(choice.N) },
 		sent:   func() { c.ticket.ReportSent(choice.N) },
@@ -57,6 +58,7 @@
 	inv      *protocol.Invocation
 	now      *settings
 	until    time.Time
+	sendBy   time.Time // its retry window closes then, zero where it has none
 	need     transport.Need
 	used     bool   // its connection had been used before
 	taken    func() // its worker has it
@@ -78,7 +80,7 @@
 func (f *passage) run(tgt decide.Worker) (how decide.Outcome, result string, finish func()) {
 	conn, err := f.connect(tgt)
 	if err != nil {
-		if f.ctx.Err() != nil {
+		if f.ctx.Err() != nil || f.tooLate() {
 			return decide.Moot, "", nil
 		}
 		if errors.Is(err, transport.ErrNoPlace) { // that says nothing of the worker
@@ -106,9 +108,9 @@
 		f.r.beforeSent()
 	}
 	stop := context.AfterFunc(f.ctx, conn.Interrupt)
-	// What came while the connection came up, or a disk was slow, holds: the client's leaving, a drain,
-	// another process at the address. It is no word on the worker.
-	if f.ctx.Err() != nil || !f.r.fleet.takes(tgt, conn.Addr()) {
+	// What came while the connection came up, or a disk was slow, holds: the client's leaving, the end of the
+	// retry window, a drain, another process at the address. It is no word on the worker.
+	if f.ctx.Err() != nil || f.tooLate() || !f.r.fleet.takes(tgt, conn.Addr()) {
 		if !stop() { // it is interrupted, or will be just now: it must not be kept
 			conn.Interrupt()
 		}
@@ -138,6 +140,9 @@
 	return conn.Send(f.now.dialWithin, message)
 }
 
+// tooLate tells whether its retry window has closed: sent now, its worker might run it a second time.
+func (f *passage) tooLate() bool { return !f.sendBy.IsZero() && !time.Now().Before(f.sendBy) }
+
 // resume goes on with a forward that another process had sent.
 func (f *passage) resume(conn *transport.Conn) (how decide.Outcome, result string, finish func()) {
 	return f.await(conn, context.AfterFunc(f.ctx, conn.Interrupt))
@@ -172,10 +177,15 @@
 	}
 }
 
-// connect gets a connection within the time in which one comes up or never does.
+// connect gets a connection within the time in which one comes up or never does, and within the retry window.
 func (f *passage) connect(tgt decide.Worker) (*transport.Conn, error) {
 	ctx, cancel := context.WithTimeout(f.ctx, f.now.dialWithin)
 	defer cancel()
+	if !f.sendBy.IsZero() {
+		var closed context.CancelFunc
+		ctx, closed = context.WithDeadline(ctx, f.sendBy)
+		defer closed()
+	}
 	return f.r.pool.Get(ctx, f.r.fleet.address(tgt), f.need)
 }
 
