--- a/internal/transport/crossings_test.go
+++ b/internal/transport/crossings_test.go
@@ -15,6 +15,7 @@
 
 	"github.com/rs/zerolog"
 	"github.com/stretchr/testify/assert"
+	"golang.org/x/sys/unix"
 
 	"canvasroute/internal/drain"
 	"canvasroute/internal/protocol"
@@ -521,6 +522,58 @@
 	assert.Len(t, got, len(body))
 }
 
+// What a client sends once its connection was shut is read over: sent on it would be lost, as nothing can answer it.
+func TestWhatComesAfterTheShutdownIsNotServed(t *testing.T) {
+	s, g, _, _ := gatedServer(t)
+	c, r := connect(t, s)
+	text := strings.Replace(gate, "\r\n", "\r\nConnection: close\r\n", 1) + gate[:1]
+	io.WriteString(c, text)
+	ours := within(t, g.asked)
+	assert.Eventually(t, func() bool { return ours.counter.read.Load() == int64(len(text)) }, soon, time.Millisecond)
+	g.let <- &protocol.Answer{Status: 200}
+	status, _, closes := ask(t, c, r, "")
+	assert.Equal(t, []any{200, true}, []any{status, closes})
+	_, err := r.ReadByte()
+	assert.ErrorIs(t, err, io.EOF, "it is shut")
+	io.WriteString(c, gate[1:])
+	assert.Eventually(t, func() bool { return s.Held() == 0 }, soon, time.Millisecond)
+	assert.Empty(t, g.asked)
+}
+
+// noDelay tells whether small writes leave a socket at once, and are not held back behind others.
+func noDelay(t *testing.T, c *Conn) bool {
+	raw, err := c.Socket().SyscallConn()
+	assert.NoError(t, err)
+	value := 0
+	assert.NoError(t, raw.Control(func(fd uintptr) {
+		value, err = unix.GetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_NODELAY)
+	}))
+	assert.NoError(t, err)
+	return value != 0
+}
+
+// A close that resets a connection takes small writes along that the system still holds back.
+func TestNoSmallWriteIsHeldBackOnAnyConnection(t *testing.T) {
+	s, g, _, _ := gatedServer(t)
+	c, _ := connect(t, s)
+	io.WriteString(c, gate)
+	assert.True(t, noDelay(t, within(t, g.asked)), "a client's")
+	g.let <- &protocol.Answer{Status: 200}
+	addr, _ := worker(t)
+	p := NewPool(2, time.Minute, zerolog.Nop())
+	toWorker := get(t, p, addr)
+	assert.True(t, noDelay(t, toWorker), "a worker's")
+	list, err := Dial(context.Background(), addr, Lister, zerolog.Nop())
+	assert.NoError(t, err)
+	assert.True(t, noDelay(t, list), "the list service's")
+	file, err := toWorker.nc.(*net.TCPConn).File()
+	assert.NoError(t, err)
+	defer file.Close()
+	handed, err := net.FileConn(file)
+	assert.NoError(t, err)
+	assert.True(t, noDelay(t, p.Adopt(handed, addr, nil)), "one handed over")
+}
+
 // A client that does not take its answer does not keep the process from ending.
 func TestProcessEndsBesideAClientThatDoesNotTakeItsAnswer(t *testing.T) {
 	s, g, cancel, ended := gatedServer(t)
