--- a/internal/routing/crossings_test.go
+++ b/internal/routing/crossings_test.go
@@ -6,6 +6,7 @@
 	"io"
 	"net"
 	"net/http"
+	"strconv"
 	"sync/atomic"
 	"syscall"
 	"testing"
@@ -230,6 +231,36 @@
 	}
 }
 
+// However long an invocation has waited, and a connection was late: the first attempt and the next ones alike.
+func TestTimeToldToAWorkerIsAtMostWhatIsLeftToTheClient(t *testing.T) {
+	told, left := make(chan string, 4), make(chan time.Duration, 4)
+	came := time.Now().Add(-500 * time.Millisecond)
+	r := routerBy(standIn(t, func(c net.Conn, forward *http.Request) {
+		told <- forward.Header.Get("Req-Deadline")
+		text := "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"
+		if len(told) > 1 {
+			text = chunked(done) + last
+		}
+		io.WriteString(c, text)
+	}), func(d *decide.Terms, _ *Terms) { d.ForwardsMost = 4 })
+	r.beforeSent = func() {
+		time.Sleep(50 * time.Millisecond)
+		left <- time.Until(came.Add(2 * time.Second)) // its client waits for as long
+	}
+	answered := make(chan *protocol.Answer, 1)
+	go func() { answered <- r.Serve(context.Background(), invocation("idem"), nil, came) }()
+	assert.Equal(t, 200, within(t, answered).Status)
+	ended(t, r)
+	assert.Len(t, told, 2)
+	for range 2 {
+		seconds, err := strconv.ParseFloat(within(t, told), 64)
+		assert.NoError(t, err)
+		const rounded = 0.001
+		assert.LessOrEqual(t, seconds, within(t, left).Seconds()+rounded)
+		assert.Positive(t, seconds)
+	}
+}
+
 // repeating are settings by which the last operation may be sent again within a window, in one group.
 func repeating(window decide.Time) func(*decide.Terms, *Terms) {
 	return func(d *decide.Terms, terms *Terms) {
