--- a/internal/transport/attend.go
+++ b/internal/transport/attend.go
@@ -17,9 +17,11 @@
 // on for it.
 const (
 	lookEvery   = 10 * time.Millisecond
-	probeEvery  = 3         // looks
-	mostUnread  = 32 << 10  // beyond it a client may have more on its way than the system takes in
-	probeWithin = lookEvery // for an interim answer to be written
+	probeEvery  = 3                     // looks
+	mostUnread  = 32 << 10              // beyond it a client may have more on its way than the system takes in
+	probeWithin = lookEvery             // for an interim answer to be written
+	unreadFor   = 50 * time.Millisecond // a message that has waited longer may be of a client that is long gone
+	resetWithin = 50 * time.Millisecond // from an interim answer to the reset of a client that has closed
 )
 
 // errUnread is the end of a client that has sent more than is held, and is gone.
@@ -96,6 +98,37 @@
 	}
 }
 
+// leftUnread tells whether a client had closed its connection before its message was read, some time ago: what is
+// begun for it now would be begun too late. A client whose message has just come is not looked at: it cannot have
+// closed long ago, and the watch that goes on beside its work finds it out in time.
+func (c *Conn) leftUnread() bool {
+	raw, ok := c.nc.(syscall.Conn)
+	if !ok || lastData(raw) < unreadFor {
+		return false
+	}
+	if state, _ := socketState(raw); state == unix.BPF_TCP_ESTABLISHED {
+		return false
+	}
+	stopped := make(chan struct{})
+	timer := time.AfterFunc(resetWithin, func() { close(stopped) })
+	defer timer.Stop()
+	return c.look(stopped, io.EOF) != nil
+}
+
+// lastData is how long ago the last bytes have come on a connection, 0 where the system does not tell.
+func lastData(raw syscall.Conn) (ago time.Duration) {
+	rc, err := raw.SyscallConn()
+	if err != nil {
+		return 0
+	}
+	rc.Control(func(fd uintptr) {
+		if info, err := unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO); err == nil {
+			ago = time.Duration(info.Last_data_recv) * time.Millisecond
+		}
+	})
+	return ago
+}
+
 // socketState is how the system sees a connection, and how much has come on it that was not read.
 func socketState(raw syscall.Conn) (state uint8, unread int) {
 	state = unix.BPF_TCP_CLOSE
--- a/internal/transport/crossings_test.go
+++ b/internal/transport/crossings_test.go
@@ -156,6 +156,38 @@
 	}
 }
 
+// Guards against work begun for a client that gave up while its connection waited in the listener's queue, as that of
+// a process that is short of descriptors does.
+func TestNothingIsBegunForAClientThatClosedWhileItWaitedInTheQueue(t *testing.T) {
+	ln, err := ListenClients("127.0.0.1:0", nil, false)
+	assert.NoError(t, err)
+	g := &gated{asked: make(chan *Conn, 2), let: make(chan *protocol.Answer, 2)}
+	s := NewServer(ln, 4, 1<<20, g, &drain.State{}, zerolog.Nop())
+	gone, _ := connect(t, s) // nobody accepts yet
+	io.WriteString(gone, gate)
+	half, r := connect(t, s)
+	io.WriteString(half, gate)
+	assert.NoError(t, half.(*net.TCPConn).CloseWrite())
+	assert.NoError(t, gone.Close())
+	time.Sleep(2 * unreadFor)
+	ctx, cancel := context.WithCancel(context.Background())
+	ended := make(chan error, 1)
+	go func() { ended <- s.Run(ctx) }()
+	within(t, g.asked)
+	g.let <- &protocol.Answer{Status: 200}
+	for status := 100; status != 200; {
+		a, err := http.ReadResponse(r, nil)
+		if !assert.NoError(t, err, "one that has only ended its sending gets its answer") {
+			break
+		}
+		status = a.StatusCode
+	}
+	assert.Eventually(t, func() bool { return s.Held() == 0 }, soon, time.Millisecond)
+	assert.Empty(t, g.asked, "the other one is not begun")
+	cancel()
+	assert.NoError(t, within(t, ended))
+}
+
 func TestDeadlineThatFiresAsAMessageTurnsWholeDoesNotEndTheWatch(t *testing.T) {
 	c, other, _ := pair(t)
 	s := newPlaces(4, &drain.State{})
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -244,6 +244,9 @@
 	if over {
 		return s.answer(c, s.handler.Overfull(&h), true)
 	}
+	if !c.Used() && c.leftUnread() { // later messages do not wait: they are read as they come
+		return ClientLeft, errClientLeft
+	}
 	return s.owed(c, h.Closes(), func(ctx context.Context) *protocol.Answer {
 		return s.handler.Serve(ctx, &h, content, came)
 	})
