--- a/internal/routing/crossings_test.go
+++ b/internal/routing/crossings_test.go
@@ -294,6 +294,21 @@
 	assert.EqualValues(t, 1, r.counts.outcomes[decide.WorkerError].Load())
 }
 
+// A connection that comes up later than the settings wait for one counts as one that never does: nothing has run.
+func TestConnectionThatComesUpTooLateIsGivenUp(t *testing.T) {
+	r := routerBy(unready(t), func(_ *decide.Terms, terms *Terms) { terms.DialWithin = 20 * time.Millisecond })
+	inv, err := protocol.ParseInvocation(keyed())
+	assert.NoError(t, err)
+	f := &passage{r: r, ctx: context.Background(), inv: inv, now: r.now.Load(), until: time.Now().Add(time.Minute)}
+	outcomes := make(chan decide.Outcome, 1)
+	go func() {
+		how, _, _ := f.run(0)
+		outcomes <- how
+	}()
+	assert.Equal(t, decide.NoConnection, within(t, outcomes))
+	assert.Zero(t, r.pool.Held(), "its place is free again")
+}
+
 // A connection that does not come up is waited for no longer than a repeat may be sent.
 func TestWaitForAConnectionEndsWithTheRetryWindow(t *testing.T) {
 	r := routerBy(unready(t), repeating(decide.Second))
