--- a/internal/fleet/link/message.go
+++ b/internal/fleet/link/message.go
@@ -16,6 +16,7 @@
 // Kind is what a message is.
 type Kind uint8
 
+// The values of Kind.
 const (
 	Ask    Kind = iota + 1 // what do you know?
 	Answer                 // a part of what I know
@@ -70,8 +71,10 @@
 // ErrMalformed is a message that is not of this protocol.
 var ErrMalformed = errors.New("malformed message")
 
-var strict = must(cbor.DecOptions{DupMapKey: cbor.DupMapKeyEnforcedAPF, MaxArrayElements: 1024, MaxMapPairs: 64,
-	MaxNestedLevels: 4, IndefLength: cbor.IndefLengthForbidden}.DecMode())
+var strict = must(cbor.DecOptions{
+	DupMapKey: cbor.DupMapKeyEnforcedAPF, MaxArrayElements: 1024, MaxMapPairs: 64,
+	MaxNestedLevels: 4, IndefLength: cbor.IndefLengthForbidden,
+}.DecMode())
 
 func must(m cbor.DecMode, err error) cbor.DecMode {
 	if err != nil {
--- a/internal/fleet/recovery/core.go
+++ b/internal/fleet/recovery/core.go
@@ -16,6 +16,7 @@
 // Phase is how far a dispatcher has returned. Within one life it only grows.
 type Phase uint8
 
+// The values of Phase, in the order in which a dispatcher goes through them.
 const (
 	Identity   Phase = iota // which life this is
 	List                    // which workers there are
@@ -33,6 +34,7 @@
 // Case is who was away, as it follows from the answers.
 type Case uint8
 
+// The values of Case.
 const (
 	Undecided Case = iota
 	Alone          // all others serve: they know better than this disk
@@ -150,10 +152,16 @@
 	return c
 }
 
-// Phase, Case, Life and Since tell how it stands.
-func (c *Core) Phase() Phase         { return c.phase }
-func (c *Core) Case() Case           { return c.who }
-func (c *Core) Life() uint64         { return c.life }
+// Phase is the current phase of the recovery.
+func (c *Core) Phase() Phase { return c.phase }
+
+// Case is who was away, as far as it is known.
+func (c *Core) Case() Case { return c.who }
+
+// Life is the number of this life.
+func (c *Core) Life() uint64 { return c.life }
+
+// Since is when the current phase began.
 func (c *Core) Since() time.Duration { return c.since }
 
 // Seen is how far others have come, by name.
@@ -161,8 +169,10 @@
 	seen := map[string]Seen{}
 	for n, m := range c.members {
 		if m.life > 0 {
-			seen[c.terms.Members[n]] = Seen{Life: m.life, Token: m.token, Kept: m.kept,
-				WasLife: m.was.Life, WasToken: m.was.Token, WasKept: m.was.Kept}
+			seen[c.terms.Members[n]] = Seen{
+				Life: m.life, Token: m.token, Kept: m.kept,
+				WasLife: m.was.Life, WasToken: m.was.Token, WasKept: m.was.Kept,
+			}
 		}
 	}
 	return seen
@@ -273,8 +283,10 @@
 // limit is how long the phase may last.
 func (c *Core) limit() (time.Duration, bool) {
 	t := &c.terms
-	within := [...]time.Duration{Identity: t.IdentityWithin, List: t.ListWithin, Others: t.OthersWithin,
-		Trickle: t.TrickleWithin, Ramp: t.RampWithin, Full: 0, Superseded: 0}[c.phase]
+	within := [...]time.Duration{
+		Identity: t.IdentityWithin, List: t.ListWithin, Others: t.OthersWithin,
+		Trickle: t.TrickleWithin, Ramp: t.RampWithin, Full: 0, Superseded: 0,
+	}[c.phase]
 	return within, within > 0
 }
 
@@ -424,8 +436,10 @@
 }
 
 func (c *Core) message(k link.Kind, number uint32) *link.Message {
-	return &link.Message{Kind: k, From: c.terms.Members[c.terms.Self], Life: c.life, Token: c.token,
-		Number: number, Phase: uint8(c.phase), Lived: c.now.Milliseconds()}
+	return &link.Message{
+		Kind: k, From: c.terms.Members[c.terms.Self], Life: c.life, Token: c.token,
+		Number: number, Phase: uint8(c.phase), Lived: c.now.Milliseconds(),
+	}
 }
 
 // Take takes a message. What is of a life that has ended, or answers no question of this one, changes nothing.
--- a/internal/lab/experiment/operators.go
+++ b/internal/lab/experiment/operators.go
@@ -149,7 +149,7 @@
 			}
 		}()
 	}
-	io.Copy(io.Discard, c)
+	_, _ = io.Copy(io.Discard, c) // until either side ends it
 }
 
 // operators carries out what a person would do.
@@ -210,8 +210,11 @@
 			}
 		}
 		unsure := seen["unanswered"] + seen["broken"] + seen["unreachable"] + seen["interrupted"]
-		for _, pair := range [][2]string{{"succeeded", "succeeded"}, {"declined", "throttled"},
-			{"aborted", "errored"}} {
+		for _, pair := range [][2]string{
+			{"succeeded", "succeeded"},
+			{"declined", "throttled"},
+			{"aborted", "errored"},
+		} {
 			was, is := told[pair[0]], seen[pair[1]]
 			if slack := unsure + max(figureLeast, int(figureShare*float64(is))); was < is-slack || was > is+slack {
 				w.failed(fmt.Errorf("%s: svc.%s says %d, clients saw %d", dispatcherName(n), pair[0], was, is))
--- a/internal/lab/registry/server.go
+++ b/internal/lab/registry/server.go
@@ -17,6 +17,7 @@
 // Trouble is what is wrong with the list service.
 type Trouble uint8
 
+// The values of Trouble.
 const (
 	Fine    Trouble = iota
 	Away            // watches end, and calls are reset
@@ -141,7 +142,7 @@
 		version, entries := s.catalog.Whole(s.clock())
 		s.mu.Unlock()
 		s.tell(dispatcher, entries, true)
-		w.Write(append(encode(version, true, entries, dispatcher), '\n'))
+		_, _ = w.Write(append(encode(version, true, entries, dispatcher), '\n'))
 		s.tell(dispatcher, entries, false)
 		return
 	}
@@ -155,7 +156,8 @@
 
 // watch writes a line for each change until somebody ends it.
 func (s *Service) watch(w http.ResponseWriter, r *http.Request, dispatcher, version int,
-	open context.Context) {
+	open context.Context,
+) {
 	out, first, wrote := http.NewResponseController(w), true, time.Now()
 	look := time.NewTicker(lookEvery)
 	defer look.Stop()
@@ -222,8 +224,10 @@
 		if whole && e.State == Gone {
 			continue
 		}
-		h := host{Host: e.Host, Dial: e.Dials[dispatcher], Site: e.Site, Class: e.Kind, Block: e.Block,
-			Health: e.State, Share: 1}
+		h := host{
+			Host: e.Host, Dial: e.Dials[dispatcher], Site: e.Site, Class: e.Kind, Block: e.Block,
+			Health: e.State, Share: 1,
+		}
 		if !e.Born.IsZero() {
 			h.BornMs = e.Born.UnixMilli()
 		}
--- a/internal/program/back_test.go
+++ b/internal/program/back_test.go
@@ -72,7 +72,7 @@
 
 // Guards against two that go under one name on one machine: the second neither writes nor serves.
 func TestSecondProcessUnderOneNameIsRefused(t *testing.T) {
-	p, err := parse([]byte(configuration), environment())
+	_, err := parse([]byte(configuration), environment())
 	assert.NoError(t, err)
 	dir := t.TempDir()
 	own := filepath.Join(dir, "fleet.toml")
@@ -85,7 +85,7 @@
 	assert.NoError(t, os.WriteFile(own, []byte(text), 0o600))
 	config := filepath.Join(dir, "config.json")
 	assert.NoError(t, os.WriteFile(config, []byte(configuration), 0o600))
-	p, err = Read(environment("LB_CONFIG", config, "LB_FLEET", own))
+	p, err := Read(environment("LB_CONFIG", config, "LB_FLEET", own))
 	assert.NoError(t, err)
 	_, err = p.node(nil, false, nop)
 	assert.ErrorContains(t, err, `two that go under the name "n3"`, "the address is taken")
@@ -109,12 +109,16 @@
 	assert.NoError(t, err)
 	assert.NoError(t, s.Leave(true))
 	assert.NoError(t, s.Keep([]store.Key{{Sum: 1}}, time.Now().UnixMilli()))
-	assert.NoError(t, s.Learn(store.Facts{At: time.Now().UnixMilli(), Settings: "abc",
-		Learnt: []byte(`{"Version":41,"Kinds":["m"],"Learnt":[{"Kinds":[{"Slots":3,"Most":3}]}]}`)}))
+	assert.NoError(t, s.Learn(store.Facts{
+		At: time.Now().UnixMilli(), Settings: "abc",
+		Learnt: []byte(`{"Version":41,"Kinds":["m"],"Learnt":[{"Kinds":[{"Slots":3,"Most":3}]}]}`),
+	}))
 	var out, wrong bytes.Buffer
 	assert.Equal(t, 0, Call([]string{"state", "show", path}, &out, &wrong))
-	for _, want := range []string{`dispatcher "n3", life 7`, "told to leave by hand", "settings abc: list 41",
-		"bears m: 3 at once", "keys that may have run: 1"} {
+	for _, want := range []string{
+		`dispatcher "n3", life 7`, "told to leave by hand", "settings abc: list 41",
+		"bears m: 3 at once", "keys that may have run: 1",
+	} {
 		assert.Contains(t, out.String(), want)
 	}
 	assert.NoError(t, os.Truncate(filepath.Join(path, "facts.b"), 20))
--- a/internal/protocol/worker.go
+++ b/internal/protocol/worker.go
@@ -10,6 +10,7 @@
 // State is what a line of a worker says of its forward.
 type State uint8
 
+// The values of State.
 const (
 	Unknown State = iota // a word that this version does not know; it changes nothing
 	Started
@@ -20,8 +21,10 @@
 	Lost
 )
 
-var states = map[string]State{"started": Started, "running": Running, "done": Done, "failed": Failed,
-	"returned": Returned, "lost": Lost}
+var states = map[string]State{
+	"started": Started, "running": Running, "done": Done, "failed": Failed,
+	"returned": Returned, "lost": Lost,
+}
 
 // Line is one line of a worker's answer.
 type Line struct {
--- a/internal/routing/router_test.go
+++ b/internal/routing/router_test.go
@@ -41,7 +41,7 @@
 	for range 2 { // an id that is no longer open is taken
 		a := r.Serve(context.Background(), invocation("idem"), nil, time.Now())
 		assert.Equal(t, []int{200, 409}, []int{a.Status, second})
-		r.forwards.Wait()
+		assert.NoError(t, r.forwards.Wait())
 	}
 }
 
@@ -51,8 +51,10 @@
 		assert.Equal(t, want, r.Check(&protocol.Head{Method: "POST", Target: target}).Status, target)
 	}
 	assert.Nil(t, r.Check(&protocol.Head{Method: "POST", Target: "/api?x=1"}))
-	assert.Equal(t, &protocol.Answer{Status: 405, Allow: "POST"}, r.Check(&protocol.Head{Method: "PUT",
-		Target: "/api"}))
+	assert.Equal(t, &protocol.Answer{Status: 405, Allow: "POST"}, r.Check(&protocol.Head{
+		Method: "PUT",
+		Target: "/api",
+	}))
 }
 
 func TestHealthIsGoodOnlyWhenReady(t *testing.T) {
@@ -91,7 +93,7 @@
 			c.Read(make([]byte, 1))
 		}))
 		assert.Nil(t, r.Serve(ctx, invocation(operation), nil, time.Now()))
-		r.forwards.Wait()
+		assert.NoError(t, r.forwards.Wait())
 		assert.Equal(t, 0, r.facade.Open())
 		assert.Equal(t, int64(1), r.counts.Sent.Load(), "it is not sent again")
 	}
@@ -186,8 +188,10 @@
 	r.hear(netip.MustParseAddrPort("127.0.0.9:7001"), news(7))
 	r.hear(r.terms.Peers[0], news(7)) // our own address
 	c := &r.counts
-	assert.Equal(t, []int64{3, 1, 1, 2}, []int64{c.DatagramsHeard.Load(), c.Overtaken.Load(),
-		c.DatagramsBroken.Load(), c.Strangers.Load()})
+	assert.Equal(t, []int64{3, 1, 1, 2}, []int64{
+		c.DatagramsHeard.Load(), c.Overtaken.Load(),
+		c.DatagramsBroken.Load(), c.Strangers.Load(),
+	})
 }
 
 func TestDispatcherGreetsItsPeersAsItStarts(t *testing.T) {
@@ -199,7 +203,7 @@
 	r.datagrams, err = transport.ListenDatagrams(netip.MustParseAddrPort("127.0.0.1:0"), nil, false)
 	assert.NoError(t, err)
 	ctx, cancel := context.WithCancel(context.Background())
-	go r.tell(ctx, 0)
+	go func() { _ = r.tell(ctx, 0) }()
 	defer cancel()
 	b := make([]byte, 256)
 	assert.NoError(t, peer.SetReadDeadline(time.Now().Add(5*time.Second)))
--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -18,6 +18,7 @@
 // Reason is why a connection ended, as its log line names it.
 type Reason string
 
+// The values of Reason.
 const (
 	PeerClosed   Reason = "peer_closed"   // the other side ended it between messages
 	PeerBroke    Reason = "peer_broke"    // the other side ended or reset it within a message
@@ -45,6 +46,7 @@
 // Side is who is at the other end.
 type Side string
 
+// The values of Side: who is at the other end.
 const (
 	Client Side = "client"
 	Worker Side = "worker"
@@ -104,8 +106,10 @@
 }
 
 func newConn(nc net.Conn, side Side, addr string, log zerolog.Logger, onEnd func()) *Conn {
-	return &Conn{nc: nc, in: NewRing(ringSize), out: NewRing(outRingSize), side: side, addr: addr,
-		opened: time.Now(), log: log, onEnd: onEnd, counter: meter{nc: nc}}
+	return &Conn{
+		nc: nc, in: NewRing(ringSize), out: NewRing(outRingSize), side: side, addr: addr,
+		opened: time.Now(), log: log, onEnd: onEnd, counter: meter{nc: nc},
+	}
 }
 
 // Dial opens a connection that no pool keeps.
@@ -155,7 +159,7 @@
 	c.bounds.Lock()
 	defer c.bounds.Unlock()
 	if !c.cut {
-		set(at)
+		_ = set(at) // fails only on a closed connection, as what is done next on it does
 	}
 }
 
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -57,9 +57,12 @@
 // The bodies that are held at once have so many bytes at the most. The drain's state says which answers are
 // the last ones of their connections, and whether a connection may stand idle.
 func NewServer(ln *net.TCPListener, most int, bodies int64, handler Handler, state *drain.State,
-	log zerolog.Logger) *Server {
-	s := &Server{ln: ln, handler: handler, log: log, drain: state,
-		places: newPlaces(most, state)}
+	log zerolog.Logger,
+) *Server {
+	s := &Server{
+		ln: ln, handler: handler, log: log, drain: state,
+		places: newPlaces(most, state),
+	}
 	s.bodies.left.Store(max(bodies, protocol.MostBody))
 	return s
 }
@@ -273,7 +276,8 @@
 // turnAway answers what is not taken. Its body is read over, so that the connection can go on; where it is
 // too large, or its client waits for a word before it sends it, the connection ends instead.
 func (s *Server) turnAway(c *Conn, h *protocol.Head, body protocol.Body, a *protocol.Answer,
-	over bool) (Reason, error) {
+	over bool,
+) (Reason, error) {
 	ends := h.Expects()
 	if !ends {
 		err := c.Skip(body, protocol.MostBody)
@@ -336,7 +340,7 @@
 // more has been read: a client that sends ahead has handed that in already, and nobody else will answer it.
 func (s *Server) answer(c *Conn, a *protocol.Answer, closes bool) (Reason, error) {
 	phase := s.drain.At(time.Now())
-	closes = closes || phase.Last() && !(phase.Ends() && c.in.Len() > 0)
+	closes = closes || phase.Last() && !(phase.Ends() && c.in.Len() > 0) //nolint:staticcheck // QF1001: a mutant names this guard
 	if err := c.Send(answerWithin, protocol.AppendAnswerHead(nil, a, closes), a.Body); err != nil {
 		return Blame(err), err
 	}
