--- a/internal/fleet/operators_test.go
+++ b/internal/fleet/operators_test.go
@@ -12,16 +12,18 @@
 // TestCounterNamesOfDump pins the names that operators read in the answer to DUMP, in their order.
 func TestCounterNamesOfDump(t *testing.T) {
 	node, _ := onHungDisk(t)
-	defer node.socket.Close()
+	defer func() { assert.NoError(t, node.socket.Close()) }()
 	var names []string
 	for _, f := range node.Figures() {
 		assert.Empty(t, f.Operation)
 		names = append(names, f.Name)
 	}
-	assert.Equal(t, []string{"return_phase", "return_case", "return_phase_ms", "return_life", "return_answered",
+	assert.Equal(t, []string{
+		"return_phase", "return_case", "return_phase_ms", "return_life", "return_answered",
 		"return_silent", "return_turned_away", "state_trusted", "state_dropped", "state_writes", "state_failures",
 		"keys_kept", "keys_unkept", "keys_before", "keys_open", "keys_held", "keys_barred", "link_sent", "link_bytes",
-		"link_heard", "link_malformed", "link_strangers"}, names)
+		"link_heard", "link_malformed", "link_strangers",
+	}, names)
 }
 
 // TestEachKeyOfTheFleetFile pins the keys of the operators' file: each is read, with a value that is not its default.
--- a/internal/fleet/store/format_test.go
+++ b/internal/fleet/store/format_test.go
@@ -18,8 +18,10 @@
 var goldenFiles = []string{"facts.a", "facts.b", "keys.1", "keys.2", "life.a", "life.b"}
 
 // wantLife is the identity in the golden folder.
-var wantLife = Life{Name: "n3", Life: 8, Token: 0xfedcba9876543210, Began: 1_700_000_000_000, Left: true, Keys: 3,
-	Clean: true, Doubt: true}
+var wantLife = Life{
+	Name: "n3", Life: 8, Token: 0xfedcba9876543210, Began: 1_700_000_000_000, Left: true, Keys: 3,
+	Clean: true, Doubt: true,
+}
 
 // wantKeys are the keys in the golden folder, in the order of writing.
 var wantKeys = []Key{
@@ -33,9 +35,11 @@
 	t.Helper()
 	snapshot, err := os.ReadFile("../../routing/testdata/snapshot.json")
 	assert.NoError(t, err)
-	return Facts{Name: "n3", Life: 8, At: 1_700_000_042_000, Settings: "0123456789abcdef", Learnt: snapshot,
+	return Facts{
+		Name: "n3", Life: 8, At: 1_700_000_042_000, Settings: "0123456789abcdef", Learnt: snapshot,
 		Seen: map[string]Seen{"n4": {Life: 5, Token: 6, Kept: 7, WasLife: 4, WasToken: 0x8000000000000000, WasKept: 9}},
-		Keys: 3}
+		Keys: 3,
+	}
 }
 
 // writeFolder writes all sorts of records: what wantLife, wantKeys and wantFacts tell, over what was there before.
--- a/internal/program/operators_test.go
+++ b/internal/program/operators_test.go
@@ -37,20 +37,28 @@
 func TestEachKeyOfTheConfiguration(t *testing.T) {
 	read, err := parse([]byte(allKeys), environment())
 	assert.NoError(t, err)
-	want := &Placement{Name: "n3", Listen: "127.0.0.1:8080", PeerListen: "127.0.0.1:7946", Mgmt: "127.0.0.1:8600",
+	want := &Placement{
+		Name: "n3", Listen: "127.0.0.1:8080", PeerListen: "127.0.0.1:7946", Mgmt: "127.0.0.1:8600",
 		Seed: 0x8c1f30d27a5be964, Cores: 2.5, MemoryMB: 200, Sockets: 2048, Idle: 8 * time.Second,
 		Longest: 2500 * time.Millisecond,
 		Routing: routing.Terms{
-			Operations: []routing.Operation{{Name: "render", Timeout: 2500 * time.Millisecond, Keyed: true, Scope: 2,
-				Window: time.Minute}},
+			Operations: []routing.Operation{{
+				Name: "render", Timeout: 2500 * time.Millisecond, Keyed: true, Scope: 2,
+				Window: time.Minute,
+			}},
 			Owners: []string{"acme"}, Zones: []string{"a", "b"}, Kinds: []string{"m"}, Report: []string{"rif"},
 			DialWithin: 200 * time.Millisecond, ComeBackMost: 2 * time.Second, Discovery: "127.0.0.1:8500",
-			Peers: []netip.AddrPort{netip.MustParseAddrPort("127.0.0.1:7946"),
-				netip.MustParseAddrPort("127.0.0.2:7946")},
+			Peers: []netip.AddrPort{
+				netip.MustParseAddrPort("127.0.0.1:7946"),
+				netip.MustParseAddrPort("127.0.0.2:7946"),
+			},
 			Position: 1,
-			Known: &protocol.List{Version: 41, Whole: true, Entries: []protocol.Entry{{ID: "s-1",
-				Address: "127.0.0.3:8080", Zone: "a", Kind: "m", Cell: 3, State: "Ready", BornMs: 5}}},
-		}}
+			Known: &protocol.List{Version: 41, Whole: true, Entries: []protocol.Entry{{
+				ID:      "s-1",
+				Address: "127.0.0.3:8080", Zone: "a", Kind: "m", Cell: 3, State: "Ready", BornMs: 5,
+			}}},
+		},
+	}
 	d := read.Decisions
 	assert.Equal(t, []any{int64(70_000), int64(60_000), true, true},
 		[]any{int64(d.AskWithin), int64(d.ToldWithin), d.Takes, d.AskForList})
--- a/internal/protocol/wire_test.go
+++ b/internal/protocol/wire_test.go
@@ -55,12 +55,16 @@
 		left time.Duration
 		want string
 	}{
-		{"all fields", all, "body", 1234567 * time.Microsecond,
+		{
+			"all fields", all, "body", 1234567 * time.Microsecond,
 			"POST /api?q=1 HTTP/1.1\r\nHost: origin.svc\r\nReq-Id: 9b\r\nReq-Deadline: 1.235\r\n" +
-				"Idempotency-Key: k1\r\nContent-Type: text/plain\r\nContent-Length: 4\r\n\r\nbody"},
-		{"least fields, no time left", askHead(t, "Req-Id: 9c\r\nReq-Kind: render"), "", -time.Second,
+				"Idempotency-Key: k1\r\nContent-Type: text/plain\r\nContent-Length: 4\r\n\r\nbody",
+		},
+		{
+			"least fields, no time left", askHead(t, "Req-Id: 9c\r\nReq-Kind: render"), "", -time.Second,
 			"POST /api?q=1 HTTP/1.1\r\nHost: origin.svc\r\nReq-Id: 9c\r\nReq-Deadline: 0.000\r\n" +
-				"Content-Length: 0\r\n\r\n"},
+				"Content-Length: 0\r\n\r\n",
+		},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			inv, err := ParseInvocation(c.head)
@@ -74,8 +78,10 @@
 // TestGetRequestBytes checks the requests for the list of workers, and for a worker's load and health.
 func TestGetRequestBytes(t *testing.T) {
 	for _, c := range []struct{ name, target, want string }{
-		{"watch of the list", WatchTarget(9007199254740993),
-			"GET /catalog/members?stream=1&index=9007199254740993 HTTP/1.1\r\nHost: origin.svc\r\n\r\n"},
+		{
+			"watch of the list", WatchTarget(9007199254740993),
+			"GET /catalog/members?stream=1&index=9007199254740993 HTTP/1.1\r\nHost: origin.svc\r\n\r\n",
+		},
 		{"list", PathList, "GET /catalog/members HTTP/1.1\r\nHost: origin.svc\r\n\r\n"},
 		{"load", PathLoad, "GET /_load HTTP/1.1\r\nHost: origin.svc\r\n\r\n"},
 		{"health", PathReady, "GET /_health HTTP/1.1\r\nHost: origin.svc\r\n\r\n"},
@@ -96,18 +102,30 @@
 		{"success", Answer{Status: 200, Body: []byte("made")}, false, "200 OK\r\nContent-Length: 4"},
 		{"malformed", Answer{Status: 400}, true, "400 Bad Request\r\nContent-Length: 0\r\nConnection: close"},
 		{"unknown path", Answer{Status: 404}, false, "404 Not Found\r\nContent-Length: 0"},
-		{"wrong method", Answer{Status: 405, Allow: "GET, HEAD"}, false,
-			"405 Method Not Allowed\r\nContent-Length: 0\r\nAllow: GET, HEAD"},
+		{
+			"wrong method",
+			Answer{Status: 405, Allow: "GET, HEAD"},
+			false,
+			"405 Method Not Allowed\r\nContent-Length: 0\r\nAllow: GET, HEAD",
+		},
 		{"too slow", Answer{Status: 408}, true, "408 Request Timeout\r\nContent-Length: 0\r\nConnection: close"},
 		{"id is open", Answer{Status: 409}, false, "409 Conflict\r\nContent-Length: 0"},
 		{"large body", Answer{Status: 413}, false, "413 Content Too Large\r\nContent-Length: 0"},
-		{"throttled", Answer{Status: 429, ComeBack: 1500 * time.Millisecond}, false,
-			"429 Too Many Requests\r\nContent-Length: 0\r\nRetry-After: 1.5"},
+		{
+			"throttled",
+			Answer{Status: 429, ComeBack: 1500 * time.Millisecond},
+			false,
+			"429 Too Many Requests\r\nContent-Length: 0\r\nRetry-After: 1.5",
+		},
 		{"throttled without advice", Answer{Status: 429}, false, "429 Too Many Requests\r\nContent-Length: 0"},
 		{"large head", Answer{Status: 431}, false, "431 Request Header Fields Too Large\r\nContent-Length: 0"},
 		{"error", Answer{Status: 502}, false, "502 Bad Gateway\r\nContent-Length: 0"},
-		{"not ready", Answer{Status: 503, ComeBack: 2 * time.Second}, true,
-			"503 Service Unavailable\r\nContent-Length: 0\r\nRetry-After: 2\r\nConnection: close"},
+		{
+			"not ready",
+			Answer{Status: 503, ComeBack: 2 * time.Second},
+			true,
+			"503 Service Unavailable\r\nContent-Length: 0\r\nRetry-After: 2\r\nConnection: close",
+		},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			assert.Equal(t, "HTTP/1.1 "+c.want+"\r\n\r\n", string(AppendAnswerHead(nil, &c.answer, c.closes)))
@@ -118,8 +136,10 @@
 
 // TestWorkerLineStates checks the words by which a worker tells how far a request is, and their numbers.
 func TestWorkerLineStates(t *testing.T) {
-	for word, want := range map[string]State{"started": 1, "running": 2, "done": 3, "failed": 4, "returned": 5, "lost": 6,
-		"Done": 0, "resting": 0} {
+	for word, want := range map[string]State{
+		"started": 1, "running": 2, "done": 3, "failed": 4, "returned": 5, "lost": 6,
+		"Done": 0, "resting": 0,
+	} {
 		line, err := ParseLine([]byte(`{"id":"a","state":"` + word + `","result":"r"}`))
 		assert.NoError(t, err)
 		assert.Equal(t, Line{ID: "a", State: want, Result: "r"}, line, word)
--- a/internal/routing/crossings_test.go
+++ b/internal/routing/crossings_test.go
@@ -317,8 +317,10 @@
 	r := routerBy(unready(t), repeating(decide.Second))
 	inv, err := protocol.ParseInvocation(keyed())
 	assert.NoError(t, err)
-	f := &passage{r: r, ctx: context.Background(), inv: inv, now: r.now.Load(), until: time.Now().Add(time.Minute),
-		sendBy: time.Now().Add(50 * time.Millisecond)}
+	f := &passage{
+		r: r, ctx: context.Background(), inv: inv, now: r.now.Load(), until: time.Now().Add(time.Minute),
+		sendBy: time.Now().Add(50 * time.Millisecond),
+	}
 	outcomes := make(chan decide.Outcome, 1)
 	go func() {
 		how, _, _ := f.run(0)
--- a/internal/routing/format_test.go
+++ b/internal/routing/format_test.go
@@ -158,10 +158,14 @@
 	return Legacy{
 		Version: 41,
 		Workers: []protocol.Entry{
-			{ID: "w1", Address: "10.1.0.18:8080", Zone: "north", Kind: "std-3c", Cell: 3, State: "Ready",
-				BornMs: 1700000000123.5},
-			{ID: "w2", Address: "10.1.0.19:8080", Zone: "south", Kind: "big-16c", Cell: 4, State: "Terminating",
-				BornMs: 1700000000124},
+			{
+				ID: "w1", Address: "10.1.0.18:8080", Zone: "north", Kind: "std-3c", Cell: 3, State: "Ready",
+				BornMs: 1700000000123.5,
+			},
+			{
+				ID: "w2", Address: "10.1.0.19:8080", Zone: "south", Kind: "big-16c", Cell: 4, State: "Terminating",
+				BornMs: 1700000000124,
+			},
 		},
 		Zones:  []string{"north", "south"},
 		Kinds:  []string{"std-3c", "big-16c"},
@@ -175,14 +179,18 @@
 // fullLearnt is what one instance has learnt, with each field set.
 func fullLearnt() decide.Legacy {
 	return decide.Legacy{
-		Operations: []decide.LearntOperation{{Name: "render", Longest: 20_001, Mean: 1.25, Asked: 2.5, Lost: 0.125,
-			Landed: 31, Run: 4.75, Runs: 32}},
+		Operations: []decide.LearntOperation{{
+			Name: "render", Longest: 20_001, Mean: 1.25, Asked: 2.5, Lost: 0.125,
+			Landed: 31, Run: 4.75, Runs: 32,
+		}},
 		Customers: []decide.LearntCustomer{{Used: 3.5, At: 33}, {Used: 0.25, At: 34}},
 		Kinds:     []decide.LearntKind{{Slots: 3, Most: 2.5, Votes: []int{7, 8, 9}}},
 		Zones:     []decide.LearntZone{{Quiet: 5, At: 35}},
-		Workers: []decide.LearntWorker{{Fails: 2, Ruined: true, TrialAt: 36, OpenAt: 37,
+		Workers: []decide.LearntWorker{{
+			Fails: 2, Ruined: true, TrialAt: 36, OpenAt: 37,
 			Heard: []decide.Heard{{From: 1, InFlight: 6, At: 38}},
-			Spent: []decide.Spending{{At: 39, Work: 1_500}}}},
+			Spent: []decide.Spending{{At: 39, Work: 1_500}},
+		}},
 		Sample:   []decide.Work{11, 12, 13},
 		Sampled:  40,
 		Worth:    0.5,
@@ -209,14 +217,16 @@
 	t.Helper()
 	return Handed{
 		Invocation: fullInvocation(t),
-		Decided: decide.Adopted{Name: "render", Objective: 10_000, Window: 600_000, ComeBack: 20_000, Value: 1.5,
+		Decided: decide.Adopted{
+			Name: "render", Objective: 10_000, Window: 600_000, ComeBack: 20_000, Value: 1.5,
 			Slack: 0.25, Tardy: 0.125, Repeat: decide.NonIdempotent, Scope: decide.ScopeCell, Kind: 1,
 			Until: time.Date(2026, time.March, 4, 5, 6, 7, 89_000_000, time.UTC), Latest: 51, Size: 52, Counts: 0.75,
 			Beyond: 1, Most: 3,
 			Forwards: []decide.AdoptedForward{
 				{Tgt: 1, Sent: 53, Started: 54, Out: true, Ran: true},
 				{Tgt: 2, Sent: 55, Started: 56, Out: true, Ran: true},
-			}},
+			},
+		},
 		Hosts:   []string{"w1", "w2"},
 		Early:   []byte("GET / HTTP/1.1\r\n"),
 		Came:    [][]byte{[]byte("HTTP/1.1 200 OK\r\n"), []byte("HTTP/1.1 ")},
@@ -250,6 +260,8 @@
 
 // sparseMigratedRequest is a request with one attempt, with all that it holds left empty.
 func sparseMigratedRequest() *Handed {
-	return &Handed{Invocation: &protocol.Invocation{},
-		Decided: decide.Adopted{Forwards: make([]decide.AdoptedForward, 1)}}
+	return &Handed{
+		Invocation: &protocol.Invocation{},
+		Decided:    decide.Adopted{Forwards: make([]decide.AdoptedForward, 1)},
+	}
 }
--- a/internal/routing/operators_test.go
+++ b/internal/routing/operators_test.go
@@ -24,13 +24,18 @@
 	idem.out.Store(4)
 	r.counts.Sent.Store(5)
 	assert.Equal(t, []protocol.Figure{
-		{Name: "succeeded", Operation: "idem", Value: 1}, {Name: "declined", Operation: "idem", Value: 2},
+		{Name: "succeeded", Operation: "idem", Value: 1},
+		{Name: "declined", Operation: "idem", Value: 2},
 		{Name: "aborted", Operation: "idem", Value: 3},
-		{Name: "succeeded", Operation: "once"}, {Name: "declined", Operation: "once"},
+		{Name: "succeeded", Operation: "once"},
+		{Name: "declined", Operation: "once"},
 		{Name: "aborted", Operation: "once"},
-		{Name: "succeeded", Operation: "keyed"}, {Name: "declined", Operation: "keyed"},
+		{Name: "succeeded", Operation: "keyed"},
+		{Name: "declined", Operation: "keyed"},
 		{Name: "aborted", Operation: "keyed"},
-		{Name: "forwards", Value: 5}, {Name: "outstanding", Value: 4}, {Name: "discovered", Value: 1},
+		{Name: "forwards", Value: 5},
+		{Name: "outstanding", Value: 4},
+		{Name: "discovered", Value: 1},
 		{Name: "ejected", Value: 0},
 	}, r.Figures())
 }
@@ -70,14 +75,20 @@
 		assert.Positive(t, line[memory], memory)
 		delete(line, memory)
 	}
-	assert.Equal(t, map[string]any{"level": "info", "message": "counters", "why": "asked", "open": 0.0, "taken": 11.0,
+	assert.Equal(t, map[string]any{
+		"level": "info", "message": "counters", "why": "asked", "open": 0.0, "taken": 11.0,
 		"succeeded": 12.0, "throttled": 13.0, "errored": 14.0, "client_left": 15.0, "turned_away": 16.0, "overfull": 17.0,
 		"at_door": 18.0, "handed_over": 19.0, "probes": 21.0, "lists": 22.0, "watches_lost": 23.0,
-		"forwards": map[string]any{"sent": 20.0, "succeeded": 101.0, "worker_error": 102.0, "full": 103.0,
+		"forwards": map[string]any{
+			"sent": 20.0, "succeeded": 101.0, "worker_error": 102.0, "full": 103.0,
 			"timed_out": 104.0, "no_connection": 105.0, "reset": 106.0, "called_off": 107.0, "never_sent": 108.0,
-			"stale_connection": 109.0, "refused": 110.0},
-		"datagrams": map[string]any{"sent": 24.0, "failed": 25.0, "heard": 26.0, "malformed": 27.0, "strangers": 28.0,
-			"overtaken": 29.0}}, line)
+			"stale_connection": 109.0, "refused": 110.0,
+		},
+		"datagrams": map[string]any{
+			"sent": 24.0, "failed": 25.0, "heard": 26.0, "malformed": 27.0, "strangers": 28.0,
+			"overtaken": 29.0,
+		},
+	}, line)
 }
 
 // TestAnswersByPathAndMethod pins the answers that follow from the head alone.
--- a/internal/terms/terms_test.go
+++ b/internal/terms/terms_test.go
@@ -37,10 +37,14 @@
 	return decide.Terms{
 		Dispatchers: 5, Kinds: 2, Position: 2, TellCost: 0.03125, Zone: 3,
 		Operations: []decide.OperationTerms{
-			{Name: "render", Objective: 12_500, Window: 6_000_000, Value: 4, TardyShare: 0.5, Stretch: 0.75, Repeat: 1,
-				Scope: 2, Kind: 1},
-			{Name: "pay", Objective: 5_000, Window: 10_000, Value: 2, TardyShare: 0.25, Stretch: 0.5, Repeat: 2, Scope: 1,
-				Kind: 0},
+			{
+				Name: "render", Objective: 12_500, Window: 6_000_000, Value: 4, TardyShare: 0.5, Stretch: 0.75, Repeat: 1,
+				Scope: 2, Kind: 1,
+			},
+			{
+				Name: "pay", Objective: 5_000, Window: 10_000, Value: 2, TardyShare: 0.25, Stretch: 0.5, Repeat: 2, Scope: 1,
+				Kind: 0,
+			},
 		},
 		Customers:   []decide.CustomerTerms{{Quota: 7.5, Name: "acme"}, {Quota: math.Inf(1), Name: "globex"}},
 		Granularity: 20, AskWithin: 60_000, ComeBackMost: 25_000, Ramp: 300_000, FallSpan: 20_000, ColdFrom: 0.4,
@@ -85,8 +89,10 @@
 	read, err := Parse(fastjson.MustParse(
 		`{"balancers":1,"billedValueBasis":"work","operations":[{"repeat":"idempotent"}]}`))
 	assert.NoError(t, err)
-	assert.Equal(t, decide.Terms{Dispatchers: 1, Kinds: 1, Operations: []decide.OperationTerms{{Kind: -1}},
-		Customers: []decide.CustomerTerms{{Quota: math.Inf(1)}}, ReportInFlight: -1, ReportQueue: -1, ReportFree: -1},
+	assert.Equal(t, decide.Terms{
+		Dispatchers: 1, Kinds: 1, Operations: []decide.OperationTerms{{Kind: -1}},
+		Customers: []decide.CustomerTerms{{Quota: math.Inf(1)}}, ReportInFlight: -1, ReportQueue: -1, ReportFree: -1,
+	},
 		read)
 }
 
@@ -96,16 +102,26 @@
 		{`{"balancers":1}`, "operations: there must be at least one"},
 		{`{"balancers":0,"operations":[{"repeat":"idempotent"}]}`, "balancers: 0, must be at least 1"},
 		{`{"balancers":2,"position":2,"operations":[{"repeat":"idempotent"}]}`, "position: 2, must be one of 2"},
-		{`{"balancers":1,"operations":[{"repeat":"never","dedupScope":"moon"}]}`,
-			`operations[0]: unknown repeat "never" or dedupScope "moon"`},
-		{`{"balancers":1,"operations":[{"repeat":"idempotent","clientTimeoutS":-1}]}`,
-			"operations[0].clientTimeoutS: -1, must not be negative"},
-		{`{"balancers":1,"operations":[{"repeat":"idempotent","dedupWindowS":-1}]}`,
-			"operations[0].dedupWindowS: -1, must not be negative"},
-		{`{"balancers":1,"operations":[{"repeat":"idempotent"}],"rules":{"drainGraceS":-2}}`,
-			"rules.drainGraceS: -2, must not be negative"},
-		{`{"balancers":1,"operations":[{"repeat":"idempotent"}],"policyLimits":{"maxRetryAfterS":-2}}`,
-			"policyLimits.maxRetryAfterS: -2, must not be negative"},
+		{
+			`{"balancers":1,"operations":[{"repeat":"never","dedupScope":"moon"}]}`,
+			`operations[0]: unknown repeat "never" or dedupScope "moon"`,
+		},
+		{
+			`{"balancers":1,"operations":[{"repeat":"idempotent","clientTimeoutS":-1}]}`,
+			"operations[0].clientTimeoutS: -1, must not be negative",
+		},
+		{
+			`{"balancers":1,"operations":[{"repeat":"idempotent","dedupWindowS":-1}]}`,
+			"operations[0].dedupWindowS: -1, must not be negative",
+		},
+		{
+			`{"balancers":1,"operations":[{"repeat":"idempotent"}],"rules":{"drainGraceS":-2}}`,
+			"rules.drainGraceS: -2, must not be negative",
+		},
+		{
+			`{"balancers":1,"operations":[{"repeat":"idempotent"}],"policyLimits":{"maxRetryAfterS":-2}}`,
+			"policyLimits.maxRetryAfterS: -2, must not be negative",
+		},
 	} {
 		_, err := Parse(fastjson.MustParse(c.settings))
 		assert.EqualError(t, err, c.want)
--- a/internal/transport/attend.go
+++ b/internal/transport/attend.go
@@ -121,7 +121,7 @@
 	if err != nil {
 		return 0
 	}
-	rc.Control(func(fd uintptr) {
+	_ = rc.Control(func(fd uintptr) {
 		if info, err := unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO); err == nil {
 			ago = time.Duration(info.Last_data_recv) * time.Millisecond
 		}
--- a/internal/upgrade/format_test.go
+++ b/internal/upgrade/format_test.go
@@ -31,12 +31,18 @@
 		send    func(*Link) error
 	}{
 		{"greeting", message{Version: 1}, func(l *Link) error { return l.send(message{Version: 1}) }},
-		{"greeting with sockets and state", message{Version: 1, Sockets: []string{"clients", "peers"}, Legacy: known},
-			func(l *Link) error { return l.send(message{Version: 1, Legacy: known}, sockets...) }},
+		{
+			"greeting with sockets and state",
+			message{Version: 1, Sockets: []string{"clients", "peers"}, Legacy: known},
+			func(l *Link) error { return l.send(message{Version: 1, Legacy: known}, sockets...) },
+		},
 		{"successor serves", message{Serving: true}, func(l *Link) error { return l.SendServing() }},
 		{"running counts", message{Twin: counts}, func(l *Link) error { return l.SendTwin(counts) }},
-		{"migrated request", message{Open: request, Sockets: []string{"clients", "peers"}},
-			func(l *Link) error { return l.SendOpen(request, sockets) }},
+		{
+			"migrated request",
+			message{Open: request, Sockets: []string{"clients", "peers"}},
+			func(l *Link) error { return l.SendOpen(request, sockets) },
+		},
 		{"operator's command", message{Call: "LEAVE"}, func(l *Link) error { return l.SendCall("LEAVE") }},
 	}
 }
