--- a/internal/transport/attend.go
+++ b/internal/transport/attend.go
@@ -112,7 +112,11 @@
 	stopped := make(chan struct{})
 	timer := time.AfterFunc(resetWithin, func() { close(stopped) })
 	defer timer.Stop()
-	return c.look(stopped, io.EOF) != nil
+	if c.look(stopped, io.EOF) != nil {
+		return true
+	}
+	state, _ := socketState(raw) // the reset may have come as the wait ended
+	return state != unix.BPF_TCP_ESTABLISHED && state != unix.BPF_TCP_CLOSE_WAIT
 }
 
 // lastData is how long ago the last bytes have come on a connection, 0 where the system does not tell.
