--- a/decide/asks_test.go
+++ b/decide/asks_test.go
@@ -27,30 +27,30 @@
 // startTogether starts dispatchers in one tick and follows their calls; it returns when each has its list.
 func startTogether(n int, numbers []int, q *queue) (have []Time, calls int) {
 	type asker struct {
-		d      *Dispatcher
+		d      *Balancer
 		answer Time
 		list   bool
 	}
 	var askers []*asker
 	for _, number := range numbers {
-		terms := someTerms
-		terms.AskForList, terms.Dispatchers, terms.Position = true, n, number
-		d := New(terms, uint64(number), &book{})
-		d.Clock(100 * Second)
-		d.Listed([]Entry{{ID: "w"}}, true, false)
+		terms := testConfig
+		terms.PollEndpoints, terms.Dispatchers, terms.Position = true, n, number
+		d := New(terms, uint64(number), &recorder{})
+		d.SetTime(100 * Second)
+		d.UpdateEndpoints([]Endpoint{{ID: "w"}}, true, false)
 		askers = append(askers, &asker{d: d, answer: never})
 	}
 	for now := Time(100 * Second); now < 160*Second && len(have) < len(askers); now += 20 {
 		for _, a := range askers {
 			switch d := a.d; {
 			case a.answer <= now && a.list:
-				d.Listed([]Entry{{ID: "w"}}, true, true)
+				d.UpdateEndpoints([]Endpoint{{ID: "w"}}, true, true)
 				have, a.answer = append(have, now-100*Second), never
 			case a.answer <= now:
-				d.Clock(now)
-				d.ListFailed()
+				d.SetTime(now)
+				d.EndpointsUnavailable()
 				a.answer = never
-			case a.answer == never && !d.subscribed && d.askAt <= now:
+			case a.answer == never && !d.watching && d.nextPoll <= now:
 				calls++
 				a.answer, a.list = q.call(now)
 			}
--- a/decide/back.go
+++ b/decide/back.go
@@ -4,172 +4,178 @@
 
 // What the part that brings a dispatcher back after its end tells the decisions, and asks of them.
 
-// doubted tells whether a worker may have started since the list told of it, though nothing was seen of that. It
+// restartSuspected tells whether a worker may have started since the list told of it, though nothing was seen of that. It
 // is so where all lost power, until a list has been followed for as long as it may keep silent; and where this
 // dispatcher goes by a list from before its start, cannot get another one, and meets nobody who has lived longer.
 // A start told since ends it; work done at a pace that no cold worker has ends it for
 // what is no larger than some such pieces: hints are rough, and the largest would all go to the first that seems warm.
-func (d *Dispatcher) doubted(w Worker, size Work) bool {
-	if d.ramp == 0 || float64(size) <= d.multiple*float64(d.proved[w]) {
+func (d *Balancer) restartSuspected(w WorkerID, size Work) bool {
+	if d.warmupDuration == 0 || float64(size) <= d.overloadFactor*float64(d.verifiedSize[w]) {
 		return false
 	}
-	if d.alike > 0 && d.born[w] < d.alike && (!d.subscribed || d.now < d.followed+d.askWithin) {
+	if d.fleetRestartAt > 0 && d.startedAt[w] < d.fleetRestartAt && (!d.watching || d.now < d.watchingSince+d.maxPollInterval) {
 		return true
 	}
-	return !d.answered && d.asks > 0 && !slices.Contains(d.elder, true)
+	return !d.answered && d.failedPolls > 0 && !slices.Contains(d.seniorPeers, true)
 }
 
-// sureWarmth is the share of its capacity that a worker has by its age, and no more than that of one that has just
+// confirmedWarmup is the share of its capacity that a worker has by its age, and no more than that of one that has just
 // started where it is in doubt for work of a size.
-func (d *Dispatcher) sureWarmth(w Worker, size Work) float64 {
-	if d.doubted(w, size) {
-		return min(d.warmth(w), d.coldFrom)
+func (d *Balancer) confirmedWarmup(w WorkerID, size Work) float64 {
+	if d.restartSuspected(w, size) {
+		return min(d.warmupFactor(w), d.initialWarmup)
 	}
-	return d.warmth(w)
+	return d.warmupFactor(w)
 }
 
-// prove takes a piece of work that succeeded for what it says of its worker's warmth, and of its operation's runs.
-func (d *Dispatcher) prove(w Worker, i *invocation, took Time) {
-	if float64(i.size) >= warmPace*float64(took) {
-		d.proved[w] = max(d.proved[w], i.size)
+// observeSuccess takes a piece of work that succeeded for what it says of its worker's warmth, and of its operation's runs.
+func (d *Balancer) observeSuccess(w WorkerID, i *request, took Time) {
+	if float64(i.size) >= verifiedPace*float64(took) {
+		d.verifiedSize[w] = max(d.verifiedSize[w], i.size)
 	}
-	d.ops[i.op].learnRun(took)
+	d.operations[i.operation].observeRun(took)
 }
 
-// Alike tells that all dispatchers lost power, workers perhaps too, and that this one is back since a time.
-func (f *Facade) Alike(since Time) { f.with(func(d *Dispatcher) { d.alike = since }) }
+// ReportFleetRestart tells that all dispatchers lost power, workers perhaps too, and that this one is back since a time.
+func (f *Picker) ReportFleetRestart(since Time) {
+	f.update(func(d *Balancer) { d.fleetRestartAt = since })
+}
 
-// Elder tells that a peer has lived longer than this dispatcher.
-func (f *Facade) Elder(from Peer) { f.with(func(d *Dispatcher) { d.meet(from, false) }) }
+// ReportSeniorPeer tells that a peer has lived longer than this dispatcher.
+func (f *Picker) ReportSeniorPeer(from PeerID) {
+	f.update(func(d *Balancer) { d.recordPeerAge(from, false) })
+}
 
-// HoldCold keeps work from workers that are cold by a start before a time, for as long as what an earlier life of
+// DelayWarmingWorkers keeps work from workers that are cold by a start before a time, for as long as what an earlier life of
 // this dispatcher has sent them counts.
-func (f *Facade) HoldCold(before Time) {
-	f.with(func(d *Dispatcher) {
-		for w, born := range d.born {
-			if born > 0 && born < before && d.warmth(Worker(w)) < 1 {
-				d.openAt[w] = max(d.openAt[w], before+d.span)
-				d.sweepAt = min(d.sweepAt, d.openAt[w])
+func (f *Picker) DelayWarmingWorkers(before Time) {
+	f.update(func(d *Balancer) {
+		for w, born := range d.startedAt {
+			if born > 0 && born < before && d.warmupFactor(WorkerID(w)) < 1 {
+				d.notBefore[w] = max(d.notBefore[w], before+d.warmupWindow)
+				d.reviewAt = min(d.reviewAt, d.notBefore[w])
 			}
 		}
 	})
 }
 
-// Teach takes what others have seen a kind of worker bear, where nothing was learnt of it here.
-func (f *Facade) Teach(k Kind, most float64) {
-	f.with(func(d *Dispatcher) {
-		if int(k) < len(d.most) && d.most[k] <= 1 && most > 1 {
-			d.most[k] = most
-			d.believe(k, most)
+// SeedMaxObserved takes what others have seen a kind of worker bear, where nothing was learnt of it here.
+func (f *Picker) SeedMaxObserved(k KindID, most float64) {
+	f.update(func(d *Balancer) {
+		if int(k) < len(d.maxObserved) && d.maxObserved[k] <= 1 && most > 1 {
+			d.maxObserved[k] = most
+			d.setSlots(k, most)
 		}
 	})
 }
 
-// Bears is the most forwards at work at once that were seen at a worker of each kind.
-func (f *Facade) Bears() []float64 {
+// MaxObserved is the most forwards at work at once that were seen at a worker of each kind.
+func (f *Picker) MaxObserved() []float64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return slices.Clone(f.d.most)
+	return slices.Clone(f.balancer.maxObserved)
 }
 
 // Capacity is what the workers that take work bear at once, in all: how many there are, what they bear when they
 // are warm, and what they do now by their warmth.
-func (f *Facade) Capacity() (workers int, bears, now float64) {
+func (f *Picker) Capacity() (workers int, bears, now float64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	d := f.d
-	d.Clock(f.clock())
+	d := f.balancer
+	d.SetTime(f.clock())
 	for _, w := range d.ring {
-		if d.state[w] != Healthy || d.fails[w] > 0 && d.now < d.trialAt[w] {
+		if d.state[w] != Healthy || d.consecutiveFailures[w] > 0 && d.now < d.probeAfter[w] {
 			continue
 		}
-		warmth, most := d.sureWarmth(w, d.median), d.most[d.kind[w]]
+		warmth, most := d.confirmedWarmup(w, d.median), d.maxObserved[d.kind[w]]
 		workers, bears, now = workers+1, bears+most, now+warmth*most
 	}
 	return workers, bears, now
 }
 
-// Usual is the size that is taken for an invocation without a hint.
-func (f *Facade) Usual() Work {
+// MedianSize is the size that is taken for an invocation without a hint.
+func (f *Picker) MedianSize() Work {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.d.median
+	return f.balancer.median
 }
 
-// Past is where and when an invocation under the same key may have run before this one landed.
-type Past struct {
-	Tgt  Worker // or another one of its dedup group
-	Sent Time
+// PriorAttempt is where and when an invocation under the same key may have run before this one landed.
+type PriorAttempt struct {
+	Worker WorkerID // or another one of its dedup group
+	SentAt Time
 }
 
-// LandAfter takes in an invocation that may have run before: it goes where that one's dedup group is, or is given
+// SubmitAfter takes in an invocation that may have run before: it goes where that one's dedup group is, or is given
 // up at once.
-func (f *Facade) LandAfter(l Landing, past Past) *Ticket {
-	t := f.land(l, func(d *Dispatcher, t *Ticket) {
-		i := &d.invs[t.inv]
-		i.forwards = append(i.forwards, forward{tgt: past.Tgt, sent: past.Sent, ran: true})
-		i.beyond--
-		t.begin(t.until)
+func (f *Picker) SubmitAfter(l Arrival, past PriorAttempt) *RequestHandle {
+	t := f.submit(l, func(d *Balancer, t *RequestHandle) {
+		i := &d.requests[t.id]
+		i.attempts = append(i.attempts, attempt{worker: past.Worker, sentAt: past.SentAt, mayHaveRun: true})
+		i.spentElsewhere--
+		t.beginAttempt(t.deadline)
 		t.reported[0] = true
-		t.out--
+		t.inFlight--
 		t.cancels[0](nil)
-		able := func(w Worker) bool { return d.state[w] == Healthy && d.mayForward(i, w) }
+		able := func(w WorkerID) bool { return d.state[w] == Healthy && d.mayAttempt(i, w) }
 		if !slices.ContainsFunc(d.ring, able) {
-			d.giveUp(t.inv)
+			d.rejectOrFail(t.id)
 		}
 	})
 	return t
 }
 
-// Withdraw gives an invocation up at once: throttled where that is permitted, else errored.
-func (t *Ticket) Withdraw() {
-	t.f.with(func(d *Dispatcher) {
-		if !t.over {
-			d.giveUp(t.inv)
+// RejectOrFail gives an invocation up at once: throttled where that is permitted, else errored.
+func (t *RequestHandle) RejectOrFail() {
+	t.picker.update(func(d *Balancer) {
+		if !t.closed {
+			d.rejectOrFail(t.id)
 		}
 	})
 }
 
 // The same for all instances of a process.
 
-// Alike tells all instances.
-func (s *Instances) Alike(since Time) {
-	for _, f := range s.each {
-		f.Alike(since)
+// ReportFleetRestart tells all instances.
+func (s *Shards) ReportFleetRestart(since Time) {
+	for _, f := range s.pickers {
+		f.ReportFleetRestart(since)
 	}
 }
 
-// Elder tells that another process has lived longer, by its number.
-func (s *Instances) Elder(process int) {
-	for _, f := range s.each {
-		for j := range s.each {
-			f.Elder(Peer(process*len(s.each) + j))
+// ReportSeniorPeer tells that another process has lived longer, by its number.
+func (s *Shards) ReportSeniorPeer(process int) {
+	for _, f := range s.pickers {
+		for j := range s.pickers {
+			f.ReportSeniorPeer(PeerID(process*len(s.pickers) + j))
 		}
 	}
 }
 
-// HoldCold tells all instances.
-func (s *Instances) HoldCold(before Time) {
-	for _, f := range s.each {
-		f.HoldCold(before)
+// DelayWarmingWorkers tells all instances.
+func (s *Shards) DelayWarmingWorkers(before Time) {
+	for _, f := range s.pickers {
+		f.DelayWarmingWorkers(before)
 	}
 }
 
-// Teach tells all instances.
-func (s *Instances) Teach(k Kind, most float64) {
-	for _, f := range s.each {
-		f.Teach(k, most)
+// SeedMaxObserved tells all instances.
+func (s *Shards) SeedMaxObserved(k KindID, most float64) {
+	for _, f := range s.pickers {
+		f.SeedMaxObserved(k, most)
 	}
 }
 
-// Bears calls Facade.Bears on the first instance.
-func (s *Instances) Bears() []float64 { return s.each[0].Bears() }
+// MaxObserved calls Picker.Bears on the first instance.
+func (s *Shards) MaxObserved() []float64 { return s.pickers[0].MaxObserved() }
 
-// Capacity calls Facade.Capacity on the first instance.
-func (s *Instances) Capacity() (workers int, bears, now float64) { return s.each[0].Capacity() }
+// Capacity calls Picker.Capacity on the first instance.
+func (s *Shards) Capacity() (workers int, bears, now float64) { return s.pickers[0].Capacity() }
 
-// Usual calls Facade.Usual on the first instance.
-func (s *Instances) Usual() Work { return s.each[0].Usual() }
+// MedianSize calls Picker.Usual on the first instance.
+func (s *Shards) MedianSize() Work { return s.pickers[0].MedianSize() }
 
-// LandAfter calls Facade.LandAfter on the instance whose turn it is.
-func (s *Instances) LandAfter(l Landing, past Past) *Ticket { return s.next().LandAfter(l, past) }
+// SubmitAfter calls Picker.SubmitAfter on the instance whose turn it is.
+func (s *Shards) SubmitAfter(l Arrival, past PriorAttempt) *RequestHandle {
+	return s.next().SubmitAfter(l, past)
+}
--- a/decide/cold_test.go
+++ b/decide/cold_test.go
@@ -13,10 +13,10 @@
 // nothing.
 type coldWorker struct {
 	now, born Time
-	fleet     []*Dispatcher
+	fleet     []*Balancer
 	running   []*job
 	refused   []*job
-	sent      []spend // all that came, refused or not
+	sent      []send // all that came, refused or not
 	news      []message
 	off       func() float64 // work over its hint, nil for hints that are true
 	used      float64        // work done
@@ -24,15 +24,15 @@
 }
 
 type job struct {
-	from *Dispatcher
-	inv  Inv
+	from *Balancer
+	inv  RequestID
 	n    int
 	left float64
 }
 
 type message struct {
 	due      Time
-	from, to Peer
+	from, to PeerID
 	l        Load
 }
 
@@ -44,19 +44,19 @@
 
 // line is the link of one dispatcher to it.
 type line struct {
-	book
-	number Peer
+	recorder
+	number PeerID
 	c      *coldWorker
 }
 
-func (l *line) Forward(inv Inv, _ Worker, _ Time) {
+func (l *line) Forward(inv RequestID, _ WorkerID, _ Time) {
 	d := l.c.fleet[l.number]
-	i := &d.invs[inv]
-	j := &job{from: d, inv: inv, n: len(i.forwards) - 1, left: float64(i.size)}
+	i := &d.requests[inv]
+	j := &job{from: d, inv: inv, n: len(i.attempts) - 1, left: float64(i.size)}
 	if l.c.off != nil {
 		j.left *= l.c.off()
 	}
-	l.c.sent = append(l.c.sent, spend{at: l.c.now, work: Work(j.left)})
+	l.c.sent = append(l.c.sent, send{sentAt: l.c.now, work: Work(j.left)})
 	if len(l.c.running) < coldSlots {
 		l.c.running = append(l.c.running, j)
 		return
@@ -64,7 +64,7 @@
 	l.c.refused = append(l.c.refused, j)
 }
 
-func (l *line) Tell(to Peer, load Load) {
+func (l *line) Tell(to PeerID, load Load) {
 	l.c.news = append(l.c.news, message{l.c.now + flight, l.number, to, load})
 }
 
@@ -72,29 +72,29 @@
 func (c *coldWorker) step() {
 	c.now += tick
 	for _, d := range c.fleet {
-		d.Clock(c.now)
+		d.SetTime(c.now)
 	}
 	for _, j := range c.refused {
-		j.from.Ended(j.inv, j.n, Full, false)
+		j.from.AttemptEnded(j.inv, j.n, Overloaded, false)
 	}
 	c.refused = nil
-	speed := c.fleet[0].warmth(0)
+	speed := c.fleet[0].warmupFactor(0)
 	c.could += coldSlots * speed * float64(tick)
 	for _, j := range c.running {
 		done := min(j.left, speed*float64(tick))
 		c.used, j.left = c.used+done, j.left-done
-		j.from.Started(j.inv, j.n)
+		j.from.AttemptStarted(j.inv, j.n)
 		if j.left <= 0 {
-			j.from.Ended(j.inv, j.n, Succeeded, true)
+			j.from.AttemptEnded(j.inv, j.n, Succeeded, true)
 		}
 	}
 	c.running = slices.DeleteFunc(c.running, func(j *job) bool { return j.left <= 0 })
 	for len(c.news) > 0 && c.news[0].due <= c.now {
-		c.fleet[c.news[0].to].Heard(c.news[0].from, c.news[0].l)
+		c.fleet[c.news[0].to].ReceiveLoad(c.news[0].from, c.news[0].l)
 		c.news = c.news[1:]
 	}
 	for _, d := range c.fleet {
-		d.Settle()
+		d.RunDueRules()
 	}
 }
 
@@ -105,32 +105,32 @@
 	for n := 0; c.now-c.born < 19*Second; n++ {
 		if n%25 == 0 {
 			d := c.fleet[n/25%len(c.fleet)]
-			inv := Inv(n / 25)
-			d.Landed(inv, Landing{Grace: 20 * Second, Hint: sizes[n/25*7%len(sizes)]})
+			inv := RequestID(n / 25)
+			d.RequestArrived(inv, Arrival{Timeout: 20 * Second, SizeHint: sizes[n/25*7%len(sizes)]})
 		}
 		c.step()
 		within := 0.0
 		for _, s := range c.sent {
-			if s.at > c.now-span {
+			if s.sentAt > c.now-span {
 				within += float64(s.work)
 			}
 		}
 		d := c.fleet[0]
-		worst = max(worst, within/(d.multiple*d.warmth(0)*coldSlots*float64(span)))
+		worst = max(worst, within/(d.overloadFactor*d.warmupFactor(0)*coldSlots*float64(span)))
 	}
 	return worst
 }
 
 func coldFleet(n int) *coldWorker {
 	c := &coldWorker{now: 100 * Second, born: 100 * Second}
-	terms := someTerms
-	terms.Dispatchers, terms.Peers, terms.ReportFree = n, true, -1
+	terms := testConfig
+	terms.Dispatchers, terms.Gossip, terms.ReportFree = n, true, -1
 	for number := range n {
 		terms.Position = number
-		d := New(terms, uint64(number), &line{number: Peer(number), c: c})
-		d.Clock(c.now)
-		d.Listed([]Entry{{Tgt: 0, ID: "w", Born: c.born}}, true, true)
-		d.most[0], d.slots[0] = coldSlots, coldSlots
+		d := New(terms, uint64(number), &line{number: PeerID(number), c: c})
+		d.SetTime(c.now)
+		d.UpdateEndpoints([]Endpoint{{Worker: 0, ID: "w", StartedAt: c.born}}, true, true)
+		d.maxObserved[0], d.slots[0] = coldSlots, coldSlots
 		c.fleet = append(c.fleet, d)
 	}
 	return c
@@ -148,14 +148,14 @@
 }
 
 func TestColdWorkerIsClosedToThoseWhoAreNotToldOfIt(t *testing.T) {
-	d, _ := warmDispatcher(2, 1)
-	d.peers = true
-	d.Listed([]Entry{{Tgt: 0, ID: "w0", Born: d.now}}, false, true)
-	assert.True(t, d.withinCold(0, 100))
-	d.others[0] = 1 // as many as were seen to run at once
-	assert.False(t, d.withinCold(0, 100))
-	d.others[0], d.seats[both].place[0] = 0, noPlace
-	assert.False(t, d.withinCold(0, 100))
+	d, _ := newWarmBalancer(2, 1)
+	d.gossip = true
+	d.UpdateEndpoints([]Endpoint{{Worker: 0, ID: "w0", StartedAt: d.now}}, false, true)
+	assert.True(t, d.withinWarmupBudget(0, 100))
+	d.peerInFlight[0] = 1 // as many as were seen to run at once
+	assert.False(t, d.withinWarmupBudget(0, 100))
+	d.peerInFlight[0], d.availability[bothIntervals].position[0] = 0, notInSubset
+	assert.False(t, d.withinWarmupBudget(0, 100))
 }
 
 // Guards against hints that are off, and against a worker that is found full by each of those who may send there:
@@ -173,23 +173,23 @@
 // Guards against a budget for more slots than a kind has: by late news some forwards start at once at loads that
 // nearly all others wait at, and the most that was ever so voted for counted for good.
 func TestMostAtWorkIsWhatVotesAgreeOn(t *testing.T) {
-	d, _ := warmDispatcher(2, 1)
-	d.atFree = -1 // no reports tell
+	d, _ := newWarmBalancer(2, 1)
+	d.reportFree = -1 // no reports tell
 	vote := func(load, times int, atOnce bool) {
 		for range times {
-			d.fits(0, load, atOnce)
+			d.observeSlots(0, load, atOnce)
 		}
 	}
 	vote(1, 10, true)
 	vote(2, 10, true)
 	vote(3, 6, true)
-	assert.EqualValues(t, 3, d.most[0])
+	assert.EqualValues(t, 3, d.maxObserved[0])
 	vote(4, 2, true)
-	assert.EqualValues(t, 4, d.most[0], "for all that is known then")
+	assert.EqualValues(t, 4, d.maxObserved[0], "for all that is known then")
 	vote(4, 3, false)
 	vote(5, 4, false)
 	vote(5, 2, true)
-	assert.EqualValues(t, 3, d.most[0])
+	assert.EqualValues(t, 3, d.maxObserved[0])
 	vote(4, 5, true)
-	assert.EqualValues(t, 4, d.most[0])
+	assert.EqualValues(t, 4, d.maxObserved[0])
 }
--- a/decide/facade_bench_test.go
+++ b/decide/facade_bench_test.go
@@ -26,30 +26,30 @@
 
 // facadeWithOpen has workers that are believed to have room for all that is open, and so many open on each. None
 // of those comes to its time while the clock stands still.
-func facadeWithOpen(b *testing.B, workers, open int) *Facade {
-	f, _ := facadeOf(someTerms, workers)
-	f.d.slots[0] = float64(open + 8)
-	f.d.most[0] = f.d.slots[0]
+func facadeWithOpen(b *testing.B, workers, open int) *Picker {
+	f, _ := facadeOf(testConfig, workers)
+	f.balancer.slots[0] = float64(open + 8)
+	f.balancer.maxObserved[0] = f.balancer.slots[0]
 	for range workers * open {
-		t := f.Land(Landing{Grace: 1000 * Second, Hint: 100})
+		t := f.Submit(Arrival{Timeout: 1000 * Second, SizeHint: 100})
 		c, err := t.Pick(context.Background())
-		if err != nil || c.Do != Send {
+		if err != nil || c.Action != SendAttempt {
 			b.Fatal("not sent: ", c, err)
 		}
-		t.ReportStart(c.N)
+		t.ReportStarted(c.Attempt)
 	}
 	return f
 }
 
-func carry(b *testing.B, f *Facade) {
-	t := f.Land(Landing{Grace: 3 * Second, Hint: 100})
+func carry(b *testing.B, f *Picker) {
+	t := f.Submit(Arrival{Timeout: 3 * Second, SizeHint: 100})
 	c, err := t.Pick(context.Background())
-	if err != nil || c.Do != Send {
+	if err != nil || c.Action != SendAttempt {
 		b.Fatal("not sent: ", c, err)
 	}
-	t.ReportStart(c.N)
-	t.Report(c.N, Succeeded)
-	if c, err = t.Pick(context.Background()); err != nil || c.Do != AnswerFound {
+	t.ReportStarted(c.Attempt)
+	t.Report(c.Attempt, Succeeded)
+	if c, err = t.Pick(context.Background()); err != nil || c.Action != RespondResult {
 		b.Fatal("not answered: ", c, err)
 	}
 }
@@ -57,12 +57,12 @@
 // BenchmarkListRenewedWhole is a list of 4,096 workers that comes whole while 65,536 invocations are open.
 func BenchmarkListRenewedWhole(b *testing.B) {
 	f := facadeWithOpen(b, 4096, 16)
-	list := make([]Entry, 4096)
+	list := make([]Endpoint, 4096)
 	for w := range list {
-		list[w] = Entry{Tgt: Worker(w), ID: fmt.Sprintf("w%d", w), Zone: Zone(w % 2), Cell: Cell(w)}
+		list[w] = Endpoint{Worker: WorkerID(w), ID: fmt.Sprintf("w%d", w), Zone: ZoneID(w % 2), Cell: CellID(w)}
 	}
 	for b.Loop() {
-		f.ReportList(list, true, false)
+		f.UpdateEndpoints(list, true, false)
 	}
 }
 
@@ -70,14 +70,14 @@
 // held.
 func BenchmarkLandingBesideHeld(b *testing.B) {
 	f := facadeWithOpen(b, 256, 8)
-	f.d.slots[0] = 8
+	f.balancer.slots[0] = 8
 	for n := range 10000 {
-		f.Land(Landing{Grace: 1000 * Second, Hint: Work(100 + n%50)})
+		f.Submit(Arrival{Timeout: 1000 * Second, SizeHint: Work(100 + n%50)})
 	}
 	gone, cancel := context.WithCancel(context.Background())
 	cancel()
 	for b.Loop() {
-		t := f.Land(Landing{Grace: 3 * Second, Hint: 100})
+		t := f.Submit(Arrival{Timeout: 3 * Second, SizeHint: 100})
 		if _, err := t.Pick(gone); err == nil {
 			b.Fatal("it was not held")
 		}
@@ -86,12 +86,12 @@
 
 // BenchmarkAllWorkersCold is one invocation's way where each of 4,096 workers has just started.
 func BenchmarkAllWorkersCold(b *testing.B) {
-	f, now := facadeOf(someTerms, 0)
-	var list []Entry
+	f, now := facadeOf(testConfig, 0)
+	var list []Endpoint
 	for w := range 4096 {
-		list = append(list, Entry{Tgt: Worker(w), ID: fmt.Sprintf("w%d", w), Born: *now - Second})
+		list = append(list, Endpoint{Worker: WorkerID(w), ID: fmt.Sprintf("w%d", w), StartedAt: *now - Second})
 	}
-	f.ReportList(list, true, false)
+	f.UpdateEndpoints(list, true, false)
 	for b.Loop() {
 		*now += 10 // what was sent counts no more after the span
 		carry(b, f)
@@ -102,6 +102,6 @@
 func BenchmarkSweep(b *testing.B) {
 	f := facadeWithOpen(b, 4096, 16)
 	for b.Loop() {
-		f.d.sweep()
+		f.balancer.reviewOpenRequests()
 	}
 }
--- a/decide/facade_test.go
+++ b/decide/facade_test.go
@@ -11,18 +11,18 @@
 )
 
 // facadeOf has n warm workers and a clock that the test sets.
-func facadeOf(t Terms, n int) (*Facade, *Time) {
+func facadeOf(t Config, n int) (*Picker, *Time) {
 	now := Time(100 * Second)
-	f := NewFacade(t, 1, func() Time { return now }, func(string) {})
-	var list []Entry
+	f := NewPicker(t, 1, func() Time { return now }, func(string) {})
+	var list []Endpoint
 	for w := range n {
-		list = append(list, Entry{Tgt: Worker(w), ID: fmt.Sprintf("w%d", w), Zone: Zone(w % 2), Cell: Cell(w)})
+		list = append(list, Endpoint{Worker: WorkerID(w), ID: fmt.Sprintf("w%d", w), Zone: ZoneID(w % 2), Cell: CellID(w)})
 	}
-	f.ReportList(list, true, false)
+	f.UpdateEndpoints(list, true, false)
 	return f, &now
 }
 
-func pick(t *testing.T, ticket *Ticket) Choice {
+func pick(t *testing.T, ticket *RequestHandle) Decision {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
 	c, err := ticket.Pick(ctx)
@@ -31,235 +31,235 @@
 }
 
 func TestPickSendsAndThenAnswersWithTheForwardThatSucceeded(t *testing.T) {
-	f, _ := facadeOf(someTerms, 2)
-	ticket := f.Land(Landing{Grace: 3 * Second})
+	f, _ := facadeOf(testConfig, 2)
+	ticket := f.Submit(Arrival{Timeout: 3 * Second})
 	c := pick(t, ticket)
-	assert.Equal(t, Send, c.Do)
-	assert.Equal(t, Idempotent, c.Repeat)
-	assert.Equal(t, NonIdempotent, pick(t, f.Land(Landing{Operation: 1, Grace: 3 * Second})).Repeat)
+	assert.Equal(t, SendAttempt, c.Action)
+	assert.Equal(t, Idempotent, c.Idempotency)
+	assert.Equal(t, NonIdempotent, pick(t, f.Submit(Arrival{Operation: 1, Timeout: 3 * Second})).Idempotency)
 	assert.NoError(t, c.Ctx.Err())
-	assert.True(t, ticket.Report(c.N, Succeeded))
-	assert.Equal(t, Choice{Do: AnswerFound, N: c.N}, pick(t, ticket))
-	assert.Equal(t, 1, f.Open(), "the other one")
-	assert.False(t, ticket.Report(c.N, Succeeded), "a second report counts for nothing")
+	assert.True(t, ticket.Report(c.Attempt, Succeeded))
+	assert.Equal(t, Decision{Action: RespondResult, Attempt: c.Attempt}, pick(t, ticket))
+	assert.Equal(t, 1, f.OpenRequests(), "the other one")
+	assert.False(t, ticket.Report(c.Attempt, Succeeded), "a second report counts for nothing")
 }
 
 func TestPickThrottlesWhereThereIsNoWorkerInTime(t *testing.T) {
-	f, now := facadeOf(someTerms, 0)
-	ticket := f.Land(Landing{Grace: 3 * Second})
+	f, now := facadeOf(testConfig, 0)
+	ticket := f.Submit(Arrival{Timeout: 3 * Second})
 	*now += 3 * Second
-	f.with(func(*Dispatcher) {})
-	assert.Equal(t, AnswerThrottled, pick(t, ticket).Do)
-	assert.Equal(t, 0, f.Open())
+	f.update(func(*Balancer) {})
+	assert.Equal(t, RespondRejected, pick(t, ticket).Action)
+	assert.Equal(t, 0, f.OpenRequests())
 }
 
 func TestMayHaveRunEndsANonIdempotentInvocationAsErrored(t *testing.T) {
-	f, _ := facadeOf(someTerms, 4)
-	ticket := f.Land(Landing{Operation: 1, Grace: 3 * Second})
-	ticket.Report(pick(t, ticket).N, Reset)
-	assert.Equal(t, AnswerErrored, pick(t, ticket).Do)
+	f, _ := facadeOf(testConfig, 4)
+	ticket := f.Submit(Arrival{Operation: 1, Timeout: 3 * Second})
+	ticket.Report(pick(t, ticket).Attempt, ConnectionReset)
+	assert.Equal(t, RespondFailed, pick(t, ticket).Action)
 }
 
 func TestNeverRanLetsANonIdempotentInvocationBeSentAgain(t *testing.T) {
-	f, _ := facadeOf(someTerms, 4)
-	ticket := f.Land(Landing{Operation: 1, Grace: 3 * Second})
-	ticket.Report(pick(t, ticket).N, NoConnection)
-	assert.Equal(t, Send, pick(t, ticket).Do)
+	f, _ := facadeOf(testConfig, 4)
+	ticket := f.Submit(Arrival{Operation: 1, Timeout: 3 * Second})
+	ticket.Report(pick(t, ticket).Attempt, NoConnection)
+	assert.Equal(t, SendAttempt, pick(t, ticket).Action)
 }
 
 func TestRepeatHasToBeSentBeforeItsRetryWindowCloses(t *testing.T) {
-	const zoned, step = Operation(2), Second / 4
-	window := someTerms.Operations[zoned].Window
+	const zoned, step = OperationID(2), Second / 4
+	window := testConfig.Operations[zoned].DedupWindow
 	for name, c := range map[string]struct {
-		op   Operation
+		op   OperationID
 		ends []Outcome // of the attempts before the last one, a step apart
 		left Time      // of the window as the last one is decided on, 0 for no bound
 	}{
 		"the first attempt":                     {op: zoned},
-		"after one that may have run":           {zoned, []Outcome{Reset}, window - step},
+		"after one that may have run":           {zoned, []Outcome{ConnectionReset}, window - step},
 		"after one that never ran":              {zoned, []Outcome{NoConnection}, 0},
-		"after one that never ran, and another": {zoned, []Outcome{NoConnection, Reset}, window - step},
-		"where it may run again anyway":         {0, []Outcome{Reset}, 0},
+		"after one that never ran, and another": {zoned, []Outcome{NoConnection, ConnectionReset}, window - step},
+		"where it may run again anyway":         {0, []Outcome{ConnectionReset}, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
-			f, now := facadeOf(someTerms, 8)
-			ticket := f.Land(Landing{Operation: c.op, Grace: 30 * Second})
+			f, now := facadeOf(testConfig, 8)
+			ticket := f.Submit(Arrival{Operation: c.op, Timeout: 30 * Second})
 			choice := pick(t, ticket)
 			var before time.Time
 			for _, how := range c.ends {
 				*now += step
 				before = time.Now()
-				ticket.Report(choice.N, how)
+				ticket.Report(choice.Attempt, how)
 				choice = pick(t, ticket)
 			}
 			if c.left == 0 {
 				assert.Zero(t, choice.SendBy)
 				return
 			}
-			left := (c.left - f.d.margin).Duration()
+			left := (c.left - f.balancer.margin).Duration()
 			assert.WithinRange(t, choice.SendBy, before.Add(left), time.Now().Add(left))
 		})
 	}
 }
 
 func TestClientThatLeavesCallsItsForwardsOff(t *testing.T) {
-	f, _ := facadeOf(someTerms, 2)
-	ticket := f.Land(Landing{Grace: 3 * Second})
+	f, _ := facadeOf(testConfig, 2)
+	ticket := f.Submit(Arrival{Timeout: 3 * Second})
 	c := pick(t, ticket)
 	gone, leave := context.WithCancel(context.Background())
 	leave()
 	_, err := ticket.Pick(gone)
 	assert.ErrorIs(t, err, context.Canceled)
-	assert.ErrorIs(t, context.Cause(c.Ctx), ErrCalledOff)
-	assert.Equal(t, 1, f.Open(), "its number is not used again before the forward has reported")
-	ticket.Report(c.N, Cancelled)
-	assert.Equal(t, 0, f.Open())
+	assert.ErrorIs(t, context.Cause(c.Ctx), ErrAttemptCanceled)
+	assert.Equal(t, 1, f.OpenRequests(), "its number is not used again before the forward has reported")
+	ticket.Report(c.Attempt, Canceled)
+	assert.Equal(t, 0, f.OpenRequests())
 }
 
 // Guards against numbers that never come free: a choice that nobody picks has nobody to report it.
 func TestChoiceToSendThatNobodyPickedIsReportedWhenTheClientLeaves(t *testing.T) {
-	f, _ := facadeOf(someTerms, 2)
-	ticket := f.Land(Landing{Grace: 3 * Second})
-	ticket.leave()
-	assert.Equal(t, 0, f.Open())
-	assert.Equal(t, 0, f.d.own[0]+f.d.own[1])
+	f, _ := facadeOf(testConfig, 2)
+	ticket := f.Submit(Arrival{Timeout: 3 * Second})
+	ticket.clientLeft()
+	assert.Equal(t, 0, f.OpenRequests())
+	assert.Equal(t, 0, f.balancer.inFlight[0]+f.balancer.inFlight[1])
 }
 
 // Guards against a forward that goes out after the answer, where forwards may not be called off.
 func TestForwardNotPickedBeforeTheAnswerIsNeverSent(t *testing.T) {
-	terms := someTerms
-	terms.MayCancel = false
+	terms := testConfig
+	terms.Cancellation = false
 	f, _ := facadeOf(terms, 2)
-	ticket := f.Land(Landing{Grace: 3 * Second})
+	ticket := f.Submit(Arrival{Timeout: 3 * Second})
 	first := pick(t, ticket)
-	f.with(func(d *Dispatcher) { d.forward(ticket.inv, 1-first.Tgt) })
-	assert.True(t, ticket.Report(first.N, Succeeded))
-	assert.Equal(t, Choice{Do: AnswerFound, N: first.N}, pick(t, ticket))
-	assert.Equal(t, 0, f.Open())
+	f.update(func(d *Balancer) { d.startAttempt(ticket.id, 1-first.Worker) })
+	assert.True(t, ticket.Report(first.Attempt, Succeeded))
+	assert.Equal(t, Decision{Action: RespondResult, Attempt: first.Attempt}, pick(t, ticket))
+	assert.Equal(t, 0, f.OpenRequests())
 }
 
 func TestNumbersAreUsedAgain(t *testing.T) {
-	f, _ := facadeOf(someTerms, 2)
+	f, _ := facadeOf(testConfig, 2)
 	for range 3 {
-		ticket := f.Land(Landing{Grace: 3 * Second})
-		assert.Equal(t, Inv(0), ticket.inv)
-		ticket.Report(pick(t, ticket).N, Succeeded)
+		ticket := f.Submit(Arrival{Timeout: 3 * Second})
+		assert.Equal(t, RequestID(0), ticket.id)
+		ticket.Report(pick(t, ticket).Attempt, Succeeded)
 		pick(t, ticket)
 	}
 }
 
 func TestEndByAnswersWhatIsOpenBeforeTheProcessEnds(t *testing.T) {
-	f, now := facadeOf(someTerms, 2)
-	idempotent := f.Land(Landing{Grace: 30 * Second})
-	once := f.Land(Landing{Operation: 1, Grace: 30 * Second})
-	assert.Equal(t, Send, pick(t, idempotent).Do)
-	assert.Equal(t, Send, pick(t, once).Do)
-	f.EndBy(3 * Second)
+	f, now := facadeOf(testConfig, 2)
+	idempotent := f.Submit(Arrival{Timeout: 30 * Second})
+	once := f.Submit(Arrival{Operation: 1, Timeout: 30 * Second})
+	assert.Equal(t, SendAttempt, pick(t, idempotent).Action)
+	assert.Equal(t, SendAttempt, pick(t, once).Action)
+	f.StopAfter(3 * Second)
 	*now += 3 * Second
-	f.with(func(*Dispatcher) {})
-	assert.Equal(t, AnswerThrottled, pick(t, idempotent).Do)
-	assert.Equal(t, AnswerErrored, pick(t, once).Do)
+	f.update(func(*Balancer) {})
+	assert.Equal(t, RespondRejected, pick(t, idempotent).Action)
+	assert.Equal(t, RespondFailed, pick(t, once).Action)
 }
 
 func TestTickGoesThroughTheRulesWhenOneComesDue(t *testing.T) {
 	start := time.Now()
-	f := NewFacade(someTerms, 1, func() Time { return Second + Time(time.Since(start)/100000) }, func(string) {})
+	f := NewPicker(testConfig, 1, func() Time { return Second + Time(time.Since(start)/100000) }, func(string) {})
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error)
-	go func() { ended <- f.Tick(ctx) }()
-	ticket := f.Land(Landing{Grace: Second / 10})
-	assert.Equal(t, AnswerThrottled, pick(t, ticket).Do, "no worker is known, and no other call is made")
+	go func() { ended <- f.Run(ctx) }()
+	ticket := f.Submit(Arrival{Timeout: Second / 10})
+	assert.Equal(t, RespondRejected, pick(t, ticket).Action, "no worker is known, and no other call is made")
 	cancel()
 	assert.NoError(t, <-ended)
 }
 
 func TestManyClientsAtOnce(t *testing.T) {
-	f, _ := facadeOf(someTerms, 4)
+	f, _ := facadeOf(testConfig, 4)
 	start := time.Now()
 	f.clock = func() Time { return 100*Second + Time(time.Since(start)/100000) }
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error)
-	go func() { ended <- f.Tick(ctx) }()
+	go func() { ended <- f.Run(ctx) }()
 	var clients sync.WaitGroup
 	for n := range 50 {
 		clients.Go(func() {
-			ticket := f.Land(Landing{Operation: Operation(n % len(someTerms.Operations)), Grace: 3 * Second})
+			ticket := f.Submit(Arrival{Operation: OperationID(n % len(testConfig.Operations)), Timeout: 3 * Second})
 			for {
 				c := pick(t, ticket)
-				if c.Do != Send {
+				if c.Action != SendAttempt {
 					return
 				}
-				ticket.ReportStart(c.N)
-				ticket.Report(c.N, []Outcome{Succeeded, Full, Succeeded, WorkerError}[(n+c.N)%4])
-				f.ReportPeer(1, Load{Tgt: c.Tgt, InFlight: n % 3})
+				ticket.ReportStarted(c.Attempt)
+				ticket.Report(c.Attempt, []Outcome{Succeeded, Overloaded, Succeeded, WorkerError}[(n+c.Attempt)%4])
+				f.ReceiveLoad(1, Load{Worker: c.Worker, InFlight: n % 3})
 			}
 		})
 	}
 	clients.Wait()
 	cancel()
 	assert.NoError(t, <-ended)
-	assert.Equal(t, 0, f.Open())
-	assert.Zero(t, f.d.own[0]+f.d.own[1]+f.d.own[2]+f.d.own[3], "nothing is left out")
+	assert.Equal(t, 0, f.OpenRequests())
+	assert.Zero(t, f.balancer.inFlight[0]+f.balancer.inFlight[1]+f.balancer.inFlight[2]+f.balancer.inFlight[3], "nothing is left out")
 }
 
 // Guards against a crash: a peer may tell of a worker whose list is still on its way to the rules.
 func TestPeerThatTellsOfAWorkerNotListedYetIsPassedOver(t *testing.T) {
-	f, _ := facadeOf(someTerms, 1)
-	assert.NotPanics(t, func() { f.ReportPeer(1, Load{Tgt: 7, InFlight: 2}) })
+	f, _ := facadeOf(testConfig, 1)
+	assert.NotPanics(t, func() { f.ReceiveLoad(1, Load{Worker: 7, InFlight: 2}) })
 }
 
 func TestNewsForOnePeerGoTogether(t *testing.T) {
-	f, _ := facadeOf(someTerms, 1)
-	l := link{f}
-	l.Tell(1, Load{0, 2})
-	l.Tell(0, Load{0, 2})
-	l.Tell(1, Load{1, 3})
-	news, err := f.PickNews(context.Background())
+	f, _ := facadeOf(testConfig, 1)
+	l := pickerEffects{f}
+	l.SendLoad(1, Load{0, 2})
+	l.SendLoad(0, Load{0, 2})
+	l.SendLoad(1, Load{1, 3})
+	news, err := f.NextLoadUpdates(context.Background())
 	assert.NoError(t, err)
-	assert.Equal(t, []News{{1, []Load{{0, 2}, {1, 3}}}, {0, []Load{{0, 2}}}}, news)
+	assert.Equal(t, []LoadUpdate{{1, []Load{{0, 2}, {1, 3}}}, {0, []Load{{0, 2}}}}, news)
 }
 
 // Guards against a list service that is asked again with no wait, and one that is asked late after it moved.
 func TestListIsAskedForAgainAfterAWaitOrAtOnceWhereItMoved(t *testing.T) {
-	terms := someTerms
-	terms.AskForList = true
+	terms := testConfig
+	terms.PollEndpoints = true
 	f, now := facadeOf(terms, 1)
-	asked := func() bool { return len(f.ask) > 0 }
-	f.ReportListLost(ListFailed)
+	asked := func() bool { return len(f.pollDue) > 0 }
+	f.ReportWatchEnded(WatchFailed)
 	*now += 5 * Second
-	f.with(func(*Dispatcher) {})
+	f.update(func(*Balancer) {})
 	assert.True(t, asked(), "and nobody takes it up before the next word")
-	f.ReportListLost(ListFailed)
+	f.ReportWatchEnded(WatchFailed)
 	assert.False(t, asked())
-	f.ReportListMoved()
+	f.ReportDiscoveryMoved()
 	assert.True(t, asked())
 	for range 5 { // it answers, and is cut: no backoff
-		<-f.ask
-		f.ReportListLost(ListCut)
+		<-f.pollDue
+		f.ReportWatchEnded(WatchCut)
 		*now += 1300 * Second / 1000
-		f.with(func(*Dispatcher) {})
+		f.update(func(*Balancer) {})
 		assert.True(t, asked())
 	}
 }
 
 // Guards against a peer that starts again with no view of our load, and against our view of what it had out.
 func TestPeerThatHasStartedIsToldWhatIsOutHere(t *testing.T) {
-	terms := someTerms
-	terms.Peers = true
+	terms := testConfig
+	terms.Gossip = true
 	f, now := facadeOf(terms, 2)
-	ticket := f.Land(Landing{Grace: 90 * Second, Hint: Work(9 * Second)})
+	ticket := f.Submit(Arrival{Timeout: 90 * Second, SizeHint: Work(9 * Second)})
 	c := pick(t, ticket)
-	ticket.ReportStart(c.N)
+	ticket.ReportStarted(c.Attempt)
 	*now += Second
-	f.with(func(*Dispatcher) {})
-	_, err := f.PickNews(context.Background())
+	f.update(func(*Balancer) {})
+	_, err := f.NextLoadUpdates(context.Background())
 	assert.NoError(t, err)
-	f.ReportPeer(1, Load{Tgt: 0, InFlight: 3})
-	f.ReportPeerStarted(1)
-	assert.Equal(t, 0, f.d.others[0])
+	f.ReceiveLoad(1, Load{Worker: 0, InFlight: 3})
+	f.ReceivePeerStarted(1)
+	assert.Equal(t, 0, f.balancer.peerInFlight[0])
 	*now += Second
-	f.with(func(*Dispatcher) {})
-	news, err := f.PickNews(context.Background())
+	f.update(func(*Balancer) {})
+	news, err := f.NextLoadUpdates(context.Background())
 	assert.NoError(t, err)
-	assert.Equal(t, []News{{1, []Load{{c.Tgt, 1}}}}, news)
+	assert.Equal(t, []LoadUpdate{{1, []Load{{c.Worker, 1}}}}, news)
 }
--- a/decide/hand.go
+++ b/decide/hand.go
@@ -6,82 +6,82 @@
 	"time"
 )
 
-// Adopted is an invocation that one process of this dispatcher hands to another, with the terms that it
+// MigratedRequest is an invocation that one process of this dispatcher hands to another, with the terms that it
 // landed with.
-type Adopted struct {
-	Name      string  `json:"Name"`
-	Objective Time    `json:"Objective"`
-	Window    Time    `json:"Window"`
-	ComeBack  Time    `json:"ComeBack"`
-	Value     float64 `json:"Value"`
-	Slack     float64 `json:"Slack"`
-	Tardy     float64 `json:"Tardy"`
-	Repeat    Repeat  `json:"Repeat"`
-	Scope     Scope   `json:"Scope"`
-	Kind      Kind    `json:"Kind"`
+type MigratedRequest struct {
+	Name             string      `json:"Name"`
+	LatencyObjective Time        `json:"Objective"`
+	DedupWindow      Time        `json:"Window"`
+	RetryAfter       Time        `json:"ComeBack"`
+	Value            float64     `json:"Value"`
+	Slack            float64     `json:"Slack"`
+	LateShare        float64     `json:"Tardy"`
+	Idempotency      Idempotency `json:"Repeat"`
+	DedupScope       DedupScope  `json:"Scope"`
+	Kind             KindID      `json:"Kind"`
 
-	Until    time.Time        `json:"Until"` // the client's
-	Latest   Time             `json:"Latest"`
-	Size     Work             `json:"Size"`
-	Counts   float64          `json:"Counts"`
-	Beyond   int              `json:"Beyond"`
-	Most     int              `json:"Most"` // of the forwards that are allowed, those not to it
-	Forwards []AdoptedForward `json:"Forwards"`
+	Deadline       time.Time         `json:"Until"` // the client's
+	LatestStart    Time              `json:"Latest"`
+	Size           Work              `json:"Size"`
+	QuotaWeight    float64           `json:"Counts"`
+	SpentElsewhere int               `json:"Beyond"`
+	MaxAttempts    int               `json:"Most"` // of the forwards that are allowed, those not to it
+	Attempts       []MigratedAttempt `json:"Forwards"`
 }
 
-// AdoptedForward is one forward of it, by its number.
-type AdoptedForward struct {
-	Tgt     Worker `json:"Tgt"`
-	Sent    Time   `json:"Sent"`
-	Started Time   `json:"Started"`
-	Out     bool   `json:"Out"`
-	Ran     bool   `json:"Ran"`
+// MigratedAttempt is one forward of it, by its number.
+type MigratedAttempt struct {
+	Worker     WorkerID `json:"Tgt"`
+	SentAt     Time     `json:"Sent"`
+	StartedAt  Time     `json:"Started"`
+	InFlight   bool     `json:"Out"`
+	MayHaveRun bool     `json:"Ran"`
 }
 
-// Hand takes an invocation out of the decisions, for another process to go on with. It holds only while it is
-// open, with so many forwards out; Pick then returns HandOver.
-func (t *Ticket) Hand(out int) (a Adopted, ok bool) {
-	t.f.with(func(d *Dispatcher) {
-		sends := slices.ContainsFunc(t.choices, func(c Choice) bool { return c.Do == Send })
-		if t.over || t.out != out || sends {
+// Export takes an invocation out of the decisions, for another process to go on with. It holds only while it is
+// open, with so many forwards out; Pick then returns RespondElsewhere.
+func (t *RequestHandle) Export(out int) (a MigratedRequest, ok bool) {
+	t.picker.update(func(d *Balancer) {
+		sends := slices.ContainsFunc(t.decisions, func(c Decision) bool { return c.Action == SendAttempt })
+		if t.closed || t.inFlight != out || sends {
 			return
 		}
-		i := &d.invs[t.inv]
-		o := &d.ops[i.op]
+		i := &d.requests[t.id]
+		o := &d.operations[i.operation]
 		ok = true
-		a = Adopted{
-			o.name, o.objective, o.window, o.comeBack, o.value, o.slack, o.tardy, o.repeat, o.scope, o.kind, t.until,
-			i.latest, i.size, i.counts, i.beyond, d.forwardsMost, nil,
+		a = MigratedRequest{
+			o.name, o.latencyObjective, o.dedupWindow, o.retryAfter, o.value, o.slack, o.lateShare, o.idempotency, o.dedupScope, o.kind, t.deadline,
+			i.latestStart, i.size, i.quotaWeight, i.spentElsewhere, d.maxAttempts, nil,
 		}
-		for _, f := range i.forwards {
-			a.Forwards = append(a.Forwards, AdoptedForward{f.tgt, f.sent, f.started, f.out, f.ran})
+		for _, f := range i.attempts {
+			a.Attempts = append(a.Attempts, MigratedAttempt{f.worker, f.sentAt, f.startedAt, f.inFlight, f.mayHaveRun})
 		}
-		t.over = true
-		d.end(t.inv, -1)
-		for n, f := range a.Forwards {
-			if f.Out {
-				t.ended(n, Moot)
+		t.closed = true
+		d.closeRequest(t.id, -1)
+		for n, f := range a.Attempts {
+			if f.InFlight {
+				t.attemptEnded(n, NotSent)
 			}
 		}
-		t.push(Choice{Do: HandOver})
+		t.push(Decision{Action: RespondElsewhere})
 	})
 	return a, ok
 }
 
-// Adopt goes on with an invocation that another process has handed over. The contexts are those of its
+// Import goes on with an invocation that another process has handed over. The contexts are those of its
 // forwards that are out; each is to be reported by its number.
-func (f *Facade) Adopt(a Adopted) (*Ticket, []context.Context) {
-	t := &Ticket{f: f, ready: make(chan struct{}, 1), until: a.Until}
-	contexts := make([]context.Context, len(a.Forwards))
-	f.with(func(d *Dispatcher) {
-		f.number(t)
-		d.adopt(t.inv, a)
-		for n, forward := range a.Forwards {
-			contexts[n] = t.begin(a.Until)
+func (f *Picker) Import(a MigratedRequest) (*RequestHandle, []context.Context) {
+	t := &RequestHandle{picker: f, ready: make(chan struct{}, 1), deadline: a.Deadline}
+	contexts := make([]context.Context, len(a.Attempts))
+	f.update(func(d *Balancer) {
+		f.assignID(t)
+		d.importRequest(t.id, a)
+		for n, forward := range a.Attempts {
+			contexts[n] = t.beginAttempt(a.Deadline)
 			t.sent[n] = true
-			if !forward.Out {
+			if !forward.InFlight {
 				t.reported[n] = true
-				t.out--
+				t.inFlight--
 				t.cancels[n](nil)
 			}
 		}
@@ -89,55 +89,55 @@
 	return t, contexts
 }
 
-func (d *Dispatcher) adopt(inv Inv, a Adopted) {
-	d.invs = append(d.invs, make([]invocation, max(0, int(inv)+1-len(d.invs)))...)
-	op := d.generation(a.operation())
-	grace := Time(time.Until(a.Until) / (time.Second / Second))
-	i := &d.invs[inv]
-	*i = invocation{
-		op: op, timeout: d.now + grace - d.margin, latest: a.Latest, size: a.Size, counts: a.Counts,
-		forwards: i.forwards[:0], lane: both,
+func (d *Balancer) importRequest(inv RequestID, a MigratedRequest) {
+	d.requests = append(d.requests, make([]request, max(0, int(inv)+1-len(d.requests)))...)
+	op := d.operationNumber(a.operation())
+	grace := Time(time.Until(a.Deadline) / (time.Second / Second))
+	i := &d.requests[inv]
+	*i = request{
+		operation: op, deadline: d.now + grace - d.margin, latestStart: a.LatestStart, size: a.Size, quotaWeight: a.QuotaWeight,
+		attempts: i.attempts[:0], interval: bothIntervals,
 	}
-	i.until, i.late = d.waits(op, a.Latest), d.now > a.Latest
-	i.beyond = d.forwardsMost - min(a.Most-a.Beyond, d.forwardsMost)
-	if len(d.cuts) > 0 {
-		i.lane, _ = slices.BinarySearch(d.cuts, i.size+1)
+	i.latestWaitedStart, i.late = d.latestWaitedStart(op, a.LatestStart), d.now > a.LatestStart
+	i.spentElsewhere = d.maxAttempts - min(a.MaxAttempts-a.SpentElsewhere, d.maxAttempts)
+	if len(d.cutPoints) > 0 {
+		i.interval, _ = slices.BinarySearch(d.cutPoints, i.size+1)
 	}
-	d.addOpen(inv)
-	for _, f := range a.Forwards {
-		i.forwards = append(i.forwards,
-			forward{tgt: f.Tgt, sent: f.Sent, started: f.Started, out: f.Out, ran: f.Ran})
-		if !f.Out {
+	d.addOpenRequest(inv)
+	for _, f := range a.Attempts {
+		i.attempts = append(i.attempts,
+			attempt{worker: f.Worker, sentAt: f.SentAt, startedAt: f.StartedAt, inFlight: f.InFlight, mayHaveRun: f.MayHaveRun})
+		if !f.InFlight {
 			continue
 		}
-		i.out++
-		d.shift(f.Tgt, 1)
-		if d.startNotes && f.Started == 0 {
-			d.waiting[f.Tgt]++
+		i.inFlight++
+		d.addInFlight(f.Worker, 1)
+		if d.startNotices && f.StartedAt == 0 {
+			d.unstarted[f.Worker]++
 		}
-		d.note(f.Tgt)
+		d.markLoadChanged(f.Worker)
 	}
-	if i.out == 0 {
-		d.hold(inv)
+	if i.inFlight == 0 {
+		d.enqueue(inv)
 	}
-	d.room, d.sweepAt = true, min(d.sweepAt, d.now+d.patience, i.timeout)
+	d.capacityChanged, d.reviewAt = true, min(d.reviewAt, d.now+d.patience, i.deadline)
 }
 
 // operation is the one that it landed with.
-func (a *Adopted) operation() operation {
+func (a *MigratedRequest) operation() operation {
 	return operation{
-		name: a.Name, objective: a.Objective, window: a.Window, comeBack: a.ComeBack, value: a.Value,
-		slack: a.Slack, tardy: a.Tardy, repeat: a.Repeat, scope: a.Scope, kind: a.Kind,
+		name: a.Name, latencyObjective: a.LatencyObjective, dedupWindow: a.DedupWindow, retryAfter: a.RetryAfter, value: a.Value,
+		slack: a.Slack, lateShare: a.LateShare, idempotency: a.Idempotency, dedupScope: a.DedupScope, kind: a.Kind,
 	}
 }
 
-// Adopt goes on with an invocation that another process has handed over, each instance in turn. All of them
+// Import goes on with an invocation that another process has handed over, each instance in turn. All of them
 // number its operation: else the next terms would have other numbers at one than at another.
-func (s *Instances) Adopt(a Adopted) (*Ticket, []context.Context) {
-	s.numbering.Lock()
-	defer s.numbering.Unlock()
-	for _, f := range s.each {
-		f.with(func(d *Dispatcher) { d.generation(a.operation()) })
+func (s *Shards) Import(a MigratedRequest) (*RequestHandle, []context.Context) {
+	s.reconfiguring.Lock()
+	defer s.reconfiguring.Unlock()
+	for _, f := range s.pickers {
+		f.update(func(d *Balancer) { d.operationNumber(a.operation()) })
 	}
-	return s.next().Adopt(a)
+	return s.next().Import(a)
 }
--- a/decide/instances.go
+++ b/decide/instances.go
@@ -7,116 +7,116 @@
 	"sync/atomic"
 )
 
-// Instances are the dispatchers of one process: as many instances of the module as it has cores for, each
+// Shards are the dispatchers of one process: as many instances of the module as it has cores for, each
 // behind a facade with a lock of its own. Each one is a dispatcher like any other, with its number among all
 // instances of all processes, so that budgets, shares, parts and drains hold over all of them by the rules as
 // they are. They tell one another in memory what peers tell by datagram. All processes must have as many.
 // With one, this is a facade.
-type Instances struct {
-	each    []*Facade
-	first   Peer // the number of our first one
-	outside bool // whether other processes may be told
-	turn    atomic.Uint32
+type Shards struct {
+	pickers    []*Picker
+	firstPeer  PeerID // the number of our first one
+	gossip     bool   // whether other processes may be told
+	roundRobin atomic.Uint32
 
-	numbering sync.Mutex // operations are numbered at all of them alike
+	reconfiguring sync.Mutex // operations are numbered at all of them alike
 }
 
-// NewInstances makes n of them for a process that the terms describe: Dispatchers and Position count
+// NewShards makes n of them for a process that the terms describe: Dispatchers and Position count
 // processes there. log takes their remarks.
-func NewInstances(t Terms, n int, seed uint64, clock func() Time, log func(string)) *Instances {
-	s := &Instances{first: Peer(t.Position * n), outside: t.Peers}
-	t.Dispatchers, t.Peers = t.Dispatchers*n, t.Peers || n > 1
+func NewShards(t Config, n int, seed uint64, clock func() Time, log func(string)) *Shards {
+	s := &Shards{firstPeer: PeerID(t.Position * n), gossip: t.Gossip}
+	t.Dispatchers, t.Gossip = t.Dispatchers*n, t.Gossip || n > 1
 	for j := range n {
 		own := t
 		own.Position = t.Position*n + j
-		f := NewFacade(own, seed+uint64(j), clock, log)
+		f := NewPicker(own, seed+uint64(j), clock, log)
 		if j > 0 { // the list and probes are asked for by the process, whoever wants them
-			f.ask, f.probe = s.each[0].ask, s.each[0].probe
+			f.pollDue, f.probes = s.pickers[0].pollDue, s.pickers[0].probes
 		}
-		s.each = append(s.each, f)
+		s.pickers = append(s.pickers, f)
 	}
 	return s
 }
 
 // Count is how many there are.
-func (s *Instances) Count() int { return len(s.each) }
+func (s *Shards) Count() int { return len(s.pickers) }
 
-// Number is that of an instance among all of all processes.
-func (s *Instances) Number(j int) Peer { return s.first + Peer(j) }
+// PeerID is that of an instance among all of all processes.
+func (s *Shards) PeerID(j int) PeerID { return s.firstPeer + PeerID(j) }
 
-// Land takes an invocation in, each instance in turn. Its holder has to Pick until an answer comes.
-func (s *Instances) Land(l Landing) *Ticket {
-	return s.next().Land(l)
+// Submit takes an invocation in, each instance in turn. Its holder has to Pick until an answer comes.
+func (s *Shards) Submit(l Arrival) *RequestHandle {
+	return s.next().Submit(l)
 }
 
 // next is the instance whose turn it is.
-func (s *Instances) next() *Facade {
-	if len(s.each) == 1 {
-		return s.each[0]
+func (s *Shards) next() *Picker {
+	if len(s.pickers) == 1 {
+		return s.pickers[0]
 	}
-	return s.each[s.turn.Add(1)%uint32(len(s.each))]
+	return s.pickers[s.roundRobin.Add(1)%uint32(len(s.pickers))]
 }
 
-// Tick blocks until ctx ends, and goes through the rules of an instance whenever one comes due by time alone.
-func (s *Instances) Tick(ctx context.Context, j int) error { return s.each[j].Tick(ctx) }
+// Run blocks until ctx ends, and goes through the rules of an instance whenever one comes due by time alone.
+func (s *Shards) Run(ctx context.Context, j int) error { return s.pickers[j].Run(ctx) }
 
-// Open is the number of invocations that are not over, or have forwards out.
-func (s *Instances) Open() (open int) {
-	for _, f := range s.each {
-		open += f.Open()
+// OpenRequests is the number of invocations that are not over, or have forwards out.
+func (s *Shards) OpenRequests() (open int) {
+	for _, f := range s.pickers {
+		open += f.OpenRequests()
 	}
 	return open
 }
 
-// EndBy tells that no answer is possible after a span from now: this process ends then.
-func (s *Instances) EndBy(within Time) {
-	for _, f := range s.each {
-		f.EndBy(within)
+// StopAfter tells that no answer is possible after a span from now: this process ends then.
+func (s *Shards) StopAfter(within Time) {
+	for _, f := range s.pickers {
+		f.StopAfter(within)
 	}
 }
 
-// Close ends all forwards that are still out, as this process ends.
-func (s *Instances) Close() {
-	for _, f := range s.each {
-		f.Close()
+// CancelAll ends all forwards that are still out, as this process ends.
+func (s *Shards) CancelAll() {
+	for _, f := range s.pickers {
+		f.CancelAll()
 	}
 }
 
-// Late tells whether an invocation that lands now would, by its hint, not be done before this process ends.
-func (s *Instances) Late(l Landing) bool { return s.each[0].Late(l) }
+// MissesStop tells whether an invocation that lands now would, by its hint, not be done before this process ends.
+func (s *Shards) MissesStop(l Arrival) bool { return s.pickers[0].MissesStop(l) }
 
-// Workers counts those that are listed, and of them those that failures keep work from now at any instance.
-func (s *Instances) Workers() (listed, avoided int) {
-	for _, f := range s.each {
-		n, a := f.Workers()
+// WorkerCounts counts those that are listed, and of them those that failures keep work from now at any instance.
+func (s *Shards) WorkerCounts() (listed, avoided int) {
+	for _, f := range s.pickers {
+		n, a := f.WorkerCounts()
 		listed, avoided = max(listed, n), max(avoided, a)
 	}
 	return listed, avoided
 }
 
-// PickWatch blocks until the list should be asked for.
-func (s *Instances) PickWatch(ctx context.Context) error { return s.each[0].PickWatch(ctx) }
+// AwaitPoll blocks until the list should be asked for.
+func (s *Shards) AwaitPoll(ctx context.Context) error { return s.pickers[0].AwaitPoll(ctx) }
 
-// PickProbe blocks until a worker should be probed.
-func (s *Instances) PickProbe(ctx context.Context) (Worker, error) { return s.each[0].PickProbe(ctx) }
+// NextProbe blocks until a worker should be probed.
+func (s *Shards) NextProbe(ctx context.Context) (WorkerID, error) { return s.pickers[0].NextProbe(ctx) }
 
-// PickNews blocks until an instance has something to tell other processes, and meanwhile tells those of this
+// NextLoadUpdates blocks until an instance has something to tell other processes, and meanwhile tells those of this
 // one what is for them. The lock of the one that tells is not held then: two may tell each other at once.
-func (s *Instances) PickNews(ctx context.Context, j int) ([]News, error) {
+func (s *Shards) NextLoadUpdates(ctx context.Context, j int) ([]LoadUpdate, error) {
 	for {
-		news, err := s.each[j].PickNews(ctx)
+		news, err := s.pickers[j].NextLoadUpdates(ctx)
 		if err != nil {
 			return nil, err
 		}
 		out := news[:0]
 		for _, n := range news {
-			here := int(n.To - s.first)
+			here := int(n.To - s.firstPeer)
 			switch {
-			case here >= 0 && here < len(s.each):
+			case here >= 0 && here < len(s.pickers):
 				for _, l := range n.Loads {
-					s.each[here].ReportPeer(s.Number(j), l)
+					s.pickers[here].ReceiveLoad(s.PeerID(j), l)
 				}
-			case s.outside:
+			case s.gossip:
 				out = append(out, n)
 			}
 		}
@@ -126,59 +126,59 @@
 	}
 }
 
-// ReportList takes a list or changes to it; known is the one that the process starts with.
-func (s *Instances) ReportList(entries []Entry, whole, known bool) {
-	for _, f := range s.each {
-		f.ReportList(entries, whole, known)
+// UpdateEndpoints takes a list or changes to it; known is the one that the process starts with.
+func (s *Shards) UpdateEndpoints(entries []Endpoint, whole, known bool) {
+	for _, f := range s.pickers {
+		f.UpdateEndpoints(entries, whole, known)
 	}
 }
 
-// ReportListLost tells that the list could not be had, or is no longer followed.
-func (s *Instances) ReportListLost(how ListEnd) {
-	for _, f := range s.each {
-		f.ReportListLost(how)
+// ReportWatchEnded tells that the list could not be had, or is no longer followed.
+func (s *Shards) ReportWatchEnded(how WatchEnd) {
+	for _, f := range s.pickers {
+		f.ReportWatchEnded(how)
 	}
 }
 
-// ReportListSlow tells that the first call for the list has not been answered for a while.
-func (s *Instances) ReportListSlow() {
-	for _, f := range s.each {
-		f.ReportListSlow()
+// ReportFirstPollSlow tells that the first call for the list has not been answered for a while.
+func (s *Shards) ReportFirstPollSlow() {
+	for _, f := range s.pickers {
+		f.ReportFirstPollSlow()
 	}
 }
 
-// ReportListMoved tells that the list is to be had elsewhere from now on.
-func (s *Instances) ReportListMoved() {
-	for _, f := range s.each {
-		f.ReportListMoved()
+// ReportDiscoveryMoved tells that the list is to be had elsewhere from now on.
+func (s *Shards) ReportDiscoveryMoved() {
+	for _, f := range s.pickers {
+		f.ReportDiscoveryMoved()
 	}
 }
 
-// ReportPeer takes what an instance of another process tells of a worker: all here hear it.
-func (s *Instances) ReportPeer(from Peer, l Load) {
-	for _, f := range s.each {
-		f.ReportPeer(from, l)
+// ReceiveLoad takes what an instance of another process tells of a worker: all here hear it.
+func (s *Shards) ReceiveLoad(from PeerID, l Load) {
+	for _, f := range s.pickers {
+		f.ReceiveLoad(from, l)
 	}
 }
 
-// Lonely tells whether all may have lost power, as far as this process can see.
-func (s *Instances) Lonely() bool { return s.each[0].Lonely() }
+// Isolated tells whether all may have lost power, as far as this process can see.
+func (s *Shards) Isolated() bool { return s.pickers[0].Isolated() }
 
-// ReportPeerStarted tells that another process has just started, by its number among the processes.
-func (s *Instances) ReportPeerStarted(process int) {
-	for _, f := range s.each {
-		for j := range s.each {
-			f.ReportPeerStarted(Peer(process*len(s.each) + j))
+// ReceivePeerStarted tells that another process has just started, by its number among the processes.
+func (s *Shards) ReceivePeerStarted(process int) {
+	for _, f := range s.pickers {
+		for j := range s.pickers {
+			f.ReceivePeerStarted(PeerID(process*len(s.pickers) + j))
 		}
 	}
 }
 
-// Neighbours are the other processes with which this one tells of workers, by number, in order; all of them
+// GossipPeers are the other processes with which this one tells of workers, by number, in order; all of them
 // while no list is known.
-func (s *Instances) Neighbours() (processes []int) {
-	for _, f := range s.each {
-		for _, p := range f.neighbours() {
-			if n := int(p) / len(s.each); n != int(s.first)/len(s.each) {
+func (s *Shards) GossipPeers() (processes []int) {
+	for _, f := range s.pickers {
+		for _, p := range f.gossipPeers() {
+			if n := int(p) / len(s.pickers); n != int(s.firstPeer)/len(s.pickers) {
 				processes = append(processes, n)
 			}
 		}
@@ -187,9 +187,9 @@
 	return slices.Compact(processes)
 }
 
-// ReportLoad takes a worker's load report.
-func (s *Instances) ReportLoad(w Worker, values []float64) {
-	for _, f := range s.each {
-		f.ReportLoad(w, values)
+// ReceiveLoadReport takes a worker's load report.
+func (s *Shards) ReceiveLoadReport(w WorkerID, values []float64) {
+	for _, f := range s.pickers {
+		f.ReceiveLoadReport(w, values)
 	}
 }
--- a/decide/instances_test.go
+++ b/decide/instances_test.go
@@ -11,52 +11,52 @@
 )
 
 // instancesOf has n instances in the second of two processes, and workers that all of them know.
-func instancesOf(t Terms, n, workers int) *Instances {
+func instancesOf(t Config, n, workers int) *Shards {
 	now := Time(100 * Second)
 	t.Dispatchers, t.Position = 2, 1
-	s := NewInstances(t, n, 1, func() Time { return now }, func(string) {})
-	var list []Entry
+	s := NewShards(t, n, 1, func() Time { return now }, func(string) {})
+	var list []Endpoint
 	for w := range workers {
-		list = append(list, Entry{Tgt: Worker(w), ID: fmt.Sprintf("w%d", w), Zone: Zone(w % 2), Cell: Cell(w)})
+		list = append(list, Endpoint{Worker: WorkerID(w), ID: fmt.Sprintf("w%d", w), Zone: ZoneID(w % 2), Cell: CellID(w)})
 	}
-	s.ReportList(list, true, true)
+	s.UpdateEndpoints(list, true, true)
 	return s
 }
 
 func TestInstancesAreDispatchersAmongAllOfAllProcesses(t *testing.T) {
-	terms := someTerms
-	terms.Peers = true
+	terms := testConfig
+	terms.Gossip = true
 	s := instancesOf(terms, 3, 4)
-	for j, f := range s.each {
-		assert.Equal(t, []int{6, 3 + j}, []int{f.d.dispatchers, f.d.position})
-		assert.Equal(t, 1.0/6, f.d.share, "budgets and shares are cut into as many parts")
-		assert.True(t, f.d.peers)
+	for j, f := range s.pickers {
+		assert.Equal(t, []int{6, 3 + j}, []int{f.balancer.dispatchers, f.balancer.position})
+		assert.Equal(t, 1.0/6, f.balancer.dispatcherShare, "budgets and shares are cut into as many parts")
+		assert.True(t, f.balancer.gossip)
 	}
-	alone := instancesOf(someTerms, 1, 4)
-	assert.Equal(t, []int{2, 1}, []int{alone.each[0].d.dispatchers, alone.each[0].d.position})
-	assert.False(t, alone.each[0].d.peers, "one instance is as it was")
+	alone := instancesOf(testConfig, 1, 4)
+	assert.Equal(t, []int{2, 1}, []int{alone.pickers[0].balancer.dispatchers, alone.pickers[0].balancer.position})
+	assert.False(t, alone.pickers[0].balancer.gossip, "one instance is as it was")
 	for range 6 {
-		s.Land(Landing{Grace: 3 * Second})
+		s.Submit(Arrival{Timeout: 3 * Second})
 	}
-	for _, f := range s.each {
-		assert.Equal(t, 2, f.Open())
+	for _, f := range s.pickers {
+		assert.Equal(t, 2, f.OpenRequests())
 	}
-	assert.Equal(t, 6, s.Open())
+	assert.Equal(t, 6, s.OpenRequests())
 }
 
 func TestInstancesTellOneAnotherInMemory(t *testing.T) {
 	for _, outside := range []bool{false, true} {
-		terms := someTerms
-		terms.Peers = outside
+		terms := testConfig
+		terms.Gossip = outside
 		s := instancesOf(terms, 2, 1)
-		ticket := s.each[0].Land(Landing{Grace: 3 * Second})
+		ticket := s.pickers[0].Submit(Arrival{Timeout: 3 * Second})
 		c := pick(t, ticket)
-		s.each[0].with(func(d *Dispatcher) { d.tell() }) // as its time comes
+		s.pickers[0].update(func(d *Balancer) { d.sendChangedLoads() }) // as its time comes
 		ctx, cancel := context.WithTimeout(context.Background(), 200*time.Millisecond)
-		news, err := s.PickNews(ctx, 0)
+		news, err := s.NextLoadUpdates(ctx, 0)
 		cancel()
-		assert.Equal(t, 1, s.each[1].d.others[c.Tgt], "heard within the process")
-		assert.Equal(t, 0, s.each[0].d.others[c.Tgt], "not by the one that told")
+		assert.Equal(t, 1, s.pickers[1].balancer.peerInFlight[c.Worker], "heard within the process")
+		assert.Equal(t, 0, s.pickers[0].balancer.peerInFlight[c.Worker], "not by the one that told")
 		if !outside {
 			assert.Error(t, err, "nothing may leave the process")
 			continue
@@ -69,82 +69,82 @@
 }
 
 func TestOneCallForTheListServesAllInstances(t *testing.T) {
-	terms := someTerms
-	terms.AskForList = true
+	terms := testConfig
+	terms.PollEndpoints = true
 	s := instancesOf(terms, 3, 1)
-	for _, f := range s.each {
-		f.with(func(d *Dispatcher) { d.askAt = 0 }) // their turn has come
+	for _, f := range s.pickers {
+		f.update(func(d *Balancer) { d.nextPoll = 0 }) // their turn has come
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
 	defer cancel()
-	assert.NoError(t, s.PickWatch(ctx))
-	assert.Error(t, s.PickWatch(ctx), "the others want it by the same call")
-	s.ReportList([]Entry{{Tgt: 0, ID: "w0", State: Draining}}, true, false)
-	for _, f := range s.each {
-		assert.True(t, f.d.subscribed)
-		assert.Equal(t, Draining, f.d.state[0], "a drain holds for all")
+	assert.NoError(t, s.AwaitPoll(ctx))
+	assert.Error(t, s.AwaitPoll(ctx), "the others want it by the same call")
+	s.UpdateEndpoints([]Endpoint{{Worker: 0, ID: "w0", State: Draining}}, true, false)
+	for _, f := range s.pickers {
+		assert.True(t, f.balancer.watching)
+		assert.Equal(t, Draining, f.balancer.state[0], "a drain holds for all")
 	}
 }
 
 // Guards against two instances that tell each other at once and wait for each other's lock.
 func TestInstancesThatTellEachOtherAtOnceDoNotWait(t *testing.T) {
-	terms := someTerms
+	terms := testConfig
 	terms.Granularity = 0
 	s := instancesOf(terms, 4, 8)
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
 	for j := range s.Count() {
-		go func() { _, _ = s.PickNews(ctx, j) }()
+		go func() { _, _ = s.NextLoadUpdates(ctx, j) }()
 	}
 	var lives sync.WaitGroup
 	for range 8 {
 		lives.Go(func() {
 			for range 300 {
-				ticket := s.Land(Landing{Grace: 3 * Second, Hint: 10})
+				ticket := s.Submit(Arrival{Timeout: 3 * Second, SizeHint: 10})
 				c, err := ticket.Pick(ctx)
 				if !assert.NoError(t, err) {
 					return
 				}
-				ticket.f.with(func(d *Dispatcher) { d.tell() })
-				ticket.ReportStart(c.N)
-				ticket.Report(c.N, Succeeded)
+				ticket.picker.update(func(d *Balancer) { d.sendChangedLoads() })
+				ticket.ReportStarted(c.Attempt)
+				ticket.Report(c.Attempt, Succeeded)
 				_, err = ticket.Pick(ctx)
 				assert.NoError(t, err)
 			}
 		})
 	}
 	lives.Wait()
-	assert.Zero(t, s.Open())
+	assert.Zero(t, s.OpenRequests())
 }
 
 // Guards against a fleet that restarts at once and greets all with all: it is charged for each message.
 func TestNeighboursAreThoseWhoShareWorkers(t *testing.T) {
-	terms := someTerms
-	terms.Dispatchers, terms.Peers, terms.TellCost = 80, true, 0.000625
-	fleet := make([]*Instances, 80)
+	terms := testConfig
+	terms.Dispatchers, terms.Gossip, terms.GossipCost = 80, true, 0.000625
+	fleet := make([]*Shards, 80)
 	for n := range fleet {
 		terms.Position = n
-		fleet[n] = NewInstances(terms, 1, 1, func() Time { return 0 }, func(string) {})
-		assert.Len(t, fleet[n].Neighbours(), 79, "all, before there is a list")
-		var list []Entry
+		fleet[n] = NewShards(terms, 1, 1, func() Time { return 0 }, func(string) {})
+		assert.Len(t, fleet[n].GossipPeers(), 79, "all, before there is a list")
+		var list []Endpoint
 		for w := range 60 {
-			list = append(list, Entry{Tgt: Worker(w), ID: fmt.Sprintf("w%d", w)})
+			list = append(list, Endpoint{Worker: WorkerID(w), ID: fmt.Sprintf("w%d", w)})
 		}
-		fleet[n].ReportList(list, true, true)
+		fleet[n].UpdateEndpoints(list, true, true)
 	}
 	for n, s := range fleet {
-		near := s.Neighbours()
+		near := s.GossipPeers()
 		assert.Less(t, len(near), 30)
-		d := s.each[0].d
-		for _, w := range d.parts[both] {
-			for p := d.keep[w][0]; p < d.keep[w][1]; p++ {
+		d := s.pickers[0].balancer
+		for _, w := range d.subsets[bothIntervals] {
+			for p := d.subsetPeerRange[w][0]; p < d.subsetPeerRange[w][1]; p++ {
 				if p%80 != n {
 					assert.Contains(t, near, p%80, "told of worker %d", w)
 				}
 			}
 		}
 		for _, p := range near {
-			assert.Contains(t, fleet[p].Neighbours(), n, "each of the other")
+			assert.Contains(t, fleet[p].GossipPeers(), n, "each of the other")
 		}
 	}
 }
--- a/decide/landed.go
+++ b/decide/landed.go
@@ -5,48 +5,48 @@
 	"slices"
 )
 
-// landed keeps the invocations that are open in the order in which they landed. One that is over leaves a gap, and
+// openRequests keeps the invocations that are open in the order in which they landed. One that is over leaves a gap, and
 // the gaps are closed once they are more than half: an end costs the same whatever is open beside it.
-type landed struct {
-	invs []Inv // with gaps
+type openRequests struct {
+	ids  []RequestID // with gaps
 	live int
 }
 
-const gap = Inv(-1)
+const closedGap = RequestID(-1)
 
-// leastGaps are never worth closing.
-const leastGaps = 64
+// minGaps are never worth closing.
+const minGaps = 64
 
-func (d *Dispatcher) addOpen(inv Inv) {
+func (d *Balancer) addOpenRequest(inv RequestID) {
 	o := &d.open
-	if len(o.invs) > 2*o.live+leastGaps {
-		o.invs = slices.DeleteFunc(o.invs, func(inv Inv) bool { return inv == gap })
-		for n, inv := range o.invs {
-			d.invs[inv].place = n
+	if len(o.ids) > 2*o.live+minGaps {
+		o.ids = slices.DeleteFunc(o.ids, func(inv RequestID) bool { return inv == closedGap })
+		for n, inv := range o.ids {
+			d.requests[inv].openIndex = n
 		}
 	}
-	d.invs[inv].place = len(o.invs)
-	o.invs, o.live = append(o.invs, inv), o.live+1
+	d.requests[inv].openIndex = len(o.ids)
+	o.ids, o.live = append(o.ids, inv), o.live+1
 }
 
-func (d *Dispatcher) dropOpen(inv Inv) {
-	d.open.invs[d.invs[inv].place] = gap
+func (d *Balancer) removeOpenRequest(inv RequestID) {
+	d.open.ids[d.requests[inv].openIndex] = closedGap
 	d.open.live--
 }
 
-// latest goes through what is open, the latest landed first. What is gone through may end meanwhile.
-func (o *landed) latest() iter.Seq[Inv] {
-	return func(yield func(Inv) bool) {
-		for n := len(o.invs) - 1; n >= 0; n-- {
-			if o.invs[n] != gap && !yield(o.invs[n]) {
+// newestFirst goes through what is open, the latest landed first. What is gone through may end meanwhile.
+func (o *openRequests) newestFirst() iter.Seq[RequestID] {
+	return func(yield func(RequestID) bool) {
+		for n := len(o.ids) - 1; n >= 0; n-- {
+			if o.ids[n] != closedGap && !yield(o.ids[n]) {
 				return
 			}
 		}
 	}
 }
 
-// letGo takes an invocation out of those that wait for a worker.
-func (d *Dispatcher) letGo(inv Inv) {
-	n := slices.Index(d.held, inv)
-	d.held, d.invs[inv].held = slices.Delete(d.held, n, n+1), false
+// dequeue takes an invocation out of those that wait for a worker.
+func (d *Balancer) dequeue(inv RequestID) {
+	n := slices.Index(d.pending, inv)
+	d.pending, d.requests[inv].queued = slices.Delete(d.pending, n, n+1), false
 }
--- a/decide/legacy.go
+++ b/decide/legacy.go
@@ -2,198 +2,198 @@
 
 import "slices"
 
-// Legacy is what a dispatcher has learnt, for a successor that goes on with it. Workers and zones keep their
+// Snapshot is what a dispatcher has learnt, for a successor that goes on with it. Workers and zones keep their
 // numbers; operations, customers and kinds stand in the order of the successor's terms, with nothing learnt
 // of new ones.
-type Legacy struct {
-	Operations []LearntOperation `json:"Operations"`
-	Customers  []LearntCustomer  `json:"Customers"`
-	Kinds      []LearntKind      `json:"Kinds"`
-	Zones      []LearntZone      `json:"Zones"`
-	Workers    []LearntWorker    `json:"Workers"`
-
-	Sample   []Work  `json:"Sample"`
-	Sampled  int     `json:"Sampled"`
-	Worth    float64 `json:"Worth"`
-	Luck     float64 `json:"Luck"`
-	BlindAt  Time    `json:"BlindAt"`
-	Landings int     `json:"Landings"`
+type Snapshot struct {
+	Operations []OperationStats `json:"Operations"`
+	Tenants    []TenantStats    `json:"Customers"`
+	Kinds      []KindStats      `json:"Kinds"`
+	Zones      []ZoneStats      `json:"Zones"`
+	Workers    []WorkerStats    `json:"Workers"`
+
+	Sample           []Work  `json:"Sample"`
+	Sampled          int     `json:"Sampled"`
+	TotalValue       float64 `json:"Worth"`
+	FreeSlotRatio    float64 `json:"Luck"`
+	UnheardNotBefore Time    `json:"BlindAt"`
+	Arrivals         int     `json:"Landings"`
 }
 
-// LearntOperation is what was learnt of one operation.
-type LearntOperation struct {
-	Name    string  `json:"Name"`
-	Longest Time    `json:"Longest"`
-	Mean    float64 `json:"Mean"`
-	Asked   float64 `json:"Asked"`
-	Lost    float64 `json:"Lost"`
-	Landed  int     `json:"Landed"`
-	Run     float64 `json:"Run"`
-	Runs    int     `json:"Runs"`
+// OperationStats is what was learnt of one operation.
+type OperationStats struct {
+	Name           string  `json:"Name"`
+	LongestTimeout Time    `json:"Longest"`
+	MeanSize       float64 `json:"Mean"`
+	RequestedWork  float64 `json:"Asked"`
+	LostWork       float64 `json:"Lost"`
+	Arrivals       int     `json:"Landed"`
+	MeanRun        float64 `json:"Run"`
+	Runs           int     `json:"Runs"`
 }
 
-// LearntCustomer is the traffic of one customer here.
-type LearntCustomer struct {
-	Used float64 `json:"Used"`
-	At   Time    `json:"At"`
+// TenantStats is the traffic of one customer here.
+type TenantStats struct {
+	Usage float64 `json:"Used"`
+	At    Time    `json:"At"`
 }
 
-// LearntKind is what was learnt of the slots of a kind; Slots is 0 for nothing.
-type LearntKind struct {
-	Slots float64 `json:"Slots"`
-	Most  float64 `json:"Most"`
-	Votes []int   `json:"Votes"`
+// KindStats is what was learnt of the slots of a kind; Slots is 0 for nothing.
+type KindStats struct {
+	Slots       float64 `json:"Slots"`
+	MaxObserved float64 `json:"Most"`
+	Votes       []int   `json:"Votes"`
 }
 
-// LearntZone is what failures have shown of one zone.
-type LearntZone struct {
-	Quiet int  `json:"Quiet"`
-	At    Time `json:"At"`
+// ZoneStats is what failures have shown of one zone.
+type ZoneStats struct {
+	Failures     int  `json:"Quiet"`
+	EjectedUntil Time `json:"At"`
 }
 
-// LearntWorker is what is known of one worker beside the list.
-type LearntWorker struct {
-	Fails   int        `json:"Fails"`
-	Ruined  bool       `json:"Ruined"` // what failed may have run
-	TrialAt Time       `json:"TrialAt"`
-	OpenAt  Time       `json:"OpenAt"`
-	Heard   []Heard    `json:"Heard"`
-	Spent   []Spending `json:"Spent"`
+// WorkerStats is what is known of one worker beside the list.
+type WorkerStats struct {
+	ConsecutiveFailures int        `json:"Fails"`
+	PossiblyExecuted    bool       `json:"Ruined"` // what failed may have run
+	ProbeAfter          Time       `json:"TrialAt"`
+	NotBefore           Time       `json:"OpenAt"`
+	PeerLoads           []PeerLoad `json:"Heard"`
+	Sends               []SentWork `json:"Spent"`
 }
 
-// Heard is what a peer last told of a worker.
-type Heard struct {
-	From     Peer `json:"From"`
-	InFlight int  `json:"InFlight"`
-	At       Time `json:"At"`
+// PeerLoad is what a peer last told of a worker.
+type PeerLoad struct {
+	From       PeerID `json:"From"`
+	InFlight   int    `json:"InFlight"`
+	ReceivedAt Time   `json:"At"`
 }
 
-// Spending is work sent to a worker at a time.
-type Spending struct {
+// SentWork is work sent to a worker at a time.
+type SentWork struct {
 	At   Time `json:"At"`
 	Work Work `json:"Work"`
 }
 
-// Legacy is what was learnt here.
-func (f *Facade) Legacy() Legacy {
+// Snapshot is what was learnt here.
+func (f *Picker) Snapshot() Snapshot {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	d := f.d
-	l := Legacy{
-		Sample: append([]Work(nil), d.sample...), Sampled: d.sampled, Worth: d.worth, Luck: d.luck,
-		BlindAt: d.blindAt, Landings: d.landings,
-	}
-	for _, o := range d.ops {
-		l.Operations = append(l.Operations, LearntOperation{
-			o.name, o.longest, o.mean, o.asked, o.lost, o.landed,
-			o.run, o.runs,
+	d := f.balancer
+	l := Snapshot{
+		Sample: append([]Work(nil), d.sample...), Sampled: d.sampled, TotalValue: d.totalValue, FreeSlotRatio: d.freeSlotRatio,
+		UnheardNotBefore: d.unheardNotBefore, Arrivals: d.arrivals,
+	}
+	for _, o := range d.operations {
+		l.Operations = append(l.Operations, OperationStats{
+			o.name, o.longestTimeout, o.meanSize, o.requestedWork, o.lostWork, o.arrivals,
+			o.meanRun, o.runs,
 		})
 	}
-	for c := range d.used {
-		l.Customers = append(l.Customers, LearntCustomer{d.used[c], d.usedAt[c]})
+	for c := range d.tenantUsage {
+		l.Tenants = append(l.Tenants, TenantStats{d.tenantUsage[c], d.tenantUsageAt[c]})
 	}
 	for k := range d.slots {
-		l.Kinds = append(l.Kinds, LearntKind{d.slots[k], d.most[k], append([]int(nil), d.votes[k]...)})
+		l.Kinds = append(l.Kinds, KindStats{d.slots[k], d.maxObserved[k], append([]int(nil), d.votes[k]...)})
 	}
-	for z := range d.quiet {
-		l.Zones = append(l.Zones, LearntZone{d.quiet[z], d.zoneAt[z]})
+	for z := range d.zoneFailures {
+		l.Zones = append(l.Zones, ZoneStats{d.zoneFailures[z], d.zoneEjectedUntil[z]})
 	}
 	for w := range d.hash {
-		learnt := LearntWorker{Fails: d.fails[w], Ruined: d.ruined[w], TrialAt: d.trialAt[w], OpenAt: d.openAt[w]}
-		for _, h := range d.heard[w] {
-			learnt.Heard = append(learnt.Heard, Heard{h.from, h.inFlight, h.at})
+		learnt := WorkerStats{ConsecutiveFailures: d.consecutiveFailures[w], PossiblyExecuted: d.possiblyExecuted[w], ProbeAfter: d.probeAfter[w], NotBefore: d.notBefore[w]}
+		for _, h := range d.peerLoads[w] {
+			learnt.PeerLoads = append(learnt.PeerLoads, PeerLoad{h.from, h.inFlight, h.receivedAt})
 		}
-		for _, s := range d.spent[w] {
-			learnt.Spent = append(learnt.Spent, Spending{s.at, s.work})
+		for _, s := range d.sends[w] {
+			learnt.Sends = append(learnt.Sends, SentWork{s.sentAt, s.work})
 		}
 		l.Workers = append(l.Workers, learnt)
 	}
 	return l
 }
 
-// Inherit goes on with what a predecessor has learnt. The list has to be known, and nothing may have landed
+// Restore goes on with what a predecessor has learnt. The list has to be known, and nothing may have landed
 // yet.
-func (f *Facade) Inherit(l Legacy) {
-	f.with(func(d *Dispatcher) { d.inherit(l) })
+func (f *Picker) Restore(l Snapshot) {
+	f.update(func(d *Balancer) { d.restore(l) })
 }
 
-func (d *Dispatcher) inherit(l Legacy) {
-	d.sample, d.sampled, d.worth, d.luck = l.Sample, l.Sampled, l.Worth, l.Luck
-	d.blindAt, d.landings, d.probeAt = l.BlindAt, l.Landings, l.Landings
+func (d *Balancer) restore(l Snapshot) {
+	d.sample, d.sampled, d.totalValue, d.freeSlotRatio = l.Sample, l.Sampled, l.TotalValue, l.FreeSlotRatio
+	d.unheardNotBefore, d.arrivals, d.probeAt = l.UnheardNotBefore, l.Arrivals, l.Arrivals
 	if len(d.sample) > 0 {
-		d.cut()
+		d.updateCutPoints()
 	}
 	for _, was := range l.Operations { // of one with other terms before, the last
-		o := slices.IndexFunc(d.ops, func(o operation) bool { return o.name == was.Name })
+		o := slices.IndexFunc(d.operations, func(o operation) bool { return o.name == was.Name })
 		if o < 0 {
 			continue
 		}
-		op := &d.ops[o]
-		op.longest, op.mean, op.asked, op.lost, op.landed = was.Longest, was.Mean, was.Asked, was.Lost, was.Landed
-		op.run, op.runs = was.Run, was.Runs
+		op := &d.operations[o]
+		op.longestTimeout, op.meanSize, op.requestedWork, op.lostWork, op.arrivals = was.LongestTimeout, was.MeanSize, was.RequestedWork, was.LostWork, was.Arrivals
+		op.meanRun, op.runs = was.MeanRun, was.Runs
 	}
-	for c := range d.used[:min(len(d.used), len(l.Customers))] {
-		d.used[c], d.usedAt[c] = l.Customers[c].Used, l.Customers[c].At
+	for c := range d.tenantUsage[:min(len(d.tenantUsage), len(l.Tenants))] {
+		d.tenantUsage[c], d.tenantUsageAt[c] = l.Tenants[c].Usage, l.Tenants[c].At
 	}
 	for k := range d.slots[:min(len(d.slots), len(l.Kinds))] {
 		if was := l.Kinds[k]; was.Slots > 0 {
-			d.votes[k], d.most[k] = was.Votes, was.Most
-			d.believe(Kind(k), was.Slots)
+			d.votes[k], d.maxObserved[k] = was.Votes, was.MaxObserved
+			d.setSlots(KindID(k), was.Slots)
 		}
 	}
-	for z := range d.quiet[:min(len(d.quiet), len(l.Zones))] {
-		d.quiet[z], d.zoneAt[z] = l.Zones[z].Quiet, l.Zones[z].At
+	for z := range d.zoneFailures[:min(len(d.zoneFailures), len(l.Zones))] {
+		d.zoneFailures[z], d.zoneEjectedUntil[z] = l.Zones[z].Failures, l.Zones[z].EjectedUntil
 	}
 	for w := range d.hash[:min(len(d.hash), len(l.Workers))] {
-		d.inheritWorker(Worker(w), l.Workers[w])
+		d.restoreWorker(WorkerID(w), l.Workers[w])
 	}
 }
 
-func (d *Dispatcher) inheritWorker(w Worker, was LearntWorker) {
-	d.fails[w], d.trialAt[w], d.openAt[w] = was.Fails, was.TrialAt, was.OpenAt
-	d.ruined[w] = was.Ruined
-	for _, h := range was.Heard {
-		d.Heard(h.From, Load{w, h.InFlight})
-		d.heard[w][len(d.heard[w])-1].at = h.At
+func (d *Balancer) restoreWorker(w WorkerID, was WorkerStats) {
+	d.consecutiveFailures[w], d.probeAfter[w], d.notBefore[w] = was.ConsecutiveFailures, was.ProbeAfter, was.NotBefore
+	d.possiblyExecuted[w] = was.PossiblyExecuted
+	for _, h := range was.PeerLoads {
+		d.ReceiveLoad(h.From, Load{w, h.InFlight})
+		d.peerLoads[w][len(d.peerLoads[w])-1].receivedAt = h.ReceivedAt
 	}
-	for _, s := range was.Spent {
-		d.spent[w] = append(d.spent[w], spend{at: s.At, work: s.Work, told: true})
+	for _, s := range was.Sends {
+		d.sends[w] = append(d.sends[w], send{sentAt: s.At, work: s.Work, bySibling: true})
 	}
 }
 
-// Legacy is what each instance has learnt.
-func (s *Instances) Legacy() (all []Legacy) {
-	for _, f := range s.each {
-		all = append(all, f.Legacy())
+// Snapshot is what each instance has learnt.
+func (s *Shards) Snapshot() (all []Snapshot) {
+	for _, f := range s.pickers {
+		all = append(all, f.Snapshot())
 	}
 	return all
 }
 
-// Recall goes on with what the instances of an earlier life have learnt; with other instances, each with what
+// RestoreFromDisk goes on with what the instances of an earlier life have learnt; with other instances, each with what
 // the first one had.
-func (s *Instances) Recall(all []Legacy) bool {
+func (s *Shards) RestoreFromDisk(all []Snapshot) bool {
 	if len(all) == 0 {
 		return false
 	}
-	for n, f := range s.each {
+	for n, f := range s.pickers {
 		l := all[0]
-		if len(all) == len(s.each) {
+		if len(all) == len(s.pickers) {
 			l = all[n]
 		}
-		f.Inherit(l)
+		f.Restore(l)
 	}
 	return true
 }
 
-// Inherit goes on with what a predecessor's instances have learnt; it does nothing where they were not as
+// RestoreFromPredecessor goes on with what a predecessor's instances have learnt; it does nothing where they were not as
 // many.
-func (s *Instances) Inherit(all []Legacy) bool {
-	if len(all) != len(s.each) {
+func (s *Shards) RestoreFromPredecessor(all []Snapshot) bool {
+	if len(all) != len(s.pickers) {
 		return false
 	}
-	for n, f := range s.each {
-		f.Inherit(all[n])
-		f.with(func(d *Dispatcher) { d.unsure = false }) // the list is the predecessor's, who follows it
+	for n, f := range s.pickers {
+		f.Restore(all[n])
+		f.update(func(d *Balancer) { d.endpointsStale = false }) // the list is the predecessor's, who follows it
 	}
 	return true
 }
--- a/decide/runs_test.go
+++ b/decide/runs_test.go
@@ -11,42 +11,42 @@
 func TestFullWorkerRestsForAMeanRunAlsoWithoutHints(t *testing.T) {
 	for name, hint := range map[string]Work{"none": 0, "as long as it runs": Second / 2} {
 		t.Run(name, func(t *testing.T) {
-			d, _ := warmDispatcher(2, 1)
-			d.startNotes = false
-			inv := Inv(0)
-			land := func() *forward {
-				d.Landed(inv, Landing{Operation: 0, Grace: 30 * Second, Hint: hint})
-				d.Settle()
+			d, _ := newWarmBalancer(2, 1)
+			d.startNotices = false
+			inv := RequestID(0)
+			land := func() *attempt {
+				d.RequestArrived(inv, Arrival{Operation: 0, Timeout: 30 * Second, SizeHint: hint})
+				d.RunDueRules()
 				inv++
-				return &d.invs[inv-1].forwards[0]
+				return &d.requests[inv-1].attempts[0]
 			}
 			for range 60 {
 				land()
-				d.Clock(d.now + Second/2)
-				d.Ended(inv-1, 0, Succeeded, true)
-				d.Settle()
+				d.SetTime(d.now + Second/2)
+				d.AttemptEnded(inv-1, 0, Succeeded, true)
+				d.RunDueRules()
 			}
 			f := land()
-			d.Ended(inv-1, 0, Full, false)
-			d.Settle()
-			full := f.tgt
-			assert.InDelta(t, Second/2, float64(d.trialAt[full]-d.now), 0.1*Second)
-			assert.Len(t, d.invs[inv-1].forwards, 2, "it goes to the other one")
-			assert.NotEqual(t, full, d.invs[inv-1].forwards[1].tgt)
-			assert.NotEqual(t, full, land().tgt, "nor does another one go there")
+			d.AttemptEnded(inv-1, 0, Overloaded, false)
+			d.RunDueRules()
+			full := f.worker
+			assert.InDelta(t, Second/2, float64(d.probeAfter[full]-d.now), 0.1*Second)
+			assert.Len(t, d.requests[inv-1].attempts, 2, "it goes to the other one")
+			assert.NotEqual(t, full, d.requests[inv-1].attempts[1].worker)
+			assert.NotEqual(t, full, land().worker, "nor does another one go there")
 		})
 	}
 }
 
 func TestWhatRunsIsLearntForTermsThatChange(t *testing.T) {
 	d, _ := retuned(t)
-	d.Clock(d.now + Second)
-	d.ops[0].learnRun(Second)
+	d.SetTime(d.now + Second)
+	d.operations[0].observeRun(Second)
 	stricter := namedTerms()
-	stricter.Operations[0].Repeat = NonIdempotent
-	n := d.Retune(stricter).Operations[0]
-	assert.Equal(t, []any{d.ops[0].run, d.ops[0].runs}, []any{d.ops[n].run, d.ops[n].runs})
-	assert.Equal(t, float64(Second), d.ops[n].run)
+	stricter.Operations[0].Idempotency = NonIdempotent
+	n := d.Reconfigure(stricter).Operations[0]
+	assert.Equal(t, []any{d.operations[0].meanRun, d.operations[0].runs}, []any{d.operations[n].meanRun, d.operations[n].runs})
+	assert.Equal(t, float64(Second), d.operations[n].meanRun)
 }
 
 // Guards against invocations that use up their forwards on a zone that is full, each finding it out for
@@ -54,22 +54,22 @@
 func TestWhatFoundNobodyNearGoesAnywhereWhereNoPeersTell(t *testing.T) {
 	far := func(peers bool) (second int) {
 		for seed := range uint64(20) {
-			terms := someTerms
-			terms.CrossCost, terms.Peers, terms.TellCost = 0.05, peers, 0.0001
-			d := New(terms, seed, &book{})
-			d.Clock(100 * Second)
-			var list []Entry
+			terms := testConfig
+			terms.CrossZoneCost, terms.Gossip, terms.GossipCost = 0.05, peers, 0.0001
+			d := New(terms, seed, &recorder{})
+			d.SetTime(100 * Second)
+			var list []Endpoint
 			for w := range 8 {
-				list = append(list, Entry{Tgt: Worker(w), ID: string(rune('a' + w)), Zone: Zone(w % 2)})
+				list = append(list, Endpoint{Worker: WorkerID(w), ID: string(rune('a' + w)), Zone: ZoneID(w % 2)})
 			}
-			d.Listed(list, true, true)
-			d.Landed(0, Landing{Operation: 0, Grace: 30 * Second, Hint: 100})
-			d.Settle()
-			f := d.invs[0].forwards
-			assert.Equal(t, Zone(0), d.workerZone[f[0].tgt], "near at first")
-			d.Ended(0, 0, Full, false)
-			d.Settle()
-			second += int(d.workerZone[d.invs[0].forwards[1].tgt])
+			d.UpdateEndpoints(list, true, true)
+			d.RequestArrived(0, Arrival{Operation: 0, Timeout: 30 * Second, SizeHint: 100})
+			d.RunDueRules()
+			f := d.requests[0].attempts
+			assert.Equal(t, ZoneID(0), d.workerZone[f[0].worker], "near at first")
+			d.AttemptEnded(0, 0, Overloaded, false)
+			d.RunDueRules()
+			second += int(d.workerZone[d.requests[0].attempts[1].worker])
 		}
 		return second
 	}
--- a/decide/seats.go
+++ b/decide/seats.go
@@ -9,91 +9,91 @@
 // The indexes in this file decide nothing: they find what the rules ask for without going through all workers.
 // The rules' answers are the same as if they did.
 
-// seats are the places of workers in one part of this dispatcher. A bit tells that the worker at a place may
+// availability are the places of workers in one part of this dispatcher. A bit tells that the worker at a place may
 // have room: it is cleared only once it is known to have none until something changes about it, and set again by
 // any such change. Time alone, that warms a worker or ends its rest, never needs a bit that is cleared.
-type seats struct {
-	place []int32  // by Worker: its place in the part, or none
-	maybe []uint64 // by place
-	own   int      // forwards out at all of them
+type availability struct {
+	position  []int32  // by WorkerID: its place in the part, or none
+	maybeFree []uint64 // by place
+	inFlight  int      // forwards out at all of them
 }
 
-const noPlace = -1
+const notInSubset = -1
 
-// index takes up a part that has changed.
-func (d *Dispatcher) index(p int) {
-	s, part := &d.seats[p], d.parts[p]
-	s.place, s.maybe, s.own = s.place[:0], s.maybe[:0], 0
+// indexSubset takes up a part that has changed.
+func (d *Balancer) indexSubset(p int) {
+	s, part := &d.availability[p], d.subsets[p]
+	s.position, s.maybeFree, s.inFlight = s.position[:0], s.maybeFree[:0], 0
 	for range d.hash {
-		s.place = append(s.place, noPlace)
+		s.position = append(s.position, notInSubset)
 	}
 	for range (len(part) + 63) / 64 {
-		s.maybe = append(s.maybe, math.MaxUint64)
+		s.maybeFree = append(s.maybeFree, math.MaxUint64)
 	}
 	for n, w := range part {
-		s.place[w] = int32(n)
-		s.own += d.own[w]
+		s.position[w] = int32(n)
+		s.inFlight += d.inFlight[w]
 	}
 }
 
-// within tells whether a worker is in a part.
-func (d *Dispatcher) within(p int, w Worker) bool {
-	return int(w) < len(d.seats[p].place) && d.seats[p].place[w] != noPlace
+// inSubset tells whether a worker is in a part.
+func (d *Balancer) inSubset(p int, w WorkerID) bool {
+	return int(w) < len(d.availability[p].position) && d.availability[p].position[w] != notInSubset
 }
 
-// shift counts forwards made or over at a worker.
-func (d *Dispatcher) shift(w Worker, by int) {
-	d.own[w] += by
-	for p := range d.seats {
-		if d.within(p, w) {
-			d.seats[p].own += by
+// addInFlight counts forwards made or over at a worker.
+func (d *Balancer) addInFlight(w WorkerID, by int) {
+	d.inFlight[w] += by
+	for p := range d.availability {
+		if d.inSubset(p, w) {
+			d.availability[p].inFlight += by
 		}
 	}
 	if by < 0 {
-		d.touch(w)
+		d.markMaybeFree(w)
 	}
 }
 
-// touch tells that a worker may have room again.
-func (d *Dispatcher) touch(w Worker) {
-	for p := range d.seats {
-		if d.within(p, w) {
-			n := d.seats[p].place[w]
-			d.seats[p].maybe[n/64] |= 1 << (n % 64)
+// markMaybeFree tells that a worker may have room again.
+func (d *Balancer) markMaybeFree(w WorkerID) {
+	for p := range d.availability {
+		if d.inSubset(p, w) {
+			n := d.availability[p].position[w]
+			d.availability[p].maybeFree[n/64] |= 1 << (n % 64)
 		}
 	}
 }
 
-// believe sets the slots of a kind; with more of them all may have room again.
-func (d *Dispatcher) believe(k Kind, slots float64) {
+// setSlots sets the slots of a kind; with more of them all may have room again.
+func (d *Balancer) setSlots(k KindID, slots float64) {
 	if slots > d.slots[k] {
-		for p := range d.seats {
-			for n := range d.seats[p].maybe {
-				d.seats[p].maybe[n] = math.MaxUint64
+		for p := range d.availability {
+			for n := range d.availability[p].maybeFree {
+				d.availability[p].maybeFree[n] = math.MaxUint64
 			}
 		}
 	}
 	d.slots[k] = slots
 }
 
-// full tells that a worker cannot be idle, at whatever time, until something changes about it.
-func (d *Dispatcher) full(w Worker) bool {
-	return d.state[w] != Healthy || d.waiting[w] > 0 || d.fails[w] > 0 && d.own[w] > 0 ||
+// isFull tells that a worker cannot be idle, at whatever time, until something changes about it.
+func (d *Balancer) isFull(w WorkerID) bool {
+	return d.state[w] != Healthy || d.unstarted[w] > 0 || d.consecutiveFailures[w] > 0 && d.inFlight[w] > 0 ||
 		float64(d.load(w)) >= math.Round(d.slots[d.kind[w]])
 }
 
-// roomy goes through the workers of a part that may have room, with their places, from its turn on and round.
-func (d *Dispatcher) roomy(p int) iter.Seq2[int, Worker] {
-	return func(yield func(int, Worker) bool) {
-		if n := len(d.parts[p]); n > 0 && d.scan(p, d.turn[p]%n, n, yield) {
-			d.scan(p, 0, d.turn[p]%n, yield)
+// maybeFreeWorkers goes through the workers of a part that may have room, with their places, from its turn on and round.
+func (d *Balancer) maybeFreeWorkers(p int) iter.Seq2[int, WorkerID] {
+	return func(yield func(int, WorkerID) bool) {
+		if n := len(d.subsets[p]); n > 0 && d.scan(p, d.roundRobin[p]%n, n, yield) {
+			d.scan(p, 0, d.roundRobin[p]%n, yield)
 		}
 	}
 }
 
 // scan goes through the places from one to another, and clears those that are found full.
-func (d *Dispatcher) scan(p, from, to int, yield func(int, Worker) bool) bool {
-	maybe := d.seats[p].maybe
+func (d *Balancer) scan(p, from, to int, yield func(int, WorkerID) bool) bool {
+	maybe := d.availability[p].maybeFree
 	for at := from; at < to; at++ {
 		left := maybe[at/64] >> (at % 64)
 		if left == 0 {
@@ -103,7 +103,7 @@
 		if at += bits.TrailingZeros64(left); at >= to {
 			break
 		}
-		if w := d.parts[p][at]; d.full(w) {
+		if w := d.subsets[p][at]; d.isFull(w) {
 			maybe[at/64] &^= 1 << (at % 64)
 		} else if !yield(at, w) {
 			return false
@@ -112,35 +112,35 @@
 	return true
 }
 
-// spentSince is what went to a worker within the span, in the order of time, so that what is past is at the front. It
+// recentSends is what went to a worker within the span, in the order of time, so that what is past is at the front. It
 // is kept for warm workers too: one may have restarted, and nobody knows it yet.
-func (d *Dispatcher) spentSince(w Worker) []spend {
-	s := d.spent[w]
-	for len(s) > 0 && s[0].at <= d.now-d.span {
+func (d *Balancer) recentSends(w WorkerID) []send {
+	s := d.sends[w]
+	for len(s) > 0 && s[0].sentAt <= d.now-d.warmupWindow {
 		s = s[1:]
 	}
-	d.spent[w] = s
+	d.sends[w] = s
 	return s
 }
 
-// anyIdle tells whether some worker is idle.
-func (d *Dispatcher) anyIdle() bool {
-	return !d.scan(all, 0, len(d.ring), func(_ int, w Worker) bool { return !d.idle(w) })
+// anyAvailable tells whether some worker is idle.
+func (d *Balancer) anyAvailable() bool {
+	return !d.scan(wholeRing, 0, len(d.ring), func(_ int, w WorkerID) bool { return !d.isAvailable(w) })
 }
 
 // tie is how near to the bound a sum of parts may be rounded to either side of it.
-const tie = 1e-6
+const rounding = 1e-6
 
-// passedOver tells whether a worker has more in flight than the margin over the mean of its part, where the mean is
+// exceedsMeanLoad tells whether a worker has more in flight than the margin over the mean of its part, where the mean is
 // a sum of parts: at a tie with the bound its rounding decides, so there it is added up.
-func (d *Dispatcher) passedOver(p int, w Worker) bool {
-	own, size := float64(d.own[w]), float64(len(d.parts[p]))
-	mean := float64(d.seats[p].own) / size
-	if math.Abs(own-passOver*mean) < tie {
+func (d *Balancer) exceedsMeanLoad(p int, w WorkerID) bool {
+	own, size := float64(d.inFlight[w]), float64(len(d.subsets[p]))
+	mean := float64(d.availability[p].inFlight) / size
+	if math.Abs(own-meanLoadMargin*mean) < rounding {
 		mean = 0
-		for _, other := range d.parts[p] {
-			mean += float64(d.own[other]) / size
+		for _, other := range d.subsets[p] {
+			mean += float64(d.inFlight[other]) / size
 		}
 	}
-	return own > passOver*max(mean, 0.5)
+	return own > meanLoadMargin*max(mean, 0.5)
 }
--- a/decide/size_test.go
+++ b/decide/size_test.go
@@ -11,36 +11,36 @@
 // dispatcher's part, and used, with messages and without.
 func TestManyDispatchersAndWorkersAreAllTaken(t *testing.T) {
 	const many = 1024
-	var list []Entry
+	var list []Endpoint
 	for w := range many {
-		list = append(list, Entry{Tgt: Worker(w), ID: fmt.Sprintf("w%d", w), Zone: Zone(w % 64), Cell: Cell(w / 4)})
+		list = append(list, Endpoint{Worker: WorkerID(w), ID: fmt.Sprintf("w%d", w), Zone: ZoneID(w % 64), Cell: CellID(w / 4)})
 	}
 	for _, peers := range []bool{true, false} {
 		kept, told := make([]int, many), 0
 		for position := range many {
-			terms := someTerms
-			terms.Dispatchers, terms.Position, terms.Peers, terms.TellCost = many, position, peers, 0.001
-			b := &book{}
+			terms := testConfig
+			terms.Dispatchers, terms.Position, terms.Gossip, terms.GossipCost = many, position, peers, 0.001
+			b := &recorder{}
 			d := New(terms, uint64(position), b)
-			d.Clock(100 * Second)
-			d.Listed(list, true, true)
+			d.SetTime(100 * Second)
+			d.UpdateEndpoints(list, true, true)
 			assert.Len(t, d.ring, many)
-			for _, w := range d.parts[both] {
+			for _, w := range d.subsets[bothIntervals] {
 				kept[w]++
 			}
 			if position == many-1 {
-				for inv := range Inv(2 * many) {
-					d.Landed(inv, Landing{Grace: 20 * Second, Hint: 100})
+				for inv := range RequestID(2 * many) {
+					d.RequestArrived(inv, Arrival{Timeout: 20 * Second, SizeHint: 100})
 				}
-				d.Settle()
-				d.Clock(d.now + d.margin)
-				d.Settle()
+				d.RunDueRules()
+				d.SetTime(d.now + d.margin)
+				d.RunDueRules()
 				used := 0
-				for _, n := range d.own {
+				for _, n := range d.inFlight {
 					used += min(n, 1)
 				}
 				assert.Equal(t, many, used, "each has room for one that has not begun")
-				for peer := range d.keeping(d.parts[both][0]) {
+				for peer := range d.subsetPeers(d.subsets[bothIntervals][0]) {
 					assert.Less(t, int(peer), many)
 					told++
 				}
--- a/decide/sum_test.go
+++ b/decide/sum_test.go
@@ -15,7 +15,7 @@
 type release struct {
 	now, born Time
 	rng       *rand.Rand
-	fleet     []*Dispatcher
+	fleet     []*Balancer
 	workers   []*stand
 	cancelled []*job
 	news      []message
@@ -43,37 +43,37 @@
 )
 
 type releaseLink struct {
-	book
+	recorder
 	r      *release
 	number int
-	d      *Dispatcher
+	d      *Balancer
 }
 
-func (l *releaseLink) Forward(inv Inv, tgt Worker, _ Time) {
+func (l *releaseLink) Forward(inv RequestID, tgt WorkerID, _ Time) {
 	r, d, w := l.r, l.d, l.r.workers[tgt]
-	size := float64(d.invs[inv].size) * math.Exp(0.2*r.rng.NormFloat64()) // hints are rough
+	size := float64(d.requests[inv].size) * math.Exp(0.2*r.rng.NormFloat64()) // hints are rough
 	if !r.way.hints {
 		size = r.size()
 	}
-	w.waiting = append(w.waiting, &job{from: d, inv: inv, n: len(d.invs[inv].forwards) - 1, left: size})
+	w.waiting = append(w.waiting, &job{from: d, inv: inv, n: len(d.requests[inv].attempts) - 1, left: size})
 	if w.sent = append(w.sent, r.now); w.cold {
-		w.sent = slices.DeleteFunc(w.sent, func(at Time) bool { return at <= r.now-d.span })
-		n := d.multiple * r.warmth(w) * standSlots * float64(d.span) / standWork
+		w.sent = slices.DeleteFunc(w.sent, func(at Time) bool { return at <= r.now-d.warmupWindow })
+		n := d.overloadFactor * r.warmth(w) * standSlots * float64(d.warmupWindow) / standWork
 		w.worst = max(w.worst, float64(len(w.sent))/(n+2*math.Sqrt(n)+2))
 	}
 }
 
-func (l *releaseLink) Cancel(inv Inv, n int) {
+func (l *releaseLink) Cancel(inv RequestID, n int) {
 	d := l.d
-	w := l.r.workers[d.invs[inv].forwards[n].tgt]
+	w := l.r.workers[d.requests[inv].attempts[n].worker]
 	off := func(j *job) bool { return j.from == d && j.inv == inv && j.n == n }
 	w.running, w.waiting = slices.DeleteFunc(w.running, off), slices.DeleteFunc(w.waiting, off)
 	l.r.cancelled = append(l.r.cancelled, &job{from: d, inv: inv, n: n})
 }
 
-func (l *releaseLink) Tell(to Peer, load Load) {
+func (l *releaseLink) Tell(to PeerID, load Load) {
 	if l.r.rng.Float64() >= l.r.way.lost {
-		l.r.news = append(l.r.news, message{l.r.now + flight, Peer(l.number), to, load})
+		l.r.news = append(l.r.news, message{l.r.now + flight, PeerID(l.number), to, load})
 	}
 }
 
@@ -81,46 +81,46 @@
 
 func (r *release) warmth(w *stand) float64 {
 	if d := r.fleet[0]; w.cold {
-		return min(1, d.coldFrom+(1-d.coldFrom)*float64(r.now-r.born)/float64(d.ramp))
+		return min(1, d.initialWarmup+(1-d.initialWarmup)*float64(r.now-r.born)/float64(d.warmupDuration))
 	}
 	return 1
 }
 
 // report gives a dispatcher one outcome, or a start.
-func (r *release) report(d *Dispatcher, do func()) {
-	d.Clock(r.now)
+func (r *release) report(d *Balancer, do func()) {
+	d.SetTime(r.now)
 	do()
-	d.Settle()
+	d.RunDueRules()
 }
 
 func (r *release) step() {
 	r.now += tick
 	for _, j := range r.cancelled {
-		r.report(j.from, func() { j.from.Ended(j.inv, j.n, Cancelled, j.from.invs[j.inv].over) })
+		r.report(j.from, func() { j.from.AttemptEnded(j.inv, j.n, Canceled, j.from.requests[j.inv].closed) })
 	}
 	r.cancelled = nil
 	for _, w := range r.workers {
 		for len(w.running) < standSlots && len(w.waiting) > 0 {
 			j := w.waiting[0]
 			w.running, w.waiting = append(w.running, j), w.waiting[1:]
-			r.report(j.from, func() { j.from.Started(j.inv, j.n) })
+			r.report(j.from, func() { j.from.AttemptStarted(j.inv, j.n) })
 		}
 		for _, j := range slices.Clone(w.running) {
 			by := min(j.left, r.warmth(w)*float64(tick))
 			if j.left, w.done = j.left-by, w.done+by; j.left <= 0 {
 				w.running = slices.DeleteFunc(w.running, func(o *job) bool { return o == j })
-				r.report(j.from, func() { j.from.Ended(j.inv, j.n, Succeeded, true) })
+				r.report(j.from, func() { j.from.AttemptEnded(j.inv, j.n, Succeeded, true) })
 			}
 		}
 		w.could += standSlots * r.warmth(w) * float64(tick)
 	}
 	for ; len(r.news) > 0 && r.news[0].due <= r.now; r.news = r.news[1:] {
 		m := r.news[0]
-		r.report(r.fleet[m.to], func() { r.fleet[m.to].Heard(m.from, m.l) })
+		r.report(r.fleet[m.to], func() { r.fleet[m.to].ReceiveLoad(m.from, m.l) })
 	}
 	for _, d := range r.fleet {
 		if d.wakeAt <= r.now {
-			r.report(d, func() { d.Woke(uint64(d.wakeAt)) })
+			r.report(d, func() { d.WakeFired(uint64(d.wakeAt)) })
 		}
 	}
 }
@@ -129,20 +129,20 @@
 // many times as much as others.
 func playRelease(n, workers int, part float64, seed uint64, way way) *release {
 	r := &release{now: 100 * Second, rng: rand.New(rand.NewPCG(seed, 1)), way: way}
-	var list []Entry
+	var list []Endpoint
 	for w := range workers {
 		r.workers = append(r.workers, &stand{})
-		list = append(list, Entry{Tgt: Worker(w), ID: fmt.Sprintf("w%d", w)})
+		list = append(list, Endpoint{Worker: WorkerID(w), ID: fmt.Sprintf("w%d", w)})
 	}
 	var traffic []float64
-	start := func(number int) *Dispatcher {
-		terms := someTerms
-		terms.Dispatchers, terms.Position, terms.ReportFree, terms.FallMultiple = n, number, -1, 3
-		terms.ValueByInvocation, terms.Peers, terms.TellCost = 1, way.peers, 0.0004
+	start := func(number int) *Balancer {
+		terms := testConfig
+		terms.Dispatchers, terms.Position, terms.ReportFree, terms.OverloadFactor = n, number, -1, 3
+		terms.ValuePerRequest, terms.Gossip, terms.GossipCost = 1, way.peers, 0.0004
 		link := &releaseLink{r: r, number: number}
 		link.d = New(terms, seed+uint64(r.now)+uint64(number), link)
-		link.d.Clock(r.now)
-		link.d.Listed(list, true, true)
+		link.d.SetTime(r.now)
+		link.d.UpdateEndpoints(list, true, true)
 		return link.d
 	}
 	for number := range n {
@@ -153,7 +153,7 @@
 	for _, share := range traffic {
 		total += share
 	}
-	landed := make([]Inv, n)
+	landed := make([]RequestID, n)
 	gap := standWork / (part * float64(workers*standSlots))
 	for at, end := float64(r.now), r.now+15*Second; r.now < end; {
 		for at += gap * r.rng.ExpFloat64(); float64(r.now) < at; {
@@ -170,17 +170,17 @@
 					leaving[n].State = Gone
 				}
 				for _, d := range r.fleet {
-					r.report(d, func() { d.Listed(leaving, false, true) })
+					r.report(d, func() { d.UpdateEndpoints(leaving, false, true) })
 				}
 			}
 			if r.born == 0 && r.now >= 105*Second { // a release, told to all at once
 				r.born = r.now
 				for w := range workers * 6 / 10 {
-					r.workers[w].cold, r.workers[w].sent, list[w].Born = true, nil, r.born
+					r.workers[w].cold, r.workers[w].sent, list[w].StartedAt = true, nil, r.born
 					r.workers[w].done, r.workers[w].could = 0, 0
 				}
 				for _, d := range r.fleet {
-					r.report(d, func() { d.Listed(list[:workers*6/10], false, true) })
+					r.report(d, func() { d.UpdateEndpoints(list[:workers*6/10], false, true) })
 				}
 			}
 		}
@@ -188,13 +188,13 @@
 		for ; draw > traffic[number]; number++ {
 			draw -= traffic[number]
 		}
-		l, d := Landing{Grace: 10 * Second}, r.fleet[number]
+		l, d := Arrival{Timeout: 10 * Second}, r.fleet[number]
 		if way.hints {
-			l.Hint = Work(r.size())
+			l.SizeHint = Work(r.size())
 		}
 		inv := landed[number]
 		landed[number]++
-		r.report(d, func() { d.Landed(inv, l) })
+		r.report(d, func() { d.RequestArrived(inv, l) })
 	}
 	return r
 }
--- a/decide/told_test.go
+++ b/decide/told_test.go
@@ -9,9 +9,9 @@
 )
 
 // toldTerms are those of a platform on which a change counts as told 6 s after it could be had.
-func toldTerms(dispatchers, position int) Terms {
-	terms := someTerms
-	terms.AskForList, terms.ToldWithin = true, 6*Second
+func toldTerms(dispatchers, position int) Config {
+	terms := testConfig
+	terms.PollEndpoints, terms.NotifyDeadline = true, 6*Second
 	terms.Dispatchers, terms.Position = dispatchers, position
 	return terms
 }
@@ -19,58 +19,60 @@
 // Guards against work sent to a worker that has gone while this dispatcher was away: what counts as told does so
 // from the first moment of a new process.
 func TestNothingIsSentByAListFromBeforeTheStartUntilACallHasEnded(t *testing.T) {
-	for name, end := range map[string]func(*Dispatcher){
-		"answered": func(d *Dispatcher) { d.Listed([]Entry{{Tgt: 0, ID: "w", State: Gone}, {Tgt: 1, ID: "v"}}, false, true) },
-		"failed":   (*Dispatcher).ListFailed,
+	for name, end := range map[string]func(*Balancer){
+		"answered": func(d *Balancer) {
+			d.UpdateEndpoints([]Endpoint{{Worker: 0, ID: "w", State: Gone}, {Worker: 1, ID: "v"}}, false, true)
+		},
+		"failed": (*Balancer).EndpointsUnavailable,
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := &book{}
+			b := &recorder{}
 			d := New(toldTerms(3, 2), 1, b)
-			d.Clock(100 * Second)
-			d.Listed([]Entry{{Tgt: 0, ID: "w"}, {Tgt: 1, ID: "v"}}, true, false)
-			d.Landed(0, Landing{Grace: 10 * Second})
-			d.Settle()
+			d.SetTime(100 * Second)
+			d.UpdateEndpoints([]Endpoint{{Worker: 0, ID: "w"}, {Worker: 1, ID: "v"}}, true, false)
+			d.RequestArrived(0, Arrival{Timeout: 10 * Second})
+			d.RunDueRules()
 			assert.Empty(t, b.lines, "the list may be old")
-			d.Clock(d.askAt)
-			d.Settle()
+			d.SetTime(d.nextPoll)
+			d.RunDueRules()
 			assert.Equal(t, []string{"subscribe"}, b.lines)
 			end(d)
-			d.Settle()
+			d.RunDueRules()
 			assert.Contains(t, b.lines[1:], map[string]string{
 				"answered": "forward 0 to 1",
-				"failed":   fmt.Sprint("forward 0 to ", d.invs[0].forwards[0].tgt),
+				"failed":   fmt.Sprint("forward 0 to ", d.requests[0].attempts[0].worker),
 			}[name])
-			d.Listed([]Entry{{Tgt: 0, ID: "w"}}, false, false) // what others tell of does not hold up what is known
-			assert.False(t, d.unsure)
+			d.UpdateEndpoints([]Endpoint{{Worker: 0, ID: "w"}}, false, false) // what others tell of does not hold up what is known
+			assert.False(t, d.endpointsStale)
 		})
 	}
 }
 
 // Guards against a process that goes on for another one, whose list is followed, and would wait for its own.
 func TestSuccessorGoesByItsPredecessorsListAtOnce(t *testing.T) {
-	s := NewInstances(toldTerms(3, 2), 1, 1, func() Time { return 100 * Second }, func(string) {})
-	s.ReportList([]Entry{{Tgt: 0, ID: "w"}}, true, true)
-	assert.True(t, s.each[0].d.unsure)
-	assert.True(t, s.Inherit(s.Legacy()))
-	assert.False(t, s.each[0].d.unsure)
+	s := NewShards(toldTerms(3, 2), 1, 1, func() Time { return 100 * Second }, func(string) {})
+	s.UpdateEndpoints([]Endpoint{{Worker: 0, ID: "w"}}, true, true)
+	assert.True(t, s.pickers[0].balancer.endpointsStale)
+	assert.True(t, s.RestoreFromPredecessor(s.Snapshot()))
+	assert.False(t, s.pickers[0].balancer.endpointsStale)
 }
 
 func TestListIsAskedForAgainInTimeWhateverBecameOfTheCallsBefore(t *testing.T) {
 	for _, n := range []int{1, 30, 350, 1024} {
 		for position := 0; position < n; position += 1 + n/10 {
-			d := New(toldTerms(n, position), uint64(position), &book{})
-			d.Clock(100 * Second)
-			d.Listed([]Entry{{ID: "w"}}, true, false)
-			assert.LessOrEqual(t, d.askAt-d.now, 2*Time(Second), "the first call")
+			d := New(toldTerms(n, position), uint64(position), &recorder{})
+			d.SetTime(100 * Second)
+			d.UpdateEndpoints([]Endpoint{{ID: "w"}}, true, false)
+			assert.LessOrEqual(t, d.nextPoll-d.now, 2*Time(Second), "the first call")
 			for call := range 20 { // and 2 s at most for the answer
-				d.ListFailed()
-				assert.LessOrEqual(t, d.askAt-d.now, 4*Time(Second), "%d dispatchers, call %d", n, call)
-				assert.Greater(t, d.askAt, d.now)
+				d.EndpointsUnavailable()
+				assert.LessOrEqual(t, d.nextPoll-d.now, 4*Time(Second), "%d dispatchers, call %d", n, call)
+				assert.Greater(t, d.nextPoll, d.now)
 			}
-			d.Listed(nil, false, true)
-			d.haste = 2 // it has taken up to 3 s of the 6 already
-			d.ListFailed()
-			assert.LessOrEqual(t, d.askAt-d.now, 2*Time(Second), "after silence")
+			d.UpdateEndpoints(nil, false, true)
+			d.retrySpeedup = 2 // it has taken up to 3 s of the 6 already
+			d.EndpointsUnavailable()
+			assert.LessOrEqual(t, d.nextPoll-d.now, 2*Time(Second), "after silence")
 		}
 	}
 }
@@ -103,33 +105,33 @@
 // returns when each has its list, in order, and the number of calls.
 func askAll(n int, starts bool, s service, until Time) (told []Time, calls int) {
 	type asker struct {
-		d            *Dispatcher
+		d            *Balancer
 		came, answer Time
 		list         bool
 	}
 	var askers []*asker
 	for position := range n {
-		d := New(toldTerms(n, position), uint64(position), &book{})
-		d.Clock(100 * Second)
-		if d.Listed([]Entry{{ID: "w"}}, true, !starts); !starts {
-			d.ListFailed() // all watches end as the service goes down
+		d := New(toldTerms(n, position), uint64(position), &recorder{})
+		d.SetTime(100 * Second)
+		if d.UpdateEndpoints([]Endpoint{{ID: "w"}}, true, !starts); !starts {
+			d.EndpointsUnavailable() // all watches end as the service goes down
 		}
 		askers = append(askers, &asker{d: d, answer: never})
 	}
 	for now := Time(100 * Second); now < until && len(told) < n; now += 20 {
 		for _, a := range askers {
-			a.d.Clock(now)
+			a.d.SetTime(now)
 			switch {
 			case a.answer <= now && a.list:
-				a.d.Listed([]Entry{{ID: "w"}}, true, true)
+				a.d.UpdateEndpoints([]Endpoint{{ID: "w"}}, true, true)
 				told, a.answer = append(told, now), never
 			case a.answer <= now:
-				if a.d.busy++; now-a.came < Second { // as the network tells
-					a.d.busy = 0
+				if a.d.consecutiveBusy++; now-a.came < Second { // as the network tells
+					a.d.consecutiveBusy = 0
 				}
-				a.d.ListFailed()
+				a.d.EndpointsUnavailable()
 				a.answer = never
-			case a.answer == never && !a.d.subscribed && a.d.askAt <= now:
+			case a.answer == never && !a.d.watching && a.d.nextPoll <= now:
 				calls++
 				a.came = now
 				a.answer, a.list = s.call(now)
--- a/decide/twin.go
+++ b/decide/twin.go
@@ -1,140 +1,142 @@
 package decide
 
-// Side is one of the other processes of this dispatcher during an upgrade.
-type Side uint8
+// SiblingRole is one of the other processes of this dispatcher during an upgrade.
+type SiblingRole uint8
 
 // The values of Side.
 const (
-	Predecessor Side = iota
+	Predecessor SiblingRole = iota
 	Successor
-	sides
+	siblingRoles
 )
 
-// Out is what is out here at each worker, but for what a side itself has told of: what that side is to be
+// InFlightFor is what is out here at each worker, but for what a side itself has told of: what that side is to be
 // told.
-func (f *Facade) Out(to Side) (loads []Load) {
+func (f *Picker) InFlightFor(to SiblingRole) (loads []Load) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for w, n := range f.d.own {
-		if n -= f.twins[to].at(Worker(w)); n > 0 {
-			loads = append(loads, Load{Worker(w), n})
+	for w, n := range f.balancer.inFlight {
+		if n -= f.siblings[to].of(WorkerID(w)); n > 0 {
+			loads = append(loads, Load{WorkerID(w), n})
 		}
 	}
 	return loads
 }
 
-// ReportTwin takes what a side has out, all of it. It counts as ours: the processes are one dispatcher, whose
+// UpdateSibling takes what a side has out, all of it. It counts as ours: the processes are one dispatcher, whose
 // peers are told the sum.
-func (f *Facade) ReportTwin(from Side, loads []Load) {
-	f.with(func(d *Dispatcher) {
-		was := f.twins[from]
-		f.twins[from] = nil
+func (f *Picker) UpdateSibling(from SiblingRole, loads []Load) {
+	f.update(func(d *Balancer) {
+		was := f.siblings[from]
+		f.siblings[from] = nil
 		for _, l := range loads {
-			if int(l.Tgt) < len(d.hash) {
-				f.twins[from] = f.twins[from].with(l)
+			if int(l.Worker) < len(d.hash) {
+				f.siblings[from] = f.siblings[from].with(l)
 			}
 		}
-		for w := range d.own {
-			if by := f.twins[from].at(Worker(w)) - was.at(Worker(w)); by != 0 {
-				d.shift(Worker(w), by)
-				d.note(Worker(w))
-				d.room = d.room || by < 0
+		for w := range d.inFlight {
+			if by := f.siblings[from].of(WorkerID(w)) - was.of(WorkerID(w)); by != 0 {
+				d.addInFlight(WorkerID(w), by)
+				d.markLoadChanged(WorkerID(w))
+				d.capacityChanged = d.capacityChanged || by < 0
 			}
 		}
 	})
 }
 
-// twin is what a side has out, by Worker.
-type twin []int
+// inFlightByWorker is what a side has out, by WorkerID.
+type inFlightByWorker []int
 
-func (t twin) at(w Worker) int {
+func (t inFlightByWorker) of(w WorkerID) int {
 	if int(w) < len(t) {
 		return t[w]
 	}
 	return 0
 }
 
-func (t twin) with(l Load) twin {
-	t = append(t, make(twin, max(0, int(l.Tgt)+1-len(t)))...)
-	t[l.Tgt] = l.InFlight
+func (t inFlightByWorker) with(l Load) inFlightByWorker {
+	t = append(t, make(inFlightByWorker, max(0, int(l.Worker)+1-len(t)))...)
+	t[l.Worker] = l.InFlight
 	return t
 }
 
-// ReportSpent takes what a side has sent to workers since it last told: it counts against what a cold one
+// AddRecentSends takes what a side has sent to workers since it last told: it counts against what a cold one
 // bears.
-func (f *Facade) ReportSpent(spent []Spent) {
-	f.with(func(d *Dispatcher) {
+func (f *Picker) AddRecentSends(spent []RecentSend) {
+	f.update(func(d *Balancer) {
 		for _, s := range spent {
-			if int(s.Tgt) < len(d.hash) {
-				d.spent[s.Tgt] = append(d.spentSince(s.Tgt), spend{at: d.now, work: s.Work, told: true})
+			if int(s.Worker) < len(d.hash) {
+				d.sends[s.Worker] = append(d.recentSends(s.Worker), send{sentAt: d.now, work: s.Work, bySibling: true})
 			}
 		}
 	})
 }
 
-// Spent is work that was sent to a worker.
-type Spent struct {
-	Tgt  Worker
-	Work Work
+// RecentSend is work that was sent to a worker.
+type RecentSend struct {
+	Worker WorkerID
+	Work   Work
 }
 
-// SpentSince is what was sent from here within the span of the cold rule and after a time, by worker.
-func (f *Facade) SpentSince(after Time) (spent []Spent) {
+// RecentSendsSince is what was sent from here within the span of the cold rule and after a time, by worker.
+func (f *Picker) RecentSendsSince(after Time) (spent []RecentSend) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for w, all := range f.d.spent {
+	for w, all := range f.balancer.sends {
 		sum := Work(0)
 		for _, s := range all {
-			if s.at > after && !s.told {
+			if s.sentAt > after && !s.bySibling {
 				sum += s.work
 			}
 		}
 		if sum > 0 {
-			spent = append(spent, Spent{Worker(w), sum})
+			spent = append(spent, RecentSend{WorkerID(w), sum})
 		}
 	}
 	return spent
 }
 
 // Now is the facade's time.
-func (f *Facade) Now() Time { return f.clock() }
-
-// Out is what is out at all instances.
-func (s *Instances) Out(to Side) []Load {
-	all := twin{}
-	for _, f := range s.each {
-		for _, l := range f.Out(to) {
-			all = all.with(Load{l.Tgt, all.at(l.Tgt) + l.InFlight})
+func (f *Picker) Now() Time { return f.clock() }
+
+// InFlightFor is what is out at all instances.
+func (s *Shards) InFlightFor(to SiblingRole) []Load {
+	all := inFlightByWorker{}
+	for _, f := range s.pickers {
+		for _, l := range f.InFlightFor(to) {
+			all = all.with(Load{l.Worker, all.of(l.Worker) + l.InFlight})
 		}
 	}
 	var loads []Load
 	for w, n := range all {
 		if n > 0 {
-			loads = append(loads, Load{Worker(w), n})
+			loads = append(loads, Load{WorkerID(w), n})
 		}
 	}
 	return loads
 }
 
-// ReportTwin takes what a side has out: the first instance counts it, and tells the others as it tells of its
+// UpdateSibling takes what a side has out: the first instance counts it, and tells the others as it tells of its
 // own.
-func (s *Instances) ReportTwin(from Side, loads []Load) { s.each[0].ReportTwin(from, loads) }
+func (s *Shards) UpdateSibling(from SiblingRole, loads []Load) {
+	s.pickers[0].UpdateSibling(from, loads)
+}
 
-// ReportSpent takes what a side has sent to workers. Each instance counts all of it against what a cold one
+// AddRecentSends takes what a side has sent to workers. Each instance counts all of it against what a cold one
 // bears.
-func (s *Instances) ReportSpent(spent []Spent) {
-	for _, f := range s.each {
-		f.ReportSpent(spent)
+func (s *Shards) AddRecentSends(spent []RecentSend) {
+	for _, f := range s.pickers {
+		f.AddRecentSends(spent)
 	}
 }
 
-// SpentSince is what all instances sent to workers after a time.
-func (s *Instances) SpentSince(after Time) (spent []Spent) {
-	for _, f := range s.each {
-		spent = append(spent, f.SpentSince(after)...)
+// RecentSendsSince is what all instances sent to workers after a time.
+func (s *Shards) RecentSendsSince(after Time) (spent []RecentSend) {
+	for _, f := range s.pickers {
+		spent = append(spent, f.RecentSendsSince(after)...)
 	}
 	return spent
 }
 
 // Now is the time by which the decisions go.
-func (s *Instances) Now() Time { return s.each[0].Now() }
+func (s *Shards) Now() Time { return s.pickers[0].Now() }
--- a/decide/zone_test.go
+++ b/decide/zone_test.go
@@ -9,52 +9,52 @@
 
 // Guards against a lost zone that is still listed: an invocation would use up its forwards there one by one.
 func TestLostZoneIsLeftAfterAFewForwardsAndTriedAgain(t *testing.T) {
-	d, b := warmDispatcher(40, 1) // even workers in zone 0, odd ones in zone 1
-	d.zone, d.crossing, d.startNotes = 1, 0.01, false
+	d, b := newWarmBalancer(40, 1) // even workers in zone 0, odd ones in zone 1
+	d.zone, d.crossZoneCost, d.startNotices = 1, 0.01, false
 	lost := 0
-	for inv := range Inv(10) {
-		d.Landed(inv, Landing{Operation: 2, Grace: 20 * Second, Hint: 100})
-		d.Settle()
-		for i := &d.invs[inv]; !i.over; d.Settle() {
-			f := len(i.forwards) - 1
-			if d.workerZone[i.forwards[f].tgt] == 1 {
+	for inv := range RequestID(10) {
+		d.RequestArrived(inv, Arrival{Operation: 2, Timeout: 20 * Second, SizeHint: 100})
+		d.RunDueRules()
+		for i := &d.requests[inv]; !i.closed; d.RunDueRules() {
+			f := len(i.attempts) - 1
+			if d.workerZone[i.attempts[f].worker] == 1 {
 				lost++
-				d.Ended(inv, f, NoConnection, false)
+				d.AttemptEnded(inv, f, NoConnection, false)
 				continue
 			}
-			d.Ended(inv, f, Succeeded, true)
+			d.AttemptEnded(inv, f, Succeeded, true)
 		}
 	}
-	assert.Equal(t, zoneSilent, lost)
+	assert.Equal(t, zoneFailureThreshold, lost)
 	assert.NotContains(t, fmt.Sprint(b.lines), "throttle")
 	assert.NotContains(t, fmt.Sprint(b.lines), "error")
 
-	takes := func() Worker {
-		w, ok := d.choose(&invocation{lane: both, counts: 1, size: 100, timeout: never})
+	takes := func() WorkerID {
+		w, ok := d.pickWorker(&request{interval: bothIntervals, quotaWeight: 1, size: 100, deadline: never})
 		assert.True(t, ok)
 		return w
 	}
 	assert.Zero(t, d.workerZone[takes()])
-	d.Clock(d.now + Second)
+	d.SetTime(d.now + Second)
 	w := takes()
-	assert.Equal(t, Zone(1), d.workerZone[w], "tried again")
-	d.silent(w)
-	assert.Equal(t, d.now+2*Second, d.zoneAt[1], "later and later")
-	d.lively(w)
-	assert.Equal(t, Zone(1), d.workerZone[takes()], "what begins there ends it")
+	assert.Equal(t, ZoneID(1), d.workerZone[w], "tried again")
+	d.recordZoneFailure(w)
+	assert.Equal(t, d.now+2*Second, d.zoneEjectedUntil[1], "later and later")
+	d.recordZoneSuccess(w)
+	assert.Equal(t, ZoneID(1), d.workerZone[takes()], "what begins there ends it")
 }
 
 func TestOnlyZoneAndLastZoneAreNeverLeft(t *testing.T) {
-	d, _ := warmDispatcher(1, 1)
-	for range 2 * zoneSilent {
-		d.silent(0)
+	d, _ := newWarmBalancer(1, 1)
+	for range 2 * zoneFailureThreshold {
+		d.recordZoneFailure(0)
 	}
-	assert.LessOrEqual(t, d.zoneAt[0], d.now)
-	d, _ = warmDispatcher(2, 1)
-	for range 2 * zoneSilent {
-		d.silent(0)
-		d.silent(1)
+	assert.LessOrEqual(t, d.zoneEjectedUntil[0], d.now)
+	d, _ = newWarmBalancer(2, 1)
+	for range 2 * zoneFailureThreshold {
+		d.recordZoneFailure(0)
+		d.recordZoneFailure(1)
 	}
-	assert.Greater(t, d.zoneAt[0], d.now)
-	assert.LessOrEqual(t, d.zoneAt[1], d.now)
+	assert.Greater(t, d.zoneEjectedUntil[0], d.now)
+	assert.LessOrEqual(t, d.zoneEjectedUntil[1], d.now)
 }
--- a/internal/drill/drill.go
+++ b/internal/drill/drill.go
@@ -20,19 +20,19 @@
 	operations int
 	customers  int
 	reported   int // the values of a load report
-	dispatcher *decide.Dispatcher
+	dispatcher *decide.Balancer
 	reply      *reply
 
-	workers map[string]decide.Worker
+	workers map[string]decide.WorkerID
 	names   []string // a worker's name on the wire, quoted
 	tags    []uint16 // a worker's name in messages to peers
-	tagged  map[uint16]decide.Worker
-	invs    map[string]decide.Inv
+	tagged  map[uint16]decide.WorkerID
+	invs    map[string]decide.RequestID
 	tracks  []track
-	free    []decide.Inv
-	row     []float64    // the load report at hand
-	done    []decide.Inv // perhaps over with nothing out, to be freed after the rules
-	closed  bool         // the terms failed: nothing more is expected of it
+	free    []decide.RequestID
+	row     []float64          // the load report at hand
+	done    []decide.RequestID // perhaps over with nothing out, to be freed after the rules
+	closed  bool               // the terms failed: nothing more is expected of it
 }
 
 // track follows an invocation until its last outcome, so that its number can be used again.
@@ -156,9 +156,9 @@
 		return nil
 	}
 	return in.guard(func() error {
-		in.dispatcher.Clock(now)
+		in.dispatcher.SetTime(now)
 		err := h.tellInstance(in, key, f)
-		in.dispatcher.Settle()
+		in.dispatcher.RunDueRules()
 		for _, inv := range in.done {
 			in.release(inv)
 		}
@@ -170,7 +170,7 @@
 func (h *host) newInstance(number int, f *fastjson.Value, now decide.Time) error {
 	in := &instance{
 		number: number, reply: &h.reply,
-		workers: map[string]decide.Worker{}, tagged: map[uint16]decide.Worker{}, invs: map[string]decide.Inv{},
+		workers: map[string]decide.WorkerID{}, tagged: map[uint16]decide.WorkerID{}, invs: map[string]decide.RequestID{},
 	}
 	h.instances[number] = in
 	return in.guard(func() error {
@@ -178,10 +178,10 @@
 		if err != nil {
 			return fmt.Errorf("setup: %w", err)
 		}
-		in.operations, in.customers = len(t.Operations), len(t.Customers)
+		in.operations, in.customers = len(t.Operations), len(t.Tenants)
 		in.reported = len(f.GetArray("setup", "report", "names"))
 		in.dispatcher = decide.New(t, f.GetUint64("nonce64"), in)
-		in.dispatcher.Clock(now)
+		in.dispatcher.SetTime(now)
 		return nil
 	})
 }
@@ -210,7 +210,7 @@
 		inv, n, err := in.forwardOf(f)
 		if err == nil {
 			in.tracks[inv].over = true
-			d.Left(inv, n)
+			d.ClientLeft(inv, n)
 		}
 		return err
 	case "TimedOutClient":
@@ -218,18 +218,18 @@
 		if inv, ok := in.invs[string(f.GetStringBytes("rid"))]; ok {
 			in.tracks[inv].over = true
 			in.done = append(in.done, inv)
-			d.Left(inv, -1)
+			d.ClientLeft(inv, -1)
 		}
 	case "Bell":
-		d.Woke(f.GetUint64("keyBack"))
+		d.WakeFired(f.GetUint64("keyBack"))
 	case "Sampled":
 		w, ok := in.workers[string(f.GetStringBytes("worker"))]
 		if !ok {
 			return fmt.Errorf("unknown worker %q", f.GetStringBytes("worker"))
 		}
-		d.Reported(w, in.numbers(f.Get("telemetry")))
+		d.ReceiveLoadReport(w, in.numbers(f.Get("telemetry")))
 	case "Heard":
-		return in.heard(decide.Peer(f.GetInt("sender")), f.GetStringBytes("octets"))
+		return in.heard(decide.PeerID(f.GetInt("sender")), f.GetStringBytes("octets"))
 	default:
 		return errors.New("unknown message")
 	}
@@ -247,7 +247,7 @@
 	if _, known := in.invs[name]; known {
 		return fmt.Errorf("invocation %q is known already", name)
 	}
-	inv := decide.Inv(len(in.tracks))
+	inv := decide.RequestID(len(in.tracks))
 	if n := len(in.free); n > 0 {
 		inv, in.free = in.free[n-1], in.free[:n-1]
 	} else {
@@ -255,17 +255,17 @@
 	}
 	in.tracks[inv] = track{name: name, quoted: quoted(name)}
 	in.invs[name] = inv
-	in.dispatcher.Landed(inv, decide.Landing{
-		Operation: decide.Operation(f.GetInt("band")),
-		Customer:  decide.Customer(f.GetInt("project")),
-		Grace:     terms.Span(f.GetFloat64("graceS")),
-		Hint:      decide.Work(terms.Span(f.GetFloat64("costGuessS"))),
+	in.dispatcher.RequestArrived(inv, decide.Arrival{
+		Operation: decide.OperationID(f.GetInt("band")),
+		Tenant:    decide.TenantID(f.GetInt("project")),
+		Timeout:   terms.Span(f.GetFloat64("graceS")),
+		SizeHint:  decide.Work(terms.Span(f.GetFloat64("costGuessS"))),
 		Slots:     f.GetFloat64("coresNeeded"),
 	})
 	return nil
 }
 
-func (in *instance) forwardOf(f *fastjson.Value) (decide.Inv, int, error) {
+func (in *instance) forwardOf(f *fastjson.Value) (decide.RequestID, int, error) {
 	inv, ok := in.invs[string(f.GetStringBytes("rid"))]
 	if !ok {
 		return 0, 0, fmt.Errorf("unknown invocation %q", f.GetStringBytes("rid"))
@@ -285,7 +285,7 @@
 	switch {
 	case ended:
 		how := f.GetInt("reason")
-		if how < int(decide.Succeeded) || how > int(decide.Moot) {
+		if how < int(decide.Succeeded) || how > int(decide.NotSent) {
 			return fmt.Errorf("unknown outcome %d", how)
 		}
 		t := &in.tracks[inv]
@@ -296,16 +296,16 @@
 		if !known {
 			return fmt.Errorf("unknown worker %q", f.GetStringBytes("worker"))
 		}
-		in.dispatcher.Ended(inv, n, decide.Outcome(how), f.GetBool("closed"))
-		in.dispatcher.Reported(w, in.numbers(f.Get("telemetry")))
+		in.dispatcher.AttemptEnded(inv, n, decide.Outcome(how), f.GetBool("closed"))
+		in.dispatcher.ReceiveLoadReport(w, in.numbers(f.Get("telemetry")))
 	case f.GetInt("what") == 1: // notes of progress decide nothing so far
-		in.dispatcher.Started(inv, n)
+		in.dispatcher.AttemptStarted(inv, n)
 	}
 	return nil
 }
 
 // release frees an invocation's number once it is over and every forward has its outcome.
-func (in *instance) release(inv decide.Inv) {
+func (in *instance) release(inv decide.RequestID) {
 	if t := &in.tracks[inv]; t.over && t.out == 0 && t.name != "" {
 		delete(in.invs, t.name)
 		t.name = ""
--- a/internal/drill/fleet.go
+++ b/internal/drill/fleet.go
@@ -14,10 +14,10 @@
 // entry is a line of a list, before an instance has given the worker a number of its own.
 type entry struct {
 	name  string
-	entry decide.Entry
+	entry decide.Endpoint
 }
 
-var states = map[string]decide.State{
+var states = map[string]decide.WorkerState{
 	"healthy": decide.Healthy, "cordoned": decide.Draining, "deregistered": decide.Gone,
 }
 
@@ -33,9 +33,9 @@
 		if name == "" || !ok {
 			return fmt.Errorf("worker %q: unknown readiness %q", name, v.GetStringBytes("readiness"))
 		}
-		list = append(list, entry{name, decide.Entry{
-			ID: name, Zone: decide.Zone(v.GetInt("dc")), Kind: decide.Kind(v.GetInt("shape")),
-			Cell: decide.Cell(v.GetInt("pod")), State: state, Born: terms.Clock(v.GetFloat64("bornS")),
+		list = append(list, entry{name, decide.Endpoint{
+			ID: name, Zone: decide.ZoneID(v.GetInt("dc")), Kind: decide.KindID(v.GetInt("shape")),
+			Cell: decide.CellID(v.GetInt("pod")), State: state, StartedAt: terms.Clock(v.GetFloat64("bornS")),
 		}})
 	}
 	h.lists[f.GetInt("rosterId")] = list
@@ -46,7 +46,7 @@
 	mode := string(f.GetStringBytes("mode"))
 	switch mode {
 	case "broken":
-		in.dispatcher.ListFailed()
+		in.dispatcher.EndpointsUnavailable()
 		return nil
 	case "patch", "whole", "stale_copy":
 	default:
@@ -56,20 +56,20 @@
 	if !ok {
 		return fmt.Errorf("unknown list %d", f.GetInt("rosterId"))
 	}
-	entries := make([]decide.Entry, 0, len(list))
+	entries := make([]decide.Endpoint, 0, len(list))
 	for _, e := range list {
 		w, known := in.workers[e.name]
 		if !known {
-			w = decide.Worker(len(in.names))
+			w = decide.WorkerID(len(in.names))
 			in.workers[e.name] = w
 			in.names, in.tags = append(in.names, quoted(e.name)), append(in.tags, protocol.Tag(e.name))
 			if _, taken := in.tagged[in.tags[w]]; !taken {
 				in.tagged[in.tags[w]] = w
 			}
 		}
-		e.entry.Tgt = w
+		e.entry.Worker = w
 		entries = append(entries, e.entry)
 	}
-	in.dispatcher.Listed(entries, mode != "patch", mode != "stale_copy")
+	in.dispatcher.UpdateEndpoints(entries, mode != "patch", mode != "stale_copy")
 	return nil
 }
--- a/internal/drill/reply.go
+++ b/internal/drill/reply.go
@@ -75,7 +75,7 @@
 
 // The answers of a dispatcher, as decide.Link.
 
-func (in *instance) Forward(inv decide.Inv, tgt decide.Worker, within decide.Time) {
+func (in *instance) SendAttempt(inv decide.RequestID, tgt decide.WorkerID, within decide.Time) {
 	t := &in.tracks[inv]
 	t.sent++
 	t.out++
@@ -88,14 +88,14 @@
 	in.reply.close()
 }
 
-func (in *instance) Cancel(inv decide.Inv, forward int) {
+func (in *instance) CancelAttempt(inv decide.RequestID, forward int) {
 	in.reply.open("AbortAttempt", in.number)
 	in.reply.raw("rid", in.tracks[inv].quoted)
 	in.reply.number("hop", int64(forward))
 	in.reply.close()
 }
 
-func (in *instance) Throttle(inv decide.Inv, comeBack decide.Time) {
+func (in *instance) Reject(inv decide.RequestID, comeBack decide.Time) {
 	in.reply.open("Bounce", in.number)
 	in.reply.raw("rid", in.tracks[inv].quoted)
 	if comeBack > 0 {
@@ -105,7 +105,7 @@
 	in.finish(inv)
 }
 
-func (in *instance) Error(inv decide.Inv) {
+func (in *instance) Fail(inv decide.RequestID) {
 	in.reply.open("DropRequest", in.number)
 	in.reply.raw("rid", in.tracks[inv].quoted)
 	in.reply.close()
@@ -113,7 +113,7 @@
 }
 
 // finish marks an invocation over. Its number is not freed while the dispatcher may still be at work on it.
-func (in *instance) finish(inv decide.Inv) {
+func (in *instance) finish(inv decide.RequestID) {
 	in.tracks[inv].over = true
 	in.done = append(in.done, inv)
 }
@@ -125,13 +125,13 @@
 	in.reply.close()
 }
 
-func (in *instance) Subscribe() {
+func (in *instance) PollEndpoints() {
 	in.reply.open("Subscribe", in.number)
 	in.reply.raw("want", "true")
 	in.reply.close()
 }
 
-func (in *instance) Probe(tgt decide.Worker) {
+func (in *instance) Probe(tgt decide.WorkerID) {
 	in.reply.open("HealthCheck", in.number)
 	in.reply.raw("worker", in.names[tgt])
 	in.reply.close()
--- a/internal/fleet/merge.go
+++ b/internal/fleet/merge.go
@@ -25,9 +25,9 @@
 			n.drains(l)
 		}
 	}
-	n.facade.HoldCold(start)
+	n.facade.DelayWarmingWorkers(start)
 	if who == recovery.All {
-		n.facade.Alike(start)
+		n.facade.ReportFleetRestart(start)
 	}
 	n.merge(answers)
 	n.mu.Lock()
@@ -58,17 +58,17 @@
 			learnt.Kinds = nil
 		}
 		if !sizes {
-			learnt.Sample, learnt.Sampled, learnt.Worth, learnt.Operations = nil, 0, 0, nil
+			learnt.Sample, learnt.Sampled, learnt.TotalValue, learnt.Operations = nil, 0, 0, nil
 		}
 		if !shares {
-			learnt.Customers = nil
+			learnt.Tenants = nil
 		}
-		learnt.BlindAt, learnt.Luck = 0, 1
+		learnt.UnheardNotBefore, learnt.FreeSlotRatio = 0, 1
 		for w := range learnt.Workers {
 			was := &learnt.Workers[w]
-			was.Heard, was.Spent = nil, nil // what others had out then, and what is past its span
+			was.PeerLoads, was.Sends = nil, nil // what others had out then, and what is past its span
 			if !rests {
-				*was = decide.LearntWorker{}
+				*was = decide.WorkerStats{}
 			}
 		}
 		if !rests {
@@ -107,11 +107,11 @@
 	for _, m := range answers {
 		serves := recovery.Phase(m.Phase) == recovery.Full
 		if serves {
-			n.facade.Elder(m.Member)
+			n.facade.ReportSeniorPeer(m.Member)
 		}
 		for kind, most := range m.Bears {
 			if k := slices.Index(n.terms.Kinds, kind); k >= 0 { // also of another's disk: where this one's is gone
-				n.facade.Teach(decide.Kind(k), most)
+				n.facade.SeedMaxObserved(decide.KindID(k), most)
 			}
 		}
 		for _, w := range m.Workers {
@@ -182,7 +182,7 @@
 // bears is what kinds of worker were seen to bear at once: here, or before that by what the disk tells.
 func (n *Node) bears() map[string]float64 {
 	all := map[string]float64{}
-	for kind, most := range n.facade.Bears() {
+	for kind, most := range n.facade.MaxObserved() {
 		if kind < len(n.terms.Kinds) && most > 1 {
 			all[n.terms.Kinds[kind]] = most
 		}
@@ -208,8 +208,8 @@
 	all := map[string]float64{}
 	if l, ok := n.learnt(); ok && len(l.Learnt) > 0 {
 		for kind, was := range l.Learnt[0].Kinds {
-			if kind < len(l.Kinds) && was.Most > 1 {
-				all[l.Kinds[kind]] = was.Most
+			if kind < len(l.Kinds) && was.MaxObserved > 1 {
+				all[l.Kinds[kind]] = was.MaxObserved
 			}
 		}
 	}
--- a/internal/fleet/node.go
+++ b/internal/fleet/node.go
@@ -47,7 +47,7 @@
 	mu      sync.Mutex // guards all below
 	core    *recovery.Core
 	router  *routing.Router
-	facade  *decide.Instances
+	facade  *decide.Shards
 	store   *store.Store // nil before the folder is held
 	folder  *store.Folder
 	found   store.Found
@@ -195,7 +195,7 @@
 }
 
 // Attach gives the node the router that it brings back. It is called before anything runs.
-func (n *Node) Attach(r *routing.Router, f *decide.Instances) { n.router, n.facade = r, f }
+func (n *Node) Attach(r *routing.Router, f *decide.Shards) { n.router, n.facade = r, f }
 
 func (n *Node) now() time.Duration { return time.Since(n.began) }
 
@@ -478,7 +478,7 @@
 }
 
 // Admit tells whether an invocation may come in yet.
-func (n *Node) Admit(l decide.Landing) (func(bool), time.Duration, bool) {
+func (n *Node) Admit(l decide.Arrival) (func(bool), time.Duration, bool) {
 	n.mu.Lock()
 	full, open := n.core.Phase() == recovery.Full, n.open
 	n.mu.Unlock()
@@ -488,9 +488,9 @@
 	if full {
 		return func(bool) {}, 0, true
 	}
-	size := l.Hint
+	size := l.SizeHint
 	if size == 0 {
-		size = n.facade.Usual()
+		size = n.facade.MedianSize()
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/fleet/node_test.go
+++ b/internal/fleet/node_test.go
@@ -80,7 +80,7 @@
 		n.wake()
 		within(t, "an operator's question", func() { n.Figures() })
 		within(t, "an invocation", func() {
-			_, _, ok := n.Admit(decide.Landing{})
+			_, _, ok := n.Admit(decide.Arrival{})
 			assert.False(t, ok, "nothing lands before the node has returned")
 		})
 		time.Sleep(time.Millisecond)
--- a/internal/lab/experiment/experiment_test.go
+++ b/internal/lab/experiment/experiment_test.go
@@ -122,17 +122,17 @@
 	assert.NoError(t, err)
 	d := got.Decisions
 	assert.Equal(t, []any{3, 1, 0.12, 4, 0.5, 64, 384, true, true}, []any{
-		d.Dispatchers, d.Position, d.ColdFrom,
-		d.ForwardsMost, got.Cores, got.MemoryMB, got.Sockets, d.StartNotes, d.MayCancel,
+		d.Dispatchers, d.Position, d.InitialWarmup,
+		d.MaxAttempts, got.Cores, got.MemoryMB, got.Sockets, d.StartNotices, d.Cancellation,
 	})
 	keyed := d.Operations[1]
 	assert.Equal(t, []any{40 * time.Second, 3 * time.Second, 5.0, 0.25, 1.5}, []any{
-		keyed.Window.Duration(),
-		keyed.Objective.Duration(), keyed.Value, keyed.TardyShare, keyed.Stretch,
+		keyed.DedupWindow.Duration(),
+		keyed.LatencyObjective.Duration(), keyed.Value, keyed.LateShare, keyed.Stretch,
 	})
 	assert.Equal(t, []string{"a", "b"}, got.Routing.Zones)
-	assert.Equal(t, 7.0, d.Customers[0].Quota)
-	assert.Equal(t, 24*time.Second, d.Ramp.Duration())
+	assert.Equal(t, 7.0, d.Tenants[0].Quota)
+	assert.Equal(t, 24*time.Second, d.WarmupDuration.Duration())
 }
 
 func TestTraceIsReadFromBesideTheFileAndRefusedWithItsLine(t *testing.T) {
--- a/internal/lab/rival/rival.go
+++ b/internal/lab/rival/rival.go
@@ -278,7 +278,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ask.Context(), time.Duration(within*float64(time.Second))-before)
 	defer cancel()
-	repeat := r.placement.Decisions.Operations[operation].Repeat
+	repeat := r.placement.Decisions.Operations[operation].Idempotency
 	status, result := r.carry(ctx, ask, body, repeat)
 	n := r.answered.Add(1)
 	if r.terms.Fault == "lost-answer" && n%loseEvery == 0 {
@@ -295,7 +295,7 @@
 	_, _ = io.WriteString(w, result)
 }
 
-func (r *rival) carry(ctx context.Context, ask *http.Request, body []byte, repeat decide.Repeat) (int,
+func (r *rival) carry(ctx context.Context, ask *http.Request, body []byte, repeat decide.Idempotency) (int,
 	string,
 ) {
 	var tried []*backend
@@ -315,7 +315,7 @@
 		switch how {
 		case decide.Succeeded:
 			return http.StatusOK, result
-		case decide.Full, decide.NoConnection: // it never ran
+		case decide.Overloaded, decide.NoConnection: // it never ran
 			continue
 		}
 		mayHaveRun = true
@@ -356,11 +356,11 @@
 	case errors.As(err, &dial) && dial.Op == "dial":
 		return decide.NoConnection, ""
 	case err != nil:
-		return decide.Reset, ""
+		return decide.ConnectionReset, ""
 	}
 	defer a.Body.Close()
 	if a.StatusCode == http.StatusServiceUnavailable && a.Header.Get("Srv-Declined") == "1" {
-		return decide.Full, ""
+		return decide.Overloaded, ""
 	}
 	lines := bufio.NewScanner(a.Body)
 	lines.Buffer(nil, protocol.MostLine)
@@ -374,10 +374,10 @@
 			lines.Scan() // the end of the chunks, so that the connection can be used again
 			return decide.Succeeded, l.Result
 		case protocol.Returned:
-			return decide.Full, ""
+			return decide.Overloaded, ""
 		case protocol.Failed, protocol.Lost:
 			return decide.WorkerError, ""
 		}
 	}
-	return decide.Reset, ""
+	return decide.ConnectionReset, ""
 }
--- a/internal/program/back.go
+++ b/internal/program/back.go
@@ -19,11 +19,11 @@
 	}
 	t := fleet.Terms{
 		Name: p.Name, Position: p.Decisions.Position, Settings: p.settings, Kinds: p.Routing.Kinds,
-		Ramp: p.Decisions.Ramp.Duration(), ComeBackMost: p.Routing.ComeBackMost, Heir: heir, Now: now, Log: log,
+		Ramp: p.Decisions.WarmupDuration.Duration(), ComeBackMost: p.Routing.ComeBackMost, Heir: heir, Now: now, Log: log,
 	}
 	for _, o := range p.Decisions.Operations {
-		if o.Repeat == decide.Deduplicated && o.Scope != decide.ScopeAll {
-			t.Window = max(t.Window, o.Window.Duration())
+		if o.Idempotency == decide.IdempotentByKey && o.DedupScope != decide.ScopeAll {
+			t.Window = max(t.Window, o.DedupWindow.Duration())
 		}
 	}
 	node, err := fleet.Open(context.Background(), p.Fleet, t)
@@ -35,7 +35,7 @@
 }
 
 // bringBack gives the node what it brings back, before anything runs.
-func bringBack(node *fleet.Node, router *routing.Router, facade *decide.Instances, state *drain.State) {
+func bringBack(node *fleet.Node, router *routing.Router, facade *decide.Shards, state *drain.State) {
 	node.Attach(router, facade)
 	if _, entries := router.Entries(); len(entries) > 0 {
 		node.Serves()
--- a/internal/program/call.go
+++ b/internal/program/call.go
@@ -104,7 +104,7 @@
 	for _, learnt := range l.Learnt[:min(len(l.Learnt), 1)] {
 		for k, kind := range learnt.Kinds {
 			if k < len(l.Kinds) {
-				s.Bears = append(s.Bears, fmt.Sprintf("%s: %v at once", l.Kinds[k], kind.Most))
+				s.Bears = append(s.Bears, fmt.Sprintf("%s: %v at once", l.Kinds[k], kind.MaxObserved))
 			}
 		}
 	}
--- a/internal/program/crossings_test.go
+++ b/internal/program/crossings_test.go
@@ -101,8 +101,8 @@
 
 func TestWorkerThatHangsKeepsNoProcessWhereNothingMayBeCalledOff(t *testing.T) {
 	p, url := placed(t, time.Minute)
-	p.Decisions.MayCancel = false
-	p.Decisions.Operations[0].Repeat = decide.NonIdempotent
+	p.Decisions.Cancellation = false
+	p.Decisions.Operations[0].Idempotency = decide.NonIdempotent
 	p.Mgmt = freeAddress(t)
 	heard, start := told(p, nil)
 	ended := start()
--- a/internal/program/operators_test.go
+++ b/internal/program/operators_test.go
@@ -61,7 +61,7 @@
 	}
 	d := read.Decisions
 	assert.Equal(t, []any{int64(70_000), int64(60_000), true, true},
-		[]any{int64(d.AskWithin), int64(d.ToldWithin), d.Takes, d.AskForList})
+		[]any{int64(d.MaxPollInterval), int64(d.NotifyDeadline), d.DeliveryNotices, d.PollEndpoints})
 	want.Decisions, want.keys, want.settings = d, read.keys, read.settings
 	assert.Equal(t, want, read)
 	unset := []string{}
--- a/internal/program/placement.go
+++ b/internal/program/placement.go
@@ -44,7 +44,7 @@
 	MemoryMB, Sockets        int
 	Idle                     time.Duration // how long a worker lets a connection stand idle
 	Longest                  time.Duration // the longest client timeout
-	Decisions                decide.Terms
+	Decisions                decide.Config
 	Routing                  routing.Terms
 	Fleet                    *fleet.Settings // nil where dispatchers do nothing more in common
 	settings                 string          // a hash of the settings
@@ -101,9 +101,9 @@
 	}
 	r := reader{v: v, getenv: getenv}
 	// On sockets the list service never tells by itself, whatever the settings say of it.
-	p.Decisions.AskForList = true
-	p.Decisions.AskWithin = terms.Span(r.span(usualAsk, "settings", "rules", "askWithinS").Seconds())
-	p.Decisions.ToldWithin, p.Decisions.Takes = toldWithin, true
+	p.Decisions.PollEndpoints = true
+	p.Decisions.MaxPollInterval = terms.Span(r.span(usualAsk, "settings", "rules", "askWithinS").Seconds())
+	p.Decisions.NotifyDeadline, p.Decisions.DeliveryNotices = toldWithin, true
 	p.Name = r.text("LB_NAME", "name")
 	p.Listen = r.address("LB_LISTEN", "listen").String()
 	p.Routing.Discovery = r.address("LB_DISCOVERY", "discovery").String()
@@ -204,7 +204,7 @@
 }
 
 func (r *reader) peers(p *Placement) {
-	if !p.Decisions.Peers {
+	if !p.Decisions.Gossip {
 		return
 	}
 	p.PeerListen = r.address("", "peer_listen").String()
@@ -237,16 +237,16 @@
 	t, settings := &p.Routing, r.v.Get("settings")
 	t.Position = p.Decisions.Position
 	t.DialWithin = r.span(usualDial, "settings", "policyLimits", "dialTimeoutS")
-	if p.Decisions.ComeBack {
-		t.ComeBackMost = p.Decisions.ComeBackMost.Duration()
+	if p.Decisions.RetryAfter {
+		t.ComeBackMost = p.Decisions.MaxRetryAfter.Duration()
 	}
 	for n, o := range settings.GetArray("operations") {
 		op := routing.Operation{
 			Name: string(o.GetStringBytes("name")), Timeout: usualTimeout,
-			Keyed: n < len(p.Decisions.Operations) && p.Decisions.Operations[n].Repeat == decide.Deduplicated,
+			Keyed: n < len(p.Decisions.Operations) && p.Decisions.Operations[n].Idempotency == decide.IdempotentByKey,
 		}
 		if n < len(p.Decisions.Operations) {
-			op.Scope, op.Window = p.Decisions.Operations[n].Scope, p.Decisions.Operations[n].Window.Duration()
+			op.Scope, op.Window = p.Decisions.Operations[n].DedupScope, p.Decisions.Operations[n].DedupWindow.Duration()
 		}
 		if s := o.GetFloat64("clientTimeoutS"); s > 0 {
 			op.Timeout = time.Duration(s * float64(time.Second))
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -59,7 +59,7 @@
 	base := decide.Time(start.UnixMicro() / 100)
 	clock := func() decide.Time { return base + decide.Time(time.Since(start)/(time.Second/decide.Second)) }
 	p.Routing.FromUnix = func(ms float64) decide.Time { return decide.Time(ms * 10) }
-	facade := decide.NewInstances(p.Decisions, p.instances(), p.Seed, clock,
+	facade := decide.NewShards(p.Decisions, p.instances(), p.Seed, clock,
 		func(line string) { log.Warn().Msg(line) })
 
 	pool := transport.NewPool(room.workers, p.Idle, log)
@@ -126,7 +126,7 @@
 }
 
 func peerSocket(p *Placement, both *handover) (*transport.Datagrams, error) {
-	if !p.Decisions.Peers {
+	if !p.Decisions.Gossip {
 		return nil, nil
 	}
 	addr, err := netip.ParseAddrPort(p.PeerListen)
--- a/internal/program/reload.go
+++ b/internal/program/reload.go
@@ -34,7 +34,7 @@
 		names = append(names, o.Name)
 	}
 	log.Info().Str("discovery", next.Routing.Discovery).Strs("operations", names).
-		Int("forwards", taken.Decisions.ForwardsMost).Strs("at_next_start", later(taken, next)).
+		Int("forwards", taken.Decisions.MaxAttempts).Strs("at_next_start", later(taken, next)).
 		Msg("configuration read anew")
 	return taken
 }
@@ -65,8 +65,8 @@
 	taken.Decisions = next.Decisions
 	d := &taken.Decisions
 	d.Dispatchers, d.Position, d.Zone = was.Dispatchers, was.Position, was.Zone
-	d.Kinds, d.Peers = was.Kinds, was.Peers
-	d.StartNotes, d.ReportsOnProbe, d.Probes = was.StartNotes, was.ReportsOnProbe, was.Probes
+	d.Kinds, d.Gossip = was.Kinds, was.Gossip
+	d.StartNotices, d.ReportsOnProbe, d.Probes = was.StartNotices, was.ReportsOnProbe, was.Probes
 	d.ReportInFlight, d.ReportQueue, d.ReportFree = was.ReportInFlight, was.ReportQueue, was.ReportFree
 	r, n := &taken.Routing, next.Routing
 	r.Discovery, r.Operations, r.Owners = n.Discovery, n.Operations, n.Owners
--- a/internal/routing/back.go
+++ b/internal/routing/back.go
@@ -21,7 +21,7 @@
 	Unlisted()
 	// Admit tells whether an invocation may come in yet. done is called once it has ended; comeBack is for its
 	// client where it may not.
-	Admit(l decide.Landing) (done func(succeeded bool), comeBack time.Duration, ok bool)
+	Admit(l decide.Arrival) (done func(succeeded bool), comeBack time.Duration, ok bool)
 	// Before tells where an invocation under the same key may have run before, nil for nowhere. It fails with
 	// ErrUnsure where nobody can tell.
 	Before(operation, key string, again bool) (*Before, error)
@@ -52,7 +52,7 @@
 func (o *Operation) held() bool { return o.Keyed && o.Scope != decide.ScopeAll }
 
 // before finds what an invocation's key may have done before this one. again is its client's mark of a repeat.
-func (r *Router) before(now *settings, inv *protocol.Invocation, h *protocol.Head) (*decide.Past, error) {
+func (r *Router) before(now *settings, inv *protocol.Invocation, h *protocol.Head) (*decide.PriorAttempt, error) {
 	o := now.operations[inv.Operation]
 	if r.terms.Back == nil || !o.held() {
 		return nil, nil
@@ -65,21 +65,21 @@
 	if !known {
 		return nil, ErrUnsure
 	}
-	return &decide.Past{Tgt: tgt, Sent: r.terms.FromUnix(float64(b.SentMs))}, nil
+	return &decide.PriorAttempt{Worker: tgt, SentAt: r.terms.FromUnix(float64(b.SentMs))}, nil
 }
 
 // ofGroup finds a worker that drops the repeats of what ran at another one.
-func (f *fleet) ofGroup(b *Before, scope decide.Scope) (decide.Worker, bool) {
+func (f *fleet) ofGroup(b *Before, scope decide.DedupScope) (decide.WorkerID, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	n := slices.IndexFunc(f.workers, func(w worker) bool {
 		return scope == decide.ScopeZone && w.entry.Zone == b.Zone || scope == decide.ScopeCell && w.entry.Cell == b.Cell
 	})
-	return decide.Worker(n), n >= 0
+	return decide.WorkerID(n), n >= 0
 }
 
 // keep makes durable where a forward goes, where it has to be known after a loss of power.
-func (r *Router) keep(ctx context.Context, now *settings, inv *protocol.Invocation, tgt decide.Worker) error {
+func (r *Router) keep(ctx context.Context, now *settings, inv *protocol.Invocation, tgt decide.WorkerID) error {
 	o := now.operations[inv.Operation]
 	if r.terms.Back == nil || !o.held() {
 		return nil
@@ -101,18 +101,18 @@
 func (r *Router) Recall(l Legacy) bool {
 	for n := range l.Learnt {
 		learnt := &l.Learnt[n]
-		learnt.Customers = align(learnt.Customers, l.Owners, r.now.Load().owners)
+		learnt.Tenants = align(learnt.Tenants, l.Owners, r.now.Load().owners)
 		learnt.Kinds = align(learnt.Kinds, l.Kinds, r.terms.Kinds)
 		workers, zones := learnt.Workers, learnt.Zones
 		learnt.Workers, learnt.Zones = nil, nil
 		r.fleet.mu.Lock()
 		for at, w := range workers {
-			to, known := decide.Worker(0), at < len(l.Workers)
+			to, known := decide.WorkerID(0), at < len(l.Workers)
 			if known {
 				to, known = r.fleet.numbers[l.Workers[at].ID]
 			}
 			if known {
-				learnt.Workers = append(learnt.Workers, make([]decide.LearntWorker,
+				learnt.Workers = append(learnt.Workers, make([]decide.WorkerStats,
 					max(0, int(to)+1-len(learnt.Workers)))...)
 				learnt.Workers[to] = w
 			}
@@ -123,13 +123,13 @@
 				to, known = r.fleet.zones[l.Zones[at]]
 			}
 			if known {
-				learnt.Zones = append(learnt.Zones, make([]decide.LearntZone, max(0, to+1-len(learnt.Zones)))...)
+				learnt.Zones = append(learnt.Zones, make([]decide.ZoneStats, max(0, to+1-len(learnt.Zones)))...)
 				learnt.Zones[to] = z
 			}
 		}
 		r.fleet.mu.Unlock()
 	}
-	return r.facade.Recall(l.Learnt)
+	return r.facade.RestoreFromDisk(l.Learnt)
 }
 
 // Entries are the workers as they are known, gone ones too, with the list's version.
@@ -142,7 +142,7 @@
 func (r *Router) Amend(entries []protocol.Entry) {
 	l := protocol.List{Version: r.fleet.listVersion(), Entries: entries}
 	taken, old := r.fleet.take(&l)
-	r.facade.ReportList(taken, false, true)
+	r.facade.UpdateEndpoints(taken, false, true)
 	for _, o := range old {
 		if r.pool.Forget(o.address); !o.born.IsZero() {
 			r.pool.Bury(o.address, o.born)
@@ -153,8 +153,8 @@
 // Out is what is out here at each worker, by name.
 func (r *Router) Out() map[string]int {
 	out := map[string]int{}
-	for _, l := range r.facade.Out(decide.Successor) {
-		out[r.fleet.id(l.Tgt)] = l.InFlight
+	for _, l := range r.facade.InFlightFor(decide.Successor) {
+		out[r.fleet.id(l.Worker)] = l.InFlight
 	}
 	return out
 }
@@ -162,6 +162,6 @@
 // Hear takes what another process has out at a worker, by its name.
 func (r *Router) Hear(process int, host string, out int) {
 	if w, known := r.fleet.byID(host); known {
-		r.facade.ReportPeer(decide.Peer(process*r.facade.Count()), decide.Load{Tgt: w, InFlight: out})
+		r.facade.ReceiveLoad(decide.PeerID(process*r.facade.Count()), decide.Load{Worker: w, InFlight: out})
 	}
 }
--- a/internal/routing/counts.go
+++ b/internal/routing/counts.go
@@ -17,14 +17,14 @@
 	DatagramsSent, DatagramsFailed, DatagramsHeard                          atomic.Int64
 	DatagramsBroken, Strangers, Overtaken                                   atomic.Int64
 
-	outcomes [decide.Refused + 1]atomic.Int64
+	outcomes [decide.ConnectionRefused + 1]atomic.Int64
 }
 
-var outcomeNames = [decide.Refused + 1]string{
+var outcomeNames = [decide.ConnectionRefused + 1]string{
 	decide.Succeeded: "succeeded", decide.WorkerError: "worker_error",
-	decide.Full: "full", decide.TimedOut: "timed_out", decide.NoConnection: "no_connection",
-	decide.Reset: "reset", decide.Cancelled: "called_off", decide.Moot: "never_sent",
-	decide.Stale: "stale_connection", decide.Refused: "refused",
+	decide.Overloaded: "full", decide.TimedOut: "timed_out", decide.NoConnection: "no_connection",
+	decide.ConnectionReset: "reset", decide.Canceled: "called_off", decide.NotSent: "never_sent",
+	decide.ConnectionStale: "stale_connection", decide.ConnectionRefused: "refused",
 }
 
 func (c *Counts) outcome(how decide.Outcome) { c.outcomes[how].Add(1) }
@@ -43,7 +43,7 @@
 	datagrams.Int64("sent", c.DatagramsSent.Load()).Int64("failed", c.DatagramsFailed.Load()).
 		Int64("heard", c.DatagramsHeard.Load()).Int64("malformed", c.DatagramsBroken.Load()).
 		Int64("strangers", c.Strangers.Load()).Int64("overtaken", c.Overtaken.Load())
-	r.log.Info().Str("why", why).Int("open", r.facade.Open()).Int64("taken", c.Taken.Load()).
+	r.log.Info().Str("why", why).Int("open", r.facade.OpenRequests()).Int64("taken", c.Taken.Load()).
 		Int64("succeeded", c.Succeeded.Load()).Int64("throttled", c.Throttled.Load()).
 		Int64("errored", c.Errored.Load()).Int64("client_left", c.Left.Load()).
 		Int64("turned_away", c.Malformed.Load()).Int64("overfull", c.Overfull.Load()).
--- a/internal/routing/crossings_test.go
+++ b/internal/routing/crossings_test.go
@@ -50,7 +50,7 @@
 }
 
 // stubborn settings allow neither calling off nor copies.
-func stubborn(d *decide.Terms, _ *Terms) { d.MayCancel = false }
+func stubborn(d *decide.Config, _ *Terms) { d.Cancellation = false }
 
 // counting is a worker that serves, and the number of forwards that reached it whole.
 func counting(t *testing.T) (addr string, forwards *atomic.Int32) {
@@ -79,9 +79,9 @@
 		within(t, came)
 		ended(t, r)
 		assert.Zero(t, forwards.Load())
-		assert.Equal(t, []int64{0, 1}, []int64{r.counts.Sent.Load(), r.counts.outcomes[decide.Moot].Load()})
+		assert.Equal(t, []int64{0, 1}, []int64{r.counts.Sent.Load(), r.counts.outcomes[decide.NotSent].Load()})
 		assert.Zero(t, r.pool.Held(), "what was interrupted is not kept for another")
-		assert.Equal(t, 0, r.facade.Open())
+		assert.Equal(t, 0, r.facade.OpenRequests())
 	}
 }
 
@@ -125,11 +125,11 @@
 				held <- err
 			}()
 			assert.Eventually(t, dialing(r), soon, time.Millisecond)
-			return func() bool { return r.facade.Open() == 1 }
+			return func() bool { return r.facade.OpenRequests() == 1 }
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := routerBy(late, func(d *decide.Terms, terms *Terms) {
+			r := routerBy(late, func(d *decide.Config, terms *Terms) {
 				stubborn(d, terms)
 				terms.DialWithin = time.Minute
 			})
@@ -155,7 +155,7 @@
 func (b *backing) Ready() error { return nil }
 func (b *backing) Listed()      {}
 func (b *backing) Unlisted()    {}
-func (b *backing) Admit(decide.Landing) (done func(bool), comeBack time.Duration, ok bool) {
+func (b *backing) Admit(decide.Arrival) (done func(bool), comeBack time.Duration, ok bool) {
 	return func(bool) {}, 0, true
 }
 
@@ -170,10 +170,10 @@
 }
 
 // scoped makes the last operation one whose repeats a zone alone drops: where it goes is kept on a disk.
-func scoped(b *backing) func(*decide.Terms, *Terms) {
-	return func(d *decide.Terms, terms *Terms) {
+func scoped(b *backing) func(*decide.Config, *Terms) {
+	return func(d *decide.Config, terms *Terms) {
 		stubborn(d, terms)
-		d.Operations[2].Scope, terms.Operations[2].Scope = decide.ScopeZone, decide.ScopeZone
+		d.Operations[2].DedupScope, terms.Operations[2].Scope = decide.ScopeZone, decide.ScopeZone
 		terms.Back = b
 	}
 }
@@ -245,7 +245,7 @@
 			text = chunked(done) + last
 		}
 		io.WriteString(c, text)
-	}), func(d *decide.Terms, _ *Terms) { d.ForwardsMost = 4 })
+	}), func(d *decide.Config, _ *Terms) { d.MaxAttempts = 4 })
 	r.beforeSent = func() {
 		time.Sleep(50 * time.Millisecond)
 		left <- time.Until(came.Add(2 * time.Second)) // its client waits for as long
@@ -265,10 +265,10 @@
 }
 
 // repeating are settings by which the last operation may be sent again within a window, in one group.
-func repeating(window decide.Time) func(*decide.Terms, *Terms) {
-	return func(d *decide.Terms, terms *Terms) {
-		d.ForwardsMost, d.Operations[2].Window = 4, window
-		d.Operations[2].Scope, terms.Operations[2].Scope = decide.ScopeZone, decide.ScopeZone
+func repeating(window decide.Time) func(*decide.Config, *Terms) {
+	return func(d *decide.Config, terms *Terms) {
+		d.MaxAttempts, d.Operations[2].DedupWindow = 4, window
+		d.Operations[2].DedupScope, terms.Operations[2].Scope = decide.ScopeZone, decide.ScopeZone
 		terms.DialWithin = time.Minute
 	}
 }
@@ -299,7 +299,7 @@
 
 // A connection that comes up later than the settings wait for one counts as one that never does: nothing has run.
 func TestConnectionThatComesUpTooLateIsGivenUp(t *testing.T) {
-	r := routerBy(unready(t), func(_ *decide.Terms, terms *Terms) { terms.DialWithin = 20 * time.Millisecond })
+	r := routerBy(unready(t), func(_ *decide.Config, terms *Terms) { terms.DialWithin = 20 * time.Millisecond })
 	inv, err := protocol.ParseInvocation(keyed())
 	assert.NoError(t, err)
 	f := &passage{r: r, ctx: context.Background(), inv: inv, now: r.now.Load(), until: time.Now().Add(time.Minute)}
@@ -326,7 +326,7 @@
 		how, _, _ := f.run(0)
 		outcomes <- how
 	}()
-	assert.Equal(t, decide.Moot, within(t, outcomes), "that says nothing of the worker")
+	assert.Equal(t, decide.NotSent, within(t, outcomes), "that says nothing of the worker")
 	assert.Zero(t, r.pool.Held())
 }
 
@@ -360,24 +360,24 @@
 	within(t, taken)
 	told(t, r, fmt.Sprintf(`"health":"Ready","born_ms":%d`, time.Now().Add(time.Second).UnixMilli()))
 	assert.Equal(t, 502, within(t, answered).Status)
-	assert.EqualValues(t, 1, r.counts.outcomes[decide.Reset].Load(), "not by the client's time")
+	assert.EqualValues(t, 1, r.counts.outcomes[decide.ConnectionReset].Load(), "not by the client's time")
 }
 
 // Settings change between the decisions' taking them and the names' doing so; fewer customers are in the new
 // ones.
 func TestWhatLandsWhileSettingsChangeIsBookedOnItsOwnCustomer(t *testing.T) {
 	addr, _ := counting(t)
-	customers := func(names ...string) ([]decide.CustomerTerms, []string) {
-		var terms []decide.CustomerTerms
+	customers := func(names ...string) ([]decide.TenantConfig, []string) {
+		var terms []decide.TenantConfig
 		for _, name := range names {
-			terms = append(terms, decide.CustomerTerms{Name: name, Quota: 1e9})
+			terms = append(terms, decide.TenantConfig{Name: name, Quota: 1e9})
 		}
 		return terms, names
 	}
-	var d decide.Terms
+	var d decide.Config
 	var terms Terms
-	r := routerBy(addr, func(first *decide.Terms, names *Terms) {
-		first.Customers, names.Owners = customers("a", "b", "c")
+	r := routerBy(addr, func(first *decide.Config, names *Terms) {
+		first.Tenants, names.Owners = customers("a", "b", "c")
 		d, terms = *first, *names
 	})
 	ask := func(owner string) int {
@@ -389,7 +389,7 @@
 	used := func() map[string]float64 {
 		k, by := r.Knowledge(), map[string]float64{}
 		for n, name := range k.Owners {
-			by[name] = k.Learnt[0].Customers[n].Used
+			by[name] = k.Learnt[0].Tenants[n].Usage
 		}
 		return by
 	}
@@ -397,14 +397,14 @@
 		assert.Equal(t, 200, ask("b")) // its name is that of the old settings, and not answered by a fault
 		assert.Equal(t, 200, ask("c"))
 	}
-	d.Customers, terms.Owners = customers("c")
+	d.Tenants, terms.Owners = customers("c")
 	r.Retune(terms, d)
 	r.beforeTold = nil
 	assert.Equal(t, []int{400, 200}, []int{ask("b"), ask("c")})
 	assert.Greater(t, used()["c"], 1.9)
 	assert.Less(t, used()["b"], 1.1)
 	assert.Zero(t, used()["a"])
-	d.Customers, terms.Owners = customers("d", "b", "a")
+	d.Tenants, terms.Owners = customers("d", "b", "a")
 	r.Retune(terms, d)
 	assert.Equal(t, 200, ask("d"))
 	u := used()
@@ -415,10 +415,10 @@
 // Settings change while an invocation is on its way; its operation is not in the new ones.
 func TestInvocationEndsUnderTheSettingsThatItCameUnder(t *testing.T) {
 	addr, forwards := counting(t)
-	var d decide.Terms
+	var d decide.Config
 	var terms Terms
 	b := &backing{keep: func() error { return nil }}
-	r := routerBy(addr, func(first *decide.Terms, names *Terms) {
+	r := routerBy(addr, func(first *decide.Config, names *Terms) {
 		scoped(b)(first, names)
 		d, terms = *first, *names
 	})
@@ -447,7 +447,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	over := make(chan error, 2)
 	go func() { over <- r.follow(ctx) }()
-	go func() { over <- r.facade.Tick(ctx, 0) }()
+	go func() { over <- r.facade.Run(ctx, 0) }()
 	t.Cleanup(func() {
 		cancel()
 		assert.NoError(t, within(t, over))
@@ -456,8 +456,8 @@
 }
 
 // patient settings ask for a list that was lost after many seconds only.
-func patient(d *decide.Terms, _ *Terms) {
-	d.AskForList, d.AskWithin = true, 1000*decide.Second
+func patient(d *decide.Config, _ *Terms) {
+	d.PollEndpoints, d.MaxPollInterval = true, 1000*decide.Second
 }
 
 // SIGHUP comes between the end of a watch and its report, twice, there and back: the new place is asked at
@@ -578,7 +578,7 @@
 	assert.Eventually(t, known, soon, time.Millisecond)
 	leave()
 	assert.Nil(t, within(t, answered))
-	assert.Equal(t, 1, r.facade.Open(), "it runs on")
+	assert.Equal(t, 1, r.facade.OpenRequests(), "it runs on")
 	cancel()
 	assert.NoError(t, within(t, over))
 }
@@ -618,7 +618,7 @@
 			assert.Less(t, time.Since(began), 800*time.Millisecond)
 			ended(t, r)
 			assert.Zero(t, r.pool.Held())
-			assert.Equal(t, 0, r.facade.Open())
+			assert.Equal(t, 0, r.facade.OpenRequests())
 		})
 	}
 }
--- a/internal/routing/fleet.go
+++ b/internal/routing/fleet.go
@@ -20,9 +20,9 @@
 	log          zerolog.Logger
 
 	mu      sync.Mutex
-	numbers map[string]decide.Worker
+	numbers map[string]decide.WorkerID
 	workers []worker
-	tagged  map[uint16]decide.Worker
+	tagged  map[uint16]decide.WorkerID
 	version int64
 }
 
@@ -34,7 +34,7 @@
 
 func (w *worker) gone() bool { return w.entry.State == protocol.Gone }
 
-var listed = map[string]decide.State{
+var listed = map[string]decide.WorkerState{
 	protocol.Ready: decide.Healthy, protocol.Terminating: decide.Draining,
 	protocol.Gone: decide.Gone,
 }
@@ -47,15 +47,15 @@
 }
 
 // take turns a list into the decisions' entries, and tells what it makes stale.
-func (f *fleet) take(l *protocol.List) (entries []decide.Entry, old []stale) {
+func (f *fleet) take(l *protocol.List) (entries []decide.Endpoint, old []stale) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.version = l.Version
-	seen := map[decide.Worker]bool{}
+	seen := map[decide.WorkerID]bool{}
 	for _, e := range l.Entries {
 		n, known := f.numbers[e.ID]
 		if !known {
-			n = decide.Worker(len(f.workers))
+			n = decide.WorkerID(len(f.workers))
 			f.numbers[e.ID] = n
 			f.workers = append(f.workers, worker{tag: protocol.Tag(e.ID)})
 			f.log.Info().Int("worker", int(n)).Str("host", e.ID).Str("addr", e.Address).Msg("worker named")
@@ -82,13 +82,13 @@
 		if _, known := f.zones[e.Zone]; !known { // not one of those in the settings, nor like any other
 			f.zones[e.Zone] = len(f.zones)
 		}
-		entries = append(entries, decide.Entry{
-			Tgt: n, ID: e.ID, Zone: decide.Zone(f.zones[e.Zone]),
-			Kind: decide.Kind(f.kinds[e.Kind]), Cell: decide.Cell(e.Cell), State: state, Born: w.born,
+		entries = append(entries, decide.Endpoint{
+			Worker: n, ID: e.ID, Zone: decide.ZoneID(f.zones[e.Zone]),
+			Kind: decide.KindID(f.kinds[e.Kind]), Cell: decide.CellID(e.Cell), State: state, StartedAt: w.born,
 		})
 	}
 	for n := range f.workers {
-		if w := &f.workers[n]; l.Whole && !seen[decide.Worker(n)] && !w.gone() {
+		if w := &f.workers[n]; l.Whole && !seen[decide.WorkerID(n)] && !w.gone() {
 			old = append(old, stale{address: w.entry.Address})
 			w.entry.State = protocol.Gone
 		}
@@ -96,41 +96,41 @@
 	return entries, old
 }
 
-func (f *fleet) address(w decide.Worker) string {
+func (f *fleet) address(w decide.WorkerID) string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.workers[w].entry.Address
 }
 
 // takes tells whether a worker may be sent something new, at that address.
-func (f *fleet) takes(w decide.Worker, address string) bool {
+func (f *fleet) takes(w decide.WorkerID, address string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	e := &f.workers[w].entry
 	return e.State == protocol.Ready && e.Address == address
 }
 
-func (f *fleet) tag(w decide.Worker) uint16 {
+func (f *fleet) tag(w decide.WorkerID) uint16 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.workers[w].tag
 }
 
 // id is a worker's name.
-func (f *fleet) id(w decide.Worker) string {
+func (f *fleet) id(w decide.WorkerID) string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.workers[w].entry.ID
 }
 
-func (f *fleet) byID(id string) (decide.Worker, bool) {
+func (f *fleet) byID(id string) (decide.WorkerID, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	w, known := f.numbers[id]
 	return w, known
 }
 
-func (f *fleet) byTag(tag uint16) (decide.Worker, bool) {
+func (f *fleet) byTag(tag uint16) (decide.WorkerID, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	w, ok := f.tagged[tag]
--- a/internal/routing/format_test.go
+++ b/internal/routing/format_test.go
@@ -170,33 +170,33 @@
 		Zones:  []string{"north", "south"},
 		Kinds:  []string{"std-3c", "big-16c"},
 		Owners: []string{"acme", "globex"},
-		Learnt: []decide.Legacy{fullLearnt()},
+		Learnt: []decide.Snapshot{fullLearnt()},
 		Twin:   fullRunningCounts(),
 		Left:   true,
 	}
 }
 
 // fullLearnt is what one instance has learnt, with each field set.
-func fullLearnt() decide.Legacy {
-	return decide.Legacy{
-		Operations: []decide.LearntOperation{{
-			Name: "render", Longest: 20_001, Mean: 1.25, Asked: 2.5, Lost: 0.125,
-			Landed: 31, Run: 4.75, Runs: 32,
+func fullLearnt() decide.Snapshot {
+	return decide.Snapshot{
+		Operations: []decide.OperationStats{{
+			Name: "render", LongestTimeout: 20_001, MeanSize: 1.25, RequestedWork: 2.5, LostWork: 0.125,
+			Arrivals: 31, MeanRun: 4.75, Runs: 32,
 		}},
-		Customers: []decide.LearntCustomer{{Used: 3.5, At: 33}, {Used: 0.25, At: 34}},
-		Kinds:     []decide.LearntKind{{Slots: 3, Most: 2.5, Votes: []int{7, 8, 9}}},
-		Zones:     []decide.LearntZone{{Quiet: 5, At: 35}},
-		Workers: []decide.LearntWorker{{
-			Fails: 2, Ruined: true, TrialAt: 36, OpenAt: 37,
-			Heard: []decide.Heard{{From: 1, InFlight: 6, At: 38}},
-			Spent: []decide.Spending{{At: 39, Work: 1_500}},
+		Tenants: []decide.TenantStats{{Usage: 3.5, At: 33}, {Usage: 0.25, At: 34}},
+		Kinds:   []decide.KindStats{{Slots: 3, MaxObserved: 2.5, Votes: []int{7, 8, 9}}},
+		Zones:   []decide.ZoneStats{{Failures: 5, EjectedUntil: 35}},
+		Workers: []decide.WorkerStats{{
+			ConsecutiveFailures: 2, PossiblyExecuted: true, ProbeAfter: 36, NotBefore: 37,
+			PeerLoads: []decide.PeerLoad{{From: 1, InFlight: 6, ReceivedAt: 38}},
+			Sends:     []decide.SentWork{{At: 39, Work: 1_500}},
 		}},
-		Sample:   []decide.Work{11, 12, 13},
-		Sampled:  40,
-		Worth:    0.5,
-		Luck:     0.75,
-		BlindAt:  42,
-		Landings: 43,
+		Sample:           []decide.Work{11, 12, 13},
+		Sampled:          40,
+		TotalValue:       0.5,
+		FreeSlotRatio:    0.75,
+		UnheardNotBefore: 42,
+		Arrivals:         43,
 	}
 }
 
@@ -217,14 +217,14 @@
 	t.Helper()
 	return Handed{
 		Invocation: fullInvocation(t),
-		Decided: decide.Adopted{
-			Name: "render", Objective: 10_000, Window: 600_000, ComeBack: 20_000, Value: 1.5,
-			Slack: 0.25, Tardy: 0.125, Repeat: decide.NonIdempotent, Scope: decide.ScopeCell, Kind: 1,
-			Until: time.Date(2026, time.March, 4, 5, 6, 7, 89_000_000, time.UTC), Latest: 51, Size: 52, Counts: 0.75,
-			Beyond: 1, Most: 3,
-			Forwards: []decide.AdoptedForward{
-				{Tgt: 1, Sent: 53, Started: 54, Out: true, Ran: true},
-				{Tgt: 2, Sent: 55, Started: 56, Out: true, Ran: true},
+		Decided: decide.MigratedRequest{
+			Name: "render", LatencyObjective: 10_000, DedupWindow: 600_000, RetryAfter: 20_000, Value: 1.5,
+			Slack: 0.25, LateShare: 0.125, Idempotency: decide.NonIdempotent, DedupScope: decide.ScopeCell, Kind: 1,
+			Deadline: time.Date(2026, time.March, 4, 5, 6, 7, 89_000_000, time.UTC), LatestStart: 51, Size: 52, QuotaWeight: 0.75,
+			SpentElsewhere: 1, MaxAttempts: 3,
+			Attempts: []decide.MigratedAttempt{
+				{Worker: 1, SentAt: 53, StartedAt: 54, InFlight: true, MayHaveRun: true},
+				{Worker: 2, SentAt: 55, StartedAt: 56, InFlight: true, MayHaveRun: true},
 			},
 		},
 		Hosts:   []string{"w1", "w2"},
@@ -251,10 +251,10 @@
 
 // sparseSnapshot has one element in each list, with all that it holds left empty.
 func sparseSnapshot() *Legacy {
-	return &Legacy{Workers: make([]protocol.Entry, 1), Learnt: []decide.Legacy{{
-		Operations: make([]decide.LearntOperation, 1), Customers: make([]decide.LearntCustomer, 1),
-		Kinds: make([]decide.LearntKind, 1), Zones: make([]decide.LearntZone, 1),
-		Workers: []decide.LearntWorker{{Heard: make([]decide.Heard, 1), Spent: make([]decide.Spending, 1)}},
+	return &Legacy{Workers: make([]protocol.Entry, 1), Learnt: []decide.Snapshot{{
+		Operations: make([]decide.OperationStats, 1), Tenants: make([]decide.TenantStats, 1),
+		Kinds: make([]decide.KindStats, 1), Zones: make([]decide.ZoneStats, 1),
+		Workers: []decide.WorkerStats{{PeerLoads: make([]decide.PeerLoad, 1), Sends: make([]decide.SentWork, 1)}},
 	}}}
 }
 
@@ -262,6 +262,6 @@
 func sparseMigratedRequest() *Handed {
 	return &Handed{
 		Invocation: &protocol.Invocation{},
-		Decided:    decide.Adopted{Forwards: make([]decide.AdoptedForward, 1)},
+		Decided:    decide.MigratedRequest{Attempts: make([]decide.MigratedAttempt, 1)},
 	}
 }
--- a/internal/routing/forward.go
+++ b/internal/routing/forward.go
@@ -18,35 +18,35 @@
 const endWithin = 250 * time.Millisecond
 
 // forward sends the invocation to one worker and reports what comes of it, once.
-func (r *Router) forward(c *carrying, choice decide.Choice, result chan<- string) {
+func (r *Router) forward(c *carrying, choice decide.Decision, result chan<- string) {
 	f := r.passage(c, choice)
-	r.finish(c, choice, f, result, func() (decide.Outcome, string, func()) { return f.run(choice.Tgt) })
+	r.finish(c, choice, f, result, func() (decide.Outcome, string, func()) { return f.run(choice.Worker) })
 }
 
-func (r *Router) passage(c *carrying, choice decide.Choice) *passage {
+func (r *Router) passage(c *carrying, choice decide.Decision) *passage {
 	return &passage{
 		r: r, ctx: choice.Ctx, inv: c.inv, now: c.now, until: c.until, sendBy: choice.SendBy,
-		need:    needs[choice.Repeat],
-		started: func() { c.ticket.ReportStart(choice.N) }, withdraw: c.ticket.Withdraw,
-		taken:  func() { c.ticket.ReportTaken(choice.N) },
-		sent:   func() { c.ticket.ReportSent(choice.N) },
+		need:    needs[choice.Idempotency],
+		started: func() { c.ticket.ReportStarted(choice.Attempt) }, withdraw: c.ticket.RejectOrFail,
+		taken:  func() { c.ticket.ReportDelivered(choice.Attempt) },
+		sent:   func() { c.ticket.ReportSent(choice.Attempt) },
 		parked: make(chan struct{}, 1), verdict: make(chan bool, 1), gone: make(chan struct{}),
 	}
 }
 
 // finish runs a forward and reports what comes of it.
-func (r *Router) finish(c *carrying, choice decide.Choice, f *passage, result chan<- string,
+func (r *Router) finish(c *carrying, choice decide.Decision, f *passage, result chan<- string,
 	run func() (decide.Outcome, string, func()),
 ) {
-	c.add(choice.N, f)
+	c.add(choice.Attempt, f)
 	how, text, finish := run()
-	c.drop(choice.N)
+	c.drop(choice.Attempt)
 	if f.handed { // another process reports
 		finish()
 		return
 	}
 	r.counts.outcome(how)
-	if c.ticket.Report(choice.N, how) {
+	if c.ticket.Report(choice.Attempt, how) {
 		result <- text
 	}
 	if finish != nil {
@@ -80,32 +80,32 @@
 
 // run returns the outcome, the result of a succeeded forward, and what is left to do for the connection after
 // the outcome has been reported.
-func (f *passage) run(tgt decide.Worker) (how decide.Outcome, result string, finish func()) {
+func (f *passage) run(tgt decide.WorkerID) (how decide.Outcome, result string, finish func()) {
 	conn, err := f.connect(tgt)
 	if err != nil {
 		if f.ctx.Err() != nil || f.tooLate() {
-			return decide.Moot, "", nil
+			return decide.NotSent, "", nil
 		}
 		if errors.Is(err, transport.ErrNoPlace) { // that says nothing of the worker
 			f.r.log.Warn().Msg("no connection left in the budget")
-			return decide.Moot, "", nil
+			return decide.NotSent, "", nil
 		}
 		f.r.log.Info().Str("side", "worker").Str("addr", f.r.fleet.address(tgt)).Str("reason", "not_up").
 			Err(err).Msg("connection never came up")
 		if errors.Is(err, syscall.ECONNREFUSED) {
-			return decide.Refused, "", nil
+			return decide.ConnectionRefused, "", nil
 		}
 		return decide.NoConnection, "", nil
 	}
 	if f.ctx.Err() != nil {
 		f.r.pool.Put(conn)
-		return decide.Moot, "", nil
+		return decide.NotSent, "", nil
 	}
 	if err := f.r.keep(f.ctx, f.now, f.inv, tgt); err != nil { // after a loss of power nobody would know where it went
 		f.r.pool.Put(conn)
 		f.r.log.Warn().Err(err).Msg("not sent: where it goes cannot be kept")
 		f.withdraw()
-		return decide.Moot, "", nil
+		return decide.NotSent, "", nil
 	}
 	if f.r.beforeSent != nil {
 		f.r.beforeSent()
@@ -118,7 +118,7 @@
 			conn.Interrupt()
 		}
 		f.r.pool.Put(conn)
-		return decide.Moot, "", nil
+		return decide.NotSent, "", nil
 	}
 	f.used = conn.Used()
 	if err := f.send(conn, protocol.AppendForward(nil, f.inv, time.Until(f.until))); err != nil {
@@ -132,9 +132,9 @@
 
 // needs is how sure a forward's connection has to be: what may not run again anywhere needs the surest, and
 // what may in its group alone must not take another answer for its own.
-var needs = map[decide.Repeat]transport.Need{
-	decide.Idempotent:   transport.Any,
-	decide.Deduplicated: transport.Rested, decide.NonIdempotent: transport.Sure,
+var needs = map[decide.Idempotency]transport.Need{
+	decide.Idempotent:      transport.Any,
+	decide.IdempotentByKey: transport.Rested, decide.NonIdempotent: transport.Sure,
 }
 
 // send sends the message. With an error it never ran: its last byte was not written.
@@ -183,7 +183,7 @@
 }
 
 // connect gets a connection within the time in which one comes up or never does, and within the retry window.
-func (f *passage) connect(tgt decide.Worker) (*transport.Conn, error) {
+func (f *passage) connect(tgt decide.WorkerID) (*transport.Conn, error) {
 	ctx, cancel := context.WithTimeout(f.ctx, f.now.dialWithin)
 	defer cancel()
 	if !f.sendBy.IsZero() {
@@ -197,11 +197,11 @@
 func (f *passage) unsent(conn *transport.Conn, err error) (decide.Outcome, string, func()) {
 	conn.End(f.reason(err, f.ctx.Err() != nil), err)
 	if f.ctx.Err() != nil {
-		return decide.Moot, "", nil
+		return decide.NotSent, "", nil
 	}
 	if conn.Used() { // its end says nothing of the worker now
 		f.r.pool.Doubt(conn.Addr())
-		return decide.Moot, "", nil
+		return decide.NotSent, "", nil
 	}
 	return decide.NoConnection, "", nil
 }
@@ -230,15 +230,15 @@
 // lost is the outcome of a forward that was sent and whose connection brings nothing more.
 func (f *passage) lost(err error) decide.Outcome {
 	switch {
-	case errors.Is(context.Cause(f.ctx), decide.ErrCalledOff):
-		return decide.Cancelled
+	case errors.Is(context.Cause(f.ctx), decide.ErrAttemptCanceled):
+		return decide.Canceled
 	case f.ctx.Err() != nil:
 		return decide.TimedOut
 	case errors.Is(err, protocol.ErrMalformed), errors.Is(err, protocol.ErrTooLarge),
 		errors.Is(err, protocol.ErrHeadTooLarge), errors.Is(err, errBroken):
 		return decide.WorkerError
 	}
-	return decide.Reset
+	return decide.ConnectionReset
 }
 
 // read takes the worker's answer up to the line that ends the forward. A connection that was used before and
@@ -249,9 +249,9 @@
 ) {
 	head, err := conn.Answer()
 	if err != nil {
-		if how = f.lost(err); how == decide.Reset && used && conn.Unanswered() {
+		if how = f.lost(err); how == decide.ConnectionReset && used && conn.Unanswered() {
 			f.r.pool.Doubt(conn.Addr())
-			how = decide.Stale
+			how = decide.ConnectionStale
 		}
 		return how, "", body, err
 	}
@@ -261,7 +261,7 @@
 	if head.Status != 200 {
 		how = decide.WorkerError
 		if protocol.Declined(&head) {
-			how = decide.Full
+			how = decide.Overloaded
 		}
 		if head.Closes() || body.EndsWithConnection() {
 			return how, "", body, errAsked
@@ -322,9 +322,9 @@
 	case protocol.Failed:
 		return decide.WorkerError, "", nil
 	case protocol.Returned:
-		return decide.Full, "", nil
+		return decide.Overloaded, "", nil
 	case protocol.Lost:
-		return decide.Reset, "", nil
+		return decide.ConnectionReset, "", nil
 	}
 	return 0, "", nil
 }
--- a/internal/routing/forward_test.go
+++ b/internal/routing/forward_test.go
@@ -74,19 +74,19 @@
 )
 
 // routerTo has one worker at an address, and three operations, the second one non-idempotent.
-func routerTo(addr string) *Router { return routerBy(addr, func(*decide.Terms, *Terms) {}) }
+func routerTo(addr string) *Router { return routerBy(addr, func(*decide.Config, *Terms) {}) }
 
 // routerBy is a router with other terms.
-func routerBy(addr string, change func(*decide.Terms, *Terms)) *Router {
+func routerBy(addr string, change func(*decide.Config, *Terms)) *Router {
 	began := time.Now()
-	decisions := decide.Terms{
-		Dispatchers: 2, Kinds: 1, ForwardsMost: 1, MayCancel: true, Granularity: 20,
+	decisions := decide.Config{
+		Dispatchers: 2, Kinds: 1, MaxAttempts: 1, Cancellation: true, Granularity: 20,
 		ReportInFlight: -1, ReportQueue: -1, ReportFree: -1,
-		Customers: []decide.CustomerTerms{{Quota: 1e9}},
-		Operations: []decide.OperationTerms{
-			{Objective: decide.Second, Value: 1, Kind: -1},
-			{Objective: decide.Second, Value: 1, Kind: -1, Repeat: decide.NonIdempotent},
-			{Objective: decide.Second, Value: 1, Kind: -1, Repeat: decide.Deduplicated},
+		Tenants: []decide.TenantConfig{{Quota: 1e9}},
+		Operations: []decide.OperationConfig{
+			{LatencyObjective: decide.Second, Value: 1, Kind: -1},
+			{LatencyObjective: decide.Second, Value: 1, Kind: -1, Idempotency: decide.NonIdempotent},
+			{LatencyObjective: decide.Second, Value: 1, Kind: -1, Idempotency: decide.IdempotentByKey},
 		},
 	}
 	known := protocol.Entry{ID: "w", Address: addr, State: protocol.Ready}
@@ -105,7 +105,7 @@
 		Known:    &protocol.List{Version: 7, Whole: true, Entries: []protocol.Entry{known}},
 	}
 	change(&decisions, &terms)
-	f := decide.NewInstances(decisions, 1, 1, func() decide.Time { return decide.Second + spanOf(time.Since(began)) },
+	f := decide.NewShards(decisions, 1, 1, func() decide.Time { return decide.Second + spanOf(time.Since(began)) },
 		func(string) {})
 	return New(terms, f, transport.NewPool(4, time.Minute, zerolog.Nop()), nil, &drain.State{}, zerolog.Nop())
 }
@@ -149,21 +149,21 @@
 		"done until the end":    {"HTTP/1.0 200 OK\r\n\r\n" + started + "\n" + done + "\n", true, decide.Succeeded},
 		"failed":                {chunked(started, line("failed")) + last, false, decide.WorkerError},
 		"500":                   {"HTTP/1.1 500 No\r\nContent-Length: 2\r\n\r\nno", false, decide.WorkerError},
-		"returned":              {chunked(line("returned")) + last, false, decide.Full},
+		"returned":              {chunked(line("returned")) + last, false, decide.Overloaded},
 		"declined": {
 			"HTTP/1.1 503 No\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n", false,
-			decide.Full,
+			decide.Overloaded,
 		},
 		"declined and closed": {
 			"HTTP/1.1 504 No\r\nSrv-Declined: 1\r\nConnection: close\r\n\r\n", true,
-			decide.Full,
+			decide.Overloaded,
 		},
 		"503 of another sort":  {"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", false, decide.WorkerError},
-		"lost":                 {chunked(started, line("lost")) + last, false, decide.Reset},
-		"broken before a head": {"", true, decide.Reset},
-		"broken in the head":   {"HTTP/1.1 200", true, decide.Reset},
-		"broken after a start": {chunked(started), true, decide.Reset},
-		"ended without a last": {chunked(started, line("running")) + last, false, decide.Reset},
+		"lost":                 {chunked(started, line("lost")) + last, false, decide.ConnectionReset},
+		"broken before a head": {"", true, decide.ConnectionReset},
+		"broken in the head":   {"HTTP/1.1 200", true, decide.ConnectionReset},
+		"broken after a start": {chunked(started), true, decide.ConnectionReset},
+		"ended without a last": {chunked(started, line("running")) + last, false, decide.ConnectionReset},
 		"no HTTP":              {"SSH-2.0-x\r\n\r\n", false, decide.WorkerError},
 		"bad chunk": {
 			"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n", false,
@@ -190,23 +190,23 @@
 	assert.NoError(t, err)
 	ln.Close()
 	how, _, _ := outcome(t, ln.Addr().String(), context.Background())
-	assert.Equal(t, decide.Refused, how, "its process is not there")
+	assert.Equal(t, decide.ConnectionRefused, how, "its process is not there")
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	how, _, _ = outcome(t, standIn(t, says("", true)), ctx)
-	assert.Equal(t, decide.Moot, how, "called off before anything was sent")
+	assert.Equal(t, decide.NotSent, how, "called off before anything was sent")
 }
 
 func TestForwardCalledOffClosesItsConnection(t *testing.T) {
 	ended := make(chan error, 1)
 	ctx, cancel := context.WithCancelCause(context.Background())
 	addr := standIn(t, func(c net.Conn, _ *http.Request) {
-		cancel(decide.ErrCalledOff)
+		cancel(decide.ErrAttemptCanceled)
 		_, err := c.Read(make([]byte, 1))
 		ended <- err
 	})
 	how, _, _ := outcome(t, addr, ctx)
-	assert.Equal(t, decide.Cancelled, how)
+	assert.Equal(t, decide.Canceled, how)
 	assert.ErrorIs(t, <-ended, io.EOF)
 }
 
@@ -248,6 +248,6 @@
 	assert.Equal(t, 200, serve("idem"))
 	time.Sleep(transport.RestWithin) // before that no kept connection will do
 	assert.Equal(t, 502, serve("once"))
-	assert.Equal(t, int64(1), r.counts.outcomes[decide.Stale].Load())
+	assert.Equal(t, int64(1), r.counts.outcomes[decide.ConnectionStale].Load())
 	assert.Equal(t, 200, serve("idem"), "it gets the next one at once")
 }
--- a/internal/routing/hand.go
+++ b/internal/routing/hand.go
@@ -22,14 +22,14 @@
 // Handed is an invocation that is under way, as one process of this dispatcher hands it to another. Its
 // sockets come with it: the client's, and one for each forward that is out.
 type Handed struct {
-	Invocation *protocol.Invocation `json:"Invocation"`
-	Decided    decide.Adopted       `json:"Decided"`
-	Hosts      []string             `json:"Hosts"`   // the workers of its forwards
-	Early      []byte               `json:"Early"`   // what the client has sent beyond it
-	Came       [][]byte             `json:"Came"`    // on each forward's connection since it was sent
-	Used       []bool               `json:"Used"`    // those connections were used before
-	Closes     bool                 `json:"Closes"`  // the client's connection ends with the answer
-	Interim    bool                 `json:"Interim"` // the client takes interim answers
+	Invocation *protocol.Invocation   `json:"Invocation"`
+	Decided    decide.MigratedRequest `json:"Decided"`
+	Hosts      []string               `json:"Hosts"`   // the workers of its forwards
+	Early      []byte                 `json:"Early"`   // what the client has sent beyond it
+	Came       [][]byte               `json:"Came"`    // on each forward's connection since it was sent
+	Used       []bool                 `json:"Used"`    // those connections were used before
+	Closes     bool                   `json:"Closes"`  // the client's connection ends with the answer
+	Interim    bool                   `json:"Interim"` // the client takes interim answers
 }
 
 // Carrier takes what is handed over, with the client's socket and those of the forwards that are out, by
@@ -40,7 +40,7 @@
 type carrying struct {
 	inv             *protocol.Invocation
 	now             *settings // that it came under
-	ticket          *decide.Ticket
+	ticket          *decide.RequestHandle
 	until           time.Time
 	closes, interim bool
 
@@ -109,12 +109,12 @@
 	}
 	h := &Handed{Invocation: c.inv, Closes: c.closes, Interim: c.interim}
 	c.mu.Lock()
-	decided, ok := c.ticket.Hand(len(parked))
+	decided, ok := c.ticket.Export(len(parked))
 	if ok {
 		h.Decided = decided
 		c.handed, c.parked, c.carrier = h, parked, to
-		for _, f := range decided.Forwards {
-			h.Hosts = append(h.Hosts, r.fleet.id(f.Tgt))
+		for _, f := range decided.Attempts {
+			h.Hosts = append(h.Hosts, r.fleet.id(f.Worker))
 		}
 	}
 	c.mu.Unlock()
@@ -157,7 +157,7 @@
 
 func (r *Router) gather(h *Handed, parked map[int]*passage) (map[int]syscall.Conn, error) {
 	sockets := map[int]syscall.Conn{}
-	h.Came, h.Used = make([][]byte, len(h.Decided.Forwards)), make([]bool, len(h.Decided.Forwards))
+	h.Came, h.Used = make([][]byte, len(h.Decided.Attempts)), make([]bool, len(h.Decided.Attempts))
 	for n, p := range parked {
 		came, err := p.conn.Taped()
 		if err != nil {
@@ -259,12 +259,12 @@
 	if err := json.Unmarshal(text, h); err != nil {
 		return nil, nil, fmt.Errorf("an invocation handed over: %w", err)
 	}
-	for n := range h.Decided.Forwards {
+	for n := range h.Decided.Attempts {
 		w, known := r.fleet.byID(h.Hosts[n])
 		if !known {
 			return h, nil, fmt.Errorf("an invocation handed over: worker %q is not known here", h.Hosts[n])
 		}
-		h.Decided.Forwards[n].Tgt = w
+		h.Decided.Attempts[n].Worker = w
 	}
 	r.tally.name(h.Invocation.Operation)
 	return h, func(ctx context.Context) *protocol.Answer {
@@ -276,16 +276,16 @@
 	inv := h.Invocation
 	r.ids.take(inv.ID)
 	defer r.ids.close(inv.ID)
-	ticket, contexts := r.facade.Adopt(h.Decided)
+	ticket, contexts := r.facade.Import(h.Decided)
 	c := &carrying{
-		inv: inv, now: r.now.Load(), ticket: ticket, until: h.Decided.Until, closes: h.Closes,
+		inv: inv, now: r.now.Load(), ticket: ticket, until: h.Decided.Deadline, closes: h.Closes,
 		interim: h.Interim,
 	}
 	result := make(chan string, 1)
 	for n, nc := range forwards {
-		tgt := h.Decided.Forwards[n].Tgt
+		tgt := h.Decided.Attempts[n].Worker
 		conn := r.pool.Adopt(nc, r.fleet.address(tgt), h.Came[n])
-		choice := decide.Choice{Do: decide.Send, Tgt: tgt, N: n, Ctx: contexts[n]}
+		choice := decide.Decision{Action: decide.SendAttempt, Worker: tgt, Attempt: n, Ctx: contexts[n]}
 		p := r.passage(c, choice)
 		p.used = h.Used[n]
 		r.forwards.Go(func() error {
--- a/internal/routing/hand_test.go
+++ b/internal/routing/hand_test.go
@@ -69,7 +69,7 @@
 		case a := <-answered:
 			assert.Equal(t, 502, a.Status, "it may have run")
 			assert.NoError(t, r.forwards.Wait())
-			assert.Equal(t, 0, r.facade.Open())
+			assert.Equal(t, 0, r.facade.OpenRequests())
 			return
 		case <-time.After(5 * time.Millisecond):
 		}
--- a/internal/routing/legacy.go
+++ b/internal/routing/legacy.go
@@ -13,14 +13,14 @@
 // Legacy is what a router hands on to the one that goes on in its place: what was learnt, with the names by
 // which it is found again where the successor has other settings.
 type Legacy struct {
-	Version int64            `json:"Version"`
-	Workers []protocol.Entry `json:"Workers"` // by their numbers, those that are gone too
-	Zones   []string         `json:"Zones"`   // by their numbers
-	Kinds   []string         `json:"Kinds"`
-	Owners  []string         `json:"Owners"`
-	Learnt  []decide.Legacy  `json:"Learnt"`
-	Twin    Twin             `json:"Twin"`
-	Left    bool             `json:"Left"` // it was told to leave, which holds for its successor too
+	Version int64             `json:"Version"`
+	Workers []protocol.Entry  `json:"Workers"` // by their numbers, those that are gone too
+	Zones   []string          `json:"Zones"`   // by their numbers
+	Kinds   []string          `json:"Kinds"`
+	Owners  []string          `json:"Owners"`
+	Learnt  []decide.Snapshot `json:"Learnt"`
+	Twin    Twin              `json:"Twin"`
+	Left    bool              `json:"Left"` // it was told to leave, which holds for its successor too
 }
 
 // Legacy is what is known here now. What is told of what is open begins with it.
@@ -33,7 +33,7 @@
 
 // Knowledge is what is known here now, but for what is open.
 func (r *Router) Knowledge() Legacy {
-	l := Legacy{Kinds: r.terms.Kinds, Owners: r.now.Load().owners, Learnt: r.facade.Legacy()}
+	l := Legacy{Kinds: r.terms.Kinds, Owners: r.now.Load().owners, Learnt: r.facade.Snapshot()}
 	l.Version, l.Workers, l.Zones = r.fleet.entries()
 	phase := r.drain.At(time.Now())
 	l.Left = phase == drain.Leaving || phase == drain.Away
@@ -58,13 +58,13 @@
 		}
 	}
 	entries, _ := r.fleet.take(&protocol.List{Version: l.Version, Whole: true, Entries: l.Workers})
-	r.facade.ReportList(entries, true, true)
+	r.facade.UpdateEndpoints(entries, true, true)
 	for n := range l.Learnt {
 		learnt := &l.Learnt[n]
-		learnt.Customers = align(learnt.Customers, l.Owners, r.now.Load().owners)
+		learnt.Tenants = align(learnt.Tenants, l.Owners, r.now.Load().owners)
 		learnt.Kinds = align(learnt.Kinds, l.Kinds, r.terms.Kinds)
 	}
-	if !r.facade.Inherit(l.Learnt) {
+	if !r.facade.RestoreFromPredecessor(l.Learnt) {
 		r.log.Warn().Int("instances", len(l.Learnt)).Msg("predecessor had other instances: what it learnt is lost")
 	}
 	if r.heir = true; l.Left {
--- a/internal/routing/list.go
+++ b/internal/routing/list.go
@@ -47,14 +47,14 @@
 	case r.place.leave != nil:
 		r.place.leave(errMoved)
 	default:
-		r.facade.ReportListMoved()
+		r.facade.ReportDiscoveryMoved()
 	}
 }
 
 // follow watches the list whenever the decisions ask for it, and reports when a watch has ended.
 func (r *Router) follow(ctx context.Context) error {
 	for {
-		if err := r.facade.PickWatch(ctx); err != nil {
+		if err := r.facade.AwaitPoll(ctx); err != nil {
 			return nil
 		}
 		watching, leave := context.WithCancelCause(ctx)
@@ -62,7 +62,7 @@
 		// has a list from before must not stand idle for as long.
 		slow := time.AfterFunc(slowAfter, func() {
 			if !r.settled.Load() && r.fleet.serves() {
-				r.facade.ReportListSlow()
+				r.facade.ReportFirstPollSlow()
 				r.settled.Store(true)
 			}
 		})
@@ -87,22 +87,22 @@
 }
 
 // listEnd tells the decisions' sorts of ends apart.
-func listEnd(answered bool, err error) decide.ListEnd {
+func listEnd(answered bool, err error) decide.WatchEnd {
 	switch {
 	case errors.Is(err, errBusy):
-		return decide.ListBusy
+		return decide.WatchRejected
 	case !answered:
-		return decide.ListFailed
+		return decide.WatchFailed
 	case transport.Blame(err) == transport.TooSlow:
-		return decide.ListSilent
+		return decide.WatchSilent
 	}
-	return decide.ListCut
+	return decide.WatchCut
 }
 
 // watchEnded reports the end of a watch, in one step with the look whether the service has moved. It guards
 // against a move that comes as a watch is lost, and whose call would wait for as long as one to the old
 // place.
-func (r *Router) watchEnded(watching context.Context, how decide.ListEnd) (moved bool) {
+func (r *Router) watchEnded(watching context.Context, how decide.WatchEnd) (moved bool) {
 	r.place.mu.Lock()
 	defer r.place.mu.Unlock()
 	r.place.leave = nil
@@ -110,9 +110,9 @@
 		r.beforeLost()
 	}
 	if moved = errors.Is(context.Cause(watching), errMoved); moved {
-		r.facade.ReportListMoved()
+		r.facade.ReportDiscoveryMoved()
 	} else {
-		r.facade.ReportListLost(how)
+		r.facade.ReportWatchEnded(how)
 	}
 	return moved
 }
@@ -235,7 +235,7 @@
 	if r.beforeListed != nil {
 		r.beforeListed()
 	}
-	r.facade.ReportList(entries, l.Whole, false)
+	r.facade.UpdateEndpoints(entries, l.Whole, false)
 	r.settled.Store(true)
 	if r.terms.Back != nil {
 		r.terms.Back.Listed()
@@ -245,7 +245,7 @@
 // probes asks workers for their load reports where the decisions want them.
 func (r *Router) probes(ctx context.Context) error {
 	for {
-		w, err := r.facade.PickProbe(ctx)
+		w, err := r.facade.NextProbe(ctx)
 		if err != nil {
 			return nil
 		}
@@ -256,7 +256,7 @@
 	}
 }
 
-func (r *Router) probe(ctx context.Context, w decide.Worker) {
+func (r *Router) probe(ctx context.Context, w decide.WorkerID) {
 	ctx, cancel := context.WithTimeout(ctx, r.now.Load().dialWithin)
 	defer cancel()
 	conn, err := r.pool.Get(ctx, r.fleet.address(w), transport.Any)
@@ -276,7 +276,7 @@
 		r.pool.Put(conn)
 	}
 	if r.counts.Probes.Add(1); err == nil {
-		r.facade.ReportLoad(w, values)
+		r.facade.ReceiveLoadReport(w, values)
 	}
 }
 
--- a/internal/routing/peers.go
+++ b/internal/routing/peers.go
@@ -31,7 +31,7 @@
 	}
 	var b []byte
 	for {
-		news, err := r.facade.PickNews(ctx, instance)
+		news, err := r.facade.NextLoadUpdates(ctx, instance)
 		if err != nil {
 			return nil
 		}
@@ -52,7 +52,7 @@
 		return
 	}
 	b := protocol.AppendNews(nil, uint16(time.Now().UnixMilli()), protocol.Alone, nil)
-	for _, n := range r.facade.Neighbours() {
+	for _, n := range r.facade.GossipPeers() {
 		if n < len(r.terms.Peers) {
 			r.send(r.terms.Peers[n], b)
 		}
@@ -65,7 +65,7 @@
 // greetBack answers a greeting by one, as long as this process has met nobody who has lived longer and has no
 // list: its peer would else take the news from here for that of one who knows what was before.
 func (r *Router) greetBack(process int) {
-	if now := time.Now(); r.datagrams != nil && r.facade.Lonely() && now.Sub(r.greeted[process]) >= greetAgain {
+	if now := time.Now(); r.datagrams != nil && r.facade.Isolated() && now.Sub(r.greeted[process]) >= greetAgain {
 		r.greeted[process] = now
 		r.send(r.terms.Peers[process], protocol.AppendNews(nil, uint16(now.UnixMilli()), protocol.Alone, nil))
 	}
@@ -73,12 +73,12 @@
 
 // byProcess gathers news for instances by the process that they are of, each worker once: all instances there
 // hear what comes.
-func (r *Router) byProcess(news []decide.News) map[int][]protocol.Load {
+func (r *Router) byProcess(news []decide.LoadUpdate) map[int][]protocol.Load {
 	out := map[int][]protocol.Load{}
 	for _, n := range news {
 		process := int(n.To) / r.facade.Count()
 		for _, l := range n.Loads {
-			told := protocol.Load{Tag: r.fleet.tag(l.Tgt), InFlight: l.InFlight}
+			told := protocol.Load{Tag: r.fleet.tag(l.Worker), InFlight: l.InFlight}
 			if r.facade.Count() == 1 || !slices.Contains(out[process], told) {
 				out[process] = append(out[process], told)
 			}
@@ -115,12 +115,12 @@
 	r.heard[peer] = stamp{at, true}
 	r.counts.DatagramsHeard.Add(1)
 	if len(loads) == 0 {
-		r.facade.ReportPeerStarted(n)
+		r.facade.ReceivePeerStarted(n)
 		r.greetBack(n)
 	}
 	for _, l := range loads {
 		if w, known := r.fleet.byTag(l.Tag); known {
-			r.facade.ReportPeer(decide.Peer(peer), decide.Load{Tgt: w, InFlight: l.InFlight})
+			r.facade.ReceiveLoad(decide.PeerID(peer), decide.Load{Worker: w, InFlight: l.InFlight})
 		}
 	}
 }
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -23,10 +23,10 @@
 // Operation is what is told of one operation by name.
 type Operation struct {
 	Name    string
-	Timeout time.Duration // a client's, where it tells none
-	Keyed   bool          // workers drop repeats by a key, without which they can do nothing with it
-	Scope   decide.Scope  // the group of workers that drops them
-	Window  time.Duration // for how long
+	Timeout time.Duration     // a client's, where it tells none
+	Keyed   bool              // workers drop repeats by a key, without which they can do nothing with it
+	Scope   decide.DedupScope // the group of workers that drops them
+	Window  time.Duration     // for how long
 }
 
 // Terms are what a router is told at its start.
@@ -49,7 +49,7 @@
 // Router answers invocations by way of workers.
 type Router struct {
 	terms     Terms
-	facade    *decide.Instances
+	facade    *decide.Shards
 	pool      *transport.Pool
 	datagrams *transport.Datagrams // nil where dispatchers may not talk
 	log       zerolog.Logger
@@ -78,7 +78,7 @@
 }
 
 // New makes a router and gives the facade the list that it starts with.
-func New(t Terms, f *decide.Instances, p *transport.Pool, d *transport.Datagrams, state *drain.State,
+func New(t Terms, f *decide.Shards, p *transport.Pool, d *transport.Datagrams, state *drain.State,
 	log zerolog.Logger,
 ) *Router {
 	r := &Router{
@@ -87,15 +87,15 @@
 		place: place{address: t.Discovery}, door: door.New(float64(f.Count())),
 		fleet: fleet{
 			zones: numbered(t.Zones), kinds: numbered(t.Kinds), clock: t.FromUnix, log: log,
-			numbers: map[string]decide.Worker{}, tagged: map[uint16]decide.Worker{},
+			numbers: map[string]decide.WorkerID{}, tagged: map[uint16]decide.WorkerID{},
 		},
 	}
-	numbers := decide.Numbers{}
+	numbers := decide.AssignedIDs{}
 	for n := range t.Operations {
-		numbers.Operations = append(numbers.Operations, decide.Operation(n))
+		numbers.Operations = append(numbers.Operations, decide.OperationID(n))
 	}
 	for n := range t.Owners {
-		numbers.Customers = append(numbers.Customers, decide.Customer(n))
+		numbers.Tenants = append(numbers.Tenants, decide.TenantID(n))
 	}
 	r.adjust(t, numbers)
 	err := r.inherit(t.Legacy)
@@ -104,7 +104,7 @@
 	}
 	if t.Known != nil && !r.heir {
 		entries, _ := r.fleet.take(t.Known)
-		f.ReportList(entries, true, true)
+		f.UpdateEndpoints(entries, true, true)
 	}
 	return r
 }
@@ -122,7 +122,7 @@
 func (r *Router) Run(ctx context.Context) error {
 	g, ctx := errgroup.WithContext(ctx)
 	for j := range r.facade.Count() {
-		g.Go(func() error { return r.facade.Tick(ctx, j) })
+		g.Go(func() error { return r.facade.Run(ctx, j) })
 		if r.datagrams != nil || r.facade.Count() > 1 {
 			g.Go(func() error { return r.tell(ctx, j) })
 		}
@@ -134,7 +134,7 @@
 		g.Go(func() error { return r.datagrams.Run(ctx, r.hear) })
 	}
 	err := g.Wait()
-	r.facade.Close()
+	r.facade.CancelAll()
 	_ = r.forwards.Wait() // a forward reports its error to the decisions, and returns none
 	return err
 }
@@ -143,7 +143,7 @@
 // is sent away, since begun it could not always be. Its client should come back late: clients still come here
 // for a while, and where dispatchers are restarted in turn, another one may just be coming up.
 func (r *Router) Drain(within time.Duration) {
-	r.facade.EndBy(decide.Time(within / (time.Second / decide.Second)))
+	r.facade.StopAfter(decide.Time(within / (time.Second / decide.Second)))
 }
 
 // Check answers what can be answered by the head alone.
@@ -225,24 +225,24 @@
 }
 
 // landing reads what the decisions need to know of an invocation.
-func (now *settings) landing(inv *protocol.Invocation) (decide.Landing, error) {
+func (now *settings) landing(inv *protocol.Invocation) (decide.Arrival, error) {
 	o, known := now.operations[inv.Operation]
 	if !known {
-		return decide.Landing{}, fmt.Errorf("%w: unknown operation %.40q", protocol.ErrMalformed, inv.Operation)
+		return decide.Arrival{}, fmt.Errorf("%w: unknown operation %.40q", protocol.ErrMalformed, inv.Operation)
 	}
 	if o.Keyed && inv.Dedup == "" {
-		return decide.Landing{}, fmt.Errorf("%w: no Idempotency-Key", protocol.ErrMalformed)
+		return decide.Arrival{}, fmt.Errorf("%w: no Idempotency-Key", protocol.ErrMalformed)
 	}
 	c, known := now.customers[inv.Owner]
 	if !known && len(now.customers) > 0 {
-		return decide.Landing{}, fmt.Errorf("%w: unknown owner %.40q", protocol.ErrMalformed, inv.Owner)
+		return decide.Arrival{}, fmt.Errorf("%w: unknown owner %.40q", protocol.ErrMalformed, inv.Owner)
 	}
 	if inv.Timeout == 0 {
 		inv.Timeout = o.Timeout
 	}
-	return decide.Landing{
-		Operation: o.number, Customer: c, Grace: spanOf(inv.Timeout),
-		Hint: decide.Work(spanOf(inv.Hint)), Slots: inv.Slots,
+	return decide.Arrival{
+		Operation: o.number, Tenant: c, Timeout: spanOf(inv.Timeout),
+		SizeHint: decide.Work(spanOf(inv.Hint)), Slots: inv.Slots,
 	}, nil
 }
 
@@ -268,21 +268,21 @@
 }
 
 // carry brings an invocation that was taken to its answer, nil where its client has left.
-func (r *Router) carry(ctx context.Context, now *settings, inv *protocol.Invocation, l decide.Landing,
+func (r *Router) carry(ctx context.Context, now *settings, inv *protocol.Invocation, l decide.Arrival,
 	came time.Time, h *protocol.Head,
 ) *protocol.Answer {
 	phase := r.drain.At(time.Now())
 	cut := phase.Ends() && phase != drain.Yielding // what is under way ends with this process
-	if !phase.Admits() || cut && r.facade.Late(l) {
+	if !phase.Admits() || cut && r.facade.MissesStop(l) {
 		r.counts.Throttled.Add(1)
 		return &protocol.Answer{Status: 503, ComeBack: now.comeBackMost}
 	}
-	land := func(past *decide.Past) *protocol.Answer {
+	land := func(past *decide.PriorAttempt) *protocol.Answer {
 		c := &carrying{inv: inv, now: now, until: came.Add(inv.Timeout), closes: h.Closes(), interim: h.Interim()}
 		if past == nil {
-			c.ticket = r.facade.Land(l)
+			c.ticket = r.facade.Submit(l)
 		} else {
-			c.ticket = r.facade.LandAfter(l, *past)
+			c.ticket = r.facade.SubmitAfter(l, *past)
 		}
 		return r.pursue(ctx, c, make(chan string, 1))
 	}
@@ -318,19 +318,19 @@
 			r.counts.Left.Add(1)
 			return nil
 		}
-		switch choice.Do {
-		case decide.Send:
+		switch choice.Action {
+		case decide.SendAttempt:
 			r.forwards.Go(func() error {
 				r.forward(c, choice, result)
 				return nil
 			})
-		case decide.AnswerFound:
+		case decide.RespondResult:
 			r.counts.Succeeded.Add(1)
 			return &protocol.Answer{Status: 200, Body: []byte(<-result)}
-		case decide.AnswerThrottled:
+		case decide.RespondRejected:
 			r.counts.Throttled.Add(1)
-			return &protocol.Answer{Status: 429, ComeBack: choice.ComeBack.Duration()}
-		case decide.HandOver:
+			return &protocol.Answer{Status: 429, ComeBack: choice.RetryAfter.Duration()}
+		case decide.RespondElsewhere:
 			return r.handOver(ctx, c)
 		default:
 			r.counts.Errored.Add(1)
--- a/internal/routing/settings.go
+++ b/internal/routing/settings.go
@@ -11,7 +11,7 @@
 // invocation goes by those that were in force as it came.
 type settings struct {
 	operations   map[string]operation
-	customers    map[string]decide.Customer
+	customers    map[string]decide.TenantID
 	owners       []string // by their numbers, those of before too
 	dialWithin   time.Duration
 	comeBackMost time.Duration
@@ -19,23 +19,23 @@
 
 type operation struct {
 	Operation
-	number decide.Operation
+	number decide.OperationID
 }
 
 // Retune takes new terms, all at once. What is open keeps the settings that it came under; a name that is
 // not among the operations any more is unknown to what comes from now on, and its counts are kept. What comes
 // meanwhile lands by the old names, whose numbers stay theirs in the decisions.
-func (r *Router) Retune(t Terms, decisions decide.Terms) {
-	numbers := r.facade.Retune(decisions)
+func (r *Router) Retune(t Terms, decisions decide.Config) {
+	numbers := r.facade.Reconfigure(decisions)
 	if r.beforeTold != nil {
 		r.beforeTold()
 	}
 	r.adjust(t, numbers)
 }
 
-func (r *Router) adjust(t Terms, numbers decide.Numbers) {
+func (r *Router) adjust(t Terms, numbers decide.AssignedIDs) {
 	s := &settings{
-		operations: map[string]operation{}, customers: map[string]decide.Customer{},
+		operations: map[string]operation{}, customers: map[string]decide.TenantID{},
 		dialWithin: t.DialWithin, comeBackMost: t.ComeBackMost,
 	}
 	if was := r.now.Load(); was != nil {
@@ -46,7 +46,7 @@
 		r.tally.name(o.Name)
 	}
 	for n, name := range t.Owners {
-		number := numbers.Customers[n]
+		number := numbers.Tenants[n]
 		s.owners = append(s.owners, make([]string, max(0, int(number)+1-len(s.owners)))...)
 		s.owners[number], s.customers[name] = name, number
 	}
