--- a/internal/routing/taken_test.go
+++ b/internal/routing/taken_test.go
@@ -34,15 +34,15 @@
 				io.WriteString(conn, chunk(started)+chunk(done)+last)
 			}
 			other := standIn(t, worker)
-			r := routerBy(standIn(t, worker), func(d *decide.Terms, terms *Terms) {
-				d.Takes, d.StartNotes, d.ForwardsMost, d.Copies = true, true, 4, true
-				d.Operations[0].Objective, d.FallSpan = decide.Second/5, 4*decide.Second
-				d.Operations[1].Objective, d.Operations[2].Objective = decide.Second/5, decide.Second/5
+			r := routerBy(standIn(t, worker), func(d *decide.Config, terms *Terms) {
+				d.DeliveryNotices, d.StartNotices, d.MaxAttempts, d.Hedging = true, true, 4, true
+				d.Operations[0].LatencyObjective, d.WarmupWindow = decide.Second/5, 4*decide.Second
+				d.Operations[1].LatencyObjective, d.Operations[2].LatencyObjective = decide.Second/5, decide.Second/5
 				terms.Known.Entries = append(terms.Known.Entries, protocol.Entry{ID: "v", Address: other, State: protocol.Ready})
 			})
 			ctx, cancel := context.WithCancel(context.Background())
 			defer cancel()
-			go func() { _ = r.facade.Tick(ctx, 0) }()
+			go func() { _ = r.facade.Run(ctx, 0) }()
 			assert.Equal(t, 200, within(t, serving(r, ctx, "idem")).Status)
 			assert.Equal(t, c.forwards, came.Load())
 		})
--- a/internal/routing/tally.go
+++ b/internal/routing/tally.go
@@ -79,7 +79,7 @@
 			protocol.Figure{Name: "declined", Operation: name, Value: e.declined.Load()},
 			protocol.Figure{Name: "aborted", Operation: name, Value: e.aborted.Load()})
 	}
-	listed, avoided := r.facade.Workers()
+	listed, avoided := r.facade.WorkerCounts()
 	return append(figures, protocol.Figure{Name: "forwards", Value: r.counts.Sent.Load()},
 		protocol.Figure{Name: "outstanding", Value: out},
 		protocol.Figure{Name: "discovered", Value: int64(listed)},
--- a/internal/routing/twin.go
+++ b/internal/routing/twin.go
@@ -16,14 +16,14 @@
 }
 
 // Twin is what a side is to be told now.
-func (r *Router) Twin(to decide.Side) Twin {
+func (r *Router) Twin(to decide.SiblingRole) Twin {
 	t := Twin{Loads: map[string]int{}, Spent: map[string]decide.Work{}}
-	for _, l := range r.facade.Out(to) {
-		t.Loads[r.fleet.id(l.Tgt)] = l.InFlight
+	for _, l := range r.facade.InFlightFor(to) {
+		t.Loads[r.fleet.id(l.Worker)] = l.InFlight
 	}
 	now := r.facade.Now()
-	for _, s := range r.facade.SpentSince(r.spentTold) {
-		t.Spent[r.fleet.id(s.Tgt)] += s.Work
+	for _, s := range r.facade.RecentSendsSince(r.spentTold) {
+		t.Spent[r.fleet.id(s.Worker)] += s.Work
 	}
 	r.spentTold = now
 	t.Opened, t.Closed = r.ids.news()
@@ -31,29 +31,29 @@
 }
 
 // Meet takes what a side tells.
-func (r *Router) Meet(from decide.Side, t Twin) {
+func (r *Router) Meet(from decide.SiblingRole, t Twin) {
 	var loads []decide.Load
 	for id, n := range t.Loads {
 		if w, known := r.fleet.byID(id); known {
-			loads = append(loads, decide.Load{Tgt: w, InFlight: n})
+			loads = append(loads, decide.Load{Worker: w, InFlight: n})
 		}
 	}
-	r.facade.ReportTwin(from, loads)
-	var spent []decide.Spent
+	r.facade.UpdateSibling(from, loads)
+	var spent []decide.RecentSend
 	for id, work := range t.Spent {
 		if w, known := r.fleet.byID(id); known {
-			spent = append(spent, decide.Spent{Tgt: w, Work: work})
+			spent = append(spent, decide.RecentSend{Worker: w, Work: work})
 		}
 	}
 	if len(spent) > 0 {
-		r.facade.ReportSpent(spent)
+		r.facade.AddRecentSends(spent)
 	}
 	r.ids.elsewhere(t.Opened, t.Closed)
 }
 
 // Part forgets what a side has told: it has ended.
-func (r *Router) Part(from decide.Side) {
-	r.facade.ReportTwin(from, nil)
+func (r *Router) Part(from decide.SiblingRole) {
+	r.facade.UpdateSibling(from, nil)
 	r.ids.alone()
 }
 
--- a/internal/terms/terms.go
+++ b/internal/terms/terms.go
@@ -19,11 +19,11 @@
 	MessageMost  = 256
 )
 
-var repeats = map[string]decide.Repeat{
-	"idempotent": decide.Idempotent, "deduplicated": decide.Deduplicated, "at_most_once": decide.NonIdempotent,
+var repeats = map[string]decide.Idempotency{
+	"idempotent": decide.Idempotent, "deduplicated": decide.IdempotentByKey, "at_most_once": decide.NonIdempotent,
 }
 
-var scopes = map[string]decide.Scope{
+var scopes = map[string]decide.DedupScope{
 	"": decide.ScopeAll, "all": decide.ScopeAll, "zone": decide.ScopeZone, "cell": decide.ScopeCell,
 }
 
@@ -34,37 +34,37 @@
 func Span(s float64) decide.Time { return decide.Time(math.Floor(s*decide.Second + 1e-6)) }
 
 // Parse reads the settings; keys that it does not know are passed over.
-func Parse(v *fastjson.Value) (decide.Terms, error) {
+func Parse(v *fastjson.Value) (decide.Config, error) {
 	if v == nil || v.Type() != fastjson.TypeObject {
-		return decide.Terms{}, errors.New("not an object")
+		return decide.Config{}, errors.New("not an object")
 	}
 	limits, rules, info, report := v.Get("policyLimits"), v.Get("rules"), v.Get("familyInfo"), v.Get("report")
 	goal := v.GetFloat64("goal", "whole") + v.GetFloat64("goal", "worstWindow")
-	t := decide.Terms{
+	t := decide.Config{
 		Dispatchers: v.GetInt("balancers"), Kinds: max(len(v.GetArray("shapes")), 1),
-		Zone:     decide.Zone(v.GetInt("zone")),
-		Position: v.GetInt("position"), TellCost: v.GetFloat64("prices", "peer") * MessageLeast / MessageMost,
-		Granularity: Span(v.GetFloat64("granularityS")), AskWithin: Span(rules.GetFloat64("askWithinS")),
-		ComeBackMost: Span(limits.GetFloat64("maxRetryAfterS")), Ramp: Span(rules.GetFloat64("rampTimeS")),
-		FallSpan: Span(rules.GetFloat64("fallS")), ColdFrom: rules.GetFloat64("coldFrom"),
-		FallMultiple: rules.GetFloat64("overloadFactor"), SurplusShare: v.GetFloat64("surplusBilledValue"),
-		CrossCost: v.GetFloat64("prices", "crossZone"), ForwardsMost: limits.GetInt("maxForwards"),
-		AskForList: string(v.GetStringBytes("registryMode")) == "subscribe",
-		MayCancel:  limits.GetBool("mayCancel"), Copies: limits.GetBool("secondCopies"),
-		Probes: limits.GetBool("probes"), Peers: limits.GetBool("peers"), ComeBack: limits.GetBool("retryAfter"),
-		StartNotes:     info.GetBool("tellsStart"),
-		WorstOperation: v.GetFloat64("goal", "worstClass") / max(goal, 0.01),
-		ReportsOnProbe: string(report.GetStringBytes("how")) == "on_probe",
+		Zone:     decide.ZoneID(v.GetInt("zone")),
+		Position: v.GetInt("position"), GossipCost: v.GetFloat64("prices", "peer") * MessageLeast / MessageMost,
+		Granularity: Span(v.GetFloat64("granularityS")), MaxPollInterval: Span(rules.GetFloat64("askWithinS")),
+		MaxRetryAfter: Span(limits.GetFloat64("maxRetryAfterS")), WarmupDuration: Span(rules.GetFloat64("rampTimeS")),
+		WarmupWindow: Span(rules.GetFloat64("fallS")), InitialWarmup: rules.GetFloat64("coldFrom"),
+		OverloadFactor: rules.GetFloat64("overloadFactor"), OverQuotaShare: v.GetFloat64("surplusBilledValue"),
+		CrossZoneCost: v.GetFloat64("prices", "crossZone"), MaxAttempts: limits.GetInt("maxForwards"),
+		PollEndpoints: string(v.GetStringBytes("registryMode")) == "subscribe",
+		Cancellation:  limits.GetBool("mayCancel"), Hedging: limits.GetBool("secondCopies"),
+		Probes: limits.GetBool("probes"), Gossip: limits.GetBool("peers"), RetryAfter: limits.GetBool("retryAfter"),
+		StartNotices:         info.GetBool("tellsStart"),
+		WorstOperationWeight: v.GetFloat64("goal", "worstClass") / max(goal, 0.01),
+		ReportsOnProbe:       string(report.GetStringBytes("how")) == "on_probe",
 	}
 	if string(v.GetStringBytes("billedValueBasis")) != "work" {
-		t.ValueByInvocation = 1
+		t.ValuePerRequest = 1
 	}
 	t.ReportInFlight, t.ReportQueue, t.ReportFree = reportPlaces(report, info)
 	var err error
 	if t.Operations, err = operations(v.GetArray("operations"), info); err != nil {
 		return t, err
 	}
-	t.Customers = customers(v.GetArray("orgs"))
+	t.Tenants = customers(v.GetArray("orgs"))
 	return t, check(v)
 }
 
@@ -88,7 +88,7 @@
 }
 
 // operations reads the terms of each operation. The error names the operation by its place in the settings.
-func operations(settings []*fastjson.Value, info *fastjson.Value) (all []decide.OperationTerms, err error) {
+func operations(settings []*fastjson.Value, info *fastjson.Value) (all []decide.OperationConfig, err error) {
 	for n, o := range settings {
 		repeat, known := repeats[string(o.GetStringBytes("repeat"))]
 		scope, named := scopes[string(o.GetStringBytes("dedupScope"))]
@@ -96,11 +96,11 @@
 			return all, fmt.Errorf("operations[%d]: unknown repeat %q or dedupScope %q", n,
 				o.GetStringBytes("repeat"), o.GetStringBytes("dedupScope"))
 		}
-		op := decide.OperationTerms{
-			Name:      string(o.GetStringBytes("name")),
-			Objective: Span(o.GetFloat64("latencyObjectiveS")), Window: Span(o.GetFloat64("dedupWindowS")),
-			Value: o.GetFloat64("billedValue"), TardyShare: o.GetFloat64("tardyBilledValue"),
-			Repeat: repeat, Scope: scope, Kind: -1,
+		op := decide.OperationConfig{
+			Name:             string(o.GetStringBytes("name")),
+			LatencyObjective: Span(o.GetFloat64("latencyObjectiveS")), DedupWindow: Span(o.GetFloat64("dedupWindowS")),
+			Value: o.GetFloat64("billedValue"), LateShare: o.GetFloat64("tardyBilledValue"),
+			Idempotency: repeat, DedupScope: scope, Kind: -1,
 		}
 		if stretch := info.GetArray("classStretch"); n < len(stretch) {
 			op.Stretch = stretch[n].GetFloat64()
@@ -109,7 +109,7 @@
 			op.Stretch = o.GetFloat64("aimStretch")
 		}
 		if k := info.GetArray("classKind"); n < len(k) {
-			op.Kind = decide.Kind(k[n].GetInt())
+			op.Kind = decide.KindID(k[n].GetInt())
 		}
 		all = append(all, op)
 	}
@@ -117,19 +117,19 @@
 }
 
 // customers reads the terms of each customer, or of a single one without a quota where the settings name none.
-func customers(settings []*fastjson.Value) (all []decide.CustomerTerms) {
+func customers(settings []*fastjson.Value) (all []decide.TenantConfig) {
 	for _, c := range settings {
 		quota := c.GetFloat64("quotaPerS")
 		if quota <= 0 {
 			quota = math.Inf(1)
 		}
-		all = append(all, decide.CustomerTerms{
+		all = append(all, decide.TenantConfig{
 			Quota: quota,
 			Name:  string(c.GetStringBytes("name")),
 		})
 	}
 	if len(all) == 0 { // all invocations come from one that has no share
-		return []decide.CustomerTerms{{Quota: math.Inf(1)}}
+		return []decide.TenantConfig{{Quota: math.Inf(1)}}
 	}
 	return all
 }
--- a/internal/terms/terms_test.go
+++ b/internal/terms/terms_test.go
@@ -33,24 +33,24 @@
 }`
 
 // wantTerms is what allSettings says.
-func wantTerms() decide.Terms {
-	return decide.Terms{
-		Dispatchers: 5, Kinds: 2, Position: 2, TellCost: 0.03125, Zone: 3,
-		Operations: []decide.OperationTerms{
+func wantTerms() decide.Config {
+	return decide.Config{
+		Dispatchers: 5, Kinds: 2, Position: 2, GossipCost: 0.03125, Zone: 3,
+		Operations: []decide.OperationConfig{
 			{
-				Name: "render", Objective: 12_500, Window: 6_000_000, Value: 4, TardyShare: 0.5, Stretch: 0.75, Repeat: 1,
-				Scope: 2, Kind: 1,
+				Name: "render", LatencyObjective: 12_500, DedupWindow: 6_000_000, Value: 4, LateShare: 0.5, Stretch: 0.75, Idempotency: 1,
+				DedupScope: 2, Kind: 1,
 			},
 			{
-				Name: "pay", Objective: 5_000, Window: 10_000, Value: 2, TardyShare: 0.25, Stretch: 0.5, Repeat: 2, Scope: 1,
+				Name: "pay", LatencyObjective: 5_000, DedupWindow: 10_000, Value: 2, LateShare: 0.25, Stretch: 0.5, Idempotency: 2, DedupScope: 1,
 				Kind: 0,
 			},
 		},
-		Customers:   []decide.CustomerTerms{{Quota: 7.5, Name: "acme"}, {Quota: math.Inf(1), Name: "globex"}},
-		Granularity: 20, AskWithin: 60_000, ComeBackMost: 25_000, Ramp: 300_000, FallSpan: 20_000, ColdFrom: 0.4,
-		FallMultiple: 1.5, SurplusShare: 0.125, CrossCost: 0.25, AskForList: true, MayCancel: true, Copies: true,
-		ComeBack: true, Probes: true, Peers: true, StartNotes: true, ReportsOnProbe: true, WorstOperation: 1.5,
-		ValueByInvocation: 1, ForwardsMost: 3, ReportInFlight: 1, ReportQueue: 2, ReportFree: 3,
+		Tenants:     []decide.TenantConfig{{Quota: 7.5, Name: "acme"}, {Quota: math.Inf(1), Name: "globex"}},
+		Granularity: 20, MaxPollInterval: 60_000, MaxRetryAfter: 25_000, WarmupDuration: 300_000, WarmupWindow: 20_000, InitialWarmup: 0.4,
+		OverloadFactor: 1.5, OverQuotaShare: 0.125, CrossZoneCost: 0.25, PollEndpoints: true, Cancellation: true, Hedging: true,
+		RetryAfter: true, Probes: true, Gossip: true, StartNotices: true, ReportsOnProbe: true, WorstOperationWeight: 1.5,
+		ValuePerRequest: 1, MaxAttempts: 3, ReportInFlight: 1, ReportQueue: 2, ReportFree: 3,
 	}
 }
 
@@ -74,13 +74,13 @@
 	for word, want := range map[string]int{"idempotent": 0, "deduplicated": 1, "at_most_once": 2} {
 		read, err := Parse(fastjson.MustParse(fmt.Sprintf(`{"balancers":1,"operations":[{"repeat":%q}]}`, word)))
 		assert.NoError(t, err)
-		assert.EqualValues(t, want, read.Operations[0].Repeat, word)
+		assert.EqualValues(t, want, read.Operations[0].Idempotency, word)
 	}
 	for word, want := range map[string]int{"": 0, "all": 0, "zone": 1, "cell": 2} {
 		read, err := Parse(fastjson.MustParse(
 			fmt.Sprintf(`{"balancers":1,"operations":[{"repeat":"idempotent","dedupScope":%q}]}`, word)))
 		assert.NoError(t, err)
-		assert.EqualValues(t, want, read.Operations[0].Scope, word)
+		assert.EqualValues(t, want, read.Operations[0].DedupScope, word)
 	}
 }
 
@@ -89,9 +89,9 @@
 	read, err := Parse(fastjson.MustParse(
 		`{"balancers":1,"billedValueBasis":"work","operations":[{"repeat":"idempotent"}]}`))
 	assert.NoError(t, err)
-	assert.Equal(t, decide.Terms{
-		Dispatchers: 1, Kinds: 1, Operations: []decide.OperationTerms{{Kind: -1}},
-		Customers: []decide.CustomerTerms{{Quota: math.Inf(1)}}, ReportInFlight: -1, ReportQueue: -1, ReportFree: -1,
+	assert.Equal(t, decide.Config{
+		Dispatchers: 1, Kinds: 1, Operations: []decide.OperationConfig{{Kind: -1}},
+		Tenants: []decide.TenantConfig{{Quota: math.Inf(1)}}, ReportInFlight: -1, ReportQueue: -1, ReportFree: -1,
 	},
 		read)
 }
