--- a/cmd/canvasroute/main.go
+++ b/cmd/canvasroute/main.go
@@ -10,7 +10,7 @@
 
 func main() {
 	if len(os.Args) > 1 {
-		os.Exit(program.Call(os.Args[1:], os.Stdout, os.Stderr))
+		os.Exit(program.RunCommand(os.Args[1:], os.Stdout, os.Stderr))
 	}
 	os.Exit(program.Main())
 }
--- a/internal/door/door.go
+++ b/internal/door/door.go
@@ -14,18 +14,18 @@
 
 // Bounds.
 const (
-	Every    = 10 * time.Millisecond // from one beat to the next
-	Interval = 40 * time.Millisecond // over which a delay has to stand
-	Target   = 10 * time.Millisecond // the delay that is taken for none
-	leastPer = 1500.0                // heads a second and core: below it, delays are not of our making
-	leastNow = 8                     // heads in an interval, before which there is nothing to find out
-	floor    = 1.0 / 32              // of what comes is taken however long the delay
-	opens    = 0.06                  // of it more after an interval without, and a tenth of that of all
-	steepest = 0.5                   // of it is kept at least after one with
+	SampleInterval = 10 * time.Millisecond // from one beat to the next
+	Interval       = 40 * time.Millisecond // over which a delay has to stand
+	Target         = 10 * time.Millisecond // the delay that is taken for none
+	leastPer       = 1500.0                // heads a second and core: below it, delays are not of our making
+	leastNow       = 8                     // heads in an interval, before which there is nothing to find out
+	floor          = 1.0 / 32              // of what comes is taken however long the delay
+	opens          = 0.06                  // of it more after an interval without, and a tenth of that of all
+	steepest       = 0.5                   // of it is kept at least after one with
 )
 
-// Door takes beats from one goroutine, and is asked by many.
-type Door struct {
+// Controller takes beats from one goroutine, and is asked by many.
+type Controller struct {
 	cores float64
 
 	ends  time.Duration // of the interval, on the beats' clock
@@ -37,19 +37,19 @@
 }
 
 // New makes a door that is open.
-func New(cores float64) *Door {
-	d := &Door{cores: cores, least: math.MaxInt64}
+func New(cores float64) *Controller {
+	d := &Controller{cores: cores, least: math.MaxInt64}
 	d.share.Store(math.Float64bits(1))
 	return d
 }
 
-// Share is how much of what comes is taken now, from 0 to 1.
-func (d *Door) Share() float64 { return math.Float64frombits(d.share.Load()) }
+// AdmittedShare is how much of what comes is taken now, from 0 to 1.
+func (d *Controller) AdmittedShare() float64 { return math.Float64frombits(d.share.Load()) }
 
 // Admit tells whether to take one more in. Those taken are spread evenly among those that come.
-func (d *Door) Admit() bool {
+func (d *Controller) Admit() bool {
 	d.heads.Add(1)
-	share := d.Share()
+	share := d.AdmittedShare()
 	if share >= 1 {
 		return true
 	}
@@ -57,21 +57,21 @@
 	return math.Floor(n*share) != math.Floor((n-1)*share)
 }
 
-// Busy tells whether a beat is worth its cost: else what comes is taken to wait for nothing.
-func (d *Door) Busy() bool { return d.Heads() >= leastNow }
+// Overloaded tells whether a beat is worth its cost: else what comes is taken to wait for nothing.
+func (d *Controller) Overloaded() bool { return d.Examined() >= leastNow }
 
-// Heads is what has come in this interval.
-func (d *Door) Heads() int64 { return d.heads.Load() }
+// Examined is what has come in this interval.
+func (d *Controller) Examined() int64 { return d.heads.Load() }
 
-// Beat tells how long a beat that was sent at a time has waited, and moves the door at the end of each interval.
-func (d *Door) Beat(due, late time.Duration) {
+// ObserveDelay tells how long a beat that was sent at a time has waited, and moves the door at the end of each interval.
+func (d *Controller) ObserveDelay(due, late time.Duration) {
 	d.least = min(d.least, late)
 	if due < d.ends {
 		return
 	}
 	heads := float64(d.heads.Swap(0))
 	many := heads >= leastPer*d.cores*Interval.Seconds()
-	share, wait := d.Share(), Interval
+	share, wait := d.AdmittedShare(), Interval
 	if d.least > Target && many {
 		wait += d.least // what waits already has to pass before another step shows anything
 		share *= max(float64(Target)/float64(d.least), steepest)
--- a/internal/door/door_test.go
+++ b/internal/door/door_test.go
@@ -14,12 +14,12 @@
 
 // flooded plays a core with one queue for so many a second, and returns what was taken and the longest delay, both
 // from a time on.
-func flooded(d *Door, rate float64, from, to time.Duration) (taken int, longest time.Duration) {
+func flooded(d *Controller, rate float64, from, to time.Duration) (taken int, longest time.Duration) {
 	free, gap := time.Duration(0), time.Duration(float64(time.Second)/rate)
-	beat := Every
+	beat := SampleInterval
 	for at := time.Duration(0); at < to; at += gap {
-		for ; beat <= at; beat += Every {
-			d.Beat(beat, max(free-beat, 0))
+		for ; beat <= at; beat += SampleInterval {
+			d.ObserveDelay(beat, max(free-beat, 0))
 		}
 		cost := refuses
 		if d.Admit() {
@@ -54,33 +54,33 @@
 // turn clients away while there is nothing to decide.
 func TestLatenessWithoutManyHeadsClosesNothing(t *testing.T) {
 	d := New(1)
-	for beat := Every; beat < 5*time.Second; beat += Every {
-		d.Beat(beat, 80*time.Millisecond)
+	for beat := SampleInterval; beat < 5*time.Second; beat += SampleInterval {
+		d.ObserveDelay(beat, 80*time.Millisecond)
 		if beat%(10*time.Millisecond) == 0 {
 			assert.True(t, d.Admit())
 		}
 	}
-	assert.Equal(t, 1.0, d.Share())
+	assert.Equal(t, 1.0, d.AdmittedShare())
 }
 
 func TestShortMomentsInAnIntervalKeepTheDoorOpen(t *testing.T) {
 	d := New(1)
-	for beat := Every; beat < 2*time.Second; beat += Every {
+	for beat := SampleInterval; beat < 2*time.Second; beat += SampleInterval {
 		late := 90 * time.Millisecond
 		if beat%(20*time.Millisecond) == 0 {
 			late = time.Millisecond
 		}
-		d.Beat(beat, late)
+		d.ObserveDelay(beat, late)
 		d.heads.Add(1000)
 	}
-	assert.Equal(t, 1.0, d.Share())
+	assert.Equal(t, 1.0, d.AdmittedShare())
 }
 
 func TestDoorOpensAgainAndSpreadsThoseThatItTakes(t *testing.T) {
 	d := New(1)
 	flooded(d, 40000, 0, 2*time.Second)
-	assert.Less(t, d.Share(), 0.5)
-	run, longest, share := 0, 0, d.Share()
+	assert.Less(t, d.AdmittedShare(), 0.5)
+	run, longest, share := 0, 0, d.AdmittedShare()
 	for range 1000 {
 		if run++; d.Admit() {
 			longest, run = max(longest, run), 0
@@ -88,8 +88,8 @@
 	}
 	assert.LessOrEqual(t, float64(longest), 1/share+1)
 	d.heads.Store(0)
-	for beat := 3 * time.Second; beat < 6*time.Second; beat += Every {
-		d.Beat(beat, 0)
+	for beat := 3 * time.Second; beat < 6*time.Second; beat += SampleInterval {
+		d.ObserveDelay(beat, 0)
 	}
-	assert.Equal(t, 1.0, d.Share())
+	assert.Equal(t, 1.0, d.AdmittedShare())
 }
--- a/internal/drain/words_test.go
+++ b/internal/drain/words_test.go
@@ -11,5 +11,5 @@
 	for n, want := range []string{"serving", "leaving", "away", "relieved", "ending", "yielding", "closing"} {
 		assert.Equal(t, want, Phase(n).String())
 	}
-	assert.EqualError(t, ErrEnding, "the process ends")
+	assert.EqualError(t, ErrStopping, "the process ends")
 }
--- a/internal/drill/drill.go
+++ b/internal/drill/drill.go
@@ -117,7 +117,7 @@
 		}
 		o.Visit(func(key []byte, fields *fastjson.Value) {
 			if err == nil {
-				if err = h.event(key, fields, terms.Clock(now)); err != nil {
+				if err = h.event(key, fields, terms.TimeOf(now)); err != nil {
 					err = fmt.Errorf("event %d, %s: %w", n, key, err)
 				}
 			}
@@ -258,8 +258,8 @@
 	in.dispatcher.RequestArrived(inv, decide.Arrival{
 		Operation: decide.OperationID(f.GetInt("band")),
 		Tenant:    decide.TenantID(f.GetInt("project")),
-		Timeout:   terms.Span(f.GetFloat64("graceS")),
-		SizeHint:  decide.Work(terms.Span(f.GetFloat64("costGuessS"))),
+		Timeout:   terms.DurationOf(f.GetFloat64("graceS")),
+		SizeHint:  decide.Work(terms.DurationOf(f.GetFloat64("costGuessS"))),
 		Slots:     f.GetFloat64("coresNeeded"),
 	})
 	return nil
--- a/internal/drill/fleet.go
+++ b/internal/drill/fleet.go
@@ -35,7 +35,7 @@
 		}
 		list = append(list, entry{name, decide.Endpoint{
 			ID: name, Zone: decide.ZoneID(v.GetInt("dc")), Kind: decide.KindID(v.GetInt("shape")),
-			Cell: decide.CellID(v.GetInt("pod")), State: state, StartedAt: terms.Clock(v.GetFloat64("bornS")),
+			Cell: decide.CellID(v.GetInt("pod")), State: state, StartedAt: terms.TimeOf(v.GetFloat64("bornS")),
 		}})
 	}
 	h.lists[f.GetInt("rosterId")] = list
--- a/internal/fleet/keys.go
+++ b/internal/fleet/keys.go
@@ -18,30 +18,30 @@
 	return h.Sum64()
 }
 
-// Before tells where an invocation under the same key may have run in an earlier life of any dispatcher.
-func (n *Node) Before(operation, key string, again bool) (*routing.Before, error) {
+// PriorExecution tells where an invocation under the same key may have run in an earlier life of any dispatcher.
+func (n *Node) PriorExecution(operation, key string, again bool) (*routing.PriorExecution, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	k, found, err := n.keys.Look(sumOf(operation, key), again, n.core.KeysOpen(n.now()), time.Now().UnixMilli(), n.now())
+	k, found, err := n.keys.Find(sumOf(operation, key), again, n.core.PeerKeysPending(n.now()), time.Now().UnixMilli(), n.now())
 	switch {
 	case err != nil:
 		n.stats.barred++
-		return nil, fmt.Errorf("%w: %w", routing.ErrUnsure, err)
+		return nil, fmt.Errorf("%w: %w", routing.ErrOutcomeUnknown, err)
 	case !found:
 		return nil, nil
 	}
 	n.stats.held++
-	return &routing.Before{Host: k.Host, Zone: k.Zone, Cell: k.Cell, SentMs: k.At}, nil
+	return &routing.PriorExecution{Worker: k.Worker, Zone: k.Zone, Cell: k.Cell, SentMs: k.SentAt}, nil
 }
 
-// Keep makes a key durable before its forward is sent. Many at once share one sync.
-func (n *Node) Keep(ctx context.Context, k routing.Kept) error {
+// PersistKey makes a key durable before its forward is sent. Many at once share one sync.
+func (n *Node) PersistKey(ctx context.Context, k routing.KeyRecord) error {
 	now := time.Now().UnixMilli()
 	key := kept{store.Key{
-		Sum: sumOf(k.Operation, k.Key), Host: k.Host, Zone: k.Zone, Cell: k.Cell, At: now,
-		Until: now + k.Window.Milliseconds(),
+		Sum: sumOf(k.Operation, k.Key), Worker: k.Worker, Zone: k.Zone, Cell: k.Cell, SentAt: now,
+		ExpiresAt: now + k.Window.Milliseconds(),
 	}, make(chan error, 1)}
-	within := n.settings.Recovery.KeepWithin.D()
+	within := n.settings.Recovery.KeepWithin.Std()
 	ctx, cancel := context.WithTimeoutCause(ctx, within, fmt.Errorf("key: not on disk within %v", within))
 	defer cancel()
 	select {
@@ -96,7 +96,7 @@
 	if s == nil {
 		return errNoFolder
 	}
-	err := s.Keep(keys, time.Now().UnixMilli())
+	err := s.AppendKeys(keys, time.Now().UnixMilli())
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if err != nil {
@@ -105,9 +105,9 @@
 	}
 	n.stats.keysKept += int64(len(keys))
 	for _, k := range keys { // others that return ask for these too; here they change nothing
-		n.keys.Sent(link.Key(k))
+		n.keys.AddSent(link.Key(k))
 	}
 	return nil
 }
 
-var _ routing.Back = (*Node)(nil)
+var _ routing.Recovery = (*Node)(nil)
--- a/internal/fleet/link/format_test.go
+++ b/internal/fleet/link/format_test.go
@@ -20,18 +20,18 @@
 func goldens() []golden {
 	return []golden{
 		{"question.cbor", Message{
-			Kind: 1, From: "n3", Life: 8, Token: 0xfedcba9876543210, Number: 9, Phase: 2,
+			Kind: 1, From: "n3", Incarnation: 8, Nonce: 0xfedcba9876543210, Number: 9, Phase: 2,
 			Lived: 1234, Want: true,
 		}},
-		{"question_least.cbor", Message{Kind: 1, From: "n3", Life: 8, Token: 1, Number: 2}},
+		{"question_least.cbor", Message{Kind: 1, From: "n3", Incarnation: 8, Nonce: 1, Number: 2}},
 		{"answer.cbor", fullMessage()},
-		{"answer_empty.cbor", Message{Kind: 2, From: "n4", Life: 5, Token: 6, Number: 9, Parts: 1}},
+		{"answer_empty.cbor", Message{Kind: 2, From: "n4", Incarnation: 5, Nonce: 6, Number: 9, Parts: 1}},
 		{"answer_least_entries.cbor", Message{
-			Kind: 2, From: "n4", Life: 5, Token: 6, Number: 9, Part: 1, Parts: 2,
+			Kind: 2, From: "n4", Incarnation: 5, Nonce: 6, Number: 9, Part: 1, Parts: 2,
 			Workers: make([]Worker, 1), Keys: make([]Key, 1),
 		}},
 		{"heartbeat.cbor", Message{
-			Kind: 3, From: "n4", Life: 5, Token: 6, Number: 10, Phase: 5, Lived: 60_000,
+			Kind: 3, From: "n4", Incarnation: 5, Nonce: 6, Number: 10, Phase: 5, Lived: 60_000,
 			Kept: 70,
 		}},
 	}
@@ -40,13 +40,13 @@
 // fullMessage has each field set, also those that no one sort of message has together.
 func fullMessage() Message {
 	return Message{
-		Kind: 2, From: "n4", Life: 5, Token: 0x8000000000000000, Number: 0xffffffff, Phase: 5, Lived: 99_000,
+		Kind: 2, From: "n4", Incarnation: 5, Nonce: 0x8000000000000000, Number: 0xffffffff, Phase: 5, Lived: 99_000,
 		Kept: 11, Want: true, YourLife: 8, YourToken: 0xfedcba9876543210, YourKept: 12, Heard: 1500, Unsure: true,
 		KeysBad: true, Bears: map[string]float64{"std-3c": 3.25}, Part: 1, Parts: 3,
-		Workers: []Worker{{Host: "w1", Born: 1_700_000_000_000, State: "Terminating", Out: 4}},
+		Workers: []Worker{{ID: "w1", StartedAt: 1_700_000_000_000, State: "Terminating", InFlight: 4}},
 		Keys: []Key{{
-			Sum: 0xffffffffffffffff, Host: "w1", Zone: "north", Cell: 7, At: 1_700_000_001_000,
-			Until: 1_700_000_601_000,
+			Sum: 0xffffffffffffffff, Worker: "w1", Zone: "north", Cell: 7, SentAt: 1_700_000_001_000,
+			ExpiresAt: 1_700_000_601_000,
 		}},
 	}
 }
@@ -80,7 +80,7 @@
 	for _, v := range []any{message, message.Workers[0], message.Keys[0]} {
 		assert.Empty(t, unsetFields(v))
 	}
-	assert.Equal(t, []string{"Born", "State", "Out"}, unsetFields(Worker{Host: "w1"}), "an unset field is found")
+	assert.Equal(t, []string{"Born", "State", "Out"}, unsetFields(Worker{ID: "w1"}), "an unset field is found")
 }
 
 // goldenFile reads a file of testdata.
--- a/internal/fleet/link/message.go
+++ b/internal/fleet/link/message.go
@@ -11,45 +11,45 @@
 )
 
 // Most is how long one message may be, in bytes: what fits a packet on any net.
-const Most = 1200
+const MaxDatagramBytes = 1200
 
 // Kind is what a message is.
 type Kind uint8
 
 // The values of Kind.
 const (
-	Ask    Kind = iota + 1 // what do you know?
-	Answer                 // a part of what I know
-	Beat                   // how far I have come, for the time when I have lost it
+	Query     Kind = iota + 1 // what do you know?
+	Reply                     // a part of what I know
+	Heartbeat                 // how far I have come, for the time when I have lost it
 )
 
 // Worker is what one dispatcher knows of a worker.
 type Worker struct {
-	Host  string `cbor:"1,keyasint"`
-	Born  int64  `cbor:"2,keyasint,omitempty"` // Unix time in ms, 0 for long ago
-	State string `cbor:"3,keyasint,omitempty"` // as listed, "" for ready
-	Out   int    `cbor:"4,keyasint,omitempty"` // forwards out there
+	ID        string `cbor:"1,keyasint"`
+	StartedAt int64  `cbor:"2,keyasint,omitempty"` // Unix time in ms, 0 for long ago
+	State     string `cbor:"3,keyasint,omitempty"` // as listed, "" for ready
+	InFlight  int    `cbor:"4,keyasint,omitempty"` // forwards out there
 }
 
 // Key tells where an invocation under a key may have run.
 type Key struct {
-	Sum   uint64 `cbor:"1,keyasint"`
-	Host  string `cbor:"2,keyasint"`
-	Zone  string `cbor:"3,keyasint,omitempty"`
-	Cell  int    `cbor:"4,keyasint,omitempty"`
-	At    int64  `cbor:"5,keyasint"` // Unix time in ms
-	Until int64  `cbor:"6,keyasint"` // when workers no longer drop its repeats
+	Sum       uint64 `cbor:"1,keyasint"`
+	Worker    string `cbor:"2,keyasint"`
+	Zone      string `cbor:"3,keyasint,omitempty"`
+	Cell      int    `cbor:"4,keyasint,omitempty"`
+	SentAt    int64  `cbor:"5,keyasint"` // Unix time in ms
+	ExpiresAt int64  `cbor:"6,keyasint"` // when workers no longer drop its repeats
 }
 
 // Message is one of them.
 type Message struct {
-	Kind   Kind   `cbor:"1,keyasint"`
-	From   string `cbor:"2,keyasint"`
-	Life   uint64 `cbor:"3,keyasint"`
-	Token  uint64 `cbor:"4,keyasint"`
-	Number uint32 `cbor:"5,keyasint"`           // of a question, and in the answers to it
-	Phase  uint8  `cbor:"6,keyasint,omitempty"` // how far the sender has returned
-	Lived  int64  `cbor:"7,keyasint,omitempty"` // ms since the sender's start
+	Kind        Kind   `cbor:"1,keyasint"`
+	From        string `cbor:"2,keyasint"`
+	Incarnation uint64 `cbor:"3,keyasint"`
+	Nonce       uint64 `cbor:"4,keyasint"`
+	Number      uint32 `cbor:"5,keyasint"`           // of a question, and in the answers to it
+	Phase       uint8  `cbor:"6,keyasint,omitempty"` // how far the sender has returned
+	Lived       int64  `cbor:"7,keyasint,omitempty"` // ms since the sender's start
 
 	Kept uint64 `cbor:"20,keyasint,omitempty"` // in beats: keys made durable in this life
 	Want bool   `cbor:"18,keyasint,omitempty"` // in a question: with what is known of workers
@@ -86,23 +86,23 @@
 // Encode writes a message.
 func Encode(m *Message) ([]byte, error) {
 	b, err := cbor.Marshal(m)
-	if err == nil && len(b) > Most {
-		err = fmt.Errorf("a message of %d bytes, %d at most", len(b), Most)
+	if err == nil && len(b) > MaxDatagramBytes {
+		err = fmt.Errorf("a message of %d bytes, %d at most", len(b), MaxDatagramBytes)
 	}
 	return b, err
 }
 
 // Decode reads a message.
 func Decode(b []byte) (*Message, error) {
-	if len(b) > Most {
+	if len(b) > MaxDatagramBytes {
 		return nil, fmt.Errorf("%w: %d bytes", ErrMalformed, len(b))
 	}
 	m := &Message{}
 	if err := strict.Unmarshal(b, m); err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrMalformed, err)
 	}
-	if m.Kind < Ask || m.Kind > Beat || m.From == "" || len(m.From) > 255 || m.Lived < 0 || m.Heard < 0 ||
-		m.Kind == Answer && (m.Parts == 0 || m.Part >= m.Parts) {
+	if m.Kind < Query || m.Kind > Heartbeat || m.From == "" || len(m.From) > 255 || m.Lived < 0 || m.Heard < 0 ||
+		m.Kind == Reply && (m.Parts == 0 || m.Part >= m.Parts) {
 		return nil, ErrMalformed
 	}
 	return m, nil
@@ -119,7 +119,7 @@
 // Split deals workers and keys out to as many messages as they need, all else like the first.
 func Split(first Message, workers []Worker, keys []Key) []Message {
 	parts := []Message{first}
-	room := Most - headMost - len(first.From)
+	room := MaxDatagramBytes - headMost - len(first.From)
 	for name := range first.Bears {
 		room -= kindMost + len(name)
 	}
@@ -133,11 +133,11 @@
 		return &parts[len(parts)-1]
 	}
 	for _, w := range workers {
-		m := next(workerMost + len(w.Host) + len(w.State))
+		m := next(workerMost + len(w.ID) + len(w.State))
 		m.Workers = append(m.Workers, w)
 	}
 	for _, k := range keys {
-		m := next(keyMost + len(k.Host) + len(k.Zone))
+		m := next(keyMost + len(k.Worker) + len(k.Zone))
 		m.Keys = append(m.Keys, k)
 	}
 	for n := range parts {
--- a/internal/fleet/link/message_test.go
+++ b/internal/fleet/link/message_test.go
@@ -12,14 +12,14 @@
 		var workers []Worker
 		var keys []Key
 		for n := range size {
-			workers = append(workers, Worker{Host: fmt.Sprintf("s-%08x", n), Born: 1 << 41, State: "Terminating", Out: 99})
+			workers = append(workers, Worker{ID: fmt.Sprintf("s-%08x", n), StartedAt: 1 << 41, State: "Terminating", InFlight: 99})
 			keys = append(keys, Key{
-				Sum: ^uint64(0), Host: fmt.Sprintf("s-%08x", n), Zone: "north", Cell: 1 << 20,
-				At: 1 << 41, Until: 1 << 41,
+				Sum: ^uint64(0), Worker: fmt.Sprintf("s-%08x", n), Zone: "north", Cell: 1 << 20,
+				SentAt: 1 << 41, ExpiresAt: 1 << 41,
 			})
 		}
 		first := Message{
-			Kind: Answer, From: "dispatcher-with-a-long-name", Life: 1 << 60, Token: ^uint64(0),
+			Kind: Reply, From: "dispatcher-with-a-long-name", Incarnation: 1 << 60, Nonce: ^uint64(0),
 			Number: 1 << 31, Phase: 5, Lived: 1 << 40, YourLife: 1 << 60, YourToken: ^uint64(0), Heard: 1 << 40,
 			KeysBad: true, Bears: map[string]float64{"std-3c": 3.1, "big-16c": 16.5},
 		}
@@ -40,7 +40,7 @@
 }
 
 func TestWhatIsNoMessageIsTurnedDown(t *testing.T) {
-	whole, err := Encode(&Message{Kind: Ask, From: "d0", Life: 1, Token: 2, Number: 3})
+	whole, err := Encode(&Message{Kind: Query, From: "d0", Incarnation: 1, Nonce: 2, Number: 3})
 	assert.NoError(t, err)
 	for cut := range whole {
 		_, err := Decode(whole[:cut])
@@ -48,17 +48,17 @@
 	}
 	for _, m := range []Message{
 		{},
-		{Kind: Ask},
+		{Kind: Query},
 		{Kind: 9, From: "d0"},
-		{Kind: Answer, From: "d0"},
-		{Kind: Answer, From: "d0", Part: 2, Parts: 2},
-		{Kind: Ask, From: "d0", Lived: -1},
+		{Kind: Reply, From: "d0"},
+		{Kind: Reply, From: "d0", Part: 2, Parts: 2},
+		{Kind: Query, From: "d0", Lived: -1},
 	} {
 		b, err := Encode(&m)
 		assert.NoError(t, err)
 		_, err = Decode(b)
 		assert.ErrorIs(t, err, ErrMalformed, "%+v", m)
 	}
-	_, err = Decode(make([]byte, Most+1))
+	_, err = Decode(make([]byte, MaxDatagramBytes+1))
 	assert.ErrorIs(t, err, ErrMalformed)
 }
--- a/internal/fleet/link/socket.go
+++ b/internal/fleet/link/socket.go
@@ -47,7 +47,7 @@
 // Run hands on what members send until ctx ends.
 func (s *Socket) Run(ctx context.Context, take func(from int, m *Message)) error {
 	defer context.AfterFunc(ctx, func() { s.pc.Close() })()
-	b := make([]byte, Most+1)
+	b := make([]byte, MaxDatagramBytes+1)
 	for ctx.Err() == nil {
 		n, from, err := s.pc.ReadFromUDPAddrPort(b)
 		if errors.Is(err, net.ErrClosed) {
--- a/internal/fleet/merge.go
+++ b/internal/fleet/merge.go
@@ -12,21 +12,21 @@
 )
 
 // apply takes up what is trusted of before, and what others know, before the first invocation lands.
-func (n *Node) apply(answers []recovery.Heard) {
+func (n *Node) apply(answers []recovery.PeerReply) {
 	n.mu.Lock()
-	who, found := n.core.Case(), n.found
+	who, found := n.core.Outage(), n.found
 	n.mu.Unlock()
 	start := n.terms.Now() - decide.Time(n.now()/(time.Second/decide.Second))
-	if found.Facts != nil {
+	if found.State != nil {
 		if l, ok := n.learnt(); ok {
-			age := recovery.AgeOf(found.Facts.At, time.Now().UnixMilli())
+			age := recovery.RecordAgeOf(found.State.WrittenAt, time.Now().UnixMilli())
 			n.sift(&l, age, who)
-			n.router.Recall(l)
+			n.router.RestoreFromDisk(l)
 			n.drains(l)
 		}
 	}
 	n.facade.DelayWarmingWorkers(start)
-	if who == recovery.All {
+	if who == recovery.FleetWide {
 		n.facade.ReportFleetRestart(start)
 	}
 	n.merge(answers)
@@ -37,9 +37,9 @@
 }
 
 // sift leaves of what was learnt what is trusted, and tells of the rest.
-func (n *Node) sift(l *routing.Legacy, age recovery.Age, who recovery.Case) {
+func (n *Node) sift(l *routing.Snapshot, age recovery.RecordAge, who recovery.Outage) {
 	trusts := func(f recovery.Fact) bool {
-		ok, why := recovery.Trust(f, age, who)
+		ok, why := recovery.IsTrusted(f, age, who)
 		n.mu.Lock()
 		defer n.mu.Unlock()
 		if ok {
@@ -47,13 +47,13 @@
 			return true
 		}
 		n.stats.dropped++
-		n.log.Info().Str("fact", recovery.Table[f].Name).Str("why", why).Msg("not trusted")
+		n.log.Info().Str("fact", recovery.TrustRules[f].Name).Str("why", why).Msg("not trusted")
 		return false
 	}
-	bears, sizes, rests, shares := trusts(recovery.FactBears), trusts(recovery.FactSizes),
-		trusts(recovery.FactRests), trusts(recovery.FactShares)
-	for i := range l.Learnt {
-		learnt := &l.Learnt[i]
+	bears, sizes, rests, shares := trusts(recovery.FactCapacity), trusts(recovery.FactSizes),
+		trusts(recovery.FactBackoffs), trusts(recovery.FactQuotas)
+	for i := range l.Learned {
+		learnt := &l.Learned[i]
 		if !bears {
 			learnt.Kinds = nil
 		}
@@ -78,34 +78,34 @@
 }
 
 // drains takes the drains that the list had told, as far as the list that is known does not.
-func (n *Node) drains(l routing.Legacy) {
-	version, entries := n.router.Entries()
+func (n *Node) drains(l routing.Snapshot) {
+	version, entries := n.router.Endpoints()
 	if version > l.Version {
 		return
 	}
 	var amended []protocol.Endpoint
-	for _, e := range l.Workers {
+	for _, e := range l.Endpoints {
 		here := slices.IndexFunc(entries, func(k protocol.Endpoint) bool { return k.ID == e.ID })
 		if here >= 0 && e.State == protocol.Terminating && entries[here].State == protocol.Ready {
 			amended = append(amended, e)
 		}
 	}
 	if len(amended) > 0 {
-		n.router.Amend(amended)
+		n.router.MergeEndpoints(amended)
 	}
 }
 
 // merge takes what others know, to the careful side: the latest start of a worker, a drain that anybody was told
 // of, each key. What is out at workers is taken from those alone who serve.
-func (n *Node) merge(answers []recovery.Heard) {
-	_, entries := n.router.Entries()
+func (n *Node) merge(answers []recovery.PeerReply) {
+	_, entries := n.router.Endpoints()
 	at := map[string]int{}
 	for k, e := range entries {
 		at[e.ID] = k
 	}
 	changed := map[int]bool{}
 	for _, m := range answers {
-		serves := recovery.Phase(m.Phase) == recovery.Full
+		serves := recovery.Phase(m.Phase) == recovery.Serving
 		if serves {
 			n.facade.ReportSeniorPeer(m.Member)
 		}
@@ -115,24 +115,24 @@
 			}
 		}
 		for _, w := range m.Workers {
-			k, known := at[w.Host]
+			k, known := at[w.ID]
 			if !known {
 				continue
 			}
 			e := &entries[k]
-			if float64(w.Born) > e.StartedAtMillis {
-				e.StartedAtMillis, changed[k] = float64(w.Born), true
+			if float64(w.StartedAt) > e.StartedAtMillis {
+				e.StartedAtMillis, changed[k] = float64(w.StartedAt), true
 			}
 			if w.State == protocol.Terminating && e.State == protocol.Ready {
 				e.State, changed[k] = w.State, true
 			}
-			if serves && w.Out > 0 {
-				n.router.Hear(m.Member, w.Host, w.Out)
+			if serves && w.InFlight > 0 {
+				n.router.ReceiveLoad(m.Member, w.ID, w.InFlight)
 			}
 		}
 		n.mu.Lock()
 		for _, k := range m.Keys {
-			n.keys.Remember(k)
+			n.keys.AddFromPeer(k)
 		}
 		n.mu.Unlock()
 	}
@@ -144,29 +144,29 @@
 	}
 	if len(amended) > 0 {
 		n.log.Info().Int("workers", len(amended)).Msg("others know later of workers")
-		n.router.Amend(amended)
+		n.router.MergeEndpoints(amended)
 	}
 }
 
 // reply answers questions with what is known here.
-func (n *Node) reply(questions []recovery.Question) {
-	_, entries := n.router.Entries()
-	out := n.router.Out()
-	k := recovery.Known{Bears: n.bears()}
+func (n *Node) reply(questions []recovery.Query) {
+	_, entries := n.router.Endpoints()
+	out := n.router.InFlightByWorker()
+	k := recovery.LocalKnowledge{MaxObserved: n.bears()}
 	for _, e := range entries {
 		if e.State == protocol.Gone {
 			continue
 		}
-		w := link.Worker{Host: e.ID, Born: int64(e.StartedAtMillis), Out: out[e.ID]}
+		w := link.Worker{ID: e.ID, StartedAt: int64(e.StartedAtMillis), InFlight: out[e.ID]}
 		if e.State != protocol.Ready {
 			w.State = e.State
 		}
-		if w.Born > 0 || w.State != "" || w.Out > 0 {
+		if w.StartedAt > 0 || w.State != "" || w.InFlight > 0 {
 			k.Workers = append(k.Workers, w)
 		}
 	}
 	n.mu.Lock()
-	k.Keys = n.keys.Told(time.Now().UnixMilli(), n.now())
+	k.Keys = n.keys.ForPeers(time.Now().UnixMilli(), n.now())
 	var messages []recovery.Addressed
 	for _, q := range questions {
 		for _, m := range n.core.Reply(q, k) {
@@ -188,13 +188,13 @@
 		}
 	}
 	n.mu.Lock()
-	open, facts := n.open, n.found.Facts
+	open, facts := n.open, n.found.State
 	n.mu.Unlock()
 	if open || facts == nil {
 		return all
 	}
-	age := recovery.AgeOf(facts.At, time.Now().UnixMilli())
-	if ok, _ := recovery.Trust(recovery.FactBears, age, recovery.All); !ok {
+	age := recovery.RecordAgeOf(facts.WrittenAt, time.Now().UnixMilli())
+	if ok, _ := recovery.IsTrusted(recovery.FactCapacity, age, recovery.FleetWide); !ok {
 		return all
 	}
 	for kind, most := range n.bore() {
@@ -206,8 +206,8 @@
 // readBears is what kinds of worker bore by the facts on disk.
 func (n *Node) readBears() map[string]float64 {
 	all := map[string]float64{}
-	if l, ok := n.learnt(); ok && len(l.Learnt) > 0 {
-		for kind, was := range l.Learnt[0].Kinds {
+	if l, ok := n.learnt(); ok && len(l.Learned) > 0 {
+		for kind, was := range l.Learned[0].Kinds {
 			if kind < len(l.Kinds) && was.MaxObserved > 1 {
 				all[l.Kinds[kind]] = was.MaxObserved
 			}
--- a/internal/fleet/node.go
+++ b/internal/fleet/node.go
@@ -20,24 +20,24 @@
 	"canvasroute/internal/routing"
 )
 
-// Terms are what a node is told of the dispatcher that it is part of.
-type Terms struct {
-	Name         string
-	Position     int
-	Settings     string // a hash of those that it goes by
-	Kinds        []string
-	Window       time.Duration // the longest of a dedup group
-	Ramp         time.Duration // until a worker is warm
-	ComeBackMost time.Duration
-	Heir         bool // it goes on for a predecessor, which leaves the folder and the address to it
-	Now          func() decide.Time
-	Log          zerolog.Logger
+// Config are what a node is told of the dispatcher that it is part of.
+type Config struct {
+	Name           string
+	Position       int
+	SettingsHash   string // a hash of those that it goes by
+	Kinds          []string
+	DedupWindow    time.Duration // the longest of a dedup group
+	WarmupDuration time.Duration // until a worker is warm
+	MaxRetryAfter  time.Duration
+	TakesOver      bool // it goes on for a predecessor, which leaves the folder and the address to it
+	Now            func() decide.Time
+	Log            zerolog.Logger
 }
 
 // Node brings one dispatcher back, and keeps what it needs for the next time.
 type Node struct {
 	settings *Settings
-	terms    Terms
+	terms    Config
 	log      zerolog.Logger
 	began    time.Time
 	keeping  chan kept
@@ -45,16 +45,16 @@
 	yields   chan bool     // the folder and the address are left to a successor, or taken back
 
 	mu      sync.Mutex // guards all below
-	core    *recovery.Core
-	router  *routing.Router
+	core    *recovery.StateMachine
+	router  *routing.Proxy
 	facade  *decide.Shards
 	store   *store.Store // nil before the folder is held
 	folder  *store.Folder
-	found   store.Found
+	found   store.Recovered
 	socket  *link.Socket
 	keys    *recovery.Keys
 	failing bool                      // the disk
-	answers []recovery.Heard          // that wait to be merged
+	answers []recovery.PeerReply      // that wait to be merged
 	applied bool                      // what is trusted is being taken up
 	open    bool                      // it has been: invocations may land
 	reason  string                    // of the phase
@@ -79,10 +79,10 @@
 
 // Open makes a node and reads the folder, unless a predecessor still holds it. It fails where another process,
 // no predecessor, has the folder or the address: two must not go under one name.
-func Open(ctx context.Context, s *Settings, t Terms) (*Node, error) {
+func Open(ctx context.Context, s *Settings, t Config) (*Node, error) {
 	n := &Node{
 		settings: s, terms: t, log: t.Log, began: time.Now(), keeping: make(chan kept, 1024),
-		stepped: make(chan struct{}, 1), yields: make(chan bool, 4), keys: recovery.NewKeys(t.Window),
+		stepped: make(chan struct{}, 1), yields: make(chan bool, 4), keys: recovery.NewKeys(t.DedupWindow),
 	}
 	n.bore = sync.OnceValue(n.readBears)
 	r := &s.Recovery
@@ -90,16 +90,16 @@
 	for _, m := range s.Members {
 		members = append(members, m.Name)
 	}
-	n.core = recovery.New(recovery.Terms{
-		Members: members, Self: t.Position, IdentityWithin: r.IdentityWithin.D(),
-		ListWithin: r.ListWithin.D(), OthersWithin: r.OthersWithin.D(), TrickleWithin: r.TrickleWithin.D(),
-		RampWithin: t.Ramp + time.Second, AskEvery: r.AskEvery.D(), Window: t.Window, ComeBackMost: t.ComeBackMost,
+	n.core = recovery.New(recovery.Config{
+		Members: members, Self: t.Position, IdentityTimeout: r.IdentityWithin.Std(),
+		EndpointsTimeout: r.ListWithin.Std(), PeersTimeout: r.OthersWithin.Std(), ProbeTimeout: r.TrickleWithin.Std(),
+		SlowStartDuration: t.WarmupDuration + time.Second, QueryInterval: r.AskEvery.Std(), DedupWindow: t.DedupWindow, MaxRetryAfter: t.MaxRetryAfter,
 		Seed: rand.Uint64(),
 	})
-	if t.Heir {
+	if t.TakesOver {
 		return n, nil
 	}
-	limit := time.Now().Add(r.IdentityWithin.D())
+	limit := time.Now().Add(r.IdentityWithin.Std())
 	for {
 		err := n.take()
 		if err == nil {
@@ -108,7 +108,7 @@
 		if time.Now().After(limit) || ctx.Err() != nil {
 			return nil, fmt.Errorf("two that go under the name %q: %w", t.Name, err)
 		}
-		time.Sleep(r.AskEvery.D())
+		time.Sleep(r.AskEvery.Std())
 	}
 }
 
@@ -116,7 +116,7 @@
 // gone on without.
 func (n *Node) take() error {
 	folder, held, err := store.OpenFolder(n.settings.State.Folder)
-	if errors.Is(err, store.ErrHeld) {
+	if errors.Is(err, store.ErrLocked) {
 		return err
 	}
 	socket, listening := link.Listen(n.settings.listen, n.settings.addresses, n.log)
@@ -127,41 +127,41 @@
 		return listening
 	}
 	var s *store.Store
-	found := store.Found{KeysBad: true}
+	found := store.Recovered{KeysSuspect: true}
 	if folder != nil {
 		s, found = store.Open(folder, n.terms.Name)
 	}
 	if err != nil {
-		found.Lost = append(found.Lost, err)
+		found.Errors = append(found.Errors, err)
 	}
 	if !held {
-		found.Lost = append(found.Lost, errors.New("the folder cannot be written to"))
+		found.Errors = append(found.Errors, errors.New("the folder cannot be written to"))
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.socket, n.folder, n.store, n.found = socket, folder, s, found
-	for _, lost := range found.Lost {
+	for _, lost := range found.Errors {
 		n.log.Warn().Err(lost).Msg("state not believed")
 		n.stats.dropped++
 	}
 	if found.Foreign {
-		n.log.Warn().Str("folder", n.settings.State.Folder).Str("of", found.Life.Name).
+		n.log.Warn().Str("folder", n.settings.State.Folder).Str("of", found.Incarnation.Name).
 			Msg("state of another dispatcher: only its keys are taken")
 	}
 	for _, k := range found.Keys {
-		n.keys.Recall(link.Key(k))
+		n.keys.Restore(link.Key(k))
 	}
 	return nil
 }
 
-// Known is the newest list that a dispatcher starts with: that of its configuration, or that of its disk.
-func (n *Node) Known(list *protocol.EndpointList) *protocol.EndpointList {
+// InitialEndpoints is the newest list that a dispatcher starts with: that of its configuration, or that of its disk.
+func (n *Node) InitialEndpoints(list *protocol.EndpointList) *protocol.EndpointList {
 	l, ok := n.learnt()
 	if !ok || list != nil && list.Version >= l.Version {
 		return list
 	}
 	fresh := &protocol.EndpointList{Version: l.Version, Complete: true}
-	for _, e := range l.Workers {
+	for _, e := range l.Endpoints {
 		if e.State != protocol.Gone {
 			fresh.Endpoints = append(fresh.Endpoints, e)
 		}
@@ -172,30 +172,30 @@
 }
 
 // learnt is what the disk held.
-func (n *Node) learnt() (l routing.Legacy, ok bool) {
+func (n *Node) learnt() (l routing.Snapshot, ok bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.found.Facts == nil {
+	if n.found.State == nil {
 		return l, false
 	}
-	if err := json.Unmarshal(n.found.Facts.Learnt, &l); err != nil {
+	if err := json.Unmarshal(n.found.State.Learned, &l); err != nil {
 		n.log.Warn().Err(err).Msg("state not believed")
-		n.found.Facts = nil
+		n.found.State = nil
 		n.stats.dropped++
 		return l, false
 	}
 	return l, true
 }
 
-// Left tells whether an operator had told this dispatcher to leave.
-func (n *Node) Left() bool {
+// Drained tells whether an operator had told this dispatcher to leave.
+func (n *Node) Drained() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.found.Known && !n.found.Foreign && n.found.Life.Left
+	return n.found.Known && !n.found.Foreign && n.found.Incarnation.Drained
 }
 
 // Attach gives the node the router that it brings back. It is called before anything runs.
-func (n *Node) Attach(r *routing.Router, f *decide.Shards) { n.router, n.facade = r, f }
+func (n *Node) Attach(r *routing.Proxy, f *decide.Shards) { n.router, n.facade = r, f }
 
 func (n *Node) now() time.Duration { return time.Since(n.began) }
 
@@ -212,14 +212,14 @@
 	select {
 	case err := <-ended:
 		return err
-	case <-time.After(n.settings.Recovery.IdentityWithin.D()):
+	case <-time.After(n.settings.Recovery.IdentityWithin.Std()):
 		n.log.Error().Msg("the disk takes too long: this life ends as if by a crash")
 		return nil
 	}
 }
 
 func (n *Node) run(ctx context.Context) error {
-	if n.terms.Heir {
+	if n.terms.TakesOver {
 		if !n.succeed(ctx) {
 			return nil
 		}
@@ -237,7 +237,7 @@
 				return nil
 			}
 		}
-		n.terms.Heir = true
+		n.terms.TakesOver = true
 		if !n.succeed(ctx) {
 			return nil
 		}
@@ -273,13 +273,13 @@
 // succeed waits until the predecessor has left the folder and the address.
 func (n *Node) succeed(ctx context.Context) bool {
 	n.mu.Lock()
-	n.core.GoOn(n.now(), 0, 0)
+	n.core.TakeOver(n.now(), 0, 0)
 	n.open = true
 	n.mu.Unlock()
 	n.settle()
 	for n.take() != nil {
 		select {
-		case <-time.After(n.settings.Recovery.AskEvery.D()):
+		case <-time.After(n.settings.Recovery.AskEvery.Std()):
 		case <-ctx.Done():
 			return false
 		}
@@ -293,19 +293,19 @@
 	s, found := n.store, n.found
 	n.mu.Unlock()
 	token, least := rand.Uint64(), uint64(1)
-	if found.Facts != nil {
-		least = max(least, found.Facts.Life+1)
+	if found.State != nil {
+		least = max(least, found.State.Incarnation+1)
 	}
-	bad := found.KeysBad || n.settings.State.Doubt && found.Known && !found.Life.Clean
-	life := store.Life{Life: max(least, found.Life.Life+1)}
-	var stored store.Life // not to be looked at before done tells
+	bad := found.KeysSuspect || n.settings.State.Doubt && found.Known && !found.Incarnation.CleanShutdown
+	life := store.Incarnation{Number: max(least, found.Incarnation.Number+1)}
+	var stored store.Incarnation // not to be looked at before done tells
 	done := make(chan error, 1)
 	if s == nil {
 		done <- errNoFolder
 	} else {
 		go func() {
 			var err error
-			stored, err = s.Begin(found.Life, least, token, bad, time.Now().UnixMilli())
+			stored, err = s.Begin(found.Incarnation, least, token, bad, time.Now().UnixMilli())
 			done <- err
 		}()
 	}
@@ -315,7 +315,7 @@
 		if err == nil {
 			life = stored
 		}
-	case <-time.After(n.settings.Recovery.IdentityWithin.D()):
+	case <-time.After(n.settings.Recovery.IdentityWithin.Std()):
 		err = errors.New("the disk takes too long")
 	}
 	n.mu.Lock()
@@ -323,11 +323,11 @@
 		n.log.Error().Err(err).Msg("this life is not on disk")
 		n.stats.failures++
 	}
-	if n.terms.Heir {
-		n.core.Raised(n.now(), life.Life)
-		n.core.GoOn(n.now(), life.Life, token)
+	if n.terms.TakesOver {
+		n.core.IncarnationRaised(n.now(), life.Number)
+		n.core.TakeOver(n.now(), life.Number, token)
 	} else {
-		n.core.Stored(n.now(), life.Life, token, recovery.WasOf(found, bad))
+		n.core.IdentityStored(n.now(), life.Number, token, recovery.PreviousIncarnationOf(found, bad))
 	}
 	n.mu.Unlock()
 	n.settle()
@@ -345,17 +345,17 @@
 			return nil
 		}
 		n.mu.Lock()
-		looks := n.core.Phase() == recovery.Trickle || n.core.Phase() == recovery.Ramp
+		looks := n.core.Phase() == recovery.Probing || n.core.Phase() == recovery.SlowStart
 		n.mu.Unlock()
 		if looks {
 			workers, bears, now := n.facade.Capacity()
 			n.mu.Lock()
-			n.core.Observe(n.now(), recovery.Capacity{Workers: workers, Bears: bears, Now: now})
+			n.core.SetCapacity(n.now(), recovery.Capacity{Workers: workers, Warm: bears, Now: now})
 			n.mu.Unlock()
 		}
 		n.mu.Lock()
 		if n.store != nil {
-			n.core.Kept(n.store.Kept())
+			n.core.SetPersistedKeys(n.store.PersistedKeys())
 		}
 		next := n.core.Tick(n.now())
 		n.mu.Unlock()
@@ -374,7 +374,7 @@
 // hear takes a message.
 func (n *Node) hear(from int, m *link.Message) {
 	n.mu.Lock()
-	n.core.Take(n.now(), from, m)
+	n.core.Receive(n.now(), from, m)
 	n.mu.Unlock()
 	n.settle()
 }
@@ -382,26 +382,26 @@
 // settle does what the core wants done.
 func (n *Node) settle() {
 	n.mu.Lock()
-	out := n.core.Out()
-	for _, s := range out.Steps {
-		n.reason = s.Why
-		n.log.Info().Stringer("phase", s.Phase).Str("why", s.Why).Dur("at_ms", s.At).Stringer("case", n.core.Case()).
+	out := n.core.TakeActions()
+	for _, s := range out.Transitions {
+		n.reason = s.Reason
+		n.log.Info().Stringer("phase", s.Phase).Str("why", s.Reason).Dur("at_ms", s.At).Stringer("case", n.core.Outage()).
 			Msg("returning")
 	}
-	n.answers = append(n.answers, out.Heard...)
-	ready := n.core.Phase() >= recovery.Trickle && n.core.Phase() != recovery.Superseded
-	first := ready && !n.applied && !n.terms.Heir
+	n.answers = append(n.answers, out.Replies...)
+	ready := n.core.Phase() >= recovery.Probing && n.core.Phase() != recovery.Superseded
+	first := ready && !n.applied && !n.terms.TakesOver
 	n.applied = n.applied || ready
-	var answers []recovery.Heard
+	var answers []recovery.PeerReply
 	if n.applied {
 		answers, n.answers = n.answers, nil
 	}
 	n.mu.Unlock()
-	if out.Doubt != nil && n.store != nil {
-		n.told(n.store.Doubt(*out.Doubt))
+	if out.SetKeysSuspect != nil && n.store != nil {
+		n.told(n.store.SetKeysSuspect(*out.SetKeysSuspect))
 	}
-	if out.Raise > 0 {
-		n.raise(out.Raise)
+	if out.RaiseIncarnation > 0 {
+		n.raise(out.RaiseIncarnation)
 	}
 	if first {
 		n.apply(answers)
@@ -414,8 +414,8 @@
 	for _, m := range out.Messages {
 		n.socket.Send(m.To, m.Message)
 	}
-	if len(out.Questions) > 0 {
-		n.reply(out.Questions)
+	if len(out.Queries) > 0 {
+		n.reply(out.Queries)
 	}
 }
 
@@ -430,10 +430,10 @@
 func (n *Node) raise(life uint64) {
 	n.log.Warn().Uint64("life", life).Msg("others know of a later life: raised")
 	if n.store != nil {
-		n.told(n.store.Raise(life))
+		n.told(n.store.RaiseIncarnation(life))
 	}
 	n.mu.Lock()
-	n.core.Raised(n.now(), life)
+	n.core.IncarnationRaised(n.now(), life)
 	n.mu.Unlock()
 }
 
@@ -447,26 +447,26 @@
 	return nil
 }
 
-// Listed tells that the list service has told its list.
-func (n *Node) Listed() {
+// EndpointsReceived tells that the list service has told its list.
+func (n *Node) EndpointsReceived() {
 	n.mu.Lock()
-	n.core.Listed(n.now(), true)
+	n.core.EndpointsReceived(n.now(), true)
 	n.mu.Unlock()
 	n.wake()
 }
 
-// Unlisted tells that the list service was asked in vain, or no longer tells.
-func (n *Node) Unlisted() {
+// EndpointsUnavailable tells that the list service was asked in vain, or no longer tells.
+func (n *Node) EndpointsUnavailable() {
 	n.mu.Lock()
-	n.core.Unlisted(n.now())
+	n.core.EndpointsUnavailable(n.now())
 	n.mu.Unlock()
 	n.wake()
 }
 
-// Serves tells that the router has a list to serve by, if an old one.
-func (n *Node) Serves() {
+// PredecessorServed tells that the router has a list to serve by, if an old one.
+func (n *Node) PredecessorServed() {
 	n.mu.Lock()
-	n.core.Listed(n.now(), false)
+	n.core.EndpointsReceived(n.now(), false)
 	n.mu.Unlock()
 }
 
@@ -480,10 +480,10 @@
 // Admit tells whether an invocation may come in yet.
 func (n *Node) Admit(l decide.Arrival) (func(bool), time.Duration, bool) {
 	n.mu.Lock()
-	full, open := n.core.Phase() == recovery.Full, n.open
+	full, open := n.core.Phase() == recovery.Serving, n.open
 	n.mu.Unlock()
 	if !open { // nothing may land before what is trusted has been taken up
-		return nil, n.terms.ComeBackMost, false
+		return nil, n.terms.MaxRetryAfter, false
 	}
 	if full {
 		return func(bool) {}, 0, true
@@ -501,14 +501,14 @@
 	}
 	return func(succeeded bool) {
 		n.mu.Lock()
-		n.core.Ended(n.now(), succeeded)
+		n.core.RequestEnded(n.now(), succeeded)
 		n.mu.Unlock()
 		n.wake()
 	}, 0, true
 }
 
-// Yield leaves the folder and the address to a successor, or takes them back as that one has ended.
-func (n *Node) Yield(yield bool) {
+// YieldSocket leaves the folder and the address to a successor, or takes them back as that one has ended.
+func (n *Node) YieldSocket(yield bool) {
 	select {
 	case n.yields <- yield:
 	default: // it has as many to go through already
@@ -524,7 +524,7 @@
 	n.store, n.folder = nil, nil
 	n.mu.Unlock()
 	if s != nil {
-		if err := s.End(); err != nil {
+		if err := s.MarkCleanShutdown(); err != nil {
 			n.log.Warn().Err(err).Msg("state: the end")
 		}
 	}
--- a/internal/fleet/operators_test.go
+++ b/internal/fleet/operators_test.go
@@ -14,7 +14,7 @@
 	node, _ := onHungDisk(t)
 	defer func() { assert.NoError(t, node.socket.Close()) }()
 	var names []string
-	for _, f := range node.Figures() {
+	for _, f := range node.Metrics() {
 		assert.Empty(t, f.Operation)
 		names = append(names, f.Name)
 	}
@@ -53,7 +53,7 @@
 	read, err := Read(path, "n0", 0, 2)
 	assert.NoError(t, err)
 	want := &Settings{Members: []Member{{Name: "n0", Address: "10.0.0.1:7950"}, {Name: "n1", Address: "10.0.0.2:7950"}}}
-	want.State.Folder, want.State.Every, want.State.Doubt = "/var/lib/other", Span(7*time.Second), true
+	want.State.Folder, want.State.Every, want.State.Doubt = "/var/lib/other", Duration(7*time.Second), true
 	want.Link.Listen = "10.0.0.1:7950"
 	r := &want.Recovery
 	r.IdentityWithin, r.ListWithin, r.OthersWithin = ms(11), ms(12), ms(13)
@@ -77,4 +77,4 @@
 }
 
 // ms is a span in milliseconds.
-func ms(n int) Span { return Span(time.Duration(n) * time.Millisecond) }
+func ms(n int) Duration { return Duration(time.Duration(n) * time.Millisecond) }
--- a/internal/fleet/recovery/admit.go
+++ b/internal/fleet/recovery/admit.go
@@ -8,7 +8,7 @@
 // Capacity is what workers bear, as the decisions see it.
 type Capacity struct {
 	Workers int     // that take work
-	Bears   float64 // forwards at once, of all of them, when they are warm
+	Warm    float64 // forwards at once, of all of them, when they are warm
 	Now     float64 // the same by their warmth now: core time done in a unit of time
 }
 
@@ -29,16 +29,16 @@
 	askedOver = time.Second // over which what is asked for is reckoned
 )
 
-// Observe takes how workers stand.
-func (c *Core) Observe(now time.Duration, k Capacity) {
+// SetCapacity takes how workers stand.
+func (c *StateMachine) SetCapacity(now time.Duration, k Capacity) {
 	c.now, c.capacity = now, k
 	c.move()
 }
 
 // Admit tells whether an invocation may come in, and else when its client should come back, 0 for no advice.
-func (c *Core) Admit(now, size time.Duration) (ok bool, comeBack time.Duration) {
+func (c *StateMachine) Admit(now, size time.Duration) (ok bool, comeBack time.Duration) {
 	c.now = now
-	if c.phase == Full {
+	if c.phase == Serving {
 		return true, 0
 	}
 	c.asked(size)
@@ -48,25 +48,25 @@
 	}
 	c.load.turnedAt = now
 	// Spread, so that clients do not return in step.
-	most := c.terms.ComeBackMost
+	most := c.terms.MaxRetryAfter
 	return false, most/4 + time.Duration(c.rng.Float64()*float64(most)*3/4)
 }
 
 // fits lets in a few, as long as nobody knows how workers are. From then on the decisions do better what a door
 // could: they hold what has come by its value and give up what cannot be done in time. (Measured: a door in Ramp
 // that let in what fits its time cost a tenth to a third of the billed value after a loss of power.)
-func (c *Core) fits() bool {
+func (c *StateMachine) fits() bool {
 	switch c.phase {
-	case Trickle:
-		return c.load.open < max(1, c.capacity.Workers/c.Living())
-	case Ramp, Full:
+	case Probing:
+		return c.load.open < max(1, c.capacity.Workers/c.ServingPeers())
+	case SlowStart, Serving:
 		return true
 	}
 	return false
 }
 
-// Ended takes the end of one that was let in before Full.
-func (c *Core) Ended(now time.Duration, succeeded bool) {
+// RequestEnded takes the end of one that was let in before Full.
+func (c *StateMachine) RequestEnded(now time.Duration, succeeded bool) {
 	c.now = now
 	c.load.open--
 	if succeeded {
@@ -75,7 +75,7 @@
 	c.move()
 }
 
-func (c *Core) asked(size time.Duration) {
+func (c *StateMachine) asked(size time.Duration) {
 	l := &c.load
 	l.asked = time.Duration(float64(l.asked)*decay(c.now-l.askedAt)) + size
 	l.askedAt = c.now
@@ -88,10 +88,10 @@
 
 // eased tells that for a while nobody had to be turned away, and what is asked for is well within what workers
 // bear. It guards against letting all in at the first quiet moment.
-func (c *Core) eased() bool {
+func (c *StateMachine) eased() bool {
 	l := &c.load
 	asked := float64(l.asked) * decay(c.now-l.askedAt) / askedOver.Seconds() / float64(time.Second)
-	if c.capacity.Now <= 0 || asked > easyShare*c.capacity.Now/float64(c.Living()) || c.now-l.turnedAt < easyFor {
+	if c.capacity.Now <= 0 || asked > easyShare*c.capacity.Now/float64(c.ServingPeers()) || c.now-l.turnedAt < easyFor {
 		l.lowSince = c.now
 		return false
 	}
--- a/internal/fleet/recovery/keys.go
+++ b/internal/fleet/recovery/keys.go
@@ -23,38 +23,38 @@
 	}
 }
 
-// Recall takes a key of before this life from this dispatcher's own disk.
-func (k *Keys) Recall(key link.Key) {
+// Restore takes a key of before this life from this dispatcher's own disk.
+func (k *Keys) Restore(key link.Key) {
 	k.mine[key.Sum] = key
-	k.Remember(key)
+	k.AddFromPeer(key)
 }
 
-// Remember takes a key of before this life. The latest counts; one that went to two groups is known for neither.
-func (k *Keys) Remember(key link.Key) {
+// AddFromPeer takes a key of before this life. The latest counts; one that went to two groups is known for neither.
+func (k *Keys) AddFromPeer(key link.Key) {
 	was, known := k.before[key.Sum]
 	switch {
 	case !known:
 	case was.Zone != key.Zone || was.Cell != key.Cell:
-		key.Host, key.Until = "", max(key.Until, was.Until)
-	case was.Until > key.Until:
+		key.Worker, key.ExpiresAt = "", max(key.ExpiresAt, was.ExpiresAt)
+	case was.ExpiresAt > key.ExpiresAt:
 		return
 	}
 	k.before[key.Sum] = key
 }
 
-// Sent takes a key of this life.
-func (k *Keys) Sent(key link.Key) { k.own[key.Sum] = key }
+// AddSent takes a key of this life.
+func (k *Keys) AddSent(key link.Key) { k.own[key.Sum] = key }
 
 // Count is how many of before there are.
 func (k *Keys) Count() int { return len(k.before) }
 
-// Told are those of this dispatcher's own disk and life whose window may not be over: one who asks, asks all, and
+// ForPeers are those of this dispatcher's own disk and life whose window may not be over: one who asks, asks all, and
 // what others have told would come to it once from each. It forgets the rest. Until a window after this process's start the
 // clock is not believed to say that one is over: it may have jumped. now is Unix time in ms.
-func (k *Keys) Told(now int64, lived time.Duration) (keys []link.Key) {
+func (k *Keys) ForPeers(now int64, lived time.Duration) (keys []link.Key) {
 	for _, all := range []map[uint64]link.Key{k.mine, k.own} {
 		for sum, key := range all {
-			if key.Until < now && lived > k.window {
+			if key.ExpiresAt < now && lived > k.window {
 				delete(all, sum)
 				continue
 			}
@@ -71,14 +71,14 @@
 	ErrGroups  = errors.New("it went to two groups")
 )
 
-// Look finds where an invocation under a key may have run before this life; found is false for nowhere. again is
+// Find finds where an invocation under a key may have run before this life; found is false for nowhere. again is
 // its client's mark of a repeat, open whether keys may have run that nobody here knows of. It fails where it may
 // have run and nobody can tell where, or whether its window is over.
-func (k *Keys) Look(sum uint64, again, open bool, now int64, lived time.Duration) (key link.Key, found bool,
+func (k *Keys) Find(sum uint64, again, open bool, now int64, lived time.Duration) (key link.Key, found bool,
 	err error,
 ) {
 	key, found = k.before[sum]
-	left := key.Until - now
+	left := key.ExpiresAt - now
 	switch {
 	case !found && again && open:
 		return key, false, ErrNotTold
@@ -87,9 +87,9 @@
 	case left <= 0 && lived > k.window:
 		delete(k.before, sum)
 		return key, false, nil
-	case key.Host == "":
+	case key.Worker == "":
 		return key, true, ErrGroups
-	case left <= 0, left > key.Until-key.At:
+	case left <= 0, left > key.ExpiresAt-key.SentAt:
 		return key, true, ErrClock
 	}
 	return key, true, nil
--- a/internal/fleet/recovery/trust.go
+++ b/internal/fleet/recovery/trust.go
@@ -12,35 +12,35 @@
 const (
 	FactIdentity Fact = iota
 	FactList
-	FactStarts
-	FactBears
+	FactWorkerStarts
+	FactCapacity
 	FactSizes
-	FactRests
+	FactBackoffs
 	FactDrains
-	FactLeft
+	FactManualDrain
 	FactKeys
-	FactOnce
-	FactShares
-	FactSent
+	FactNonIdempotent
+	FactQuotas
+	FactWarmupSends
 	FactSettings
 	facts
 )
 
-// Row says how far facts of one kind are trusted.
-type Row struct {
-	Fact    Fact
-	Name    string
-	Stored  string        // how
-	Most    time.Duration // age up to which it is believed, 0 for any
-	Clock   bool          // its age is told by the wall clock: it is not believed where that has jumped
-	Through bool          // it holds through a loss of power of all, workers too
-	Against string        // against whom it is checked
-	Without string        // what is assumed where it is not believed
-	Wrong   string        // what happens if it was believed and is wrong
+// TrustRule says how far facts of one kind are trusted.
+type TrustRule struct {
+	Fact                Fact
+	Name                string
+	Stored              string        // how
+	MaxAge              time.Duration // age up to which it is believed, 0 for any
+	NeedsClock          bool          // its age is told by the wall clock: it is not believed where that has jumped
+	SurvivesFleetOutage bool          // it holds through a loss of power of all, workers too
+	CheckedWith         string        // against whom it is checked
+	Default             string        // what is assumed where it is not believed
+	IfWrong             string        // what happens if it was believed and is wrong
 }
 
 // Table has one row for each kind of fact. docs/recovery.md shows the same table.
-var Table = [facts]Row{
+var TrustRules = [facts]TrustRule{
 	{
 		FactIdentity, "name and life", "life.a and life.b in turn, synced before the first word to anyone", 0, false, true,
 		"the name in the configuration; others' highest life of that name",
@@ -53,12 +53,12 @@
 		"refused connections, and workers taken for cold until a list that is followed tells otherwise",
 	},
 	{
-		FactStarts, "workers' starts", "facts, every interval", 0, false, true,
+		FactWorkerStarts, "workers' starts", "facts, every interval", 0, false, true,
 		"the list, others: the latest start counts", "started just now",
 		"a worker that did restart is found by refused connections, or counts as cold if all lost power",
 	},
 	{
-		FactBears, "what workers bear at once", "facts, every interval", 24 * time.Hour, true, true,
+		FactCapacity, "what workers bear at once", "facts, every interval", 24 * time.Hour, true, true,
 		"others that serve; starts and waits as they come", "one forward at a cold worker, eight at a warm one",
 		"workers answer that they are full, and votes move it",
 	},
@@ -67,7 +67,7 @@
 		"sizes as they come", "no lanes before 50 hints", "lanes are cut anew every 16 hints",
 	},
 	{
-		FactRests, "rests and lost zones", "facts, every interval", 8 * time.Second, true, false,
+		FactBackoffs, "rests and lost zones", "facts, every interval", 8 * time.Second, true, false,
 		"nobody", "none rests", "a worker that is down is found by one forward, a zone by three",
 	},
 	{
@@ -76,7 +76,7 @@
 		"a worker that is ready again is left out until the list service answers",
 	},
 	{
-		FactLeft, "drains by hand", "life file, synced before LEAVE is answered", 0, false, true,
+		FactManualDrain, "drains by hand", "life file, synced before LEAVE is answered", 0, false, true,
 		"nobody: it is the operator's word", "not told to leave", "JOIN takes clients again",
 	},
 	{
@@ -86,16 +86,16 @@
 		"a repeat is an error, or held to a group that did not run it, for one window",
 	},
 	{
-		FactOnce, "non-idempotent forwards out", "not at all", 0, false, false,
+		FactNonIdempotent, "non-idempotent forwards out", "not at all", 0, false, false,
 		"nobody", "each may have run: it is the client's, and never sent again",
 		"nothing: no dispatcher sends it again",
 	},
 	{
-		FactShares, "customers' traffic", "facts, every interval", time.Minute, true, true,
+		FactQuotas, "customers' traffic", "facts, every interval", time.Minute, true, true,
 		"nobody", "all within their shares", "shares settle within sixteen landings",
 	},
 	{
-		FactSent, "work sent to cold workers within the span", "not at all", 0, false, false,
+		FactWarmupSends, "work sent to cold workers within the span", "not at all", 0, false, false,
 		"nobody", "a cold worker's whole budget: nothing goes there for one span",
 		"nothing: it is the most that it can have been",
 	},
@@ -106,33 +106,33 @@
 	},
 }
 
-// Age is what is known of how old facts are.
-type Age struct {
-	Told   time.Duration // by the wall clock
-	Jumped bool          // which cannot be believed
+// RecordAge is what is known of how old facts are.
+type RecordAge struct {
+	Elapsed     time.Duration // by the wall clock
+	ClockJumped bool          // which cannot be believed
 }
 
 // clockBack is by how much a clock may have gone back between two lives and still be believed.
 const clockBack = 2 * time.Second
 
-// AgeOf reckons from the wall clock, in Unix ms, as it was written and as it is now.
-func AgeOf(written, now int64) Age {
+// RecordAgeOf reckons from the wall clock, in Unix ms, as it was written and as it is now.
+func RecordAgeOf(written, now int64) RecordAge {
 	told := time.Duration(now-written) * time.Millisecond
 	if told < -clockBack {
-		return Age{Jumped: true}
+		return RecordAge{ClockJumped: true}
 	}
-	return Age{Told: max(told, 0)}
+	return RecordAge{Elapsed: max(told, 0)}
 }
 
-// Trust tells whether a fact of such an age is believed, in such a case of return, and why not.
-func Trust(f Fact, age Age, c Case) (bool, string) {
-	row := &Table[f]
+// IsTrusted tells whether a fact of such an age is believed, in such a case of return, and why not.
+func IsTrusted(f Fact, age RecordAge, c Outage) (bool, string) {
+	row := &TrustRules[f]
 	switch {
-	case row.Clock && age.Jumped:
+	case row.NeedsClock && age.ClockJumped:
 		return false, "the clock has jumped back since it was written"
-	case row.Most > 0 && age.Told > row.Most:
-		return false, fmt.Sprintf("%v old, at most %v", age.Told.Round(time.Second), row.Most)
-	case !row.Through && c == All:
+	case row.MaxAge > 0 && age.Elapsed > row.MaxAge:
+		return false, fmt.Sprintf("%v old, at most %v", age.Elapsed.Round(time.Second), row.MaxAge)
+	case !row.SurvivesFleetOutage && c == FleetWide:
 		return false, "all were away"
 	case row.Stored == "not at all":
 		return false, "never stored"
--- a/internal/fleet/recovery/words_test.go
+++ b/internal/fleet/recovery/words_test.go
@@ -16,6 +16,6 @@
 // TestCaseNumbersAndWords pins who was away, as operators are told it by number and by word.
 func TestCaseNumbersAndWords(t *testing.T) {
 	for n, want := range []string{"undecided", "alone", "some", "all"} {
-		assert.Equal(t, want, Case(n).String())
+		assert.Equal(t, want, Outage(n).String())
 	}
 }
--- a/internal/fleet/settings.go
+++ b/internal/fleet/settings.go
@@ -14,40 +14,40 @@
 	"canvasroute/internal/strict"
 )
 
-// Span is a time in the file, such as "250ms".
-type Span time.Duration
+// Duration is a time in the file, such as "250ms".
+type Duration time.Duration
 
 // UnmarshalText reads a span.
-func (s *Span) UnmarshalText(b []byte) error {
+func (s *Duration) UnmarshalText(b []byte) error {
 	d, err := time.ParseDuration(string(b))
 	if err != nil {
 		return errors.New("must be a time with its unit, such as 250ms")
 	}
-	*s = Span(d)
+	*s = Duration(d)
 	return nil
 }
 
-// D is the span for the standard library.
-func (s Span) D() time.Duration { return time.Duration(s) }
+// Std is the span for the standard library.
+func (s Duration) Std() time.Duration { return time.Duration(s) }
 
 // Settings are the operators' file.
 type Settings struct {
 	State struct {
-		Folder string `toml:"folder"`
-		Every  Span   `toml:"every"`      // from one write of what was learnt to the next
-		Doubt  bool   `toml:"doubt-disk"` // the disk may say yes to a sync and lose what it was
+		Folder string   `toml:"folder"`
+		Every  Duration `toml:"every"`      // from one write of what was learnt to the next
+		Doubt  bool     `toml:"doubt-disk"` // the disk may say yes to a sync and lose what it was
 	} `toml:"state"`
 	Link struct {
 		Listen string `toml:"listen"`
 	} `toml:"link"`
 	Members  []Member `toml:"member"` // all dispatchers that may exist, in the order of their positions
 	Recovery struct {
-		IdentityWithin Span `toml:"identity-within"`
-		ListWithin     Span `toml:"list-within"`
-		OthersWithin   Span `toml:"others-within"`
-		TrickleWithin  Span `toml:"trickle-within"`
-		AskEvery       Span `toml:"ask-every"`
-		KeepWithin     Span `toml:"keep-within"` // for a key to be on disk before its forward is given up
+		IdentityWithin Duration `toml:"identity-within"`
+		ListWithin     Duration `toml:"list-within"`
+		OthersWithin   Duration `toml:"others-within"`
+		TrickleWithin  Duration `toml:"trickle-within"`
+		AskEvery       Duration `toml:"ask-every"`
+		KeepWithin     Duration `toml:"keep-within"` // for a key to be on disk before its forward is given up
 	} `toml:"recovery"`
 
 	listen    netip.AddrPort
@@ -63,11 +63,11 @@
 // usual is what holds where the file says nothing.
 func usual() *Settings {
 	s := &Settings{}
-	s.State.Every = Span(time.Second)
+	s.State.Every = Duration(time.Second)
 	r := &s.Recovery
-	r.IdentityWithin, r.ListWithin, r.OthersWithin = Span(2*time.Second), Span(3*time.Second), Span(time.Second)
-	r.TrickleWithin, r.AskEvery, r.KeepWithin = Span(2*time.Second), Span(100*time.Millisecond),
-		Span(500*time.Millisecond)
+	r.IdentityWithin, r.ListWithin, r.OthersWithin = Duration(2*time.Second), Duration(3*time.Second), Duration(time.Second)
+	r.TrickleWithin, r.AskEvery, r.KeepWithin = Duration(2*time.Second), Duration(100*time.Millisecond),
+		Duration(500*time.Millisecond)
 	return s
 }
 
@@ -95,7 +95,7 @@
 	r := &s.Recovery
 	for _, k := range []struct {
 		key  string
-		span Span
+		span Duration
 	}{
 		{"state.every", s.State.Every},
 		{"recovery.identity-within", r.IdentityWithin},
@@ -105,8 +105,8 @@
 		{"recovery.ask-every", r.AskEvery},
 		{"recovery.keep-within", r.KeepWithin},
 	} {
-		if k.span.D() < time.Millisecond || k.span.D() > time.Hour {
-			return fmt.Errorf("%s: %v, must be from 1ms to 1h", k.key, k.span.D())
+		if k.span.Std() < time.Millisecond || k.span.Std() > time.Hour {
+			return fmt.Errorf("%s: %v, must be from 1ms to 1h", k.key, k.span.Std())
 		}
 	}
 	if s.listen, err = netip.ParseAddrPort(s.Link.Listen); err != nil {
--- a/internal/fleet/simulate/fleet.go
+++ b/internal/fleet/simulate/fleet.go
@@ -29,7 +29,7 @@
 	Bytes    int
 	Most     int           // messages of the one that sent most
 	Full     time.Duration // from the last return to the last dispatcher in full service
-	Cases    map[recovery.Case]int
+	Cases    map[recovery.Outage]int
 	Repeats  map[string]int // what became of marked repeats of keys from before
 	Ended    map[recovery.Phase]int
 }
@@ -121,7 +121,7 @@
 	w := &world{
 		plan: p, rng: rand.New(rand.NewPCG(p.Seed, uint64(p.Dispatchers))), list: true, workUp: true, back: -1,
 		net:    manner{delay: 2 * time.Millisecond, cut: map[[2]int]bool{}},
-		result: Result{Cases: map[recovery.Case]int{}, Repeats: map[string]int{}, Ended: map[recovery.Phase]int{}},
+		result: Result{Cases: map[recovery.Outage]int{}, Repeats: map[string]int{}, Ended: map[recovery.Phase]int{}},
 	}
 	for n := range p.Dispatchers {
 		w.nodes = append(w.nodes, &node{w: w, number: n, disk: store.NewMemory()})
@@ -171,8 +171,8 @@
 	if age := w.now - w.back; w.back >= 0 && age < ramp {
 		warmth = coldFrom + (1-coldFrom)*age.Seconds()/ramp.Seconds()
 	}
-	c := recovery.Capacity{Workers: w.plan.Workers, Bears: 3 * float64(w.plan.Workers)}
-	if c.Now = warmth * c.Bears; !w.workUp {
+	c := recovery.Capacity{Workers: w.plan.Workers, Warm: 3 * float64(w.plan.Workers)}
+	if c.Now = warmth * c.Warm; !w.workUp {
 		c.Workers, c.Now = 0, 0
 	}
 	return c
@@ -216,8 +216,8 @@
 			continue
 		}
 		w.result.Ended[n.core.Phase()]++
-		w.result.Cases[n.core.Case()]++
-		if n.core.Phase() != recovery.Full {
+		w.result.Cases[n.core.Outage()]++
+		if n.core.Phase() != recovery.Serving {
 			w.broken("%d: %v at the end, %v after its start", n.number, n.core.Phase(), w.now-n.began)
 		}
 		last = max(last, n.full)
--- a/internal/fleet/simulate/node.go
+++ b/internal/fleet/simulate/node.go
@@ -24,12 +24,12 @@
 	stopped []time.Duration // its losses of power
 	full    time.Duration
 	phase   recovery.Phase
-	core    *recovery.Core
+	core    *recovery.StateMachine
 	keys    *recovery.Keys
 	store   *store.Store
 	durable uint64 // the life that is on disk
 	failed  bool   // the disk has: no life is on it
-	pending []recovery.Heard
+	pending []recovery.PeerReply
 	applied bool
 }
 
@@ -57,30 +57,30 @@
 func (n *node) start() {
 	n.up, n.began, n.full, n.phase, n.applied, n.pending = true, n.w.now, 0, 0, false, nil
 	n.life++
-	n.core = recovery.New(recovery.Terms{
-		Members: n.members(), Self: n.number, IdentityWithin: identityWithin,
-		ListWithin: 3 * time.Second, OthersWithin: time.Second, TrickleWithin: 2 * time.Second,
-		RampWithin: ramp + time.Second, AskEvery: askEvery, Window: window, ComeBackMost: 2 * time.Second,
+	n.core = recovery.New(recovery.Config{
+		Members: n.members(), Self: n.number, IdentityTimeout: identityWithin,
+		EndpointsTimeout: 3 * time.Second, PeersTimeout: time.Second, ProbeTimeout: 2 * time.Second,
+		SlowStartDuration: ramp + time.Second, QueryInterval: askEvery, DedupWindow: window, MaxRetryAfter: 2 * time.Second,
 		Seed: n.w.rng.Uint64(),
 	})
 	n.keys = recovery.NewKeys(window)
 	s, found := store.Open(n.disk, n.members()[n.number])
 	n.store, n.failed = s, false
 	for _, k := range found.Keys {
-		n.keys.Recall(link.Key(k))
+		n.keys.Restore(link.Key(k))
 	}
 	token, least := n.w.rng.Uint64(), uint64(1)
-	if found.Facts != nil {
-		least = found.Facts.Life + 1
+	if found.State != nil {
+		least = found.State.Incarnation + 1
 	}
-	bad := found.KeysBad || n.doubt && found.Known && !found.Life.Clean
-	life, err := s.Begin(found.Life, least, token, bad, n.wall())
+	bad := found.KeysSuspect || n.doubt && found.Known && !found.Incarnation.CleanShutdown
+	life, err := s.Begin(found.Incarnation, least, token, bad, n.wall())
 	if err != nil {
 		n.failed = true
 	}
-	n.durable = life.Life
-	n.core.Stored(n.now(), life.Life, token, recovery.WasOf(found, bad))
-	n.core.Listed(n.now(), false)
+	n.durable = life.Number
+	n.core.IdentityStored(n.now(), life.Number, token, recovery.PreviousIncarnationOf(found, bad))
+	n.core.EndpointsReceived(n.now(), false)
 	n.settle()
 	n.tick(n.life)
 	n.learn(n.life)
@@ -97,10 +97,10 @@
 	if !n.up || n.life != life {
 		return
 	}
-	if p := n.core.Phase(); p == recovery.Trickle || p == recovery.Ramp {
-		n.core.Observe(n.now(), n.w.capacity())
+	if p := n.core.Phase(); p == recovery.Probing || p == recovery.SlowStart {
+		n.core.SetCapacity(n.now(), n.w.capacity())
 	}
-	n.core.Kept(n.store.Kept())
+	n.core.SetPersistedKeys(n.store.PersistedKeys())
 	next := n.core.Tick(n.now())
 	n.settle()
 	n.w.after(min(max(next-n.now(), time.Millisecond), 100*time.Millisecond), func() { n.tick(life) })
@@ -112,11 +112,11 @@
 		return
 	}
 	if n.w.list {
-		n.core.Listed(n.now(), true)
+		n.core.EndpointsReceived(n.now(), true)
 		n.settle()
 		return
 	}
-	n.core.Unlisted(n.now())
+	n.core.EndpointsUnavailable(n.now())
 	n.settle()
 	n.w.after(n.w.between(100*time.Millisecond, time.Second), func() { n.listen(life) })
 }
@@ -127,54 +127,54 @@
 	}
 	if n.applied {
 		//nolint:errcheck // a disk that fails here is played by the script; facts that are lost are no breach
-		n.store.Learn(store.Facts{At: n.wall(), Learnt: []byte("{}"), Seen: n.core.Seen()})
+		n.store.SaveState(store.State{WrittenAt: n.wall(), Learned: []byte("{}"), Peers: n.core.Peers()})
 	}
 	n.w.after(time.Second, func() { n.learn(life) })
 }
 
 func (n *node) hear(from int, m *link.Message) {
-	n.core.Take(n.now(), from, m)
+	n.core.Receive(n.now(), from, m)
 	n.settle()
 }
 
 // settle does what the core wants done, and holds the invariants of each step.
 func (n *node) settle() {
-	out := n.core.Out()
-	for _, s := range out.Steps {
+	out := n.core.TakeActions()
+	for _, s := range out.Transitions {
 		n.judgeStep(s)
 	}
-	if out.Doubt != nil {
+	if out.SetKeysSuspect != nil {
 		//nolint:errcheck // failed stands for a life that could not be raised; setting it here would ease the check
-		n.store.Doubt(*out.Doubt)
+		n.store.SetKeysSuspect(*out.SetKeysSuspect)
 	}
-	if out.Raise > 0 {
-		if err := n.store.Raise(out.Raise); err != nil {
+	if out.RaiseIncarnation > 0 {
+		if err := n.store.RaiseIncarnation(out.RaiseIncarnation); err != nil {
 			n.failed = true
 		}
-		n.durable = out.Raise
-		n.core.Raised(n.now(), out.Raise)
+		n.durable = out.RaiseIncarnation
+		n.core.IncarnationRaised(n.now(), out.RaiseIncarnation)
 	}
-	n.pending = append(n.pending, out.Heard...)
-	if n.core.Phase() >= recovery.Trickle && n.core.Phase() != recovery.Superseded {
+	n.pending = append(n.pending, out.Replies...)
+	if n.core.Phase() >= recovery.Probing && n.core.Phase() != recovery.Superseded {
 		n.applied = true
 		for _, m := range n.pending {
 			for _, k := range m.Keys {
-				n.keys.Remember(k)
+				n.keys.AddFromPeer(k)
 			}
 		}
 		n.pending = nil
 	}
 	for _, m := range out.Messages {
-		if m.Life > n.durable && !n.failed {
-			n.w.broken("%d: speaks as life %d, %d is on its disk", n.number, m.Life, n.durable)
+		if m.Incarnation > n.durable && !n.failed {
+			n.w.broken("%d: speaks as life %d, %d is on its disk", n.number, m.Incarnation, n.durable)
 		}
 		n.w.send(n.number, m.To, m.Message)
 	}
-	for _, q := range out.Questions {
-		k := recovery.Known{Keys: n.keys.Told(n.wall(), n.now()), Bears: map[string]float64{"std": 3}}
-		if q.Want {
+	for _, q := range out.Queries {
+		k := recovery.LocalKnowledge{Keys: n.keys.ForPeers(n.wall(), n.now()), MaxObserved: map[string]float64{"std": 3}}
+		if q.WantWorkers {
 			for host := range n.w.plan.Workers {
-				k.Workers = append(k.Workers, link.Worker{Host: string(rune('a'+host%26)) + "-worker", Born: 1 << 40})
+				k.Workers = append(k.Workers, link.Worker{ID: string(rune('a'+host%26)) + "-worker", StartedAt: 1 << 40})
 			}
 		}
 		for _, m := range n.core.Reply(q, k) {
@@ -184,33 +184,33 @@
 }
 
 // judgeStep holds that phases grow, and that nobody serves before it may.
-func (n *node) judgeStep(s recovery.Step) {
+func (n *node) judgeStep(s recovery.Transition) {
 	if s.Phase < n.phase {
 		n.w.broken("%d: %v after %v", n.number, s.Phase, n.phase)
 	}
 	n.phase = s.Phase
 	switch s.Phase {
-	case recovery.Trickle:
-		whole, of := n.core.Answered()
+	case recovery.Probing:
+		whole, of := n.core.PeersAnswered()
 		if whole < of && n.now() < time.Second {
 			n.w.broken("%d: serves after %v, with %d of %d answers", n.number, n.now(), whole, of)
 		}
-		if n.core.Case() == recovery.Alone {
+		if n.core.Outage() == recovery.OnlyThis {
 			for _, other := range n.w.nodes {
-				if other != n && (!other.up || other.core.Phase() != recovery.Full) {
+				if other != n && (!other.up || other.core.Phase() != recovery.Serving) {
 					if other.up || n.w.now-other.began > time.Second+n.now() {
 						n.w.broken("%d: alone was away, says it, and %d does not serve", n.number, other.number)
 					}
 				}
 			}
 		}
-	case recovery.Full:
+	case recovery.Serving:
 		n.full = n.w.now
 	}
 }
 
 func (n *node) serves() bool {
-	return n.up && n.core.Phase() >= recovery.Trickle && n.core.Phase() != recovery.Superseded
+	return n.up && n.core.Phase() >= recovery.Probing && n.core.Phase() != recovery.Superseded
 }
 
 // invoke lets an invocation in, if it may come, and ends it a while later.
@@ -221,7 +221,7 @@
 	life, success := n.life, n.w.workUp
 	n.w.after(n.w.between(50*time.Millisecond, 400*time.Millisecond), func() {
 		if n.up && n.life == life {
-			n.core.Ended(n.now(), success)
+			n.core.RequestEnded(n.now(), success)
 			n.settle()
 		}
 	})
@@ -229,18 +229,18 @@
 
 // keep sends an invocation under a key out, once its key is on disk; else it does not go.
 func (n *node) keep(key sent) bool {
-	k := store.Key{Sum: key.sum, Host: "w", Zone: key.zone, At: n.wall(), Until: n.wall() + window.Milliseconds()}
-	if n.store.Keep([]store.Key{k}, n.wall()) != nil {
+	k := store.Key{Sum: key.sum, Worker: "w", Zone: key.zone, SentAt: n.wall(), ExpiresAt: n.wall() + window.Milliseconds()}
+	if n.store.AppendKeys([]store.Key{k}, n.wall()) != nil {
 		return false
 	}
-	n.keys.Sent(link.Key(k))
+	n.keys.AddSent(link.Key(k))
 	return true
 }
 
 // repeat is a client's marked repeat. One whose first try went out before this dispatcher came back must go to
 // its group, or be an error, for as long as the group's window lasts.
 func (n *node) repeat(key sent) {
-	found, known, err := n.keys.Look(key.sum, true, n.core.KeysOpen(n.now()), n.wall(), n.now())
+	found, known, err := n.keys.Find(key.sum, true, n.core.PeerKeysPending(n.now()), n.wall(), n.now())
 	before := key.at < n.began && n.w.now < key.at+window && !key.unsure
 	what := "anew"
 	switch {
@@ -283,7 +283,7 @@
 	case "swapped":
 		n.disk = other.Restart(0)
 	case "full":
-		n.disk.Fails = errFull
+		n.disk.WriteError = errFull
 	}
 }
 
--- a/internal/fleet/simulate/script.go
+++ b/internal/fleet/simulate/script.go
@@ -32,7 +32,7 @@
 		}
 		if w.chance(0.2) {
 			for _, n := range w.nodes {
-				n.disk.Lies, n.doubt = true, true
+				n.disk.DropSyncs, n.doubt = true, true
 			}
 		}
 	}
@@ -137,9 +137,9 @@
 			if jump != 0 {
 				n.clock = jump
 			}
-			lies := n.disk.Lies
+			lies := n.disk.DropSyncs
 			n.spoil(disk, olds[n.number], other.disk)
-			n.disk.Lies = lies
+			n.disk.DropSyncs = lies
 			n.start()
 		})
 		last = max(last, back)
--- a/internal/fleet/state.go
+++ b/internal/fleet/state.go
@@ -15,7 +15,7 @@
 
 // learn writes what was learnt, again and again, until ctx ends. Nothing waits for it.
 func (n *Node) learn(ctx context.Context) error {
-	ticker := time.NewTicker(n.settings.State.Every.D())
+	ticker := time.NewTicker(n.settings.State.Every.Std())
 	defer ticker.Stop()
 	for {
 		select {
@@ -31,14 +31,14 @@
 // write: it would put less in the place of more.
 func (n *Node) write() {
 	n.mu.Lock()
-	s, applied, seen := n.store, n.applied, n.core.Seen()
+	s, applied, seen := n.store, n.applied, n.core.Peers()
 	n.mu.Unlock()
 	if s == nil || !applied {
 		return
 	}
-	text, err := json.Marshal(n.router.Knowledge())
+	text, err := json.Marshal(n.router.Learned())
 	if err == nil {
-		err = s.Learn(store.Facts{At: time.Now().UnixMilli(), Settings: n.terms.Settings, Learnt: text, Seen: seen})
+		err = s.SaveState(store.State{WrittenAt: time.Now().UnixMilli(), SettingsHash: n.terms.SettingsHash, Learned: text, Peers: seen})
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -56,35 +56,35 @@
 	}
 }
 
-// Leave makes durable that an operator has told this dispatcher to leave, or to join.
-func (n *Node) Leave(left bool) error {
+// SetDrained makes durable that an operator has told this dispatcher to leave, or to join.
+func (n *Node) SetDrained(left bool) error {
 	n.mu.Lock()
 	s := n.store
 	n.mu.Unlock()
 	if s == nil {
 		return errNoFolder
 	}
-	if err := s.Leave(left); err != nil {
+	if err := s.SetDrained(left); err != nil {
 		return fmt.Errorf("it would not hold after an end: %w", err)
 	}
 	return nil
 }
 
-// Figures are what operators are told.
-func (n *Node) Figures() []protocol.Metric {
+// Metrics are what operators are told.
+func (n *Node) Metrics() []protocol.Metric {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	whole, of := n.core.Answered()
+	whole, of := n.core.PeersAnswered()
 	open := int64(0)
-	if n.core.KeysOpen(n.now()) {
+	if n.core.PeerKeysPending(n.now()) {
 		open = 1
 	}
 	s := &n.stats
 	figures := []protocol.Metric{
 		{Name: "return_phase", Value: int64(n.core.Phase())},
-		{Name: "return_case", Value: int64(n.core.Case())},
+		{Name: "return_case", Value: int64(n.core.Outage())},
 		{Name: "return_phase_ms", Value: (n.now() - n.core.Since()).Milliseconds()},
-		{Name: "return_life", Value: int64(n.core.Life())},
+		{Name: "return_life", Value: int64(n.core.Incarnation())},
 		{Name: "return_answered", Value: int64(whole)},
 		{Name: "return_silent", Value: int64(of - whole)},
 		{Name: "return_turned_away", Value: s.turned},
--- a/internal/fleet/store/disk.go
+++ b/internal/fleet/store/disk.go
@@ -30,12 +30,12 @@
 	lock *os.File
 }
 
-// ErrHeld is a folder that another process holds.
-var ErrHeld = errors.New("another process holds the folder")
+// ErrLocked is a folder that another process holds.
+var ErrLocked = errors.New("another process holds the folder")
 
 const lockName = "lock"
 
-// OpenFolder takes a folder for this process, and makes it where there is none. It fails with ErrHeld at once
+// OpenFolder takes a folder for this process, and makes it where there is none. It fails with ErrLocked at once
 // where another process has it. A folder that cannot be written to can still be read: held tells which.
 func OpenFolder(path string) (f *Folder, held bool, err error) {
 	if err := os.MkdirAll(path, 0o700); err != nil {
@@ -52,7 +52,7 @@
 	if err := syscall.Flock(int(lock.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
 		lock.Close()
 		if errors.Is(err, syscall.EWOULDBLOCK) {
-			err = ErrHeld
+			err = ErrLocked
 		}
 		return nil, false, fmt.Errorf("state folder %s: %w", path, err)
 	}
--- a/internal/fleet/store/format_test.go
+++ b/internal/fleet/store/format_test.go
@@ -18,27 +18,27 @@
 var goldenFiles = []string{"facts.a", "facts.b", "keys.1", "keys.2", "life.a", "life.b"}
 
 // wantLife is the identity in the golden folder.
-var wantLife = Life{
-	Name: "n3", Life: 8, Token: 0xfedcba9876543210, Began: 1_700_000_000_000, Left: true, Keys: 3,
-	Clean: true, Doubt: true,
+var wantLife = Incarnation{
+	Name: "n3", Number: 8, Nonce: 0xfedcba9876543210, StartedAt: 1_700_000_000_000, Drained: true, Keys: 3,
+	CleanShutdown: true, KeysSuspect: true,
 }
 
 // wantKeys are the keys in the golden folder, in the order of writing.
 var wantKeys = []Key{
-	{Sum: 0xffffffffffffffff, Host: "w1", Zone: "north", Cell: 7, At: 1_700_000_001_000, Until: 1_700_000_601_000},
-	{Sum: 2, Host: "w2", Zone: "south", Cell: 300, At: 1_700_000_001_001, Until: 1_700_000_601_001},
-	{Sum: 3, Host: "w3", Zone: "south", Cell: 1, At: 1_700_000_041_000, Until: 1_700_000_641_000},
+	{Sum: 0xffffffffffffffff, Worker: "w1", Zone: "north", Cell: 7, SentAt: 1_700_000_001_000, ExpiresAt: 1_700_000_601_000},
+	{Sum: 2, Worker: "w2", Zone: "south", Cell: 300, SentAt: 1_700_000_001_001, ExpiresAt: 1_700_000_601_001},
+	{Sum: 3, Worker: "w3", Zone: "south", Cell: 1, SentAt: 1_700_000_041_000, ExpiresAt: 1_700_000_641_000},
 }
 
 // wantFacts are the newest facts in the golden folder, with the snapshot of package routing in them.
-func wantFacts(t *testing.T) Facts {
+func wantFacts(t *testing.T) State {
 	t.Helper()
 	snapshot, err := os.ReadFile("../../routing/testdata/snapshot.json")
 	assert.NoError(t, err)
-	return Facts{
-		Name: "n3", Life: 8, At: 1_700_000_042_000, Settings: "0123456789abcdef", Learnt: snapshot,
-		Seen: map[string]Seen{"n4": {Life: 5, Token: 6, Kept: 7, WasLife: 4, WasToken: 0x8000000000000000, WasKept: 9}},
-		Keys: 3,
+	return State{
+		Name: "n3", Incarnation: 8, WrittenAt: 1_700_000_042_000, SettingsHash: "0123456789abcdef", Learned: snapshot,
+		Peers: map[string]PeerProgress{"n4": {Incarnation: 5, Nonce: 6, PersistedKeys: 7, PreviousIncarnation: 4, PreviousNonce: 0x8000000000000000, PreviousPersistedKeys: 9}},
+		Keys:  3,
 	}
 }
 
@@ -47,14 +47,14 @@
 	t.Helper()
 	s, found := Open(d, wantLife.Name)
 	assert.False(t, found.Known)
-	_, err := s.Begin(Life{Name: wantLife.Name, Life: 7, Left: true}, 1, wantLife.Token, true, wantLife.Began)
+	_, err := s.Begin(Incarnation{Name: wantLife.Name, Number: 7, Drained: true}, 1, wantLife.Nonce, true, wantLife.StartedAt)
 	assert.NoError(t, err)
-	assert.NoError(t, s.Keep(wantKeys[:2], wantKeys[0].At))
-	assert.NoError(t, s.Learn(Facts{At: wantLife.Began, Settings: "earlier", Learnt: []byte("{}")}))
-	assert.NoError(t, s.Keep(wantKeys[2:], wantKeys[2].At))
+	assert.NoError(t, s.AppendKeys(wantKeys[:2], wantKeys[0].SentAt))
+	assert.NoError(t, s.SaveState(State{WrittenAt: wantLife.StartedAt, SettingsHash: "earlier", Learned: []byte("{}")}))
+	assert.NoError(t, s.AppendKeys(wantKeys[2:], wantKeys[2].SentAt))
 	facts := wantFacts(t)
-	assert.NoError(t, s.Learn(Facts{At: facts.At, Settings: facts.Settings, Learnt: facts.Learnt, Seen: facts.Seen}))
-	assert.NoError(t, s.End())
+	assert.NoError(t, s.SaveState(State{WrittenAt: facts.WrittenAt, SettingsHash: facts.SettingsHash, Learned: facts.Learned, Peers: facts.Peers}))
+	assert.NoError(t, s.MarkCleanShutdown())
 }
 
 // TestReadsFolderOfEarlierRelease checks that each field of each record of an earlier release arrives.
@@ -66,7 +66,7 @@
 	assert.Equal(t, goldenFiles, names)
 	facts := wantFacts(t)
 	_, found := Open(disk, "n3")
-	assert.Equal(t, Found{Life: wantLife, Known: true, Facts: &facts, Keys: wantKeys, Kept: 3, KeysBad: true}, found)
+	assert.Equal(t, Recovered{Incarnation: wantLife, Known: true, State: &facts, Keys: wantKeys, PersistedKeys: 3, KeysSuspect: true}, found)
 }
 
 // TestReadsOlderFactsOfEarlierRelease checks the record that is left when the newest one is lost, which has nothing seen
@@ -77,8 +77,8 @@
 	assert.NoError(t, err)
 	assert.NoError(t, disk.Write("facts.b", older))
 	_, found := Open(disk, "n3")
-	assert.Equal(t, &Facts{Name: "n3", Life: 8, At: 1_700_000_000_000, Settings: "earlier", Learnt: []byte("{}"), Keys: 2},
-		found.Facts)
+	assert.Equal(t, &State{Name: "n3", Incarnation: 8, WrittenAt: 1_700_000_000_000, SettingsHash: "earlier", Learned: []byte("{}"), Keys: 2},
+		found.State)
 }
 
 // TestWritesFolderThatEarlierReleaseReads checks that each file is written byte for byte as an earlier release did.
@@ -111,7 +111,7 @@
 		assert.Empty(t, unsetFields(v, v.Type().String()))
 	}
 	assert.Equal(t, []string{"Key.Sum", "Key.Zone", "Key.Cell", "Key.At", "Key.Until"},
-		unsetFields(reflect.ValueOf(Key{Host: "w1"}), "Key"), "an unset field is found")
+		unsetFields(reflect.ValueOf(Key{Worker: "w1"}), "Key"), "an unset field is found")
 }
 
 // unsetFields returns the paths of all fields that are zero or empty in v or in what it holds.
--- a/internal/fleet/store/keys.go
+++ b/internal/fleet/store/keys.go
@@ -12,12 +12,12 @@
 // Key tells that an invocation under a key may have run in a group of workers. It is on disk before the
 // first byte leaves for the worker: rule 2 needs it, since after a power loss nobody else knows.
 type Key struct {
-	Sum   uint64 `cbor:"1,keyasint"` // of the operation's name and the key
-	Host  string `cbor:"2,keyasint"` // the worker that it went to
-	Zone  string `cbor:"3,keyasint"`
-	Cell  int    `cbor:"4,keyasint"`
-	At    int64  `cbor:"5,keyasint"` // Unix time in ms, when it went out
-	Until int64  `cbor:"6,keyasint"` // and when workers no longer drop its repeats
+	Sum       uint64 `cbor:"1,keyasint"` // of the operation's name and the key
+	Worker    string `cbor:"2,keyasint"` // the worker that it went to
+	Zone      string `cbor:"3,keyasint"`
+	Cell      int    `cbor:"4,keyasint"`
+	SentAt    int64  `cbor:"5,keyasint"` // Unix time in ms, when it went out
+	ExpiresAt int64  `cbor:"6,keyasint"` // and when workers no longer drop its repeats
 }
 
 const keysName = "keys."
@@ -82,7 +82,7 @@
 			j.life, j.count = some.Life, some.First+uint64(len(some.Keys))
 			keys = append(keys, some.Keys...)
 			for _, k := range some.Keys {
-				j.untils[n] = max(j.untils[n], k.Until)
+				j.untils[n] = max(j.untils[n], k.ExpiresAt)
 			}
 		}
 		if err != nil {
@@ -131,7 +131,7 @@
 	}
 	j.count += uint64(len(keys))
 	for _, k := range keys {
-		j.untils[j.segment] = max(j.untils[j.segment], k.Until)
+		j.untils[j.segment] = max(j.untils[j.segment], k.ExpiresAt)
 	}
 	return nil
 }
--- a/internal/fleet/store/memory.go
+++ b/internal/fleet/store/memory.go
@@ -10,13 +10,13 @@
 
 // Memory is a Disk for simulations: it knows what is durable, can lose power at any step, and can lie.
 type Memory struct {
-	mu       sync.Mutex
-	now      map[string]*inode // as programs see it
-	durable  map[string]*inode // the names that would be there after a loss of power
-	Steps    int               // taken so far
-	CutAfter int               // power is lost before the step of this number; 0: never
-	Fails    error             // what each write ends with, nil where it works
-	Lies     bool              // a sync says yes and does nothing
+	mu             sync.Mutex
+	now            map[string]*inode // as programs see it
+	durable        map[string]*inode // the names that would be there after a loss of power
+	Steps          int               // taken so far
+	PowerLossAfter int               // power is lost before the step of this number; 0: never
+	WriteError     error             // what each write ends with, nil where it works
+	DropSyncs      bool              // a sync says yes and does nothing
 }
 
 // inode is one file. Its first bytes are durable.
@@ -25,8 +25,8 @@
 	durable []byte
 }
 
-// ErrCut is power lost.
-var ErrCut = errors.New("power lost")
+// ErrPowerLost is power lost.
+var ErrPowerLost = errors.New("power lost")
 
 // NewMemory makes an empty disk.
 func NewMemory() *Memory {
@@ -37,11 +37,11 @@
 func (m *Memory) step(take func() error) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.Steps++; m.CutAfter > 0 && m.Steps >= m.CutAfter {
-		return ErrCut
+	if m.Steps++; m.PowerLossAfter > 0 && m.Steps >= m.PowerLossAfter {
+		return ErrPowerLost
 	}
-	if m.Fails != nil {
-		return m.Fails
+	if m.WriteError != nil {
+		return m.WriteError
 	}
 	return take()
 }
@@ -110,7 +110,7 @@
 // Sync makes a file durable, unless it lies.
 func (m *Memory) Sync(name string) error {
 	return m.step(func() error {
-		if i := m.now[name]; i != nil && !m.Lies {
+		if i := m.now[name]; i != nil && !m.DropSyncs {
 			i.durable = slices.Clone(i.bytes)
 		}
 		return nil
--- a/internal/fleet/store/record.go
+++ b/internal/fleet/store/record.go
@@ -30,10 +30,10 @@
 
 // The ways that a record is not to be believed.
 var (
-	ErrTorn    = errors.New("torn: it ends before its end")
-	ErrBroken  = errors.New("broken: its checksum is not that of what it holds")
-	ErrStrange = errors.New("no record of this sort")
-	ErrNewer   = errors.New("written by a newer program")
+	ErrTruncated     = errors.New("torn: it ends before its end")
+	ErrChecksum      = errors.New("broken: its checksum is not that of what it holds")
+	ErrUnknownRecord = errors.New("no record of this sort")
+	ErrNewerVersion  = errors.New("written by a newer program")
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
@@ -56,28 +56,28 @@
 // unseal reads the record that b begins with, and returns what follows it.
 func unseal(b []byte, kind byte, v any) (rest []byte, err error) {
 	if len(b) < headBytes || !slices.ContainsFunc(b, func(c byte) bool { return c != 0 }) {
-		return nil, ErrTorn // a file may also have been made longer before what it was to hold came
+		return nil, ErrTruncated // a file may also have been made longer before what it was to hold came
 	}
 	head, long := b[:headBytes-8], binary.BigEndian.Uint32(b[len(magic)+2:])
 	switch {
 	case string(b[:len(magic)]) != magic:
-		return nil, ErrStrange
+		return nil, ErrUnknownRecord
 	case binary.BigEndian.Uint32(b[headBytes-8:]) != crc32.Checksum(head, castagnoli), long > mostRecord:
-		return nil, ErrBroken
+		return nil, ErrChecksum
 	case b[len(magic)] != kind:
-		return nil, ErrStrange
+		return nil, ErrUnknownRecord
 	case uint64(len(b)-headBytes) < uint64(long):
-		return nil, ErrTorn
+		return nil, ErrTruncated
 	}
 	body := b[headBytes : headBytes+int(long)]
 	if binary.BigEndian.Uint32(b[headBytes-4:]) != crc32.Checksum(body, castagnoli) {
-		return nil, ErrBroken
+		return nil, ErrChecksum
 	}
 	if b[len(magic)+1] > version {
-		return nil, ErrNewer
+		return nil, ErrNewerVersion
 	}
 	if err := cbor.Unmarshal(body, v); err != nil {
-		return nil, fmt.Errorf("%w: %w", ErrBroken, err)
+		return nil, fmt.Errorf("%w: %w", ErrChecksum, err)
 	}
 	return b[headBytes+int(long):], nil
 }
--- a/internal/fleet/store/store.go
+++ b/internal/fleet/store/store.go
@@ -6,50 +6,50 @@
 	"sync/atomic"
 )
 
-// Life is who a dispatcher is.
-type Life struct {
-	Name  string `cbor:"1,keyasint"`
-	Life  uint64 `cbor:"2,keyasint"` // raised at each start, before the first word to anyone
-	Token uint64 `cbor:"3,keyasint"` // drawn at each start: two that claim one name and life are still two
-	Began int64  `cbor:"4,keyasint"` // Unix time in ms
-	Left  bool   `cbor:"5,keyasint"` // told to leave by hand
-	Keys  uint64 `cbor:"6,keyasint"` // keys acknowledged in this life, once it has ended in order
-	Clean bool   `cbor:"7,keyasint"` // it ended in order
-	Doubt bool   `cbor:"8,keyasint"` // keys of before may be missing; until a window has been lived through
+// Incarnation is who a dispatcher is.
+type Incarnation struct {
+	Name          string `cbor:"1,keyasint"`
+	Number        uint64 `cbor:"2,keyasint"` // raised at each start, before the first word to anyone
+	Nonce         uint64 `cbor:"3,keyasint"` // drawn at each start: two that claim one name and life are still two
+	StartedAt     int64  `cbor:"4,keyasint"` // Unix time in ms
+	Drained       bool   `cbor:"5,keyasint"` // told to leave by hand
+	Keys          uint64 `cbor:"6,keyasint"` // keys acknowledged in this life, once it has ended in order
+	CleanShutdown bool   `cbor:"7,keyasint"` // it ended in order
+	KeysSuspect   bool   `cbor:"8,keyasint"` // keys of before may be missing; until a window has been lived through
 }
 
-// Facts are what a dispatcher has learnt, as of one moment.
-type Facts struct {
-	Name     string          `cbor:"1,keyasint"`
-	Life     uint64          `cbor:"2,keyasint"`
-	At       int64           `cbor:"3,keyasint"` // Unix time in ms
-	Settings string          `cbor:"4,keyasint"` // a hash of those that it goes by
-	Learnt   []byte          `cbor:"5,keyasint"` // JSON, as a successor in an upgrade takes it
-	Seen     map[string]Seen `cbor:"6,keyasint"` // what was heard of others, by name
-	Keys     uint64          `cbor:"7,keyasint"` // acknowledged in this life up to then
+// State are what a dispatcher has learnt, as of one moment.
+type State struct {
+	Name         string                  `cbor:"1,keyasint"`
+	Incarnation  uint64                  `cbor:"2,keyasint"`
+	WrittenAt    int64                   `cbor:"3,keyasint"` // Unix time in ms
+	SettingsHash string                  `cbor:"4,keyasint"` // a hash of those that it goes by
+	Learned      []byte                  `cbor:"5,keyasint"` // JSON, as a successor in an upgrade takes it
+	Peers        map[string]PeerProgress `cbor:"6,keyasint"` // what was heard of others, by name
+	Keys         uint64                  `cbor:"7,keyasint"` // acknowledged in this life up to then
 }
 
-// Seen is how far another dispatcher had come.
-type Seen struct {
-	Life  uint64 `cbor:"1,keyasint"`
-	Token uint64 `cbor:"2,keyasint"`
-	Kept  uint64 `cbor:"3,keyasint"` // keys made durable in that life
+// PeerProgress is how far another dispatcher had come.
+type PeerProgress struct {
+	Incarnation   uint64 `cbor:"1,keyasint"`
+	Nonce         uint64 `cbor:"2,keyasint"`
+	PersistedKeys uint64 `cbor:"3,keyasint"` // keys made durable in that life
 
-	WasLife  uint64 `cbor:"4,keyasint,omitempty"` // and the same of the life before that
-	WasToken uint64 `cbor:"5,keyasint,omitempty"`
-	WasKept  uint64 `cbor:"6,keyasint,omitempty"`
+	PreviousIncarnation   uint64 `cbor:"4,keyasint,omitempty"` // and the same of the life before that
+	PreviousNonce         uint64 `cbor:"5,keyasint,omitempty"`
+	PreviousPersistedKeys uint64 `cbor:"6,keyasint,omitempty"`
 }
 
-// Found is what a folder held.
-type Found struct {
-	Life    Life
-	Known   bool // a life was found
-	Foreign bool // it is that of another dispatcher
-	Facts   *Facts
-	Keys    []Key
-	Kept    uint64  // keys of that life that are there, and were before them
-	Lost    []error // what could not be believed, each with its file
-	KeysBad bool    // keys that were acknowledged may be missing
+// Recovered is what a folder held.
+type Recovered struct {
+	Incarnation   Incarnation
+	Known         bool // a life was found
+	Foreign       bool // it is that of another dispatcher
+	State         *State
+	Keys          []Key
+	PersistedKeys uint64  // keys of that life that are there, and were before them
+	Errors        []error // what could not be believed, each with its file
+	KeysSuspect   bool    // keys that were acknowledged may be missing
 }
 
 // Store is one dispatcher's folder.
@@ -59,99 +59,99 @@
 	life  slot
 	facts slot
 	keys  journal
-	own   Life
+	own   Incarnation
 
 	factsMu sync.Mutex
 	kept    atomic.Uint64 // keys made durable in this life: told without waiting for a disk
 }
 
 // Open reads a folder. What cannot be believed is named in Found and counts as lost.
-func Open(d Disk, name string) (*Store, Found) {
+func Open(d Disk, name string) (*Store, Recovered) {
 	s := &Store{
 		name: name, life: slot{disk: d, name: "life", kind: kindLife},
 		facts: slot{disk: d, name: "facts", kind: kindFacts, often: true}, keys: journal{disk: d},
 	}
-	var f Found
+	var f Recovered
 	var err error
 	lost := func(err error) {
 		if err != nil {
-			f.Lost = append(f.Lost, err)
+			f.Errors = append(f.Errors, err)
 		}
 	}
-	f.Known, err = s.life.read(&f.Life)
+	f.Known, err = s.life.read(&f.Incarnation)
 	lost(err)
 	torn := err != nil
-	var facts Facts
+	var facts State
 	found, err := s.facts.read(&facts)
 	lost(err)
 	f.Keys, err = s.keys.read()
 	lost(err)
-	f.KeysBad = torn || err != nil // also a record that ends before its end: it may have been whole once
-	f.KeysBad = f.KeysBad || f.Life.Doubt
-	f.Foreign = f.Known && f.Life.Name != name
+	f.KeysSuspect = torn || err != nil // also a record that ends before its end: it may have been whole once
+	f.KeysSuspect = f.KeysSuspect || f.Incarnation.KeysSuspect
+	f.Foreign = f.Known && f.Incarnation.Name != name
 	switch {
 	case !found:
 	case facts.Name != name:
 		lost(fmt.Errorf("facts: those of %q", facts.Name))
-	case f.Known && facts.Life > f.Life.Life:
-		lost(fmt.Errorf("facts: of life %d, later than %d, which the life file tells", facts.Life, f.Life.Life))
-		f.KeysBad = true // the life file has lost a write that it had acknowledged: so may the keys
-		f.Facts, f.Life.Life = &facts, facts.Life
+	case f.Known && facts.Incarnation > f.Incarnation.Number:
+		lost(fmt.Errorf("facts: of life %d, later than %d, which the life file tells", facts.Incarnation, f.Incarnation.Number))
+		f.KeysSuspect = true // the life file has lost a write that it had acknowledged: so may the keys
+		f.State, f.Incarnation.Number = &facts, facts.Incarnation
 	default:
-		f.Facts = &facts
+		f.State = &facts
 	}
 	acknowledged := uint64(0)
-	if f.Facts != nil && f.Facts.Life == f.Life.Life {
-		acknowledged = f.Facts.Keys
+	if f.State != nil && f.State.Incarnation == f.Incarnation.Number {
+		acknowledged = f.State.Keys
 	}
-	if f.Life.Clean {
-		acknowledged = max(acknowledged, f.Life.Keys)
+	if f.Incarnation.CleanShutdown {
+		acknowledged = max(acknowledged, f.Incarnation.Keys)
 	}
-	if f.Kept = s.keys.countIn(f.Life.Life); acknowledged > f.Kept {
-		lost(fmt.Errorf("keys: %d of life %d, where %d had been acknowledged", f.Kept, f.Life.Life, acknowledged))
-		f.KeysBad = true
+	if f.PersistedKeys = s.keys.countIn(f.Incarnation.Number); acknowledged > f.PersistedKeys {
+		lost(fmt.Errorf("keys: %d of life %d, where %d had been acknowledged", f.PersistedKeys, f.Incarnation.Number, acknowledged))
+		f.KeysSuspect = true
 	}
 	if !f.Known || f.Foreign {
-		f.KeysBad = true // where nobody was, nobody knows what has been
+		f.KeysSuspect = true // where nobody was, nobody knows what has been
 	}
 	return s, f
 }
 
 // Begin makes the next life durable. least is the lowest number that it may have; doubt tells that keys of before
 // may be missing, which the life after this one has to know too.
-func (s *Store) Begin(was Life, least, token uint64, doubt bool, now int64) (Life, error) {
+func (s *Store) Begin(was Incarnation, least, token uint64, doubt bool, now int64) (Incarnation, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.own = Life{Name: s.name, Life: max(least, 1), Token: token, Began: now, Doubt: doubt}
+	s.own = Incarnation{Name: s.name, Number: max(least, 1), Nonce: token, StartedAt: now, KeysSuspect: doubt}
 	if was.Name == s.name {
-		s.own.Life, s.own.Left = max(s.own.Life, was.Life+1), was.Left
+		s.own.Number, s.own.Drained = max(s.own.Number, was.Number+1), was.Drained
 	}
-	s.keys.life, s.keys.count = s.own.Life, 0
+	s.keys.life, s.keys.count = s.own.Number, 0
 	s.kept.Store(0)
 	return s.own, s.life.write(s.own)
 }
 
-// Raise makes a higher life durable, as others know of one that this folder does not.
-func (s *Store) Raise(life uint64) error {
-	return s.change(func(l *Life) { l.Life = max(l.Life, life) })
+// RaiseIncarnation makes a higher life durable, as others know of one that this folder does not.
+func (s *Store) RaiseIncarnation(life uint64) error {
+	return s.change(func(l *Incarnation) { l.Number = max(l.Number, life) })
 }
 
-// Doubt makes durable whether keys of before may be missing.
-func (s *Store) Doubt(doubt bool) error {
-	return s.change(func(l *Life) { l.Doubt = doubt })
+// SetKeysSuspect makes durable whether keys of before may be missing.
+func (s *Store) SetKeysSuspect(doubt bool) error {
+	return s.change(func(l *Incarnation) { l.KeysSuspect = doubt })
 }
 
-// Leave makes durable that an operator has told this dispatcher to leave, or to join.
-func (s *Store) Leave(left bool) error {
-	return s.change(func(l *Life) { l.Left = left })
+// SetDrained makes durable that an operator has told this dispatcher to leave, or to join.
+func (s *Store) SetDrained(left bool) error {
+	return s.change(func(l *Incarnation) { l.Drained = left })
 }
 
-// End makes durable that this life ends in order.
-func (s *Store) End() error {
-	return s.change(func(l *Life) { l.Clean, l.Keys = true, s.keys.count })
+// MarkCleanShutdown makes durable that this life ends in order.
+func (s *Store) MarkCleanShutdown() error {
+	return s.change(func(l *Incarnation) { l.CleanShutdown, l.Keys = true, s.keys.count })
 }
 
-func (s *Store) change(how func(*Life)) error {
+func (s *Store) change(how func(*Incarnation)) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	next := s.own
@@ -166,8 +166,8 @@
 	return nil
 }
 
-// Keep makes keys durable. It may be called by one goroutine at a time.
-func (s *Store) Keep(keys []Key, now int64) error {
+// AppendKeys makes keys durable. It may be called by one goroutine at a time.
+func (s *Store) AppendKeys(keys []Key, now int64) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	err := s.keys.write(keys, now)
@@ -175,14 +175,14 @@
 	return err
 }
 
-// Kept is how many keys were made durable in this life. It waits for no write: a disk that hangs stops those who
+// PersistedKeys is how many keys were made durable in this life. It waits for no write: a disk that hangs stops those who
 // wait for it, and nobody else.
-func (s *Store) Kept() uint64 { return s.kept.Load() }
+func (s *Store) PersistedKeys() uint64 { return s.kept.Load() }
 
-// Learn makes facts durable.
-func (s *Store) Learn(f Facts) error {
+// SaveState makes facts durable.
+func (s *Store) SaveState(f State) error {
 	s.mu.Lock()
-	f.Name, f.Life, f.Keys = s.name, s.own.Life, s.keys.count
+	f.Name, f.Incarnation, f.Keys = s.name, s.own.Number, s.keys.count
 	s.mu.Unlock()
 	s.factsMu.Lock()
 	defer s.factsMu.Unlock()
--- a/internal/fleet/store/store_bench_test.go
+++ b/internal/fleet/store/store_bench_test.go
@@ -11,7 +11,7 @@
 		b.Fatal(err)
 	}
 	s, f := Open(folder, "d0")
-	if _, err := s.Begin(f.Life, 1, 1, false, 1000); err != nil {
+	if _, err := s.Begin(f.Incarnation, 1, 1, false, 1000); err != nil {
 		b.Fatal(err)
 	}
 	return s
@@ -27,10 +27,10 @@
 			s := opened(b)
 			keys := make([]Key, size.n)
 			for n := range keys {
-				keys[n] = Key{Sum: uint64(n), Host: "s-0badcafe", Zone: "north", At: 1 << 41, Until: 1 << 41}
+				keys[n] = Key{Sum: uint64(n), Worker: "s-0badcafe", Zone: "north", SentAt: 1 << 41, ExpiresAt: 1 << 41}
 			}
 			for b.Loop() {
-				if err := s.Keep(keys, 2000); err != nil {
+				if err := s.AppendKeys(keys, 2000); err != nil {
 					b.Fatal(err)
 				}
 			}
@@ -42,7 +42,7 @@
 func BenchmarkLearn(b *testing.B) {
 	s, text := opened(b), bytes.Repeat([]byte("fact"), 25_000)
 	for b.Loop() {
-		if err := s.Learn(Facts{Learnt: text}); err != nil {
+		if err := s.SaveState(State{Learned: text}); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/internal/lab/experiment/experiment_test.go
+++ b/internal/lab/experiment/experiment_test.go
@@ -116,11 +116,11 @@
 	assert.NoError(t, err)
 	assert.NotEqual(t, config, bare)
 	assert.NoError(t, os.WriteFile(path, bare, 0o600))
-	got, err := program.Read(func(v string) string {
+	got, err := program.ReadConfig(func(v string) string {
 		return map[string]string{"LB_CONFIG": path}[v]
 	})
 	assert.NoError(t, err)
-	d := got.Decisions
+	d := got.Balancer
 	assert.Equal(t, []any{3, 1, 0.12, 4, 0.5, 64, 384, true, true}, []any{
 		d.Dispatchers, d.Position, d.InitialWarmup,
 		d.MaxAttempts, got.Cores, got.MemoryMB, got.Sockets, d.StartNotices, d.Cancellation,
@@ -130,7 +130,7 @@
 		keyed.DedupWindow.Duration(),
 		keyed.LatencyObjective.Duration(), keyed.Value, keyed.LateShare, keyed.Stretch,
 	})
-	assert.Equal(t, []string{"a", "b"}, got.Routing.Zones)
+	assert.Equal(t, []string{"a", "b"}, got.Proxy.Zones)
 	assert.Equal(t, 7.0, d.Tenants[0].Quota)
 	assert.Equal(t, 24*time.Second, d.WarmupDuration.Duration())
 }
--- a/internal/lab/experiment/held.go
+++ b/internal/lab/experiment/held.go
@@ -33,24 +33,24 @@
 	}
 	ms := by.Milliseconds()
 	s, _ := store.Open(disk, name)
-	life := found.Life
-	if _, err := s.Begin(store.Life{}, life.Life, life.Token, found.KeysBad, life.Began-ms); err != nil {
+	life := found.Incarnation
+	if _, err := s.Begin(store.Incarnation{}, life.Number, life.Nonce, found.KeysSuspect, life.StartedAt-ms); err != nil {
 		return err
 	}
 	for n := range found.Keys {
-		found.Keys[n].At -= ms
-		found.Keys[n].Until -= ms
+		found.Keys[n].SentAt -= ms
+		found.Keys[n].ExpiresAt -= ms
 	}
-	if err := s.Keep(found.Keys, time.Now().UnixMilli()); err != nil {
+	if err := s.AppendKeys(found.Keys, time.Now().UnixMilli()); err != nil {
 		return err
 	}
-	if found.Facts != nil {
-		found.Facts.At -= ms
-		if err := s.Learn(*found.Facts); err != nil {
+	if found.State != nil {
+		found.State.WrittenAt -= ms
+		if err := s.SaveState(*found.State); err != nil {
 			return err
 		}
 	}
-	return s.Leave(life.Left)
+	return s.SetDrained(life.Drained)
 }
 
 // heldEvery is how often a dispatcher that was told to leave is asked whether it takes clients.
--- a/internal/lab/experiment/power.go
+++ b/internal/lab/experiment/power.go
@@ -20,7 +20,7 @@
 
 // link gives each dispatcher a folder for its state and a link to the others.
 func (w *world) link(ctx context.Context, own []netip.AddrPort) (err error) {
-	links, err := peernet.New(own, w.linkManner(), link.Most, w.seed)
+	links, err := peernet.New(own, w.linkManner(), link.MaxDatagramBytes, w.seed)
 	if err != nil {
 		return err
 	}
--- a/internal/lab/rival/rival.go
+++ b/internal/lab/rival/rival.go
@@ -53,7 +53,7 @@
 // Main runs a rival on the platform's configuration, and returns the code that the process exits with.
 func Main(t Terms) int {
 	log := zerolog.New(os.Stderr).With().Timestamp().Logger()
-	p, err := program.Read(os.Getenv)
+	p, err := program.ReadConfig(os.Getenv)
 	if err == nil {
 		err = run(t, p, log)
 	}
@@ -74,7 +74,7 @@
 
 type rival struct {
 	terms     Terms
-	placement *program.Placement
+	placement *program.Config
 	client    *http.Client
 	transport *http.Transport
 	log       zerolog.Logger
@@ -87,18 +87,18 @@
 	answered, succeeded atomic.Int64
 }
 
-func run(t Terms, p *program.Placement, log zerolog.Logger) error {
+func run(t Terms, p *program.Config, log zerolog.Logger) error {
 	runtime.GOMAXPROCS(max(1, int(math.Ceil(p.Cores))))
 	transport := &http.Transport{
-		MaxIdleConnsPerHost: 512, IdleConnTimeout: p.Idle / 4, DisableCompression: true,
-		DialContext: (&net.Dialer{Timeout: p.Routing.DialWithin}).DialContext,
+		MaxIdleConnsPerHost: 512, IdleConnTimeout: p.WorkerIdleTimeout / 4, DisableCompression: true,
+		DialContext: (&net.Dialer{Timeout: p.Proxy.DialTimeout}).DialContext,
 	}
 	r := &rival{
 		terms: t, placement: p, transport: transport, client: &http.Client{Transport: transport},
 		log: log,
 	}
-	if p.Routing.Known != nil {
-		r.take(p.Routing.Known)
+	if p.Proxy.InitialEndpoints != nil {
+		r.take(p.Proxy.InitialEndpoints)
 	}
 	mux := http.NewServeMux()
 	mux.HandleFunc("/_health", r.health)
@@ -159,7 +159,7 @@
 
 func (r *rival) watch(ctx context.Context) error {
 	r.mu.Lock()
-	target := "http://" + r.placement.Routing.Discovery + protocol.WatchTarget(r.version)
+	target := "http://" + r.placement.Proxy.Discovery + protocol.WatchTarget(r.version)
 	r.mu.Unlock()
 	ask, err := http.NewRequestWithContext(ctx, http.MethodGet, target, nil)
 	if err != nil {
@@ -266,7 +266,7 @@
 	if err != nil {
 		return
 	}
-	operation := slices.IndexFunc(r.placement.Routing.Operations,
+	operation := slices.IndexFunc(r.placement.Proxy.Operations,
 		func(o routing.Operation) bool { return o.Name == ask.Header.Get("Req-Kind") })
 	if operation < 0 {
 		w.WriteHeader(http.StatusBadRequest)
@@ -274,11 +274,11 @@
 	}
 	within, err := strconv.ParseFloat(ask.Header.Get("Req-Deadline"), 64)
 	if err != nil {
-		within = r.placement.Routing.Operations[operation].Timeout.Seconds()
+		within = r.placement.Proxy.Operations[operation].DefaultTimeout.Seconds()
 	}
 	ctx, cancel := context.WithTimeout(ask.Context(), time.Duration(within*float64(time.Second))-before)
 	defer cancel()
-	repeat := r.placement.Decisions.Operations[operation].Idempotency
+	repeat := r.placement.Balancer.Operations[operation].Idempotency
 	status, result := r.carry(ctx, ask, body, repeat)
 	n := r.answered.Add(1)
 	if r.terms.Fault == "lost-answer" && n%loseEvery == 0 {
--- a/internal/operate/door.go
+++ b/internal/operate/door.go
@@ -19,9 +19,9 @@
 	"canvasroute/internal/protocol"
 )
 
-// Callers is how many may be held at once: descriptors set aside beside the listener's. Beyond it the one
+// MaxConnections is how many may be held at once: descriptors set aside beside the listener's. Beyond it the one
 // that has been silent longest makes room. It guards against callers that connect, say nothing and stay.
-const Callers = 16
+const MaxConnections = 16
 
 // Bounds on waiting for callers.
 const (
@@ -32,18 +32,18 @@
 	mostUnread   = 64 << 10         // of what comes after the line is read over, so that no reset throws the answer away
 )
 
-// Desk does what operators ask.
-type Desk interface {
+// Handler does what operators ask.
+type Handler interface {
 	Health() error // nil once this process takes clients, else why not
-	Leave() error
-	Join() error
-	Figures() []protocol.Metric
+	Drain() error
+	Rejoin() error
+	Metrics() []protocol.Metric
 }
 
-// Door listens for operators.
-type Door struct {
+// Server listens for operators.
+type Server struct {
 	ln   net.Listener
-	desk Desk
+	desk Handler
 	log  zerolog.Logger
 
 	mu      sync.Mutex
@@ -59,16 +59,16 @@
 }
 
 // Listen opens the door.
-func Listen(addr string, desk Desk, log zerolog.Logger) (*Door, error) {
+func Listen(addr string, desk Handler, log zerolog.Logger) (*Server, error) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, fmt.Errorf("listening for operators: %w", err)
 	}
-	return &Door{ln: ln, desk: desk, log: log, freed: make(chan struct{}, 1)}, nil
+	return &Server{ln: ln, desk: desk, log: log, freed: make(chan struct{}, 1)}, nil
 }
 
 // Run answers callers until ctx ends, and then those that are here.
-func (d *Door) Run(ctx context.Context) error {
+func (d *Server) Run(ctx context.Context) error {
 	var callers errgroup.Group
 	stop := context.AfterFunc(ctx, func() {
 		d.ln.Close()
@@ -98,10 +98,10 @@
 
 // room waits until one more caller fits; the one that may go first makes room. It returns false when ctx
 // ends.
-func (d *Door) room(ctx context.Context) bool {
+func (d *Server) room(ctx context.Context) bool {
 	for {
 		d.mu.Lock()
-		fits := d.held < Callers
+		fits := d.held < MaxConnections
 		if !fits && len(d.waiting) > 0 {
 			c := d.waiting[0]
 			c.evicted = true
@@ -120,7 +120,7 @@
 	}
 }
 
-func (d *Door) enter(conn net.Conn) *caller {
+func (d *Server) enter(conn net.Conn) *caller {
 	c := &caller{conn: conn}
 	conn.SetReadDeadline(time.Now().Add(lineWithin))
 	d.mu.Lock()
@@ -131,7 +131,7 @@
 }
 
 // heard takes a caller from those that may have to make room.
-func (d *Door) heard(c *caller) {
+func (d *Server) heard(c *caller) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if n := slices.Index(d.waiting, c); n >= 0 {
@@ -141,7 +141,7 @@
 
 // linger lets a caller that has its answer end the connection for a while; it is the first one to make room.
 // One whose place is wanted does not linger.
-func (d *Door) linger(c *caller) bool {
+func (d *Server) linger(c *caller) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if c.evicted {
@@ -153,7 +153,7 @@
 	return true
 }
 
-func (d *Door) leave(c *caller) {
+func (d *Server) leave(c *caller) {
 	c.conn.Close()
 	d.heard(c)
 	d.mu.Lock()
@@ -162,7 +162,7 @@
 	d.wake()
 }
 
-func (d *Door) wake() {
+func (d *Server) wake() {
 	select {
 	case d.freed <- struct{}{}:
 	default:
@@ -170,7 +170,7 @@
 }
 
 // hurry ends the wait for all that have not brought a line.
-func (d *Door) hurry() {
+func (d *Server) hurry() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, c := range d.waiting {
@@ -180,7 +180,7 @@
 }
 
 // attend reads one line and answers it.
-func (d *Door) attend(c *caller) {
+func (d *Server) attend(c *caller) {
 	call, err := d.line(c.conn)
 	d.heard(c)
 	answer := d.do(call, err)
@@ -207,7 +207,7 @@
 	errCut    = errors.New("the line has no end")
 )
 
-func (d *Door) line(c net.Conn) (protocol.Command, error) {
+func (d *Server) line(c net.Conn) (protocol.Command, error) {
 	b, held, late := make([]byte, protocol.MaxCommandBytes), 0, false
 	for {
 		n, err := c.Read(b[held:])
@@ -227,17 +227,17 @@
 	}
 }
 
-func (d *Door) do(call protocol.Command, err error) []byte {
+func (d *Server) do(call protocol.Command, err error) []byte {
 	if err == nil {
 		switch call {
 		case protocol.CommandDump:
-			return protocol.AppendDump(nil, d.desk.Figures())
+			return protocol.AppendDump(nil, d.desk.Metrics())
 		case protocol.CommandHealth:
 			err = d.desk.Health()
 		case protocol.CommandLeave:
-			err = d.desk.Leave()
+			err = d.desk.Drain()
 		case protocol.CommandJoin:
-			err = d.desk.Join()
+			err = d.desk.Rejoin()
 		}
 	}
 	return protocol.AppendCommandResult(nil, err)
--- a/internal/operate/door_test.go
+++ b/internal/operate/door_test.go
@@ -16,17 +16,17 @@
 	"canvasroute/internal/protocol"
 )
 
-type fakeDesk struct{ left, joined int }
+type fakeHandler struct{ left, joined int }
 
-func (d *fakeDesk) Health() error { return errors.New("takes no clients: leaving") }
-func (d *fakeDesk) Leave() error  { d.left++; return nil }
-func (d *fakeDesk) Join() error   { d.joined++; return errors.New("the process ends") }
-func (d *fakeDesk) Figures() []protocol.Metric {
+func (d *fakeHandler) Health() error { return errors.New("takes no clients: leaving") }
+func (d *fakeHandler) Drain() error  { d.left++; return nil }
+func (d *fakeHandler) Rejoin() error { d.joined++; return errors.New("the process ends") }
+func (d *fakeHandler) Metrics() []protocol.Metric {
 	return []protocol.Metric{{Name: "succeeded", Operation: "C", Value: 812}, {Name: "outstanding", Value: 14}}
 }
 
-func opened(t *testing.T) (addr string, desk *fakeDesk) {
-	desk = &fakeDesk{}
+func opened(t *testing.T) (addr string, desk *fakeHandler) {
+	desk = &fakeHandler{}
 	d, err := Listen("127.0.0.1:0", desk, zerolog.Nop())
 	assert.NoError(t, err)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -100,7 +100,7 @@
 
 // A line comes as its caller's place is wanted by another, or its time is up.
 func TestLineThatCrossesTheEndOfItsWaitIsAnswered(t *testing.T) {
-	d, err := Listen("127.0.0.1:0", &fakeDesk{}, zerolog.Nop())
+	d, err := Listen("127.0.0.1:0", &fakeHandler{}, zerolog.Nop())
 	assert.NoError(t, err)
 	defer d.ln.Close()
 	caller, err := net.Dial("tcp", d.ln.Addr().String())
@@ -132,6 +132,6 @@
 
 func TestAnAddressInUseIsAFault(t *testing.T) {
 	addr, _ := opened(t)
-	_, err := Listen(addr, &fakeDesk{}, zerolog.Nop())
+	_, err := Listen(addr, &fakeHandler{}, zerolog.Nop())
 	assert.ErrorContains(t, err, "listening for operators")
 }
--- a/internal/program/back.go
+++ b/internal/program/back.go
@@ -13,34 +13,34 @@
 )
 
 // node opens the part that brings this dispatcher back, nil where operators have not asked for it.
-func (p *Placement) node(now func() decide.Time, heir bool, log zerolog.Logger) (*fleet.Node, error) {
+func (p *Config) node(now func() decide.Time, heir bool, log zerolog.Logger) (*fleet.Node, error) {
 	if p.Fleet == nil {
 		return nil, nil
 	}
-	t := fleet.Terms{
-		Name: p.Name, Position: p.Decisions.Position, Settings: p.settings, Kinds: p.Routing.Kinds,
-		Ramp: p.Decisions.WarmupDuration.Duration(), ComeBackMost: p.Routing.ComeBackMost, Heir: heir, Now: now, Log: log,
+	t := fleet.Config{
+		Name: p.Name, Position: p.Balancer.Position, SettingsHash: p.settings, Kinds: p.Proxy.Kinds,
+		WarmupDuration: p.Balancer.WarmupDuration.Duration(), MaxRetryAfter: p.Proxy.MaxRetryAfter, TakesOver: heir, Now: now, Log: log,
 	}
-	for _, o := range p.Decisions.Operations {
+	for _, o := range p.Balancer.Operations {
 		if o.Idempotency == decide.IdempotentByKey && o.DedupScope != decide.ScopeAll {
-			t.Window = max(t.Window, o.DedupWindow.Duration())
+			t.DedupWindow = max(t.DedupWindow, o.DedupWindow.Duration())
 		}
 	}
 	node, err := fleet.Open(context.Background(), p.Fleet, t)
 	if err != nil {
 		return nil, err
 	}
-	p.Routing.Known, p.Routing.Back = node.Known(p.Routing.Known), node
+	p.Proxy.InitialEndpoints, p.Proxy.Recovery = node.InitialEndpoints(p.Proxy.InitialEndpoints), node
 	return node, nil
 }
 
 // bringBack gives the node what it brings back, before anything runs.
-func bringBack(node *fleet.Node, router *routing.Router, facade *decide.Shards, state *drain.State) {
+func bringBack(node *fleet.Node, router *routing.Proxy, facade *decide.Shards, state *drain.State) {
 	node.Attach(router, facade)
-	if _, entries := router.Entries(); len(entries) > 0 {
-		node.Serves()
+	if _, entries := router.Endpoints(); len(entries) > 0 {
+		node.PredecessorServed()
 	}
-	if node.Left() { // an operator's word holds until an operator takes it back
-		state.Leave(time.Now())
+	if node.Drained() { // an operator's word holds until an operator takes it back
+		state.Drain(time.Now())
 	}
 }
--- a/internal/program/back_test.go
+++ b/internal/program/back_test.go
@@ -24,8 +24,8 @@
 	node, err := p.node(nil, false, nop)
 	assert.NoError(t, err)
 	assert.Nil(t, node)
-	assert.Nil(t, p.Routing.Back)
-	assert.Empty(t, (&desk{}).node)
+	assert.Nil(t, p.Proxy.Recovery)
+	assert.Empty(t, (&adminHandler{}).node)
 }
 
 var nop = zerolog.Nop()
@@ -48,7 +48,7 @@
 	assert.NoError(t, os.WriteFile(config, []byte(configuration), 0o600))
 	read := func(text string) error {
 		assert.NoError(t, os.WriteFile(own, []byte(text), 0o600))
-		_, err := Read(environment("LB_CONFIG", config, "LB_FLEET", own))
+		_, err := ReadConfig(environment("LB_CONFIG", config, "LB_FLEET", own))
 		return err
 	}
 	assert.NoError(t, read(fleetFile))
@@ -66,7 +66,7 @@
 		assert.Contains(t, fleetFile, c.old)
 		assert.ErrorContains(t, read(strings.Replace(fleetFile, c.old, c.with, 1)), c.want)
 	}
-	_, err := Read(environment("LB_CONFIG", config, "LB_FLEET", filepath.Join(dir, "none")))
+	_, err := ReadConfig(environment("LB_CONFIG", config, "LB_FLEET", filepath.Join(dir, "none")))
 	assert.ErrorContains(t, err, "LB_FLEET")
 }
 
@@ -85,7 +85,7 @@
 	assert.NoError(t, os.WriteFile(own, []byte(text), 0o600))
 	config := filepath.Join(dir, "config.json")
 	assert.NoError(t, os.WriteFile(config, []byte(configuration), 0o600))
-	p, err := Read(environment("LB_CONFIG", config, "LB_FLEET", own))
+	p, err := ReadConfig(environment("LB_CONFIG", config, "LB_FLEET", own))
 	assert.NoError(t, err)
 	_, err = p.node(nil, false, nop)
 	assert.ErrorContains(t, err, `two that go under the name "n3"`, "the address is taken")
@@ -93,7 +93,7 @@
 	folder, _, err := store.OpenFolder(filepath.Join(dir, "state"))
 	assert.NoError(t, err)
 	_, err = p.node(nil, false, nop)
-	assert.ErrorIs(t, err, store.ErrHeld)
+	assert.ErrorIs(t, err, store.ErrLocked)
 	assert.NoError(t, folder.Close())
 	node, err := p.node(nil, false, nop)
 	assert.NoError(t, err)
@@ -105,16 +105,16 @@
 	folder, _, err := store.OpenFolder(path)
 	assert.NoError(t, err)
 	s, _ := store.Open(folder, "n3")
-	_, err = s.Begin(store.Life{}, 7, 9, false, time.Now().UnixMilli())
+	_, err = s.Begin(store.Incarnation{}, 7, 9, false, time.Now().UnixMilli())
 	assert.NoError(t, err)
-	assert.NoError(t, s.Leave(true))
-	assert.NoError(t, s.Keep([]store.Key{{Sum: 1}}, time.Now().UnixMilli()))
-	assert.NoError(t, s.Learn(store.Facts{
-		At: time.Now().UnixMilli(), Settings: "abc",
-		Learnt: []byte(`{"Version":41,"Kinds":["m"],"Learnt":[{"Kinds":[{"Slots":3,"Most":3}]}]}`),
+	assert.NoError(t, s.SetDrained(true))
+	assert.NoError(t, s.AppendKeys([]store.Key{{Sum: 1}}, time.Now().UnixMilli()))
+	assert.NoError(t, s.SaveState(store.State{
+		WrittenAt: time.Now().UnixMilli(), SettingsHash: "abc",
+		Learned: []byte(`{"Version":41,"Kinds":["m"],"Learnt":[{"Kinds":[{"Slots":3,"Most":3}]}]}`),
 	}))
 	var out, wrong bytes.Buffer
-	assert.Equal(t, 0, Call([]string{"state", "show", path}, &out, &wrong))
+	assert.Equal(t, 0, RunCommand([]string{"state", "show", path}, &out, &wrong))
 	for _, want := range []string{
 		`dispatcher "n3", life 7`, "told to leave by hand", "settings abc: list 41",
 		"bears m: 3 at once", "keys that may have run: 1",
@@ -123,10 +123,10 @@
 	}
 	assert.NoError(t, os.Truncate(filepath.Join(path, "facts.b"), 20))
 	out.Reset()
-	assert.Equal(t, 1, Call([]string{"state", "show", path, "--json"}, &out, &wrong))
+	assert.Equal(t, 1, RunCommand([]string{"state", "show", path, "--json"}, &out, &wrong))
 	var got shown
 	assert.NoError(t, json.Unmarshal(out.Bytes(), &got))
 	assert.Len(t, got.Lost, 1)
 	assert.Contains(t, got.Lost[0], "facts.b: torn")
-	assert.Equal(t, 1, Call([]string{"state", "show", filepath.Join(path, "none")}, &out, &wrong))
+	assert.Equal(t, 1, RunCommand([]string{"state", "show", filepath.Join(path, "none")}, &out, &wrong))
 }
--- a/internal/program/call.go
+++ b/internal/program/call.go
@@ -13,8 +13,8 @@
 	"canvasroute/internal/routing"
 )
 
-// Call runs a command of the dispatcher's program other than serving, and returns the code that it exits with.
-func Call(args []string, out, wrong io.Writer) int {
+// RunCommand runs a command of the dispatcher's program other than serving, and returns the code that it exits with.
+func RunCommand(args []string, out, wrong io.Writer) int {
 	root := &cobra.Command{
 		Use: "canvasroute", Short: "Dispatcher; without a command it serves from LB_CONFIG",
 		SilenceUsage: true,
@@ -82,26 +82,26 @@
 // read takes a folder as the dispatcher whose it is would.
 func read(disk store.Disk) (s shown) {
 	_, f := store.Open(disk, "")
-	_, f = store.Open(disk, f.Life.Name)
+	_, f = store.Open(disk, f.Incarnation.Name)
 	s = shown{
-		Name: f.Life.Name, Life: f.Life.Life, Token: fmt.Sprintf("%016x", f.Life.Token),
-		Began: time.UnixMilli(f.Life.Began).UTC(), Left: f.Life.Left, Ended: f.Life.Clean, Keys: len(f.Keys),
-		KeysBad: f.KeysBad,
+		Name: f.Incarnation.Name, Life: f.Incarnation.Number, Token: fmt.Sprintf("%016x", f.Incarnation.Nonce),
+		Began: time.UnixMilli(f.Incarnation.StartedAt).UTC(), Left: f.Incarnation.Drained, Ended: f.Incarnation.CleanShutdown, Keys: len(f.Keys),
+		KeysBad: f.KeysSuspect,
 	}
-	for _, err := range f.Lost {
+	for _, err := range f.Errors {
 		s.Lost = append(s.Lost, err.Error())
 	}
-	if f.Facts == nil {
+	if f.State == nil {
 		return s
 	}
-	s.Written, s.Settings = time.UnixMilli(f.Facts.At).UTC(), f.Facts.Settings
-	var l routing.Legacy
-	if err := json.Unmarshal(f.Facts.Learnt, &l); err != nil {
+	s.Written, s.Settings = time.UnixMilli(f.State.WrittenAt).UTC(), f.State.SettingsHash
+	var l routing.Snapshot
+	if err := json.Unmarshal(f.State.Learned, &l); err != nil {
 		s.Lost = append(s.Lost, fmt.Sprintf("facts: %v", err))
 		return s
 	}
-	s.List, s.Workers = l.Version, len(l.Workers)
-	for _, learnt := range l.Learnt[:min(len(l.Learnt), 1)] {
+	s.List, s.Workers = l.Version, len(l.Endpoints)
+	for _, learnt := range l.Learned[:min(len(l.Learned), 1)] {
 		for k, kind := range learnt.Kinds {
 			if k < len(l.Kinds) {
 				s.Bears = append(s.Bears, fmt.Sprintf("%s: %v at once", l.Kinds[k], kind.MaxObserved))
--- a/internal/program/crossings_test.go
+++ b/internal/program/crossings_test.go
@@ -24,7 +24,7 @@
 const killWithin = time.Second + 700*time.Millisecond
 
 // told is a process that a test sends signals to, at whatever moment.
-func told(p Placement, anew func() (*Placement, error)) (heard *signals,
+func told(p Config, anew func() (*Config, error)) (heard *signals,
 	start func() <-chan error,
 ) {
 	heard = &signals{make(chan os.Signal, 1), make(chan os.Signal, 1), make(chan os.Signal, 1)}
@@ -80,7 +80,7 @@
 			var heard *signals
 			var signalled time.Time
 			read := make(chan bool, 1)
-			heard, start := told(p, func() (*Placement, error) {
+			heard, start := told(p, func() (*Config, error) {
 				signalled = time.Now()
 				heard.end <- syscall.SIGTERM
 				read <- true
@@ -101,16 +101,16 @@
 
 func TestWorkerThatHangsKeepsNoProcessWhereNothingMayBeCalledOff(t *testing.T) {
 	p, url := placed(t, time.Minute)
-	p.Decisions.Cancellation = false
-	p.Decisions.Operations[0].Idempotency = decide.NonIdempotent
-	p.Mgmt = freeAddress(t)
+	p.Balancer.Cancellation = false
+	p.Balancer.Operations[0].Idempotency = decide.NonIdempotent
+	p.AdminListen = freeAddress(t)
 	heard, start := told(p, nil)
 	ended := start()
 	c := reached(t, url)
 	io.WriteString(c, "POST /api HTTP/1.1\r\nReq-Id: a1\r\nReq-Kind: render\r\nReq-Deadline: 30\r\n\r\n")
 	gone := reached(t, url)
 	io.WriteString(gone, "POST /api HTTP/1.1\r\nReq-Id: a2\r\nReq-Kind: render\r\nReq-Deadline: 30\r\n\r\n")
-	out := func() bool { return strings.Contains(called(t, p.Mgmt, "DUMP"), "svc.forwards=2\n") }
+	out := func() bool { return strings.Contains(called(t, p.AdminListen, "DUMP"), "svc.forwards=2\n") }
 	assert.Eventually(t, out, 5*time.Second, time.Millisecond)
 	gone.Close()
 	signalled := time.Now()
--- a/internal/program/daily_test.go
+++ b/internal/program/daily_test.go
@@ -26,7 +26,7 @@
 	path := filepath.Join(t.TempDir(), "config.json")
 	text := strings.NewReplacer("127.0.0.1:8080", p.Listen, "127.0.0.1:8500", "127.0.0.1:9", `"peers":true`,
 		`"peers":false`).Replace(configuration)
-	d = begunWith(t, p, func() (*Placement, error) { return ReadAnew(environment("LB_CONFIG", path)) })
+	d = begunWith(t, p, func() (*Config, error) { return ReloadConfig(environment("LB_CONFIG", path)) })
 	return d, url, func(old, with string) {
 		assert.NoError(t, os.WriteFile(path+".new", []byte(strings.Replace(text, old, with, 1)), 0o600))
 		assert.NoError(t, os.Rename(path+".new", path))
@@ -72,7 +72,7 @@
 	t.Setenv("TMPDIR", t.TempDir())
 	d, url, turn := settled(t, time.Millisecond, 1)
 	p, _ := placed(t, time.Millisecond)
-	p.Listen, p.PeerListen, p.Mgmt = strings.TrimPrefix(url, "http://"), "", d.mgmt
+	p.Listen, p.PeerListen, p.AdminListen = strings.TrimPrefix(url, "http://"), "", d.mgmt
 	err := Run(&p, nil, d.heard, zerolog.Nop())
 	assert.ErrorContains(t, err, "listening for operators")
 	d.says(t, "HEALTH", "done\n")
@@ -111,7 +111,7 @@
 	}
 	d.says(t, "DUMP", "svc.outstanding=0\n")
 	assert.Contains(t, called(t, d.mgmt, "DUMP"), "svc.forwards=2\n")
-	assert.Greater(t, 4*time.Second, drain.ServeFor)
+	assert.Greater(t, 4*time.Second, drain.AcceptAfterStop)
 	d.end(t)
 }
 
@@ -123,7 +123,7 @@
 	ln, err := net.Listen("tcp", p.Listen)
 	assert.NoError(t, err)
 	defer ln.Close()
-	p.Mgmt = freeAddress(t)
+	p.AdminListen = freeAddress(t)
 	err = Run(&p, nil, &signals{}, zerolog.Nop())
 	assert.ErrorIs(t, err, syscall.EADDRINUSE)
 	assert.ErrorContains(t, err, p.Listen)
--- a/internal/program/desk.go
+++ b/internal/program/desk.go
@@ -18,9 +18,9 @@
 	callJoin  = string(protocol.CommandJoin)
 )
 
-// desk does what operators ask at their door.
-type desk struct {
-	router            *routing.Router
+// adminHandler does what operators ask at their door.
+type adminHandler struct {
+	router            *routing.Proxy
 	drain             *drain.State
 	handover          *handover
 	node              *fleet.Node // nil where it is off
@@ -29,49 +29,49 @@
 }
 
 // open opens the door at an address, none if that is "".
-func (d *desk) open(addr string) (*operate.Door, error) {
+func (d *adminHandler) open(addr string) (*operate.Server, error) {
 	if addr == "" {
 		return nil, nil
 	}
 	return operate.Listen(addr, d, d.log)
 }
 
-func (d *desk) Health() error { return d.router.Ready() }
+func (d *adminHandler) Health() error { return d.router.Ready() }
 
-// Leave empties the dispatcher. What is called here while a successor serves is meant for that one.
-func (d *desk) Leave() error {
+// Drain empties the dispatcher. What is called here while a successor serves is meant for that one.
+func (d *adminHandler) Drain() error {
 	if passed, err := d.handover.pass(callLeave); passed {
 		return err
 	}
-	d.drain.Leave(time.Now())
+	d.drain.Drain(time.Now())
 	return d.holds(true)
 }
 
 // holds makes a call hold after an end of this process too, where there is a place to keep it.
-func (d *desk) holds(left bool) error {
+func (d *adminHandler) holds(left bool) error {
 	if d.node == nil {
 		return nil
 	}
-	return d.node.Leave(left)
+	return d.node.SetDrained(left)
 }
 
-func (d *desk) Join() error {
-	if d.drain.At(time.Now()).Ends() {
-		return drain.ErrEnding
+func (d *adminHandler) Rejoin() error {
+	if d.drain.PhaseAt(time.Now()).IsStopping() {
+		return drain.ErrStopping
 	}
 	if passed, err := d.handover.pass(callJoin); passed {
 		return err
 	}
-	if err := d.drain.Join(time.Now()); err != nil {
+	if err := d.drain.Rejoin(time.Now()); err != nil {
 		return err
 	}
 	return d.holds(false)
 }
 
-func (d *desk) Figures() []protocol.Metric {
-	figures := d.router.Figures()
+func (d *adminHandler) Metrics() []protocol.Metric {
+	figures := d.router.Metrics()
 	if d.node != nil {
-		figures = append(figures, d.node.Figures()...)
+		figures = append(figures, d.node.Metrics()...)
 	}
 	return append(figures,
 		protocol.Metric{Name: "sighup_applied", Value: d.applied.Load()},
--- a/internal/program/desk_test.go
+++ b/internal/program/desk_test.go
@@ -63,8 +63,8 @@
 // Guards against a drained dispatcher that loses what it has taken, holds connections, or takes more.
 func TestLeaveEmptiesAndJoinTakesClientsAgain(t *testing.T) {
 	mgmt := freeAddress(t)
-	long := 2 * drain.ServeFor
-	url, _, ended := running(t, long, nil, func(p *Placement) { p.Mgmt, p.Longest = mgmt, 3*time.Second })
+	long := 2 * drain.AcceptAfterStop
+	url, _, ended := running(t, long, nil, func(p *Config) { p.AdminListen, p.MaxClientTimeout = mgmt, 3*time.Second })
 	assert.Equal(t, "done\n", called(t, mgmt, "HEALTH"))
 	idle, busy, late := connected(t, url), connected(t, url), connected(t, url)
 	busy.asks("b1")
@@ -79,7 +79,7 @@
 	assert.Equal(t, []any{503, true}, []any{a.StatusCode, a.Close})
 	_, err = idle.in.ReadByte()
 	assert.ErrorIs(t, err, io.EOF)
-	assert.InDelta(t, drain.ServeFor.Seconds(), time.Since(left).Seconds(), 0.3, "clients may use it until then")
+	assert.InDelta(t, drain.AcceptAfterStop.Seconds(), time.Since(left).Seconds(), 0.3, "clients may use it until then")
 	_, err = late.in.ReadByte()
 	assert.ErrorIs(t, err, io.EOF)
 	late = connected(t, url)
--- a/internal/program/handover.go
+++ b/internal/program/handover.go
@@ -31,11 +31,11 @@
 // the one after it. Both share one listener's queue and one socket for datagrams, count what the other has
 // out as theirs, and keep within the limits together.
 type handover struct {
-	place     upgrade.Place
-	heir      *upgrade.Heir // from the process before, nil where there is none
+	place     upgrade.Rendezvous
+	heir      *upgrade.Successor // from the process before, nil where there is none
 	room      room
 	state     *drain.State
-	router    *routing.Router
+	router    *routing.Proxy
 	server    *transport.Server
 	pool      *transport.Pool
 	listener  syscall.Conn
@@ -51,17 +51,17 @@
 
 // meet looks for the process before this one. Without operators' door there is no upgrade: nothing is looked
 // for.
-func meet(p *Placement, log zerolog.Logger) *handover {
-	if p.Mgmt == "" {
+func meet(p *Config, log zerolog.Logger) *handover {
+	if p.AdminListen == "" {
 		return nil
 	}
-	h := &handover{place: upgrade.PlaceOf(os.TempDir(), p.Name, p.Listen, p.PeerListen), log: log}
+	h := &handover{place: upgrade.RendezvousFor(os.TempDir(), p.Name, p.Listen, p.PeerListen), log: log}
 	var err error
-	if h.heir, err = upgrade.Knock(h.place); err != nil {
+	if h.heir, err = upgrade.Connect(h.place); err != nil {
 		log.Warn().Err(err).Msg("nothing is handed over: starting beside whoever is there")
 	}
 	if h.heir != nil {
-		log.Info().Int("sockets", len(h.heir.Sockets)).Int("bytes", len(h.heir.Legacy)).Msg("predecessor met")
+		log.Info().Int("sockets", len(h.heir.Sockets)).Int("bytes", len(h.heir.Snapshot)).Msg("predecessor met")
 	}
 	return h
 }
@@ -78,7 +78,7 @@
 	if h == nil || h.heir == nil {
 		return nil
 	}
-	return h.heir.Legacy
+	return h.heir.Snapshot
 }
 
 // close ends the link to the predecessor, which goes on alone if this process has never served.
@@ -90,10 +90,10 @@
 
 // run waits for a successor, and meanwhile sees the predecessor off.
 func (h *handover) run(ctx context.Context) error {
-	host := upgrade.Host{
-		Place: h.place, Log: h.log, Sockets: h.sockets, Meet: h.relieve,
-		Legacy: func() any { return h.router.Legacy() },
-		Ends:   func() bool { return h.state.At(time.Now()).Ends() },
+	host := upgrade.Listener{
+		Rendezvous: h.place, Log: h.log, Sockets: h.sockets, Serve: h.relieve,
+		Snapshot:   func() any { return h.router.Snapshot() },
+		IsStopping: func() bool { return h.state.PhaseAt(time.Now()).IsStopping() },
 	}
 	var both errgroup.Group
 	both.Go(func() error { return host.Run(ctx) })
@@ -107,9 +107,9 @@
 }
 
 func (h *handover) sockets() []upgrade.Socket {
-	all := []upgrade.Socket{{Name: upgrade.Clients, Conn: h.listener}}
+	all := []upgrade.Socket{{Name: upgrade.ClientSocket, Conn: h.listener}}
 	if h.datagrams != nil {
-		all = append(all, upgrade.Socket{Name: upgrade.Peers, Conn: h.datagrams.Socket()})
+		all = append(all, upgrade.Socket{Name: upgrade.PeerSocket, Conn: h.datagrams.Socket()})
 	}
 	return all
 }
@@ -119,30 +119,30 @@
 	l := h.heir.Link
 	h.share(1)
 	h.bound(h.room.clients/2, h.room.workers/2) // until it tells what it has
-	stop := h.tell(ctx, l, func() routing.Twin { return h.router.Twin(decide.Predecessor) })
+	stop := h.tell(ctx, l, func() routing.SiblingUpdate { return h.router.SiblingUpdate(decide.Predecessor) })
 	defer stop()
 	if err := l.SendServing(); err != nil {
 		h.log.Warn().Err(err).Msg("predecessor cannot be told")
 	}
-	err := l.Follow(upgrade.Events{
-		Twin: func(b json.RawMessage) {
+	err := l.Receive(upgrade.Handler{
+		SiblingUpdate: func(b json.RawMessage) {
 			if t, ok := h.twin(b); ok {
-				h.router.Meet(decide.Predecessor, t)
-				h.bound(h.room.clients-t.Clients, h.room.workers-t.Workers)
+				h.router.ReceiveSiblingUpdate(decide.Predecessor, t)
+				h.bound(h.room.clients-t.ClientConnections, h.room.workers-t.WorkerConnections)
 			}
 		},
-		Open: h.adopt,
-		Call: func(call string) {
+		Request: h.adopt,
+		Command: func(call string) {
 			h.log.Info().Str("call", call).Msg("operator, by way of the predecessor")
 			now := time.Now()
 			if call == callLeave {
-				h.state.Leave(now)
-			} else if err := h.state.Join(now); err != nil {
+				h.state.Drain(now)
+			} else if err := h.state.Rejoin(now); err != nil {
 				h.log.Warn().Err(err).Msg("call")
 			}
 		},
 	})
-	h.router.Part(decide.Predecessor)
+	h.router.SiblingGone(decide.Predecessor)
 	h.share(-1)
 	h.bound(h.room.clients, h.room.workers)
 	h.log.Info().AnErr("cause", err).Msg("predecessor has ended")
@@ -154,49 +154,49 @@
 	h.share(1)
 	clients, workers := h.server.OpenConnections(), h.pool.OpenConnections()
 	clients, workers = (clients+h.room.clients)/2, (workers+h.room.workers)/2 // half of what is free
-	stop := h.tell(ctx, l, func() routing.Twin {
-		if h.state.At(time.Now()).Ends() {
+	stop := h.tell(ctx, l, func() routing.SiblingUpdate {
+		if h.state.PhaseAt(time.Now()).IsStopping() {
 			h.handAll()
 		}
 		if h.serving() != nil {
 			clients, workers = min(clients, h.server.OpenConnections()), min(workers, h.pool.OpenConnections()+1)
 		}
 		h.bound(clients, workers)
-		t := h.router.Twin(decide.Successor)
-		t.Clients, t.Workers = clients, workers
+		t := h.router.SiblingUpdate(decide.Successor)
+		t.ClientConnections, t.WorkerConnections = clients, workers
 		return t
 	})
 	defer stop()
-	err := l.Follow(upgrade.Events{
+	err := l.Receive(upgrade.Handler{
 		Serving: func() { h.serves(l) },
-		Twin: func(b json.RawMessage) {
+		SiblingUpdate: func(b json.RawMessage) {
 			if t, ok := h.twin(b); ok {
-				h.router.Meet(decide.Successor, t)
+				h.router.ReceiveSiblingUpdate(decide.Successor, t)
 			}
 		},
 	})
-	h.router.Part(decide.Successor)
+	h.router.SiblingGone(decide.Successor)
 	h.share(-1)
 	h.bound(h.room.clients, h.room.workers)
 	h.mu.Lock()
 	h.successor = nil
 	h.mu.Unlock()
-	h.state.Resume(time.Now())
-	h.router.Yield(h.state.At(time.Now()).Ends())
+	h.state.TakeBack(time.Now())
+	h.router.YieldDatagrams(h.state.PhaseAt(time.Now()).IsStopping())
 	if h.node != nil {
-		h.node.Yield(h.state.At(time.Now()).Ends())
+		h.node.YieldSocket(h.state.PhaseAt(time.Now()).IsStopping())
 	}
-	h.log.Info().AnErr("cause", err).Stringer("phase", h.state.At(time.Now())).Msg("successor has ended")
+	h.log.Info().AnErr("cause", err).Stringer("phase", h.state.PhaseAt(time.Now())).Msg("successor has ended")
 }
 
 func (h *handover) serves(l *upgrade.Link) {
-	if err := h.state.Relieve(time.Now()); err != nil {
+	if err := h.state.HandOff(time.Now()); err != nil {
 		h.log.Warn().Err(err).Msg("successor serves")
 		return
 	}
-	h.router.Yield(true)
+	h.router.YieldDatagrams(true)
 	if h.node != nil {
-		h.node.Yield(true)
+		h.node.YieldSocket(true)
 	}
 	h.mu.Lock()
 	h.successor = l
@@ -205,7 +205,7 @@
 }
 
 // tell sends what is out here until ctx ends, which also ends the link.
-func (h *handover) tell(ctx context.Context, l *upgrade.Link, twin func() routing.Twin) (stop func()) {
+func (h *handover) tell(ctx context.Context, l *upgrade.Link, twin func() routing.SiblingUpdate) (stop func()) {
 	ctx, cancel := context.WithCancel(ctx)
 	done := make(chan struct{})
 	go func() {
@@ -214,7 +214,7 @@
 		ticker := time.NewTicker(tellEvery)
 		defer ticker.Stop()
 		for {
-			if err := l.SendTwin(twin()); err != nil {
+			if err := l.SendSiblingUpdate(twin()); err != nil {
 				return
 			}
 			select {
@@ -230,7 +230,7 @@
 	}
 }
 
-func (h *handover) twin(b json.RawMessage) (t routing.Twin, ok bool) {
+func (h *handover) twin(b json.RawMessage) (t routing.SiblingUpdate, ok bool) {
 	if err := json.Unmarshal(b, &t); err != nil {
 		h.log.Warn().Err(err).Msg("twin")
 		return t, false
@@ -261,12 +261,12 @@
 	}
 	h.handing.Lock()
 	defer h.handing.Unlock()
-	h.router.HandAll(func(open *routing.Handed, client syscall.Conn, forwards map[int]syscall.Conn) error {
-		sockets := []upgrade.Socket{{Name: upgrade.Clients, Conn: client}}
+	h.router.ExportAll(func(open *routing.MigratedRequest, client syscall.Conn, forwards map[int]syscall.Conn) error {
+		sockets := []upgrade.Socket{{Name: upgrade.ClientSocket, Conn: client}}
 		for n, c := range forwards {
 			sockets = append(sockets, upgrade.Socket{Name: strconv.Itoa(n), Conn: c})
 		}
-		return l.SendOpen(open, sockets)
+		return l.SendRequest(open, sockets)
 	})
 	return true
 }
@@ -288,7 +288,7 @@
 			client = c
 		}
 	}
-	open, finish, err := h.router.Adopt(b, forwards)
+	open, finish, err := h.router.Import(b, forwards)
 	if err == nil && client == nil {
 		err = errors.New("an invocation handed over: without its client")
 	}
@@ -302,7 +302,7 @@
 		}
 		finish = func(context.Context) *protocol.Response { return &protocol.Response{Status: 502} } // it may have run
 	}
-	h.server.Import(client, open.Early, open.Closes, open.Interim, finish)
+	h.server.Import(client, open.Pipelined, open.CloseRequested, open.AcceptsInterim, finish)
 }
 
 func (h *handover) serving() *upgrade.Link {
@@ -320,5 +320,5 @@
 	if l == nil {
 		return false, nil
 	}
-	return true, l.SendCall(call)
+	return true, l.SendCommand(call)
 }
--- a/internal/program/handover_test.go
+++ b/internal/program/handover_test.go
@@ -24,14 +24,14 @@
 	ended chan error
 }
 
-func begun(t *testing.T, p Placement) *process { return begunWith(t, p, nil) }
+func begun(t *testing.T, p Config) *process { return begunWith(t, p, nil) }
 
-func begunWith(t *testing.T, p Placement, anew func() (*Placement, error)) *process {
+func begunWith(t *testing.T, p Config, anew func() (*Config, error)) *process {
 	d := &process{
 		heard: &signals{make(chan os.Signal, 1), make(chan os.Signal, 1), make(chan os.Signal, 1)},
 		mgmt:  freeAddress(t), log: &syncBuffer{}, ended: make(chan error, 1),
 	}
-	p.Mgmt = d.mgmt
+	p.AdminListen = d.mgmt
 	go func() { d.ended <- Run(&p, anew, d.heard, zerolog.New(d.log)) }()
 	started := func() bool { return strings.Contains(d.log.String(), `"message":"started"`) }
 	assert.Eventually(t, started, 5*time.Second, time.Millisecond)
--- a/internal/program/operators_test.go
+++ b/internal/program/operators_test.go
@@ -37,32 +37,32 @@
 func TestEachKeyOfTheConfiguration(t *testing.T) {
 	read, err := parse([]byte(allKeys), environment())
 	assert.NoError(t, err)
-	want := &Placement{
-		Name: "n3", Listen: "127.0.0.1:8080", PeerListen: "127.0.0.1:7946", Mgmt: "127.0.0.1:8600",
-		Seed: 0x8c1f30d27a5be964, Cores: 2.5, MemoryMB: 200, Sockets: 2048, Idle: 8 * time.Second,
-		Longest: 2500 * time.Millisecond,
-		Routing: routing.Terms{
+	want := &Config{
+		Name: "n3", Listen: "127.0.0.1:8080", PeerListen: "127.0.0.1:7946", AdminListen: "127.0.0.1:8600",
+		Seed: 0x8c1f30d27a5be964, Cores: 2.5, MemoryMB: 200, Sockets: 2048, WorkerIdleTimeout: 8 * time.Second,
+		MaxClientTimeout: 2500 * time.Millisecond,
+		Proxy: routing.Config{
 			Operations: []routing.Operation{{
-				Name: "render", Timeout: 2500 * time.Millisecond, Keyed: true, Scope: 2,
-				Window: time.Minute,
+				Name: "render", DefaultTimeout: 2500 * time.Millisecond, RequiresKey: true, DedupScope: 2,
+				DedupWindow: time.Minute,
 			}},
-			Owners: []string{"acme"}, Zones: []string{"a", "b"}, Kinds: []string{"m"}, Report: []string{"rif"},
-			DialWithin: 200 * time.Millisecond, ComeBackMost: 2 * time.Second, Discovery: "127.0.0.1:8500",
+			Tenants: []string{"acme"}, Zones: []string{"a", "b"}, Kinds: []string{"m"}, Report: []string{"rif"},
+			DialTimeout: 200 * time.Millisecond, MaxRetryAfter: 2 * time.Second, Discovery: "127.0.0.1:8500",
 			Peers: []netip.AddrPort{
 				netip.MustParseAddrPort("127.0.0.1:7946"),
 				netip.MustParseAddrPort("127.0.0.2:7946"),
 			},
 			Position: 1,
-			Known: &protocol.EndpointList{Version: 41, Complete: true, Endpoints: []protocol.Endpoint{{
+			InitialEndpoints: &protocol.EndpointList{Version: 41, Complete: true, Endpoints: []protocol.Endpoint{{
 				ID:      "s-1",
 				Address: "127.0.0.3:8080", Zone: "a", Kind: "m", Cell: 3, State: "Ready", StartedAtMillis: 5,
 			}}},
 		},
 	}
-	d := read.Decisions
+	d := read.Balancer
 	assert.Equal(t, []any{int64(70_000), int64(60_000), true, true},
 		[]any{int64(d.MaxPollInterval), int64(d.NotifyDeadline), d.DeliveryNotices, d.PollEndpoints})
-	want.Decisions, want.keys, want.settings = d, read.keys, read.settings
+	want.Balancer, want.keys, want.settings = d, read.keys, read.settings
 	assert.Equal(t, want, read)
 	unset := []string{}
 	v := reflect.ValueOf(*read)
@@ -89,14 +89,14 @@
 	assert.NoError(t, os.WriteFile(fleetPath, []byte(strings.Replace(fleetFile, `"n3"`, `"n9"`, 1)), 0o600))
 	variables := environment("LB_CONFIG", config, "LB_FLEET", fleetPath, "LB_NAME", "n9", "LB_LISTEN", "127.0.0.9:1",
 		"LB_DISCOVERY", "127.0.0.9:2", "LB_MGMT", "127.0.0.9:3")
-	read, err := Read(variables)
+	read, err := ReadConfig(variables)
 	assert.NoError(t, err)
 	assert.Equal(t, []string{"n9", "127.0.0.9:1", "127.0.0.9:2", "127.0.0.9:3", "/tmp/canvasroute-state"},
-		[]string{read.Name, read.Listen, read.Routing.Discovery, read.Mgmt, read.Fleet.State.Folder})
-	again, err := ReadAnew(variables)
+		[]string{read.Name, read.Listen, read.Proxy.Discovery, read.AdminListen, read.Fleet.State.Folder})
+	again, err := ReloadConfig(variables)
 	assert.NoError(t, err)
-	assert.Equal(t, "127.0.0.1:8500", again.Routing.Discovery, "a running dispatcher takes the file's list service")
-	assert.Equal(t, "127.0.0.9:3", again.Mgmt)
+	assert.Equal(t, "127.0.0.1:8500", again.Proxy.Discovery, "a running dispatcher takes the file's list service")
+	assert.Equal(t, "127.0.0.9:3", again.AdminListen)
 }
 
 // TestProcessExitCodes pins the codes that a service manager sees.
@@ -145,8 +145,8 @@
 		})
 	}
 	var out, wrong bytes.Buffer
-	assert.Equal(t, 1, Call([]string{"serve"}, &out, &wrong), "an unknown command")
-	assert.Equal(t, 0, Call([]string{"--help"}, &out, &wrong))
+	assert.Equal(t, 1, RunCommand([]string{"serve"}, &out, &wrong), "an unknown command")
+	assert.Equal(t, 0, RunCommand([]string{"--help"}, &out, &wrong))
 }
 
 // TestStateShowOfEarlierRelease reads the folder that an earlier release wrote, with the snapshot in it, and compares what
@@ -160,7 +160,7 @@
 		want, err := os.ReadFile(filepath.Join("testdata", golden))
 		assert.NoError(t, err)
 		var out, wrong bytes.Buffer
-		assert.Equal(t, 0, Call(args, &out, &wrong), wrong.String())
+		assert.Equal(t, 0, RunCommand(args, &out, &wrong), wrong.String())
 		assert.Equal(t, string(want), out.String())
 	}
 }
@@ -170,7 +170,7 @@
 	folder := t.TempDir()
 	assert.NoError(t, os.WriteFile(filepath.Join(folder, "life.a"), []byte("x"), 0o600))
 	var out, wrong bytes.Buffer
-	assert.Equal(t, 1, Call([]string{"state", "show", folder, "--json"}, &out, &wrong))
+	assert.Equal(t, 1, RunCommand([]string{"state", "show", folder, "--json"}, &out, &wrong))
 	assert.Contains(t, out.String(), "\n \"not_believed\": [\n  \"life.a: ")
 }
 
@@ -181,7 +181,7 @@
 	t.Setenv("TMPDIR", dir)
 	p, err := parse([]byte(allKeys), environment())
 	assert.NoError(t, err)
-	assert.Equal(t, upgrade.PlaceOf(dir, "n3", "127.0.0.1:8080", "127.0.0.1:7946"), meet(p, nop).place)
-	p.Mgmt = ""
+	assert.Equal(t, upgrade.RendezvousFor(dir, "n3", "127.0.0.1:8080", "127.0.0.1:7946"), meet(p, nop).place)
+	p.AdminListen = ""
 	assert.Nil(t, meet(p, nop), "without an address for operators there is no upgrade")
 }
--- a/internal/program/placement.go
+++ b/internal/program/placement.go
@@ -35,25 +35,25 @@
 	leastMemoryMB = 16
 )
 
-// Placement is where a dispatcher stands: its addresses, its limits and its neighbours.
-type Placement struct {
+// Config is where a dispatcher stands: its addresses, its limits and its neighbours.
+type Config struct {
 	Name, Listen, PeerListen string
-	Mgmt                     string // where operators call, "" for nowhere
+	AdminListen              string // where operators call, "" for nowhere
 	Seed                     uint64
 	Cores                    float64
 	MemoryMB, Sockets        int
-	Idle                     time.Duration // how long a worker lets a connection stand idle
-	Longest                  time.Duration // the longest client timeout
-	Decisions                decide.Config
-	Routing                  routing.Terms
+	WorkerIdleTimeout        time.Duration // how long a worker lets a connection stand idle
+	MaxClientTimeout         time.Duration // the longest client timeout
+	Balancer                 decide.Config
+	Proxy                    routing.Config
 	Fleet                    *fleet.Settings // nil where dispatchers do nothing more in common
 	settings                 string          // a hash of the settings
 	keys                     map[string]bool // those of the file, by their paths
 }
 
-// Read takes the configuration from the file that LB_CONFIG names. What the environment says by itself, name
+// ReadConfig takes the configuration from the file that LB_CONFIG names. What the environment says by itself, name
 // and addresses, goes before the file.
-func Read(getenv func(string) string) (*Placement, error) {
+func ReadConfig(getenv func(string) string) (*Config, error) {
 	path := getenv("LB_CONFIG")
 	if path == "" {
 		return nil, errors.New("LB_CONFIG: not set; it names the configuration file")
@@ -67,7 +67,7 @@
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
 	if own := getenv("LB_FLEET"); own != "" {
-		p.Fleet, err = fleet.Read(own, p.Name, p.Decisions.Position, p.Decisions.Dispatchers)
+		p.Fleet, err = fleet.Read(own, p.Name, p.Balancer.Position, p.Balancer.Dispatchers)
 		if err != nil {
 			return nil, fmt.Errorf("LB_FLEET: %w", err)
 		}
@@ -75,10 +75,10 @@
 	return p, nil
 }
 
-// ReadAnew takes the configuration of a dispatcher that runs already: now the file says where the list
+// ReloadConfig takes the configuration of a dispatcher that runs already: now the file says where the list
 // service is, as the environment still has what held at the start.
-func ReadAnew(getenv func(string) string) (*Placement, error) {
-	return Read(func(variable string) string {
+func ReloadConfig(getenv func(string) string) (*Config, error) {
+	return ReadConfig(func(variable string) string {
 		if variable == "LB_DISCOVERY" {
 			return ""
 		}
@@ -86,7 +86,7 @@
 	})
 }
 
-func parse(text []byte, getenv func(string) string) (*Placement, error) {
+func parse(text []byte, getenv func(string) string) (*Config, error) {
 	v, err := fastjson.ParseBytes(text)
 	if err != nil {
 		return nil, fmt.Errorf("not JSON: %w", err)
@@ -94,33 +94,33 @@
 	if v.Type() != fastjson.TypeObject {
 		return nil, errors.New("not a JSON object")
 	}
-	settings := v.Get("settings")
-	p := &Placement{}
-	if p.Decisions, err = terms.Parse(settings); err != nil {
+	settingsJSON := v.Get("settings")
+	p := &Config{}
+	if p.Balancer, err = terms.Parse(settingsJSON); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
 	r := reader{v: v, getenv: getenv}
 	// On sockets the list service never tells by itself, whatever the settings say of it.
-	p.Decisions.PollEndpoints = true
-	p.Decisions.MaxPollInterval = terms.Span(r.span(usualAsk, "settings", "rules", "askWithinS").Seconds())
-	p.Decisions.NotifyDeadline, p.Decisions.DeliveryNotices = toldWithin, true
+	p.Balancer.PollEndpoints = true
+	p.Balancer.MaxPollInterval = terms.DurationOf(r.span(usualAsk, "settings", "rules", "askWithinS").Seconds())
+	p.Balancer.NotifyDeadline, p.Balancer.DeliveryNotices = toldWithin, true
 	p.Name = r.text("LB_NAME", "name")
 	p.Listen = r.address("LB_LISTEN", "listen").String()
-	p.Routing.Discovery = r.address("LB_DISCOVERY", "discovery").String()
+	p.Proxy.Discovery = r.address("LB_DISCOVERY", "discovery").String()
 	if r.getenv("LB_MGMT") != "" || r.v.Exists("mgmt") {
-		p.Mgmt = r.address("LB_MGMT", "mgmt").String()
+		p.AdminListen = r.address("LB_MGMT", "mgmt").String()
 	}
 	p.Seed = r.seed()
 	p.Cores = r.number(usualCores, 0.01, 4096, "limits", "cores")
 	p.MemoryMB = int(r.number(usualMemoryMB, leastMemoryMB, 1<<24, "limits", "memory_mb"))
 	p.Sockets = int(r.number(usualSockets, leastSockets, 1<<24, "limits", "sockets"))
-	p.Idle = r.span(usualIdle, "settings", "policyLimits", "connIdleS")
+	p.WorkerIdleTimeout = r.span(usualIdle, "settings", "policyLimits", "connIdleS")
 	r.peers(p)
 	r.known(p)
 	r.routing(p)
 	r.positives()
 	p.keys = keysOf(v)
-	p.settings = fmt.Sprintf("%x", sha256.Sum256(settings.MarshalTo(nil)))[:16]
+	p.settings = fmt.Sprintf("%x", sha256.Sum256(settingsJSON.MarshalTo(nil)))[:16]
 	return p, r.err
 }
 
@@ -203,8 +203,8 @@
 	return n
 }
 
-func (r *reader) peers(p *Placement) {
-	if !p.Decisions.Gossip {
+func (r *reader) peers(p *Config) {
+	if !p.Balancer.Gossip {
 		return
 	}
 	p.PeerListen = r.address("", "peer_listen").String()
@@ -213,14 +213,14 @@
 		if err != nil {
 			r.wrong(fmt.Sprintf("peers[%d]", n), "%s is not an address with a port", v)
 		}
-		p.Routing.Peers = append(p.Routing.Peers, a)
+		p.Proxy.Peers = append(p.Proxy.Peers, a)
 	}
-	if n := len(p.Routing.Peers); n != p.Decisions.Dispatchers {
-		r.wrong("peers", "%d addresses for settings.balancers %d", n, p.Decisions.Dispatchers)
+	if n := len(p.Proxy.Peers); n != p.Balancer.Dispatchers {
+		r.wrong("peers", "%d addresses for settings.balancers %d", n, p.Balancer.Dispatchers)
 	}
 }
 
-func (r *reader) known(p *Placement) {
+func (r *reader) known(p *Config) {
 	v := r.v.Get("known")
 	if v == nil || v.Type() == fastjson.TypeNull {
 		return
@@ -230,39 +230,39 @@
 		r.wrong("known", "%v", err)
 		return
 	}
-	p.Routing.Known = &l
+	p.Proxy.InitialEndpoints = &l
 }
 
-func (r *reader) routing(p *Placement) {
-	t, settings := &p.Routing, r.v.Get("settings")
-	t.Position = p.Decisions.Position
-	t.DialWithin = r.span(usualDial, "settings", "policyLimits", "dialTimeoutS")
-	if p.Decisions.RetryAfter {
-		t.ComeBackMost = p.Decisions.MaxRetryAfter.Duration()
+func (r *reader) routing(p *Config) {
+	t, settings := &p.Proxy, r.v.Get("settings")
+	t.Position = p.Balancer.Position
+	t.DialTimeout = r.span(usualDial, "settings", "policyLimits", "dialTimeoutS")
+	if p.Balancer.RetryAfter {
+		t.MaxRetryAfter = p.Balancer.MaxRetryAfter.Duration()
 	}
 	for n, o := range settings.GetArray("operations") {
 		op := routing.Operation{
-			Name: string(o.GetStringBytes("name")), Timeout: usualTimeout,
-			Keyed: n < len(p.Decisions.Operations) && p.Decisions.Operations[n].Idempotency == decide.IdempotentByKey,
+			Name: string(o.GetStringBytes("name")), DefaultTimeout: usualTimeout,
+			RequiresKey: n < len(p.Balancer.Operations) && p.Balancer.Operations[n].Idempotency == decide.IdempotentByKey,
 		}
-		if n < len(p.Decisions.Operations) {
-			op.Scope, op.Window = p.Decisions.Operations[n].DedupScope, p.Decisions.Operations[n].DedupWindow.Duration()
+		if n < len(p.Balancer.Operations) {
+			op.DedupScope, op.DedupWindow = p.Balancer.Operations[n].DedupScope, p.Balancer.Operations[n].DedupWindow.Duration()
 		}
 		if s := o.GetFloat64("clientTimeoutS"); s > 0 {
-			op.Timeout = time.Duration(s * float64(time.Second))
+			op.DefaultTimeout = time.Duration(s * float64(time.Second))
 		}
 		if op.Name == "" {
 			r.wrong(fmt.Sprintf("settings.operations[%d].name", n), "must be a text")
 		}
 		t.Operations = append(t.Operations, op)
-		p.Longest = max(p.Longest, op.Timeout)
+		p.MaxClientTimeout = max(p.MaxClientTimeout, op.DefaultTimeout)
 	}
 	for n, o := range settings.GetArray("orgs") {
 		name := string(o.GetStringBytes("name"))
 		if name == "" {
 			r.wrong(fmt.Sprintf("settings.orgs[%d].name", n), "must be a text")
 		}
-		t.Owners = append(t.Owners, name)
+		t.Tenants = append(t.Tenants, name)
 	}
 	t.Zones = r.names("settings", "zones")
 	t.Kinds = r.names("settings", "shapes")
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -35,12 +35,12 @@
 	defer heard.stop()
 	zerolog.TimeFieldFormat = zerolog.TimeFormatUnixMs
 	log := zerolog.New(os.Stderr).With().Timestamp().Logger()
-	p, err := Read(os.Getenv)
+	p, err := ReadConfig(os.Getenv)
 	if err != nil {
 		log.Error().Err(err).Msg("bad configuration")
 		return 2
 	}
-	anew := func() (*Placement, error) { return ReadAnew(os.Getenv) }
+	anew := func() (*Config, error) { return ReloadConfig(os.Getenv) }
 	if err := Run(p, anew, heard, log.With().Str("name", p.Name).Logger()); err != nil {
 		log.Error().Err(err).Msg("ended by a fault")
 		return 1
@@ -50,7 +50,7 @@
 
 // Run serves until it is told to end, and then answers all that it has taken. anew reads the configuration
 // again.
-func Run(p *Placement, anew func() (*Placement, error), heard *signals, log zerolog.Logger) error {
+func Run(p *Config, anew func() (*Config, error), heard *signals, log zerolog.Logger) error {
 	runtime.GOMAXPROCS(max(1, int(math.Ceil(p.Cores))))
 	room := p.room()
 	debug.SetMemoryLimit(room.heap)
@@ -58,14 +58,14 @@
 	start := time.Now()
 	base := decide.Time(start.UnixMicro() / 100)
 	clock := func() decide.Time { return base + decide.Time(time.Since(start)/(time.Second/decide.Second)) }
-	p.Routing.FromUnix = func(ms float64) decide.Time { return decide.Time(ms * 10) }
-	facade := decide.NewShards(p.Decisions, p.instances(), p.Seed, clock,
+	p.Proxy.FromUnix = func(ms float64) decide.Time { return decide.Time(ms * 10) }
+	facade := decide.NewShards(p.Balancer, p.instances(), p.Seed, clock,
 		func(line string) { log.Warn().Msg(line) })
 
-	pool := transport.NewPool(room.workers, p.Idle, log)
+	pool := transport.NewPool(room.workers, p.WorkerIdleTimeout, log)
 	both := meet(p, log)
 	defer both.close()
-	p.Routing.Legacy, p.Routing.Hands = both.legacy(), both != nil
+	p.Proxy.PredecessorSnapshot, p.Proxy.MigratesRequests = both.legacy(), both != nil
 	node, err := p.node(clock, both.legacy() != nil, log)
 	if err != nil {
 		return err
@@ -75,11 +75,11 @@
 		return err
 	}
 	state := &drain.State{}
-	router := routing.New(p.Routing, facade, pool, datagrams, state, log)
+	router := routing.New(p.Proxy, facade, pool, datagrams, state, log)
 	if node != nil {
 		bringBack(node, router, facade, state)
 	}
-	ln, err := transport.ListenClients(p.Listen, both.socket(upgrade.Clients), both != nil)
+	ln, err := transport.ListenClients(p.Listen, both.socket(upgrade.ClientSocket), both != nil)
 	if err != nil {
 		return err
 	}
@@ -90,8 +90,8 @@
 		both.pool, both.listener, both.datagrams = pool, ln, datagrams
 		both.node = node
 	}
-	desk := &desk{router: router, drain: state, handover: both, node: node, log: log}
-	door, err := desk.open(p.Mgmt)
+	desk := &adminHandler{router: router, drain: state, handover: both, node: node, log: log}
+	door, err := desk.open(p.AdminListen)
 	if err != nil {
 		return err
 	}
@@ -121,25 +121,25 @@
 		return attend(heard, failed, working, p, anew, desk, router, server, stopAccepting, log)
 	})
 	err = g.Wait()
-	router.Print("exit")
+	router.LogCounters("exit")
 	return err
 }
 
-func peerSocket(p *Placement, both *handover) (*transport.Datagrams, error) {
-	if !p.Decisions.Gossip {
+func peerSocket(p *Config, both *handover) (*transport.Datagrams, error) {
+	if !p.Balancer.Gossip {
 		return nil, nil
 	}
 	addr, err := netip.ParseAddrPort(p.PeerListen)
 	if err != nil {
 		return nil, fmt.Errorf("peer_listen: %w", err)
 	}
-	return transport.ListenDatagrams(addr, both.socket(upgrade.Peers), both != nil)
+	return transport.ListenDatagrams(addr, both.socket(upgrade.PeerSocket), both != nil)
 }
 
 // attend answers signals: counters on SIGUSR1, the configuration anew on SIGHUP, and the drain on SIGTERM or
 // SIGINT.
-func attend(heard *signals, failed, working context.Context, p *Placement, anew func() (*Placement, error),
-	desk *desk, router *routing.Router, server *transport.Server, stopAccepting func(),
+func attend(heard *signals, failed, working context.Context, p *Config, anew func() (*Config, error),
+	desk *adminHandler, router *routing.Proxy, server *transport.Server, stopAccepting func(),
 	log zerolog.Logger,
 ) error {
 	for {
@@ -150,25 +150,25 @@
 			stopAccepting()
 			return nil
 		case <-heard.count:
-			router.Print("asked")
+			router.LogCounters("asked")
 		case <-heard.reload:
 			p = reload(p, anew, desk, router, log)
 		case s := <-heard.end:
 			log.Info().Str("signal", s.String()).Msg("draining")
-			within := min(p.Longest, longestDrain) + drainMore
-			desk.drain.End(time.Now())
+			within := min(p.MaxClientTimeout, longestDrain) + drainMore
+			desk.drain.Stop(time.Now())
 			server.CloseAllAfter(within + cutMore)
 			// What a successor goes on with is not bound by this process's end; what then is left is.
 			relieved := desk.handover.handAll()
 			if !relieved {
-				router.Drain(within)
+				router.StopWithin(within)
 			}
 			select {
 			case <-time.After(acceptFor):
 			case <-failed.Done():
 			}
 			if relieved {
-				router.Drain(within - acceptFor)
+				router.StopWithin(within - acceptFor)
 			}
 			stopAccepting()
 			return nil
--- a/internal/program/program_test.go
+++ b/internal/program/program_test.go
@@ -49,11 +49,11 @@
 		"other", "127.0.0.1:8080", "127.0.0.1:8500", uint64(0x8c1f30d27a5be964),
 		8 * time.Second,
 	},
-		[]any{p.Name, p.Listen, p.Routing.Discovery, p.Seed, p.Idle})
+		[]any{p.Name, p.Listen, p.Proxy.Discovery, p.Seed, p.WorkerIdleTimeout})
 	assert.Equal(t, []any{200 * time.Millisecond, 2500 * time.Millisecond, 2 * time.Second, 2, int64(41)},
 		[]any{
-			p.Routing.DialWithin, p.Longest, p.Routing.ComeBackMost, len(p.Routing.Peers),
-			p.Routing.Known.Version,
+			p.Proxy.DialTimeout, p.MaxClientTimeout, p.Proxy.MaxRetryAfter, len(p.Proxy.Peers),
+			p.Proxy.InitialEndpoints.Version,
 		})
 	bare := strings.NewReplacer(`"limits":{"cores":1.0,"memory_mb":192,"sockets":1024},`, "", `"connIdleS":8,`,
 		"",
@@ -61,7 +61,7 @@
 	p, err = parse([]byte(bare), environment())
 	assert.NoError(t, err)
 	assert.Equal(t, []any{usualIdle, usualDial, usualTimeout, usualSockets, usualMemoryMB},
-		[]any{p.Idle, p.Routing.DialWithin, p.Longest, p.Sockets, p.MemoryMB})
+		[]any{p.WorkerIdleTimeout, p.Proxy.DialTimeout, p.MaxClientTimeout, p.Sockets, p.MemoryMB})
 }
 
 func TestBadConfigurationIsRefusedByTheNameOfTheKey(t *testing.T) {
@@ -102,9 +102,9 @@
 	}
 	_, err := parse([]byte(configuration), environment("LB_LISTEN", "nowhere"))
 	assert.ErrorContains(t, err, "LB_LISTEN")
-	_, err = Read(environment())
+	_, err = ReadConfig(environment())
 	assert.ErrorContains(t, err, "LB_CONFIG: not set")
-	_, err = Read(environment("LB_CONFIG", filepath.Join(t.TempDir(), "none")))
+	_, err = ReadConfig(environment("LB_CONFIG", filepath.Join(t.TempDir(), "none")))
 	assert.ErrorIs(t, err, os.ErrNotExist)
 }
 
@@ -113,7 +113,7 @@
 	for _, c := range []struct{ memory, sockets, clients, workers int }{
 		{192, 1024, 600, 362}, {32, 256, 139, 84}, {32, 1024, 307, 185},
 	} {
-		r := (&Placement{MemoryMB: c.memory, Sockets: c.sockets}).room()
+		r := (&Config{MemoryMB: c.memory, Sockets: c.sockets}).room()
 		assert.Equal(t, []int{c.clients, c.workers}, []int{r.clients, r.workers})
 		assert.Less(t, (r.clients*17/16+r.workers)*connBytes+int(r.bodies), c.memory<<20*3/4)
 	}
@@ -146,7 +146,7 @@
 }
 
 // running starts a dispatcher where placed puts it.
-func running(t *testing.T, wait time.Duration, anew func() (*Placement, error), change ...func(*Placement)) (
+func running(t *testing.T, wait time.Duration, anew func() (*Config, error), change ...func(*Config)) (
 	url string, log *syncBuffer, ended <-chan error,
 ) {
 	p, url := placed(t, wait)
@@ -170,7 +170,7 @@
 
 // placed is a dispatcher's place beside one worker, which answers after a wait, and a list service that is
 // down.
-func placed(t *testing.T, wait time.Duration) (at Placement, url string) {
+func placed(t *testing.T, wait time.Duration) (at Config, url string) {
 	worker := http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		select {
 		case <-time.After(wait):
@@ -188,7 +188,7 @@
 	p, err := parse([]byte(configuration), environment("LB_LISTEN", freeAddress(t), "LB_DISCOVERY",
 		"127.0.0.1:9"))
 	assert.NoError(t, err)
-	p.Decisions.Gossip, p.Routing.Known.Endpoints[0].Address, p.Longest = false, ln.Addr().String(), time.Second
+	p.Balancer.Gossip, p.Proxy.InitialEndpoints.Endpoints[0].Address, p.MaxClientTimeout = false, ln.Addr().String(), time.Second
 	return *p, "http://" + p.Listen
 }
 
@@ -247,8 +247,8 @@
 	}))
 	defer list.Close()
 	path := filepath.Join(t.TempDir(), "config.json")
-	url, log, ended := running(t, 200*time.Millisecond, func() (*Placement, error) {
-		return ReadAnew(environment("LB_CONFIG", path, "LB_DISCOVERY", "127.0.0.1:9"))
+	url, log, ended := running(t, 200*time.Millisecond, func() (*Config, error) {
+		return ReloadConfig(environment("LB_CONFIG", path, "LB_DISCOVERY", "127.0.0.1:9"))
 	})
 	told := func(what string) func() bool { return func() bool { return strings.Contains(log.String(), what) } }
 	turn := func(text string) {
@@ -283,9 +283,9 @@
 // nobody asked to go on with.
 func TestSighupTakesNewSettingsWholeOrNotAtAll(t *testing.T) {
 	path, mgmt := filepath.Join(t.TempDir(), "config.json"), freeAddress(t)
-	url, _, ended := running(t, 300*time.Millisecond, func() (*Placement, error) {
-		return ReadAnew(environment("LB_CONFIG", path, "LB_MGMT", mgmt))
-	}, func(p *Placement) { p.Mgmt, p.PeerListen = mgmt, "" })
+	url, _, ended := running(t, 300*time.Millisecond, func() (*Config, error) {
+		return ReloadConfig(environment("LB_CONFIG", path, "LB_MGMT", mgmt))
+	}, func(p *Config) { p.AdminListen, p.PeerListen = mgmt, "" })
 	whole := strings.NewReplacer("127.0.0.1:8080", strings.TrimPrefix(url, "http://"), "127.0.0.1:8500",
 		"127.0.0.1:9", `"peers":true`, `"peers":false`).Replace(configuration)
 	rejected := 0
--- a/internal/program/room.go
+++ b/internal/program/room.go
@@ -17,7 +17,7 @@
 const mostInstances = 64
 
 // instances is how many of the module this process runs: one for each whole core.
-func (p *Placement) instances() int { return min(max(int(p.Cores), 1), mostInstances) }
+func (p *Config) instances() int { return min(max(int(p.Cores), 1), mostInstances) }
 
 // room is what each sort of connection may use, in all.
 type room struct {
@@ -26,11 +26,11 @@
 }
 
 // room follows from the limits on descriptors and memory, whichever allows fewer connections.
-func (p *Placement) room() room {
+func (p *Config) room() room {
 	memory := float64(p.MemoryMB) * (1 << 20)
 	own := ownSockets
-	if p.Mgmt != "" {
-		own += operate.Callers + 2 // its listener, and one about to be told to go
+	if p.AdminListen != "" {
+		own += operate.MaxConnections + 2 // its listener, and one about to be told to go
 	}
 	conns := min(p.Sockets-own, int(memory*connsShare/connBytes))
 	r := room{bodies: int64(memory * bodiesShare), heap: int64(memory * heapShare)}
--- a/internal/program/size_test.go
+++ b/internal/program/size_test.go
@@ -25,8 +25,8 @@
 	v.Get("settings").Set("position", fastjson.MustParse("1023"))
 	p, err := parse(v.MarshalTo(nil), environment())
 	assert.NoError(t, err)
-	assert.Len(t, p.Routing.Peers, many)
-	assert.Len(t, p.Routing.Known.Endpoints, many)
-	assert.Equal(t, many, p.Decisions.Dispatchers)
-	assert.Equal(t, many-1, p.Decisions.Position)
+	assert.Len(t, p.Proxy.Peers, many)
+	assert.Len(t, p.Proxy.InitialEndpoints.Endpoints, many)
+	assert.Equal(t, many, p.Balancer.Dispatchers)
+	assert.Equal(t, many-1, p.Balancer.Position)
 }
--- a/internal/routing/back.go
+++ b/internal/routing/back.go
@@ -10,66 +10,66 @@
 	"canvasroute/internal/protocol"
 )
 
-// Back brings a dispatcher back after its end. A router without one serves at once, and trusts nothing from
+// Recovery brings a dispatcher back after its end. A router without one serves at once, and trusts nothing from
 // before.
-type Back interface {
+type Recovery interface {
 	// Ready is nil once clients may come.
 	Ready() error
 	// Listed tells that the list service has told its list.
-	Listed()
+	EndpointsReceived()
 	// Unlisted tells that the list service was asked in vain, or no longer tells.
-	Unlisted()
+	EndpointsUnavailable()
 	// Admit tells whether an invocation may come in yet. done is called once it has ended; comeBack is for its
 	// client where it may not.
 	Admit(l decide.Arrival) (done func(succeeded bool), comeBack time.Duration, ok bool)
-	// Before tells where an invocation under the same key may have run before, nil for nowhere. It fails with
-	// ErrUnsure where nobody can tell.
-	Before(operation, key string, again bool) (*Before, error)
+	// PriorExecution tells where an invocation under the same key may have run before, nil for nowhere. It fails with
+	// ErrOutcomeUnknown where nobody can tell.
+	PriorExecution(operation, key string, again bool) (*PriorExecution, error)
 	// Keep makes durable that an invocation may run at a worker, and returns once it is.
-	Keep(ctx context.Context, k Kept) error
+	PersistKey(ctx context.Context, k KeyRecord) error
 }
 
-// ErrUnsure is a key that may have run nobody knows where.
-var ErrUnsure = errors.New("it may have run, and nobody knows where")
+// ErrOutcomeUnknown is a key that may have run nobody knows where.
+var ErrOutcomeUnknown = errors.New("it may have run, and nobody knows where")
 
-// Before is where and when an invocation may have run.
-type Before struct {
-	Host, Zone string
-	Cell       int
-	SentMs     int64 // Unix time
+// PriorExecution is where and when an invocation may have run.
+type PriorExecution struct {
+	Worker, Zone string
+	Cell         int
+	SentMs       int64 // Unix time
 }
 
-// Kept is what is written down of a forward before it is sent.
-type Kept struct {
+// KeyRecord is what is written down of a forward before it is sent.
+type KeyRecord struct {
 	Operation, Key string
-	Host, Zone     string
+	Worker, Zone   string
 	Cell           int
 	Window         time.Duration
 }
 
 // held tells whether repeats of an operation are dropped in a part of the fleet alone: then it has to be known
 // where the first one went.
-func (o *Operation) held() bool { return o.Keyed && o.Scope != decide.ScopeAll }
+func (o *Operation) held() bool { return o.RequiresKey && o.DedupScope != decide.ScopeAll }
 
 // before finds what an invocation's key may have done before this one. again is its client's mark of a repeat.
-func (r *Router) before(now *settings, inv *protocol.Request, h *protocol.Head) (*decide.PriorAttempt, error) {
+func (r *Proxy) before(now *settings, inv *protocol.Request, h *protocol.Head) (*decide.PriorAttempt, error) {
 	o := now.operations[inv.Operation]
-	if r.terms.Back == nil || !o.held() {
+	if r.terms.Recovery == nil || !o.held() {
 		return nil, nil
 	}
-	b, err := r.terms.Back.Before(inv.Operation, inv.IdempotencyKey, h.IsRetry())
+	b, err := r.terms.Recovery.PriorExecution(inv.Operation, inv.IdempotencyKey, h.IsRetry())
 	if b == nil || err != nil {
 		return nil, err
 	}
-	tgt, known := r.fleet.ofGroup(b, o.Scope)
+	tgt, known := r.fleet.ofGroup(b, o.DedupScope)
 	if !known {
-		return nil, ErrUnsure
+		return nil, ErrOutcomeUnknown
 	}
 	return &decide.PriorAttempt{Worker: tgt, SentAt: r.terms.FromUnix(float64(b.SentMs))}, nil
 }
 
 // ofGroup finds a worker that drops the repeats of what ran at another one.
-func (f *fleet) ofGroup(b *Before, scope decide.DedupScope) (decide.WorkerID, bool) {
+func (f *fleet) ofGroup(b *PriorExecution, scope decide.DedupScope) (decide.WorkerID, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	n := slices.IndexFunc(f.workers, func(w worker) bool {
@@ -79,37 +79,37 @@
 }
 
 // keep makes durable where a forward goes, where it has to be known after a loss of power.
-func (r *Router) keep(ctx context.Context, now *settings, inv *protocol.Request, tgt decide.WorkerID) error {
+func (r *Proxy) keep(ctx context.Context, now *settings, inv *protocol.Request, tgt decide.WorkerID) error {
 	o := now.operations[inv.Operation]
-	if r.terms.Back == nil || !o.held() {
+	if r.terms.Recovery == nil || !o.held() {
 		return nil
 	}
 	r.fleet.mu.Lock()
 	e := r.fleet.workers[tgt].entry
 	r.fleet.mu.Unlock()
-	k := Kept{Operation: inv.Operation, Key: inv.IdempotencyKey, Host: e.ID, Window: o.Window}
-	if o.Scope == decide.ScopeZone { // of its group alone: else two workers of it would look like two groups
+	k := KeyRecord{Operation: inv.Operation, Key: inv.IdempotencyKey, Worker: e.ID, Window: o.DedupWindow}
+	if o.DedupScope == decide.ScopeZone { // of its group alone: else two workers of it would look like two groups
 		k.Zone = e.Zone
 	} else {
 		k.Cell = e.Cell
 	}
-	return r.terms.Back.Keep(ctx, k)
+	return r.terms.Recovery.PersistKey(ctx, k)
 }
 
-// Recall goes on with what was learnt in an earlier life, whose workers and zones had other numbers. The list has
+// RestoreFromDisk goes on with what was learnt in an earlier life, whose workers and zones had other numbers. The list has
 // to be known, and nothing may have landed yet.
-func (r *Router) Recall(l Legacy) bool {
-	for n := range l.Learnt {
-		learnt := &l.Learnt[n]
-		learnt.Tenants = align(learnt.Tenants, l.Owners, r.now.Load().owners)
+func (r *Proxy) RestoreFromDisk(l Snapshot) bool {
+	for n := range l.Learned {
+		learnt := &l.Learned[n]
+		learnt.Tenants = align(learnt.Tenants, l.Tenants, r.now.Load().owners)
 		learnt.Kinds = align(learnt.Kinds, l.Kinds, r.terms.Kinds)
 		workers, zones := learnt.Workers, learnt.Zones
 		learnt.Workers, learnt.Zones = nil, nil
 		r.fleet.mu.Lock()
 		for at, w := range workers {
-			to, known := decide.WorkerID(0), at < len(l.Workers)
+			to, known := decide.WorkerID(0), at < len(l.Endpoints)
 			if known {
-				to, known = r.fleet.numbers[l.Workers[at].ID]
+				to, known = r.fleet.numbers[l.Endpoints[at].ID]
 			}
 			if known {
 				learnt.Workers = append(learnt.Workers, make([]decide.WorkerStats,
@@ -129,17 +129,17 @@
 		}
 		r.fleet.mu.Unlock()
 	}
-	return r.facade.RestoreFromDisk(l.Learnt)
+	return r.facade.RestoreFromDisk(l.Learned)
 }
 
-// Entries are the workers as they are known, gone ones too, with the list's version.
-func (r *Router) Entries() (version int64, entries []protocol.Endpoint) {
+// Endpoints are the workers as they are known, gone ones too, with the list's version.
+func (r *Proxy) Endpoints() (version int64, entries []protocol.Endpoint) {
 	version, entries, _ = r.fleet.entries()
 	return version, entries
 }
 
-// Amend takes what others know of workers that are listed here: later starts, and drains.
-func (r *Router) Amend(entries []protocol.Endpoint) {
+// MergeEndpoints takes what others know of workers that are listed here: later starts, and drains.
+func (r *Proxy) MergeEndpoints(entries []protocol.Endpoint) {
 	l := protocol.EndpointList{Version: r.fleet.listVersion(), Endpoints: entries}
 	taken, old := r.fleet.take(&l)
 	r.facade.UpdateEndpoints(taken, false, true)
@@ -150,8 +150,8 @@
 	}
 }
 
-// Out is what is out here at each worker, by name.
-func (r *Router) Out() map[string]int {
+// InFlightByWorker is what is out here at each worker, by name.
+func (r *Proxy) InFlightByWorker() map[string]int {
 	out := map[string]int{}
 	for _, l := range r.facade.InFlightFor(decide.Successor) {
 		out[r.fleet.id(l.Worker)] = l.InFlight
@@ -159,8 +159,8 @@
 	return out
 }
 
-// Hear takes what another process has out at a worker, by its name.
-func (r *Router) Hear(process int, host string, out int) {
+// ReceiveLoad takes what another process has out at a worker, by its name.
+func (r *Proxy) ReceiveLoad(process int, host string, out int) {
 	if w, known := r.fleet.byID(host); known {
 		r.facade.ReceiveLoad(decide.PeerID(process*r.facade.Count()), decide.Load{Worker: w, InFlight: out})
 	}
--- a/internal/routing/beat.go
+++ b/internal/routing/beat.go
@@ -12,7 +12,7 @@
 // beat tells the door how long what comes waits before a goroutine reads it. Neither a timer nor the run queue shows
 // that: while goroutines have work, what is readable waits in the kernel's list for the next poll, in the order in
 // which it came. So a byte is sent through that list, by way of a pipe to ourselves, while there is much to read.
-func (r *Router) beat(ctx context.Context) error {
+func (r *Proxy) beat(ctx context.Context) error {
 	in, out, err := os.Pipe()
 	if err != nil {
 		return fmt.Errorf("the door's pipe: %w", err)
@@ -28,7 +28,7 @@
 			came <- time.Now()
 		}
 	}()
-	began, ticker := time.Now(), time.NewTicker(door.Every)
+	began, ticker := time.Now(), time.NewTicker(door.SampleInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -37,8 +37,8 @@
 			return nil
 		}
 		sent := time.Now()
-		if !r.door.Busy() {
-			r.door.Beat(sent.Sub(began), 0)
+		if !r.door.Overloaded() {
+			r.door.ObserveDelay(sent.Sub(began), 0)
 			continue
 		}
 		if _, err := out.Write([]byte{0}); err != nil {
@@ -46,7 +46,7 @@
 		}
 		select {
 		case at := <-came:
-			r.door.Beat(sent.Sub(began), at.Sub(sent))
+			r.door.ObserveDelay(sent.Sub(began), at.Sub(sent))
 		case <-ctx.Done():
 			return nil
 		}
--- a/internal/routing/beat_test.go
+++ b/internal/routing/beat_test.go
@@ -16,11 +16,11 @@
 	r.now.Load().comeBackMost = 2 * time.Second
 	r.settled.Store(true)
 	h := &protocol.Head{Method: "POST", Target: "/api"}
-	for beat := time.Duration(0); beat < time.Second; beat += door.Every {
+	for beat := time.Duration(0); beat < time.Second; beat += door.SampleInterval {
 		for range 100 {
 			r.door.Admit()
 		}
-		r.door.Beat(beat, 80*time.Millisecond)
+		r.door.ObserveDelay(beat, 80*time.Millisecond)
 	}
 	away := 0
 	for range 64 {
@@ -51,14 +51,14 @@
 			for range 10 {
 				r.door.Admit()
 			}
-			if r.door.Busy() {
+			if r.door.Overloaded() {
 				busy++
 			}
 		case err := <-done:
 			assert.NoError(t, err)
 			assert.Positive(t, busy)
-			assert.Equal(t, 1.0, r.door.Share())
-			assert.Less(t, r.door.Heads(), int64(1000), "beats have begun new intervals")
+			assert.Equal(t, 1.0, r.door.AdmittedShare())
+			assert.Less(t, r.door.Examined(), int64(1000), "beats have begun new intervals")
 			return
 		}
 	}
--- a/internal/routing/counts.go
+++ b/internal/routing/counts.go
@@ -9,8 +9,8 @@
 	"canvasroute/decide"
 )
 
-// Counts are what has been taken in, sent and answered since the start.
-type Counts struct {
+// Counters are what has been taken in, sent and answered since the start.
+type Counters struct {
 	Taken, Succeeded, Throttled, Errored, Left, Malformed, Overfull, AtDoor atomic.Int64
 	Handed, Sent                                                            atomic.Int64
 	Probes, Lists, WatchesLost                                              atomic.Int64
@@ -27,10 +27,10 @@
 	decide.ConnectionStale: "stale_connection", decide.ConnectionRefused: "refused",
 }
 
-func (c *Counts) outcome(how decide.Outcome) { c.outcomes[how].Add(1) }
+func (c *Counters) outcome(how decide.Outcome) { c.outcomes[how].Add(1) }
 
-// Print leaves the counters in one log line.
-func (r *Router) Print(why string) {
+// LogCounters leaves the counters in one log line.
+func (r *Proxy) LogCounters(why string) {
 	c, forwards, datagrams := &r.counts, zerolog.Dict(), zerolog.Dict()
 	var memory runtime.MemStats
 	runtime.ReadMemStats(&memory)
--- a/internal/routing/crossings_test.go
+++ b/internal/routing/crossings_test.go
@@ -35,14 +35,14 @@
 }
 
 // serving runs an invocation of an operation, and tells its answer.
-func serving(r *Router, ctx context.Context, operation string) <-chan *protocol.Response {
+func serving(r *Proxy, ctx context.Context, operation string) <-chan *protocol.Response {
 	answered := make(chan *protocol.Response, 1)
 	go func() { answered <- r.Serve(ctx, invocation(operation), nil, time.Now()) }()
 	return answered
 }
 
 // ended waits until no forward is out any more.
-func ended(t *testing.T, r *Router) {
+func ended(t *testing.T, r *Proxy) {
 	t.Helper()
 	over := make(chan error, 1)
 	go func() { over <- r.forwards.Wait() }()
@@ -50,7 +50,7 @@
 }
 
 // stubborn settings allow neither calling off nor copies.
-func stubborn(d *decide.Config, _ *Terms) { d.Cancellation = false }
+func stubborn(d *decide.Config, _ *Config) { d.Cancellation = false }
 
 // counting is a worker that serves, and the number of forwards that reached it whole.
 func counting(t *testing.T) (addr string, forwards *atomic.Int32) {
@@ -106,13 +106,13 @@
 }
 
 // dialing tells once a connection is being opened: it has its place.
-func dialing(r *Router) func() bool { return func() bool { return r.pool.OpenConnections() == 1 } }
+func dialing(r *Proxy) func() bool { return func() bool { return r.pool.OpenConnections() == 1 } }
 
 func TestForwardEndsAsItsClientLeavesWhateverItWaitsFor(t *testing.T) {
 	late, busy := unready(t), unready(t)
-	for name, begin := range map[string]func(*Router) (waits func() bool){
+	for name, begin := range map[string]func(*Proxy) (waits func() bool){
 		"a connection that comes up late": dialing,
-		"a place": func(r *Router) func() bool {
+		"a place": func(r *Proxy) func() bool {
 			r.pool = transport.NewPool(1, time.Minute, zerolog.Nop())
 			held := make(chan error, 1)
 			ctx, cancel := context.WithCancel(context.Background())
@@ -129,9 +129,9 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := routerBy(late, func(d *decide.Config, terms *Terms) {
+			r := routerBy(late, func(d *decide.Config, terms *Config) {
 				stubborn(d, terms)
-				terms.DialWithin = time.Minute
+				terms.DialTimeout = time.Minute
 			})
 			waits := begin(r)
 			ctx, leave := context.WithCancel(context.Background())
@@ -145,36 +145,36 @@
 	}
 }
 
-// backing keeps on a disk that is as slow as the test wants.
-type backing struct {
+// fakeRecovery keeps on a disk that is as slow as the test wants.
+type fakeRecovery struct {
 	keep   func() error
 	before func()
 	kept   atomic.Int32
 }
 
-func (b *backing) Ready() error { return nil }
-func (b *backing) Listed()      {}
-func (b *backing) Unlisted()    {}
-func (b *backing) Admit(decide.Arrival) (done func(bool), comeBack time.Duration, ok bool) {
+func (b *fakeRecovery) Ready() error          { return nil }
+func (b *fakeRecovery) EndpointsReceived()    {}
+func (b *fakeRecovery) EndpointsUnavailable() {}
+func (b *fakeRecovery) Admit(decide.Arrival) (done func(bool), comeBack time.Duration, ok bool) {
 	return func(bool) {}, 0, true
 }
 
-func (b *backing) Before(string, string, bool) (*Before, error) {
+func (b *fakeRecovery) PriorExecution(string, string, bool) (*PriorExecution, error) {
 	b.before()
 	return nil, nil
 }
 
-func (b *backing) Keep(context.Context, Kept) error {
+func (b *fakeRecovery) PersistKey(context.Context, KeyRecord) error {
 	b.kept.Add(1)
 	return b.keep()
 }
 
 // scoped makes the last operation one whose repeats a zone alone drops: where it goes is kept on a disk.
-func scoped(b *backing) func(*decide.Config, *Terms) {
-	return func(d *decide.Config, terms *Terms) {
+func scoped(b *fakeRecovery) func(*decide.Config, *Config) {
+	return func(d *decide.Config, terms *Config) {
 		stubborn(d, terms)
-		d.Operations[2].DedupScope, terms.Operations[2].Scope = decide.ScopeZone, decide.ScopeZone
-		terms.Back = b
+		d.Operations[2].DedupScope, terms.Operations[2].DedupScope = decide.ScopeZone, decide.ScopeZone
+		terms.Recovery = b
 	}
 }
 
@@ -192,7 +192,7 @@
 	addr, forwards := counting(t)
 	ctx, leave := context.WithCancel(context.Background())
 	answered, came := make(chan *protocol.Response, 1), make(chan bool)
-	b := &backing{before: func() {}, keep: func() error {
+	b := &fakeRecovery{before: func() {}, keep: func() error {
 		leave()
 		assert.Nil(t, within(t, answered))
 		close(came)
@@ -207,7 +207,7 @@
 }
 
 // told takes one line of a list.
-func told(t *testing.T, r *Router, of string) {
+func told(t *testing.T, r *Proxy, of string) {
 	assert.NoError(t, r.takeList([]byte(`{"seq":9,"whole":false,"hosts":[{"host":"w",`+of+`}]}`)))
 }
 
@@ -245,7 +245,7 @@
 			text = chunked(done) + last
 		}
 		io.WriteString(c, text)
-	}), func(d *decide.Config, _ *Terms) { d.MaxAttempts = 4 })
+	}), func(d *decide.Config, _ *Config) { d.MaxAttempts = 4 })
 	r.beforeSent = func() {
 		time.Sleep(50 * time.Millisecond)
 		left <- time.Until(came.Add(2 * time.Second)) // its client waits for as long
@@ -265,11 +265,11 @@
 }
 
 // repeating are settings by which the last operation may be sent again within a window, in one group.
-func repeating(window decide.Time) func(*decide.Config, *Terms) {
-	return func(d *decide.Config, terms *Terms) {
+func repeating(window decide.Time) func(*decide.Config, *Config) {
+	return func(d *decide.Config, terms *Config) {
 		d.MaxAttempts, d.Operations[2].DedupWindow = 4, window
-		d.Operations[2].DedupScope, terms.Operations[2].Scope = decide.ScopeZone, decide.ScopeZone
-		terms.DialWithin = time.Minute
+		d.Operations[2].DedupScope, terms.Operations[2].DedupScope = decide.ScopeZone, decide.ScopeZone
+		terms.DialTimeout = time.Minute
 	}
 }
 
@@ -299,7 +299,7 @@
 
 // A connection that comes up later than the settings wait for one counts as one that never does: nothing has run.
 func TestConnectionThatComesUpTooLateIsGivenUp(t *testing.T) {
-	r := routerBy(unready(t), func(_ *decide.Config, terms *Terms) { terms.DialWithin = 20 * time.Millisecond })
+	r := routerBy(unready(t), func(_ *decide.Config, terms *Config) { terms.DialTimeout = 20 * time.Millisecond })
 	inv, err := protocol.ParseRequest(keyed())
 	assert.NoError(t, err)
 	f := &passage{r: r, ctx: context.Background(), inv: inv, now: r.now.Load(), until: time.Now().Add(time.Minute)}
@@ -355,7 +355,7 @@
 		taken <- true
 		c.Read(make([]byte, 1))
 	}))
-	r.terms.Hands = true
+	r.terms.MigratesRequests = true
 	answered := serving(r, context.Background(), "once")
 	within(t, taken)
 	told(t, r, fmt.Sprintf(`"health":"Ready","born_ms":%d`, time.Now().Add(time.Second).UnixMilli()))
@@ -375,9 +375,9 @@
 		return terms, names
 	}
 	var d decide.Config
-	var terms Terms
-	r := routerBy(addr, func(first *decide.Config, names *Terms) {
-		first.Tenants, names.Owners = customers("a", "b", "c")
+	var terms Config
+	r := routerBy(addr, func(first *decide.Config, names *Config) {
+		first.Tenants, names.Tenants = customers("a", "b", "c")
 		d, terms = *first, *names
 	})
 	ask := func(owner string) int {
@@ -387,9 +387,9 @@
 		return r.Serve(context.Background(), &h, nil, time.Now()).Status
 	}
 	used := func() map[string]float64 {
-		k, by := r.Knowledge(), map[string]float64{}
-		for n, name := range k.Owners {
-			by[name] = k.Learnt[0].Tenants[n].Usage
+		k, by := r.Learned(), map[string]float64{}
+		for n, name := range k.Tenants {
+			by[name] = k.Learned[0].Tenants[n].Usage
 		}
 		return by
 	}
@@ -397,15 +397,15 @@
 		assert.Equal(t, 200, ask("b")) // its name is that of the old settings, and not answered by a fault
 		assert.Equal(t, 200, ask("c"))
 	}
-	d.Tenants, terms.Owners = customers("c")
-	r.Retune(terms, d)
+	d.Tenants, terms.Tenants = customers("c")
+	r.Reconfigure(terms, d)
 	r.beforeTold = nil
 	assert.Equal(t, []int{400, 200}, []int{ask("b"), ask("c")})
 	assert.Greater(t, used()["c"], 1.9)
 	assert.Less(t, used()["b"], 1.1)
 	assert.Zero(t, used()["a"])
-	d.Tenants, terms.Owners = customers("d", "b", "a")
-	r.Retune(terms, d)
+	d.Tenants, terms.Tenants = customers("d", "b", "a")
+	r.Reconfigure(terms, d)
 	assert.Equal(t, 200, ask("d"))
 	u := used()
 	assert.Equal(t, []bool{true, true, true}, []bool{u["c"] > 1.9, u["b"] < 1.1, u["d"] <= 1 && u["d"] > 0.9},
@@ -416,15 +416,15 @@
 func TestInvocationEndsUnderTheSettingsThatItCameUnder(t *testing.T) {
 	addr, forwards := counting(t)
 	var d decide.Config
-	var terms Terms
-	b := &backing{keep: func() error { return nil }}
-	r := routerBy(addr, func(first *decide.Config, names *Terms) {
+	var terms Config
+	b := &fakeRecovery{keep: func() error { return nil }}
+	r := routerBy(addr, func(first *decide.Config, names *Config) {
 		scoped(b)(first, names)
 		d, terms = *first, *names
 	})
 	b.before = func() {
 		d.Operations, terms.Operations = d.Operations[:1], terms.Operations[:1]
-		r.Retune(terms, d)
+		r.Reconfigure(terms, d)
 	}
 	assert.Equal(t, 200, r.Serve(context.Background(), keyed(), nil, time.Now()).Status)
 	assert.EqualValues(t, 1, b.kept.Load(), "it may run in its group alone: where it went is on disk")
@@ -443,7 +443,7 @@
 }
 
 // following runs the parts of a router that follow the list.
-func following(t *testing.T, r *Router) {
+func following(t *testing.T, r *Proxy) {
 	ctx, cancel := context.WithCancel(context.Background())
 	over := make(chan error, 2)
 	go func() { over <- r.follow(ctx) }()
@@ -456,7 +456,7 @@
 }
 
 // patient settings ask for a list that was lost after many seconds only.
-func patient(d *decide.Config, _ *Terms) {
+func patient(d *decide.Config, _ *Config) {
 	d.PollEndpoints, d.MaxPollInterval = true, 1000*decide.Second
 }
 
@@ -469,9 +469,9 @@
 	r.beforeLost = func() {
 		r.beforeLost = nil
 		go func() {
-			r.Move(next)
-			r.Move("127.0.0.1:1")
-			r.Move(next)
+			r.SetDiscoveryAddress(next)
+			r.SetDiscoveryAddress("127.0.0.1:1")
+			r.SetDiscoveryAddress(next)
 			close(moved)
 		}()
 		select {
@@ -491,9 +491,9 @@
 	line := chunked(`{"seq":8,"whole":false,"hosts":[]}`)
 	for name, c := range map[string]struct {
 		first string
-		at    func(r *Router, move func())
+		at    func(r *Proxy, move func())
 	}{
-		"within the call": {"HTTP/1.1 200 OK\r\nTransfer-", func(r *Router, move func()) {
+		"within the call": {"HTTP/1.1 200 OK\r\nTransfer-", func(r *Proxy, move func()) {
 			assert.Eventually(t, func() bool {
 				r.place.mu.Lock()
 				defer r.place.mu.Unlock()
@@ -501,7 +501,7 @@
 			}, soon, time.Millisecond)
 			move()
 		}},
-		"as a line is taken": {line, func(r *Router, move func()) {}},
+		"as a line is taken": {line, func(r *Proxy, move func()) {}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			old, _ := lists(t, c.first)
@@ -511,11 +511,11 @@
 			if c.first == line {
 				r.beforeListed = func() {
 					r.beforeListed = nil
-					r.Move(next)
+					r.SetDiscoveryAddress(next)
 				}
 			}
 			following(t, r)
-			c.at(r, func() { r.Move(next) })
+			c.at(r, func() { r.SetDiscoveryAddress(next) })
 			within(t, asked)
 			assert.Eventually(t, func() bool { return r.fleet.listVersion() == 9 }, soon, time.Millisecond)
 		})
--- a/internal/routing/format_test.go
+++ b/internal/routing/format_test.go
@@ -33,9 +33,9 @@
 		{name: "snapshot", golden: "snapshot.json", value: &snapshot, filled: true},
 		{name: "running counts", golden: "running_counts.json", value: &counts, filled: true},
 		{name: "migrated request", golden: "migrated_request.json", value: &request, filled: true},
-		{name: "empty snapshot", golden: "snapshot_empty.json", value: &Legacy{}},
+		{name: "empty snapshot", golden: "snapshot_empty.json", value: &Snapshot{}},
 		{name: "snapshot with empty parts", golden: "snapshot_sparse.json", value: sparseSnapshot()},
-		{name: "empty running counts", golden: "running_counts_empty.json", value: &Twin{}},
+		{name: "empty running counts", golden: "running_counts_empty.json", value: &SiblingUpdate{}},
 		{name: "empty migrated request", golden: "migrated_request_empty.json", value: sparseMigratedRequest()},
 	}
 }
@@ -154,10 +154,10 @@
 }
 
 // fullSnapshot is what a dispatcher writes to disk and gives to its successor, with each field set.
-func fullSnapshot() Legacy {
-	return Legacy{
+func fullSnapshot() Snapshot {
+	return Snapshot{
 		Version: 41,
-		Workers: []protocol.Endpoint{
+		Endpoints: []protocol.Endpoint{
 			{
 				ID: "w1", Address: "10.1.0.18:8080", Zone: "north", Kind: "std-3c", Cell: 3, State: "Ready",
 				StartedAtMillis: 1700000000123.5,
@@ -167,12 +167,12 @@
 				StartedAtMillis: 1700000000124,
 			},
 		},
-		Zones:  []string{"north", "south"},
-		Kinds:  []string{"std-3c", "big-16c"},
-		Owners: []string{"acme", "globex"},
-		Learnt: []decide.Snapshot{fullLearnt()},
-		Twin:   fullRunningCounts(),
-		Left:   true,
+		Zones:   []string{"north", "south"},
+		Kinds:   []string{"std-3c", "big-16c"},
+		Tenants: []string{"acme", "globex"},
+		Learned: []decide.Snapshot{fullLearnt()},
+		Sibling: fullRunningCounts(),
+		Drained: true,
 	}
 }
 
@@ -201,23 +201,23 @@
 }
 
 // fullRunningCounts is what one process of an upgrade tells the other, with each field set.
-func fullRunningCounts() Twin {
-	return Twin{
-		Loads:   map[string]int{"w1": 3, "w2": 4},
-		Spent:   map[string]decide.Work{"w1": 1_000, "w2": 2_000},
-		Opened:  []string{"request-1", "request-2"},
-		Closed:  []string{"request-3"},
-		Clients: 120,
-		Workers: 60,
+func fullRunningCounts() SiblingUpdate {
+	return SiblingUpdate{
+		InFlight:          map[string]int{"w1": 3, "w2": 4},
+		RecentSends:       map[string]decide.Work{"w1": 1_000, "w2": 2_000},
+		Opened:            []string{"request-1", "request-2"},
+		Closed:            []string{"request-3"},
+		ClientConnections: 120,
+		WorkerConnections: 60,
 	}
 }
 
 // fullMigratedRequest is a request with two attempts, with each field set.
-func fullMigratedRequest(t *testing.T) Handed {
+func fullMigratedRequest(t *testing.T) MigratedRequest {
 	t.Helper()
-	return Handed{
-		Invocation: fullInvocation(t),
-		Decided: decide.MigratedRequest{
+	return MigratedRequest{
+		Request: fullInvocation(t),
+		Balancing: decide.MigratedRequest{
 			Name: "render", LatencyObjective: 10_000, DedupWindow: 600_000, RetryAfter: 20_000, Value: 1.5,
 			Slack: 0.25, LateShare: 0.125, Idempotency: decide.NonIdempotent, DedupScope: decide.ScopeCell, Kind: 1,
 			Deadline: time.Date(2026, time.March, 4, 5, 6, 7, 89_000_000, time.UTC), LatestStart: 51, Size: 52, QuotaWeight: 0.75,
@@ -227,12 +227,12 @@
 				{Worker: 2, SentAt: 55, StartedAt: 56, InFlight: true, MayHaveRun: true},
 			},
 		},
-		Hosts:   []string{"w1", "w2"},
-		Early:   []byte("GET / HTTP/1.1\r\n"),
-		Came:    [][]byte{[]byte("HTTP/1.1 200 OK\r\n"), []byte("HTTP/1.1 ")},
-		Used:    []bool{true, true},
-		Closes:  true,
-		Interim: true,
+		Workers:        []string{"w1", "w2"},
+		Pipelined:      []byte("GET / HTTP/1.1\r\n"),
+		Received:       [][]byte{[]byte("HTTP/1.1 200 OK\r\n"), []byte("HTTP/1.1 ")},
+		Reused:         []bool{true, true},
+		CloseRequested: true,
+		AcceptsInterim: true,
 	}
 }
 
@@ -250,8 +250,8 @@
 }
 
 // sparseSnapshot has one element in each list, with all that it holds left empty.
-func sparseSnapshot() *Legacy {
-	return &Legacy{Workers: make([]protocol.Endpoint, 1), Learnt: []decide.Snapshot{{
+func sparseSnapshot() *Snapshot {
+	return &Snapshot{Endpoints: make([]protocol.Endpoint, 1), Learned: []decide.Snapshot{{
 		Operations: make([]decide.OperationStats, 1), Tenants: make([]decide.TenantStats, 1),
 		Kinds: make([]decide.KindStats, 1), Zones: make([]decide.ZoneStats, 1),
 		Workers: []decide.WorkerStats{{PeerLoads: make([]decide.PeerLoad, 1), Sends: make([]decide.SentWork, 1)}},
@@ -259,9 +259,9 @@
 }
 
 // sparseMigratedRequest is a request with one attempt, with all that it holds left empty.
-func sparseMigratedRequest() *Handed {
-	return &Handed{
-		Invocation: &protocol.Request{},
-		Decided:    decide.MigratedRequest{Attempts: make([]decide.MigratedAttempt, 1)},
+func sparseMigratedRequest() *MigratedRequest {
+	return &MigratedRequest{
+		Request:   &protocol.Request{},
+		Balancing: decide.MigratedRequest{Attempts: make([]decide.MigratedAttempt, 1)},
 	}
 }
--- a/internal/routing/forward.go
+++ b/internal/routing/forward.go
@@ -18,12 +18,12 @@
 const endWithin = 250 * time.Millisecond
 
 // forward sends the invocation to one worker and reports what comes of it, once.
-func (r *Router) forward(c *carrying, choice decide.Decision, result chan<- string) {
+func (r *Proxy) forward(c *carrying, choice decide.Decision, result chan<- string) {
 	f := r.passage(c, choice)
 	r.finish(c, choice, f, result, func() (decide.Outcome, string, func()) { return f.run(choice.Worker) })
 }
 
-func (r *Router) passage(c *carrying, choice decide.Decision) *passage {
+func (r *Proxy) passage(c *carrying, choice decide.Decision) *passage {
 	return &passage{
 		r: r, ctx: choice.Ctx, inv: c.inv, now: c.now, until: c.until, sendBy: choice.SendBy,
 		need:    needs[choice.Idempotency],
@@ -35,7 +35,7 @@
 }
 
 // finish runs a forward and reports what comes of it.
-func (r *Router) finish(c *carrying, choice decide.Decision, f *passage, result chan<- string,
+func (r *Proxy) finish(c *carrying, choice decide.Decision, f *passage, result chan<- string,
 	run func() (decide.Outcome, string, func()),
 ) {
 	c.add(choice.Attempt, f)
@@ -56,7 +56,7 @@
 
 // passage is one forward on its way.
 type passage struct {
-	r        *Router
+	r        *Proxy
 	ctx      context.Context
 	inv      *protocol.Request
 	now      *settings
@@ -155,7 +155,7 @@
 
 // await waits for the worker's answer. stop ends the watch for the forward's own end.
 func (f *passage) await(conn *transport.Conn, stop func() bool) (decide.Outcome, string, func()) {
-	if f.r.terms.Hands {
+	if f.r.terms.MigratesRequests {
 		conn.StartRecording()
 	}
 	how, result, body, handed, err := f.hear(conn)
--- a/internal/routing/forward_test.go
+++ b/internal/routing/forward_test.go
@@ -74,10 +74,10 @@
 )
 
 // routerTo has one worker at an address, and three operations, the second one non-idempotent.
-func routerTo(addr string) *Router { return routerBy(addr, func(*decide.Config, *Terms) {}) }
+func routerTo(addr string) *Proxy { return routerBy(addr, func(*decide.Config, *Config) {}) }
 
 // routerBy is a router with other terms.
-func routerBy(addr string, change func(*decide.Config, *Terms)) *Router {
+func routerBy(addr string, change func(*decide.Config, *Config)) *Proxy {
 	began := time.Now()
 	decisions := decide.Config{
 		Dispatchers: 2, Kinds: 1, MaxAttempts: 1, Cancellation: true, Granularity: 20,
@@ -90,19 +90,19 @@
 		},
 	}
 	known := protocol.Endpoint{ID: "w", Address: addr, State: protocol.Ready}
-	terms := Terms{
+	terms := Config{
 		Operations: []Operation{
-			{Name: "idem", Timeout: 2 * time.Second},
-			{Name: "once", Timeout: 2 * time.Second},
-			{Name: "keyed", Timeout: 2 * time.Second, Keyed: true},
+			{Name: "idem", DefaultTimeout: 2 * time.Second},
+			{Name: "once", DefaultTimeout: 2 * time.Second},
+			{Name: "keyed", DefaultTimeout: 2 * time.Second, RequiresKey: true},
 		},
-		DialWithin: time.Second,
+		DialTimeout: time.Second,
 		Peers: []netip.AddrPort{
 			netip.MustParseAddrPort("127.0.0.1:7001"),
 			netip.MustParseAddrPort("127.0.0.2:7001"),
 		},
-		FromUnix: func(ms float64) decide.Time { return decide.Time(ms * 10) },
-		Known:    &protocol.EndpointList{Version: 7, Complete: true, Endpoints: []protocol.Endpoint{known}},
+		FromUnix:         func(ms float64) decide.Time { return decide.Time(ms * 10) },
+		InitialEndpoints: &protocol.EndpointList{Version: 7, Complete: true, Endpoints: []protocol.Endpoint{known}},
 	}
 	change(&decisions, &terms)
 	f := decide.NewShards(decisions, 1, 1, func() decide.Time { return decide.Second + spanOf(time.Since(began)) },
