--- a/internal/routing/hand.go
+++ b/internal/routing/hand.go
@@ -19,22 +19,22 @@
 // parkWithin bounds the wait for a forward's goroutine to stop reading.
 const parkWithin = 100 * time.Millisecond
 
-// Handed is an invocation that is under way, as one process of this dispatcher hands it to another. Its
+// MigratedRequest is an invocation that is under way, as one process of this dispatcher hands it to another. Its
 // sockets come with it: the client's, and one for each forward that is out.
-type Handed struct {
-	Invocation *protocol.Request      `json:"Invocation"`
-	Decided    decide.MigratedRequest `json:"Decided"`
-	Hosts      []string               `json:"Hosts"`   // the workers of its forwards
-	Early      []byte                 `json:"Early"`   // what the client has sent beyond it
-	Came       [][]byte               `json:"Came"`    // on each forward's connection since it was sent
-	Used       []bool                 `json:"Used"`    // those connections were used before
-	Closes     bool                   `json:"Closes"`  // the client's connection ends with the answer
-	Interim    bool                   `json:"Interim"` // the client takes interim answers
+type MigratedRequest struct {
+	Request        *protocol.Request      `json:"Invocation"`
+	Balancing      decide.MigratedRequest `json:"Decided"`
+	Workers        []string               `json:"Hosts"`   // the workers of its forwards
+	Pipelined      []byte                 `json:"Early"`   // what the client has sent beyond it
+	Received       [][]byte               `json:"Came"`    // on each forward's connection since it was sent
+	Reused         []bool                 `json:"Used"`    // those connections were used before
+	CloseRequested bool                   `json:"Closes"`  // the client's connection ends with the answer
+	AcceptsInterim bool                   `json:"Interim"` // the client takes interim answers
 }
 
-// Carrier takes what is handed over, with the client's socket and those of the forwards that are out, by
+// Migrator takes what is handed over, with the client's socket and those of the forwards that are out, by
 // their numbers.
-type Carrier func(h *Handed, client syscall.Conn, forwards map[int]syscall.Conn) error
+type Migrator func(h *MigratedRequest, client syscall.Conn, forwards map[int]syscall.Conn) error
 
 // carrying is an invocation on its way, and what is to be known to hand it over.
 type carrying struct {
@@ -46,9 +46,9 @@
 
 	mu       sync.Mutex
 	passages map[int]*passage // that are out
-	handed   *Handed          // set before Pick tells so
+	handed   *MigratedRequest // set before Pick tells so
 	parked   map[int]*passage
-	carrier  Carrier
+	carrier  Migrator
 }
 
 func (c *carrying) add(n int, p *passage) {
@@ -78,9 +78,9 @@
 	return maps.Clone(c.passages)
 }
 
-// HandAll hands over what is open, as far as it can be just now: each of its forwards waits for its worker.
+// ExportAll hands over what is open, as far as it can be just now: each of its forwards waits for its worker.
 // What cannot goes on here. It is to be called again until all is over.
-func (r *Router) HandAll(to Carrier) {
+func (r *Proxy) ExportAll(to Migrator) {
 	r.underWay.Range(func(key, _ any) bool {
 		r.hand(key.(*carrying), to)
 		return true
@@ -90,7 +90,7 @@
 // hand stops the reading of each forward, and takes the invocation out of the decisions. From then on its
 // goroutine does the rest. Where either cannot be done now, reading goes on from the start of what has come:
 // nothing is lost by it.
-func (r *Router) hand(c *carrying, to Carrier) {
+func (r *Proxy) hand(c *carrying, to Migrator) {
 	if c.isHanded() {
 		return
 	}
@@ -107,14 +107,14 @@
 		}
 		parked[n] = p
 	}
-	h := &Handed{Invocation: c.inv, Closes: c.closes, Interim: c.interim}
+	h := &MigratedRequest{Request: c.inv, CloseRequested: c.closes, AcceptsInterim: c.interim}
 	c.mu.Lock()
 	decided, ok := c.ticket.Export(len(parked))
 	if ok {
-		h.Decided = decided
+		h.Balancing = decided
 		c.handed, c.parked, c.carrier = h, parked, to
 		for _, f := range decided.Attempts {
-			h.Hosts = append(h.Hosts, r.fleet.id(f.Worker))
+			h.Workers = append(h.Workers, r.fleet.id(f.Worker))
 		}
 	}
 	c.mu.Unlock()
@@ -125,13 +125,13 @@
 
 // handOver sends what hand has prepared. Without a successor that takes it the invocation has an unknown
 // outcome.
-func (r *Router) handOver(ctx context.Context, c *carrying) *protocol.Response {
+func (r *Proxy) handOver(ctx context.Context, c *carrying) *protocol.Response {
 	c.mu.Lock()
 	h, parked, to := c.handed, c.parked, c.carrier
 	c.mu.Unlock()
 	sockets, err := r.gather(h, parked)
 	client, early, ok := transport.Detach(ctx)
-	if h.Early = early; !ok && err == nil {
+	if h.Pipelined = early; !ok && err == nil {
 		err = errNoSocket
 	}
 	if err == nil && ctx.Err() == nil {
@@ -155,15 +155,15 @@
 
 var errNoSocket = errors.New("a connection that has no socket")
 
-func (r *Router) gather(h *Handed, parked map[int]*passage) (map[int]syscall.Conn, error) {
+func (r *Proxy) gather(h *MigratedRequest, parked map[int]*passage) (map[int]syscall.Conn, error) {
 	sockets := map[int]syscall.Conn{}
-	h.Came, h.Used = make([][]byte, len(h.Decided.Attempts)), make([]bool, len(h.Decided.Attempts))
+	h.Received, h.Reused = make([][]byte, len(h.Balancing.Attempts)), make([]bool, len(h.Balancing.Attempts))
 	for n, p := range parked {
 		came, err := p.conn.Recorded()
 		if err != nil {
 			return nil, err
 		}
-		h.Came[n], h.Used[n], sockets[n] = came, p.used, p.conn.Socket()
+		h.Received[n], h.Reused[n], sockets[n] = came, p.used, p.conn.Socket()
 		if sockets[n] == nil {
 			return nil, errNoSocket
 		}
@@ -173,7 +173,7 @@
 
 // abandon lets go of what hand has prepared, as the client has left: the forwards that were parked are called
 // off.
-func (r *Router) abandon(c *carrying) {
+func (r *Proxy) abandon(c *carrying) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.handed != nil {
@@ -250,44 +250,44 @@
 	}
 }
 
-// Adopt goes on with what a predecessor has handed over; finish is to be run for the client, on whose
+// Import goes on with what a predecessor has handed over; finish is to be run for the client, on whose
 // connection its answer is to go.
-func (r *Router) Adopt(text json.RawMessage, forwards map[int]net.Conn) (h *Handed,
+func (r *Proxy) Import(text json.RawMessage, forwards map[int]net.Conn) (h *MigratedRequest,
 	finish func(context.Context) *protocol.Response, err error,
 ) {
-	h = &Handed{}
+	h = &MigratedRequest{}
 	if err := json.Unmarshal(text, h); err != nil {
 		return nil, nil, fmt.Errorf("an invocation handed over: %w", err)
 	}
-	for n := range h.Decided.Attempts {
-		w, known := r.fleet.byID(h.Hosts[n])
+	for n := range h.Balancing.Attempts {
+		w, known := r.fleet.byID(h.Workers[n])
 		if !known {
-			return h, nil, fmt.Errorf("an invocation handed over: worker %q is not known here", h.Hosts[n])
+			return h, nil, fmt.Errorf("an invocation handed over: worker %q is not known here", h.Workers[n])
 		}
-		h.Decided.Attempts[n].Worker = w
+		h.Balancing.Attempts[n].Worker = w
 	}
-	r.tally.name(h.Invocation.Operation)
+	r.tally.name(h.Request.Operation)
 	return h, func(ctx context.Context) *protocol.Response {
-		return r.counted(h.Invocation.Operation, func() *protocol.Response { return r.goOn(ctx, h, forwards) })
+		return r.counted(h.Request.Operation, func() *protocol.Response { return r.goOn(ctx, h, forwards) })
 	}, nil
 }
 
-func (r *Router) goOn(ctx context.Context, h *Handed, forwards map[int]net.Conn) *protocol.Response {
-	inv := h.Invocation
+func (r *Proxy) goOn(ctx context.Context, h *MigratedRequest, forwards map[int]net.Conn) *protocol.Response {
+	inv := h.Request
 	r.ids.take(inv.ID)
 	defer r.ids.close(inv.ID)
-	ticket, contexts := r.facade.Import(h.Decided)
+	ticket, contexts := r.facade.Import(h.Balancing)
 	c := &carrying{
-		inv: inv, now: r.now.Load(), ticket: ticket, until: h.Decided.Deadline, closes: h.Closes,
-		interim: h.Interim,
+		inv: inv, now: r.now.Load(), ticket: ticket, until: h.Balancing.Deadline, closes: h.CloseRequested,
+		interim: h.AcceptsInterim,
 	}
 	result := make(chan string, 1)
 	for n, nc := range forwards {
-		tgt := h.Decided.Attempts[n].Worker
-		conn := r.pool.Import(nc, r.fleet.address(tgt), h.Came[n])
+		tgt := h.Balancing.Attempts[n].Worker
+		conn := r.pool.Import(nc, r.fleet.address(tgt), h.Received[n])
 		choice := decide.Decision{Action: decide.SendAttempt, Worker: tgt, Attempt: n, Ctx: contexts[n]}
 		p := r.passage(c, choice)
-		p.used = h.Used[n]
+		p.used = h.Reused[n]
 		r.forwards.Go(func() error {
 			r.finish(c, choice, p, result, func() (decide.Outcome, string, func()) { return p.resume(conn) })
 			return nil
--- a/internal/routing/hand_test.go
+++ b/internal/routing/hand_test.go
@@ -31,8 +31,8 @@
 			c.Write([]byte{b})
 		}
 	}))
-	r.terms.Hands = true
-	none := func(*Handed, syscall.Conn, map[int]syscall.Conn) error { return nil }
+	r.terms.MigratesRequests = true
+	none := func(*MigratedRequest, syscall.Conn, map[int]syscall.Conn) error { return nil }
 	answered := make(chan *protocol.Response)
 	go func() { answered <- r.Serve(context.Background(), invocation("idem"), nil, time.Now()) }()
 	for parks := 0; ; parks++ {
@@ -48,7 +48,7 @@
 		case a := <-answered:
 			assert.Equal(t, []any{200, "r"}, []any{a.Status, string(a.Body)})
 			assert.Greater(t, parks, 3)
-			r.HandAll(none)
+			r.ExportAll(none)
 			return
 		case <-time.After(5 * time.Millisecond):
 		}
@@ -59,12 +59,12 @@
 // answer.
 func TestInvocationThatNobodyTakesOverIsErrored(t *testing.T) {
 	r := routerTo(standIn(t, says(chunked(started), false)))
-	r.terms.Hands = true
+	r.terms.MigratesRequests = true
 	answered := make(chan *protocol.Response)
 	go func() { answered <- r.Serve(context.Background(), invocation("once"), nil, time.Now()) }()
 	assert.Eventually(t, func() bool { return r.counts.Sent.Load() == 1 }, time.Second, time.Millisecond)
 	for {
-		r.HandAll(func(*Handed, syscall.Conn, map[int]syscall.Conn) error { return errors.New("gone") })
+		r.ExportAll(func(*MigratedRequest, syscall.Conn, map[int]syscall.Conn) error { return errors.New("gone") })
 		select {
 		case a := <-answered:
 			assert.Equal(t, 502, a.Status, "it may have run")
@@ -106,7 +106,7 @@
 			taken++
 		}
 		if n == 90 {
-			r.drain.Leave(time.Now().Add(-time.Hour)) // what comes from now on is sent away
+			r.drain.Drain(time.Now().Add(-time.Hour)) // what comes from now on is sent away
 		}
 		wg.Go(func() {
 			ctx, cancel := context.WithTimeout(context.Background(), time.Duration(1+n*7%400)*time.Millisecond)
@@ -115,7 +115,7 @@
 		})
 		time.Sleep(time.Millisecond)
 		sum := map[string]int64{}
-		for _, f := range r.Figures() {
+		for _, f := range r.Metrics() {
 			sum[f.Name] += f.Value
 		}
 		assert.LessOrEqual(t, sum["succeeded"]+sum["declined"]+sum["aborted"], int64(taken))
@@ -123,7 +123,7 @@
 	wg.Wait()
 	assert.NoError(t, r.forwards.Wait())
 	sum := map[string]int64{}
-	for _, f := range r.Figures() {
+	for _, f := range r.Metrics() {
 		sum[f.Name] += f.Value
 	}
 	assert.Equal(t, int64(taken), sum["succeeded"]+sum["declined"]+sum["aborted"])
@@ -137,9 +137,9 @@
 
 func TestWhatIsHandedToAnUnknownWorkerIsAFault(t *testing.T) {
 	r := routerTo("127.0.0.1:1")
-	_, _, err := r.Adopt([]byte(`{"Decided":{"Forwards":[{"Tgt":0}]},"Hosts":["nobody"]}`), nil)
+	_, _, err := r.Import([]byte(`{"Decided":{"Forwards":[{"Tgt":0}]},"Hosts":["nobody"]}`), nil)
 	assert.ErrorContains(t, err, `"nobody"`)
-	_, _, err = r.Adopt([]byte(`{`), nil)
+	_, _, err = r.Import([]byte(`{`), nil)
 	assert.Error(t, err)
 }
 
--- a/internal/routing/legacy.go
+++ b/internal/routing/legacy.go
@@ -10,46 +10,46 @@
 	"canvasroute/internal/protocol"
 )
 
-// Legacy is what a router hands on to the one that goes on in its place: what was learnt, with the names by
+// Snapshot is what a router hands on to the one that goes on in its place: what was learnt, with the names by
 // which it is found again where the successor has other settings.
-type Legacy struct {
-	Version int64               `json:"Version"`
-	Workers []protocol.Endpoint `json:"Workers"` // by their numbers, those that are gone too
-	Zones   []string            `json:"Zones"`   // by their numbers
-	Kinds   []string            `json:"Kinds"`
-	Owners  []string            `json:"Owners"`
-	Learnt  []decide.Snapshot   `json:"Learnt"`
-	Twin    Twin                `json:"Twin"`
-	Left    bool                `json:"Left"` // it was told to leave, which holds for its successor too
+type Snapshot struct {
+	Version   int64               `json:"Version"`
+	Endpoints []protocol.Endpoint `json:"Workers"` // by their numbers, those that are gone too
+	Zones     []string            `json:"Zones"`   // by their numbers
+	Kinds     []string            `json:"Kinds"`
+	Tenants   []string            `json:"Owners"`
+	Learned   []decide.Snapshot   `json:"Learnt"`
+	Sibling   SiblingUpdate       `json:"Twin"`
+	Drained   bool                `json:"Left"` // it was told to leave, which holds for its successor too
 }
 
-// Legacy is what is known here now. What is told of what is open begins with it.
-func (r *Router) Legacy() Legacy {
-	l := r.Knowledge()
+// Snapshot is what is known here now. What is told of what is open begins with it.
+func (r *Proxy) Snapshot() Snapshot {
+	l := r.Learned()
 	r.ids.watch()
-	l.Twin = r.Twin(decide.Successor)
+	l.Sibling = r.SiblingUpdate(decide.Successor)
 	return l
 }
 
-// Knowledge is what is known here now, but for what is open.
-func (r *Router) Knowledge() Legacy {
-	l := Legacy{Kinds: r.terms.Kinds, Owners: r.now.Load().owners, Learnt: r.facade.Snapshot()}
-	l.Version, l.Workers, l.Zones = r.fleet.entries()
-	phase := r.drain.At(time.Now())
-	l.Left = phase == drain.Leaving || phase == drain.Away
+// Learned is what is known here now, but for what is open.
+func (r *Proxy) Learned() Snapshot {
+	l := Snapshot{Kinds: r.terms.Kinds, Tenants: r.now.Load().owners, Learned: r.facade.Snapshot()}
+	l.Version, l.Endpoints, l.Zones = r.fleet.entries()
+	phase := r.drain.PhaseAt(time.Now())
+	l.Drained = phase == drain.Draining || phase == drain.Drained
 	return l
 }
 
 // inherit goes on with what a predecessor knew, if there was one.
-func (r *Router) inherit(text json.RawMessage) error {
+func (r *Proxy) inherit(text json.RawMessage) error {
 	if text == nil {
 		return nil
 	}
-	var l Legacy
+	var l Snapshot
 	if err := json.Unmarshal(text, &l); err != nil {
 		return fmt.Errorf("what the predecessor knew: %w", err)
 	}
-	if len(l.Workers) == 0 {
+	if len(l.Endpoints) == 0 {
 		return nil
 	}
 	for _, name := range l.Zones { // those of our settings have their numbers
@@ -57,20 +57,20 @@
 			r.fleet.zones[name] = len(r.fleet.zones)
 		}
 	}
-	entries, _ := r.fleet.take(&protocol.EndpointList{Version: l.Version, Complete: true, Endpoints: l.Workers})
+	entries, _ := r.fleet.take(&protocol.EndpointList{Version: l.Version, Complete: true, Endpoints: l.Endpoints})
 	r.facade.UpdateEndpoints(entries, true, true)
-	for n := range l.Learnt {
-		learnt := &l.Learnt[n]
-		learnt.Tenants = align(learnt.Tenants, l.Owners, r.now.Load().owners)
+	for n := range l.Learned {
+		learnt := &l.Learned[n]
+		learnt.Tenants = align(learnt.Tenants, l.Tenants, r.now.Load().owners)
 		learnt.Kinds = align(learnt.Kinds, l.Kinds, r.terms.Kinds)
 	}
-	if !r.facade.RestoreFromPredecessor(l.Learnt) {
-		r.log.Warn().Int("instances", len(l.Learnt)).Msg("predecessor had other instances: what it learnt is lost")
+	if !r.facade.RestoreFromPredecessor(l.Learned) {
+		r.log.Warn().Int("instances", len(l.Learned)).Msg("predecessor had other instances: what it learnt is lost")
 	}
-	if r.heir = true; l.Left {
-		r.drain.Leave(time.Now())
+	if r.heir = true; l.Drained {
+		r.drain.Drain(time.Now())
 	}
-	r.Meet(decide.Predecessor, l.Twin)
+	r.ReceiveSiblingUpdate(decide.Predecessor, l.Sibling)
 	r.settled.Store(r.fleet.serves())
 	return nil
 }
--- a/internal/routing/list.go
+++ b/internal/routing/list.go
@@ -36,8 +36,8 @@
 // errMoved is the cause of the end of a watch on a list service that has moved.
 var errMoved = errors.New("list: the service has moved")
 
-// Move watches the list at another address from now on, and at once. What is known of workers stays.
-func (r *Router) Move(address string) {
+// SetDiscoveryAddress watches the list at another address from now on, and at once. What is known of workers stays.
+func (r *Proxy) SetDiscoveryAddress(address string) {
 	r.place.mu.Lock()
 	defer r.place.mu.Unlock()
 	moved := r.place.address != address
@@ -52,7 +52,7 @@
 }
 
 // follow watches the list whenever the decisions ask for it, and reports when a watch has ended.
-func (r *Router) follow(ctx context.Context) error {
+func (r *Proxy) follow(ctx context.Context) error {
 	for {
 		if err := r.facade.AwaitPoll(ctx); err != nil {
 			return nil
@@ -80,8 +80,8 @@
 		r.counts.WatchesLost.Add(1)
 		r.log.Warn().Err(err).Msg("list watch lost")
 		r.settled.Store(true)
-		if r.terms.Back != nil {
-			r.terms.Back.Unlisted()
+		if r.terms.Recovery != nil {
+			r.terms.Recovery.EndpointsUnavailable()
 		}
 	}
 }
@@ -102,7 +102,7 @@
 // watchEnded reports the end of a watch, in one step with the look whether the service has moved. It guards
 // against a move that comes as a watch is lost, and whose call would wait for as long as one to the old
 // place.
-func (r *Router) watchEnded(watching context.Context, how decide.WatchEnd) (moved bool) {
+func (r *Proxy) watchEnded(watching context.Context, how decide.WatchEnd) (moved bool) {
 	r.place.mu.Lock()
 	defer r.place.mu.Unlock()
 	r.place.leave = nil
@@ -119,7 +119,7 @@
 
 // watch makes one call and takes its lines until it ends, with an error always. answered tells whether a
 // watch had begun.
-func (r *Router) watch(ctx context.Context, leave context.CancelCauseFunc) (answered bool, err error) {
+func (r *Proxy) watch(ctx context.Context, leave context.CancelCauseFunc) (answered bool, err error) {
 	r.place.mu.Lock()
 	r.place.leave = leave
 	address := r.place.address
@@ -140,7 +140,7 @@
 }
 
 // begin asks for a watch; its lines are in the body.
-func (r *Router) begin(conn *transport.Conn) (body protocol.Body, why transport.CloseReason, err error) {
+func (r *Proxy) begin(conn *transport.Conn) (body protocol.Body, why transport.CloseReason, err error) {
 	began := time.Now()
 	ask := protocol.AppendGet(nil, protocol.WatchTarget(r.fleet.listVersion()))
 	if err := conn.Send(callWithin, ask); err != nil {
@@ -164,7 +164,7 @@
 	return body, "", nil
 }
 
-func (r *Router) lines(ctx context.Context, conn *transport.Conn, body protocol.Body) (transport.CloseReason,
+func (r *Proxy) lines(ctx context.Context, conn *transport.Conn, body protocol.Body) (transport.CloseReason,
 	error,
 ) {
 	var in protocol.LineReader
@@ -204,7 +204,7 @@
 // service whose watches are cut again and again: what it has to tell counts as told, and a drain would be
 // seen too late. The version stays, so that the next watch tells all of it again, and nothing is taken for
 // gone.
-func (r *Router) takeCut(line []byte) {
+func (r *Proxy) takeCut(line []byte) {
 	l, _ := protocol.ParseEndpointList(line)
 	r.log.Warn().Int("bytes", len(line)).Int("workers", len(l.Endpoints)).Msg("list watch cut within a line")
 	if len(l.Endpoints) > 0 {
@@ -213,7 +213,7 @@
 	}
 }
 
-func (r *Router) takeList(line []byte) error {
+func (r *Proxy) takeList(line []byte) error {
 	l, err := protocol.ParseEndpointList(line)
 	if err != nil {
 		return err
@@ -222,7 +222,7 @@
 	return nil
 }
 
-func (r *Router) told(l protocol.EndpointList) {
+func (r *Proxy) told(l protocol.EndpointList) {
 	r.counts.Lists.Add(1)
 	entries, old := r.fleet.take(&l)
 	// First, as the decisions at once send to those that are listed anew: not on what led to the process
@@ -237,13 +237,13 @@
 	}
 	r.facade.UpdateEndpoints(entries, l.Complete, false)
 	r.settled.Store(true)
-	if r.terms.Back != nil {
-		r.terms.Back.Listed()
+	if r.terms.Recovery != nil {
+		r.terms.Recovery.EndpointsReceived()
 	}
 }
 
 // probes asks workers for their load reports where the decisions want them.
-func (r *Router) probes(ctx context.Context) error {
+func (r *Proxy) probes(ctx context.Context) error {
 	for {
 		w, err := r.facade.NextProbe(ctx)
 		if err != nil {
@@ -256,7 +256,7 @@
 	}
 }
 
-func (r *Router) probe(ctx context.Context, w decide.WorkerID) {
+func (r *Proxy) probe(ctx context.Context, w decide.WorkerID) {
 	ctx, cancel := context.WithTimeout(ctx, r.now.Load().dialWithin)
 	defer cancel()
 	conn, err := r.pool.Get(ctx, r.fleet.address(w), transport.AnyConnection)
@@ -280,7 +280,7 @@
 	}
 }
 
-func (r *Router) loadReport(conn *transport.Conn) (values []float64, closes bool, err error) {
+func (r *Proxy) loadReport(conn *transport.Conn) (values []float64, closes bool, err error) {
 	if err := conn.Send(r.now.Load().dialWithin, protocol.AppendGet(nil, protocol.PathLoad)); err != nil {
 		return nil, false, err
 	}
--- a/internal/routing/operators_test.go
+++ b/internal/routing/operators_test.go
@@ -37,7 +37,7 @@
 		{Name: "outstanding", Value: 4},
 		{Name: "discovered", Value: 1},
 		{Name: "ejected", Value: 0},
-	}, r.Figures())
+	}, r.Metrics())
 }
 
 // TestCountersLogLine pins the keys of the log line that SIGUSR1 asks for, and which count each one tells. Each outcome
@@ -68,7 +68,7 @@
 	for outcome := range decide.Outcome(11) {
 		c.outcomes[outcome].Store(100 + int64(outcome))
 	}
-	r.Print("asked")
+	r.LogCounters("asked")
 	var line map[string]any
 	assert.NoError(t, json.Unmarshal(log.Bytes(), &line))
 	for _, memory := range []string{"mallocs", "alloc_bytes"} {
@@ -116,9 +116,9 @@
 	assert.EqualError(t, r.Ready(), "takes no clients: no list of workers yet")
 	r.settled.Store(true)
 	assert.NoError(t, r.Ready())
-	r.drain.Leave(time.Now())
+	r.drain.Drain(time.Now())
 	assert.EqualError(t, r.Ready(), "takes no clients: leaving")
-	assert.NoError(t, r.drain.Join(time.Now()))
+	assert.NoError(t, r.drain.Rejoin(time.Now()))
 	r.fleet.take(&protocol.EndpointList{Complete: true})
 	assert.EqualError(t, r.Ready(), "takes no clients: no worker is listed")
 }
--- a/internal/routing/peers.go
+++ b/internal/routing/peers.go
@@ -21,7 +21,7 @@
 }
 
 // tell sends peers what the decisions of one instance want told.
-func (r *Router) tell(ctx context.Context, instance int) error {
+func (r *Proxy) tell(ctx context.Context, instance int) error {
 	if instance == 0 {
 		r.greet()
 	}
@@ -47,7 +47,7 @@
 
 // greet tells that this process has just started, to those that share workers with it: the others are told
 // nothing of it and tell it nothing. It guards against a fleet that restarts at once, each greeting each.
-func (r *Router) greet() {
+func (r *Proxy) greet() {
 	if r.datagrams == nil || r.heir {
 		return
 	}
@@ -64,7 +64,7 @@
 
 // greetBack answers a greeting by one, as long as this process has met nobody who has lived longer and has no
 // list: its peer would else take the news from here for that of one who knows what was before.
-func (r *Router) greetBack(process int) {
+func (r *Proxy) greetBack(process int) {
 	if now := time.Now(); r.datagrams != nil && r.facade.Isolated() && now.Sub(r.greeted[process]) >= greetAgain {
 		r.greeted[process] = now
 		r.send(r.terms.Peers[process], protocol.AppendLoads(nil, uint16(now.UnixMilli()), protocol.NoInstance, nil))
@@ -73,7 +73,7 @@
 
 // byProcess gathers news for instances by the process that they are of, each worker once: all instances there
 // hear what comes.
-func (r *Router) byProcess(news []decide.LoadUpdate) map[int][]protocol.Load {
+func (r *Proxy) byProcess(news []decide.LoadUpdate) map[int][]protocol.Load {
 	out := map[int][]protocol.Load{}
 	for _, n := range news {
 		process := int(n.To) / r.facade.Count()
@@ -87,7 +87,7 @@
 	return out
 }
 
-func (r *Router) send(to netip.AddrPort, b []byte) {
+func (r *Proxy) send(to netip.AddrPort, b []byte) {
 	if err := r.datagrams.Send(to, b); err != nil {
 		r.counts.DatagramsFailed.Add(1)
 		return
@@ -96,7 +96,7 @@
 }
 
 // hear takes a datagram. What is malformed, comes from strangers or was overtaken is dropped and counted.
-func (r *Router) hear(from netip.AddrPort, b []byte) {
+func (r *Proxy) hear(from netip.AddrPort, b []byte) {
 	n := slices.Index(r.terms.Peers, from)
 	at, instance, loads, err := protocol.ParseLoads(b)
 	switch {
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -22,33 +22,33 @@
 
 // Operation is what is told of one operation by name.
 type Operation struct {
-	Name    string
-	Timeout time.Duration     // a client's, where it tells none
-	Keyed   bool              // workers drop repeats by a key, without which they can do nothing with it
-	Scope   decide.DedupScope // the group of workers that drops them
-	Window  time.Duration     // for how long
+	Name           string
+	DefaultTimeout time.Duration     // a client's, where it tells none
+	RequiresKey    bool              // workers drop repeats by a key, without which they can do nothing with it
+	DedupScope     decide.DedupScope // the group of workers that drops them
+	DedupWindow    time.Duration     // for how long
 }
 
-// Terms are what a router is told at its start.
-type Terms struct {
-	Operations    []Operation
-	Owners, Zones []string
-	Kinds, Report []string
-	DialWithin    time.Duration
-	ComeBackMost  time.Duration // 0 where a throttled client may not be told when to come back
-	Discovery     string
-	Peers         []netip.AddrPort
-	Position      int
-	Known         *protocol.EndpointList
-	Legacy        json.RawMessage // what a predecessor knew, nil where there is none
-	Hands         bool            // what is under way may be handed to a successor
-	FromUnix      func(ms float64) decide.Time
-	Back          Back // nil where it is off
+// Config are what a router is told at its start.
+type Config struct {
+	Operations          []Operation
+	Tenants, Zones      []string
+	Kinds, Report       []string
+	DialTimeout         time.Duration
+	MaxRetryAfter       time.Duration // 0 where a throttled client may not be told when to come back
+	Discovery           string
+	Peers               []netip.AddrPort
+	Position            int
+	InitialEndpoints    *protocol.EndpointList
+	PredecessorSnapshot json.RawMessage // what a predecessor knew, nil where there is none
+	MigratesRequests    bool            // what is under way may be handed to a successor
+	FromUnix            func(ms float64) decide.Time
+	Recovery            Recovery // nil where it is off
 }
 
-// Router answers invocations by way of workers.
-type Router struct {
-	terms     Terms
+// Proxy answers invocations by way of workers.
+type Proxy struct {
+	terms     Config
 	facade    *decide.Shards
 	pool      *transport.Pool
 	datagrams *transport.Datagrams // nil where dispatchers may not talk
@@ -58,11 +58,11 @@
 	forwards  errgroup.Group
 	heard     []stamp
 	greeted   []time.Time // by process: when it was last greeted back
-	counts    Counts
+	counts    Counters
 	tally     tally
 	place     place
 	ids       ids
-	door      *door.Door
+	door      *door.Controller
 
 	settled atomic.Bool // the first call for the list has been answered, or has failed
 	drain   *drain.State
@@ -78,10 +78,10 @@
 }
 
 // New makes a router and gives the facade the list that it starts with.
-func New(t Terms, f *decide.Shards, p *transport.Pool, d *transport.Datagrams, state *drain.State,
+func New(t Config, f *decide.Shards, p *transport.Pool, d *transport.Datagrams, state *drain.State,
 	log zerolog.Logger,
-) *Router {
-	r := &Router{
+) *Proxy {
+	r := &Proxy{
 		terms: t, facade: f, pool: p, datagrams: d, drain: state, log: log,
 		heard: make([]stamp, len(t.Peers)*f.Count()), greeted: make([]time.Time, len(t.Peers)),
 		place: place{address: t.Discovery}, door: door.New(float64(f.Count())),
@@ -94,16 +94,16 @@
 	for n := range t.Operations {
 		numbers.Operations = append(numbers.Operations, decide.OperationID(n))
 	}
-	for n := range t.Owners {
+	for n := range t.Tenants {
 		numbers.Tenants = append(numbers.Tenants, decide.TenantID(n))
 	}
 	r.adjust(t, numbers)
-	err := r.inherit(t.Legacy)
+	err := r.inherit(t.PredecessorSnapshot)
 	if err != nil {
 		log.Warn().Err(err).Msg("starting from nothing")
 	}
-	if t.Known != nil && !r.heir {
-		entries, _ := r.fleet.take(t.Known)
+	if t.InitialEndpoints != nil && !r.heir {
+		entries, _ := r.fleet.take(t.InitialEndpoints)
 		f.UpdateEndpoints(entries, true, true)
 	}
 	return r
@@ -119,7 +119,7 @@
 
 // Run follows the list and talks to peers until ctx ends; then it ends the forwards that are out: all clients
 // have their answers.
-func (r *Router) Run(ctx context.Context) error {
+func (r *Proxy) Run(ctx context.Context) error {
 	g, ctx := errgroup.WithContext(ctx)
 	for j := range r.facade.Count() {
 		g.Go(func() error { return r.facade.Run(ctx, j) })
@@ -139,18 +139,18 @@
 	return err
 }
 
-// Drain gives what is open until within to be answered, and what still comes: what would not be done by then
+// StopWithin gives what is open until within to be answered, and what still comes: what would not be done by then
 // is sent away, since begun it could not always be. Its client should come back late: clients still come here
 // for a while, and where dispatchers are restarted in turn, another one may just be coming up.
-func (r *Router) Drain(within time.Duration) {
+func (r *Proxy) StopWithin(within time.Duration) {
 	r.facade.StopAfter(decide.Time(within / (time.Second / decide.Second)))
 }
 
 // Check answers what can be answered by the head alone.
-func (r *Router) Check(h *protocol.Head) *protocol.Response {
+func (r *Proxy) Check(h *protocol.Head) *protocol.Response {
 	switch path := h.Path(); {
 	case path == protocol.PathHealth && (h.Method == "GET" || h.Method == "HEAD"):
-		if r.list() != nil || !r.drain.At(time.Now()).Healthy() {
+		if r.list() != nil || !r.drain.PhaseAt(time.Now()).Healthy() {
 			return &protocol.Response{Status: 503}
 		}
 		return &protocol.Response{Status: 200}
@@ -161,7 +161,7 @@
 	case h.Method != "POST":
 		return r.turnedAway(&protocol.Response{Status: 405, Allow: "POST"})
 	}
-	if !r.drain.At(time.Now()).Admits() {
+	if !r.drain.PhaseAt(time.Now()).AdmitsRequests() {
 		return r.sentAway(h)
 	}
 	if !r.door.Admit() { // nothing is known of it yet, nor has its body been read
@@ -172,23 +172,23 @@
 }
 
 // Ready is nil while this process takes clients, and else says why not.
-func (r *Router) Ready() error {
-	if phase := r.drain.At(time.Now()); !phase.Takes() {
+func (r *Proxy) Ready() error {
+	if phase := r.drain.PhaseAt(time.Now()); !phase.TakesClients() {
 		return fmt.Errorf("%w: %v", errNotTaking, phase)
 	}
 	return r.list()
 }
 
 // list is nil where there are workers to be had.
-func (r *Router) list() error {
+func (r *Proxy) list() error {
 	switch {
 	case !r.settled.Load():
 		return fmt.Errorf("%w: no list of workers yet", errNotTaking)
 	case !r.fleet.serves():
 		return fmt.Errorf("%w: no worker is listed", errNotTaking)
 	}
-	if r.terms.Back != nil {
-		if err := r.terms.Back.Ready(); err != nil {
+	if r.terms.Recovery != nil {
+		if err := r.terms.Recovery.Ready(); err != nil {
 			return fmt.Errorf("%w: %w", errNotTaking, err)
 		}
 	}
@@ -198,7 +198,7 @@
 var errNotTaking = errors.New("takes no clients")
 
 // sentAway throttles what was not taken, by its head alone where there is one.
-func (r *Router) sentAway(h *protocol.Head) *protocol.Response {
+func (r *Proxy) sentAway(h *protocol.Head) *protocol.Response {
 	a := &protocol.Response{Status: 503, RetryAfter: r.now.Load().comeBackMost}
 	if h != nil {
 		if ends := r.tally.of(h.Operation()); ends != nil {
@@ -208,18 +208,18 @@
 	return a
 }
 
-func (r *Router) turnedAway(a *protocol.Response) *protocol.Response {
+func (r *Proxy) turnedAway(a *protocol.Response) *protocol.Response {
 	r.counts.Malformed.Add(1)
 	return a
 }
 
-// Broken answers what cannot be read.
-func (r *Router) Broken(err error) *protocol.Response {
+// MalformedRequest answers what cannot be read.
+func (r *Proxy) MalformedRequest(err error) *protocol.Response {
 	return r.turnedAway(protocol.RejectionOf(err))
 }
 
-// Overfull answers what comes on a connection beyond the budget: it was never sent anywhere.
-func (r *Router) Overfull(h *protocol.Head) *protocol.Response {
+// OverBudget answers what comes on a connection beyond the budget: it was never sent anywhere.
+func (r *Proxy) OverBudget(h *protocol.Head) *protocol.Response {
 	r.counts.Overfull.Add(1)
 	return r.sentAway(h)
 }
@@ -230,7 +230,7 @@
 	if !known {
 		return decide.Arrival{}, fmt.Errorf("%w: unknown operation %.40q", protocol.ErrMalformed, inv.Operation)
 	}
-	if o.Keyed && inv.IdempotencyKey == "" {
+	if o.RequiresKey && inv.IdempotencyKey == "" {
 		return decide.Arrival{}, fmt.Errorf("%w: no Idempotency-Key", protocol.ErrMalformed)
 	}
 	c, known := now.customers[inv.Tenant]
@@ -238,7 +238,7 @@
 		return decide.Arrival{}, fmt.Errorf("%w: unknown owner %.40q", protocol.ErrMalformed, inv.Tenant)
 	}
 	if inv.Timeout == 0 {
-		inv.Timeout = o.Timeout
+		inv.Timeout = o.DefaultTimeout
 	}
 	return decide.Arrival{
 		Operation: o.number, Tenant: c, Timeout: spanOf(inv.Timeout),
@@ -249,15 +249,15 @@
 func spanOf(d time.Duration) decide.Time { return decide.Time(d / (time.Second / decide.Second)) }
 
 // Serve carries one invocation through: it picks until there is an answer, and sends forwards meanwhile.
-func (r *Router) Serve(ctx context.Context, h *protocol.Head, body []byte, came time.Time) *protocol.Response {
+func (r *Proxy) Serve(ctx context.Context, h *protocol.Head, body []byte, came time.Time) *protocol.Response {
 	inv, err := protocol.ParseRequest(h)
 	if err != nil {
-		return r.Broken(err)
+		return r.MalformedRequest(err)
 	}
 	now := r.now.Load() // once: it lands and ends under one set of settings
 	l, err := now.landing(inv)
 	if err != nil {
-		return r.Broken(err)
+		return r.MalformedRequest(err)
 	}
 	if !r.ids.open(inv.ID) { // what another client waits for goes on undisturbed
 		return r.turnedAway(&protocol.Response{Status: 409})
@@ -268,12 +268,12 @@
 }
 
 // carry brings an invocation that was taken to its answer, nil where its client has left.
-func (r *Router) carry(ctx context.Context, now *settings, inv *protocol.Request, l decide.Arrival,
+func (r *Proxy) carry(ctx context.Context, now *settings, inv *protocol.Request, l decide.Arrival,
 	came time.Time, h *protocol.Head,
 ) *protocol.Response {
-	phase := r.drain.At(time.Now())
-	cut := phase.Ends() && phase != drain.Yielding // what is under way ends with this process
-	if !phase.Admits() || cut && r.facade.MissesStop(l) {
+	phase := r.drain.PhaseAt(time.Now())
+	cut := phase.IsStopping() && phase != drain.StoppingHandedOff // what is under way ends with this process
+	if !phase.AdmitsRequests() || cut && r.facade.MissesStop(l) {
 		r.counts.Throttled.Add(1)
 		return &protocol.Response{Status: 503, RetryAfter: now.comeBackMost}
 	}
@@ -286,10 +286,10 @@
 		}
 		return r.pursue(ctx, c, make(chan string, 1))
 	}
-	if r.terms.Back == nil {
+	if r.terms.Recovery == nil {
 		return land(nil)
 	}
-	done, comeBack, ok := r.terms.Back.Admit(l)
+	done, comeBack, ok := r.terms.Recovery.Admit(l)
 	if !ok {
 		r.counts.Throttled.Add(1)
 		return &protocol.Response{Status: 503, RetryAfter: comeBack}
@@ -306,8 +306,8 @@
 }
 
 // pursue picks until there is an answer, and sends forwards meanwhile.
-func (r *Router) pursue(ctx context.Context, c *carrying, result chan string) *protocol.Response {
-	if r.terms.Hands {
+func (r *Proxy) pursue(ctx context.Context, c *carrying, result chan string) *protocol.Response {
+	if r.terms.MigratesRequests {
 		r.underWay.Store(c, nil)
 		defer r.underWay.Delete(c)
 	}
--- a/internal/routing/router_test.go
+++ b/internal/routing/router_test.go
@@ -32,7 +32,7 @@
 
 // Guards against a client that sends the id of another one's open invocation: workers go by the id alone.
 func TestIdThatIsOpenIsRefusedAndTheFirstGoesOn(t *testing.T) {
-	var r *Router
+	var r *Proxy
 	second := 0
 	r = routerTo(standIn(t, func(c net.Conn, _ *http.Request) {
 		second = r.Serve(context.Background(), invocation("idem"), nil, time.Now()).Status
@@ -65,7 +65,7 @@
 	r.fleet.take(&protocol.EndpointList{Complete: true})
 	assert.Equal(t, 503, r.Check(h).Status, "there is no worker")
 	r.fleet.take(&protocol.EndpointList{Endpoints: []protocol.Endpoint{{ID: "w", State: protocol.Ready}}})
-	r.drain.End(time.Now())
+	r.drain.Stop(time.Now())
 	assert.Equal(t, 503, r.Check(h).Status, "it drains")
 }
 
@@ -74,8 +74,8 @@
 func TestDispatcherThatDrainsServesWhatItCanStillFinish(t *testing.T) {
 	r := routerTo(standIn(t, says(chunked(done)+last, false)))
 	r.now.Load().comeBackMost = 2 * time.Second
-	r.drain.End(time.Now())
-	r.Drain(2 * time.Second)
+	r.drain.Stop(time.Now())
+	r.StopWithin(2 * time.Second)
 	h, _, err := protocol.ParseRequestHead([]byte("POST /api HTTP/1.1\r\nReq-Id: a2\r\nReq-Kind: once\r\n" +
 		"Req-Cost: 1500000\r\n\r\n"))
 	assert.NoError(t, err)
@@ -239,7 +239,7 @@
 }
 
 // watched makes one call to a list service that answers with text, and returns how it ended.
-func watched(t *testing.T, text string, ends bool) (*Router, string) {
+func watched(t *testing.T, text string, ends bool) (*Proxy, string) {
 	asked := make(chan string, 1)
 	r := routerTo("127.0.0.1:1")
 	r.place.address = standIn(t, func(c net.Conn, q *http.Request) {
--- a/internal/routing/settings.go
+++ b/internal/routing/settings.go
@@ -22,10 +22,10 @@
 	number decide.OperationID
 }
 
-// Retune takes new terms, all at once. What is open keeps the settings that it came under; a name that is
+// Reconfigure takes new terms, all at once. What is open keeps the settings that it came under; a name that is
 // not among the operations any more is unknown to what comes from now on, and its counts are kept. What comes
 // meanwhile lands by the old names, whose numbers stay theirs in the decisions.
-func (r *Router) Retune(t Terms, decisions decide.Config) {
+func (r *Proxy) Reconfigure(t Config, decisions decide.Config) {
 	numbers := r.facade.Reconfigure(decisions)
 	if r.beforeTold != nil {
 		r.beforeTold()
@@ -33,10 +33,10 @@
 	r.adjust(t, numbers)
 }
 
-func (r *Router) adjust(t Terms, numbers decide.AssignedIDs) {
+func (r *Proxy) adjust(t Config, numbers decide.AssignedIDs) {
 	s := &settings{
 		operations: map[string]operation{}, customers: map[string]decide.TenantID{},
-		dialWithin: t.DialWithin, comeBackMost: t.ComeBackMost,
+		dialWithin: t.DialTimeout, comeBackMost: t.MaxRetryAfter,
 	}
 	if was := r.now.Load(); was != nil {
 		s.owners = slices.Clone(was.owners)
@@ -45,7 +45,7 @@
 		s.operations[o.Name] = operation{o, numbers.Operations[n]}
 		r.tally.name(o.Name)
 	}
-	for n, name := range t.Owners {
+	for n, name := range t.Tenants {
 		number := numbers.Tenants[n]
 		s.owners = append(s.owners, make([]string, max(0, int(number)+1-len(s.owners)))...)
 		s.owners[number], s.customers[name] = name, number
--- a/internal/routing/size_test.go
+++ b/internal/routing/size_test.go
@@ -21,7 +21,7 @@
 	}
 	r, _ := watched(t, chunked(line(8, true, "Ready"), line(9, false, "Terminating"))+last, false)
 	assert.Equal(t, int64(9), r.fleet.listVersion())
-	version, entries := r.Entries()
+	version, entries := r.Endpoints()
 	assert.Equal(t, int64(9), version)
 	assert.Len(t, entries, many+1, "and the one that was known before")
 	tags := map[uint16]int{}
--- a/internal/routing/taken_test.go
+++ b/internal/routing/taken_test.go
@@ -34,11 +34,11 @@
 				io.WriteString(conn, chunk(started)+chunk(done)+last)
 			}
 			other := standIn(t, worker)
-			r := routerBy(standIn(t, worker), func(d *decide.Config, terms *Terms) {
+			r := routerBy(standIn(t, worker), func(d *decide.Config, terms *Config) {
 				d.DeliveryNotices, d.StartNotices, d.MaxAttempts, d.Hedging = true, true, 4, true
 				d.Operations[0].LatencyObjective, d.WarmupWindow = decide.Second/5, 4*decide.Second
 				d.Operations[1].LatencyObjective, d.Operations[2].LatencyObjective = decide.Second/5, decide.Second/5
-				terms.Known.Endpoints = append(terms.Known.Endpoints, protocol.Endpoint{ID: "v", Address: other, State: protocol.Ready})
+				terms.InitialEndpoints.Endpoints = append(terms.InitialEndpoints.Endpoints, protocol.Endpoint{ID: "v", Address: other, State: protocol.Ready})
 			})
 			ctx, cancel := context.WithCancel(context.Background())
 			defer cancel()
--- a/internal/routing/tally.go
+++ b/internal/routing/tally.go
@@ -36,7 +36,7 @@
 
 // counted brings an invocation that was taken to its answer, and counts it until then, and as what it ends
 // as.
-func (r *Router) counted(operation string, carry func() *protocol.Response) *protocol.Response {
+func (r *Proxy) counted(operation string, carry func() *protocol.Response) *protocol.Response {
 	r.counts.Taken.Add(1)
 	ends := r.tally.of(operation)
 	ends.out.Add(1)
@@ -66,8 +66,8 @@
 	return t.ends[operation]
 }
 
-// Figures are what operators are told. They are read one by one while others are counted.
-func (r *Router) Figures() []protocol.Metric {
+// Metrics are what operators are told. They are read one by one while others are counted.
+func (r *Proxy) Metrics() []protocol.Metric {
 	r.tally.mu.RLock()
 	defer r.tally.mu.RUnlock()
 	var figures []protocol.Metric
--- a/internal/routing/twin.go
+++ b/internal/routing/twin.go
@@ -4,43 +4,43 @@
 	"canvasroute/decide"
 )
 
-// Twin is what one process of a dispatcher tells the other during an upgrade, again and again. The two are
+// SiblingUpdate is what one process of a dispatcher tells the other during an upgrade, again and again. The two are
 // one dispatcher to workers, peers and clients.
-type Twin struct {
-	Loads   map[string]int         `json:"Loads,omitempty"`  // forwards out, by worker
-	Spent   map[string]decide.Work `json:"Spent,omitempty"`  // work sent since it last told, by worker
-	Opened  []string               `json:"Opened,omitempty"` // ids since it last told
-	Closed  []string               `json:"Closed,omitempty"` // ids since it last told
-	Clients int                    `json:"Clients"`          // connections that it has, or may still have
-	Workers int                    `json:"Workers"`
+type SiblingUpdate struct {
+	InFlight          map[string]int         `json:"Loads,omitempty"`  // forwards out, by worker
+	RecentSends       map[string]decide.Work `json:"Spent,omitempty"`  // work sent since it last told, by worker
+	Opened            []string               `json:"Opened,omitempty"` // ids since it last told
+	Closed            []string               `json:"Closed,omitempty"` // ids since it last told
+	ClientConnections int                    `json:"Clients"`          // connections that it has, or may still have
+	WorkerConnections int                    `json:"Workers"`
 }
 
-// Twin is what a side is to be told now.
-func (r *Router) Twin(to decide.SiblingRole) Twin {
-	t := Twin{Loads: map[string]int{}, Spent: map[string]decide.Work{}}
+// SiblingUpdate is what a side is to be told now.
+func (r *Proxy) SiblingUpdate(to decide.SiblingRole) SiblingUpdate {
+	t := SiblingUpdate{InFlight: map[string]int{}, RecentSends: map[string]decide.Work{}}
 	for _, l := range r.facade.InFlightFor(to) {
-		t.Loads[r.fleet.id(l.Worker)] = l.InFlight
+		t.InFlight[r.fleet.id(l.Worker)] = l.InFlight
 	}
 	now := r.facade.Now()
 	for _, s := range r.facade.RecentSendsSince(r.spentTold) {
-		t.Spent[r.fleet.id(s.Worker)] += s.Work
+		t.RecentSends[r.fleet.id(s.Worker)] += s.Work
 	}
 	r.spentTold = now
 	t.Opened, t.Closed = r.ids.news()
 	return t
 }
 
-// Meet takes what a side tells.
-func (r *Router) Meet(from decide.SiblingRole, t Twin) {
+// ReceiveSiblingUpdate takes what a side tells.
+func (r *Proxy) ReceiveSiblingUpdate(from decide.SiblingRole, t SiblingUpdate) {
 	var loads []decide.Load
-	for id, n := range t.Loads {
+	for id, n := range t.InFlight {
 		if w, known := r.fleet.byID(id); known {
 			loads = append(loads, decide.Load{Worker: w, InFlight: n})
 		}
 	}
 	r.facade.UpdateSibling(from, loads)
 	var spent []decide.RecentSend
-	for id, work := range t.Spent {
+	for id, work := range t.RecentSends {
 		if w, known := r.fleet.byID(id); known {
 			spent = append(spent, decide.RecentSend{Worker: w, Work: work})
 		}
@@ -51,15 +51,15 @@
 	r.ids.elsewhere(t.Opened, t.Closed)
 }
 
-// Part forgets what a side has told: it has ended.
-func (r *Router) Part(from decide.SiblingRole) {
+// SiblingGone forgets what a side has told: it has ended.
+func (r *Proxy) SiblingGone(from decide.SiblingRole) {
 	r.facade.UpdateSibling(from, nil)
 	r.ids.alone()
 }
 
-// Yield leaves what peers tell, and what they are told, to another process of this dispatcher, or takes it
+// YieldDatagrams leaves what peers tell, and what they are told, to another process of this dispatcher, or takes it
 // back.
-func (r *Router) Yield(yield bool) {
+func (r *Proxy) YieldDatagrams(yield bool) {
 	if r.datagrams != nil {
 		r.datagrams.Yield(yield)
 	}
--- a/internal/terms/terms.go
+++ b/internal/terms/terms.go
@@ -13,10 +13,10 @@
 	"canvasroute/decide"
 )
 
-// A message to peers of up to MessageLeast bytes has the same price, as measured; MessageMost is the longest.
+// A message to peers of up to MinPricedMessage bytes has the same price, as measured; MaxMessageBytes is the longest.
 const (
-	MessageLeast = 16
-	MessageMost  = 256
+	MinPricedMessage = 16
+	MaxMessageBytes  = 256
 )
 
 var repeats = map[string]decide.Idempotency{
@@ -27,11 +27,11 @@
 	"": decide.ScopeAll, "all": decide.ScopeAll, "zone": decide.ScopeZone, "cell": decide.ScopeCell,
 }
 
-// Clock turns a moment in seconds into the decisions' time.
-func Clock(s float64) decide.Time { return decide.Time(math.Round(s * decide.Second)) }
+// TimeOf turns a moment in seconds into the decisions' time.
+func TimeOf(s float64) decide.Time { return decide.Time(math.Round(s * decide.Second)) }
 
-// Span rounds down, so that nothing is believed to last longer than it does.
-func Span(s float64) decide.Time { return decide.Time(math.Floor(s*decide.Second + 1e-6)) }
+// DurationOf rounds down, so that nothing is believed to last longer than it does.
+func DurationOf(s float64) decide.Time { return decide.Time(math.Floor(s*decide.Second + 1e-6)) }
 
 // Parse reads the settings; keys that it does not know are passed over.
 func Parse(v *fastjson.Value) (decide.Config, error) {
@@ -43,10 +43,10 @@
 	t := decide.Config{
 		Dispatchers: v.GetInt("balancers"), Kinds: max(len(v.GetArray("shapes")), 1),
 		Zone:     decide.ZoneID(v.GetInt("zone")),
-		Position: v.GetInt("position"), GossipCost: v.GetFloat64("prices", "peer") * MessageLeast / MessageMost,
-		Granularity: Span(v.GetFloat64("granularityS")), MaxPollInterval: Span(rules.GetFloat64("askWithinS")),
-		MaxRetryAfter: Span(limits.GetFloat64("maxRetryAfterS")), WarmupDuration: Span(rules.GetFloat64("rampTimeS")),
-		WarmupWindow: Span(rules.GetFloat64("fallS")), InitialWarmup: rules.GetFloat64("coldFrom"),
+		Position: v.GetInt("position"), GossipCost: v.GetFloat64("prices", "peer") * MinPricedMessage / MaxMessageBytes,
+		Granularity: DurationOf(v.GetFloat64("granularityS")), MaxPollInterval: DurationOf(rules.GetFloat64("askWithinS")),
+		MaxRetryAfter: DurationOf(limits.GetFloat64("maxRetryAfterS")), WarmupDuration: DurationOf(rules.GetFloat64("rampTimeS")),
+		WarmupWindow: DurationOf(rules.GetFloat64("fallS")), InitialWarmup: rules.GetFloat64("coldFrom"),
 		OverloadFactor: rules.GetFloat64("overloadFactor"), OverQuotaShare: v.GetFloat64("surplusBilledValue"),
 		CrossZoneCost: v.GetFloat64("prices", "crossZone"), MaxAttempts: limits.GetInt("maxForwards"),
 		PollEndpoints: string(v.GetStringBytes("registryMode")) == "subscribe",
@@ -98,7 +98,7 @@
 		}
 		op := decide.OperationConfig{
 			Name:             string(o.GetStringBytes("name")),
-			LatencyObjective: Span(o.GetFloat64("latencyObjectiveS")), DedupWindow: Span(o.GetFloat64("dedupWindowS")),
+			LatencyObjective: DurationOf(o.GetFloat64("latencyObjectiveS")), DedupWindow: DurationOf(o.GetFloat64("dedupWindowS")),
 			Value: o.GetFloat64("billedValue"), LateShare: o.GetFloat64("tardyBilledValue"),
 			Idempotency: repeat, DedupScope: scope, Kind: -1,
 		}
--- a/internal/transport/crossings_test.go
+++ b/internal/transport/crossings_test.go
@@ -360,7 +360,7 @@
 		conns[n], _ = connect(t, s)
 		io.WriteString(conns[n], post)
 	}
-	s.drain.End(time.Now())
+	s.drain.Stop(time.Now())
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	assert.NoError(t, s.Run(ctx))
@@ -410,8 +410,8 @@
 	t.Cleanup(func() { next.Close() })
 	s := NewServer(ln, 4, 1<<20, &echoHandler{}, &drain.State{}, zerolog.Nop())
 	connect(t, s)
-	assert.NoError(t, s.drain.Relieve(time.Now()))
-	s.drain.End(time.Now())
+	assert.NoError(t, s.drain.HandOff(time.Now()))
+	s.drain.Stop(time.Now())
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	assert.NoError(t, s.Run(ctx))
@@ -432,7 +432,7 @@
 	t.Cleanup(func() { next.Close() })
 	s := NewServer(ln, 4, 1<<20, &echoHandler{}, &drain.State{}, zerolog.Nop())
 	s.ShareListener()
-	s.drain.End(time.Now())
+	s.drain.Stop(time.Now())
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	assert.NoError(t, s.Run(ctx))
@@ -449,8 +449,8 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	followed := make(chan error)
 	go func() { followed <- s.TakeOver(ctx) }()
-	s.drain.Leave(time.Now().Add(-drain.ServeFor))
-	s.drain.End(time.Now())
+	s.drain.Drain(time.Now().Add(-drain.AcceptAfterStop))
+	s.drain.Stop(time.Now())
 	c, r := connect(t, s)
 	status, _, closes := ask(t, c, r, post)
 	assert.Equal(t, []any{200, true}, []any{status, closes})
@@ -465,7 +465,7 @@
 			s, _, _ := serving(t, 4)
 			c, other, _ := pair(t)
 			if drained {
-				s.drain.End(time.Now())
+				s.drain.Stop(time.Now())
 			}
 			s.places.admit(c)
 			io.WriteString(other, post)
@@ -525,9 +525,9 @@
 	ours := within(t, g.asked)
 	assert.Eventually(t, func() bool { return ours.counter.read.Load() == int64(len(gate+post)) }, soon,
 		time.Millisecond)
-	s.drain.End(time.Now())
+	s.drain.Stop(time.Now())
 	cancel()
-	assert.Eventually(t, func() bool { return s.drain.At(time.Now()) == drain.Closing }, soon, time.Millisecond)
+	assert.Eventually(t, func() bool { return s.drain.PhaseAt(time.Now()) == drain.Closing }, soon, time.Millisecond)
 	g.let <- &protocol.Response{Status: 200}
 	for _, want := range []bool{false, true} {
 		status, _, closes := ask(t, c, r, "")
@@ -615,7 +615,7 @@
 	g.let <- &protocol.Response{Status: 200, Body: make([]byte, 64<<20)}
 	assert.Eventually(t, func() bool { return ours.counter.written.Load() > 0 }, soon, time.Millisecond)
 	began := time.Now()
-	s.drain.End(began)
+	s.drain.Stop(began)
 	s.CloseAllAfter(50 * time.Millisecond)
 	cancel()
 	assert.NoError(t, within(t, ended))
@@ -636,7 +636,7 @@
 			}
 		}
 	}()
-	s.drain.End(time.Now())
+	s.drain.Stop(time.Now())
 	s.CloseAllAfter(200 * time.Millisecond)
 	cancel()
 	assert.NoError(t, within(t, ended))
--- a/internal/transport/datagrams.go
+++ b/internal/transport/datagrams.go
@@ -56,7 +56,7 @@
 
 // Send sends one datagram.
 func (d *Datagrams) Send(to netip.AddrPort, b []byte) error {
-	if len(b) > terms.MessageMost {
+	if len(b) > terms.MaxMessageBytes {
 		return ErrDatagramTooLong
 	}
 	if d.yielded() != nil {
@@ -72,7 +72,7 @@
 func (d *Datagrams) Run(ctx context.Context, take func(from netip.AddrPort, b []byte)) error {
 	stop := context.AfterFunc(ctx, func() { d.pc.Close() })
 	defer stop()
-	b := make([]byte, terms.MessageMost+1)
+	b := make([]byte, terms.MaxMessageBytes+1)
 	for ctx.Err() == nil {
 		if resume := d.yielded(); resume != nil {
 			select {
--- a/internal/transport/places.go
+++ b/internal/transport/places.go
@@ -250,7 +250,7 @@
 }
 
 // retired tells whether idle connections end.
-func (s *places) retired() bool { return !s.drain.At(time.Now()).KeepsIdle() }
+func (s *places) retired() bool { return !s.drain.PhaseAt(time.Now()).KeepsIdleConnections() }
 
 // cut ends all, whatever they do.
 func (s *places) cut() {
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -33,9 +33,9 @@
 	// Check answers at once what needs no body, or cannot be taken; nil if the body should be read.
 	Check(h *protocol.Head) *protocol.Response
 	// Overfull answers what comes on a connection beyond the budget; h is nil where no head has come.
-	Overfull(h *protocol.Head) *protocol.Response
+	OverBudget(h *protocol.Head) *protocol.Response
 	// Broken answers what cannot be read.
-	Broken(err error) *protocol.Response
+	MalformedRequest(err error) *protocol.Response
 }
 
 // Server takes clients' connections.
@@ -98,9 +98,9 @@
 	if !stop() {
 		<-woken // else it would end the wait for what is in the queue
 	}
-	phase := s.drain.At(time.Now())
-	s.drain.Stop(time.Now())
-	if phase.Accepts() {
+	phase := s.drain.PhaseAt(time.Now())
+	s.drain.CloseIdle(time.Now())
+	if phase.AcceptsConnections() {
 		s.takeQueued()
 	}
 	s.ln.Close()
@@ -153,11 +153,11 @@
 // accepting waits until this process is to accept. It returns false when ctx ends.
 func (s *Server) accepting(ctx context.Context) bool {
 	for ctx.Err() == nil {
-		_, changed := s.drain.Next(time.Now())
-		if s.drain.At(time.Now()).Accepts() {
+		_, changed := s.drain.NextChange(time.Now())
+		if s.drain.PhaseAt(time.Now()).AcceptsConnections() {
 			s.ln.SetDeadline(time.Time{})
 			// Else Follow's deadline, or that of the end, may have come before.
-			if s.drain.At(time.Now()).Accepts() && ctx.Err() == nil {
+			if s.drain.PhaseAt(time.Now()).AcceptsConnections() && ctx.Err() == nil {
 				return true
 			}
 			continue
@@ -180,12 +180,12 @@
 // idle where none may, and the wait for new ones where another process has them.
 func (s *Server) TakeOver(ctx context.Context) error {
 	for {
-		wait, changed := s.drain.Next(time.Now())
-		phase := s.drain.At(time.Now())
-		if !phase.KeepsIdle() {
+		wait, changed := s.drain.NextChange(time.Now())
+		phase := s.drain.PhaseAt(time.Now())
+		if !phase.KeepsIdleConnections() {
 			s.places.retire()
 		}
-		if !phase.Accepts() {
+		if !phase.AcceptsConnections() {
 			s.ln.SetDeadline(time.Unix(1, 0))
 		}
 		var passes <-chan time.Time
@@ -233,7 +233,7 @@
 	}
 	room := body.MaxRead()
 	if !s.bodies.take(room) {
-		return s.turnAway(c, &h, body, s.handler.Overfull(&h), true)
+		return s.turnAway(c, &h, body, s.handler.OverBudget(&h), true)
 	}
 	defer func() { s.bodies.give(room) }()
 	content, err := c.ReadBody(body, protocol.MaxBodyBytes)
@@ -245,7 +245,7 @@
 	room = int64(len(content))
 	s.places.turn(c, answering)
 	if over {
-		return s.answer(c, s.handler.Overfull(&h), true)
+		return s.answer(c, s.handler.OverBudget(&h), true)
 	}
 	if !c.Reused() && c.leftUnread() { // later messages do not wait: they are read as they come
 		return ClientLeft, errClientLeft
@@ -300,7 +300,7 @@
 	partly := c.in.Len() > 0 || s.places.isReading(c)
 	switch {
 	case evicted && partly:
-		if _, sent := s.answer(c, s.handler.Overfull(nil), true); sent == nil {
+		if _, sent := s.answer(c, s.handler.OverBudget(nil), true); sent == nil {
 			c.linger(crossWithin) // its place is wanted
 		}
 		return OverBudget, nil
@@ -309,12 +309,12 @@
 		return "", nil
 	case evicted:
 		return OverBudget, nil
-	case why == TooSlow && !partly && s.drain.At(time.Now()).Last():
+	case why == TooSlow && !partly && s.drain.PhaseAt(time.Now()).ClosesAfterResponse():
 		return Stopping, nil
 	case why == TooSlow && !partly:
 		return IdleRetired, nil
 	case why == Malformed, why == TooSlow:
-		if _, sent := s.answer(c, s.handler.Broken(err), true); sent == nil {
+		if _, sent := s.answer(c, s.handler.MalformedRequest(err), true); sent == nil {
 			c.linger(lingerWithin)
 		}
 	case why == PeerClosed:
@@ -339,8 +339,8 @@
 // answer sends an answer. As the process ends, one that would be the last of its connection is not as long as
 // more has been read: a client that sends ahead has handed that in already, and nobody else will answer it.
 func (s *Server) answer(c *Conn, a *protocol.Response, closes bool) (CloseReason, error) {
-	phase := s.drain.At(time.Now())
-	closes = closes || phase.Last() && !(phase.Ends() && c.in.Len() > 0) //nolint:staticcheck // QF1001: a mutant names this guard
+	phase := s.drain.PhaseAt(time.Now())
+	closes = closes || phase.ClosesAfterResponse() && !(phase.IsStopping() && c.in.Len() > 0) //nolint:staticcheck // QF1001: a mutant names this guard
 	if err := c.Send(answerWithin, protocol.AppendResponseHead(nil, a, closes), a.Body); err != nil {
 		return CloseReasonOf(err), err
 	}
--- a/internal/transport/server_test.go
+++ b/internal/transport/server_test.go
@@ -46,10 +46,12 @@
 	return &protocol.Response{Status: 200, Body: body}
 }
 
-func (e *echoHandler) Overfull(*protocol.Head) *protocol.Response {
+func (e *echoHandler) OverBudget(*protocol.Head) *protocol.Response {
 	return &protocol.Response{Status: 503}
 }
-func (e *echoHandler) Broken(err error) *protocol.Response { return protocol.RejectionOf(err) }
+func (e *echoHandler) MalformedRequest(err error) *protocol.Response {
+	return protocol.RejectionOf(err)
+}
 
 // serving runs a server until the test ends.
 func serving(t *testing.T, most int) (*Server, *echoHandler, func()) {
@@ -249,7 +251,7 @@
 	s, _, end := serving(t, 4)
 	c, r := connect(t, s)
 	ask(t, c, r, post)
-	s.drain.End(time.Now())
+	s.drain.Stop(time.Now())
 	_, _, closes := ask(t, c, r, post)
 	assert.True(t, closes)
 	connect(t, s)
--- a/internal/upgrade/format_test.go
+++ b/internal/upgrade/format_test.go
@@ -37,13 +37,13 @@
 			func(l *Link) error { return l.send(message{Version: 1, Legacy: known}, sockets...) },
 		},
 		{"successor serves", message{Serving: true}, func(l *Link) error { return l.SendServing() }},
-		{"running counts", message{Twin: counts}, func(l *Link) error { return l.SendTwin(counts) }},
+		{"running counts", message{Twin: counts}, func(l *Link) error { return l.SendSiblingUpdate(counts) }},
 		{
 			"migrated request",
 			message{Open: request, Sockets: []string{"clients", "peers"}},
-			func(l *Link) error { return l.SendOpen(request, sockets) },
+			func(l *Link) error { return l.SendRequest(request, sockets) },
 		},
-		{"operator's command", message{Call: "LEAVE"}, func(l *Link) error { return l.SendCall("LEAVE") }},
+		{"operator's command", message{Call: "LEAVE"}, func(l *Link) error { return l.SendCommand("LEAVE") }},
 	}
 }
 
@@ -62,7 +62,7 @@
 // TestWritesMessagesThatEarlierReleaseReads checks the bytes of each message on the socket.
 func TestWritesMessagesThatEarlierReleaseReads(t *testing.T) {
 	here, there := connectedPair(t)
-	sockets := []Socket{{Name: Clients, Conn: here}, {Name: Peers, Conn: here}}
+	sockets := []Socket{{Name: ClientSocket, Conn: here}, {Name: PeerSocket, Conn: here}}
 	lines := goldenLines(t)
 	assert.Len(t, sorts(nil), len(lines))
 	for n, s := range sorts(sockets) {
@@ -119,6 +119,6 @@
 
 // TestMeetingPlaceIsThatOfEarlierRelease checks the name of the socket at which processes of two releases meet.
 func TestMeetingPlaceIsThatOfEarlierRelease(t *testing.T) {
-	assert.Equal(t, Place{dir: "/run", file: "canvasroute-3c789696ef9993a6.sock"},
-		PlaceOf("/run", "n3", "127.0.0.1:8080", "127.0.0.1:7946"))
+	assert.Equal(t, Rendezvous{dir: "/run", file: "canvasroute-3c789696ef9993a6.sock"},
+		RendezvousFor("/run", "n3", "127.0.0.1:8080", "127.0.0.1:7946"))
 }
--- a/internal/upgrade/host.go
+++ b/internal/upgrade/host.go
@@ -19,24 +19,24 @@
 	Conn syscall.Conn
 }
 
-// Host is the side of a process that serves: it waits for a successor.
-type Host struct {
-	Place   Place
-	Sockets func() []Socket
-	Legacy  func() any
+// Listener is the side of a process that serves: it waits for a successor.
+type Listener struct {
+	Rendezvous Rendezvous
+	Sockets    func() []Socket
+	Snapshot   func() any
 	// Meet is called with each successor that has been handed everything; it returns at the link's end, which
 	// it has to bring about when ctx ends.
-	Meet func(ctx context.Context, l *Link)
-	Ends func() bool // this process ends: whoever has the place keeps it
-	Log  zerolog.Logger
+	Serve      func(ctx context.Context, l *Link)
+	IsStopping func() bool // this process ends: whoever has the place keeps it
+	Log        zerolog.Logger
 }
 
 // Run waits for successors until ctx ends, one at a time: one that fails to start leaves the place to the
 // next. Where no socket can be had, a later process starts without this one's help: that is logged, and is no
 // fault.
-func (h *Host) Run(ctx context.Context) error {
-	for ctx.Err() == nil && !h.Ends() {
-		ln, err := h.Place.listen() // anew where a successor that died had taken the place
+func (h *Listener) Run(ctx context.Context) error {
+	for ctx.Err() == nil && !h.IsStopping() {
+		ln, err := h.Rendezvous.listen() // anew where a successor that died had taken the place
 		if err != nil {
 			h.Log.Warn().Err(err).Msg("no successor can take over from here")
 			return nil
@@ -47,11 +47,11 @@
 }
 
 // host meets successors one after the other, for as long as they find this listener at the place.
-func (h *Host) host(ctx context.Context, ln *net.UnixListener) {
+func (h *Listener) host(ctx context.Context, ln *net.UnixListener) {
 	defer context.AfterFunc(ctx, func() { ln.Close() })()
 	defer ln.Close()
-	ours := h.Place.stat()
-	for same := true; same; same = os.SameFile(ours, h.Place.stat()) {
+	ours := h.Rendezvous.stat()
+	for same := true; same; same = os.SameFile(ours, h.Rendezvous.stat()) {
 		c, err := ln.AcceptUnix()
 		if errors.Is(err, net.ErrClosed) {
 			return
@@ -68,9 +68,9 @@
 	}
 }
 
-func (h *Host) meet(ctx context.Context, c *net.UnixConn) error {
+func (h *Listener) meet(ctx context.Context, c *net.UnixConn) error {
 	if !ours(c) {
-		return fmt.Errorf("%w: another user's", ErrForeign)
+		return fmt.Errorf("%w: another user's", ErrVersionMismatch)
 	}
 	l := newLink(c)
 	c.SetReadDeadline(time.Now().Add(meetWithin))
@@ -79,29 +79,29 @@
 		return err
 	}
 	if m.Version != version {
-		return fmt.Errorf("%w: version %d", ErrForeign, m.Version)
+		return fmt.Errorf("%w: version %d", ErrVersionMismatch, m.Version)
 	}
 	c.SetReadDeadline(time.Time{})
-	legacy, err := encoded(h.Legacy())
+	legacy, err := encoded(h.Snapshot())
 	if err != nil {
 		return err
 	}
 	if err := l.send(message{Version: version, Legacy: legacy}, h.Sockets()...); err != nil {
 		return err
 	}
-	h.Meet(ctx, l)
+	h.Serve(ctx, l)
 	return nil
 }
 
-// Heir is what a process has from its predecessor.
-type Heir struct {
-	Link    *Link
-	Sockets map[string]*os.File
-	Legacy  json.RawMessage
+// Successor is what a process has from its predecessor.
+type Successor struct {
+	Link     *Link
+	Sockets  map[string]*os.File
+	Snapshot json.RawMessage
 }
 
-// Knock looks for a predecessor. It returns nil with no error where there is none.
-func Knock(p Place) (*Heir, error) {
+// Connect looks for a predecessor. It returns nil with no error where there is none.
+func Connect(p Rendezvous) (*Successor, error) {
 	c, err := p.dial()
 	if errors.Is(err, os.ErrNotExist) || errors.Is(err, syscall.ECONNREFUSED) {
 		return nil, nil // nobody, or what a killed one left
@@ -117,9 +117,9 @@
 	return heir, nil
 }
 
-func knock(c *net.UnixConn) (*Heir, error) {
+func knock(c *net.UnixConn) (*Successor, error) {
 	if !ours(c) {
-		return nil, fmt.Errorf("%w: another user's", ErrForeign)
+		return nil, fmt.Errorf("%w: another user's", ErrVersionMismatch)
 	}
 	c.SetReadDeadline(time.Now().Add(meetWithin))
 	l := newLink(c)
@@ -128,7 +128,7 @@
 	}
 	m, files, err := l.receive()
 	if err == nil && m.Version != version {
-		err = fmt.Errorf("%w: version %d", ErrForeign, m.Version)
+		err = fmt.Errorf("%w: version %d", ErrVersionMismatch, m.Version)
 	}
 	if err != nil {
 		for _, f := range files {
@@ -137,5 +137,5 @@
 		return nil, err
 	}
 	c.SetReadDeadline(time.Time{})
-	return &Heir{Link: l, Legacy: m.Legacy, Sockets: files}, nil
+	return &Successor{Link: l, Snapshot: m.Legacy, Sockets: files}, nil
 }
--- a/internal/upgrade/link.go
+++ b/internal/upgrade/link.go
@@ -126,7 +126,7 @@
 			return message{}, nil, fmt.Errorf("hand-over: %w", err)
 		}
 		if len(line) > mostMessage {
-			return message{}, nil, fmt.Errorf("%w: a line of more than %d bytes", ErrForeign, mostMessage)
+			return message{}, nil, fmt.Errorf("%w: a line of more than %d bytes", ErrVersionMismatch, mostMessage)
 		}
 	}
 	m, err := parseMessage(line)
@@ -134,7 +134,7 @@
 		return m, nil, err
 	}
 	if len(m.Sockets) > len(l.files) {
-		return m, nil, fmt.Errorf("%w: %d descriptors for %d sockets", ErrForeign, len(l.files), len(m.Sockets))
+		return m, nil, fmt.Errorf("%w: %d descriptors for %d sockets", ErrVersionMismatch, len(l.files), len(m.Sockets))
 	}
 	files := map[string]*os.File{}
 	for n, name := range m.Sockets {
@@ -144,8 +144,8 @@
 	return m, files, nil
 }
 
-// SendTwin tells the other process what is out here.
-func (l *Link) SendTwin(v any) error {
+// SendSiblingUpdate tells the other process what is out here.
+func (l *Link) SendSiblingUpdate(v any) error {
 	b, err := encoded(v)
 	if err != nil {
 		return err
@@ -153,14 +153,14 @@
 	return l.send(message{Twin: b})
 }
 
-// SendCall passes an operator's call on to the successor.
-func (l *Link) SendCall(call string) error { return l.send(message{Call: call}) }
+// SendCommand passes an operator's call on to the successor.
+func (l *Link) SendCommand(call string) error { return l.send(message{Call: call}) }
 
 // SendServing tells the predecessor that this process accepts from now on.
 func (l *Link) SendServing() error { return l.send(message{Serving: true}) }
 
-// SendOpen hands over one invocation that is open, with its sockets.
-func (l *Link) SendOpen(v any, sockets []Socket) error {
+// SendRequest hands over one invocation that is open, with its sockets.
+func (l *Link) SendRequest(v any, sockets []Socket) error {
 	b, err := encoded(v)
 	if err != nil {
 		return err
@@ -176,16 +176,16 @@
 	return b, nil
 }
 
-// Events are what a link brings. Each may be nil.
-type Events struct {
-	Serving func()
-	Twin    func(json.RawMessage)
-	Call    func(string)
-	Open    func(json.RawMessage, map[string]*os.File)
+// Handler are what a link brings. Each may be nil.
+type Handler struct {
+	Serving       func()
+	SiblingUpdate func(json.RawMessage)
+	Command       func(string)
+	Request       func(json.RawMessage, map[string]*os.File)
 }
 
-// Follow hands on what the other process tells until its end, or the link's.
-func (l *Link) Follow(e Events) error {
+// Receive hands on what the other process tells until its end, or the link's.
+func (l *Link) Receive(e Handler) error {
 	for {
 		m, files, err := l.receive()
 		if err != nil {
@@ -194,14 +194,14 @@
 		if m.Serving && e.Serving != nil {
 			e.Serving()
 		}
-		if m.Twin != nil && e.Twin != nil {
-			e.Twin(m.Twin)
+		if m.Twin != nil && e.SiblingUpdate != nil {
+			e.SiblingUpdate(m.Twin)
 		}
-		if m.Call != "" && e.Call != nil {
-			e.Call(m.Call)
+		if m.Call != "" && e.Command != nil {
+			e.Command(m.Call)
 		}
-		if m.Open != nil && e.Open != nil {
-			e.Open(m.Open, files)
+		if m.Open != nil && e.Request != nil {
+			e.Request(m.Open, files)
 			continue
 		}
 		for _, f := range files { // nobody wants them
--- a/internal/upgrade/message.go
+++ b/internal/upgrade/message.go
@@ -17,8 +17,8 @@
 
 // The names of the sockets that are handed over.
 const (
-	Clients = "clients"
-	Peers   = "peers"
+	ClientSocket = "clients"
+	PeerSocket   = "peers"
 )
 
 // message is one line. The first one of each side says its version.
@@ -32,12 +32,12 @@
 	Call    string          `json:"call,omitempty"`    // an operator's, passed on to the successor
 }
 
-// ErrForeign is a line that is no message of this version.
-var ErrForeign = errors.New("not a message of this version of the hand-over")
+// ErrVersionMismatch is a line that is no message of this version.
+var ErrVersionMismatch = errors.New("not a message of this version of the hand-over")
 
 func parseMessage(line []byte) (m message, err error) {
 	if err := json.Unmarshal(line, &m); err != nil {
-		return m, fmt.Errorf("%w: %w", ErrForeign, err)
+		return m, fmt.Errorf("%w: %w", ErrVersionMismatch, err)
 	}
 	return m, nil
 }
--- a/internal/upgrade/place.go
+++ b/internal/upgrade/place.go
@@ -13,19 +13,19 @@
 // longestPath is that of a Unix socket, with room for the name it has before it is put in place.
 const longestPath = 90
 
-// Place is where the processes of one dispatcher meet.
-type Place struct{ dir, file string }
+// Rendezvous is where the processes of one dispatcher meet.
+type Rendezvous struct{ dir, file string }
 
-// PlaceOf is that of a dispatcher, by its name and its addresses, in a directory.
-func PlaceOf(dir string, of ...string) Place {
+// RendezvousFor is that of a dispatcher, by its name and its addresses, in a directory.
+func RendezvousFor(dir string, of ...string) Rendezvous {
 	h := fnv.New64a()
 	fmt.Fprintf(h, "%q", of)
-	return Place{dir, fmt.Sprintf("canvasroute-%016x.sock", h.Sum64())}
+	return Rendezvous{dir, fmt.Sprintf("canvasroute-%016x.sock", h.Sum64())}
 }
 
 // within calls do with an address for a file in the place's directory; a path that is too long for an address
 // goes by the directory's descriptor.
-func (p Place) within(file string, do func(*net.UnixAddr) error) error {
+func (p Rendezvous) within(file string, do func(*net.UnixAddr) error) error {
 	path := filepath.Join(p.dir, file)
 	if len(path) > longestPath {
 		d, err := os.Open(p.dir)
@@ -40,7 +40,7 @@
 
 // listen opens the meeting place, in place of whoever had it: what a killed process left there is replaced,
 // and so is a predecessor. The socket is put in place whole: there is no moment at which a caller finds none.
-func (p Place) listen() (ln *net.UnixListener, err error) {
+func (p Rendezvous) listen() (ln *net.UnixListener, err error) {
 	fresh := fmt.Sprintf("%s.%d", p.file, os.Getpid())
 	_ = os.Remove(filepath.Join(p.dir, fresh)) // most often there is none; one that stays fails the listening
 	err = p.within(fresh, func(a *net.UnixAddr) error {
@@ -59,7 +59,7 @@
 }
 
 // stat is what is at the place, nil for nothing.
-func (p Place) stat() os.FileInfo {
+func (p Rendezvous) stat() os.FileInfo {
 	info, err := os.Stat(filepath.Join(p.dir, p.file))
 	if err != nil {
 		return nil
@@ -67,7 +67,7 @@
 	return info
 }
 
-func (p Place) dial() (c *net.UnixConn, err error) {
+func (p Rendezvous) dial() (c *net.UnixConn, err error) {
 	err = p.within(p.file, func(a *net.UnixAddr) error {
 		c, err = net.DialUnix("unix", nil, a)
 		return err
