--- a/internal/terms/terms_test.go
+++ b/internal/terms/terms_test.go
@@ -55,7 +55,7 @@
 }
 
 // notInSettings are the terms that a dispatcher's program sets itself.
-var notInSettings = []string{"ToldWithin", "Takes"}
+var notInSettings = []string{"NotifyDeadline", "DeliveryNotices"}
 
 // TestEachSettingArrivesInItsTerm pins the keys of the settings.
 func TestEachSettingArrivesInItsTerm(t *testing.T) {
