--- a/cmd/canvasroute/main.go
+++ b/cmd/canvasroute/main.go
@@ -5,12 +5,12 @@
 import (
 	"os"
 
-	"canvasroute/internal/program"
+	"canvasroute/internal/daemon"
 )
 
 func main() {
 	if len(os.Args) > 1 {
-		os.Exit(program.RunCommand(os.Args[1:], os.Stdout, os.Stderr))
+		os.Exit(daemon.RunCommand(os.Args[1:], os.Stdout, os.Stderr))
 	}
-	os.Exit(program.Main())
+	os.Exit(daemon.Main())
 }
--- a/internal/operate/door.go
+++ b/internal/admin/door.go
@@ -1,7 +1,7 @@
-// Package operate is the operators' door: a second address, one line to a connection, one answer. It waits on
+// Package admin is the operators' door: a second address, one line to a connection, one answer. It waits on
 // no client, no worker and no list, and its descriptors are set aside, so that it answers while the clients'
 // side is full.
-package operate
+package admin
 
 import (
 	"context"
--- a/internal/operate/door_test.go
+++ b/internal/admin/door_test.go
@@ -1,4 +1,4 @@
-package operate
+package admin
 
 import (
 	"context"
--- a/internal/door/door.go
+++ b/internal/admission/door.go
@@ -1,10 +1,10 @@
-// Package door decides how much of what comes is taken in while there is more than the process can decide. It does
+// Package admission decides how much of what comes is taken in while there is more than the process can decide. It does
 // no I/O and reads no clock.
 //
 // The signal is how long what comes waits before it is read, told by beats at equal times. It is taken as standing
 // only where its least value over an interval is long, as in CoDel (Nichols and Jacobson, "Controlling queue delay",
 // 2012): a burst that drains, or a pause of the machine, has short moments in it.
-package door
+package admission
 
 import (
 	"math"
--- a/internal/door/door_test.go
+++ b/internal/admission/door_test.go
@@ -1,4 +1,4 @@
-package door
+package admission
 
 import (
 	"testing"
--- a/decide/cold_test.go
+++ b/internal/balancer/cold_test.go
@@ -1,4 +1,4 @@
-package decide
+package balancer
 
 import (
 	"math"
@@ -42,14 +42,14 @@
 	flight    = Time(200) // of a message
 )
 
-// line is the link of one dispatcher to it.
-type line struct {
+// lineEffects is the link of one dispatcher to it.
+type lineEffects struct {
 	recorder
 	number PeerID
 	c      *coldWorker
 }
 
-func (l *line) Forward(inv RequestID, _ WorkerID, _ Time) {
+func (l *lineEffects) SendAttempt(inv RequestID, _ WorkerID, _ Time) {
 	d := l.c.fleet[l.number]
 	i := &d.requests[inv]
 	j := &job{from: d, inv: inv, n: len(i.attempts) - 1, left: float64(i.size)}
@@ -64,7 +64,7 @@
 	l.c.refused = append(l.c.refused, j)
 }
 
-func (l *line) Tell(to PeerID, load Load) {
+func (l *lineEffects) SendLoad(to PeerID, load Load) {
 	l.c.news = append(l.c.news, message{l.c.now + flight, l.number, to, load})
 }
 
@@ -127,7 +127,7 @@
 	terms.Dispatchers, terms.Gossip, terms.ReportFree = n, true, -1
 	for number := range n {
 		terms.Position = number
-		d := New(terms, uint64(number), &line{number: PeerID(number), c: c})
+		d := New(terms, uint64(number), &lineEffects{number: PeerID(number), c: c})
 		d.SetTime(c.now)
 		d.UpdateEndpoints([]Endpoint{{Worker: 0, ID: "w", StartedAt: c.born}}, true, true)
 		d.maxObserved[0], d.slots[0] = coldSlots, coldSlots
--- a/decide/decide.go
+++ b/internal/balancer/decide.go
@@ -1,7 +1,7 @@
-// Package decide is the decision module. A caller makes a Balancer with New. For each input it sets the clock with Clock,
+// Package balancer is the decision module. A caller makes a Balancer with New. For each input it sets the clock with Clock,
 // calls the method that names what has happened, and Settle to go through the rules. Answers go out through
 // Link meanwhile. The types are in types.go; what a Balancer remembers is in state.go.
-package decide
+package balancer
 
 import (
 	"cmp"
--- a/decide/facade_test.go
+++ b/internal/balancer/facade_test.go
@@ -1,4 +1,4 @@
-package decide
+package balancer
 
 import (
 	"context"
--- a/decide/reach.go
+++ b/internal/balancer/reach.go
@@ -1,4 +1,4 @@
-package decide
+package balancer
 
 // AttemptDelivered takes it that a worker has a forward, begun or not. It guards against work that is moved while it is still
 // on its way: to another zone, over a connection that comes up for it, that takes far longer than a worker that has
--- a/decide/runs.go
+++ b/internal/balancer/runs.go
@@ -1,4 +1,4 @@
-package decide
+package balancer
 
 // observeRun takes how long a piece of work ran for the mean of its operation.
 func (o *operation) observeRun(took Time) {
--- a/decide/share.go
+++ b/internal/balancer/share.go
@@ -1,4 +1,4 @@
-package decide
+package balancer
 
 // warmupCredit is how many forwards a cold worker may get from here, where dispatchers are many and none tells of what
 // it sends: of the first tries that land here, the part that the worker has of all that is healthy, by its warmth,
--- a/decide/sum_test.go
+++ b/internal/balancer/sum_test.go
@@ -1,4 +1,4 @@
-package decide
+package balancer
 
 import (
 	"fmt"
@@ -42,14 +42,14 @@
 	standWork  = Second / 5 // the mean of the sizes
 )
 
-type releaseLink struct {
+type releaseEffects struct {
 	recorder
 	r      *release
 	number int
 	d      *Balancer
 }
 
-func (l *releaseLink) Forward(inv RequestID, tgt WorkerID, _ Time) {
+func (l *releaseEffects) SendAttempt(inv RequestID, tgt WorkerID, _ Time) {
 	r, d, w := l.r, l.d, l.r.workers[tgt]
 	size := float64(d.requests[inv].size) * math.Exp(0.2*r.rng.NormFloat64()) // hints are rough
 	if !r.way.hints {
@@ -63,7 +63,7 @@
 	}
 }
 
-func (l *releaseLink) Cancel(inv RequestID, n int) {
+func (l *releaseEffects) CancelAttempt(inv RequestID, n int) {
 	d := l.d
 	w := l.r.workers[d.requests[inv].attempts[n].worker]
 	off := func(j *job) bool { return j.from == d && j.inv == inv && j.n == n }
@@ -71,7 +71,7 @@
 	l.r.cancelled = append(l.r.cancelled, &job{from: d, inv: inv, n: n})
 }
 
-func (l *releaseLink) Tell(to PeerID, load Load) {
+func (l *releaseEffects) SendLoad(to PeerID, load Load) {
 	if l.r.rng.Float64() >= l.r.way.lost {
 		l.r.news = append(l.r.news, message{l.r.now + flight, PeerID(l.number), to, load})
 	}
@@ -139,7 +139,7 @@
 		terms := testConfig
 		terms.Dispatchers, terms.Position, terms.ReportFree, terms.OverloadFactor = n, number, -1, 3
 		terms.ValuePerRequest, terms.Gossip, terms.GossipCost = 1, way.peers, 0.0004
-		link := &releaseLink{r: r, number: number}
+		link := &releaseEffects{r: r, number: number}
 		link.d = New(terms, seed+uint64(r.now)+uint64(number), link)
 		link.d.SetTime(r.now)
 		link.d.UpdateEndpoints(list, true, true)
--- a/decide/twin.go
+++ b/internal/balancer/twin.go
@@ -1,4 +1,4 @@
-package decide
+package balancer
 
 // SiblingRole is one of the other processes of this dispatcher during an upgrade.
 type SiblingRole uint8
--- a/decide/types.go
+++ b/internal/balancer/types.go
@@ -1,6 +1,6 @@
-// Package decide holds canvasroute's decisions. This file has its types and the two interfaces:
+// Package balancer holds canvasroute's decisions. This file has its types and the two interfaces:
 // the methods of Balancer that are called with what has happened, and Link, which it answers through.
-package decide
+package balancer
 
 import "time"
 
--- a/internal/program/back.go
+++ b/internal/daemon/back.go
@@ -1,4 +1,4 @@
-package program
+package daemon
 
 import (
 	"context"
@@ -6,14 +6,14 @@
 
 	"github.com/rs/zerolog"
 
-	"canvasroute/decide"
-	"canvasroute/internal/drain"
+	"canvasroute/internal/balancer"
 	"canvasroute/internal/fleet"
-	"canvasroute/internal/routing"
+	"canvasroute/internal/lifecycle"
+	"canvasroute/internal/proxy"
 )
 
 // node opens the part that brings this dispatcher back, nil where operators have not asked for it.
-func (p *Config) node(now func() decide.Time, heir bool, log zerolog.Logger) (*fleet.Node, error) {
+func (p *Config) node(now func() balancer.Time, heir bool, log zerolog.Logger) (*fleet.Node, error) {
 	if p.Fleet == nil {
 		return nil, nil
 	}
@@ -22,7 +22,7 @@
 		WarmupDuration: p.Balancer.WarmupDuration.Duration(), MaxRetryAfter: p.Proxy.MaxRetryAfter, TakesOver: heir, Now: now, Log: log,
 	}
 	for _, o := range p.Balancer.Operations {
-		if o.Idempotency == decide.IdempotentByKey && o.DedupScope != decide.ScopeAll {
+		if o.Idempotency == balancer.IdempotentByKey && o.DedupScope != balancer.ScopeAll {
 			t.DedupWindow = max(t.DedupWindow, o.DedupWindow.Duration())
 		}
 	}
@@ -35,7 +35,7 @@
 }
 
 // bringBack gives the node what it brings back, before anything runs.
-func bringBack(node *fleet.Node, router *routing.Proxy, facade *decide.Shards, state *drain.State) {
+func bringBack(node *fleet.Node, router *proxy.Proxy, facade *balancer.Shards, state *lifecycle.State) {
 	node.Attach(router, facade)
 	if _, entries := router.Endpoints(); len(entries) > 0 {
 		node.PredecessorServed()
--- a/internal/program/call.go
+++ b/internal/daemon/call.go
@@ -1,4 +1,4 @@
-package program
+package daemon
 
 import (
 	"encoding/json"
@@ -10,7 +10,7 @@
 	"github.com/spf13/cobra"
 
 	"canvasroute/internal/fleet/store"
-	"canvasroute/internal/routing"
+	"canvasroute/internal/proxy"
 )
 
 // RunCommand runs a command of the dispatcher's program other than serving, and returns the code that it exits with.
@@ -95,7 +95,7 @@
 		return s
 	}
 	s.Written, s.Settings = time.UnixMilli(f.State.WrittenAt).UTC(), f.State.SettingsHash
-	var l routing.Snapshot
+	var l proxy.Snapshot
 	if err := json.Unmarshal(f.State.Learned, &l); err != nil {
 		s.Lost = append(s.Lost, fmt.Sprintf("facts: %v", err))
 		return s
--- a/internal/program/crossings_test.go
+++ b/internal/daemon/crossings_test.go
@@ -1,4 +1,4 @@
-package program
+package daemon
 
 import (
 	"errors"
@@ -15,7 +15,7 @@
 	"github.com/rs/zerolog"
 	"github.com/stretchr/testify/assert"
 
-	"canvasroute/decide"
+	"canvasroute/internal/balancer"
 )
 
 // Each test here lets a signal come at a moment at which it seldom comes (docs/crossings.md).
@@ -102,7 +102,7 @@
 func TestWorkerThatHangsKeepsNoProcessWhereNothingMayBeCalledOff(t *testing.T) {
 	p, url := placed(t, time.Minute)
 	p.Balancer.Cancellation = false
-	p.Balancer.Operations[0].Idempotency = decide.NonIdempotent
+	p.Balancer.Operations[0].Idempotency = balancer.NonIdempotent
 	p.AdminListen = freeAddress(t)
 	heard, start := told(p, nil)
 	ended := start()
--- a/internal/program/daily_test.go
+++ b/internal/daemon/daily_test.go
@@ -1,4 +1,4 @@
-package program
+package daemon
 
 import (
 	"fmt"
@@ -14,7 +14,7 @@
 	"github.com/rs/zerolog"
 	"github.com/stretchr/testify/assert"
 
-	"canvasroute/internal/drain"
+	"canvasroute/internal/lifecycle"
 )
 
 // settled is a process whose configuration stands in a file, which turn replaces.
@@ -111,7 +111,7 @@
 	}
 	d.says(t, "DUMP", "svc.outstanding=0\n")
 	assert.Contains(t, called(t, d.mgmt, "DUMP"), "svc.forwards=2\n")
-	assert.Greater(t, 4*time.Second, drain.AcceptAfterStop)
+	assert.Greater(t, 4*time.Second, lifecycle.AcceptAfterStop)
 	d.end(t)
 }
 
--- a/internal/program/desk.go
+++ b/internal/daemon/desk.go
@@ -1,4 +1,4 @@
-package program
+package daemon
 
 import (
 	"sync/atomic"
@@ -6,11 +6,11 @@
 
 	"github.com/rs/zerolog"
 
-	"canvasroute/internal/drain"
+	"canvasroute/internal/admin"
 	"canvasroute/internal/fleet"
-	"canvasroute/internal/operate"
+	"canvasroute/internal/lifecycle"
 	"canvasroute/internal/protocol"
-	"canvasroute/internal/routing"
+	"canvasroute/internal/proxy"
 )
 
 const (
@@ -20,8 +20,8 @@
 
 // adminHandler does what operators ask at their door.
 type adminHandler struct {
-	router            *routing.Proxy
-	drain             *drain.State
+	router            *proxy.Proxy
+	drain             *lifecycle.State
 	handover          *handover
 	node              *fleet.Node // nil where it is off
 	log               zerolog.Logger
@@ -29,11 +29,11 @@
 }
 
 // open opens the door at an address, none if that is "".
-func (d *adminHandler) open(addr string) (*operate.Server, error) {
+func (d *adminHandler) open(addr string) (*admin.Server, error) {
 	if addr == "" {
 		return nil, nil
 	}
-	return operate.Listen(addr, d, d.log)
+	return admin.Listen(addr, d, d.log)
 }
 
 func (d *adminHandler) Health() error { return d.router.Ready() }
@@ -57,7 +57,7 @@
 
 func (d *adminHandler) Rejoin() error {
 	if d.drain.PhaseAt(time.Now()).IsStopping() {
-		return drain.ErrStopping
+		return lifecycle.ErrStopping
 	}
 	if passed, err := d.handover.pass(callJoin); passed {
 		return err
--- a/internal/program/desk_test.go
+++ b/internal/daemon/desk_test.go
@@ -1,4 +1,4 @@
-package program
+package daemon
 
 import (
 	"bufio"
@@ -13,7 +13,7 @@
 
 	"github.com/stretchr/testify/assert"
 
-	"canvasroute/internal/drain"
+	"canvasroute/internal/lifecycle"
 )
 
 // called makes one call at the operators' door.
@@ -63,7 +63,7 @@
 // Guards against a drained dispatcher that loses what it has taken, holds connections, or takes more.
 func TestLeaveEmptiesAndJoinTakesClientsAgain(t *testing.T) {
 	mgmt := freeAddress(t)
-	long := 2 * drain.AcceptAfterStop
+	long := 2 * lifecycle.AcceptAfterStop
 	url, _, ended := running(t, long, nil, func(p *Config) { p.AdminListen, p.MaxClientTimeout = mgmt, 3*time.Second })
 	assert.Equal(t, "done\n", called(t, mgmt, "HEALTH"))
 	idle, busy, late := connected(t, url), connected(t, url), connected(t, url)
@@ -79,7 +79,7 @@
 	assert.Equal(t, []any{503, true}, []any{a.StatusCode, a.Close})
 	_, err = idle.in.ReadByte()
 	assert.ErrorIs(t, err, io.EOF)
-	assert.InDelta(t, drain.AcceptAfterStop.Seconds(), time.Since(left).Seconds(), 0.3, "clients may use it until then")
+	assert.InDelta(t, lifecycle.AcceptAfterStop.Seconds(), time.Since(left).Seconds(), 0.3, "clients may use it until then")
 	_, err = late.in.ReadByte()
 	assert.ErrorIs(t, err, io.EOF)
 	late = connected(t, url)
--- a/internal/program/handover.go
+++ b/internal/daemon/handover.go
@@ -1,4 +1,4 @@
-package program
+package daemon
 
 import (
 	"context"
@@ -15,13 +15,13 @@
 	"github.com/rs/zerolog"
 	"golang.org/x/sync/errgroup"
 
-	"canvasroute/decide"
-	"canvasroute/internal/drain"
+	"canvasroute/internal/balancer"
 	"canvasroute/internal/fleet"
+	"canvasroute/internal/hotrestart"
+	"canvasroute/internal/lifecycle"
 	"canvasroute/internal/protocol"
-	"canvasroute/internal/routing"
+	"canvasroute/internal/proxy"
 	"canvasroute/internal/transport"
-	"canvasroute/internal/upgrade"
 )
 
 // tellEvery is how often the two processes of an upgrade tell each other what is out.
@@ -31,11 +31,11 @@
 // the one after it. Both share one listener's queue and one socket for datagrams, count what the other has
 // out as theirs, and keep within the limits together.
 type handover struct {
-	place     upgrade.Rendezvous
-	heir      *upgrade.Successor // from the process before, nil where there is none
+	place     hotrestart.Rendezvous
+	heir      *hotrestart.Successor // from the process before, nil where there is none
 	room      room
-	state     *drain.State
-	router    *routing.Proxy
+	state     *lifecycle.State
+	router    *proxy.Proxy
 	server    *transport.Server
 	pool      *transport.Pool
 	listener  syscall.Conn
@@ -45,8 +45,8 @@
 
 	handing   sync.Mutex // one goes through what is open at a time
 	mu        sync.Mutex
-	successor *upgrade.Link // one that serves
-	twins     int           // processes that the limits are shared with
+	successor *hotrestart.Link // one that serves
+	twins     int              // processes that the limits are shared with
 }
 
 // meet looks for the process before this one. Without operators' door there is no upgrade: nothing is looked
@@ -55,9 +55,9 @@
 	if p.AdminListen == "" {
 		return nil
 	}
-	h := &handover{place: upgrade.RendezvousFor(os.TempDir(), p.Name, p.Listen, p.PeerListen), log: log}
+	h := &handover{place: hotrestart.RendezvousFor(os.TempDir(), p.Name, p.Listen, p.PeerListen), log: log}
 	var err error
-	if h.heir, err = upgrade.Connect(h.place); err != nil {
+	if h.heir, err = hotrestart.Connect(h.place); err != nil {
 		log.Warn().Err(err).Msg("nothing is handed over: starting beside whoever is there")
 	}
 	if h.heir != nil {
@@ -90,7 +90,7 @@
 
 // run waits for a successor, and meanwhile sees the predecessor off.
 func (h *handover) run(ctx context.Context) error {
-	host := upgrade.Listener{
+	host := hotrestart.Listener{
 		Rendezvous: h.place, Log: h.log, Sockets: h.sockets, Serve: h.relieve,
 		Snapshot:   func() any { return h.router.Snapshot() },
 		IsStopping: func() bool { return h.state.PhaseAt(time.Now()).IsStopping() },
@@ -106,10 +106,10 @@
 	return both.Wait()
 }
 
-func (h *handover) sockets() []upgrade.Socket {
-	all := []upgrade.Socket{{Name: upgrade.ClientSocket, Conn: h.listener}}
+func (h *handover) sockets() []hotrestart.Socket {
+	all := []hotrestart.Socket{{Name: hotrestart.ClientSocket, Conn: h.listener}}
 	if h.datagrams != nil {
-		all = append(all, upgrade.Socket{Name: upgrade.PeerSocket, Conn: h.datagrams.Socket()})
+		all = append(all, hotrestart.Socket{Name: hotrestart.PeerSocket, Conn: h.datagrams.Socket()})
 	}
 	return all
 }
@@ -119,15 +119,15 @@
 	l := h.heir.Link
 	h.share(1)
 	h.bound(h.room.clients/2, h.room.workers/2) // until it tells what it has
-	stop := h.tell(ctx, l, func() routing.SiblingUpdate { return h.router.SiblingUpdate(decide.Predecessor) })
+	stop := h.tell(ctx, l, func() proxy.SiblingUpdate { return h.router.SiblingUpdate(balancer.Predecessor) })
 	defer stop()
 	if err := l.SendServing(); err != nil {
 		h.log.Warn().Err(err).Msg("predecessor cannot be told")
 	}
-	err := l.Receive(upgrade.Handler{
+	err := l.Receive(hotrestart.Handler{
 		SiblingUpdate: func(b json.RawMessage) {
 			if t, ok := h.twin(b); ok {
-				h.router.ReceiveSiblingUpdate(decide.Predecessor, t)
+				h.router.ReceiveSiblingUpdate(balancer.Predecessor, t)
 				h.bound(h.room.clients-t.ClientConnections, h.room.workers-t.WorkerConnections)
 			}
 		},
@@ -142,7 +142,7 @@
 			}
 		},
 	})
-	h.router.SiblingGone(decide.Predecessor)
+	h.router.SiblingGone(balancer.Predecessor)
 	h.share(-1)
 	h.bound(h.room.clients, h.room.workers)
 	h.log.Info().AnErr("cause", err).Msg("predecessor has ended")
@@ -150,11 +150,11 @@
 
 // relieve goes on beside a successor until one of the two has ended. If it is the successor, this process
 // takes clients again, unless it ends itself.
-func (h *handover) relieve(ctx context.Context, l *upgrade.Link) {
+func (h *handover) relieve(ctx context.Context, l *hotrestart.Link) {
 	h.share(1)
 	clients, workers := h.server.OpenConnections(), h.pool.OpenConnections()
 	clients, workers = (clients+h.room.clients)/2, (workers+h.room.workers)/2 // half of what is free
-	stop := h.tell(ctx, l, func() routing.SiblingUpdate {
+	stop := h.tell(ctx, l, func() proxy.SiblingUpdate {
 		if h.state.PhaseAt(time.Now()).IsStopping() {
 			h.handAll()
 		}
@@ -162,20 +162,20 @@
 			clients, workers = min(clients, h.server.OpenConnections()), min(workers, h.pool.OpenConnections()+1)
 		}
 		h.bound(clients, workers)
-		t := h.router.SiblingUpdate(decide.Successor)
+		t := h.router.SiblingUpdate(balancer.Successor)
 		t.ClientConnections, t.WorkerConnections = clients, workers
 		return t
 	})
 	defer stop()
-	err := l.Receive(upgrade.Handler{
+	err := l.Receive(hotrestart.Handler{
 		Serving: func() { h.serves(l) },
 		SiblingUpdate: func(b json.RawMessage) {
 			if t, ok := h.twin(b); ok {
-				h.router.ReceiveSiblingUpdate(decide.Successor, t)
+				h.router.ReceiveSiblingUpdate(balancer.Successor, t)
 			}
 		},
 	})
-	h.router.SiblingGone(decide.Successor)
+	h.router.SiblingGone(balancer.Successor)
 	h.share(-1)
 	h.bound(h.room.clients, h.room.workers)
 	h.mu.Lock()
@@ -189,7 +189,7 @@
 	h.log.Info().AnErr("cause", err).Stringer("phase", h.state.PhaseAt(time.Now())).Msg("successor has ended")
 }
 
-func (h *handover) serves(l *upgrade.Link) {
+func (h *handover) serves(l *hotrestart.Link) {
 	if err := h.state.HandOff(time.Now()); err != nil {
 		h.log.Warn().Err(err).Msg("successor serves")
 		return
@@ -205,7 +205,7 @@
 }
 
 // tell sends what is out here until ctx ends, which also ends the link.
-func (h *handover) tell(ctx context.Context, l *upgrade.Link, twin func() routing.SiblingUpdate) (stop func()) {
+func (h *handover) tell(ctx context.Context, l *hotrestart.Link, twin func() proxy.SiblingUpdate) (stop func()) {
 	ctx, cancel := context.WithCancel(ctx)
 	done := make(chan struct{})
 	go func() {
@@ -230,7 +230,7 @@
 	}
 }
 
-func (h *handover) twin(b json.RawMessage) (t routing.SiblingUpdate, ok bool) {
+func (h *handover) twin(b json.RawMessage) (t proxy.SiblingUpdate, ok bool) {
 	if err := json.Unmarshal(b, &t); err != nil {
 		h.log.Warn().Err(err).Msg("twin")
 		return t, false
@@ -261,10 +261,10 @@
 	}
 	h.handing.Lock()
 	defer h.handing.Unlock()
-	h.router.ExportAll(func(open *routing.MigratedRequest, client syscall.Conn, forwards map[int]syscall.Conn) error {
-		sockets := []upgrade.Socket{{Name: upgrade.ClientSocket, Conn: client}}
+	h.router.ExportAll(func(open *proxy.MigratedRequest, client syscall.Conn, forwards map[int]syscall.Conn) error {
+		sockets := []hotrestart.Socket{{Name: hotrestart.ClientSocket, Conn: client}}
 		for n, c := range forwards {
-			sockets = append(sockets, upgrade.Socket{Name: strconv.Itoa(n), Conn: c})
+			sockets = append(sockets, hotrestart.Socket{Name: strconv.Itoa(n), Conn: c})
 		}
 		return l.SendRequest(open, sockets)
 	})
@@ -305,7 +305,7 @@
 	h.server.Import(client, open.Pipelined, open.CloseRequested, open.AcceptsInterim, finish)
 }
 
-func (h *handover) serving() *upgrade.Link {
+func (h *handover) serving() *hotrestart.Link {
 	if h == nil {
 		return nil
 	}
--- a/internal/program/operators_test.go
+++ b/internal/daemon/operators_test.go
@@ -1,4 +1,4 @@
-package program
+package daemon
 
 import (
 	"bytes"
@@ -14,9 +14,9 @@
 
 	"github.com/stretchr/testify/assert"
 
+	"canvasroute/internal/hotrestart"
 	"canvasroute/internal/protocol"
-	"canvasroute/internal/routing"
-	"canvasroute/internal/upgrade"
+	"canvasroute/internal/proxy"
 )
 
 // allKeys is a configuration with each key that is read beside those of package terms, and no default among its values.
@@ -41,8 +41,8 @@
 		Name: "n3", Listen: "127.0.0.1:8080", PeerListen: "127.0.0.1:7946", AdminListen: "127.0.0.1:8600",
 		Seed: 0x8c1f30d27a5be964, Cores: 2.5, MemoryMB: 200, Sockets: 2048, WorkerIdleTimeout: 8 * time.Second,
 		MaxClientTimeout: 2500 * time.Millisecond,
-		Proxy: routing.Config{
-			Operations: []routing.Operation{{
+		Proxy: proxy.Config{
+			Operations: []proxy.Operation{{
 				Name: "render", DefaultTimeout: 2500 * time.Millisecond, RequiresKey: true, DedupScope: 2,
 				DedupWindow: time.Minute,
 			}},
@@ -181,7 +181,7 @@
 	t.Setenv("TMPDIR", dir)
 	p, err := parse([]byte(allKeys), environment())
 	assert.NoError(t, err)
-	assert.Equal(t, upgrade.RendezvousFor(dir, "n3", "127.0.0.1:8080", "127.0.0.1:7946"), meet(p, nop).place)
+	assert.Equal(t, hotrestart.RendezvousFor(dir, "n3", "127.0.0.1:8080", "127.0.0.1:7946"), meet(p, nop).place)
 	p.AdminListen = ""
 	assert.Nil(t, meet(p, nop), "without an address for operators there is no upgrade")
 }
--- a/internal/program/placement.go
+++ b/internal/daemon/placement.go
@@ -1,6 +1,6 @@
-// Package program starts a dispatcher, keeps it running and ends it. The one place where its configuration is
+// Package daemon starts a dispatcher, keeps it running and ends it. The one place where its configuration is
 // read, checked and defaulted is this file; the settings within it are read by package terms.
-package program
+package daemon
 
 import (
 	"crypto/sha256"
@@ -14,11 +14,11 @@
 
 	"github.com/valyala/fastjson"
 
-	"canvasroute/decide"
+	"canvasroute/internal/balancer"
 	"canvasroute/internal/fleet"
 	"canvasroute/internal/protocol"
-	"canvasroute/internal/routing"
-	"canvasroute/internal/terms"
+	"canvasroute/internal/proxy"
+	"canvasroute/internal/settings"
 )
 
 // Where nothing is said.
@@ -31,7 +31,7 @@
 	usualAsk      = 10 * time.Second
 	usualTimeout  = 30 * time.Second
 	leastSockets  = 64
-	toldWithin    = 6 * decide.Second // the platform's term, which no setting tells
+	toldWithin    = 6 * balancer.Second // the platform's term, which no setting tells
 	leastMemoryMB = 16
 )
 
@@ -44,8 +44,8 @@
 	MemoryMB, Sockets        int
 	WorkerIdleTimeout        time.Duration // how long a worker lets a connection stand idle
 	MaxClientTimeout         time.Duration // the longest client timeout
-	Balancer                 decide.Config
-	Proxy                    routing.Config
+	Balancer                 balancer.Config
+	Proxy                    proxy.Config
 	Fleet                    *fleet.Settings // nil where dispatchers do nothing more in common
 	settings                 string          // a hash of the settings
 	keys                     map[string]bool // those of the file, by their paths
@@ -96,13 +96,13 @@
 	}
 	settingsJSON := v.Get("settings")
 	p := &Config{}
-	if p.Balancer, err = terms.Parse(settingsJSON); err != nil {
+	if p.Balancer, err = settings.Parse(settingsJSON); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
 	r := reader{v: v, getenv: getenv}
 	// On sockets the list service never tells by itself, whatever the settings say of it.
 	p.Balancer.PollEndpoints = true
-	p.Balancer.MaxPollInterval = terms.DurationOf(r.span(usualAsk, "settings", "rules", "askWithinS").Seconds())
+	p.Balancer.MaxPollInterval = settings.DurationOf(r.span(usualAsk, "settings", "rules", "askWithinS").Seconds())
 	p.Balancer.NotifyDeadline, p.Balancer.DeliveryNotices = toldWithin, true
 	p.Name = r.text("LB_NAME", "name")
 	p.Listen = r.address("LB_LISTEN", "listen").String()
@@ -241,9 +241,9 @@
 		t.MaxRetryAfter = p.Balancer.MaxRetryAfter.Duration()
 	}
 	for n, o := range settings.GetArray("operations") {
-		op := routing.Operation{
+		op := proxy.Operation{
 			Name: string(o.GetStringBytes("name")), DefaultTimeout: usualTimeout,
-			RequiresKey: n < len(p.Balancer.Operations) && p.Balancer.Operations[n].Idempotency == decide.IdempotentByKey,
+			RequiresKey: n < len(p.Balancer.Operations) && p.Balancer.Operations[n].Idempotency == balancer.IdempotentByKey,
 		}
 		if n < len(p.Balancer.Operations) {
 			op.DedupScope, op.DedupWindow = p.Balancer.Operations[n].DedupScope, p.Balancer.Operations[n].DedupWindow.Duration()
--- a/internal/program/program.go
+++ b/internal/daemon/program.go
@@ -1,4 +1,4 @@
-package program
+package daemon
 
 import (
 	"context"
@@ -13,11 +13,11 @@
 	"github.com/rs/zerolog"
 	"golang.org/x/sync/errgroup"
 
-	"canvasroute/decide"
-	"canvasroute/internal/drain"
-	"canvasroute/internal/routing"
+	"canvasroute/internal/balancer"
+	"canvasroute/internal/hotrestart"
+	"canvasroute/internal/lifecycle"
+	"canvasroute/internal/proxy"
 	"canvasroute/internal/transport"
-	"canvasroute/internal/upgrade"
 )
 
 // Bounds on the end.
@@ -56,10 +56,10 @@
 	debug.SetMemoryLimit(room.heap)
 
 	start := time.Now()
-	base := decide.Time(start.UnixMicro() / 100)
-	clock := func() decide.Time { return base + decide.Time(time.Since(start)/(time.Second/decide.Second)) }
-	p.Proxy.FromUnix = func(ms float64) decide.Time { return decide.Time(ms * 10) }
-	facade := decide.NewShards(p.Balancer, p.instances(), p.Seed, clock,
+	base := balancer.Time(start.UnixMicro() / 100)
+	clock := func() balancer.Time { return base + balancer.Time(time.Since(start)/(time.Second/balancer.Second)) }
+	p.Proxy.FromUnix = func(ms float64) balancer.Time { return balancer.Time(ms * 10) }
+	facade := balancer.NewShards(p.Balancer, p.instances(), p.Seed, clock,
 		func(line string) { log.Warn().Msg(line) })
 
 	pool := transport.NewPool(room.workers, p.WorkerIdleTimeout, log)
@@ -74,12 +74,12 @@
 	if err != nil {
 		return err
 	}
-	state := &drain.State{}
-	router := routing.New(p.Proxy, facade, pool, datagrams, state, log)
+	state := &lifecycle.State{}
+	router := proxy.New(p.Proxy, facade, pool, datagrams, state, log)
 	if node != nil {
 		bringBack(node, router, facade, state)
 	}
-	ln, err := transport.ListenClients(p.Listen, both.socket(upgrade.ClientSocket), both != nil)
+	ln, err := transport.ListenClients(p.Listen, both.socket(hotrestart.ClientSocket), both != nil)
 	if err != nil {
 		return err
 	}
@@ -133,13 +133,13 @@
 	if err != nil {
 		return nil, fmt.Errorf("peer_listen: %w", err)
 	}
-	return transport.ListenDatagrams(addr, both.socket(upgrade.PeerSocket), both != nil)
+	return transport.ListenDatagrams(addr, both.socket(hotrestart.PeerSocket), both != nil)
 }
 
 // attend answers signals: counters on SIGUSR1, the configuration anew on SIGHUP, and the drain on SIGTERM or
 // SIGINT.
 func attend(heard *signals, failed, working context.Context, p *Config, anew func() (*Config, error),
-	desk *adminHandler, router *routing.Proxy, server *transport.Server, stopAccepting func(),
+	desk *adminHandler, router *proxy.Proxy, server *transport.Server, stopAccepting func(),
 	log zerolog.Logger,
 ) error {
 	for {
--- a/internal/program/reload.go
+++ b/internal/daemon/reload.go
@@ -1,4 +1,4 @@
-package program
+package daemon
 
 import (
 	"fmt"
@@ -7,13 +7,13 @@
 
 	"github.com/rs/zerolog"
 
-	"canvasroute/internal/routing"
+	"canvasroute/internal/proxy"
 )
 
 // reload takes over what a new configuration may change while we serve: where the list service is, and
 // settings. It is checked whole, and taken whole or not at all. Workers, what is known of them and what is
 // open stay as they are.
-func reload(p *Config, anew func() (*Config, error), desk *adminHandler, router *routing.Proxy,
+func reload(p *Config, anew func() (*Config, error), desk *adminHandler, router *proxy.Proxy,
 	log zerolog.Logger,
 ) *Config {
 	next, err := anew()
--- a/internal/program/room.go
+++ b/internal/daemon/room.go
@@ -1,6 +1,6 @@
-package program
+package daemon
 
-import "canvasroute/internal/operate"
+import "canvasroute/internal/admin"
 
 // Shares of the limits.
 const (
@@ -30,7 +30,7 @@
 	memory := float64(p.MemoryMB) * (1 << 20)
 	own := ownSockets
 	if p.AdminListen != "" {
-		own += operate.MaxConnections + 2 // its listener, and one about to be told to go
+		own += admin.MaxConnections + 2 // its listener, and one about to be told to go
 	}
 	conns := min(p.Sockets-own, int(memory*connsShare/connBytes))
 	r := room{bodies: int64(memory * bodiesShare), heap: int64(memory * heapShare)}
--- a/internal/program/size_test.go
+++ b/internal/daemon/size_test.go
@@ -1,4 +1,4 @@
-package program
+package daemon
 
 import (
 	"fmt"
--- a/internal/fleet/keys.go
+++ b/internal/fleet/keys.go
@@ -6,9 +6,9 @@
 	"hash/fnv"
 	"time"
 
-	"canvasroute/internal/fleet/link"
+	"canvasroute/internal/fleet/messaging"
 	"canvasroute/internal/fleet/store"
-	"canvasroute/internal/routing"
+	"canvasroute/internal/proxy"
 )
 
 // sumOf is what stands for a key on disk and on the link.
@@ -19,23 +19,23 @@
 }
 
 // PriorExecution tells where an invocation under the same key may have run in an earlier life of any dispatcher.
-func (n *Node) PriorExecution(operation, key string, again bool) (*routing.PriorExecution, error) {
+func (n *Node) PriorExecution(operation, key string, again bool) (*proxy.PriorExecution, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	k, found, err := n.keys.Find(sumOf(operation, key), again, n.core.PeerKeysPending(n.now()), time.Now().UnixMilli(), n.now())
 	switch {
 	case err != nil:
 		n.stats.barred++
-		return nil, fmt.Errorf("%w: %w", routing.ErrOutcomeUnknown, err)
+		return nil, fmt.Errorf("%w: %w", proxy.ErrOutcomeUnknown, err)
 	case !found:
 		return nil, nil
 	}
 	n.stats.held++
-	return &routing.PriorExecution{Worker: k.Worker, Zone: k.Zone, Cell: k.Cell, SentMs: k.SentAt}, nil
+	return &proxy.PriorExecution{Worker: k.Worker, Zone: k.Zone, Cell: k.Cell, SentMs: k.SentAt}, nil
 }
 
 // PersistKey makes a key durable before its forward is sent. Many at once share one sync.
-func (n *Node) PersistKey(ctx context.Context, k routing.KeyRecord) error {
+func (n *Node) PersistKey(ctx context.Context, k proxy.KeyRecord) error {
 	now := time.Now().UnixMilli()
 	key := kept{store.Key{
 		Sum: sumOf(k.Operation, k.Key), Worker: k.Worker, Zone: k.Zone, Cell: k.Cell, SentAt: now,
@@ -105,9 +105,9 @@
 	}
 	n.stats.keysKept += int64(len(keys))
 	for _, k := range keys { // others that return ask for these too; here they change nothing
-		n.keys.AddSent(link.Key(k))
+		n.keys.AddSent(messaging.Key(k))
 	}
 	return nil
 }
 
-var _ routing.Recovery = (*Node)(nil)
+var _ proxy.Recovery = (*Node)(nil)
--- a/internal/fleet/merge.go
+++ b/internal/fleet/merge.go
@@ -4,11 +4,11 @@
 	"slices"
 	"time"
 
-	"canvasroute/decide"
-	"canvasroute/internal/fleet/link"
+	"canvasroute/internal/balancer"
+	"canvasroute/internal/fleet/messaging"
 	"canvasroute/internal/fleet/recovery"
 	"canvasroute/internal/protocol"
-	"canvasroute/internal/routing"
+	"canvasroute/internal/proxy"
 )
 
 // apply takes up what is trusted of before, and what others know, before the first invocation lands.
@@ -16,7 +16,7 @@
 	n.mu.Lock()
 	who, found := n.core.Outage(), n.found
 	n.mu.Unlock()
-	start := n.terms.Now() - decide.Time(n.now()/(time.Second/decide.Second))
+	start := n.terms.Now() - balancer.Time(n.now()/(time.Second/balancer.Second))
 	if found.State != nil {
 		if l, ok := n.learnt(); ok {
 			age := recovery.RecordAgeOf(found.State.WrittenAt, time.Now().UnixMilli())
@@ -37,7 +37,7 @@
 }
 
 // sift leaves of what was learnt what is trusted, and tells of the rest.
-func (n *Node) sift(l *routing.Snapshot, age recovery.RecordAge, who recovery.Outage) {
+func (n *Node) sift(l *proxy.Snapshot, age recovery.RecordAge, who recovery.Outage) {
 	trusts := func(f recovery.Fact) bool {
 		ok, why := recovery.IsTrusted(f, age, who)
 		n.mu.Lock()
@@ -68,7 +68,7 @@
 			was := &learnt.Workers[w]
 			was.PeerLoads, was.Sends = nil, nil // what others had out then, and what is past its span
 			if !rests {
-				*was = decide.WorkerStats{}
+				*was = balancer.WorkerStats{}
 			}
 		}
 		if !rests {
@@ -78,7 +78,7 @@
 }
 
 // drains takes the drains that the list had told, as far as the list that is known does not.
-func (n *Node) drains(l routing.Snapshot) {
+func (n *Node) drains(l proxy.Snapshot) {
 	version, entries := n.router.Endpoints()
 	if version > l.Version {
 		return
@@ -111,7 +111,7 @@
 		}
 		for kind, most := range m.Bears {
 			if k := slices.Index(n.terms.Kinds, kind); k >= 0 { // also of another's disk: where this one's is gone
-				n.facade.SeedMaxObserved(decide.KindID(k), most)
+				n.facade.SeedMaxObserved(balancer.KindID(k), most)
 			}
 		}
 		for _, w := range m.Workers {
@@ -157,7 +157,7 @@
 		if e.State == protocol.Gone {
 			continue
 		}
-		w := link.Worker{ID: e.ID, StartedAt: int64(e.StartedAtMillis), InFlight: out[e.ID]}
+		w := messaging.Worker{ID: e.ID, StartedAt: int64(e.StartedAtMillis), InFlight: out[e.ID]}
 		if e.State != protocol.Ready {
 			w.State = e.State
 		}
--- a/internal/fleet/link/format_test.go
+++ b/internal/fleet/messaging/format_test.go
@@ -1,4 +1,4 @@
-package link
+package messaging
 
 import (
 	"os"
@@ -80,7 +80,7 @@
 	for _, v := range []any{message, message.Workers[0], message.Keys[0]} {
 		assert.Empty(t, unsetFields(v))
 	}
-	assert.Equal(t, []string{"Born", "State", "Out"}, unsetFields(Worker{ID: "w1"}), "an unset field is found")
+	assert.Equal(t, []string{"StartedAt", "State", "InFlight"}, unsetFields(Worker{ID: "w1"}), "an unset field is found")
 }
 
 // goldenFile reads a file of testdata.
--- a/internal/fleet/link/message.go
+++ b/internal/fleet/messaging/message.go
@@ -1,7 +1,7 @@
-// Package link is what dispatchers say to one another beside the platform's datagrams: questions of one that
+// Package messaging is what dispatchers say to one another beside the platform's datagrams: questions of one that
 // returns, and answers. Messages are lost, late, doubled and out of order; each stands for itself, and taking
 // one twice changes nothing.
-package link
+package messaging
 
 import (
 	"errors"
@@ -10,7 +10,7 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Most is how long one message may be, in bytes: what fits a packet on any net.
+// MaxDatagramBytes is how long one message may be, in bytes: what fits a packet on any net.
 const MaxDatagramBytes = 1200
 
 // Kind is what a message is.
--- a/internal/fleet/link/socket.go
+++ b/internal/fleet/messaging/socket.go
@@ -1,4 +1,4 @@
-package link
+package messaging
 
 import (
 	"context"
--- a/internal/fleet/node.go
+++ b/internal/fleet/node.go
@@ -12,12 +12,12 @@
 	"github.com/rs/zerolog"
 	"golang.org/x/sync/errgroup"
 
-	"canvasroute/decide"
-	"canvasroute/internal/fleet/link"
+	"canvasroute/internal/balancer"
+	"canvasroute/internal/fleet/messaging"
 	"canvasroute/internal/fleet/recovery"
 	"canvasroute/internal/fleet/store"
 	"canvasroute/internal/protocol"
-	"canvasroute/internal/routing"
+	"canvasroute/internal/proxy"
 )
 
 // Config are what a node is told of the dispatcher that it is part of.
@@ -30,7 +30,7 @@
 	WarmupDuration time.Duration // until a worker is warm
 	MaxRetryAfter  time.Duration
 	TakesOver      bool // it goes on for a predecessor, which leaves the folder and the address to it
-	Now            func() decide.Time
+	Now            func() balancer.Time
 	Log            zerolog.Logger
 }
 
@@ -46,12 +46,12 @@
 
 	mu      sync.Mutex // guards all below
 	core    *recovery.StateMachine
-	router  *routing.Proxy
-	facade  *decide.Shards
+	router  *proxy.Proxy
+	facade  *balancer.Shards
 	store   *store.Store // nil before the folder is held
 	folder  *store.Folder
 	found   store.Recovered
-	socket  *link.Socket
+	socket  *messaging.Socket
 	keys    *recovery.Keys
 	failing bool                      // the disk
 	answers []recovery.PeerReply      // that wait to be merged
@@ -119,7 +119,7 @@
 	if errors.Is(err, store.ErrLocked) {
 		return err
 	}
-	socket, listening := link.Listen(n.settings.listen, n.settings.addresses, n.log)
+	socket, listening := messaging.Listen(n.settings.listen, n.settings.addresses, n.log)
 	if listening != nil {
 		if folder != nil {
 			listening = errors.Join(listening, folder.Close())
@@ -149,7 +149,7 @@
 			Msg("state of another dispatcher: only its keys are taken")
 	}
 	for _, k := range found.Keys {
-		n.keys.Restore(link.Key(k))
+		n.keys.Restore(messaging.Key(k))
 	}
 	return nil
 }
@@ -172,7 +172,7 @@
 }
 
 // learnt is what the disk held.
-func (n *Node) learnt() (l routing.Snapshot, ok bool) {
+func (n *Node) learnt() (l proxy.Snapshot, ok bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.found.State == nil {
@@ -195,7 +195,7 @@
 }
 
 // Attach gives the node the router that it brings back. It is called before anything runs.
-func (n *Node) Attach(r *routing.Proxy, f *decide.Shards) { n.router, n.facade = r, f }
+func (n *Node) Attach(r *proxy.Proxy, f *balancer.Shards) { n.router, n.facade = r, f }
 
 func (n *Node) now() time.Duration { return time.Since(n.began) }
 
@@ -372,7 +372,7 @@
 const lookEvery = 50 * time.Millisecond
 
 // hear takes a message.
-func (n *Node) hear(from int, m *link.Message) {
+func (n *Node) hear(from int, m *messaging.Message) {
 	n.mu.Lock()
 	n.core.Receive(n.now(), from, m)
 	n.mu.Unlock()
@@ -478,7 +478,7 @@
 }
 
 // Admit tells whether an invocation may come in yet.
-func (n *Node) Admit(l decide.Arrival) (func(bool), time.Duration, bool) {
+func (n *Node) Admit(l balancer.Arrival) (func(bool), time.Duration, bool) {
 	n.mu.Lock()
 	full, open := n.core.Phase() == recovery.Serving, n.open
 	n.mu.Unlock()
@@ -494,7 +494,7 @@
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	ok, comeBack := n.core.Admit(n.now(), decide.Time(size).Duration())
+	ok, comeBack := n.core.Admit(n.now(), balancer.Time(size).Duration())
 	if !ok {
 		n.stats.turned++
 		return nil, comeBack, false
--- a/internal/fleet/node_test.go
+++ b/internal/fleet/node_test.go
@@ -11,9 +11,9 @@
 	"github.com/rs/zerolog"
 	"github.com/stretchr/testify/assert"
 
-	"canvasroute/decide"
+	"canvasroute/internal/balancer"
 	"canvasroute/internal/fleet/store"
-	"canvasroute/internal/routing"
+	"canvasroute/internal/proxy"
 )
 
 // hung is a disk whose syncs do not end while the test goes on.
@@ -44,7 +44,7 @@
 	assert.NoError(t, os.WriteFile(file, []byte(text), 0o600))
 	s, err := Read(file, "n0", 0, 1)
 	assert.NoError(t, err)
-	n, err := Open(context.Background(), s, Config{Name: "n0", Now: func() decide.Time { return 0 }, Log: zerolog.Nop()})
+	n, err := Open(context.Background(), s, Config{Name: "n0", Now: func() balancer.Time { return 0 }, Log: zerolog.Nop()})
 	assert.NoError(t, err)
 	h := hung{store.NewMemory(), make(chan struct{}, 1), make(chan struct{})}
 	t.Cleanup(func() { close(h.never) })
@@ -74,13 +74,13 @@
 	defer cancel()
 	go func() { _ = n.keep(ctx) }()
 	go func() { _ = n.tick(ctx) }()
-	assert.ErrorContains(t, n.PersistKey(ctx, routing.KeyRecord{Operation: "o", Key: "k", Window: time.Second}), "not on disk")
+	assert.ErrorContains(t, n.PersistKey(ctx, proxy.KeyRecord{Operation: "o", Key: "k", Window: time.Second}), "not on disk")
 	<-disk.syncing
 	for range 20 {
 		n.wake()
 		within(t, "an operator's question", func() { n.Metrics() })
 		within(t, "an invocation", func() {
-			_, _, ok := n.Admit(decide.Arrival{})
+			_, _, ok := n.Admit(balancer.Arrival{})
 			assert.False(t, ok, "nothing lands before the node has returned")
 		})
 		time.Sleep(time.Millisecond)
--- a/internal/fleet/recovery/core.go
+++ b/internal/fleet/recovery/core.go
@@ -9,7 +9,7 @@
 	"slices"
 	"time"
 
-	"canvasroute/internal/fleet/link"
+	"canvasroute/internal/fleet/messaging"
 	"canvasroute/internal/fleet/store"
 )
 
@@ -82,13 +82,13 @@
 // Addressed is a message to a member.
 type Addressed struct {
 	To int
-	*link.Message
+	*messaging.Message
 }
 
 // PeerReply is a part of an answer, and which member it is of.
 type PeerReply struct {
 	Member int
-	*link.Message
+	*messaging.Message
 }
 
 // Query is one to be answered with what is known here.
@@ -390,7 +390,7 @@
 		}
 		m.asks, m.askedAt = m.asks+1, c.now
 		m.askAt = c.now + wait/2 + time.Duration(c.rng.Int64N(int64(wait/2)+1))
-		question := c.message(link.Query, m.number)
+		question := c.message(messaging.Query, m.number)
 		question.Want = m.want
 		c.out.Messages = append(c.out.Messages, Addressed{n, question})
 	}
@@ -410,7 +410,7 @@
 	}
 	c.beatAt = c.now + beatEvery
 	for step := 1; step <= beatTo && step < len(c.members); step++ {
-		m := c.message(link.Heartbeat, 0)
+		m := c.message(messaging.Heartbeat, 0)
 		m.Kept = c.kept
 		c.out.Messages = append(c.out.Messages, Addressed{(c.terms.Self + step) % len(c.members), m})
 	}
@@ -435,15 +435,15 @@
 	return false
 }
 
-func (c *StateMachine) message(k link.Kind, number uint32) *link.Message {
-	return &link.Message{
+func (c *StateMachine) message(k messaging.Kind, number uint32) *messaging.Message {
+	return &messaging.Message{
 		Kind: k, From: c.terms.Members[c.terms.Self], Incarnation: c.life, Nonce: c.token,
 		Number: number, Phase: uint8(c.phase), Lived: c.now.Milliseconds(),
 	}
 }
 
 // Receive takes a message. What is of a life that has ended, or answers no question of this one, changes nothing.
-func (c *StateMachine) Receive(now time.Duration, from int, msg *link.Message) {
+func (c *StateMachine) Receive(now time.Duration, from int, msg *messaging.Message) {
 	c.now = now
 	if !c.stored || from < 0 || from >= len(c.members) || from == c.terms.Self ||
 		msg.From != c.terms.Members[from] || msg.Phase > uint8(Superseded) {
@@ -463,10 +463,10 @@
 	}
 	m.heardAt, m.phase = now, max(m.phase, Phase(msg.Phase))
 	switch msg.Kind {
-	case link.Heartbeat:
+	case messaging.Heartbeat:
 		m.kept = max(m.kept, msg.Kept)
 		return
-	case link.Query:
+	case messaging.Query:
 		c.out.Queries = append(c.out.Queries, Query{from, msg.Number, msg.Want, msg.Nonce})
 		// It is there: it may be asked soon, however long the wait was to be. Not at once: two that ask one
 		// another would never end.
@@ -502,7 +502,7 @@
 
 // rival takes what others tell of this name. One heard before this process began was this dispatcher in an
 // earlier life; one heard since is another process that goes under the same name, and the lower one gives way.
-func (c *StateMachine) rival(msg *link.Message) {
+func (c *StateMachine) rival(msg *messaging.Message) {
 	if msg.YourToken == c.token || msg.YourLife == 0 {
 		return
 	}
@@ -541,8 +541,8 @@
 }
 
 // Reply is the answer to a question, with what is known here.
-func (c *StateMachine) Reply(q Query, k LocalKnowledge) []link.Message {
-	first := *c.message(link.Reply, q.Number)
+func (c *StateMachine) Reply(q Query, k LocalKnowledge) []messaging.Message {
+	first := *c.message(messaging.Reply, q.Number)
 	first.Bears, first.KeysBad = k.MaxObserved, c.keysBad
 	first.Unsure = !c.vouched()
 	if m := &c.members[q.From]; m.life > 0 {
@@ -556,9 +556,9 @@
 		}
 	}
 	if !q.WantWorkers {
-		return link.Split(first, nil, k.Keys)
+		return messaging.Split(first, nil, k.Keys)
 	}
-	return link.Split(first, k.Workers, k.Keys)
+	return messaging.Split(first, k.Workers, k.Keys)
 }
 
 // longAgo is, in ms, when one was heard that was not in this life.
@@ -567,8 +567,8 @@
 // LocalKnowledge is what a dispatcher knows, for others.
 type LocalKnowledge struct {
 	MaxObserved map[string]float64
-	Workers     []link.Worker
-	Keys        []link.Key
+	Workers     []messaging.Worker
+	Keys        []messaging.Key
 }
 
 // PeerKeysPending tells whether keys may have run that nobody here knows of: some who may know have not told, or have
--- a/internal/fleet/recovery/core_test.go
+++ b/internal/fleet/recovery/core_test.go
@@ -6,7 +6,7 @@
 
 	"github.com/stretchr/testify/assert"
 
-	"canvasroute/internal/fleet/link"
+	"canvasroute/internal/fleet/messaging"
 )
 
 const ms = time.Millisecond
@@ -23,9 +23,9 @@
 }
 
 // answer is d1's, d2's or d3's to the question that was asked last.
-func answer(c *StateMachine, from int, phase Phase) *link.Message {
-	return &link.Message{
-		Kind: link.Reply, From: c.terms.Members[from], Incarnation: 1, Nonce: uint64(from),
+func answer(c *StateMachine, from int, phase Phase) *messaging.Message {
+	return &messaging.Message{
+		Kind: messaging.Reply, From: c.terms.Members[from], Incarnation: 1, Nonce: uint64(from),
 		Number: c.members[from].number, Phase: uint8(phase), Parts: 1,
 	}
 }
@@ -33,7 +33,7 @@
 func TestNothingIsSaidBeforeTheLifeIsKnown(t *testing.T) {
 	c := New(Config{Members: []string{"d0", "d1"}, QueryInterval: 100 * ms, IdentityTimeout: time.Second})
 	c.Tick(500 * ms)
-	c.Receive(600*ms, 1, &link.Message{Kind: link.Query, From: "d1", Incarnation: 1, Number: 1})
+	c.Receive(600*ms, 1, &messaging.Message{Kind: messaging.Query, From: "d1", Incarnation: 1, Number: 1})
 	out := c.TakeActions()
 	assert.Empty(t, out.Messages)
 	assert.Empty(t, out.Queries)
@@ -175,7 +175,7 @@
 func TestPartsMayComeTwiceAndInAnyOrder(t *testing.T) {
 	c := core(1, PreviousIncarnation{})
 	c.TakeActions()
-	part := func(n uint16) *link.Message {
+	part := func(n uint16) *messaging.Message {
 		m := answer(c, 1, SlowStart)
 		m.Part, m.Parts = n, 3
 		return m
@@ -195,7 +195,7 @@
 	c := core(1, PreviousIncarnation{})
 	c.TakeActions()
 	for n := range 50 {
-		c.Receive(time.Duration(n)*ms, 1, &link.Message{Kind: link.Query, From: "d1", Incarnation: 1, Nonce: 1, Number: uint32(n)})
+		c.Receive(time.Duration(n)*ms, 1, &messaging.Message{Kind: messaging.Query, From: "d1", Incarnation: 1, Nonce: 1, Number: uint32(n)})
 	}
 	out := c.TakeActions()
 	assert.Len(t, out.Queries, 50)
@@ -205,11 +205,11 @@
 func TestRepeatsGoToTheirGroupOrAreErrorsForAWindow(t *testing.T) {
 	k := NewKeys(40 * time.Second)
 	now := int64(1_000_000)
-	k.Restore(link.Key{Sum: 1, Worker: "w1", Zone: "a", SentAt: now - 10_000, ExpiresAt: now + 30_000})
-	k.AddFromPeer(link.Key{Sum: 2, Worker: "w1", Zone: "a", SentAt: now - 10_000, ExpiresAt: now + 30_000})
-	k.AddFromPeer(link.Key{Sum: 2, Worker: "w2", Zone: "b", SentAt: now - 9_000, ExpiresAt: now + 31_000})
-	k.AddFromPeer(link.Key{Sum: 3, Worker: "w1", Zone: "a", SentAt: now - 90_000, ExpiresAt: now - 50_000})
-	k.AddFromPeer(link.Key{Sum: 4, Worker: "w1", Zone: "a", SentAt: now + 5_000, ExpiresAt: now + 45_000})
+	k.Restore(messaging.Key{Sum: 1, Worker: "w1", Zone: "a", SentAt: now - 10_000, ExpiresAt: now + 30_000})
+	k.AddFromPeer(messaging.Key{Sum: 2, Worker: "w1", Zone: "a", SentAt: now - 10_000, ExpiresAt: now + 30_000})
+	k.AddFromPeer(messaging.Key{Sum: 2, Worker: "w2", Zone: "b", SentAt: now - 9_000, ExpiresAt: now + 31_000})
+	k.AddFromPeer(messaging.Key{Sum: 3, Worker: "w1", Zone: "a", SentAt: now - 90_000, ExpiresAt: now - 50_000})
+	k.AddFromPeer(messaging.Key{Sum: 4, Worker: "w1", Zone: "a", SentAt: now + 5_000, ExpiresAt: now + 45_000})
 	look := func(sum uint64, again, open bool, lived time.Duration) (bool, error) {
 		_, found, err := k.Find(sum, again, open, now, lived)
 		return found, err
@@ -266,8 +266,8 @@
 // Guards against one who, by asking, makes those forget who could tell it that its disk is old.
 func TestOneThatAsksIsToldOfItsLifeBefore(t *testing.T) {
 	c := core(1, PreviousIncarnation{})
-	c.Receive(ms, 1, &link.Message{Kind: link.Heartbeat, From: "d1", Incarnation: 4, Nonce: 44, Kept: 17})
-	c.Receive(2*ms, 1, &link.Message{Kind: link.Query, From: "d1", Incarnation: 5, Nonce: 55, Number: 1})
+	c.Receive(ms, 1, &messaging.Message{Kind: messaging.Heartbeat, From: "d1", Incarnation: 4, Nonce: 44, Kept: 17})
+	c.Receive(2*ms, 1, &messaging.Message{Kind: messaging.Query, From: "d1", Incarnation: 5, Nonce: 55, Number: 1})
 	q := c.TakeActions().Queries[0]
 	told := c.Reply(q, LocalKnowledge{})[0]
 	assert.Equal(t, []uint64{4, 44, 17}, []uint64{told.YourLife, told.YourToken, told.YourKept})
--- a/internal/fleet/recovery/trust.go
+++ b/internal/fleet/recovery/trust.go
@@ -39,7 +39,7 @@
 	IfWrong             string        // what happens if it was believed and is wrong
 }
 
-// Table has one row for each kind of fact. docs/recovery.md shows the same table.
+// TrustRules has one row for each kind of fact. docs/recovery.md shows the same table.
 var TrustRules = [facts]TrustRule{
 	{
 		FactIdentity, "name and life", "life.a and life.b in turn, synced before the first word to anyone", 0, false, true,
--- a/internal/fleet/settings.go
+++ b/internal/fleet/settings.go
@@ -11,7 +11,7 @@
 	"path/filepath"
 	"time"
 
-	"canvasroute/internal/strict"
+	"canvasroute/internal/tomlconfig"
 )
 
 // Duration is a time in the file, such as "250ms".
@@ -79,7 +79,7 @@
 		return nil, err
 	}
 	s := usual()
-	if err := strict.Decode(path, text, s); err != nil {
+	if err := tomlconfig.Decode(path, text, s); err != nil {
 		return nil, err
 	}
 	if err := s.check(name, position, dispatchers); err != nil {
--- a/internal/fleet/simulate/fleet.go
+++ b/internal/fleet/simulate/fleet.go
@@ -9,7 +9,7 @@
 	"math/rand/v2"
 	"time"
 
-	"canvasroute/internal/fleet/link"
+	"canvasroute/internal/fleet/messaging"
 	"canvasroute/internal/fleet/recovery"
 	"canvasroute/internal/fleet/store"
 )
@@ -179,8 +179,8 @@
 }
 
 // send carries a message, as bytes.
-func (w *world) send(from, to int, m *link.Message) {
-	b, err := link.Encode(m)
+func (w *world) send(from, to int, m *messaging.Message) {
+	b, err := messaging.Encode(m)
 	if err != nil {
 		w.broken("%d: %v", from, err)
 		return
@@ -198,7 +198,7 @@
 			continue
 		}
 		w.after(w.net.delay+w.between(0, w.net.jitter), func() {
-			if got, err := link.Decode(b); err != nil {
+			if got, err := messaging.Decode(b); err != nil {
 				w.broken("%d: %v", to, err)
 			} else if w.nodes[to].up {
 				w.nodes[to].hear(from, got)
--- a/internal/fleet/simulate/node.go
+++ b/internal/fleet/simulate/node.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"canvasroute/internal/fleet/link"
+	"canvasroute/internal/fleet/messaging"
 	"canvasroute/internal/fleet/recovery"
 	"canvasroute/internal/fleet/store"
 )
@@ -67,7 +67,7 @@
 	s, found := store.Open(n.disk, n.members()[n.number])
 	n.store, n.failed = s, false
 	for _, k := range found.Keys {
-		n.keys.Restore(link.Key(k))
+		n.keys.Restore(messaging.Key(k))
 	}
 	token, least := n.w.rng.Uint64(), uint64(1)
 	if found.State != nil {
@@ -132,7 +132,7 @@
 	n.w.after(time.Second, func() { n.learn(life) })
 }
 
-func (n *node) hear(from int, m *link.Message) {
+func (n *node) hear(from int, m *messaging.Message) {
 	n.core.Receive(n.now(), from, m)
 	n.settle()
 }
@@ -174,7 +174,7 @@
 		k := recovery.LocalKnowledge{Keys: n.keys.ForPeers(n.wall(), n.now()), MaxObserved: map[string]float64{"std": 3}}
 		if q.WantWorkers {
 			for host := range n.w.plan.Workers {
-				k.Workers = append(k.Workers, link.Worker{ID: string(rune('a'+host%26)) + "-worker", StartedAt: 1 << 40})
+				k.Workers = append(k.Workers, messaging.Worker{ID: string(rune('a'+host%26)) + "-worker", StartedAt: 1 << 40})
 			}
 		}
 		for _, m := range n.core.Reply(q, k) {
@@ -233,7 +233,7 @@
 	if n.store.AppendKeys([]store.Key{k}, n.wall()) != nil {
 		return false
 	}
-	n.keys.AddSent(link.Key(k))
+	n.keys.AddSent(messaging.Key(k))
 	return true
 }
 
--- a/internal/fleet/store/format_test.go
+++ b/internal/fleet/store/format_test.go
@@ -33,7 +33,7 @@
 // wantFacts are the newest facts in the golden folder, with the snapshot of package routing in them.
 func wantFacts(t *testing.T) State {
 	t.Helper()
-	snapshot, err := os.ReadFile("../../routing/testdata/snapshot.json")
+	snapshot, err := os.ReadFile("../../proxy/testdata/snapshot.json")
 	assert.NoError(t, err)
 	return State{
 		Name: "n3", Incarnation: 8, WrittenAt: 1_700_000_042_000, SettingsHash: "0123456789abcdef", Learned: snapshot,
@@ -110,7 +110,7 @@
 		v := reflect.ValueOf(record)
 		assert.Empty(t, unsetFields(v, v.Type().String()))
 	}
-	assert.Equal(t, []string{"Key.Sum", "Key.Zone", "Key.Cell", "Key.At", "Key.Until"},
+	assert.Equal(t, []string{"Key.Sum", "Key.Zone", "Key.Cell", "Key.SentAt", "Key.ExpiresAt"},
 		unsetFields(reflect.ValueOf(Key{Worker: "w1"}), "Key"), "an unset field is found")
 }
 
--- a/internal/upgrade/host.go
+++ b/internal/hotrestart/host.go
@@ -1,4 +1,4 @@
-package upgrade
+package hotrestart
 
 import (
 	"context"
--- a/internal/upgrade/message.go
+++ b/internal/hotrestart/message.go
@@ -1,7 +1,7 @@
-// Package upgrade hands a dispatcher's sockets and what it knows to a second process that is started while
+// Package hotrestart hands a dispatcher's sockets and what it knows to a second process that is started while
 // the first serves. The two meet at a Unix socket in a directory that both have; where there is none, or
 // nobody is there, a process starts like any other. Messages are JSON, one a line.
-package upgrade
+package hotrestart
 
 import (
 	"encoding/json"
--- a/internal/lab/command/lab_test.go
+++ b/internal/lab/command/lab_test.go
@@ -19,9 +19,9 @@
 
 	"github.com/stretchr/testify/assert"
 
+	"canvasroute/internal/daemon"
 	"canvasroute/internal/lab/experiment"
 	"canvasroute/internal/lab/ledger"
-	"canvasroute/internal/program"
 )
 
 // The test binary stands in for both programs: for canvaslab with arguments after "lab", for canvasroute
@@ -31,7 +31,7 @@
 	case len(os.Args) > 1 && os.Args[1] == "stand-in":
 		os.Exit(Main(os.Args[1:]))
 	case os.Getenv("LB_CONFIG") != "":
-		os.Exit(program.Main())
+		os.Exit(daemon.Main())
 	case len(os.Args) > 2 && os.Args[1] == "lab":
 		os.Exit(Main(os.Args[2:]))
 	}
--- a/internal/lab/experiment/experiment_test.go
+++ b/internal/lab/experiment/experiment_test.go
@@ -10,7 +10,7 @@
 
 	"github.com/stretchr/testify/assert"
 
-	"canvasroute/internal/program"
+	"canvasroute/internal/daemon"
 )
 
 const smallest = `[[fleet.kind]]
@@ -116,7 +116,7 @@
 	assert.NoError(t, err)
 	assert.NotEqual(t, config, bare)
 	assert.NoError(t, os.WriteFile(path, bare, 0o600))
-	got, err := program.ReadConfig(func(v string) string {
+	got, err := daemon.ReadConfig(func(v string) string {
 		return map[string]string{"LB_CONFIG": path}[v]
 	})
 	assert.NoError(t, err)
--- a/internal/lab/experiment/operators.go
+++ b/internal/lab/experiment/operators.go
@@ -10,9 +10,9 @@
 	"syscall"
 	"time"
 
-	"canvasroute/internal/drain"
 	"canvasroute/internal/lab/ledger"
 	"canvasroute/internal/lab/trouble"
+	"canvasroute/internal/lifecycle"
 )
 
 // What operators do by hand at the dispatchers: calls at their door, new settings, upgrades.
@@ -111,7 +111,7 @@
 
 // stays tells whether a second process says that it goes on with a LEAVE of before: it will never say done.
 func stays(health string) bool {
-	return strings.Contains(health, drain.Draining.String()) || strings.Contains(health, drain.Drained.String())
+	return strings.Contains(health, lifecycle.Draining.String()) || strings.Contains(health, lifecycle.Drained.String())
 }
 
 // crowd opens connections of clients that never ask for anything whole, until ctx ends: silent ones, or ones
--- a/internal/lab/experiment/plan.go
+++ b/internal/lab/experiment/plan.go
@@ -16,7 +16,7 @@
 	"canvasroute/internal/lab/trouble"
 	"canvasroute/internal/lab/unit"
 	"canvasroute/internal/lab/worker"
-	"canvasroute/internal/strict"
+	"canvasroute/internal/tomlconfig"
 )
 
 // Plan is an experiment file.
@@ -133,7 +133,7 @@
 func Parse(path string, text []byte) (*Plan, error) {
 	p := usual()
 	p.place = filepath.Dir(path)
-	if err := strict.Decode(path, text, &p); err != nil {
+	if err := tomlconfig.Decode(path, text, &p); err != nil {
 		return nil, err
 	}
 	if err := p.check(); err != nil {
--- a/internal/lab/experiment/power.go
+++ b/internal/lab/experiment/power.go
@@ -11,7 +11,7 @@
 	"sync"
 	"time"
 
-	"canvasroute/internal/fleet/link"
+	"canvasroute/internal/fleet/messaging"
 	"canvasroute/internal/fleet/store"
 	"canvasroute/internal/lab/peernet"
 	"canvasroute/internal/lab/trouble"
@@ -20,7 +20,7 @@
 
 // link gives each dispatcher a folder for its state and a link to the others.
 func (w *world) link(ctx context.Context, own []netip.AddrPort) (err error) {
-	links, err := peernet.New(own, w.linkManner(), link.MaxDatagramBytes, w.seed)
+	links, err := peernet.New(own, w.linkManner(), messaging.MaxDatagramBytes, w.seed)
 	if err != nil {
 		return err
 	}
--- a/internal/lab/rival/rival.go
+++ b/internal/lab/rival/rival.go
@@ -26,10 +26,10 @@
 
 	"github.com/rs/zerolog"
 
-	"canvasroute/decide"
-	"canvasroute/internal/program"
+	"canvasroute/internal/balancer"
+	"canvasroute/internal/daemon"
 	"canvasroute/internal/protocol"
-	"canvasroute/internal/routing"
+	"canvasroute/internal/proxy"
 )
 
 // Policies are the baselines, and what takes the place of a dispatcher to measure the lab itself.
@@ -53,7 +53,7 @@
 // Main runs a rival on the platform's configuration, and returns the code that the process exits with.
 func Main(t Terms) int {
 	log := zerolog.New(os.Stderr).With().Timestamp().Logger()
-	p, err := program.ReadConfig(os.Getenv)
+	p, err := daemon.ReadConfig(os.Getenv)
 	if err == nil {
 		err = run(t, p, log)
 	}
@@ -74,7 +74,7 @@
 
 type rival struct {
 	terms     Terms
-	placement *program.Config
+	placement *daemon.Config
 	client    *http.Client
 	transport *http.Transport
 	log       zerolog.Logger
@@ -87,7 +87,7 @@
 	answered, succeeded atomic.Int64
 }
 
-func run(t Terms, p *program.Config, log zerolog.Logger) error {
+func run(t Terms, p *daemon.Config, log zerolog.Logger) error {
 	runtime.GOMAXPROCS(max(1, int(math.Ceil(p.Cores))))
 	transport := &http.Transport{
 		MaxIdleConnsPerHost: 512, IdleConnTimeout: p.WorkerIdleTimeout / 4, DisableCompression: true,
@@ -267,7 +267,7 @@
 		return
 	}
 	operation := slices.IndexFunc(r.placement.Proxy.Operations,
-		func(o routing.Operation) bool { return o.Name == ask.Header.Get("Req-Kind") })
+		func(o proxy.Operation) bool { return o.Name == ask.Header.Get("Req-Kind") })
 	if operation < 0 {
 		w.WriteHeader(http.StatusBadRequest)
 		return
@@ -295,7 +295,7 @@
 	_, _ = io.WriteString(w, result)
 }
 
-func (r *rival) carry(ctx context.Context, ask *http.Request, body []byte, repeat decide.Idempotency) (int,
+func (r *rival) carry(ctx context.Context, ask *http.Request, body []byte, repeat balancer.Idempotency) (int,
 	string,
 ) {
 	var tried []*backend
@@ -307,29 +307,29 @@
 		}
 		tried = append(tried, b)
 		how, result := r.forward(ctx, b, ask, body)
-		if r.terms.Fault == "double-forward" && repeat == decide.NonIdempotent {
+		if r.terms.Fault == "double-forward" && repeat == balancer.NonIdempotent {
 			if other := r.choose(tried); other != nil {
 				r.forward(ctx, other, ask, body)
 			}
 		}
 		switch how {
-		case decide.Succeeded:
+		case balancer.Succeeded:
 			return http.StatusOK, result
-		case decide.Overloaded, decide.NoConnection: // it never ran
+		case balancer.Overloaded, balancer.NoConnection: // it never ran
 			continue
 		}
 		mayHaveRun = true
-		if repeat != decide.Idempotent || ctx.Err() != nil {
+		if repeat != balancer.Idempotent || ctx.Err() != nil {
 			break
 		}
 	}
-	if mayHaveRun && repeat != decide.Idempotent {
+	if mayHaveRun && repeat != balancer.Idempotent {
 		return http.StatusBadGateway, ""
 	}
 	return http.StatusTooManyRequests, ""
 }
 
-func (r *rival) forward(ctx context.Context, b *backend, ask *http.Request, body []byte) (decide.Outcome,
+func (r *rival) forward(ctx context.Context, b *backend, ask *http.Request, body []byte) (balancer.Outcome,
 	string,
 ) {
 	defer func() {
@@ -342,7 +342,7 @@
 	r.mu.Unlock()
 	out, err := http.NewRequestWithContext(ctx, http.MethodPost, target, bytes.NewReader(body))
 	if err != nil {
-		return decide.NoConnection, ""
+		return balancer.NoConnection, ""
 	}
 	out.GetBody = nil // nothing is sent again below these rules
 	for _, name := range []string{"Req-Id", "Req-Deadline", "Idempotency-Key", "Content-Type"} {
@@ -354,30 +354,30 @@
 	var dial *net.OpError
 	switch {
 	case errors.As(err, &dial) && dial.Op == "dial":
-		return decide.NoConnection, ""
+		return balancer.NoConnection, ""
 	case err != nil:
-		return decide.ConnectionReset, ""
+		return balancer.ConnectionReset, ""
 	}
 	defer a.Body.Close()
 	if a.StatusCode == http.StatusServiceUnavailable && a.Header.Get("Srv-Declined") == "1" {
-		return decide.Overloaded, ""
+		return balancer.Overloaded, ""
 	}
 	lines := bufio.NewScanner(a.Body)
 	lines.Buffer(nil, protocol.MaxLineBytes)
 	for lines.Scan() {
 		l, err := protocol.ParseLine(lines.Bytes())
 		if err != nil || l.ID != ask.Header.Get("Req-Id") {
-			return decide.WorkerError, ""
+			return balancer.WorkerError, ""
 		}
 		switch l.State {
 		case protocol.Done:
 			lines.Scan() // the end of the chunks, so that the connection can be used again
-			return decide.Succeeded, l.Result
+			return balancer.Succeeded, l.Result
 		case protocol.ReturnedUnstarted:
-			return decide.Overloaded, ""
+			return balancer.Overloaded, ""
 		case protocol.Failed, protocol.Lost:
-			return decide.WorkerError, ""
+			return balancer.WorkerError, ""
 		}
 	}
-	return decide.ConnectionReset, ""
+	return balancer.ConnectionReset, ""
 }
--- a/internal/drain/drain.go
+++ b/internal/lifecycle/drain.go
@@ -1,7 +1,7 @@
-// Package drain says how far a dispatcher takes clients. Health, admission, idle connections and the end of
+// Package lifecycle says how far a dispatcher takes clients. Health, admission, idle connections and the end of
 // the process all ask it, so that none of them goes by an opinion of its own. It does no I/O and reads no
 // clock.
-package drain
+package lifecycle
 
 import (
 	"errors"
--- a/internal/drain/drain_test.go
+++ b/internal/lifecycle/drain_test.go
@@ -1,4 +1,4 @@
-package drain
+package lifecycle
 
 import (
 	"testing"
--- a/internal/protocol/news.go
+++ b/internal/protocol/news.go
@@ -5,10 +5,10 @@
 	"errors"
 	"hash/fnv"
 
-	"canvasroute/internal/terms"
+	"canvasroute/internal/settings"
 )
 
-// Alone stands for the only instance of a process, which its datagrams need not name.
+// NoInstance stands for the only instance of a process, which its datagrams need not name.
 const NoInstance = -1
 
 // A datagram holds the low bits of the time of sending in milliseconds, and for each worker that it tells of
@@ -21,7 +21,7 @@
 )
 
 // MaxLoads is how many loads one datagram holds.
-const MaxLoads = (terms.MaxMessageBytes - stampBytes - instanceBytes) / loadBytes
+const MaxLoads = (settings.MaxMessageBytes - stampBytes - instanceBytes) / loadBytes
 
 // ErrDatagram is a datagram that is not of this protocol.
 var ErrDatagram = errors.New("malformed datagram")
@@ -53,7 +53,7 @@
 
 // ParseLoads reads a datagram. The instance is 0 where none is named.
 func ParseLoads(b []byte) (stamp uint16, instance int, loads []Load, err error) {
-	if len(b) < stampBytes || len(b) > terms.MaxMessageBytes || (len(b)-stampBytes)%loadBytes > instanceBytes {
+	if len(b) < stampBytes || len(b) > settings.MaxMessageBytes || (len(b)-stampBytes)%loadBytes > instanceBytes {
 		return 0, 0, nil, ErrDatagram
 	}
 	stamp, b = binary.BigEndian.Uint16(b), b[stampBytes:]
--- a/internal/routing/back.go
+++ b/internal/proxy/back.go
@@ -1,4 +1,4 @@
-package routing
+package proxy
 
 import (
 	"context"
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"canvasroute/decide"
+	"canvasroute/internal/balancer"
 	"canvasroute/internal/protocol"
 )
 
@@ -21,7 +21,7 @@
 	EndpointsUnavailable()
 	// Admit tells whether an invocation may come in yet. done is called once it has ended; comeBack is for its
 	// client where it may not.
-	Admit(l decide.Arrival) (done func(succeeded bool), comeBack time.Duration, ok bool)
+	Admit(l balancer.Arrival) (done func(succeeded bool), comeBack time.Duration, ok bool)
 	// PriorExecution tells where an invocation under the same key may have run before, nil for nowhere. It fails with
 	// ErrOutcomeUnknown where nobody can tell.
 	PriorExecution(operation, key string, again bool) (*PriorExecution, error)
@@ -49,10 +49,10 @@
 
 // held tells whether repeats of an operation are dropped in a part of the fleet alone: then it has to be known
 // where the first one went.
-func (o *Operation) held() bool { return o.RequiresKey && o.DedupScope != decide.ScopeAll }
+func (o *Operation) held() bool { return o.RequiresKey && o.DedupScope != balancer.ScopeAll }
 
 // before finds what an invocation's key may have done before this one. again is its client's mark of a repeat.
-func (r *Proxy) before(now *settings, inv *protocol.Request, h *protocol.Head) (*decide.PriorAttempt, error) {
+func (r *Proxy) before(now *settings, inv *protocol.Request, h *protocol.Head) (*balancer.PriorAttempt, error) {
 	o := now.operations[inv.Operation]
 	if r.terms.Recovery == nil || !o.held() {
 		return nil, nil
@@ -65,21 +65,21 @@
 	if !known {
 		return nil, ErrOutcomeUnknown
 	}
-	return &decide.PriorAttempt{Worker: tgt, SentAt: r.terms.FromUnix(float64(b.SentMs))}, nil
+	return &balancer.PriorAttempt{Worker: tgt, SentAt: r.terms.FromUnix(float64(b.SentMs))}, nil
 }
 
 // ofGroup finds a worker that drops the repeats of what ran at another one.
-func (f *fleet) ofGroup(b *PriorExecution, scope decide.DedupScope) (decide.WorkerID, bool) {
+func (f *fleet) ofGroup(b *PriorExecution, scope balancer.DedupScope) (balancer.WorkerID, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	n := slices.IndexFunc(f.workers, func(w worker) bool {
-		return scope == decide.ScopeZone && w.entry.Zone == b.Zone || scope == decide.ScopeCell && w.entry.Cell == b.Cell
+		return scope == balancer.ScopeZone && w.entry.Zone == b.Zone || scope == balancer.ScopeCell && w.entry.Cell == b.Cell
 	})
-	return decide.WorkerID(n), n >= 0
+	return balancer.WorkerID(n), n >= 0
 }
 
 // keep makes durable where a forward goes, where it has to be known after a loss of power.
-func (r *Proxy) keep(ctx context.Context, now *settings, inv *protocol.Request, tgt decide.WorkerID) error {
+func (r *Proxy) keep(ctx context.Context, now *settings, inv *protocol.Request, tgt balancer.WorkerID) error {
 	o := now.operations[inv.Operation]
 	if r.terms.Recovery == nil || !o.held() {
 		return nil
@@ -88,7 +88,7 @@
 	e := r.fleet.workers[tgt].entry
 	r.fleet.mu.Unlock()
 	k := KeyRecord{Operation: inv.Operation, Key: inv.IdempotencyKey, Worker: e.ID, Window: o.DedupWindow}
-	if o.DedupScope == decide.ScopeZone { // of its group alone: else two workers of it would look like two groups
+	if o.DedupScope == balancer.ScopeZone { // of its group alone: else two workers of it would look like two groups
 		k.Zone = e.Zone
 	} else {
 		k.Cell = e.Cell
@@ -107,12 +107,12 @@
 		learnt.Workers, learnt.Zones = nil, nil
 		r.fleet.mu.Lock()
 		for at, w := range workers {
-			to, known := decide.WorkerID(0), at < len(l.Endpoints)
+			to, known := balancer.WorkerID(0), at < len(l.Endpoints)
 			if known {
 				to, known = r.fleet.numbers[l.Endpoints[at].ID]
 			}
 			if known {
-				learnt.Workers = append(learnt.Workers, make([]decide.WorkerStats,
+				learnt.Workers = append(learnt.Workers, make([]balancer.WorkerStats,
 					max(0, int(to)+1-len(learnt.Workers)))...)
 				learnt.Workers[to] = w
 			}
@@ -123,7 +123,7 @@
 				to, known = r.fleet.zones[l.Zones[at]]
 			}
 			if known {
-				learnt.Zones = append(learnt.Zones, make([]decide.ZoneStats, max(0, to+1-len(learnt.Zones)))...)
+				learnt.Zones = append(learnt.Zones, make([]balancer.ZoneStats, max(0, to+1-len(learnt.Zones)))...)
 				learnt.Zones[to] = z
 			}
 		}
@@ -153,7 +153,7 @@
 // InFlightByWorker is what is out here at each worker, by name.
 func (r *Proxy) InFlightByWorker() map[string]int {
 	out := map[string]int{}
-	for _, l := range r.facade.InFlightFor(decide.Successor) {
+	for _, l := range r.facade.InFlightFor(balancer.Successor) {
 		out[r.fleet.id(l.Worker)] = l.InFlight
 	}
 	return out
@@ -162,6 +162,6 @@
 // ReceiveLoad takes what another process has out at a worker, by its name.
 func (r *Proxy) ReceiveLoad(process int, host string, out int) {
 	if w, known := r.fleet.byID(host); known {
-		r.facade.ReceiveLoad(decide.PeerID(process*r.facade.Count()), decide.Load{Worker: w, InFlight: out})
+		r.facade.ReceiveLoad(balancer.PeerID(process*r.facade.Count()), balancer.Load{Worker: w, InFlight: out})
 	}
 }
--- a/internal/routing/beat.go
+++ b/internal/proxy/beat.go
@@ -1,4 +1,4 @@
-package routing
+package proxy
 
 import (
 	"context"
@@ -6,7 +6,7 @@
 	"os"
 	"time"
 
-	"canvasroute/internal/door"
+	"canvasroute/internal/admission"
 )
 
 // beat tells the door how long what comes waits before a goroutine reads it. Neither a timer nor the run queue shows
@@ -28,7 +28,7 @@
 			came <- time.Now()
 		}
 	}()
-	began, ticker := time.Now(), time.NewTicker(door.SampleInterval)
+	began, ticker := time.Now(), time.NewTicker(admission.SampleInterval)
 	defer ticker.Stop()
 	for {
 		select {
--- a/internal/routing/beat_test.go
+++ b/internal/proxy/beat_test.go
@@ -1,4 +1,4 @@
-package routing
+package proxy
 
 import (
 	"context"
@@ -7,7 +7,7 @@
 
 	"github.com/stretchr/testify/assert"
 
-	"canvasroute/internal/door"
+	"canvasroute/internal/admission"
 	"canvasroute/internal/protocol"
 )
 
@@ -16,7 +16,7 @@
 	r.now.Load().comeBackMost = 2 * time.Second
 	r.settled.Store(true)
 	h := &protocol.Head{Method: "POST", Target: "/api"}
-	for beat := time.Duration(0); beat < time.Second; beat += door.SampleInterval {
+	for beat := time.Duration(0); beat < time.Second; beat += admission.SampleInterval {
 		for range 100 {
 			r.door.Admit()
 		}
--- a/internal/routing/counts.go
+++ b/internal/proxy/counts.go
@@ -1,4 +1,4 @@
-package routing
+package proxy
 
 import (
 	"runtime"
@@ -6,7 +6,7 @@
 
 	"github.com/rs/zerolog"
 
-	"canvasroute/decide"
+	"canvasroute/internal/balancer"
 )
 
 // Counters are what has been taken in, sent and answered since the start.
@@ -17,17 +17,17 @@
 	DatagramsSent, DatagramsFailed, DatagramsHeard                          atomic.Int64
 	DatagramsBroken, Strangers, Overtaken                                   atomic.Int64
 
-	outcomes [decide.ConnectionRefused + 1]atomic.Int64
+	outcomes [balancer.ConnectionRefused + 1]atomic.Int64
 }
 
-var outcomeNames = [decide.ConnectionRefused + 1]string{
-	decide.Succeeded: "succeeded", decide.WorkerError: "worker_error",
-	decide.Overloaded: "full", decide.TimedOut: "timed_out", decide.NoConnection: "no_connection",
-	decide.ConnectionReset: "reset", decide.Canceled: "called_off", decide.NotSent: "never_sent",
-	decide.ConnectionStale: "stale_connection", decide.ConnectionRefused: "refused",
+var outcomeNames = [balancer.ConnectionRefused + 1]string{
+	balancer.Succeeded: "succeeded", balancer.WorkerError: "worker_error",
+	balancer.Overloaded: "full", balancer.TimedOut: "timed_out", balancer.NoConnection: "no_connection",
+	balancer.ConnectionReset: "reset", balancer.Canceled: "called_off", balancer.NotSent: "never_sent",
+	balancer.ConnectionStale: "stale_connection", balancer.ConnectionRefused: "refused",
 }
 
-func (c *Counters) outcome(how decide.Outcome) { c.outcomes[how].Add(1) }
+func (c *Counters) outcome(how balancer.Outcome) { c.outcomes[how].Add(1) }
 
 // LogCounters leaves the counters in one log line.
 func (r *Proxy) LogCounters(why string) {
--- a/internal/routing/crossings_test.go
+++ b/internal/proxy/crossings_test.go
@@ -1,4 +1,4 @@
-package routing
+package proxy
 
 import (
 	"context"
@@ -15,7 +15,7 @@
 	"github.com/rs/zerolog"
 	"github.com/stretchr/testify/assert"
 
-	"canvasroute/decide"
+	"canvasroute/internal/balancer"
 	"canvasroute/internal/protocol"
 	"canvasroute/internal/transport"
 )
@@ -50,7 +50,7 @@
 }
 
 // stubborn settings allow neither calling off nor copies.
-func stubborn(d *decide.Config, _ *Config) { d.Cancellation = false }
+func stubborn(d *balancer.Config, _ *Config) { d.Cancellation = false }
 
 // counting is a worker that serves, and the number of forwards that reached it whole.
 func counting(t *testing.T) (addr string, forwards *atomic.Int32) {
@@ -79,7 +79,7 @@
 		within(t, came)
 		ended(t, r)
 		assert.Zero(t, forwards.Load())
-		assert.Equal(t, []int64{0, 1}, []int64{r.counts.Sent.Load(), r.counts.outcomes[decide.NotSent].Load()})
+		assert.Equal(t, []int64{0, 1}, []int64{r.counts.Sent.Load(), r.counts.outcomes[balancer.NotSent].Load()})
 		assert.Zero(t, r.pool.OpenConnections(), "what was interrupted is not kept for another")
 		assert.Equal(t, 0, r.facade.OpenRequests())
 	}
@@ -129,7 +129,7 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := routerBy(late, func(d *decide.Config, terms *Config) {
+			r := routerBy(late, func(d *balancer.Config, terms *Config) {
 				stubborn(d, terms)
 				terms.DialTimeout = time.Minute
 			})
@@ -155,7 +155,7 @@
 func (b *fakeRecovery) Ready() error          { return nil }
 func (b *fakeRecovery) EndpointsReceived()    {}
 func (b *fakeRecovery) EndpointsUnavailable() {}
-func (b *fakeRecovery) Admit(decide.Arrival) (done func(bool), comeBack time.Duration, ok bool) {
+func (b *fakeRecovery) Admit(balancer.Arrival) (done func(bool), comeBack time.Duration, ok bool) {
 	return func(bool) {}, 0, true
 }
 
@@ -170,10 +170,10 @@
 }
 
 // scoped makes the last operation one whose repeats a zone alone drops: where it goes is kept on a disk.
-func scoped(b *fakeRecovery) func(*decide.Config, *Config) {
-	return func(d *decide.Config, terms *Config) {
+func scoped(b *fakeRecovery) func(*balancer.Config, *Config) {
+	return func(d *balancer.Config, terms *Config) {
 		stubborn(d, terms)
-		d.Operations[2].DedupScope, terms.Operations[2].DedupScope = decide.ScopeZone, decide.ScopeZone
+		d.Operations[2].DedupScope, terms.Operations[2].DedupScope = balancer.ScopeZone, balancer.ScopeZone
 		terms.Recovery = b
 	}
 }
@@ -245,7 +245,7 @@
 			text = chunked(done) + last
 		}
 		io.WriteString(c, text)
-	}), func(d *decide.Config, _ *Config) { d.MaxAttempts = 4 })
+	}), func(d *balancer.Config, _ *Config) { d.MaxAttempts = 4 })
 	r.beforeSent = func() {
 		time.Sleep(50 * time.Millisecond)
 		left <- time.Until(came.Add(2 * time.Second)) // its client waits for as long
@@ -265,10 +265,10 @@
 }
 
 // repeating are settings by which the last operation may be sent again within a window, in one group.
-func repeating(window decide.Time) func(*decide.Config, *Config) {
-	return func(d *decide.Config, terms *Config) {
+func repeating(window balancer.Time) func(*balancer.Config, *Config) {
+	return func(d *balancer.Config, terms *Config) {
 		d.MaxAttempts, d.Operations[2].DedupWindow = 4, window
-		d.Operations[2].DedupScope, terms.Operations[2].DedupScope = decide.ScopeZone, decide.ScopeZone
+		d.Operations[2].DedupScope, terms.Operations[2].DedupScope = balancer.ScopeZone, balancer.ScopeZone
 		terms.DialTimeout = time.Minute
 	}
 }
@@ -294,39 +294,39 @@
 	ended(t, r)
 	assert.EqualValues(t, 1, forwards.Load(), "from then on its worker would run it a second time")
 	assert.Greater(t, attempts, 1, "it was decided on")
-	assert.EqualValues(t, 1, r.counts.outcomes[decide.WorkerError].Load())
+	assert.EqualValues(t, 1, r.counts.outcomes[balancer.WorkerError].Load())
 }
 
 // A connection that comes up later than the settings wait for one counts as one that never does: nothing has run.
 func TestConnectionThatComesUpTooLateIsGivenUp(t *testing.T) {
-	r := routerBy(unready(t), func(_ *decide.Config, terms *Config) { terms.DialTimeout = 20 * time.Millisecond })
+	r := routerBy(unready(t), func(_ *balancer.Config, terms *Config) { terms.DialTimeout = 20 * time.Millisecond })
 	inv, err := protocol.ParseRequest(keyed())
 	assert.NoError(t, err)
 	f := &passage{r: r, ctx: context.Background(), inv: inv, now: r.now.Load(), until: time.Now().Add(time.Minute)}
-	outcomes := make(chan decide.Outcome, 1)
+	outcomes := make(chan balancer.Outcome, 1)
 	go func() {
 		how, _, _ := f.run(0)
 		outcomes <- how
 	}()
-	assert.Equal(t, decide.NoConnection, within(t, outcomes))
+	assert.Equal(t, balancer.NoConnection, within(t, outcomes))
 	assert.Zero(t, r.pool.OpenConnections(), "its place is free again")
 }
 
 // A connection that does not come up is waited for no longer than a repeat may be sent.
 func TestWaitForAConnectionEndsWithTheRetryWindow(t *testing.T) {
-	r := routerBy(unready(t), repeating(decide.Second))
+	r := routerBy(unready(t), repeating(balancer.Second))
 	inv, err := protocol.ParseRequest(keyed())
 	assert.NoError(t, err)
 	f := &passage{
 		r: r, ctx: context.Background(), inv: inv, now: r.now.Load(), until: time.Now().Add(time.Minute),
 		sendBy: time.Now().Add(50 * time.Millisecond),
 	}
-	outcomes := make(chan decide.Outcome, 1)
+	outcomes := make(chan balancer.Outcome, 1)
 	go func() {
 		how, _, _ := f.run(0)
 		outcomes <- how
 	}()
-	assert.Equal(t, decide.NotSent, within(t, outcomes), "that says nothing of the worker")
+	assert.Equal(t, balancer.NotSent, within(t, outcomes), "that says nothing of the worker")
 	assert.Zero(t, r.pool.OpenConnections())
 }
 
@@ -360,23 +360,23 @@
 	within(t, taken)
 	told(t, r, fmt.Sprintf(`"health":"Ready","born_ms":%d`, time.Now().Add(time.Second).UnixMilli()))
 	assert.Equal(t, 502, within(t, answered).Status)
-	assert.EqualValues(t, 1, r.counts.outcomes[decide.ConnectionReset].Load(), "not by the client's time")
+	assert.EqualValues(t, 1, r.counts.outcomes[balancer.ConnectionReset].Load(), "not by the client's time")
 }
 
 // Settings change between the decisions' taking them and the names' doing so; fewer customers are in the new
 // ones.
 func TestWhatLandsWhileSettingsChangeIsBookedOnItsOwnCustomer(t *testing.T) {
 	addr, _ := counting(t)
-	customers := func(names ...string) ([]decide.TenantConfig, []string) {
-		var terms []decide.TenantConfig
+	customers := func(names ...string) ([]balancer.TenantConfig, []string) {
+		var terms []balancer.TenantConfig
 		for _, name := range names {
-			terms = append(terms, decide.TenantConfig{Name: name, Quota: 1e9})
+			terms = append(terms, balancer.TenantConfig{Name: name, Quota: 1e9})
 		}
 		return terms, names
 	}
-	var d decide.Config
+	var d balancer.Config
 	var terms Config
-	r := routerBy(addr, func(first *decide.Config, names *Config) {
+	r := routerBy(addr, func(first *balancer.Config, names *Config) {
 		first.Tenants, names.Tenants = customers("a", "b", "c")
 		d, terms = *first, *names
 	})
@@ -415,10 +415,10 @@
 // Settings change while an invocation is on its way; its operation is not in the new ones.
 func TestInvocationEndsUnderTheSettingsThatItCameUnder(t *testing.T) {
 	addr, forwards := counting(t)
-	var d decide.Config
+	var d balancer.Config
 	var terms Config
 	b := &fakeRecovery{keep: func() error { return nil }}
-	r := routerBy(addr, func(first *decide.Config, names *Config) {
+	r := routerBy(addr, func(first *balancer.Config, names *Config) {
 		scoped(b)(first, names)
 		d, terms = *first, *names
 	})
@@ -456,8 +456,8 @@
 }
 
 // patient settings ask for a list that was lost after many seconds only.
-func patient(d *decide.Config, _ *Config) {
-	d.PollEndpoints, d.MaxPollInterval = true, 1000*decide.Second
+func patient(d *balancer.Config, _ *Config) {
+	d.PollEndpoints, d.MaxPollInterval = true, 1000*balancer.Second
 }
 
 // SIGHUP comes between the end of a watch and its report, twice, there and back: the new place is asked at
--- a/internal/routing/fleet.go
+++ b/internal/proxy/fleet.go
@@ -1,6 +1,6 @@
-// Package routing carries an invocation from its client to workers and back. Where it goes, and when it is
+// Package proxy carries an invocation from its client to workers and back. Where it goes, and when it is
 // given up, it picks from the facade of the decisions; what happens it reports there. It decides nothing.
-package routing
+package proxy
 
 import (
 	"slices"
@@ -9,34 +9,34 @@
 
 	"github.com/rs/zerolog"
 
-	"canvasroute/decide"
+	"canvasroute/internal/balancer"
 	"canvasroute/internal/protocol"
 )
 
 // fleet knows the workers by name and by address. A worker keeps its number while this process lives.
 type fleet struct {
 	zones, kinds map[string]int
-	clock        func(unixMs float64) decide.Time
+	clock        func(unixMs float64) balancer.Time
 	log          zerolog.Logger
 
 	mu      sync.Mutex
-	numbers map[string]decide.WorkerID
+	numbers map[string]balancer.WorkerID
 	workers []worker
-	tagged  map[uint16]decide.WorkerID
+	tagged  map[uint16]balancer.WorkerID
 	version int64
 }
 
 type worker struct {
 	tag   uint16
-	born  decide.Time
+	born  balancer.Time
 	entry protocol.Endpoint // as last told, with the last address
 }
 
 func (w *worker) gone() bool { return w.entry.State == protocol.Gone }
 
-var listed = map[string]decide.WorkerState{
-	protocol.Ready: decide.Healthy, protocol.Terminating: decide.Draining,
-	protocol.Gone: decide.Gone,
+var listed = map[string]balancer.WorkerState{
+	protocol.Ready: balancer.Healthy, protocol.Terminating: balancer.Draining,
+	protocol.Gone: balancer.Gone,
 }
 
 // stale is an address whose idle connections are of no more use; nor are the others, if they were opened
@@ -47,15 +47,15 @@
 }
 
 // take turns a list into the decisions' entries, and tells what it makes stale.
-func (f *fleet) take(l *protocol.EndpointList) (entries []decide.Endpoint, old []stale) {
+func (f *fleet) take(l *protocol.EndpointList) (entries []balancer.Endpoint, old []stale) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.version = l.Version
-	seen := map[decide.WorkerID]bool{}
+	seen := map[balancer.WorkerID]bool{}
 	for _, e := range l.Endpoints {
 		n, known := f.numbers[e.ID]
 		if !known {
-			n = decide.WorkerID(len(f.workers))
+			n = balancer.WorkerID(len(f.workers))
 			f.numbers[e.ID] = n
 			f.workers = append(f.workers, worker{tag: protocol.Tag(e.ID)})
 			f.log.Info().Int("worker", int(n)).Str("host", e.ID).Str("addr", e.Address).Msg("worker named")
@@ -76,19 +76,19 @@
 		case was.entry.Address == "":
 		case w.born > was.born:
 			old = append(old, stale{was.entry.Address, time.UnixMilli(int64(e.StartedAtMillis))})
-		case state != decide.Healthy || e.Address != was.entry.Address:
+		case state != balancer.Healthy || e.Address != was.entry.Address:
 			old = append(old, stale{address: was.entry.Address})
 		}
 		if _, known := f.zones[e.Zone]; !known { // not one of those in the settings, nor like any other
 			f.zones[e.Zone] = len(f.zones)
 		}
-		entries = append(entries, decide.Endpoint{
-			Worker: n, ID: e.ID, Zone: decide.ZoneID(f.zones[e.Zone]),
-			Kind: decide.KindID(f.kinds[e.Kind]), Cell: decide.CellID(e.Cell), State: state, StartedAt: w.born,
+		entries = append(entries, balancer.Endpoint{
+			Worker: n, ID: e.ID, Zone: balancer.ZoneID(f.zones[e.Zone]),
+			Kind: balancer.KindID(f.kinds[e.Kind]), Cell: balancer.CellID(e.Cell), State: state, StartedAt: w.born,
 		})
 	}
 	for n := range f.workers {
-		if w := &f.workers[n]; l.Complete && !seen[decide.WorkerID(n)] && !w.gone() {
+		if w := &f.workers[n]; l.Complete && !seen[balancer.WorkerID(n)] && !w.gone() {
 			old = append(old, stale{address: w.entry.Address})
 			w.entry.State = protocol.Gone
 		}
@@ -96,41 +96,41 @@
 	return entries, old
 }
 
-func (f *fleet) address(w decide.WorkerID) string {
+func (f *fleet) address(w balancer.WorkerID) string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.workers[w].entry.Address
 }
 
 // takes tells whether a worker may be sent something new, at that address.
-func (f *fleet) takes(w decide.WorkerID, address string) bool {
+func (f *fleet) takes(w balancer.WorkerID, address string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	e := &f.workers[w].entry
 	return e.State == protocol.Ready && e.Address == address
 }
 
-func (f *fleet) tag(w decide.WorkerID) uint16 {
+func (f *fleet) tag(w balancer.WorkerID) uint16 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.workers[w].tag
 }
 
 // id is a worker's name.
-func (f *fleet) id(w decide.WorkerID) string {
+func (f *fleet) id(w balancer.WorkerID) string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.workers[w].entry.ID
 }
 
-func (f *fleet) byID(id string) (decide.WorkerID, bool) {
+func (f *fleet) byID(id string) (balancer.WorkerID, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	w, known := f.numbers[id]
 	return w, known
 }
 
-func (f *fleet) byTag(tag uint16) (decide.WorkerID, bool) {
+func (f *fleet) byTag(tag uint16) (balancer.WorkerID, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	w, ok := f.tagged[tag]
--- a/internal/routing/format_test.go
+++ b/internal/proxy/format_test.go
@@ -1,4 +1,4 @@
-package routing
+package proxy
 
 import (
 	"bytes"
@@ -12,7 +12,7 @@
 
 	"github.com/stretchr/testify/assert"
 
-	"canvasroute/decide"
+	"canvasroute/internal/balancer"
 	"canvasroute/internal/protocol"
 )
 
@@ -170,28 +170,28 @@
 		Zones:   []string{"north", "south"},
 		Kinds:   []string{"std-3c", "big-16c"},
 		Tenants: []string{"acme", "globex"},
-		Learned: []decide.Snapshot{fullLearnt()},
+		Learned: []balancer.Snapshot{fullLearnt()},
 		Sibling: fullRunningCounts(),
 		Drained: true,
 	}
 }
 
 // fullLearnt is what one instance has learnt, with each field set.
-func fullLearnt() decide.Snapshot {
-	return decide.Snapshot{
-		Operations: []decide.OperationStats{{
+func fullLearnt() balancer.Snapshot {
+	return balancer.Snapshot{
+		Operations: []balancer.OperationStats{{
 			Name: "render", LongestTimeout: 20_001, MeanSize: 1.25, RequestedWork: 2.5, LostWork: 0.125,
 			Arrivals: 31, MeanRun: 4.75, Runs: 32,
 		}},
-		Tenants: []decide.TenantStats{{Usage: 3.5, At: 33}, {Usage: 0.25, At: 34}},
-		Kinds:   []decide.KindStats{{Slots: 3, MaxObserved: 2.5, Votes: []int{7, 8, 9}}},
-		Zones:   []decide.ZoneStats{{Failures: 5, EjectedUntil: 35}},
-		Workers: []decide.WorkerStats{{
+		Tenants: []balancer.TenantStats{{Usage: 3.5, At: 33}, {Usage: 0.25, At: 34}},
+		Kinds:   []balancer.KindStats{{Slots: 3, MaxObserved: 2.5, Votes: []int{7, 8, 9}}},
+		Zones:   []balancer.ZoneStats{{Failures: 5, EjectedUntil: 35}},
+		Workers: []balancer.WorkerStats{{
 			ConsecutiveFailures: 2, PossiblyExecuted: true, ProbeAfter: 36, NotBefore: 37,
-			PeerLoads: []decide.PeerLoad{{From: 1, InFlight: 6, ReceivedAt: 38}},
-			Sends:     []decide.SentWork{{At: 39, Work: 1_500}},
+			PeerLoads: []balancer.PeerLoad{{From: 1, InFlight: 6, ReceivedAt: 38}},
+			Sends:     []balancer.SentWork{{At: 39, Work: 1_500}},
 		}},
-		Sample:           []decide.Work{11, 12, 13},
+		Sample:           []balancer.Work{11, 12, 13},
 		Sampled:          40,
 		TotalValue:       0.5,
 		FreeSlotRatio:    0.75,
@@ -204,7 +204,7 @@
 func fullRunningCounts() SiblingUpdate {
 	return SiblingUpdate{
 		InFlight:          map[string]int{"w1": 3, "w2": 4},
-		RecentSends:       map[string]decide.Work{"w1": 1_000, "w2": 2_000},
+		RecentSends:       map[string]balancer.Work{"w1": 1_000, "w2": 2_000},
 		Opened:            []string{"request-1", "request-2"},
 		Closed:            []string{"request-3"},
 		ClientConnections: 120,
@@ -217,12 +217,12 @@
 	t.Helper()
 	return MigratedRequest{
 		Request: fullInvocation(t),
-		Balancing: decide.MigratedRequest{
+		Balancing: balancer.MigratedRequest{
 			Name: "render", LatencyObjective: 10_000, DedupWindow: 600_000, RetryAfter: 20_000, Value: 1.5,
-			Slack: 0.25, LateShare: 0.125, Idempotency: decide.NonIdempotent, DedupScope: decide.ScopeCell, Kind: 1,
+			Slack: 0.25, LateShare: 0.125, Idempotency: balancer.NonIdempotent, DedupScope: balancer.ScopeCell, Kind: 1,
 			Deadline: time.Date(2026, time.March, 4, 5, 6, 7, 89_000_000, time.UTC), LatestStart: 51, Size: 52, QuotaWeight: 0.75,
 			SpentElsewhere: 1, MaxAttempts: 3,
-			Attempts: []decide.MigratedAttempt{
+			Attempts: []balancer.MigratedAttempt{
 				{Worker: 1, SentAt: 53, StartedAt: 54, InFlight: true, MayHaveRun: true},
 				{Worker: 2, SentAt: 55, StartedAt: 56, InFlight: true, MayHaveRun: true},
 			},
@@ -251,10 +251,10 @@
 
 // sparseSnapshot has one element in each list, with all that it holds left empty.
 func sparseSnapshot() *Snapshot {
-	return &Snapshot{Endpoints: make([]protocol.Endpoint, 1), Learned: []decide.Snapshot{{
-		Operations: make([]decide.OperationStats, 1), Tenants: make([]decide.TenantStats, 1),
-		Kinds: make([]decide.KindStats, 1), Zones: make([]decide.ZoneStats, 1),
-		Workers: []decide.WorkerStats{{PeerLoads: make([]decide.PeerLoad, 1), Sends: make([]decide.SentWork, 1)}},
+	return &Snapshot{Endpoints: make([]protocol.Endpoint, 1), Learned: []balancer.Snapshot{{
+		Operations: make([]balancer.OperationStats, 1), Tenants: make([]balancer.TenantStats, 1),
+		Kinds: make([]balancer.KindStats, 1), Zones: make([]balancer.ZoneStats, 1),
+		Workers: []balancer.WorkerStats{{PeerLoads: make([]balancer.PeerLoad, 1), Sends: make([]balancer.SentWork, 1)}},
 	}}}
 }
 
@@ -262,6 +262,6 @@
 func sparseMigratedRequest() *MigratedRequest {
 	return &MigratedRequest{
 		Request:   &protocol.Request{},
-		Balancing: decide.MigratedRequest{Attempts: make([]decide.MigratedAttempt, 1)},
+		Balancing: balancer.MigratedRequest{Attempts: make([]balancer.MigratedAttempt, 1)},
 	}
 }
--- a/internal/routing/forward.go
+++ b/internal/proxy/forward.go
@@ -1,4 +1,4 @@
-package routing
+package proxy
 
 import (
 	"bytes"
@@ -9,7 +9,7 @@
 	"syscall"
 	"time"
 
-	"canvasroute/decide"
+	"canvasroute/internal/balancer"
 	"canvasroute/internal/protocol"
 	"canvasroute/internal/transport"
 )
@@ -18,12 +18,12 @@
 const endWithin = 250 * time.Millisecond
 
 // forward sends the invocation to one worker and reports what comes of it, once.
-func (r *Proxy) forward(c *carrying, choice decide.Decision, result chan<- string) {
+func (r *Proxy) forward(c *carrying, choice balancer.Decision, result chan<- string) {
 	f := r.passage(c, choice)
-	r.finish(c, choice, f, result, func() (decide.Outcome, string, func()) { return f.run(choice.Worker) })
+	r.finish(c, choice, f, result, func() (balancer.Outcome, string, func()) { return f.run(choice.Worker) })
 }
 
-func (r *Proxy) passage(c *carrying, choice decide.Decision) *passage {
+func (r *Proxy) passage(c *carrying, choice balancer.Decision) *passage {
 	return &passage{
 		r: r, ctx: choice.Ctx, inv: c.inv, now: c.now, until: c.until, sendBy: choice.SendBy,
 		need:    needs[choice.Idempotency],
@@ -35,8 +35,8 @@
 }
 
 // finish runs a forward and reports what comes of it.
-func (r *Proxy) finish(c *carrying, choice decide.Decision, f *passage, result chan<- string,
-	run func() (decide.Outcome, string, func()),
+func (r *Proxy) finish(c *carrying, choice balancer.Decision, f *passage, result chan<- string,
+	run func() (balancer.Outcome, string, func()),
 ) {
 	c.add(choice.Attempt, f)
 	how, text, finish := run()
@@ -80,32 +80,32 @@
 
 // run returns the outcome, the result of a succeeded forward, and what is left to do for the connection after
 // the outcome has been reported.
-func (f *passage) run(tgt decide.WorkerID) (how decide.Outcome, result string, finish func()) {
+func (f *passage) run(tgt balancer.WorkerID) (how balancer.Outcome, result string, finish func()) {
 	conn, err := f.connect(tgt)
 	if err != nil {
 		if f.ctx.Err() != nil || f.tooLate() {
-			return decide.NotSent, "", nil
+			return balancer.NotSent, "", nil
 		}
 		if errors.Is(err, transport.ErrPoolExhausted) { // that says nothing of the worker
 			f.r.log.Warn().Msg("no connection left in the budget")
-			return decide.NotSent, "", nil
+			return balancer.NotSent, "", nil
 		}
 		f.r.log.Info().Str("side", "worker").Str("addr", f.r.fleet.address(tgt)).Str("reason", "not_up").
 			Err(err).Msg("connection never came up")
 		if errors.Is(err, syscall.ECONNREFUSED) {
-			return decide.ConnectionRefused, "", nil
+			return balancer.ConnectionRefused, "", nil
 		}
-		return decide.NoConnection, "", nil
+		return balancer.NoConnection, "", nil
 	}
 	if f.ctx.Err() != nil {
 		f.r.pool.Put(conn)
-		return decide.NotSent, "", nil
+		return balancer.NotSent, "", nil
 	}
 	if err := f.r.keep(f.ctx, f.now, f.inv, tgt); err != nil { // after a loss of power nobody would know where it went
 		f.r.pool.Put(conn)
 		f.r.log.Warn().Err(err).Msg("not sent: where it goes cannot be kept")
 		f.withdraw()
-		return decide.NotSent, "", nil
+		return balancer.NotSent, "", nil
 	}
 	if f.r.beforeSent != nil {
 		f.r.beforeSent()
@@ -118,7 +118,7 @@
 			conn.Interrupt()
 		}
 		f.r.pool.Put(conn)
-		return decide.NotSent, "", nil
+		return balancer.NotSent, "", nil
 	}
 	f.used = conn.Reused()
 	if err := f.send(conn, protocol.AppendWorkerRequest(nil, f.inv, time.Until(f.until))); err != nil {
@@ -132,9 +132,9 @@
 
 // needs is how sure a forward's connection has to be: what may not run again anywhere needs the surest, and
 // what may in its group alone must not take another answer for its own.
-var needs = map[decide.Idempotency]transport.Freshness{
-	decide.Idempotent:      transport.AnyConnection,
-	decide.IdempotentByKey: transport.Settled, decide.NonIdempotent: transport.VerifiedOnly,
+var needs = map[balancer.Idempotency]transport.Freshness{
+	balancer.Idempotent:      transport.AnyConnection,
+	balancer.IdempotentByKey: transport.Settled, balancer.NonIdempotent: transport.VerifiedOnly,
 }
 
 // send sends the message. With an error it never ran: its last byte was not written.
@@ -149,12 +149,12 @@
 func (f *passage) tooLate() bool { return !f.sendBy.IsZero() && !time.Now().Before(f.sendBy) }
 
 // resume goes on with a forward that another process had sent.
-func (f *passage) resume(conn *transport.Conn) (how decide.Outcome, result string, finish func()) {
+func (f *passage) resume(conn *transport.Conn) (how balancer.Outcome, result string, finish func()) {
 	return f.await(conn, context.AfterFunc(f.ctx, conn.Interrupt))
 }
 
 // await waits for the worker's answer. stop ends the watch for the forward's own end.
-func (f *passage) await(conn *transport.Conn, stop func() bool) (decide.Outcome, string, func()) {
+func (f *passage) await(conn *transport.Conn, stop func() bool) (balancer.Outcome, string, func()) {
 	if f.r.terms.MigratesRequests {
 		conn.StartRecording()
 	}
@@ -183,7 +183,7 @@
 }
 
 // connect gets a connection within the time in which one comes up or never does, and within the retry window.
-func (f *passage) connect(tgt decide.WorkerID) (*transport.Conn, error) {
+func (f *passage) connect(tgt balancer.WorkerID) (*transport.Conn, error) {
 	ctx, cancel := context.WithTimeout(f.ctx, f.now.dialWithin)
 	defer cancel()
 	if !f.sendBy.IsZero() {
@@ -194,16 +194,16 @@
 	return f.r.pool.Get(ctx, f.r.fleet.address(tgt), f.need)
 }
 
-func (f *passage) unsent(conn *transport.Conn, err error) (decide.Outcome, string, func()) {
+func (f *passage) unsent(conn *transport.Conn, err error) (balancer.Outcome, string, func()) {
 	conn.CloseFor(f.reason(err, f.ctx.Err() != nil), err)
 	if f.ctx.Err() != nil {
-		return decide.NotSent, "", nil
+		return balancer.NotSent, "", nil
 	}
 	if conn.Reused() { // its end says nothing of the worker now
 		f.r.pool.MarkSuspect(conn.Addr())
-		return decide.NotSent, "", nil
+		return balancer.NotSent, "", nil
 	}
-	return decide.NoConnection, "", nil
+	return balancer.NoConnection, "", nil
 }
 
 // reason tells why a connection ends with an error.
@@ -228,30 +228,30 @@
 )
 
 // lost is the outcome of a forward that was sent and whose connection brings nothing more.
-func (f *passage) lost(err error) decide.Outcome {
+func (f *passage) lost(err error) balancer.Outcome {
 	switch {
-	case errors.Is(context.Cause(f.ctx), decide.ErrAttemptCanceled):
-		return decide.Canceled
+	case errors.Is(context.Cause(f.ctx), balancer.ErrAttemptCanceled):
+		return balancer.Canceled
 	case f.ctx.Err() != nil:
-		return decide.TimedOut
+		return balancer.TimedOut
 	case errors.Is(err, protocol.ErrMalformed), errors.Is(err, protocol.ErrTooLarge),
 		errors.Is(err, protocol.ErrHeadTooLarge), errors.Is(err, errBroken):
-		return decide.WorkerError
+		return balancer.WorkerError
 	}
-	return decide.ConnectionReset
+	return balancer.ConnectionReset
 }
 
 // read takes the worker's answer up to the line that ends the forward. A connection that was used before and
 // ends with no answer at all may have ended before the forward was on it. With an error the connection is of
 // no more use; without one the rest of body is still to come.
-func (f *passage) read(conn *transport.Conn, used bool) (how decide.Outcome, result string,
+func (f *passage) read(conn *transport.Conn, used bool) (how balancer.Outcome, result string,
 	body protocol.Body, err error,
 ) {
 	head, err := conn.ReadResponseHead()
 	if err != nil {
-		if how = f.lost(err); how == decide.ConnectionReset && used && conn.NothingReceived() {
+		if how = f.lost(err); how == balancer.ConnectionReset && used && conn.NothingReceived() {
 			f.r.pool.MarkSuspect(conn.Addr())
-			how = decide.ConnectionStale
+			how = balancer.ConnectionStale
 		}
 		return how, "", body, err
 	}
@@ -259,9 +259,9 @@
 		return f.lost(err), "", body, err
 	}
 	if head.Status != 200 {
-		how = decide.WorkerError
+		how = balancer.WorkerError
 		if protocol.Declined(&head) {
-			how = decide.Overloaded
+			how = balancer.Overloaded
 		}
 		if head.CloseRequested() || body.EndsWithConnection() {
 			return how, "", body, errAsked
@@ -291,7 +291,7 @@
 	}
 	switch {
 	case broken != nil:
-		return decide.WorkerError, "", body, broken
+		return balancer.WorkerError, "", body, broken
 	case how != 0 && head.CloseRequested():
 		return how, result, body, errAsked
 	case how != 0:
@@ -303,7 +303,7 @@
 }
 
 // line takes one line of the worker's. The outcome is 0 while the forward goes on.
-func (f *passage) line(b []byte) (how decide.Outcome, result string, err error) {
+func (f *passage) line(b []byte) (how balancer.Outcome, result string, err error) {
 	if len(b) == 0 {
 		return 0, "", nil
 	}
@@ -318,13 +318,13 @@
 	case protocol.Started:
 		f.started()
 	case protocol.Done:
-		return decide.Succeeded, l.Result, nil
+		return balancer.Succeeded, l.Result, nil
 	case protocol.Failed:
-		return decide.WorkerError, "", nil
+		return balancer.WorkerError, "", nil
 	case protocol.ReturnedUnstarted:
-		return decide.Overloaded, "", nil
+		return balancer.Overloaded, "", nil
 	case protocol.Lost:
-		return decide.ConnectionReset, "", nil
+		return balancer.ConnectionReset, "", nil
 	}
 	return 0, "", nil
 }
--- a/internal/routing/forward_test.go
+++ b/internal/proxy/forward_test.go
@@ -1,4 +1,4 @@
-package routing
+package proxy
 
 import (
 	"bufio"
@@ -15,8 +15,8 @@
 	"github.com/rs/zerolog"
 	"github.com/stretchr/testify/assert"
 
-	"canvasroute/decide"
-	"canvasroute/internal/drain"
+	"canvasroute/internal/balancer"
+	"canvasroute/internal/lifecycle"
 	"canvasroute/internal/protocol"
 	"canvasroute/internal/transport"
 )
@@ -74,19 +74,19 @@
 )
 
 // routerTo has one worker at an address, and three operations, the second one non-idempotent.
-func routerTo(addr string) *Proxy { return routerBy(addr, func(*decide.Config, *Config) {}) }
+func routerTo(addr string) *Proxy { return routerBy(addr, func(*balancer.Config, *Config) {}) }
 
 // routerBy is a router with other terms.
-func routerBy(addr string, change func(*decide.Config, *Config)) *Proxy {
+func routerBy(addr string, change func(*balancer.Config, *Config)) *Proxy {
 	began := time.Now()
-	decisions := decide.Config{
+	decisions := balancer.Config{
 		Dispatchers: 2, Kinds: 1, MaxAttempts: 1, Cancellation: true, Granularity: 20,
 		ReportInFlight: -1, ReportQueue: -1, ReportFree: -1,
-		Tenants: []decide.TenantConfig{{Quota: 1e9}},
-		Operations: []decide.OperationConfig{
-			{LatencyObjective: decide.Second, Value: 1, Kind: -1},
-			{LatencyObjective: decide.Second, Value: 1, Kind: -1, Idempotency: decide.NonIdempotent},
-			{LatencyObjective: decide.Second, Value: 1, Kind: -1, Idempotency: decide.IdempotentByKey},
+		Tenants: []balancer.TenantConfig{{Quota: 1e9}},
+		Operations: []balancer.OperationConfig{
+			{LatencyObjective: balancer.Second, Value: 1, Kind: -1},
+			{LatencyObjective: balancer.Second, Value: 1, Kind: -1, Idempotency: balancer.NonIdempotent},
+			{LatencyObjective: balancer.Second, Value: 1, Kind: -1, Idempotency: balancer.IdempotentByKey},
 		},
 	}
 	known := protocol.Endpoint{ID: "w", Address: addr, State: protocol.Ready}
@@ -101,13 +101,13 @@
 			netip.MustParseAddrPort("127.0.0.1:7001"),
 			netip.MustParseAddrPort("127.0.0.2:7001"),
 		},
-		FromUnix:         func(ms float64) decide.Time { return decide.Time(ms * 10) },
+		FromUnix:         func(ms float64) balancer.Time { return balancer.Time(ms * 10) },
 		InitialEndpoints: &protocol.EndpointList{Version: 7, Complete: true, Endpoints: []protocol.Endpoint{known}},
 	}
 	change(&decisions, &terms)
-	f := decide.NewShards(decisions, 1, 1, func() decide.Time { return decide.Second + spanOf(time.Since(began)) },
+	f := balancer.NewShards(decisions, 1, 1, func() balancer.Time { return balancer.Second + spanOf(time.Since(began)) },
 		func(string) {})
-	return New(terms, f, transport.NewPool(4, time.Minute, zerolog.Nop()), nil, &drain.State{}, zerolog.Nop())
+	return New(terms, f, transport.NewPool(4, time.Minute, zerolog.Nop()), nil, &lifecycle.State{}, zerolog.Nop())
 }
 
 func invocation(operation string) *protocol.Head {
@@ -120,7 +120,7 @@
 }
 
 // outcome is what one forward to addr comes to.
-func outcome(t *testing.T, addr string, ctx context.Context) (decide.Outcome, string, int) {
+func outcome(t *testing.T, addr string, ctx context.Context) (balancer.Outcome, string, int) {
 	r, starts := routerTo(addr), 0
 	inv, err := protocol.ParseRequest(invocation("idem"))
 	assert.NoError(t, err)
@@ -141,42 +141,42 @@
 	for name, c := range map[string]struct {
 		text string
 		ends bool
-		want decide.Outcome
+		want balancer.Outcome
 	}{
-		"done":                  {chunked(started, done) + last, false, decide.Succeeded},
-		"done, then broken":     {chunked(started, done), true, decide.Succeeded},
-		"done without line end": {"HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\n" + done, false, decide.Succeeded},
-		"done until the end":    {"HTTP/1.0 200 OK\r\n\r\n" + started + "\n" + done + "\n", true, decide.Succeeded},
-		"failed":                {chunked(started, line("failed")) + last, false, decide.WorkerError},
-		"500":                   {"HTTP/1.1 500 No\r\nContent-Length: 2\r\n\r\nno", false, decide.WorkerError},
-		"returned":              {chunked(line("returned")) + last, false, decide.Overloaded},
+		"done":                  {chunked(started, done) + last, false, balancer.Succeeded},
+		"done, then broken":     {chunked(started, done), true, balancer.Succeeded},
+		"done without line end": {"HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\n" + done, false, balancer.Succeeded},
+		"done until the end":    {"HTTP/1.0 200 OK\r\n\r\n" + started + "\n" + done + "\n", true, balancer.Succeeded},
+		"failed":                {chunked(started, line("failed")) + last, false, balancer.WorkerError},
+		"500":                   {"HTTP/1.1 500 No\r\nContent-Length: 2\r\n\r\nno", false, balancer.WorkerError},
+		"returned":              {chunked(line("returned")) + last, false, balancer.Overloaded},
 		"declined": {
 			"HTTP/1.1 503 No\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n", false,
-			decide.Overloaded,
+			balancer.Overloaded,
 		},
 		"declined and closed": {
 			"HTTP/1.1 504 No\r\nSrv-Declined: 1\r\nConnection: close\r\n\r\n", true,
-			decide.Overloaded,
+			balancer.Overloaded,
 		},
-		"503 of another sort":  {"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", false, decide.WorkerError},
-		"lost":                 {chunked(started, line("lost")) + last, false, decide.ConnectionReset},
-		"broken before a head": {"", true, decide.ConnectionReset},
-		"broken in the head":   {"HTTP/1.1 200", true, decide.ConnectionReset},
-		"broken after a start": {chunked(started), true, decide.ConnectionReset},
-		"ended without a last": {chunked(started, line("running")) + last, false, decide.ConnectionReset},
-		"no HTTP":              {"SSH-2.0-x\r\n\r\n", false, decide.WorkerError},
+		"503 of another sort":  {"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", false, balancer.WorkerError},
+		"lost":                 {chunked(started, line("lost")) + last, false, balancer.ConnectionReset},
+		"broken before a head": {"", true, balancer.ConnectionReset},
+		"broken in the head":   {"HTTP/1.1 200", true, balancer.ConnectionReset},
+		"broken after a start": {chunked(started), true, balancer.ConnectionReset},
+		"ended without a last": {chunked(started, line("running")) + last, false, balancer.ConnectionReset},
+		"no HTTP":              {"SSH-2.0-x\r\n\r\n", false, balancer.WorkerError},
 		"bad chunk": {
 			"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n", false,
-			decide.WorkerError,
+			balancer.WorkerError,
 		},
-		"no JSON":               {chunked("<html>") + last, false, decide.WorkerError},
-		"of another invocation": {chunked(strings.Replace(done, "a1", "b2", 1)) + last, false, decide.WorkerError},
-		"endless head":          {"HTTP/1.1 200 OK\r\nA: " + strings.Repeat("a", 20000), false, decide.WorkerError},
-		"endless line":          {chunked(strings.Repeat("a", protocol.MaxLineBytes)), false, decide.WorkerError},
+		"no JSON":               {chunked("<html>") + last, false, balancer.WorkerError},
+		"of another invocation": {chunked(strings.Replace(done, "a1", "b2", 1)) + last, false, balancer.WorkerError},
+		"endless head":          {"HTTP/1.1 200 OK\r\nA: " + strings.Repeat("a", 20000), false, balancer.WorkerError},
+		"endless line":          {chunked(strings.Repeat("a", protocol.MaxLineBytes)), false, balancer.WorkerError},
 	} {
 		how, result, _ := outcome(t, standIn(t, says(c.text, c.ends)), context.Background())
 		assert.Equal(t, c.want, how, name)
-		assert.Equal(t, how == decide.Succeeded, result == "r", name)
+		assert.Equal(t, how == balancer.Succeeded, result == "r", name)
 	}
 }
 
@@ -190,23 +190,23 @@
 	assert.NoError(t, err)
 	ln.Close()
 	how, _, _ := outcome(t, ln.Addr().String(), context.Background())
-	assert.Equal(t, decide.ConnectionRefused, how, "its process is not there")
+	assert.Equal(t, balancer.ConnectionRefused, how, "its process is not there")
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	how, _, _ = outcome(t, standIn(t, says("", true)), ctx)
-	assert.Equal(t, decide.NotSent, how, "called off before anything was sent")
+	assert.Equal(t, balancer.NotSent, how, "called off before anything was sent")
 }
 
 func TestForwardCalledOffClosesItsConnection(t *testing.T) {
 	ended := make(chan error, 1)
 	ctx, cancel := context.WithCancelCause(context.Background())
 	addr := standIn(t, func(c net.Conn, _ *http.Request) {
-		cancel(decide.ErrAttemptCanceled)
+		cancel(balancer.ErrAttemptCanceled)
 		_, err := c.Read(make([]byte, 1))
 		ended <- err
 	})
 	how, _, _ := outcome(t, addr, ctx)
-	assert.Equal(t, decide.Canceled, how)
+	assert.Equal(t, balancer.Canceled, how)
 	assert.ErrorIs(t, <-ended, io.EOF)
 }
 
@@ -214,7 +214,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Millisecond)
 	defer cancel()
 	how, _, _ := outcome(t, standIn(t, func(c net.Conn, _ *http.Request) { c.Read(make([]byte, 1)) }), ctx)
-	assert.Equal(t, decide.TimedOut, how)
+	assert.Equal(t, balancer.TimedOut, how)
 }
 
 func TestConnectionIsUsedAgainAfterAWholeAnswer(t *testing.T) {
@@ -248,6 +248,6 @@
 	assert.Equal(t, 200, serve("idem"))
 	time.Sleep(transport.SettleTime) // before that no kept connection will do
 	assert.Equal(t, 502, serve("once"))
-	assert.Equal(t, int64(1), r.counts.outcomes[decide.ConnectionStale].Load())
+	assert.Equal(t, int64(1), r.counts.outcomes[balancer.ConnectionStale].Load())
 	assert.Equal(t, 200, serve("idem"), "it gets the next one at once")
 }
--- a/internal/routing/hand.go
+++ b/internal/proxy/hand.go
@@ -1,4 +1,4 @@
-package routing
+package proxy
 
 import (
 	"context"
@@ -11,7 +11,7 @@
 	"syscall"
 	"time"
 
-	"canvasroute/decide"
+	"canvasroute/internal/balancer"
 	"canvasroute/internal/protocol"
 	"canvasroute/internal/transport"
 )
@@ -22,14 +22,14 @@
 // MigratedRequest is an invocation that is under way, as one process of this dispatcher hands it to another. Its
 // sockets come with it: the client's, and one for each forward that is out.
 type MigratedRequest struct {
-	Request        *protocol.Request      `json:"Invocation"`
-	Balancing      decide.MigratedRequest `json:"Decided"`
-	Workers        []string               `json:"Hosts"`   // the workers of its forwards
-	Pipelined      []byte                 `json:"Early"`   // what the client has sent beyond it
-	Received       [][]byte               `json:"Came"`    // on each forward's connection since it was sent
-	Reused         []bool                 `json:"Used"`    // those connections were used before
-	CloseRequested bool                   `json:"Closes"`  // the client's connection ends with the answer
-	AcceptsInterim bool                   `json:"Interim"` // the client takes interim answers
+	Request        *protocol.Request        `json:"Invocation"`
+	Balancing      balancer.MigratedRequest `json:"Decided"`
+	Workers        []string                 `json:"Hosts"`   // the workers of its forwards
+	Pipelined      []byte                   `json:"Early"`   // what the client has sent beyond it
+	Received       [][]byte                 `json:"Came"`    // on each forward's connection since it was sent
+	Reused         []bool                   `json:"Used"`    // those connections were used before
+	CloseRequested bool                     `json:"Closes"`  // the client's connection ends with the answer
+	AcceptsInterim bool                     `json:"Interim"` // the client takes interim answers
 }
 
 // Migrator takes what is handed over, with the client's socket and those of the forwards that are out, by
@@ -40,7 +40,7 @@
 type carrying struct {
 	inv             *protocol.Request
 	now             *settings // that it came under
-	ticket          *decide.RequestHandle
+	ticket          *balancer.RequestHandle
 	until           time.Time
 	closes, interim bool
 
@@ -217,7 +217,7 @@
 // reads on.
 //
 //nolint:revive // receiver-naming: p and f are brought together when the package is restructured
-func (f *passage) hear(conn *transport.Conn) (how decide.Outcome, result string, body protocol.Body,
+func (f *passage) hear(conn *transport.Conn) (how balancer.Outcome, result string, body protocol.Body,
 	handed bool, err error,
 ) {
 	f.mu.Lock()
@@ -285,11 +285,11 @@
 	for n, nc := range forwards {
 		tgt := h.Balancing.Attempts[n].Worker
 		conn := r.pool.Import(nc, r.fleet.address(tgt), h.Received[n])
-		choice := decide.Decision{Action: decide.SendAttempt, Worker: tgt, Attempt: n, Ctx: contexts[n]}
+		choice := balancer.Decision{Action: balancer.SendAttempt, Worker: tgt, Attempt: n, Ctx: contexts[n]}
 		p := r.passage(c, choice)
 		p.used = h.Reused[n]
 		r.forwards.Go(func() error {
-			r.finish(c, choice, p, result, func() (decide.Outcome, string, func()) { return p.resume(conn) })
+			r.finish(c, choice, p, result, func() (balancer.Outcome, string, func()) { return p.resume(conn) })
 			return nil
 		})
 	}
--- a/internal/routing/legacy.go
+++ b/internal/proxy/legacy.go
@@ -1,12 +1,12 @@
-package routing
+package proxy
 
 import (
 	"encoding/json"
 	"fmt"
 	"time"
 
-	"canvasroute/decide"
-	"canvasroute/internal/drain"
+	"canvasroute/internal/balancer"
+	"canvasroute/internal/lifecycle"
 	"canvasroute/internal/protocol"
 )
 
@@ -18,7 +18,7 @@
 	Zones     []string            `json:"Zones"`   // by their numbers
 	Kinds     []string            `json:"Kinds"`
 	Tenants   []string            `json:"Owners"`
-	Learned   []decide.Snapshot   `json:"Learnt"`
+	Learned   []balancer.Snapshot `json:"Learnt"`
 	Sibling   SiblingUpdate       `json:"Twin"`
 	Drained   bool                `json:"Left"` // it was told to leave, which holds for its successor too
 }
@@ -27,7 +27,7 @@
 func (r *Proxy) Snapshot() Snapshot {
 	l := r.Learned()
 	r.ids.watch()
-	l.Sibling = r.SiblingUpdate(decide.Successor)
+	l.Sibling = r.SiblingUpdate(balancer.Successor)
 	return l
 }
 
@@ -36,7 +36,7 @@
 	l := Snapshot{Kinds: r.terms.Kinds, Tenants: r.now.Load().owners, Learned: r.facade.Snapshot()}
 	l.Version, l.Endpoints, l.Zones = r.fleet.entries()
 	phase := r.drain.PhaseAt(time.Now())
-	l.Drained = phase == drain.Draining || phase == drain.Drained
+	l.Drained = phase == lifecycle.Draining || phase == lifecycle.Drained
 	return l
 }
 
@@ -70,7 +70,7 @@
 	if r.heir = true; l.Drained {
 		r.drain.Drain(time.Now())
 	}
-	r.ReceiveSiblingUpdate(decide.Predecessor, l.Sibling)
+	r.ReceiveSiblingUpdate(balancer.Predecessor, l.Sibling)
 	r.settled.Store(r.fleet.serves())
 	return nil
 }
--- a/internal/routing/list.go
+++ b/internal/proxy/list.go
@@ -1,4 +1,4 @@
-package routing
+package proxy
 
 import (
 	"context"
@@ -7,7 +7,7 @@
 	"sync"
 	"time"
 
-	"canvasroute/decide"
+	"canvasroute/internal/balancer"
 	"canvasroute/internal/protocol"
 	"canvasroute/internal/transport"
 )
@@ -87,22 +87,22 @@
 }
 
 // listEnd tells the decisions' sorts of ends apart.
-func listEnd(answered bool, err error) decide.WatchEnd {
+func listEnd(answered bool, err error) balancer.WatchEnd {
 	switch {
 	case errors.Is(err, errBusy):
-		return decide.WatchRejected
+		return balancer.WatchRejected
 	case !answered:
-		return decide.WatchFailed
+		return balancer.WatchFailed
 	case transport.CloseReasonOf(err) == transport.TooSlow:
-		return decide.WatchSilent
+		return balancer.WatchSilent
 	}
-	return decide.WatchCut
+	return balancer.WatchCut
 }
 
 // watchEnded reports the end of a watch, in one step with the look whether the service has moved. It guards
 // against a move that comes as a watch is lost, and whose call would wait for as long as one to the old
 // place.
-func (r *Proxy) watchEnded(watching context.Context, how decide.WatchEnd) (moved bool) {
+func (r *Proxy) watchEnded(watching context.Context, how balancer.WatchEnd) (moved bool) {
 	r.place.mu.Lock()
 	defer r.place.mu.Unlock()
 	r.place.leave = nil
@@ -256,7 +256,7 @@
 	}
 }
 
-func (r *Proxy) probe(ctx context.Context, w decide.WorkerID) {
+func (r *Proxy) probe(ctx context.Context, w balancer.WorkerID) {
 	ctx, cancel := context.WithTimeout(ctx, r.now.Load().dialWithin)
 	defer cancel()
 	conn, err := r.pool.Get(ctx, r.fleet.address(w), transport.AnyConnection)
--- a/internal/routing/operators_test.go
+++ b/internal/proxy/operators_test.go
@@ -1,4 +1,4 @@
-package routing
+package proxy
 
 import (
 	"bytes"
@@ -9,7 +9,7 @@
 	"github.com/rs/zerolog"
 	"github.com/stretchr/testify/assert"
 
-	"canvasroute/decide"
+	"canvasroute/internal/balancer"
 	"canvasroute/internal/protocol"
 )
 
@@ -65,7 +65,7 @@
 	c.DatagramsBroken.Store(27)
 	c.Strangers.Store(28)
 	c.Overtaken.Store(29)
-	for outcome := range decide.Outcome(11) {
+	for outcome := range balancer.Outcome(11) {
 		c.outcomes[outcome].Store(100 + int64(outcome))
 	}
 	r.LogCounters("asked")
--- a/internal/routing/peers.go
+++ b/internal/proxy/peers.go
@@ -1,4 +1,4 @@
-package routing
+package proxy
 
 import (
 	"context"
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"canvasroute/decide"
+	"canvasroute/internal/balancer"
 	"canvasroute/internal/protocol"
 )
 
@@ -73,7 +73,7 @@
 
 // byProcess gathers news for instances by the process that they are of, each worker once: all instances there
 // hear what comes.
-func (r *Proxy) byProcess(news []decide.LoadUpdate) map[int][]protocol.Load {
+func (r *Proxy) byProcess(news []balancer.LoadUpdate) map[int][]protocol.Load {
 	out := map[int][]protocol.Load{}
 	for _, n := range news {
 		process := int(n.To) / r.facade.Count()
@@ -120,7 +120,7 @@
 	}
 	for _, l := range loads {
 		if w, known := r.fleet.byTag(l.Tag); known {
-			r.facade.ReceiveLoad(decide.PeerID(peer), decide.Load{Worker: w, InFlight: l.InFlight})
+			r.facade.ReceiveLoad(balancer.PeerID(peer), balancer.Load{Worker: w, InFlight: l.InFlight})
 		}
 	}
 }
--- a/internal/routing/router.go
+++ b/internal/proxy/router.go
@@ -1,4 +1,4 @@
-package routing
+package proxy
 
 import (
 	"context"
@@ -13,9 +13,9 @@
 	"github.com/rs/zerolog"
 	"golang.org/x/sync/errgroup"
 
-	"canvasroute/decide"
-	"canvasroute/internal/door"
-	"canvasroute/internal/drain"
+	"canvasroute/internal/admission"
+	"canvasroute/internal/balancer"
+	"canvasroute/internal/lifecycle"
 	"canvasroute/internal/protocol"
 	"canvasroute/internal/transport"
 )
@@ -23,10 +23,10 @@
 // Operation is what is told of one operation by name.
 type Operation struct {
 	Name           string
-	DefaultTimeout time.Duration     // a client's, where it tells none
-	RequiresKey    bool              // workers drop repeats by a key, without which they can do nothing with it
-	DedupScope     decide.DedupScope // the group of workers that drops them
-	DedupWindow    time.Duration     // for how long
+	DefaultTimeout time.Duration       // a client's, where it tells none
+	RequiresKey    bool                // workers drop repeats by a key, without which they can do nothing with it
+	DedupScope     balancer.DedupScope // the group of workers that drops them
+	DedupWindow    time.Duration       // for how long
 }
 
 // Config are what a router is told at its start.
@@ -42,14 +42,14 @@
 	InitialEndpoints    *protocol.EndpointList
 	PredecessorSnapshot json.RawMessage // what a predecessor knew, nil where there is none
 	MigratesRequests    bool            // what is under way may be handed to a successor
-	FromUnix            func(ms float64) decide.Time
+	FromUnix            func(ms float64) balancer.Time
 	Recovery            Recovery // nil where it is off
 }
 
 // Proxy answers invocations by way of workers.
 type Proxy struct {
 	terms     Config
-	facade    *decide.Shards
+	facade    *balancer.Shards
 	pool      *transport.Pool
 	datagrams *transport.Datagrams // nil where dispatchers may not talk
 	log       zerolog.Logger
@@ -62,14 +62,14 @@
 	tally     tally
 	place     place
 	ids       ids
-	door      *door.Controller
+	door      *admission.Controller
 
 	settled atomic.Bool // the first call for the list has been answered, or has failed
-	drain   *drain.State
+	drain   *lifecycle.State
 
-	spentTold decide.Time // until when the other process of an upgrade knows what was sent
-	underWay  sync.Map    // of *carrying, where it may
-	heir      bool        // it goes on for another process, which peers know already
+	spentTold balancer.Time // until when the other process of an upgrade knows what was sent
+	underWay  sync.Map      // of *carrying, where it may
+	heir      bool          // it goes on for another process, which peers know already
 
 	// Set by tests, to come between two steps: new terms taken by the decisions and by the names; a list
 	// taken by the names and the pool and by the decisions; a watch that has ended and its report; a
@@ -78,24 +78,24 @@
 }
 
 // New makes a router and gives the facade the list that it starts with.
-func New(t Config, f *decide.Shards, p *transport.Pool, d *transport.Datagrams, state *drain.State,
+func New(t Config, f *balancer.Shards, p *transport.Pool, d *transport.Datagrams, state *lifecycle.State,
 	log zerolog.Logger,
 ) *Proxy {
 	r := &Proxy{
 		terms: t, facade: f, pool: p, datagrams: d, drain: state, log: log,
 		heard: make([]stamp, len(t.Peers)*f.Count()), greeted: make([]time.Time, len(t.Peers)),
-		place: place{address: t.Discovery}, door: door.New(float64(f.Count())),
+		place: place{address: t.Discovery}, door: admission.New(float64(f.Count())),
 		fleet: fleet{
 			zones: numbered(t.Zones), kinds: numbered(t.Kinds), clock: t.FromUnix, log: log,
-			numbers: map[string]decide.WorkerID{}, tagged: map[uint16]decide.WorkerID{},
+			numbers: map[string]balancer.WorkerID{}, tagged: map[uint16]balancer.WorkerID{},
 		},
 	}
-	numbers := decide.AssignedIDs{}
+	numbers := balancer.AssignedIDs{}
 	for n := range t.Operations {
-		numbers.Operations = append(numbers.Operations, decide.OperationID(n))
+		numbers.Operations = append(numbers.Operations, balancer.OperationID(n))
 	}
 	for n := range t.Tenants {
-		numbers.Tenants = append(numbers.Tenants, decide.TenantID(n))
+		numbers.Tenants = append(numbers.Tenants, balancer.TenantID(n))
 	}
 	r.adjust(t, numbers)
 	err := r.inherit(t.PredecessorSnapshot)
@@ -143,7 +143,7 @@
 // is sent away, since begun it could not always be. Its client should come back late: clients still come here
 // for a while, and where dispatchers are restarted in turn, another one may just be coming up.
 func (r *Proxy) StopWithin(within time.Duration) {
-	r.facade.StopAfter(decide.Time(within / (time.Second / decide.Second)))
+	r.facade.StopAfter(balancer.Time(within / (time.Second / balancer.Second)))
 }
 
 // Check answers what can be answered by the head alone.
@@ -225,28 +225,28 @@
 }
 
 // landing reads what the decisions need to know of an invocation.
-func (now *settings) landing(inv *protocol.Request) (decide.Arrival, error) {
+func (now *settings) landing(inv *protocol.Request) (balancer.Arrival, error) {
 	o, known := now.operations[inv.Operation]
 	if !known {
-		return decide.Arrival{}, fmt.Errorf("%w: unknown operation %.40q", protocol.ErrMalformed, inv.Operation)
+		return balancer.Arrival{}, fmt.Errorf("%w: unknown operation %.40q", protocol.ErrMalformed, inv.Operation)
 	}
 	if o.RequiresKey && inv.IdempotencyKey == "" {
-		return decide.Arrival{}, fmt.Errorf("%w: no Idempotency-Key", protocol.ErrMalformed)
+		return balancer.Arrival{}, fmt.Errorf("%w: no Idempotency-Key", protocol.ErrMalformed)
 	}
 	c, known := now.customers[inv.Tenant]
 	if !known && len(now.customers) > 0 {
-		return decide.Arrival{}, fmt.Errorf("%w: unknown owner %.40q", protocol.ErrMalformed, inv.Tenant)
+		return balancer.Arrival{}, fmt.Errorf("%w: unknown owner %.40q", protocol.ErrMalformed, inv.Tenant)
 	}
 	if inv.Timeout == 0 {
 		inv.Timeout = o.DefaultTimeout
 	}
-	return decide.Arrival{
+	return balancer.Arrival{
 		Operation: o.number, Tenant: c, Timeout: spanOf(inv.Timeout),
-		SizeHint: decide.Work(spanOf(inv.SizeHint)), Slots: inv.Slots,
+		SizeHint: balancer.Work(spanOf(inv.SizeHint)), Slots: inv.Slots,
 	}, nil
 }
 
-func spanOf(d time.Duration) decide.Time { return decide.Time(d / (time.Second / decide.Second)) }
+func spanOf(d time.Duration) balancer.Time { return balancer.Time(d / (time.Second / balancer.Second)) }
 
 // Serve carries one invocation through: it picks until there is an answer, and sends forwards meanwhile.
 func (r *Proxy) Serve(ctx context.Context, h *protocol.Head, body []byte, came time.Time) *protocol.Response {
@@ -268,16 +268,16 @@
 }
 
 // carry brings an invocation that was taken to its answer, nil where its client has left.
-func (r *Proxy) carry(ctx context.Context, now *settings, inv *protocol.Request, l decide.Arrival,
+func (r *Proxy) carry(ctx context.Context, now *settings, inv *protocol.Request, l balancer.Arrival,
 	came time.Time, h *protocol.Head,
 ) *protocol.Response {
 	phase := r.drain.PhaseAt(time.Now())
-	cut := phase.IsStopping() && phase != drain.StoppingHandedOff // what is under way ends with this process
+	cut := phase.IsStopping() && phase != lifecycle.StoppingHandedOff // what is under way ends with this process
 	if !phase.AdmitsRequests() || cut && r.facade.MissesStop(l) {
 		r.counts.Throttled.Add(1)
 		return &protocol.Response{Status: 503, RetryAfter: now.comeBackMost}
 	}
-	land := func(past *decide.PriorAttempt) *protocol.Response {
+	land := func(past *balancer.PriorAttempt) *protocol.Response {
 		c := &carrying{inv: inv, now: now, until: came.Add(inv.Timeout), closes: h.CloseRequested(), interim: h.AcceptsInterim()}
 		if past == nil {
 			c.ticket = r.facade.Submit(l)
@@ -319,18 +319,18 @@
 			return nil
 		}
 		switch choice.Action {
-		case decide.SendAttempt:
+		case balancer.SendAttempt:
 			r.forwards.Go(func() error {
 				r.forward(c, choice, result)
 				return nil
 			})
-		case decide.RespondResult:
+		case balancer.RespondResult:
 			r.counts.Succeeded.Add(1)
 			return &protocol.Response{Status: 200, Body: []byte(<-result)}
-		case decide.RespondRejected:
+		case balancer.RespondRejected:
 			r.counts.Throttled.Add(1)
 			return &protocol.Response{Status: 429, RetryAfter: choice.RetryAfter.Duration()}
-		case decide.RespondElsewhere:
+		case balancer.RespondElsewhere:
 			return r.handOver(ctx, c)
 		default:
 			r.counts.Errored.Add(1)
--- a/internal/routing/router_test.go
+++ b/internal/proxy/router_test.go
@@ -1,4 +1,4 @@
-package routing
+package proxy
 
 import (
 	"bytes"
@@ -14,7 +14,7 @@
 	"github.com/rs/zerolog"
 	"github.com/stretchr/testify/assert"
 
-	"canvasroute/decide"
+	"canvasroute/internal/balancer"
 	"canvasroute/internal/protocol"
 	"canvasroute/internal/transport"
 )
@@ -158,7 +158,7 @@
 		assert.NoError(t, r.takeList([]byte(line)))
 	}()
 	assert.Equal(t, 502, r.Serve(context.Background(), invocation("once"), nil, time.Now()).Status)
-	assert.Equal(t, int64(1), r.counts.outcomes[decide.ConnectionReset].Load())
+	assert.Equal(t, int64(1), r.counts.outcomes[balancer.ConnectionReset].Load())
 }
 
 // Guards against two zones taken for one: a dedup group would be too large.
@@ -212,10 +212,10 @@
 	_, _, loads, err := protocol.ParseLoads(b[:n])
 	assert.NoError(t, err)
 	assert.Empty(t, loads)
-	r.facade.ReceiveLoad(1, decide.Load{Worker: 0, InFlight: 8})
+	r.facade.ReceiveLoad(1, balancer.Load{Worker: 0, InFlight: 8})
 	r.hear(r.terms.Peers[1], b[:n])
 	a := r.Serve(context.Background(), invocation("idem"), nil, time.Now())
-	assert.NotZero(t, r.counts.outcomes[decide.ConnectionRefused].Load(), "the worker is not taken to be full", a)
+	assert.NotZero(t, r.counts.outcomes[balancer.ConnectionRefused].Load(), "the worker is not taken to be full", a)
 }
 
 // Guards against two that restart at once, each of which takes the other for one that has lived on.
@@ -233,7 +233,7 @@
 	}
 	assert.EqualValues(t, 1, r.counts.DatagramsSent.Load(), "once, so that two do not go on for ever")
 	r.greeted[1] = time.Time{}
-	r.facade.ReceiveLoad(2, decide.Load{Worker: 0, InFlight: 1})
+	r.facade.ReceiveLoad(2, balancer.Load{Worker: 0, InFlight: 1})
 	r.hear(r.terms.Peers[1], protocol.AppendLoads(nil, stamp(4), protocol.NoInstance, nil))
 	assert.EqualValues(t, 1, r.counts.DatagramsSent.Load(), "it has met one who has lived longer")
 }
@@ -272,7 +272,7 @@
 		answered, err := r.watch(context.Background(), nil)
 		assert.False(t, answered)
 		assert.ErrorContains(t, err, "status 503")
-		assert.Equal(t, busy, listEnd(answered, err) == decide.WatchRejected, "after %v", wait)
+		assert.Equal(t, busy, listEnd(answered, err) == balancer.WatchRejected, "after %v", wait)
 	}
 }
 
--- a/internal/routing/settings.go
+++ b/internal/proxy/settings.go
@@ -1,17 +1,17 @@
-package routing
+package proxy
 
 import (
 	"slices"
 	"time"
 
-	"canvasroute/decide"
+	"canvasroute/internal/balancer"
 )
 
 // settings are what of the terms may change while a router serves. They are replaced whole, never changed: an
 // invocation goes by those that were in force as it came.
 type settings struct {
 	operations   map[string]operation
-	customers    map[string]decide.TenantID
+	customers    map[string]balancer.TenantID
 	owners       []string // by their numbers, those of before too
 	dialWithin   time.Duration
 	comeBackMost time.Duration
@@ -19,13 +19,13 @@
 
 type operation struct {
 	Operation
-	number decide.OperationID
+	number balancer.OperationID
 }
 
 // Reconfigure takes new terms, all at once. What is open keeps the settings that it came under; a name that is
 // not among the operations any more is unknown to what comes from now on, and its counts are kept. What comes
 // meanwhile lands by the old names, whose numbers stay theirs in the decisions.
-func (r *Proxy) Reconfigure(t Config, decisions decide.Config) {
+func (r *Proxy) Reconfigure(t Config, decisions balancer.Config) {
 	numbers := r.facade.Reconfigure(decisions)
 	if r.beforeTold != nil {
 		r.beforeTold()
@@ -33,9 +33,9 @@
 	r.adjust(t, numbers)
 }
 
-func (r *Proxy) adjust(t Config, numbers decide.AssignedIDs) {
+func (r *Proxy) adjust(t Config, numbers balancer.AssignedIDs) {
 	s := &settings{
-		operations: map[string]operation{}, customers: map[string]decide.TenantID{},
+		operations: map[string]operation{}, customers: map[string]balancer.TenantID{},
 		dialWithin: t.DialTimeout, comeBackMost: t.MaxRetryAfter,
 	}
 	if was := r.now.Load(); was != nil {
--- a/internal/routing/size_test.go
+++ b/internal/proxy/size_test.go
@@ -1,4 +1,4 @@
-package routing
+package proxy
 
 import (
 	"fmt"
--- a/internal/routing/taken_test.go
+++ b/internal/proxy/taken_test.go
@@ -1,4 +1,4 @@
-package routing
+package proxy
 
 import (
 	"context"
@@ -11,7 +11,7 @@
 
 	"github.com/stretchr/testify/assert"
 
-	"canvasroute/decide"
+	"canvasroute/internal/balancer"
 	"canvasroute/internal/protocol"
 )
 
@@ -34,10 +34,10 @@
 				io.WriteString(conn, chunk(started)+chunk(done)+last)
 			}
 			other := standIn(t, worker)
-			r := routerBy(standIn(t, worker), func(d *decide.Config, terms *Config) {
+			r := routerBy(standIn(t, worker), func(d *balancer.Config, terms *Config) {
 				d.DeliveryNotices, d.StartNotices, d.MaxAttempts, d.Hedging = true, true, 4, true
-				d.Operations[0].LatencyObjective, d.WarmupWindow = decide.Second/5, 4*decide.Second
-				d.Operations[1].LatencyObjective, d.Operations[2].LatencyObjective = decide.Second/5, decide.Second/5
+				d.Operations[0].LatencyObjective, d.WarmupWindow = balancer.Second/5, 4*balancer.Second
+				d.Operations[1].LatencyObjective, d.Operations[2].LatencyObjective = balancer.Second/5, balancer.Second/5
 				terms.InitialEndpoints.Endpoints = append(terms.InitialEndpoints.Endpoints, protocol.Endpoint{ID: "v", Address: other, State: protocol.Ready})
 			})
 			ctx, cancel := context.WithCancel(context.Background())
--- a/internal/terms/terms.go
+++ b/internal/settings/terms.go
@@ -1,6 +1,6 @@
-// Package terms turns the settings that a dispatcher is given at its start into the terms of its decisions.
+// Package settings turns the settings that a dispatcher is given at its start into the terms of its decisions.
 // The bench's adapter and the dispatcher on sockets both read them here.
-package terms
+package settings
 
 import (
 	"errors"
@@ -10,7 +10,7 @@
 
 	"github.com/valyala/fastjson"
 
-	"canvasroute/decide"
+	"canvasroute/internal/balancer"
 )
 
 // A message to peers of up to MinPricedMessage bytes has the same price, as measured; MaxMessageBytes is the longest.
@@ -19,30 +19,30 @@
 	MaxMessageBytes  = 256
 )
 
-var repeats = map[string]decide.Idempotency{
-	"idempotent": decide.Idempotent, "deduplicated": decide.IdempotentByKey, "at_most_once": decide.NonIdempotent,
+var repeats = map[string]balancer.Idempotency{
+	"idempotent": balancer.Idempotent, "deduplicated": balancer.IdempotentByKey, "at_most_once": balancer.NonIdempotent,
 }
 
-var scopes = map[string]decide.DedupScope{
-	"": decide.ScopeAll, "all": decide.ScopeAll, "zone": decide.ScopeZone, "cell": decide.ScopeCell,
+var scopes = map[string]balancer.DedupScope{
+	"": balancer.ScopeAll, "all": balancer.ScopeAll, "zone": balancer.ScopeZone, "cell": balancer.ScopeCell,
 }
 
 // TimeOf turns a moment in seconds into the decisions' time.
-func TimeOf(s float64) decide.Time { return decide.Time(math.Round(s * decide.Second)) }
+func TimeOf(s float64) balancer.Time { return balancer.Time(math.Round(s * balancer.Second)) }
 
 // DurationOf rounds down, so that nothing is believed to last longer than it does.
-func DurationOf(s float64) decide.Time { return decide.Time(math.Floor(s*decide.Second + 1e-6)) }
+func DurationOf(s float64) balancer.Time { return balancer.Time(math.Floor(s*balancer.Second + 1e-6)) }
 
 // Parse reads the settings; keys that it does not know are passed over.
-func Parse(v *fastjson.Value) (decide.Config, error) {
+func Parse(v *fastjson.Value) (balancer.Config, error) {
 	if v == nil || v.Type() != fastjson.TypeObject {
-		return decide.Config{}, errors.New("not an object")
+		return balancer.Config{}, errors.New("not an object")
 	}
 	limits, rules, info, report := v.Get("policyLimits"), v.Get("rules"), v.Get("familyInfo"), v.Get("report")
 	goal := v.GetFloat64("goal", "whole") + v.GetFloat64("goal", "worstWindow")
-	t := decide.Config{
+	t := balancer.Config{
 		Dispatchers: v.GetInt("balancers"), Kinds: max(len(v.GetArray("shapes")), 1),
-		Zone:     decide.ZoneID(v.GetInt("zone")),
+		Zone:     balancer.ZoneID(v.GetInt("zone")),
 		Position: v.GetInt("position"), GossipCost: v.GetFloat64("prices", "peer") * MinPricedMessage / MaxMessageBytes,
 		Granularity: DurationOf(v.GetFloat64("granularityS")), MaxPollInterval: DurationOf(rules.GetFloat64("askWithinS")),
 		MaxRetryAfter: DurationOf(limits.GetFloat64("maxRetryAfterS")), WarmupDuration: DurationOf(rules.GetFloat64("rampTimeS")),
@@ -88,7 +88,7 @@
 }
 
 // operations reads the terms of each operation. The error names the operation by its place in the settings.
-func operations(settings []*fastjson.Value, info *fastjson.Value) (all []decide.OperationConfig, err error) {
+func operations(settings []*fastjson.Value, info *fastjson.Value) (all []balancer.OperationConfig, err error) {
 	for n, o := range settings {
 		repeat, known := repeats[string(o.GetStringBytes("repeat"))]
 		scope, named := scopes[string(o.GetStringBytes("dedupScope"))]
@@ -96,7 +96,7 @@
 			return all, fmt.Errorf("operations[%d]: unknown repeat %q or dedupScope %q", n,
 				o.GetStringBytes("repeat"), o.GetStringBytes("dedupScope"))
 		}
-		op := decide.OperationConfig{
+		op := balancer.OperationConfig{
 			Name:             string(o.GetStringBytes("name")),
 			LatencyObjective: DurationOf(o.GetFloat64("latencyObjectiveS")), DedupWindow: DurationOf(o.GetFloat64("dedupWindowS")),
 			Value: o.GetFloat64("billedValue"), LateShare: o.GetFloat64("tardyBilledValue"),
@@ -109,7 +109,7 @@
 			op.Stretch = o.GetFloat64("aimStretch")
 		}
 		if k := info.GetArray("classKind"); n < len(k) {
-			op.Kind = decide.KindID(k[n].GetInt())
+			op.Kind = balancer.KindID(k[n].GetInt())
 		}
 		all = append(all, op)
 	}
@@ -117,19 +117,19 @@
 }
 
 // customers reads the terms of each customer, or of a single one without a quota where the settings name none.
-func customers(settings []*fastjson.Value) (all []decide.TenantConfig) {
+func customers(settings []*fastjson.Value) (all []balancer.TenantConfig) {
 	for _, c := range settings {
 		quota := c.GetFloat64("quotaPerS")
 		if quota <= 0 {
 			quota = math.Inf(1)
 		}
-		all = append(all, decide.TenantConfig{
+		all = append(all, balancer.TenantConfig{
 			Quota: quota,
 			Name:  string(c.GetStringBytes("name")),
 		})
 	}
 	if len(all) == 0 { // all invocations come from one that has no share
-		return []decide.TenantConfig{{Quota: math.Inf(1)}}
+		return []balancer.TenantConfig{{Quota: math.Inf(1)}}
 	}
 	return all
 }
--- a/internal/terms/terms_test.go
+++ b/internal/settings/terms_test.go
@@ -1,4 +1,4 @@
-package terms
+package settings
 
 import (
 	"fmt"
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/valyala/fastjson"
 
-	"canvasroute/decide"
+	"canvasroute/internal/balancer"
 )
 
 // allSettings has each key that Parse reads, with a value that is not its default.
@@ -33,10 +33,10 @@
 }`
 
 // wantTerms is what allSettings says.
-func wantTerms() decide.Config {
-	return decide.Config{
+func wantTerms() balancer.Config {
+	return balancer.Config{
 		Dispatchers: 5, Kinds: 2, Position: 2, GossipCost: 0.03125, Zone: 3,
-		Operations: []decide.OperationConfig{
+		Operations: []balancer.OperationConfig{
 			{
 				Name: "render", LatencyObjective: 12_500, DedupWindow: 6_000_000, Value: 4, LateShare: 0.5, Stretch: 0.75, Idempotency: 1,
 				DedupScope: 2, Kind: 1,
@@ -46,7 +46,7 @@
 				Kind: 0,
 			},
 		},
-		Tenants:     []decide.TenantConfig{{Quota: 7.5, Name: "acme"}, {Quota: math.Inf(1), Name: "globex"}},
+		Tenants:     []balancer.TenantConfig{{Quota: 7.5, Name: "acme"}, {Quota: math.Inf(1), Name: "globex"}},
 		Granularity: 20, MaxPollInterval: 60_000, MaxRetryAfter: 25_000, WarmupDuration: 300_000, WarmupWindow: 20_000, InitialWarmup: 0.4,
 		OverloadFactor: 1.5, OverQuotaShare: 0.125, CrossZoneCost: 0.25, PollEndpoints: true, Cancellation: true, Hedging: true,
 		RetryAfter: true, Probes: true, Gossip: true, StartNotices: true, ReportsOnProbe: true, WorstOperationWeight: 1.5,
@@ -89,9 +89,9 @@
 	read, err := Parse(fastjson.MustParse(
 		`{"balancers":1,"billedValueBasis":"work","operations":[{"repeat":"idempotent"}]}`))
 	assert.NoError(t, err)
-	assert.Equal(t, decide.Config{
-		Dispatchers: 1, Kinds: 1, Operations: []decide.OperationConfig{{Kind: -1}},
-		Tenants: []decide.TenantConfig{{Quota: math.Inf(1)}}, ReportInFlight: -1, ReportQueue: -1, ReportFree: -1,
+	assert.Equal(t, balancer.Config{
+		Dispatchers: 1, Kinds: 1, Operations: []balancer.OperationConfig{{Kind: -1}},
+		Tenants: []balancer.TenantConfig{{Quota: math.Inf(1)}}, ReportInFlight: -1, ReportQueue: -1, ReportFree: -1,
 	},
 		read)
 }
--- a/internal/drill/drill.go
+++ b/internal/simadapter/drill.go
@@ -1,6 +1,6 @@
-// Package drill plays decide's dispatchers on the bench's wire: it turns each event straight into a call and
+// Package simadapter plays decide's dispatchers on the bench's wire: it turns each event straight into a call and
 // writes each answer straight into the reply. It decides nothing.
-package drill
+package simadapter
 
 import (
 	"bufio"
@@ -10,8 +10,8 @@
 
 	"github.com/valyala/fastjson"
 
-	"canvasroute/decide"
-	"canvasroute/internal/terms"
+	"canvasroute/internal/balancer"
+	"canvasroute/internal/settings"
 )
 
 // instance is one dispatcher with its own names for what the wire calls by text.
@@ -20,19 +20,19 @@
 	operations int
 	customers  int
 	reported   int // the values of a load report
-	dispatcher *decide.Balancer
+	dispatcher *balancer.Balancer
 	reply      *reply
 
-	workers map[string]decide.WorkerID
+	workers map[string]balancer.WorkerID
 	names   []string // a worker's name on the wire, quoted
 	tags    []uint16 // a worker's name in messages to peers
-	tagged  map[uint16]decide.WorkerID
-	invs    map[string]decide.RequestID
+	tagged  map[uint16]balancer.WorkerID
+	invs    map[string]balancer.RequestID
 	tracks  []track
-	free    []decide.RequestID
-	row     []float64          // the load report at hand
-	done    []decide.RequestID // perhaps over with nothing out, to be freed after the rules
-	closed  bool               // the terms failed: nothing more is expected of it
+	free    []balancer.RequestID
+	row     []float64            // the load report at hand
+	done    []balancer.RequestID // perhaps over with nothing out, to be freed after the rules
+	closed  bool                 // the terms failed: nothing more is expected of it
 }
 
 // track follows an invocation until its last outcome, so that its number can be used again.
@@ -117,7 +117,7 @@
 		}
 		o.Visit(func(key []byte, fields *fastjson.Value) {
 			if err == nil {
-				if err = h.event(key, fields, terms.TimeOf(now)); err != nil {
+				if err = h.event(key, fields, settings.TimeOf(now)); err != nil {
 					err = fmt.Errorf("event %d, %s: %w", n, key, err)
 				}
 			}
@@ -130,7 +130,7 @@
 	return nil
 }
 
-func (h *host) event(key []byte, f *fastjson.Value, now decide.Time) error {
+func (h *host) event(key []byte, f *fastjson.Value, now balancer.Time) error {
 	if f.Type() != fastjson.TypeObject {
 		return errors.New("fields are not an object")
 	}
@@ -167,20 +167,20 @@
 	})
 }
 
-func (h *host) newInstance(number int, f *fastjson.Value, now decide.Time) error {
+func (h *host) newInstance(number int, f *fastjson.Value, now balancer.Time) error {
 	in := &instance{
 		number: number, reply: &h.reply,
-		workers: map[string]decide.WorkerID{}, tagged: map[uint16]decide.WorkerID{}, invs: map[string]decide.RequestID{},
+		workers: map[string]balancer.WorkerID{}, tagged: map[uint16]balancer.WorkerID{}, invs: map[string]balancer.RequestID{},
 	}
 	h.instances[number] = in
 	return in.guard(func() error {
-		t, err := terms.Parse(f.Get("setup"))
+		t, err := settings.Parse(f.Get("setup"))
 		if err != nil {
 			return fmt.Errorf("setup: %w", err)
 		}
 		in.operations, in.customers = len(t.Operations), len(t.Tenants)
 		in.reported = len(f.GetArray("setup", "report", "names"))
-		in.dispatcher = decide.New(t, f.GetUint64("nonce64"), in)
+		in.dispatcher = balancer.New(t, f.GetUint64("nonce64"), in)
 		in.dispatcher.SetTime(now)
 		return nil
 	})
@@ -229,7 +229,7 @@
 		}
 		d.ReceiveLoadReport(w, in.numbers(f.Get("telemetry")))
 	case "Heard":
-		return in.heard(decide.PeerID(f.GetInt("sender")), f.GetStringBytes("octets"))
+		return in.heard(balancer.PeerID(f.GetInt("sender")), f.GetStringBytes("octets"))
 	default:
 		return errors.New("unknown message")
 	}
@@ -247,7 +247,7 @@
 	if _, known := in.invs[name]; known {
 		return fmt.Errorf("invocation %q is known already", name)
 	}
-	inv := decide.RequestID(len(in.tracks))
+	inv := balancer.RequestID(len(in.tracks))
 	if n := len(in.free); n > 0 {
 		inv, in.free = in.free[n-1], in.free[:n-1]
 	} else {
@@ -255,17 +255,17 @@
 	}
 	in.tracks[inv] = track{name: name, quoted: quoted(name)}
 	in.invs[name] = inv
-	in.dispatcher.RequestArrived(inv, decide.Arrival{
-		Operation: decide.OperationID(f.GetInt("band")),
-		Tenant:    decide.TenantID(f.GetInt("project")),
-		Timeout:   terms.DurationOf(f.GetFloat64("graceS")),
-		SizeHint:  decide.Work(terms.DurationOf(f.GetFloat64("costGuessS"))),
+	in.dispatcher.RequestArrived(inv, balancer.Arrival{
+		Operation: balancer.OperationID(f.GetInt("band")),
+		Tenant:    balancer.TenantID(f.GetInt("project")),
+		Timeout:   settings.DurationOf(f.GetFloat64("graceS")),
+		SizeHint:  balancer.Work(settings.DurationOf(f.GetFloat64("costGuessS"))),
 		Slots:     f.GetFloat64("coresNeeded"),
 	})
 	return nil
 }
 
-func (in *instance) forwardOf(f *fastjson.Value) (decide.RequestID, int, error) {
+func (in *instance) forwardOf(f *fastjson.Value) (balancer.RequestID, int, error) {
 	inv, ok := in.invs[string(f.GetStringBytes("rid"))]
 	if !ok {
 		return 0, 0, fmt.Errorf("unknown invocation %q", f.GetStringBytes("rid"))
@@ -285,7 +285,7 @@
 	switch {
 	case ended:
 		how := f.GetInt("reason")
-		if how < int(decide.Succeeded) || how > int(decide.NotSent) {
+		if how < int(balancer.Succeeded) || how > int(balancer.NotSent) {
 			return fmt.Errorf("unknown outcome %d", how)
 		}
 		t := &in.tracks[inv]
@@ -296,7 +296,7 @@
 		if !known {
 			return fmt.Errorf("unknown worker %q", f.GetStringBytes("worker"))
 		}
-		in.dispatcher.AttemptEnded(inv, n, decide.Outcome(how), f.GetBool("closed"))
+		in.dispatcher.AttemptEnded(inv, n, balancer.Outcome(how), f.GetBool("closed"))
 		in.dispatcher.ReceiveLoadReport(w, in.numbers(f.Get("telemetry")))
 	case f.GetInt("what") == 1: // notes of progress decide nothing so far
 		in.dispatcher.AttemptStarted(inv, n)
@@ -305,7 +305,7 @@
 }
 
 // release frees an invocation's number once it is over and every forward has its outcome.
-func (in *instance) release(inv decide.RequestID) {
+func (in *instance) release(inv balancer.RequestID) {
 	if t := &in.tracks[inv]; t.over && t.out == 0 && t.name != "" {
 		delete(in.invs, t.name)
 		t.name = ""
--- a/internal/drill/drill_test.go
+++ b/internal/simadapter/drill_test.go
@@ -1,4 +1,4 @@
-package drill
+package simadapter
 
 import (
 	"bytes"
--- a/internal/drill/fleet.go
+++ b/internal/simadapter/fleet.go
@@ -1,4 +1,4 @@
-package drill
+package simadapter
 
 import (
 	"errors"
@@ -6,19 +6,19 @@
 
 	"github.com/valyala/fastjson"
 
-	"canvasroute/decide"
+	"canvasroute/internal/balancer"
 	"canvasroute/internal/protocol"
-	"canvasroute/internal/terms"
+	"canvasroute/internal/settings"
 )
 
 // entry is a line of a list, before an instance has given the worker a number of its own.
 type entry struct {
 	name  string
-	entry decide.Endpoint
+	entry balancer.Endpoint
 }
 
-var states = map[string]decide.WorkerState{
-	"healthy": decide.Healthy, "cordoned": decide.Draining, "deregistered": decide.Gone,
+var states = map[string]balancer.WorkerState{
+	"healthy": balancer.Healthy, "cordoned": balancer.Draining, "deregistered": balancer.Gone,
 }
 
 // inventory keeps a numbered list; a later one takes over the number.
@@ -33,9 +33,9 @@
 		if name == "" || !ok {
 			return fmt.Errorf("worker %q: unknown readiness %q", name, v.GetStringBytes("readiness"))
 		}
-		list = append(list, entry{name, decide.Endpoint{
-			ID: name, Zone: decide.ZoneID(v.GetInt("dc")), Kind: decide.KindID(v.GetInt("shape")),
-			Cell: decide.CellID(v.GetInt("pod")), State: state, StartedAt: terms.TimeOf(v.GetFloat64("bornS")),
+		list = append(list, entry{name, balancer.Endpoint{
+			ID: name, Zone: balancer.ZoneID(v.GetInt("dc")), Kind: balancer.KindID(v.GetInt("shape")),
+			Cell: balancer.CellID(v.GetInt("pod")), State: state, StartedAt: settings.TimeOf(v.GetFloat64("bornS")),
 		}})
 	}
 	h.lists[f.GetInt("rosterId")] = list
@@ -56,11 +56,11 @@
 	if !ok {
 		return fmt.Errorf("unknown list %d", f.GetInt("rosterId"))
 	}
-	entries := make([]decide.Endpoint, 0, len(list))
+	entries := make([]balancer.Endpoint, 0, len(list))
 	for _, e := range list {
 		w, known := in.workers[e.name]
 		if !known {
-			w = decide.WorkerID(len(in.names))
+			w = balancer.WorkerID(len(in.names))
 			in.workers[e.name] = w
 			in.names, in.tags = append(in.names, quoted(e.name)), append(in.tags, protocol.Tag(e.name))
 			if _, taken := in.tagged[in.tags[w]]; !taken {
--- a/internal/drill/peers.go
+++ b/internal/simadapter/peers.go
@@ -1,18 +1,18 @@
-package drill
+package simadapter
 
 import (
 	"encoding/binary"
 	"encoding/hex"
 	"fmt"
 
-	"canvasroute/decide"
+	"canvasroute/internal/balancer"
 )
 
 // A message to peers holds three bytes a worker: the tag of its name, and how many forwards are out there.
 const loadBytes = 3
 
 // SendLoad is part of decide.Link.
-func (in *instance) SendLoad(to decide.PeerID, l decide.Load) {
+func (in *instance) SendLoad(to balancer.PeerID, l balancer.Load) {
 	text := append(binary.BigEndian.AppendUint16(nil, in.tags[l.Worker]), byte(min(l.InFlight, 255)))
 	in.reply.open("Signal", in.number)
 	in.reply.number("dst", int64(to))
@@ -21,14 +21,14 @@
 }
 
 // heard reads a peer's message; workers that this instance was never told of are passed over.
-func (in *instance) heard(from decide.PeerID, digits []byte) error {
+func (in *instance) heard(from balancer.PeerID, digits []byte) error {
 	text := make([]byte, hex.DecodedLen(len(digits)))
 	if _, err := hex.Decode(text, digits); err != nil {
 		return fmt.Errorf("octets: %w", err)
 	}
 	for ; len(text) >= loadBytes; text = text[loadBytes:] {
 		if w, known := in.tagged[binary.BigEndian.Uint16(text)]; known {
-			in.dispatcher.ReceiveLoad(from, decide.Load{Worker: w, InFlight: int(text[2])})
+			in.dispatcher.ReceiveLoad(from, balancer.Load{Worker: w, InFlight: int(text[2])})
 		}
 	}
 	return nil
--- a/internal/drill/reply.go
+++ b/internal/simadapter/reply.go
@@ -1,4 +1,4 @@
-package drill
+package simadapter
 
 import (
 	"encoding/json"
@@ -6,7 +6,7 @@
 
 	"github.com/valyala/fastjson"
 
-	"canvasroute/decide"
+	"canvasroute/internal/balancer"
 )
 
 // numbers reads a load report; one that does not hold all its values is none.
@@ -60,9 +60,9 @@
 	r.buf = strconv.AppendInt(r.buf, n, 10)
 }
 
-func (r *reply) seconds(key string, t decide.Time) {
+func (r *reply) seconds(key string, t balancer.Time) {
 	r.raw(key, "")
-	r.buf = strconv.AppendFloat(r.buf, float64(t)/decide.Second, 'f', -1, 64)
+	r.buf = strconv.AppendFloat(r.buf, float64(t)/balancer.Second, 'f', -1, 64)
 }
 
 func (r *reply) close() { r.buf = append(r.buf, "}}"...) }
@@ -75,7 +75,7 @@
 
 // The answers of a dispatcher, as decide.Link.
 
-func (in *instance) SendAttempt(inv decide.RequestID, tgt decide.WorkerID, within decide.Time) {
+func (in *instance) SendAttempt(inv balancer.RequestID, tgt balancer.WorkerID, within balancer.Time) {
 	t := &in.tracks[inv]
 	t.sent++
 	t.out++
@@ -88,14 +88,14 @@
 	in.reply.close()
 }
 
-func (in *instance) CancelAttempt(inv decide.RequestID, forward int) {
+func (in *instance) CancelAttempt(inv balancer.RequestID, forward int) {
 	in.reply.open("AbortAttempt", in.number)
 	in.reply.raw("rid", in.tracks[inv].quoted)
 	in.reply.number("hop", int64(forward))
 	in.reply.close()
 }
 
-func (in *instance) Reject(inv decide.RequestID, comeBack decide.Time) {
+func (in *instance) Reject(inv balancer.RequestID, comeBack balancer.Time) {
 	in.reply.open("Bounce", in.number)
 	in.reply.raw("rid", in.tracks[inv].quoted)
 	if comeBack > 0 {
@@ -105,7 +105,7 @@
 	in.finish(inv)
 }
 
-func (in *instance) Fail(inv decide.RequestID) {
+func (in *instance) Fail(inv balancer.RequestID) {
 	in.reply.open("DropRequest", in.number)
 	in.reply.raw("rid", in.tracks[inv].quoted)
 	in.reply.close()
@@ -113,12 +113,12 @@
 }
 
 // finish marks an invocation over. Its number is not freed while the dispatcher may still be at work on it.
-func (in *instance) finish(inv decide.RequestID) {
+func (in *instance) finish(inv balancer.RequestID) {
 	in.tracks[inv].over = true
 	in.done = append(in.done, inv)
 }
 
-func (in *instance) Wake(key uint64, after decide.Time) {
+func (in *instance) Wake(key uint64, after balancer.Time) {
 	in.reply.open("WakeMe", in.number)
 	in.reply.number("keyBack", int64(key))
 	in.reply.seconds("offsetS", after)
@@ -131,7 +131,7 @@
 	in.reply.close()
 }
 
-func (in *instance) Probe(tgt decide.WorkerID) {
+func (in *instance) Probe(tgt balancer.WorkerID) {
 	in.reply.open("HealthCheck", in.number)
 	in.reply.raw("worker", in.names[tgt])
 	in.reply.close()
--- a/internal/strict/strict.go
+++ b/internal/tomlconfig/strict.go
@@ -1,6 +1,6 @@
-// Package strict reads TOML files that people write: a key that is not known is a fault, and each fault is told with
+// Package tomlconfig reads TOML files that people write: a key that is not known is a fault, and each fault is told with
 // its place.
-package strict
+package tomlconfig
 
 import (
 	"bytes"
--- a/internal/transport/crossings_test.go
+++ b/internal/transport/crossings_test.go
@@ -17,7 +17,7 @@
 	"github.com/stretchr/testify/assert"
 	"golang.org/x/sys/unix"
 
-	"canvasroute/internal/drain"
+	"canvasroute/internal/lifecycle"
 	"canvasroute/internal/protocol"
 )
 
@@ -162,7 +162,7 @@
 	ln, err := ListenClients("127.0.0.1:0", nil, false)
 	assert.NoError(t, err)
 	g := &gated{asked: make(chan *Conn, 2), let: make(chan *protocol.Response, 2)}
-	s := NewServer(ln, 4, 1<<20, g, &drain.State{}, zerolog.Nop())
+	s := NewServer(ln, 4, 1<<20, g, &lifecycle.State{}, zerolog.Nop())
 	gone, _ := connect(t, s) // nobody accepts yet
 	io.WriteString(gone, gate)
 	half, r := connect(t, s)
@@ -190,7 +190,7 @@
 
 func TestDeadlineThatFiresAsAMessageTurnsWholeDoesNotEndTheWatch(t *testing.T) {
 	c, other, _ := pair(t)
-	s := newPlaces(4, &drain.State{})
+	s := newPlaces(4, &lifecycle.State{})
 	s.admit(c)
 	s.mu.Lock()
 	assert.True(t, s.evict())
@@ -354,7 +354,7 @@
 func TestWhatWaitsInTheQueueAtTheEndIsAnswered(t *testing.T) {
 	ln, err := ListenClients("127.0.0.1:0", nil, false)
 	assert.NoError(t, err)
-	s := NewServer(ln, 4, 1<<20, &echoHandler{}, &drain.State{}, zerolog.Nop())
+	s := NewServer(ln, 4, 1<<20, &echoHandler{}, &lifecycle.State{}, zerolog.Nop())
 	var conns [3]net.Conn
 	for n := range conns { // nobody accepts yet: they are in the queue, each with its invocation
 		conns[n], _ = connect(t, s)
@@ -408,7 +408,7 @@
 	next, err := ListenClients("", file, false)
 	assert.NoError(t, err)
 	t.Cleanup(func() { next.Close() })
-	s := NewServer(ln, 4, 1<<20, &echoHandler{}, &drain.State{}, zerolog.Nop())
+	s := NewServer(ln, 4, 1<<20, &echoHandler{}, &lifecycle.State{}, zerolog.Nop())
 	connect(t, s)
 	assert.NoError(t, s.drain.HandOff(time.Now()))
 	s.drain.Stop(time.Now())
@@ -430,7 +430,7 @@
 	next, err := ListenClients("", file, false)
 	assert.NoError(t, err)
 	t.Cleanup(func() { next.Close() })
-	s := NewServer(ln, 4, 1<<20, &echoHandler{}, &drain.State{}, zerolog.Nop())
+	s := NewServer(ln, 4, 1<<20, &echoHandler{}, &lifecycle.State{}, zerolog.Nop())
 	s.ShareListener()
 	s.drain.Stop(time.Now())
 	ctx, cancel := context.WithCancel(context.Background())
@@ -449,7 +449,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	followed := make(chan error)
 	go func() { followed <- s.TakeOver(ctx) }()
-	s.drain.Drain(time.Now().Add(-drain.AcceptAfterStop))
+	s.drain.Drain(time.Now().Add(-lifecycle.AcceptAfterStop))
 	s.drain.Stop(time.Now())
 	c, r := connect(t, s)
 	status, _, closes := ask(t, c, r, post)
@@ -507,7 +507,7 @@
 	g := &gated{asked: make(chan *Conn, 1), let: make(chan *protocol.Response, 1)}
 	ln, err := ListenClients("127.0.0.1:0", nil, false)
 	assert.NoError(t, err)
-	s := NewServer(ln, 4, 1<<20, g, &drain.State{}, zerolog.Nop())
+	s := NewServer(ln, 4, 1<<20, g, &lifecycle.State{}, zerolog.Nop())
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	ended := make(chan error, 1)
@@ -527,7 +527,7 @@
 		time.Millisecond)
 	s.drain.Stop(time.Now())
 	cancel()
-	assert.Eventually(t, func() bool { return s.drain.PhaseAt(time.Now()) == drain.Closing }, soon, time.Millisecond)
+	assert.Eventually(t, func() bool { return s.drain.PhaseAt(time.Now()) == lifecycle.Closing }, soon, time.Millisecond)
 	g.let <- &protocol.Response{Status: 200}
 	for _, want := range []bool{false, true} {
 		status, _, closes := ask(t, c, r, "")
--- a/internal/transport/datagrams.go
+++ b/internal/transport/datagrams.go
@@ -10,7 +10,7 @@
 	"syscall"
 	"time"
 
-	"canvasroute/internal/terms"
+	"canvasroute/internal/settings"
 )
 
 // Datagrams is the socket between dispatchers.
@@ -56,7 +56,7 @@
 
 // Send sends one datagram.
 func (d *Datagrams) Send(to netip.AddrPort, b []byte) error {
-	if len(b) > terms.MaxMessageBytes {
+	if len(b) > settings.MaxMessageBytes {
 		return ErrDatagramTooLong
 	}
 	if d.yielded() != nil {
@@ -72,7 +72,7 @@
 func (d *Datagrams) Run(ctx context.Context, take func(from netip.AddrPort, b []byte)) error {
 	stop := context.AfterFunc(ctx, func() { d.pc.Close() })
 	defer stop()
-	b := make([]byte, terms.MaxMessageBytes+1)
+	b := make([]byte, settings.MaxMessageBytes+1)
 	for ctx.Err() == nil {
 		if resume := d.yielded(); resume != nil {
 			select {
--- a/internal/transport/places.go
+++ b/internal/transport/places.go
@@ -6,7 +6,7 @@
 	"sync"
 	"time"
 
-	"canvasroute/internal/drain"
+	"canvasroute/internal/lifecycle"
 )
 
 // How long a connection that has to make room still has for a message on its way to it.
@@ -20,7 +20,7 @@
 	most  int
 	spare int // beyond most, for those that are answered as overfull or on their way out
 	freed chan struct{}
-	drain *drain.State
+	drain *lifecycle.State
 
 	mu    sync.Mutex
 	held  map[*Conn]*place
@@ -49,7 +49,7 @@
 	answering // a whole message has been taken: it is owed an answer
 )
 
-func newPlaces(most int, state *drain.State) *places {
+func newPlaces(most int, state *lifecycle.State) *places {
 	s := &places{
 		most: most, drain: state, spare: max(most/16, 1), freed: make(chan struct{}, 1),
 		held: map[*Conn]*place{},
--- a/internal/transport/places_test.go
+++ b/internal/transport/places_test.go
@@ -9,13 +9,13 @@
 	"github.com/rs/zerolog"
 	"github.com/stretchr/testify/assert"
 
-	"canvasroute/internal/drain"
+	"canvasroute/internal/lifecycle"
 )
 
 // Guards against a connection that is counted or ranked as what it was: the budget would be wrong for good,
 // or one that is owed an answer would make room.
 func TestPlacesRankAndCountWhateverConnectionsDo(t *testing.T) {
-	rng, s := rand.New(rand.NewPCG(1, 2)), newPlaces(20, &drain.State{})
+	rng, s := rand.New(rand.NewPCG(1, 2)), newPlaces(20, &lifecycle.State{})
 	var conns []*Conn
 	for range 4000 {
 		if len(conns) == 0 || rng.IntN(6) == 0 {
@@ -80,7 +80,7 @@
 // BenchmarkNewcomerWhereAllPlacesAreTaken is the cost of a connection in a flood: it must not grow with the
 // places.
 func BenchmarkNewcomerWhereAllPlacesAreTaken(b *testing.B) {
-	s := newPlaces(5000, &drain.State{})
+	s := newPlaces(5000, &lifecycle.State{})
 	a, other := net.Pipe()
 	defer other.Close()
 	for range 5000 {
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -10,7 +10,7 @@
 	"github.com/rs/zerolog"
 	"golang.org/x/sync/errgroup"
 
-	"canvasroute/internal/drain"
+	"canvasroute/internal/lifecycle"
 	"canvasroute/internal/protocol"
 )
 
@@ -45,7 +45,7 @@
 	log     zerolog.Logger
 	places  *places
 	bodies  allowance
-	drain   *drain.State
+	drain   *lifecycle.State
 	conns   errgroup.Group
 	lent    bool // the listener may be another process's too
 }
@@ -56,7 +56,7 @@
 // NewServer makes a server of a listener. Beyond most connections there may be a sixteenth more for a moment.
 // The bodies that are held at once have so many bytes at the most. The drain's state says which answers are
 // the last ones of their connections, and whether a connection may stand idle.
-func NewServer(ln *net.TCPListener, most int, bodies int64, handler Handler, state *drain.State,
+func NewServer(ln *net.TCPListener, most int, bodies int64, handler Handler, state *lifecycle.State,
 	log zerolog.Logger,
 ) *Server {
 	s := &Server{
--- a/internal/transport/server_test.go
+++ b/internal/transport/server_test.go
@@ -13,7 +13,7 @@
 	"github.com/rs/zerolog"
 	"github.com/stretchr/testify/assert"
 
-	"canvasroute/internal/drain"
+	"canvasroute/internal/lifecycle"
 	"canvasroute/internal/protocol"
 )
 
@@ -49,6 +49,7 @@
 func (e *echoHandler) OverBudget(*protocol.Head) *protocol.Response {
 	return &protocol.Response{Status: 503}
 }
+
 func (e *echoHandler) MalformedRequest(err error) *protocol.Response {
 	return protocol.RejectionOf(err)
 }
@@ -58,7 +59,7 @@
 	e := &echoHandler{left: make(chan error, 1)}
 	ln, err := ListenClients("127.0.0.1:0", nil, false)
 	assert.NoError(t, err)
-	s := NewServer(ln, most, 1<<20, e, &drain.State{}, zerolog.Nop())
+	s := NewServer(ln, most, 1<<20, e, &lifecycle.State{}, zerolog.Nop())
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go func() { ended <- s.Run(ctx) }()
