--- a/internal/lab/peernet/peernet_test.go
+++ b/internal/lab/peernet/peernet_test.go
@@ -10,15 +10,19 @@
 	"github.com/stretchr/testify/assert"
 )
 
-func TestDatagramsComeFromTheAddressThatStandsForTheirSender(t *testing.T) {
-	var socks []*net.UDPConn
-	var own []netip.AddrPort
-	for range 2 {
+// sockets opens UDP sockets on the loopback interface, which the end of the test closes.
+func sockets(t *testing.T, count int) (socks []*net.UDPConn, own []netip.AddrPort) {
+	for range count {
 		pc, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 		assert.NoError(t, err)
-		defer pc.Close()
+		t.Cleanup(func() { pc.Close() })
 		socks, own = append(socks, pc), append(own, pc.LocalAddr().(*net.UDPAddr).AddrPort())
 	}
+	return socks, own
+}
+
+func TestDatagramsComeFromTheAddressThatStandsForTheirSender(t *testing.T) {
+	socks, own := sockets(t, 2)
 	n, err := New(own, Manner{Delay: 20 * time.Millisecond}, Platform, 1)
 	assert.NoError(t, err)
 	ctx, cancel := context.WithCancel(context.Background())
--- a/internal/lab/worker/exchange.go
+++ b/internal/lab/worker/exchange.go
@@ -104,13 +104,13 @@
 	case r.URL.Path != "/api":
 		return s.plain(c, life, 404, "", nil)
 	}
-	id, task := r.Header.Get("Req-Id"), Task{}
+	id := r.Header.Get("Req-Id")
 	if id == "" {
 		return s.plain(c, life, 404, "", nil)
 	}
 	record := s.fleet.ledger.Received(id, f)
-	if err := json.Unmarshal(body, &task); err != nil || task.Operation < 0 ||
-		task.Operation >= len(s.fleet.operations) || task.WorkUs <= 0 {
+	task, ok := s.task(body)
+	if !ok {
 		s.fleet.ledger.Over(record, ledger.Failed, "", s.fleet.clock())
 		return s.plain(c, life, 400, "", nil)
 	}
@@ -133,6 +133,15 @@
 	return s.stream(c, id, e, life)
 }
 
+// task reads a forward's body. ok is false for one that names no operation of the fleet, or no work.
+func (s *Server) task(body []byte) (task Task, ok bool) {
+	if err := json.Unmarshal(body, &task); err != nil {
+		return task, false
+	}
+	known := task.Operation >= 0 && task.Operation < len(s.fleet.operations)
+	return task, known && task.WorkUs > 0
+}
+
 // plain writes an answer of one piece.
 func (s *Server) plain(c net.Conn, life *life, status int, fields string, body []byte) bool {
 	if !life.gate() {
