--- a/internal/transport/allowance.go
+++ b/internal/transport/allowance.go
@@ -2,16 +2,16 @@
 
 import "sync/atomic"
 
-// allowance is a number of bytes that may be held at once. It guards against bodies that are announced, or
+// byteBudget is a number of bytes that may be held at once. It guards against bodies that are announced, or
 // brought, on many connections together and would not fit into the memory limit.
-type allowance struct{ left atomic.Int64 }
+type byteBudget struct{ available atomic.Int64 }
 
-func (a *allowance) take(n int64) bool {
-	if a.left.Add(-n) >= 0 {
+func (a *byteBudget) reserve(n int64) bool {
+	if a.available.Add(-n) >= 0 {
 		return true
 	}
-	a.give(n)
+	a.release(n)
 	return false
 }
 
-func (a *allowance) give(n int64) { a.left.Add(n) }
+func (a *byteBudget) release(n int64) { a.available.Add(n) }
--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -55,60 +55,60 @@
 
 // Conn is one connection. One goroutine at a time uses it.
 type Conn struct {
-	nc       net.Conn
-	in, out  *Ring
-	side     PeerRole
-	addr     string
-	opened   time.Time
-	idleFrom time.Time
-	messages int
-	heard    int64 // what had been read when the last message was sent
-	counter  meter
-	log      zerolog.Logger
-	ended    sync.Once
-	dead     atomic.Bool // the process at the other end is known to have ended
-	onEnd    func()
-
-	bounds sync.Mutex // of reading and writing
-	cut    bool       // under bounds: it was interrupted
-
-	interim    bool   // its client takes interim answers
-	stopAttend func() // ends the watch for the client's end
-	beforeLast func() // set by tests: between the look and a message's last byte
+	nc                net.Conn
+	readBuf, writeBuf *Ring
+	role              PeerRole
+	addr              string
+	openedAt          time.Time
+	idleSince         time.Time
+	messagesSent      int
+	readAtLastSend    int64 // what had been read when the last message was sent
+	stream            meteredConn
+	log               zerolog.Logger
+	closeOnce         sync.Once
+	peerProcessEnded  atomic.Bool // the process at the other end is known to have ended
+	onClose           func()
+
+	deadlineMu  sync.Mutex // of reading and writing
+	interrupted bool       // under bounds: it was interrupted
+
+	acceptsInterim bool   // its client takes interim answers
+	stopCloseWatch func() // ends the watch for the client's end
+	beforeLastByte func() // set by tests: between the look and a message's last byte
 }
 
-// meter counts the bytes of a connection.
-type meter struct {
-	nc            net.Conn
-	read, written atomic.Int64
-	ahead         []byte // has come before what comes now
-	tape          *tape  // nil where nothing is kept
+// meteredConn counts the bytes of a connection.
+type meteredConn struct {
+	conn                    net.Conn
+	bytesRead, bytesWritten atomic.Int64
+	replay                  []byte    // has come before what comes now
+	recorder                *recorder // nil where nothing is kept
 }
 
-func (m *meter) Read(p []byte) (n int, err error) {
-	if len(m.ahead) > 0 {
-		n = copy(p, m.ahead)
-		m.ahead = m.ahead[n:]
+func (m *meteredConn) Read(p []byte) (n int, err error) {
+	if len(m.replay) > 0 {
+		n = copy(p, m.replay)
+		m.replay = m.replay[n:]
 	} else {
-		n, err = m.nc.Read(p)
+		n, err = m.conn.Read(p)
 	}
-	m.read.Add(int64(n))
-	if m.tape != nil {
-		m.tape.add(p[:n])
+	m.bytesRead.Add(int64(n))
+	if m.recorder != nil {
+		m.recorder.record(p[:n])
 	}
 	return n, err
 }
 
-func (m *meter) Write(p []byte) (int, error) {
-	n, err := m.nc.Write(p)
-	m.written.Add(int64(n))
+func (m *meteredConn) Write(p []byte) (int, error) {
+	n, err := m.conn.Write(p)
+	m.bytesWritten.Add(int64(n))
 	return n, err
 }
 
 func newConn(nc net.Conn, side PeerRole, addr string, log zerolog.Logger, onEnd func()) *Conn {
 	return &Conn{
-		nc: nc, in: NewRing(ringSize), out: NewRing(outRingSize), side: side, addr: addr,
-		opened: time.Now(), log: log, onEnd: onEnd, counter: meter{nc: nc},
+		nc: nc, readBuf: NewRing(ringSize), writeBuf: NewRing(outRingSize), role: side, addr: addr,
+		openedAt: time.Now(), log: log, onClose: onEnd, stream: meteredConn{conn: nc},
 	}
 }
 
@@ -124,20 +124,20 @@
 
 // CloseFor closes the connection and leaves its log line; only the first call counts.
 func (c *Conn) CloseFor(why CloseReason, cause error) {
-	c.ended.Do(func() {
+	c.closeOnce.Do(func() {
 		c.nc.Close()
-		if c.dead.Load() {
+		if c.peerProcessEnded.Load() {
 			why = StaleRetired
 		}
-		e := c.log.Info().Str("side", string(c.side)).Str("addr", c.addr).Str("reason", string(why)).
-			Dur("age_ms", time.Since(c.opened)).Int("messages", c.messages).
-			Int64("read", c.counter.read.Load()).Int64("written", c.counter.written.Load())
+		e := c.log.Info().Str("side", string(c.role)).Str("addr", c.addr).Str("reason", string(why)).
+			Dur("age_ms", time.Since(c.openedAt)).Int("messages", c.messagesSent).
+			Int64("read", c.stream.bytesRead.Load()).Int64("written", c.stream.bytesWritten.Load())
 		if cause != nil {
 			e = e.AnErr("cause", cause)
 		}
 		e.Msg("connection ended")
-		if c.onEnd != nil {
-			c.onEnd()
+		if c.onClose != nil {
+			c.onClose()
 		}
 	})
 }
@@ -148,17 +148,17 @@
 	if d != 0 {
 		at = time.Now().Add(d)
 	}
-	c.bound(c.nc.SetReadDeadline, at)
+	c.setDeadline(c.nc.SetReadDeadline, at)
 }
 
 // passed is a bound that makes what it bounds end at once.
-var passed = time.Unix(1, 0)
+var pastDeadline = time.Unix(1, 0)
 
-// bound sets a bound, unless the connection was interrupted: that holds whatever is bound later.
-func (c *Conn) bound(set func(time.Time) error, at time.Time) {
-	c.bounds.Lock()
-	defer c.bounds.Unlock()
-	if !c.cut {
+// setDeadline sets a bound, unless the connection was interrupted: that holds whatever is bound later.
+func (c *Conn) setDeadline(set func(time.Time) error, at time.Time) {
+	c.deadlineMu.Lock()
+	defer c.deadlineMu.Unlock()
+	if !c.interrupted {
 		_ = set(at) // fails only on a closed connection, as what is done next on it does
 	}
 }
@@ -166,17 +166,17 @@
 // Interrupt makes all reading and writing end at once, and for good. It guards against one that comes just
 // before a message is sent, or a wait is bounded, and would be undone by that.
 func (c *Conn) Interrupt() {
-	c.bounds.Lock()
-	defer c.bounds.Unlock()
-	c.cut = true
-	c.nc.SetDeadline(passed)
+	c.deadlineMu.Lock()
+	defer c.deadlineMu.Unlock()
+	c.interrupted = true
+	c.nc.SetDeadline(pastDeadline)
 }
 
 // Interrupted tells whether it was: it is of no more use.
 func (c *Conn) Interrupted() bool {
-	c.bounds.Lock()
-	defer c.bounds.Unlock()
-	return c.cut
+	c.deadlineMu.Lock()
+	defer c.deadlineMu.Unlock()
+	return c.interrupted
 }
 
 // ErrTruncated is a connection that ended within a message.
@@ -184,28 +184,28 @@
 
 // fill reads once more. An end is ErrTruncated if something is held already or partly is set.
 func (c *Conn) fill(partly bool) error {
-	_, err := c.in.Fill(&c.counter)
-	if errors.Is(err, io.EOF) && (partly || c.in.Len() > 0) {
+	_, err := c.readBuf.Fill(&c.stream)
+	if errors.Is(err, io.EOF) && (partly || c.readBuf.Len() > 0) {
 		return ErrTruncated
 	}
 	return err
 }
 
-// head reads until parse has a whole head. first is called once, when the first byte is there.
-func (c *Conn) head(parse func([]byte) (protocol.Head, int, error), first func()) (protocol.Head, error) {
+// readHead reads until parse has a whole head. first is called once, when the first byte is there.
+func (c *Conn) readHead(parse func([]byte) (protocol.Head, int, error), first func()) (protocol.Head, error) {
 	for {
-		if c.in.Len() > 0 {
+		if c.readBuf.Len() > 0 {
 			if first != nil {
 				first()
 				first = nil
 			}
-			h, used, err := parse(c.in.Bytes())
+			h, used, err := parse(c.readBuf.Bytes())
 			if err != nil || used > 0 {
-				c.in.Discard(used)
+				c.readBuf.Discard(used)
 				return h, err
 			}
 		}
-		if c.in.Full() {
+		if c.readBuf.Full() {
 			return protocol.Head{}, protocol.ErrHeadTooLarge
 		}
 		if err := c.fill(false); err != nil {
@@ -216,13 +216,13 @@
 
 // ReadRequestHead reads the head of what a client asks.
 func (c *Conn) ReadRequestHead(first func()) (protocol.Head, error) {
-	return c.head(protocol.ParseRequestHead, first)
+	return c.readHead(protocol.ParseRequestHead, first)
 }
 
 // ReadResponseHead reads the head of an answer; interim ones are passed over.
 func (c *Conn) ReadResponseHead() (h protocol.Head, err error) {
 	for h.Status < 200 && err == nil {
-		h, err = c.head(protocol.ParseResponseHead, nil)
+		h, err = c.readHead(protocol.ParseResponseHead, nil)
 	}
 	return h, err
 }
@@ -230,12 +230,12 @@
 // ReadChunks hands on a body piece by piece until it is whole or take returns false.
 func (c *Conn) ReadChunks(b *protocol.Body, take func([]byte) bool) error {
 	for !b.Done() {
-		data, used, err := b.Next(c.in.Bytes())
+		data, used, err := b.Next(c.readBuf.Bytes())
 		if err != nil {
 			return err
 		}
 		more := len(data) == 0 || take(data)
-		c.in.Discard(used)
+		c.readBuf.Discard(used)
 		if !more {
 			return nil
 		}
@@ -288,7 +288,7 @@
 
 // Send writes all of a message within a bound.
 func (c *Conn) Send(within time.Duration, parts ...[]byte) error {
-	c.bound(c.nc.SetWriteDeadline, time.Now().Add(within))
+	c.setDeadline(c.nc.SetWriteDeadline, time.Now().Add(within))
 	for _, p := range parts {
 		if err := c.write(p); err != nil {
 			return err
@@ -297,8 +297,8 @@
 	if err := c.flush(); err != nil {
 		return err
 	}
-	c.messages++
-	c.heard = c.counter.read.Load()
+	c.messagesSent++
+	c.readAtLastSend = c.stream.bytesRead.Load()
 	return nil
 }
 
@@ -309,7 +309,7 @@
 // against a worker's late second answer, which bears no id and would be taken for this message's, and against
 // an end that crosses it: with ErrUnsolicitedData the message was never whole.
 func (c *Conn) SendOnReused(within time.Duration, message []byte) error {
-	c.bound(c.nc.SetWriteDeadline, time.Now().Add(within))
+	c.setDeadline(c.nc.SetWriteDeadline, time.Now().Add(within))
 	last := len(message) - 1
 	if err := c.write(message[:last]); err != nil {
 		return err
@@ -317,8 +317,8 @@
 	if err := c.flush(); err != nil {
 		return err
 	}
-	if c.beforeLast != nil {
-		c.beforeLast()
+	if c.beforeLastByte != nil {
+		c.beforeLastByte()
 	}
 	if !c.alive() {
 		return ErrUnsolicitedData
@@ -328,9 +328,9 @@
 
 func (c *Conn) write(p []byte) error {
 	for len(p) > 0 {
-		n := c.out.Write(p)
+		n := c.writeBuf.Write(p)
 		p = p[n:]
-		if !c.out.Full() {
+		if !c.writeBuf.Full() {
 			continue
 		}
 		if err := c.flush(); err != nil {
@@ -341,17 +341,17 @@
 }
 
 func (c *Conn) flush() error {
-	if err := c.out.Drain(&c.counter); err != nil {
+	if err := c.writeBuf.Drain(&c.stream); err != nil {
 		return fmt.Errorf("sending: %w", err)
 	}
 	return nil
 }
 
 // Reused tells whether a message has been sent on it.
-func (c *Conn) Reused() bool { return c.messages > 0 }
+func (c *Conn) Reused() bool { return c.messagesSent > 0 }
 
 // NothingReceived tells whether nothing has come since the last message was sent.
-func (c *Conn) NothingReceived() bool { return c.counter.read.Load() == c.heard }
+func (c *Conn) NothingReceived() bool { return c.stream.bytesRead.Load() == c.readAtLastSend }
 
 // Addr is the other end's address.
 func (c *Conn) Addr() string { return c.addr }
--- a/internal/transport/conn_test.go
+++ b/internal/transport/conn_test.go
@@ -16,8 +16,8 @@
 	"canvasroute/internal/protocol"
 )
 
-// pair is a connection under test and the other end of it, on loopback.
-func pair(t *testing.T) (*Conn, *net.TCPConn, *bytes.Buffer) {
+// connPair is a connection under test and the other end of it, on loopback.
+func connPair(t *testing.T) (*Conn, *net.TCPConn, *bytes.Buffer) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NoError(t, err)
 	defer ln.Close()
@@ -49,7 +49,7 @@
 }
 
 func TestAnswerThatComesInPieces(t *testing.T) {
-	c, other, _ := pair(t)
+	c, other, _ := connPair(t)
 	go func() {
 		text := "HTTP/1.1 103 Early\r\n\r\n" +
 			"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n"
@@ -69,7 +69,7 @@
 }
 
 func TestBodyLargerThanAllowed(t *testing.T) {
-	c, other, _ := pair(t)
+	c, other, _ := connPair(t)
 	go io.WriteString(other,
 		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nabcd\r\n4\r\nabcd\r\n0\r\n\r\n")
 	c.SetTimeout(5 * time.Second)
@@ -83,7 +83,7 @@
 
 func TestEndWithinAMessageIsToldFromAnEndBetween(t *testing.T) {
 	for text, want := range map[string]error{"": io.EOF, "HTTP/1.1 20": ErrTruncated} {
-		c, other, _ := pair(t)
+		c, other, _ := connPair(t)
 		io.WriteString(other, text)
 		other.Close()
 		_, err := c.ReadResponseHead()
@@ -97,7 +97,7 @@
 }
 
 func TestEachConnectionLeavesOneLogLine(t *testing.T) {
-	c, _, log := pair(t)
+	c, _, log := connPair(t)
 	c.CloseFor(WatchSilent, io.EOF)
 	c.CloseFor(Stopping, nil)
 	assert.Equal(t, 1, strings.Count(log.String(), "\n"))
@@ -105,7 +105,7 @@
 }
 
 func TestAttendTellsWhenTheOtherSideLeaves(t *testing.T) {
-	c, other, _ := pair(t)
+	c, other, _ := connPair(t)
 	left := make(chan error, 1)
 	stop := c.WatchForClose(func(err error) { left <- err })
 	other.Close()
@@ -114,10 +114,10 @@
 }
 
 func TestAttendKeepsWhatComesEarlyAndThenStops(t *testing.T) {
-	c, other, _ := pair(t)
+	c, other, _ := connPair(t)
 	stop := c.WatchForClose(func(err error) { t.Error("left:", err) })
 	io.WriteString(other, "GET / HTTP/1.1\r\n\r\n")
-	assert.Eventually(t, func() bool { return c.counter.read.Load() > 0 }, 5*time.Second, time.Millisecond)
+	assert.Eventually(t, func() bool { return c.stream.bytesRead.Load() > 0 }, 5*time.Second, time.Millisecond)
 	stop()
 	h, err := c.ReadRequestHead(nil)
 	assert.NoError(t, err)
@@ -125,7 +125,7 @@
 }
 
 func TestInterruptEndsAWait(t *testing.T) {
-	c, _, _ := pair(t)
+	c, _, _ := connPair(t)
 	time.AfterFunc(10*time.Millisecond, c.Interrupt)
 	_, err := c.ReadResponseHead()
 	assert.Equal(t, TooSlow, CloseReasonOf(err))
--- a/internal/transport/hand.go
+++ b/internal/transport/hand.go
@@ -10,39 +10,39 @@
 	"canvasroute/internal/protocol"
 )
 
-// mostTape is how much of what came on a connection is kept to be read again.
-const mostTape = 1 << 20
+// maxRecordedBytes is how much of what came on a connection is kept to be read again.
+const maxRecordedBytes = 1 << 20
 
 // ErrRecordingTooLarge is a connection of which not all is kept that came since the last message.
 var ErrRecordingTooLarge = errors.New("too much has come to be read again")
 
-// tape keeps what is read, so that another process, or this one, can read it from the start.
-type tape struct {
-	kept []byte
-	over bool
+// recorder keeps what is read, so that another process, or this one, can read it from the start.
+type recorder struct {
+	data       []byte
+	overflowed bool
 }
 
-func (t *tape) add(p []byte) {
-	if t.over = t.over || len(t.kept)+len(p) > mostTape; t.over {
-		t.kept = nil
+func (t *recorder) record(p []byte) {
+	if t.overflowed = t.overflowed || len(t.data)+len(p) > maxRecordedBytes; t.overflowed {
+		t.data = nil
 		return
 	}
-	t.kept = append(t.kept, p...)
+	t.data = append(t.data, p...)
 }
 
 // StartRecording begins to keep what is read.
-func (c *Conn) StartRecording() { c.counter.tape = &tape{} }
+func (c *Conn) StartRecording() { c.stream.recorder = &recorder{} }
 
 // StopRecording ends that.
-func (c *Conn) StopRecording() { c.counter.tape = nil }
+func (c *Conn) StopRecording() { c.stream.recorder = nil }
 
 // Recorded is all that has been read since Tape. Nobody may read meanwhile.
 func (c *Conn) Recorded() ([]byte, error) {
-	if c.counter.tape == nil || c.counter.tape.over {
+	if c.stream.recorder == nil || c.stream.recorder.overflowed {
 		return nil, ErrRecordingTooLarge
 	}
-	kept := c.counter.tape.kept
-	return append(kept[:len(kept):len(kept)], c.counter.ahead...), nil
+	kept := c.stream.recorder.data
+	return append(kept[:len(kept):len(kept)], c.stream.replay...), nil
 }
 
 // Rewind makes the connection be read from where its tape began.
@@ -51,14 +51,14 @@
 	if err != nil {
 		return err
 	}
-	c.in.Discard(c.in.Len())
-	c.counter.ahead, c.counter.tape = kept, &tape{}
-	c.bound(c.nc.SetReadDeadline, time.Time{})
+	c.readBuf.Discard(c.readBuf.Len())
+	c.stream.replay, c.stream.recorder = kept, &recorder{}
+	c.setDeadline(c.nc.SetReadDeadline, time.Time{})
 	return nil
 }
 
 // StopReading makes a read that waits end as one that took too long, until Rewind.
-func (c *Conn) StopReading() { c.bound(c.nc.SetReadDeadline, passed) }
+func (c *Conn) StopReading() { c.setDeadline(c.nc.SetReadDeadline, pastDeadline) }
 
 // Socket is what can be handed over; nil for a connection that is none.
 func (c *Conn) Socket() syscall.Conn {
@@ -79,8 +79,8 @@
 	if !ok || c.Socket() == nil {
 		return nil, nil, false
 	}
-	c.stopAttend()
-	return c.Socket(), append([]byte(nil), c.in.Bytes()...), true
+	c.stopCloseWatch()
+	return c.Socket(), append([]byte(nil), c.readBuf.Bytes()...), true
 }
 
 // Import goes on with a client's connection of a predecessor's: finish answers the invocation that is under
@@ -90,18 +90,18 @@
 	finish func(context.Context) *protocol.Response,
 ) {
 	c := newConn(nc, Client, nc.RemoteAddr().String(), s.log, nil)
-	c.counter.ahead, c.interim = early, interim
-	s.places.admit(c)
-	s.places.turn(c, answering)
-	s.places.prove(c)
+	c.stream.replay, c.acceptsInterim = early, interim
+	s.clients.acquire(c)
+	s.clients.turn(c, stateServing)
+	s.clients.markUseful(c)
 	s.conns.Go(func() error {
-		why, err := s.owed(c, closes, finish)
+		why, err := s.runHandler(c, closes, finish)
 		if why != "" {
 			c.CloseFor(why, err)
 		} else {
-			s.serve(c, false)
+			s.serveRequests(c, false)
 		}
-		s.places.leave(c)
+		s.clients.release(c)
 		return nil
 	})
 }
@@ -111,27 +111,27 @@
 func (p *Pool) Import(nc net.Conn, addr string, came []byte) *Conn {
 	placed := true
 	select {
-	case p.places <- struct{}{}:
+	case p.slots <- struct{}{}:
 	default: // the predecessor had it, and its place is about to be ours
 		placed = false
 	}
-	c := p.keep(nc, addr, placed)
-	c.counter.ahead, c.messages = came, 1
+	c := p.track(nc, addr, placed)
+	c.stream.replay, c.messagesSent = came, 1
 	return c
 }
 
-func (p *Pool) keep(nc net.Conn, addr string, placed bool) (c *Conn) {
+func (p *Pool) track(nc net.Conn, addr string, placed bool) (c *Conn) {
 	c = newConn(nc, Worker, addr, p.log, func() {
 		if placed {
-			<-p.places
+			<-p.slots
 		}
 		p.mu.Lock()
-		delete(p.out, c)
-		delete(p.stale, c)
+		delete(p.inUse, c)
+		delete(p.closeOnPut, c)
 		p.mu.Unlock()
 	})
 	p.mu.Lock()
-	p.out[c] = addr
+	p.inUse[c] = addr
 	p.mu.Unlock()
 	return c
 }
--- a/internal/transport/listen.go
+++ b/internal/transport/listen.go
@@ -53,14 +53,14 @@
 	}
 	var c net.ListenConfig
 	if shared {
-		c.Control = share
+		c.Control = setReusePort
 	}
 	return open(c)
 }
 
-// narrow lets the system hold but one connection for a listener that is about to end, beside those it holds
+// shrinkBacklog lets the system hold but one connection for a listener that is about to end, beside those it holds
 // already. Who finds it taken is not answered yet, and asks again once nobody listens.
-func narrow(ln syscall.Conn) (err error) {
+func shrinkBacklog(ln syscall.Conn) (err error) {
 	raw, err := ln.SyscallConn()
 	if err != nil {
 		return fmt.Errorf("narrowing the queue: %w", err)
@@ -72,8 +72,8 @@
 	return nil
 }
 
-// share lets more than one socket of this user be bound to the address.
-func share(_, _ string, raw syscall.RawConn) (err error) {
+// setReusePort lets more than one socket of this user be bound to the address.
+func setReusePort(_, _ string, raw syscall.RawConn) (err error) {
 	held := raw.Control(func(fd uintptr) {
 		err = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_REUSEPORT, 1)
 	})
--- a/internal/transport/pool_test.go
+++ b/internal/transport/pool_test.go
@@ -11,8 +11,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// worker accepts connections, and hands them out.
-func worker(t *testing.T) (addr string, accepted <-chan net.Conn) {
+// startWorker accepts connections, and hands them out.
+func startWorker(t *testing.T) (addr string, accepted <-chan net.Conn) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NoError(t, err)
 	t.Cleanup(func() { ln.Close() })
@@ -29,7 +29,7 @@
 	return ln.Addr().String(), conns
 }
 
-func get(t *testing.T, p *Pool, addr string) *Conn {
+func mustGet(t *testing.T, p *Pool, addr string) *Conn {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
 	c, err := p.Get(ctx, addr, AnyConnection)
@@ -38,80 +38,80 @@
 }
 
 func TestPoolUsesAConnectionAgain(t *testing.T) {
-	addr, _ := worker(t)
+	addr, _ := startWorker(t)
 	p := NewPool(2, time.Minute, zerolog.Nop())
-	c := get(t, p, addr)
+	c := mustGet(t, p, addr)
 	p.Put(c)
-	assert.Same(t, c, get(t, p, addr))
+	assert.Same(t, c, mustGet(t, p, addr))
 }
 
 // Guards against writing to a connection that the worker has ended: that forward has perhaps run.
 func TestPoolNoticesThatTheWorkerEndedAnIdleConnection(t *testing.T) {
-	addr, accepted := worker(t)
+	addr, accepted := startWorker(t)
 	var log bytes.Buffer
 	p := NewPool(2, time.Minute, zerolog.New(&log))
-	c := get(t, p, addr)
+	c := mustGet(t, p, addr)
 	p.Put(c)
 	(<-accepted).Close()
 	assert.Eventually(t, func() bool { return !c.alive() }, 5*time.Second, time.Millisecond)
-	assert.NotSame(t, c, get(t, p, addr))
+	assert.NotSame(t, c, mustGet(t, p, addr))
 	assert.Contains(t, log.String(), "peer_closed")
 }
 
 func TestPoolDropsAConnectionWithWordsThatNobodyAskedFor(t *testing.T) {
-	addr, accepted := worker(t)
+	addr, accepted := startWorker(t)
 	p := NewPool(2, time.Minute, zerolog.Nop())
-	c := get(t, p, addr)
+	c := mustGet(t, p, addr)
 	p.Put(c)
 	(<-accepted).Write([]byte("HTTP/1.1 408 Late\r\n\r\n"))
 	assert.Eventually(t, func() bool { return !c.alive() }, 5*time.Second, time.Millisecond)
-	assert.NotSame(t, c, get(t, p, addr))
+	assert.NotSame(t, c, mustGet(t, p, addr))
 }
 
 func TestPoolRetiresIdleConnectionsWellBeforeTheWorkerDoes(t *testing.T) {
-	addr, _ := worker(t)
+	addr, _ := startWorker(t)
 	p := NewPool(2, time.Minute, zerolog.Nop())
-	c := get(t, p, addr)
+	c := mustGet(t, p, addr)
 	p.Put(c)
-	c.idleFrom = time.Now().Add(-30 * time.Second)
-	assert.Equal(t, []*Conn{c}, p.overdue(false))
-	assert.Empty(t, p.overdue(false))
+	c.idleSince = time.Now().Add(-30 * time.Second)
+	assert.Equal(t, []*Conn{c}, p.removeExpired(false))
+	assert.Empty(t, p.removeExpired(false))
 }
 
 func TestPoolMakesRoomAndKeepsItsBudget(t *testing.T) {
-	addr, _ := worker(t)
-	other, _ := worker(t)
+	addr, _ := startWorker(t)
+	other, _ := startWorker(t)
 	p := NewPool(1, time.Minute, zerolog.Nop())
-	p.Put(get(t, p, addr))
-	c := get(t, p, other)
+	p.Put(mustGet(t, p, addr))
+	c := mustGet(t, p, other)
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Millisecond)
 	defer cancel()
 	_, err := p.Get(ctx, addr, AnyConnection)
 	assert.ErrorIs(t, err, ErrPoolExhausted)
 	c.CloseFor(AttemptCanceled, nil)
-	get(t, p, addr)
+	mustGet(t, p, addr)
 }
 
 func TestPoolKeepsNothingToAWorkerThatIsForgotten(t *testing.T) {
-	addr, _ := worker(t)
+	addr, _ := startWorker(t)
 	var log bytes.Buffer
 	p := NewPool(2, time.Minute, zerolog.New(&log))
-	idle, out := get(t, p, addr), get(t, p, addr)
+	idle, out := mustGet(t, p, addr), mustGet(t, p, addr)
 	p.Put(idle)
 	p.CloseIdle(addr)
 	p.Put(out)
 	assert.Empty(t, p.idle)
 	assert.Equal(t, 2, bytes.Count(log.Bytes(), []byte("stale_retired")))
-	get(t, p, addr)
-	get(t, p, addr)
+	mustGet(t, p, addr)
+	mustGet(t, p, addr)
 }
 
 func TestPoolBuriesWhatLedToAProcessThatHasEnded(t *testing.T) {
-	addr, _ := worker(t)
+	addr, _ := startWorker(t)
 	var log bytes.Buffer
 	p := NewPool(2, time.Minute, zerolog.New(&log))
-	old, fresh := get(t, p, addr), get(t, p, addr)
-	old.opened = time.Now().Add(-time.Minute)
+	old, fresh := mustGet(t, p, addr), mustGet(t, p, addr)
+	old.openedAt = time.Now().Add(-time.Minute)
 	p.CloseOpenedBefore(addr, time.Now().Add(-time.Second))
 	_, err := old.ReadResponseHead()
 	assert.Equal(t, TooSlow, CloseReasonOf(err), "the wait on it ends")
@@ -120,20 +120,20 @@
 	fresh.SetTimeout(10 * time.Millisecond)
 	_, err = fresh.ReadResponseHead()
 	assert.Error(t, err)
-	assert.False(t, fresh.dead.Load())
+	assert.False(t, fresh.peerProcessEnded.Load())
 }
 
 func TestPoolThatEndsLeavesNothingOpen(t *testing.T) {
-	addr, _ := worker(t)
+	addr, _ := startWorker(t)
 	p := NewPool(2, time.Minute, zerolog.Nop())
-	idle, out := get(t, p, addr), get(t, p, addr)
+	idle, out := mustGet(t, p, addr), mustGet(t, p, addr)
 	p.Put(idle)
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	assert.NoError(t, p.Run(ctx))
 	p.Put(out)
 	assert.Empty(t, p.idle)
-	assert.Empty(t, p.places)
+	assert.Empty(t, p.slots)
 }
 
 func TestPoolGivesThePlaceBackWhereNobodyAnswers(t *testing.T) {
@@ -143,12 +143,12 @@
 	p := NewPool(1, time.Minute, zerolog.Nop())
 	_, err = p.Get(context.Background(), ln.Addr().String(), AnyConnection)
 	assert.Error(t, err)
-	assert.Empty(t, p.places)
+	assert.Empty(t, p.slots)
 }
 
 // Guards against a kept connection that ends under a message that may not be sent again.
 func TestDoubtedConnectionsAreNotUsedWhereItHasToBeSure(t *testing.T) {
-	addr, _ := worker(t)
+	addr, _ := startWorker(t)
 	p := NewPool(4, time.Minute, zerolog.Nop())
 	get := func(need Freshness) *Conn {
 		c, err := p.Get(context.Background(), addr, need)
@@ -157,7 +157,7 @@
 	}
 	rested := func(c *Conn) {
 		p.Put(c)
-		c.idleFrom = time.Now().Add(-SettleTime)
+		c.idleSince = time.Now().Add(-SettleTime)
 	}
 	c := get(VerifiedOnly)
 	rested(c)
