--- a/internal/transport/places_test.go
+++ b/internal/transport/client_limits_test.go
@@ -32,11 +32,11 @@
 		case 0:
 			s.markIdle(c)
 		case 1:
-			s.turn(c, stateReading)
+			s.markReading(c)
 		case 2:
-			s.turn(c, stateServing)
+			s.markServing(c)
 		case 3:
-			s.turn(c, stateServing) // as when its answer is at hand
+			s.markServing(c) // as when its answer is at hand
 			s.markUseful(c)
 		case 4:
 			s.release(c)
--- a/internal/transport/conn_test.go
+++ b/internal/transport/conn_test.go
@@ -134,7 +134,7 @@
 func TestTooLongADatagramNeverLeaves(t *testing.T) {
 	d, err := ListenDatagrams(netip.MustParseAddrPort("127.0.0.1:0"), nil, false)
 	assert.NoError(t, err)
-	to := d.pc.LocalAddr().(*net.UDPAddr).AddrPort()
+	to := d.conn.LocalAddr().(*net.UDPAddr).AddrPort()
 	ctx, cancel := context.WithCancel(context.Background())
 	came, ended := make(chan int, 2), make(chan error)
 	go func() { ended <- d.Run(ctx, func(_ netip.AddrPort, b []byte) { came <- len(b) }) }()
--- a/internal/transport/crossings_test.go
+++ b/internal/transport/crossings_test.go
@@ -81,7 +81,7 @@
 }
 
 func TestClientThatSendsMuchAheadAndGoesHasLeft(t *testing.T) {
-	for name, size := range map[string]int{"what the system holds": 3 * ringSize, "more than that": 8 << 20} {
+	for name, size := range map[string]int{"what the system holds": 3 * readBufferBytes, "more than that": 8 << 20} {
 		t.Run(name, func(t *testing.T) {
 			c, other, _ := connPair(t)
 			c.acceptsInterim = true
@@ -91,7 +91,7 @@
 				wrote <- err
 			}()
 			left := watchClose(t, c)
-			if size > maxUnreadBytes+ringSize {
+			if size > maxUnreadBytes+readBufferBytes {
 				readInterims(t, other, 2)
 				assert.Empty(t, left, "as long as it listens it has not left")
 			} else {
@@ -105,7 +105,7 @@
 
 func TestOldClientThatSendsMuchAheadAndGoesHasLeft(t *testing.T) {
 	c, other, _ := connPair(t)
-	_, err := other.Write(make([]byte, 3*ringSize))
+	_, err := other.Write(make([]byte, 3*readBufferBytes))
 	assert.NoError(t, err)
 	left := watchClose(t, c)
 	other.Close()
@@ -132,7 +132,7 @@
 	for name, before := range map[string]func(*net.TCPConn){
 		"closes at once":                func(*net.TCPConn) {},
 		"ends its sending first":        func(other *net.TCPConn) { other.CloseWrite() },
-		"has sent more than is held":    func(other *net.TCPConn) { other.Write(make([]byte, 3*ringSize)) },
+		"has sent more than is held":    func(other *net.TCPConn) { other.Write(make([]byte, 3*readBufferBytes)) },
 		"resets what it had sent ahead": func(other *net.TCPConn) { other.Write(make([]byte, 64)); _ = other.SetLinger(0) },
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -195,8 +195,8 @@
 	s.mu.Lock()
 	assert.True(t, s.evictOne())
 	s.mu.Unlock()
-	c.setDeadline(c.nc.SetReadDeadline, pastDeadline) // its bound has passed
-	s.turn(c, stateServing)
+	c.setReadDeadline(pastDeadline) // its bound has passed
+	s.markServing(c)
 	s.mu.Lock()
 	assert.False(t, s.evictOne(), "one that is owed an answer is let be")
 	s.mu.Unlock()
@@ -257,7 +257,7 @@
 	go func() { got <- mustGet(t, p, addr) }()
 	assert.Eventually(t, p.hasWaiter, testTimeout, time.Millisecond)
 	receive(t, accepted).Close()
-	assert.Eventually(t, func() bool { return !out.alive() }, testTimeout, time.Millisecond)
+	assert.Eventually(t, func() bool { return out.readable() }, testTimeout, time.Millisecond)
 	p.Put(out)
 	assert.NotSame(t, out, receive(t, got))
 }
@@ -279,7 +279,7 @@
 	var log bytes.Buffer
 	p := NewPool(2, time.Minute, zerolog.New(&log))
 	var once sync.Once
-	p.afterDial = func() { once.Do(func() { p.CloseIdle(addr) }) }
+	p.testHooks.afterDial = func() { once.Do(func() { p.CloseIdle(addr) }) }
 	c := mustGet(t, p, addr)
 	assert.Contains(t, log.String(), "stale_retired")
 	first := receive(t, accepted)
@@ -311,12 +311,12 @@
 		t.Run(name, func(t *testing.T) {
 			c, other, _ := connPair(t)
 			came := make(chan error, 1)
-			c.beforeLastByte = func() {
+			c.testHooks.beforeLastByte = func() {
 				part := make([]byte, len(echoRequest)-1)
 				_, err := io.ReadFull(other, part)
 				came <- err
 				crosses(other)
-				assert.Eventually(t, func() bool { return !c.alive() }, testTimeout, time.Millisecond)
+				assert.Eventually(t, func() bool { return c.readable() }, testTimeout, time.Millisecond)
 			}
 			assert.ErrorIs(t, c.SendOnReused(time.Second, []byte(echoRequest)), ErrUnsolicitedData)
 			assert.NoError(t, <-came)
@@ -470,7 +470,7 @@
 			s.clients.acquire(c)
 			io.WriteString(other, echoRequest)
 			assert.Eventually(t, c.hasUnreadData, testTimeout, time.Millisecond)
-			c.setDeadline(c.nc.SetReadDeadline, pastDeadline)
+			c.setReadDeadline(pastDeadline)
 			ended := make(chan struct{})
 			go func() {
 				defer close(ended)
@@ -499,7 +499,7 @@
 	if h.Path() != "/gate" {
 		return g.echoHandler.Serve(ctx, h, body, came)
 	}
-	g.requested <- ctx.Value(clientKey{}).(*Conn)
+	g.requested <- ctx.Value(clientConnKey{}).(*Conn)
 	return <-g.release
 }
 
@@ -647,7 +647,7 @@
 	a, b := net.Pipe()
 	defer b.Close()
 	c := newConn(a, Client, "", zerolog.Nop(), nil)
-	assert.False(t, c.alive() || c.hasUnreadData())
+	assert.False(t, !c.readable() || c.hasUnreadData())
 	_, err := c.peekSocket()
 	assert.True(t, errors.Is(err, errors.ErrUnsupported))
 }
--- a/internal/transport/datagrams.go
+++ b/internal/transport/datagrams.go
@@ -13,80 +13,82 @@
 	"canvasroute/internal/settings"
 )
 
-// Datagrams is the socket between dispatchers.
+// Errors of Datagrams.Send beside those of the socket.
+var (
+	ErrDatagramTooLong = errors.New("datagram too long")
+	ErrSocketYielded   = errors.New("socket yielded to another process")
+)
+
+// Datagrams is the UDP socket between dispatchers. During a hot restart two processes have it, and one of them at a
+// time uses it. It is safe for use by several goroutines.
 type Datagrams struct {
-	pc *net.UDPConn
+	conn *net.UDPConn
 
 	mu     sync.Mutex
-	resume chan struct{} // closed when another process no longer has the socket's turn; nil while it is ours
+	resume chan struct{} // closed when another process gives the socket back; nil while this one uses it
 }
 
-func newDatagrams(pc *net.UDPConn) *Datagrams { return &Datagrams{pc: pc} }
-
-// Socket is what can be handed over.
-func (d *Datagrams) Socket() syscall.Conn { return d.pc }
+// Socket is the socket as it can be passed to another process.
+func (d *Datagrams) Socket() syscall.Conn { return d.conn }
 
-// Yield leaves the socket to another process that has it too, or takes it back: meanwhile nothing is read
-// here, and nothing sent.
+// Yield leaves the socket to another process if yield is true, and takes it back if not. While it is yielded nothing is
+// received or sent here.
 func (d *Datagrams) Yield(yield bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	switch {
 	case yield && d.resume == nil:
 		d.resume = make(chan struct{})
-		d.pc.SetReadDeadline(time.Unix(1, 0))
+		d.conn.SetReadDeadline(pastDeadline)
 	case !yield && d.resume != nil:
-		d.pc.SetReadDeadline(time.Time{})
+		d.conn.SetReadDeadline(time.Time{})
 		close(d.resume)
 		d.resume = nil
 	}
 }
 
-func (d *Datagrams) yielded() <-chan struct{} {
+// resumed is a channel that is closed when the socket is taken back; nil where it isn't yielded.
+func (d *Datagrams) resumed() <-chan struct{} {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.resume
 }
 
-// The ways that a datagram does not leave.
-var (
-	ErrDatagramTooLong = errors.New("datagram too long")
-	ErrSocketYielded   = errors.New("another process has the socket")
-)
-
-// Send sends one datagram.
-func (d *Datagrams) Send(to netip.AddrPort, b []byte) error {
-	if len(b) > settings.MaxMessageBytes {
+// Send sends one datagram of at most settings.MaxMessageBytes.
+func (d *Datagrams) Send(to netip.AddrPort, payload []byte) error {
+	if len(payload) > settings.MaxMessageBytes {
 		return ErrDatagramTooLong
 	}
-	if d.yielded() != nil {
+	if d.resumed() != nil {
 		return ErrSocketYielded
 	}
-	if _, err := d.pc.WriteToUDPAddrPort(b, to); err != nil {
+	if _, err := d.conn.WriteToUDPAddrPort(payload, to); err != nil {
 		return fmt.Errorf("sending a datagram: %w", err)
 	}
 	return nil
 }
 
-// Run hands on what comes until ctx ends. A refusal by some peer's machine is no fault of the socket.
-func (d *Datagrams) Run(ctx context.Context, take func(from netip.AddrPort, b []byte)) error {
-	stop := context.AfterFunc(ctx, func() { d.pc.Close() })
+// Run passes received datagrams to receive until ctx ends, and closes the socket then. payload is valid during the call
+// only; one byte beyond settings.MaxMessageBytes shows that a datagram was longer. Errors of a read are skipped: they
+// are mostly a peer's machine that refused an earlier datagram. The error is always nil.
+func (d *Datagrams) Run(ctx context.Context, receive func(from netip.AddrPort, payload []byte)) error {
+	stop := context.AfterFunc(ctx, func() { d.conn.Close() })
 	defer stop()
-	b := make([]byte, settings.MaxMessageBytes+1)
+	buffer := make([]byte, settings.MaxMessageBytes+1)
 	for ctx.Err() == nil {
-		if resume := d.yielded(); resume != nil {
+		if resumed := d.resumed(); resumed != nil {
 			select {
-			case <-resume:
+			case <-resumed:
 			case <-ctx.Done():
 			}
 			continue
 		}
-		n, from, err := d.pc.ReadFromUDPAddrPort(b)
+		n, from, err := d.conn.ReadFromUDPAddrPort(buffer)
 		switch {
 		case errors.Is(err, net.ErrClosed):
 			return nil
 		case err == nil:
-			take(netip.AddrPortFrom(from.Addr().Unmap(), from.Port()), b[:n])
+			receive(netip.AddrPortFrom(from.Addr().Unmap(), from.Port()), buffer[:n])
 		}
 	}
 	return nil
--- a/internal/transport/listen.go
+++ b/internal/transport/listen.go
@@ -12,11 +12,11 @@
 	"golang.org/x/sys/unix"
 )
 
-// ListenClients listens for clients at an address. A listener that a predecessor has handed over is used as
-// it is: both processes have one queue then, and what waits in it is lost with neither. Else, where the
-// address may be shared, a second process of this dispatcher can listen there too, with a queue of its own.
-func ListenClients(addr string, handed *os.File, shared bool) (*net.TCPListener, error) {
-	ln, err := listenOn(handed, shared, net.FileListener, func(c net.ListenConfig) (net.Listener, error) {
+// ListenClients listens for clients at a TCP address. A listener that was inherited from the predecessor is used
+// instead if there is one: both processes then accept from one queue, and what waits in it outlives either. shared lets
+// a second process of this dispatcher listen at the same address, with a queue of its own.
+func ListenClients(addr string, inherited *os.File, shared bool) (*net.TCPListener, error) {
+	ln, err := openOrInherit(inherited, shared, net.FileListener, func(c net.ListenConfig) (net.Listener, error) {
 		return c.Listen(context.Background(), "tcp", addr)
 	})
 	if err != nil {
@@ -24,14 +24,14 @@
 	}
 	tcp, ok := ln.(*net.TCPListener)
 	if !ok {
-		return nil, fmt.Errorf("listening for clients: %v was handed over, which is not TCP", ln.Addr())
+		return nil, fmt.Errorf("listening for clients: inherited socket %v is not TCP", ln.Addr())
 	}
 	return tcp, nil
 }
 
-// ListenDatagrams opens the socket between dispatchers, or takes the one handed over.
-func ListenDatagrams(addr netip.AddrPort, handed *os.File, shared bool) (*Datagrams, error) {
-	pc, err := listenOn(handed, shared, net.FilePacketConn, func(c net.ListenConfig) (net.PacketConn, error) {
+// ListenDatagrams opens the UDP socket between dispatchers, or uses the inherited one. shared is as for ListenClients.
+func ListenDatagrams(addr netip.AddrPort, inherited *os.File, shared bool) (*Datagrams, error) {
+	pc, err := openOrInherit(inherited, shared, net.FilePacketConn, func(c net.ListenConfig) (net.PacketConn, error) {
 		return c.ListenPacket(context.Background(), "udp", addr.String())
 	})
 	if err != nil {
@@ -39,46 +39,45 @@
 	}
 	udp, ok := pc.(*net.UDPConn)
 	if !ok {
-		return nil, fmt.Errorf("listening for peers: %v was handed over, which is not UDP", pc.LocalAddr())
+		return nil, fmt.Errorf("listening for peers: inherited socket %v is not UDP", pc.LocalAddr())
 	}
-	return newDatagrams(udp), nil
+	return &Datagrams{conn: udp}, nil
 }
 
-func listenOn[T any](handed *os.File, shared bool, take func(*os.File) (T, error),
+// openOrInherit makes a socket of an inherited file, which it closes, or opens one where there is none.
+func openOrInherit[T any](inherited *os.File, shared bool, inherit func(*os.File) (T, error),
 	open func(net.ListenConfig) (T, error),
 ) (T, error) {
-	if handed != nil {
-		defer handed.Close()
-		return take(handed)
+	if inherited != nil {
+		defer inherited.Close()
+		return inherit(inherited)
 	}
-	var c net.ListenConfig
+	var config net.ListenConfig
 	if shared {
-		c.Control = setReusePort
+		config.Control = setReusePort
 	}
-	return open(c)
+	return open(config)
 }
 
-// shrinkBacklog lets the system hold but one connection for a listener that is about to end, beside those it holds
-// already. Who finds it taken is not answered yet, and asks again once nobody listens.
-func shrinkBacklog(ln syscall.Conn) (err error) {
-	raw, err := ln.SyscallConn()
-	if err != nil {
-		return fmt.Errorf("narrowing the queue: %w", err)
-	}
-	held := raw.Control(func(fd uintptr) { err = unix.Listen(int(fd), 0) })
-	if err = errors.Join(err, held); err != nil {
-		return fmt.Errorf("narrowing the queue: %w", err)
+// shrinkBacklog lets the kernel queue but one more connection for a listener that is about to be closed; those in the
+// queue stay there. A client that finds it full gets no answer yet, and tries again once nobody listens.
+func shrinkBacklog(ln syscall.Conn) error {
+	var listenErr error
+	inspectErr := withDescriptor(ln, func(fd int) { listenErr = unix.Listen(fd, 0) })
+	if err := errors.Join(listenErr, inspectErr); err != nil {
+		return fmt.Errorf("shrinking the listener's backlog: %w", err)
 	}
 	return nil
 }
 
 // setReusePort lets more than one socket of this user be bound to the address.
-func setReusePort(_, _ string, raw syscall.RawConn) (err error) {
-	held := raw.Control(func(fd uintptr) {
-		err = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_REUSEPORT, 1)
+func setReusePort(_, _ string, raw syscall.RawConn) error {
+	var optionErr error
+	controlErr := raw.Control(func(fd uintptr) {
+		optionErr = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_REUSEPORT, 1)
 	})
-	if held != nil {
-		return held
+	if controlErr != nil {
+		return controlErr
 	}
-	return err
+	return optionErr
 }
--- /dev/null
+++ b/internal/transport/migration.go
@@ -0,0 +1,72 @@
+package transport
+
+import (
+	"context"
+	"net"
+	"syscall"
+
+	"canvasroute/internal/protocol"
+)
+
+// Socket is the connection as it can be passed to another process; nil for one that isn't a socket.
+func (c *Conn) Socket() syscall.Conn {
+	socket, ok := c.nc.(syscall.Conn)
+	if !ok {
+		return nil
+	}
+	return socket
+}
+
+// clientConnKey is the key of the client's *Conn in the context of Handler.Serve.
+type clientConnKey struct{}
+
+// Detach takes the client's connection that a request came on out of this process: it ends the watch for the client
+// closing it, and returns its socket with the data that came after the request. ctx is that of Handler.Serve; ok is
+// false for another one. Serve has to return protocol.Migrated then.
+func Detach(ctx context.Context) (socket syscall.Conn, early []byte, ok bool) {
+	c, ok := ctx.Value(clientConnKey{}).(*Conn)
+	if !ok || c.Socket() == nil {
+		return nil, nil, false
+	}
+	c.stopCloseWatch()
+	return c.Socket(), append([]byte(nil), c.readBuf.Bytes()...), true
+}
+
+// Import continues with a client's connection that the predecessor detached. finish returns the response to the request
+// that is under way on it, and early is read next. closeRequested says that the client announced this request as its
+// last, acceptsInterim that it understands interim responses.
+func (s *Server) Import(nc net.Conn, early []byte, closeRequested, acceptsInterim bool,
+	finish func(context.Context) *protocol.Response,
+) {
+	c := newConn(nc, Client, nc.RemoteAddr().String(), s.log, nil)
+	c.stream.replay = early
+	c.acceptsInterim = acceptsInterim
+	s.clients.acquire(c)
+	s.clients.markServing(c)
+	s.clients.markUseful(c)
+	s.conns.Go(func() error {
+		reason, err := s.serveAndRespond(c, closeRequested, finish)
+		if reason != "" {
+			c.CloseFor(reason, err)
+		} else {
+			s.serveRequests(c, false)
+		}
+		s.clients.release(c)
+		return nil
+	})
+}
+
+// Import continues with the predecessor's connection to a worker, on which received has been read since the last
+// message was sent. It takes a slot where one is free.
+func (p *Pool) Import(nc net.Conn, addr string, received []byte) *Conn {
+	holdsSlot := true
+	select {
+	case p.slots <- struct{}{}:
+	default: // the predecessor has the slot, and is about to give it up
+		holdsSlot = false
+	}
+	c := p.track(nc, addr, holdsSlot)
+	c.stream.replay = received
+	c.messagesSent = 1
+	return c
+}
--- a/internal/transport/pool.go
+++ b/internal/transport/pool.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"errors"
-	"fmt"
 	"net"
 	"slices"
 	"sync"
@@ -12,73 +11,80 @@
 	"github.com/rs/zerolog"
 )
 
-// idleDivisor of the time that the other side lets a connection idle is as long as we keep one: the other side
-// may end it sooner, and what is written to it then has perhaps run.
-const idleDivisor = 4
+const (
+	// idleDivisor of the workers' idle timeout is how long the pool keeps an idle connection. A worker may close one
+	// sooner than it says, and whether it has processed what was then written to it can't be known.
+	idleDivisor = 4
 
-// suspectFactor of the idle time is for how long kept connections are doubted after one has ended unasked.
-const suspectFactor = 6
+	// SettleTime is how long after a response a second one may still come.
+	SettleTime = 50 * time.Millisecond
 
-// Pool holds the connections to workers, within a budget.
-type Pool struct {
-	log      zerolog.Logger
-	maxIdle  time.Duration
-	slots    chan struct{}
-	withheld int // places that nobody here may have, under mu
+	expiryChecksPerIdle = 16 // how often Run looks for expired connections in the time that one may be idle
+	minExpiryInterval   = 10 * time.Millisecond
+)
 
-	mu         sync.Mutex
-	idle       map[string][]*Conn // by address, the latest used last
-	closed     bool
-	closeOnPut map[*Conn]bool // out, and not to be kept
-	inUse      map[*Conn]string
-	dialing    map[*pendingDial]bool // under way
-	waiters    []*waiter             // for a place, the first one first
+// ErrPoolExhausted reports that no connection became free in time and none could be opened within the limit.
+var ErrPoolExhausted = errors.New("connection pool exhausted")
 
-	suspectUntil time.Time // until then kept connections may end under a message
+// errDialInvalidated reports a connection that came up while CloseIdle was called for its address.
+var errDialInvalidated = errors.New("address invalidated while connecting")
 
-	afterDial func() // set by tests: between a connection's coming up and its being known here
-}
-
-// Freshness is what a connection has to be for the message that goes on it.
+// Freshness is what an attempt requires of the connection it is sent on.
 type Freshness uint8
 
-// The values of Need.
+// The values of Freshness.
 const (
-	AnyConnection Freshness = iota // a kept one will do
-	Settled                        // a kept one will do once a late second answer would have come: it bears no id
-	VerifiedOnly                   // the same, and a new one while kept ones are doubted
+	AnyConnection Freshness = iota // any idle connection or a new one
+	Settled                        // no connection that was used less than SettleTime ago: a late second response has no id
+	VerifiedOnly                   // as Settled, and only a new one while reused connections are suspect
 )
 
-// SettleTime is how long after an answer a second one may still come.
-const SettleTime = 50 * time.Millisecond
+// Pool holds the connections to workers, idle ones by address and those in use, within a limit. It is safe for use by
+// several goroutines.
+type Pool struct {
+	log     zerolog.Logger
+	maxIdle time.Duration
+	slots   chan struct{} // one element for each connection, and for each withheld slot
 
-// pendingDial is a connection that is coming up.
-type pendingDial struct {
-	addr        string
-	invalidated bool // the address was forgotten meanwhile: it may lead to who was there before
+	mu           sync.Mutex
+	withheld     int // slots that SetLimit has taken away
+	closed       bool
+	idle         map[string][]*Conn // by address, the latest used last
+	inUse        map[*Conn]string   // the address of each
+	closeOnPut   map[*Conn]bool     // in use, and stale
+	dialing      map[*pendingDial]bool
+	waiters      []*waiter // for a slot, first come first
+	suspectUntil time.Time // until then workers may close reused connections under a message
+
+	testHooks poolTestHooks
+}
+
+// poolTestHooks are functions that tests set to force an order of events.
+type poolTestHooks struct {
+	afterDial func() // runs once a connection is open and before the pool knows it
 }
 
-// waiter waits for a place in the budget, and takes a connection that is put back instead.
-type waiter struct {
-	addr    string
-	need    Freshness
-	granted chan *Conn
+// pendingDial is a connection that is being opened.
+type pendingDial struct {
+	addr        string
+	invalidated bool // CloseIdle was called meanwhile: it may lead to the worker's predecessor at the address
 }
 
-// NewPool makes a pool of that many connections, to servers that keep an idle one for idle at the latest.
-func NewPool(most int, idle time.Duration, log zerolog.Logger) *Pool {
+// NewPool makes a pool of at most limit connections to workers that close an idle connection after workerIdleTimeout.
+func NewPool(limit int, workerIdleTimeout time.Duration, log zerolog.Logger) *Pool {
 	return &Pool{
-		log: log, maxIdle: idle / idleDivisor, slots: make(chan struct{}, most),
-		idle: map[string][]*Conn{}, closeOnPut: map[*Conn]bool{}, inUse: map[*Conn]string{}, dialing: map[*pendingDial]bool{},
+		log:        log,
+		maxIdle:    workerIdleTimeout / idleDivisor,
+		slots:      make(chan struct{}, limit),
+		idle:       map[string][]*Conn{},
+		inUse:      map[*Conn]string{},
+		closeOnPut: map[*Conn]bool{},
+		dialing:    map[*pendingDial]bool{},
 	}
 }
 
-// ErrPoolExhausted is a budget that is used up.
-var ErrPoolExhausted = errors.New("no connection left in the budget")
-
-// Get takes an idle connection to an address, or opens one within ctx. One that has to be sure is new while
-// kept ones are doubted. It guards against a kept connection that ends under a message, which may then have
-// run. A connection that came up while its address was forgotten is given up for another.
+// Get returns an idle connection to an address that is fresh enough, or a new one. Where all slots are taken it waits
+// for one until ctx ends, and then returns ErrPoolExhausted. The caller returns the connection by Put, or closes it.
 func (p *Pool) Get(ctx context.Context, addr string, need Freshness) (*Conn, error) {
 	for {
 		if need != VerifiedOnly || !p.reuseIsSuspect() {
@@ -86,206 +92,75 @@
 				return c, nil
 			}
 		}
-		c, err := p.acquireSlot(ctx, addr, need)
-		if c == nil && err == nil {
-			c, err = p.dial(ctx, addr)
+		granted, err := p.acquireSlot(ctx, addr, need)
+		if granted != nil || err != nil {
+			return granted, err
 		}
-		if c != nil || err != nil {
+		c, err := p.dial(ctx, addr)
+		if !errors.Is(err, errDialInvalidated) {
 			return c, err
 		}
 	}
 }
 
-// dial opens a connection, in a place that is taken already; nil without an error for one that may lead to
-// who was at the address before.
+// dial opens a connection in a slot that the caller has acquired. On errors the slot is free again; one that came up
+// while its address was invalidated is errDialInvalidated.
 func (p *Pool) dial(ctx context.Context, addr string) (*Conn, error) {
-	d := &pendingDial{addr: addr}
+	pending := &pendingDial{addr: addr}
 	p.mu.Lock()
-	p.dialing[d] = true
+	p.dialing[pending] = true
 	p.mu.Unlock()
-	var dialer net.Dialer
-	nc, err := dialer.DialContext(ctx, "tcp", addr)
+	nc, err := dialTCP(ctx, addr)
 	if err != nil {
-		p.mu.Lock()
-		delete(p.dialing, d)
-		p.mu.Unlock()
+		p.finishDial(pending)
 		<-p.slots
-		return nil, fmt.Errorf("connecting: %w", err)
+		return nil, err
 	}
-	if p.afterDial != nil {
-		p.afterDial()
+	if p.testHooks.afterDial != nil {
+		p.testHooks.afterDial()
 	}
 	c := p.track(nc, addr, true)
-	p.mu.Lock()
-	delete(p.dialing, d)
-	p.mu.Unlock()
-	if d.invalidated {
+	p.finishDial(pending)
+	if pending.invalidated {
 		c.CloseFor(StaleRetired, nil)
-		return nil, nil
+		return nil, errDialInvalidated
 	}
 	return c, nil
 }
 
-// acquireSlot waits for a place in the budget; the connection that is idle longest makes room, and one that is put
-// back meanwhile. That one is returned instead where it will do.
-func (p *Pool) acquireSlot(ctx context.Context, addr string, need Freshness) (*Conn, error) {
-	for {
-		select {
-		case p.slots <- struct{}{}:
-			return nil, nil
-		default:
-		}
-		c, err := p.waitForSlot(ctx, addr, need)
-		if c == nil || c.alive() {
-			return c, err
-		}
-		p.closeIdleConn(c)
-	}
-}
-
-// waitForSlot takes a place, for which it returns nil, or a connection that is put back.
-func (p *Pool) waitForSlot(ctx context.Context, addr string, need Freshness) (*Conn, error) {
-	w := &waiter{addr: addr, need: need, granted: make(chan *Conn, 1)}
+// finishDial forgets a dial; nothing changes it afterwards.
+func (p *Pool) finishDial(pending *pendingDial) {
 	p.mu.Lock()
-	oldest := p.removeOldestIdle()
-	p.waiters = append(p.waiters, w) // in one step with the look: what is put back from now on is seen
-	p.mu.Unlock()
-	if oldest != nil {
-		oldest.CloseFor(OverBudget, nil)
-	}
-	select {
-	case p.slots <- struct{}{}:
-		p.cancelWait(w)
-		return nil, nil
-	case c := <-w.granted:
-		return c, nil
-	case <-ctx.Done():
-		p.cancelWait(w)
-		return nil, ErrPoolExhausted
-	}
-}
-
-// cancelWait ends a wait; a connection that was handed to it just now goes back.
-func (p *Pool) cancelWait(w *waiter) {
-	p.mu.Lock()
-	p.waiters = slices.DeleteFunc(p.waiters, func(other *waiter) bool { return other == w })
-	p.mu.Unlock()
-	select {
-	case c := <-w.granted:
-		p.Put(c)
-	default:
-	}
+	defer p.mu.Unlock()
+	delete(p.dialing, pending)
 }
 
-// removeOldestIdle takes out the connection that is idle longest. It runs under the lock.
-func (p *Pool) removeOldestIdle() (oldest *Conn) {
-	for _, conns := range p.idle {
-		if oldest == nil || conns[0].idleSince.Before(oldest.idleSince) {
-			oldest = conns[0]
+// track makes the pool's connection of an open one that is in use. holdsSlot says that it gives a slot back when it is
+// closed.
+func (p *Pool) track(nc net.Conn, addr string, holdsSlot bool) (c *Conn) {
+	c = newConn(nc, Worker, addr, p.log, func() {
+		if holdsSlot {
+			<-p.slots
 		}
-	}
-	if oldest != nil {
-		p.removeIdle(oldest.addr, 0)
-	}
-	return oldest
-}
-
-// removeIdle takes the n-th idle connection of an address out. It runs under the lock.
-func (p *Pool) removeIdle(addr string, n int) *Conn {
-	conns := p.idle[addr]
-	c := conns[n]
-	if conns = append(conns[:n:n], conns[n+1:]...); len(conns) == 0 {
-		delete(p.idle, addr)
-	} else {
-		p.idle[addr] = conns
-	}
-	return c
-}
-
-func (p *Pool) takeReusable(addr string, need Freshness) *Conn {
-	for {
 		p.mu.Lock()
-		var c *Conn
-		n := len(p.idle[addr]) - 1
-		for n >= 0 && need != AnyConnection && time.Since(p.idle[addr][n].idleSince) < SettleTime {
-			n--
-		}
-		if n >= 0 {
-			c = p.removeIdle(addr, n)
-			p.inUse[c] = addr
-		}
+		delete(p.inUse, c)
+		delete(p.closeOnPut, c)
 		p.mu.Unlock()
-		if c == nil || c.alive() && time.Since(c.idleSince) < p.maxIdle {
-			return c
-		}
-		p.closeIdleConn(c)
-	}
-}
-
-// closeIdleConn ends an idle connection by what is found on it. One that the other side ended this early shows that
-// it may end more of them.
-func (p *Pool) closeIdleConn(c *Conn) {
-	if c.alive() {
-		c.CloseFor(IdleRetired, nil)
-		return
-	}
-	c.CloseFor(PeerClosed, nil)
+	})
 	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.suspectUntil = time.Now().Add(suspectFactor * idleDivisor * p.maxIdle)
-}
-
-func (p *Pool) reuseIsSuspect() bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return time.Now().Before(p.suspectUntil)
-}
-
-// MarkSuspect tells that a kept connection to an address has ended under a message. The other idle ones to it end:
-// a new one shows whether anybody is there.
-func (p *Pool) MarkSuspect(addr string) {
-	p.mu.Lock()
-	p.suspectUntil = time.Now().Add(suspectFactor * idleDivisor * p.maxIdle)
-	conns := p.idle[addr]
-	delete(p.idle, addr)
+	p.inUse[c] = addr
 	p.mu.Unlock()
-	for _, c := range conns {
-		c.CloseFor(StaleRetired, nil)
-	}
-}
-
-// SetLimit sets how many connections there may be from now on, up to those it was made with. What is out beyond
-// that is let be: the bound is reached as connections end, so it is to be set again meanwhile.
-func (p *Pool) SetLimit(most int) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	for want := cap(p.slots) - most; p.withheld < want; p.withheld++ {
-		select {
-		case p.slots <- struct{}{}:
-		default:
-			return
-		}
-	}
-	for want := max(cap(p.slots)-most, 0); p.withheld > want; p.withheld-- {
-		<-p.slots
-	}
-}
-
-// OpenConnections is how many connections there are.
-func (p *Pool) OpenConnections() int {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return len(p.slots) - p.withheld
+	return c
 }
 
-// Put gives a connection back that both sides are done with. It goes to one that waits for a place, if it
-// will do there; else it makes room for the first that waits.
+// Put returns a connection on which a response was read completely. The first waiter that it satisfies gets it. Where
+// it satisfies none it is closed to give its slot to the first of them; without waiters it stays idle.
 func (p *Pool) Put(c *Conn) {
-	c.setDeadline(c.nc.SetDeadline, time.Time{})
+	c.clearDeadlines()
 	p.mu.Lock()
-	why, keep := p.closeReasonOnPut(c)
+	reason := p.reasonToClose(c)
 	delete(p.closeOnPut, c)
-	if !keep {
+	if reason != "" {
 		delete(p.inUse, c)
 	} else if n := slices.IndexFunc(p.waiters, c.satisfies); n >= 0 {
 		p.waiters[n].granted <- c
@@ -296,75 +171,68 @@
 		p.idle[c.addr] = append(p.idle[c.addr], c)
 	}
 	p.mu.Unlock()
-	if !keep {
-		c.CloseFor(why, nil)
+	if reason != "" {
+		c.CloseFor(reason, nil)
 	}
 }
 
-// satisfies tells whether a connection that has just been put back will do for one that waits.
-func (c *Conn) satisfies(w *waiter) bool { return w.need == AnyConnection && w.addr == c.addr }
-
-// closeReasonOnPut tells why a connection is not to be kept. It runs under the lock.
-func (p *Pool) closeReasonOnPut(c *Conn) (why CloseReason, keep bool) {
+// reasonToClose is why a connection that is put back can't be used again, "" if it can. It is called under the lock.
+func (p *Pool) reasonToClose(c *Conn) CloseReason {
 	switch {
 	case p.closeOnPut[c]:
-		return StaleRetired, false
-	case c.Interrupted(): // perhaps as it was buried
-		return AttemptCanceled, false
+		return StaleRetired
+	case c.Interrupted(): // perhaps by CloseOpenedBefore
+		return AttemptCanceled
 	case c.readBuf.Len() > 0:
-		return Malformed, false
+		return Malformed
 	case p.closed:
-		return Stopping, false
+		return Stopping
 	case len(p.waiters) > 0 && !slices.ContainsFunc(p.waiters, c.satisfies):
-		return OverBudget, false
+		return OverBudget
 	}
-	return "", true
+	return ""
 }
 
-// CloseIdle ends the idle connections to an address, and keeps none that is out now.
-func (p *Pool) CloseIdle(addr string) {
+// SetLimit changes how many connections there may be, up to the limit that the pool was made with. Connections in use
+// stay, so a lower limit may be reached only in part: it has to be set again as connections are closed.
+func (p *Pool) SetLimit(limit int) {
 	p.mu.Lock()
-	conns := p.idle[addr]
-	delete(p.idle, addr)
-	for c, to := range p.inUse {
-		if to == addr {
-			p.closeOnPut[c] = true
+	defer p.mu.Unlock()
+	target := cap(p.slots) - limit
+	for p.withheld < target {
+		select {
+		case p.slots <- struct{}{}:
+			p.withheld++
+		default:
+			return
 		}
 	}
-	for d := range p.dialing {
-		d.invalidated = d.invalidated || d.addr == addr
-	}
-	p.mu.Unlock()
-	for _, c := range conns {
-		c.CloseFor(StaleRetired, nil)
+	for p.withheld > max(target, 0) {
+		<-p.slots
+		p.withheld--
 	}
 }
 
-// CloseOpenedBefore ends every connection to an address that was opened before a moment: the process that it led to has
-// ended by then. It guards against a machine that vanished and came back: nothing ever comes on those.
-func (p *Pool) CloseOpenedBefore(addr string, before time.Time) {
+// OpenConnections is the number of slots taken by connections, those that are being opened among them.
+func (p *Pool) OpenConnections() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for c, to := range p.inUse {
-		if to == addr && c.openedAt.Before(before) {
-			c.peerProcessEnded.Store(true)
-			c.Interrupt()
-		}
-	}
+	return len(p.slots) - p.withheld
 }
 
-// Run retires idle connections until ctx ends, and then ends them all.
+// Run closes idle connections that have expired until ctx ends. Then it closes all idle ones, and those in use are
+// closed as they are put back. The error is always nil.
 func (p *Pool) Run(ctx context.Context) error {
-	ticks := time.NewTicker(max(p.maxIdle/16, 10*time.Millisecond))
-	defer ticks.Stop()
+	ticker := time.NewTicker(max(p.maxIdle/expiryChecksPerIdle, minExpiryInterval))
+	defer ticker.Stop()
 	for {
 		select {
-		case <-ticks.C:
-			for _, c := range p.removeExpired(false) {
+		case <-ticker.C:
+			for _, c := range p.removeExpired() {
 				p.closeIdleConn(c)
 			}
 		case <-ctx.Done():
-			for _, c := range p.removeExpired(true) {
+			for _, c := range p.closeForGood() {
 				c.CloseFor(Stopping, nil)
 			}
 			return nil
@@ -372,16 +240,10 @@
 	}
 }
 
-func (p *Pool) removeExpired(all bool) (conns []*Conn) {
+// closeForGood marks the pool closed and removes all idle connections.
+func (p *Pool) closeForGood() []*Conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.closed = p.closed || all
-	for addr, idle := range p.idle {
-		for n := len(idle) - 1; n >= 0; n-- {
-			if c := idle[n]; all || time.Since(c.idleSince) >= p.maxIdle || !c.alive() {
-				conns = append(conns, p.removeIdle(addr, n))
-			}
-		}
-	}
-	return conns
+	p.closed = true
+	return p.removeIdleWhere(func(*Conn) bool { return true })
 }
--- a/internal/transport/pool_test.go
+++ b/internal/transport/pool_test.go
@@ -53,7 +53,7 @@
 	c := mustGet(t, p, addr)
 	p.Put(c)
 	(<-accepted).Close()
-	assert.Eventually(t, func() bool { return !c.alive() }, 5*time.Second, time.Millisecond)
+	assert.Eventually(t, func() bool { return c.readable() }, 5*time.Second, time.Millisecond)
 	assert.NotSame(t, c, mustGet(t, p, addr))
 	assert.Contains(t, log.String(), "peer_closed")
 }
@@ -64,7 +64,7 @@
 	c := mustGet(t, p, addr)
 	p.Put(c)
 	(<-accepted).Write([]byte("HTTP/1.1 408 Late\r\n\r\n"))
-	assert.Eventually(t, func() bool { return !c.alive() }, 5*time.Second, time.Millisecond)
+	assert.Eventually(t, func() bool { return c.readable() }, 5*time.Second, time.Millisecond)
 	assert.NotSame(t, c, mustGet(t, p, addr))
 }
 
@@ -74,8 +74,8 @@
 	c := mustGet(t, p, addr)
 	p.Put(c)
 	c.idleSince = time.Now().Add(-30 * time.Second)
-	assert.Equal(t, []*Conn{c}, p.removeExpired(false))
-	assert.Empty(t, p.removeExpired(false))
+	assert.Equal(t, []*Conn{c}, p.removeExpired())
+	assert.Empty(t, p.removeExpired())
 }
 
 func TestPoolMakesRoomAndKeepsItsBudget(t *testing.T) {
--- /dev/null
+++ b/internal/transport/read.go
@@ -0,0 +1,124 @@
+package transport
+
+import (
+	"errors"
+	"io"
+
+	"canvasroute/internal/protocol"
+)
+
+// ErrTruncated reports a connection that the peer closed within a message.
+var ErrTruncated = errors.New("connection closed within a message")
+
+// fill reads once into the read buffer. End of stream is io.EOF, or ErrTruncated where part of a message is buffered.
+func (c *Conn) fill() error {
+	_, err := c.readBuf.Fill(&c.stream)
+	if errors.Is(err, io.EOF) && c.readBuf.Len() > 0 {
+		return ErrTruncated
+	}
+	return err
+}
+
+// ReadRequestHead reads the head of a client's request. onFirstByte is called once, when the first byte is there; it
+// may be nil. Errors are io.EOF before the first byte, ErrTruncated within the head, protocol.ErrMalformed,
+// protocol.ErrHeadTooLarge and those of the connection.
+func (c *Conn) ReadRequestHead(onFirstByte func()) (protocol.Head, error) {
+	return c.readHead(protocol.ParseRequestHead, onFirstByte)
+}
+
+// ReadResponseHead reads the head of a final response and skips interim ones (RFC 9110, 15.2). Its errors are those of
+// ReadRequestHead.
+func (c *Conn) ReadResponseHead() (head protocol.Head, err error) {
+	for head.Status < 200 && err == nil {
+		head, err = c.readHead(protocol.ParseResponseHead, nil)
+	}
+	return head, err
+}
+
+// readHead reads until parse finds a complete head or an error.
+func (c *Conn) readHead(parse func([]byte) (protocol.Head, int, error), onFirstByte func()) (protocol.Head, error) {
+	for {
+		if c.readBuf.Len() > 0 {
+			if onFirstByte != nil {
+				onFirstByte()
+				onFirstByte = nil
+			}
+			head, used, err := parse(c.readBuf.Bytes())
+			if err != nil || used > 0 {
+				c.readBuf.Discard(used)
+				return head, err
+			}
+		}
+		if c.readBuf.Full() {
+			return protocol.Head{}, protocol.ErrHeadTooLarge
+		}
+		if err := c.fill(); err != nil {
+			return protocol.Head{}, err
+		}
+	}
+}
+
+// ReadChunks passes a body to consume piece by piece until it is complete or consume returns false. A connection that
+// is closed before the body is complete is ErrTruncated.
+func (c *Conn) ReadChunks(body *protocol.Body, consume func([]byte) bool) error {
+	for !body.Done() {
+		data, used, err := body.Next(c.readBuf.Bytes())
+		if err != nil {
+			return err
+		}
+		goOn := len(data) == 0 || consume(data)
+		c.readBuf.Discard(used)
+		if !goOn {
+			return nil
+		}
+		if used > 0 || body.Done() {
+			continue
+		}
+		err = c.fill()
+		if errors.Is(err, io.EOF) {
+			err = ErrTruncated
+		}
+		if body.EndsWithConnection() && errors.Is(err, ErrTruncated) {
+			return nil
+		}
+		if err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// ReadBody reads a body of at most limit bytes. A longer one is protocol.ErrTooLarge.
+func (c *Conn) ReadBody(body protocol.Body, limit int) ([]byte, error) {
+	content := make([]byte, 0, min(body.Length(), readBufferBytes)) // an announced length isn't trusted with memory
+	err := c.readLimited(body, limit, func(data []byte) { content = append(content, data...) })
+	if errors.Is(err, protocol.ErrTooLarge) {
+		return nil, err
+	}
+	return content, err
+}
+
+// DiscardBody reads and drops a body of at most limit bytes. A longer one is protocol.ErrTooLarge.
+func (c *Conn) DiscardBody(body protocol.Body, limit int) error {
+	return c.readLimited(body, limit, func([]byte) {})
+}
+
+// readLimited passes a body of at most limit bytes to consume piece by piece.
+func (c *Conn) readLimited(body protocol.Body, limit int, consume func([]byte)) error {
+	if body.Length() > int64(limit) {
+		return protocol.ErrTooLarge
+	}
+	total := 0
+	err := c.ReadChunks(&body, func(data []byte) bool {
+		total += len(data)
+		if total > limit {
+			return false
+		}
+		consume(data)
+		return true
+	})
+	if total > limit {
+		return protocol.ErrTooLarge
+	}
+	return err
+}
--- /dev/null
+++ b/internal/transport/socket_state.go
@@ -0,0 +1,80 @@
+package transport
+
+import (
+	"errors"
+	"syscall"
+	"time"
+
+	"golang.org/x/sys/unix"
+)
+
+// States of a TCP socket as TCP_INFO reports them.
+const (
+	tcpEstablished = unix.BPF_TCP_ESTABLISHED
+	tcpClosed      = unix.BPF_TCP_CLOSE
+	tcpCloseWait   = unix.BPF_TCP_CLOSE_WAIT // the peer has closed its sending side
+)
+
+// withDescriptor runs use with a socket's file descriptor.
+func withDescriptor(socket syscall.Conn, use func(fd int)) error {
+	raw, err := socket.SyscallConn()
+	if err != nil {
+		return err
+	}
+	return raw.Control(func(fd uintptr) { use(int(fd)) })
+}
+
+// tcpState returns the state of a TCP socket and the number of received bytes that were not read. A socket that can't
+// be inspected is tcpClosed; a number that can't be had is more than maxUnreadBytes.
+func tcpState(socket syscall.Conn) (state uint8, unread int) {
+	state = tcpClosed
+	_ = withDescriptor(socket, func(fd int) {
+		if info, err := unix.GetsockoptTCPInfo(fd, unix.IPPROTO_TCP, unix.TCP_INFO); err == nil {
+			state = info.State
+		}
+		var err error
+		unread, err = unix.IoctlGetInt(fd, unix.TIOCINQ)
+		if err != nil {
+			unread = maxUnreadBytes + 1
+		}
+	})
+	return state, unread
+}
+
+// timeSinceLastData is how long ago data was last received on a TCP socket, in the kernel's milliseconds; 0 where that
+// can't be had.
+func timeSinceLastData(socket syscall.Conn) (age time.Duration) {
+	_ = withDescriptor(socket, func(fd int) {
+		if info, err := unix.GetsockoptTCPInfo(fd, unix.IPPROTO_TCP, unix.TCP_INFO); err == nil {
+			age = time.Duration(info.Last_data_recv) * time.Millisecond
+		}
+	})
+	return age
+}
+
+// peekSocket returns what a read of one byte would return now, without blocking or consuming it: syscall.EAGAIN where
+// nothing has come, 0 and no error at end of stream, errors.ErrUnsupported for a connection that isn't a socket.
+func (c *Conn) peekSocket() (n int, err error) {
+	socket, ok := c.nc.(syscall.Conn)
+	if !ok {
+		return 0, errors.ErrUnsupported
+	}
+	buffer := make([]byte, 1)
+	inspectErr := withDescriptor(socket, func(fd int) {
+		n, _, err = syscall.Recvfrom(fd, buffer, syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+	})
+	return n, errors.Join(err, inspectErr)
+}
+
+// readable reports whether a read would return at once: with buffered or received data, end of stream or an error. An
+// idle connection that is readable can't be used again.
+func (c *Conn) readable() bool {
+	_, err := c.peekSocket()
+	return c.readBuf.Len() > 0 || !errors.Is(err, syscall.EAGAIN)
+}
+
+// hasUnreadData reports whether the socket has received data that was not read.
+func (c *Conn) hasUnreadData() bool {
+	n, err := c.peekSocket()
+	return n > 0 && err == nil
+}
