--- a/internal/transport/client_limits_test.go
+++ b/internal/transport/client_limits_test.go
@@ -12,17 +12,18 @@
 	"canvasroute/internal/lifecycle"
 )
 
-// Guards against a connection that is counted or ranked as what it was: the budget would be wrong for good,
-// or one that is owed an answer would make room.
-func TestPlacesRankAndCountWhateverConnectionsDo(t *testing.T) {
-	rng, s := rand.New(rand.NewPCG(1, 2)), newClientLimiter(20, &lifecycle.State{})
+// A connection that were counted or ranked by an earlier state would make the limit wrong for good, or be evicted
+// although it is owed a response.
+func TestLimiterStaysConsistentUnderRandomOperations(t *testing.T) {
+	rng := rand.New(rand.NewPCG(1, 2))
+	l := newClientLimiter(20, &lifecycle.State{})
 	var conns []*Conn
 	for range 4000 {
 		if len(conns) == 0 || rng.IntN(6) == 0 {
-			a, b := net.Pipe()
-			defer b.Close()
-			c := newConn(a, Client, "", zerolog.Nop(), nil)
-			s.acquire(c)
+			pipe, peer := net.Pipe()
+			defer peer.Close()
+			c := newConn(pipe, Client, "", zerolog.Nop(), nil)
+			l.acquire(c)
 			conns = append(conns, c)
 			continue
 		}
@@ -30,67 +31,69 @@
 		c := conns[n]
 		switch rng.IntN(6) {
 		case 0:
-			s.markIdle(c)
+			l.markIdle(c)
 		case 1:
-			s.markReading(c)
+			l.markReading(c)
 		case 2:
-			s.markServing(c)
-		case 3:
-			s.markServing(c) // as when its answer is at hand
-			s.markUseful(c)
+			l.markServing(c)
+		case 3: // as before the response to an accepted request
+			l.markServing(c)
+			l.markUseful(c)
 		case 4:
-			s.release(c)
+			l.release(c)
 			conns = append(conns[:n], conns[n+1:]...)
 		case 5:
-			s.mu.Lock()
-			s.evictOne()
-			s.mu.Unlock()
+			l.mu.Lock()
+			l.evictOne()
+			l.mu.Unlock()
 		}
-		assertLimiterConsistent(t, s)
+		assertLimiterConsistent(t, l)
 		if t.Failed() {
 			return
 		}
 	}
 }
 
-func assertLimiterConsistent(t *testing.T, s *clientLimiter) {
-	kept, queued := 0, 0
-	for c, p := range s.slots {
-		if !p.evicted && !p.overLimit {
-			kept++
+// assertLimiterConsistent checks that the count and the queues are as the slots' states say, and that each queue is
+// in the order of since.
+func assertLimiterConsistent(t *testing.T, l *clientLimiter) {
+	t.Helper()
+	counted, queued := 0, 0
+	for c, slot := range l.slots {
+		if !slot.evicted && !slot.overLimit {
+			counted++
 		}
-		rank, may := p.evictionRank()
-		assert.Equal(t, may, p.queue != nil)
-		if may {
+		rank, ok := slot.evictionRank()
+		assert.Equal(t, ok, slot.queue != nil)
+		if ok {
 			queued++
-			assert.Same(t, s.evictable[rank], p.queue)
-			assert.Same(t, c, p.element.Value)
+			assert.Same(t, l.evictable[rank], slot.queue)
+			assert.Same(t, c, slot.element.Value)
 		}
 	}
-	for _, l := range s.evictable {
-		queued -= l.Len()
-		for e := l.Front(); e != nil && e.Next() != nil; e = e.Next() {
-			assert.False(t, s.slots[e.Next().Value.(*Conn)].since.Before(s.slots[e.Value.(*Conn)].since))
+	for _, queue := range l.evictable {
+		queued -= queue.Len()
+		for e := queue.Front(); e != nil && e.Next() != nil; e = e.Next() {
+			assert.False(t, l.slots[e.Next().Value.(*Conn)].since.Before(l.slots[e.Value.(*Conn)].since))
 		}
 	}
 	assert.Zero(t, queued)
-	assert.Equal(t, kept, s.counted)
+	assert.Equal(t, counted, l.counted)
 }
 
-// BenchmarkNewcomerWhereAllPlacesAreTaken is the cost of a connection in a flood: it must not grow with the
-// places.
-func BenchmarkNewcomerWhereAllPlacesAreTaken(b *testing.B) {
-	s := newClientLimiter(5000, &lifecycle.State{})
-	a, other := net.Pipe()
-	defer other.Close()
+// BenchmarkAcquireAtTheLimit is the cost of a connection in a flood: it must not grow with the number of slots.
+func BenchmarkAcquireAtTheLimit(b *testing.B) {
+	l := newClientLimiter(5000, &lifecycle.State{})
+	pipe, peer := net.Pipe()
+	defer peer.Close()
 	for range 5000 {
-		s.acquire(newConn(a, Client, "", zerolog.Nop(), nil))
+		l.acquire(newConn(pipe, Client, "", zerolog.Nop(), nil))
 	}
 	began := time.Now()
 	for b.Loop() {
-		c := newConn(a, Client, "", zerolog.Nop(), nil)
-		s.acquire(c)
-		s.release(c)
+		c := newConn(pipe, Client, "", zerolog.Nop(), nil)
+		l.acquire(c)
+		l.release(c)
 	}
-	b.ReportMetric(float64(time.Since(began).Nanoseconds())/float64(b.N), "ns/newcomer")
+	b.ReportMetric(float64(time.Since(began).Nanoseconds())/float64(b.N), "ns/connection")
 }
--- /dev/null
+++ b/internal/transport/close_watch_test.go
@@ -0,0 +1,183 @@
+package transport
+
+import (
+	"errors"
+	"io"
+	"net"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+
+	"canvasroute/internal/lifecycle"
+	"canvasroute/internal/protocol"
+)
+
+// detectWithin is how long after a client's close nothing may be sent to a worker for it any more.
+const detectWithin = 100 * time.Millisecond
+
+// watchClose watches a connection until the test ends, and returns the channel of the close's cause.
+func watchClose(t *testing.T, c *Conn) <-chan error {
+	t.Helper()
+	closed := make(chan error, 1)
+	stop := c.WatchForClose(func(err error) { closed <- err })
+	t.Cleanup(stop)
+	return closed
+}
+
+// readInterims reads that many interim responses.
+func readInterims(t *testing.T, peer net.Conn, count int) {
+	t.Helper()
+	want := strings.Repeat(protocol.Continue, count)
+	got := make([]byte, len(want))
+	assert.NoError(t, peer.SetReadDeadline(time.Now().Add(testTimeout)))
+	_, err := io.ReadFull(peer, got)
+	assert.NoError(t, err)
+	assert.Equal(t, want, string(got))
+}
+
+func TestCloseWatchReportsThatThePeerClosed(t *testing.T) {
+	c, peer, _ := connPair(t)
+	closed := make(chan error, 1)
+	stop := c.WatchForClose(func(err error) { closed <- err })
+	peer.Close()
+	assert.ErrorIs(t, <-closed, io.EOF)
+	stop()
+}
+
+func TestCloseWatchBuffersEarlyDataAndStops(t *testing.T) {
+	c, peer, _ := connPair(t)
+	stop := c.WatchForClose(func(err error) { t.Error("closed:", err) })
+	io.WriteString(peer, "GET / HTTP/1.1\r\n\r\n")
+	assert.Eventually(t, func() bool { return c.stream.bytesRead.Load() > 0 }, testTimeout, time.Millisecond)
+	stop()
+	head, err := c.ReadRequestHead(nil)
+	assert.NoError(t, err)
+	assert.Equal(t, "GET", head.Method)
+}
+
+func TestCloseBehindUnreadDataIsDetected(t *testing.T) {
+	c, peer, _ := connPair(t)
+	c.acceptsInterim = true
+	_, err := peer.Write(make([]byte, 3*readBufferBytes))
+	assert.NoError(t, err)
+	closed := watchClose(t, c)
+	peer.Close()
+	assert.Error(t, receive(t, closed))
+}
+
+func TestCloseBehindMoreDataThanTheKernelBuffersIsDetected(t *testing.T) {
+	c, peer, _ := connPair(t)
+	c.acceptsInterim = true
+	go func() {
+		_, _ = peer.Write(make([]byte, 8<<20)) // it blocks until the peer is closed
+	}()
+	closed := watchClose(t, c)
+	readInterims(t, peer, 2)
+	assert.Empty(t, closed, "it isn't closed as long as the peer reads")
+	peer.Close()
+	assert.Error(t, receive(t, closed))
+}
+
+// A client of HTTP/1.0 gets no interim responses.
+func TestCloseBehindUnreadDataOfAnHTTP10ClientIsDetected(t *testing.T) {
+	c, peer, _ := connPair(t)
+	_, err := peer.Write(make([]byte, 3*readBufferBytes))
+	assert.NoError(t, err)
+	closed := watchClose(t, c)
+	peer.Close()
+	assert.ErrorIs(t, receive(t, closed), errClosedBehindUnread)
+}
+
+// A client's reset may come late, or only once it closes a connection that it had half-closed before.
+func TestCloseAfterHalfCloseIsDetectedInTime(t *testing.T) {
+	c, peer, _ := connPair(t)
+	c.acceptsInterim = true
+	closed := watchClose(t, c)
+	assert.NoError(t, peer.CloseWrite())
+	readInterims(t, peer, 3) // so it was found to read twice
+	assert.Empty(t, closed)
+	peer.Close()
+	closedAt := time.Now()
+	assert.ErrorIs(t, receive(t, closed), io.EOF)
+	assert.Less(t, time.Since(closedAt), detectWithin)
+}
+
+// A close is detected in time at whichever moment between two probes it comes, and whatever was sent before it.
+func TestCloseIsDetectedInTimeAtAnyMoment(t *testing.T) {
+	for _, tt := range []struct {
+		name        string
+		beforeClose func(peer *net.TCPConn) error
+	}{
+		{"close at once", func(*net.TCPConn) error { return nil }},
+		{"half-close first", (*net.TCPConn).CloseWrite},
+		{"more sent than is buffered", func(peer *net.TCPConn) error {
+			_, err := peer.Write(make([]byte, 3*readBufferBytes))
+			return err
+		}},
+		{"reset with data sent before", func(peer *net.TCPConn) error {
+			_, err := peer.Write(make([]byte, 64))
+			return errors.Join(err, peer.SetLinger(0))
+		}},
+	} {
+		t.Run(tt.name, func(t *testing.T) {
+			const moments = 24
+			late := 0
+			for moment := range moments {
+				c, peer, _ := connPair(t)
+				c.acceptsInterim = true
+				closed := watchClose(t, c)
+				assert.NoError(t, tt.beforeClose(peer))
+				time.Sleep(time.Duration(moment) * pollsPerProbe * closePollInterval / moments)
+				peer.Close()
+				closedAt := time.Now()
+				assert.Error(t, receive(t, closed))
+				if time.Since(closedAt) > detectWithin {
+					late++
+				}
+			}
+			assert.Less(t, late, 3, "up to two may be the machine's delay")
+		})
+	}
+}
+
+// A client may give up while its connection waits in the listener's queue, as that of a process out of descriptors
+// does. One that has only half-closed its connection gets its response.
+func TestRequestOfAClientThatClosedWhileQueuedIsNotServed(t *testing.T) {
+	handler := newGatedHandler()
+	s := newTestServer(listenLoopback(t), 4, handler)
+	closed, _ := connect(t, s)
+	io.WriteString(closed, gatedRequest)
+	halfClosed, r := connect(t, s)
+	io.WriteString(halfClosed, gatedRequest)
+	assert.NoError(t, halfClosed.(*net.TCPConn).CloseWrite())
+	assert.NoError(t, closed.Close())
+	time.Sleep(2 * queuedAtLeast)
+	stop, ended := runServer(s)
+	receive(t, handler.requested)
+	handler.release <- &protocol.Response{Status: 200}
+	assert.Equal(t, 200, readFinalResponse(t, r).status)
+	assert.Eventually(t, func() bool { return s.OpenConnections() == 0 }, testTimeout, time.Millisecond)
+	assert.Empty(t, handler.requested, "the closed one isn't served")
+	stop()
+	assert.NoError(t, receive(t, ended))
+}
+
+func TestDeadlineThatPassesAsARequestCompletesDoesNotEndTheCloseWatch(t *testing.T) {
+	c, peer, _ := connPair(t)
+	l := newClientLimiter(4, &lifecycle.State{})
+	l.acquire(c)
+	l.mu.Lock()
+	assert.True(t, l.evictOne())
+	l.mu.Unlock()
+	c.setReadDeadline(pastDeadline)
+	l.markServing(c)
+	l.mu.Lock()
+	assert.False(t, l.evictOne(), "a connection that is owed a response isn't evicted")
+	l.mu.Unlock()
+	l.closeIdle()
+	closed := watchClose(t, c)
+	peer.Close()
+	assert.ErrorIs(t, receive(t, closed), io.EOF)
+}
--- /dev/null
+++ b/internal/transport/exchange_test.go
@@ -0,0 +1,96 @@
+package transport
+
+import (
+	"io"
+	"net"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+)
+
+func TestServerServesRequestsInOrder(t *testing.T) {
+	s, _, _ := startServer(t, 4)
+	c, r := connect(t, s)
+	for _, request := range []string{
+		echoRequest,
+		"POST /api HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\n\r\n",
+		echoRequest,
+	} {
+		assert.Equal(t, clientResponse{200, "ab", false}, roundTrip(t, c, r, request))
+	}
+	response := roundTrip(t, c, r, "POST /none HTTP/1.1\r\nContent-Length: 2\r\n\r\nab")
+	assert.Equal(t, clientResponse{404, "", false}, response)
+	response = roundTrip(t, c, r, "POST /api HTTP/1.1\r\nConnection: close\r\n\r\n")
+	assert.True(t, response.closes)
+}
+
+func TestServerRejectsMalformedRequests(t *testing.T) {
+	for _, tt := range []struct {
+		name, request string
+		status        int
+	}{
+		{"no request line", "NONSENSE\r\n\r\n", 400},
+		{"content length", "POST /api HTTP/1.1\r\nContent-Length: x\r\n\r\n", 400},
+		{"chunk size", "POST /api HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n", 400},
+		{"large body", "POST /api HTTP/1.1\r\nContent-Length: 70000\r\n\r\n", 413},
+		{"large body to an unknown path", "POST /none HTTP/1.1\r\nContent-Length: 70000\r\n\r\n", 404},
+		{"large head", "POST /api HTTP/1.1\r\nA: " + strings.Repeat("a", 9000) + "\r\n\r\n", 431},
+	} {
+		t.Run(tt.name, func(t *testing.T) {
+			s, _, _ := startServer(t, 4)
+			c, r := connect(t, s)
+			assert.Equal(t, clientResponse{tt.status, "", true}, roundTrip(t, c, r, tt.request))
+		})
+	}
+}
+
+func TestServerSendsContinue(t *testing.T) {
+	s, _, _ := startServer(t, 4)
+	c, r := connect(t, s)
+	io.WriteString(c, "POST /api HTTP/1.1\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n")
+	line, err := r.ReadString('\n')
+	assert.NoError(t, err)
+	assert.Contains(t, line, "100 Continue")
+	_, err = r.ReadString('\n')
+	assert.NoError(t, err)
+	response := roundTrip(t, c, r, "ab")
+	assert.Equal(t, clientResponse{200, "ab", false}, response)
+}
+
+// A client that expects a 100 (Continue) doesn't send its body before: the server must not wait for it.
+func TestServerRejectsWithoutWaitingForABodyHeldBack(t *testing.T) {
+	s, _, _ := startServer(t, 4)
+	c, r := connect(t, s)
+	response := roundTrip(t, c, r, "POST /none HTTP/1.1\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n")
+	assert.Equal(t, clientResponse{404, "", true}, response)
+}
+
+func TestClientCloseCancelsItsRequest(t *testing.T) {
+	s, handler, _ := startServer(t, 4)
+	c, _ := connect(t, s)
+	io.WriteString(c, "POST /wait HTTP/1.1\r\nContent-Length: 2\r\n\r\nab")
+	c.Close()
+	assert.ErrorIs(t, <-handler.canceled, errClientClosed)
+}
+
+// A client that half-closes its connection sends nothing more, and still waits for its response.
+func TestHalfClosedClientGetsItsResponse(t *testing.T) {
+	s, handler, _ := startServer(t, 4)
+	handler.delay = 100 * time.Millisecond
+	c, r := connect(t, s)
+	io.WriteString(c, "POST /later HTTP/1.1\r\nContent-Length: 2\r\n\r\nab")
+	assert.NoError(t, c.(*net.TCPConn).CloseWrite())
+	response := readFinalResponse(t, r)
+	assert.Equal(t, []any{200, "ab"}, []any{response.status, response.body})
+}
+
+// It can't be probed by interim responses, so nothing tells its half-close from a close.
+func TestHalfCloseByAnHTTP10ClientCancelsItsRequest(t *testing.T) {
+	s, handler, _ := startServer(t, 4)
+	c, _ := connect(t, s)
+	io.WriteString(c, "POST /wait HTTP/1.0\r\nContent-Length: 2\r\n\r\nab")
+	assert.NoError(t, c.(*net.TCPConn).CloseWrite())
+	assert.ErrorIs(t, <-handler.canceled, errClientClosed)
+}
--- /dev/null
+++ b/internal/transport/helpers_test.go
@@ -0,0 +1,252 @@
+package transport
+
+import (
+	"bufio"
+	"bytes"
+	"context"
+	"io"
+	"net"
+	"net/http"
+	"testing"
+	"time"
+
+	"github.com/rs/zerolog"
+	"github.com/stretchr/testify/assert"
+
+	"canvasroute/internal/lifecycle"
+	"canvasroute/internal/protocol"
+)
+
+// testTimeout bounds a wait for something that comes soon unless the test fails.
+const testTimeout = 5 * time.Second
+
+// Requests to an echoHandler and a gatedHandler.
+const (
+	echoRequest  = "POST /api HTTP/1.1\r\nContent-Length: 2\r\n\r\nab"
+	gatedRequest = "POST /gate HTTP/1.1\r\nContent-Length: 2\r\n\r\nab"
+)
+
+// receive waits for a value from a channel.
+func receive[T any](t *testing.T, c <-chan T) (v T) {
+	t.Helper()
+	select {
+	case v = <-c:
+	case <-time.After(testTimeout):
+		t.Fatal("nothing was received in time")
+	}
+	return v
+}
+
+// connPair makes a connection under test with its peer on loopback, and returns its log too.
+func connPair(t *testing.T) (*Conn, *net.TCPConn, *bytes.Buffer) {
+	t.Helper()
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	assert.NoError(t, err)
+	defer ln.Close()
+	peer, err := net.Dial("tcp", ln.Addr().String())
+	assert.NoError(t, err)
+	nc, err := ln.Accept()
+	assert.NoError(t, err)
+	log := &bytes.Buffer{}
+	c := newConn(nc, Worker, "w", zerolog.New(log), nil)
+	t.Cleanup(func() { c.CloseFor(Stopping, nil); peer.Close() })
+	return c, peer.(*net.TCPConn), log
+}
+
+// startWorker listens at an address until the test ends, and passes on the connections that it accepts.
+func startWorker(t *testing.T) (addr string, accepted <-chan net.Conn) {
+	t.Helper()
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	assert.NoError(t, err)
+	t.Cleanup(func() { ln.Close() })
+	conns := make(chan net.Conn, 16)
+	go func() {
+		for {
+			nc, err := ln.Accept()
+			if err != nil {
+				return
+			}
+			conns <- nc
+		}
+	}()
+	return ln.Addr().String(), conns
+}
+
+// mustGet gets any connection to an address.
+func mustGet(t *testing.T, p *Pool, addr string) *Conn {
+	t.Helper()
+	return mustGetFresh(t, p, addr, AnyConnection)
+}
+
+func mustGetFresh(t *testing.T, p *Pool, addr string, need Freshness) *Conn {
+	t.Helper()
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
+	defer cancel()
+	c, err := p.Get(ctx, addr, need)
+	assert.NoError(t, err)
+	return c
+}
+
+// echoHandler responds with the request's body: at once, after a delay where the path is /later, and never where it is
+// /wait. It rejects the path /none.
+type echoHandler struct {
+	canceled chan error    // receives why a request to /wait was canceled
+	delay    time.Duration // of requests to /later
+}
+
+func newEchoHandler() *echoHandler { return &echoHandler{canceled: make(chan error, 1)} }
+
+func (e *echoHandler) Check(head *protocol.Head) *protocol.Response {
+	if head.Path() == "/none" {
+		return &protocol.Response{Status: 404}
+	}
+	return nil
+}
+
+func (e *echoHandler) Serve(ctx context.Context, head *protocol.Head, body []byte, _ time.Time) *protocol.Response {
+	switch head.Path() {
+	case "/wait":
+		<-ctx.Done()
+		e.canceled <- context.Cause(ctx)
+		return nil
+	case "/later":
+		select {
+		case <-time.After(e.delay):
+		case <-ctx.Done():
+			return nil
+		}
+	}
+	return &protocol.Response{Status: 200, Body: body}
+}
+
+func (e *echoHandler) OverBudget(*protocol.Head) *protocol.Response {
+	return &protocol.Response{Status: 503}
+}
+
+func (e *echoHandler) MalformedRequest(err error) *protocol.Response {
+	return protocol.RejectionOf(err)
+}
+
+// gatedHandler is an echoHandler that holds requests to /gate until the test sends their response.
+type gatedHandler struct {
+	echoHandler
+	requested chan *Conn // receives the connection of each request to /gate
+	release   chan *protocol.Response
+}
+
+func newGatedHandler() *gatedHandler {
+	return &gatedHandler{requested: make(chan *Conn, 2), release: make(chan *protocol.Response, 2)}
+}
+
+func (g *gatedHandler) Serve(ctx context.Context, head *protocol.Head, body []byte, received time.Time,
+) *protocol.Response {
+	if head.Path() != "/gate" {
+		return g.echoHandler.Serve(ctx, head, body, received)
+	}
+	g.requested <- ctx.Value(clientConnKey{}).(*Conn)
+	return <-g.release
+}
+
+func listenLoopback(t *testing.T) *net.TCPListener {
+	t.Helper()
+	ln, err := ListenClients("127.0.0.1:0", nil, false)
+	assert.NoError(t, err)
+	return ln
+}
+
+// newTestServer makes a server that doesn't run yet: connections wait in its listener's queue.
+func newTestServer(ln *net.TCPListener, limit int, handler Handler) *Server {
+	return NewServer(ln, limit, 1<<20, handler, &lifecycle.State{}, zerolog.Nop())
+}
+
+// startServer runs a server with an echoHandler until the test ends or calls stop, which waits for the server's end.
+func startServer(t *testing.T, limit int) (s *Server, handler *echoHandler, stop func()) {
+	t.Helper()
+	handler = newEchoHandler()
+	s = newTestServer(listenLoopback(t), limit, handler)
+	cancel, ended := runServer(s)
+	stop = func() {
+		cancel()
+		select {
+		case err := <-ended:
+			assert.NoError(t, err)
+			ended <- nil
+		case <-time.After(testTimeout):
+			t.Error("the server does not stop")
+		}
+	}
+	t.Cleanup(stop)
+	return s, handler, stop
+}
+
+// startGatedServer runs a server with a gatedHandler until stop is called, and returns the channel of Run's error.
+func startGatedServer(t *testing.T) (s *Server, handler *gatedHandler, stop context.CancelFunc, ended <-chan error) {
+	t.Helper()
+	handler = newGatedHandler()
+	s = newTestServer(listenLoopback(t), 4, handler)
+	stop, ended = runServer(s)
+	t.Cleanup(stop)
+	return s, handler, stop, ended
+}
+
+func runServer(s *Server) (stop context.CancelFunc, ended chan error) {
+	ctx, cancel := context.WithCancel(context.Background())
+	ended = make(chan error, 1)
+	go func() { ended <- s.Run(ctx) }()
+	return cancel, ended
+}
+
+// runStopped runs a server whose context has ended already, until it returns.
+func runStopped(t *testing.T, s *Server) {
+	t.Helper()
+	ctx, cancel := context.WithCancel(context.Background())
+	cancel()
+	assert.NoError(t, s.Run(ctx))
+}
+
+// connect opens a client's connection to a server.
+func connect(t *testing.T, s *Server) (net.Conn, *bufio.Reader) {
+	t.Helper()
+	c, err := net.Dial("tcp", s.ln.Addr().String())
+	assert.NoError(t, err)
+	t.Cleanup(func() { c.Close() })
+	c.SetDeadline(time.Now().Add(testTimeout))
+	return c, bufio.NewReader(c)
+}
+
+// clientResponse is a response as the standard library's client reads it.
+type clientResponse struct {
+	status int
+	body   string
+	closes bool // it announces the end of the connection
+}
+
+// roundTrip sends text, which may be empty, and reads the next response.
+func roundTrip(t *testing.T, c net.Conn, r *bufio.Reader, text string) clientResponse {
+	t.Helper()
+	_, err := io.WriteString(c, text)
+	assert.NoError(t, err)
+	return readResponse(t, r)
+}
+
+func readResponse(t *testing.T, r *bufio.Reader) clientResponse {
+	t.Helper()
+	response, err := http.ReadResponse(r, nil)
+	if !assert.NoError(t, err) {
+		return clientResponse{closes: true}
+	}
+	body, err := io.ReadAll(response.Body)
+	assert.NoError(t, err)
+	return clientResponse{response.StatusCode, string(body), response.Close}
+}
+
+// readFinalResponse is readResponse past interim responses.
+func readFinalResponse(t *testing.T, r *bufio.Reader) clientResponse {
+	t.Helper()
+	for {
+		response := readResponse(t, r)
+		if response.status != 100 {
+			return response
+		}
+	}
+}
--- /dev/null
+++ b/internal/transport/write_test.go
@@ -0,0 +1,52 @@
+package transport
+
+import (
+	"io"
+	"net"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+)
+
+func TestSendOnReusedSendsTheWholeMessage(t *testing.T) {
+	c, peer, _ := connPair(t)
+	assert.NoError(t, c.SendOnReused(time.Second, []byte(echoRequest)))
+	received := make([]byte, len(echoRequest))
+	_, err := io.ReadFull(peer, received)
+	assert.NoError(t, err)
+	assert.Equal(t, echoRequest, string(received))
+	assert.True(t, c.Reused())
+	assert.True(t, c.NothingReceived())
+}
+
+// A second response to the message before, and a close, each come just before the last byte of the next message.
+func TestDataBeforeAMessagesLastByteIsUnsolicited(t *testing.T) {
+	for _, tt := range []struct {
+		name string
+		act  func(peer *net.TCPConn) error
+	}{
+		{"late second response", func(peer *net.TCPConn) error {
+			_, err := io.WriteString(peer, "HTTP/1.1 503 No\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n")
+			return err
+		}},
+		{"half-close", (*net.TCPConn).CloseWrite},
+	} {
+		t.Run(tt.name, func(t *testing.T) {
+			c, peer, _ := connPair(t)
+			received := make(chan error, 1)
+			c.testHooks.beforeLastByte = func() {
+				part := make([]byte, len(echoRequest)-1)
+				_, err := io.ReadFull(peer, part)
+				received <- err
+				assert.NoError(t, tt.act(peer))
+				assert.Eventually(t, c.readable, testTimeout, time.Millisecond)
+			}
+			assert.ErrorIs(t, c.SendOnReused(time.Second, []byte(echoRequest)), ErrUnsolicitedData)
+			assert.NoError(t, <-received)
+			c.CloseFor(Malformed, nil)
+			rest, _ := io.ReadAll(peer)
+			assert.Empty(t, rest, "the message was never complete")
+		})
+	}
+}
