--- /dev/null
+++ b/internal/protocol/admin_command.go
@@ -0,0 +1,80 @@
+package protocol
+
+import (
+	"bytes"
+	"fmt"
+)
+
+// Command is an operator's command, one line of text.
+type Command string
+
+// The commands.
+const (
+	CommandHealth Command = "HEALTH"
+	CommandDump   Command = "DUMP"
+	CommandLeave  Command = "LEAVE"
+	CommandJoin   Command = "JOIN"
+)
+
+// MaxCommandBytes is the longest line of a command, with its end.
+const MaxCommandBytes = 256
+
+// ParseCommand parses the command in the first line of b. complete is false while that line has no end yet; what
+// follows it is ignored. The error is ErrMalformed, and its text is sent to the operator.
+func ParseCommand(b []byte) (command Command, complete bool, err error) {
+	line, _, complete := bytes.Cut(b, []byte("\n"))
+	switch {
+	case len(line) >= MaxCommandBytes:
+		return "", true, fmt.Errorf("%w: a line of more than %d bytes", ErrMalformed, MaxCommandBytes)
+	case !complete:
+		return "", false, nil
+	}
+	line = bytes.TrimSpace(line)
+	command = Command(line)
+	switch command {
+	case CommandHealth, CommandDump, CommandLeave, CommandJoin:
+		return command, true, nil
+	case "":
+		return "", true, fmt.Errorf("%w: an empty line, must be HEALTH, DUMP, LEAVE or JOIN", ErrMalformed)
+	}
+	return "", true, fmt.Errorf("%w: unknown call %.40q, must be HEALTH, DUMP, LEAVE or JOIN", ErrMalformed,
+		line)
+}
+
+// Metric is one number of a dump.
+type Metric struct {
+	Name, Operation string // Operation is "" for a metric of the whole dispatcher
+	Value           int64
+}
+
+// The text of responses to commands.
+const (
+	resultDone   = "done"
+	resultError  = "error"
+	dumpEnd      = "end"
+	metricPrefix = "svc."
+)
+
+// AppendDump appends the response to CommandDump: a line for each metric, between a first and a last line.
+func AppendDump(b []byte, metrics []Metric) []byte {
+	b = append(b, resultDone+"\n"...)
+	for _, m := range metrics {
+		b = append(b, metricPrefix...)
+		b = append(b, m.Name...)
+		if m.Operation != "" {
+			b = append(b, '.')
+			b = append(b, m.Operation...)
+		}
+		b = fmt.Appendf(b, "=%d\n", m.Value)
+	}
+	return append(b, dumpEnd+"\n"...)
+}
+
+// AppendCommandResult appends the response to any other command, or to a line that is none. err is why the command
+// could not be carried out.
+func AppendCommandResult(b []byte, err error) []byte {
+	if err != nil {
+		return fmt.Appendf(b, "%s %v\n", resultError, err)
+	}
+	return append(b, resultDone+"\n"...)
+}
--- a/internal/protocol/list.go
+++ b/internal/protocol/endpoint_list.go
@@ -5,10 +5,10 @@
 	"strconv"
 )
 
-// EndpointList is a list of workers, or changes to one.
+// EndpointList is the discovery service's list of workers, or a change to it.
 type EndpointList struct {
 	Version   int64
-	Complete  bool
+	Complete  bool // it replaces what was known before
 	Endpoints []Endpoint
 }
 
@@ -23,58 +23,66 @@
 	StartedAtMillis float64 `json:"BornMs"` // Unix time; 0 for long ago
 }
 
-// The states that a list can tell.
+// The values of Endpoint.State.
 const (
 	Ready       = "Ready"
 	Terminating = "Terminating"
 	Gone        = "Gone"
 )
 
-// ParseEndpointList reads a list or one line of a watch. With an error the entries are those that were whole before
-// it.
-func ParseEndpointList(b []byte) (l EndpointList, err error) {
-	s := scanner{b: b}
-	version := false
+// WatchTarget is the request target of the changes after a version.
+func WatchTarget(version int64) string {
+	return PathEndpoints + "?stream=1&index=" + strconv.FormatInt(version, 10)
+}
+
+// ParseEndpointList parses a list, or one line of a watch: a JSON object, of which unknown keys are skipped. With an
+// error, which is ErrMalformed, the endpoints before it are returned.
+func ParseEndpointList(b []byte) (list EndpointList, err error) {
+	s := scanner{input: b}
+	hasVersion := false
 	s.object(func(key string) {
 		switch key {
 		case "seq":
-			version, l.Version = true, int64(s.number())
+			hasVersion = true
+			list.Version = int64(s.number())
 		case "whole":
-			l.Complete = s.truth()
+			list.Complete = s.bool()
 		case "hosts":
 			s.array(func() {
-				if e := s.entry(); s.err == nil {
-					l.Endpoints = append(l.Endpoints, e)
+				endpoint := s.endpoint()
+				if s.err == nil {
+					list.Endpoints = append(list.Endpoints, endpoint)
 				}
 			})
 		default:
 			s.skip()
 		}
 	})
-	if err := s.end(); err != nil {
-		return l, err
+	if err := s.finish(); err != nil {
+		return list, err
 	}
-	if !version {
-		return l, fmt.Errorf("%w: a list without seq", ErrMalformed)
+	if !hasVersion {
+		return list, fmt.Errorf("%w: endpoint list without seq", ErrMalformed)
 	}
-	return l, nil
+	return list, nil
 }
 
-func (s *scanner) entry() (e Endpoint) {
+// endpoint reads one worker. One without a name or a known state is an error.
+func (s *scanner) endpoint() (e Endpoint) {
 	s.object(func(key string) {
 		switch key {
 		case "host":
-			e.ID = s.text()
+			e.ID = s.string()
 		case "dial":
-			e.Address = s.text()
+			e.Address = s.string()
 		case "site":
-			e.Zone = s.text()
+			e.Zone = s.string()
 		case "class":
-			e.Kind = s.text()
+			e.Kind = s.string()
 		case "block":
 			e.Cell = int(s.number())
 		case "health":
-			e.State = s.text()
+			e.State = s.string()
 		case "born_ms":
 			e.StartedAtMillis = s.number()
 		default:
@@ -83,12 +91,7 @@
 	})
 	known := e.State == Ready || e.State == Terminating || e.State == Gone
 	if s.err == nil && (e.ID == "" || !known) {
-		s.fail("a worker without name or state")
+		s.fail("endpoint without name or known state")
 	}
 	return e
 }
-
-// WatchTarget is where changes after a version are told.
-func WatchTarget(version int64) string {
-	return PathEndpoints + "?stream=1&index=" + strconv.FormatInt(version, 10)
-}
--- a/internal/protocol/http_test.go
+++ b/internal/protocol/http_test.go
@@ -75,7 +75,7 @@
 	assert.NoError(t, err)
 	_, err = RequestBody(&h)
 	assert.ErrorIs(t, err, ErrMalformed)
-	_, err = whole(Body{chunked: true, strict: true}, "1\n", 2)
+	_, err = whole(Body{chunked: true, strictLines: true}, "1\n", 2)
 	assert.ErrorIs(t, err, ErrMalformed, "the line of a chunk that ends in a bare LF")
 }
 
--- /dev/null
+++ b/internal/protocol/load_datagram.go
@@ -0,0 +1,78 @@
+package protocol
+
+import (
+	"encoding/binary"
+	"errors"
+	"hash/fnv"
+	"math"
+
+	"canvasroute/internal/settings"
+)
+
+// NoInstance stands for the only instance of a process, which its datagrams need not name.
+const NoInstance = -1
+
+// A datagram holds the low bits of the time of sending in Unix milliseconds, then the sender's instance if its process
+// has several, and for each worker the tag of its name and the number of its attempts in flight. One without workers
+// says that its sender has just started. All numbers are big-endian.
+const (
+	timestampBytes = 2
+	instanceBytes  = 1
+	loadBytes      = 3
+)
+
+// maxInFlight is the largest number in a datagram; it stands for all beyond.
+const maxInFlight = math.MaxUint8
+
+// MaxLoads is how many loads one datagram holds.
+const MaxLoads = (settings.MaxMessageBytes - timestampBytes - instanceBytes) / loadBytes
+
+// ErrDatagram reports a datagram that is not of this protocol.
+var ErrDatagram = errors.New("malformed datagram")
+
+// Load is the number of attempts that a dispatcher has in flight at one worker.
+type Load struct {
+	Tag      uint16 // of the worker's name
+	InFlight int
+}
+
+// Tag shortens a worker's name. Of two workers with the same tag the receiver means the one it knew first.
+func Tag(name string) uint16 {
+	h := fnv.New32a()
+	h.Write([]byte(name))
+	return uint16(h.Sum32() ^ h.Sum32()>>16)
+}
+
+// AppendLoads appends a datagram of an instance, or NoInstance, with the first MaxLoads loads.
+func AppendLoads(b []byte, timestamp uint16, instance int, loads []Load) []byte {
+	b = binary.BigEndian.AppendUint16(b, timestamp)
+	if instance != NoInstance {
+		b = append(b, byte(instance))
+	}
+	for _, load := range loads[:min(len(loads), MaxLoads)] {
+		b = binary.BigEndian.AppendUint16(b, load.Tag)
+		b = append(b, byte(min(load.InFlight, maxInFlight)))
+	}
+	return b
+}
+
+// ParseLoads parses a datagram. instance is 0 where none is named. The error is ErrDatagram.
+func ParseLoads(b []byte) (timestamp uint16, instance int, loads []Load, err error) {
+	if len(b) < timestampBytes || len(b) > settings.MaxMessageBytes {
+		return 0, 0, nil, ErrDatagram
+	}
+	timestamp = binary.BigEndian.Uint16(b)
+	b = b[timestampBytes:]
+	switch len(b) % loadBytes {
+	case 0:
+	case instanceBytes:
+		instance = int(b[0])
+		b = b[instanceBytes:]
+	default:
+		return 0, 0, nil, ErrDatagram
+	}
+	for ; len(b) > 0; b = b[loadBytes:] {
+		loads = append(loads, Load{Tag: binary.BigEndian.Uint16(b), InFlight: int(b[2])})
+	}
+	return timestamp, instance, loads, nil
+}
--- /dev/null
+++ b/internal/protocol/load_report.go
@@ -0,0 +1,38 @@
+package protocol
+
+import "fmt"
+
+// ParseLoad parses a worker's load report: a JSON array of the values in the order of names, or an object with the
+// names as keys. One in which a value is missing is ErrMalformed.
+func ParseLoad(b []byte, names []string) ([]float64, error) {
+	s := scanner{input: b}
+	values := make([]float64, len(names))
+	found := 0
+	if s.peek() == '[' {
+		s.array(func() {
+			value := s.number()
+			if found < len(values) {
+				values[found] = value
+			}
+			found++
+		})
+	} else {
+		s.object(func(key string) {
+			for n, name := range names {
+				if key == name {
+					values[n] = s.number()
+					found++
+					return
+				}
+			}
+			s.skip()
+		})
+	}
+	if err := s.finish(); err != nil {
+		return nil, err
+	}
+	if found != len(names) {
+		return nil, fmt.Errorf("%w: load report with %d of %d values", ErrMalformed, found, len(names))
+	}
+	return values, nil
+}
--- a/internal/transport/exchange.go
+++ b/internal/transport/exchange.go
@@ -95,7 +95,7 @@
 		return ClientLeft, context.Cause(ctx)
 	case response == protocol.Migrated:
 		return Migrated, nil
-	case !response.ClosesConnection():
+	case !response.IsClientError():
 		s.clients.markUseful(c)
 	}
 	return s.respond(c, response, closeRequested)
