--- /dev/null
+++ b/internal/protocol/body_test.go
@@ -0,0 +1,109 @@
+package protocol
+
+import (
+	"errors"
+	"strconv"
+	"strings"
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+)
+
+var errIncomplete = errors.New("body incomplete")
+
+// readBody puts a body together from input that arrives in pieces of the given size.
+func readBody(b Body, text string, pieceBytes int) (string, error) {
+	var content []byte
+	buffered := ""
+	for len(text) > 0 || len(buffered) > 0 {
+		n := min(pieceBytes, len(text))
+		buffered += text[:n]
+		text = text[n:]
+		for {
+			data, used, err := b.Next([]byte(buffered))
+			if err != nil {
+				return "", err
+			}
+			content = append(content, data...)
+			buffered = buffered[used:]
+			if used == 0 {
+				break
+			}
+		}
+		if b.Done() || n == 0 {
+			break
+		}
+	}
+	if !b.Done() {
+		return "", errIncomplete
+	}
+	return string(content), nil
+}
+
+// Two parsers could disagree on where such a body ends.
+func TestAmbiguousFramingIsMalformed(t *testing.T) {
+	for _, tt := range []struct{ name, version, fieldLines string }{
+		{"two lengths", "HTTP/1.1", "Content-Length: 3\r\nContent-Length: 4"},
+		{"negative length", "HTTP/1.1", "Content-Length: -1"},
+		{"length and chunks", "HTTP/1.1", "Content-Length: 3\r\nTransfer-Encoding: chunked"},
+		{"other coding", "HTTP/1.1", "Transfer-Encoding: gzip"},
+		{"length with a letter", "HTTP/1.1", "Content-Length: 3x"},
+		{"chunks in HTTP/1.0", "HTTP/1.0", "Transfer-Encoding: chunked"},
+	} {
+		t.Run(tt.name, func(t *testing.T) {
+			h, _, err := ParseRequestHead([]byte("POST /api " + tt.version + "\r\n" + tt.fieldLines + "\r\n\r\n"))
+			assert.NoError(t, err)
+			_, err = RequestBody(&h)
+			assert.ErrorIs(t, err, ErrMalformed)
+		})
+	}
+}
+
+func TestChunkLineOfARequestMayNotEndInABareLineFeed(t *testing.T) {
+	body, err := RequestBody(requestHead(t, "Transfer-Encoding: chunked"))
+	assert.NoError(t, err)
+	_, err = readBody(body, "1\n", 2)
+	assert.ErrorIs(t, err, ErrMalformed)
+}
+
+func TestChunkedBodyIsReadWhereverItIsSplit(t *testing.T) {
+	const text = "5;x=y\r\nhello\r\n1\r\n \r\nA\r\n0123456789\r\n0\r\nTrailer: 1\r\n\r\n"
+	for pieceBytes := 1; pieceBytes <= len(text); pieceBytes++ {
+		t.Run("pieces of "+strconv.Itoa(pieceBytes), func(t *testing.T) {
+			got, err := readBody(Body{chunked: true}, text, pieceBytes)
+			assert.NoError(t, err)
+			assert.Equal(t, "hello 0123456789", got)
+		})
+	}
+}
+
+func TestMalformedChunks(t *testing.T) {
+	for _, tt := range []struct{ name, text string }{
+		{"no size", "x\r\n"},
+		{"negative size", "-1\r\n"},
+		{"data longer than its size", "2\r\nabc\r\n0\r\n\r\n"},
+		{"size too large", "ffffffffffffffffff\r\n"},
+		{"line too long", strings.Repeat("1", 2000)},
+	} {
+		t.Run(tt.name, func(t *testing.T) {
+			_, err := readBody(Body{chunked: true}, tt.text, len(tt.text))
+			assert.ErrorIs(t, err, ErrMalformed)
+		})
+	}
+}
+
+func TestResponsesThatAllowNoBody(t *testing.T) {
+	for _, status := range []int{100, 204, 304} {
+		t.Run(strconv.Itoa(status), func(t *testing.T) {
+			body, err := ResponseBody(&Head{Status: status})
+			assert.NoError(t, err)
+			assert.True(t, body.Done())
+		})
+	}
+}
+
+func TestResponseBodyWithoutLengthEndsWithTheConnection(t *testing.T) {
+	body, err := ResponseBody(&Head{Status: 200})
+	assert.NoError(t, err)
+	assert.True(t, body.EndsWithConnection())
+}
--- /dev/null
+++ b/internal/protocol/head_test.go
@@ -0,0 +1,100 @@
+package protocol
+
+import (
+	"strings"
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+)
+
+func TestHeadIsParsedOnceComplete(t *testing.T) {
+	const text = "\r\nPOST /api?x=1 HTTP/1.1\r\nReq-Id: a\r\nX:  b \r\n\r\nrest"
+	for n := range strings.Index(text, "rest") {
+		_, used, err := ParseRequestHead([]byte(text[:n]))
+		assert.NoError(t, err)
+		assert.Zero(t, used)
+	}
+	h, used, err := ParseRequestHead([]byte(text))
+	assert.NoError(t, err)
+	assert.Equal(t, "rest", text[used:])
+	assert.Equal(t, []string{"POST", "/api?x=1", "/api", "a", "b"},
+		[]string{h.Method, h.Target, h.Path(), h.Field("req-id"), h.Field("x")})
+}
+
+func TestResponseHeadMayHaveBareLineFeeds(t *testing.T) {
+	_, used, err := ParseResponseHead([]byte("HTTP/1.1 200 OK\nA: b\n\n"))
+	assert.NoError(t, err)
+	assert.NotZero(t, used)
+}
+
+func TestMalformedRequestHeads(t *testing.T) {
+	for _, tt := range []struct{ name, text string }{
+		{"no version", "POST /api\r\n\r\n"},
+		{"relative target", "POST api HTTP/1.1\r\n\r\n"},
+		{"method that is no token", "P(ST / HTTP/1.1\r\n\r\n"},
+		{"other version", "GET / HTTP/2.0\r\n\r\n"},
+		{"bare LF on all lines", "GET / HTTP/1.1\nA: b\n\n"},
+		{"bare LF on one line", "GET / HTTP/1.1\r\nA: b\nC: d\r\n\r\n"},
+		{"control byte in the target", "GET /\x01 HTTP/1.1\r\n\r\n"},
+		{"target beyond ASCII", "GET /\xc3\xa9 HTTP/1.1\r\n\r\n"},
+		{"control byte in a value", "GET / HTTP/1.1\r\nA: b\x07\r\n\r\n"},
+		{"bare CR", "GET / HTTP/1.1\r\nA: b\rC: d\r\n\r\n"},
+		{"field without colon", "GET / HTTP/1.1\r\nno colon\r\n\r\n"},
+		{"name with a space", "GET / HTTP/1.1\r\nA b: c\r\n\r\n"},
+		{"empty name", "GET / HTTP/1.1\r\n : c\r\n\r\n"},
+	} {
+		t.Run(tt.name, func(t *testing.T) {
+			_, _, err := ParseRequestHead([]byte(tt.text))
+			assert.ErrorIs(t, err, ErrMalformed)
+		})
+	}
+}
+
+func TestMalformedResponseHeads(t *testing.T) {
+	for _, text := range []string{
+		"HTTP/1.1 2x0 OK\r\n\r\n", "HTTP/1.1\r\n\r\n", "GARBAGE\r\n\r\n", "HTTP/3 200\r\n\r\n",
+	} {
+		t.Run(text, func(t *testing.T) {
+			_, _, err := ParseResponseHead([]byte(text))
+			assert.ErrorIs(t, err, ErrMalformed)
+		})
+	}
+}
+
+func TestHeadOverTheLimitIsTooLarge(t *testing.T) {
+	_, _, err := ParseRequestHead([]byte(strings.Repeat("a", MaxHeadBytes)))
+	assert.ErrorIs(t, err, ErrHeadTooLarge)
+}
+
+func TestCloseRequested(t *testing.T) {
+	for _, tt := range []struct {
+		name, text string
+		want       bool
+	}{
+		{"HTTP/1.1", "HTTP/1.1 200 OK", false},
+		{"HTTP/1.0", "HTTP/1.0 200 OK", true},
+		{"HTTP/1.1 with close", "HTTP/1.1 200 OK\r\nConnection: x, Close", true},
+		{"HTTP/1.0 with keep-alive", "HTTP/1.0 200 OK\r\nConnection: keep-alive", false},
+	} {
+		t.Run(tt.name, func(t *testing.T) {
+			assert.Equal(t, tt.want, responseHead(t, tt.text).CloseRequested())
+		})
+	}
+}
+
+func TestDeclined(t *testing.T) {
+	for _, tt := range []struct {
+		name, text string
+		want       bool
+	}{
+		{"503 with the field", "HTTP/1.1 503 No\r\nSrv-Declined: 1", true},
+		{"504 with the field in lower case", "HTTP/1.1 504 No\r\nsrv-declined: 1", true},
+		{"503 without the field", "HTTP/1.1 503 No", false},
+		{"500 with the field", "HTTP/1.1 500 No\r\nSrv-Declined: 1", false},
+		{"503 with another value", "HTTP/1.1 503 No\r\nSrv-Declined: 0", false},
+	} {
+		t.Run(tt.name, func(t *testing.T) {
+			assert.Equal(t, tt.want, Declined(responseHead(t, tt.text)))
+		})
+	}
+}
--- /dev/null
+++ b/internal/protocol/response_test.go
@@ -0,0 +1,33 @@
+package protocol
+
+import (
+	"errors"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+)
+
+func TestResponseHeadText(t *testing.T) {
+	assert.Equal(t,
+		"HTTP/1.1 429 Too Many Requests\r\nContent-Length: 0\r\nRetry-After: 0.25\r\nConnection: close\r\n\r\n",
+		string(AppendResponseHead(nil, &Response{Status: 429, RetryAfter: 250 * time.Millisecond}, true)))
+	assert.Equal(t, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n",
+		string(AppendResponseHead(nil, &Response{Status: 200, Body: []byte("ab")}, false)))
+}
+
+func TestRejectionOfErrors(t *testing.T) {
+	for _, tt := range []struct {
+		err    error
+		status int
+	}{
+		{ErrTooLarge, 413},
+		{ErrHeadTooLarge, 431},
+		{ErrMalformed, 400},
+		{errors.New("any other error"), 408},
+	} {
+		t.Run(tt.err.Error(), func(t *testing.T) {
+			assert.Equal(t, tt.status, RejectionOf(tt.err).Status)
+		})
+	}
+}
--- a/internal/protocol/wire_test.go
+++ b/internal/protocol/wire_test.go
@@ -9,7 +9,7 @@
 )
 
 // The tests of this file pin bytes and words on the wire by literals, as commit b8e4a37 had them. Other programs hold
-// the same ones: a test that fails here tells of a change that they would notice.
+// the same ones: a test that fails here shows a change that they would notice.
 
 // TestLoadDatagramBytes checks what dispatchers send to each other about workers' load.
 func TestLoadDatagramBytes(t *testing.T) {
@@ -20,7 +20,7 @@
 		loads    []Load
 		want     string
 	}{
-		{"greeting of a process that has just started", -1, nil, "abcd"},
+		{"hello of a process that has just started", -1, nil, "abcd"},
 		{"only instance of a process", -1, loads, "abcd" + "010203" + "fffeff"},
 		{"first of several instances", 0, loads, "abcd" + "00" + "010203" + "fffeff"},
 		{"last of several instances", 63, loads[:1], "abcd" + "3f" + "010203"},
@@ -28,9 +28,9 @@
 		t.Run(c.name, func(t *testing.T) {
 			b := AppendLoads(nil, 0xabcd, c.instance, c.loads)
 			assert.Equal(t, c.want, hex.EncodeToString(b))
-			stamp, instance, read, err := ParseLoads(b)
+			timestamp, instance, read, err := ParseLoads(b)
 			assert.NoError(t, err)
-			assert.Equal(t, []any{uint16(0xabcd), max(c.instance, 0), len(c.loads)}, []any{stamp, instance, len(read)})
+			assert.Equal(t, []any{uint16(0xabcd), max(c.instance, 0), len(c.loads)}, []any{timestamp, instance, len(read)})
 		})
 	}
 	assert.Len(t, AppendLoads(nil, 0, 5, make([]Load, 1000)), 255, "84 loads at the most")
@@ -45,15 +45,15 @@
 
 // TestWorkerRequestBytes checks what goes to a worker.
 func TestWorkerRequestBytes(t *testing.T) {
-	all := askHead(t, "Req-Id: 9b\r\nReq-Kind: render\r\nReq-Owner: acme\r\nReq-Deadline: 9\r\nReq-Cost: 1500\r\n"+
+	all := requestHead(t, "Req-Id: 9b\r\nReq-Kind: render\r\nReq-Owner: acme\r\nReq-Deadline: 9\r\nReq-Cost: 1500\r\n"+
 		"Req-Extra: slots=2\r\nReq-Retry: 1\r\nIdempotency-Key: k1\r\nContent-Type: text/plain\r\nX-Other: y")
 	assert.Equal(t, []any{"render", true}, []any{all.Operation(), all.IsRetry()})
 	for _, c := range []struct {
-		name string
-		head *Head
-		body string
-		left time.Duration
-		want string
+		name    string
+		head    *Head
+		body    string
+		timeout time.Duration
+		want    string
 	}{
 		{
 			"all fields", all, "body", 1234567 * time.Microsecond,
@@ -61,16 +61,16 @@
 				"Idempotency-Key: k1\r\nContent-Type: text/plain\r\nContent-Length: 4\r\n\r\nbody",
 		},
 		{
-			"least fields, no time left", askHead(t, "Req-Id: 9c\r\nReq-Kind: render"), "", -time.Second,
+			"fewest fields, no time left", requestHead(t, "Req-Id: 9c\r\nReq-Kind: render"), "", -time.Second,
 			"POST /api?q=1 HTTP/1.1\r\nHost: origin.svc\r\nReq-Id: 9c\r\nReq-Deadline: 0.000\r\n" +
 				"Content-Length: 0\r\n\r\n",
 		},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			inv, err := ParseRequest(c.head)
+			request, err := ParseRequest(c.head)
 			assert.NoError(t, err)
-			inv.Body = []byte(c.body)
-			assert.Equal(t, c.want, string(AppendWorkerRequest(nil, inv, c.left)))
+			request.Body = []byte(c.body)
+			assert.Equal(t, c.want, string(AppendWorkerRequest(nil, request, c.timeout)))
 		})
 	}
 }
@@ -91,13 +91,13 @@
 	assert.Equal(t, "/api", PathRequest)
 }
 
-// TestClientAnswerBytes checks the head of each answer that a client can get.
-func TestClientAnswerBytes(t *testing.T) {
+// TestResponseHeadBytes checks the head of each response that a client can get.
+func TestResponseHeadBytes(t *testing.T) {
 	for _, c := range []struct {
-		name   string
-		answer Response
-		closes bool
-		want   string
+		name     string
+		response Response
+		closes   bool
+		want     string
 	}{
 		{"success", Response{Status: 200, Body: []byte("made")}, false, "200 OK\r\nContent-Length: 4"},
 		{"malformed", Response{Status: 400}, true, "400 Bad Request\r\nContent-Length: 0\r\nConnection: close"},
@@ -109,7 +109,7 @@
 			"405 Method Not Allowed\r\nContent-Length: 0\r\nAllow: GET, HEAD",
 		},
 		{"too slow", Response{Status: 408}, true, "408 Request Timeout\r\nContent-Length: 0\r\nConnection: close"},
-		{"id is open", Response{Status: 409}, false, "409 Conflict\r\nContent-Length: 0"},
+		{"id in use", Response{Status: 409}, false, "409 Conflict\r\nContent-Length: 0"},
 		{"large body", Response{Status: 413}, false, "413 Content Too Large\r\nContent-Length: 0"},
 		{
 			"throttled",
@@ -128,14 +128,14 @@
 		},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			assert.Equal(t, "HTTP/1.1 "+c.want+"\r\n\r\n", string(AppendResponseHead(nil, &c.answer, c.closes)))
+			assert.Equal(t, "HTTP/1.1 "+c.want+"\r\n\r\n", string(AppendResponseHead(nil, &c.response, c.closes)))
 		})
 	}
 	assert.Equal(t, "HTTP/1.1 100 Continue\r\n\r\n", Continue)
 }
 
-// TestWorkerLineStates checks the words by which a worker tells how far a request is, and their numbers.
-func TestWorkerLineStates(t *testing.T) {
+// TestAttemptStates checks the words by which a worker tells the state of an attempt, and their numbers.
+func TestAttemptStates(t *testing.T) {
 	for word, want := range map[string]AttemptState{
 		"started": 1, "running": 2, "done": 3, "failed": 4, "returned": 5, "lost": 6,
 		"Done": 0, "resting": 0,
@@ -146,21 +146,21 @@
 	}
 }
 
-// TestListedWorkerStates checks the words by which the list tells a worker's state.
-func TestListedWorkerStates(t *testing.T) {
+// TestEndpointStates checks the words by which an endpoint list states a worker's state.
+func TestEndpointStates(t *testing.T) {
 	for _, word := range []string{"Ready", "Terminating", "Gone"} {
-		l, err := ParseEndpointList([]byte(`{"seq":1,"hosts":[{"host":"a","health":"` + word + `"}]}`))
+		list, err := ParseEndpointList([]byte(`{"seq":1,"hosts":[{"host":"a","health":"` + word + `"}]}`))
 		assert.NoError(t, err)
-		assert.Equal(t, []Endpoint{{ID: "a", State: word}}, l.Endpoints)
+		assert.Equal(t, []Endpoint{{ID: "a", State: word}}, list.Endpoints)
 	}
 }
 
-// TestOperatorCommands checks the words of operators' commands, and the forms of the answers.
+// TestOperatorCommands checks the words of operators' commands, and the forms of the responses.
 func TestOperatorCommands(t *testing.T) {
 	for _, word := range []string{"HEALTH", "DUMP", "LEAVE", "JOIN"} {
-		call, whole, err := ParseCommand([]byte(word + "\n"))
+		command, complete, err := ParseCommand([]byte(word + "\n"))
 		assert.NoError(t, err)
-		assert.Equal(t, []any{word, true}, []any{string(call), whole})
+		assert.Equal(t, []any{word, true}, []any{string(command), complete})
 	}
 	assert.Equal(t, "done\n", string(AppendCommandResult(nil, nil)))
 	assert.Equal(t, "error malformed datagram\n", string(AppendCommandResult(nil, ErrDatagram)))
