--- a/internal/admin/door.go
+++ b/internal/admin/door.go
@@ -62,7 +62,7 @@
 func Listen(addr string, desk Handler, log zerolog.Logger) (*Server, error) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
-		return nil, fmt.Errorf("listening for operators: %w", err)
+		return nil, fmt.Errorf("admin server: %w", err)
 	}
 	return &Server{ln: ln, desk: desk, log: log, freed: make(chan struct{}, 1)}, nil
 }
@@ -81,7 +81,7 @@
 			break
 		}
 		if err != nil {
-			d.log.Warn().Err(err).Msg("accepting an operator")
+			d.log.Warn().Err(err).Msg("operator accept failed")
 			time.Sleep(10 * time.Millisecond)
 			continue
 		}
@@ -185,7 +185,7 @@
 	d.heard(c)
 	answer := d.do(call, err)
 	d.log.Info().Str("addr", c.conn.RemoteAddr().String()).Str("call", string(call)).AnErr("cause", err).
-		Msg("operator")
+		Msg("operator command")
 	c.conn.SetWriteDeadline(time.Now().Add(answerWithin))
 	if _, err := c.conn.Write(answer); err != nil {
 		return
--- a/internal/admin/door_test.go
+++ b/internal/admin/door_test.go
@@ -133,5 +133,5 @@
 func TestAnAddressInUseIsAFault(t *testing.T) {
 	addr, _ := opened(t)
 	_, err := Listen(addr, &fakeHandler{}, zerolog.Nop())
-	assert.ErrorContains(t, err, "listening for operators")
+	assert.ErrorContains(t, err, "admin server")
 }
--- /dev/null
+++ b/internal/daemon/config.go
@@ -0,0 +1,80 @@
+package daemon
+
+import (
+	"errors"
+	"fmt"
+	"os"
+	"time"
+
+	"canvasroute/internal/balancer"
+	"canvasroute/internal/fleet"
+	"canvasroute/internal/proxy"
+)
+
+// Environment variables. LB_NAME, LB_LISTEN, LB_DISCOVERY and LB_MGMT override the file's keys.
+const (
+	envConfig    = "LB_CONFIG"    // path of the configuration file
+	envFleet     = "LB_FLEET"     // path of the fleet's file, empty for none
+	envName      = "LB_NAME"      // overrides name
+	envListen    = "LB_LISTEN"    // overrides listen
+	envDiscovery = "LB_DISCOVERY" // overrides discovery, at the start only
+	envAdmin     = "LB_MGMT"      // overrides mgmt
+)
+
+// errConfigNotSet is returned without LB_CONFIG.
+var errConfigNotSet = errors.New(envConfig + ": not set; it names the configuration file")
+
+// Config is the configuration of a dispatcher's process.
+type Config struct {
+	Name              string // unique among the dispatchers
+	Listen            string // address for clients
+	PeerListen        string // address for datagrams of other dispatchers, "" without gossip
+	AdminListen       string // address for operators, "" for none
+	Seed              uint64
+	Cores             float64
+	MemoryMB          int           // limit on memory, in MiB
+	Sockets           int           // limit on descriptors
+	WorkerIdleTimeout time.Duration // workers close connections that are idle for so long
+	MaxClientTimeout  time.Duration // the longest client timeout of all operations
+	Balancer          balancer.Config
+	Proxy             proxy.Config
+	Fleet             *fleet.Settings // nil without LB_FLEET
+
+	settingsHash string          // identifies the settings that state on disk was learnt under
+	keys         map[string]bool // paths of the keys in the file, see configKeys
+}
+
+// ReadConfig reads the configuration from the file that LB_CONFIG names. The other environment variables override the
+// file's name and addresses. A fault of one key is a *settings.KeyError.
+func ReadConfig(getenv func(string) string) (*Config, error) {
+	path := getenv(envConfig)
+	if path == "" {
+		return nil, errConfigNotSet
+	}
+	text, err := os.ReadFile(path)
+	if err != nil {
+		return nil, fmt.Errorf("%s: %w", envConfig, err)
+	}
+	c, err := parseConfig(text, getenv)
+	if err != nil {
+		return nil, fmt.Errorf("%s: %w", path, err)
+	}
+	if fleetPath := getenv(envFleet); fleetPath != "" {
+		c.Fleet, err = fleet.Read(fleetPath, c.Name, c.Balancer.Position, c.Balancer.Dispatchers)
+		if err != nil {
+			return nil, fmt.Errorf("%s: %w", envFleet, err)
+		}
+	}
+	return c, nil
+}
+
+// ReloadConfig reads the configuration of a dispatcher that runs already. The file's address of discovery holds: the
+// environment still has the one of the start.
+func ReloadConfig(getenv func(string) string) (*Config, error) {
+	return ReadConfig(func(variable string) string {
+		if variable == envDiscovery {
+			return ""
+		}
+		return getenv(variable)
+	})
+}
--- /dev/null
+++ b/internal/daemon/config_parse.go
@@ -0,0 +1,197 @@
+package daemon
+
+import (
+	"crypto/sha256"
+	"errors"
+	"fmt"
+	"net/netip"
+	"strconv"
+	"time"
+
+	"github.com/valyala/fastjson"
+
+	"canvasroute/internal/balancer"
+	"canvasroute/internal/protocol"
+	"canvasroute/internal/proxy"
+	"canvasroute/internal/settings"
+)
+
+// Defaults of keys that the file may leave out.
+const (
+	defaultCores             = 1.0
+	defaultMemoryMB          = 192 // MiB
+	defaultSockets           = 1024
+	defaultWorkerIdleTimeout = 10 * time.Second
+	defaultDialTimeout       = 250 * time.Millisecond
+	defaultPollInterval      = 10 * time.Second
+	defaultClientTimeout     = 30 * time.Second
+)
+
+// Bounds on the limits.
+const (
+	minCores    = 0.01
+	maxCores    = 4096
+	minMemoryMB = 16 // MiB
+	maxMemoryMB = 1 << 24
+	minSockets  = 64
+	maxSockets  = 1 << 24
+)
+
+// notifyDeadline is how long after a change of the worker list dispatchers count as informed of it. The platform fixes
+// it; no setting has it.
+const notifyDeadline = 6 * balancer.Second
+
+// settingsHashDigits is the length of the settings' hash, in hexadecimal digits.
+const settingsHashDigits = 16
+
+var (
+	errNotJSON   = errors.New("not JSON")
+	errNotObject = errors.New("not a JSON object")
+)
+
+// parseConfig reads, checks and defaults the text of a configuration file. Faults are reported in the order of the steps
+// here; of several, the first one is returned.
+func parseConfig(text []byte, getenv func(string) string) (*Config, error) {
+	root, err := fastjson.ParseBytes(text)
+	if err != nil {
+		return nil, fmt.Errorf("%w: %w", errNotJSON, err)
+	}
+	if root.Type() != fastjson.TypeObject {
+		return nil, errNotObject
+	}
+	c := &Config{}
+	if c.Balancer, err = settings.Parse(root.Get("settings")); err != nil {
+		return nil, fmt.Errorf("settings: %w", err)
+	}
+	r := &configReader{root: root, getenv: getenv}
+	r.readDiscoveryPolling(c)
+	r.readIdentity(c)
+	r.readLimits(c)
+	c.WorkerIdleTimeout = r.seconds(defaultWorkerIdleTimeout, "settings", "policyLimits", "connIdleS")
+	r.readPeers(c)
+	r.readInitialEndpoints(c)
+	r.readProxy(c)
+	r.checkOperations()
+	r.checkMaxAttempts()
+	if r.err != nil {
+		return nil, r.err
+	}
+	c.keys = configKeys(root)
+	c.settingsHash = hashSettings(root.Get("settings"))
+	return c, nil
+}
+
+func hashSettings(v *fastjson.Value) string {
+	return fmt.Sprintf("%x", sha256.Sum256(v.MarshalTo(nil)))[:settingsHashDigits]
+}
+
+// readDiscoveryPolling sets what the settings leave to the process: the list service is polled, whatever the settings
+// say of a service that pushes, and the proxy reports when a worker has received an attempt.
+func (r *configReader) readDiscoveryPolling(c *Config) {
+	interval := r.seconds(defaultPollInterval, "settings", "rules", "askWithinS")
+	c.Balancer.PollEndpoints = true
+	c.Balancer.MaxPollInterval = settings.DurationOf(interval.Seconds())
+	c.Balancer.NotifyDeadline = notifyDeadline
+	c.Balancer.DeliveryNotices = true
+}
+
+func (r *configReader) readIdentity(c *Config) {
+	c.Name = r.text(envName, "name")
+	c.Listen = r.address(envListen, "listen").String()
+	c.Proxy.Discovery = r.address(envDiscovery, "discovery").String()
+	if r.getenv(envAdmin) != "" || r.root.Exists("mgmt") {
+		c.AdminListen = r.address(envAdmin, "mgmt").String()
+	}
+	c.Seed = r.seed()
+}
+
+func (r *configReader) readLimits(c *Config) {
+	c.Cores = r.number(bounds{defaultCores, minCores, maxCores}, "limits", "cores")
+	c.MemoryMB = int(r.number(bounds{defaultMemoryMB, minMemoryMB, maxMemoryMB}, "limits", "memory_mb"))
+	c.Sockets = int(r.number(bounds{defaultSockets, minSockets, maxSockets}, "limits", "sockets"))
+}
+
+// readPeers reads the addresses for gossip, one for each dispatcher with this one's own among them.
+func (r *configReader) readPeers(c *Config) {
+	if !c.Balancer.Gossip {
+		return
+	}
+	c.PeerListen = r.address("", "peer_listen").String()
+	for n, v := range r.root.GetArray("peers") {
+		peer, err := netip.ParseAddrPort(string(v.GetStringBytes()))
+		if err != nil {
+			r.reject(fmt.Sprintf("peers[%d]", n), "%s is not an address with a port, such as 127.0.0.1:7946", v)
+		}
+		c.Proxy.Peers = append(c.Proxy.Peers, peer)
+	}
+	if n := len(c.Proxy.Peers); n != c.Balancer.Dispatchers {
+		r.reject("peers", "%d addresses for settings.balancers %d, must be as many", n, c.Balancer.Dispatchers)
+	}
+}
+
+// readInitialEndpoints reads the workers that the dispatcher starts with, if the file has any.
+func (r *configReader) readInitialEndpoints(c *Config) {
+	v := r.root.Get("known")
+	if v == nil || v.Type() == fastjson.TypeNull {
+		return
+	}
+	list, err := protocol.ParseEndpointList(v.MarshalTo(nil))
+	if err != nil {
+		r.rejectError("known", err)
+		return
+	}
+	c.Proxy.InitialEndpoints = &list
+}
+
+func (r *configReader) readProxy(c *Config) {
+	c.Proxy.Position = c.Balancer.Position
+	c.Proxy.DialTimeout = r.seconds(defaultDialTimeout, "settings", "policyLimits", "dialTimeoutS")
+	if c.Balancer.RetryAfter {
+		c.Proxy.MaxRetryAfter = c.Balancer.MaxRetryAfter.Duration()
+	}
+	for n, v := range r.root.GetArray("settings", "operations") {
+		operation := r.operation(n, v, c.Balancer.Operations)
+		c.Proxy.Operations = append(c.Proxy.Operations, operation)
+		c.MaxClientTimeout = max(c.MaxClientTimeout, operation.DefaultTimeout)
+	}
+	for n, v := range r.root.GetArray("settings", "orgs") {
+		c.Proxy.Tenants = append(c.Proxy.Tenants, r.entryName(v, "orgs", n))
+	}
+	c.Proxy.Zones = r.names("settings", "zones")
+	c.Proxy.Kinds = r.names("settings", "shapes")
+	c.Proxy.Report = r.names("settings", "report", "names")
+}
+
+// operation reads the n-th operation. balanced are the operations that package settings has read, in the same order.
+func (r *configReader) operation(n int, v *fastjson.Value, balanced []balancer.OperationConfig) proxy.Operation {
+	operation := proxy.Operation{DefaultTimeout: defaultClientTimeout}
+	if n < len(balanced) {
+		operation.RequiresKey = balanced[n].Idempotency == balancer.IdempotentByKey
+		operation.DedupScope = balanced[n].DedupScope
+		operation.DedupWindow = balanced[n].DedupWindow.Duration()
+	}
+	if s := v.GetFloat64("clientTimeoutS"); s > 0 {
+		operation.DefaultTimeout = time.Duration(s * float64(time.Second))
+	}
+	operation.Name = r.entryName(v, "operations", n)
+	return operation
+}
+
+// entryName reads the name of the n-th entry of a list in the settings.
+func (r *configReader) entryName(v *fastjson.Value, list string, n int) string {
+	name := string(v.GetStringBytes("name"))
+	if name == "" {
+		r.reject(fmt.Sprintf("settings.%s[%d].name", list, n), "must be a non-empty string")
+	}
+	return name
+}
+
+// seed reads the seed of the balancer's random numbers.
+func (r *configReader) seed() uint64 {
+	text := r.text("", "seed")
+	seed, err := strconv.ParseUint(text, 16, 64)
+	if err != nil {
+		r.reject("seed", "%q, must be up to 16 hexadecimal digits", text)
+	}
+	return seed
+}
--- a/internal/daemon/size_test.go
+++ b/internal/daemon/config_size_test.go
@@ -9,10 +9,10 @@
 	"github.com/valyala/fastjson"
 )
 
-// Guards against bounds on the number of dispatchers or workers in a configuration.
+// A configuration has no bound on the number of dispatchers or workers.
 func TestConfigurationTakesManyDispatchersAndWorkers(t *testing.T) {
 	const many = 1024
-	v := fastjson.MustParse(configuration)
+	v := fastjson.MustParse(testConfiguration)
 	var peers, hosts []string
 	for n := range many {
 		peers = append(peers, fmt.Sprintf(`"10.3.%d.%d:7946"`, n/256, n%256))
@@ -23,7 +23,7 @@
 	v.Set("known", fastjson.MustParse(`{"seq":1,"whole":true,"hosts":[`+strings.Join(hosts, ",")+`]}`))
 	v.Get("settings").Set("balancers", fastjson.MustParse("1024"))
 	v.Get("settings").Set("position", fastjson.MustParse("1023"))
-	p, err := parse(v.MarshalTo(nil), environment())
+	p, err := parseConfig(v.MarshalTo(nil), fakeEnv())
 	assert.NoError(t, err)
 	assert.Len(t, p.Proxy.Peers, many)
 	assert.Len(t, p.Proxy.InitialEndpoints.Endpoints, many)
--- /dev/null
+++ b/internal/daemon/hot_restart_successor.go
@@ -0,0 +1,139 @@
+package daemon
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"net"
+	"net/http"
+	"os"
+	"strconv"
+	"time"
+
+	"canvasroute/internal/balancer"
+	"canvasroute/internal/hotrestart"
+	"canvasroute/internal/protocol"
+	"canvasroute/internal/proxy"
+)
+
+// errNoClientSocket is returned for a request that was handed over without its client's connection.
+var errNoClientSocket = errors.New("migrated request: no client socket")
+
+// socket is one of the sockets that the predecessor has handed over, nil where it has not.
+func (h *hotRestart) socket(name string) *os.File {
+	if h == nil || h.predecessor == nil {
+		return nil
+	}
+	return h.predecessor.Sockets[name]
+}
+
+// snapshot is the state that the predecessor has handed over, nil without a predecessor.
+func (h *hotRestart) snapshot() json.RawMessage {
+	if h == nil || h.predecessor == nil {
+		return nil
+	}
+	return h.predecessor.Snapshot
+}
+
+// disconnect closes the link to the predecessor. A predecessor that was not told that this process serves goes on as
+// before.
+func (h *hotRestart) disconnect() {
+	if h != nil && h.predecessor != nil {
+		h.predecessor.Link.Close()
+	}
+}
+
+// followPredecessor tells the predecessor that this process serves, and takes over what it hands over until it has
+// ended.
+func (h *hotRestart) followPredecessor(ctx context.Context) {
+	link := h.predecessor.Link
+	h.addSiblings(1)
+	h.setConnectionLimits(h.allConnections().half()) // until the predecessor's first update
+	stop := h.sendUpdates(ctx, link, func() proxy.SiblingUpdate { return h.proxy.SiblingUpdate(balancer.Predecessor) })
+	defer stop()
+	if err := link.SendServing(); err != nil {
+		h.log.Warn().Err(err).Msg("predecessor not notified")
+	}
+	err := link.Receive(hotrestart.Handler{
+		SiblingUpdate: h.receivePredecessorUpdate,
+		Request:       h.importRequest,
+		Command:       h.runForwardedCommand,
+	})
+	h.proxy.SiblingGone(balancer.Predecessor)
+	h.addSiblings(-1)
+	h.setConnectionLimits(h.allConnections())
+	h.log.Info().AnErr("cause", err).Msg("predecessor ended")
+}
+
+// receivePredecessorUpdate takes over what the predecessor has in flight, and the connections that it needs no more.
+func (h *hotRestart) receivePredecessorUpdate(text json.RawMessage) {
+	update, ok := h.parseSiblingUpdate(text)
+	if !ok {
+		return
+	}
+	h.proxy.ReceiveSiblingUpdate(balancer.Predecessor, update)
+	all := h.allConnections()
+	h.setConnectionLimits(connectionShare{
+		clients: all.clients - update.ClientConnections,
+		workers: all.workers - update.WorkerConnections,
+	})
+}
+
+// runForwardedCommand runs an operator's command that the predecessor was given: this process is the one that serves.
+func (h *hotRestart) runForwardedCommand(command string) {
+	h.log.Info().Str("call", command).Msg("operator command forwarded by predecessor")
+	now := time.Now()
+	if command == commandLeave {
+		h.state.Drain(now)
+		return
+	}
+	if err := h.state.Rejoin(now); err != nil {
+		h.log.Warn().Err(err).Msg("forwarded operator command failed")
+	}
+}
+
+// importRequest goes on with a request that the predecessor has handed over. sockets are the client's connection and, by
+// the numbers of the attempts, those to workers. A request that cannot be gone on with is answered 502, as an attempt may
+// have been executed.
+func (h *hotRestart) importRequest(text json.RawMessage, sockets map[string]*os.File) {
+	client, attempts := h.openConnections(sockets)
+	request, finish, err := h.proxy.Import(text, attempts)
+	if err == nil && client == nil {
+		err = errNoClientSocket
+	}
+	if err != nil {
+		h.log.Warn().Err(err).Msg("request not imported")
+		for _, conn := range attempts {
+			conn.Close()
+		}
+		if client == nil || request == nil {
+			return
+		}
+		finish = badGateway
+	}
+	h.server.Import(client, request.Pipelined, request.CloseRequested, request.AcceptsInterim, finish)
+}
+
+func badGateway(context.Context) *protocol.Response {
+	return &protocol.Response{Status: http.StatusBadGateway}
+}
+
+// openConnections turns the sockets of a request into connections: the client's, nil where it cannot be had, and those
+// of the attempts by their numbers. It closes the files.
+func (h *hotRestart) openConnections(sockets map[string]*os.File) (client net.Conn, attempts map[int]net.Conn) {
+	attempts = map[int]net.Conn{}
+	for name, file := range sockets {
+		conn, err := net.FileConn(file)
+		file.Close()
+		if err != nil {
+			h.log.Warn().Err(err).Str("socket", name).Msg("socket not imported")
+			continue
+		}
+		if n, err := strconv.Atoi(name); err == nil {
+			attempts[n] = conn
+		} else {
+			client = conn
+		}
+	}
+	return client, attempts
+}
--- a/internal/daemon/operators_test.go
+++ b/internal/daemon/operators_test.go
@@ -19,8 +19,8 @@
 	"canvasroute/internal/proxy"
 )
 
-// allKeys is a configuration with each key that is read beside those of package terms, and no default among its values.
-const allKeys = `{"name":"n3","listen":"127.0.0.1:8080","discovery":"127.0.0.1:8500","mgmt":"127.0.0.1:8600",
+// configWithEachKey is a configuration with each key that is read beside those of package settings, and no default among its values.
+const configWithEachKey = `{"name":"n3","listen":"127.0.0.1:8080","discovery":"127.0.0.1:8500","mgmt":"127.0.0.1:8600",
 "seed":"8c1f30d27a5be964","limits":{"cores":2.5,"memory_mb":200,"sockets":2048},
 "peer_listen":"127.0.0.1:7946","peers":["127.0.0.1:7946","127.0.0.2:7946"],"peers_all":"127.3.255.1:7946",
 "known":{"seq":41,"whole":true,"hosts":[{"host":"s-1","dial":"127.0.0.3:8080","site":"a","class":"m","block":3,
@@ -35,7 +35,7 @@
 
 // TestEachKeyOfTheConfiguration pins the keys of the configuration file.
 func TestEachKeyOfTheConfiguration(t *testing.T) {
-	read, err := parse([]byte(allKeys), environment())
+	read, err := parseConfig([]byte(configWithEachKey), fakeEnv())
 	assert.NoError(t, err)
 	want := &Config{
 		Name: "n3", Listen: "127.0.0.1:8080", PeerListen: "127.0.0.1:7946", AdminListen: "127.0.0.1:8600",
@@ -62,7 +62,7 @@
 	d := read.Balancer
 	assert.Equal(t, []any{int64(70_000), int64(60_000), true, true},
 		[]any{int64(d.MaxPollInterval), int64(d.NotifyDeadline), d.DeliveryNotices, d.PollEndpoints})
-	want.Balancer, want.keys, want.settings = d, read.keys, read.settings
+	want.Balancer, want.keys, want.settingsHash = d, read.keys, read.settingsHash
 	assert.Equal(t, want, read)
 	unset := []string{}
 	v := reflect.ValueOf(*read)
@@ -76,18 +76,18 @@
 
 // TestSettingsHash pins the hash that the folder on disk holds: with another one, what was learnt is not believed.
 func TestSettingsHash(t *testing.T) {
-	read, err := parse([]byte(allKeys), environment())
+	read, err := parseConfig([]byte(configWithEachKey), fakeEnv())
 	assert.NoError(t, err)
-	assert.Equal(t, "8aeee8ff73cee782", read.settings)
+	assert.Equal(t, "8aeee8ff73cee782", read.settingsHash)
 }
 
 // TestEachVariableOfTheEnvironment pins the variables, which go before the file.
 func TestEachVariableOfTheEnvironment(t *testing.T) {
 	dir := t.TempDir()
 	config, fleetPath := filepath.Join(dir, "config.json"), filepath.Join(dir, "fleet.toml")
-	assert.NoError(t, os.WriteFile(config, []byte(configuration), 0o600))
-	assert.NoError(t, os.WriteFile(fleetPath, []byte(strings.Replace(fleetFile, `"n3"`, `"n9"`, 1)), 0o600))
-	variables := environment("LB_CONFIG", config, "LB_FLEET", fleetPath, "LB_NAME", "n9", "LB_LISTEN", "127.0.0.9:1",
+	assert.NoError(t, os.WriteFile(config, []byte(testConfiguration), 0o600))
+	assert.NoError(t, os.WriteFile(fleetPath, []byte(strings.Replace(testFleetFile, `"n3"`, `"n9"`, 1)), 0o600))
+	variables := fakeEnv("LB_CONFIG", config, "LB_FLEET", fleetPath, "LB_NAME", "n9", "LB_LISTEN", "127.0.0.9:1",
 		"LB_DISCOVERY", "127.0.0.9:2", "LB_MGMT", "127.0.0.9:3")
 	read, err := ReadConfig(variables)
 	assert.NoError(t, err)
@@ -107,7 +107,7 @@
 	write := func(listen string) string {
 		path := filepath.Join(t.TempDir(), "config.json")
 		text := strings.NewReplacer("127.0.0.1:8080", listen, "127.0.0.1:8500", "127.0.0.1:9", `"peers":true`,
-			`"peers":false`).Replace(configuration)
+			`"peers":false`).Replace(testConfiguration)
 		assert.NoError(t, os.WriteFile(path, []byte(text), 0o600))
 		return path
 	}
@@ -144,9 +144,9 @@
 			}
 		})
 	}
-	var out, wrong bytes.Buffer
-	assert.Equal(t, 1, RunCommand([]string{"serve"}, &out, &wrong), "an unknown command")
-	assert.Equal(t, 0, RunCommand([]string{"--help"}, &out, &wrong))
+	var stdout, stderr bytes.Buffer
+	assert.Equal(t, 1, RunCommand([]string{"serve"}, &stdout, &stderr), "an unknown command")
+	assert.Equal(t, 0, RunCommand([]string{"--help"}, &stdout, &stderr))
 }
 
 // TestStateShowOfEarlierRelease reads the folder that an earlier release wrote, with the snapshot in it, and compares what
@@ -159,9 +159,9 @@
 	} {
 		want, err := os.ReadFile(filepath.Join("testdata", golden))
 		assert.NoError(t, err)
-		var out, wrong bytes.Buffer
-		assert.Equal(t, 0, RunCommand(args, &out, &wrong), wrong.String())
-		assert.Equal(t, string(want), out.String())
+		var stdout, stderr bytes.Buffer
+		assert.Equal(t, 0, RunCommand(args, &stdout, &stderr), stderr.String())
+		assert.Equal(t, string(want), stdout.String())
 	}
 }
 
@@ -169,19 +169,19 @@
 func TestStateShowOfTornFolder(t *testing.T) {
 	folder := t.TempDir()
 	assert.NoError(t, os.WriteFile(filepath.Join(folder, "life.a"), []byte("x"), 0o600))
-	var out, wrong bytes.Buffer
-	assert.Equal(t, 1, RunCommand([]string{"state", "show", folder, "--json"}, &out, &wrong))
-	assert.Contains(t, out.String(), "\n \"not_believed\": [\n  \"life.a: ")
+	var stdout, stderr bytes.Buffer
+	assert.Equal(t, 1, RunCommand([]string{"state", "show", folder, "--json"}, &stdout, &stderr))
+	assert.Contains(t, stdout.String(), "\n \"not_believed\": [\n  \"life.a: ")
 }
 
-// TestMeetingPlaceOfAnUpgrade pins by what the processes of one dispatcher find each other: another release has to look
+// TestRendezvousOfHotRestart pins by what the processes of one dispatcher find each other: another release has to look
 // in the same place.
-func TestMeetingPlaceOfAnUpgrade(t *testing.T) {
+func TestRendezvousOfHotRestart(t *testing.T) {
 	dir := t.TempDir()
 	t.Setenv("TMPDIR", dir)
-	p, err := parse([]byte(allKeys), environment())
+	p, err := parseConfig([]byte(configWithEachKey), fakeEnv())
 	assert.NoError(t, err)
-	assert.Equal(t, hotrestart.RendezvousFor(dir, "n3", "127.0.0.1:8080", "127.0.0.1:7946"), meet(p, nop).place)
+	assert.Equal(t, hotrestart.RendezvousFor(dir, "n3", "127.0.0.1:8080", "127.0.0.1:7946"), connectPredecessor(p, nopLog).rendezvous)
 	p.AdminListen = ""
-	assert.Nil(t, meet(p, nop), "without an address for operators there is no upgrade")
+	assert.Nil(t, connectPredecessor(p, nopLog), "without an address for operators there is no hot restart")
 }
--- /dev/null
+++ b/internal/daemon/recovery_test.go
@@ -0,0 +1,129 @@
+package daemon
+
+import (
+	"bytes"
+	"encoding/json"
+	"net"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+
+	"canvasroute/internal/fleet/store"
+)
+
+// Without LB_FLEET there is no file, no listener and no goroutine more.
+func TestWithoutFleetFileThereIsNoNode(t *testing.T) {
+	c, err := parseConfig([]byte(testConfiguration), fakeEnv())
+	assert.NoError(t, err)
+	assert.Nil(t, c.Fleet)
+	node, err := openNode(c, nil, false, nopLog)
+	assert.NoError(t, err)
+	assert.Nil(t, node)
+	assert.Nil(t, c.Proxy.Recovery)
+	assert.Empty(t, (&adminHandler{}).node)
+}
+
+const testFleetFile = `[state]
+folder = "/tmp/canvasroute-state"
+[link]
+listen = "127.0.0.1:7950"
+[[member]]
+name = "n3"
+address = "127.0.0.1:7950"
+[[member]]
+name = "n4"
+address = "127.0.0.2:7950"
+`
+
+func TestInvalidFleetFileIsRejectedByPlace(t *testing.T) {
+	dir := t.TempDir()
+	config, fleetPath := filepath.Join(dir, "config.json"), filepath.Join(dir, "fleet.toml")
+	assert.NoError(t, os.WriteFile(config, []byte(testConfiguration), 0o600))
+	read := func(text string) error {
+		assert.NoError(t, os.WriteFile(fleetPath, []byte(text), 0o600))
+		_, err := ReadConfig(fakeEnv("LB_CONFIG", config, "LB_FLEET", fleetPath))
+		return err
+	}
+	assert.NoError(t, read(testFleetFile))
+	for _, c := range []struct{ name, old, invalid, want string }{
+		{"relative folder", `folder = "/tmp`, `folder = "tmp`, "state.folder"},
+		{"unknown key", `folder =`, `folders =`, "fleet.toml:2: unknown key"},
+		{"interval of zero", `[link]`, "every = \"0s\"\n[link]", "state.every: 0s, must be from 1ms"},
+		{"interval without a unit", `[link]`, "every = 7\n[link]", "state.every: 7ns"},
+		{"listen", `listen = "127.0.0.1:7950"`, `listen = "here"`, `link.listen: "here"`},
+		{"repeated name", `name = "n4"`, `name = "n3"`, `member[1].name: "n3" is that of member[0] too`},
+		{"another position's name", `name = "n3"`, `name = "n9"`, `member[0].name: "n9", the dispatcher at that position is "n3"`},
+		{"repeated address", `address = "127.0.0.2:7950"`, `address = "127.0.0.1:7950"`, "member[1].address: 127.0.0.1:7950 is that"},
+		{"member missing", "[[member]]\nname = \"n4\"\naddress = \"127.0.0.2:7950\"\n", "", "member: 1 of them, settings.balancers says 2"},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			assert.Contains(t, testFleetFile, c.old)
+			assert.ErrorContains(t, read(strings.Replace(testFleetFile, c.old, c.invalid, 1)), c.want)
+		})
+	}
+	_, err := ReadConfig(fakeEnv("LB_CONFIG", config, "LB_FLEET", filepath.Join(dir, "none")))
+	assert.ErrorContains(t, err, "LB_FLEET")
+}
+
+// Of two processes with one name on one machine, the second neither writes nor serves.
+func TestSecondProcessOfTheSameNameIsRejected(t *testing.T) {
+	dir := t.TempDir()
+	fleetPath := filepath.Join(dir, "fleet.toml")
+	pc, err := net.ListenPacket("udp", "127.0.0.1:0")
+	assert.NoError(t, err)
+	defer pc.Close()
+	text := strings.NewReplacer("/tmp/canvasroute-state", filepath.Join(dir, "state"), `"127.0.0.1:7950"`,
+		`"`+pc.LocalAddr().String()+`"`, "[[member]]\nname = \"n3\"", "[recovery]\nidentity-within = \"50ms\"\n"+
+			"ask-every = \"10ms\"\n[[member]]\nname = \"n3\"").Replace(testFleetFile)
+	assert.NoError(t, os.WriteFile(fleetPath, []byte(text), 0o600))
+	config := filepath.Join(dir, "config.json")
+	assert.NoError(t, os.WriteFile(config, []byte(testConfiguration), 0o600))
+	c, err := ReadConfig(fakeEnv("LB_CONFIG", config, "LB_FLEET", fleetPath))
+	assert.NoError(t, err)
+	_, err = openNode(c, nil, false, nopLog)
+	assert.ErrorContains(t, err, `two that go under the name "n3"`, "the address is taken")
+	pc.Close()
+	folder, _, err := store.OpenFolder(filepath.Join(dir, "state"))
+	assert.NoError(t, err)
+	_, err = openNode(c, nil, false, nopLog)
+	assert.ErrorIs(t, err, store.ErrLocked)
+	assert.NoError(t, folder.Close())
+	node, err := openNode(c, nil, false, nopLog)
+	assert.NoError(t, err)
+	assert.ErrorContains(t, node.Ready(), "identity")
+}
+
+func TestStateShowOfFolderAndOfTruncatedFile(t *testing.T) {
+	path := t.TempDir()
+	folder, _, err := store.OpenFolder(path)
+	assert.NoError(t, err)
+	s, _ := store.Open(folder, "n3")
+	_, err = s.Begin(store.Incarnation{}, 7, 9, false, time.Now().UnixMilli())
+	assert.NoError(t, err)
+	assert.NoError(t, s.SetDrained(true))
+	assert.NoError(t, s.AppendKeys([]store.Key{{Sum: 1}}, time.Now().UnixMilli()))
+	assert.NoError(t, s.SaveState(store.State{
+		WrittenAt: time.Now().UnixMilli(), SettingsHash: "abc",
+		Learned: []byte(`{"Version":41,"Kinds":["m"],"Learnt":[{"Kinds":[{"Slots":3,"Most":3}]}]}`),
+	}))
+	var stdout, stderr bytes.Buffer
+	assert.Equal(t, 0, RunCommand([]string{"state", "show", path}, &stdout, &stderr))
+	for _, want := range []string{
+		`dispatcher "n3", life 7`, "told to leave by hand", "settings abc: list 41",
+		"bears m: 3 at once", "keys that may have run: 1",
+	} {
+		assert.Contains(t, stdout.String(), want)
+	}
+	assert.NoError(t, os.Truncate(filepath.Join(path, "facts.b"), 20))
+	stdout.Reset()
+	assert.Equal(t, 1, RunCommand([]string{"state", "show", path, "--json"}, &stdout, &stderr))
+	var got stateSummary
+	assert.NoError(t, json.Unmarshal(stdout.Bytes(), &got))
+	assert.Len(t, got.Rejected, 1)
+	assert.Contains(t, got.Rejected[0], "facts.b: torn")
+	assert.Equal(t, 1, RunCommand([]string{"state", "show", filepath.Join(path, "none")}, &stdout, &stderr))
+}
--- a/internal/daemon/reload.go
+++ b/internal/daemon/reload.go
@@ -3,103 +3,116 @@
 import (
 	"fmt"
 	"reflect"
-	"slices"
 
-	"github.com/rs/zerolog"
-
-	"canvasroute/internal/proxy"
+	"canvasroute/internal/settings"
 )
 
-// reload takes over what a new configuration may change while we serve: where the list service is, and
-// settings. It is checked whole, and taken whole or not at all. Workers, what is known of them and what is
-// open stay as they are.
-func reload(p *Config, anew func() (*Config, error), desk *adminHandler, router *proxy.Proxy,
-	log zerolog.Logger,
-) *Config {
-	next, err := anew()
+// reload applies the configuration file anew while the process runs: the address of discovery, and the settings that
+// need no restart. The file is checked as a whole, and applied as a whole or not at all. Workers, what is known of them
+// and requests in flight stay as they are.
+func (p *process) reload() {
+	next, err := p.readConfig()
 	if err == nil {
-		err = p.refuse(next)
+		err = p.config.checkReload(next)
 	}
 	if err != nil {
-		desk.rejected.Add(1)
-		log.Error().Err(err).Msg("bad configuration, the old one is kept")
-		return p
+		p.admin.reloadsRejected.Add(1)
+		p.log.Error().Err(err).Msg("invalid configuration, keeping the current one")
+		return
 	}
-	taken := p.with(next)
-	router.Reconfigure(taken.Proxy, taken.Balancer)
-	router.SetDiscoveryAddress(next.Proxy.Discovery)
-	desk.applied.Add(1)
-	names := []string{}
-	for _, o := range taken.Proxy.Operations {
-		names = append(names, o.Name)
+	applied := p.config.withReloaded(next)
+	p.proxy.Reconfigure(applied.Proxy, applied.Balancer)
+	p.proxy.SetDiscoveryAddress(next.Proxy.Discovery)
+	p.config = applied
+	p.admin.reloadsApplied.Add(1)
+	operations := []string{}
+	for _, o := range applied.Proxy.Operations {
+		operations = append(operations, o.Name)
 	}
-	log.Info().Str("discovery", next.Proxy.Discovery).Strs("operations", names).
-		Int("forwards", taken.Balancer.MaxAttempts).Strs("at_next_start", later(taken, next)).
-		Msg("configuration read anew")
-	return taken
+	p.log.Info().Str("discovery", next.Proxy.Discovery).Strs("operations", operations).
+		Int("forwards", applied.Balancer.MaxAttempts).Strs("at_next_start", requiringRestart(applied, next)).
+		Msg("configuration reloaded")
 }
 
-// refuse tells what stands in the way of going on with another configuration: it lacks something, or is that
-// of another dispatcher.
-func (p *Config) refuse(next *Config) error {
-	if key := missing(p.keys, next.keys); key != "" {
-		return fmt.Errorf("%s: missing; the configuration in force has it", key)
+// checkReload returns why a running process cannot go on with another configuration, as a *settings.KeyError: a key that
+// the current one has is missing, or it is another dispatcher's.
+func (c *Config) checkReload(next *Config) error {
+	if key := firstMissingKey(c.keys, next.keys); key != "" {
+		return &settings.KeyError{Key: key, Problem: "missing; the configuration in force has it"}
 	}
-	for _, k := range []struct{ key, was, is string }{
-		{"name", p.Name, next.Name},
-		{"listen", p.Listen, next.Listen},
-		{"peer_listen", p.PeerListen, next.PeerListen},
+	for _, identity := range []struct{ key, current, next string }{
+		{"name", c.Name, next.Name},
+		{"listen", c.Listen, next.Listen},
+		{"peer_listen", c.PeerListen, next.PeerListen},
 	} {
-		if k.was != k.is {
-			return fmt.Errorf("%s: %q, must stay %q while the process runs", k.key, k.is, k.was)
+		if identity.current != identity.next {
+			return &settings.KeyError{
+				Key:     identity.key,
+				Problem: fmt.Sprintf("%q, must stay %q while the process runs", identity.next, identity.current),
+			}
 		}
 	}
 	return nil
 }
 
-// with is a placement with what another one may change of it.
-func (p *Config) with(next *Config) *Config {
-	taken := *p
-	taken.keys, taken.MaxClientTimeout = next.keys, next.MaxClientTimeout
-	was := p.Balancer
-	taken.Balancer = next.Balancer
-	d := &taken.Balancer
-	d.Dispatchers, d.Position, d.Zone = was.Dispatchers, was.Position, was.Zone
-	d.Kinds, d.Gossip = was.Kinds, was.Gossip
-	d.StartNotices, d.ReportsOnProbe, d.Probes = was.StartNotices, was.ReportsOnProbe, was.Probes
-	d.ReportInFlight, d.ReportQueue, d.ReportFree = was.ReportInFlight, was.ReportQueue, was.ReportFree
-	r, n := &taken.Proxy, next.Proxy
-	r.Discovery, r.Operations, r.Tenants = n.Discovery, n.Operations, n.Tenants
-	r.DialTimeout, r.MaxRetryAfter = n.DialTimeout, n.MaxRetryAfter
-	return &taken
+// withReloaded returns the configuration with all that a reload may change of it. The rest requires a restart.
+func (c *Config) withReloaded(next *Config) *Config {
+	merged := *c
+	merged.keys = next.keys
+	merged.MaxClientTimeout = next.MaxClientTimeout
+
+	merged.Balancer = next.Balancer
+	merged.Balancer.Dispatchers = c.Balancer.Dispatchers
+	merged.Balancer.Position = c.Balancer.Position
+	merged.Balancer.Zone = c.Balancer.Zone
+	merged.Balancer.Kinds = c.Balancer.Kinds
+	merged.Balancer.Gossip = c.Balancer.Gossip
+	merged.Balancer.StartNotices = c.Balancer.StartNotices
+	merged.Balancer.ReportsOnProbe = c.Balancer.ReportsOnProbe
+	merged.Balancer.Probes = c.Balancer.Probes
+	merged.Balancer.ReportInFlight = c.Balancer.ReportInFlight
+	merged.Balancer.ReportQueue = c.Balancer.ReportQueue
+	merged.Balancer.ReportFree = c.Balancer.ReportFree
+
+	merged.Proxy.Discovery = next.Proxy.Discovery
+	merged.Proxy.Operations = next.Proxy.Operations
+	merged.Proxy.Tenants = next.Proxy.Tenants
+	merged.Proxy.DialTimeout = next.Proxy.DialTimeout
+	merged.Proxy.MaxRetryAfter = next.Proxy.MaxRetryAfter
+	return &merged
 }
 
-// later names what is not as in the file and is only taken over by the next start.
-func later(taken, file *Config) []string {
+// requiringRestart names the keys whose values in the file are not in force until the next start.
+func requiringRestart(applied, file *Config) []string {
+	type limits struct {
+		cores             float64
+		memoryMB, sockets int
+	}
 	keys := []string{}
 	for _, k := range []struct {
-		key     string
-		was, is any
+		key           string
+		applied, file any
 	}{
-		{"mgmt", taken.AdminListen, file.AdminListen},
-		{"peers", taken.Proxy.Peers, file.Proxy.Peers},
+		{"mgmt", applied.AdminListen, file.AdminListen},
+		{"peers", applied.Proxy.Peers, file.Proxy.Peers},
 		{
 			"limits",
-			[3]any{taken.Cores, taken.MemoryMB, taken.Sockets},
-			[3]any{file.Cores, file.MemoryMB, file.Sockets},
+			limits{applied.Cores, applied.MemoryMB, applied.Sockets},
+			limits{file.Cores, file.MemoryMB, file.Sockets},
 		},
-		{"settings.policyLimits.connIdleS", taken.WorkerIdleTimeout, file.WorkerIdleTimeout},
-		{"settings.zones", taken.Proxy.Zones, file.Proxy.Zones},
-		{"settings.shapes", taken.Proxy.Kinds, file.Proxy.Kinds},
-		{"settings.report", taken.Proxy.Report, file.Proxy.Report},
+		{"settings.policyLimits.connIdleS", applied.WorkerIdleTimeout, file.WorkerIdleTimeout},
+		{"settings.zones", applied.Proxy.Zones, file.Proxy.Zones},
+		{"settings.shapes", applied.Proxy.Kinds, file.Proxy.Kinds},
+		{"settings.report", applied.Proxy.Report, file.Proxy.Report},
 		{
-			"settings: balancers, position, zone, peers, probes, start notes or reports", taken.Balancer,
+			"settings: balancers, position, zone, peers, probes, start notes or reports",
+			applied.Balancer,
 			file.Balancer,
 		},
 	} {
-		if !reflect.DeepEqual(k.was, k.is) {
+		if !reflect.DeepEqual(k.applied, k.file) {
 			keys = append(keys, k.key)
 		}
 	}
-	return slices.Clip(keys)
+	return keys
 }
--- a/internal/hotrestart/host.go
+++ b/internal/hotrestart/host.go
@@ -38,7 +38,7 @@
 	for ctx.Err() == nil && !h.IsStopping() {
 		ln, err := h.Rendezvous.listen() // anew where a successor that died had taken the place
 		if err != nil {
-			h.Log.Warn().Err(err).Msg("no successor can take over from here")
+			h.Log.Warn().Err(err).Msg("hot restart unavailable")
 			return nil
 		}
 		h.host(ctx, ln)
@@ -57,12 +57,12 @@
 			return
 		}
 		if err != nil {
-			h.Log.Warn().Err(err).Msg("accepting a successor")
+			h.Log.Warn().Err(err).Msg("successor accept failed")
 			time.Sleep(10 * time.Millisecond)
 			continue
 		}
 		if err := h.meet(ctx, c); err != nil {
-			h.Log.Warn().Err(err).Msg("successor turned down")
+			h.Log.Warn().Err(err).Msg("successor rejected")
 		}
 		c.Close()
 	}
@@ -93,15 +93,15 @@
 	return nil
 }
 
-// Successor is what a process has from its predecessor.
-type Successor struct {
+// Handover is what a process has from its predecessor.
+type Handover struct {
 	Link     *Link
 	Sockets  map[string]*os.File
 	Snapshot json.RawMessage
 }
 
 // Connect looks for a predecessor. It returns nil with no error where there is none.
-func Connect(p Rendezvous) (*Successor, error) {
+func Connect(p Rendezvous) (*Handover, error) {
 	c, err := p.dial()
 	if errors.Is(err, os.ErrNotExist) || errors.Is(err, syscall.ECONNREFUSED) {
 		return nil, nil // nobody, or what a killed one left
@@ -117,7 +117,7 @@
 	return heir, nil
 }
 
-func knock(c *net.UnixConn) (*Successor, error) {
+func knock(c *net.UnixConn) (*Handover, error) {
 	if !ours(c) {
 		return nil, fmt.Errorf("%w: another user's", ErrVersionMismatch)
 	}
@@ -137,5 +137,5 @@
 		return nil, err
 	}
 	c.SetReadDeadline(time.Time{})
-	return &Successor{Link: l, Snapshot: m.Legacy, Sockets: files}, nil
+	return &Handover{Link: l, Snapshot: m.Legacy, Sockets: files}, nil
 }
--- a/internal/settings/terms.go
+++ b/internal/settings/terms.go
@@ -3,7 +3,6 @@
 package settings
 
 import (
-	"errors"
 	"fmt"
 	"math"
 	"strings"
@@ -36,7 +35,7 @@
 // Parse reads the settings; keys that it does not know are passed over.
 func Parse(v *fastjson.Value) (balancer.Config, error) {
 	if v == nil || v.Type() != fastjson.TypeObject {
-		return balancer.Config{}, errors.New("not an object")
+		return balancer.Config{}, ErrNotObject
 	}
 	limits, rules, info, report := v.Get("policyLimits"), v.Get("rules"), v.Get("familyInfo"), v.Get("report")
 	goal := v.GetFloat64("goal", "whole") + v.GetFloat64("goal", "worstWindow")
@@ -93,8 +92,8 @@
 		repeat, known := repeats[string(o.GetStringBytes("repeat"))]
 		scope, named := scopes[string(o.GetStringBytes("dedupScope"))]
 		if !known || !named {
-			return all, fmt.Errorf("operations[%d]: unknown repeat %q or dedupScope %q", n,
-				o.GetStringBytes("repeat"), o.GetStringBytes("dedupScope"))
+			return all, reject(fmt.Sprintf("operations[%d]", n), fmt.Sprintf("unknown repeat %q or dedupScope %q",
+				o.GetStringBytes("repeat"), o.GetStringBytes("dedupScope")))
 		}
 		op := balancer.OperationConfig{
 			Name:             string(o.GetStringBytes("name")),
@@ -137,13 +136,13 @@
 // check refuses settings that no dispatcher can work with, and names the field.
 func check(v *fastjson.Value) error {
 	if len(v.GetArray("operations")) == 0 {
-		return errors.New("operations: there must be at least one")
+		return reject("operations", "there must be at least one")
 	}
 	if n := v.GetInt("balancers"); n < 1 {
-		return fmt.Errorf("balancers: %d, must be at least 1", n)
+		return reject("balancers", fmt.Sprintf("%d, must be at least 1", n))
 	}
 	if n := v.GetInt("position"); n < 0 || n >= v.GetInt("balancers") {
-		return fmt.Errorf("position: %d, must be one of %d", n, v.GetInt("balancers"))
+		return reject("position", fmt.Sprintf("%d, must be one of %d", n, v.GetInt("balancers")))
 	}
 	for _, path := range [][]string{
 		{"granularityS"},
@@ -155,13 +154,13 @@
 		{"rules", "coldFrom"},
 	} {
 		if s := v.GetFloat64(path...); s < 0 {
-			return fmt.Errorf("%s: %v, must not be negative", strings.Join(path, "."), s)
+			return reject(strings.Join(path, "."), fmt.Sprintf("%v, must not be negative", s))
 		}
 	}
 	for n, o := range v.GetArray("operations") {
 		for _, key := range []string{"latencyObjectiveS", "clientTimeoutS", "dedupWindowS"} {
 			if s := o.GetFloat64(key); s < 0 {
-				return fmt.Errorf("operations[%d].%s: %v, must not be negative", n, key, s)
+				return reject(fmt.Sprintf("operations[%d].%s", n, key), fmt.Sprintf("%v, must not be negative", s))
 			}
 		}
 	}
