--- a/internal/daemon/process.go
+++ b/internal/daemon/process.go
@@ -30,19 +30,19 @@
 	signals    *signals
 	log        zerolog.Logger
 
-	limits    resourceLimits
-	clock     func() balancer.Time
-	shards    *balancer.Shards
-	pool      *transport.Pool
-	restart   *hotRestart          // nil without an address for operators
-	node      *fleet.Node          // nil without LB_FLEET
-	datagrams *transport.Datagrams // nil without gossip
-	state     *lifecycle.State
-	proxy     *proxy.Proxy
-	listener  *net.TCPListener
-	server    *transport.Server
-	admin     *adminHandler
-	adminAPI  *admin.Server // nil without an address for operators
+	limits       resourceLimits
+	clock        func() balancer.Time
+	shards       *balancer.Shards
+	pool         *transport.Pool
+	restart      *hotRestart          // nil without an address for operators
+	node         *fleet.Node          // nil without LB_FLEET
+	datagrams    *transport.Datagrams // nil without gossip
+	state        *lifecycle.State
+	proxy        *proxy.Proxy
+	listener     *net.TCPListener
+	server       *transport.Server
+	adminHandler *adminHandler
+	adminServer  *admin.Server // nil without an address for operators
 }
 
 // start opens the sockets and builds the parts. Nothing runs yet when it returns.
@@ -137,12 +137,12 @@
 }
 
 func (p *process) openAdmin() error {
-	p.admin = &adminHandler{proxy: p.proxy, state: p.state, restart: p.restart, node: p.node}
+	p.adminHandler = &adminHandler{proxy: p.proxy, state: p.state, restart: p.restart, node: p.node}
 	if p.config.AdminListen == "" {
 		return nil
 	}
 	var err error
-	p.adminAPI, err = admin.Listen(p.config.AdminListen, p.admin, p.log)
+	p.adminServer, err = admin.Listen(p.config.AdminListen, p.adminHandler, p.log)
 	return err
 }
 
@@ -164,8 +164,8 @@
 	if p.node != nil {
 		g.Go(func() error { return p.node.Run(working) })
 	}
-	if p.adminAPI != nil {
-		g.Go(func() error { return p.adminAPI.Run(working) })
+	if p.adminServer != nil {
+		g.Go(func() error { return p.adminServer.Run(working) })
 		g.Go(func() error { return p.restart.run(working) })
 	}
 	g.Go(func() error { return p.handleSignals(failed, working, stopAccepting) })
--- a/internal/daemon/reload.go
+++ b/internal/daemon/reload.go
@@ -16,7 +16,7 @@
 		err = p.config.checkReload(next)
 	}
 	if err != nil {
-		p.admin.reloadsRejected.Add(1)
+		p.adminHandler.reloadsRejected.Add(1)
 		p.log.Error().Err(err).Msg("invalid configuration, keeping the current one")
 		return
 	}
@@ -24,7 +24,7 @@
 	p.proxy.Reconfigure(applied.Proxy, applied.Balancer)
 	p.proxy.SetDiscoveryAddress(next.Proxy.Discovery)
 	p.config = applied
-	p.admin.reloadsApplied.Add(1)
+	p.adminHandler.reloadsApplied.Add(1)
 	operations := []string{}
 	for _, o := range applied.Proxy.Operations {
 		operations = append(operations, o.Name)
