--- /dev/null
+++ b/internal/admission/controller_test.go
@@ -0,0 +1,105 @@
+package admission
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+)
+
+// Time of the core that a request costs.
+const (
+	admittedCost = 100 * time.Microsecond
+	rejectedCost = 25 * time.Microsecond
+)
+
+// flood plays a core with one queue, at a rate of requests a second. It returns how many are admitted and the longest
+// delay, both from a time on.
+func flood(c *Controller, rate float64, from, to time.Duration) (admitted int, longest time.Duration) {
+	idleAt := time.Duration(0)
+	gap := time.Duration(float64(time.Second) / rate)
+	sampleAt := SampleInterval
+	for now := time.Duration(0); now < to; now += gap {
+		for ; sampleAt <= now; sampleAt += SampleInterval {
+			c.ObserveDelay(sampleAt, max(idleAt-sampleAt, 0))
+		}
+		cost := rejectedCost
+		if c.Admit() {
+			cost = admittedCost
+			if now >= from {
+				admitted++
+			}
+		}
+		idleAt = max(idleAt, now) + cost
+		if now >= from {
+			longest = max(longest, idleAt-now)
+		}
+	}
+	return admitted, longest
+}
+
+func TestOverloadKeepsTheDelayShortAndTheCoreBusy(t *testing.T) {
+	const capacity = 10_000 // requests a second, if all are admitted
+	for _, factor := range []float64{1.5, 3} {
+		t.Run(fmt.Sprintf("%v times the capacity", factor), func(t *testing.T) {
+			admitted, longest := flood(New(1), factor*capacity, 2*time.Second, 6*time.Second)
+			assert.Less(t, longest, 50*time.Millisecond)
+			// What the core can admit with the time that is left when all others are rejected.
+			possible := 4 * (1 - factor*capacity*rejectedCost.Seconds()) / (admittedCost - rejectedCost).Seconds()
+			assert.Greater(t, float64(admitted), 0.75*possible)
+		})
+	}
+}
+
+func TestAllAreAdmittedBelowCapacity(t *testing.T) {
+	admitted, _ := flood(New(1), 9000, 0, 2*time.Second)
+	assert.InDelta(t, 18000, admitted, 1)
+}
+
+// A machine that stands still now and then, or gives the process too little, must not make it reject requests while it
+// has little to do.
+func TestDelayWithFewRequestsIsIgnored(t *testing.T) {
+	c := New(1)
+	for sampleAt := SampleInterval; sampleAt < 5*time.Second; sampleAt += SampleInterval {
+		c.ObserveDelay(sampleAt, 80*time.Millisecond)
+		if sampleAt%(10*time.Millisecond) == 0 {
+			assert.True(t, c.Admit())
+		}
+	}
+	assert.Equal(t, 1.0, c.AdmittedShare())
+}
+
+func TestShortDelayWithinEachIntervalAdmitsAll(t *testing.T) {
+	c := New(1)
+	for sampleAt := SampleInterval; sampleAt < 2*time.Second; sampleAt += SampleInterval {
+		delay := 90 * time.Millisecond
+		if sampleAt%(20*time.Millisecond) == 0 {
+			delay = time.Millisecond
+		}
+		c.ObserveDelay(sampleAt, delay)
+		c.examined.Add(1000)
+	}
+	assert.Equal(t, 1.0, c.AdmittedShare())
+}
+
+func TestAdmittedAreSpreadEvenlyAndTheShareRecovers(t *testing.T) {
+	c := New(1)
+	flood(c, 40000, 0, 2*time.Second)
+	assert.Less(t, c.AdmittedShare(), 0.5)
+	share := c.AdmittedShare()
+	rejectedInARow, longest := 0, 0
+	for range 1000 {
+		rejectedInARow++
+		if c.Admit() {
+			longest = max(longest, rejectedInARow)
+			rejectedInARow = 0
+		}
+	}
+	assert.LessOrEqual(t, float64(longest), 1/share+1)
+	c.examined.Store(0)
+	for sampleAt := 3 * time.Second; sampleAt < 6*time.Second; sampleAt += SampleInterval {
+		c.ObserveDelay(sampleAt, 0)
+	}
+	assert.Equal(t, 1.0, c.AdmittedShare())
+}
