--- a/internal/hotrestart/format_test.go
+++ b/internal/hotrestart/format_test.go
@@ -33,17 +33,17 @@
 		{"greeting", message{Version: 1}, func(l *Link) error { return l.send(message{Version: 1}) }},
 		{
 			"greeting with sockets and state",
-			message{Version: 1, Sockets: []string{"clients", "peers"}, Legacy: known},
-			func(l *Link) error { return l.send(message{Version: 1, Legacy: known}, sockets...) },
+			message{Version: 1, Sockets: []string{"clients", "peers"}, Snapshot: known},
+			func(l *Link) error { return l.send(message{Version: 1, Snapshot: known}, sockets...) },
 		},
 		{"successor serves", message{Serving: true}, func(l *Link) error { return l.SendServing() }},
-		{"running counts", message{Twin: counts}, func(l *Link) error { return l.SendSiblingUpdate(counts) }},
+		{"running counts", message{Update: counts}, func(l *Link) error { return l.SendSiblingUpdate(counts) }},
 		{
 			"migrated request",
-			message{Open: request, Sockets: []string{"clients", "peers"}},
+			message{Request: request, Sockets: []string{"clients", "peers"}},
 			func(l *Link) error { return l.SendRequest(request, sockets) },
 		},
-		{"operator's command", message{Call: "LEAVE"}, func(l *Link) error { return l.SendCommand("LEAVE") }},
+		{"operator's command", message{Command: "LEAVE"}, func(l *Link) error { return l.SendCommand("LEAVE") }},
 	}
 }
 
@@ -117,8 +117,8 @@
 	return ends[0], ends[1]
 }
 
-// TestMeetingPlaceIsThatOfEarlierRelease checks the name of the socket at which processes of two releases meet.
-func TestMeetingPlaceIsThatOfEarlierRelease(t *testing.T) {
+// TestRendezvousIsThatOfEarlierRelease checks the name of the socket at which processes of two releases find each other.
+func TestRendezvousIsThatOfEarlierRelease(t *testing.T) {
 	assert.Equal(t, Rendezvous{dir: "/run", file: "canvasroute-3c789696ef9993a6.sock"},
 		RendezvousFor("/run", "n3", "127.0.0.1:8080", "127.0.0.1:7946"))
 }
--- /dev/null
+++ b/internal/hotrestart/hotrestart_test.go
@@ -0,0 +1,135 @@
+package hotrestart
+
+import (
+	"context"
+	"encoding/json"
+	"net"
+	"os"
+	"path/filepath"
+	"strings"
+	"syscall"
+	"testing"
+	"time"
+
+	"github.com/rs/zerolog"
+	"github.com/stretchr/testify/assert"
+)
+
+// startPredecessor listens for successors until the test ends, and hands over one socket and a text.
+func startPredecessor(t *testing.T, r Rendezvous, connected chan<- *Link) (shared *net.TCPListener) {
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	assert.NoError(t, err)
+	shared = listener.(*net.TCPListener)
+	predecessor := Listener{
+		Rendezvous: r, Log: zerolog.Nop(), IsStopping: func() bool { return false },
+		Sockets:  func() []Socket { return []Socket{{ClientSocket, shared}} },
+		Snapshot: func() any { return "known" },
+		Serve: func(ctx context.Context, l *Link) {
+			defer context.AfterFunc(ctx, l.Close)()
+			connected <- l
+			_ = l.Receive(Handler{SiblingUpdate: func(b json.RawMessage) { _ = l.SendSiblingUpdate(b) }})
+		},
+	}
+	ctx, cancel := context.WithCancel(context.Background())
+	ended := make(chan error)
+	go func() { ended <- predecessor.Run(ctx) }()
+	t.Cleanup(func() {
+		cancel()
+		assert.NoError(t, <-ended)
+		shared.Close()
+	})
+	assert.Eventually(t, func() bool {
+		_, err := os.Stat(r.path(r.file))
+		return err == nil
+	}, time.Second, time.Millisecond)
+	return shared
+}
+
+func TestSocketsAndSnapshotAreHandedOver(t *testing.T) {
+	for _, c := range []struct{ name, dir string }{
+		{"short path", t.TempDir()},
+		{"path too long for an address", filepath.Join(t.TempDir(), strings.Repeat("a", 120))},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			assert.NoError(t, os.MkdirAll(c.dir, 0o700))
+			rendezvous, connected := RendezvousFor(c.dir, "n3", "127.0.0.1:1"), make(chan *Link, 2)
+			shared := startPredecessor(t, rendezvous, connected)
+			for range 2 { // after a successor that has failed, the next may come
+				handover, err := Connect(rendezvous)
+				if !assert.NoError(t, err) {
+					return
+				}
+				<-connected
+				assert.JSONEq(t, `"known"`, string(handover.Snapshot))
+				ln, err := net.FileListener(handover.Sockets[ClientSocket])
+				assert.NoError(t, err)
+				assert.Equal(t, shared.Addr(), ln.Addr(), "one queue")
+				ln.Close()
+				assert.NoError(t, handover.Link.SendSiblingUpdate(7))
+				m, _, err := handover.Link.receive()
+				assert.NoError(t, err)
+				assert.JSONEq(t, "7", string(m.Update))
+				handover.Link.Close()
+			}
+		})
+	}
+}
+
+// A start must neither fail nor wait because of what another process has left at the rendezvous.
+func TestStartWithoutPredecessor(t *testing.T) {
+	startsAlone := func(t *testing.T, r Rendezvous) {
+		t.Helper()
+		handover, err := Connect(r)
+		assert.Nil(t, handover)
+		assert.NoError(t, err)
+	}
+	r := RendezvousFor(t.TempDir(), "n3")
+	t.Run("nothing there", func(t *testing.T) { startsAlone(t, r) })
+	t.Run("socket of a killed process", func(t *testing.T) {
+		ln, err := r.listen()
+		assert.NoError(t, err)
+		ln.Close()
+		startsAlone(t, r)
+	})
+	t.Run("ordinary file", func(t *testing.T) {
+		assert.NoError(t, os.Remove(r.path(r.file)))
+		assert.NoError(t, os.WriteFile(r.path(r.file), []byte("x"), 0o600))
+		startsAlone(t, r)
+		startPredecessor(t, r, make(chan *Link, 1)) // replaces it
+	})
+	t.Run("no such directory", func(t *testing.T) {
+		none := RendezvousFor(filepath.Join(t.TempDir(), "none"), "n3")
+		startsAlone(t, none)
+		listener := Listener{Rendezvous: none, Log: zerolog.Nop(), IsStopping: func() bool { return false }}
+		assert.NoError(t, listener.Run(context.Background()), "it serves without successors")
+	})
+}
+
+func TestProcessOfAnotherVersionIsRejected(t *testing.T) {
+	r := RendezvousFor(t.TempDir(), "n3")
+	startPredecessor(t, r, make(chan *Link, 1))
+	conn, err := r.dial()
+	assert.NoError(t, err)
+	defer conn.Close()
+	conn.SetDeadline(time.Now().Add(5 * time.Second))
+	assert.NoError(t, newLink(conn).send(message{Version: version + 1}))
+	_, _, err = newLink(conn).receive()
+	assert.Error(t, err, "nothing is handed to it")
+	assert.ErrorIs(t, (&message{Version: version + 1}).checkVersion(), ErrVersionMismatch)
+	_, err = parseMessage([]byte(`{"v":`))
+	assert.ErrorIs(t, err, ErrVersionMismatch)
+}
+
+// A start waits for a predecessor that hangs within a bound.
+func TestSilentPredecessorIsGivenUp(t *testing.T) {
+	r := RendezvousFor(t.TempDir(), "n3")
+	ln, err := r.listen()
+	assert.NoError(t, err)
+	defer ln.Close()
+	began := time.Now()
+	_, err = Connect(r)
+	assert.ErrorIs(t, err, os.ErrDeadlineExceeded)
+	assert.InDelta(t, handshakeTimeout.Seconds(), time.Since(began).Seconds(), 0.5)
+	assert.NotErrorIs(t, err, syscall.ECONNREFUSED)
+}
--- a/internal/hotrestart/link.go
+++ b/internal/hotrestart/link.go
@@ -13,121 +13,116 @@
 	"golang.org/x/sys/unix"
 )
 
-// Bounds on waiting for the other process.
-const (
-	meetWithin = 2 * time.Second // for all that a start waits for
-	sendWithin = time.Second
-)
+// sendTimeout bounds the sending of one message.
+const sendTimeout = time.Second
 
-// mostSockets is how many descriptors come with one message.
-const mostSockets = 64
+// maxSockets is how many descriptors come with one message.
+const maxSockets = 64
 
-// Link is the connection between the two processes of an upgrade.
+// Link is the connection between the two processes of a hot restart. Many goroutines may send, one may receive.
 type Link struct {
-	c     *net.UnixConn
-	lines *bufio.Reader
-	files []*os.File // that have come, and whose message has not been read yet
-	mu    sync.Mutex // one message is sent at a time
+	conn    *net.UnixConn
+	lines   *bufio.Reader
+	files   []*os.File // received, with messages that are not read yet
+	sending sync.Mutex
 }
 
-func newLink(c *net.UnixConn) *Link {
-	l := &Link{c: c}
-	l.lines = bufio.NewReader(reader{l})
+func newLink(conn *net.UnixConn) *Link {
+	l := &Link{conn: conn}
+	l.lines = bufio.NewReader(descriptorReader{l})
 	return l
 }
 
-// Close ends the link; the other side takes it for this process's end.
-func (l *Link) Close() { l.c.Close() }
+// Close closes the link. The other process sees it as this one's end.
+func (l *Link) Close() { l.conn.Close() }
 
-// reader keeps the descriptors that come with the bytes.
-type reader struct{ l *Link }
+// descriptorReader reads bytes, and keeps the descriptors that come with them in the link.
+type descriptorReader struct{ link *Link }
 
-func (r reader) Read(p []byte) (int, error) {
-	oob := make([]byte, unix.CmsgSpace(mostSockets*4))
-	n, m, _, _, err := r.l.c.ReadMsgUnix(p, oob)
-	n, m = max(n, 0), max(m, 0)
-	if m == 0 {
+// Read implements io.Reader.
+func (r descriptorReader) Read(p []byte) (int, error) {
+	const descriptorBytes = 4
+	control := make([]byte, unix.CmsgSpace(maxSockets*descriptorBytes))
+	n, controlBytes, _, _, err := r.link.conn.ReadMsgUnix(p, control)
+	n = max(n, 0)
+	if controlBytes <= 0 {
 		return n, err
 	}
-	messages, wrong := unix.ParseSocketControlMessage(oob[:m])
-	if wrong != nil {
-		return n, errors.Join(err, wrong)
+	messages, malformed := unix.ParseSocketControlMessage(control[:controlBytes])
+	if malformed != nil {
+		return n, errors.Join(err, malformed)
 	}
 	for i := range messages {
-		fds, wrong := unix.ParseUnixRights(&messages[i])
-		if wrong != nil {
-			continue
+		descriptors, err := unix.ParseUnixRights(&messages[i])
+		if err != nil {
+			continue // not descriptors
 		}
-		for _, fd := range fds {
+		for _, fd := range descriptors {
 			unix.CloseOnExec(fd)
-			r.l.files = append(r.l.files, os.NewFile(uintptr(fd), "handed over"))
+			r.link.files = append(r.link.files, os.NewFile(uintptr(fd), "handed over"))
 		}
 	}
 	return n, err
 }
 
-// send sends a message with sockets, which stay open here too.
+// send sends a message with sockets, which stay open in this process too.
 func (l *Link) send(m message, sockets ...Socket) error {
-	if len(sockets) > mostSockets {
-		return fmt.Errorf("hand-over: %d sockets, there may be %d", len(sockets), mostSockets)
+	if len(sockets) > maxSockets {
+		return fmt.Errorf("hot restart: %d sockets in a message, at most %d are possible", len(sockets), maxSockets)
 	}
 	for _, s := range sockets {
 		m.Sockets = append(m.Sockets, s.Name)
 	}
-	b, err := json.Marshal(m)
+	line, err := marshal(m)
 	if err != nil {
-		return fmt.Errorf("hand-over: %w", err)
-	}
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.c.SetWriteDeadline(time.Now().Add(sendWithin))
-	fds := make([]int, len(sockets))
-	return controlled(sockets, fds, func() error {
-		b = append(b, '\n')
-		n := 0
-		if len(fds) > 0 {
-			if n, _, err = l.c.WriteMsgUnix(b, unix.UnixRights(fds...), nil); err != nil {
-				return fmt.Errorf("hand-over: %w", err)
-			}
-		}
-		if _, err := l.c.Write(b[n:]); err != nil {
-			return fmt.Errorf("hand-over: %w", err)
+		return err
+	}
+	line = append(line, '\n')
+	l.sending.Lock()
+	defer l.sending.Unlock()
+	l.conn.SetWriteDeadline(time.Now().Add(sendTimeout))
+	descriptors := make([]int, len(sockets))
+	return withDescriptors(sockets, descriptors, func() error { return l.write(line, descriptors) })
+}
+
+// write writes a line, with descriptors beside its first byte.
+func (l *Link) write(line []byte, descriptors []int) error {
+	if len(descriptors) > 0 {
+		n, _, err := l.conn.WriteMsgUnix(line, unix.UnixRights(descriptors...), nil)
+		if err != nil {
+			return fmt.Errorf("hot restart: %w", err)
 		}
-		return nil
-	})
+		line = line[n:]
+	}
+	if _, err := l.conn.Write(line); err != nil {
+		return fmt.Errorf("hot restart: %w", err)
+	}
+	return nil
 }
 
-// controlled calls do while each socket's descriptor, in fds, is sure to stay what it is.
-func controlled(sockets []Socket, fds []int, do func() error) (err error) {
+// withDescriptors puts the sockets' descriptors into a slice of the same length and calls use. Until it returns, no
+// socket is closed and no descriptor used for something else.
+func withDescriptors(sockets []Socket, descriptors []int, use func() error) error {
 	if len(sockets) == 0 {
-		return do()
+		return use()
 	}
 	raw, err := sockets[0].Conn.SyscallConn()
 	if err != nil {
-		return fmt.Errorf("hand-over: %w", err)
+		return fmt.Errorf("hot restart: %w", err)
 	}
+	var used error
 	held := raw.Control(func(fd uintptr) {
-		fds[0] = int(fd)
-		err = controlled(sockets[1:], fds[1:], do)
+		descriptors[0] = int(fd)
+		used = withDescriptors(sockets[1:], descriptors[1:], use)
 	})
-	return errors.Join(held, err)
+	return errors.Join(held, used)
 }
 
-// receive reads the next message, with its descriptors by their names.
+// receive reads the next message, with its sockets by their names.
 func (l *Link) receive() (message, map[string]*os.File, error) {
-	var line []byte
-	for {
-		part, err := l.lines.ReadSlice('\n')
-		line = append(line, part...)
-		if err == nil {
-			break
-		}
-		if !errors.Is(err, bufio.ErrBufferFull) {
-			return message{}, nil, fmt.Errorf("hand-over: %w", err)
-		}
-		if len(line) > mostMessage {
-			return message{}, nil, fmt.Errorf("%w: a line of more than %d bytes", ErrVersionMismatch, mostMessage)
-		}
+	line, err := l.readLine()
+	if err != nil {
+		return message{}, nil, err
 	}
 	m, err := parseMessage(line)
 	if err != nil {
@@ -136,76 +131,86 @@
 	if len(m.Sockets) > len(l.files) {
 		return m, nil, fmt.Errorf("%w: %d descriptors for %d sockets", ErrVersionMismatch, len(l.files), len(m.Sockets))
 	}
-	files := map[string]*os.File{}
+	sockets := map[string]*os.File{}
 	for n, name := range m.Sockets {
-		files[name] = l.files[n]
+		sockets[name] = l.files[n]
 	}
 	l.files = l.files[len(m.Sockets):]
-	return m, files, nil
+	return m, sockets, nil
+}
+
+func (l *Link) readLine() ([]byte, error) {
+	var line []byte
+	for {
+		part, err := l.lines.ReadSlice('\n')
+		line = append(line, part...)
+		switch {
+		case err == nil:
+			return line, nil
+		case !errors.Is(err, bufio.ErrBufferFull):
+			return nil, fmt.Errorf("hot restart: %w", err)
+		case len(line) > maxMessageBytes:
+			return nil, fmt.Errorf("%w: a line of more than %d bytes", ErrVersionMismatch, maxMessageBytes)
+		}
+	}
 }
 
-// SendSiblingUpdate tells the other process what is out here.
+// SendSiblingUpdate sends what this process has in flight, in JSON.
 func (l *Link) SendSiblingUpdate(v any) error {
-	b, err := encoded(v)
+	text, err := marshal(v)
 	if err != nil {
 		return err
 	}
-	return l.send(message{Twin: b})
+	return l.send(message{Update: text})
 }
 
-// SendCommand passes an operator's call on to the successor.
-func (l *Link) SendCommand(call string) error { return l.send(message{Call: call}) }
+// SendCommand forwards an operator's command to the successor.
+func (l *Link) SendCommand(command string) error { return l.send(message{Command: command}) }
 
-// SendServing tells the predecessor that this process accepts from now on.
+// SendServing tells the predecessor that this process accepts connections from now on.
 func (l *Link) SendServing() error { return l.send(message{Serving: true}) }
 
-// SendRequest hands over one invocation that is open, with its sockets.
+// SendRequest hands over one request in flight, in JSON, with its sockets.
 func (l *Link) SendRequest(v any, sockets []Socket) error {
-	b, err := encoded(v)
+	text, err := marshal(v)
 	if err != nil {
 		return err
 	}
-	return l.send(message{Open: b}, sockets...)
+	return l.send(message{Request: text}, sockets...)
 }
 
-func encoded(v any) (json.RawMessage, error) {
-	b, err := json.Marshal(v)
-	if err != nil {
-		return nil, fmt.Errorf("hand-over: %w", err)
-	}
-	return b, nil
-}
-
-// Handler are what a link brings. Each may be nil.
+// Handler has a function for each kind of message that a link receives. Any may be nil.
 type Handler struct {
 	Serving       func()
 	SiblingUpdate func(json.RawMessage)
 	Command       func(string)
-	Request       func(json.RawMessage, map[string]*os.File)
+	Request       func(json.RawMessage, map[string]*os.File) // closes the files
 }
 
-// Receive hands on what the other process tells until its end, or the link's.
-func (l *Link) Receive(e Handler) error {
+// Receive handles messages until the other process ends or the link is closed, and returns why.
+func (l *Link) Receive(h Handler) error {
 	for {
-		m, files, err := l.receive()
+		m, sockets, err := l.receive()
 		if err != nil {
 			return err
 		}
-		if m.Serving && e.Serving != nil {
-			e.Serving()
-		}
-		if m.Twin != nil && e.SiblingUpdate != nil {
-			e.SiblingUpdate(m.Twin)
-		}
-		if m.Call != "" && e.Command != nil {
-			e.Command(m.Call)
-		}
-		if m.Open != nil && e.Request != nil {
-			e.Request(m.Open, files)
-			continue
-		}
-		for _, f := range files { // nobody wants them
-			f.Close()
-		}
+		h.handle(m, sockets)
+	}
+}
+
+func (h Handler) handle(m message, sockets map[string]*os.File) {
+	if m.Serving && h.Serving != nil {
+		h.Serving()
+	}
+	if m.Update != nil && h.SiblingUpdate != nil {
+		h.SiblingUpdate(m.Update)
+	}
+	if m.Command != "" && h.Command != nil {
+		h.Command(m.Command)
+	}
+	if m.Request != nil && h.Request != nil {
+		h.Request(m.Request, sockets)
+		return
 	}
+	closeAll(sockets)
 }
--- /dev/null
+++ b/internal/hotrestart/rendezvous.go
@@ -0,0 +1,101 @@
+package hotrestart
+
+import (
+	"fmt"
+	"hash/fnv"
+	"net"
+	"os"
+	"path/filepath"
+
+	"golang.org/x/sys/unix"
+)
+
+// maxPathBytes is the longest path of a Unix socket that is used as it is. The system allows 107 bytes, and the socket
+// has a longer name until it is in place.
+const maxPathBytes = 90
+
+// Rendezvous is the Unix socket at which the processes of one dispatcher find each other.
+type Rendezvous struct {
+	dir  string
+	file string
+}
+
+// RendezvousFor is the rendezvous of a dispatcher, which its name and addresses identify, in a directory. All releases
+// have to find the same one.
+func RendezvousFor(dir string, identity ...string) Rendezvous {
+	h := fnv.New64a()
+	fmt.Fprintf(h, "%q", identity)
+	return Rendezvous{dir: dir, file: fmt.Sprintf("canvasroute-%016x.sock", h.Sum64())}
+}
+
+func (r Rendezvous) path(file string) string { return filepath.Join(r.dir, file) }
+
+// withAddress calls use with the address of a file in the directory. A path that is too long for an address leads by
+// way of the directory's descriptor, which is open during the call.
+func (r Rendezvous) withAddress(file string, use func(*net.UnixAddr) error) error {
+	path := r.path(file)
+	if len(path) > maxPathBytes {
+		dir, err := os.Open(r.dir)
+		if err != nil {
+			return fmt.Errorf("rendezvous: %w", err)
+		}
+		defer dir.Close()
+		path = fmt.Sprintf("/proc/self/fd/%d/%s", dir.Fd(), file)
+	}
+	return use(&net.UnixAddr{Name: path, Net: "unix"})
+}
+
+// listen listens at the rendezvous, in place of whoever had it: what a killed process has left there, or a predecessor.
+// The socket is renamed into place once it listens, so that no process finds none in between.
+func (r Rendezvous) listen() (*net.UnixListener, error) {
+	temporary := fmt.Sprintf("%s.%d", r.file, os.Getpid())
+	_ = os.Remove(r.path(temporary)) // mostly there is none; one that cannot be removed fails the listening
+	var ln *net.UnixListener
+	err := r.withAddress(temporary, func(addr *net.UnixAddr) error {
+		var err error
+		ln, err = net.ListenUnix("unix", addr)
+		return err
+	})
+	if err != nil {
+		return nil, fmt.Errorf("rendezvous: %w", err)
+	}
+	ln.SetUnlinkOnClose(false) // by then the path may be the successor's
+	if err := os.Rename(r.path(temporary), r.path(r.file)); err != nil {
+		ln.Close()
+		return nil, fmt.Errorf("rendezvous: %w", err)
+	}
+	return ln, nil
+}
+
+// stat is the file at the rendezvous, nil for none.
+func (r Rendezvous) stat() os.FileInfo {
+	info, err := os.Stat(r.path(r.file))
+	if err != nil {
+		return nil
+	}
+	return info
+}
+
+func (r Rendezvous) dial() (*net.UnixConn, error) {
+	var conn *net.UnixConn
+	err := r.withAddress(r.file, func(addr *net.UnixAddr) error {
+		var err error
+		conn, err = net.DialUnix("unix", nil, addr)
+		return err
+	})
+	return conn, err
+}
+
+// isSameUser reports whether the other end is a process of the same user. Nothing is sent to another's, nor believed.
+func isSameUser(conn *net.UnixConn) bool {
+	raw, err := conn.SyscallConn()
+	if err != nil {
+		return false
+	}
+	same := false
+	err = raw.Control(func(fd uintptr) {
+		peer, err := unix.GetsockoptUcred(int(fd), unix.SOL_SOCKET, unix.SO_PEERCRED)
+		same = err == nil && int(peer.Uid) == os.Getuid()
+	})
+	return err == nil && same
+}
