--- a/internal/daemon/config_test.go
+++ b/internal/daemon/config_test.go
@@ -53,7 +53,7 @@
 		{"idle timeout", `"connIdleS":8`, `"connIdleS":-1`, "settings.policyLimits.connIdleS: -1"},
 		{"zone", `"zones":["a"]`, `"zones":[1]`, "settings.zones[0]: must be a string"},
 		{"operation name", `"name":"render"`, `"name":""`, "settings.operations[0].name: must be a non-empty string"},
-		{"repeat", `"repeat":"idempotent"`, `"repeat":"often"`, `settings: operations[0]: unknown repeat "often"`},
+		{"repeat", `"repeat":"idempotent"`, `"repeat":"often"`, `settings: operations[0].repeat: "often", must be one of`},
 		{"dispatchers", `"balancers":2`, `"balancers":0`, "settings: balancers: 0"},
 		{"admin address", `"name":"n3"`, `"name":"n3","mgmt":"nowhere"`, `mgmt: "nowhere" is not an address`},
 		{
--- a/internal/settings/terms_test.go
+++ b/internal/settings/settings_test.go
@@ -32,8 +32,8 @@
 "orgs": [{"name": "acme", "quotaPerS": 7.5}, {"name": "globex", "quotaPerS": 0}]
 }`
 
-// wantTerms is what allSettings says.
-func wantTerms() balancer.Config {
+// wantConfig is what allSettings says.
+func wantConfig() balancer.Config {
 	return balancer.Config{
 		Dispatchers: 5, Kinds: 2, Position: 2, GossipCost: 0.03125, Zone: 3,
 		Operations: []balancer.OperationConfig{
@@ -54,33 +54,43 @@
 	}
 }
 
-// notInSettings are the terms that a dispatcher's program sets itself.
+// notInSettings are the fields that package daemon sets itself.
 var notInSettings = []string{"NotifyDeadline", "DeliveryNotices"}
 
-// TestEachSettingArrivesInItsTerm pins the keys of the settings.
-func TestEachSettingArrivesInItsTerm(t *testing.T) {
+// TestEachSettingArrivesInItsField pins the keys of the settings.
+func TestEachSettingArrivesInItsField(t *testing.T) {
 	read, err := Parse(fastjson.MustParse(allSettings))
 	assert.NoError(t, err)
-	assert.Equal(t, wantTerms(), read)
-	v := reflect.ValueOf(wantTerms())
+	assert.Equal(t, wantConfig(), read)
+	v := reflect.ValueOf(wantConfig())
 	for n := range v.NumField() {
 		name := v.Type().Field(n).Name
-		assert.Equal(t, slices.Contains(notInSettings, name), v.Field(n).IsZero(), "%s: a term without a setting here", name)
+		assert.Equal(t, slices.Contains(notInSettings, name), v.Field(n).IsZero(), "%s: a field without a setting in this test", name)
 	}
 }
 
-// TestWordsOfSettings pins the words that settings choose by, with the numbers that they stand for in stored data.
+// TestWordsOfSettings pins the words that settings choose from, with the numbers that they stand for in stored data.
 func TestWordsOfSettings(t *testing.T) {
-	for word, want := range map[string]int{"idempotent": 0, "deduplicated": 1, "at_most_once": 2} {
-		read, err := Parse(fastjson.MustParse(fmt.Sprintf(`{"balancers":1,"operations":[{"repeat":%q}]}`, word)))
-		assert.NoError(t, err)
-		assert.EqualValues(t, want, read.Operations[0].Idempotency, word)
+	for _, c := range []struct {
+		word string
+		want balancer.Idempotency
+	}{{"idempotent", 0}, {"deduplicated", 1}, {"at_most_once", 2}} {
+		t.Run("repeat "+c.word, func(t *testing.T) {
+			read, err := Parse(fastjson.MustParse(fmt.Sprintf(`{"balancers":1,"operations":[{"repeat":%q}]}`, c.word)))
+			assert.NoError(t, err)
+			assert.Equal(t, c.want, read.Operations[0].Idempotency)
+		})
 	}
-	for word, want := range map[string]int{"": 0, "all": 0, "zone": 1, "cell": 2} {
-		read, err := Parse(fastjson.MustParse(
-			fmt.Sprintf(`{"balancers":1,"operations":[{"repeat":"idempotent","dedupScope":%q}]}`, word)))
-		assert.NoError(t, err)
-		assert.EqualValues(t, want, read.Operations[0].DedupScope, word)
+	for _, c := range []struct {
+		word string
+		want balancer.DedupScope
+	}{{"", 0}, {"all", 0}, {"zone", 1}, {"cell", 2}} {
+		t.Run("dedupScope "+c.word, func(t *testing.T) {
+			read, err := Parse(fastjson.MustParse(
+				fmt.Sprintf(`{"balancers":1,"operations":[{"repeat":"idempotent","dedupScope":%q}]}`, c.word)))
+			assert.NoError(t, err)
+			assert.Equal(t, c.want, read.Operations[0].DedupScope)
+		})
 	}
 }
 
@@ -96,34 +106,51 @@
 		read)
 }
 
-// TestFaultsNameTheirSetting pins the keys in the messages of settings that cannot be worked with.
-func TestFaultsNameTheirSetting(t *testing.T) {
-	for _, c := range []struct{ settings, want string }{
-		{`{"balancers":1}`, "operations: there must be at least one"},
-		{`{"balancers":0,"operations":[{"repeat":"idempotent"}]}`, "balancers: 0, must be at least 1"},
-		{`{"balancers":2,"position":2,"operations":[{"repeat":"idempotent"}]}`, "position: 2, must be one of 2"},
+// TestInvalidSettingsAreRejectedByKey pins the keys in the errors of settings that no dispatcher can work with.
+func TestInvalidSettingsAreRejectedByKey(t *testing.T) {
+	const idempotent = `"operations":[{"repeat":"idempotent"}]`
+	for _, c := range []struct{ name, settings, key, problem string }{
+		{"no operation", `{"balancers":1}`, "operations", "there must be at least one"},
+		{"no dispatcher", `{"balancers":0,` + idempotent + `}`, "balancers", "0, must be at least 1"},
 		{
-			`{"balancers":1,"operations":[{"repeat":"never","dedupScope":"moon"}]}`,
-			`operations[0]: unknown repeat "never" or dedupScope "moon"`,
+			"position", `{"balancers":2,"position":2,` + idempotent + `}`,
+			"position", "2, must be from 0 to 1, as there are 2 balancers",
 		},
 		{
-			`{"balancers":1,"operations":[{"repeat":"idempotent","clientTimeoutS":-1}]}`,
-			"operations[0].clientTimeoutS: -1, must not be negative",
+			"repeat", `{"balancers":1,"operations":[{"repeat":"never","dedupScope":"moon"}]}`,
+			"operations[0].repeat", `"never", must be one of at_most_once, deduplicated, idempotent`,
 		},
 		{
-			`{"balancers":1,"operations":[{"repeat":"idempotent","dedupWindowS":-1}]}`,
-			"operations[0].dedupWindowS: -1, must not be negative",
+			"dedupScope", `{"balancers":1,"operations":[{"repeat":"idempotent","dedupScope":"moon"}]}`,
+			"operations[0].dedupScope", `"moon", must be one of all, cell, zone`,
 		},
 		{
-			`{"balancers":1,"operations":[{"repeat":"idempotent"}],"rules":{"drainGraceS":-2}}`,
-			"rules.drainGraceS: -2, must not be negative",
+			"client timeout", `{"balancers":1,"operations":[{"repeat":"idempotent","clientTimeoutS":-1}]}`,
+			"operations[0].clientTimeoutS", "-1, must not be negative",
 		},
 		{
-			`{"balancers":1,"operations":[{"repeat":"idempotent"}],"policyLimits":{"maxRetryAfterS":-2}}`,
-			"policyLimits.maxRetryAfterS: -2, must not be negative",
+			"deduplication window", `{"balancers":1,"operations":[{"repeat":"idempotent","dedupWindowS":-1}]}`,
+			"operations[0].dedupWindowS", "-1, must not be negative",
+		},
+		{
+			"rule", `{"balancers":1,` + idempotent + `,"rules":{"drainGraceS":-2}}`,
+			"rules.drainGraceS", "-2, must not be negative",
+		},
+		{
+			"policy limit", `{"balancers":1,` + idempotent + `,"policyLimits":{"maxRetryAfterS":-2}}`,
+			"policyLimits.maxRetryAfterS", "-2, must not be negative",
 		},
 	} {
-		_, err := Parse(fastjson.MustParse(c.settings))
-		assert.EqualError(t, err, c.want)
+		t.Run(c.name, func(t *testing.T) {
+			_, err := Parse(fastjson.MustParse(c.settings))
+			var keyError *KeyError
+			assert.ErrorAs(t, err, &keyError)
+			assert.Equal(t, &KeyError{Key: c.key, Problem: c.problem}, keyError)
+			assert.EqualError(t, err, c.key+": "+c.problem)
+		})
 	}
+	_, err := Parse(fastjson.MustParse("[]"))
+	assert.ErrorIs(t, err, ErrNotObject)
+	_, err = Parse(nil)
+	assert.ErrorIs(t, err, ErrNotObject)
 }
