--- /dev/null
+++ b/internal/tomlconfig/tomlconfig.go
@@ -0,0 +1,37 @@
+// Package tomlconfig decodes TOML files that people write. A key that is not known is an error, and each error names its
+// place in the file. It checks no values: the packages that own the files do.
+package tomlconfig
+
+import (
+	"bytes"
+	"errors"
+	"fmt"
+	"strings"
+
+	"github.com/pelletier/go-toml/v2"
+)
+
+// ErrUnknownKey is returned for a key that the decoded type does not have.
+var ErrUnknownKey = errors.New("unknown key")
+
+// Decode decodes a text into the value that v points to. path is the file's, for errors: each begins with the path, the
+// line, and the column if it is known. They wrap ErrUnknownKey, or a *toml.DecodeError for other faults.
+func Decode(path string, text []byte, v any) error {
+	err := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields().Decode(v)
+	var unknown *toml.StrictMissingError
+	var malformed *toml.DecodeError
+	switch {
+	case err == nil:
+		return nil
+	case errors.As(err, &unknown) && len(unknown.Errors) > 0:
+		first := unknown.Errors[0]
+		line, _ := first.Position()
+		return fmt.Errorf("%s:%d: %w %s", path, line, ErrUnknownKey, dotted(first.Key()))
+	case errors.As(err, &malformed):
+		line, column := malformed.Position()
+		return fmt.Errorf("%s:%d:%d: %s: %w", path, line, column, dotted(malformed.Key()), err)
+	}
+	return fmt.Errorf("%s: %w", path, err)
+}
+
+func dotted(key toml.Key) string { return strings.Join(key, ".") }
