--- a/internal/simadapter/reply.go
+++ b/internal/simadapter/reply.go
@@ -4,137 +4,70 @@
 	"encoding/json"
 	"strconv"
 
-	"github.com/valyala/fastjson"
-
 	"canvasroute/internal/balancer"
 )
 
-// numbers reads a load report; one that does not hold all its values is none.
-func (in *instance) numbers(v *fastjson.Value) []float64 {
-	in.row = in.row[:0]
-	if v == nil || len(v.GetArray()) != in.reported {
-		return nil
-	}
-	for _, x := range v.GetArray() {
-		in.row = append(in.row, x.GetFloat64())
-	}
-	return in.row
-}
-
-func quoted(s string) string {
-	b, err := json.Marshal(s)
-	if err != nil {
-		panic(err) // a string always has a JSON form
-	}
-	return string(b)
-}
-
-// reply is the line being written.
+// reply is the line that answers a batch: an object with the batch's frame, and commands in their order. It is written
+// straight into a buffer that is used again for the next one.
 type reply struct {
-	buf   []byte
-	count int
+	line     []byte
+	commands int
 }
 
+// start begins the reply to a batch.
 func (r *reply) start(frame uint64) {
-	r.buf = append(strconv.AppendUint(append(r.buf[:0], `{"frame":`...), frame, 10), `,"cmds":[`...)
-	r.count = 0
+	r.line = append(r.line[:0], `{"frame":`...)
+	r.line = strconv.AppendUint(r.line, frame, 10)
+	r.line = append(r.line, `,"cmds":[`...)
+	r.commands = 0
 }
 
-func (r *reply) end() { r.buf = append(r.buf, "]}\n"...) }
+func (r *reply) end() { r.line = append(r.line, "]}\n"...) }
 
+// open begins a command of a dispatcher. Its fields are written next, and then close.
 func (r *reply) open(name string, dispatcher int) {
-	if r.count > 0 {
-		r.buf = append(r.buf, ',')
+	if r.commands > 0 {
+		r.line = append(r.line, ',')
 	}
-	r.count++
-	r.buf = append(append(append(r.buf, `{"`...), name...), `":{"dispatcher":`...)
-	r.buf = strconv.AppendInt(r.buf, int64(dispatcher), 10)
+	r.commands++
+	r.line = append(r.line, `{"`...)
+	r.line = append(r.line, name...)
+	r.line = append(r.line, `":{"dispatcher":`...)
+	r.line = strconv.AppendInt(r.line, int64(dispatcher), 10)
 }
 
-func (r *reply) raw(key, value string) {
-	r.buf = append(append(append(append(r.buf, `,"`...), key...), `":`...), value...)
-}
+func (r *reply) close() { r.line = append(r.line, "}}"...) }
 
-func (r *reply) number(key string, n int64) {
-	r.raw(key, "")
-	r.buf = strconv.AppendInt(r.buf, n, 10)
+// writeRaw writes a field whose value is JSON already.
+func (r *reply) writeRaw(key, value string) {
+	r.line = append(r.line, `,"`...)
+	r.line = append(r.line, key...)
+	r.line = append(r.line, `":`...)
+	r.line = append(r.line, value...)
 }
 
-func (r *reply) seconds(key string, t balancer.Time) {
-	r.raw(key, "")
-	r.buf = strconv.AppendFloat(r.buf, float64(t)/balancer.Second, 'f', -1, 64)
+func (r *reply) writeInt(key string, n int64) {
+	r.writeRaw(key, "")
+	r.line = strconv.AppendInt(r.line, n, 10)
 }
 
-func (r *reply) close() { r.buf = append(r.buf, "}}"...) }
+func (r *reply) writeSeconds(key string, t balancer.Time) {
+	r.writeRaw(key, "")
+	r.line = strconv.AppendFloat(r.line, float64(t)/balancer.Second, 'f', -1, 64)
+}
 
-func (r *reply) text(name string, dispatcher int, text string) {
+// writeText writes a whole command that has a text.
+func (r *reply) writeText(name string, dispatcher int, text string) {
 	r.open(name, dispatcher)
-	r.raw("text", quoted(text))
+	r.writeRaw("text", quoted(text))
 	r.close()
 }
 
-// The answers of a dispatcher, as decide.Link.
-
-func (in *instance) SendAttempt(inv balancer.RequestID, tgt balancer.WorkerID, within balancer.Time) {
-	t := &in.tracks[inv]
-	t.sent++
-	t.out++
-	in.reply.open("Issue", in.number)
-	in.reply.raw("rid", t.quoted)
-	in.reply.raw("worker", in.names[tgt])
-	if within > 0 {
-		in.reply.seconds("withinS", within)
-	}
-	in.reply.close()
-}
-
-func (in *instance) CancelAttempt(inv balancer.RequestID, forward int) {
-	in.reply.open("AbortAttempt", in.number)
-	in.reply.raw("rid", in.tracks[inv].quoted)
-	in.reply.number("hop", int64(forward))
-	in.reply.close()
-}
-
-func (in *instance) Reject(inv balancer.RequestID, comeBack balancer.Time) {
-	in.reply.open("Bounce", in.number)
-	in.reply.raw("rid", in.tracks[inv].quoted)
-	if comeBack > 0 {
-		in.reply.seconds("comeBackS", comeBack)
+// quoted is a string as JSON.
+func quoted(s string) string {
+	b, err := json.Marshal(s)
+	if err != nil {
+		panic(err) // each string has a JSON form
 	}
-	in.reply.close()
-	in.finish(inv)
-}
-
-func (in *instance) Fail(inv balancer.RequestID) {
-	in.reply.open("DropRequest", in.number)
-	in.reply.raw("rid", in.tracks[inv].quoted)
-	in.reply.close()
-	in.finish(inv)
-}
-
-// finish marks an invocation over. Its number is not freed while the dispatcher may still be at work on it.
-func (in *instance) finish(inv balancer.RequestID) {
-	in.tracks[inv].over = true
-	in.done = append(in.done, inv)
-}
-
-func (in *instance) Wake(key uint64, after balancer.Time) {
-	in.reply.open("WakeMe", in.number)
-	in.reply.number("keyBack", int64(key))
-	in.reply.seconds("offsetS", after)
-	in.reply.close()
-}
-
-func (in *instance) PollEndpoints() {
-	in.reply.open("Subscribe", in.number)
-	in.reply.raw("want", "true")
-	in.reply.close()
-}
-
-func (in *instance) Probe(tgt balancer.WorkerID) {
-	in.reply.open("HealthCheck", in.number)
-	in.reply.raw("worker", in.names[tgt])
-	in.reply.close()
+	return string(b)
 }
-
-func (in *instance) Log(line string) { in.reply.text("Remark", in.number, line) }
