--- a/internal/fleet/merge.go
+++ b/internal/fleet/merge.go
@@ -109,7 +109,7 @@
 		if serves {
 			n.facade.ReportSeniorPeer(m.Member)
 		}
-		for kind, most := range m.Bears {
+		for kind, most := range m.MaxObserved {
 			if k := slices.Index(n.terms.Kinds, kind); k >= 0 { // also of another's disk: where this one's is gone
 				n.facade.SeedMaxObserved(balancer.KindID(k), most)
 			}
--- a/internal/fleet/messaging/format_test.go
+++ b/internal/fleet/messaging/format_test.go
@@ -21,7 +21,7 @@
 	return []golden{
 		{"question.cbor", Message{
 			Kind: 1, From: "n3", Incarnation: 8, Nonce: 0xfedcba9876543210, Number: 9, Phase: 2,
-			Lived: 1234, Want: true,
+			UptimeMillis: 1234, WantWorkers: true,
 		}},
 		{"question_least.cbor", Message{Kind: 1, From: "n3", Incarnation: 8, Nonce: 1, Number: 2}},
 		{"answer.cbor", fullMessage()},
@@ -31,8 +31,8 @@
 			Workers: make([]Worker, 1), Keys: make([]Key, 1),
 		}},
 		{"heartbeat.cbor", Message{
-			Kind: 3, From: "n4", Incarnation: 5, Nonce: 6, Number: 10, Phase: 5, Lived: 60_000,
-			Kept: 70,
+			Kind: 3, From: "n4", Incarnation: 5, Nonce: 6, Number: 10, Phase: 5, UptimeMillis: 60_000,
+			PersistedKeys: 70,
 		}},
 	}
 }
@@ -40,9 +40,9 @@
 // fullMessage has each field set, also those that no one sort of message has together.
 func fullMessage() Message {
 	return Message{
-		Kind: 2, From: "n4", Incarnation: 5, Nonce: 0x8000000000000000, Number: 0xffffffff, Phase: 5, Lived: 99_000,
-		Kept: 11, Want: true, YourLife: 8, YourToken: 0xfedcba9876543210, YourKept: 12, Heard: 1500, Unsure: true,
-		KeysBad: true, Bears: map[string]float64{"std-3c": 3.25}, Part: 1, Parts: 3,
+		Kind: 2, From: "n4", Incarnation: 5, Nonce: 0x8000000000000000, Number: 0xffffffff, Phase: 5, UptimeMillis: 99_000,
+		PersistedKeys: 11, WantWorkers: true, YourIncarnation: 8, YourNonce: 0xfedcba9876543210, YourPersistedKeys: 12, HeardAgoMillis: 1500, KeysUnconfirmed: true,
+		KeysSuspect: true, MaxObserved: map[string]float64{"std-3c": 3.25}, Part: 1, Parts: 3,
 		Workers: []Worker{{ID: "w1", StartedAt: 1_700_000_000_000, State: "Terminating", InFlight: 4}},
 		Keys: []Key{{
 			Sum: 0xffffffffffffffff, Worker: "w1", Zone: "north", Cell: 7, SentAt: 1_700_000_001_000,
--- a/internal/fleet/messaging/message.go
+++ b/internal/fleet/messaging/message.go
@@ -43,40 +43,40 @@
 
 // Message is one of them.
 type Message struct {
-	Kind        Kind   `cbor:"1,keyasint"`
-	From        string `cbor:"2,keyasint"`
-	Incarnation uint64 `cbor:"3,keyasint"`
-	Nonce       uint64 `cbor:"4,keyasint"`
-	Number      uint32 `cbor:"5,keyasint"`           // of a question, and in the answers to it
-	Phase       uint8  `cbor:"6,keyasint,omitempty"` // how far the sender has returned
-	Lived       int64  `cbor:"7,keyasint,omitempty"` // ms since the sender's start
+	Kind         Kind   `cbor:"1,keyasint"`
+	From         string `cbor:"2,keyasint"`
+	Incarnation  uint64 `cbor:"3,keyasint"`
+	Nonce        uint64 `cbor:"4,keyasint"`
+	Number       uint32 `cbor:"5,keyasint"`           // of a question, and in the answers to it
+	Phase        uint8  `cbor:"6,keyasint,omitempty"` // how far the sender has returned
+	UptimeMillis int64  `cbor:"7,keyasint,omitempty"` // ms since the sender's start
 
-	Kept uint64 `cbor:"20,keyasint,omitempty"` // in beats: keys made durable in this life
-	Want bool   `cbor:"18,keyasint,omitempty"` // in a question: with what is known of workers
+	PersistedKeys uint64 `cbor:"20,keyasint,omitempty"` // in beats: keys made durable in this life
+	WantWorkers   bool   `cbor:"18,keyasint,omitempty"` // in a question: with what is known of workers
 
 	// In answers.
-	YourLife  uint64             `cbor:"8,keyasint,omitempty"`  // the highest heard of under the asker's name
-	YourToken uint64             `cbor:"9,keyasint,omitempty"`  // and whose it is
-	YourKept  uint64             `cbor:"19,keyasint,omitempty"` // and how many keys it had made durable
-	Heard     int64              `cbor:"10,keyasint,omitempty"` // how many ms ago
-	Unsure    bool               `cbor:"21,keyasint,omitempty"` // whether there are such keys is not known yet
-	KeysBad   bool               `cbor:"12,keyasint,omitempty"` // keys that the sender should know may be missing
-	Bears     map[string]float64 `cbor:"13,keyasint,omitempty"` // by kind of worker: the most seen at work at once
-	Part      uint16             `cbor:"14,keyasint,omitempty"`
-	Parts     uint16             `cbor:"15,keyasint,omitempty"`
-	Workers   []Worker           `cbor:"16,keyasint,omitempty"`
-	Keys      []Key              `cbor:"17,keyasint,omitempty"`
+	YourIncarnation   uint64             `cbor:"8,keyasint,omitempty"`  // the highest heard of under the asker's name
+	YourNonce         uint64             `cbor:"9,keyasint,omitempty"`  // and whose it is
+	YourPersistedKeys uint64             `cbor:"19,keyasint,omitempty"` // and how many keys it had made durable
+	HeardAgoMillis    int64              `cbor:"10,keyasint,omitempty"` // how many ms ago
+	KeysUnconfirmed   bool               `cbor:"21,keyasint,omitempty"` // whether there are such keys is not known yet
+	KeysSuspect       bool               `cbor:"12,keyasint,omitempty"` // keys that the sender should know may be missing
+	MaxObserved       map[string]float64 `cbor:"13,keyasint,omitempty"` // by kind of worker: the most seen at work at once
+	Part              uint16             `cbor:"14,keyasint,omitempty"`
+	Parts             uint16             `cbor:"15,keyasint,omitempty"`
+	Workers           []Worker           `cbor:"16,keyasint,omitempty"`
+	Keys              []Key              `cbor:"17,keyasint,omitempty"`
 }
 
 // ErrMalformed is a message that is not of this protocol.
 var ErrMalformed = errors.New("malformed message")
 
-var strict = must(cbor.DecOptions{
+var strictDecoding = mustDecMode(cbor.DecOptions{
 	DupMapKey: cbor.DupMapKeyEnforcedAPF, MaxArrayElements: 1024, MaxMapPairs: 64,
 	MaxNestedLevels: 4, IndefLength: cbor.IndefLengthForbidden,
 }.DecMode())
 
-func must(m cbor.DecMode, err error) cbor.DecMode {
+func mustDecMode(m cbor.DecMode, err error) cbor.DecMode {
 	if err != nil {
 		panic(err) // the options are constants
 	}
@@ -98,10 +98,10 @@
 		return nil, fmt.Errorf("%w: %d bytes", ErrMalformed, len(b))
 	}
 	m := &Message{}
-	if err := strict.Unmarshal(b, m); err != nil {
+	if err := strictDecoding.Unmarshal(b, m); err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrMalformed, err)
 	}
-	if m.Kind < Query || m.Kind > Heartbeat || m.From == "" || len(m.From) > 255 || m.Lived < 0 || m.Heard < 0 ||
+	if m.Kind < Query || m.Kind > Heartbeat || m.From == "" || len(m.From) > 255 || m.UptimeMillis < 0 || m.HeardAgoMillis < 0 ||
 		m.Kind == Reply && (m.Parts == 0 || m.Part >= m.Parts) {
 		return nil, ErrMalformed
 	}
@@ -110,34 +110,34 @@
 
 // Bytes that a worker and a key take at the most, but for their names.
 const (
-	headMost   = 400 // what is the same in all parts
-	workerMost = 48
-	keyMost    = 56
-	kindMost   = 12
+	maxCommonBytes = 400 // what is the same in all parts
+	maxWorkerBytes = 48
+	maxKeyBytes    = 56
+	maxKindBytes   = 12
 )
 
 // Split deals workers and keys out to as many messages as they need, all else like the first.
 func Split(first Message, workers []Worker, keys []Key) []Message {
 	parts := []Message{first}
-	room := MaxDatagramBytes - headMost - len(first.From)
-	for name := range first.Bears {
-		room -= kindMost + len(name)
+	room := MaxDatagramBytes - maxCommonBytes - len(first.From)
+	for name := range first.MaxObserved {
+		room -= maxKindBytes + len(name)
 	}
 	left := room
 	next := func(size int) *Message {
 		if left -= size; left < 0 {
 			later := first
-			later.Bears = nil
+			later.MaxObserved = nil
 			parts, left = append(parts, later), room-size
 		}
 		return &parts[len(parts)-1]
 	}
 	for _, w := range workers {
-		m := next(workerMost + len(w.ID) + len(w.State))
+		m := next(maxWorkerBytes + len(w.ID) + len(w.State))
 		m.Workers = append(m.Workers, w)
 	}
 	for _, k := range keys {
-		m := next(keyMost + len(k.Worker) + len(k.Zone))
+		m := next(maxKeyBytes + len(k.Worker) + len(k.Zone))
 		m.Keys = append(m.Keys, k)
 	}
 	for n := range parts {
--- a/internal/fleet/messaging/message_test.go
+++ b/internal/fleet/messaging/message_test.go
@@ -20,8 +20,8 @@
 		}
 		first := Message{
 			Kind: Reply, From: "dispatcher-with-a-long-name", Incarnation: 1 << 60, Nonce: ^uint64(0),
-			Number: 1 << 31, Phase: 5, Lived: 1 << 40, YourLife: 1 << 60, YourToken: ^uint64(0), Heard: 1 << 40,
-			KeysBad: true, Bears: map[string]float64{"std-3c": 3.1, "big-16c": 16.5},
+			Number: 1 << 31, Phase: 5, UptimeMillis: 1 << 40, YourIncarnation: 1 << 60, YourNonce: ^uint64(0), HeardAgoMillis: 1 << 40,
+			KeysSuspect: true, MaxObserved: map[string]float64{"std-3c": 3.1, "big-16c": 16.5},
 		}
 		var gotWorkers []Worker
 		var gotKeys []Key
@@ -52,7 +52,7 @@
 		{Kind: 9, From: "d0"},
 		{Kind: Reply, From: "d0"},
 		{Kind: Reply, From: "d0", Part: 2, Parts: 2},
-		{Kind: Query, From: "d0", Lived: -1},
+		{Kind: Query, From: "d0", UptimeMillis: -1},
 	} {
 		b, err := Encode(&m)
 		assert.NoError(t, err)
--- a/internal/fleet/messaging/socket.go
+++ b/internal/fleet/messaging/socket.go
@@ -14,7 +14,7 @@
 
 // Socket carries messages between the members of a fleet.
 type Socket struct {
-	pc      *net.UDPConn
+	conn    *net.UDPConn
 	members []netip.AddrPort
 	log     zerolog.Logger
 
@@ -27,14 +27,14 @@
 	if err != nil {
 		return nil, fmt.Errorf("listening for the fleet: %w", err)
 	}
-	return &Socket{pc: pc, members: members, log: log}, nil
+	return &Socket{conn: pc, members: members, log: log}, nil
 }
 
 // Send sends one message to a member.
 func (s *Socket) Send(to int, m *Message) {
 	b, err := Encode(m)
 	if err == nil {
-		_, err = s.pc.WriteToUDPAddrPort(b, s.members[to])
+		_, err = s.conn.WriteToUDPAddrPort(b, s.members[to])
 	}
 	if err != nil {
 		s.Failed.Add(1)
@@ -46,10 +46,10 @@
 
 // Run hands on what members send until ctx ends.
 func (s *Socket) Run(ctx context.Context, take func(from int, m *Message)) error {
-	defer context.AfterFunc(ctx, func() { s.pc.Close() })()
+	defer context.AfterFunc(ctx, func() { s.conn.Close() })()
 	b := make([]byte, MaxDatagramBytes+1)
 	for ctx.Err() == nil {
-		n, from, err := s.pc.ReadFromUDPAddrPort(b)
+		n, from, err := s.conn.ReadFromUDPAddrPort(b)
 		if errors.Is(err, net.ErrClosed) {
 			return nil
 		}
@@ -75,4 +75,4 @@
 }
 
 // Close ends the socket.
-func (s *Socket) Close() error { return s.pc.Close() }
+func (s *Socket) Close() error { return s.conn.Close() }
--- a/internal/fleet/recovery/core.go
+++ b/internal/fleet/recovery/core.go
@@ -391,7 +391,7 @@
 		m.asks, m.askedAt = m.asks+1, c.now
 		m.askAt = c.now + wait/2 + time.Duration(c.rng.Int64N(int64(wait/2)+1))
 		question := c.message(messaging.Query, m.number)
-		question.Want = m.want
+		question.WantWorkers = m.want
 		c.out.Messages = append(c.out.Messages, Addressed{n, question})
 	}
 }
@@ -411,7 +411,7 @@
 	c.beatAt = c.now + beatEvery
 	for step := 1; step <= beatTo && step < len(c.members); step++ {
 		m := c.message(messaging.Heartbeat, 0)
-		m.Kept = c.kept
+		m.PersistedKeys = c.kept
 		c.out.Messages = append(c.out.Messages, Addressed{(c.terms.Self + step) % len(c.members), m})
 	}
 }
@@ -438,7 +438,7 @@
 func (c *StateMachine) message(k messaging.Kind, number uint32) *messaging.Message {
 	return &messaging.Message{
 		Kind: k, From: c.terms.Members[c.terms.Self], Incarnation: c.life, Nonce: c.token,
-		Number: number, Phase: uint8(c.phase), Lived: c.now.Milliseconds(),
+		Number: number, Phase: uint8(c.phase), UptimeMillis: c.now.Milliseconds(),
 	}
 }
 
@@ -464,10 +464,10 @@
 	m.heardAt, m.phase = now, max(m.phase, Phase(msg.Phase))
 	switch msg.Kind {
 	case messaging.Heartbeat:
-		m.kept = max(m.kept, msg.Kept)
+		m.kept = max(m.kept, msg.PersistedKeys)
 		return
 	case messaging.Query:
-		c.out.Queries = append(c.out.Queries, Query{from, msg.Number, msg.Want, msg.Nonce})
+		c.out.Queries = append(c.out.Queries, Query{from, msg.Number, msg.WantWorkers, msg.Nonce})
 		// It is there: it may be asked soon, however long the wait was to be. Not at once: two that ask one
 		// another would never end.
 		if !m.whole {
@@ -484,12 +484,12 @@
 		m.parts = make([]bool, msg.Parts)
 	}
 	m.parts[msg.Part] = true
-	m.keysBad = m.keysBad || msg.KeysBad
+	m.keysBad = m.keysBad || msg.KeysSuspect
 	if slices.Contains(m.parts, false) {
 		c.move()
 		return
 	}
-	m.whole, m.settled = true, Phase(msg.Phase) > QueryingPeers && !msg.Unsure
+	m.whole, m.settled = true, Phase(msg.Phase) > QueryingPeers && !msg.KeysUnconfirmed
 	m.askAt = max(m.askAt, now+c.terms.QueryInterval<<3)
 	if !m.want && m.phase == Serving && c.elders < enough && c.phase <= QueryingPeers {
 		// It serves: what it knows of workers is newer than what those know who were away.
@@ -503,21 +503,21 @@
 // rival takes what others tell of this name. One heard before this process began was this dispatcher in an
 // earlier life; one heard since is another process that goes under the same name, and the lower one gives way.
 func (c *StateMachine) rival(msg *messaging.Message) {
-	if msg.YourToken == c.token || msg.YourLife == 0 {
+	if msg.YourNonce == c.token || msg.YourIncarnation == 0 {
 		return
 	}
-	if old := msg.YourLife > c.was.Incarnation || msg.YourLife == c.was.Incarnation && msg.YourKept > c.was.PersistedKeys; old {
+	if old := msg.YourIncarnation > c.was.Incarnation || msg.YourIncarnation == c.was.Incarnation && msg.YourPersistedKeys > c.was.PersistedKeys; old {
 		c.doubt(true) // the disk is from before that, and what was sent since is not on it
 	}
-	if msg.YourLife < c.life {
+	if msg.YourIncarnation < c.life {
 		return
 	}
-	heard := time.Duration(msg.Heard) * time.Millisecond
+	heard := time.Duration(msg.HeardAgoMillis) * time.Millisecond
 	switch {
 	case heard >= c.now:
-		c.out.RaiseIncarnation = max(c.out.RaiseIncarnation, msg.YourLife+1)
-	case msg.YourLife > c.life || msg.YourToken > c.token:
-		c.turn(Superseded, fmt.Sprintf("life %d goes under this name, heard %v ago", msg.YourLife, heard))
+		c.out.RaiseIncarnation = max(c.out.RaiseIncarnation, msg.YourIncarnation+1)
+	case msg.YourIncarnation > c.life || msg.YourNonce > c.token:
+		c.turn(Superseded, fmt.Sprintf("life %d goes under this name, heard %v ago", msg.YourIncarnation, heard))
 	}
 }
 
@@ -543,16 +543,16 @@
 // Reply is the answer to a question, with what is known here.
 func (c *StateMachine) Reply(q Query, k LocalKnowledge) []messaging.Message {
 	first := *c.message(messaging.Reply, q.Number)
-	first.Bears, first.KeysBad = k.MaxObserved, c.keysBad
-	first.Unsure = !c.vouched()
+	first.MaxObserved, first.KeysSuspect = k.MaxObserved, c.keysBad
+	first.KeysUnconfirmed = !c.vouched()
 	if m := &c.members[q.From]; m.life > 0 {
-		first.YourLife, first.YourToken, first.YourKept = m.life, m.token, m.kept
-		if first.Heard = longAgo; m.heardAt >= 0 {
-			first.Heard = (c.now - m.heardAt).Milliseconds()
+		first.YourIncarnation, first.YourNonce, first.YourPersistedKeys = m.life, m.token, m.kept
+		if first.HeardAgoMillis = longAgo; m.heardAt >= 0 {
+			first.HeardAgoMillis = (c.now - m.heardAt).Milliseconds()
 		}
 		if m.token == q.Nonce { // it asks for what it was before this life
-			first.YourLife, first.YourToken, first.YourKept = m.was.Incarnation, m.was.Nonce, m.was.PersistedKeys
-			first.Heard = longAgo
+			first.YourIncarnation, first.YourNonce, first.YourPersistedKeys = m.was.Incarnation, m.was.Nonce, m.was.PersistedKeys
+			first.HeardAgoMillis = longAgo
 		}
 	}
 	if !q.WantWorkers {
--- a/internal/fleet/recovery/core_test.go
+++ b/internal/fleet/recovery/core_test.go
@@ -116,7 +116,7 @@
 	c := core(1, PreviousIncarnation{})
 	c.TakeActions()
 	m := answer(c, 1, Serving)
-	m.YourLife, m.YourToken, m.Heard = 7, 55, longAgo
+	m.YourIncarnation, m.YourNonce, m.HeardAgoMillis = 7, 55, longAgo
 	c.Receive(10*ms, 1, m)
 	out := c.TakeActions()
 	assert.EqualValues(t, 8, out.RaiseIncarnation)
@@ -136,7 +136,7 @@
 		c := core(3, PreviousIncarnation{Incarnation: 2, PersistedKeys: 5})
 		c.TakeActions()
 		m := answer(c, 1, Serving)
-		m.YourLife, m.YourToken, m.YourKept, m.Heard = 2, 55, kept, longAgo
+		m.YourIncarnation, m.YourNonce, m.YourPersistedKeys, m.HeardAgoMillis = 2, 55, kept, longAgo
 		c.Receive(10*ms, 1, m)
 		assert.Equal(t, old, c.TakeActions().SetKeysSuspect != nil, "%d keys", kept)
 	}
@@ -148,7 +148,7 @@
 		c := core(4, PreviousIncarnation{Incarnation: 3})
 		c.TakeActions()
 		m := answer(c, 1, Serving)
-		m.YourLife, m.YourToken, m.Heard = 4, token, 3
+		m.YourIncarnation, m.YourNonce, m.HeardAgoMillis = 4, token, 3
 		c.Receive(10*ms, 1, m)
 		assert.Equal(t, want, c.Phase(), "token %d", token)
 	}
@@ -266,12 +266,12 @@
 // Guards against one who, by asking, makes those forget who could tell it that its disk is old.
 func TestOneThatAsksIsToldOfItsLifeBefore(t *testing.T) {
 	c := core(1, PreviousIncarnation{})
-	c.Receive(ms, 1, &messaging.Message{Kind: messaging.Heartbeat, From: "d1", Incarnation: 4, Nonce: 44, Kept: 17})
+	c.Receive(ms, 1, &messaging.Message{Kind: messaging.Heartbeat, From: "d1", Incarnation: 4, Nonce: 44, PersistedKeys: 17})
 	c.Receive(2*ms, 1, &messaging.Message{Kind: messaging.Query, From: "d1", Incarnation: 5, Nonce: 55, Number: 1})
 	q := c.TakeActions().Queries[0]
 	told := c.Reply(q, LocalKnowledge{})[0]
-	assert.Equal(t, []uint64{4, 44, 17}, []uint64{told.YourLife, told.YourToken, told.YourKept})
-	assert.EqualValues(t, longAgo, told.Heard)
+	assert.Equal(t, []uint64{4, 44, 17}, []uint64{told.YourIncarnation, told.YourNonce, told.YourPersistedKeys})
+	assert.EqualValues(t, longAgo, told.HeardAgoMillis)
 	assert.Equal(t, PeerProgress{Incarnation: 5, Nonce: 55, PreviousIncarnation: 4, PreviousNonce: 44, PreviousPersistedKeys: 17}, c.Peers()["d1"], "also after an end of this one")
 }
 
@@ -279,7 +279,7 @@
 func TestKeysAreVouchedForByThoseWhoWereTold(t *testing.T) {
 	c := core(2, PreviousIncarnation{Incarnation: 1})
 	c.TakeActions()
-	bad := func() bool { return c.Reply(Query{From: 3}, LocalKnowledge{})[0].Unsure }
+	bad := func() bool { return c.Reply(Query{From: 3}, LocalKnowledge{})[0].KeysUnconfirmed }
 	assert.True(t, bad())
 	c.Receive(ms, 1, answer(c, 1, QueryingPeers))
 	assert.True(t, bad(), "d2 was told too")
@@ -299,7 +299,7 @@
 	assert.True(t, c.PeerKeysPending(2*ms))
 	for n := range 3 {
 		unsure := answer(c, n+1, Probing)
-		unsure.Unsure = true
+		unsure.KeysUnconfirmed = true
 		c.Receive(3*ms, n+1, unsure)
 	}
 	assert.True(t, c.PeerKeysPending(4*ms), "nor while it cannot tell")
--- a/internal/fleet/simulate/fleet.go
+++ b/internal/fleet/simulate/fleet.go
@@ -18,20 +18,20 @@
 type Plan struct {
 	Dispatchers, Workers int
 	Seed                 uint64
-	Calm                 bool // no faults but one loss of power of all
+	FleetOutageOnly      bool // no faults but one loss of power of all
 }
 
 // Result is what a history came to.
 type Result struct {
-	Broken   []string // invariants, with the time
-	Events   int
-	Messages int // of all dispatchers together
-	Bytes    int
-	Most     int           // messages of the one that sent most
-	Full     time.Duration // from the last return to the last dispatcher in full service
-	Cases    map[recovery.Outage]int
-	Repeats  map[string]int // what became of marked repeats of keys from before
-	Ended    map[recovery.Phase]int
+	Violations   []string // invariants, with the time
+	Events       int
+	Messages     int // of all dispatchers together
+	Bytes        int
+	MaxMessages  int           // messages of the one that sent most
+	RecoveryTime time.Duration // from the last return to the last dispatcher in full service
+	Outages      map[recovery.Outage]int
+	Repeats      map[string]int // what became of marked repeats of keys from before
+	FinalPhases  map[recovery.Phase]int
 }
 
 // Spans of a history.
@@ -111,8 +111,8 @@
 }
 
 func (w *world) broken(format string, args ...any) {
-	if len(w.result.Broken) < 20 {
-		w.result.Broken = append(w.result.Broken, fmt.Sprintf("%v: ", w.now)+fmt.Sprintf(format, args...))
+	if len(w.result.Violations) < 20 {
+		w.result.Violations = append(w.result.Violations, fmt.Sprintf("%v: ", w.now)+fmt.Sprintf(format, args...))
 	}
 }
 
@@ -121,7 +121,7 @@
 	w := &world{
 		plan: p, rng: rand.New(rand.NewPCG(p.Seed, uint64(p.Dispatchers))), list: true, workUp: true, back: -1,
 		net:    manner{delay: 2 * time.Millisecond, cut: map[[2]int]bool{}},
-		result: Result{Cases: map[recovery.Outage]int{}, Repeats: map[string]int{}, Ended: map[recovery.Phase]int{}},
+		result: Result{Outages: map[recovery.Outage]int{}, Repeats: map[string]int{}, FinalPhases: map[recovery.Phase]int{}},
 	}
 	for n := range p.Dispatchers {
 		w.nodes = append(w.nodes, &node{w: w, number: n, disk: store.NewMemory()})
@@ -211,16 +211,16 @@
 func (w *world) judgeEnd() {
 	last := time.Duration(0)
 	for _, n := range w.nodes {
-		w.result.Most = max(w.result.Most, n.messages)
+		w.result.MaxMessages = max(w.result.MaxMessages, n.messages)
 		if !n.up {
 			continue
 		}
-		w.result.Ended[n.core.Phase()]++
-		w.result.Cases[n.core.Outage()]++
+		w.result.FinalPhases[n.core.Phase()]++
+		w.result.Outages[n.core.Outage()]++
 		if n.core.Phase() != recovery.Serving {
 			w.broken("%d: %v at the end, %v after its start", n.number, n.core.Phase(), w.now-n.began)
 		}
 		last = max(last, n.full)
 	}
-	w.result.Full = max(last-w.heals, 0)
+	w.result.RecoveryTime = max(last-w.heals, 0)
 }
--- a/internal/fleet/simulate/fleet_test.go
+++ b/internal/fleet/simulate/fleet_test.go
@@ -27,8 +27,8 @@
 	for seed := range histories(t, 600) {
 		g.Go(func() error {
 			p := Plan{Dispatchers: 3 + seed%4, Workers: 15, Seed: uint64(seed)}
-			if r := Run(p); len(r.Broken) > 0 {
-				t.Errorf("seed %d, %d dispatchers: %v", seed, p.Dispatchers, r.Broken)
+			if r := Run(p); len(r.Violations) > 0 {
+				t.Errorf("seed %d, %d dispatchers: %v", seed, p.Dispatchers, r.Violations)
 			}
 			return nil
 		})
@@ -43,9 +43,9 @@
 
 func TestLargeFleetComesBack(t *testing.T) {
 	for _, size := range []int{30, 100} {
-		r := Run(Plan{Dispatchers: size, Workers: 200, Seed: 1, Calm: true})
-		assert.Empty(t, r.Broken)
+		r := Run(Plan{Dispatchers: size, Workers: 200, Seed: 1, FleetOutageOnly: true})
+		assert.Empty(t, r.Violations)
 		t.Logf("%d dispatchers: %d messages and %d bytes each, most %d, full after %v, %d events", size,
-			r.Messages/size, r.Bytes/size, r.Most, r.Full, r.Events)
+			r.Messages/size, r.Bytes/size, r.MaxMessages, r.RecoveryTime, r.Events)
 	}
 }
--- a/internal/fleet/simulate/script.go
+++ b/internal/fleet/simulate/script.go
@@ -15,7 +15,7 @@
 func (w *world) script() time.Duration {
 	losses := 1
 	kinds, clocks, never := []string(nil), false, false
-	if !w.plan.Calm {
+	if !w.plan.FleetOutageOnly {
 		losses = 1 + w.rng.IntN(3)
 		for _, d := range disks {
 			if w.chance(0.5) {
@@ -85,7 +85,7 @@
 // loss plans one loss of power, and returns when the last one is back.
 func (w *world) loss(at time.Duration, kinds []string, clocks, never bool, olds []*store.Memory) time.Duration {
 	some := 1.0
-	if !w.plan.Calm && w.chance(0.4) {
+	if !w.plan.FleetOutageOnly && w.chance(0.4) {
 		some = w.rng.Float64()
 	}
 	last := at
