--- a/internal/fleet/store/disk.go
+++ b/internal/fleet/store/disk.go
@@ -1,5 +1,3 @@
-// Package store keeps on disk what a dispatcher needs after its end: who it is, what it has learnt, and which
-// keys may have run where. What is read back is whole and checked, or counts as lost.
 package store
 
 import (
@@ -11,11 +9,11 @@
 	"syscall"
 )
 
-// Disk is what a store needs of a folder. Nothing is durable before its Sync, and no name before SyncNames.
+// Disk is a folder of files without subfolders. The contents of a file are durable after Sync, its name after SyncNames.
 type Disk interface {
-	Read(name string) ([]byte, error) // fs.ErrNotExist where there is none
+	Read(name string) ([]byte, error) // fails with fs.ErrNotExist if there is no such file
 	Write(name string, b []byte) error
-	Overwrite(name string, b []byte) error // in place: what the file had beyond stays, and no block is freed
+	Overwrite(name string, b []byte) error // in place: the rest of a longer file stays, and no block is freed
 	Append(name string, b []byte) error
 	Sync(name string) error
 	Rename(from, to string) error
@@ -24,20 +22,21 @@
 	SyncNames() error
 }
 
-// Folder is a Disk on the file system, held by one process at a time.
+// Folder is a Disk in the file system, which one process locks at a time.
 type Folder struct {
 	path string
-	lock *os.File
+	lock *os.File // nil for a folder that is only read
 }
 
-// ErrLocked is a folder that another process holds.
+// ErrLocked means that another process has locked the folder.
 var ErrLocked = errors.New("another process holds the folder")
 
+// lockName is the file that is locked. It is never removed: earlier releases lock the same one.
 const lockName = "lock"
 
-// OpenFolder takes a folder for this process, and makes it where there is none. It fails with ErrLocked at once
-// where another process has it. A folder that cannot be written to can still be read: held tells which.
-func OpenFolder(path string) (f *Folder, held bool, err error) {
+// OpenFolder locks a folder for this process, and creates it if there is none. It fails with ErrLocked at once if another
+// process has locked it. A folder that cannot be written to can still be read: locked is false then.
+func OpenFolder(path string) (f *Folder, locked bool, err error) {
 	if err := os.MkdirAll(path, 0o700); err != nil {
 		return nil, false, fmt.Errorf("state folder: %w", err)
 	}
@@ -60,17 +59,19 @@
 	return f, true, nil
 }
 
-// ReadFolder opens a folder to look into, whoever holds it.
+// ReadFolder opens a folder for reading, whether or not a process has locked it.
 func ReadFolder(path string) (*Folder, error) {
-	if info, err := os.Stat(path); err != nil {
+	info, err := os.Stat(path)
+	if err != nil {
 		return nil, fmt.Errorf("state folder: %w", err)
-	} else if !info.IsDir() {
-		return nil, fmt.Errorf("state folder: %s is no folder", path)
+	}
+	if !info.IsDir() {
+		return nil, fmt.Errorf("state folder %s: %w", path, syscall.ENOTDIR)
 	}
 	return &Folder{path: path}, nil
 }
 
-// Close leaves the folder to another process.
+// Close unlocks the folder.
 func (f *Folder) Close() error {
 	if f.lock == nil {
 		return nil
@@ -78,22 +79,23 @@
 	return f.lock.Close()
 }
 
-func (f *Folder) at(name string) string { return filepath.Join(f.path, name) }
+func (f *Folder) pathOf(name string) string { return filepath.Join(f.path, name) }
 
-// Read is os.ReadFile.
-func (f *Folder) Read(name string) ([]byte, error) { return os.ReadFile(f.at(name)) }
+// Read returns the contents of a file.
+func (f *Folder) Read(name string) ([]byte, error) { return os.ReadFile(f.pathOf(name)) }
 
-// Write makes a file anew.
-func (f *Folder) Write(name string, b []byte) error { return os.WriteFile(f.at(name), b, 0o600) }
+// Write creates or replaces a file.
+func (f *Folder) Write(name string, b []byte) error { return os.WriteFile(f.pathOf(name), b, 0o600) }
 
-// Overwrite puts bytes over the beginning of a file.
-func (f *Folder) Overwrite(name string, b []byte) error { return f.put(name, 0, b) }
+// Overwrite writes over the beginning of a file, in place.
+func (f *Folder) Overwrite(name string, b []byte) error { return f.writeWith(0, name, b) }
 
-// Append adds to a file's end.
-func (f *Folder) Append(name string, b []byte) error { return f.put(name, os.O_APPEND, b) }
+// Append writes behind the end of a file.
+func (f *Folder) Append(name string, b []byte) error { return f.writeWith(os.O_APPEND, name, b) }
 
-func (f *Folder) put(name string, where int, b []byte) error {
-	file, err := os.OpenFile(f.at(name), os.O_CREATE|os.O_WRONLY|where, 0o600)
+// writeWith writes to a file that is opened with an additional flag.
+func (f *Folder) writeWith(flag int, name string, b []byte) error {
+	file, err := os.OpenFile(f.pathOf(name), os.O_CREATE|os.O_WRONLY|flag, 0o600)
 	if err != nil {
 		return err
 	}
@@ -101,10 +103,10 @@
 	return errors.Join(err, file.Close())
 }
 
-// Sync makes what a file holds durable.
-func (f *Folder) Sync(name string) error { return f.sync(f.at(name)) }
+// Sync makes the contents of a file durable.
+func (f *Folder) Sync(name string) error { return f.sync(f.pathOf(name)) }
 
-// SyncNames makes durable which files there are.
+// SyncNames makes the names of all files durable.
 func (f *Folder) SyncNames() error { return f.sync(f.path) }
 
 func (f *Folder) sync(path string) error {
@@ -115,18 +117,18 @@
 	return errors.Join(file.Sync(), file.Close())
 }
 
-// Rename puts a file in another's place.
-func (f *Folder) Rename(from, to string) error { return os.Rename(f.at(from), f.at(to)) }
+// Rename moves a file in place of another one.
+func (f *Folder) Rename(from, to string) error { return os.Rename(f.pathOf(from), f.pathOf(to)) }
 
-// Remove takes a file away.
-func (f *Folder) Remove(name string) error { return os.Remove(f.at(name)) }
+// Remove removes a file.
+func (f *Folder) Remove(name string) error { return os.Remove(f.pathOf(name)) }
 
-// Names are the files that there are, but for the lock.
+// Names returns the names of all regular files but the lock, in order.
 func (f *Folder) Names() (names []string, err error) {
 	entries, err := os.ReadDir(f.path)
-	for _, e := range entries {
-		if e.Type().IsRegular() && e.Name() != lockName { // nothing else is ours
-			names = append(names, e.Name())
+	for _, entry := range entries {
+		if entry.Type().IsRegular() && entry.Name() != lockName {
+			names = append(names, entry.Name())
 		}
 	}
 	return names, err
--- a/internal/fleet/store/memory.go
+++ b/internal/fleet/store/memory.go
@@ -8,162 +8,172 @@
 	"sync"
 )
 
-// Memory is a Disk for simulations: it knows what is durable, can lose power at any step, and can lie.
+// Memory is a Disk in memory with fault injection, for tests and simulations: it knows what is durable, can lose power
+// before any operation, and can fail or ignore what it is asked.
 type Memory struct {
-	mu             sync.Mutex
-	now            map[string]*inode // as programs see it
-	durable        map[string]*inode // the names that would be there after a loss of power
-	Steps          int               // taken so far
-	PowerLossAfter int               // power is lost before the step of this number; 0: never
-	WriteError     error             // what each write ends with, nil where it works
-	DropSyncs      bool              // a sync says yes and does nothing
+	// Faults. They must not change while another goroutine uses the disk.
+	PowerLossAfter int   // power is lost before the operation of this number; 0 for never
+	WriteError     error // with which each operation but reads fails, nil for none
+	DropSyncs      bool  // Sync does nothing and reports success
+
+	Steps int // operations so far, reads not counted
+
+	mu      sync.Mutex        // guards the files below, and Steps
+	files   map[string]*inode // as programs see them
+	durable map[string]*inode // the files whose names would be left after a loss of power
 }
 
-// inode is one file. Its first bytes are durable.
+// inode is one file.
 type inode struct {
-	bytes   []byte
-	durable []byte
+	bytes   []byte // as programs see them
+	durable []byte // what would be left after a loss of power
 }
 
-// ErrPowerLost is power lost.
+// ErrPowerLost means that the simulated power was lost before the operation.
 var ErrPowerLost = errors.New("power lost")
 
-// NewMemory makes an empty disk.
+// NewMemory returns an empty disk without faults.
 func NewMemory() *Memory {
-	return &Memory{now: map[string]*inode{}, durable: map[string]*inode{}}
+	return &Memory{files: map[string]*inode{}, durable: map[string]*inode{}}
 }
 
-// step takes one step, unless power is lost before it or writes fail.
-func (m *Memory) step(take func() error) error {
+// step does one operation, unless a fault is injected.
+func (m *Memory) step(operation func() error) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.Steps++; m.PowerLossAfter > 0 && m.Steps >= m.PowerLossAfter {
+	m.Steps++
+	if m.PowerLossAfter > 0 && m.Steps >= m.PowerLossAfter {
 		return ErrPowerLost
 	}
 	if m.WriteError != nil {
 		return m.WriteError
 	}
-	return take()
+	return operation()
 }
 
-// change takes a step that changes a file, made where there is none.
-func (m *Memory) change(name string, how func(*inode)) error {
+// change does an operation that changes a file, which is created if there is none.
+func (m *Memory) change(name string, operation func(*inode)) error {
 	return m.step(func() error {
-		if m.now[name] == nil {
-			m.now[name] = &inode{}
+		if m.files[name] == nil {
+			m.files[name] = &inode{}
 		}
-		how(m.now[name])
+		operation(m.files[name])
 		return nil
 	})
 }
 
-// Restart is the disk after a loss of power: names and files as they were durable, and of what was added since
-// the first tail bytes.
+// Restart returns the disk as it is after a loss of power: the files whose names were durable, with their durable contents
+// and at most tail bytes of what was written since.
 func (m *Memory) Restart(tail int) *Memory {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	next := NewMemory()
-	for name, i := range m.durable {
-		b := slices.Clone(i.durable)
-		if len(i.bytes) > len(b) && slices.Equal(i.bytes[:len(b)], b) {
-			b = append(b, i.bytes[len(b):min(len(i.bytes), len(b)+tail)]...)
-		} else { // overwritten: so much of it came through
-			over := i.bytes[:min(len(i.bytes), tail)]
-			b = append(slices.Clone(over), b[min(len(b), len(over)):]...)
-		}
-		next.now[name] = &inode{b, slices.Clone(b)}
+	for name, file := range m.durable {
+		b := file.afterPowerLoss(tail)
+		next.files[name] = &inode{bytes: b, durable: slices.Clone(b)}
 	}
-	next.durable = maps.Clone(next.now)
+	next.durable = maps.Clone(next.files)
 	return next
 }
 
-// Read is what programs see.
+// afterPowerLoss returns what is left of a file's contents if at most tail bytes beyond the durable ones were written.
+func (i *inode) afterPowerLoss(tail int) []byte {
+	left := slices.Clone(i.durable)
+	appended := len(i.bytes) > len(left) && slices.Equal(i.bytes[:len(left)], left)
+	if appended {
+		return append(left, i.bytes[len(left):min(len(i.bytes), len(left)+tail)]...)
+	}
+	overwritten := i.bytes[:min(len(i.bytes), tail)]
+	return append(slices.Clone(overwritten), left[min(len(left), len(overwritten)):]...)
+}
+
+// Read returns the contents of a file, durable or not.
 func (m *Memory) Read(name string) ([]byte, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if i := m.now[name]; i != nil {
-		return slices.Clone(i.bytes), nil
+	if file := m.files[name]; file != nil {
+		return slices.Clone(file.bytes), nil
 	}
 	return nil, fs.ErrNotExist
 }
 
-// Write makes a file anew.
+// Write creates or replaces a file.
 func (m *Memory) Write(name string, b []byte) error {
 	return m.step(func() error {
-		m.now[name] = &inode{bytes: slices.Clone(b)}
+		m.files[name] = &inode{bytes: slices.Clone(b)}
 		return nil
 	})
 }
 
-// Overwrite puts bytes over the beginning of a file.
+// Overwrite writes over the beginning of a file, in place.
 func (m *Memory) Overwrite(name string, b []byte) error {
 	return m.change(name, func(i *inode) {
 		i.bytes = append(slices.Clone(b), i.bytes[min(len(b), len(i.bytes)):]...)
 	})
 }
 
-// Append adds to a file's end.
+// Append writes behind the end of a file.
 func (m *Memory) Append(name string, b []byte) error {
 	return m.change(name, func(i *inode) { i.bytes = append(i.bytes, b...) })
 }
 
-// Sync makes a file durable, unless it lies.
+// Sync makes the contents of a file durable, unless DropSyncs is set.
 func (m *Memory) Sync(name string) error {
 	return m.step(func() error {
-		if i := m.now[name]; i != nil && !m.DropSyncs {
-			i.durable = slices.Clone(i.bytes)
+		if file := m.files[name]; file != nil && !m.DropSyncs {
+			file.durable = slices.Clone(file.bytes)
 		}
 		return nil
 	})
 }
 
-// Rename puts a file in another's place.
+// Rename moves a file in place of another one.
 func (m *Memory) Rename(from, to string) error {
 	return m.step(func() error {
-		i := m.now[from]
-		if i == nil {
+		file := m.files[from]
+		if file == nil {
 			return fs.ErrNotExist
 		}
-		m.now[to] = i
-		delete(m.now, from)
+		m.files[to] = file
+		delete(m.files, from)
 		return nil
 	})
 }
 
-// Remove takes a file away.
+// Remove removes a file. It does not fail if there is none.
 func (m *Memory) Remove(name string) error {
 	return m.step(func() error {
-		delete(m.now, name)
+		delete(m.files, name)
 		return nil
 	})
 }
 
-// Names are the files that there are.
+// Names returns the names of all files, in order.
 func (m *Memory) Names() ([]string, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return slices.Sorted(maps.Keys(m.now)), nil
+	return slices.Sorted(maps.Keys(m.files)), nil
 }
 
-// SyncNames makes durable which files there are; what they hold is another matter.
+// SyncNames makes the names of all files durable, but not their contents.
 func (m *Memory) SyncNames() error {
 	return m.step(func() error {
-		m.durable = maps.Clone(m.now)
+		m.durable = maps.Clone(m.files)
 		return nil
 	})
 }
 
-// Tear cuts a file off at some byte, both by chance.
-func (m *Memory) Tear(chance uint64) {
+// Tear cuts one file off and adds a wrong byte to it. random chooses the file and the place.
+func (m *Memory) Tear(random uint64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	names := slices.Sorted(maps.Keys(m.now))
+	names := slices.Sorted(maps.Keys(m.files))
 	if len(names) == 0 {
 		return
 	}
-	i := m.now[names[chance%uint64(len(names))]]
-	if len(i.bytes) > 0 {
-		i.bytes = append(i.bytes[:chance/7%uint64(len(i.bytes))], 0xff)
-		i.durable = slices.Clone(i.bytes)
+	file := m.files[names[random%uint64(len(names))]]
+	if len(file.bytes) > 0 {
+		file.bytes = append(file.bytes[:random/7%uint64(len(file.bytes))], 0xff)
+		file.durable = slices.Clone(file.bytes)
 	}
 }
--- a/internal/fleet/store/record.go
+++ b/internal/fleet/store/record.go
@@ -10,74 +10,90 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// A record on disk: what it is, the version of its form, how long it is, a checksum over so much, one over what
-// follows, and CBOR.
+// A record is a header and a body in CBOR. The header holds, in this order and with numbers in big-endian order: magic,
+// the kind, the version of the format, the length of the body, a checksum of the header up to here, and one of the body.
 const (
-	magic      = "cvrt"
-	headBytes  = len(magic) + 2 + 4 + 4 + 4
-	mostRecord = 64 << 20
+	magic          = "cvrt"
+	kindAt         = len(magic)
+	versionAt      = kindAt + 1
+	lengthAt       = versionAt + 1
+	headerSumAt    = lengthAt + 4
+	bodySumAt      = headerSumAt + 4
+	headerBytes    = bodySumAt + 4
+	maxRecordBytes = 64 << 20
 )
 
-// Kinds of record.
+// recordKind is what the body of a record holds.
+type recordKind byte
+
 const (
-	kindLife byte = iota + 1
-	kindFacts
+	kindIncarnation recordKind = iota + 1
+	kindState
 	kindKeys
 )
 
-// version of the form of all records. One that is newer was written by a later program.
-const version = 1
+// formatVersion of all records. A record with a higher one was written by a later release.
+const formatVersion = 1
 
-// The ways that a record is not to be believed.
+// The errors of a record that does not count.
 var (
-	ErrTruncated     = errors.New("torn: it ends before its end")
-	ErrChecksum      = errors.New("broken: its checksum is not that of what it holds")
-	ErrUnknownRecord = errors.New("no record of this sort")
-	ErrNewerVersion  = errors.New("written by a newer program")
+	ErrTruncated     = errors.New("torn: the record is cut off")
+	ErrChecksum      = errors.New("damaged: the checksum does not match")
+	ErrUnknownRecord = errors.New("not a record of this kind")
+	ErrNewerVersion  = errors.New("written by a later release")
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// seal appends a record to b.
-func seal(b []byte, kind byte, v any) ([]byte, error) { return sealAs(b, kind, version, v) }
+// encodeRecord returns a record that holds v.
+func encodeRecord(kind recordKind, v any) ([]byte, error) {
+	return encodeRecordAs(kind, formatVersion, v)
+}
 
-func sealAs(b []byte, kind, version byte, v any) ([]byte, error) {
+// encodeRecordAs returns a record of a version of the format.
+func encodeRecordAs(kind recordKind, version byte, v any) ([]byte, error) {
 	body, err := cbor.Marshal(v)
 	if err != nil {
 		return nil, fmt.Errorf("encoding a record: %w", err)
 	}
-	at := len(b)
-	b = append(append(b, magic...), kind, version)
+	b := append([]byte(magic), byte(kind), version)
 	b = binary.BigEndian.AppendUint32(b, uint32(len(body)))
-	b = binary.BigEndian.AppendUint32(b, crc32.Checksum(b[at:], castagnoli))
-	return append(binary.BigEndian.AppendUint32(b, crc32.Checksum(body, castagnoli)), body...), nil
+	b = binary.BigEndian.AppendUint32(b, crc32.Checksum(b, castagnoli))
+	b = binary.BigEndian.AppendUint32(b, crc32.Checksum(body, castagnoli))
+	return append(b, body...), nil
 }
 
-// unseal reads the record that b begins with, and returns what follows it.
-func unseal(b []byte, kind byte, v any) (rest []byte, err error) {
-	if len(b) < headBytes || !slices.ContainsFunc(b, func(c byte) bool { return c != 0 }) {
-		return nil, ErrTruncated // a file may also have been made longer before what it was to hold came
+// decodeRecord decodes the record that b begins with into v, and returns what follows it. It fails with ErrTruncated,
+// ErrChecksum, ErrUnknownRecord or ErrNewerVersion.
+func decodeRecord(b []byte, kind recordKind, v any) (rest []byte, err error) {
+	if len(b) < headerBytes || allZero(b) {
+		return nil, ErrTruncated // a file may have grown before its contents were written
 	}
-	head, long := b[:headBytes-8], binary.BigEndian.Uint32(b[len(magic)+2:])
+	length := binary.BigEndian.Uint32(b[lengthAt:])
 	switch {
-	case string(b[:len(magic)]) != magic:
+	case string(b[:kindAt]) != magic:
 		return nil, ErrUnknownRecord
-	case binary.BigEndian.Uint32(b[headBytes-8:]) != crc32.Checksum(head, castagnoli), long > mostRecord:
+	case binary.BigEndian.Uint32(b[headerSumAt:]) != crc32.Checksum(b[:headerSumAt], castagnoli), length > maxRecordBytes:
 		return nil, ErrChecksum
-	case b[len(magic)] != kind:
+	case b[kindAt] != byte(kind):
 		return nil, ErrUnknownRecord
-	case uint64(len(b)-headBytes) < uint64(long):
+	case uint64(len(b)-headerBytes) < uint64(length):
 		return nil, ErrTruncated
 	}
-	body := b[headBytes : headBytes+int(long)]
-	if binary.BigEndian.Uint32(b[headBytes-4:]) != crc32.Checksum(body, castagnoli) {
+	end := headerBytes + int(length)
+	body := b[headerBytes:end]
+	if binary.BigEndian.Uint32(b[bodySumAt:]) != crc32.Checksum(body, castagnoli) {
 		return nil, ErrChecksum
 	}
-	if b[len(magic)+1] > version {
+	if b[versionAt] > formatVersion {
 		return nil, ErrNewerVersion
 	}
 	if err := cbor.Unmarshal(body, v); err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrChecksum, err)
 	}
-	return b[headBytes+int(long):], nil
+	return b[end:], nil
+}
+
+func allZero(b []byte) bool {
+	return !slices.ContainsFunc(b, func(c byte) bool { return c != 0 })
 }
--- a/internal/fleet/store/store.go
+++ b/internal/fleet/store/store.go
@@ -1,190 +1,144 @@
+// Package store keeps on disk what a dispatcher needs after a restart: its incarnation, what it has learnt, and the keys
+// under which requests may have run.
+//
+// Incarnation and state are documents in A/B slots, keys are a journal of segments; records carry checksums. What is read
+// back is complete and unaltered, or counts as lost and is reported as such. The package does not decide how far the
+// contents are trusted: package recovery does.
 package store
 
 import (
-	"fmt"
 	"sync"
 	"sync/atomic"
 )
 
-// Incarnation is who a dispatcher is.
+// Incarnation identifies one run of a dispatcher. Its number rises with each start.
 type Incarnation struct {
-	Name          string `cbor:"1,keyasint"`
-	Number        uint64 `cbor:"2,keyasint"` // raised at each start, before the first word to anyone
-	Nonce         uint64 `cbor:"3,keyasint"` // drawn at each start: two that claim one name and life are still two
+	Name          string `cbor:"1,keyasint"` // of the dispatcher
+	Number        uint64 `cbor:"2,keyasint"` // raised at each start, before the first message is sent
+	Nonce         uint64 `cbor:"3,keyasint"` // drawn at each start: two processes that claim one name and number differ in it
 	StartedAt     int64  `cbor:"4,keyasint"` // Unix time in ms
-	Drained       bool   `cbor:"5,keyasint"` // told to leave by hand
-	Keys          uint64 `cbor:"6,keyasint"` // keys acknowledged in this life, once it has ended in order
-	CleanShutdown bool   `cbor:"7,keyasint"` // it ended in order
-	KeysSuspect   bool   `cbor:"8,keyasint"` // keys of before may be missing; until a window has been lived through
+	Drained       bool   `cbor:"5,keyasint"` // an operator has drained it
+	Keys          uint64 `cbor:"6,keyasint"` // persisted in this incarnation; set by a clean shutdown
+	CleanShutdown bool   `cbor:"7,keyasint"`
+	KeysSuspect   bool   `cbor:"8,keyasint"` // keys of previous incarnations may be missing, until a dedup window has passed
 }
 
-// State are what a dispatcher has learnt, as of one moment.
+// State is what a dispatcher has learnt, as of one moment.
 type State struct {
-	Name         string                  `cbor:"1,keyasint"`
+	Name         string                  `cbor:"1,keyasint"` // of the dispatcher
 	Incarnation  uint64                  `cbor:"2,keyasint"`
 	WrittenAt    int64                   `cbor:"3,keyasint"` // Unix time in ms
-	SettingsHash string                  `cbor:"4,keyasint"` // a hash of those that it goes by
-	Learned      []byte                  `cbor:"5,keyasint"` // JSON, as a successor in an upgrade takes it
-	Peers        map[string]PeerProgress `cbor:"6,keyasint"` // what was heard of others, by name
-	Keys         uint64                  `cbor:"7,keyasint"` // acknowledged in this life up to then
+	SettingsHash string                  `cbor:"4,keyasint"` // of the settings in use
+	Learned      []byte                  `cbor:"5,keyasint"` // a proxy.Snapshot in JSON, as a successor in an upgrade takes it
+	Peers        map[string]PeerProgress `cbor:"6,keyasint"` // what was heard of peers, by name
+	Keys         uint64                  `cbor:"7,keyasint"` // persisted in this incarnation up to then
 }
 
-// PeerProgress is how far another dispatcher had come.
+// PeerProgress is what was heard of a peer's present incarnation and of the one before.
 type PeerProgress struct {
 	Incarnation   uint64 `cbor:"1,keyasint"`
 	Nonce         uint64 `cbor:"2,keyasint"`
-	PersistedKeys uint64 `cbor:"3,keyasint"` // keys made durable in that life
+	PersistedKeys uint64 `cbor:"3,keyasint"` // in that incarnation
 
-	PreviousIncarnation   uint64 `cbor:"4,keyasint,omitempty"` // and the same of the life before that
+	PreviousIncarnation   uint64 `cbor:"4,keyasint,omitempty"`
 	PreviousNonce         uint64 `cbor:"5,keyasint,omitempty"`
 	PreviousPersistedKeys uint64 `cbor:"6,keyasint,omitempty"`
 }
 
-// Recovered is what a folder held.
-type Recovered struct {
-	Incarnation   Incarnation
-	Known         bool // a life was found
-	Foreign       bool // it is that of another dispatcher
-	State         *State
-	Keys          []Key
-	PersistedKeys uint64  // keys of that life that are there, and were before them
-	Errors        []error // what could not be believed, each with its file
-	KeysSuspect   bool    // keys that were acknowledged may be missing
-}
-
-// Store is one dispatcher's folder.
+// Store holds the records of one dispatcher on a disk. All methods may be called by several goroutines.
 type Store struct {
-	name  string
-	mu    sync.Mutex // one write at a time; not held for facts while keys are written
-	life  slot
-	facts slot
-	keys  journal
-	own   Incarnation
-
-	factsMu sync.Mutex
-	kept    atomic.Uint64 // keys made durable in this life: told without waiting for a disk
-}
+	name string // of the dispatcher
 
-// Open reads a folder. What cannot be believed is named in Found and counts as lost.
-func Open(d Disk, name string) (*Store, Recovered) {
-	s := &Store{
-		name: name, life: slot{disk: d, name: "life", kind: kindLife},
-		facts: slot{disk: d, name: "facts", kind: kindFacts, often: true}, keys: journal{disk: d},
-	}
-	var f Recovered
-	var err error
-	lost := func(err error) {
-		if err != nil {
-			f.Errors = append(f.Errors, err)
-		}
-	}
-	f.Known, err = s.life.read(&f.Incarnation)
-	lost(err)
-	torn := err != nil
-	var facts State
-	found, err := s.facts.read(&facts)
-	lost(err)
-	f.Keys, err = s.keys.read()
-	lost(err)
-	f.KeysSuspect = torn || err != nil // also a record that ends before its end: it may have been whole once
-	f.KeysSuspect = f.KeysSuspect || f.Incarnation.KeysSuspect
-	f.Foreign = f.Known && f.Incarnation.Name != name
-	switch {
-	case !found:
-	case facts.Name != name:
-		lost(fmt.Errorf("facts: those of %q", facts.Name))
-	case f.Known && facts.Incarnation > f.Incarnation.Number:
-		lost(fmt.Errorf("facts: of life %d, later than %d, which the life file tells", facts.Incarnation, f.Incarnation.Number))
-		f.KeysSuspect = true // the life file has lost a write that it had acknowledged: so may the keys
-		f.State, f.Incarnation.Number = &facts, facts.Incarnation
-	default:
-		f.State = &facts
-	}
-	acknowledged := uint64(0)
-	if f.State != nil && f.State.Incarnation == f.Incarnation.Number {
-		acknowledged = f.State.Keys
-	}
-	if f.Incarnation.CleanShutdown {
-		acknowledged = max(acknowledged, f.Incarnation.Keys)
-	}
-	if f.PersistedKeys = s.keys.countIn(f.Incarnation.Number); acknowledged > f.PersistedKeys {
-		lost(fmt.Errorf("keys: %d of life %d, where %d had been acknowledged", f.PersistedKeys, f.Incarnation.Number, acknowledged))
-		f.KeysSuspect = true
-	}
-	if !f.Known || f.Foreign {
-		f.KeysSuspect = true // where nobody was, nobody knows what has been
-	}
-	return s, f
+	mu          sync.Mutex // guards the fields below; held during writes, except those of the state
+	incarnation Incarnation
+	identity    abSlot
+	journal     keyJournal
+
+	stateMu sync.Mutex // guards state; held during its writes, which the keys do not wait for
+	state   abSlot
+
+	persistedKeys atomic.Uint64 // in this incarnation; read without waiting for a write
 }
 
-// Begin makes the next life durable. least is the lowest number that it may have; doubt tells that keys of before
-// may be missing, which the life after this one has to know too.
-func (s *Store) Begin(was Incarnation, least, token uint64, doubt bool, now int64) (Incarnation, error) {
+// Begin persists the next incarnation of a dispatcher and returns it. Its number is at least minNumber and above that of
+// the previous one, if that is of the same dispatcher. keysSuspect tells whether keys of previous incarnations may be
+// missing, which later incarnations have to know too. now is Unix time in ms.
+func (s *Store) Begin(previous Incarnation, minNumber, nonce uint64, keysSuspect bool, now int64) (Incarnation, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.own = Incarnation{Name: s.name, Number: max(least, 1), Nonce: token, StartedAt: now, KeysSuspect: doubt}
-	if was.Name == s.name {
-		s.own.Number, s.own.Drained = max(s.own.Number, was.Number+1), was.Drained
+	next := Incarnation{
+		Name: s.name, Number: max(minNumber, 1), Nonce: nonce, StartedAt: now, KeysSuspect: keysSuspect,
+	}
+	if previous.Name == s.name {
+		next.Number = max(next.Number, previous.Number+1)
+		next.Drained = previous.Drained
 	}
-	s.keys.life, s.keys.count = s.own.Number, 0
-	s.kept.Store(0)
-	return s.own, s.life.write(s.own)
+	s.incarnation = next
+	s.journal.begin(next.Number)
+	s.persistedKeys.Store(0)
+	return next, s.identity.write(next)
 }
 
-// RaiseIncarnation makes a higher life durable, as others know of one that this folder does not.
-func (s *Store) RaiseIncarnation(life uint64) error {
-	return s.change(func(l *Incarnation) { l.Number = max(l.Number, life) })
+// RaiseIncarnation persists a higher number, since peers have heard of one that this disk does not hold.
+func (s *Store) RaiseIncarnation(number uint64) error {
+	return s.update(func(i *Incarnation) { i.Number = max(i.Number, number) })
 }
 
-// SetKeysSuspect makes durable whether keys of before may be missing.
-func (s *Store) SetKeysSuspect(doubt bool) error {
-	return s.change(func(l *Incarnation) { l.KeysSuspect = doubt })
+// SetKeysSuspect persists whether keys of previous incarnations may be missing.
+func (s *Store) SetKeysSuspect(suspect bool) error {
+	return s.update(func(i *Incarnation) { i.KeysSuspect = suspect })
 }
 
-// SetDrained makes durable that an operator has told this dispatcher to leave, or to join.
-func (s *Store) SetDrained(left bool) error {
-	return s.change(func(l *Incarnation) { l.Drained = left })
+// SetDrained persists whether an operator has drained this dispatcher.
+func (s *Store) SetDrained(drained bool) error {
+	return s.update(func(i *Incarnation) { i.Drained = drained })
 }
 
-// MarkCleanShutdown makes durable that this life ends in order.
+// MarkCleanShutdown persists that this incarnation ends in order, and how many keys it has persisted.
 func (s *Store) MarkCleanShutdown() error {
-	return s.change(func(l *Incarnation) { l.CleanShutdown, l.Keys = true, s.keys.count })
+	return s.update(func(i *Incarnation) {
+		i.CleanShutdown = true
+		i.Keys = s.journal.count
+	})
 }
 
-func (s *Store) change(how func(*Incarnation)) error {
+// update changes the incarnation and persists it. After an error the former one still holds.
+func (s *Store) update(change func(*Incarnation)) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	next := s.own
-	how(&next)
-	if next == s.own {
+	next := s.incarnation
+	change(&next)
+	if next == s.incarnation {
 		return nil
 	}
-	if err := s.life.write(next); err != nil {
+	if err := s.identity.write(next); err != nil {
 		return err
 	}
-	s.own = next
+	s.incarnation = next
 	return nil
 }
 
-// AppendKeys makes keys durable. It may be called by one goroutine at a time.
+// AppendKeys persists keys: all of them or, with an error, none that counts. now is Unix time in ms.
 func (s *Store) AppendKeys(keys []Key, now int64) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	err := s.keys.write(keys, now)
-	s.kept.Store(s.keys.count)
+	err := s.journal.append(keys, now)
+	s.persistedKeys.Store(s.journal.count)
 	return err
 }
 
-// PersistedKeys is how many keys were made durable in this life. It waits for no write: a disk that hangs stops those who
-// wait for it, and nobody else.
-func (s *Store) PersistedKeys() uint64 { return s.kept.Load() }
+// PersistedKeys returns how many keys were persisted in this incarnation. It does not wait for a write that goes on: a disk
+// that hangs must not stop the caller.
+func (s *Store) PersistedKeys() uint64 { return s.persistedKeys.Load() }
 
-// SaveState makes facts durable.
-func (s *Store) SaveState(f State) error {
+// SaveState persists what was learnt, as of this incarnation.
+func (s *Store) SaveState(state State) error {
 	s.mu.Lock()
-	f.Name, f.Incarnation, f.Keys = s.name, s.own.Number, s.keys.count
+	state.Name = s.name
+	state.Incarnation = s.incarnation.Number
+	state.Keys = s.journal.count
 	s.mu.Unlock()
-	s.factsMu.Lock()
-	defer s.factsMu.Unlock()
-	return s.facts.write(f)
+	s.stateMu.Lock()
+	defer s.stateMu.Unlock()
+	return s.state.write(state)
 }
