--- a/internal/fleet/keys.go
+++ b/internal/fleet/keys.go
@@ -12,91 +12,117 @@
 	"canvasroute/internal/proxy"
 )
 
-// sumOf is what stands for a key on disk and on the link.
-func sumOf(operation, key string) uint64 {
+var _ proxy.Recovery = (*Node)(nil)
+
+// keyChecksum returns what stands for a key on disk and in messages.
+func keyChecksum(operation, key string) uint64 {
 	h := fnv.New64a()
 	fmt.Fprintf(h, "%d %s %s", len(operation), operation, key)
 	return h.Sum64()
 }
 
-// PriorExecution tells where an invocation under the same key may have run in an earlier life of any dispatcher.
+// PriorExecution returns where a request under the same key may have run in a previous incarnation of any dispatcher, nil for
+// nowhere. It fails with proxy.ErrOutcomeUnknown if nobody can tell. again is the client's mark of a repeat.
 func (n *Node) PriorExecution(operation, key string, again bool) (*proxy.PriorExecution, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	k, err := n.keys.Find(recovery.KeyLookup{
-		Sum: sumOf(operation, key), MarkedRepeat: again, KeysPending: n.core.PeerKeysPending(n.now()),
-		Now: time.Now().UnixMilli(), Uptime: n.now(),
+	found, err := n.keys.Find(recovery.KeyLookup{
+		Sum: keyChecksum(operation, key), MarkedRepeat: again, KeysPending: n.machine.PeerKeysPending(n.uptime()),
+		Now: time.Now().UnixMilli(), Uptime: n.uptime(),
 	})
 	switch {
 	case err != nil:
-		n.stats.barred++
+		n.counters.repeatsFailed++
 		return nil, fmt.Errorf("%w: %w", proxy.ErrOutcomeUnknown, err)
-	case k == nil:
+	case found == nil:
 		return nil, nil
 	}
-	n.stats.held++
-	return &proxy.PriorExecution{Worker: k.Worker, Zone: k.Zone, Cell: k.Cell, SentMs: k.SentAt}, nil
+	n.counters.repeatsToGroup++
+	return &proxy.PriorExecution{Worker: found.Worker, Zone: found.Zone, Cell: found.Cell, SentMs: found.SentAt}, nil
 }
 
-// PersistKey makes a key durable before its forward is sent. Many at once share one sync.
-func (n *Node) PersistKey(ctx context.Context, k proxy.KeyRecord) error {
+// pendingKey is a key on its way to the disk.
+type pendingKey struct {
+	key       store.Key
+	persisted chan error // receives one value, which may find nobody waiting
+}
+
+// PersistKey returns once a key is durable, so that its request may be sent. It fails after the key timeout; the key may
+// become durable later then, which does no harm.
+func (n *Node) PersistKey(ctx context.Context, record proxy.KeyRecord) error {
 	now := time.Now().UnixMilli()
-	key := kept{store.Key{
-		Sum: sumOf(k.Operation, k.Key), Worker: k.Worker, Zone: k.Zone, Cell: k.Cell, SentAt: now,
-		ExpiresAt: now + k.Window.Milliseconds(),
-	}, make(chan error, 1)}
-	within := n.settings.Recovery.KeepWithin.Std()
-	ctx, cancel := context.WithTimeoutCause(ctx, within, fmt.Errorf("key: not on disk within %v", within))
+	pending := pendingKey{
+		key: store.Key{
+			Sum:    keyChecksum(record.Operation, record.Key),
+			Worker: record.Worker, Zone: record.Zone, Cell: record.Cell,
+			SentAt: now, ExpiresAt: now + record.Window.Milliseconds(),
+		},
+		persisted: make(chan error, 1),
+	}
+	timeout := n.settings.Recovery.KeyTimeout.Std()
+	ctx, cancel := context.WithTimeoutCause(ctx, timeout, &KeyTimeoutError{Timeout: timeout})
 	defer cancel()
 	select {
-	case n.keeping <- key:
+	case n.keyQueue <- pending:
 	case <-ctx.Done():
 		return context.Cause(ctx)
 	}
 	select {
-	case err := <-key.done:
+	case err := <-pending.persisted:
 		return err
 	case <-ctx.Done():
 		return context.Cause(ctx)
 	}
 }
 
-// mostBatch bounds the keys that become durable by one sync.
-const mostBatch = 512
+// KeyTimeoutError means that a key was not durable within the key timeout.
+type KeyTimeoutError struct{ Timeout time.Duration }
 
-// keep writes keys until ctx ends: all that have come while one write went on go with the next.
-func (n *Node) keep(ctx context.Context) error {
+// Error names the timeout.
+func (e *KeyTimeoutError) Error() string { return fmt.Sprintf("key: not on disk within %v", e.Timeout) }
+
+// maxKeyBatch bounds the keys that become durable by one sync.
+const maxKeyBatch = 512
+
+// writeKeys persists keys until ctx ends. Those that come during one write go together with the next.
+func (n *Node) writeKeys(ctx context.Context) error {
 	for {
-		var batch []kept
-		select {
-		case k := <-n.keeping:
-			batch = append(batch, k)
-		case <-ctx.Done():
+		batch := n.nextKeyBatch(ctx)
+		if len(batch) == 0 {
 			return nil
 		}
-		for more := true; more && len(batch) < mostBatch; {
-			select {
-			case k := <-n.keeping:
-				batch = append(batch, k)
-			default:
-				more = false
-			}
+		keys := make([]store.Key, 0, len(batch))
+		for _, pending := range batch {
+			keys = append(keys, pending.key)
 		}
-		var keys []store.Key
-		for _, k := range batch {
-			keys = append(keys, k.key)
+		err := n.writeKeyBatch(keys)
+		for _, pending := range batch {
+			pending.persisted <- err
 		}
-		err := n.write1(keys)
-		for _, k := range batch {
-			k.done <- err
+	}
+}
+
+// nextKeyBatch waits for a key, and returns it with those that wait behind it; none if ctx ends.
+func (n *Node) nextKeyBatch(ctx context.Context) (batch []pendingKey) {
+	select {
+	case pending := <-n.keyQueue:
+		batch = append(batch, pending)
+	case <-ctx.Done():
+		return nil
+	}
+	for len(batch) < maxKeyBatch {
+		select {
+		case pending := <-n.keyQueue:
+			batch = append(batch, pending)
+		default:
+			return batch
 		}
 	}
+	return batch
 }
 
-func (n *Node) write1(keys []store.Key) error {
-	n.mu.Lock()
-	s := n.store
-	n.mu.Unlock()
+func (n *Node) writeKeyBatch(keys []store.Key) error {
+	s := n.resources().store
 	if s == nil {
 		return errNoFolder
 	}
@@ -104,14 +130,12 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if err != nil {
-		n.stats.keysLost += int64(len(keys))
+		n.counters.keysLost += int64(len(keys))
 		return err
 	}
-	n.stats.keysKept += int64(len(keys))
-	for _, k := range keys { // others that return ask for these too; here they change nothing
+	n.counters.keysPersisted += int64(len(keys))
+	for _, k := range keys { // for peers that recover; repeats of this incarnation do not need them
 		n.keys.AddSent(messaging.Key(k))
 	}
 	return nil
 }
-
-var _ proxy.Recovery = (*Node)(nil)
--- a/internal/fleet/node_test.go
+++ b/internal/fleet/node_test.go
@@ -5,6 +5,7 @@
 	"net"
 	"os"
 	"path/filepath"
+	"strings"
 	"testing"
 	"time"
 
@@ -12,48 +13,79 @@
 	"github.com/stretchr/testify/assert"
 
 	"canvasroute/internal/balancer"
+	"canvasroute/internal/fleet/recovery"
 	"canvasroute/internal/fleet/store"
 	"canvasroute/internal/proxy"
 )
 
-// hung is a disk whose syncs do not end while the test goes on.
-type hung struct {
+// hungDisk is a disk whose syncs do not end before the test does.
+type hungDisk struct {
 	*store.Memory
-	syncing, never chan struct{}
+	syncing chan struct{} // receives a value once a sync has begun
+	ended   chan struct{} // closed with the test
 }
 
-func (h hung) Sync(string) error {
+// Sync waits for the end of the test.
+func (d hungDisk) Sync(string) error {
 	select {
-	case h.syncing <- struct{}{}:
+	case d.syncing <- struct{}{}:
 	default:
 	}
-	<-h.never
+	<-d.ended
 	return nil
 }
 
-// onHungDisk is a node of a fleet of one whose store is on a disk that hangs.
-func onHungDisk(t *testing.T) (*Node, hung) {
-	pc, err := net.ListenPacket("udp", "127.0.0.1:0")
+// freeAddress returns a UDP address of this machine at which nobody listens.
+func freeAddress(t *testing.T) string {
+	t.Helper()
+	conn, err := net.ListenPacket("udp", "127.0.0.1:0")
 	assert.NoError(t, err)
-	address := pc.LocalAddr().String()
-	pc.Close()
+	defer conn.Close()
+	return conn.LocalAddr().String()
+}
+
+// settingsOfOne returns the settings of a fleet of one dispatcher, n0, with a folder of its own.
+func settingsOfOne(t *testing.T) *Settings {
+	t.Helper()
 	dir := t.TempDir()
-	file := filepath.Join(dir, "fleet.toml")
-	text := "[state]\nfolder = \"" + filepath.Join(dir, "state") + "\"\nevery = \"5ms\"\n[link]\nlisten = \"" + address +
-		"\"\n[recovery]\nidentity-within = \"50ms\"\n[[member]]\nname = \"n0\"\naddress = \"" + address + "\"\n"
-	assert.NoError(t, os.WriteFile(file, []byte(text), 0o600))
-	s, err := Read(file, "n0", 0, 1)
+	path := filepath.Join(dir, "fleet.toml")
+	text := strings.NewReplacer("FOLDER", filepath.Join(dir, "state"), "ADDRESS", freeAddress(t)).Replace(`
+[state]
+folder = "FOLDER"
+every = "5ms"
+[link]
+listen = "ADDRESS"
+[recovery]
+identity-within = "50ms"
+ask-every = "10ms"
+[[member]]
+name = "n0"
+address = "ADDRESS"
+`)
+	assert.NoError(t, os.WriteFile(path, []byte(text), 0o600))
+	settings, err := Read(path, "n0", 0, 1)
 	assert.NoError(t, err)
-	n, err := Open(context.Background(), s, Config{Name: "n0", Now: func() balancer.Time { return 0 }, Log: zerolog.Nop()})
+	return settings
+}
+
+func configOfOne() Config {
+	return Config{Name: "n0", Now: func() balancer.Time { return 0 }, Log: zerolog.Nop()}
+}
+
+// newNodeOnHungDisk returns a node of a fleet of one whose store is on a disk that hangs.
+func newNodeOnHungDisk(t *testing.T) (*Node, hungDisk) {
+	t.Helper()
+	n, err := Open(context.Background(), settingsOfOne(t), configOfOne())
 	assert.NoError(t, err)
-	h := hung{store.NewMemory(), make(chan struct{}, 1), make(chan struct{})}
-	t.Cleanup(func() { close(h.never) })
-	n.store, n.found = store.Open(h, "n0")
-	return n, h
+	disk := hungDisk{store.NewMemory(), make(chan struct{}, 1), make(chan struct{})}
+	t.Cleanup(func() { close(disk.ended) })
+	n.owned.store, n.recovered = store.Open(disk, "n0")
+	return n, disk
 }
 
-// within fails the test where something takes longer than anybody should wait.
-func within(t *testing.T, what string, f func()) {
+// assertDoesNotWait fails the test if something takes longer than anybody should wait.
+func assertDoesNotWait(t *testing.T, what string, f func()) {
+	t.Helper()
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
@@ -66,34 +98,56 @@
 	}
 }
 
-// Guards against a sync that takes seconds under the node's lock: all invocations would wait with it, and clients
-// would give up unanswered.
+// If a sync that takes seconds held the node's lock, all requests would wait for it, and clients would give up unanswered.
 func TestOnlyKeysWaitForADiskThatHangs(t *testing.T) {
-	n, disk := onHungDisk(t)
+	n, disk := newNodeOnHungDisk(t)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	go func() { _ = n.keep(ctx) }()
+	go func() { _ = n.writeKeys(ctx) }()
 	go func() { _ = n.tick(ctx) }()
-	assert.ErrorContains(t, n.PersistKey(ctx, proxy.KeyRecord{Operation: "o", Key: "k", Window: time.Second}), "not on disk")
+	err := n.PersistKey(ctx, proxy.KeyRecord{Operation: "o", Key: "k", Window: time.Second})
+	var timeout *KeyTimeoutError
+	assert.ErrorAs(t, err, &timeout)
+	assert.ErrorContains(t, err, "not on disk")
 	<-disk.syncing
 	for range 20 {
-		n.wake()
-		within(t, "an operator's question", func() { n.Metrics() })
-		within(t, "an invocation", func() {
-			_, _, ok := n.Admit(balancer.Arrival{})
-			assert.False(t, ok, "nothing lands before the node has returned")
+		n.notify()
+		assertDoesNotWait(t, "DUMP", func() { n.Metrics() })
+		assertDoesNotWait(t, "a request", func() {
+			_, _, admitted := n.Admit(balancer.Arrival{})
+			assert.False(t, admitted, "no request is sent before the state is restored")
 		})
 		time.Sleep(time.Millisecond)
 	}
 }
 
-// Guards against a process that its disk keeps from ending.
-func TestEndIsNotHeldUpByADiskThatHangs(t *testing.T) {
-	n, disk := onHungDisk(t)
+// A process that waits for its disk at the end would be killed by its operators.
+func TestShutdownDoesNotWaitForADiskThatHangs(t *testing.T) {
+	n, disk := newNodeOnHungDisk(t)
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go func() { ended <- n.Run(ctx) }()
 	<-disk.syncing
 	cancel()
-	within(t, "the end", func() { assert.NoError(t, <-ended) })
+	assertDoesNotWait(t, "the shutdown", func() { assert.NoError(t, <-ended) })
+}
+
+// Two processes under one name would answer each other's queries and write one folder.
+func TestSecondProcessOfANameIsRefused(t *testing.T) {
+	settings := settingsOfOne(t)
+	folder, _, err := store.OpenFolder(settings.State.Folder)
+	assert.NoError(t, err)
+	_, err = Open(context.Background(), settings, configOfOne())
+	var conflict *NameConflictError
+	assert.ErrorAs(t, err, &conflict)
+	assert.Equal(t, "n0", conflict.Name)
+	assert.ErrorIs(t, err, store.ErrLocked)
+	assert.NoError(t, folder.Close())
+	n, err := Open(context.Background(), settings, configOfOne())
+	assert.NoError(t, err)
+	var notReady *NotReadyError
+	assert.ErrorAs(t, n.Ready(), &notReady)
+	assert.Equal(t, recovery.EstablishingIdentity, notReady.Phase)
+	assert.NoError(t, n.owned.socket.Close())
+	assert.NoError(t, n.owned.folder.Close())
 }
--- a/internal/fleet/operators_test.go
+++ b/internal/fleet/operators_test.go
@@ -11,12 +11,12 @@
 
 // TestCounterNamesOfDump pins the names that operators read in the answer to DUMP, in their order.
 func TestCounterNamesOfDump(t *testing.T) {
-	node, _ := onHungDisk(t)
-	defer func() { assert.NoError(t, node.socket.Close()) }()
+	node, _ := newNodeOnHungDisk(t)
+	defer func() { assert.NoError(t, node.owned.socket.Close()) }()
 	var names []string
-	for _, f := range node.Metrics() {
-		assert.Empty(t, f.Operation)
-		names = append(names, f.Name)
+	for _, metric := range node.Metrics() {
+		assert.Empty(t, metric.Operation)
+		names = append(names, metric.Name)
 	}
 	assert.Equal(t, []string{
 		"return_phase", "return_case", "return_phase_ms", "return_life", "return_answered",
@@ -53,12 +53,12 @@
 	read, err := Read(path, "n0", 0, 2)
 	assert.NoError(t, err)
 	want := &Settings{Members: []Member{{Name: "n0", Address: "10.0.0.1:7950"}, {Name: "n1", Address: "10.0.0.2:7950"}}}
-	want.State.Folder, want.State.Every, want.State.Doubt = "/var/lib/other", Duration(7*time.Second), true
+	want.State.Folder, want.State.Interval, want.State.UnreliableDisk = "/var/lib/other", Duration(7*time.Second), true
 	want.Link.Listen = "10.0.0.1:7950"
 	r := &want.Recovery
-	r.IdentityWithin, r.ListWithin, r.OthersWithin = ms(11), ms(12), ms(13)
-	r.TrickleWithin, r.AskEvery, r.KeepWithin = ms(14), ms(15), ms(16)
-	want.listen, want.addresses = read.listen, read.addresses // derived
+	r.IdentityTimeout, r.EndpointsTimeout, r.PeersTimeout = ms(11), ms(12), ms(13)
+	r.ProbeTimeout, r.QueryInterval, r.KeyTimeout = ms(14), ms(15), ms(16)
+	want.ownAddress, want.memberAddresses = read.ownAddress, read.memberAddresses // derived
 	assert.Equal(t, want, read)
 }
 
--- /dev/null
+++ b/internal/fleet/restore.go
@@ -0,0 +1,156 @@
+package fleet
+
+import (
+	"encoding/json"
+	"slices"
+	"time"
+
+	"canvasroute/internal/balancer"
+	"canvasroute/internal/fleet/recovery"
+	"canvasroute/internal/protocol"
+	"canvasroute/internal/proxy"
+)
+
+// InitialEndpoints returns the newer one of the configured list and the stored one.
+func (n *Node) InitialEndpoints(configured *protocol.EndpointList) *protocol.EndpointList {
+	snapshot, ok := n.storedSnapshot()
+	if !ok || configured != nil && configured.Version >= snapshot.Version {
+		return configured
+	}
+	stored := &protocol.EndpointList{Version: snapshot.Version, Complete: true}
+	for _, e := range snapshot.Endpoints {
+		if e.State != protocol.Gone {
+			stored.Endpoints = append(stored.Endpoints, e)
+		}
+	}
+	n.log.Info().Int64("version", snapshot.Version).Int("workers", len(stored.Endpoints)).
+		Msg("stored endpoint list is newer than the configured one")
+	return stored
+}
+
+// storedSnapshot decodes what the stored state has learnt; ok is false if there is none. A state that cannot be decoded is
+// dropped.
+func (n *Node) storedSnapshot() (snapshot proxy.Snapshot, ok bool) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	if n.recovered.State == nil {
+		return snapshot, false
+	}
+	if err := json.Unmarshal(n.recovered.State.Learned, &snapshot); err != nil {
+		n.log.Warn().Err(err).Msg("stored record ignored")
+		n.recovered.State = nil
+		n.counters.factsDropped++
+		return snapshot, false
+	}
+	return snapshot, true
+}
+
+// restore gives the balancer what is trusted of the stored state and what peers know, before the first request is sent.
+func (n *Node) restore(replies []recovery.PeerReply) {
+	n.mu.Lock()
+	outage := n.machine.Outage()
+	state := n.recovered.State
+	n.mu.Unlock()
+	processStart := n.config.Now() - balancer.Time(n.uptime()/(time.Second/balancer.Second))
+	if state != nil {
+		if snapshot, ok := n.storedSnapshot(); ok {
+			age := recovery.RecordAgeOf(state.WrittenAt, time.Now().UnixMilli())
+			n.dropUntrusted(&snapshot, age, outage)
+			n.proxy.RestoreFromDisk(snapshot)
+			n.restoreDrains(snapshot)
+		}
+	}
+	n.balancer.DelayWarmingWorkers(processStart)
+	if outage == recovery.FleetWide {
+		n.balancer.ReportFleetRestart(processStart)
+	}
+	n.mergeReplies(replies)
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.log.Info().Stringer("case", outage).Int64("trusted", n.counters.factsTrusted).
+		Int64("dropped", n.counters.factsDropped).Int("keys", n.keys.Count()).Msg("stored state restored")
+}
+
+// dropUntrusted removes from a stored snapshot what recovery.TrustRules do not trust at its age and after such an outage,
+// and what is of the moment of writing alone.
+func (n *Node) dropUntrusted(snapshot *proxy.Snapshot, age recovery.RecordAge, outage recovery.Outage) {
+	trustsCapacity := n.trusts(recovery.FactCapacity, age, outage)
+	trustsSizes := n.trusts(recovery.FactSizes, age, outage)
+	trustsBackoffs := n.trusts(recovery.FactBackoffs, age, outage)
+	trustsQuotas := n.trusts(recovery.FactQuotas, age, outage)
+	for shard := range snapshot.Learned {
+		learned := &snapshot.Learned[shard]
+		if !trustsCapacity {
+			learned.Kinds = nil
+		}
+		if !trustsSizes {
+			learned.Sample = nil
+			learned.Sampled = 0
+			learned.TotalValue = 0
+			learned.Operations = nil
+		}
+		if !trustsQuotas {
+			learned.Tenants = nil
+		}
+		if !trustsBackoffs {
+			learned.Zones = nil
+		}
+		learned.UnheardNotBefore = 0
+		learned.FreeSlotRatio = 1
+		for w := range learned.Workers {
+			worker := &learned.Workers[w]
+			if !trustsBackoffs {
+				*worker = balancer.WorkerStats{}
+			}
+			worker.PeerLoads = nil // those requests have ended
+			worker.Sends = nil     // and these are too long ago
+		}
+	}
+}
+
+// trusts tells whether a stored fact is trusted, and counts it.
+func (n *Node) trusts(fact recovery.Fact, age recovery.RecordAge, outage recovery.Outage) bool {
+	trusted, reason := recovery.IsTrusted(fact, age, outage)
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	if trusted {
+		n.counters.factsTrusted++
+		return true
+	}
+	n.counters.factsDropped++
+	n.log.Info().Str("fact", recovery.TrustRules[fact].Name).Str("why", reason).Msg("stored fact not trusted")
+	return false
+}
+
+// restoreDrains takes the drains of the stored list that the present one lacks, unless that is newer.
+func (n *Node) restoreDrains(snapshot proxy.Snapshot) {
+	version, endpoints := n.proxy.Endpoints()
+	if version > snapshot.Version {
+		return
+	}
+	var drained []protocol.Endpoint
+	for _, stored := range snapshot.Endpoints {
+		known := slices.IndexFunc(endpoints, func(e protocol.Endpoint) bool { return e.ID == stored.ID })
+		if known >= 0 && stored.State == protocol.Terminating && endpoints[known].State == protocol.Ready {
+			drained = append(drained, stored)
+		}
+	}
+	if len(drained) > 0 {
+		n.proxy.MergeEndpoints(drained)
+	}
+}
+
+// readStoredCapacity returns the most requests at once that workers of each kind had been seen to process, by the stored state.
+func (n *Node) readStoredCapacity() map[string]float64 {
+	capacity := map[string]float64{}
+	snapshot, ok := n.storedSnapshot()
+	if !ok || len(snapshot.Learned) == 0 {
+		return capacity
+	}
+	for kind, stats := range snapshot.Learned[0].Kinds {
+		if kind < len(snapshot.Kinds) && stats.MaxObserved > minCapacityToTell {
+			capacity[snapshot.Kinds[kind]] = stats.MaxObserved
+		}
+	}
+	return capacity
+}
