--- a/internal/fleet/messaging/message.go
+++ b/internal/fleet/messaging/message.go
@@ -1,6 +1,8 @@
-// Package messaging is what dispatchers say to one another beside the platform's datagrams: questions of one that
-// returns, and answers. Messages are lost, late, doubled and out of order; each stands for itself, and taking
-// one twice changes nothing.
+// Package messaging is the protocol between the dispatchers of a fleet, beside the platform's own datagrams: queries of a
+// dispatcher that recovers, replies, and heartbeats, in CBOR over UDP.
+//
+// Messages may be lost, duplicated, late and out of order. Each stands for itself, and receiving one twice changes nothing.
+// The package neither repeats nor interprets them: package recovery does.
 package messaging
 
 import (
@@ -10,7 +12,7 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// MaxDatagramBytes is how long one message may be, in bytes: what fits a packet on any net.
+// MaxDatagramBytes bounds an encoded message, so that no network on the way fragments it.
 const MaxDatagramBytes = 1200
 
 // Kind is what a message is.
@@ -18,130 +20,172 @@
 
 // The values of Kind.
 const (
-	Query     Kind = iota + 1 // what do you know?
-	Reply                     // a part of what I know
-	Heartbeat                 // how far I have come, for the time when I have lost it
+	Query     Kind = iota + 1 // asks what the receiver knows
+	Reply                     // one part of what the sender knows
+	Heartbeat                 // the sender's progress, for the case that its disk loses it
 )
 
-// Worker is what one dispatcher knows of a worker.
+// Worker is what the sender knows of a worker.
 type Worker struct {
 	ID        string `cbor:"1,keyasint"`
-	StartedAt int64  `cbor:"2,keyasint,omitempty"` // Unix time in ms, 0 for long ago
-	State     string `cbor:"3,keyasint,omitempty"` // as listed, "" for ready
-	InFlight  int    `cbor:"4,keyasint,omitempty"` // forwards out there
+	StartedAt int64  `cbor:"2,keyasint,omitempty"` // Unix time in ms, 0 for unknown
+	State     string `cbor:"3,keyasint,omitempty"` // in the endpoint list, "" for ready
+	InFlight  int    `cbor:"4,keyasint,omitempty"` // requests of the sender there
 }
 
-// Key tells where an invocation under a key may have run.
+// Key tells where a request under an idempotency key may have run.
 type Key struct {
-	Sum       uint64 `cbor:"1,keyasint"`
+	Sum       uint64 `cbor:"1,keyasint"` // checksum of the operation and the key
 	Worker    string `cbor:"2,keyasint"`
 	Zone      string `cbor:"3,keyasint,omitempty"`
 	Cell      int    `cbor:"4,keyasint,omitempty"`
 	SentAt    int64  `cbor:"5,keyasint"` // Unix time in ms
-	ExpiresAt int64  `cbor:"6,keyasint"` // when workers no longer drop its repeats
+	ExpiresAt int64  `cbor:"6,keyasint"` // Unix time in ms from which workers no longer drop repeats
 }
 
-// Message is one of them.
+// Message is a query, a reply or a heartbeat. Which fields have a meaning depends on its kind.
 type Message struct {
 	Kind         Kind   `cbor:"1,keyasint"`
 	From         string `cbor:"2,keyasint"`
 	Incarnation  uint64 `cbor:"3,keyasint"`
 	Nonce        uint64 `cbor:"4,keyasint"`
-	Number       uint32 `cbor:"5,keyasint"`           // of a question, and in the answers to it
-	Phase        uint8  `cbor:"6,keyasint,omitempty"` // how far the sender has returned
-	UptimeMillis int64  `cbor:"7,keyasint,omitempty"` // ms since the sender's start
-
-	PersistedKeys uint64 `cbor:"20,keyasint,omitempty"` // in beats: keys made durable in this life
-	WantWorkers   bool   `cbor:"18,keyasint,omitempty"` // in a question: with what is known of workers
-
-	// In answers.
-	YourIncarnation   uint64             `cbor:"8,keyasint,omitempty"`  // the highest heard of under the asker's name
-	YourNonce         uint64             `cbor:"9,keyasint,omitempty"`  // and whose it is
-	YourPersistedKeys uint64             `cbor:"19,keyasint,omitempty"` // and how many keys it had made durable
-	HeardAgoMillis    int64              `cbor:"10,keyasint,omitempty"` // how many ms ago
-	KeysUnconfirmed   bool               `cbor:"21,keyasint,omitempty"` // whether there are such keys is not known yet
-	KeysSuspect       bool               `cbor:"12,keyasint,omitempty"` // keys that the sender should know may be missing
-	MaxObserved       map[string]float64 `cbor:"13,keyasint,omitempty"` // by kind of worker: the most seen at work at once
-	Part              uint16             `cbor:"14,keyasint,omitempty"`
-	Parts             uint16             `cbor:"15,keyasint,omitempty"`
+	Number       uint32 `cbor:"5,keyasint"`           // of a query, and in the replies to it
+	Phase        uint8  `cbor:"6,keyasint,omitempty"` // of the sender's recovery
+	UptimeMillis int64  `cbor:"7,keyasint,omitempty"` // since the sender's process started
+
+	PersistedKeys uint64 `cbor:"20,keyasint,omitempty"` // in heartbeats: in this incarnation
+	WantWorkers   bool   `cbor:"18,keyasint,omitempty"` // in queries: the reply is to name workers
+
+	// In replies.
+	YourIncarnation   uint64             `cbor:"8,keyasint,omitempty"`  // the highest heard of the one that asks, but for its present process
+	YourNonce         uint64             `cbor:"9,keyasint,omitempty"`  // its nonce
+	YourPersistedKeys uint64             `cbor:"19,keyasint,omitempty"` // and how many keys it had persisted
+	HeardAgoMillis    int64              `cbor:"10,keyasint,omitempty"` // how long ago it was heard
+	KeysUnconfirmed   bool               `cbor:"21,keyasint,omitempty"` // the sender does not know yet whether it has lost keys
+	KeysSuspect       bool               `cbor:"12,keyasint,omitempty"` // keys that the sender had persisted may be missing
+	MaxObserved       map[string]float64 `cbor:"13,keyasint,omitempty"` // by kind of worker: the most requests seen at work at once
+	Part              uint16             `cbor:"14,keyasint,omitempty"` // number of this part of the reply, from 0
+	Parts             uint16             `cbor:"15,keyasint,omitempty"` // number of parts
 	Workers           []Worker           `cbor:"16,keyasint,omitempty"`
 	Keys              []Key              `cbor:"17,keyasint,omitempty"`
 }
 
-// ErrMalformed is a message that is not of this protocol.
-var ErrMalformed = errors.New("malformed message")
+// The errors of messages.
+var (
+	ErrMalformed = errors.New("malformed message") // received bytes that are not of this protocol
+	ErrTooLong   = errors.New("message too long")  // to be sent
+)
 
+// strictDecoding bounds what a datagram can make the decoder do.
 var strictDecoding = mustDecMode(cbor.DecOptions{
 	DupMapKey: cbor.DupMapKeyEnforcedAPF, MaxArrayElements: 1024, MaxMapPairs: 64,
 	MaxNestedLevels: 4, IndefLength: cbor.IndefLengthForbidden,
 }.DecMode())
 
-func mustDecMode(m cbor.DecMode, err error) cbor.DecMode {
+func mustDecMode(mode cbor.DecMode, err error) cbor.DecMode {
 	if err != nil {
 		panic(err) // the options are constants
 	}
-	return m
+	return mode
 }
 
-// Encode writes a message.
-func Encode(m *Message) ([]byte, error) {
-	b, err := cbor.Marshal(m)
-	if err == nil && len(b) > MaxDatagramBytes {
-		err = fmt.Errorf("a message of %d bytes, %d at most", len(b), MaxDatagramBytes)
+// Encode returns the bytes of a message. It fails with ErrTooLong above MaxDatagramBytes.
+func Encode(msg *Message) ([]byte, error) {
+	b, err := cbor.Marshal(msg)
+	if err != nil {
+		return nil, fmt.Errorf("encoding a message: %w", err)
 	}
-	return b, err
+	if len(b) > MaxDatagramBytes {
+		return nil, fmt.Errorf("%w: %d bytes, %d at most", ErrTooLong, len(b), MaxDatagramBytes)
+	}
+	return b, nil
 }
 
-// Decode reads a message.
+// Decode returns the message in a datagram. It fails with ErrMalformed.
 func Decode(b []byte) (*Message, error) {
 	if len(b) > MaxDatagramBytes {
 		return nil, fmt.Errorf("%w: %d bytes", ErrMalformed, len(b))
 	}
-	m := &Message{}
-	if err := strictDecoding.Unmarshal(b, m); err != nil {
+	msg := &Message{}
+	if err := strictDecoding.Unmarshal(b, msg); err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrMalformed, err)
 	}
-	if m.Kind < Query || m.Kind > Heartbeat || m.From == "" || len(m.From) > 255 || m.UptimeMillis < 0 || m.HeardAgoMillis < 0 ||
-		m.Kind == Reply && (m.Parts == 0 || m.Part >= m.Parts) {
+	if !msg.valid() {
 		return nil, ErrMalformed
 	}
-	return m, nil
+	return msg, nil
 }
 
-// Bytes that a worker and a key take at the most, but for their names.
+// maxNameBytes bounds a sender's name.
+const maxNameBytes = 255
+
+// valid tells whether the fields of a decoded message can be used.
+func (m *Message) valid() bool {
+	switch {
+	case m.Kind < Query || m.Kind > Heartbeat:
+		return false
+	case m.From == "" || len(m.From) > maxNameBytes:
+		return false
+	case m.UptimeMillis < 0 || m.HeardAgoMillis < 0:
+		return false
+	case m.Kind == Reply:
+		return m.Part < m.Parts
+	}
+	return true
+}
+
+// The most bytes that parts of a message take in CBOR, without the names in them.
 const (
-	maxCommonBytes = 400 // what is the same in all parts
+	maxCommonBytes = 400 // all fields but the ones below
 	maxWorkerBytes = 48
 	maxKeyBytes    = 56
-	maxKindBytes   = 12
+	maxKindBytes   = 12 // an entry of MaxObserved
 )
 
-// Split deals workers and keys out to as many messages as they need, all else like the first.
+// Split returns a reply in as many parts as its workers and keys need, each with the fields of first. MaxObserved is in the
+// first part alone.
 func Split(first Message, workers []Worker, keys []Key) []Message {
-	parts := []Message{first}
-	room := MaxDatagramBytes - maxCommonBytes - len(first.From)
-	for name := range first.MaxObserved {
-		room -= maxKindBytes + len(name)
-	}
-	left := room
-	next := func(size int) *Message {
-		if left -= size; left < 0 {
-			later := first
-			later.MaxObserved = nil
-			parts, left = append(parts, later), room-size
-		}
-		return &parts[len(parts)-1]
-	}
+	s := newSplitter(first)
 	for _, w := range workers {
-		m := next(maxWorkerBytes + len(w.ID) + len(w.State))
-		m.Workers = append(m.Workers, w)
+		part := s.partFor(maxWorkerBytes + len(w.ID) + len(w.State))
+		part.Workers = append(part.Workers, w)
 	}
 	for _, k := range keys {
-		m := next(maxKeyBytes + len(k.Worker) + len(k.Zone))
-		m.Keys = append(m.Keys, k)
+		part := s.partFor(maxKeyBytes + len(k.Worker) + len(k.Zone))
+		part.Keys = append(part.Keys, k)
 	}
-	for n := range parts {
-		parts[n].Part, parts[n].Parts = uint16(n), uint16(len(parts))
+	for n := range s.parts {
+		s.parts[n].Part = uint16(n)
+		s.parts[n].Parts = uint16(len(s.parts))
+	}
+	return s.parts
+}
+
+// splitter fills the parts of a reply one after the other.
+type splitter struct {
+	parts     []Message
+	capacity  int // bytes for workers and keys in each part
+	remaining int // of them in the last part
+}
+
+func newSplitter(first Message) *splitter {
+	capacity := MaxDatagramBytes - maxCommonBytes - len(first.From)
+	for kind := range first.MaxObserved {
+		capacity -= maxKindBytes + len(kind)
+	}
+	return &splitter{parts: []Message{first}, capacity: capacity, remaining: capacity}
+}
+
+// partFor returns the part that an entry of a size goes to.
+func (s *splitter) partFor(size int) *Message {
+	s.remaining -= size
+	if s.remaining < 0 {
+		next := s.parts[0]
+		next.MaxObserved = nil
+		next.Workers = nil
+		next.Keys = nil
+		s.parts = append(s.parts, next)
+		s.remaining = s.capacity - size
 	}
-	return parts
+	return &s.parts[len(s.parts)-1]
 }
--- a/internal/fleet/messaging/socket.go
+++ b/internal/fleet/messaging/socket.go
@@ -12,27 +12,28 @@
 	"github.com/rs/zerolog"
 )
 
-// Socket carries messages between the members of a fleet.
+// Socket sends and receives the messages between the members of a fleet. Send may be called by several goroutines.
 type Socket struct {
 	conn    *net.UDPConn
-	members []netip.AddrPort
+	members []netip.AddrPort // by position
 	log     zerolog.Logger
 
+	// Counters since the socket was opened.
 	Sent, Bytes, Failed, Heard, Malformed, Strangers atomic.Int64
 }
 
-// Listen opens the socket of one member. Members are all of them by number, its own among them.
-func Listen(addr netip.AddrPort, members []netip.AddrPort, log zerolog.Logger) (*Socket, error) {
-	pc, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(addr))
+// Listen opens the socket of one member at its address. members are the addresses of all of them by position.
+func Listen(address netip.AddrPort, members []netip.AddrPort, log zerolog.Logger) (*Socket, error) {
+	conn, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(address))
 	if err != nil {
 		return nil, fmt.Errorf("listening for the fleet: %w", err)
 	}
-	return &Socket{conn: pc, members: members, log: log}, nil
+	return &Socket{conn: conn, members: members, log: log}, nil
 }
 
-// Send sends one message to a member.
-func (s *Socket) Send(to int, m *Message) {
-	b, err := Encode(m)
+// Send sends a message to the member at a position. A failure is counted: to the protocol it is a lost message.
+func (s *Socket) Send(to int, msg *Message) {
+	b, err := Encode(msg)
 	if err == nil {
 		_, err = s.conn.WriteToUDPAddrPort(b, s.members[to])
 	}
@@ -44,35 +45,40 @@
 	s.Bytes.Add(int64(len(b)))
 }
 
-// Run hands on what members send until ctx ends.
-func (s *Socket) Run(ctx context.Context, take func(from int, m *Message)) error {
+// Run passes what members send to receive, with the sender's position, until ctx ends. It closes the socket.
+func (s *Socket) Run(ctx context.Context, receive func(from int, msg *Message)) error {
 	defer context.AfterFunc(ctx, func() { s.conn.Close() })()
-	b := make([]byte, MaxDatagramBytes+1)
+	datagram := make([]byte, MaxDatagramBytes+1) // a longer one is seen to be so
 	for ctx.Err() == nil {
-		n, from, err := s.conn.ReadFromUDPAddrPort(b)
+		size, from, err := s.conn.ReadFromUDPAddrPort(datagram)
 		if errors.Is(err, net.ErrClosed) {
 			return nil
 		}
-		if err != nil { // a refusal by some member's machine is no fault of the socket
+		if err != nil { // such as the refusal by a member's machine of a message sent before
 			continue
 		}
-		from = netip.AddrPortFrom(from.Addr().Unmap(), from.Port())
-		member := slices.Index(s.members, from)
-		if member < 0 {
-			s.Strangers.Add(1)
-			continue
-		}
-		m, err := Decode(b[:n])
-		if err != nil {
-			s.Malformed.Add(1)
-			s.log.Debug().Err(err).Str("addr", from.String()).Msg("message of the fleet")
-			continue
-		}
-		s.Heard.Add(1)
-		take(member, m)
+		s.receive(datagram[:size], from, receive)
 	}
 	return nil
 }
 
-// Close ends the socket.
+// receive counts a datagram, and passes its message on if it comes from a member.
+func (s *Socket) receive(datagram []byte, from netip.AddrPort, receive func(from int, msg *Message)) {
+	from = netip.AddrPortFrom(from.Addr().Unmap(), from.Port())
+	position := slices.Index(s.members, from)
+	if position < 0 {
+		s.Strangers.Add(1)
+		return
+	}
+	msg, err := Decode(datagram)
+	if err != nil {
+		s.Malformed.Add(1)
+		s.log.Debug().Err(err).Str("addr", from.String()).Msg("malformed fleet message ignored")
+		return
+	}
+	s.Heard.Add(1)
+	receive(position, msg)
+}
+
+// Close closes the socket.
 func (s *Socket) Close() error { return s.conn.Close() }
