--- a/internal/fleet/incarnation.go
+++ b/internal/fleet/incarnation.go
@@ -72,7 +72,7 @@
 	}
 }
 
-// beginIncarnation persists the next incarnation, and tells the state machine. It goes on without if the disk does not
+// beginIncarnation persists the next incarnation, and tells the state machine. It continues without if the disk does not
 // answer in time.
 func (n *Node) beginIncarnation() {
 	n.mu.Lock()
--- a/internal/fleet/messaging/message.go
+++ b/internal/fleet/messaging/message.go
@@ -57,10 +57,10 @@
 	WantWorkers   bool   `cbor:"18,keyasint,omitempty"` // in queries: the reply is to name workers
 
 	// In replies.
-	YourIncarnation   uint64             `cbor:"8,keyasint,omitempty"`  // the highest heard of the one that asks, but for its present process
+	YourIncarnation   uint64             `cbor:"8,keyasint,omitempty"`  // the highest received of the one that asks, but for its present process
 	YourNonce         uint64             `cbor:"9,keyasint,omitempty"`  // its nonce
 	YourPersistedKeys uint64             `cbor:"19,keyasint,omitempty"` // and how many keys it had persisted
-	HeardAgoMillis    int64              `cbor:"10,keyasint,omitempty"` // how long ago it was heard
+	ReceivedAgoMillis int64              `cbor:"10,keyasint,omitempty"` // since its last message
 	KeysUnconfirmed   bool               `cbor:"21,keyasint,omitempty"` // the sender does not know yet whether it has lost keys
 	KeysSuspect       bool               `cbor:"12,keyasint,omitempty"` // keys that the sender had persisted may be missing
 	MaxObserved       map[string]float64 `cbor:"13,keyasint,omitempty"` // by kind of worker: the most requests seen at work at once
@@ -119,14 +119,14 @@
 // maxNameBytes bounds a sender's name.
 const maxNameBytes = 255
 
-// valid tells whether the fields of a decoded message can be used.
+// valid reports whether the fields of a decoded message can be used.
 func (m *Message) valid() bool {
 	switch {
 	case m.Kind < Query || m.Kind > Heartbeat:
 		return false
 	case m.From == "" || len(m.From) > maxNameBytes:
 		return false
-	case m.UptimeMillis < 0 || m.HeardAgoMillis < 0:
+	case m.UptimeMillis < 0 || m.ReceivedAgoMillis < 0:
 		return false
 	case m.Kind == Reply:
 		return m.Part < m.Parts
--- a/internal/fleet/messaging/message_test.go
+++ b/internal/fleet/messaging/message_test.go
@@ -22,7 +22,7 @@
 			first := Message{
 				Kind: Reply, From: "dispatcher-with-a-long-name", Incarnation: 1 << 60, Nonce: ^uint64(0),
 				Number: 1 << 31, Phase: 5, UptimeMillis: 1 << 40, YourIncarnation: 1 << 60, YourNonce: ^uint64(0),
-				HeardAgoMillis: 1 << 40, KeysSuspect: true, MaxObserved: map[string]float64{"std-3c": 3.1, "big-16c": 16.5},
+				ReceivedAgoMillis: 1 << 40, KeysSuspect: true, MaxObserved: map[string]float64{"std-3c": 3.1, "big-16c": 16.5},
 			}
 			var gotWorkers []Worker
 			var gotKeys []Key
@@ -48,10 +48,10 @@
 }
 
 func TestMalformedMessagesAreRejected(t *testing.T) {
-	whole, err := Encode(&Message{Kind: Query, From: "d0", Incarnation: 1, Nonce: 2, Number: 3})
+	complete, err := Encode(&Message{Kind: Query, From: "d0", Incarnation: 1, Nonce: 2, Number: 3})
 	assert.NoError(t, err)
-	for size := range whole {
-		_, err := Decode(whole[:size])
+	for size := range complete {
+		_, err := Decode(complete[:size])
 		assert.ErrorIs(t, err, ErrMalformed, "cut off at %d", size)
 	}
 	_, err = Decode(make([]byte, MaxDatagramBytes+1))
--- a/internal/fleet/messaging/socket.go
+++ b/internal/fleet/messaging/socket.go
@@ -19,7 +19,7 @@
 	log     zerolog.Logger
 
 	// Counters since the socket was opened.
-	Sent, Bytes, Failed, Heard, Malformed, Strangers atomic.Int64
+	Sent, Bytes, Failed, Received, Malformed, UnknownSenders atomic.Int64
 }
 
 // Listen opens the socket of one member at its address. members are the addresses of all of them by position.
@@ -67,7 +67,7 @@
 	from = netip.AddrPortFrom(from.Addr().Unmap(), from.Port())
 	position := slices.Index(s.members, from)
 	if position < 0 {
-		s.Strangers.Add(1)
+		s.UnknownSenders.Add(1)
 		return
 	}
 	msg, err := Decode(datagram)
@@ -76,7 +76,7 @@
 		s.log.Debug().Err(err).Str("addr", from.String()).Msg("malformed fleet message ignored")
 		return
 	}
-	s.Heard.Add(1)
+	s.Received.Add(1)
 	receive(position, msg)
 }
 
--- a/internal/fleet/peers.go
+++ b/internal/fleet/peers.go
@@ -11,7 +11,7 @@
 )
 
 // mergeReplies takes what peers know, and in doubt the more cautious value: the latest start of a worker, a drain that any of
-// them has heard of, each key. Requests in flight are taken from those peers alone that serve.
+// them knows, each key. Requests in flight are taken from those peers alone that serve.
 func (n *Node) mergeReplies(replies []recovery.PeerReply) {
 	_, endpoints := n.proxy.Endpoints()
 	merged := newEndpointMerge(endpoints)
--- a/internal/fleet/phases.go
+++ b/internal/fleet/phases.go
@@ -173,7 +173,7 @@
 	return nil
 }
 
-// Admit tells whether a request may come in. If so, done is to be called with its success once it has ended; else retryAfter
+// Admit reports whether a request may come in. If so, done is to be called with its success once it has ended; else retryAfter
 // is when its client should come back, 0 for no advice.
 func (n *Node) Admit(arrival balancer.Arrival) (done func(succeeded bool), retryAfter time.Duration, admitted bool) {
 	n.mu.Lock()
--- a/internal/fleet/recovery/admission.go
+++ b/internal/fleet/recovery/admission.go
@@ -42,7 +42,7 @@
 	s.advance()
 }
 
-// Admit tells whether a request of an expected size may come in, and else when its client should retry, 0 for no advice.
+// Admit reports whether a request of an expected size may come in, and else when its client should retry, 0 for no advice.
 // Before Serving each admitted request is to be ended by RequestEnded.
 func (s *StateMachine) Admit(now, size time.Duration) (admitted bool, retryAfter time.Duration) {
 	s.now = now
@@ -94,7 +94,7 @@
 	return math.Exp(-float64(elapsed) / float64(demandWindow))
 }
 
-// demandWithinCapacity tells whether for a while no request has been rejected and demand has been well within the present
+// demandWithinCapacity reports whether for a while no request has been rejected and demand has been well within the present
 // capacity. One quiet moment is not enough to serve in full.
 func (s *StateMachine) demandWithinCapacity() bool {
 	a := &s.admission
--- a/internal/fleet/recovery/heartbeats.go
+++ b/internal/fleet/recovery/heartbeats.go
@@ -25,7 +25,7 @@
 	}
 }
 
-// keysConfirmed tells whether each receiver of this dispatcher's heartbeats has answered, or the dedup window is over.
+// keysConfirmed reports whether each receiver of this dispatcher's heartbeats has answered, or the dedup window is over.
 // Before that its disk may have been reset to an earlier state without anybody having noticed.
 func (s *StateMachine) keysConfirmed() bool {
 	if s.dedupWindowPassed() {
--- a/internal/fleet/recovery/identity.go
+++ b/internal/fleet/recovery/identity.go
@@ -24,10 +24,10 @@
 	Incarnation   uint64
 	PersistedKeys uint64                  // of that incarnation, as far as they were read
 	KeysSuspect   bool                    // keys that were persisted may be missing
-	Peers         map[string]PeerProgress // what it had heard of peers, by name
+	Peers         map[string]PeerProgress // what it knew of peers, by name
 }
 
-// PreviousIncarnationOf returns the previous incarnation of what a store recovered. keysSuspect tells whether keys may be
+// PreviousIncarnationOf returns the previous incarnation of what a store recovered. keysSuspect reports whether keys may be
 // missing, which depends on the operators' settings too.
 func PreviousIncarnationOf(recovered store.Recovered, keysSuspect bool) PreviousIncarnation {
 	previous := PreviousIncarnation{
@@ -70,9 +70,9 @@
 	s.sendQueries()
 }
 
-// checkOwnName compares what a peer has heard under this dispatcher's name with this process. An incarnation heard before
-// this process started is a previous one of this dispatcher; one heard since is another process under the same name, of
-// which the lower one gives way.
+// checkOwnName compares what a peer has received under this dispatcher's name with this process. An incarnation that was last
+// received before this process started is a previous one of this dispatcher. One received since is another process under
+// the same name, of which the lower one gives way.
 func (s *StateMachine) checkOwnName(reply *messaging.Message) {
 	if reply.YourNonce == s.identity.nonce || reply.YourIncarnation == 0 {
 		return
@@ -83,17 +83,17 @@
 	if reply.YourIncarnation < s.identity.incarnation {
 		return
 	}
-	heardAgo := time.Duration(reply.HeardAgoMillis) * time.Millisecond
+	receivedAgo := time.Duration(reply.ReceivedAgoMillis) * time.Millisecond
 	switch {
-	case heardAgo >= s.now:
+	case receivedAgo >= s.now:
 		s.actions.RaiseIncarnation = max(s.actions.RaiseIncarnation, reply.YourIncarnation+1)
 	case reply.YourIncarnation > s.identity.incarnation || reply.YourNonce > s.identity.nonce:
-		s.enter(Superseded, fmt.Sprintf("another process under this name: incarnation %d, heard %v ago",
-			reply.YourIncarnation, heardAgo))
+		s.enter(Superseded, fmt.Sprintf("another process under this name: incarnation %d, last message %v ago",
+			reply.YourIncarnation, receivedAgo))
 	}
 }
 
-// isOlderThan tells whether a peer has heard of a later incarnation, or of more keys of the same one, than the disk held.
+// isOlderThan reports whether a peer knows a later incarnation, or of more keys of the same one, than the disk held.
 func (p *PreviousIncarnation) isOlderThan(reply *messaging.Message) bool {
 	if reply.YourIncarnation == p.Incarnation {
 		return reply.YourPersistedKeys > p.PersistedKeys
@@ -111,12 +111,12 @@
 	s.actions.SetKeysSuspect = &suspect
 }
 
-// dedupWindowPassed tells whether every key of a previous incarnation has expired.
+// dedupWindowPassed reports whether every key of a previous incarnation has expired.
 func (s *StateMachine) dedupWindowPassed() bool {
 	return s.now >= s.identity.establishedAt+s.config.DedupWindow
 }
 
-// PeerKeysPending tells whether requests may have run under keys that are unknown here: a peer that may know of them has
+// PeerKeysPending reports whether requests may have run under keys that are unknown here: a peer that may know of them has
 // not answered for good or has lost keys, or this dispatcher has, and the dedup window is not over.
 func (s *StateMachine) PeerKeysPending(now time.Duration) bool {
 	if s.identity.established && now >= s.identity.establishedAt+s.config.DedupWindow {
--- a/internal/fleet/recovery/identity_test.go
+++ b/internal/fleet/recovery/identity_test.go
@@ -9,11 +9,11 @@
 	"canvasroute/internal/fleet/messaging"
 )
 
-func TestIncarnationIsRaisedAboveWhatPeersHaveHeard(t *testing.T) {
+func TestIncarnationIsRaisedAboveWhatPeersKnow(t *testing.T) {
 	s := newTestMachine(1, PreviousIncarnation{})
 	s.TakeActions()
 	reply := replyOf(s, 1, Serving)
-	reply.YourIncarnation, reply.YourNonce, reply.HeardAgoMillis = 7, 55, heardBeforeStartMillis
+	reply.YourIncarnation, reply.YourNonce, reply.ReceivedAgoMillis = 7, 55, receivedBeforeStartMillis
 	s.Receive(10*ms, 1, reply)
 	actions := s.TakeActions()
 	assert.EqualValues(t, 8, actions.RaiseIncarnation)
@@ -28,10 +28,10 @@
 	assert.False(t, s.PeerKeysPending(40*time.Second))
 }
 
-func TestResetDiskIsDetectedByTheKeysThatPeersHaveHeardOf(t *testing.T) {
+func TestResetDiskIsDetectedByTheKeysThatPeersKnow(t *testing.T) {
 	for _, c := range []struct {
 		name  string
-		heard uint64 // keys of the previous incarnation, of which the disk holds 5
+		known uint64 // to the peer: keys of the previous incarnation, of which the disk holds 5
 		want  bool
 	}{
 		{"as many keys as on disk", 5, false},
@@ -41,15 +41,15 @@
 			s := newTestMachine(3, PreviousIncarnation{Incarnation: 2, PersistedKeys: 5})
 			s.TakeActions()
 			reply := replyOf(s, 1, Serving)
-			reply.YourIncarnation, reply.YourNonce, reply.HeardAgoMillis = 2, 55, heardBeforeStartMillis
-			reply.YourPersistedKeys = c.heard
+			reply.YourIncarnation, reply.YourNonce, reply.ReceivedAgoMillis = 2, 55, receivedBeforeStartMillis
+			reply.YourPersistedKeys = c.known
 			s.Receive(10*ms, 1, reply)
 			assert.Equal(t, c.want, s.TakeActions().SetKeysSuspect != nil)
 		})
 	}
 }
 
-// Peers hear both processes that run under one name, and the lower one gives way.
+// Peers receive messages of both processes that run under one name, and the lower one gives way.
 func TestLowerOfTwoProcessesUnderOneNameGivesWay(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -63,7 +63,7 @@
 			s := newTestMachine(4, PreviousIncarnation{Incarnation: 3})
 			s.TakeActions()
 			reply := replyOf(s, 1, Serving)
-			reply.YourIncarnation, reply.YourNonce, reply.HeardAgoMillis = 4, c.nonce, 3
+			reply.YourIncarnation, reply.YourNonce, reply.ReceivedAgoMillis = 4, c.nonce, 3
 			s.Receive(10*ms, 1, reply)
 			assert.Equal(t, c.want, s.Phase())
 		})
@@ -77,7 +77,7 @@
 	s.Receive(2*ms, 1, &messaging.Message{Kind: messaging.Query, From: "d1", Incarnation: 5, Nonce: 55, Number: 1})
 	reply := s.Reply(s.TakeActions().Queries[0], LocalKnowledge{})[0]
 	assert.Equal(t, []uint64{4, 44, 17}, []uint64{reply.YourIncarnation, reply.YourNonce, reply.YourPersistedKeys})
-	assert.EqualValues(t, heardBeforeStartMillis, reply.HeardAgoMillis)
+	assert.EqualValues(t, receivedBeforeStartMillis, reply.ReceivedAgoMillis)
 	assert.Equal(t, PeerProgress{
 		Incarnation: 5, Nonce: 55,
 		PreviousIncarnation: 4, PreviousNonce: 44, PreviousPersistedKeys: 17,
--- a/internal/fleet/recovery/keys.go
+++ b/internal/fleet/recovery/keys.go
@@ -8,7 +8,7 @@
 )
 
 // Keys are the idempotency keys under which requests may have run. Those of previous incarnations, from this dispatcher's
-// disk and from peers, decide where a repeat goes. Those that this incarnation sends are kept for peers alone.
+// disk and from peers, decide where a repeat goes. Those that this incarnation sends are reported to peers alone.
 type Keys struct {
 	dedupWindow time.Duration
 	previous    map[uint64]messaging.Key // by checksum, of all dispatchers
@@ -54,7 +54,7 @@
 func (k *Keys) Count() int { return len(k.previous) }
 
 // ForPeers returns the keys of this dispatcher's own disk and incarnation that may not have expired, and forgets the
-// others. Keys learnt from peers are left out: one that asks, asks all members. now is Unix time in ms and uptime the time
+// others. Keys from peers are left out: one that asks, asks all members. now is Unix time in ms and uptime the time
 // since the process started: until a whole dedup window has passed the wall clock, which may have jumped, expires no key.
 func (k *Keys) ForPeers(now int64, uptime time.Duration) (keys []messaging.Key) {
 	for _, own := range []map[uint64]messaging.Key{k.restored, k.sent} {
--- a/internal/fleet/recovery/peers.go
+++ b/internal/fleet/recovery/peers.go
@@ -10,21 +10,21 @@
 
 // peer is what is known of one other dispatcher. What of it survives a restart is a PeerProgress.
 type peer struct {
-	incarnation   uint64 // 0 while nothing is known of it
-	nonce         uint64
-	persistedKeys uint64        // in that incarnation, by its heartbeats
-	previous      PeerProgress  // its incarnation before that one, which it may ask about
-	lastHeardAt   time.Duration // never while this process runs: neverHeard
-	phase         Phase
+	incarnation    uint64 // 0 while nothing is known of it
+	nonce          uint64
+	persistedKeys  uint64        // in that incarnation, by its heartbeats
+	previous       PeerProgress  // its incarnation before that one, which it may ask about
+	lastReceivedAt time.Duration // never while this process runs: neverReceived
+	phase          Phase
 
 	query       queryState
-	answered    bool // a whole reply has come
+	answered    bool // a whole reply has been received
 	answerFinal bool // one has come since the peer knows whether its own disk has lost keys
 	keysSuspect bool // keys that the peer should know may be missing
 }
 
-// neverHeard is the value of peer.lastHeardAt before the first message.
-const neverHeard time.Duration = -1
+// neverReceived is the value of peer.lastReceivedAt before the first message.
+const neverReceived time.Duration = -1
 
 // restore takes what the disk held of a peer.
 func (p *peer) restore(progress PeerProgress) {
@@ -47,7 +47,7 @@
 }
 
 // observe takes the sender's incarnation and phase from a message. It returns false for a message of an incarnation that
-// has ended: the highest one heard under a name counts.
+// has ended: the highest one known of a name counts.
 func (p *peer) observe(msg *messaging.Message, now time.Duration) bool {
 	same := msg.Incarnation == p.incarnation && msg.Nonce == p.nonce
 	newer := msg.Incarnation > p.incarnation || msg.Incarnation == p.incarnation && msg.Nonce > p.nonce
@@ -57,7 +57,7 @@
 	if newer {
 		p.startIncarnation(msg)
 	}
-	p.lastHeardAt = now
+	p.lastReceivedAt = now
 	p.phase = max(p.phase, Phase(msg.Phase))
 	return true
 }
@@ -95,7 +95,7 @@
 func newPeerTable(members, self int) peerTable {
 	t := peerTable{members: make([]peer, members), self: self}
 	for n := range t.members {
-		t.members[n].lastHeardAt = neverHeard
+		t.members[n].lastReceivedAt = neverReceived
 	}
 	return t
 }
@@ -149,7 +149,7 @@
 	return answered, s.peers.count()
 }
 
-// activeDispatchers returns how many dispatchers share the workers, this one too: those heard since this process started,
+// activeDispatchers returns how many dispatchers share the workers, this one too: those of which a message has come since this process started,
 // and all that may exist as long as peers have the time to answer.
 func (s *StateMachine) activeDispatchers() int {
 	if s.phase <= QueryingPeers {
@@ -157,7 +157,7 @@
 	}
 	active := 1
 	for _, p := range s.peers.others() {
-		if p.lastHeardAt != neverHeard {
+		if p.lastReceivedAt != neverReceived {
 			active++
 		}
 	}
@@ -185,7 +185,7 @@
 	}
 }
 
-// acceptsFrom tells whether a message can be of the member that it came from.
+// acceptsFrom reports whether a message can be of the member that it came from.
 func (s *StateMachine) acceptsFrom(from int, msg *messaging.Message) bool {
 	return s.identity.established && from >= 0 && from < len(s.peers.members) && from != s.config.Self &&
 		msg.From == s.config.Members[from] && msg.Phase <= uint8(Superseded)
--- a/internal/fleet/recovery/peers_test.go
+++ b/internal/fleet/recovery/peers_test.go
@@ -27,7 +27,7 @@
 			c.change(reply)
 			s.Receive(ms, c.from, reply)
 			assert.Empty(t, s.TakeActions().Replies)
-			assert.Equal(t, known, s.Peers()["d1"], "what was known is kept for peers")
+			assert.Equal(t, known, s.Peers()["d1"], "what was known of it stays")
 		})
 	}
 }
--- a/internal/fleet/recovery/phase.go
+++ b/internal/fleet/recovery/phase.go
@@ -26,7 +26,7 @@
 // String returns the name of the phase that operators read.
 func (p Phase) String() string { return phaseNames[p] }
 
-// Admits tells whether a dispatcher in this phase may admit requests.
+// Admits reports whether a dispatcher in this phase may admit requests.
 func (p Phase) Admits() bool { return p >= Probing && p != Superseded }
 
 // Transition is the beginning of a phase.
--- a/internal/fleet/recovery/queries.go
+++ b/internal/fleet/recovery/queries.go
@@ -51,7 +51,7 @@
 		s.peers.lastQueryNumber++
 		p.query.number = s.peers.lastQueryNumber
 		p.query.receivedParts = nil
-		p.query.wantWorkers = p.query.wantWorkers || s.asksAboutWorkers(position)
+		p.query.wantWorkers = p.query.wantWorkers || s.isAskedAboutWorkers(position)
 		p.query.nextAt = s.now + s.jittered(s.queryBackoff(p))
 		p.query.sent++
 		p.query.lastAt = s.now
@@ -63,7 +63,7 @@
 
 // queryBackoff returns the longest wait until a peer is queried again.
 func (s *StateMachine) queryBackoff(p *peer) time.Duration {
-	if p.answered { // only whether its keys are complete is open, which takes it some time to find out
+	if p.answered { // it only has to find out whether its keys are complete, which takes some time
 		return s.config.QueryInterval << maxBackoffDoublings
 	}
 	return s.config.QueryInterval << min(p.query.sent, maxBackoffDoublings)
@@ -74,9 +74,9 @@
 	return wait/2 + time.Duration(s.rng.Int64N(int64(wait/2)+1))
 }
 
-// asksAboutWorkers tells whether a peer is one of the next few in the ring that answer. If every dispatcher asked every
+// isAskedAboutWorkers reports whether a peer is one of the next few in the ring that answer. If every dispatcher asked every
 // other one, a large fleet would send all that it knows once for each pair.
-func (s *StateMachine) asksAboutWorkers(position int) bool {
+func (s *StateMachine) isAskedAboutWorkers(position int) bool {
 	most := workerQueryPeers
 	for step := 1; step <= most && step < len(s.peers.members); step++ {
 		successor := s.peers.successor(step)
@@ -113,14 +113,14 @@
 		p.answered = true
 		p.answerFinal = Phase(reply.Phase) > QueryingPeers && !reply.KeysUnconfirmed
 		p.query.nextAt = max(p.query.nextAt, s.now+s.config.QueryInterval<<finalAnswerDoublings)
-		s.askServingPeerAboutWorkers(p)
+		s.queryServingPeerAboutWorkers(p)
 	}
 	s.advance()
 }
 
-// askServingPeerAboutWorkers queries a peer again that turns out to serve: it knows more of workers than the successors
+// queryServingPeerAboutWorkers queries a peer again that turns out to serve: it knows more of workers than the successors
 // in the ring that were down.
-func (s *StateMachine) askServingPeerAboutWorkers(p *peer) {
+func (s *StateMachine) queryServingPeerAboutWorkers(p *peer) {
 	if p.query.wantWorkers || p.phase != Serving || s.phase > QueryingPeers ||
 		s.peers.servingWorkerQueryees >= workerQueryPeers {
 		return
--- a/internal/fleet/recovery/reply.go
+++ b/internal/fleet/recovery/reply.go
@@ -9,8 +9,8 @@
 	Keys        []messaging.Key
 }
 
-// heardBeforeStartMillis stands in a reply for the time since a message that came before this process started.
-const heardBeforeStartMillis = 1 << 40
+// receivedBeforeStartMillis stands in a reply for the time since a message that came before this process started.
+const receivedBeforeStartMillis = 1 << 40
 
 // Reply returns the messages that answer a query with what is known here.
 func (s *StateMachine) Reply(query Query, known LocalKnowledge) []messaging.Message {
@@ -25,7 +25,7 @@
 	return messaging.Split(first, known.Workers, known.Keys)
 }
 
-// reportPeer writes into a reply what was heard under the name of the one that asks, other than from its present process:
+// reportPeer writes into a reply what was received under the name of the one that asks, other than from its present process:
 // by its query that one has already replaced its previous incarnation here.
 func (s *StateMachine) reportPeer(reply *messaging.Message, query Query) {
 	p := &s.peers.members[query.From]
@@ -36,14 +36,14 @@
 		reply.YourIncarnation = p.previous.Incarnation
 		reply.YourNonce = p.previous.Nonce
 		reply.YourPersistedKeys = p.previous.PersistedKeys
-		reply.HeardAgoMillis = heardBeforeStartMillis
+		reply.ReceivedAgoMillis = receivedBeforeStartMillis
 		return
 	}
 	reply.YourIncarnation = p.incarnation
 	reply.YourNonce = p.nonce
 	reply.YourPersistedKeys = p.persistedKeys
-	reply.HeardAgoMillis = heardBeforeStartMillis
-	if p.lastHeardAt != neverHeard {
-		reply.HeardAgoMillis = (s.now - p.lastHeardAt).Milliseconds()
+	reply.ReceivedAgoMillis = receivedBeforeStartMillis
+	if p.lastReceivedAt != neverReceived {
+		reply.ReceivedAgoMillis = (s.now - p.lastReceivedAt).Milliseconds()
 	}
 }
--- a/internal/fleet/recovery/statemachine.go
+++ b/internal/fleet/recovery/statemachine.go
@@ -161,5 +161,5 @@
 	}
 }
 
-// PeerProgress is what a dispatcher has heard of a peer's incarnations and persisted keys, or a peer of this one's.
+// PeerProgress is what a dispatcher knows of a peer's incarnations and persisted keys.
 type PeerProgress = store.PeerProgress
--- a/internal/fleet/recovery/trust.go
+++ b/internal/fleet/recovery/trust.go
@@ -47,8 +47,8 @@
 	{
 		Fact: FactIdentity, Name: "name and incarnation", Stored: "life.a and life.b in turn, synced before the first message",
 		SurvivesFleetOutage: true,
-		CheckedWith:         "the name in the configuration; the highest incarnation of that name that peers have heard",
-		Default:             "one above the highest incarnation that peers have heard, or 1",
+		CheckedWith:         "the name in the configuration; the highest incarnation of that name that peers know",
+		Default:             "one above the highest incarnation that peers know, or 1",
 		IfWrong:             "peers report the higher incarnation, and this one is raised above it",
 	},
 	{
@@ -153,7 +153,7 @@
 	return RecordAge{Elapsed: max(elapsed, 0)}
 }
 
-// IsTrusted tells whether a fact of an age is trusted after an outage, and if not, why.
+// IsTrusted reports whether a fact of an age is trusted after an outage, and if not, why.
 func IsTrusted(fact Fact, age RecordAge, outage Outage) (trusted bool, reason string) {
 	rule := &TrustRules[fact]
 	switch {
--- a/internal/fleet/restore.go
+++ b/internal/fleet/restore.go
@@ -28,7 +28,7 @@
 	return stored
 }
 
-// storedSnapshot decodes what the stored state has learnt; ok is false if there is none. A state that cannot be decoded is
+// storedSnapshot decodes what the stored state has learned; ok is false if there is none. A state that cannot be decoded is
 // dropped.
 func (n *Node) storedSnapshot() (snapshot proxy.Snapshot, ok bool) {
 	n.mu.Lock()
@@ -108,7 +108,7 @@
 	}
 }
 
-// trusts tells whether a stored fact is trusted, and counts it.
+// trusts reports whether a stored fact is trusted, and counts it.
 func (n *Node) trusts(fact recovery.Fact, age recovery.RecordAge, outage recovery.Outage) bool {
 	trusted, reason := recovery.IsTrusted(fact, age, outage)
 	n.mu.Lock()
--- a/internal/fleet/simulate/clients.go
+++ b/internal/fleet/simulate/clients.go
@@ -88,7 +88,7 @@
 	case found != nil:
 		outcome = repeatToGroup
 	}
-	fromBefore := key.at < n.startedAt && n.world.now < key.at+dedupWindow && !key.lost
+	fromBefore := key.at < n.startedAt && n.world.now < key.at+dedupWindow && !key.unknownToPeers
 	if fromBefore {
 		n.world.result.Repeats[outcome]++
 	}
--- a/internal/fleet/simulate/faults.go
+++ b/internal/fleet/simulate/faults.go
@@ -26,9 +26,9 @@
 // diskFaults are all kinds, in the order in which they are drawn.
 var diskFaults = []diskFault{diskIntact, diskLost, diskTorn, diskReset, diskSwapped, diskFull}
 
-// unheardTime is how long before a loss of power the last keys of a dispatcher may have been sent without a peer that has
-// heard of them and stored it: its last heartbeat and the last state of its peers are up to a second old each.
-const unheardTime = 2200 * time.Millisecond
+// unreportedKeyTime is how long before a loss of power the last keys of a dispatcher may have been sent without a
+// peer that knows them and has stored that: its last heartbeat and the last state of its peers are up to a second old each.
+const unreportedKeyTime = 2200 * time.Millisecond
 
 // faultPlan is which kinds of faults a history has at all. So some histories have few kinds, and meet what many kinds
 // together would hide.
@@ -65,20 +65,20 @@
 	}
 	plan := faultPlan{powerLosses: 1 + w.rng.IntN(3)}
 	for _, fault := range diskFaults {
-		if w.chance(0.5) {
+		if w.happens(0.5) {
 			plan.disks = append(plan.disks, fault)
 		}
 	}
-	plan.clockJumps = w.chance(0.3)
-	plan.neverBack = w.chance(0.2)
+	plan.clockJumps = w.happens(0.3)
+	plan.neverBack = w.happens(0.2)
 	if slices.Contains(plan.disks, diskReset) {
-		// A reset is detected as long as one of the two peers that receive heartbeats has its disk and is heard: so only
+		// A reset is detected as long as one of the two peers that receive heartbeats has its disk and is received: so only
 		// every third disk is reset, no other one loses anything, and all messages arrive.
 		plan.disks = []diskFault{diskIntact, diskReset, diskFull}
 	} else {
 		w.drawNetworkFaults()
 	}
-	if w.chance(0.2) {
+	if w.happens(0.2) {
 		for _, n := range w.nodes {
 			n.disk.DropSyncs = true
 			n.unreliableDisk = true
@@ -91,12 +91,12 @@
 // returns when the last of them is back.
 func (w *world) schedulePowerLoss(at time.Duration, plan *faultPlan) time.Duration {
 	share := 1.0
-	if !w.plan.FleetOutageOnly && w.chance(0.4) {
+	if !w.plan.FleetOutageOnly && w.happens(0.4) {
 		share = w.rng.Float64()
 	}
 	var down []*node
 	for _, n := range w.nodes {
-		if w.chance(share) {
+		if w.happens(share) {
 			down = append(down, n)
 		}
 	}
@@ -108,15 +108,15 @@
 		}
 	})
 	last := at
-	if share == 1 && w.chance(0.8) {
+	if share == 1 && w.happens(0.8) {
 		last = max(last, w.scheduleWorkerOutage(at))
 	}
-	if w.chance(0.5) {
+	if w.happens(0.5) {
 		last = max(last, w.scheduleListServiceOutage(at))
 	}
 	maxDowntime := w.between(100*time.Millisecond, 5*time.Second)
 	for _, n := range down {
-		if plan.neverBack && w.chance(0.2) {
+		if plan.neverBack && w.happens(0.2) {
 			continue
 		}
 		last = max(last, w.scheduleRestart(n, at, maxDowntime, plan))
@@ -154,7 +154,7 @@
 	}
 	other := w.nodes[w.rng.IntN(len(w.nodes))]
 	clockJump := time.Duration(0)
-	if plan.clockJumps && w.chance(0.3) {
+	if plan.clockJumps && w.happens(0.3) {
 		clockJump = w.between(-2*time.Hour, 2*time.Hour)
 	}
 	w.at(back, func() {
@@ -183,7 +183,7 @@
 	case diskReset:
 		if snapshot != nil {
 			n.disk = snapshot.Restart(0)
-			n.markUnheardKeys()
+			n.markKeysUnknownToPeers()
 		}
 	case diskSwapped:
 		n.disk = other.Restart(0)
@@ -192,13 +192,13 @@
 	}
 }
 
-// markUnheardKeys marks the keys that are lost with a disk that was reset, since no peer can have heard of them.
-func (n *node) markUnheardKeys() {
+// markKeysUnknownToPeers marks the keys that are lost with a disk that was reset, since no peer can know them.
+func (n *node) markKeysUnknownToPeers() {
 	for k := range n.world.keys {
 		key := &n.world.keys[k]
-		sentJustBefore := func(loss time.Duration) bool { return key.at <= loss && key.at > loss-unheardTime }
+		sentJustBefore := func(loss time.Duration) bool { return key.at <= loss && key.at > loss-unreportedKeyTime }
 		if key.sender == n.position && slices.ContainsFunc(n.powerLosses, sentJustBefore) {
-			key.lost = true
+			key.unknownToPeers = true
 		}
 	}
 }
--- a/internal/fleet/simulate/invariants.go
+++ b/internal/fleet/simulate/invariants.go
@@ -10,8 +10,8 @@
 // peersTimeout is how long dispatchers wait for the replies of their peers.
 const peersTimeout = time.Second
 
-// checkTransition checks that phases only grow, that nobody admits requests before it has heard its peers or waited for
-// them, and that an outage of one dispatcher alone was one.
+// checkTransition checks that phases only grow, that nobody admits requests before its peers have answered or had the time
+// to, and that an outage of one dispatcher alone was one.
 func (n *node) checkTransition(transition recovery.Transition) {
 	if transition.Phase < n.phase {
 		n.world.violation("%d: %v after %v", n.position, transition.Phase, n.phase)
--- a/internal/fleet/simulate/network.go
+++ b/internal/fleet/simulate/network.go
@@ -32,11 +32,11 @@
 	w.result.Messages++
 	w.result.Bytes += len(b)
 	copies := 1
-	if w.chance(w.network.duplication) {
+	if w.happens(w.network.duplication) {
 		copies = 2
 	}
 	for range copies {
-		if w.chance(w.network.loss) || w.network.cut[link{from, to}] {
+		if w.happens(w.network.loss) || w.network.cut[link{from, to}] {
 			continue
 		}
 		w.after(w.network.delay+w.between(0, w.network.maxJitter), func() { w.deliver(from, to, b) })
@@ -57,19 +57,19 @@
 
 // drawNetworkFaults draws faults of the network, and schedules their end.
 func (w *world) drawNetworkFaults() {
-	if w.chance(0.4) {
+	if w.happens(0.4) {
 		w.network.loss = 0.4 * w.rng.Float64()
 	}
-	if w.chance(0.4) {
+	if w.happens(0.4) {
 		w.network.duplication = 0.3 * w.rng.Float64()
 	}
-	if w.chance(0.5) {
+	if w.happens(0.5) {
 		w.network.maxJitter = w.between(0, 300*time.Millisecond)
 	}
-	if w.chance(0.4) {
+	if w.happens(0.4) {
 		w.cutLinks()
 	}
-	if w.chance(0.2) {
+	if w.happens(0.2) {
 		w.partition()
 	}
 	heal := dedupWindow + w.between(5*time.Second, 25*time.Second)
--- a/internal/fleet/simulate/node.go
+++ b/internal/fleet/simulate/node.go
@@ -105,7 +105,7 @@
 	n.powerLosses = append(n.powerLosses, n.world.now)
 }
 
-// running tells whether a process that was started as a run still goes on.
+// running reports whether a process that was started as a run is still up.
 func (n *node) running(run int) bool { return n.up && n.run == run }
 
 // tick lets the state machine do what is due by time, again and again.
--- a/internal/fleet/simulate/simulate.go
+++ b/internal/fleet/simulate/simulate.go
@@ -35,11 +35,11 @@
 }
 
 const (
-	dedupWindow = 10 * time.Second
-	warmupTime  = 12 * time.Second
-	coldShare   = 0.12             // of a warm worker's capacity that a cold one has
-	settleTime  = 25 * time.Second // from the last fault to the end of the history
-	maxStagger  = 200 * time.Millisecond
+	dedupWindow       = 10 * time.Second
+	warmupTime        = 12 * time.Second
+	coldCapacityShare = 0.12             // of a warm worker's capacity that a cold one has
+	settleTime        = 25 * time.Second // from the last fault to the end of the history
+	maxStagger        = 200 * time.Millisecond
 	// maxViolations bounds how many violations a result lists: the first ones tell most.
 	maxViolations = 20
 )
@@ -69,11 +69,11 @@
 
 // sentKey is a request under a key that was sent to a dedup group.
 type sentKey struct {
-	sum    uint64
-	zone   string
-	at     time.Duration
-	sender int
-	lost   bool // the sender's disk was reset, and no peer can have heard of the key
+	sum            uint64
+	zone           string
+	at             time.Duration
+	sender         int
+	unknownToPeers bool // the sender's disk was reset, and no peer can know the key
 }
 
 // Run simulates one history.
@@ -116,8 +116,8 @@
 
 func (w *world) after(d time.Duration, handle func()) { w.at(w.now+d, handle) }
 
-// chance draws whether something of a probability happens.
-func (w *world) chance(probability float64) bool { return w.rng.Float64() < probability }
+// happens draws whether something of a probability happens.
+func (w *world) happens(probability float64) bool { return w.rng.Float64() < probability }
 
 // between draws a time from low to high, both included.
 func (w *world) between(low, high time.Duration) time.Duration {
@@ -133,7 +133,7 @@
 	}
 	share := 1.0
 	if age := w.now - w.workers.restartAt; w.workers.restarted && age < warmupTime {
-		share = coldShare + (1-coldShare)*age.Seconds()/warmupTime.Seconds()
+		share = coldCapacityShare + (1-coldCapacityShare)*age.Seconds()/warmupTime.Seconds()
 	}
 	return recovery.Capacity{Workers: w.plan.Workers, Warm: warm, Now: share * warm}
 }
--- a/internal/fleet/state.go
+++ b/internal/fleet/state.go
@@ -74,7 +74,7 @@
 	return nil
 }
 
-// Drained tells whether an operator had drained this dispatcher before it started.
+// Drained reports whether an operator had drained this dispatcher before it started.
 func (n *Node) Drained() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/fleet/store/record.go
+++ b/internal/fleet/store/record.go
@@ -65,7 +65,7 @@
 
 // decodeRecord decodes the record that b begins with into v, and returns what follows it. It fails with ErrTruncated,
 // ErrChecksum, ErrUnknownRecord or ErrNewerVersion.
-func decodeRecord(b []byte, kind recordKind, v any) (rest []byte, err error) {
+func decodeRecord(b []byte, kind recordKind, v any) (remaining []byte, err error) {
 	if len(b) < headerBytes || allZero(b) {
 		return nil, ErrTruncated // a file may have grown before its contents were written
 	}
--- a/internal/fleet/store/recovered.go
+++ b/internal/fleet/store/recovered.go
@@ -17,7 +17,7 @@
 	KeysSuspect   bool        // keys that were persisted may be missing
 }
 
-// The errors of Recovered that are of the records as a whole. Those of one record are ErrTruncated, ErrChecksum,
+// The errors of Recovered that concern several records. Those of one record are ErrTruncated, ErrChecksum,
 // ErrUnknownRecord and ErrNewerVersion.
 var (
 	ErrForeignState = errors.New("state of another dispatcher")
@@ -103,7 +103,7 @@
 	return r.State.Incarnation + 1
 }
 
-// KeysMayBeMissing tells whether keys that were sent may be missing. After a crash every key is suspect on a disk that is
+// KeysMayBeMissing reports whether keys that were sent may be missing. After a crash every key is suspect on a disk that is
 // unreliable, which is one that may lose what it has synced.
 func (r *Recovered) KeysMayBeMissing(unreliableDisk bool) bool {
 	return r.KeysSuspect || unreliableDisk && r.Known && !r.Incarnation.CleanShutdown
--- a/internal/fleet/store/store.go
+++ b/internal/fleet/store/store.go
@@ -1,4 +1,4 @@
-// Package store keeps on disk what a dispatcher needs after a restart: its incarnation, what it has learnt, and the keys
+// Package store keeps on disk what a dispatcher needs after a restart: its incarnation, what it has learned, and the keys
 // under which requests may have run.
 //
 // Incarnation and state are documents in A/B slots, keys are a journal of segments; records carry checksums. What is read
@@ -23,18 +23,18 @@
 	KeysSuspect   bool   `cbor:"8,keyasint"` // keys of previous incarnations may be missing, until a dedup window has passed
 }
 
-// State is what a dispatcher has learnt, as of one moment.
+// State is what a dispatcher has learned, as of one moment.
 type State struct {
 	Name         string                  `cbor:"1,keyasint"` // of the dispatcher
 	Incarnation  uint64                  `cbor:"2,keyasint"`
 	WrittenAt    int64                   `cbor:"3,keyasint"` // Unix time in ms
 	SettingsHash string                  `cbor:"4,keyasint"` // of the settings in use
 	Learned      []byte                  `cbor:"5,keyasint"` // a proxy.Snapshot in JSON, as a successor in an upgrade takes it
-	Peers        map[string]PeerProgress `cbor:"6,keyasint"` // what was heard of peers, by name
+	Peers        map[string]PeerProgress `cbor:"6,keyasint"` // what is known of peers, by name
 	Keys         uint64                  `cbor:"7,keyasint"` // persisted in this incarnation up to then
 }
 
-// PeerProgress is what was heard of a peer's present incarnation and of the one before.
+// PeerProgress is what is known of a peer's present incarnation and of the one before.
 type PeerProgress struct {
 	Incarnation   uint64 `cbor:"1,keyasint"`
 	Nonce         uint64 `cbor:"2,keyasint"`
@@ -61,7 +61,7 @@
 }
 
 // Begin persists the next incarnation of a dispatcher and returns it. Its number is at least minNumber and above that of
-// the previous one, if that is of the same dispatcher. keysSuspect tells whether keys of previous incarnations may be
+// the previous one, if that is of the same dispatcher. keysSuspect reports whether keys of previous incarnations may be
 // missing, which later incarnations have to know too. now is Unix time in ms.
 func (s *Store) Begin(previous Incarnation, minNumber, nonce uint64, keysSuspect bool, now int64) (Incarnation, error) {
 	s.mu.Lock()
@@ -79,7 +79,7 @@
 	return next, s.identity.write(next)
 }
 
-// RaiseIncarnation persists a higher number, since peers have heard of one that this disk does not hold.
+// RaiseIncarnation persists a higher number, since peers know one that this disk does not hold.
 func (s *Store) RaiseIncarnation(number uint64) error {
 	return s.update(func(i *Incarnation) { i.Number = max(i.Number, number) })
 }
@@ -127,11 +127,11 @@
 	return err
 }
 
-// PersistedKeys returns how many keys were persisted in this incarnation. It does not wait for a write that goes on: a disk
+// PersistedKeys returns how many keys were persisted in this incarnation. It does not wait for a write in progress: a disk
 // that hangs must not stop the caller.
 func (s *Store) PersistedKeys() uint64 { return s.persistedKeys.Load() }
 
-// SaveState persists what was learnt, as of this incarnation.
+// SaveState persists what was learned, as of this incarnation.
 func (s *Store) SaveState(state State) error {
 	s.mu.Lock()
 	state.Name = s.name
--- a/internal/fleet/store/store_test.go
+++ b/internal/fleet/store/store_test.go
@@ -62,13 +62,13 @@
 // with each number of bytes that came through of the last one.
 func TestPowerLostBeforeEachOperationLeavesOldOrNew(t *testing.T) {
 	const (
-		maxTail     = 140
-		wholeRecord = 120 // no record of this test is longer
+		maxTail   = 140
+		maxRecord = 120 // bytes; no record of this test is longer
 	)
-	whole := NewMemory()
-	_, err := writeIncarnation(whole)
+	complete := NewMemory()
+	_, err := writeIncarnation(complete)
 	assert.NoError(t, err)
-	for operation := 1; operation <= whole.Steps; operation++ {
+	for operation := 1; operation <= complete.Steps; operation++ {
 		t.Run(fmt.Sprint("before operation ", operation), func(t *testing.T) {
 			for tail := range maxTail {
 				disk := NewMemory()
@@ -88,7 +88,7 @@
 					assert.NotNil(t, recovered.State, "tail %d", tail)
 					assert.GreaterOrEqual(t, string(recovered.State.Learned), lastState)
 				}
-				if tail == 0 || tail > wholeRecord { // no record is cut off
+				if tail == 0 || tail > maxRecord { // no record is cut off
 					assert.Equal(t, !recovered.Known, recovered.KeysSuspect, "tail %d: %v", tail, recovered.Errors)
 				}
 			}
@@ -130,17 +130,17 @@
 }
 
 func TestFlippedBitIsDetectedAnywhere(t *testing.T) {
-	whole := NewMemory()
-	_, err := writeIncarnation(whole)
+	complete := NewMemory()
+	_, err := writeIncarnation(complete)
 	assert.NoError(t, err)
-	names, err := whole.Names()
+	names, err := complete.Names()
 	assert.NoError(t, err)
 	for _, name := range names {
 		t.Run(name, func(t *testing.T) {
-			b, err := whole.Read(name)
+			b, err := complete.Read(name)
 			assert.NoError(t, err)
 			for at := range b {
-				disk := whole.Restart(1 << 20)
+				disk := complete.Restart(1 << 20)
 				flipped := append([]byte(nil), b...)
 				flipped[at] ^= 1 << (at % 8)
 				disk.files[name] = &inode{bytes: flipped}
@@ -161,7 +161,7 @@
 	assert.NoError(t, err)
 	s, recovered := Open(disk, "d1")
 	assert.True(t, recovered.Foreign)
-	assert.Nil(t, recovered.State, "what another dispatcher has learnt is not taken")
+	assert.Nil(t, recovered.State, "what another dispatcher has learned is not taken")
 	assert.Len(t, recovered.Errors, 1)
 	assert.ErrorIs(t, recovered.Errors[0], ErrForeignState)
 	assert.Len(t, recovered.Keys, 3, "where keys may have run is true whoever wrote it")
