--- /dev/null
+++ b/internal/discovery/table.go
@@ -0,0 +1,247 @@
+package discovery
+
+import (
+	"slices"
+	"sync"
+	"time"
+
+	"github.com/rs/zerolog"
+
+	"canvasroute/internal/balancer"
+	"canvasroute/internal/protocol"
+)
+
+// Table is the endpoint table: all workers that were ever listed, by number, ID and tag. A worker keeps its number while
+// this process lives, also after it is gone. All methods may be called concurrently.
+type Table struct {
+	fromUnix func(ms float64) balancer.Time
+	log      zerolog.Logger
+
+	mu      sync.Mutex
+	zones   map[string]int // the zones of the settings first, then others in the order in which they were seen
+	kinds   map[string]int
+	numbers map[string]balancer.WorkerID
+	workers []worker // by their numbers
+	tagged  map[uint16]balancer.WorkerID
+	version int64
+}
+
+// worker is a row of the table.
+type worker struct {
+	tag       uint16
+	startedAt balancer.Time
+	endpoint  protocol.Endpoint // as last listed; its address is the last one known
+}
+
+func (w *worker) isGone() bool { return w.endpoint.State == protocol.Gone }
+
+// OutdatedAddress is an address whose idle connections must not be used any more.
+type OutdatedAddress struct {
+	Address string
+	// StartedAt is when the process that now listens there started. Connections opened before, also those in use, lead to
+	// its predecessor. It is zero where the process is the same.
+	StartedAt time.Time
+}
+
+// EndpointList is the content of the table.
+type EndpointList struct {
+	Version   int64
+	Endpoints []protocol.Endpoint // by the workers' numbers, with those that are gone
+	Zones     []string            // by the zones' numbers
+}
+
+// NewTable returns an empty table. Zones and kinds that the settings name have the numbers of their positions. fromUnix
+// converts Unix milliseconds to the balancer's time.
+func NewTable(zones, kinds []string, fromUnix func(ms float64) balancer.Time, log zerolog.Logger) *Table {
+	return &Table{
+		fromUnix: fromUnix, log: log, zones: positions(zones), kinds: positions(kinds),
+		numbers: map[string]balancer.WorkerID{}, tagged: map[uint16]balancer.WorkerID{},
+	}
+}
+
+func positions(names []string) map[string]int {
+	byName := map[string]int{}
+	for position, name := range names {
+		byName[name] = position
+	}
+	return byName
+}
+
+var workerStates = map[string]balancer.WorkerState{
+	protocol.Ready: balancer.Healthy, protocol.Terminating: balancer.Draining,
+	protocol.Gone: balancer.Gone,
+}
+
+// Update applies a list, or a change to it. It returns the listed workers as the balancer takes them, in the order of
+// the list, and the addresses that it makes outdated. Workers that a complete list leaves out are gone.
+func (t *Table) Update(list *protocol.EndpointList) ([]balancer.Endpoint, []OutdatedAddress) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.version = list.Version
+	var endpoints []balancer.Endpoint
+	var outdated []OutdatedAddress
+	listed := map[balancer.WorkerID]bool{}
+	for _, endpoint := range list.Endpoints {
+		number := t.register(endpoint)
+		listed[number] = true
+		if address, found := t.updateWorker(number, endpoint); found {
+			outdated = append(outdated, address)
+		}
+		endpoints = append(endpoints, t.balancerEndpoint(number))
+	}
+	if !list.Complete {
+		return endpoints, outdated
+	}
+	for number := range t.workers {
+		w := &t.workers[number]
+		if !listed[balancer.WorkerID(number)] && !w.isGone() {
+			outdated = append(outdated, OutdatedAddress{Address: w.endpoint.Address})
+			w.endpoint.State = protocol.Gone
+		}
+	}
+	return endpoints, outdated
+}
+
+// register returns the number of a worker, a new one for an ID that was never listed.
+func (t *Table) register(endpoint protocol.Endpoint) balancer.WorkerID {
+	if number, known := t.numbers[endpoint.ID]; known {
+		return number
+	}
+	number := balancer.WorkerID(len(t.workers))
+	tag := protocol.Tag(endpoint.ID)
+	t.numbers[endpoint.ID] = number
+	t.workers = append(t.workers, worker{tag: tag})
+	t.log.Info().Int("worker", int(number)).Str("host", endpoint.ID).Str("addr", endpoint.Address).
+		Msg("worker registered")
+	if _, taken := t.tagged[tag]; !taken {
+		t.tagged[tag] = number
+	}
+	return number
+}
+
+// updateWorker replaces a worker's endpoint, and returns the previous address where connections to it are outdated. An
+// endpoint without an address keeps the previous one.
+func (t *Table) updateWorker(number balancer.WorkerID, endpoint protocol.Endpoint) (OutdatedAddress, bool) {
+	w := &t.workers[number]
+	previous := *w
+	if endpoint.Address == "" {
+		endpoint.Address = previous.endpoint.Address
+	}
+	w.endpoint = endpoint
+	if endpoint.StartedAtMillis > 0 {
+		w.startedAt = max(w.startedAt, t.fromUnix(endpoint.StartedAtMillis))
+	}
+	if _, known := t.zones[endpoint.Zone]; !known { // each unconfigured zone is a zone of its own
+		t.zones[endpoint.Zone] = len(t.zones)
+	}
+	address := previous.endpoint.Address
+	switch {
+	case address == "":
+		return OutdatedAddress{}, false
+	case w.startedAt > previous.startedAt:
+		return OutdatedAddress{address, time.UnixMilli(int64(endpoint.StartedAtMillis))}, true
+	case workerStates[endpoint.State] != balancer.Healthy || endpoint.Address != address:
+		return OutdatedAddress{Address: address}, true
+	}
+	return OutdatedAddress{}, false
+}
+
+func (t *Table) balancerEndpoint(number balancer.WorkerID) balancer.Endpoint {
+	w := &t.workers[number]
+	e := &w.endpoint
+	return balancer.Endpoint{
+		Worker: number, ID: e.ID, Zone: balancer.ZoneID(t.zones[e.Zone]), Kind: balancer.KindID(t.kinds[e.Kind]),
+		Cell: balancer.CellID(e.Cell), State: workerStates[e.State], StartedAt: w.startedAt,
+	}
+}
+
+// addZones gives numbers to zones that the settings do not name.
+func (t *Table) addZones(names []string) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for _, name := range names {
+		if _, known := t.zones[name]; !known {
+			t.zones[name] = len(t.zones)
+		}
+	}
+}
+
+// Endpoint returns a worker as it was last listed.
+func (t *Table) Endpoint(number balancer.WorkerID) protocol.Endpoint {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.workers[number].endpoint
+}
+
+// Accepts reports whether a worker may be sent a new attempt at an address: it is ready and still listens there.
+func (t *Table) Accepts(number balancer.WorkerID, address string) bool {
+	endpoint := t.Endpoint(number)
+	return endpoint.State == protocol.Ready && endpoint.Address == address
+}
+
+// Tag returns the short hash by which dispatchers name a worker to each other.
+func (t *Table) Tag(number balancer.WorkerID) uint16 {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.workers[number].tag
+}
+
+// ByTag finds the worker with a tag. Of several workers with the same tag it is the one that was listed first.
+func (t *Table) ByTag(tag uint16) (balancer.WorkerID, bool) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	number, known := t.tagged[tag]
+	return number, known
+}
+
+// ByID finds a worker by its ID.
+func (t *Table) ByID(id string) (balancer.WorkerID, bool) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	number, known := t.numbers[id]
+	return number, known
+}
+
+// First finds the worker with the lowest number whose endpoint matches.
+func (t *Table) First(matches func(*protocol.Endpoint) bool) (balancer.WorkerID, bool) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	number := slices.IndexFunc(t.workers, func(w worker) bool { return matches(&w.endpoint) })
+	return balancer.WorkerID(number), number >= 0
+}
+
+// ZoneByName finds the number of a zone.
+func (t *Table) ZoneByName(name string) (int, bool) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	number, known := t.zones[name]
+	return number, known
+}
+
+// HasWorkers reports whether any worker is listed that is not gone.
+func (t *Table) HasWorkers() bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return slices.ContainsFunc(t.workers, func(w worker) bool { return !w.isGone() })
+}
+
+// Version returns the version of the last list.
+func (t *Table) Version() int64 {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.version
+}
+
+// List returns the content of the table.
+func (t *Table) List() EndpointList {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	list := EndpointList{Version: t.version, Zones: make([]string, len(t.zones))}
+	for _, w := range t.workers {
+		list.Endpoints = append(list.Endpoints, w.endpoint)
+	}
+	for name, number := range t.zones {
+		list.Zones[number] = name
+	}
+	return list
+}
--- /dev/null
+++ b/internal/discovery/table_test.go
@@ -0,0 +1,59 @@
+package discovery
+
+import (
+	"bytes"
+	"testing"
+
+	"github.com/rs/zerolog"
+	"github.com/stretchr/testify/assert"
+
+	"canvasroute/internal/protocol"
+)
+
+func TestRegistrationLogsNumberAndIDOnce(t *testing.T) {
+	var log bytes.Buffer
+	table := newTable()
+	table.Update(&protocol.EndpointList{Endpoints: []protocol.Endpoint{{ID: "w"}}})
+	table.log = zerolog.New(&log)
+	v := protocol.Endpoint{ID: "v", Address: "127.0.0.1:2", State: protocol.Ready}
+	table.Update(&protocol.EndpointList{Endpoints: []protocol.Endpoint{v}})
+	table.Update(&protocol.EndpointList{Endpoints: []protocol.Endpoint{v}})
+	line := `{"level":"info","worker":1,"host":"v","addr":"127.0.0.1:2","message":"worker registered"}`
+	assert.JSONEq(t, line, log.String())
+}
+
+func TestUpdateReturnsOutdatedAddresses(t *testing.T) {
+	table := newTable()
+	update := func(complete bool, endpoints ...protocol.Endpoint) []string {
+		_, outdated := table.Update(&protocol.EndpointList{Version: 8, Complete: complete, Endpoints: endpoints})
+		addresses := []string{}
+		for _, o := range outdated {
+			addresses = append(addresses, o.Address)
+		}
+		return addresses
+	}
+	w := protocol.Endpoint{ID: "w", Address: "127.0.0.1:1", State: protocol.Ready}
+	assert.Empty(t, update(false, w), "it is new")
+	assert.Empty(t, update(false, w), "nothing has changed")
+	w.StartedAtMillis = 1000
+	assert.Equal(t, []string{"127.0.0.1:1"}, update(false, w), "it has restarted")
+	w.Address = "127.0.0.1:2"
+	assert.Equal(t, []string{"127.0.0.1:1"}, update(false, w), "it has moved")
+	assert.Equal(t, "127.0.0.1:2", table.Endpoint(0).Address)
+	w.State = protocol.Terminating
+	assert.Equal(t, []string{"127.0.0.1:2"}, update(false, w), "it drains")
+	assert.Equal(t, []string{"127.0.0.1:2"}, update(true), "a complete list leaves it out")
+	assert.Empty(t, update(true))
+	assert.Equal(t, int64(8), table.Version())
+}
+
+// Two zones with one number would make the group of workers that drops repeats too large.
+func TestZonesThatSettingsDoNotNameAreDistinct(t *testing.T) {
+	endpoints, _ := newTable("a").Update(&protocol.EndpointList{Endpoints: []protocol.Endpoint{
+		{ID: "1", Zone: "a", State: protocol.Ready},
+		{ID: "2", Zone: "x", State: protocol.Ready},
+		{ID: "3", Zone: "y", State: protocol.Ready},
+	}})
+	assert.NotEqual(t, endpoints[0].Zone, endpoints[1].Zone)
+	assert.NotEqual(t, endpoints[1].Zone, endpoints[2].Zone)
+}
--- /dev/null
+++ b/internal/discovery/watch_test.go
@@ -0,0 +1,168 @@
+package discovery
+
+import (
+	"context"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+
+	"canvasroute/internal/balancer"
+	"canvasroute/internal/protocol"
+)
+
+// watchOnce polls a discovery service that responds with text and then closes the connection, if it is to. It returns the
+// error that the watch ended with.
+func watchOnce(t *testing.T, text string, closes bool) (*Watcher, error) {
+	t.Helper()
+	targets := make(chan string, 1)
+	w := newWatcher(startServer(t, func(c net.Conn, r *http.Request) {
+		targets <- r.URL.String()
+		io.WriteString(c, text)
+		if closes {
+			c.Close()
+		}
+	}))
+	_, err := w.watch(context.Background(), nil)
+	assert.Equal(t, "/catalog/members?stream=1&index=7", <-targets)
+	return w, err
+}
+
+func TestWatchAppliesLinesUntilItEnds(t *testing.T) {
+	lines := chunked(`{"seq":9,"whole":false,"hosts":[{"host":"v","dial":"127.0.0.1:2","health":"Ready"}]}`, "")
+	w, err := watchOnce(t, lines+lastChunk, false)
+	assert.ErrorIs(t, err, errWatchEnded)
+	assert.Equal(t, int64(9), w.table.Version())
+	assert.Equal(t, "127.0.0.1:2", w.table.Endpoint(1).Address)
+	assert.True(t, w.Answered())
+}
+
+func TestWatchAppliesIndentedLists(t *testing.T) {
+	w, err := watchOnce(t, chunked("{\n  \"seq\": 9,\n  \"whole\": false,\n  \"hosts\": [\n\n    {\n"+
+		"      \"host\": \"v\",\n      \"dial\": \"127.0.0.1:2\",\n      \"health\": \"Ready\"\n    }\n  ]\n}", "",
+		`{"seq":10,"whole":false,"hosts":[{"host":"v","health":"Terminating"}]}`)+lastChunk, false)
+	assert.ErrorIs(t, err, errWatchEnded)
+	assert.Equal(t, int64(10), w.table.Version())
+	assert.Equal(t, protocol.Terminating, w.table.Endpoint(1).State)
+}
+
+// No bound on the length of a list may refuse one line with many workers, and then a change to each.
+func TestWatchAppliesListOfManyWorkers(t *testing.T) {
+	const workers = 1024
+	line := func(version int, complete bool, state string) string {
+		var hosts []string
+		for n := range workers {
+			hosts = append(hosts, fmt.Sprintf(`{"host":"s-%06d","dial":"127.1.%d.%d:8080","site":"a","class":"m","block":%d,`+
+				`"health":%q,"share":1.0,"born_ms":0}`, n, n/256, n%256, n/4, state))
+		}
+		return fmt.Sprintf(`{"seq":%d,"whole":%t,"hosts":[%s]}`, version, complete, strings.Join(hosts, ","))
+	}
+	w, err := watchOnce(t, chunked(line(8, true, "Ready"), line(9, false, "Terminating"))+lastChunk, false)
+	assert.ErrorIs(t, err, errWatchEnded)
+	list := w.table.List()
+	assert.Equal(t, int64(9), list.Version)
+	assert.Len(t, list.Endpoints, workers+1, "with the one that was known before")
+	tags := map[uint16]int{}
+	for number := range list.Endpoints {
+		tags[w.table.Tag(balancer.WorkerID(number))]++
+	}
+	assert.Greater(t, len(tags), workers-32, "few workers share a tag")
+}
+
+// A service that is overloaded must not be polled again as soon as one that is down.
+func TestSlow503MeansOverloaded(t *testing.T) {
+	for name, c := range map[string]struct {
+		wait time.Duration
+		want balancer.WatchEnd
+	}{
+		"at once":      {0, balancer.WatchFailed},
+		"after a wait": {overloadedAfter + 50*time.Millisecond, balancer.WatchRejected},
+	} {
+		t.Run(name, func(t *testing.T) {
+			w := newWatcher(startServer(t, func(conn net.Conn, _ *http.Request) {
+				time.Sleep(c.wait)
+				io.WriteString(conn, unavailable)
+			}))
+			opened, err := w.watch(context.Background(), nil)
+			assert.False(t, opened)
+			assert.ErrorContains(t, err, "status 503")
+			assert.Equal(t, c.want, watchEnd(opened, err))
+		})
+	}
+}
+
+func TestFailedWatchKeepsVersion(t *testing.T) {
+	for name, c := range map[string]struct{ text, want string }{
+		"503":                  {unavailable, "status 503"},
+		"malformed list":       {chunked(`{"seq":x}`), "malformed"},
+		"end within a list":    {chunked(`{"seq":`), "within a message"}, // it may be indented: the rest is still to come
+		"end without response": {"", "EOF"},
+		"end within a chunk":   {chunked("") + "1", "within a message"},
+	} {
+		t.Run(name, func(t *testing.T) {
+			w, err := watchOnce(t, c.text, true)
+			assert.ErrorContains(t, err, c.want)
+			assert.Equal(t, int64(7), w.table.Version())
+		})
+	}
+}
+
+// A drain must not be learned too late because the watch that brought it was cut.
+func TestTruncatedLineAppliesItsCompleteWorkers(t *testing.T) {
+	for name, c := range map[string]struct {
+		line   string
+		closes bool
+		want   string
+	}{
+		"cut": {
+			`{"seq":9,"whole":true,"hosts":[{"host":"w","health":"Terminating"},{"host":"v","dial":"127.0.0.1:2","hea`,
+			true, "within a message",
+		},
+		"stalled": {`{"seq":9,"whole":true,"hosts":[{"host":"w","health":"Terminating"},{"ho`, false, "timeout"},
+	} {
+		t.Run(name, func(t *testing.T) {
+			w, err := watchOnce(t, chunkedHead+"400\r\n"+c.line, c.closes)
+			assert.ErrorContains(t, err, c.want)
+			assert.Equal(t, int64(7), w.table.Version(), "the next watch brings the whole list again")
+			assert.Equal(t, protocol.Terminating, w.table.Endpoint(0).State)
+			assert.Len(t, w.table.List().Endpoints, 1, "an incomplete worker is left out")
+		})
+	}
+}
+
+func TestSilentWatchTimesOut(t *testing.T) {
+	began := time.Now()
+	_, err := watchOnce(t, chunked(emptyList(9)), false)
+	assert.ErrorContains(t, err, "timeout")
+	assert.InDelta(t, silentAfter.Seconds(), time.Since(began).Seconds(), 1)
+}
+
+// Bytes that never make a line are no sign of life: the service counts a change as known six seconds after it.
+func TestWatchThatBringsBytesButNoLinesTimesOut(t *testing.T) {
+	for name, first := range map[string]string{
+		"from the start": chunkedHead,
+		"after a line":   chunked(emptyList(9)),
+	} {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			w := newWatcher(startServer(t, func(c net.Conn, _ *http.Request) {
+				io.WriteString(c, first)
+				for range 100 {
+					if _, err := io.WriteString(c, "1\r\n \r\n"); err != nil {
+						return
+					}
+					time.Sleep(100 * time.Millisecond)
+				}
+			}))
+			began := time.Now()
+			_, err := w.watch(context.Background(), nil)
+			assert.ErrorContains(t, err, "timeout")
+			assert.Less(t, time.Since(began), 4500*time.Millisecond)
+		})
+	}
+}
--- /dev/null
+++ b/internal/gossip/gossip_test.go
@@ -0,0 +1,127 @@
+package gossip
+
+import (
+	"context"
+	"net"
+	"net/netip"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+
+	"canvasroute/internal/balancer"
+	"canvasroute/internal/protocol"
+	"canvasroute/internal/transport"
+)
+
+const receiveTimeout = 5 * time.Second
+
+// singleWorker is an endpoint table with one worker.
+type singleWorker struct{ id string }
+
+func (s singleWorker) Tag(balancer.WorkerID) uint16 { return protocol.Tag(s.id) }
+
+func (s singleWorker) ByTag(tag uint16) (balancer.WorkerID, bool) {
+	return 0, tag == protocol.Tag(s.id)
+}
+
+// newBalancer returns a balancer of two dispatchers with one worker and one operation.
+func newBalancer() *balancer.Shards {
+	began := time.Now()
+	clock := func() balancer.Time {
+		return balancer.Second + balancer.Time(time.Since(began)/(time.Second/balancer.Second))
+	}
+	b := balancer.NewShards(balancer.Config{
+		Dispatchers: 2, Kinds: 1, MaxAttempts: 1, Cancellation: true, Granularity: 20,
+		ReportInFlight: -1, ReportQueue: -1, ReportFree: -1,
+		Tenants:    []balancer.TenantConfig{{Quota: 1e9}},
+		Operations: []balancer.OperationConfig{{LatencyObjective: balancer.Second, Value: 1, Kind: -1}},
+	}, 1, 1, clock, func(string) {})
+	b.UpdateEndpoints([]balancer.Endpoint{{Worker: 0, ID: "w", State: balancer.Healthy}}, true, true)
+	return b
+}
+
+// newExchange returns the exchange of dispatcher 0, without datagrams, and the address of dispatcher 1.
+func newExchange() (*Exchange, netip.AddrPort) {
+	peers := []netip.AddrPort{netip.MustParseAddrPort("127.0.0.1:7001"), netip.MustParseAddrPort("127.0.0.2:7001")}
+	return New(Config{Peers: peers}, newBalancer(), singleWorker{"w"}, nil), peers[1]
+}
+
+// connectPeer gives an exchange a socket, and returns that of dispatcher 1.
+func connectPeer(t *testing.T, e *Exchange) *net.UDPConn {
+	t.Helper()
+	peer, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(netip.MustParseAddrPort("127.0.0.1:0")))
+	assert.NoError(t, err)
+	t.Cleanup(func() { peer.Close() })
+	e.config.Peers[1] = peer.LocalAddr().(*net.UDPAddr).AddrPort()
+	e.datagrams, err = transport.ListenDatagrams(netip.MustParseAddrPort("127.0.0.1:0"), nil, false)
+	assert.NoError(t, err)
+	return peer
+}
+
+func hello(millis uint16) []byte { return protocol.AppendLoads(nil, millis, protocol.NoInstance, nil) }
+
+func TestDroppedDatagramsAreCounted(t *testing.T) {
+	e, peer := newExchange()
+	load := func(millis uint16) []byte {
+		return protocol.AppendLoads(nil, millis, protocol.NoInstance, []protocol.Load{{Tag: protocol.Tag("w"), InFlight: 3}})
+	}
+	e.receive(peer, load(5))
+	e.receive(peer, load(65530)) // reordered, across the wrap of the timestamp
+	e.receive(peer, load(6))
+	e.receive(peer, load(40000)) // too old to be reordered: the peer has restarted
+	e.receive(peer, []byte("abc"))
+	e.receive(netip.MustParseAddrPort("127.0.0.9:7001"), load(7))
+	e.receive(e.config.Peers[0], load(7)) // our own address
+	c := &e.Counters
+	assert.Equal(t, []int64{3, 1, 1, 2}, []int64{
+		c.Received.Load(), c.Reordered.Load(), c.Malformed.Load(), c.Strangers.Load(),
+	})
+}
+
+// isSentWithin reports whether the balancer sends a request that arrives now to the worker.
+func isSentWithin(t *testing.T, timeout time.Duration, b *balancer.Shards) bool {
+	t.Helper()
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
+	defer cancel()
+	decision, err := b.Submit(balancer.Arrival{Timeout: 2 * balancer.Second}).Pick(ctx)
+	return err == nil && decision.Action == balancer.SendAttempt
+}
+
+func TestStartIsAnnouncedByHello(t *testing.T) {
+	e, _ := newExchange()
+	peer := connectPeer(t, e)
+	ctx, cancel := context.WithCancel(context.Background())
+	stopped := make(chan error, 1)
+	go func() { stopped <- e.Run(ctx) }()
+	datagram := make([]byte, 256)
+	assert.NoError(t, peer.SetReadDeadline(time.Now().Add(receiveTimeout)))
+	n, err := peer.Read(datagram)
+	assert.NoError(t, err)
+	_, _, loads, err := protocol.ParseLoads(datagram[:n])
+	assert.NoError(t, err)
+	assert.Empty(t, loads)
+	cancel()
+	assert.NoError(t, <-stopped)
+
+	e.balancer.ReceiveLoad(1, balancer.Load{Worker: 0, InFlight: 8})
+	assert.False(t, isSentWithin(t, 50*time.Millisecond, e.balancer), "the peer's load fills the worker")
+	e.receive(e.config.Peers[1], datagram[:n])
+	assert.True(t, isSentWithin(t, receiveTimeout, e.balancer), "a peer that has just started has nothing in flight")
+}
+
+// Two dispatchers that restart at once must not take each other for one that has lived on.
+func TestHelloIsAnsweredUntilAnOlderPeerIsMet(t *testing.T) {
+	e, _ := newExchange()
+	connectPeer(t, e)
+	peer := e.config.Peers[1]
+	timestampIn := func(millis int64) uint16 { return uint16(time.Now().UnixMilli() + millis) }
+	for n := range int64(3) {
+		e.receive(peer, hello(timestampIn(n)))
+	}
+	assert.EqualValues(t, 1, e.Counters.Sent.Load(), "once, so that two do not answer each other for ever")
+	e.helloReplies[1] = time.Time{}
+	e.balancer.ReceiveLoad(2, balancer.Load{Worker: 0, InFlight: 1})
+	e.receive(peer, hello(timestampIn(4)))
+	assert.EqualValues(t, 1, e.Counters.Sent.Load(), "it has met an older peer")
+}
