--- /dev/null
+++ b/internal/proxy/attempt_test.go
@@ -0,0 +1,234 @@
+package proxy
+
+import (
+	"context"
+	"io"
+	"net"
+	"net/http"
+	"strings"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+
+	"canvasroute/internal/balancer"
+	"canvasroute/internal/protocol"
+	"canvasroute/internal/transport"
+)
+
+// endedAttempt is how an attempt at a test's worker ended.
+type endedAttempt struct {
+	outcome balancer.Outcome
+	result  string
+	starts  int // reports of the start
+}
+
+// newTestAttempt returns an attempt whose events nobody receives.
+func newTestAttempt(ctx context.Context, t *testing.T, p *Proxy, h *protocol.Head) *attempt {
+	t.Helper()
+	request, err := protocol.ParseRequest(h)
+	assert.NoError(t, err)
+	ignore := func() {}
+	return &attempt{
+		proxy: p, ctx: ctx, request: request, settings: p.settings.Load(), deadline: time.Now().Add(time.Minute),
+		events: attemptEvents{sent: ignore, delivered: ignore, started: ignore, giveUp: ignore}, pause: newReadPause(),
+	}
+}
+
+// runTestAttempt runs one attempt at an address.
+func runTestAttempt(ctx context.Context, t *testing.T, address string) endedAttempt {
+	t.Helper()
+	a := newTestAttempt(ctx, t, newProxy(address), requestHead("idem"))
+	var ended endedAttempt
+	a.events.started = func() { ended.starts++ }
+	r := a.run(0)
+	if r.finish != nil {
+		r.finish()
+	}
+	ended.outcome = r.outcome
+	ended.result = r.result
+	return ended
+}
+
+func TestResponseDecidesOutcome(t *testing.T) {
+	line := func(state string) string { return `{"id":"a1","state":"` + state + `"}` }
+	for name, c := range map[string]struct {
+		text   string
+		closes bool
+		want   balancer.Outcome
+	}{
+		"done":                  {chunked(startedLine, doneLine) + lastChunk, false, balancer.Succeeded},
+		"done, then broken":     {chunked(startedLine, doneLine), true, balancer.Succeeded},
+		"done without line end": {"HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\n" + doneLine, false, balancer.Succeeded},
+		"done until the end":    {"HTTP/1.0 200 OK\r\n\r\n" + startedLine + "\n" + doneLine + "\n", true, balancer.Succeeded},
+		"failed":                {chunked(startedLine, line("failed")) + lastChunk, false, balancer.WorkerError},
+		"500":                   {"HTTP/1.1 500 No\r\nContent-Length: 2\r\n\r\nno", false, balancer.WorkerError},
+		"returned":              {chunked(line("returned")) + lastChunk, false, balancer.Overloaded},
+		"declined":              {declinedText, false, balancer.Overloaded},
+		"declined and closed": {
+			"HTTP/1.1 504 No\r\nSrv-Declined: 1\r\nConnection: close\r\n\r\n", true, balancer.Overloaded,
+		},
+		"503 of another sort":  {"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", false, balancer.WorkerError},
+		"lost":                 {chunked(startedLine, line("lost")) + lastChunk, false, balancer.ConnectionReset},
+		"broken before a head": {"", true, balancer.ConnectionReset},
+		"broken in the head":   {"HTTP/1.1 200", true, balancer.ConnectionReset},
+		"broken after a start": {chunked(startedLine), true, balancer.ConnectionReset},
+		"ended without a last": {chunked(startedLine, line("running")) + lastChunk, false, balancer.ConnectionReset},
+		"no HTTP":              {"SSH-2.0-x\r\n\r\n", false, balancer.WorkerError},
+		"bad chunk":            {chunkedHead + "zz\r\n", false, balancer.WorkerError},
+		"no JSON":              {chunked("<html>") + lastChunk, false, balancer.WorkerError},
+		"of another request":   {chunked(strings.Replace(doneLine, "a1", "b2", 1)) + lastChunk, false, balancer.WorkerError},
+		"endless head":         {"HTTP/1.1 200 OK\r\nA: " + strings.Repeat("a", 20000), false, balancer.WorkerError},
+		"endless line":         {chunked(strings.Repeat("a", protocol.MaxLineBytes)), false, balancer.WorkerError},
+	} {
+		t.Run(name, func(t *testing.T) {
+			ended := runTestAttempt(context.Background(), t, startWorker(t, respondWith(c.text, c.closes)))
+			assert.Equal(t, c.want, ended.outcome)
+			assert.Equal(t, c.want == balancer.Succeeded, ended.result == "r")
+		})
+	}
+}
+
+func TestStartIsReported(t *testing.T) {
+	worker := startWorker(t, respondWith(chunked(startedLine, doneLine)+lastChunk, false))
+	assert.Equal(t, 1, runTestAttempt(context.Background(), t, worker).starts)
+}
+
+func TestAttemptWithoutConnectionWasNotExecuted(t *testing.T) {
+	t.Run("nobody listens", func(t *testing.T) {
+		listener, err := net.Listen("tcp", "127.0.0.1:0")
+		assert.NoError(t, err)
+		listener.Close()
+		ended := runTestAttempt(context.Background(), t, listener.Addr().String())
+		assert.Equal(t, balancer.ConnectionRefused, ended.outcome)
+	})
+	t.Run("canceled before it was sent", func(t *testing.T) {
+		ctx, cancel := context.WithCancel(context.Background())
+		cancel()
+		ended := runTestAttempt(ctx, t, startWorker(t, respondWith("", true)))
+		assert.Equal(t, balancer.NotSent, ended.outcome)
+	})
+}
+
+func TestCanceledAttemptClosesItsConnection(t *testing.T) {
+	closed := make(chan error, 1)
+	ctx, cancel := context.WithCancelCause(context.Background())
+	address := startWorker(t, func(c net.Conn, _ *http.Request) {
+		cancel(balancer.ErrAttemptCanceled)
+		_, err := c.Read(make([]byte, 1))
+		closed <- err
+	})
+	assert.Equal(t, balancer.Canceled, runTestAttempt(ctx, t, address).outcome)
+	assert.ErrorIs(t, <-closed, io.EOF)
+}
+
+func TestSilentWorkerTimesOut(t *testing.T) {
+	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Millisecond)
+	defer cancel()
+	address, _ := startHangingWorker(t)
+	assert.Equal(t, balancer.TimedOut, runTestAttempt(ctx, t, address).outcome)
+}
+
+func TestConnectionIsReusedAfterCompleteResponse(t *testing.T) {
+	clients := make(chan string, 2)
+	p := newProxy(startWorker(t, func(c net.Conn, _ *http.Request) {
+		clients <- c.RemoteAddr().String()
+		io.WriteString(c, chunked(doneLine)+lastChunk)
+	}))
+	for range 2 {
+		assert.Equal(t, &protocol.Response{Status: 200, Body: []byte("r")}, serve(p, requestHead("idem")))
+		assert.NoError(t, p.background.Wait())
+	}
+	assert.Equal(t, <-clients, <-clients)
+}
+
+// A worker that ends an idle connection must not be ejected for it.
+func TestEndOfReusedConnectionIsNoFailureOfTheWorker(t *testing.T) {
+	var attempts atomic.Int32
+	p := newProxy(startWorker(t, func(c net.Conn, _ *http.Request) {
+		if attempts.Add(1) == 2 {
+			c.Close()
+			return
+		}
+		io.WriteString(c, chunked(doneLine)+lastChunk)
+	}))
+	status := func(operation string) int {
+		defer func() { assert.NoError(t, p.background.Wait()) }()
+		return serve(p, requestHead(operation)).Status
+	}
+	assert.Equal(t, 200, status("idem"))
+	time.Sleep(transport.SettleTime) // an idle connection is not used for operation once before
+	assert.Equal(t, 502, status("once"))
+	assert.Equal(t, int64(1), outcomeCount(p, balancer.ConnectionStale))
+	assert.Equal(t, 200, status("idem"), "the worker gets the next one at once")
+}
+
+// A machine that vanishes and comes back has lost its attempts, and does not say so.
+func TestAttemptAtRestartedWorkerIsReset(t *testing.T) {
+	for name, migrates := range map[string]bool{
+		"alone": false,
+		// While requests may be migrated, reading may be stopped and started again.
+		"during a hot restart": true,
+	} {
+		t.Run(name, func(t *testing.T) {
+			address, received := startHangingWorker(t)
+			p := newProxy(address)
+			p.config.MigratesRequests = migrates
+			answers := startServe(context.Background(), p, requestHead("once"))
+			receive(t, received)
+			updateWorker(t, p, restartedAt(time.Now().Add(time.Second)))
+			assert.Equal(t, 502, receive(t, answers).Status)
+			assert.EqualValues(t, 1, outcomeCount(p, balancer.ConnectionReset), "not by the client's timeout")
+		})
+	}
+}
+
+// A connection that is not up within the dial timeout counts as one that never is: nothing was executed.
+func TestConnectTimesOut(t *testing.T) {
+	p := newProxyWith(unresponsiveAddress(t), func(_ *balancer.Config, config *Config) {
+		config.DialTimeout = 20 * time.Millisecond
+	})
+	a := newTestAttempt(context.Background(), t, p, keyedHead())
+	outcomes := make(chan balancer.Outcome, 1)
+	go func() { outcomes <- a.run(0).outcome }()
+	assert.Equal(t, balancer.NoConnection, receive(t, outcomes))
+	assert.Zero(t, p.pool.OpenConnections(), "it counts against the limit no more")
+}
+
+// A connection is waited for no longer than an attempt may be repeated.
+func TestConnectEndsWithRetryWindow(t *testing.T) {
+	p := newProxyWith(unresponsiveAddress(t), withRetryWindow(balancer.Second))
+	a := newTestAttempt(context.Background(), t, p, keyedHead())
+	a.retryBefore = time.Now().Add(50 * time.Millisecond)
+	outcomes := make(chan balancer.Outcome, 1)
+	go func() { outcomes <- a.run(0).outcome }()
+	assert.Equal(t, balancer.NotSent, receive(t, outcomes), "it is no failure of the worker")
+	assert.Zero(t, p.pool.OpenConnections())
+}
+
+// However long a request has waited, and however late its connection was: at the first attempt and at later ones.
+func TestWorkerTimeoutIsAtMostWhatIsLeftToTheClient(t *testing.T) {
+	timeouts, left := make(chan string, 4), make(chan time.Duration, 4)
+	arrivedAt := time.Now().Add(-500 * time.Millisecond)
+	p := newProxyWith(startWorker(t, func(c net.Conn, r *http.Request) {
+		timeouts <- r.Header.Get("Req-Deadline")
+		text := failedText
+		if len(timeouts) > 1 {
+			text = chunked(doneLine) + lastChunk
+		}
+		io.WriteString(c, text)
+	}), func(balancing *balancer.Config, _ *Config) { balancing.MaxAttempts = 4 })
+	p.hooks.beforeSend = func() {
+		time.Sleep(50 * time.Millisecond)
+		left <- time.Until(arrivedAt.Add(2 * time.Second)) // its client waits for as long
+	}
+	answers := make(chan *protocol.Response, 1)
+	go func() { answers <- p.Serve(context.Background(), requestHead("idem"), nil, arrivedAt) }()
+	assert.Equal(t, 200, receive(t, answers).Status)
+	awaitAttempts(t, p)
+	assert.Len(t, timeouts, 2)
+	for range 2 {
+		assertTimeoutWithin(t, receive(t, timeouts), receive(t, left))
+	}
+}
--- a/internal/proxy/format_test.go
+++ b/internal/proxy/format_test.go
@@ -170,14 +170,14 @@
 		Zones:   []string{"north", "south"},
 		Kinds:   []string{"std-3c", "big-16c"},
 		Tenants: []string{"acme", "globex"},
-		Learned: []balancer.Snapshot{fullLearnt()},
+		Learned: []balancer.Snapshot{fullLearned()},
 		Sibling: fullRunningCounts(),
 		Drained: true,
 	}
 }
 
-// fullLearnt is what one instance has learnt, with each field set.
-func fullLearnt() balancer.Snapshot {
+// fullLearned is what one instance has learnt, with each field set.
+func fullLearned() balancer.Snapshot {
 	return balancer.Snapshot{
 		Operations: []balancer.OperationStats{{
 			Name: "render", LongestTimeout: 20_001, MeanSize: 1.25, RequestedWork: 2.5, LostWork: 0.125,
@@ -216,7 +216,7 @@
 func fullMigratedRequest(t *testing.T) MigratedRequest {
 	t.Helper()
 	return MigratedRequest{
-		Request: fullInvocation(t),
+		Request: fullRequest(t),
 		Balancing: balancer.MigratedRequest{
 			Name: "render", LatencyObjective: 10_000, DedupWindow: 600_000, RetryAfter: 20_000, Value: 1.5,
 			Slack: 0.25, LateShare: 0.125, Idempotency: balancer.NonIdempotent, DedupScope: balancer.ScopeCell, Kind: 1,
@@ -236,17 +236,17 @@
 	}
 }
 
-// fullInvocation is a request as a client hands it in, with each field set.
-func fullInvocation(t *testing.T) *protocol.Request {
+// fullRequest is a request as a client hands it in, with each field set.
+func fullRequest(t *testing.T) *protocol.Request {
 	t.Helper()
 	h, _, err := protocol.ParseRequestHead([]byte("POST /api?q=1 HTTP/1.1\r\nReq-Id: request-1\r\nReq-Kind: render\r\n" +
 		"Req-Owner: acme\r\nReq-Deadline: 2.5\r\nReq-Cost: 1500\r\nReq-Extra: slots=1.5\r\n" +
 		"Idempotency-Key: key-1\r\nContent-Type: text/plain\r\n\r\n"))
 	assert.NoError(t, err)
-	inv, err := protocol.ParseRequest(&h)
+	request, err := protocol.ParseRequest(&h)
 	assert.NoError(t, err)
-	inv.Body = []byte("body \x00\xff")
-	return inv
+	request.Body = []byte("body \x00\xff")
+	return request
 }
 
 // sparseSnapshot has one element in each list, with all that it holds left empty.
--- /dev/null
+++ b/internal/proxy/helpers_test.go
@@ -0,0 +1,287 @@
+package proxy
+
+import (
+	"bufio"
+	"context"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"net/netip"
+	"sync/atomic"
+	"syscall"
+	"testing"
+	"time"
+
+	"github.com/rs/zerolog"
+	"github.com/stretchr/testify/assert"
+
+	"canvasroute/internal/balancer"
+	"canvasroute/internal/lifecycle"
+	"canvasroute/internal/protocol"
+	"canvasroute/internal/transport"
+)
+
+const (
+	eventTimeout = 5 * time.Second // bounds the wait for an event that is sure to come
+	pollInterval = time.Millisecond
+
+	// closedAddress is an address at which nobody listens.
+	closedAddress = "127.0.0.1:1"
+)
+
+// Lines and parts of a worker's response to the request with ID a1.
+const (
+	startedLine  = `{"id":"a1","from":"w","state":"started"}`
+	doneLine     = `{"id":"a1","from":"w","state":"done","result":"r"}`
+	chunkedHead  = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+	lastChunk    = "0\r\n\r\n"
+	failedText   = "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"
+	declinedText = "HTTP/1.1 503 No\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n"
+)
+
+// startWorker is a worker that calls respond for each attempt, once it has come whole. It returns its address.
+func startWorker(t *testing.T, respond func(c net.Conn, r *http.Request)) string {
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	assert.NoError(t, err)
+	t.Cleanup(func() { listener.Close() })
+	go func() {
+		for {
+			c, err := listener.Accept()
+			if err != nil {
+				return
+			}
+			go serveAttempts(c, respond)
+		}
+	}()
+	return listener.Addr().String()
+}
+
+func serveAttempts(c net.Conn, respond func(c net.Conn, r *http.Request)) {
+	defer c.Close()
+	reader := bufio.NewReader(c)
+	for {
+		request, err := http.ReadRequest(reader)
+		if err != nil {
+			return
+		}
+		io.Copy(io.Discard, request.Body)
+		respond(c, request)
+	}
+}
+
+// respondWith responds to each attempt with the same text, and then closes the connection if it is to.
+func respondWith(text string, closes bool) func(net.Conn, *http.Request) {
+	return func(c net.Conn, _ *http.Request) {
+		io.WriteString(c, text)
+		if closes {
+			c.Close()
+		}
+	}
+}
+
+// startCountingWorker is a worker where attempts succeed, and the number of those that reached it whole.
+func startCountingWorker(t *testing.T) (address string, attempts *atomic.Int32) {
+	t.Helper()
+	attempts = &atomic.Int32{}
+	return startWorker(t, func(c net.Conn, _ *http.Request) {
+		attempts.Add(1)
+		io.WriteString(c, chunked(doneLine)+lastChunk)
+	}), attempts
+}
+
+// startHangingWorker is a worker that never responds. received gets a value for each attempt.
+func startHangingWorker(t *testing.T) (address string, received <-chan bool) {
+	t.Helper()
+	attempts := make(chan bool, 1)
+	return startWorker(t, func(c net.Conn, _ *http.Request) {
+		attempts <- true
+		c.Read(make([]byte, 1))
+	}), attempts
+}
+
+// unresponsiveAddress is an address at which connections are never accepted: its queue is full.
+func unresponsiveAddress(t *testing.T) string {
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	assert.NoError(t, err)
+	t.Cleanup(func() { listener.Close() })
+	raw, err := listener.(*net.TCPListener).SyscallConn()
+	assert.NoError(t, err)
+	assert.NoError(t, raw.Control(func(fd uintptr) { err = syscall.Listen(int(fd), 0) }))
+	assert.NoError(t, err)
+	for range 4 {
+		c, err := net.DialTimeout("tcp", listener.Addr().String(), 20*time.Millisecond)
+		if err != nil {
+			return listener.Addr().String()
+		}
+		t.Cleanup(func() { c.Close() })
+	}
+	t.Fatal("the listener's queue does not fill")
+	return ""
+}
+
+// chunked is a response whose body has the lines as its first chunks.
+func chunked(lines ...string) string {
+	text := chunkedHead
+	for _, line := range lines {
+		text += chunk(line)
+	}
+	return text
+}
+
+func chunk(line string) string { return fmt.Sprintf("%x\r\n%s\n\r\n", len(line)+1, line) }
+
+// newProxy returns a proxy with one worker of ID w at an address, and three operations: idem is idempotent, once is not,
+// and keyed is idempotent by key.
+func newProxy(address string) *Proxy {
+	return newProxyWith(address, func(*balancer.Config, *Config) {})
+}
+
+// newProxyWith is newProxy with a changed configuration.
+func newProxyWith(address string, change func(*balancer.Config, *Config)) *Proxy {
+	began := time.Now()
+	balancing := balancer.Config{
+		Dispatchers: 2, Kinds: 1, MaxAttempts: 1, Cancellation: true, Granularity: 20,
+		ReportInFlight: -1, ReportQueue: -1, ReportFree: -1,
+		Tenants: []balancer.TenantConfig{{Quota: 1e9}},
+		Operations: []balancer.OperationConfig{
+			{LatencyObjective: balancer.Second, Value: 1, Kind: -1},
+			{LatencyObjective: balancer.Second, Value: 1, Kind: -1, Idempotency: balancer.NonIdempotent},
+			{LatencyObjective: balancer.Second, Value: 1, Kind: -1, Idempotency: balancer.IdempotentByKey},
+		},
+	}
+	worker := protocol.Endpoint{ID: "w", Address: address, State: protocol.Ready}
+	config := Config{
+		Operations: []Operation{
+			{Name: "idem", DefaultTimeout: 2 * time.Second},
+			{Name: "once", DefaultTimeout: 2 * time.Second},
+			{Name: "keyed", DefaultTimeout: 2 * time.Second, RequiresKey: true},
+		},
+		DialTimeout: time.Second,
+		Peers: []netip.AddrPort{
+			netip.MustParseAddrPort("127.0.0.1:7001"),
+			netip.MustParseAddrPort("127.0.0.2:7001"),
+		},
+		FromUnix:         func(ms float64) balancer.Time { return balancer.Time(ms * 10) },
+		InitialEndpoints: &protocol.EndpointList{Version: 7, Complete: true, Endpoints: []protocol.Endpoint{worker}},
+	}
+	change(&balancing, &config)
+	clock := func() balancer.Time { return balancer.Second + balancerTime(time.Since(began)) }
+	shards := balancer.NewShards(balancing, 1, 1, clock, func(string) {})
+	pool := transport.NewPool(4, time.Minute, zerolog.Nop())
+	return New(config, shards, pool, nil, &lifecycle.State{}, zerolog.Nop())
+}
+
+// withoutCancellation allows neither cancellation nor hedging.
+func withoutCancellation(balancing *balancer.Config, _ *Config) { balancing.Cancellation = false }
+
+// withPersistedKeys makes zones drop the repeats of keyed, so that its keys are persisted by a Recovery.
+func withPersistedKeys(r Recovery) func(*balancer.Config, *Config) {
+	return func(balancing *balancer.Config, config *Config) {
+		withoutCancellation(balancing, config)
+		balancing.Operations[2].DedupScope = balancer.ScopeZone
+		config.Operations[2].DedupScope = balancer.ScopeZone
+		config.Recovery = r
+	}
+}
+
+// withRetryWindow allows repeats of keyed in one zone, within a window.
+func withRetryWindow(window balancer.Time) func(*balancer.Config, *Config) {
+	return func(balancing *balancer.Config, config *Config) {
+		balancing.MaxAttempts = 4
+		balancing.Operations[2].DedupWindow = window
+		balancing.Operations[2].DedupScope = balancer.ScopeZone
+		config.Operations[2].DedupScope = balancer.ScopeZone
+		config.DialTimeout = time.Minute
+	}
+}
+
+// parseHead parses the head of a request with the header fields.
+func parseHead(fields string) *protocol.Head {
+	h, _, err := protocol.ParseRequestHead([]byte("POST /api HTTP/1.1\r\n" + fields + "\r\n"))
+	if err != nil {
+		panic(err)
+	}
+	return &h
+}
+
+// requestHead is the head of the request a1 for an operation.
+func requestHead(operation string) *protocol.Head {
+	return parseHead("Req-Id: a1\r\nReq-Deadline: 2\r\nReq-Kind: " + operation + "\r\n")
+}
+
+// keyedHead is the head of the request a1 for the operation keyed.
+func keyedHead() *protocol.Head {
+	return parseHead("Req-Id: a1\r\nReq-Kind: keyed\r\nIdempotency-Key: k\r\n")
+}
+
+// serve serves a request, and returns its answer.
+func serve(p *Proxy, h *protocol.Head) *protocol.Response {
+	return p.Serve(context.Background(), h, nil, time.Now())
+}
+
+// startServe serves a request on a goroutine of its own, which sends its answer.
+func startServe(ctx context.Context, p *Proxy, h *protocol.Head) <-chan *protocol.Response {
+	answers := make(chan *protocol.Response, 1)
+	arrivedAt := time.Now()
+	go func() { answers <- p.Serve(ctx, h, nil, arrivedAt) }()
+	return answers
+}
+
+// receive returns the next value of a channel.
+func receive[T any](t *testing.T, values <-chan T) (value T) {
+	t.Helper()
+	select {
+	case value = <-values:
+	case <-time.After(eventTimeout):
+		t.Fatal("no value within the timeout")
+	}
+	return value
+}
+
+// awaitAttempts waits until no attempt is in flight.
+func awaitAttempts(t *testing.T, p *Proxy) {
+	t.Helper()
+	ended := make(chan error, 1)
+	go func() { ended <- p.background.Wait() }()
+	assert.NoError(t, receive(t, ended))
+}
+
+// outcomeCount is the number of attempts with an outcome.
+func outcomeCount(p *Proxy, outcome balancer.Outcome) int64 {
+	return p.counters.outcomes[outcome].Load()
+}
+
+// updateWorker applies a line of the endpoint watch that changes worker w.
+func updateWorker(t *testing.T, p *Proxy, fields string) {
+	t.Helper()
+	list, err := protocol.ParseEndpointList([]byte(`{"seq":9,"whole":false,"hosts":[{"host":"w",` + fields + `}]}`))
+	assert.NoError(t, err)
+	p.discovery.Apply(list)
+}
+
+// fakeRecovery admits all requests. Its functions are called by the methods of these names.
+type fakeRecovery struct {
+	priorExecution func()
+	persistKey     func() error
+	persisted      atomic.Int32 // calls of PersistKey
+}
+
+func (f *fakeRecovery) Ready() error          { return nil }
+func (f *fakeRecovery) EndpointsReceived()    {}
+func (f *fakeRecovery) EndpointsUnavailable() {}
+func (f *fakeRecovery) Admit(balancer.Arrival) (done func(bool), comeBack time.Duration, ok bool) {
+	return func(bool) {}, 0, true
+}
+
+func (f *fakeRecovery) PriorExecution(string, string, bool) (*PriorExecution, error) {
+	f.priorExecution()
+	return nil, nil
+}
+
+func (f *fakeRecovery) PersistKey(context.Context, KeyRecord) error {
+	f.persisted.Add(1)
+	return f.persistKey()
+}
--- /dev/null
+++ b/internal/proxy/interleaving_test.go
@@ -0,0 +1,305 @@
+package proxy
+
+import (
+	"context"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"strconv"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"github.com/rs/zerolog"
+	"github.com/stretchr/testify/assert"
+
+	"canvasroute/internal/balancer"
+	"canvasroute/internal/protocol"
+	"canvasroute/internal/transport"
+)
+
+// Each test here forces one order of two events that seldom come in it (docs/crossings.md).
+
+func TestClientThatLeavesDuringConnectIsNotSentOn(t *testing.T) {
+	for _, operation := range []string{"idem", "once"} {
+		t.Run(operation, func(t *testing.T) {
+			address, attempts := startCountingWorker(t)
+			p := newProxyWith(address, withoutCancellation)
+			ctx, leave := context.WithCancel(context.Background())
+			var answers <-chan *protocol.Response
+			serving, left := make(chan bool), make(chan bool)
+			p.hooks.beforeSend = func() { // the connection is up
+				<-serving
+				leave()
+				assert.Nil(t, receive(t, answers))
+				close(left)
+			}
+			answers = startServe(ctx, p, requestHead(operation))
+			close(serving)
+			receive(t, left)
+			awaitAttempts(t, p)
+			assert.Zero(t, attempts.Load())
+			assert.Equal(t, []int64{0, 1}, []int64{p.counters.sent.Load(), outcomeCount(p, balancer.NotSent)})
+			assert.Zero(t, p.pool.OpenConnections(), "an interrupted connection is not kept for others")
+			assert.Equal(t, 0, p.balancer.OpenRequests())
+		})
+	}
+}
+
+// isDialing reports whether a connection is being opened: it counts against the limit already.
+func isDialing(p *Proxy) bool { return p.pool.OpenConnections() == 1 }
+
+func TestClientThatLeavesEndsTheWaitForAConnection(t *testing.T) {
+	withLongDial := func(balancing *balancer.Config, config *Config) {
+		withoutCancellation(balancing, config)
+		config.DialTimeout = time.Minute
+	}
+	leaveWhile := func(t *testing.T, p *Proxy, waiting func() bool) {
+		t.Helper()
+		ctx, leave := context.WithCancel(context.Background())
+		answers := startServe(ctx, p, requestHead("idem"))
+		assert.Eventually(t, waiting, eventTimeout, pollInterval)
+		leave()
+		assert.Nil(t, receive(t, answers))
+		awaitAttempts(t, p)
+		assert.Zero(t, p.counters.sent.Load())
+	}
+	t.Run("the dial is slow", func(t *testing.T) {
+		p := newProxyWith(unresponsiveAddress(t), withLongDial)
+		leaveWhile(t, p, func() bool { return isDialing(p) })
+	})
+	t.Run("the limit is reached", func(t *testing.T) {
+		p := newProxyWith(unresponsiveAddress(t), withLongDial)
+		p.pool = transport.NewPool(1, time.Minute, zerolog.Nop())
+		other := unresponsiveAddress(t)
+		ctx, cancel := context.WithCancel(context.Background())
+		ended := make(chan error, 1)
+		go func() {
+			_, err := p.pool.Get(ctx, other, transport.AnyConnection)
+			ended <- err
+		}()
+		assert.Eventually(t, func() bool { return isDialing(p) }, eventTimeout, pollInterval)
+		leaveWhile(t, p, func() bool { return p.balancer.OpenRequests() == 1 })
+		cancel()
+		assert.Error(t, receive(t, ended))
+	})
+}
+
+func TestClientThatLeavesWhileKeyIsPersistedIsNotSentOn(t *testing.T) {
+	address, attempts := startCountingWorker(t)
+	ctx, leave := context.WithCancel(context.Background())
+	answers, left := make(chan *protocol.Response, 1), make(chan bool)
+	recovery := &fakeRecovery{priorExecution: func() {}, persistKey: func() error {
+		leave()
+		assert.Nil(t, receive(t, answers))
+		close(left)
+		return nil // the key is on disk, and the client has left
+	}}
+	p := newProxyWith(address, withPersistedKeys(recovery))
+	go func() { answers <- p.Serve(ctx, keyedHead(), nil, time.Now()) }()
+	receive(t, left)
+	awaitAttempts(t, p)
+	assert.Zero(t, attempts.Load())
+	assert.EqualValues(t, 1, recovery.persisted.Load())
+}
+
+// A list arrives while the connection is opened, or an idle one is taken: the worker drains, or has moved and its address
+// is another worker's now.
+func TestListReceivedDuringConnectPreventsSending(t *testing.T) {
+	for name, fields := range map[string]string{
+		"worker drains":    `"health":"Terminating"`,
+		"worker is gone":   `"health":"Gone"`,
+		"worker has moved": `"health":"Ready","dial":"127.0.0.1:1"`,
+	} {
+		t.Run(name, func(t *testing.T) {
+			address, attempts := startCountingWorker(t)
+			p := newProxy(address)
+			assert.Equal(t, 200, serve(p, requestHead("idem")).Status)
+			awaitAttempts(t, p) // its connection is idle now
+			p.hooks.beforeSend = func() { updateWorker(t, p, fields) }
+			assert.NotEqual(t, 200, receive(t, startServe(context.Background(), p, requestHead("idem"))).Status)
+			awaitAttempts(t, p)
+			assert.EqualValues(t, 1, attempts.Load())
+			assert.Zero(t, p.pool.OpenConnections(), "the connection must not be used any more")
+		})
+	}
+}
+
+// restartedAt are the fields of a list for a worker that restarted at a time.
+func restartedAt(at time.Time) string {
+	return fmt.Sprintf(`"health":"Ready","born_ms":%d`, at.UnixMilli())
+}
+
+// assertTimeoutWithin checks a timeout in seconds, as a worker receives it, against what was left to the client.
+func assertTimeoutWithin(t *testing.T, text string, left time.Duration) {
+	t.Helper()
+	const rounding = 0.001 // seconds
+	seconds, err := strconv.ParseFloat(text, 64)
+	assert.NoError(t, err)
+	assert.LessOrEqual(t, seconds, left.Seconds()+rounding)
+	assert.Positive(t, seconds)
+}
+
+// The balancer decides on a retry within the retry window, which ends while the connection is opened.
+func TestNothingIsSentAfterRetryWindow(t *testing.T) {
+	var received atomic.Int32
+	const window = time.Second
+	address := startWorker(t, func(c net.Conn, _ *http.Request) {
+		received.Add(1)
+		io.WriteString(c, failedText) // it may have been executed
+	})
+	p := newProxyWith(address, withRetryWindow(balancerTime(window)))
+	attempts := 0
+	p.hooks.beforeSend = func() {
+		attempts++
+		if attempts > 1 {
+			time.Sleep(window)
+		}
+	}
+	assert.Equal(t, 502, receive(t, startServe(context.Background(), p, keyedHead())).Status)
+	awaitAttempts(t, p)
+	assert.EqualValues(t, 1, received.Load(), "the worker would execute the second one again")
+	assert.Greater(t, attempts, 1, "there was a retry")
+	assert.EqualValues(t, 1, outcomeCount(p, balancer.WorkerError))
+}
+
+// reconfigurable is a proxy with the configuration that it was given last.
+type reconfigurable struct {
+	*Proxy
+	balancing balancer.Config
+	config    Config
+}
+
+func newReconfigurable(address string, change func(*balancer.Config, *Config)) *reconfigurable {
+	r := &reconfigurable{}
+	r.Proxy = newProxyWith(address, func(balancing *balancer.Config, config *Config) {
+		change(balancing, config)
+		r.balancing = *balancing
+		r.config = *config
+	})
+	return r
+}
+
+func (r *reconfigurable) setTenants(names ...string) {
+	setTenants(&r.balancing, &r.config, names...)
+	r.Reconfigure(r.config, r.balancing)
+}
+
+func setTenants(balancing *balancer.Config, config *Config, names ...string) {
+	balancing.Tenants = nil
+	for _, name := range names {
+		balancing.Tenants = append(balancing.Tenants, balancer.TenantConfig{Name: name, Quota: 1e9})
+	}
+	config.Tenants = names
+}
+
+// usage is what the tenants have used of their quotas, by name.
+func (r *reconfigurable) usage() map[string]float64 {
+	snapshot := r.Learned()
+	byName := map[string]float64{}
+	for n, name := range snapshot.Tenants {
+		byName[name] = snapshot.Learned[0].Tenants[n].Usage
+	}
+	return byName
+}
+
+// Requests arrive while the balancer goes by new settings and the names by the previous ones; the new ones have fewer
+// tenants, and then others in another order.
+func TestRequestDuringReconfigurationCountsForItsTenant(t *testing.T) {
+	address, _ := startCountingWorker(t)
+	r := newReconfigurable(address, func(balancing *balancer.Config, config *Config) {
+		setTenants(balancing, config, "a", "b", "c")
+	})
+	status := func(tenant string) int {
+		return serve(r.Proxy, parseHead("Req-Id: a1\r\nReq-Kind: idem\r\nReq-Owner: "+tenant+"\r\n")).Status
+	}
+	r.hooks.beforeSettings = func() {
+		assert.Equal(t, 200, status("b"), "by its name in the previous settings")
+		assert.Equal(t, 200, status("c"))
+	}
+	r.setTenants("c")
+	r.hooks.beforeSettings = nil
+	assert.Equal(t, 400, status("b"))
+	assert.Equal(t, 200, status("c"))
+	usage := r.usage()
+	assert.Greater(t, usage["c"], 1.9)
+	assert.Less(t, usage["b"], 1.1)
+	assert.Zero(t, usage["a"])
+	r.setTenants("d", "b", "a")
+	assert.Equal(t, 200, status("d"))
+	usage = r.usage()
+	assert.Greater(t, usage["c"], 1.9)
+	assert.Less(t, usage["b"], 1.1)
+	assert.Greater(t, usage["d"], 0.9)
+	assert.LessOrEqual(t, usage["d"], 1.0)
+}
+
+// Settings change while a request is in flight; its operation is not in the new ones.
+func TestRequestEndsUnderTheSettingsItArrivedUnder(t *testing.T) {
+	address, attempts := startCountingWorker(t)
+	recovery := &fakeRecovery{persistKey: func() error { return nil }}
+	r := newReconfigurable(address, withPersistedKeys(recovery))
+	recovery.priorExecution = func() {
+		r.balancing.Operations = r.balancing.Operations[:1]
+		r.config.Operations = r.config.Operations[:1]
+		r.Reconfigure(r.config, r.balancing)
+	}
+	assert.Equal(t, 200, serve(r.Proxy, keyedHead()).Status)
+	assert.EqualValues(t, 1, recovery.persisted.Load(), "its key is persisted by the previous settings")
+	assert.EqualValues(t, 1, attempts.Load())
+	assert.Equal(t, 400, serve(r.Proxy, keyedHead()).Status)
+}
+
+// The client of an attempt at a hanging worker has left, and the settings allow no cancellation.
+func TestRunEndsWithAttemptsThatNoClientWaitsFor(t *testing.T) {
+	address, received := startHangingWorker(t)
+	p := newProxyWith(address, withoutCancellation)
+	ctx, stop := context.WithCancel(context.Background())
+	stopped := make(chan error, 1)
+	go func() { stopped <- p.Run(ctx) }()
+	client, leave := context.WithCancel(context.Background())
+	answers := startServe(client, p, parseHead("Req-Id: a1\r\nReq-Kind: idem\r\nReq-Deadline: 600\r\n"))
+	receive(t, received)
+	isSent := func() bool { return p.counters.sent.Load() == 1 } // until then it would not be sent at all
+	assert.Eventually(t, isSent, eventTimeout, pollInterval)
+	leave()
+	assert.Nil(t, receive(t, answers))
+	assert.Equal(t, 1, p.balancer.OpenRequests(), "the attempt goes on")
+	stop()
+	assert.NoError(t, receive(t, stopped))
+}
+
+func TestEndlessResponseHoldsNothingAfterItsDeadline(t *testing.T) {
+	for name, c := range map[string]struct {
+		first, repeated string
+		succeeds        bool
+	}{
+		"interim heads":         {"", "HTTP/1.1 103 Early\r\n\r\n", false},
+		"empty lines":           {chunked(), "1\r\n\n\r\n", false},
+		"running":               {chunked(), chunk(`{"id":"a1","state":"running"}`), false},
+		"bytes":                 {chunked(), "1\r\n \r\n", false},
+		"trailers after done":   {chunked(doneLine) + "0\r\n", "A: b\r\n", true},
+		"chunks after done":     {chunked(doneLine), "1\r\n\n\r\n", true},
+		"a body after a 500":    {"HTTP/1.1 500 No\r\nContent-Length: 9999999\r\n\r\n", "b", false},
+		"a body after declined": {"HTTP/1.1 503 No\r\nSrv-Declined: 1\r\nTransfer-Encoding: chunked\r\n\r\n", "1\r\nb\r\n", false},
+	} {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			p := newProxy(startWorker(t, func(conn net.Conn, _ *http.Request) {
+				_, err := io.WriteString(conn, c.first)
+				for err == nil {
+					time.Sleep(time.Millisecond)
+					_, err = io.WriteString(conn, c.repeated)
+				}
+			}))
+			began := time.Now()
+			response := serve(p, parseHead("Req-Id: a1\r\nReq-Kind: once\r\nReq-Deadline: 0.3\r\n"))
+			assert.Equal(t, c.succeeds, response.Status == 200)
+			assert.Less(t, time.Since(began), 800*time.Millisecond)
+			awaitAttempts(t, p)
+			assert.Zero(t, p.pool.OpenConnections())
+			assert.Equal(t, 0, p.balancer.OpenRequests())
+		})
+	}
+}
--- a/internal/proxy/operators_test.go
+++ b/internal/proxy/operators_test.go
@@ -16,13 +16,13 @@
 // TestCounterNamesOfDump pins the names that operators read in the answer to DUMP, in their order, and which count each
 // one tells.
 func TestCounterNamesOfDump(t *testing.T) {
-	r := routerTo("127.0.0.1:1")
-	idem := r.tally.of("idem")
+	p := newProxy(closedAddress)
+	idem := p.operations.of("idem")
 	idem.succeeded.Store(1)
 	idem.declined.Store(2)
 	idem.aborted.Store(3)
-	idem.out.Store(4)
-	r.counts.Sent.Store(5)
+	idem.outstanding.Store(4)
+	p.counters.sent.Store(5)
 	assert.Equal(t, []protocol.Metric{
 		{Name: "succeeded", Operation: "idem", Value: 1},
 		{Name: "declined", Operation: "idem", Value: 2},
@@ -37,38 +37,39 @@
 		{Name: "outstanding", Value: 4},
 		{Name: "discovered", Value: 1},
 		{Name: "ejected", Value: 0},
-	}, r.Metrics())
+	}, p.Metrics())
 }
 
-// TestCountersLogLine pins the keys of the log line that SIGUSR1 asks for, and which count each one tells. Each outcome
-// of an attempt is pinned with its number.
+// TestCountersLogLine pins the keys of the log line that SIGUSR1 asks for, and the counter of each. Each outcome of an
+// attempt is pinned with its number.
 func TestCountersLogLine(t *testing.T) {
-	r, log := routerTo("127.0.0.1:1"), &bytes.Buffer{}
-	r.log = zerolog.New(log)
-	c := &r.counts
-	c.Taken.Store(11)
-	c.Succeeded.Store(12)
-	c.Throttled.Store(13)
-	c.Errored.Store(14)
-	c.Left.Store(15)
-	c.Malformed.Store(16)
-	c.Overfull.Store(17)
-	c.AtDoor.Store(18)
-	c.Handed.Store(19)
-	c.Sent.Store(20)
-	c.Probes.Store(21)
-	c.Lists.Store(22)
-	c.WatchesLost.Store(23)
-	c.DatagramsSent.Store(24)
-	c.DatagramsFailed.Store(25)
-	c.DatagramsHeard.Store(26)
-	c.DatagramsBroken.Store(27)
-	c.Strangers.Store(28)
-	c.Overtaken.Store(29)
+	p, log := newProxy(closedAddress), &bytes.Buffer{}
+	p.log = zerolog.New(log)
+	c := &p.counters
+	c.admitted.Store(11)
+	c.succeeded.Store(12)
+	c.rejected.Store(13)
+	c.failed.Store(14)
+	c.clientLeft.Store(15)
+	c.invalid.Store(16)
+	c.overBudget.Store(17)
+	c.shed.Store(18)
+	c.migrated.Store(19)
+	c.sent.Store(20)
+	c.probes.Store(21)
+	p.discovery.Counters.Lists.Store(22)
+	p.discovery.Counters.WatchesLost.Store(23)
+	g := &p.gossip.Counters
+	g.Sent.Store(24)
+	g.Failed.Store(25)
+	g.Received.Store(26)
+	g.Malformed.Store(27)
+	g.Strangers.Store(28)
+	g.Reordered.Store(29)
 	for outcome := range balancer.Outcome(11) {
 		c.outcomes[outcome].Store(100 + int64(outcome))
 	}
-	r.LogCounters("asked")
+	p.LogCounters("asked")
 	var line map[string]any
 	assert.NoError(t, json.Unmarshal(log.Bytes(), &line))
 	for _, memory := range []string{"mallocs", "alloc_bytes"} {
@@ -93,8 +94,8 @@
 
 // TestAnswersByPathAndMethod pins the answers that follow from the head alone.
 func TestAnswersByPathAndMethod(t *testing.T) {
-	r := routerTo("127.0.0.1:1")
-	r.settled.Store(true)
+	p := newProxy(closedAddress)
+	p.discovery.SkipFirstPoll()
 	for _, c := range []struct {
 		name, method, target string
 		want                 *protocol.Response
@@ -106,19 +107,21 @@
 		{"unknown path", "GET", "/metrics", &protocol.Response{Status: 404}},
 		{"a request", "POST", "/api?q=1", nil},
 	} {
-		assert.Equal(t, c.want, r.Check(&protocol.Head{Method: c.method, Target: c.target}), c.name)
+		t.Run(c.name, func(t *testing.T) {
+			assert.Equal(t, c.want, p.Check(&protocol.Head{Method: c.method, Target: c.target}))
+		})
 	}
 }
 
 // TestReasonsOfNotBeingReady pins what operators read in the answer to HEALTH.
 func TestReasonsOfNotBeingReady(t *testing.T) {
-	r := routerTo("127.0.0.1:1")
-	assert.EqualError(t, r.Ready(), "takes no clients: no list of workers yet")
-	r.settled.Store(true)
-	assert.NoError(t, r.Ready())
-	r.drain.Drain(time.Now())
-	assert.EqualError(t, r.Ready(), "takes no clients: leaving")
-	assert.NoError(t, r.drain.Rejoin(time.Now()))
-	r.fleet.take(&protocol.EndpointList{Complete: true})
-	assert.EqualError(t, r.Ready(), "takes no clients: no worker is listed")
+	p := newProxy(closedAddress)
+	assert.EqualError(t, p.Ready(), "takes no clients: no list of workers yet")
+	p.discovery.SkipFirstPoll()
+	assert.NoError(t, p.Ready())
+	p.lifecycle.Drain(time.Now())
+	assert.EqualError(t, p.Ready(), "takes no clients: leaving")
+	assert.NoError(t, p.lifecycle.Rejoin(time.Now()))
+	p.endpoints.Update(&protocol.EndpointList{Complete: true})
+	assert.EqualError(t, p.Ready(), "takes no clients: no worker is listed")
 }
--- /dev/null
+++ b/internal/proxy/proxy.go
@@ -0,0 +1,159 @@
+// Package proxy carries a request from its client to workers and back.
+//
+// A Proxy admits requests, sends the attempts that the balancer decides on, reads the workers' responses, and migrates
+// requests in flight to a sibling process during a hot restart. It chooses no worker and decides on no retry,
+// rejection or cancellation: it asks the balancer, and reports to it what happens. It does not parse the endpoint list
+// (package discovery), exchange load with peers (package gossip) or accept connections (package transport).
+package proxy
+
+import (
+	"context"
+	"encoding/json"
+	"net/netip"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"github.com/rs/zerolog"
+	"golang.org/x/sync/errgroup"
+
+	"canvasroute/internal/admission"
+	"canvasroute/internal/balancer"
+	"canvasroute/internal/discovery"
+	"canvasroute/internal/gossip"
+	"canvasroute/internal/lifecycle"
+	"canvasroute/internal/protocol"
+	"canvasroute/internal/transport"
+)
+
+// Operation configures one operation, by the name that requests give.
+type Operation struct {
+	Name           string
+	DefaultTimeout time.Duration       // of a request that gives none
+	RequiresKey    bool                // workers drop repeats by an idempotency key: requests without one are malformed
+	DedupScope     balancer.DedupScope // the group of workers that drops repeats
+	DedupWindow    time.Duration       // how long the group remembers a key
+}
+
+// Config configures a Proxy. Operations, Tenants, DialTimeout and MaxRetryAfter may change later (Reconfigure).
+type Config struct {
+	Operations          []Operation
+	Tenants, Zones      []string
+	Kinds, Report       []string // kinds of workers; fields of their load reports
+	DialTimeout         time.Duration
+	MaxRetryAfter       time.Duration // 0 where clients are not told when to retry
+	Discovery           string        // address of the discovery service
+	Peers               []netip.AddrPort
+	Position            int // of this dispatcher in Peers
+	InitialEndpoints    *protocol.EndpointList
+	PredecessorSnapshot json.RawMessage // a Snapshot, nil without a predecessor
+	MigratesRequests    bool            // requests in flight may be exported to a sibling process
+	FromUnix            func(ms float64) balancer.Time
+	Recovery            Recovery // nil where it is disabled
+}
+
+// Proxy answers requests by sending attempts to workers.
+type Proxy struct {
+	config    Config
+	balancer  *balancer.Shards
+	pool      *transport.Pool
+	endpoints *discovery.Table
+	discovery *discovery.Watcher
+	gossip    *gossip.Exchange
+	admission *admission.Controller
+	lifecycle *lifecycle.State
+	log       zerolog.Logger
+
+	settings   atomic.Pointer[settings]
+	counters   counters
+	operations operationCounters
+	requestIDs requestIDs
+	inFlight   sync.Map       // set of *inFlightRequest, where requests may be migrated
+	background errgroup.Group // attempts and probes; each reports its errors itself
+
+	sendsReportedAt balancer.Time // the sibling process knows the work that was sent up to then
+
+	hooks testHooks
+}
+
+// testHooks are set by tests to run between two steps.
+type testHooks struct {
+	beforeSettings func() // the balancer goes by new settings, the names of requests do not
+	beforeSend     func() // an attempt has its connection and is not sent
+}
+
+// New returns a Proxy, and gives the balancer the endpoints that are known at the start: those of the predecessor or
+// else the initial ones. datagrams is nil where dispatchers do not exchange load.
+func New(c Config, shards *balancer.Shards, pool *transport.Pool, datagrams *transport.Datagrams,
+	state *lifecycle.State, log zerolog.Logger,
+) *Proxy {
+	p := &Proxy{
+		config: c, balancer: shards, pool: pool, lifecycle: state, log: log,
+		endpoints: discovery.NewTable(c.Zones, c.Kinds, c.FromUnix, log),
+		admission: admission.New(float64(shards.Count())),
+	}
+	watcher := discovery.Config{
+		Address:     c.Discovery,
+		DialTimeout: func() time.Duration { return p.settings.Load().dialTimeout },
+	}
+	if c.Recovery != nil {
+		watcher.Observer = c.Recovery
+	}
+	p.discovery = discovery.NewWatcher(watcher, p.endpoints, shards, pool, log)
+	p.applySettings(c, initialIDs(c))
+	restored, err := p.restoreFromPredecessor(c.PredecessorSnapshot)
+	if err != nil {
+		log.Warn().Err(err).Msg("snapshot not restored")
+	}
+	if c.InitialEndpoints != nil && !restored {
+		p.discovery.Seed(c.InitialEndpoints, nil)
+	}
+	p.gossip = gossip.New(gossip.Config{Peers: c.Peers, Position: c.Position, Successor: restored},
+		shards, p.endpoints, datagrams)
+	return p
+}
+
+// initialIDs numbers operations and tenants by their positions, as the balancer does at its start.
+func initialIDs(c Config) balancer.AssignedIDs {
+	ids := balancer.AssignedIDs{}
+	for n := range c.Operations {
+		ids.Operations = append(ids.Operations, balancer.OperationID(n))
+	}
+	for n := range c.Tenants {
+		ids.Tenants = append(ids.Tenants, balancer.TenantID(n))
+	}
+	return ids
+}
+
+// Run runs discovery, gossip, probes and the balancer until ctx ends, when all clients have their answers. Then it
+// cancels the attempts that are still in flight and waits for them.
+func (p *Proxy) Run(ctx context.Context) error {
+	g, ctx := errgroup.WithContext(ctx)
+	for shard := range p.balancer.Count() {
+		g.Go(func() error { return p.balancer.Run(ctx, shard) })
+	}
+	g.Go(func() error { return p.gossip.Run(ctx) })
+	g.Go(func() error { return p.sampleQueueingDelay(ctx) })
+	g.Go(func() error { return p.discovery.Run(ctx) })
+	g.Go(func() error { return p.probeWorkers(ctx) })
+	err := g.Wait()
+	p.balancer.CancelAll()
+	_ = p.background.Wait() // attempts report their errors to the balancer and return none
+	return err
+}
+
+// StopWithin bounds the time for answers, as this process stops: requests that would not be done by then are rejected,
+// since a request that is cut off after it was begun cannot always be sent again. Their clients should retry late:
+// connections still arrive here for a while, and dispatchers may be restarted in turn.
+func (p *Proxy) StopWithin(within time.Duration) { p.balancer.StopAfter(balancerTime(within)) }
+
+// SetDiscoveryAddress changes the address of the discovery service. The new one is polled at once.
+func (p *Proxy) SetDiscoveryAddress(address string) { p.discovery.SetAddress(address) }
+
+// YieldDatagrams leaves gossip to the sibling process during a hot restart, or takes it back.
+func (p *Proxy) YieldDatagrams(yield bool) { p.gossip.Yield(yield) }
+
+// balancerTime converts a duration to the unit of the balancer.
+func balancerTime(d time.Duration) balancer.Time {
+	return balancer.Time(d / (time.Second / balancer.Second))
+}
--- /dev/null
+++ b/internal/proxy/queueing_test.go
@@ -0,0 +1,37 @@
+package proxy
+
+import (
+	"context"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+)
+
+// Samples that stop, or that show a delay where there is none, would reject requests for nothing.
+func TestIdleProcessHasNoQueueingDelay(t *testing.T) {
+	p := newProxy(closedAddress)
+	ctx, cancel := context.WithTimeout(context.Background(), 300*time.Millisecond)
+	defer cancel()
+	heads := time.NewTicker(time.Millisecond)
+	defer heads.Stop()
+	stopped := make(chan error, 1)
+	go func() { stopped <- p.sampleQueueingDelay(ctx) }()
+	for overloaded := 0; ; {
+		select {
+		case <-heads.C:
+			for range 10 {
+				p.admission.Admit()
+			}
+			if p.admission.Overloaded() {
+				overloaded++
+			}
+		case err := <-stopped:
+			assert.NoError(t, err)
+			assert.Positive(t, overloaded)
+			assert.Equal(t, 1.0, p.admission.AdmittedShare())
+			assert.Less(t, p.admission.Examined(), int64(1000), "samples have started new intervals")
+			return
+		}
+	}
+}
--- /dev/null
+++ b/internal/proxy/request_test.go
@@ -0,0 +1,204 @@
+package proxy
+
+import (
+	"context"
+	"fmt"
+	"io"
+	"math/rand/v2"
+	"net"
+	"net/http"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+
+	"canvasroute/internal/balancer"
+	"canvasroute/internal/protocol"
+)
+
+func TestMalformedRequestsAreRefused(t *testing.T) {
+	withTenant := func(p *Proxy) { p.settings.Load().tenants["o"] = 0 }
+	for name, c := range map[string]struct {
+		head   *protocol.Head
+		change func(*Proxy)
+	}{
+		"unknown operation": {requestHead("unknown"), func(*Proxy) {}},
+		"no operation":      {&protocol.Head{Method: "POST"}, func(*Proxy) {}},
+		"no key":            {requestHead("keyed"), func(*Proxy) {}},
+		"no tenant":         {requestHead("idem"), withTenant},
+	} {
+		t.Run(name, func(t *testing.T) {
+			p := newProxy(closedAddress)
+			c.change(p)
+			assert.Equal(t, 400, serve(p, c.head).Status)
+			assert.Equal(t, int64(0), p.counters.admitted.Load())
+			assert.Equal(t, int64(1), p.counters.invalid.Load())
+		})
+	}
+}
+
+// Workers know a request by its ID alone: a second one with the ID of an open request must not reach them.
+func TestOpenRequestIDIsRefused(t *testing.T) {
+	var p *Proxy
+	second := 0
+	p = newProxy(startWorker(t, func(c net.Conn, _ *http.Request) {
+		second = serve(p, requestHead("idem")).Status
+		io.WriteString(c, chunked(doneLine)+lastChunk)
+	}))
+	for range 2 { // an ID that is not open any more may be used again
+		response := serve(p, requestHead("idem"))
+		assert.Equal(t, []int{200, 409}, []int{response.Status, second})
+		assert.NoError(t, p.background.Wait())
+	}
+}
+
+// A request that is cut off when the process ends cannot always be rejected. But clients should not be rejected as long
+// as there is time for their requests.
+func TestStoppingProcessServesWhatItCanFinish(t *testing.T) {
+	p := newProxy(startWorker(t, respondWith(chunked(doneLine)+lastChunk, false)))
+	p.settings.Load().maxRetryAfter = 2 * time.Second
+	p.lifecycle.Stop(time.Now())
+	p.StopWithin(2 * time.Second)
+	long := parseHead("Req-Id: a2\r\nReq-Kind: once\r\nReq-Cost: 1500000\r\n")
+	assert.Equal(t, &protocol.Response{Status: 503, RetryAfter: 2 * time.Second}, serve(p, long))
+	assert.Equal(t, 200, serve(p, requestHead("once")).Status)
+}
+
+func TestClientThatLeavesGetsNoAnswer(t *testing.T) {
+	for _, operation := range []string{"idem", "once"} {
+		t.Run(operation, func(t *testing.T) {
+			ctx, leave := context.WithCancel(context.Background())
+			p := newProxy(startWorker(t, func(c net.Conn, _ *http.Request) {
+				leave()
+				c.Read(make([]byte, 1))
+			}))
+			assert.Nil(t, p.Serve(ctx, requestHead(operation), nil, time.Now()))
+			assert.NoError(t, p.background.Wait())
+			assert.Equal(t, 0, p.balancer.OpenRequests())
+			assert.Equal(t, int64(1), p.counters.sent.Load(), "it is not sent again")
+		})
+	}
+}
+
+func TestNonIdempotentRequestFailsAfterReset(t *testing.T) {
+	p := newProxy(startWorker(t, respondWith("", true)))
+	assert.Equal(t, 502, serve(p, requestHead("once")).Status)
+}
+
+func TestNonIdempotentRequestIsRejectedAfterDecline(t *testing.T) {
+	p := newProxy(startWorker(t, respondWith(declinedText, false)))
+	assert.Equal(t, 429, serve(p, requestHead("once")).Status)
+}
+
+// endedRequests sums the metrics by name.
+func endedRequests(p *Proxy) map[string]int64 {
+	sum := map[string]int64{}
+	for _, metric := range p.Metrics() {
+		sum[metric.Name] += metric.Value
+	}
+	return sum
+}
+
+func countEnded(sum map[string]int64) int64 {
+	return sum["succeeded"] + sum["declined"] + sum["aborted"]
+}
+
+// Requests that succeed, fail, are declined, time out, lose their client or come too late each count once.
+func TestEachAdmittedRequestEndsOnce(t *testing.T) {
+	rng := rand.New(rand.NewPCG(3, 4))
+	var mu sync.Mutex
+	texts := []string{
+		chunked(`{"id":"a100","state":"done","result":"r"}`) + lastChunk, "", chunked(startedLine), failedText, declinedText,
+	}
+	p := newProxy(startWorker(t, func(c net.Conn, r *http.Request) {
+		mu.Lock()
+		text := strings.ReplaceAll(texts[max(0, rng.IntN(40)-35)], "a100", r.Header.Get("Req-Id"))
+		mu.Unlock()
+		io.WriteString(c, text)
+		if text == "" {
+			c.Close()
+		}
+	}))
+	var wg sync.WaitGroup
+	admitted, invalid := 0, 0
+	for n := range 120 {
+		operation := []string{"idem", "once", "unknown"}[n%3]
+		head := parseHead(fmt.Sprintf("Req-Id: i%03d\r\nReq-Deadline: 0.3\r\nReq-Kind: %s\r\n", n, operation))
+		if operation == "unknown" {
+			invalid++
+		} else {
+			admitted++
+		}
+		if n == 90 {
+			p.lifecycle.Drain(time.Now().Add(-time.Hour)) // later requests are rejected
+		}
+		wg.Go(func() {
+			ctx, cancel := context.WithTimeout(context.Background(), time.Duration(1+n*7%400)*time.Millisecond)
+			defer cancel()
+			p.Serve(ctx, head, nil, time.Now())
+		})
+		time.Sleep(time.Millisecond)
+		assert.LessOrEqual(t, countEnded(endedRequests(p)), int64(admitted))
+	}
+	wg.Wait()
+	assert.NoError(t, p.background.Wait())
+	sum := endedRequests(p)
+	assert.Equal(t, int64(admitted), countEnded(sum))
+	assert.Zero(t, sum["outstanding"])
+	assert.Equal(t, int64(invalid), p.counters.invalid.Load())
+	for _, name := range []string{"succeeded", "declined", "aborted"} {
+		assert.Positive(t, sum[name], name)
+	}
+	assert.Equal(t, p.counters.sent.Load(), sum["forwards"])
+}
+
+// slowWorker responds after a latency. The first attempt is then queued before it starts. attempts counts those received.
+func slowWorker(latency, queueing time.Duration) (respond func(net.Conn, *http.Request), attempts *atomic.Int64) {
+	attempts = &atomic.Int64{}
+	return func(c net.Conn, _ *http.Request) {
+		first := attempts.Add(1) == 1
+		time.Sleep(latency)
+		io.WriteString(c, chunkedHead)
+		if first {
+			time.Sleep(queueing)
+		}
+		io.WriteString(c, chunk(startedLine)+chunk(doneLine)+lastChunk)
+	}, attempts
+}
+
+// An objective that is short beside the network latency to a worker must not move each attempt before the worker could
+// have reported its start, until no attempt is left.
+func TestAttemptAtDistantWorkerIsNotHedgedBeforeDelivery(t *testing.T) {
+	for name, c := range map[string]struct {
+		latency, queueing time.Duration // up to the head of the response, and from there to the start
+		attempts          int64
+	}{
+		"distant":          {80 * time.Millisecond, 0, 1},
+		"in a local queue": {0, 150 * time.Millisecond, 2},
+	} {
+		t.Run(name, func(t *testing.T) {
+			worker, attempts := slowWorker(c.latency, c.queueing)
+			other := startWorker(t, worker)
+			p := newProxyWith(startWorker(t, worker), func(balancing *balancer.Config, config *Config) {
+				balancing.DeliveryNotices = true
+				balancing.StartNotices = true
+				balancing.MaxAttempts = 4
+				balancing.Hedging = true
+				balancing.WarmupWindow = 4 * balancer.Second
+				for n := range balancing.Operations {
+					balancing.Operations[n].LatencyObjective = balancer.Second / 5
+				}
+				endpoint := protocol.Endpoint{ID: "v", Address: other, State: protocol.Ready}
+				config.InitialEndpoints.Endpoints = append(config.InitialEndpoints.Endpoints, endpoint)
+			})
+			ctx, cancel := context.WithCancel(context.Background())
+			defer cancel()
+			go func() { _ = p.balancer.Run(ctx, 0) }()
+			assert.Equal(t, 200, receive(t, startServe(ctx, p, requestHead("idem"))).Status)
+			assert.Equal(t, c.attempts, attempts.Load())
+		})
+	}
+}
