--- a/internal/lab/rival/rival.go
+++ b/internal/testbed/baseline/baseline.go
@@ -1,7 +1,7 @@
-// Package rival has the dispatchers that the lab compares with: plain policies as baselines, the standard
+// Package baseline has the dispatchers that the testbed compares with: plain policies as baselines, the standard
 // library's reverse proxy, and dispatchers that are broken on purpose, one for each rule, to show that the
-// ledger catches them. None of it is used outside the lab.
-package rival
+// ledger catches them. None of it is used outside the testbed.
+package baseline
 
 import (
 	"bufio"
@@ -32,7 +32,7 @@
 	"canvasroute/internal/proxy"
 )
 
-// Policies are the baselines, and what takes the place of a dispatcher to measure the lab itself.
+// Policies are the baselines, and what takes the place of a dispatcher to measure the testbed itself.
 var Policies = []string{"random", "round-robin", "least-outstanding", "reverse-proxy", "null-server"}
 
 // Faults are the ways in which a dispatcher can be broken.
--- a/internal/lab/rival/proxy.go
+++ b/internal/testbed/baseline/reverse_proxy.go
@@ -1,4 +1,4 @@
-package rival
+package baseline
 
 import (
 	"net/http"
--- a/internal/lab/command/command.go
+++ b/internal/testbed/command/command.go
@@ -1,4 +1,4 @@
-// Package command is the command line of canvaslab.
+// Package command is the command line of testbed.
 package command
 
 import (
@@ -17,9 +17,9 @@
 	"github.com/schollz/progressbar/v3"
 	"github.com/spf13/cobra"
 
-	"canvasroute/internal/lab/experiment"
-	"canvasroute/internal/lab/report"
-	"canvasroute/internal/lab/rival"
+	"canvasroute/internal/testbed/baseline"
+	"canvasroute/internal/testbed/experiment"
+	"canvasroute/internal/testbed/report"
 )
 
 //go:embed demo.toml
@@ -44,7 +44,7 @@
 
 func (b badInput) Unwrap() error { return b.error }
 
-// Main runs canvaslab with its arguments, and returns the code that the process exits with.
+// Main runs testbed with its arguments, and returns the code that the process exits with.
 func Main(args []string) int {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
@@ -59,13 +59,13 @@
 	case errors.As(err, &code):
 		return int(code)
 	case errors.Is(err, errInterrupted):
-		fmt.Fprintln(os.Stderr, "canvaslab:", err)
+		fmt.Fprintln(os.Stderr, "testbed:", err)
 		return exitSignal
 	case errors.As(err, &bad):
-		fmt.Fprintln(os.Stderr, "canvaslab:", err)
+		fmt.Fprintln(os.Stderr, "testbed:", err)
 		return exitUsage
 	}
-	fmt.Fprintln(os.Stderr, "canvaslab:", err)
+	fmt.Fprintln(os.Stderr, "testbed:", err)
 	return exitBroken
 }
 
@@ -77,8 +77,8 @@
 // New makes the command; tables go to out, progress to status.
 func New(out, status io.Writer) *cobra.Command {
 	root := &cobra.Command{
-		Use: "canvaslab", Short: "Experiments with canvasroute on stand-ins",
-		Long: "canvaslab starts real canvasroute processes before a stand-in fleet, list service and peer\n" +
+		Use: "testbed", Short: "Experiments with canvasroute on stand-ins",
+		Long: "testbed starts real canvasroute processes before a stand-in fleet, list service and peer\n" +
 			"network on loopback, plays an open-loop load and troubles, and judges the four rules from its own ledger.",
 		SilenceUsage: true, SilenceErrors: true,
 	}
@@ -98,7 +98,7 @@
 }
 
 func (f *runFlags) add(c *cobra.Command) {
-	c.Flags().StringVarP(&f.folder, "out", "o", "", "folder for the result (default lab-results/NAME-TIME)")
+	c.Flags().StringVarP(&f.folder, "out", "o", "", "folder for the result (default testbed-results/NAME-TIME)")
 	c.Flags().StringVar(&f.dispatcher, "dispatcher", "",
 		"dispatcher program (default: canvasroute beside this one)")
 	c.Flags().BoolVarP(&f.quiet, "quiet", "q", false, "no progress")
@@ -146,7 +146,7 @@
 	}
 	f.add(c)
 	c.Flags().StringVar(&f.policy, "policy", "", "dispatchers' policy in place of the file's: canvasroute, "+
-		strings.Join(rival.Policies, ", "))
+		strings.Join(baseline.Policies, ", "))
 	c.Flags().UintSliceVar(&f.seeds, "seeds", nil, "seeds to run one after the other, in place of the file's")
 	return c
 }
@@ -159,7 +159,7 @@
 	}
 	folder := f.folder
 	if folder == "" {
-		folder = filepath.Join("lab-results", slug(p.Name)+"-"+time.Now().Format("20060102-150405"))
+		folder = filepath.Join("testbed-results", slug(p.Name)+"-"+time.Now().Format("20060102-150405"))
 	}
 	seeds := f.seeds
 	if len(seeds) == 0 {
@@ -299,7 +299,7 @@
 	if err != nil {
 		return badInput{err}
 	}
-	folder, err := os.MkdirTemp("", "canvaslab-")
+	folder, err := os.MkdirTemp("", "testbed-")
 	if err != nil {
 		return err
 	}
@@ -339,20 +339,20 @@
 	return nil
 }
 
-// standInCommand is how the lab starts baselines in processes of their own.
+// standInCommand is how the testbed starts baselines in processes of their own.
 func standInCommand() *cobra.Command {
-	t := rival.Terms{}
+	t := baseline.Terms{}
 	c := &cobra.Command{
 		Use: "stand-in", Hidden: true, Args: cobra.NoArgs,
 		Short: "Serve as a baseline dispatcher, as LB_CONFIG says",
 		RunE: func(*cobra.Command, []string) error {
-			if code := rival.Main(t); code != 0 {
+			if code := baseline.Main(t); code != 0 {
 				return exitCode(code)
 			}
 			return nil
 		},
 	}
-	c.Flags().StringVar(&t.Policy, "policy", "round-robin", "one of "+strings.Join(rival.Policies, ", "))
-	c.Flags().StringVar(&t.Fault, "fault", "", "one of "+strings.Join(rival.Faults, ", "))
+	c.Flags().StringVar(&t.Policy, "policy", "round-robin", "one of "+strings.Join(baseline.Policies, ", "))
+	c.Flags().StringVar(&t.Fault, "fault", "", "one of "+strings.Join(baseline.Faults, ", "))
 	return c
 }
--- a/internal/lab/command/lab_test.go
+++ b/internal/testbed/command/command_test.go
@@ -20,11 +20,11 @@
 	"github.com/stretchr/testify/assert"
 
 	"canvasroute/internal/daemon"
-	"canvasroute/internal/lab/experiment"
-	"canvasroute/internal/lab/ledger"
+	"canvasroute/internal/testbed/experiment"
+	"canvasroute/internal/testbed/history"
 )
 
-// The test binary stands in for both programs: for canvaslab with arguments after "lab", for canvasroute
+// The test binary stands in for both programs: for testbed with arguments after "testbed", for canvasroute
 // where a dispatcher is started.
 func TestMain(m *testing.M) {
 	switch {
@@ -32,7 +32,7 @@
 		os.Exit(Main(os.Args[1:]))
 	case os.Getenv("LB_CONFIG") != "":
 		os.Exit(daemon.Main())
-	case len(os.Args) > 2 && os.Args[1] == "lab":
+	case len(os.Args) > 2 && os.Args[1] == "testbed":
 		os.Exit(Main(os.Args[2:]))
 	}
 	os.Exit(m.Run())
@@ -98,7 +98,7 @@
 // scratch is a folder in memory where there is one: how long this machine's disk takes while a dozen plays write to
 // it, up to seconds, is not what a play is about. What a disk can do to a dispatcher, plays and tests do themselves.
 func scratch(t *testing.T) string {
-	dir, err := os.MkdirTemp("/dev/shm", "canvaslab-")
+	dir, err := os.MkdirTemp("/dev/shm", "testbed-")
 	if err != nil {
 		return t.TempDir()
 	}
@@ -122,8 +122,8 @@
 }
 
 // broken are the rules that were broken, by name.
-func broken(r *experiment.Result) (rules []ledger.Rule) {
-	for _, rule := range ledger.Rules {
+func broken(r *experiment.Result) (rules []history.Rule) {
+	for _, rule := range history.Rules {
 		if r.Rules[string(rule)] > 0 {
 			rules = append(rules, rule)
 		}
@@ -132,15 +132,15 @@
 }
 
 func TestBrokenDispatchersAreCaughtEachByItsRule(t *testing.T) {
-	for fault, rule := range map[string]ledger.Rule{
-		"double-forward": ledger.RuleNoneTwice,
-		"lost-answer":    ledger.RuleNoneLost, "drain-ignored": ledger.RuleDrains,
-		"cold-push": ledger.RuleColdBudget,
+	for fault, rule := range map[string]history.Rule{
+		"double-forward": history.RuleNoneTwice,
+		"lost-answer":    history.RuleNoneLost, "drain-ignored": history.RuleDrains,
+		"cold-push": history.RuleColdBudget,
 	} {
 		t.Run(fault, func(t *testing.T) {
 			t.Parallel()
 			r := play(t, "round-robin", fault)
-			assert.Equal(t, []ledger.Rule{rule}, broken(r), r.Breaches)
+			assert.Equal(t, []history.Rule{rule}, broken(r), r.Breaches)
 			for _, b := range r.Breaches {
 				assert.NotEmpty(t, b.ID, "the invocation is named")
 				if fault == "double-forward" {
@@ -177,12 +177,12 @@
 	}
 }
 
-// lab starts canvaslab as a process of its own.
-func lab(t *testing.T, args ...string) (*exec.Cmd, *bytes.Buffer) {
+// testbed starts the program as a process of its own.
+func testbed(t *testing.T, args ...string) (*exec.Cmd, *bytes.Buffer) {
 	self, err := os.Executable()
 	assert.NoError(t, err)
 	out := &bytes.Buffer{}
-	cmd := exec.Command(self, append([]string{"lab"}, args...)...)
+	cmd := exec.Command(self, append([]string{"testbed"}, args...)...)
 	cmd.Stdout, cmd.Stderr = out, out
 	return cmd, out
 }
@@ -199,7 +199,7 @@
 func TestInterruptLeavesNoProcessAndAReadablePartialResult(t *testing.T) {
 	t.Parallel()
 	folder, self := filepath.Join(t.TempDir(), "out"), os.Args[0]
-	cmd, out := lab(t, "demo", "-q", "-o", folder, "--dispatcher", self)
+	cmd, out := testbed(t, "demo", "-q", "-o", folder, "--dispatcher", self)
 	assert.NoError(t, cmd.Start())
 	var listen string
 	assert.Eventually(t, func() bool {
@@ -250,14 +250,14 @@
 		{"", "no such file", []string{"check", file + "x"}, 2},
 	} {
 		write(c.text)
-		cmd, out := lab(t, c.args...)
+		cmd, out := testbed(t, c.args...)
 		assert.Equal(t, c.code, exit(t, cmd.Run()), c.want)
 		assert.Contains(t, out.String(), c.want)
 	}
 }
 
 // Two processes of each dispatcher, and operators' work meanwhile, are judged as one dispatcher; its own
-// figures agree with what clients saw, which the lab checks where there was one process.
+// figures agree with what clients saw, which the testbed checks where there was one process.
 func TestOperatorsWorkUnderLoadBreaksNoRule(t *testing.T) {
 	r := playFile(t, fmt.Sprintf(short, "canvasroute", "")+`[[trouble]]
 kind = "upgrade"
--- a/internal/lab/command/power_test.go
+++ b/internal/testbed/command/power_test.go
@@ -7,7 +7,7 @@
 
 	"github.com/stretchr/testify/assert"
 
-	"canvasroute/internal/lab/trouble"
+	"canvasroute/internal/testbed/fault"
 )
 
 // lost is an experiment in which four dispatchers, nine workers and the list service lose power at once.
@@ -80,7 +80,7 @@
 // doubled and late. What must never happen, does not: the verdict rests on no time.
 func TestFleetThatLosesPowerKeepsTheRulesWithEachKindOfDisk(t *testing.T) {
 	const rough = "link-loss = 0.2\nlink-jitter = \"30ms\"\nlink-doubled = 0.2\n"
-	for _, disk := range trouble.Disks {
+	for _, disk := range fault.Disks {
 		t.Run(disk, func(t *testing.T) {
 			t.Parallel()
 			r := playFile(t, fmt.Sprintf(lost, rough, fmt.Sprintf("disk = %q", disk)))
--- a/internal/lab/registry/catalog.go
+++ b/internal/testbed/discoveryserver/catalog.go
@@ -1,6 +1,6 @@
-// Package registry is a stand-in for the platform's list service. The catalog in this file does no I/O and
+// Package discoveryserver is a stand-in for the platform's list service. The catalog in this file does no I/O and
 // has no clock; the server puts it on sockets, one for each dispatcher, as their views may differ.
-package registry
+package discoveryserver
 
 import "time"
 
@@ -16,7 +16,7 @@
 
 // Entry is a worker as it is listed.
 type Entry struct {
-	Worker           int // its number in the lab
+	Worker           int // its number in the testbed
 	Host, Site, Kind string
 	Block            int
 	Dials            []string // by dispatcher
--- a/internal/lab/registry/registry_test.go
+++ b/internal/testbed/discoveryserver/server_test.go
@@ -1,4 +1,4 @@
-package registry
+package discoveryserver
 
 import (
 	"bufio"
--- a/internal/lab/experiment/experiment_test.go
+++ b/internal/testbed/experiment/experiment_test.go
@@ -71,7 +71,7 @@
 	t.Fatal("no port could be listened on")
 }
 
-// What the lab writes as a configuration is what a dispatcher reads: else an experiment would test its
+// What the testbed writes as a configuration is what a dispatcher reads: else an experiment would test its
 // defaults.
 func TestConfigurationIsReadByTheDispatcherAsItWasMeant(t *testing.T) {
 	p := parsed(t, `[[operation]]
--- a/internal/lab/experiment/operators.go
+++ b/internal/testbed/experiment/operators.go
@@ -10,9 +10,9 @@
 	"syscall"
 	"time"
 
-	"canvasroute/internal/lab/ledger"
-	"canvasroute/internal/lab/trouble"
 	"canvasroute/internal/lifecycle"
+	"canvasroute/internal/testbed/fault"
+	"canvasroute/internal/testbed/history"
 )
 
 // What operators do by hand at the dispatchers: calls at their door, new settings, upgrades.
@@ -153,29 +153,29 @@
 }
 
 // operators carries out what a person would do.
-func (w *world) operators(ctx context.Context, a trouble.Action) {
+func (w *world) operators(ctx context.Context, a fault.Action) {
 	switch a.Do {
-	case trouble.DispatcherLeave, trouble.DispatcherJoin:
-		call := map[trouble.Do]string{trouble.DispatcherLeave: "LEAVE", trouble.DispatcherJoin: "JOIN"}[a.Do]
+	case fault.DispatcherLeave, fault.DispatcherJoin:
+		call := map[fault.Do]string{fault.DispatcherLeave: "LEAVE", fault.DispatcherJoin: "JOIN"}[a.Do]
 		for _, n := range a.Targets {
 			w.mu.Lock()
-			w.leaving[n] = a.Do == trouble.DispatcherLeave
+			w.leaving[n] = a.Do == fault.DispatcherLeave
 			w.mu.Unlock()
 			w.call(n, call)
 		}
-	case trouble.DispatcherRetune:
+	case fault.DispatcherRetune:
 		forwards := int(a.Figure)
 		if forwards == 0 {
 			forwards = w.plan.Dispatchers.Forwards
 		}
 		w.retune(a.Targets, forwards)
-	case trouble.DispatcherUpgrade:
+	case fault.DispatcherUpgrade:
 		for _, n := range a.Targets {
 			w.during.Go(func() { w.upgrade(ctx, n) })
 		}
-	case trouble.ClientsSilent, trouble.ClientsPieces:
+	case fault.ClientsSilent, fault.ClientsPieces:
 		every := time.Duration(0)
-		if a.Do == trouble.ClientsPieces {
+		if a.Do == fault.ClientsPieces {
 			every = 100 * time.Millisecond
 		}
 		sitting, stop := context.WithTimeout(ctx, a.Span)
@@ -206,7 +206,7 @@
 		told, seen := figures(dump), map[string]int{}
 		for _, t := range w.ledger.Tries() {
 			if t.Dispatcher == n {
-				seen[ledger.Kinds[t.Kind]]++
+				seen[history.Kinds[t.Kind]]++
 			}
 		}
 		unsure := seen["unanswered"] + seen["broken"] + seen["unreachable"] + seen["interrupted"]
--- a/internal/lab/experiment/plan.go
+++ b/internal/testbed/experiment/plan.go
@@ -11,28 +11,28 @@
 	"slices"
 	"time"
 
-	"canvasroute/internal/lab/load"
-	"canvasroute/internal/lab/rival"
-	"canvasroute/internal/lab/trouble"
-	"canvasroute/internal/lab/unit"
-	"canvasroute/internal/lab/worker"
+	"canvasroute/internal/testbed/baseline"
+	"canvasroute/internal/testbed/fault"
+	"canvasroute/internal/testbed/unit"
+	"canvasroute/internal/testbed/worker"
+	"canvasroute/internal/testbed/workload"
 	"canvasroute/internal/tomlconfig"
 )
 
 // Plan is an experiment file.
 type Plan struct {
-	Name        string            `toml:"name"`
-	Seed        uint64            `toml:"seed"`
-	Slack       unit.Span         `toml:"slack"` // that the ledger grants each time limit of the rules
-	Dispatchers Dispatchers       `toml:"dispatchers"`
-	Fleet       Fleet             `toml:"fleet"`
-	Operations  []load.Operation  `toml:"operation"`
-	Customers   []load.Customer   `toml:"customer"`
-	Load        Load              `toml:"load"`
-	Troubles    []trouble.Spec    `toml:"trouble"`
-	schedule    *load.Plan        // what the schedule follows from
-	timeline    *trouble.Timeline // of the plan's own seed
-	trace       []load.Arrival
+	Name        string               `toml:"name"`
+	Seed        uint64               `toml:"seed"`
+	Slack       unit.Span            `toml:"slack"` // that the ledger grants each time limit of the rules
+	Dispatchers Dispatchers          `toml:"dispatchers"`
+	Fleet       Fleet                `toml:"fleet"`
+	Operations  []workload.Operation `toml:"operation"`
+	Customers   []workload.Customer  `toml:"customer"`
+	Load        Load                 `toml:"load"`
+	Troubles    []fault.Spec         `toml:"trouble"`
+	schedule    *workload.Plan       // what the schedule follows from
+	timeline    *fault.Timeline      // of the plan's own seed
+	trace       []workload.Arrival
 	place       string // the file's folder, which a trace's name counts from
 }
 
@@ -88,11 +88,11 @@
 
 // Load is what the generator sends.
 type Load struct {
-	Phases  []load.Phase `toml:"phase"`
-	Trace   string       `toml:"trace"` // a file, in place of phases
-	Retries int          `toml:"retries"`
-	Wait    unit.Span    `toml:"retry-wait"`
-	Open    int          `toml:"open-most"`
+	Phases  []workload.Phase `toml:"phase"`
+	Trace   string           `toml:"trace"` // a file, in place of phases
+	Retries int              `toml:"retries"`
+	Wait    unit.Span        `toml:"retry-wait"`
+	Open    int              `toml:"open-most"`
 }
 
 // usual is what holds where a file says nothing.
@@ -152,15 +152,15 @@
 
 func (p *Plan) check() error {
 	d, f := &p.Dispatchers, &p.Fleet
-	policies := append([]string{Canvasroute}, rival.Policies...)
+	policies := append([]string{Canvasroute}, baseline.Policies...)
 	switch {
 	case d.Count < 1 || d.Count > mostDispatchers:
 		return fmt.Errorf("dispatchers.count: %d, must be from 1 to %d", d.Count, mostDispatchers)
 	case !slices.Contains(policies, d.Policy):
 		return fmt.Errorf("dispatchers.policy: %q, must be one of %q", d.Policy, policies)
-	case d.Fault != "" && (d.Policy == Canvasroute || !slices.Contains(rival.Faults, d.Fault)):
+	case d.Fault != "" && (d.Policy == Canvasroute || !slices.Contains(baseline.Faults, d.Fault)):
 		return fmt.Errorf("dispatchers.fault: %q, must be one of %q, with a baseline's policy", d.Fault,
-			rival.Faults)
+			baseline.Faults)
 	case !(d.Cores > 0 && d.Cores <= 64):
 		return fmt.Errorf("dispatchers.cores: %v, must be above 0 and at most 64", d.Cores)
 	case d.MemoryMB < 16 || d.Sockets < 64:
@@ -200,7 +200,7 @@
 		if err := p.Operations[n].Check(); err != nil {
 			return fmt.Errorf("operation[%d].%w", n, err)
 		}
-		same := func(o load.Operation) bool { return o.Name == p.Operations[n].Name }
+		same := func(o workload.Operation) bool { return o.Name == p.Operations[n].Name }
 		if slices.IndexFunc(p.Operations, same) < n {
 			return fmt.Errorf("operation[%d].name: %q is there already", n, p.Operations[n].Name)
 		}
@@ -210,7 +210,7 @@
 			return fmt.Errorf("customer[%d]: must have a name, a share above 0 and a quota from 0", n)
 		}
 	}
-	p.schedule = &load.Plan{Operations: p.Operations, Customers: p.Customers}
+	p.schedule = &workload.Plan{Operations: p.Operations, Customers: p.Customers}
 	switch {
 	case p.Load.Trace != "" && len(p.Load.Phases) > 0:
 		return errors.New("load.trace: there are phases as well")
@@ -221,21 +221,21 @@
 	case len(p.Load.Phases) == 0:
 		return errors.New("load.phase: there must be at least one, or a trace")
 	default:
-		if p.schedule.Segments, err = load.Segments(p.Load.Phases); err != nil {
+		if p.schedule.Segments, err = workload.Segments(p.Load.Phases); err != nil {
 			return err
 		}
 	}
 	if long := p.Long(); long > mostLong {
 		return fmt.Errorf("load: lasts %v, must be at most %v", long, mostLong)
 	}
-	p.timeline, err = trouble.Plan(p.Troubles, p.world(), p.Seed)
+	p.timeline, err = fault.Plan(p.Troubles, p.world(), p.Seed)
 	if err == nil && p.trace != nil && len(p.timeline.Extras) > 0 {
 		return errors.New("trouble: burst and flood need phases, a trace has no rate")
 	}
 	return err
 }
 
-func (p *Plan) readTrace() ([]load.Arrival, error) {
+func (p *Plan) readTrace() ([]workload.Arrival, error) {
 	path := p.Load.Trace
 	if !filepath.IsAbs(path) {
 		path = filepath.Join(p.place, path)
@@ -253,11 +253,11 @@
 	if n := len(p.trace); n > 0 {
 		return p.trace[n-1].At + time.Millisecond
 	}
-	return load.Long(p.schedule.Segments)
+	return workload.Long(p.schedule.Segments)
 }
 
 // Schedule is the arrivals for a seed; a trace is the same for all.
-func (p *Plan) Schedule(seed uint64) []load.Arrival {
+func (p *Plan) Schedule(seed uint64) []workload.Arrival {
 	if p.trace != nil {
 		return p.trace
 	}
@@ -278,9 +278,9 @@
 	return kinds, zones, cells
 }
 
-func (p *Plan) world() trouble.World {
+func (p *Plan) world() fault.World {
 	kinds, zones, _ := p.sites()
-	w := trouble.World{
+	w := fault.World{
 		Workers: len(kinds), Zones: p.Fleet.Zones, ZoneOf: zones,
 		Dispatchers: p.Dispatchers.Count,
 	}
--- a/internal/lab/experiment/power.go
+++ b/internal/testbed/experiment/power.go
@@ -13,14 +13,14 @@
 
 	"canvasroute/internal/fleet/messaging"
 	"canvasroute/internal/fleet/store"
-	"canvasroute/internal/lab/peernet"
-	"canvasroute/internal/lab/trouble"
-	"canvasroute/internal/lab/unit"
+	"canvasroute/internal/testbed/fault"
+	"canvasroute/internal/testbed/network"
+	"canvasroute/internal/testbed/unit"
 )
 
 // link gives each dispatcher a folder for its state and a link to the others.
 func (w *world) link(ctx context.Context, own []netip.AddrPort) (err error) {
-	links, err := peernet.New(own, w.linkManner(), messaging.MaxDatagramBytes, w.seed)
+	links, err := network.New(own, w.linkManner(), messaging.MaxDatagramBytes, w.seed)
 	if err != nil {
 		return err
 	}
@@ -48,33 +48,33 @@
 	return b
 }
 
-func (w *world) linkManner() peernet.Manner {
+func (w *world) linkManner() network.Manner {
 	d := &w.plan.Dispatchers
-	return peernet.Manner{Loss: d.LinkLoss, Delay: d.LinkDelay.D(), Jitter: d.LinkJitter.D(), Double: d.LinkDouble}
+	return network.Manner{Loss: d.LinkLoss, Delay: d.LinkDelay.D(), Jitter: d.LinkJitter.D(), Double: d.LinkDouble}
 }
 
-func (w *world) doLink(a trouble.Action) {
+func (w *world) doLink(a fault.Action) {
 	if w.links == nil {
 		return
 	}
 	m := w.linkManner()
 	switch a.Do {
-	case trouble.LinkLoses:
+	case fault.LinkLoses:
 		m.Loss = a.Figure
 		w.links.Set(m)
-	case trouble.LinkFine:
+	case fault.LinkFine:
 		w.links.Set(m)
-	case trouble.LinkCut, trouble.LinkHeals:
+	case fault.LinkCut, fault.LinkHeals:
 		for _, n := range a.Targets {
 			for other := range w.listen {
 				if slices.Contains(a.Targets, other) {
 					continue
 				}
 				if a.Word != "heard" {
-					w.links.Sever(other, n, a.Do == trouble.LinkCut)
+					w.links.Sever(other, n, a.Do == fault.LinkCut)
 				}
 				if a.Word != "hear" {
-					w.links.Sever(n, other, a.Do == trouble.LinkCut)
+					w.links.Sever(n, other, a.Do == fault.LinkCut)
 				}
 			}
 		}
@@ -83,8 +83,8 @@
 
 // power takes power from dispatchers, all at once, or gives it back to one of them. What it starts with is what
 // was known when power failed: nobody has told it anything since.
-func (w *world) power(ctx context.Context, a trouble.Action) {
-	if a.Do == trouble.PowerFails {
+func (w *world) power(ctx context.Context, a fault.Action) {
+	if a.Do == fault.PowerFails {
 		var dying sync.WaitGroup
 		for _, n := range a.Targets {
 			known := w.list.Whole(n)
@@ -110,7 +110,7 @@
 			}
 		}
 		w.failed(w.launch(n))
-		if w.links != nil && a.Word == trouble.DiskKept && w.left(n) {
+		if w.links != nil && a.Word == fault.DiskKept && w.left(n) {
 			w.during.Go(func() { w.holds(ctx, n) })
 		}
 		w.mu.Lock()
@@ -165,7 +165,7 @@
 }
 
 // spoil makes of a dispatcher's disk what is left of it after a loss of power.
-func (w *world) spoil(n int, a trouble.Action) error {
+func (w *world) spoil(n int, a fault.Action) error {
 	p, rng := w.process(n), unit.Chance(w.seed, fmt.Sprint("disk ", n, " ", a.At))
 	names := func() (all []string) {
 		if disk, err := store.ReadFolder(p.disk); err == nil {
@@ -184,9 +184,9 @@
 		return os.Truncate(path, max(info.Size()-by, 0))
 	}
 	switch a.Word {
-	case trouble.DiskGone:
+	case fault.DiskGone:
 		return os.RemoveAll(p.disk)
-	case trouble.DiskLostSync: // the newest of everything
+	case fault.DiskLostSync: // the newest of everything
 		newest := map[string]string{}
 		for _, path := range names() {
 			kind := strings.TrimSuffix(path, filepath.Ext(path))
@@ -203,11 +203,11 @@
 				return err
 			}
 		}
-	case trouble.DiskTorn:
+	case fault.DiskTorn:
 		if all := names(); len(all) > 0 {
 			return cut(all[rng.IntN(len(all))], int64(1+rng.IntN(200)))
 		}
-	case trouble.DiskOld:
+	case fault.DiskOld:
 		if _, err := os.Stat(p.disk + ".old"); err != nil {
 			return nil
 		}
@@ -215,13 +215,13 @@
 			return err
 		}
 		return copyDisk(p.disk+".old", p.disk)
-	case trouble.DiskSwapped: // with the next one's, which may be up: it gets a copy
+	case fault.DiskSwapped: // with the next one's, which may be up: it gets a copy
 		next := w.process((n + 1) % len(w.listen))
 		if err := os.RemoveAll(p.disk); err != nil {
 			return err
 		}
 		return copyDisk(next.disk, p.disk)
-	case trouble.DiskFull, trouble.DiskReadOnly:
+	case fault.DiskFull, fault.DiskReadOnly:
 		return w.fill(p, a.Word)
 	}
 	return nil
@@ -237,7 +237,7 @@
 // device, or what cannot be written.
 func (w *world) fill(p *process, how string) error {
 	to := "/dev/full"
-	if how == trouble.DiskReadOnly {
+	if how == fault.DiskReadOnly {
 		to = "/proc/version"
 	}
 	last := 0
--- a/internal/lab/experiment/back.go
+++ b/internal/testbed/experiment/recovery.go
@@ -7,10 +7,10 @@
 	"slices"
 	"time"
 
-	"canvasroute/internal/lab/load"
-	"canvasroute/internal/lab/measure"
-	"canvasroute/internal/lab/trouble"
-	"canvasroute/internal/lab/worker"
+	"canvasroute/internal/testbed/fault"
+	"canvasroute/internal/testbed/metrics"
+	"canvasroute/internal/testbed/worker"
+	"canvasroute/internal/testbed/workload"
 )
 
 // PhaseResult is a phase of a dispatcher's return, as its log tells.
@@ -47,11 +47,11 @@
 }
 
 // backs reckons how the fleet came back from each loss of power that workers met.
-func (p *Plan) backs(r *Result, t *trouble.Timeline, schedule []load.Arrival) (backs []measure.Back) {
-	var wanted []measure.Wanted
+func (p *Plan) backs(r *Result, t *fault.Timeline, schedule []workload.Arrival) (backs []metrics.Back) {
+	var wanted []metrics.Wanted
 	for _, a := range schedule {
 		o := &p.Operations[a.Operation]
-		wanted = append(wanted, measure.Wanted{
+		wanted = append(wanted, metrics.Wanted{
 			At: a.At, Work: a.Work, Objective: o.Objective.D(), Stretch: o.Stretch,
 			Value: o.Value, Tardy: o.Tardy,
 		})
@@ -61,18 +61,18 @@
 		if p.Troubles[k].Kind != "power-loss" {
 			continue
 		}
-		var workers []measure.Worker
+		var workers []metrics.Worker
 		kinds, _, _ := p.sites()
 		for n := range kinds {
-			one := measure.Worker{Cores: p.Fleet.Kinds[kinds[n]].Cores, Back: -1}
+			one := metrics.Worker{Cores: p.Fleet.Kinds[kinds[n]].Cores, Back: -1}
 			for _, a := range t.Actions {
-				if a.Trouble == k && a.Do == trouble.WorkerReturn && slices.Contains(a.Targets, n) {
+				if a.Trouble == k && a.Do == fault.WorkerReturn && slices.Contains(a.Targets, n) {
 					one.Back = max(one.Back, a.At)
 				}
 			}
 			workers = append(workers, one)
 		}
-		backs = append(backs, measure.Returned(mark.From, r.Calls.Slots, every, wanted, workers,
+		backs = append(backs, metrics.Returned(mark.From, r.Calls.Slots, every, wanted, workers,
 			worker.Cold{From: p.Fleet.ColdFrom, Ramp: p.Fleet.ColdRamp.D()}))
 	}
 	return backs
--- a/internal/lab/experiment/result.go
+++ b/internal/testbed/experiment/result.go
@@ -13,10 +13,10 @@
 	"sort"
 	"time"
 
-	"canvasroute/internal/lab/ledger"
-	"canvasroute/internal/lab/load"
-	"canvasroute/internal/lab/measure"
-	"canvasroute/internal/lab/trouble"
+	"canvasroute/internal/testbed/fault"
+	"canvasroute/internal/testbed/history"
+	"canvasroute/internal/testbed/metrics"
+	"canvasroute/internal/testbed/workload"
 )
 
 // resultName is the file in a result's folder that holds its figures.
@@ -38,13 +38,13 @@
 	Cores       int              `json:"machine_cores"`
 	Schedule    string           `json:"schedule"` // its fingerprint
 	Planned     int              `json:"planned_arrivals"`
-	Calls       measure.Summary  `json:"calls"`
+	Calls       metrics.Summary  `json:"calls"`
 	Rules       map[string]int   `json:"rules"` // breaches of each
-	Breaches    []ledger.Breach  `json:"breaches"`
+	Breaches    []history.Breach `json:"breaches"`
 	Workers     []WorkerResult   `json:"workers"`
 	Dispatchers []ProcessResult  `json:"dispatchers"`
-	Troubles    []trouble.Mark   `json:"troubles"`
-	Backs       []measure.Back   `json:"backs,omitempty"`  // from losses of power
+	Troubles    []fault.Mark     `json:"troubles"`
+	Backs       []metrics.Back   `json:"backs,omitempty"`  // from losses of power
 	Phases      []PhaseResult    `json:"phases,omitempty"` // of the return of each dispatcher
 	Peers       map[string]int   `json:"peer_datagrams,omitempty"`
 	Failures    []string         `json:"failures"` // of processes and stand-ins
@@ -73,15 +73,15 @@
 
 // endNames are the names of ends in results.
 var endNames = [...]string{
-	ledger.Running: "running", ledger.Done: "done", ledger.Failed: "failed",
-	ledger.Returned: "returned", ledger.Abandoned: "abandoned", ledger.Crashed: "crashed",
-	ledger.Swallowed: "swallowed", ledger.Suppressed: "repeat_dropped",
+	history.Running: "running", history.Done: "done", history.Failed: "failed",
+	history.Returned: "returned", history.Abandoned: "abandoned", history.Crashed: "crashed",
+	history.Swallowed: "swallowed", history.Suppressed: "repeat_dropped",
 }
 
 // mostBreaches is how many of them a result holds one by one.
 const mostBreaches = 200
 
-func (p *Plan) result(w *world, recorder *measure.Recorder, t *trouble.Timeline, schedule []load.Arrival,
+func (p *Plan) result(w *world, recorder *metrics.Recorder, t *fault.Timeline, schedule []workload.Arrival,
 	seed uint64,
 ) *Result {
 	r := &Result{
@@ -89,15 +89,15 @@
 		Fault: p.Dispatchers.Fault, Long: p.Long().Seconds(), Cores: runtime.NumCPU(),
 		Schedule: fingerprint(schedule), Planned: len(schedule),
 		Calls: recorder.Summary(p.operationNames(), p.customerNames()),
-		Rules: map[string]int{}, Breaches: []ledger.Breach{}, Troubles: t.Marks,
+		Rules: map[string]int{}, Breaches: []history.Breach{}, Troubles: t.Marks,
 		Failures: append([]string{}, w.failures...), Forwards: map[string]int64{},
 	}
 	breaches := w.ledger.Judge(p.terms(w))
-	for _, rule := range ledger.Rules {
+	for _, rule := range history.Rules {
 		r.Rules[string(rule)] = 0
 	}
 	if p.Dispatchers.Recovery {
-		r.Rules[string(ledger.RuleKeys)] = 0
+		r.Rules[string(history.RuleKeys)] = 0
 	}
 	for _, b := range breaches {
 		r.Rules[string(b.Rule)]++
@@ -136,7 +136,7 @@
 			out := &r.Workers[f.Worker]
 			out.Forwards++
 			r.Forwards[endNames[f.End]]++
-			if f.End != ledger.Done {
+			if f.End != history.Done {
 				continue
 			}
 			out.Done++
--- a/internal/lab/experiment/run.go
+++ b/internal/testbed/experiment/run.go
@@ -11,11 +11,11 @@
 	"path/filepath"
 	"time"
 
-	"canvasroute/internal/lab/ledger"
-	"canvasroute/internal/lab/load"
-	"canvasroute/internal/lab/measure"
-	"canvasroute/internal/lab/sender"
-	"canvasroute/internal/lab/trouble"
+	"canvasroute/internal/testbed/fault"
+	"canvasroute/internal/testbed/history"
+	"canvasroute/internal/testbed/loadgen"
+	"canvasroute/internal/testbed/metrics"
+	"canvasroute/internal/testbed/workload"
 )
 
 // Options are how an experiment is run.
@@ -45,7 +45,7 @@
 	if _, err := os.Stat(filepath.Join(o.Folder, resultName)); err == nil {
 		return nil, fmt.Errorf("%s: holds a result already", o.Folder)
 	}
-	timeline, err := trouble.Plan(p.Troubles, p.world(), seed)
+	timeline, err := fault.Plan(p.Troubles, p.world(), seed)
 	if err != nil {
 		return nil, err
 	}
@@ -55,8 +55,8 @@
 	if err != nil {
 		return nil, errors.Join(err, w.close())
 	}
-	recorder := measure.New(max(time.Second, p.Long()/slots), len(p.Operations), len(p.Customers))
-	s := &sender.Sender{
+	recorder := metrics.New(max(time.Second, p.Long()/slots), len(p.Operations), len(p.Customers))
+	s := &loadgen.Sender{
 		Operations: p.Operations, Customers: p.Customers, Seed: seed, Retries: p.Load.Retries,
 		Wait: p.Load.Wait.D(), MostOpen: p.Load.Open, Front: w.front, Ledger: w.ledger, Recorder: recorder,
 		Clock: w.clock,
@@ -109,7 +109,7 @@
 // tellEvery is how often progress is told.
 const tellEvery = 200 * time.Millisecond
 
-func (p *Plan) tellProgress(ctx context.Context, s *sender.Sender, r *measure.Recorder, tell func(Progress)) {
+func (p *Plan) tellProgress(ctx context.Context, s *loadgen.Sender, r *metrics.Recorder, tell func(Progress)) {
 	if tell == nil {
 		return
 	}
@@ -128,25 +128,25 @@
 }
 
 // terms are what the ledger judges by.
-func (p *Plan) terms(w *world) ledger.Terms {
-	t := ledger.Terms{Grace: p.Dispatchers.DrainGrace.D(), Slack: p.Slack.D(), Keys: p.Dispatchers.Recovery}
+func (p *Plan) terms(w *world) history.Terms {
+	t := history.Terms{Grace: p.Dispatchers.DrainGrace.D(), Slack: p.Slack.D(), Keys: p.Dispatchers.Recovery}
 	for _, o := range p.Operations {
 		scope := scopeOf(o)
-		t.Operations = append(t.Operations, ledger.Repeat{
-			Name: o.Name, Idempotent: o.Repeat == load.Idempotent,
-			Once: o.Repeat == load.NonIdempotent, ScopeAll: scope == "all", ScopeZone: scope == "zone",
+		t.Operations = append(t.Operations, history.Repeat{
+			Name: o.Name, Idempotent: o.Repeat == workload.Idempotent,
+			Once: o.Repeat == workload.NonIdempotent, ScopeAll: scope == "all", ScopeZone: scope == "zone",
 			ScopeCell: scope == "cell", Window: o.Window.D(),
 		})
 	}
 	for _, s := range w.servers {
 		_, _, zone, cell := s.Site()
-		t.Workers = append(t.Workers, ledger.Place{Zone: zone, Cell: cell})
+		t.Workers = append(t.Workers, history.Place{Zone: zone, Cell: cell})
 	}
 	return t
 }
 
 // fingerprint tells two schedules apart.
-func fingerprint(schedule []load.Arrival) string {
-	sum := sha256.Sum256(load.Bytes(schedule))
+func fingerprint(schedule []workload.Arrival) string {
+	sum := sha256.Sum256(workload.Bytes(schedule))
 	return hex.EncodeToString(sum[:8])
 }
--- a/internal/lab/experiment/saturate.go
+++ b/internal/testbed/experiment/saturate.go
@@ -9,9 +9,9 @@
 	"path/filepath"
 	"time"
 
-	"canvasroute/internal/lab/load"
-	"canvasroute/internal/lab/unit"
-	"canvasroute/internal/lab/worker"
+	"canvasroute/internal/testbed/unit"
+	"canvasroute/internal/testbed/worker"
+	"canvasroute/internal/testbed/workload"
 )
 
 // Saturation is how the highest rate is looked for.
@@ -83,12 +83,12 @@
 	d.Policy, d.Cores, d.MemoryMB, d.Sockets, d.Peers = s.Policy, s.Cores, 1024, 8192, false
 	p.Fleet.Kinds = []worker.Kind{{Name: "null", Cores: 64, Queue: 4096, Count: s.Workers}}
 	p.Fleet.StartNotes, p.Fleet.TellsStart, p.Fleet.ColdMultiple = false, false, 0
-	p.Operations = []load.Operation{{
-		Name: "null", Repeat: load.Idempotent, Objective: unit.Span(s.Objective),
+	p.Operations = []workload.Operation{{
+		Name: "null", Repeat: workload.Idempotent, Objective: unit.Span(s.Objective),
 		Timeout: unit.Span(2 * time.Second), Work: unit.Span(100 * time.Microsecond), Tail: "constant", Share: 1,
 		Value: 1,
 	}}
-	p.Load.Phases = []load.Phase{{Shape: "poisson", Rate: rate, For: unit.Span(s.For)}}
+	p.Load.Phases = []workload.Phase{{Shape: "poisson", Rate: rate, For: unit.Span(s.For)}}
 	p.Load.Retries = 0
 	return &p, p.check()
 }
--- a/internal/lab/experiment/settings.go
+++ b/internal/testbed/experiment/settings.go
@@ -5,15 +5,15 @@
 	"fmt"
 	"net/netip"
 
-	"canvasroute/internal/lab/load"
-	"canvasroute/internal/lab/unit"
+	"canvasroute/internal/testbed/unit"
+	"canvasroute/internal/testbed/workload"
 )
 
 type object map[string]any
 
 var repeatWords = map[string]string{
-	load.Idempotent: "idempotent", load.Deduplicated: "deduplicated",
-	load.NonIdempotent: "at_most_once",
+	workload.Idempotent: "idempotent", workload.Deduplicated: "deduplicated",
+	workload.NonIdempotent: "at_most_once",
 }
 
 // settings are what the platform tells a dispatcher of the deployment, in its own words.
@@ -66,8 +66,8 @@
 }
 
 // scopeOf is the group that drops an operation's repeats; none is named where none are dropped.
-func scopeOf(o load.Operation) string {
-	if o.Repeat == load.Deduplicated && o.Scope == "" {
+func scopeOf(o workload.Operation) string {
+	if o.Repeat == workload.Deduplicated && o.Scope == "" {
 		return "all"
 	}
 	return o.Scope
--- a/internal/lab/experiment/world.go
+++ b/internal/testbed/experiment/world.go
@@ -12,13 +12,13 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"canvasroute/internal/lab/ledger"
-	"canvasroute/internal/lab/load"
-	"canvasroute/internal/lab/peernet"
-	"canvasroute/internal/lab/registry"
-	"canvasroute/internal/lab/sender"
-	"canvasroute/internal/lab/trouble"
-	"canvasroute/internal/lab/worker"
+	"canvasroute/internal/testbed/discoveryserver"
+	"canvasroute/internal/testbed/fault"
+	"canvasroute/internal/testbed/history"
+	"canvasroute/internal/testbed/loadgen"
+	"canvasroute/internal/testbed/network"
+	"canvasroute/internal/testbed/worker"
+	"canvasroute/internal/testbed/workload"
 )
 
 // Bounds on starts and ends.
@@ -38,13 +38,13 @@
 	command []string
 	zero    atomic.Int64 // Unix time in nanoseconds at which the experiment's time begins
 
-	ledger  *ledger.Ledger
-	list    *registry.Service
-	catalog *registry.Catalog
+	ledger  *history.Ledger
+	list    *discoveryserver.Service
+	catalog *discoveryserver.Catalog
 	fleet   *worker.Fleet
-	peers   *peernet.Net
-	links   *peernet.Net // between dispatchers that have a state, nil where they have none
-	front   *sender.Front
+	peers   *network.Net
+	links   *network.Net // between dispatchers that have a state, nil where they have none
+	front   *loadgen.Front
 
 	listen    []netip.AddrPort
 	processes []*process
@@ -67,7 +67,7 @@
 // open builds the stand-ins and starts the dispatchers. It has to be closed, also after an error.
 func open(ctx context.Context, p *Plan, seed uint64, folder string, command []string) (*world, error) {
 	w := &world{
-		plan: p, seed: seed, folder: folder, command: command, ledger: ledger.New(),
+		plan: p, seed: seed, folder: folder, command: command, ledger: history.New(),
 		away: map[int]time.Duration{}, stale: map[int][]byte{}, leaving: map[int]bool{},
 	}
 	w.zero.Store(time.Now().UnixNano())
@@ -98,7 +98,7 @@
 	var drops []worker.Deduplication
 	for _, o := range p.Operations {
 		d := worker.Deduplication{Window: o.Window.D()}
-		if o.Repeat == load.Deduplicated {
+		if o.Repeat == workload.Deduplicated {
 			d.Scope = scopeOf(o)
 		}
 		drops = append(drops, d)
@@ -112,8 +112,8 @@
 			Span:     f.ColdSpan.D(),
 		},
 	}, drops, w.ledger, w.clock, w.fell)
-	w.catalog = registry.NewCatalog(f.ListLag.D())
-	if w.list, err = registry.New(w.catalog, p.Dispatchers.Count, w.clock, w.told); err != nil {
+	w.catalog = discoveryserver.NewCatalog(f.ListLag.D())
+	if w.list, err = discoveryserver.New(w.catalog, p.Dispatchers.Count, w.clock, w.told); err != nil {
 		return err
 	}
 	kinds, zones, cells := p.sites()
@@ -137,15 +137,15 @@
 	if err := s.Start(warm); err != nil {
 		return err
 	}
-	w.enlist(n, registry.Ready, warm)
+	w.enlist(n, discoveryserver.Ready, warm)
 	return nil
 }
 
 // enlist tells the list service what a worker is now.
-func (w *world) enlist(n int, state registry.State, longAgo bool) {
+func (w *world) enlist(n int, state discoveryserver.State, longAgo bool) {
 	s := w.server(n)
 	name, kind, zone, cell := s.Site()
-	e := registry.Entry{
+	e := discoveryserver.Entry{
 		Worker: n, Host: name, Site: w.plan.Fleet.Zones[zone], Kind: kind, Block: cell,
 		Dials: s.Addresses(), State: state,
 	}
@@ -161,15 +161,15 @@
 	return w.servers[n]
 }
 
-func (w *world) told(dispatcher int, e registry.Entry) {
-	w.ledger.Told(ledger.Notice{
-		Dispatcher: dispatcher, Worker: e.Worker, Ready: e.State == registry.Ready,
+func (w *world) told(dispatcher int, e discoveryserver.Entry) {
+	w.ledger.Told(history.Notice{
+		Dispatcher: dispatcher, Worker: e.Worker, Ready: e.State == discoveryserver.Ready,
 		At: w.clock(),
 	})
 }
 
 // fell lists a worker that was pushed over as gone; it stays down.
-func (w *world) fell(n int) { w.enlist(n, registry.Gone, false) }
+func (w *world) fell(n int) { w.enlist(n, discoveryserver.Gone, false) }
 
 var errNoStart = errors.New("did not become ready")
 
@@ -196,7 +196,7 @@
 	}
 	d := &w.plan.Dispatchers
 	if d.Peers && count > 1 {
-		peers, err := peernet.New(own, w.manner(), peernet.Platform, w.seed)
+		peers, err := network.New(own, w.manner(), network.Platform, w.seed)
 		if err != nil {
 			return err
 		}
@@ -215,15 +215,15 @@
 			return err
 		}
 	}
-	front := sender.NewFront(addresses, d.NoticeAfter.D())
+	front := loadgen.NewFront(addresses, d.NoticeAfter.D())
 	w.front = front
 	w.running.Go(func() error { return front.Run(running) })
 	return w.ready(ctx)
 }
 
-func (w *world) manner() peernet.Manner {
+func (w *world) manner() network.Manner {
 	d := &w.plan.Dispatchers
-	return peernet.Manner{Loss: d.PeerLoss, Delay: d.PeerDelay.D(), Jitter: d.PeerJitter.D()}
+	return network.Manner{Loss: d.PeerLoss, Delay: d.PeerDelay.D(), Jitter: d.PeerJitter.D()}
 }
 
 // launch starts one dispatcher's process: it has been told nothing yet.
@@ -237,7 +237,7 @@
 	workers := len(w.servers)
 	w.mu.Unlock()
 	for k := range workers {
-		w.ledger.Told(ledger.Notice{Dispatcher: n, Worker: k, Ready: true, At: w.clock()})
+		w.ledger.Told(history.Notice{Dispatcher: n, Worker: k, Ready: true, At: w.clock()})
 	}
 	return p.start(config)
 }
@@ -287,7 +287,7 @@
 }
 
 // play carries the timeline out until ctx ends.
-func (w *world) play(ctx context.Context, actions []trouble.Action) {
+func (w *world) play(ctx context.Context, actions []fault.Action) {
 	for _, a := range actions {
 		select {
 		case <-time.After(max(a.At-w.clock(), 0)):
@@ -298,23 +298,23 @@
 	}
 }
 
-func (w *world) do(ctx context.Context, a trouble.Action) {
+func (w *world) do(ctx context.Context, a fault.Action) {
 	switch a.Do {
-	case trouble.ListLag:
+	case fault.ListLag:
 		w.list.Lag(a.Span)
-	case trouble.ListLagEnds:
+	case fault.ListLagEnds:
 		w.list.Lag(w.plan.Fleet.ListLag.D())
-	case trouble.ListAway:
-		w.list.Set(registry.Away)
-	case trouble.ListRefuses:
-		w.list.Set(registry.Refuses)
-	case trouble.ListFine:
-		w.list.Set(registry.Fine)
-	case trouble.LinkCut, trouble.LinkHeals, trouble.LinkLoses, trouble.LinkFine:
+	case fault.ListAway:
+		w.list.Set(discoveryserver.Away)
+	case fault.ListRefuses:
+		w.list.Set(discoveryserver.Refuses)
+	case fault.ListFine:
+		w.list.Set(discoveryserver.Fine)
+	case fault.LinkCut, fault.LinkHeals, fault.LinkLoses, fault.LinkFine:
 		w.doLink(a)
-	case trouble.PeersCut, trouble.PeersLose, trouble.PeersFine:
+	case fault.PeersCut, fault.PeersLose, fault.PeersFine:
 		w.doPeers(a)
-	case trouble.WorkerAdd:
+	case fault.WorkerAdd:
 		kinds := w.plan.Fleet.Kinds
 		for range int(a.Figure) {
 			w.mu.Lock()
@@ -323,15 +323,15 @@
 			zones := len(w.plan.Fleet.Zones)
 			w.failed(w.add(kinds[0], n%zones, n/zones/w.plan.Fleet.CellSize*zones+n%zones, false))
 		}
-	case trouble.PowerFails, trouble.PowerReturns:
+	case fault.PowerFails, fault.PowerReturns:
 		w.power(ctx, a)
-	case trouble.DispatcherKill, trouble.DispatcherStart, trouble.DispatcherStall, trouble.DispatcherGoOn,
-		trouble.DispatcherRestart:
+	case fault.DispatcherKill, fault.DispatcherStart, fault.DispatcherStall, fault.DispatcherGoOn,
+		fault.DispatcherRestart:
 		for _, n := range a.Targets {
 			w.doDispatcher(ctx, a.Do, n)
 		}
-	case trouble.DispatcherLeave, trouble.DispatcherJoin, trouble.DispatcherUpgrade, trouble.DispatcherRetune,
-		trouble.ClientsSilent, trouble.ClientsPieces:
+	case fault.DispatcherLeave, fault.DispatcherJoin, fault.DispatcherUpgrade, fault.DispatcherRetune,
+		fault.ClientsSilent, fault.ClientsPieces:
 		w.operators(ctx, a)
 	default:
 		for _, n := range a.Targets {
@@ -340,34 +340,34 @@
 	}
 }
 
-func (w *world) doPeers(a trouble.Action) {
+func (w *world) doPeers(a fault.Action) {
 	if w.peers == nil {
 		return
 	}
 	m := w.manner()
 	switch a.Do {
-	case trouble.PeersCut:
+	case fault.PeersCut:
 		m.Cut = true
-	case trouble.PeersLose:
+	case fault.PeersLose:
 		m.Loss = a.Figure
 	}
 	w.peers.Set(m)
 }
 
-func (w *world) doWorker(a trouble.Action, n int) {
+func (w *world) doWorker(a fault.Action, n int) {
 	s := w.server(n)
 	switch a.Do {
-	case trouble.WorkerCrash, trouble.WorkerEnd:
+	case fault.WorkerCrash, fault.WorkerEnd:
 		if s.Up() {
 			s.Crash()
-			w.enlist(n, registry.Gone, false)
+			w.enlist(n, discoveryserver.Gone, false)
 		}
-	case trouble.WorkerReturn:
+	case fault.WorkerReturn:
 		if !s.Up() {
 			w.failed(s.Start(false))
-			w.enlist(n, registry.Ready, false)
+			w.enlist(n, discoveryserver.Ready, false)
 		}
-	case trouble.WorkerPace:
+	case fault.WorkerPace:
 		w.mu.Lock()
 		w.pace[n][a.Trouble] = a.Figure
 		pace := 1.0
@@ -376,38 +376,38 @@
 		}
 		w.mu.Unlock()
 		s.Pace(pace)
-	case trouble.WorkerPause, trouble.WorkerResume:
-		s.Pause(a.Do == trouble.WorkerPause)
-	case trouble.WorkerSilent, trouble.WorkerSpeaks:
-		s.Silence(a.Do == trouble.WorkerSilent)
-	case trouble.WorkerCut, trouble.WorkerHeal:
-		s.Cut(a.Do == trouble.WorkerCut)
-	case trouble.WorkerDrain:
+	case fault.WorkerPause, fault.WorkerResume:
+		s.Pause(a.Do == fault.WorkerPause)
+	case fault.WorkerSilent, fault.WorkerSpeaks:
+		s.Silence(a.Do == fault.WorkerSilent)
+	case fault.WorkerCut, fault.WorkerHeal:
+		s.Cut(a.Do == fault.WorkerCut)
+	case fault.WorkerDrain:
 		if s.Up() {
 			s.Drain()
-			w.enlist(n, registry.Terminating, s.Born() <= 0)
+			w.enlist(n, discoveryserver.Terminating, s.Born() <= 0)
 		}
 	}
 }
 
-func (w *world) doDispatcher(ctx context.Context, do trouble.Do, n int) {
+func (w *world) doDispatcher(ctx context.Context, do fault.Do, n int) {
 	p := w.process(n)
 	switch do {
-	case trouble.DispatcherKill:
+	case fault.DispatcherKill:
 		w.leaves(n)
 		p.kill()
-	case trouble.DispatcherStall:
+	case fault.DispatcherStall:
 		w.leaves(n)
 		p.stall(true)
-	case trouble.DispatcherGoOn:
+	case fault.DispatcherGoOn:
 		p.stall(false)
 		w.returns(n)
-	case trouble.DispatcherStart:
+	case fault.DispatcherStart:
 		if !p.up() {
 			w.failed(w.launch(n))
 			w.returns(n)
 		}
-	case trouble.DispatcherRestart:
+	case fault.DispatcherRestart:
 		w.during.Go(func() { w.restart(ctx, n) })
 	}
 }
@@ -427,7 +427,7 @@
 		return
 	}
 	w.failed(w.launch(n))
-	w.ledger.Away(ledger.Outage{Dispatcher: n, Planned: true, From: from, To: w.clock()})
+	w.ledger.Away(history.Outage{Dispatcher: n, Planned: true, From: from, To: w.clock()})
 }
 
 func (w *world) leaves(n int) {
@@ -443,7 +443,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if from, was := w.away[n]; was {
-		w.ledger.Away(ledger.Outage{Dispatcher: n, From: from, To: w.clock() + backWithin})
+		w.ledger.Away(history.Outage{Dispatcher: n, From: from, To: w.clock() + backWithin})
 		delete(w.away, n)
 	}
 }
@@ -475,7 +475,7 @@
 	w.during.Wait()
 	w.mu.Lock()
 	for n := range w.away {
-		w.ledger.Away(ledger.Outage{Dispatcher: n, From: w.away[n], To: 1 << 62})
+		w.ledger.Away(history.Outage{Dispatcher: n, From: w.away[n], To: 1 << 62})
 	}
 	w.mu.Unlock()
 	w.reconcile()
--- a/internal/lab/trouble/power.go
+++ b/internal/testbed/fault/power.go
@@ -1,4 +1,4 @@
-package trouble
+package fault
 
 import (
 	"fmt"
--- a/internal/lab/trouble/timeline.go
+++ b/internal/testbed/fault/timeline.go
@@ -1,7 +1,7 @@
-// Package trouble turns the troubles of an experiment file into a timeline of single actions. It does no I/O:
-// the workers and dispatchers that a trouble meets are drawn from the seed, and the lab carries the actions
+// Package fault turns the troubles of an experiment file into a timeline of single actions. It does no I/O:
+// the workers and dispatchers that a trouble meets are drawn from the seed, and the testbed carries the actions
 // out.
-package trouble
+package fault
 
 import (
 	"fmt"
@@ -11,8 +11,8 @@
 	"strings"
 	"time"
 
-	"canvasroute/internal/lab/load"
-	"canvasroute/internal/lab/unit"
+	"canvasroute/internal/testbed/unit"
+	"canvasroute/internal/testbed/workload"
 )
 
 // Spec is one trouble, in the words of an experiment file.
@@ -122,7 +122,7 @@
 // Timeline is what all troubles come to.
 type Timeline struct {
 	Actions []Action
-	Extras  []load.Extra
+	Extras  []workload.Extra
 	Marks   []Mark
 }
 
@@ -331,7 +331,7 @@
 }
 
 func (p *planner) burst() string {
-	p.out.Extras = append(p.out.Extras, load.Extra{
+	p.out.Extras = append(p.out.Extras, workload.Extra{
 		From: p.from(), To: p.to(), Factor: p.spec.Factor - 1,
 		Customer: -1,
 	})
@@ -339,7 +339,7 @@
 }
 
 func (p *planner) flood() string {
-	p.out.Extras = append(p.out.Extras, load.Extra{
+	p.out.Extras = append(p.out.Extras, workload.Extra{
 		From: p.from(), To: p.to(), Factor: p.spec.Factor - 1,
 		Customer: slices.Index(p.world.Customers, p.spec.Customer),
 	})
--- a/internal/lab/trouble/timeline_test.go
+++ b/internal/testbed/fault/timeline_test.go
@@ -1,4 +1,4 @@
-package trouble
+package fault
 
 import (
 	"testing"
@@ -6,7 +6,7 @@
 
 	"github.com/stretchr/testify/assert"
 
-	"canvasroute/internal/lab/unit"
+	"canvasroute/internal/testbed/unit"
 )
 
 var world = World{
--- a/internal/lab/ledger/judge_test.go
+++ b/internal/testbed/history/check_test.go
@@ -1,4 +1,4 @@
-package ledger
+package history
 
 import (
 	"testing"
--- a/internal/lab/ledger/ledger.go
+++ b/internal/testbed/history/history.go
@@ -1,7 +1,7 @@
-// Package ledger writes down what happened in an experiment, and judges the four rules from that alone. It
+// Package history writes down what happened in an experiment, and judges the four rules from that alone. It
 // does no I/O: the stand-ins and the load generator tell it what they did and saw, with times from the
 // experiment's start. What a dispatcher says of itself counts for nothing here.
-package ledger
+package history
 
 import (
 	"sync"
--- a/internal/lab/sender/front.go
+++ b/internal/testbed/loadgen/front.go
@@ -1,6 +1,6 @@
-// Package sender is the lab's load generator on sockets. It is open-loop: each call goes out at its time,
+// Package loadgen is the testbed's load generator on sockets. It is open-loop: each call goes out at its time,
 // however many are still open, and what it could not send on time it reports.
-package sender
+package loadgen
 
 import (
 	"bufio"
--- a/internal/lab/sender/sender.go
+++ b/internal/testbed/loadgen/loadgen.go
@@ -1,4 +1,4 @@
-package sender
+package loadgen
 
 import (
 	"context"
@@ -12,23 +12,23 @@
 	"sync/atomic"
 	"time"
 
-	"canvasroute/internal/lab/ledger"
-	"canvasroute/internal/lab/load"
-	"canvasroute/internal/lab/measure"
-	"canvasroute/internal/lab/unit"
+	"canvasroute/internal/testbed/history"
+	"canvasroute/internal/testbed/metrics"
+	"canvasroute/internal/testbed/unit"
+	"canvasroute/internal/testbed/workload"
 )
 
 // Sender plays a schedule.
 type Sender struct {
-	Operations []load.Operation
-	Customers  []load.Customer
+	Operations []workload.Operation
+	Customers  []workload.Customer
 	Seed       uint64
 	Retries    int           // by a client on its own, after what may be tried again
 	Wait       time.Duration // before one, where the answer does not say
 	MostOpen   int           // calls open at once: what comes beyond is reported as unsent
 	Front      *Front
-	Ledger     *ledger.Ledger
-	Recorder   *measure.Recorder
+	Ledger     *history.Ledger
+	Recorder   *metrics.Recorder
 	Clock      func() time.Duration // since the experiment's start
 
 	open atomic.Int64
@@ -36,7 +36,7 @@
 
 // Run sends each arrival at its time, and returns when all calls are over. When ctx ends, what has not been
 // sent is left, and what is open counts as interrupted.
-func (s *Sender) Run(ctx context.Context, schedule []load.Arrival) {
+func (s *Sender) Run(ctx context.Context, schedule []workload.Arrival) {
 	var calls sync.WaitGroup
 	defer calls.Wait()
 	timer := time.NewTimer(time.Hour)
@@ -52,10 +52,10 @@
 		} else if ctx.Err() != nil {
 			return
 		}
-		c := measure.Call{Operation: a.Operation, Customer: a.Customer, Intended: a.At, Work: a.Work}
+		c := metrics.Call{Operation: a.Operation, Customer: a.Customer, Intended: a.At, Work: a.Work}
 		if s.open.Add(1) > int64(s.MostOpen) {
 			s.open.Add(-1)
-			c.Kind, c.Sent, c.Ended = ledger.Unsent, a.At, a.At
+			c.Kind, c.Sent, c.Ended = history.Unsent, a.At, a.At
 			c.Asked = s.Operations[a.Operation].Value * a.Work.Seconds()
 			s.Recorder.Record(c)
 			continue
@@ -72,14 +72,14 @@
 
 // answer is how one try ended.
 type answer struct {
-	kind     ledger.Kind
+	kind     history.Kind
 	status   int
 	result   string
 	comeBack time.Duration
 }
 
 // call carries one call through, with its client's retries.
-func (s *Sender) call(ctx context.Context, n int, a load.Arrival, c measure.Call) {
+func (s *Sender) call(ctx context.Context, n int, a workload.Arrival, c metrics.Call) {
 	o := &s.Operations[a.Operation]
 	c.Sent = s.Clock()
 	for try := 0; ; try++ {
@@ -91,7 +91,7 @@
 	}
 	c.Ended = s.Clock()
 	c.Asked = o.Value * a.Work.Seconds()
-	if c.Kind == ledger.Succeeded {
+	if c.Kind == history.Succeeded {
 		allowed := o.Objective.D() + time.Duration(o.Stretch*float64(a.Work))
 		if c.InTime = c.Ended-a.At <= allowed; c.InTime {
 			c.Earned = c.Asked
@@ -104,12 +104,12 @@
 
 // again tells whether a client tries once more: always where it was sent away, else only where the operation
 // may run again.
-func again(k ledger.Kind, o *load.Operation) bool {
+func again(k history.Kind, o *workload.Operation) bool {
 	switch k {
-	case ledger.Throttled, ledger.Unreachable:
+	case history.Throttled, history.Unreachable:
 		return true
-	case ledger.Errored, ledger.Unanswered, ledger.Broken:
-		return o.Repeat != load.NonIdempotent
+	case history.Errored, history.Unanswered, history.Broken:
+		return o.Repeat != workload.NonIdempotent
 	}
 	return false
 }
@@ -130,12 +130,12 @@
 }
 
 // try hands the invocation in once, under an id of its own.
-func (s *Sender) try(ctx context.Context, n, try int, a load.Arrival, o *load.Operation) answer {
+func (s *Sender) try(ctx context.Context, n, try int, a workload.Arrival, o *workload.Operation) answer {
 	id := ID(s.Seed, n, try)
 	until := s.Clock() + o.Timeout.D()
 	d := s.Front.choose()
 	record := s.Ledger.Tried(id, a.Operation, d, until)
-	if o.Repeat == load.Deduplicated {
+	if o.Repeat == workload.Deduplicated {
 		s.Ledger.Keyed(record, a.Key, try > 0 || a.Retry)
 	}
 	ctx, cancel := context.WithTimeout(ctx, o.Timeout.D())
@@ -156,7 +156,7 @@
 }
 
 // message is what goes over the wire. The body tells the worker what to do.
-func (s *Sender) message(id string, a load.Arrival, o *load.Operation, retry bool) []byte {
+func (s *Sender) message(id string, a workload.Arrival, o *workload.Operation, retry bool) []byte {
 	body := fmt.Appendf(nil, `{"operation":%d,"work_us":%d}`, a.Operation, a.Work.Microseconds())
 	b := make([]byte, 0, 512)
 	b = append(b, "POST /api HTTP/1.1\r\nHost: origin.svc\r\nReq-Id: "...)
@@ -172,7 +172,7 @@
 	if retry || a.Retry {
 		b = append(b, "\r\nReq-Retry: 1"...)
 	}
-	if o.Repeat == load.Deduplicated {
+	if o.Repeat == workload.Deduplicated {
 		b = fmt.Appendf(b, "\r\nIdempotency-Key: %016x", a.Key)
 	}
 	b = strconv.AppendInt(append(b, "\r\nContent-Length: "...), int64(len(body)), 10)
@@ -181,7 +181,7 @@
 
 // exchange sends a message and reads its answer. crossed tells of a kept connection that ended with nothing
 // heard.
-func (s *Sender) exchange(ctx context.Context, record *ledger.Try, d int, message []byte,
+func (s *Sender) exchange(ctx context.Context, record *history.Try, d int, message []byte,
 	fresh bool,
 ) (got answer, crossed bool) {
 	c, err := s.Front.get(ctx, d, fresh)
@@ -189,7 +189,7 @@
 		if ctx.Err() != nil {
 			return answer{kind: s.gaveUp(ctx)}, false
 		}
-		return answer{kind: ledger.Unreachable}, false
+		return answer{kind: history.Unreachable}, false
 	}
 	stop := context.AfterFunc(ctx, func() { c.SetDeadline(time.Unix(1, 0)) })
 	got, crossed, keep := s.talk(ctx, record, c, message)
@@ -201,7 +201,7 @@
 	return got, crossed
 }
 
-func (s *Sender) talk(ctx context.Context, record *ledger.Try, c *conn, message []byte) (got answer,
+func (s *Sender) talk(ctx context.Context, record *history.Try, c *conn, message []byte) (got answer,
 	crossed, keep bool,
 ) {
 	_, err := c.Write(message)
@@ -213,7 +213,7 @@
 		if ctx.Err() != nil || errors.Is(err, os.ErrDeadlineExceeded) {
 			return answer{kind: s.gaveUp(ctx)}, false, false
 		}
-		return answer{kind: ledger.Broken}, c.used, false
+		return answer{kind: history.Broken}, c.used, false
 	}
 	r, err := http.ReadResponse(c.in, nil)
 	if err == nil {
@@ -226,23 +226,23 @@
 	if ctx.Err() != nil {
 		return answer{kind: s.gaveUp(ctx)}, false, false
 	}
-	return answer{kind: ledger.Broken}, false, false
+	return answer{kind: history.Broken}, false, false
 }
 
-func (s *Sender) gaveUp(ctx context.Context) ledger.Kind {
+func (s *Sender) gaveUp(ctx context.Context) history.Kind {
 	if errors.Is(ctx.Err(), context.Canceled) {
-		return ledger.Interrupted
+		return history.Interrupted
 	}
-	return ledger.Unanswered
+	return history.Unanswered
 }
 
 func read(r *http.Response, body []byte) answer {
-	got := answer{kind: ledger.Errored, status: r.StatusCode}
+	got := answer{kind: history.Errored, status: r.StatusCode}
 	switch r.StatusCode {
 	case http.StatusOK:
-		got.kind, got.result = ledger.Succeeded, string(body)
+		got.kind, got.result = history.Succeeded, string(body)
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
-		got.kind = ledger.Throttled
+		got.kind = history.Throttled
 		if after, err := strconv.ParseFloat(r.Header.Get("Retry-After"), 64); err == nil && after > 0 {
 			got.comeBack = time.Duration(min(after, 3600) * float64(time.Second))
 		}
--- a/internal/lab/sender/sender_test.go
+++ b/internal/testbed/loadgen/loadgen_test.go
@@ -1,4 +1,4 @@
-package sender
+package loadgen
 
 import (
 	"context"
@@ -13,31 +13,31 @@
 
 	"github.com/stretchr/testify/assert"
 
-	"canvasroute/internal/lab/ledger"
-	"canvasroute/internal/lab/load"
-	"canvasroute/internal/lab/measure"
-	"canvasroute/internal/lab/unit"
+	"canvasroute/internal/testbed/history"
+	"canvasroute/internal/testbed/metrics"
+	"canvasroute/internal/testbed/unit"
+	"canvasroute/internal/testbed/workload"
 )
 
 const ms = time.Millisecond
 
 // senderTo plays against one dispatcher's address.
-func senderTo(address string, operations ...load.Operation) *Sender {
+func senderTo(address string, operations ...workload.Operation) *Sender {
 	began := time.Now()
 	if len(operations) == 0 {
-		operations = []load.Operation{{
+		operations = []workload.Operation{{
 			Name: "status", Objective: unit.Span(time.Second),
 			Timeout: unit.Span(10 * time.Second), Value: 1,
 		}}
 	}
 	return &Sender{
-		Operations: operations, Seed: 1, MostOpen: 10000, Wait: 5 * ms, Ledger: ledger.New(),
-		Front: NewFront([]string{address}, time.Second), Recorder: measure.New(time.Second, len(operations), 0),
+		Operations: operations, Seed: 1, MostOpen: 10000, Wait: 5 * ms, Ledger: history.New(),
+		Front: NewFront([]string{address}, time.Second), Recorder: metrics.New(time.Second, len(operations), 0),
 		Clock: func() time.Duration { return time.Since(began) },
 	}
 }
 
-func (s *Sender) summary() measure.Summary {
+func (s *Sender) summary() metrics.Summary {
 	names := []string{}
 	for _, o := range s.Operations {
 		names = append(names, o.Name)
@@ -45,9 +45,9 @@
 	return s.Recorder.Summary(names, nil)
 }
 
-func every(gap, long time.Duration) (schedule []load.Arrival) {
+func every(gap, long time.Duration) (schedule []workload.Arrival) {
 	for at := time.Duration(0); at < long; at += gap {
-		schedule = append(schedule, load.Arrival{At: at, Work: ms})
+		schedule = append(schedule, workload.Arrival{At: at, Work: ms})
 	}
 	return schedule
 }
@@ -83,7 +83,7 @@
 	ln, err := net.Listen("tcp", "127.0.0.1:0") // nobody ever accepts: the kernel does
 	assert.NoError(t, err)
 	defer ln.Close()
-	s := senderTo(ln.Addr().String(), load.Operation{
+	s := senderTo(ln.Addr().String(), workload.Operation{
 		Name: "status", Objective: 1,
 		Timeout: unit.Span(300 * ms),
 	})
@@ -92,7 +92,7 @@
 	assert.EqualValues(t, 200, got.Total.Answers["unanswered"])
 	assert.Zero(t, got.Generator.Unsent)
 	assert.GreaterOrEqual(t, got.All.P50, 299.0, "none is given up early; how late is the machine's")
-	assert.Len(t, s.Ledger.Judge(ledger.Terms{Operations: []ledger.Repeat{{}}}), 200, "each one is lost")
+	assert.Len(t, s.Ledger.Judge(history.Terms{Operations: []history.Repeat{{}}}), 200, "each one is lost")
 }
 
 func TestGeneratorThatMayNotKeepUpSaysSo(t *testing.T) {
@@ -109,8 +109,8 @@
 	assert.False(t, got.Generator.Trusted)
 	assert.Positive(t, got.Generator.Unsent)
 	assert.EqualValues(t, 100, got.Total.Calls, "none is left out")
-	late := measure.New(time.Second, 1, 0)
-	late.Record(measure.Call{Kind: ledger.Succeeded, Sent: 20 * ms, Ended: 21 * ms})
+	late := metrics.New(time.Second, 1, 0)
+	late.Record(metrics.Call{Kind: history.Succeeded, Sent: 20 * ms, Ended: 21 * ms})
 	sum := late.Summary([]string{"status"}, nil)
 	assert.Equal(t, "1 of 1 calls were sent more than 10ms late", sum.Generator.Why)
 }
@@ -131,17 +131,17 @@
 		w.WriteHeader(answers[name][n])
 	}))
 	defer server.Close()
-	var operations []load.Operation
-	for _, o := range []load.Operation{{Name: "safe", Repeat: load.Idempotent}, {
+	var operations []workload.Operation
+	for _, o := range []workload.Operation{{Name: "safe", Repeat: workload.Idempotent}, {
 		Name:   "once",
-		Repeat: load.NonIdempotent,
-	}, {Name: "sent-away", Repeat: load.Deduplicated}} {
+		Repeat: workload.NonIdempotent,
+	}, {Name: "sent-away", Repeat: workload.Deduplicated}} {
 		o.Objective, o.Timeout = unit.Span(time.Second), unit.Span(time.Second)
 		operations = append(operations, o)
 	}
 	s := senderTo(strings.TrimPrefix(server.URL, "http://"), operations...)
 	s.Retries = 2
-	s.Run(context.Background(), []load.Arrival{{Operation: 0}, {Operation: 1}, {Operation: 2, Key: 9}})
+	s.Run(context.Background(), []workload.Arrival{{Operation: 0}, {Operation: 1}, {Operation: 2, Key: 9}})
 	got := s.summary()
 	assert.Equal(t, map[string]int64{"succeeded": 2, "errored": 1}, got.Total.Answers)
 	assert.EqualValues(t, 1, asked["once"].Load(), "what may have run is not sent again")
@@ -174,7 +174,7 @@
 	}()
 	s := senderTo(ln.Addr().String())
 	for range 4 { // each once the one before is over: on a busy machine the second would else come before that
-		s.Run(context.Background(), []load.Arrival{{}})
+		s.Run(context.Background(), []workload.Arrival{{}})
 	}
 	assert.Equal(t, map[string]int64{"succeeded": 2, "broken": 2}, s.summary().Total.Answers,
 		"first; second on a new connection; third on a new one that ends; fourth on another that ends")
@@ -193,7 +193,7 @@
 	got := s.summary()
 	assert.Equal(t, got.Total.Calls, got.Total.Answers["interrupted"])
 	assert.Positive(t, got.Total.Calls)
-	assert.Empty(t, s.Ledger.Judge(ledger.Terms{Operations: []ledger.Repeat{{}}}), "that is nobody's fault")
+	assert.Empty(t, s.Ledger.Judge(history.Terms{Operations: []history.Repeat{{}}}), "that is nobody's fault")
 }
 
 func TestFrontNoticesADeathLateAndAReturnAtOnce(t *testing.T) {
--- a/internal/lab/measure/recorder.go
+++ b/internal/testbed/metrics/recorder.go
@@ -1,7 +1,7 @@
-// Package measure counts what an experiment's calls came to. A call is an invocation with its client's
+// Package metrics counts what an experiment's calls came to. A call is an invocation with its client's
 // retries. Its latency counts from when it was meant to be sent, not from when it was: a generator that waits
 // for a slow dispatcher would hide just the time in question (coordinated omission).
-package measure
+package metrics
 
 import (
 	"sync"
@@ -9,7 +9,7 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"canvasroute/internal/lab/ledger"
+	"canvasroute/internal/testbed/history"
 )
 
 // What histograms hold: microseconds up to ten minutes, to three figures.
@@ -31,7 +31,7 @@
 	Intended, Sent      time.Duration // Sent: when the first try was begun
 	Ended               time.Duration
 	Work                time.Duration
-	Kind                ledger.Kind // of the last try
+	Kind                history.Kind // of the last try
 	Tries               int
 	InTime              bool    // it succeeded within the latency objective
 	Asked, Earned       float64 // billed value
@@ -53,7 +53,7 @@
 }
 
 type tally struct {
-	kinds         [ledger.Unsent + 1]int64
+	kinds         [history.Unsent + 1]int64
 	calls, inTime int64
 	tries         int64
 	asked, earned float64
@@ -62,7 +62,7 @@
 
 type slot struct {
 	arrivals int64
-	kinds    [ledger.Unsent + 1]int64
+	kinds    [history.Unsent + 1]int64
 	latency  *hdrhistogram.Histogram // of what succeeded, by when it arrived
 
 	asked, earned float64 // billed value
@@ -110,7 +110,7 @@
 	for _, t := range tallies {
 		t.add(c, took)
 	}
-	if c.Kind == ledger.Unsent {
+	if c.Kind == history.Unsent {
 		return
 	}
 	record(r.all, took)
@@ -118,7 +118,7 @@
 	if c.Sent-c.Intended > LateAfter {
 		r.lateCalls++
 	}
-	if c.Kind == ledger.Succeeded {
+	if c.Kind == history.Succeeded {
 		record(r.succeeded, took)
 		record(s.latency, took)
 	}
@@ -133,7 +133,7 @@
 	if c.InTime {
 		t.inTime++
 	}
-	if t.latency != nil && c.Kind == ledger.Succeeded {
+	if t.latency != nil && c.Kind == history.Succeeded {
 		record(t.latency, took)
 	}
 }
@@ -143,6 +143,6 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	k := r.total.kinds
-	return r.total.calls, k[ledger.Succeeded], k[ledger.Throttled],
-		r.total.calls - k[ledger.Succeeded] - k[ledger.Throttled]
+	return r.total.calls, k[history.Succeeded], k[history.Throttled],
+		r.total.calls - k[history.Succeeded] - k[history.Throttled]
 }
--- a/internal/lab/measure/back.go
+++ b/internal/testbed/metrics/recovery.go
@@ -1,9 +1,9 @@
-package measure
+package metrics
 
 import (
 	"time"
 
-	"canvasroute/internal/lab/worker"
+	"canvasroute/internal/testbed/worker"
 )
 
 // Worker is one that takes part in the return after a loss of power.
--- a/internal/lab/measure/back_test.go
+++ b/internal/testbed/metrics/recovery_test.go
@@ -1,4 +1,4 @@
-package measure
+package metrics
 
 import (
 	"testing"
@@ -6,7 +6,7 @@
 
 	"github.com/stretchr/testify/assert"
 
-	"canvasroute/internal/lab/worker"
+	"canvasroute/internal/testbed/worker"
 )
 
 // Two workers of one core lose power at 2 s and are back, cold, at 3 s and 4 s; a call of 100 ms comes each 100 ms.
--- a/internal/lab/measure/summary.go
+++ b/internal/testbed/metrics/summary.go
@@ -1,11 +1,11 @@
-package measure
+package metrics
 
 import (
 	"fmt"
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"canvasroute/internal/lab/ledger"
+	"canvasroute/internal/testbed/history"
 )
 
 // Latency are percentiles in milliseconds.
@@ -87,7 +87,7 @@
 	}
 	s.Generator = Generator{
 		Late: read(r.late), LateCalls: r.lateCalls,
-		Unsent: r.total.kinds[ledger.Unsent], Trusted: true,
+		Unsent: r.total.kinds[history.Unsent], Trusted: true,
 	}
 	switch g := &s.Generator; {
 	case g.Unsent > 0:
@@ -115,7 +115,7 @@
 	m := map[string]int64{}
 	for k, n := range kinds {
 		if n > 0 {
-			m[ledger.Kinds[k]] = n
+			m[history.Kinds[k]] = n
 		}
 	}
 	return m
--- a/internal/lab/peernet/peernet.go
+++ b/internal/testbed/network/network.go
@@ -1,6 +1,6 @@
-// Package peernet is a stand-in for the network between dispatchers: datagrams go through it, each pair of
+// Package network is a stand-in for the network between dispatchers: datagrams go through it, each pair of
 // dispatchers over addresses of its own, and are lost, delayed or held back as it is told.
-package peernet
+package network
 
 import (
 	"context"
@@ -13,7 +13,7 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"canvasroute/internal/lab/unit"
+	"canvasroute/internal/testbed/unit"
 )
 
 // Manner is how the network treats datagrams.
--- a/internal/lab/peernet/peernet_test.go
+++ b/internal/testbed/network/network_test.go
@@ -1,4 +1,4 @@
-package peernet
+package network
 
 import (
 	"context"
--- a/internal/lab/report/charts.go
+++ b/internal/testbed/report/charts.go
@@ -17,8 +17,8 @@
 	"gonum.org/v1/plot/vg/draw"
 	"gonum.org/v1/plot/vg/vgsvg"
 
-	"canvasroute/internal/lab/experiment"
-	"canvasroute/internal/lab/measure"
+	"canvasroute/internal/testbed/experiment"
+	"canvasroute/internal/testbed/metrics"
 )
 
 // Sizes of a chart.
@@ -113,7 +113,7 @@
 // answers shows arrivals and how they ended, a second.
 func answers(r *experiment.Result) *plot.Plot {
 	p := canvas(r, "Arrivals and answers", "a second")
-	over := func(count func(measure.Slot) int64) (points plotter.XYs, any bool) {
+	over := func(count func(metrics.Slot) int64) (points plotter.XYs, any bool) {
 		for _, s := range r.Calls.Slots {
 			n := count(s)
 			any = any || n > 0
@@ -121,7 +121,7 @@
 		}
 		return points, any
 	}
-	arrivals, _ := over(func(s measure.Slot) int64 { return s.Arrivals })
+	arrivals, _ := over(func(s metrics.Slot) int64 { return s.Arrivals })
 	top := 1.0
 	for _, at := range arrivals {
 		top = max(top, at.Y)
@@ -132,7 +132,7 @@
 		"succeeded", "throttled", "errored", "unanswered", "broken", "unreachable",
 		"interrupted", "unsent",
 	} {
-		if points, any := over(func(s measure.Slot) int64 { return s.Answers[kind] }); any {
+		if points, any := over(func(s metrics.Slot) int64 { return s.Answers[kind] }); any {
 			line(p, kind, points, false)
 		}
 	}
--- a/internal/lab/report/compare.go
+++ b/internal/testbed/report/compare.go
@@ -5,8 +5,8 @@
 	"math"
 	"strings"
 
-	"canvasroute/internal/lab/experiment"
-	"canvasroute/internal/lab/measure"
+	"canvasroute/internal/testbed/experiment"
+	"canvasroute/internal/testbed/metrics"
 )
 
 // Figure is one figure of a run that two sets of runs are compared by.
@@ -30,9 +30,9 @@
 	{"throttled %", answered("throttled"), -1},
 	{"errored %", answered("errored"), -1},
 	{"unanswered %", answered("unanswered"), -1},
-	{"latency p50 ms", of(func(l measure.Latency) float64 { return l.P50 }), -1},
-	{"latency p99 ms", of(func(l measure.Latency) float64 { return l.P99 }), -1},
-	{"latency max ms", of(func(l measure.Latency) float64 { return l.Max }), -1},
+	{"latency p50 ms", of(func(l metrics.Latency) float64 { return l.P50 }), -1},
+	{"latency p99 ms", of(func(l metrics.Latency) float64 { return l.P99 }), -1},
+	{"latency max ms", of(func(l metrics.Latency) float64 { return l.Max }), -1},
 	{"all calls p99 ms", func(r *experiment.Result) float64 { return r.Calls.All.P99 }, -1},
 	{"tries a call", func(r *experiment.Result) float64 {
 		return float64(r.Calls.Total.Tries) / float64(max(r.Calls.Total.Calls, 1))
@@ -50,7 +50,7 @@
 	return func(r *experiment.Result) float64 { return part(r, r.Calls.Total.Answers[kind]) }
 }
 
-func of(figure func(measure.Latency) float64) func(*experiment.Result) float64 {
+func of(figure func(metrics.Latency) float64) func(*experiment.Result) float64 {
 	return func(r *experiment.Result) float64 { return figure(r.Calls.Succeeded) }
 }
 
--- a/internal/lab/report/page.go
+++ b/internal/testbed/report/page.go
@@ -9,8 +9,8 @@
 	"strings"
 	"time"
 
-	"canvasroute/internal/lab/experiment"
-	"canvasroute/internal/lab/ledger"
+	"canvasroute/internal/testbed/experiment"
+	"canvasroute/internal/testbed/history"
 )
 
 // pageName is the page in a result's folder.
@@ -64,7 +64,7 @@
 
 // rules tell how each of the four stands.
 func rules(r *experiment.Result) (rows []Row) {
-	for _, rule := range append(slices.Clone(ledger.Rules[:]), ledger.RuleKeys) {
+	for _, rule := range append(slices.Clone(history.Rules[:]), history.RuleKeys) {
 		if _, judged := r.Rules[string(rule)]; !judged {
 			continue
 		}
@@ -84,7 +84,7 @@
 		return fmt.Sprintf("%d (%.1f%%)", n, 100*float64(n)/float64(max(c.Total.Calls, 1)))
 	}
 	rows := []Row{{Name: "calls", Value: fmt.Sprintf("%d of %d planned", c.Total.Calls, r.Planned)}}
-	for _, kind := range ledger.Kinds {
+	for _, kind := range history.Kinds {
 		if n := c.Total.Answers[kind]; n > 0 {
 			rows = append(rows, Row{Name: kind, Value: share(n), Bad: kind == "broken" || kind == "unsent"})
 		}
--- a/internal/lab/report/phases.go
+++ b/internal/testbed/report/phases.go
@@ -7,7 +7,7 @@
 	"gonum.org/v1/plot"
 	"gonum.org/v1/plot/plotter"
 
-	"canvasroute/internal/lab/experiment"
+	"canvasroute/internal/testbed/experiment"
 )
 
 // phaseColours of a dispatcher's return, in their order.
--- a/internal/lab/report/report_test.go
+++ b/internal/testbed/report/report_test.go
@@ -8,18 +8,18 @@
 
 	"github.com/stretchr/testify/assert"
 
-	"canvasroute/internal/lab/experiment"
-	"canvasroute/internal/lab/ledger"
-	"canvasroute/internal/lab/measure"
-	"canvasroute/internal/lab/trouble"
+	"canvasroute/internal/testbed/experiment"
+	"canvasroute/internal/testbed/fault"
+	"canvasroute/internal/testbed/history"
+	"canvasroute/internal/testbed/metrics"
 )
 
 // run is a result with one figure of its own.
 func run(seed uint64, inTime int) *experiment.Result {
-	rec := measure.New(time.Second, 1, 0)
+	rec := metrics.New(time.Second, 1, 0)
 	for n := range 100 {
-		rec.Record(measure.Call{
-			Intended: time.Duration(n) * 30 * time.Millisecond, Kind: ledger.Succeeded,
+		rec.Record(metrics.Call{
+			Intended: time.Duration(n) * 30 * time.Millisecond, Kind: history.Succeeded,
 			Ended: time.Duration(n+1) * 30 * time.Millisecond, InTime: n < inTime, Tries: 1, Asked: 1,
 		})
 	}
@@ -28,14 +28,14 @@
 		Calls: rec.Summary([]string{"safe"}, nil), Rules: map[string]int{},
 		Workers:     []experiment.WorkerResult{{Name: "w0", BySlot: []float64{1, 2, 3}}, {Name: "w1", BySlot: []float64{0, 0, 1}, Done: 1}},
 		Dispatchers: []experiment.ProcessResult{{Name: "d0", CPU: 0.5}},
-		Troubles:    []trouble.Mark{{From: time.Second, To: 2 * time.Second, What: "1 workers crash"}},
+		Troubles:    []fault.Mark{{From: time.Second, To: 2 * time.Second, What: "1 workers crash"}},
 	}
 }
 
 func TestPageShowsFiguresTroublesAndBreaches(t *testing.T) {
 	r := run(7, 90)
-	r.Rules[string(ledger.RuleNoneLost)] = 1
-	r.Breaches = []ledger.Breach{{Rule: ledger.RuleNoneLost, ID: "deadbeef", What: "no answer"}}
+	r.Rules[string(history.RuleNoneLost)] = 1
+	r.Breaches = []history.Breach{{Rule: history.RuleNoneLost, ID: "deadbeef", What: "no answer"}}
 	path, err := Write(r, t.TempDir())
 	assert.NoError(t, err)
 	b, err := os.ReadFile(path)
--- a/internal/lab/worker/exchange.go
+++ b/internal/testbed/worker/exchange.go
@@ -10,10 +10,10 @@
 	"strconv"
 	"time"
 
-	"canvasroute/internal/lab/ledger"
+	"canvasroute/internal/testbed/history"
 )
 
-// Task is the body of an invocation in the lab: what the worker is to do.
+// Task is the body of an invocation in the testbed: what the worker is to do.
 type Task struct {
 	Operation int   `json:"operation"`
 	WorkUs    int64 `json:"work_us"`
@@ -25,7 +25,7 @@
 // exchange is one forward that a worker has accepted: its lines go to the connection that it came on.
 type exchange struct {
 	lines   chan line
-	forward *ledger.Forward
+	forward *history.Forward
 	silent  bool // it runs, and nothing more is told of it; under the server's lock
 }
 
@@ -85,7 +85,7 @@
 			return
 		}
 		c.SetReadDeadline(time.Time{})
-		if !s.answer(w, r, body, ledger.Forward{
+		if !s.answer(w, r, body, history.Forward{
 			Dispatcher: dispatcher, Worker: s.n, Life: life.n,
 			First: first, Whole: s.fleet.clock(),
 		}, life) || r.Close {
@@ -95,7 +95,7 @@
 }
 
 // answer answers one message, and tells whether the connection can go on.
-func (s *Server) answer(c *wire, r *http.Request, body []byte, f ledger.Forward, life *life) bool {
+func (s *Server) answer(c *wire, r *http.Request, body []byte, f history.Forward, life *life) bool {
 	switch {
 	case r.Method == http.MethodGet && r.URL.Path == "/ping" && s.fleet.terms.Probes:
 		return s.plain(c, life, 200, "", nil)
@@ -111,7 +111,7 @@
 	record := s.fleet.ledger.Received(id, f)
 	task, ok := s.task(body)
 	if !ok {
-		s.fleet.ledger.Over(record, ledger.Failed, "", s.fleet.clock())
+		s.fleet.ledger.Over(record, history.Failed, "", s.fleet.clock())
 		return s.plain(c, life, 400, "", nil)
 	}
 	if !life.gate() {
@@ -127,7 +127,7 @@
 	case !ok:
 		return false // it has gone down meanwhile
 	case e == nil:
-		s.fleet.ledger.Over(record, ledger.Returned, "", s.fleet.clock())
+		s.fleet.ledger.Over(record, history.Returned, "", s.fleet.clock())
 		return s.plain(c, life, 503, "Srv-Declined: 1\r\n", nil)
 	}
 	return s.stream(c, id, e, life)
@@ -160,7 +160,7 @@
 func (s *Server) stream(c *wire, id string, e *exchange, life *life) bool {
 	defer func() { // a process that ended with the last line unwritten: the first end of a forward counts
 		if !life.gate() {
-			s.fleet.ledger.Over(e.forward, ledger.Crashed, "", s.fleet.clock())
+			s.fleet.ledger.Over(e.forward, history.Crashed, "", s.fleet.clock())
 		}
 	}()
 	c.watch()
@@ -202,7 +202,7 @@
 	}
 }
 
-var ends = map[string]ledger.End{"done": ledger.Done, "returned": ledger.Returned, "lost": ledger.Crashed}
+var ends = map[string]history.End{"done": history.Done, "returned": history.Returned, "lost": history.Crashed}
 
 // finish writes the last line and the end of the chunks. The ledger has it before a byte leaves: else an
 // answer could be seen before it was made.
@@ -215,7 +215,7 @@
 	}
 	_, err := c.Write(append(out, "0\r\n\r\n"...))
 	if l.state == "returned" && err == nil { // it proves something only once it has left
-		s.fleet.ledger.Over(e.forward, ledger.Returned, "", s.fleet.clock())
+		s.fleet.ledger.Over(e.forward, history.Returned, "", s.fleet.clock())
 	}
 	return err == nil
 }
--- a/internal/lab/worker/server.go
+++ b/internal/testbed/worker/server.go
@@ -8,7 +8,7 @@
 	"syscall"
 	"time"
 
-	"canvasroute/internal/lab/ledger"
+	"canvasroute/internal/testbed/history"
 )
 
 // Terms are what all workers of a fleet have in common.
@@ -31,7 +31,7 @@
 type Fleet struct {
 	terms      Terms
 	operations []Deduplication
-	ledger     *ledger.Ledger
+	ledger     *history.Ledger
 	clock      func() time.Duration
 	fell       func(worker int)
 
@@ -43,7 +43,7 @@
 
 // NewFleet makes an empty fleet. clock tells the time since the experiment's start; fell is called, in a
 // goroutine of its own, when a cold worker has been pushed over and its process has ended.
-func NewFleet(t Terms, operations []Deduplication, l *ledger.Ledger, clock func() time.Duration,
+func NewFleet(t Terms, operations []Deduplication, l *history.Ledger, clock func() time.Duration,
 	fell func(worker int),
 ) *Fleet {
 	return &Fleet{
@@ -234,11 +234,11 @@
 		case Finished, Repeated:
 			delete(l.jobs, ev.ID)
 			if e.silent {
-				s.fleet.ledger.Over(e.forward, ledger.Swallowed, ev.Result, s.fleet.clock())
+				s.fleet.ledger.Over(e.forward, history.Swallowed, ev.Result, s.fleet.clock())
 				continue
 			}
 			if ev.What == Repeated {
-				s.fleet.ledger.Over(e.forward, ledger.Suppressed, ev.Result, s.fleet.clock())
+				s.fleet.ledger.Over(e.forward, history.Suppressed, ev.Result, s.fleet.clock())
 			}
 			e.lines <- line{state: "done", result: ev.Result, last: true}
 		}
@@ -250,7 +250,7 @@
 
 // accept offers a job to the machine. The exchange is nil if it was declined; ok is false if the process has
 // ended, perhaps by this very job.
-func (s *Server) accept(id, key string, t Task, f *ledger.Forward, l *life) (e *exchange, ok bool) {
+func (s *Server) accept(id, key string, t Task, f *history.Forward, l *life) (e *exchange, ok bool) {
 	group := s.fleet.group(t.Operation, s)
 	if key == "" {
 		group = nil
@@ -278,7 +278,7 @@
 	case Declined:
 		return nil, true
 	case Toppled:
-		s.fleet.ledger.Fell(ledger.Fall{
+		s.fleet.ledger.Fell(history.Fall{
 			Worker: s.n, Dispatcher: f.Dispatcher, ID: id, At: s.fleet.clock(),
 			Sent: sent, Bound: bound, What: l.machine.Heaviest(12),
 		})
@@ -296,7 +296,7 @@
 func (s *Server) abandon(id string, e *exchange, l *life) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.fleet.ledger.Over(e.forward, ledger.Abandoned, "", s.fleet.clock())
+	s.fleet.ledger.Over(e.forward, history.Abandoned, "", s.fleet.clock())
 	if s.life == l && l.jobs[id] == e {
 		delete(l.jobs, id)
 		s.pass(l, l.machine.Cancel(s.fleet.clock(), id))
@@ -319,7 +319,7 @@
 	s.life = nil
 	l.machine.End()
 	for _, e := range l.jobs {
-		s.fleet.ledger.Over(e.forward, ledger.Crashed, "", s.fleet.clock())
+		s.fleet.ledger.Over(e.forward, history.Crashed, "", s.fleet.clock())
 	}
 	l.close()
 }
--- a/internal/lab/worker/server_test.go
+++ b/internal/testbed/worker/server_test.go
@@ -14,12 +14,12 @@
 
 	"github.com/stretchr/testify/assert"
 
-	"canvasroute/internal/lab/ledger"
+	"canvasroute/internal/testbed/history"
 )
 
 // oneWorker is a worker of two cores and a queue of one, before one dispatcher.
-func oneWorker(t *testing.T, terms Terms) (*Server, *ledger.Ledger) {
-	began, l := time.Now(), ledger.New()
+func oneWorker(t *testing.T, terms Terms) (*Server, *history.Ledger) {
+	began, l := time.Now(), history.New()
 	terms.Idle = 5 * time.Second
 	f := NewFleet(terms, []Deduplication{{}, {Scope: "zone", Window: 10 * sec}}, l,
 		func() time.Duration { return time.Since(began) }, nil)
@@ -44,7 +44,7 @@
 	return &client{c, bufio.NewReader(c), t}
 }
 
-func (c *client) send(l *ledger.Ledger, id string, work time.Duration) {
+func (c *client) send(l *history.Ledger, id string, work time.Duration) {
 	if l != nil {
 		l.Tried(id, 0, 0, 0)
 	}
@@ -64,8 +64,8 @@
 	return r.StatusCode, string(b), err
 }
 
-func ended(l *ledger.Ledger, id string, how ledger.End) func() bool {
-	return func() bool { return assert.ObjectsAreEqual([]ledger.End{how}, l.Ends(id)) }
+func ended(l *history.Ledger, id string, how history.End) func() bool {
+	return func() bool { return assert.ObjectsAreEqual([]history.End{how}, l.Ends(id)) }
 }
 
 // held is how many jobs the worker has.
@@ -98,7 +98,7 @@
 		assert.Contains(t, text, `"result":"`+id+` by w0.0"`)
 	}
 	f := l.Tries()[1].Forwards[0]
-	assert.Equal(t, ledger.Done, f.End)
+	assert.Equal(t, history.Done, f.End)
 	assert.GreaterOrEqual(t, f.Ended-f.Started, 20*time.Millisecond)
 }
 
@@ -135,7 +135,7 @@
 	assert.True(t, errors.Is(err, syscall.ECONNRESET), err)
 	_, err = net.Dial("tcp", address)
 	assert.True(t, errors.Is(err, syscall.ECONNREFUSED), err)
-	assert.Equal(t, []ledger.End{ledger.Crashed}, l.Ends("a"))
+	assert.Equal(t, []history.End{history.Crashed}, l.Ends("a"))
 	assert.NoError(t, s.Start(false))
 	assert.Equal(t, address, s.Addresses()[0])
 	c = connect(t, s)
@@ -164,7 +164,7 @@
 	_, err := c.in.Peek(1)
 	assert.NoError(t, err)
 	c.Close()
-	eventually(t, ended(l, "a", ledger.Abandoned))
+	eventually(t, ended(l, "a", history.Abandoned))
 	eventually(t, func() bool { return held(s) == 0 })
 }
 
@@ -173,7 +173,7 @@
 	s.Silence(true)
 	c := connect(t, s)
 	c.send(l, "a", 5*time.Millisecond)
-	eventually(t, ended(l, "a", ledger.Swallowed))
+	eventually(t, ended(l, "a", history.Swallowed))
 	c.SetDeadline(time.Now().Add(50 * time.Millisecond))
 	_, text, err := c.read()
 	assert.Error(t, err)
@@ -223,7 +223,7 @@
 		assert.NoError(t, err)
 		assert.Equal(t, want, status, text)
 	}
-	breaches := l.Judge(ledger.Terms{})
+	breaches := l.Judge(history.Terms{})
 	assert.Len(t, breaches, 1, "an id that no client sent")
 	assert.Equal(t, "z", breaches[0].ID)
 }
--- a/internal/lab/load/mix.go
+++ b/internal/testbed/workload/mix.go
@@ -1,6 +1,6 @@
-// Package load makes the schedule of an experiment: what arrives when. It does no I/O but for reading traces
+// Package workload makes the schedule of an experiment: what arrives when. It does no I/O but for reading traces
 // that it is handed, and the same plan and seed give the same schedule to the byte.
-package load
+package workload
 
 import (
 	"fmt"
@@ -8,7 +8,7 @@
 	"math/rand/v2"
 	"time"
 
-	"canvasroute/internal/lab/unit"
+	"canvasroute/internal/testbed/unit"
 )
 
 // Operation is one operation, in the words of an experiment file.
--- a/internal/lab/load/schedule.go
+++ b/internal/testbed/workload/schedule.go
@@ -1,11 +1,11 @@
-package load
+package workload
 
 import (
 	"encoding/binary"
 	"slices"
 	"time"
 
-	"canvasroute/internal/lab/unit"
+	"canvasroute/internal/testbed/unit"
 )
 
 // Arrival is one invocation that a client means to hand in.
--- a/internal/lab/load/shape.go
+++ b/internal/testbed/workload/shape.go
@@ -1,4 +1,4 @@
-package load
+package workload
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 	"slices"
 	"time"
 
-	"canvasroute/internal/lab/unit"
+	"canvasroute/internal/testbed/unit"
 )
 
 // Phase is one part of the load, in the words of an experiment file. Rates are in invocations a second.
--- a/internal/lab/load/trace.go
+++ b/internal/testbed/workload/trace.go
@@ -1,4 +1,4 @@
-package load
+package workload
 
 import (
 	"bufio"
@@ -15,7 +15,7 @@
 	"strings"
 	"time"
 
-	"canvasroute/internal/lab/unit"
+	"canvasroute/internal/testbed/unit"
 )
 
 // row is one row of a trace. Times are in seconds.
--- a/internal/lab/load/load_test.go
+++ b/internal/testbed/workload/workload_test.go
@@ -1,4 +1,4 @@
-package load
+package workload
 
 import (
 	"strings"
@@ -7,7 +7,7 @@
 
 	"github.com/stretchr/testify/assert"
 
-	"canvasroute/internal/lab/unit"
+	"canvasroute/internal/testbed/unit"
 )
 
 const sec = time.Second
