--- a/internal/testbed/baseline/baseline.go
+++ b/internal/testbed/baseline/baseline.go
@@ -38,20 +38,20 @@
 // Faults are the ways in which a dispatcher can be broken.
 var Faults = []string{"double-forward", "lost-answer", "drain-ignored", "cold-push"}
 
-// Terms say what a rival is.
-type Terms struct{ Policy, Fault string }
+// Config say what a rival is.
+type Config struct{ Policy, Fault string }
 
 // Bounds.
 const (
-	forwardsMost = 4
-	drainWithin  = 3 * time.Second
-	before       = 30 * time.Millisecond // the client's time is up, an answer leaves
-	loseEvery    = 20                    // answers, of one that is lost
-	comeBack     = "0.5"
+	maxAttempts        = 4
+	drainTimeout       = 3 * time.Second
+	answerMargin       = 30 * time.Millisecond // the client's time is up, an answer leaves
+	lostAnswerInterval = 20                    // answers, of one that is lost
+	retryAfterSeconds  = "0.5"
 )
 
 // Main runs a rival on the platform's configuration, and returns the code that the process exits with.
-func Main(t Terms) int {
+func Main(t Config) int {
 	log := zerolog.New(os.Stderr).With().Timestamp().Logger()
 	p, err := daemon.ReadConfig(os.Getenv)
 	if err == nil {
@@ -68,43 +68,43 @@
 type backend struct {
 	name, address string
 	state         string
-	born          time.Time
-	out           int
+	startedAt     time.Time
+	inFlight      int
 }
 
-type rival struct {
-	terms     Terms
-	placement *daemon.Config
+type dispatcher struct {
+	config    Config
+	settings  *daemon.Config
 	client    *http.Client
 	transport *http.Transport
 	log       zerolog.Logger
 
-	mu       sync.Mutex
-	version  int64
-	backends []*backend
-	turn     int
+	mu         sync.Mutex
+	version    int64
+	backends   []*backend
+	roundRobin int
 
 	answered, succeeded atomic.Int64
 }
 
-func run(t Terms, p *daemon.Config, log zerolog.Logger) error {
+func run(t Config, p *daemon.Config, log zerolog.Logger) error {
 	runtime.GOMAXPROCS(max(1, int(math.Ceil(p.Cores))))
 	transport := &http.Transport{
 		MaxIdleConnsPerHost: 512, IdleConnTimeout: p.WorkerIdleTimeout / 4, DisableCompression: true,
 		DialContext: (&net.Dialer{Timeout: p.Proxy.DialTimeout}).DialContext,
 	}
-	r := &rival{
-		terms: t, placement: p, transport: transport, client: &http.Client{Transport: transport},
+	r := &dispatcher{
+		config: t, settings: p, transport: transport, client: &http.Client{Transport: transport},
 		log: log,
 	}
 	if p.Proxy.InitialEndpoints != nil {
-		r.take(p.Proxy.InitialEndpoints)
+		r.updateEndpoints(p.Proxy.InitialEndpoints)
 	}
 	mux := http.NewServeMux()
 	mux.HandleFunc("/_health", r.health)
 	switch t.Policy {
 	case "reverse-proxy":
-		mux.Handle("/api", r.proxy())
+		mux.Handle("/api", r.reverseProxy())
 	case "null-server": // it answers at once, without any worker: what then limits is the load generator
 		mux.HandleFunc("POST /api", func(http.ResponseWriter, *http.Request) {})
 	default:
@@ -115,13 +115,13 @@
 	defer stop()
 	watching, end := context.WithCancel(context.Background())
 	var watch sync.WaitGroup
-	watch.Go(func() { r.follow(watching) })
+	watch.Go(func() { r.followEndpoints(watching) })
 	drained := make(chan error, 1)
 	go func() {
 		<-ctx.Done()
-		within, cancel := context.WithTimeout(context.Background(), drainWithin)
+		timeout, cancel := context.WithTimeout(context.Background(), drainTimeout)
 		defer cancel()
-		drained <- server.Shutdown(within)
+		drained <- server.Shutdown(timeout)
 	}()
 	err := server.ListenAndServe()
 	if errors.Is(err, http.ErrServerClosed) {
@@ -136,7 +136,7 @@
 	return err
 }
 
-func (r *rival) health(w http.ResponseWriter, _ *http.Request) {
+func (r *dispatcher) health(w http.ResponseWriter, _ *http.Request) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !slices.ContainsFunc(r.backends, func(b *backend) bool { return b.state == protocol.Ready }) {
@@ -144,8 +144,8 @@
 	}
 }
 
-// follow watches the list until ctx ends.
-func (r *rival) follow(ctx context.Context) {
+// followEndpoints watches the list until ctx ends.
+func (r *dispatcher) followEndpoints(ctx context.Context) {
 	for ctx.Err() == nil {
 		if err := r.watch(ctx); err != nil && ctx.Err() == nil {
 			r.log.Warn().Err(err).Msg("list watch lost")
@@ -157,15 +157,15 @@
 	}
 }
 
-func (r *rival) watch(ctx context.Context) error {
+func (r *dispatcher) watch(ctx context.Context) error {
 	r.mu.Lock()
-	target := "http://" + r.placement.Proxy.Discovery + protocol.WatchTarget(r.version)
+	target := "http://" + r.settings.Proxy.Discovery + protocol.WatchTarget(r.version)
 	r.mu.Unlock()
-	ask, err := http.NewRequestWithContext(ctx, http.MethodGet, target, nil)
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, target, nil)
 	if err != nil {
 		return err
 	}
-	a, err := r.client.Do(ask)
+	a, err := r.client.Do(request)
 	if err != nil {
 		return err
 	}
@@ -183,12 +183,12 @@
 		if err != nil {
 			return err
 		}
-		r.take(&l)
+		r.updateEndpoints(&l)
 	}
 	return lines.Err()
 }
 
-func (r *rival) take(l *protocol.EndpointList) {
+func (r *dispatcher) updateEndpoints(l *protocol.EndpointList) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.version = l.Version
@@ -206,7 +206,7 @@
 		}
 		b.state = e.State
 		if e.StartedAtMillis > 0 {
-			b.born = time.UnixMilli(int64(e.StartedAtMillis))
+			b.startedAt = time.UnixMilli(int64(e.StartedAtMillis))
 		}
 	}
 	for _, b := range r.backends {
@@ -216,76 +216,76 @@
 	}
 }
 
-// choose picks a worker that is not among the tried ones, by the policy, and counts it as out.
-func (r *rival) choose(tried []*backend) *backend {
+// pick picks a worker that is not among the tried ones, by the policy, and counts it as out.
+func (r *dispatcher) pick(tried []*backend) *backend {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	var able []*backend
+	var eligible []*backend
 	for _, b := range r.backends {
-		if r.able(b) && !slices.Contains(tried, b) {
-			able = append(able, b)
+		if r.eligible(b) && !slices.Contains(tried, b) {
+			eligible = append(eligible, b)
 		}
 	}
-	if len(able) == 0 {
+	if len(eligible) == 0 {
 		return nil
 	}
-	picked := able[0]
+	picked := eligible[0]
 	switch {
-	case r.terms.Fault == "cold-push": // all to the one that has just started
-		for _, b := range able {
-			if b.born.After(picked.born) {
+	case r.config.Fault == "cold-push": // all to the one that has just started
+		for _, b := range eligible {
+			if b.startedAt.After(picked.startedAt) {
 				picked = b
 			}
 		}
-	case r.terms.Policy == "random":
-		picked = able[rand.IntN(len(able))]
-	case r.terms.Policy == "least-outstanding":
-		r.turn++ // ties go round
-		for k := range able {
-			if b := able[(r.turn+k)%len(able)]; b.out < picked.out || k == 0 {
+	case r.config.Policy == "random":
+		picked = eligible[rand.IntN(len(eligible))]
+	case r.config.Policy == "least-outstanding":
+		r.roundRobin++ // ties go round
+		for k := range eligible {
+			if b := eligible[(r.roundRobin+k)%len(eligible)]; b.inFlight < picked.inFlight || k == 0 {
 				picked = b
 			}
 		}
 	default:
-		r.turn++
-		picked = able[r.turn%len(able)]
+		r.roundRobin++
+		picked = eligible[r.roundRobin%len(eligible)]
 	}
-	picked.out++
+	picked.inFlight++
 	return picked
 }
 
-// able tells whether work may go to a worker. One fault takes drains for nothing.
-func (r *rival) able(b *backend) bool {
-	return b.state == protocol.Ready || r.terms.Fault == "drain-ignored" && b.state != ""
+// eligible tells whether work may go to a worker. One fault takes drains for nothing.
+func (r *dispatcher) eligible(b *backend) bool {
+	return b.state == protocol.Ready || r.config.Fault == "drain-ignored" && b.state != ""
 }
 
 // serve carries one invocation through, by rules of thumb that keep the four rules where no fault is asked
 // for.
-func (r *rival) serve(w http.ResponseWriter, ask *http.Request) {
-	body, err := io.ReadAll(io.LimitReader(ask.Body, protocol.MaxBodyBytes))
+func (r *dispatcher) serve(w http.ResponseWriter, request *http.Request) {
+	body, err := io.ReadAll(io.LimitReader(request.Body, protocol.MaxBodyBytes))
 	if err != nil {
 		return
 	}
-	operation := slices.IndexFunc(r.placement.Proxy.Operations,
-		func(o proxy.Operation) bool { return o.Name == ask.Header.Get("Req-Kind") })
+	operation := slices.IndexFunc(r.settings.Proxy.Operations,
+		func(o proxy.Operation) bool { return o.Name == request.Header.Get("Req-Kind") })
 	if operation < 0 {
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	within, err := strconv.ParseFloat(ask.Header.Get("Req-Deadline"), 64)
+	timeout, err := strconv.ParseFloat(request.Header.Get("Req-Deadline"), 64)
 	if err != nil {
-		within = r.placement.Proxy.Operations[operation].DefaultTimeout.Seconds()
+		timeout = r.settings.Proxy.Operations[operation].DefaultTimeout.Seconds()
 	}
-	ctx, cancel := context.WithTimeout(ask.Context(), time.Duration(within*float64(time.Second))-before)
+	ctx, cancel := context.WithTimeout(request.Context(), time.Duration(timeout*float64(time.Second))-answerMargin)
 	defer cancel()
-	repeat := r.placement.Balancer.Operations[operation].Idempotency
-	status, result := r.carry(ctx, ask, body, repeat)
+	idempotency := r.settings.Balancer.Operations[operation].Idempotency
+	status, result := r.dispatch(ctx, request, body, idempotency)
 	n := r.answered.Add(1)
-	if r.terms.Fault == "lost-answer" && n%loseEvery == 0 {
+	if r.config.Fault == "lost-answer" && n%lostAnswerInterval == 0 {
 		panic(http.ErrAbortHandler)
 	}
 	if status == http.StatusTooManyRequests {
-		w.Header().Set("Retry-After", comeBack)
+		w.Header().Set("Retry-After", retryAfterSeconds)
 	}
 	if status == http.StatusOK {
 		r.succeeded.Add(1)
@@ -295,62 +295,62 @@
 	_, _ = io.WriteString(w, result)
 }
 
-func (r *rival) carry(ctx context.Context, ask *http.Request, body []byte, repeat balancer.Idempotency) (int,
+func (r *dispatcher) dispatch(ctx context.Context, request *http.Request, body []byte, idempotency balancer.Idempotency) (int,
 	string,
 ) {
 	var tried []*backend
-	mayHaveRun := false
-	for range forwardsMost {
-		b := r.choose(tried)
+	possiblyExecuted := false
+	for range maxAttempts {
+		b := r.pick(tried)
 		if b == nil {
 			break
 		}
 		tried = append(tried, b)
-		how, result := r.forward(ctx, b, ask, body)
-		if r.terms.Fault == "double-forward" && repeat == balancer.NonIdempotent {
-			if other := r.choose(tried); other != nil {
-				r.forward(ctx, other, ask, body)
+		outcome, result := r.attempt(ctx, b, request, body)
+		if r.config.Fault == "double-forward" && idempotency == balancer.NonIdempotent {
+			if other := r.pick(tried); other != nil {
+				r.attempt(ctx, other, request, body)
 			}
 		}
-		switch how {
+		switch outcome {
 		case balancer.Succeeded:
 			return http.StatusOK, result
 		case balancer.Overloaded, balancer.NoConnection: // it never ran
 			continue
 		}
-		mayHaveRun = true
-		if repeat != balancer.Idempotent || ctx.Err() != nil {
+		possiblyExecuted = true
+		if idempotency != balancer.Idempotent || ctx.Err() != nil {
 			break
 		}
 	}
-	if mayHaveRun && repeat != balancer.Idempotent {
+	if possiblyExecuted && idempotency != balancer.Idempotent {
 		return http.StatusBadGateway, ""
 	}
 	return http.StatusTooManyRequests, ""
 }
 
-func (r *rival) forward(ctx context.Context, b *backend, ask *http.Request, body []byte) (balancer.Outcome,
+func (r *dispatcher) attempt(ctx context.Context, b *backend, request *http.Request, body []byte) (balancer.Outcome,
 	string,
 ) {
 	defer func() {
 		r.mu.Lock()
-		b.out--
+		b.inFlight--
 		r.mu.Unlock()
 	}()
 	r.mu.Lock()
 	target := "http://" + b.address + "/api"
 	r.mu.Unlock()
-	out, err := http.NewRequestWithContext(ctx, http.MethodPost, target, bytes.NewReader(body))
+	outbound, err := http.NewRequestWithContext(ctx, http.MethodPost, target, bytes.NewReader(body))
 	if err != nil {
 		return balancer.NoConnection, ""
 	}
-	out.GetBody = nil // nothing is sent again below these rules
+	outbound.GetBody = nil // nothing is sent again below these rules
 	for _, name := range []string{"Req-Id", "Req-Deadline", "Idempotency-Key", "Content-Type"} {
-		if v := ask.Header.Get(name); v != "" {
-			out.Header.Set(name, v)
+		if v := request.Header.Get(name); v != "" {
+			outbound.Header.Set(name, v)
 		}
 	}
-	a, err := r.client.Do(out)
+	a, err := r.client.Do(outbound)
 	var dial *net.OpError
 	switch {
 	case errors.As(err, &dial) && dial.Op == "dial":
@@ -366,7 +366,7 @@
 	lines.Buffer(nil, protocol.MaxLineBytes)
 	for lines.Scan() {
 		l, err := protocol.ParseLine(lines.Bytes())
-		if err != nil || l.ID != ask.Header.Get("Req-Id") {
+		if err != nil || l.ID != request.Header.Get("Req-Id") {
 			return balancer.WorkerError, ""
 		}
 		switch l.State {
--- a/internal/testbed/command/command.go
+++ b/internal/testbed/command/command.go
@@ -27,22 +27,22 @@
 
 // Codes that the process exits with.
 const (
-	exitFine   = 0
-	exitBroken = 1 // a rule was broken, or something failed
+	exitOK     = 0
+	exitFailed = 1 // a rule was broken, or something failed
 	exitUsage  = 2 // an argument or a file is wrong
 	exitSignal = 130
 )
 
-// errBroken is a run that went through and in which a rule was broken or a process failed.
-var errBroken = errors.New("a rule was broken or a process failed")
+// errExperimentFailed is a run that went through and in which a rule was broken or a process failed.
+var errExperimentFailed = errors.New("a rule was broken or a process failed")
 
 // errInterrupted is a run that was interrupted; its partial result is there.
 var errInterrupted = errors.New("interrupted: the result is partial")
 
-// badInput is a fault of what was handed in.
-type badInput struct{ error }
+// usageError is a fault of what was handed in.
+type usageError struct{ error }
 
-func (b badInput) Unwrap() error { return b.error }
+func (b usageError) Unwrap() error { return b.error }
 
 // Main runs testbed with its arguments, and returns the code that the process exits with.
 func Main(args []string) int {
@@ -52,21 +52,21 @@
 	root.SetArgs(args)
 	err := root.ExecuteContext(ctx)
 	var code exitCode
-	var bad badInput
+	var usage usageError
 	switch {
 	case err == nil:
-		return exitFine
+		return exitOK
 	case errors.As(err, &code):
 		return int(code)
 	case errors.Is(err, errInterrupted):
 		fmt.Fprintln(os.Stderr, "testbed:", err)
 		return exitSignal
-	case errors.As(err, &bad):
+	case errors.As(err, &usage):
 		fmt.Fprintln(os.Stderr, "testbed:", err)
 		return exitUsage
 	}
 	fmt.Fprintln(os.Stderr, "testbed:", err)
-	return exitBroken
+	return exitFailed
 }
 
 // exitCode is that of a stand-in.
@@ -84,7 +84,7 @@
 	}
 	root.SetOut(out)
 	root.SetErr(status)
-	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return badInput{err} })
+	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return usageError{err} })
 	root.AddCommand(demoCommand(out, status), runCommand(out, status), checkCommand(out), compareCommand(out),
 		saturateCommand(out, status), standInCommand())
 	return root
@@ -134,11 +134,11 @@
 		RunE: func(c *cobra.Command, args []string) error {
 			p, err := experiment.Read(args[0])
 			if err != nil {
-				return badInput{err}
+				return usageError{err}
 			}
 			if f.policy != "" {
-				if p, err = p.With(f.policy); err != nil {
-					return badInput{err}
+				if p, err = p.WithPolicy(f.policy); err != nil {
+					return usageError{err}
 				}
 			}
 			return f.run(c.Context(), p, out, status)
@@ -155,17 +155,17 @@
 func (f *runFlags) run(ctx context.Context, p *experiment.Plan, out, status io.Writer) error {
 	dispatcher, self, err := experiment.Find(f.dispatcher)
 	if err != nil {
-		return badInput{err}
+		return usageError{err}
 	}
 	folder := f.folder
 	if folder == "" {
-		folder = filepath.Join("testbed-results", slug(p.Name)+"-"+time.Now().Format("20060102-150405"))
+		folder = filepath.Join("testbed-results", folderName(p.Name)+"-"+time.Now().Format("20060102-150405"))
 	}
 	seeds := f.seeds
 	if len(seeds) == 0 {
 		seeds = []uint{uint(p.Seed)}
 	}
-	broken := false
+	failed := false
 	for _, seed := range seeds {
 		into := folder
 		if len(seeds) > 1 {
@@ -174,7 +174,7 @@
 		o := experiment.Options{Folder: into, Dispatcher: dispatcher, Self: self}
 		finish := func() {}
 		if !f.quiet {
-			o.Progress, finish = progress(status, p.Long())
+			o.Progress, finish = progress(status, p.Duration())
 		}
 		r, err := p.Run(ctx, uint64(seed), o)
 		finish()
@@ -187,13 +187,13 @@
 		}
 		fmt.Fprintf(out, "%s, seed %d, %s\n%s  %-28s %s\n\n", r.Name, r.Seed, r.Policy, report.Text(r), "report",
 			page)
-		broken = broken || r.Broken()
+		failed = failed || r.Broken()
 		if r.Partial {
 			return errInterrupted
 		}
 	}
-	if broken {
-		return errBroken
+	if failed {
+		return errExperimentFailed
 	}
 	return nil
 }
@@ -203,15 +203,15 @@
 	bar := progressbar.NewOptions64(long.Milliseconds(), progressbar.OptionSetWriter(status),
 		progressbar.OptionSetWidth(24), progressbar.OptionThrottle(200*time.Millisecond),
 		progressbar.OptionSetPredictTime(true), progressbar.OptionClearOnFinish())
-	tell := func(g experiment.Progress) {
+	update := func(g experiment.Progress) {
 		bar.Describe(fmt.Sprintf("%d calls: %d succeeded, %d throttled, %d other, %d open", g.Calls, g.Succeeded,
 			g.Throttled, g.Other, g.Open))
 		_ = bar.Set64(min(g.At, g.Of).Milliseconds())
 	}
-	return tell, func() { _ = bar.Finish() }
+	return update, func() { _ = bar.Finish() }
 }
 
-func slug(name string) string {
+func folderName(name string) string {
 	words := strings.FieldsFunc(strings.ToLower(name), func(r rune) bool {
 		return (r < 'a' || r > 'z') && (r < '0' || r > '9')
 	})
@@ -229,10 +229,10 @@
 					faults = append(faults, err)
 					continue
 				}
-				fmt.Fprintf(out, "%s: good; %d arrivals in %v\n", path, len(p.Schedule(p.Seed)), p.Long())
+				fmt.Fprintf(out, "%s: good; %d arrivals in %v\n", path, len(p.Schedule(p.Seed)), p.Duration())
 			}
 			if len(faults) > 0 {
-				return badInput{errors.Join(faults...)}
+				return usageError{errors.Join(faults...)}
 			}
 			return nil
 		},
@@ -246,11 +246,11 @@
 		Args:  cobra.ExactArgs(2), RunE: func(_ *cobra.Command, args []string) error {
 			a, err := experiment.ReadResults(args[0])
 			if err != nil {
-				return badInput{err}
+				return usageError{err}
 			}
 			b, err := experiment.ReadResults(args[1])
 			if err != nil {
-				return badInput{err}
+				return usageError{err}
 			}
 			fmt.Fprint(out, report.Compare(args[0], args[1], a, b))
 			return nil
@@ -281,11 +281,11 @@
 	c.Flags().StringVar(&f.dispatcher, "dispatcher", "",
 		"dispatcher program (default: canvasroute beside this one)")
 	c.Flags().DurationVar(&s.Objective, "objective", 50*time.Millisecond, "for p99")
-	c.Flags().DurationVar(&s.For, "for", 4*time.Second, "length of a trial")
+	c.Flags().DurationVar(&s.TrialDuration, "for", 4*time.Second, "length of a trial")
 	c.Flags().Float64Var(&s.Cores, "cores", 1, "of the dispatcher")
 	c.Flags().IntVar(&s.Workers, "workers", 16, "in the stand-in fleet")
-	c.Flags().Float64Var(&s.First, "from", 3000, "first rate, a second")
-	c.Flags().Float64Var(&s.Most, "to", 100000, "highest rate that is tried")
+	c.Flags().Float64Var(&s.FirstRate, "from", 3000, "first rate, a second")
+	c.Flags().Float64Var(&s.MaxRate, "to", 100000, "highest rate that is tried")
 	c.Flags().BoolVar(&alone, "alone", false, "without ReverseProxy beside it")
 	c.Flags().BoolVar(&null, "null", false,
 		"a server that answers at once in its place: what the generator holds")
@@ -297,7 +297,7 @@
 ) error {
 	dispatcher, self, err := experiment.Find(f.dispatcher)
 	if err != nil {
-		return badInput{err}
+		return usageError{err}
 	}
 	folder, err := os.MkdirTemp("", "testbed-")
 	if err != nil {
@@ -314,7 +314,7 @@
 			func(t experiment.Trial) {
 				verdict := "holds"
 				if !t.Holds {
-					verdict = t.Why
+					verdict = t.Reason
 				}
 				fmt.Fprintf(status, "  %-14s %8.0f a second  p99 %9.2f ms  %s\n", policy, t.Rate, t.P99, verdict)
 			})
@@ -341,7 +341,7 @@
 
 // standInCommand is how the testbed starts baselines in processes of their own.
 func standInCommand() *cobra.Command {
-	t := baseline.Terms{}
+	t := baseline.Config{}
 	c := &cobra.Command{
 		Use: "stand-in", Hidden: true, Args: cobra.NoArgs,
 		Short: "Serve as a baseline dispatcher, as LB_CONFIG says",
--- a/internal/testbed/command/command_test.go
+++ b/internal/testbed/command/command_test.go
@@ -39,7 +39,7 @@
 }
 
 // short is an experiment of three seconds, in which a worker drains and another one starts cold.
-const short = `name = "short"
+const shortExperiment = `name = "short"
 [dispatchers]
 count = 2
 policy = %q
@@ -91,8 +91,8 @@
 workers = 1
 `
 
-func play(t *testing.T, policy, fault string) *experiment.Result {
-	return playFile(t, fmt.Sprintf(short, policy, fault))
+func playPolicy(t *testing.T, policy, fault string) *experiment.Result {
+	return playFile(t, fmt.Sprintf(shortExperiment, policy, fault))
 }
 
 // scratch is a folder in memory where there is one: how long this machine's disk takes while a dozen plays write to
@@ -121,8 +121,8 @@
 	return r
 }
 
-// broken are the rules that were broken, by name.
-func broken(r *experiment.Result) (rules []history.Rule) {
+// brokenRules are the rules that were broken, by name.
+func brokenRules(r *experiment.Result) (rules []history.Rule) {
 	for _, rule := range history.Rules {
 		if r.Rules[string(rule)] > 0 {
 			rules = append(rules, rule)
@@ -133,15 +133,15 @@
 
 func TestBrokenDispatchersAreCaughtEachByItsRule(t *testing.T) {
 	for fault, rule := range map[string]history.Rule{
-		"double-forward": history.RuleNoneTwice,
-		"lost-answer":    history.RuleNoneLost, "drain-ignored": history.RuleDrains,
-		"cold-push": history.RuleColdBudget,
+		"double-forward": history.RuleNoDoubleEffect,
+		"lost-answer":    history.RuleNoRequestLost, "drain-ignored": history.RuleDrainsRespected,
+		"cold-push": history.RuleWarmupBudget,
 	} {
 		t.Run(fault, func(t *testing.T) {
 			t.Parallel()
-			r := play(t, "round-robin", fault)
-			assert.Equal(t, []history.Rule{rule}, broken(r), r.Breaches)
-			for _, b := range r.Breaches {
+			r := playPolicy(t, "round-robin", fault)
+			assert.Equal(t, []history.Rule{rule}, brokenRules(r), r.Violations)
+			for _, b := range r.Violations {
 				assert.NotEmpty(t, b.ID, "the invocation is named")
 				if fault == "double-forward" {
 					assert.Equal(t, "once", b.Operation)
@@ -156,8 +156,8 @@
 	for _, policy := range []string{experiment.Canvasroute, "round-robin", "least-outstanding", "random"} {
 		t.Run(policy, func(t *testing.T) {
 			t.Parallel()
-			r := play(t, policy, "")
-			assert.Empty(t, r.Breaches)
+			r := playPolicy(t, policy, "")
+			assert.Empty(t, r.Violations)
 			assert.Greater(t, r.Calls.Total.Answers["succeeded"], r.Calls.Total.Calls*8/10)
 		})
 	}
@@ -169,9 +169,9 @@
 	for name, peers := range map[string]string{"told": "", "lossy": "peer-loss = 0.5\n", "untold": "peers = false\n"} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			text := fmt.Sprintf(short, experiment.Canvasroute, "")
+			text := fmt.Sprintf(shortExperiment, experiment.Canvasroute, "")
 			r := playFile(t, strings.Replace(text, "count = 2\n", "count = 2\ncores = 3\n"+peers, 1))
-			assert.Empty(t, r.Breaches)
+			assert.Empty(t, r.Violations)
 			assert.Greater(t, r.Calls.Total.Answers["succeeded"], r.Calls.Total.Calls*8/10)
 		})
 	}
@@ -187,7 +187,7 @@
 	return cmd, out
 }
 
-func exit(t *testing.T, err error) int {
+func exitStatus(t *testing.T, err error) int {
 	var ended *exec.ExitError
 	if errors.As(err, &ended) {
 		return ended.ExitCode()
@@ -217,14 +217,14 @@
 	}, 10*time.Second, 10*time.Millisecond)
 	time.Sleep(1500 * time.Millisecond)
 	assert.NoError(t, cmd.Process.Signal(syscall.SIGINT))
-	assert.Equal(t, exitSignal, exit(t, cmd.Wait()), out)
+	assert.Equal(t, exitSignal, exitStatus(t, cmd.Wait()), out)
 	_, err := net.Dial("tcp", listen)
 	assert.ErrorIs(t, err, syscall.ECONNREFUSED)
 	r, err := experiment.ReadResult(folder)
 	assert.NoError(t, err)
 	assert.True(t, r.Partial)
 	assert.Positive(t, r.Calls.Total.Answers["succeeded"])
-	assert.Empty(t, r.Breaches)
+	assert.Empty(t, r.Violations)
 	assert.FileExists(t, filepath.Join(folder, "report.html"))
 }
 
@@ -232,7 +232,7 @@
 	t.Parallel()
 	file := filepath.Join(t.TempDir(), "x.toml")
 	write := func(text string) { assert.NoError(t, os.WriteFile(file, []byte(text), 0o600)) }
-	good := fmt.Sprintf(short, experiment.Canvasroute, "")
+	good := fmt.Sprintf(shortExperiment, experiment.Canvasroute, "")
 	for _, c := range []struct {
 		text, want string
 		args       []string
@@ -251,7 +251,7 @@
 	} {
 		write(c.text)
 		cmd, out := testbed(t, c.args...)
-		assert.Equal(t, c.code, exit(t, cmd.Run()), c.want)
+		assert.Equal(t, c.code, exitStatus(t, cmd.Run()), c.want)
 		assert.Contains(t, out.String(), c.want)
 	}
 }
@@ -259,7 +259,7 @@
 // Two processes of each dispatcher, and operators' work meanwhile, are judged as one dispatcher; its own
 // figures agree with what clients saw, which the testbed checks where there was one process.
 func TestOperatorsWorkUnderLoadBreaksNoRule(t *testing.T) {
-	r := playFile(t, fmt.Sprintf(short, "canvasroute", "")+`[[trouble]]
+	r := playFile(t, fmt.Sprintf(shortExperiment, "canvasroute", "")+`[[trouble]]
 kind = "upgrade"
 at = "500ms"
 gap = "700ms"
@@ -278,8 +278,8 @@
 for = "2s"
 connections = 40
 `)
-	assert.Empty(t, r.Breaches)
-	assert.Equal(t, 2, r.Dispatchers[0].Lives)
+	assert.Empty(t, r.Violations)
+	assert.Equal(t, 2, r.Dispatchers[0].Incarnations)
 	assert.Greater(t, float64(r.Calls.Total.Answers["succeeded"]), 0.95*float64(r.Planned))
 }
 
--- a/internal/testbed/command/terms_test.go
+++ b/internal/testbed/command/endpoints_test.go
@@ -24,8 +24,8 @@
 
 // Processes of the program before a list service that fails in some way, as the operators' terms have it.
 
-// lone is one process, the worker that it is to know, and the address of its list service.
-type lone struct {
+// loneProcess is one process, the worker that it is to know, and the address of its list service.
+type loneProcess struct {
 	listen, discovery, worker string
 	config                    string
 	cmd                       *exec.Cmd
@@ -43,13 +43,13 @@
 	return ln.Addr().String()
 }
 
-// hosts is the list with the one worker.
-func (l *lone) hosts(seq int) string {
+// endpointList is the list with the one worker.
+func (l *loneProcess) endpointList(seq int) string {
 	return fmt.Sprintf(`{"seq":%d,"whole":true,"hosts":[{"host":"w","dial":%q,"health":"Ready","born_ms":0}%s]}`, seq, l.worker, l.others)
 }
 
-// place writes the configuration of a process whose list service is not there yet.
-func place(t *testing.T, sockets int, known bool) *lone {
+// newLoneProcess writes the configuration of a process whose list service is not there yet.
+func newLoneProcess(t *testing.T, sockets int, known bool) *loneProcess {
 	worker := http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		json.NewEncoder(w).Encode(map[string]string{"id": r.Header.Get("Req-Id"), "state": "done", "result": "made"})
 	})}
@@ -57,10 +57,10 @@
 	assert.NoError(t, err)
 	go worker.Serve(ln)
 	t.Cleanup(func() { worker.Close() })
-	l := &lone{listen: freeAddress(t), discovery: freeAddress(t), worker: ln.Addr().String()}
+	l := &loneProcess{listen: freeAddress(t), discovery: freeAddress(t), worker: ln.Addr().String()}
 	list := ""
 	if known {
-		list = `"known":` + l.hosts(1) + ","
+		list = `"known":` + l.endpointList(1) + ","
 	}
 	l.config = filepath.Join(t.TempDir(), "c.json")
 	assert.NoError(t, os.WriteFile(l.config, fmt.Appendf(nil, `{"name":"n","listen":%q,"discovery":%q,"seed":"1",%s
@@ -71,7 +71,7 @@
 }
 
 // start runs the process under the limit on descriptors that its configuration tells of.
-func (l *lone) start(t *testing.T, sockets int) (began time.Time) {
+func (l *loneProcess) start(t *testing.T, sockets int) (began time.Time) {
 	l.cmd = exec.Command("sh", "-c", fmt.Sprintf("ulimit -n %d && exec %s", sockets, os.Args[0]))
 	l.cmd.Env = append(os.Environ(), "LB_CONFIG="+l.config, "TMPDIR="+filepath.Dir(l.config))
 	assert.NoError(t, l.cmd.Start())
@@ -82,8 +82,8 @@
 	return time.Now()
 }
 
-// ready waits until health is good.
-func (l *lone) ready(t *testing.T, within time.Duration) {
+// awaitReady waits until health is good.
+func (l *loneProcess) awaitReady(t *testing.T, within time.Duration) {
 	one := http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	assert.Eventually(t, func() bool {
 		a, err := one.Get("http://" + l.listen + "/_health")
@@ -95,8 +95,8 @@
 	}, within, 20*time.Millisecond, "it is not ready")
 }
 
-// asks sends one invocation over a connection of its own.
-func (l *lone) asks(id string) (status int, err error) {
+// send sends one invocation over a connection of its own.
+func (l *loneProcess) send(id string) (status int, err error) {
 	c, err := net.DialTimeout("tcp", l.listen, time.Second)
 	if err != nil {
 		return 0, err
@@ -112,8 +112,8 @@
 	return status, err
 }
 
-// service answers calls for the list in one way, and counts them.
-func (l *lone) service(t *testing.T, calls *atomic.Int64, answer http.HandlerFunc) {
+// serveDiscovery answers calls for the list in one way, and counts them.
+func (l *loneProcess) serveDiscovery(t *testing.T, calls *atomic.Int64, answer http.HandlerFunc) {
 	ln, err := net.Listen("tcp", l.discovery)
 	assert.NoError(t, err)
 	s := http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -124,9 +124,9 @@
 	t.Cleanup(func() { s.Close() })
 }
 
-// watched answers a call by the list and an empty line each second.
-func (l *lone) watched(w http.ResponseWriter, r *http.Request) {
-	for line := l.hosts(2); ; line = "" {
+// serveWatch answers a call by the list and an empty line each second.
+func (l *loneProcess) serveWatch(w http.ResponseWriter, r *http.Request) {
+	for line := l.endpointList(2); ; line = "" {
 		fmt.Fprintln(w, line)
 		w.(http.Flusher).Flush()
 		select {
@@ -147,24 +147,24 @@
 		case <-r.Context().Done():
 		}
 	}
-	for name, answer := range map[string]func(*lone) http.HandlerFunc{
-		"up":     func(l *lone) http.HandlerFunc { return l.watched },
-		"silent": func(*lone) http.HandlerFunc { return silent },
-		"busy":   func(*lone) http.HandlerFunc { return busy },
+	for name, answer := range map[string]func(*loneProcess) http.HandlerFunc{
+		"up":     func(l *loneProcess) http.HandlerFunc { return l.serveWatch },
+		"silent": func(*loneProcess) http.HandlerFunc { return silent },
+		"busy":   func(*loneProcess) http.HandlerFunc { return busy },
 		"down":   nil,
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			l := place(t, 128, true)
+			l := newLoneProcess(t, 128, true)
 			var calls atomic.Int64
 			if answer != nil {
-				l.service(t, &calls, answer(l))
+				l.serveDiscovery(t, &calls, answer(l))
 			}
 			for range 2 { // killed once, and started again
 				began := l.start(t, 128)
-				l.ready(t, 2*time.Second)
+				l.awaitReady(t, 2*time.Second)
 				t.Logf("ready after %v", time.Since(began).Round(time.Millisecond))
-				status, err := l.asks("a1")
+				status, err := l.send("a1")
 				assert.NoError(t, err)
 				assert.Equal(t, 200, status)
 				assert.NoError(t, l.cmd.Process.Kill())
@@ -174,11 +174,11 @@
 	}
 	t.Run("no list known, service slow to come up", func(t *testing.T) {
 		t.Parallel()
-		l := place(t, 128, false)
+		l := newLoneProcess(t, 128, false)
 		l.start(t, 128)
 		time.Sleep(3 * time.Second)
-		l.service(t, &atomic.Int64{}, l.watched)
-		l.ready(t, 6*time.Second)
+		l.serveDiscovery(t, &atomic.Int64{}, l.serveWatch)
+		l.awaitReady(t, 6*time.Second)
 	})
 }
 
@@ -186,9 +186,9 @@
 // for the list, a connection to a worker and the health check all find one.
 func TestIdleClientsThatFillTheDescriptorsKeepNobodyOut(t *testing.T) {
 	const sockets, idle = 96, 300
-	l := place(t, sockets, true)
+	l := newLoneProcess(t, sockets, true)
 	l.start(t, sockets)
-	l.ready(t, 6*time.Second)
+	l.awaitReady(t, 6*time.Second)
 	filling, refused := make(chan struct{}), atomic.Int64{}
 	defer close(filling)
 	for range idle { // each comes again as soon as it is sent away
@@ -222,22 +222,22 @@
 	answered := 0
 	serve := func(n int) {
 		for range n {
-			status, err := l.asks(fmt.Sprint("a", answered))
+			status, err := l.send(fmt.Sprint("a", answered))
 			if assert.NoError(t, err) && assert.Equal(t, 200, status) {
 				answered++
 			}
 		}
 	}
 	serve(20)
-	l.ready(t, time.Second)
+	l.awaitReady(t, time.Second)
 	var calls atomic.Int64
 	back := time.Now()
-	l.service(t, &calls, l.watched)
+	l.serveDiscovery(t, &calls, l.serveWatch)
 	assert.Eventually(t, func() bool { return calls.Load() > 0 }, 6*time.Second, time.Millisecond, "the list is asked for")
 	t.Logf("asked for %v after the return, %d descriptors open, %d sent away", time.Since(back).Round(time.Millisecond),
 		open(), refused.Load())
 	serve(20)
-	l.ready(t, time.Second)
+	l.awaitReady(t, time.Second)
 	assert.LessOrEqual(t, open(), sockets)
 	assert.NoError(t, l.cmd.Process.Signal(syscall.SIGTERM))
 	assert.NoError(t, l.cmd.Wait(), "%s", strings.TrimSpace(l.listen))
@@ -248,7 +248,7 @@
 func TestDrainIsKnownInTimeAtEachProcessWhateverBecameOfCallsBefore(t *testing.T) {
 	const grace = time.Second
 	hang := func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }
-	for name, broken := range map[string]http.HandlerFunc{
+	for name, failed := range map[string]http.HandlerFunc{
 		"refused": nil,
 		"silent":  hang,
 		"busy": func(w http.ResponseWriter, _ *http.Request) {
@@ -273,9 +273,9 @@
 			go drains.Serve(ln)
 			t.Cleanup(func() { drains.Close() })
 			const processes = 3
-			var all []*lone
+			var all []*loneProcess
 			var up, down []*http.Server
-			serve := func(l *lone, answer http.HandlerFunc) *http.Server {
+			serve := func(l *loneProcess, answer http.HandlerFunc) *http.Server {
 				ln, err := net.Listen("tcp", l.discovery)
 				assert.NoError(t, err)
 				s := &http.Server{Handler: answer, ErrorLog: log.New(io.Discard, "", 0)}
@@ -285,11 +285,11 @@
 			}
 			entry := `,{"host":"v","dial":"` + ln.Addr().String() + `","health":%q,"born_ms":0}`
 			for range processes {
-				l := place(t, 128, true)
+				l := newLoneProcess(t, 128, true)
 				l.others = fmt.Sprintf(entry, "Ready")
-				up = append(up, serve(l, l.watched))
+				up = append(up, serve(l, l.serveWatch))
 				l.start(t, 128)
-				l.ready(t, 6*time.Second)
+				l.awaitReady(t, 6*time.Second)
 				all = append(all, l)
 			}
 			asking, stop := context.WithCancel(context.Background())
@@ -297,7 +297,7 @@
 			for _, l := range all {
 				clients.Go(func() {
 					for n := 0; asking.Err() == nil; n++ {
-						status, err := l.asks(fmt.Sprint("a", n))
+						status, err := l.send(fmt.Sprint("a", n))
 						assert.NoError(t, err)
 						assert.Equal(t, 200, status)
 						time.Sleep(20 * time.Millisecond)
@@ -309,8 +309,8 @@
 			assert.Eventually(t, func() bool { return last.Load() > 0 }, 3*time.Second, time.Millisecond, "it is used")
 			for n, l := range all { // the service fails, and the worker begins to drain meanwhile
 				up[n].Close()
-				if broken != nil {
-					down = append(down, serve(l, broken))
+				if failed != nil {
+					down = append(down, serve(l, failed))
 				}
 			}
 			time.Sleep(5 * time.Second)
@@ -319,7 +319,7 @@
 			}
 			for _, l := range all {
 				l.others = fmt.Sprintf(entry, "Terminating")
-				serve(l, l.watched)
+				serve(l, l.serveWatch)
 			}
 			back := time.Now()
 			time.Sleep(6*time.Second + grace)
--- a/internal/testbed/command/power_test.go
+++ b/internal/testbed/command/power_test.go
@@ -11,7 +11,7 @@
 )
 
 // lost is an experiment in which four dispatchers, nine workers and the list service lose power at once.
-const lost = `name = "lost"
+const powerLossExperiment = `name = "lost"
 [dispatchers]
 count = 4
 recovery = true
@@ -80,11 +80,11 @@
 // doubled and late. What must never happen, does not: the verdict rests on no time.
 func TestFleetThatLosesPowerKeepsTheRulesWithEachKindOfDisk(t *testing.T) {
 	const rough = "link-loss = 0.2\nlink-jitter = \"30ms\"\nlink-doubled = 0.2\n"
-	for _, disk := range fault.Disks {
+	for _, disk := range fault.DiskStates {
 		t.Run(disk, func(t *testing.T) {
 			t.Parallel()
-			r := playFile(t, fmt.Sprintf(lost, rough, fmt.Sprintf("disk = %q", disk)))
-			assert.Empty(t, r.Breaches)
+			r := playFile(t, fmt.Sprintf(powerLossExperiment, rough, fmt.Sprintf("disk = %q", disk)))
+			assert.Empty(t, r.Violations)
 			serving := map[int]bool{}
 			for _, p := range r.Phases {
 				switch p.Phase {
@@ -117,12 +117,12 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			text := fmt.Sprintf(lost, "", more)
+			text := fmt.Sprintf(powerLossExperiment, "", more)
 			if name == "parts off" {
 				text = strings.Replace(text, "recovery = true\n", "", 1)
 			}
 			r := playFile(t, text)
-			assert.Empty(t, r.Breaches)
+			assert.Empty(t, r.Violations)
 		})
 	}
 }
--- a/internal/testbed/discoveryserver/catalog.go
+++ b/internal/testbed/discoveryserver/catalog.go
@@ -17,11 +17,11 @@
 // Entry is a worker as it is listed.
 type Entry struct {
 	Worker           int // its number in the testbed
-	Host, Site, Kind string
-	Block            int
-	Dials            []string // by dispatcher
+	Name, Zone, Kind string
+	Cell             int
+	Addresses        []string // by dispatcher
 	State            State
-	Born             time.Time // zero for long ago
+	StartedAt        time.Time // zero for long ago
 }
 
 type change struct {
@@ -39,13 +39,13 @@
 // NewCatalog makes an empty list that shows what changes so much later.
 func NewCatalog(lag time.Duration) *Catalog { return &Catalog{lag: lag} }
 
-// Put changes an entry.
-func (c *Catalog) Put(now time.Duration, e Entry) {
+// Update changes an entry.
+func (c *Catalog) Update(now time.Duration, e Entry) {
 	c.changes = append(c.changes, change{now, e})
 }
 
-// Lag sets how far behind the list runs from now on.
-func (c *Catalog) Lag(now, lag time.Duration) {
+// SetLag sets how far behind the list runs from now on.
+func (c *Catalog) SetLag(now, lag time.Duration) {
 	c.Version(now)
 	c.lag = lag
 }
@@ -58,21 +58,21 @@
 	return c.visible
 }
 
-// Settled makes all changes so far visible: the list that an experiment begins with.
-func (c *Catalog) Settled() { c.visible = len(c.changes) }
+// ShowAll makes all changes so far visible: the list that an experiment begins with.
+func (c *Catalog) ShowAll() { c.visible = len(c.changes) }
 
-// Whole is the list as it can be seen, in the order in which workers were first listed, and with those that
+// Complete is the list as it can be seen, in the order in which workers were first listed, and with those that
 // are gone: a whole list tells of them by leaving them out.
-func (c *Catalog) Whole(now time.Duration) (version int, entries []Entry) {
+func (c *Catalog) Complete(now time.Duration) (version int, entries []Entry) {
 	version = c.Version(now)
 	return version, latest(c.changes[:version])
 }
 
-// Since is what changed after a version that the asker has; one that is unknown, or 0, gets the whole list.
-func (c *Catalog) Since(now time.Duration, version int) (newest int, whole bool, entries []Entry) {
+// ChangesSince is what changed after a version that the asker has; one that is unknown, or 0, gets the whole list.
+func (c *Catalog) ChangesSince(now time.Duration, version int) (newest int, complete bool, entries []Entry) {
 	newest = c.Version(now)
 	if version <= 0 || version > newest {
-		_, entries = c.Whole(now)
+		_, entries = c.Complete(now)
 		return newest, true, entries
 	}
 	return newest, false, latest(c.changes[version:newest])
@@ -80,12 +80,12 @@
 
 // latest keeps the last entry of each worker.
 func latest(changes []change) (entries []Entry) {
-	place := map[int]int{}
+	indexes := map[int]int{}
 	for _, ch := range changes {
-		n, known := place[ch.entry.Worker]
+		n, known := indexes[ch.entry.Worker]
 		if !known {
 			n = len(entries)
-			place[ch.entry.Worker], entries = n, append(entries, Entry{})
+			indexes[ch.entry.Worker], entries = n, append(entries, Entry{})
 		}
 		entries[n] = ch.entry
 	}
--- a/internal/testbed/discoveryserver/server.go
+++ b/internal/testbed/discoveryserver/server.go
@@ -14,41 +14,41 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// Trouble is what is wrong with the list service.
-type Trouble uint8
+// Outage is what is wrong with the list service.
+type Outage uint8
 
-// The values of Trouble.
+// The values of Outage.
 const (
-	Fine    Trouble = iota
-	Away            // watches end, and calls are reset
-	Refuses         // watches end, and calls are answered 503
+	Healthy     Outage = iota
+	Down               // watches end, and calls are reset
+	Unavailable        // watches end, and calls are answered 503
 )
 
 // Timing of a watch.
 const (
-	lookEvery  = 20 * time.Millisecond
-	blankEvery = 2 * time.Second
+	pollInterval      = 20 * time.Millisecond
+	keepAliveInterval = 2 * time.Second
 )
 
-// Service is the list service. Told is called after an entry has been written to a dispatcher.
-type Service struct {
-	clock func() time.Duration
-	told  func(dispatcher int, e Entry)
+// Server is the list service. Told is called after an entry has been written to a dispatcher.
+type Server struct {
+	clock    func() time.Duration
+	notified func(dispatcher int, e Entry)
 
-	mu      sync.Mutex
-	catalog *Catalog
-	trouble Trouble
-	broken  context.CancelFunc // ends the watches
-	open    context.Context
+	mu         sync.Mutex
+	catalog    *Catalog
+	outage     Outage
+	endWatches context.CancelFunc // ends the watches
+	watches    context.Context
 
 	servers   []*http.Server
 	listeners []net.Listener
 }
 
 // New opens a listener for each dispatcher.
-func New(c *Catalog, dispatchers int, clock func() time.Duration, told func(int, Entry)) (*Service, error) {
-	s := &Service{catalog: c, clock: clock, told: told}
-	s.open, s.broken = context.WithCancel(context.Background())
+func New(c *Catalog, dispatchers int, clock func() time.Duration, notified func(int, Entry)) (*Server, error) {
+	s := &Server{catalog: c, clock: clock, notified: notified}
+	s.watches, s.endWatches = context.WithCancel(context.Background())
 	for d := range dispatchers {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
@@ -64,10 +64,10 @@
 }
 
 // Address is where a dispatcher finds the list.
-func (s *Service) Address(dispatcher int) string { return s.listeners[dispatcher].Addr().String() }
+func (s *Server) Address(dispatcher int) string { return s.listeners[dispatcher].Addr().String() }
 
 // Run serves until ctx ends.
-func (s *Service) Run(ctx context.Context) error {
+func (s *Server) Run(ctx context.Context) error {
 	g, ctx := errgroup.WithContext(ctx)
 	for n, server := range s.servers {
 		g.Go(func() error {
@@ -85,8 +85,8 @@
 	return g.Wait()
 }
 
-func (s *Service) close() {
-	s.broken()
+func (s *Server) close() {
+	s.endWatches()
 	for _, server := range s.servers {
 		server.Close()
 	}
@@ -95,55 +95,55 @@
 	}
 }
 
-// Put changes an entry.
-func (s *Service) Put(e Entry) {
+// Update changes an entry.
+func (s *Server) Update(e Entry) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.catalog.Put(s.clock(), e)
+	s.catalog.Update(s.clock(), e)
 }
 
-// Lag sets how far behind the list runs.
-func (s *Service) Lag(lag time.Duration) {
+// SetLag sets how far behind the list runs.
+func (s *Server) SetLag(lag time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.catalog.Lag(s.clock(), lag)
+	s.catalog.SetLag(s.clock(), lag)
 }
 
-// Set begins or ends a trouble.
-func (s *Service) Set(t Trouble) {
+// SetOutage begins or ends a trouble.
+func (s *Server) SetOutage(t Outage) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.trouble = t
-	s.broken()
-	s.open, s.broken = context.WithCancel(context.Background())
+	s.outage = t
+	s.endWatches()
+	s.watches, s.endWatches = context.WithCancel(context.Background())
 }
 
-// Whole is the list now as JSON, in a dispatcher's view.
-func (s *Service) Whole(dispatcher int) []byte {
+// CompleteList is the list now as JSON, in a dispatcher's view.
+func (s *Server) CompleteList(dispatcher int) []byte {
 	s.mu.Lock()
-	version, entries := s.catalog.Whole(s.clock())
+	version, entries := s.catalog.Complete(s.clock())
 	s.mu.Unlock()
 	return encode(version, true, entries, dispatcher)
 }
 
-func (s *Service) serve(w http.ResponseWriter, r *http.Request, dispatcher int) {
+func (s *Server) serve(w http.ResponseWriter, r *http.Request, dispatcher int) {
 	s.mu.Lock()
-	trouble, open := s.trouble, s.open
+	outage, open := s.outage, s.watches
 	s.mu.Unlock()
-	switch trouble {
-	case Away:
+	switch outage {
+	case Down:
 		panic(http.ErrAbortHandler) // the connection is reset
-	case Refuses:
+	case Unavailable:
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
 	if r.URL.Query().Get("stream") != "1" {
 		s.mu.Lock()
-		version, entries := s.catalog.Whole(s.clock())
+		version, entries := s.catalog.Complete(s.clock())
 		s.mu.Unlock()
-		s.tell(dispatcher, entries, true)
+		s.notify(dispatcher, entries, true)
 		_, _ = w.Write(append(encode(version, true, entries, dispatcher), '\n'))
-		s.tell(dispatcher, entries, false)
+		s.notify(dispatcher, entries, false)
 		return
 	}
 	version, err := strconv.Atoi(r.URL.Query().Get("index"))
@@ -155,36 +155,36 @@
 }
 
 // watch writes a line for each change until somebody ends it.
-func (s *Service) watch(w http.ResponseWriter, r *http.Request, dispatcher, version int,
+func (s *Server) watch(w http.ResponseWriter, r *http.Request, dispatcher, version int,
 	open context.Context,
 ) {
-	out, first, wrote := http.NewResponseController(w), true, time.Now()
-	look := time.NewTicker(lookEvery)
-	defer look.Stop()
+	out, first, wroteAt := http.NewResponseController(w), true, time.Now()
+	poll := time.NewTicker(pollInterval)
+	defer poll.Stop()
 	for {
 		s.mu.Lock()
-		newest, whole, entries := s.catalog.Since(s.clock(), version)
+		newest, complete, entries := s.catalog.ChangesSince(s.clock(), version)
 		s.mu.Unlock()
 		var line []byte
 		switch {
 		case first || newest != version:
-			line = encode(newest, whole && (first || newest != version), entries, dispatcher)
-		case time.Since(wrote) >= blankEvery:
+			line = encode(newest, complete && (first || newest != version), entries, dispatcher)
+		case time.Since(wroteAt) >= keepAliveInterval:
 			line = []byte{}
 		}
 		if line != nil {
-			s.tell(dispatcher, entries, true)
+			s.notify(dispatcher, entries, true)
 			if _, err := w.Write(append(line, '\n')); err != nil {
 				return
 			}
 			if out.Flush() != nil {
 				return
 			}
-			s.tell(dispatcher, entries, false)
-			first, version, wrote = false, newest, time.Now()
+			s.notify(dispatcher, entries, false)
+			first, version, wroteAt = false, newest, time.Now()
 		}
 		select {
-		case <-look.C:
+		case <-poll.C:
 		case <-r.Context().Done():
 			return
 		case <-open.Done():
@@ -193,17 +193,17 @@
 	}
 }
 
-// tell notes what a dispatcher is told: that workers are ready before it can know, and the rest once it can. It
+// notify notes what a dispatcher is told: that workers are ready before it can know, and the rest once it can. It
 // guards against a judge that takes a dispatcher that was quicker than the note for one that breaks a drain.
-func (s *Service) tell(dispatcher int, entries []Entry, ready bool) {
+func (s *Server) notify(dispatcher int, entries []Entry, ready bool) {
 	for _, e := range entries {
 		if ready == (e.State == Ready) {
-			s.told(dispatcher, e)
+			s.notified(dispatcher, e)
 		}
 	}
 }
 
-type host struct {
+type wireEndpoint struct {
 	Host   string  `json:"host"`
 	Dial   string  `json:"dial"`
 	Site   string  `json:"site"`
@@ -214,22 +214,22 @@
 	BornMs int64   `json:"born_ms"`
 }
 
-func encode(version int, whole bool, entries []Entry, dispatcher int) []byte {
+func encode(version int, complete bool, entries []Entry, dispatcher int) []byte {
 	list := struct {
-		Seq   int    `json:"seq"`
-		Whole bool   `json:"whole"`
-		Hosts []host `json:"hosts"`
-	}{version, whole, []host{}}
+		Seq   int            `json:"seq"`
+		Whole bool           `json:"whole"`
+		Hosts []wireEndpoint `json:"hosts"`
+	}{version, complete, []wireEndpoint{}}
 	for _, e := range entries {
-		if whole && e.State == Gone {
+		if complete && e.State == Gone {
 			continue
 		}
-		h := host{
-			Host: e.Host, Dial: e.Dials[dispatcher], Site: e.Site, Class: e.Kind, Block: e.Block,
+		h := wireEndpoint{
+			Host: e.Name, Dial: e.Addresses[dispatcher], Site: e.Zone, Class: e.Kind, Block: e.Cell,
 			Health: e.State, Share: 1,
 		}
-		if !e.Born.IsZero() {
-			h.BornMs = e.Born.UnixMilli()
+		if !e.StartedAt.IsZero() {
+			h.BornMs = e.StartedAt.UnixMilli()
 		}
 		list.Hosts = append(list.Hosts, h)
 	}
--- a/internal/testbed/discoveryserver/server_test.go
+++ b/internal/testbed/discoveryserver/server_test.go
@@ -15,39 +15,39 @@
 
 func TestChangesShowOnlyAfterTheLagAndNoneIsHiddenAgain(t *testing.T) {
 	c := NewCatalog(time.Second)
-	c.Put(0, Entry{Worker: 0, State: Ready})
-	c.Put(500*time.Millisecond, Entry{Worker: 1, State: Ready})
+	c.Update(0, Entry{Worker: 0, State: Ready})
+	c.Update(500*time.Millisecond, Entry{Worker: 1, State: Ready})
 	assert.Equal(t, 0, c.Version(900*time.Millisecond))
 	assert.Equal(t, 1, c.Version(1100*time.Millisecond))
-	c.Lag(1100*time.Millisecond, 10*time.Second)
+	c.SetLag(1100*time.Millisecond, 10*time.Second)
 	assert.Equal(t, 1, c.Version(2*time.Second), "the second one waits longer, the first one stays")
-	c.Lag(2*time.Second, 0)
+	c.SetLag(2*time.Second, 0)
 	assert.Equal(t, 2, c.Version(2*time.Second))
 }
 
 func TestWatchersGetWhatChangedSinceTheirVersion(t *testing.T) {
 	c := NewCatalog(0)
 	for n := range 3 {
-		c.Put(0, Entry{Worker: n, State: Ready})
+		c.Update(0, Entry{Worker: n, State: Ready})
 	}
-	c.Put(1, Entry{Worker: 1, State: Terminating})
-	c.Put(2, Entry{Worker: 1, State: Gone})
-	version, whole, entries := c.Since(2, 3)
-	assert.Equal(t, []any{5, false, 1, Gone}, []any{version, whole, len(entries), entries[0].State})
+	c.Update(1, Entry{Worker: 1, State: Terminating})
+	c.Update(2, Entry{Worker: 1, State: Gone})
+	version, complete, entries := c.ChangesSince(2, 3)
+	assert.Equal(t, []any{5, false, 1, Gone}, []any{version, complete, len(entries), entries[0].State})
 	for _, unknown := range []int{0, 77} {
-		_, whole, entries = c.Since(2, unknown)
-		assert.True(t, whole)
+		_, complete, entries = c.ChangesSince(2, unknown)
+		assert.True(t, complete)
 		assert.Len(t, entries, 3)
 	}
-	assert.NotContains(t, string(encode(5, true, []Entry{{Host: "w1", State: Gone, Dials: []string{""}}}, 0)),
+	assert.NotContains(t, string(encode(5, true, []Entry{{Name: "w1", State: Gone, Addresses: []string{""}}}, 0)),
 		"w1")
 }
 
 // served runs a service over one worker, and returns what has been told.
-func served(t *testing.T) (*Service, func() []State) {
+func served(t *testing.T) (*Server, func() []State) {
 	began, states, mu := time.Now(), []State{}, sync.Mutex{}
 	c := NewCatalog(0)
-	c.Put(0, Entry{Worker: 0, Host: "w0", Dials: []string{"127.0.0.1:1", "127.0.0.1:2"}, State: Ready})
+	c.Update(0, Entry{Worker: 0, Name: "w0", Addresses: []string{"127.0.0.1:1", "127.0.0.1:2"}, State: Ready})
 	s, err := New(c, 2, func() time.Duration { return time.Since(began) }, func(_ int, e Entry) {
 		mu.Lock()
 		defer mu.Unlock()
@@ -69,7 +69,7 @@
 }
 
 func TestWatchTellsEachDispatcherItsOwnAddressesAndEndsInAnOutage(t *testing.T) {
-	s, told := served(t)
+	s, notified := served(t)
 	a, err := http.Get("http://" + s.Address(1) + "/catalog/members?stream=1&index=0")
 	assert.NoError(t, err)
 	defer a.Body.Close()
@@ -77,7 +77,7 @@
 	read := func() (l struct {
 		Seq   int
 		Whole bool
-		Hosts []host
+		Hosts []wireEndpoint
 	},
 	) {
 		assert.True(t, lines.Scan())
@@ -87,21 +87,21 @@
 	first := read()
 	assert.True(t, first.Whole)
 	assert.Equal(t, "127.0.0.1:2", first.Hosts[0].Dial)
-	s.Put(Entry{Worker: 0, Host: "w0", Dials: []string{"", ""}, State: Terminating})
+	s.Update(Entry{Worker: 0, Name: "w0", Addresses: []string{"", ""}, State: Terminating})
 	second := read()
 	assert.Equal(t, []any{2, false, Terminating}, []any{second.Seq, second.Whole, second.Hosts[0].Health})
-	assert.Eventually(t, func() bool { return len(told()) == 2 }, time.Second, time.Millisecond)
-	assert.Equal(t, []State{Ready, Terminating}, told())
-	s.Set(Away)
+	assert.Eventually(t, func() bool { return len(notified()) == 2 }, time.Second, time.Millisecond)
+	assert.Equal(t, []State{Ready, Terminating}, notified())
+	s.SetOutage(Down)
 	assert.False(t, lines.Scan(), "the watch ends")
 	_, err = http.Get("http://" + s.Address(0) + "/catalog/members")
 	assert.Error(t, err)
-	s.Set(Refuses)
+	s.SetOutage(Unavailable)
 	b, err := http.Get("http://" + s.Address(0) + "/catalog/members")
 	assert.NoError(t, err)
 	assert.Equal(t, 503, b.StatusCode)
 	b.Body.Close()
-	s.Set(Fine)
+	s.SetOutage(Healthy)
 	b, err = http.Get("http://" + s.Address(0) + "/catalog/members?stream=1&index=x")
 	assert.NoError(t, err)
 	assert.Equal(t, 400, b.StatusCode)
@@ -112,7 +112,7 @@
 	var read atomic.Bool
 	known := make(chan bool, 1)
 	c := NewCatalog(0)
-	c.Put(0, Entry{Worker: 0, Host: "w0", Dials: []string{"127.0.0.1:1"}, State: Ready})
+	c.Update(0, Entry{Worker: 0, Name: "w0", Addresses: []string{"127.0.0.1:1"}, State: Ready})
 	s, err := New(c, 1, func() time.Duration { return 0 }, func(int, Entry) {
 		time.Sleep(50 * time.Millisecond) // longer than a line takes on its way
 		known <- read.Load()
--- a/internal/testbed/experiment/held_test.go
+++ b/internal/testbed/experiment/clock_test.go
@@ -19,21 +19,21 @@
 	}
 	disk := write()
 	s, _ := store.Open(disk, "d1")
-	life, err := s.Begin(store.Incarnation{}, 4, 77, false, now)
+	incarnation, err := s.Begin(store.Incarnation{}, 4, 77, false, now)
 	assert.NoError(t, err)
 	assert.NoError(t, s.AppendKeys([]store.Key{{Sum: 9, Worker: "w3", SentAt: now, ExpiresAt: now + 1000}}, now))
 	assert.NoError(t, s.SaveState(store.State{WrittenAt: now, SettingsHash: "abc"}))
 	assert.NoError(t, s.SetDrained(true))
 	assert.NoError(t, disk.Close())
-	assert.NoError(t, jump(path, "d1", time.Hour))
+	assert.NoError(t, shiftClock(path, "d1", time.Hour))
 	disk = write()
 	defer func() { assert.NoError(t, disk.Close()) }()
 	_, found := store.Open(disk, "d1")
 	assert.Empty(t, found.Errors)
 	assert.False(t, found.KeysSuspect)
 	hour := time.Hour.Milliseconds()
-	life.StartedAt, life.Drained = now-hour, true
-	assert.Equal(t, life, found.Incarnation)
+	incarnation.StartedAt, incarnation.Drained = now-hour, true
+	assert.Equal(t, incarnation, found.Incarnation)
 	assert.Equal(t, []store.Key{{Sum: 9, Worker: "w3", SentAt: now - hour, ExpiresAt: now + 1000 - hour}}, found.Keys)
 	assert.Equal(t, []any{now - hour, "abc", uint64(1)}, []any{found.State.WrittenAt, found.State.SettingsHash, found.State.Keys})
 }
--- a/internal/testbed/experiment/experiment_test.go
+++ b/internal/testbed/experiment/experiment_test.go
@@ -51,18 +51,18 @@
 
 // Guards against a port that somebody listens on, over either protocol.
 func TestPortsThatAreTakenArePassedOver(t *testing.T) {
-	for range portTries {
-		held, err := freePort()
+	for range maxPortAttempts {
+		reserved, err := freePort()
 		assert.NoError(t, err)
-		ln, err := net.Listen("tcp", held.String())
+		ln, err := net.Listen("tcp", reserved.String())
 		if err != nil {
 			continue // somebody else was faster
 		}
 		defer ln.Close()
-		dealt.Add(^uint32(0)) // it is the next one to be dealt out again
+		portsTaken.Add(^uint32(0)) // it is the next one to be dealt out again
 		at, err := freePort()
 		assert.NoError(t, err)
-		assert.NotEqual(t, held, at)
+		assert.NotEqual(t, reserved, at)
 		next, err := freePort()
 		assert.NoError(t, err)
 		assert.NotEqual(t, at, next, "none twice, though nobody listens there yet")
@@ -107,11 +107,11 @@
 for = "1s"
 `)
 	path := filepath.Join(t.TempDir(), "c.json")
-	config, err := p.placement(1, 0, 1, "127.0.0.1:8080", "127.0.0.1:9", "127.0.0.1:8500", nil,
+	config, err := p.dispatcherConfig(1, 0, 1, "127.0.0.1:8080", "127.0.0.1:9", "127.0.0.1:8500", nil,
 		[]byte(`{"seq":1,"hosts":[]}`))
 	assert.NoError(t, err)
 	p.Dispatchers.Peers = false
-	bare, err := p.placement(1, 0, 1, "127.0.0.1:8080", "127.0.0.1:9", "127.0.0.1:8500", nil,
+	bare, err := p.dispatcherConfig(1, 0, 1, "127.0.0.1:8080", "127.0.0.1:9", "127.0.0.1:8500", nil,
 		[]byte(`{"seq":1,"hosts":[]}`))
 	assert.NoError(t, err)
 	assert.NotEqual(t, config, bare)
@@ -148,5 +148,5 @@
 	p, err := Read(file)
 	assert.NoError(t, err)
 	assert.Len(t, p.Schedule(1), 2)
-	assert.Equal(t, 1501*time.Millisecond, p.Long())
+	assert.Equal(t, 1501*time.Millisecond, p.Duration())
 }
--- a/internal/testbed/experiment/operators.go
+++ b/internal/testbed/experiment/operators.go
@@ -19,21 +19,21 @@
 
 // Bounds on operators' work.
 const (
-	callWithin = time.Second
-	yesWithin  = 6 * time.Second // for the second process of an upgrade to take clients
+	adminTimeout   = time.Second
+	upgradeTimeout = 6 * time.Second // for the second process of an upgrade to take clients
 )
 
 // done is what the door says to a call that was carried out, and to HEALTH where clients are taken.
-const done = "done\n"
+const answerDone = "done\n"
 
-// called makes one call at an operators' door and returns all of the answer.
-func called(addr, call string) (string, error) {
-	c, err := net.DialTimeout("tcp", addr, callWithin)
+// callAdmin makes one call at an operators' door and returns all of the answer.
+func callAdmin(addr, call string) (string, error) {
+	c, err := net.DialTimeout("tcp", addr, adminTimeout)
 	if err != nil {
 		return "", fmt.Errorf("operators' door: %w", err)
 	}
 	defer c.Close()
-	c.SetDeadline(time.Now().Add(callWithin))
+	c.SetDeadline(time.Now().Add(adminTimeout))
 	if _, err := io.WriteString(c, call+"\n"); err != nil {
 		return "", fmt.Errorf("operators' door: %w", err)
 	}
@@ -44,58 +44,58 @@
 	return string(b), nil
 }
 
-func (w *world) call(n int, call string) {
-	answer, err := called(w.process(n).mgmt, call)
-	if err == nil && answer != done {
+func (w *environment) callOperators(n int, call string) {
+	answer, err := callAdmin(w.process(n).operatorsAddr, call)
+	if err == nil && answer != answerDone {
 		err = fmt.Errorf("%s: %s answered %q", dispatcherName(n), call, answer)
 	}
-	w.failed(err)
+	w.recordFailure(err)
 }
 
-// retune gives dispatchers a file with another number of forwards, and tells them so.
-func (w *world) retune(targets []int, forwards int) {
+// reconfigure gives dispatchers a file with another number of forwards, and tells them so.
+func (w *environment) reconfigure(targets []int, maxAttempts int) {
 	for _, n := range targets {
-		config, err := w.config(n, w.process(n).mgmt, forwards)
+		config, err := w.dispatcherConfig(n, w.process(n).operatorsAddr, maxAttempts)
 		if err == nil {
-			err = w.process(n).write(config)
+			err = w.process(n).writeConfig(config)
 		}
-		w.failed(err)
+		w.recordFailure(err)
 		w.process(n).signal(syscall.SIGHUP, false)
 	}
 }
 
 // upgrade starts a second process of a dispatcher, and asks the first one to end once the second takes
 // clients.
-func (w *world) upgrade(ctx context.Context, n int) {
+func (w *environment) upgrade(ctx context.Context, n int) {
 	old := w.process(n)
-	next, err := newProcess(fmt.Sprintf("%s-%d", dispatcherName(n), old.lives+1), w.folder, w.command)
+	next, err := newProcess(fmt.Sprintf("%s-%d", dispatcherName(n), old.incarnations+1), w.folder, w.dispatcherCommand)
 	if err != nil {
-		w.failed(err)
+		w.recordFailure(err)
 		return
 	}
-	next.directory, next.lives, next.fleet, next.disk = old.directory, old.lives, old.fleet, old.disk
+	next.directory, next.incarnations, next.fleet, next.disk = old.directory, old.incarnations, old.fleet, old.disk
 	at, err := freePort()
 	if err != nil {
-		w.failed(err)
+		w.recordFailure(err)
 		return
 	}
-	next.mgmt = at.String()
-	config, err := w.config(n, next.mgmt, w.plan.Dispatchers.Forwards)
+	next.operatorsAddr = at.String()
+	config, err := w.dispatcherConfig(n, next.operatorsAddr, w.plan.Dispatchers.MaxAttempts)
 	if err == nil {
 		err = next.start(config)
 	}
 	if err != nil {
-		w.failed(err)
+		w.recordFailure(err)
 		return
 	}
-	for limit := time.Now().Add(yesWithin); ; {
-		answer, err := called(next.mgmt, "HEALTH")
-		if err == nil && (answer == done || w.left(n) && stays(answer)) {
+	for limit := time.Now().Add(upgradeTimeout); ; {
+		answer, err := callAdmin(next.operatorsAddr, "HEALTH")
+		if err == nil && (answer == answerDone || w.drainedBefore(n) && staysDrained(answer)) {
 			break
 		}
 		if time.Now().After(limit) || ctx.Err() != nil {
-			w.failed(fmt.Errorf("%s: its second process does not take clients within %v", dispatcherName(n),
-				yesWithin))
+			w.recordFailure(fmt.Errorf("%s: its second process does not take clients within %v", dispatcherName(n),
+				upgradeTimeout))
 			next.kill()
 			return
 		}
@@ -104,25 +104,25 @@
 	w.mu.Lock()
 	w.processes[n] = next
 	w.mu.Unlock()
-	w.failed(old.end(endWithin))
+	w.recordFailure(old.stop(stopTimeout))
 	old.log.Close()
-	next.follows(old)
+	next.absorb(old)
 }
 
-// stays tells whether a second process says that it goes on with a LEAVE of before: it will never say done.
-func stays(health string) bool {
+// staysDrained tells whether a second process says that it goes on with a LEAVE of before: it will never say done.
+func staysDrained(health string) bool {
 	return strings.Contains(health, lifecycle.Draining.String()) || strings.Contains(health, lifecycle.Drained.String())
 }
 
-// crowd opens connections of clients that never ask for anything whole, until ctx ends: silent ones, or ones
+// openIdleClients opens connections of clients that never ask for anything whole, until ctx ends: silent ones, or ones
 // that send a byte now and then. One that is ended is opened again.
-func (w *world) crowd(ctx context.Context, connections int, every time.Duration) {
+func (w *environment) openIdleClients(ctx context.Context, connections int, every time.Duration) {
 	const text = "POST /api HTTP/1.1\r\nReq-Id: never\r\nReq-Kind: never\r\n"
 	for n := range connections {
-		addr := w.listen[n%len(w.listen)].String()
-		w.during.Go(func() {
+		addr := w.listenAddrs[n%len(w.listenAddrs)].String()
+		w.actions.Go(func() {
 			for ctx.Err() == nil {
-				w.sit(ctx, addr, text, every)
+				w.holdConnection(ctx, addr, text, every)
 				select {
 				case <-time.After(200 * time.Millisecond):
 				case <-ctx.Done():
@@ -132,8 +132,8 @@
 	}
 }
 
-func (w *world) sit(ctx context.Context, addr, text string, every time.Duration) {
-	c, err := net.DialTimeout("tcp", addr, callWithin)
+func (w *environment) holdConnection(ctx context.Context, addr, text string, every time.Duration) {
+	c, err := net.DialTimeout("tcp", addr, adminTimeout)
 	if err != nil {
 		return
 	}
@@ -152,79 +152,79 @@
 	_, _ = io.Copy(io.Discard, c) // until either side ends it
 }
 
-// operators carries out what a person would do.
-func (w *world) operators(ctx context.Context, a fault.Action) {
-	switch a.Do {
+// applyOperators carries out what a person would do.
+func (w *environment) applyOperators(ctx context.Context, a fault.Action) {
+	switch a.Kind {
 	case fault.DispatcherLeave, fault.DispatcherJoin:
-		call := map[fault.Do]string{fault.DispatcherLeave: "LEAVE", fault.DispatcherJoin: "JOIN"}[a.Do]
+		call := map[fault.ActionKind]string{fault.DispatcherLeave: "LEAVE", fault.DispatcherJoin: "JOIN"}[a.Kind]
 		for _, n := range a.Targets {
 			w.mu.Lock()
-			w.leaving[n] = a.Do == fault.DispatcherLeave
+			w.drainedByOperator[n] = a.Kind == fault.DispatcherLeave
 			w.mu.Unlock()
-			w.call(n, call)
+			w.callOperators(n, call)
 		}
-	case fault.DispatcherRetune:
-		forwards := int(a.Figure)
-		if forwards == 0 {
-			forwards = w.plan.Dispatchers.Forwards
+	case fault.DispatcherReconfigure:
+		maxAttempts := int(a.Value)
+		if maxAttempts == 0 {
+			maxAttempts = w.plan.Dispatchers.MaxAttempts
 		}
-		w.retune(a.Targets, forwards)
+		w.reconfigure(a.Targets, maxAttempts)
 	case fault.DispatcherUpgrade:
 		for _, n := range a.Targets {
-			w.during.Go(func() { w.upgrade(ctx, n) })
+			w.actions.Go(func() { w.upgrade(ctx, n) })
 		}
-	case fault.ClientsSilent, fault.ClientsPieces:
+	case fault.ClientsIdle, fault.ClientsTrickle:
 		every := time.Duration(0)
-		if a.Do == fault.ClientsPieces {
+		if a.Kind == fault.ClientsTrickle {
 			every = 100 * time.Millisecond
 		}
-		sitting, stop := context.WithTimeout(ctx, a.Span)
-		context.AfterFunc(sitting, stop)
-		w.crowd(sitting, int(a.Figure), every)
+		holding, stop := context.WithTimeout(ctx, a.Duration)
+		context.AfterFunc(holding, stop)
+		w.openIdleClients(holding, int(a.Value), every)
 	}
 }
 
 // Bounds within which a dispatcher's own figures may differ from the ledger's.
 const (
-	figureShare = 0.01
-	figureLeast = 3
+	counterTolerance    = 0.01
+	minCounterTolerance = 3
 )
 
-// reconcile holds the figures of each dispatcher that has had one process against what the ledger saw at
+// compareCounters holds the figures of each dispatcher that has had one process against what the ledger saw at
 // clients and workers. What clients left may be counted or not.
-func (w *world) reconcile() {
-	for n := range w.listen {
+func (w *environment) compareCounters() {
+	for n := range w.listenAddrs {
 		p := w.process(n)
-		if w.plan.Dispatchers.Policy != Canvasroute || p.lives != 1 || !p.up() {
+		if w.plan.Dispatchers.Policy != Canvasroute || p.incarnations != 1 || !p.running() {
 			continue
 		}
-		dump, err := called(p.mgmt, "DUMP")
+		dump, err := callAdmin(p.operatorsAddr, "DUMP")
 		if err != nil {
-			w.failed(fmt.Errorf("%s: %w", dispatcherName(n), err))
+			w.recordFailure(fmt.Errorf("%s: %w", dispatcherName(n), err))
 			continue
 		}
-		told, seen := figures(dump), map[string]int{}
-		for _, t := range w.ledger.Tries() {
+		report, seen := parseCounters(dump), map[string]int{}
+		for _, t := range w.history.Requests() {
 			if t.Dispatcher == n {
-				seen[history.Kinds[t.Kind]]++
+				seen[history.OutcomeNames[t.Outcome]]++
 			}
 		}
-		unsure := seen["unanswered"] + seen["broken"] + seen["unreachable"] + seen["interrupted"]
+		uncertain := seen["unanswered"] + seen["broken"] + seen["unreachable"] + seen["interrupted"]
 		for _, pair := range [][2]string{
 			{"succeeded", "succeeded"},
 			{"declined", "throttled"},
 			{"aborted", "errored"},
 		} {
-			was, is := told[pair[0]], seen[pair[1]]
-			if slack := unsure + max(figureLeast, int(figureShare*float64(is))); was < is-slack || was > is+slack {
-				w.failed(fmt.Errorf("%s: svc.%s says %d, clients saw %d", dispatcherName(n), pair[0], was, is))
+			reported, observed := report[pair[0]], seen[pair[1]]
+			if slack := uncertain + max(minCounterTolerance, int(counterTolerance*float64(observed))); reported < observed-slack || reported > observed+slack {
+				w.recordFailure(fmt.Errorf("%s: svc.%s says %d, clients saw %d", dispatcherName(n), pair[0], reported, observed))
 			}
 		}
 	}
 }
 
-// figures sums a dump by the name of each figure, over operations.
-func figures(dump string) map[string]int {
+// parseCounters sums a dump by the name of each figure, over operations.
+func parseCounters(dump string) map[string]int {
 	sum := map[string]int{}
 	for line := range strings.Lines(dump) {
 		key, value, found := strings.Cut(strings.TrimSpace(strings.TrimPrefix(line, "svc.")), "=")
--- a/internal/testbed/experiment/plan.go
+++ b/internal/testbed/experiment/plan.go
@@ -23,97 +23,97 @@
 type Plan struct {
 	Name        string               `toml:"name"`
 	Seed        uint64               `toml:"seed"`
-	Slack       unit.Span            `toml:"slack"` // that the ledger grants each time limit of the rules
+	Slack       unit.Duration        `toml:"slack"` // that the ledger grants each time limit of the rules
 	Dispatchers Dispatchers          `toml:"dispatchers"`
 	Fleet       Fleet                `toml:"fleet"`
 	Operations  []workload.Operation `toml:"operation"`
-	Customers   []workload.Customer  `toml:"customer"`
+	Tenants     []workload.Tenant    `toml:"customer"`
 	Load        Load                 `toml:"load"`
-	Troubles    []fault.Spec         `toml:"trouble"`
+	Faults      []fault.Spec         `toml:"trouble"`
 	schedule    *workload.Plan       // what the schedule follows from
 	timeline    *fault.Timeline      // of the plan's own seed
 	trace       []workload.Arrival
-	place       string // the file's folder, which a trace's name counts from
+	directory   string // the file's folder, which a trace's name counts from
 }
 
 // Dispatchers are the processes under test.
 type Dispatchers struct {
-	Count         int       `toml:"count"`
-	Policy        string    `toml:"policy"` // canvasroute or one of the baselines
-	Fault         string    `toml:"fault"`  // of a baseline that is broken on purpose
-	Cores         float64   `toml:"cores"`
-	MemoryMB      int       `toml:"memory-mb"`
-	Sockets       int       `toml:"sockets"`
-	Peers         bool      `toml:"peers"` // whether they may send one another datagrams
-	PeerLoss      float64   `toml:"peer-loss"`
-	PeerDelay     unit.Span `toml:"peer-delay"`
-	PeerJitter    unit.Span `toml:"peer-jitter"`
-	Forwards      int       `toml:"forwards"` // for one invocation at the most
-	MayCancel     bool      `toml:"may-cancel"`
-	SecondCopies  bool      `toml:"second-copies"`
-	ComeBackMost  unit.Span `toml:"come-back-most"` // longest Retry-After; 0: none may be given
-	NoticeAfter   unit.Span `toml:"notice-after"`   // until the front notices that one has died
-	DrainGrace    unit.Span `toml:"drain-grace"`
-	Granularity   unit.Span `toml:"granularity"` // of what the decisions may rely on in time
-	AskWithin     unit.Span `toml:"ask-within"`  // the longest time without asking the list
-	DialWithin    unit.Span `toml:"dial-within"`
-	SurplusShare  float64   `toml:"surplus-value"` // of what is beyond a customer's quota
-	ValueByNumber bool      `toml:"value-by-number"`
+	Count          int           `toml:"count"`
+	Policy         string        `toml:"policy"` // canvasroute or one of the baselines
+	Fault          string        `toml:"fault"`  // of a baseline that is broken on purpose
+	Cores          float64       `toml:"cores"`
+	MemoryMB       int           `toml:"memory-mb"`
+	Sockets        int           `toml:"sockets"`
+	Peers          bool          `toml:"peers"` // whether they may send one another datagrams
+	PeerLoss       float64       `toml:"peer-loss"`
+	PeerDelay      unit.Duration `toml:"peer-delay"`
+	PeerJitter     unit.Duration `toml:"peer-jitter"`
+	MaxAttempts    int           `toml:"forwards"` // for one invocation at the most
+	Cancellation   bool          `toml:"may-cancel"`
+	Hedging        bool          `toml:"second-copies"`
+	MaxRetryAfter  unit.Duration `toml:"come-back-most"` // longest Retry-After; 0: none may be given
+	FailureTimeout unit.Duration `toml:"notice-after"`   // until the front notices that one has died
+	DrainGrace     unit.Duration `toml:"drain-grace"`
+	Granularity    unit.Duration `toml:"granularity"` // of what the decisions may rely on in time
+	PollInterval   unit.Duration `toml:"ask-within"`  // the longest time without asking the list
+	DialTimeout    unit.Duration `toml:"dial-within"`
+	OverQuotaValue float64       `toml:"surplus-value"` // of what is beyond a customer's quota
+	ValueByCount   bool          `toml:"value-by-number"`
 
-	Recovery   bool      `toml:"recovery"` // each has a state folder and a link to the others
-	StateEvery unit.Span `toml:"state-every"`
-	LinkLoss   float64   `toml:"link-loss"`
-	LinkDelay  unit.Span `toml:"link-delay"`
-	LinkJitter unit.Span `toml:"link-jitter"`
-	LinkDouble float64   `toml:"link-doubled"` // the share of messages that come twice
+	Recovery       bool          `toml:"recovery"` // each has a state folder and a link to the others
+	StateInterval  unit.Duration `toml:"state-every"`
+	LinkLoss       float64       `toml:"link-loss"`
+	LinkDelay      unit.Duration `toml:"link-delay"`
+	LinkJitter     unit.Duration `toml:"link-jitter"`
+	LinkDuplicates float64       `toml:"link-doubled"` // the share of messages that come twice
 }
 
 // Fleet is the stand-in workers.
 type Fleet struct {
-	Zones        []string      `toml:"zones"`
-	CellSize     int           `toml:"cell-size"`
-	Kinds        []worker.Kind `toml:"kind"`
-	ColdFrom     float64       `toml:"cold-from"`
-	ColdRamp     unit.Span     `toml:"cold-ramp"`
-	ColdMultiple float64       `toml:"cold-multiple"` // 0: none is ever pushed over
-	ColdSpan     unit.Span     `toml:"cold-span"`
-	Idle         unit.Span     `toml:"idle"`
-	StartNotes   bool          `toml:"start-notes"`
-	TellsStart   bool          `toml:"tells-start"` // whether the settings announce the notes
-	Progress     bool          `toml:"progress"`
-	Probes       bool          `toml:"probes"`
-	ListLag      unit.Span     `toml:"list-lag"`
-	Instant      bool          `toml:"instant"` // nothing runs: each job is done as it comes
+	Zones              []string      `toml:"zones"`
+	CellSize           int           `toml:"cell-size"`
+	Kinds              []worker.Kind `toml:"kind"`
+	InitialShare       float64       `toml:"cold-from"`
+	WarmupDuration     unit.Duration `toml:"cold-ramp"`
+	OverloadMultiple   float64       `toml:"cold-multiple"` // 0: none is ever pushed over
+	OverloadSpan       unit.Duration `toml:"cold-span"`
+	Idle               unit.Duration `toml:"idle"`
+	StartNotes         bool          `toml:"start-notes"`
+	AnnounceStartNotes bool          `toml:"tells-start"` // whether the settings announce the notes
+	Progress           bool          `toml:"progress"`
+	Probes             bool          `toml:"probes"`
+	ListLag            unit.Duration `toml:"list-lag"`
+	Instant            bool          `toml:"instant"` // nothing runs: each job is done as it comes
 }
 
 // Load is what the generator sends.
 type Load struct {
-	Phases  []workload.Phase `toml:"phase"`
-	Trace   string           `toml:"trace"` // a file, in place of phases
-	Retries int              `toml:"retries"`
-	Wait    unit.Span        `toml:"retry-wait"`
-	Open    int              `toml:"open-most"`
+	Phases    []workload.Phase `toml:"phase"`
+	Trace     string           `toml:"trace"` // a file, in place of phases
+	Retries   int              `toml:"retries"`
+	RetryWait unit.Duration    `toml:"retry-wait"`
+	MaxOpen   int              `toml:"open-most"`
 }
 
-// usual is what holds where a file says nothing.
-func usual() Plan {
+// defaults is what holds where a file says nothing.
+func defaults() Plan {
 	return Plan{
-		Seed: 1, Slack: unit.Span(150 * time.Millisecond),
+		Seed: 1, Slack: unit.Duration(150 * time.Millisecond),
 		Dispatchers: Dispatchers{
 			Count: 1, Policy: Canvasroute, Cores: 1, MemoryMB: 192, Sockets: 1024, Peers: true,
-			PeerDelay: unit.Span(2 * time.Millisecond), Forwards: 4, MayCancel: true, SecondCopies: true,
-			ComeBackMost: unit.Span(2 * time.Second), NoticeAfter: unit.Span(2 * time.Second),
-			DrainGrace:  unit.Span(500 * time.Millisecond),
-			Granularity: unit.Span(5 * time.Millisecond), AskWithin: unit.Span(10 * time.Second),
-			DialWithin: unit.Span(250 * time.Millisecond), SurplusShare: 0.2,
-			StateEvery: unit.Span(time.Second), LinkDelay: unit.Span(2 * time.Millisecond),
+			PeerDelay: unit.Duration(2 * time.Millisecond), MaxAttempts: 4, Cancellation: true, Hedging: true,
+			MaxRetryAfter: unit.Duration(2 * time.Second), FailureTimeout: unit.Duration(2 * time.Second),
+			DrainGrace:  unit.Duration(500 * time.Millisecond),
+			Granularity: unit.Duration(5 * time.Millisecond), PollInterval: unit.Duration(10 * time.Second),
+			DialTimeout: unit.Duration(250 * time.Millisecond), OverQuotaValue: 0.2,
+			StateInterval: unit.Duration(time.Second), LinkDelay: unit.Duration(2 * time.Millisecond),
 		},
 		Fleet: Fleet{
-			Zones: []string{"north"}, CellSize: 3, ColdFrom: 0.2, ColdRamp: unit.Span(10 * time.Second),
-			ColdMultiple: 4, ColdSpan: unit.Span(2 * time.Second), Idle: unit.Span(10 * time.Second),
-			StartNotes: true, TellsStart: true, ListLag: unit.Span(time.Second),
+			Zones: []string{"north"}, CellSize: 3, InitialShare: 0.2, WarmupDuration: unit.Duration(10 * time.Second),
+			OverloadMultiple: 4, OverloadSpan: unit.Duration(2 * time.Second), Idle: unit.Duration(10 * time.Second),
+			StartNotes: true, AnnounceStartNotes: true, ListLag: unit.Duration(time.Second),
 		},
-		Load: Load{Retries: 2, Wait: unit.Span(500 * time.Millisecond), Open: 15000},
+		Load: Load{Retries: 2, RetryWait: unit.Duration(500 * time.Millisecond), MaxOpen: 15000},
 	}
 }
 
@@ -131,12 +131,12 @@
 
 // Parse is Read for a text that is at hand; a trace is looked for beside the file of that name.
 func Parse(path string, text []byte) (*Plan, error) {
-	p := usual()
-	p.place = filepath.Dir(path)
+	p := defaults()
+	p.directory = filepath.Dir(path)
 	if err := tomlconfig.Decode(path, text, &p); err != nil {
 		return nil, err
 	}
-	if err := p.check(); err != nil {
+	if err := p.validate(); err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
 	return &p, nil
@@ -144,18 +144,18 @@
 
 // Bounds on what one machine can play.
 const (
-	mostDispatchers = 32
-	mostWorkers     = 1024
-	mostListeners   = 8192
-	mostLong        = 6 * time.Hour
+	maxDispatchers = 32
+	maxWorkers     = 1024
+	maxListeners   = 8192
+	maxDuration    = 6 * time.Hour
 )
 
-func (p *Plan) check() error {
+func (p *Plan) validate() error {
 	d, f := &p.Dispatchers, &p.Fleet
 	policies := append([]string{Canvasroute}, baseline.Policies...)
 	switch {
-	case d.Count < 1 || d.Count > mostDispatchers:
-		return fmt.Errorf("dispatchers.count: %d, must be from 1 to %d", d.Count, mostDispatchers)
+	case d.Count < 1 || d.Count > maxDispatchers:
+		return fmt.Errorf("dispatchers.count: %d, must be from 1 to %d", d.Count, maxDispatchers)
 	case !slices.Contains(policies, d.Policy):
 		return fmt.Errorf("dispatchers.policy: %q, must be one of %q", d.Policy, policies)
 	case d.Fault != "" && (d.Policy == Canvasroute || !slices.Contains(baseline.Faults, d.Fault)):
@@ -167,15 +167,15 @@
 		return errors.New("dispatchers.memory-mb: must be at least 16, and sockets at least 64")
 	case !(d.PeerLoss >= 0 && d.PeerLoss <= 1):
 		return fmt.Errorf("dispatchers.peer-loss: %v, must be from 0 to 1", d.PeerLoss)
-	case d.Forwards < 1 || d.Forwards > 64:
-		return fmt.Errorf("dispatchers.forwards: %d, must be from 1 to 64", d.Forwards)
+	case d.MaxAttempts < 1 || d.MaxAttempts > 64:
+		return fmt.Errorf("dispatchers.forwards: %d, must be from 1 to 64", d.MaxAttempts)
 	case len(f.Zones) == 0:
 		return errors.New("fleet.zones: must name at least one")
 	case f.CellSize < 1:
 		return fmt.Errorf("fleet.cell-size: %d, must be at least 1", f.CellSize)
-	case !(f.ColdFrom > 0 && f.ColdFrom <= 1) || !(f.ColdMultiple >= 0):
+	case !(f.InitialShare > 0 && f.InitialShare <= 1) || !(f.OverloadMultiple >= 0):
 		return errors.New("fleet.cold-from: must be above 0 and at most 1, and cold-multiple not negative")
-	case p.Load.Retries < 0 || p.Load.Open < 1:
+	case p.Load.Retries < 0 || p.Load.MaxOpen < 1:
 		return errors.New("load.retries: must not be negative, and open-most at least 1")
 	}
 	workers := 0
@@ -185,19 +185,19 @@
 		}
 		workers += k.Count
 	}
-	if workers < 1 || workers > mostWorkers || workers*d.Count > mostListeners {
+	if workers < 1 || workers > maxWorkers || workers*d.Count > maxListeners {
 		return fmt.Errorf("fleet.kind: %d workers for %d dispatchers, must be from 1 to %d, and times the "+
-			"dispatchers at most %d", workers, d.Count, mostWorkers, mostListeners)
+			"dispatchers at most %d", workers, d.Count, maxWorkers, maxListeners)
 	}
-	return p.checkLoad()
+	return p.validateLoad()
 }
 
-func (p *Plan) checkLoad() (err error) {
+func (p *Plan) validateLoad() (err error) {
 	if len(p.Operations) == 0 {
 		return errors.New("operation: there must be at least one")
 	}
 	for n := range p.Operations {
-		if err := p.Operations[n].Check(); err != nil {
+		if err := p.Operations[n].Validate(); err != nil {
 			return fmt.Errorf("operation[%d].%w", n, err)
 		}
 		same := func(o workload.Operation) bool { return o.Name == p.Operations[n].Name }
@@ -205,12 +205,12 @@
 			return fmt.Errorf("operation[%d].name: %q is there already", n, p.Operations[n].Name)
 		}
 	}
-	for n, c := range p.Customers {
+	for n, c := range p.Tenants {
 		if c.Name == "" || !(c.Share > 0) || !(c.Quota >= 0) {
 			return fmt.Errorf("customer[%d]: must have a name, a share above 0 and a quota from 0", n)
 		}
 	}
-	p.schedule = &workload.Plan{Operations: p.Operations, Customers: p.Customers}
+	p.schedule = &workload.Plan{Operations: p.Operations, Tenants: p.Tenants}
 	switch {
 	case p.Load.Trace != "" && len(p.Load.Phases) > 0:
 		return errors.New("load.trace: there are phases as well")
@@ -225,11 +225,11 @@
 			return err
 		}
 	}
-	if long := p.Long(); long > mostLong {
-		return fmt.Errorf("load: lasts %v, must be at most %v", long, mostLong)
+	if duration := p.Duration(); duration > maxDuration {
+		return fmt.Errorf("load: lasts %v, must be at most %v", duration, maxDuration)
 	}
-	p.timeline, err = fault.Plan(p.Troubles, p.world(), p.Seed)
-	if err == nil && p.trace != nil && len(p.timeline.Extras) > 0 {
+	p.timeline, err = fault.Plan(p.Faults, p.topology(), p.Seed)
+	if err == nil && p.trace != nil && len(p.timeline.ExtraLoads) > 0 {
 		return errors.New("trouble: burst and flood need phases, a trace has no rate")
 	}
 	return err
@@ -238,22 +238,22 @@
 func (p *Plan) readTrace() ([]workload.Arrival, error) {
 	path := p.Load.Trace
 	if !filepath.IsAbs(path) {
-		path = filepath.Join(p.place, path)
+		path = filepath.Join(p.directory, path)
 	}
 	file, err := os.Open(path)
 	if err != nil {
 		return nil, fmt.Errorf("load.trace: %w", err)
 	}
 	defer file.Close()
-	return p.schedule.Trace(path, file, p.Seed)
+	return p.schedule.ReadTrace(path, file, p.Seed)
 }
 
-// Long is how long arrivals go on.
-func (p *Plan) Long() time.Duration {
+// Duration is how long arrivals go on.
+func (p *Plan) Duration() time.Duration {
 	if n := len(p.trace); n > 0 {
 		return p.trace[n-1].At + time.Millisecond
 	}
-	return workload.Long(p.schedule.Segments)
+	return workload.TotalDuration(p.schedule.Segments)
 }
 
 // Schedule is the arrivals for a seed; a trace is the same for all.
@@ -262,12 +262,12 @@
 		return p.trace
 	}
 	s := *p.schedule
-	s.Extras = p.timeline.Extras
-	return s.Make(seed)
+	s.ExtraLoads = p.timeline.ExtraLoads
+	return s.Schedule(seed)
 }
 
-// sites are the kinds of worker by number, dealt over the zones in turn.
-func (p *Plan) sites() (kinds, zones, cells []int) {
+// placeWorkers are the kinds of worker by number, dealt over the zones in turn.
+func (p *Plan) placeWorkers() (kinds, zones, cells []int) {
 	for k, kind := range p.Fleet.Kinds {
 		for range kind.Count {
 			n := len(kinds)
@@ -278,14 +278,14 @@
 	return kinds, zones, cells
 }
 
-func (p *Plan) world() fault.World {
-	kinds, zones, _ := p.sites()
-	w := fault.World{
-		Workers: len(kinds), Zones: p.Fleet.Zones, ZoneOf: zones,
+func (p *Plan) topology() fault.Topology {
+	kinds, zones, _ := p.placeWorkers()
+	w := fault.Topology{
+		Workers: len(kinds), Zones: p.Fleet.Zones, WorkerZones: zones,
 		Dispatchers: p.Dispatchers.Count,
 	}
-	for _, c := range p.Customers {
-		w.Customers = append(w.Customers, c.Name)
+	for _, c := range p.Tenants {
+		w.Tenants = append(w.Tenants, c.Name)
 	}
 	return w
 }
@@ -297,19 +297,19 @@
 	return names
 }
 
-func (p *Plan) customerNames() (names []string) {
-	for _, c := range p.Customers {
+func (p *Plan) tenantNames() (names []string) {
+	for _, c := range p.Tenants {
 		names = append(names, c.Name)
 	}
 	return names
 }
 
-// With is the plan with another policy, checked anew.
-func (p *Plan) With(policy string) (*Plan, error) {
+// WithPolicy is the plan with another policy, checked anew.
+func (p *Plan) WithPolicy(policy string) (*Plan, error) {
 	q := *p
 	q.Dispatchers.Policy = policy
 	if policy == Canvasroute {
 		q.Dispatchers.Fault = ""
 	}
-	return &q, q.check()
+	return &q, q.validate()
 }
--- a/internal/testbed/experiment/power.go
+++ b/internal/testbed/experiment/power.go
@@ -18,114 +18,114 @@
 	"canvasroute/internal/testbed/unit"
 )
 
-// link gives each dispatcher a folder for its state and a link to the others.
-func (w *world) link(ctx context.Context, own []netip.AddrPort) (err error) {
-	links, err := network.New(own, w.linkManner(), messaging.MaxDatagramBytes, w.seed)
+// startLink gives each dispatcher a folder for its state and a link to the others.
+func (w *environment) startLink(ctx context.Context, own []netip.AddrPort) (err error) {
+	links, err := network.New(own, w.linkConditions(), messaging.MaxDatagramBytes, w.seed)
 	if err != nil {
 		return err
 	}
 	w.links = links
-	w.running.Go(func() error { return links.Run(ctx) })
+	w.background.Go(func() error { return links.Run(ctx) })
 	for n, p := range w.processes {
 		p.disk = filepath.Join(w.folder, p.name+".state")
 		if p.disk, err = filepath.Abs(p.disk); err != nil {
 			return err
 		}
 		p.fleet = filepath.Join(w.folder, p.name+".fleet.toml")
-		if err := os.WriteFile(p.fleet, w.fleetFile(p, own[n], w.links.View(n)), 0o600); err != nil {
+		if err := os.WriteFile(p.fleet, w.fleetConfig(p, own[n], w.links.View(n)), 0o600); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (w *world) fleetFile(p *process, listen netip.AddrPort, view []netip.AddrPort) []byte {
+func (w *environment) fleetConfig(p *process, listen netip.AddrPort, view []netip.AddrPort) []byte {
 	b := fmt.Appendf(nil, "[state]\nfolder = %q\nevery = %q\n\n[link]\nlisten = %q\n", p.disk,
-		w.plan.Dispatchers.StateEvery.D().String(), listen.String())
+		w.plan.Dispatchers.StateInterval.Std().String(), listen.String())
 	for n, at := range view {
 		b = fmt.Appendf(b, "\n[[member]]\nname = %q\naddress = %q\n", dispatcherName(n), at.String())
 	}
 	return b
 }
 
-func (w *world) linkManner() network.Manner {
+func (w *environment) linkConditions() network.Conditions {
 	d := &w.plan.Dispatchers
-	return network.Manner{Loss: d.LinkLoss, Delay: d.LinkDelay.D(), Jitter: d.LinkJitter.D(), Double: d.LinkDouble}
+	return network.Conditions{Loss: d.LinkLoss, Delay: d.LinkDelay.Std(), Jitter: d.LinkJitter.Std(), DuplicateShare: d.LinkDuplicates}
 }
 
-func (w *world) doLink(a fault.Action) {
+func (w *environment) applyToLink(a fault.Action) {
 	if w.links == nil {
 		return
 	}
-	m := w.linkManner()
-	switch a.Do {
-	case fault.LinkLoses:
-		m.Loss = a.Figure
-		w.links.Set(m)
-	case fault.LinkFine:
-		w.links.Set(m)
-	case fault.LinkCut, fault.LinkHeals:
+	m := w.linkConditions()
+	switch a.Kind {
+	case fault.LinkLoss:
+		m.Loss = a.Value
+		w.links.SetConditions(m)
+	case fault.LinkRecover:
+		w.links.SetConditions(m)
+	case fault.LinkCut, fault.LinkHeal:
 		for _, n := range a.Targets {
-			for other := range w.listen {
+			for other := range w.listenAddrs {
 				if slices.Contains(a.Targets, other) {
 					continue
 				}
-				if a.Word != "heard" {
-					w.links.Sever(other, n, a.Do == fault.LinkCut)
+				if a.Mode != "heard" {
+					w.links.SetPartition(other, n, a.Kind == fault.LinkCut)
 				}
-				if a.Word != "hear" {
-					w.links.Sever(n, other, a.Do == fault.LinkCut)
+				if a.Mode != "hear" {
+					w.links.SetPartition(n, other, a.Kind == fault.LinkCut)
 				}
 			}
 		}
 	}
 }
 
-// power takes power from dispatchers, all at once, or gives it back to one of them. What it starts with is what
+// applyPower takes power from dispatchers, all at once, or gives it back to one of them. What it starts with is what
 // was known when power failed: nobody has told it anything since.
-func (w *world) power(ctx context.Context, a fault.Action) {
-	if a.Do == fault.PowerFails {
-		var dying sync.WaitGroup
+func (w *environment) applyPower(ctx context.Context, a fault.Action) {
+	if a.Kind == fault.PowerLoss {
+		var kills sync.WaitGroup
 		for _, n := range a.Targets {
-			known := w.list.Whole(n)
+			endpoints := w.discovery.CompleteList(n)
 			w.mu.Lock()
-			if w.stale[n] == nil {
-				w.stale[n] = known
+			if w.endpointsAtPowerLoss[n] == nil {
+				w.endpointsAtPowerLoss[n] = endpoints
 			}
 			w.mu.Unlock()
-			w.leaves(n)
-			dying.Go(w.process(n).kill)
+			w.dispatcherDown(n)
+			kills.Go(w.process(n).kill)
 		}
-		dying.Wait()
+		kills.Wait()
 		return
 	}
 	for _, n := range a.Targets {
-		if w.process(n).up() {
+		if w.process(n).running() {
 			continue
 		}
 		if w.links != nil {
-			w.failed(w.spoil(n, a))
-			if a.Span != 0 {
-				w.failed(jump(w.process(n).disk, dispatcherName(n), a.Span))
+			w.recordFailure(w.damageDisk(n, a))
+			if a.Duration != 0 {
+				w.recordFailure(shiftClock(w.process(n).disk, dispatcherName(n), a.Duration))
 			}
 		}
-		w.failed(w.launch(n))
-		if w.links != nil && a.Word == fault.DiskKept && w.left(n) {
-			w.during.Go(func() { w.holds(ctx, n) })
+		w.recordFailure(w.launchDispatcher(n))
+		if w.links != nil && a.Mode == fault.DiskIntact && w.drainedBefore(n) {
+			w.actions.Go(func() { w.watchDrained(ctx, n) })
 		}
 		w.mu.Lock()
-		delete(w.stale, n)
+		delete(w.endpointsAtPowerLoss, n)
 		w.mu.Unlock()
-		w.returns(n)
+		w.dispatcherUp(n)
 	}
 }
 
-// oldAfter is when, from the experiment's start, a copy is taken of each disk, for one that is to be old later.
-const oldAfter = 3 * time.Second
+// oldCopyDelay is when, from the experiment's start, a copy is taken of each disk, for one that is to be old later.
+const oldCopyDelay = 3 * time.Second
 
-func (w *world) age(ctx context.Context) error {
+func (w *environment) copyDisks(ctx context.Context) error {
 	select {
-	case <-time.After(oldAfter):
+	case <-time.After(oldCopyDelay):
 	case <-ctx.Done():
 		return nil
 	}
@@ -164,9 +164,9 @@
 	return nil
 }
 
-// spoil makes of a dispatcher's disk what is left of it after a loss of power.
-func (w *world) spoil(n int, a fault.Action) error {
-	p, rng := w.process(n), unit.Chance(w.seed, fmt.Sprint("disk ", n, " ", a.At))
+// damageDisk makes of a dispatcher's disk what is left of it after a loss of power.
+func (w *environment) damageDisk(n int, a fault.Action) error {
+	p, rng := w.process(n), unit.RandomStream(w.seed, fmt.Sprint("disk ", n, " ", a.At))
 	names := func() (all []string) {
 		if disk, err := store.ReadFolder(p.disk); err == nil {
 			all, _ = disk.Names() // a full disk of before has others too
@@ -183,14 +183,14 @@
 		}
 		return os.Truncate(path, max(info.Size()-by, 0))
 	}
-	switch a.Word {
-	case fault.DiskGone:
+	switch a.Mode {
+	case fault.DiskMissing:
 		return os.RemoveAll(p.disk)
 	case fault.DiskLostSync: // the newest of everything
 		newest := map[string]string{}
 		for _, path := range names() {
 			kind := strings.TrimSuffix(path, filepath.Ext(path))
-			if was := newest[kind]; was == "" || later(path, was) {
+			if reported := newest[kind]; reported == "" || newer(path, reported) {
 				newest[kind] = path
 			}
 		}
@@ -216,26 +216,26 @@
 		}
 		return copyDisk(p.disk+".old", p.disk)
 	case fault.DiskSwapped: // with the next one's, which may be up: it gets a copy
-		next := w.process((n + 1) % len(w.listen))
+		next := w.process((n + 1) % len(w.listenAddrs))
 		if err := os.RemoveAll(p.disk); err != nil {
 			return err
 		}
 		return copyDisk(next.disk, p.disk)
 	case fault.DiskFull, fault.DiskReadOnly:
-		return w.fill(p, a.Word)
+		return w.blockNewFiles(p, a.Mode)
 	}
 	return nil
 }
 
-func later(a, b string) bool {
+func newer(a, b string) bool {
 	x, errX := os.Stat(a)
 	y, errY := os.Stat(b)
 	return errX == nil && errY == nil && x.ModTime().After(y.ModTime())
 }
 
-// fill makes each write that needs a new file fail from now on, by what stands where it would be made: a full
+// blockNewFiles makes each write that needs a new file fail from now on, by what stands where it would be made: a full
 // device, or what cannot be written.
-func (w *world) fill(p *process, how string) error {
+func (w *environment) blockNewFiles(p *process, how string) error {
 	to := "/dev/full"
 	if how == fault.DiskReadOnly {
 		to = "/proc/version"
--- a/internal/testbed/experiment/process.go
+++ b/internal/testbed/experiment/process.go
@@ -18,22 +18,22 @@
 
 // process is a dispatcher's process through its lives. All signals go to the one process that we started.
 type process struct {
-	name, folder string
-	command      []string // the program and its arguments
-	directory    string   // for its temporary files, the same for both processes of an upgrade
-	mgmt         string   // where its operators call
-	fleet        string   // the operators' file for what dispatchers do in common, "" for none
-	disk         string   // where it keeps its state
-	log          *os.File
-
-	mu      sync.Mutex
-	cmd     *exec.Cmd
-	gone    chan struct{} // closed when the process of cmd has ended
-	wanted  bool          // its end is our doing
-	lives   int
-	faults  []string // ends that nobody wanted
-	cpu     time.Duration
-	stalled bool
+	name, folder  string
+	command       []string // the program and its arguments
+	directory     string   // for its temporary files, the same for both processes of an upgrade
+	operatorsAddr string   // where its operators call
+	fleet         string   // the operators' file for what dispatchers do in common, "" for none
+	disk          string   // where it keeps its state
+	log           *os.File
+
+	mu              sync.Mutex
+	cmd             *exec.Cmd
+	exited          chan struct{} // closed when the process of cmd has ended
+	stopping        bool          // its end is our doing
+	incarnations    int
+	unexpectedExits []string // ends that nobody wanted
+	cpu             time.Duration
+	paused          bool
 }
 
 func newProcess(name, folder string, command []string) (*process, error) {
@@ -48,8 +48,8 @@
 	return &process{name: name, folder: folder, command: command, log: log, directory: directory}, nil
 }
 
-// write leaves a configuration for the process, whole at any moment.
-func (p *process) write(config []byte) error {
+// writeConfig leaves a configuration for the process, whole at any moment.
+func (p *process) writeConfig(config []byte) error {
 	path := filepath.Join(p.folder, p.name+".json")
 	if err := os.WriteFile(path+".new", config, 0o600); err != nil {
 		return err
@@ -57,21 +57,21 @@
 	return os.Rename(path+".new", path)
 }
 
-// follows takes over what another process of the same dispatcher, which has ended, came to.
-func (p *process) follows(old *process) {
+// absorb takes over what another process of the same dispatcher, which has ended, came to.
+func (p *process) absorb(old *process) {
 	old.mu.Lock()
 	defer old.mu.Unlock()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.cpu += old.cpu
-	p.faults = append(p.faults, old.faults...)
+	p.unexpectedExits = append(p.unexpectedExits, old.unexpectedExits...)
 }
 
 // start starts the program with a configuration.
 func (p *process) start(config []byte) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if err := p.write(config); err != nil {
+	if err := p.writeConfig(config); err != nil {
 		return err
 	}
 	path := filepath.Join(p.folder, p.name+".json")
@@ -81,35 +81,35 @@
 		cmd.Env = append(cmd.Env, "LB_FLEET="+p.fleet)
 	}
 	cmd.Stdout, cmd.Stderr = p.log, p.log
-	cmd.SysProcAttr = apart()
+	cmd.SysProcAttr = processGroup()
 	if err := cmd.Start(); err != nil {
 		return fmt.Errorf("dispatcher %s: %w", p.name, err)
 	}
 	gone := make(chan struct{})
-	p.cmd, p.gone, p.wanted, p.stalled = cmd, gone, false, false
-	p.lives++
+	p.cmd, p.exited, p.stopping, p.paused = cmd, gone, false, false
+	p.incarnations++
 	go func() {
 		err := cmd.Wait()
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		p.cpu += cmd.ProcessState.UserTime() + cmd.ProcessState.SystemTime()
-		if !p.wanted {
-			p.faults = append(p.faults, fmt.Sprintf("%s ended by itself: %v", p.name, err))
+		if !p.stopping {
+			p.unexpectedExits = append(p.unexpectedExits, fmt.Sprintf("%s ended by itself: %v", p.name, err))
 		}
 		close(gone)
 	}()
 	return nil
 }
 
-// up tells whether the process runs.
-func (p *process) up() bool {
+// running tells whether the process runs.
+func (p *process) running() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.cmd == nil {
 		return false
 	}
 	select {
-	case <-p.gone:
+	case <-p.exited:
 		return false
 	default:
 		return true
@@ -117,23 +117,23 @@
 }
 
 func (p *process) signal(s syscall.Signal, ends bool) {
-	if !p.up() {
+	if !p.running() {
 		return
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.wanted = p.wanted || ends
+	p.stopping = p.stopping || ends
 	_ = p.cmd.Process.Signal(s) // fails only where it has just ended, which its exit tells
 }
 
-func (p *process) stall(still bool) {
+func (p *process) pause(still bool) {
 	if still {
 		p.signal(syscall.SIGSTOP, false)
 	} else {
 		p.signal(syscall.SIGCONT, false)
 	}
 	p.mu.Lock()
-	p.stalled = still
+	p.paused = still
 	p.mu.Unlock()
 }
 
@@ -143,16 +143,16 @@
 	p.wait(context.Background())
 }
 
-// errSlow is a process that did not end in time, and was killed.
-var errSlow = errors.New("did not end in time")
+// errStopTimeout is a process that did not end in time, and was killed.
+var errStopTimeout = errors.New("did not end in time")
 
-// end asks the process to end, and kills it after a while.
-func (p *process) end(within time.Duration) error {
+// stop asks the process to end, and kills it after a while.
+func (p *process) stop(within time.Duration) error {
 	p.mu.Lock()
-	stalled := p.stalled
+	stalled := p.paused
 	p.mu.Unlock()
 	if stalled {
-		p.stall(false)
+		p.pause(false)
 	}
 	p.signal(syscall.SIGTERM, true)
 	ctx, cancel := context.WithTimeout(context.Background(), within)
@@ -161,13 +161,13 @@
 		return nil
 	}
 	p.kill()
-	return fmt.Errorf("dispatcher %s: %w", p.name, errSlow)
+	return fmt.Errorf("dispatcher %s: %w", p.name, errStopTimeout)
 }
 
 // wait waits for the end of the process, and tells whether it came before that of ctx.
 func (p *process) wait(ctx context.Context) bool {
 	p.mu.Lock()
-	gone := p.gone
+	gone := p.exited
 	p.mu.Unlock()
 	if gone == nil {
 		return true
@@ -183,23 +183,23 @@
 // Ports for dispatchers lie below those that the kernel deals out for connections: else one could be taken by
 // a connection while its dispatcher restarts.
 const (
-	leastPort = 10240
-	mostPort  = 32767
-	portTries = 200
+	minPort         = 10240
+	maxPort         = 32767
+	maxPortAttempts = 200
 )
 
 // firstPort is where this process begins to deal out ports, and dealt how many it has dealt out, in a ring: none
 // twice soon, since one whose dispatcher is without power is as free as any other, and would go to another play.
 var (
-	firstPort = rand.Uint32N(mostPort - leastPort)
-	dealt     atomic.Uint32
+	firstPort  = rand.Uint32N(maxPort - minPort)
+	portsTaken atomic.Uint32
 )
 
 // freePort finds a port that nobody listens on, over TCP and UDP.
 func freePort() (netip.AddrPort, error) {
 	home := netip.AddrFrom4([4]byte{127, 0, 0, 1})
-	for range portTries {
-		at := netip.AddrPortFrom(home, uint16(leastPort+(firstPort+dealt.Add(1))%(mostPort-leastPort)))
+	for range maxPortAttempts {
+		at := netip.AddrPortFrom(home, uint16(minPort+(firstPort+portsTaken.Add(1))%(maxPort-minPort)))
 		ln, err := net.Listen("tcp", at.String())
 		if err != nil {
 			continue
@@ -212,5 +212,5 @@
 		pc.Close()
 		return at, nil
 	}
-	return netip.AddrPort{}, fmt.Errorf("no free port found on 127.0.0.1 from %d to %d", leastPort, mostPort)
+	return netip.AddrPort{}, fmt.Errorf("no free port found on 127.0.0.1 from %d to %d", minPort, maxPort)
 }
--- a/internal/testbed/experiment/recovery.go
+++ b/internal/testbed/experiment/recovery.go
@@ -18,12 +18,12 @@
 	Dispatcher int     `json:"dispatcher"`
 	Phase      string  `json:"phase"`
 	From       float64 `json:"from_s"`
-	Why        string  `json:"why"`
+	Reason     string  `json:"why"`
 	Case       string  `json:"case"`
 }
 
-// phases reads them from the dispatchers' logs.
-func phases(w *world) (all []PhaseResult) {
+// readPhases reads them from the dispatchers' logs.
+func readPhases(w *environment) (all []PhaseResult) {
 	for n, p := range w.processes {
 		file, err := os.Open(p.log.Name())
 		if err != nil {
@@ -37,7 +37,7 @@
 				Time                      int64
 			}
 			if json.Unmarshal(lines.Bytes(), &l) == nil && l.Message == "returning" {
-				at := time.UnixMilli(l.Time).Sub(time.Unix(0, w.zero.Load())).Seconds()
+				at := time.UnixMilli(l.Time).Sub(time.Unix(0, w.startedAtNanos.Load())).Seconds()
 				all = append(all, PhaseResult{n, l.Phase, at, l.Why, l.Case})
 			}
 		}
@@ -46,34 +46,34 @@
 	return all
 }
 
-// backs reckons how the fleet came back from each loss of power that workers met.
-func (p *Plan) backs(r *Result, t *fault.Timeline, schedule []workload.Arrival) (backs []metrics.Back) {
-	var wanted []metrics.Wanted
+// recoveries reckons how the fleet came back from each loss of power that workers met.
+func (p *Plan) recoveries(r *Result, t *fault.Timeline, schedule []workload.Arrival) (backs []metrics.Recovery) {
+	var offered []metrics.OfferedCall
 	for _, a := range schedule {
 		o := &p.Operations[a.Operation]
-		wanted = append(wanted, metrics.Wanted{
-			At: a.At, Work: a.Work, Objective: o.Objective.D(), Stretch: o.Stretch,
-			Value: o.Value, Tardy: o.Tardy,
+		offered = append(offered, metrics.OfferedCall{
+			At: a.At, Work: a.Work, Objective: o.LatencyObjective.Std(), Stretch: o.Stretch,
+			Value: o.Value, LateShare: o.LateShare,
 		})
 	}
-	every := time.Duration(r.Calls.Every * float64(time.Second))
+	every := time.Duration(r.Calls.SlotSeconds * float64(time.Second))
 	for k, mark := range t.Marks {
-		if p.Troubles[k].Kind != "power-loss" {
+		if p.Faults[k].Kind != "power-loss" {
 			continue
 		}
-		var workers []metrics.Worker
-		kinds, _, _ := p.sites()
+		var workers []metrics.ReturningWorker
+		kinds, _, _ := p.placeWorkers()
 		for n := range kinds {
-			one := metrics.Worker{Cores: p.Fleet.Kinds[kinds[n]].Cores, Back: -1}
+			one := metrics.ReturningWorker{Cores: p.Fleet.Kinds[kinds[n]].Cores, BackAt: -1}
 			for _, a := range t.Actions {
-				if a.Trouble == k && a.Do == fault.WorkerReturn && slices.Contains(a.Targets, n) {
-					one.Back = max(one.Back, a.At)
+				if a.Fault == k && a.Kind == fault.WorkerRestart && slices.Contains(a.Targets, n) {
+					one.BackAt = max(one.BackAt, a.At)
 				}
 			}
 			workers = append(workers, one)
 		}
-		backs = append(backs, metrics.Returned(mark.From, r.Calls.Slots, every, wanted, workers,
-			worker.Cold{From: p.Fleet.ColdFrom, Ramp: p.Fleet.ColdRamp.D()}))
+		backs = append(backs, metrics.MeasureRecovery(mark.From, r.Calls.Slots, every, offered, workers,
+			worker.Warmup{InitialShare: p.Fleet.InitialShare, Duration: p.Fleet.WarmupDuration.Std()}))
 	}
 	return backs
 }
--- a/internal/testbed/experiment/run.go
+++ b/internal/testbed/experiment/run.go
@@ -34,7 +34,7 @@
 }
 
 // slots is into how many stretches a run's figures are cut at the most.
-const slots = 120
+const maxSlots = 120
 
 // Run runs the plan once under a seed, and leaves the result in the folder. When ctx ends before, what has
 // been measured is left as a partial result, and no process remains.
@@ -45,38 +45,38 @@
 	if _, err := os.Stat(filepath.Join(o.Folder, resultName)); err == nil {
 		return nil, fmt.Errorf("%s: holds a result already", o.Folder)
 	}
-	timeline, err := fault.Plan(p.Troubles, p.world(), seed)
+	timeline, err := fault.Plan(p.Faults, p.topology(), seed)
 	if err != nil {
 		return nil, err
 	}
 	schedule := p.Schedule(seed)
 	began := time.Now()
-	w, err := open(ctx, p, seed, o.Folder, p.command(o))
+	w, err := openEnvironment(ctx, p, seed, o.Folder, p.dispatcherCommand(o))
 	if err != nil {
 		return nil, errors.Join(err, w.close())
 	}
-	recorder := metrics.New(max(time.Second, p.Long()/slots), len(p.Operations), len(p.Customers))
-	s := &loadgen.Sender{
-		Operations: p.Operations, Customers: p.Customers, Seed: seed, Retries: p.Load.Retries,
-		Wait: p.Load.Wait.D(), MostOpen: p.Load.Open, Front: w.front, Ledger: w.ledger, Recorder: recorder,
+	recorder := metrics.NewRecorder(max(time.Second, p.Duration()/maxSlots), len(p.Operations), len(p.Tenants))
+	s := &loadgen.Generator{
+		Operations: p.Operations, Tenants: p.Tenants, Seed: seed, Retries: p.Load.Retries,
+		RetryWait: p.Load.RetryWait.Std(), MaxOpen: p.Load.MaxOpen, FrontTier: w.frontTier, History: w.history, Recorder: recorder,
 		Clock: w.clock,
 	}
 	playing, stop := context.WithCancel(ctx)
-	w.during.Go(func() { w.play(playing, timeline.Actions) })
-	w.during.Go(func() { p.tellProgress(playing, s, recorder, o.Progress) })
+	w.actions.Go(func() { w.play(playing, timeline.Actions) })
+	w.actions.Go(func() { p.reportProgress(playing, s, recorder, o.Progress) })
 	s.Run(ctx, schedule)
 	stop()
 	closing := w.close()
 	r := p.result(w, recorder, timeline, schedule, seed)
-	r.Began, r.Partial = began.UTC().Format(time.RFC3339), ctx.Err() != nil
+	r.StartedAt, r.Partial = began.UTC().Format(time.RFC3339), ctx.Err() != nil
 	if closing != nil {
 		r.Failures = append(r.Failures, closing.Error())
 	}
 	return r, r.write(o.Folder)
 }
 
-// command is the program of a dispatcher and its arguments.
-func (p *Plan) command(o Options) []string {
+// dispatcherCommand is the program of a dispatcher and its arguments.
+func (p *Plan) dispatcherCommand(o Options) []string {
 	d := &p.Dispatchers
 	if d.Policy == Canvasroute {
 		return []string{o.Dispatcher}
@@ -106,14 +106,14 @@
 	return dispatcher, self, nil
 }
 
-// tellEvery is how often progress is told.
-const tellEvery = 200 * time.Millisecond
+// progressInterval is how often progress is told.
+const progressInterval = 200 * time.Millisecond
 
-func (p *Plan) tellProgress(ctx context.Context, s *loadgen.Sender, r *metrics.Recorder, tell func(Progress)) {
-	if tell == nil {
+func (p *Plan) reportProgress(ctx context.Context, s *loadgen.Generator, r *metrics.Recorder, report func(Progress)) {
+	if report == nil {
 		return
 	}
-	ticker := time.NewTicker(tellEvery)
+	ticker := time.NewTicker(progressInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -121,32 +121,32 @@
 		case <-ctx.Done():
 			return
 		}
-		g := Progress{At: s.Clock(), Of: p.Long(), Open: s.Open()}
+		g := Progress{At: s.Clock(), Of: p.Duration(), Open: s.Open()}
 		g.Calls, g.Succeeded, g.Throttled, g.Other = r.Snapshot()
-		tell(g)
+		report(g)
 	}
 }
 
-// terms are what the ledger judges by.
-func (p *Plan) terms(w *world) history.Terms {
-	t := history.Terms{Grace: p.Dispatchers.DrainGrace.D(), Slack: p.Slack.D(), Keys: p.Dispatchers.Recovery}
+// ruleConfig are what the ledger judges by.
+func (p *Plan) ruleConfig(w *environment) history.RuleConfig {
+	t := history.RuleConfig{DrainGrace: p.Dispatchers.DrainGrace.Std(), Slack: p.Slack.Std(), KeysPersisted: p.Dispatchers.Recovery}
 	for _, o := range p.Operations {
-		scope := scopeOf(o)
-		t.Operations = append(t.Operations, history.Repeat{
-			Name: o.Name, Idempotent: o.Repeat == workload.Idempotent,
-			Once: o.Repeat == workload.NonIdempotent, ScopeAll: scope == "all", ScopeZone: scope == "zone",
-			ScopeCell: scope == "cell", Window: o.Window.D(),
+		scope := dedupScope(o)
+		t.Operations = append(t.Operations, history.Operation{
+			Name: o.Name, Idempotent: o.Idempotency == workload.Idempotent,
+			NonIdempotent: o.Idempotency == workload.NonIdempotent, ScopeAll: scope == "all", ScopeZone: scope == "zone",
+			ScopeCell: scope == "cell", DedupWindow: o.DedupWindow.Std(),
 		})
 	}
 	for _, s := range w.servers {
-		_, _, zone, cell := s.Site()
-		t.Workers = append(t.Workers, history.Place{Zone: zone, Cell: cell})
+		_, _, zone, cell := s.Location()
+		t.Workers = append(t.Workers, history.Location{Zone: zone, Cell: cell})
 	}
 	return t
 }
 
 // fingerprint tells two schedules apart.
 func fingerprint(schedule []workload.Arrival) string {
-	sum := sha256.Sum256(workload.Bytes(schedule))
+	sum := sha256.Sum256(workload.Encode(schedule))
 	return hex.EncodeToString(sum[:8])
 }
--- a/internal/testbed/experiment/saturate.go
+++ b/internal/testbed/experiment/saturate.go
@@ -16,58 +16,58 @@
 
 // Saturation is how the highest rate is looked for.
 type Saturation struct {
-	Policy    string
-	Objective time.Duration // p99 from the intended time of sending has to keep it, and all have to succeed
-	For       time.Duration // each trial
-	Cores     float64
-	Workers   int
-	First     float64 // the first rate, a second
-	Most      float64 // the highest rate that is tried
-	Steps     int     // halvings of the last interval
-	Seed      uint64
+	Policy        string
+	Objective     time.Duration // p99 from the intended time of sending has to keep it, and all have to succeed
+	TrialDuration time.Duration // each trial
+	Cores         float64
+	Workers       int
+	FirstRate     float64 // the first rate, a second
+	MaxRate       float64 // the highest rate that is tried
+	Steps         int     // halvings of the last interval
+	Seed          uint64
 }
 
 // Trial is what one rate came to.
 type Trial struct {
-	Rate     float64 `json:"rate"`
-	Holds    bool    `json:"holds"`
-	Why      string  `json:"why,omitempty"` // it does not hold
-	Generous bool    `json:"generator_late"`
-	P50      float64 `json:"p50_ms"`
-	P99      float64 `json:"p99_ms"`
-	CPU      float64 `json:"cpu_us_a_call"`
-	Mallocs  float64 `json:"mallocs_a_call"`
-	Bytes    float64 `json:"alloc_bytes_a_call"`
+	Rate          float64 `json:"rate"`
+	Holds         bool    `json:"holds"`
+	Reason        string  `json:"why,omitempty"` // it does not hold
+	GeneratorLate bool    `json:"generator_late"`
+	P50           float64 `json:"p50_ms"`
+	P99           float64 `json:"p99_ms"`
+	CPU           float64 `json:"cpu_us_a_call"`
+	Mallocs       float64 `json:"mallocs_a_call"`
+	Bytes         float64 `json:"alloc_bytes_a_call"`
 }
 
-// succeedShare of the calls must succeed at a rate that holds.
-const succeedShare = 0.999
+// minSuccessShare of the calls must succeed at a rate that holds.
+const minSuccessShare = 0.999
 
 // growth is from one rate to the next while rates hold.
-const growth = 1.5
+const rateGrowth = 1.5
 
 // Saturate looks for the highest rate that holds, each rate on a fresh process before workers that do no
 // work.
-func Saturate(ctx context.Context, s Saturation, o Options, told func(Trial)) (best Trial, err error) {
+func Saturate(ctx context.Context, s Saturation, o Options, report func(Trial)) (best Trial, err error) {
 	low, high := 0.0, math.Inf(1)
 	step := 0
-	for rate := s.First; step <= s.Steps && rate <= s.Most; {
+	for rate := s.FirstRate; step <= s.Steps && rate <= s.MaxRate; {
 		t, err := s.trial(ctx, rate, o)
 		if err != nil {
 			return best, err
 		}
-		told(t)
+		report(t)
 		if t.Holds {
 			low, best = rate, t
 		} else {
 			high = rate
 		}
 		if math.IsInf(high, 1) {
-			rate *= growth
+			rate *= rateGrowth
 			continue
 		}
 		if step++; low == 0 {
-			rate = high / growth / growth
+			rate = high / rateGrowth / rateGrowth
 			continue
 		}
 		rate = math.Sqrt(low * high)
@@ -75,26 +75,26 @@
 	return best, ctx.Err()
 }
 
-// plan is a fleet that costs nothing, so that the dispatcher is all that is measured.
-func (s Saturation) plan(rate float64) (*Plan, error) {
-	p := usual()
+// planAt is a fleet that costs nothing, so that the dispatcher is all that is measured.
+func (s Saturation) planAt(rate float64) (*Plan, error) {
+	p := defaults()
 	p.Name, p.Seed, p.Fleet.Instant = "saturate", s.Seed, true
 	d := &p.Dispatchers
 	d.Policy, d.Cores, d.MemoryMB, d.Sockets, d.Peers = s.Policy, s.Cores, 1024, 8192, false
 	p.Fleet.Kinds = []worker.Kind{{Name: "null", Cores: 64, Queue: 4096, Count: s.Workers}}
-	p.Fleet.StartNotes, p.Fleet.TellsStart, p.Fleet.ColdMultiple = false, false, 0
+	p.Fleet.StartNotes, p.Fleet.AnnounceStartNotes, p.Fleet.OverloadMultiple = false, false, 0
 	p.Operations = []workload.Operation{{
-		Name: "null", Repeat: workload.Idempotent, Objective: unit.Span(s.Objective),
-		Timeout: unit.Span(2 * time.Second), Work: unit.Span(100 * time.Microsecond), Tail: "constant", Share: 1,
+		Name: "null", Idempotency: workload.Idempotent, LatencyObjective: unit.Duration(s.Objective),
+		Timeout: unit.Duration(2 * time.Second), Work: unit.Duration(100 * time.Microsecond), Tail: "constant", Share: 1,
 		Value: 1,
 	}}
-	p.Load.Phases = []workload.Phase{{Shape: "poisson", Rate: rate, For: unit.Span(s.For)}}
+	p.Load.Phases = []workload.Phase{{Shape: "poisson", Rate: rate, For: unit.Duration(s.TrialDuration)}}
 	p.Load.Retries = 0
-	return &p, p.check()
+	return &p, p.validate()
 }
 
 func (s Saturation) trial(ctx context.Context, rate float64, o Options) (Trial, error) {
-	p, err := s.plan(rate)
+	p, err := s.planAt(rate)
 	if err != nil {
 		return Trial{}, err
 	}
@@ -108,7 +108,7 @@
 	calls, c := float64(max(r.Calls.Total.Calls, 1)), &r.Calls
 	t := Trial{
 		Rate: rate, P50: c.All.P50, P99: c.All.P99, CPU: 1e6 * r.CPU() / calls,
-		Generous: !c.Generator.Trusted,
+		GeneratorLate: !c.Generator.Trusted,
 	}
 	var counters struct {
 		Mallocs uint64 `json:"mallocs"`
@@ -119,12 +119,12 @@
 	}
 	succeeded := float64(c.Total.Answers["succeeded"]) / calls
 	switch {
-	case t.Generous:
-		t.Why = "generator: " + c.Generator.Why
-	case succeeded < succeedShare:
-		t.Why = fmt.Sprintf("%.2f%% succeeded", 100*succeeded)
+	case t.GeneratorLate:
+		t.Reason = "generator: " + c.Generator.Reason
+	case succeeded < minSuccessShare:
+		t.Reason = fmt.Sprintf("%.2f%% succeeded", 100*succeeded)
 	case time.Duration(t.P99*float64(time.Millisecond)) > s.Objective:
-		t.Why = "p99 beyond the objective"
+		t.Reason = "p99 beyond the objective"
 	default:
 		t.Holds = true
 	}
--- a/internal/testbed/fault/timeline_test.go
+++ b/internal/testbed/fault/timeline_test.go
@@ -9,13 +9,13 @@
 	"canvasroute/internal/testbed/unit"
 )
 
-var world = World{
-	Workers: 6, Zones: []string{"north", "south"}, ZoneOf: []int{0, 1, 0, 1, 0, 1},
+var world = Topology{
+	Workers: 6, Zones: []string{"north", "south"}, WorkerZones: []int{0, 1, 0, 1, 0, 1},
 	Dispatchers: 3,
-	Customers:   []string{"uni", "polit"},
+	Tenants:     []string{"uni", "polit"},
 }
 
-const sec = unit.Span(time.Second)
+const sec = unit.Duration(time.Second)
 
 func TestTimelineFollowsFromTheSeed(t *testing.T) {
 	specs := []Spec{
@@ -35,23 +35,23 @@
 		unlike = unlike || !assert.ObjectsAreEqual(one.Actions, other.Actions)
 	}
 	assert.True(t, unlike, "other workers under another seed")
-	crash, back := find(one, WorkerCrash)[0], find(one, WorkerReturn)[0]
+	crash, back := find(one, WorkerCrash)[0], find(one, WorkerRestart)[0]
 	assert.Equal(t, crash.Targets, back.Targets)
 	assert.Len(t, crash.Targets, 2)
 	assert.Equal(t, []time.Duration{2 * time.Second, 5 * time.Second}, []time.Duration{crash.At, back.At})
-	paces := find(one, WorkerPace)
+	paces := find(one, WorkerSpeed)
 	assert.Equal(t, []float64{0.75, 1, 0.75, 1}, []float64{
-		paces[0].Figure, paces[1].Figure, paces[2].Figure,
-		paces[3].Figure,
+		paces[0].Value, paces[1].Value, paces[2].Value,
+		paces[3].Value,
 	})
 	restarts := find(one, DispatcherRestart)
-	assert.Equal(t, usualGap, restarts[1].At-restarts[0].At)
+	assert.Equal(t, defaultGap, restarts[1].At-restarts[0].At)
 	assert.Len(t, restarts, 3)
 }
 
-func find(t *Timeline, do Do) (out []Action) {
+func find(t *Timeline, kind ActionKind) (out []Action) {
 	for _, a := range t.Actions {
-		if a.Do == do {
+		if a.Kind == kind {
 			out = append(out, a)
 		}
 	}
@@ -65,10 +65,10 @@
 }
 
 func TestFloodIsOneCustomersExtraLoad(t *testing.T) {
-	line, err := Plan([]Spec{{Kind: "flood", At: sec, For: sec, Customer: "polit", Factor: 10}}, world, 1)
+	line, err := Plan([]Spec{{Kind: "flood", At: sec, For: sec, Tenant: "polit", Factor: 10}}, world, 1)
 	assert.NoError(t, err)
-	assert.Equal(t, 1, line.Extras[0].Customer)
-	assert.Equal(t, 9.0, line.Extras[0].Factor)
+	assert.Equal(t, 1, line.ExtraLoads[0].Tenant)
+	assert.Equal(t, 9.0, line.ExtraLoads[0].Factor)
 	assert.Empty(t, line.Actions)
 }
 
@@ -80,7 +80,7 @@
 		"trouble[1].factor:":          {Kind: "slow", Workers: 1, Factor: 1, For: sec},
 		`trouble[1].zone: "west"`:     {Kind: "zone-cut", Zone: "west", For: sec},
 		"trouble[1].dispatchers: 4":   {Kind: "dispatcher-kill", Dispatchers: 4},
-		`trouble[1].customer: "none"`: {Kind: "flood", Customer: "none", Factor: 2, For: sec},
+		`trouble[1].customer: "none"`: {Kind: "flood", Tenant: "none", Factor: 2, For: sec},
 		"trouble[1].every:": {
 			Kind: "neighbour", Workers: 1, Share: 0.5, Every: sec, Width: sec,
 			For: sec,
@@ -95,16 +95,16 @@
 	line, err := Plan([]Spec{
 		{Kind: "upgrade", At: sec},
 		{Kind: "leave", At: sec, For: sec, Dispatchers: 2},
-		{Kind: "new-settings", At: sec, For: sec, Forwards: 1},
+		{Kind: "new-settings", At: sec, For: sec, MaxAttempts: 1},
 		{Kind: "silent-clients", For: sec, Connections: 7},
 	}, world, 1)
 	assert.NoError(t, err)
 	assert.Len(t, find(line, DispatcherUpgrade), 3, "in turn")
 	assert.Equal(t, find(line, DispatcherLeave)[0].Targets, find(line, DispatcherJoin)[0].Targets)
-	settings := find(line, DispatcherRetune)
-	assert.Equal(t, []any{1.0, 0.0, 3}, []any{settings[0].Figure, settings[1].Figure, len(settings[0].Targets)})
-	silent := find(line, ClientsSilent)[0]
-	assert.Equal(t, []any{7.0, time.Second}, []any{silent.Figure, silent.Span})
+	settings := find(line, DispatcherReconfigure)
+	assert.Equal(t, []any{1.0, 0.0, 3}, []any{settings[0].Value, settings[1].Value, len(settings[0].Targets)})
+	silent := find(line, ClientsIdle)[0]
+	assert.Equal(t, []any{7.0, time.Second}, []any{silent.Value, silent.Duration})
 	_, err = Plan([]Spec{{Kind: "silent-clients", For: sec}}, world, 1)
 	assert.ErrorContains(t, err, "trouble[0].connections: 0, must be from 1")
 }
--- a/internal/testbed/history/check.go
+++ b/internal/testbed/history/check.go
@@ -12,194 +12,194 @@
 
 // The values of Rule.
 const (
-	RuleNoneLost   Rule = "no invocation lost"
-	RuleNoneTwice  Rule = "no effect twice"
-	RuleDrains     Rule = "drains kept"
-	RuleColdBudget Rule = "no cold worker pushed over"
+	RuleNoRequestLost   Rule = "no invocation lost"
+	RuleNoDoubleEffect  Rule = "no effect twice"
+	RuleDrainsRespected Rule = "drains kept"
+	RuleWarmupBudget    Rule = "no cold worker pushed over"
 )
 
 // Rules are all four, in their order.
-var Rules = [...]Rule{RuleNoneLost, RuleNoneTwice, RuleDrains, RuleColdBudget}
+var Rules = [...]Rule{RuleNoRequestLost, RuleNoDoubleEffect, RuleDrainsRespected, RuleWarmupBudget}
 
-// Breach is a rule that was broken, and by what.
-type Breach struct {
-	Rule       Rule          `json:"rule"`
-	ID         string        `json:"invocation,omitempty"`
-	Operation  string        `json:"operation,omitempty"`
-	Dispatcher int           `json:"dispatcher"` // numbers, -1 where there is none
-	Worker     int           `json:"worker"`
-	At         time.Duration `json:"at_ns"` // from the experiment's start
-	What       string        `json:"what"`
+// Violation is a rule that was broken, and by what.
+type Violation struct {
+	Rule        Rule          `json:"rule"`
+	ID          string        `json:"invocation,omitempty"`
+	Operation   string        `json:"operation,omitempty"`
+	Dispatcher  int           `json:"dispatcher"` // numbers, -1 where there is none
+	Worker      int           `json:"worker"`
+	At          time.Duration `json:"at_ns"` // from the experiment's start
+	Description string        `json:"what"`
 }
 
-// Repeat says how far an operation may run again.
-type Repeat struct {
+// Operation says how far an operation may run again.
+type Operation struct {
 	Name                           string
-	Idempotent, Once               bool // neither: it is deduplicated
+	Idempotent, NonIdempotent      bool // neither: it is deduplicated
 	ScopeAll, ScopeZone, ScopeCell bool // the group that drops repeats
-	Window                         time.Duration
+	DedupWindow                    time.Duration
 }
 
-// Place is where a worker stands.
-type Place struct{ Zone, Cell int }
+// Location is where a worker stands.
+type Location struct{ Zone, Cell int }
 
-// Terms are what the rules are judged by.
-type Terms struct {
-	Operations []Repeat
-	Workers    []Place       // by worker
-	Grace      time.Duration // of a drain
-	Slack      time.Duration // that each time limit is longer by, for the machine's own delays
-	Keys       bool          // dispatchers keep keys through their own end
+// RuleConfig are what the rules are judged by.
+type RuleConfig struct {
+	Operations    []Operation
+	Workers       []Location    // by worker
+	DrainGrace    time.Duration // of a drain
+	Slack         time.Duration // that each time limit is longer by, for the machine's own delays
+	KeysPersisted bool          // dispatchers keep keys through their own end
 }
 
-// Judge names every breach, in the order of time.
-func (l *Ledger) Judge(t Terms) []Breach {
+// Check names every breach, in the order of time.
+func (l *Log) Check(t RuleConfig) []Violation {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	breaches := slices.Clone(l.strange)
-	for _, try := range l.tries {
-		breaches = append(breaches, l.lost(try)...)
-		breaches = append(breaches, t.twice(try)...)
-	}
-	breaches = append(breaches, l.drains(t)...)
-	if t.Keys {
-		breaches = append(breaches, l.keys(t)...)
-	}
-	for _, f := range l.falls {
-		breaches = append(breaches, Breach{
-			Rule: RuleColdBudget, ID: f.ID, Dispatcher: f.Dispatcher,
+	violations := slices.Clone(l.unknown)
+	for _, request := range l.requests {
+		violations = append(violations, l.checkLost(request)...)
+		violations = append(violations, t.checkDoubleEffect(request)...)
+	}
+	violations = append(violations, l.checkDrains(t)...)
+	if t.KeysPersisted {
+		violations = append(violations, l.checkKeys(t)...)
+	}
+	for _, f := range l.overloads {
+		violations = append(violations, Violation{
+			Rule: RuleWarmupBudget, ID: f.ID, Dispatcher: f.Dispatcher,
 			Worker: f.Worker, At: f.At,
-			What: fmt.Sprintf("%v of work within the span, where it bears %v: %s",
-				f.Sent.Round(time.Millisecond), f.Bound.Round(time.Millisecond), f.What),
+			Description: fmt.Sprintf("%v of work within the span, where it bears %v: %s",
+				f.SentWork.Round(time.Millisecond), f.Budget.Round(time.Millisecond), f.RecentJobs),
 		})
 	}
-	for n, b := range breaches {
-		if try := l.byID[b.ID]; try != nil && try.Operation < len(t.Operations) {
-			breaches[n].Operation = t.Operations[try.Operation].Name
+	for n, b := range violations {
+		if request := l.byID[b.ID]; request != nil && request.Operation < len(t.Operations) {
+			violations[n].Operation = t.Operations[request.Operation].Name
 		}
 	}
-	slices.SortStableFunc(breaches, func(a, b Breach) int { return cmp.Compare(a.At, b.At) })
-	return breaches
+	slices.SortStableFunc(violations, func(a, b Violation) int { return cmp.Compare(a.At, b.At) })
+	return violations
 }
 
-// away tells whether the dispatcher was gone or stood still at some time from one to another.
-func (l *Ledger) away(dispatcher int, from, to time.Duration) bool {
+// unavailable tells whether the dispatcher was gone or stood still at some time from one to another.
+func (l *Log) unavailable(dispatcher int, from, to time.Duration) bool {
 	return slices.ContainsFunc(l.outages, func(o Outage) bool {
 		return o.Dispatcher == dispatcher && !o.Planned && o.From <= to && o.To >= from
 	})
 }
 
-// lost judges rule 1: what a running dispatcher has taken gets one whole answer in time, and a success
+// checkLost judges rule 1: what a running dispatcher has taken gets one whole answer in time, and a success
 // carries what a worker made for this very invocation.
-func (l *Ledger) lost(try *Try) []Breach {
-	breach := func(what string) []Breach {
-		return []Breach{{
-			Rule: RuleNoneLost, ID: try.ID, Dispatcher: try.Dispatcher, Worker: -1,
-			At: max(try.Ended, try.Sent), What: what,
+func (l *Log) checkLost(request *Request) []Violation {
+	violation := func(reason string) []Violation {
+		return []Violation{{
+			Rule: RuleNoRequestLost, ID: request.ID, Dispatcher: request.Dispatcher, Worker: -1,
+			At: max(request.EndedAt, request.SentAt), Description: reason,
 		}}
 	}
-	made := func(f *Forward) bool { return f.Result == try.Result && f.Result != "" }
-	read := func(f *Forward) bool {
-		return f.First < try.Crossed && !l.away(try.Dispatcher, f.First, try.Crossed)
+	producedResult := func(f *Attempt) bool { return f.Result == request.Result && f.Result != "" }
+	lostOnConnection := func(f *Attempt) bool {
+		return f.FirstByteAt < request.ResentAt && !l.unavailable(request.Dispatcher, f.FirstByteAt, request.ResentAt)
 	}
 	switch {
-	case slices.ContainsFunc(try.Forwards, read):
-		return breach("its kept connection ended with no answer, though it had been forwarded")
-	case try.Kind == Succeeded && !slices.ContainsFunc(try.Forwards, made):
-		return breach(fmt.Sprintf("answered with %.60q, which no worker made for it", try.Result))
-	case try.Sent == 0, try.Kind == Interrupted, l.away(try.Dispatcher, try.Sent, max(try.Ended, try.Sent)):
+	case slices.ContainsFunc(request.Attempts, lostOnConnection):
+		return violation("its kept connection ended with no answer, though it had been forwarded")
+	case request.Outcome == Succeeded && !slices.ContainsFunc(request.Attempts, producedResult):
+		return violation(fmt.Sprintf("answered with %.60q, which no worker made for it", request.Result))
+	case request.SentAt == 0, request.Outcome == Interrupted, l.unavailable(request.Dispatcher, request.SentAt, max(request.EndedAt, request.SentAt)):
 		return nil
-	case try.Kind == Broken:
-		return breach("its connection ended with no whole answer")
-	case try.Kind == Unanswered && try.Ended >= try.Deadline:
-		return breach("no answer before the client gave up")
+	case request.Outcome == Broken:
+		return violation("its connection ended with no whole answer")
+	case request.Outcome == Unanswered && request.EndedAt >= request.Deadline:
+		return violation("no answer before the client gave up")
 	}
 	return nil
 }
 
-// twice judges rule 2 for one invocation.
-func (t Terms) twice(try *Try) (breaches []Breach) {
-	o, forwards := &t.Operations[try.Operation], slices.Clone(try.Forwards)
-	slices.SortStableFunc(forwards, func(a, b *Forward) int { return cmp.Compare(a.First, b.First) })
-	for n, f := range forwards {
-		for _, earlier := range forwards[:n] {
-			if earlier.First < try.Crossed && f.First >= try.Crossed {
+// checkDoubleEffect judges rule 2 for one invocation.
+func (t RuleConfig) checkDoubleEffect(request *Request) (violations []Violation) {
+	o, attempts := &t.Operations[request.Operation], slices.Clone(request.Attempts)
+	slices.SortStableFunc(attempts, func(a, b *Attempt) int { return cmp.Compare(a.FirstByteAt, b.FirstByteAt) })
+	for n, f := range attempts {
+		for _, earlier := range attempts[:n] {
+			if earlier.FirstByteAt < request.ResentAt && f.FirstByteAt >= request.ResentAt {
 				continue // its client has sent it anew: judged as lost
 			}
-			if what := t.repeated(o, earlier, f); what != "" {
-				breaches = append(breaches, Breach{
-					Rule: RuleNoneTwice, ID: try.ID, Dispatcher: f.Dispatcher,
-					Worker: f.Worker, At: f.Whole, What: what,
+			if reason := t.forbiddenRepeat(o, earlier, f); reason != "" {
+				violations = append(violations, Violation{
+					Rule: RuleNoDoubleEffect, ID: request.ID, Dispatcher: f.Dispatcher,
+					Worker: f.Worker, At: f.ReceivedAt, Description: reason,
 				})
 				break
 			}
 		}
 	}
-	if try.Kind != Throttled || o.Idempotent || !o.Once && o.ScopeAll {
-		return breaches
+	if request.Outcome != Throttled || o.Idempotent || !o.NonIdempotent && o.ScopeAll {
+		return violations
 	}
-	for _, f := range forwards {
-		if f.First < try.Crossed {
+	for _, f := range attempts {
+		if f.FirstByteAt < request.ResentAt {
 			continue // sent anew by its client since, and judged as lost: a dispatcher that died has read no more of it
 		}
-		if f.Whole < try.Ended && !f.neverRan(try.Ended) {
-			return append(breaches, Breach{
-				Rule: RuleNoneTwice, ID: try.ID, Dispatcher: f.Dispatcher,
-				Worker: f.Worker, At: try.Ended, What: "throttled, though a forward may have run",
+		if f.ReceivedAt < request.EndedAt && !f.provenUnstarted(request.EndedAt) {
+			return append(violations, Violation{
+				Rule: RuleNoDoubleEffect, ID: request.ID, Dispatcher: f.Dispatcher,
+				Worker: f.Worker, At: request.EndedAt, Description: "throttled, though a forward may have run",
 			})
 		}
 	}
-	return breaches
+	return violations
 }
 
-// repeated tells what is wrong with one more forward after an earlier one, if anything.
-func (t Terms) repeated(o *Repeat, earlier, f *Forward) string {
-	if o.Idempotent || earlier.neverRan(f.First) {
+// forbiddenRepeat tells what is wrong with one more forward after an earlier one, if anything.
+func (t RuleConfig) forbiddenRepeat(o *Operation, earlier, f *Attempt) string {
+	if o.Idempotent || earlier.provenUnstarted(f.FirstByteAt) {
 		return ""
 	}
-	if o.Once {
+	if o.NonIdempotent {
 		return fmt.Sprintf("forwarded again, though worker %d may have run it", earlier.Worker)
 	}
 	a, b := t.Workers[earlier.Worker], t.Workers[f.Worker]
 	if !o.ScopeAll && (!o.ScopeZone || a.Zone != b.Zone) && (!o.ScopeCell || a.Cell != b.Cell) {
 		return fmt.Sprintf("forwarded outside the dedup group of worker %d, which may have run it", earlier.Worker)
 	}
-	if f.First > earlier.Whole+o.Window {
+	if f.FirstByteAt > earlier.ReceivedAt+o.DedupWindow {
 		return "forwarded again after the dedup window"
 	}
 	return ""
 }
 
-// drains judges rule 3: from the grace after a dispatcher was told, no first byte comes from it.
-func (l *Ledger) drains(t Terms) (breaches []Breach) {
+// checkDrains judges rule 3: from the grace after a dispatcher was told, no first byte comes from it.
+func (l *Log) checkDrains(t RuleConfig) (violations []Violation) {
 	type pair struct{ dispatcher, worker int }
-	told := map[pair][]Notice{}
-	for _, n := range l.notices {
-		told[pair{n.Dispatcher, n.Worker}] = append(told[pair{n.Dispatcher, n.Worker}], n)
+	notifications := map[pair][]Notification{}
+	for _, n := range l.notifications {
+		notifications[pair{n.Dispatcher, n.Worker}] = append(notifications[pair{n.Dispatcher, n.Worker}], n)
 	}
-	for _, notices := range told {
-		slices.SortStableFunc(notices, func(a, b Notice) int { return cmp.Compare(a.At, b.At) })
+	for _, notices := range notifications {
+		slices.SortStableFunc(notices, func(a, b Notification) int { return cmp.Compare(a.At, b.At) })
 	}
-	for _, try := range l.tries {
-		for _, f := range try.Forwards {
-			since, barred := time.Duration(0), false
-			for _, n := range told[pair{f.Dispatcher, f.Worker}] {
+	for _, request := range l.requests {
+		for _, f := range request.Attempts {
+			since, notReady := time.Duration(0), false
+			for _, n := range notifications[pair{f.Dispatcher, f.Worker}] {
 				switch {
-				case n.At > f.First:
+				case n.At > f.FirstByteAt:
 				case n.Ready:
-					barred = false
-				case !barred:
-					since, barred = n.At, true
+					notReady = false
+				case !notReady:
+					since, notReady = n.At, true
 				}
 			}
-			if late := f.First - since; barred && late > t.Grace+t.Slack {
-				breaches = append(breaches, Breach{
-					Rule: RuleDrains, ID: try.ID, Dispatcher: f.Dispatcher,
-					Worker: f.Worker, At: f.First, What: fmt.Sprintf("sent %v after the dispatcher was told that "+
+			if late := f.FirstByteAt - since; notReady && late > t.DrainGrace+t.Slack {
+				violations = append(violations, Violation{
+					Rule: RuleDrainsRespected, ID: request.ID, Dispatcher: f.Dispatcher,
+					Worker: f.Worker, At: f.FirstByteAt, Description: fmt.Sprintf("sent %v after the dispatcher was told that "+
 						"the worker drains or is gone", late.Round(time.Millisecond)),
 				})
 			}
 		}
 	}
-	return breaches
+	return violations
 }
--- a/internal/testbed/history/check_test.go
+++ b/internal/testbed/history/check_test.go
@@ -9,38 +9,38 @@
 
 const ms = time.Millisecond
 
-var terms = Terms{
-	Operations: []Repeat{
+var terms = RuleConfig{
+	Operations: []Operation{
 		{Name: "safe", Idempotent: true},
-		{Name: "once", Once: true},
-		{Name: "keyed", ScopeZone: true, Window: 100 * ms},
-		{Name: "keyed-all", ScopeAll: true, Window: 100 * ms},
+		{Name: "once", NonIdempotent: true},
+		{Name: "keyed", ScopeZone: true, DedupWindow: 100 * ms},
+		{Name: "keyed-all", ScopeAll: true, DedupWindow: 100 * ms},
 	},
-	Workers: []Place{{Zone: 0}, {Zone: 0}, {Zone: 1}}, Grace: 500 * ms, Slack: 50 * ms,
+	Workers: []Location{{Zone: 0}, {Zone: 0}, {Zone: 1}}, DrainGrace: 500 * ms, Slack: 50 * ms,
 }
 
 // play writes down one invocation with its forwards, and returns the rules that are broken.
-func play(operation int, kind Kind, forwards ...Forward) (rules []Rule) {
+func play(operation int, outcome Outcome, attempts ...Attempt) (rules []Rule) {
 	l := New()
-	t := l.Tried("a", operation, 0, 1000*ms)
-	l.Sent(t, 5*ms)
+	t := l.RequestOpened("a", operation, 0, 1000*ms)
+	l.RequestSent(t, 5*ms)
 	result := ""
-	for _, f := range forwards {
-		r := l.Received("a", f)
+	for _, f := range attempts {
+		r := l.AttemptReceived("a", f)
 		if f.End == Done {
 			result = f.Result
 		}
 		_ = r
 	}
-	l.Ended(t, kind, 0, result, 400*ms)
-	for _, b := range l.Judge(terms) {
+	l.RequestEnded(t, outcome, 0, result, 400*ms)
+	for _, b := range l.Check(terms) {
 		rules = append(rules, b.Rule)
 	}
 	return rules
 }
 
-func at(worker int, first time.Duration, end End, ended time.Duration) Forward {
-	f := Forward{Worker: worker, First: first, Whole: first + ms, End: end, Ended: ended}
+func at(worker int, first time.Duration, end AttemptEnd, ended time.Duration) Attempt {
+	f := Attempt{Worker: worker, FirstByteAt: first, ReceivedAt: first + ms, End: end, EndedAt: ended}
 	if end == Done {
 		f.Result = "made"
 	}
@@ -52,22 +52,22 @@
 	far, late := at(2, 30*ms, Done, 60*ms), at(1, 200*ms, Done, 260*ms)
 	returned := at(0, 10*ms, Returned, 20*ms)
 	unread := at(0, 10*ms, Returned, 40*ms)
-	twice := []Rule{RuleNoneTwice}
+	twice := []Rule{RuleNoDoubleEffect}
 	for _, c := range []struct {
 		name      string
 		operation int
-		forwards  []Forward
+		forwards  []Attempt
 		want      []Rule
 	}{
-		{"idempotent work may run again anywhere", 0, []Forward{crashed, far}, nil},
-		{"non-idempotent work that may have run", 1, []Forward{crashed, done}, twice},
-		{"a copy while the first is out", 1, []Forward{at(0, 10*ms, Running, 0), done}, twice},
-		{"non-idempotent work that was returned", 1, []Forward{returned, done}, nil},
-		{"sent again before the return was written", 1, []Forward{unread, done}, twice},
-		{"deduplicated within the group", 2, []Forward{crashed, done}, nil},
-		{"deduplicated in another zone", 2, []Forward{crashed, far}, twice},
-		{"deduplicated after the window", 2, []Forward{crashed, late}, twice},
-		{"deduplicated by all", 3, []Forward{crashed, far}, nil},
+		{"idempotent work may run again anywhere", 0, []Attempt{crashed, far}, nil},
+		{"non-idempotent work that may have run", 1, []Attempt{crashed, done}, twice},
+		{"a copy while the first is out", 1, []Attempt{at(0, 10*ms, Running, 0), done}, twice},
+		{"non-idempotent work that was returned", 1, []Attempt{returned, done}, nil},
+		{"sent again before the return was written", 1, []Attempt{unread, done}, twice},
+		{"deduplicated within the group", 2, []Attempt{crashed, done}, nil},
+		{"deduplicated in another zone", 2, []Attempt{crashed, far}, twice},
+		{"deduplicated after the window", 2, []Attempt{crashed, late}, twice},
+		{"deduplicated by all", 3, []Attempt{crashed, far}, nil},
 	} {
 		assert.Equal(t, c.want, play(c.operation, Succeeded, c.forwards...), c.name)
 	}
@@ -76,77 +76,77 @@
 func TestThrottlesAreJudgedByWhatMayHaveRun(t *testing.T) {
 	crashed := at(0, 10*ms, Crashed, 20*ms)
 	assert.Empty(t, play(0, Throttled, crashed))
-	assert.Equal(t, []Rule{RuleNoneTwice}, play(1, Throttled, crashed))
-	assert.Equal(t, []Rule{RuleNoneTwice}, play(2, Throttled, crashed))
+	assert.Equal(t, []Rule{RuleNoDoubleEffect}, play(1, Throttled, crashed))
+	assert.Equal(t, []Rule{RuleNoDoubleEffect}, play(2, Throttled, crashed))
 	assert.Empty(t, play(3, Throttled, crashed))
 	assert.Empty(t, play(1, Throttled, at(0, 10*ms, Returned, 20*ms)))
 	assert.Empty(t, play(1, Errored, crashed))
 }
 
 func TestLostInvocationsAreNamed(t *testing.T) {
-	lost := []Rule{RuleNoneLost}
+	lost := []Rule{RuleNoRequestLost}
 	assert.Equal(t, lost, play(0, Broken))
 	assert.Equal(t, lost, play(0, Succeeded), "no worker made it")
 	assert.Empty(t, play(0, Succeeded, at(0, 10*ms, Done, 20*ms)))
 	assert.Empty(t, play(0, Unanswered), "the client left by itself, before its time")
 	l := New()
 	for n, id := range []string{"in time", "away", "never sent"} {
-		try := l.Tried(id, 0, n, 100*ms)
+		request := l.RequestOpened(id, 0, n, 100*ms)
 		if n < 2 {
-			l.Sent(try, ms)
+			l.RequestSent(request, ms)
 		}
-		l.Ended(try, Unanswered, 0, "", 100*ms)
+		l.RequestEnded(request, Unanswered, 0, "", 100*ms)
 	}
-	l.Away(Outage{Dispatcher: 1, From: 50 * ms, To: 80 * ms})
-	l.Away(Outage{Dispatcher: 0, Planned: true, From: 50 * ms, To: 80 * ms})
-	breaches := l.Judge(terms)
-	assert.Len(t, breaches, 1)
-	assert.Equal(t, "in time", breaches[0].ID)
-	assert.Equal(t, "safe", breaches[0].Operation)
+	l.AddOutage(Outage{Dispatcher: 1, From: 50 * ms, To: 80 * ms})
+	l.AddOutage(Outage{Dispatcher: 0, Planned: true, From: 50 * ms, To: 80 * ms})
+	violations := l.Check(terms)
+	assert.Len(t, violations, 1)
+	assert.Equal(t, "in time", violations[0].ID)
+	assert.Equal(t, "safe", violations[0].Operation)
 }
 
 func TestForwardUnderAStrangeIdIsNamed(t *testing.T) {
 	l := New()
-	l.Received("nobody's", Forward{Worker: 1})
-	assert.Equal(t, "nobody's", l.Judge(terms)[0].ID)
+	l.AttemptReceived("nobody's", Attempt{Worker: 1})
+	assert.Equal(t, "nobody's", l.Check(terms)[0].ID)
 }
 
 func TestDrainsAreJudgedByWhatThisDispatcherWasTold(t *testing.T) {
 	l := New()
-	l.Told(Notice{Dispatcher: 0, Worker: 1, Ready: true, At: 0})
-	l.Told(Notice{Dispatcher: 0, Worker: 1, At: 1000 * ms})
-	l.Told(Notice{Dispatcher: 0, Worker: 1, At: 2000 * ms}) // told again: the grace does not begin anew
-	l.Told(Notice{Dispatcher: 0, Worker: 1, Ready: true, At: 4000 * ms})
-	for n, f := range []Forward{
-		{Dispatcher: 0, First: 1540 * ms}, // within the grace
-		{Dispatcher: 0, First: 2100 * ms}, // beyond
-		{Dispatcher: 1, First: 2100 * ms}, // was not told
-		{Dispatcher: 0, First: 4100 * ms}, // ready again
+	l.WorkerListed(Notification{Dispatcher: 0, Worker: 1, Ready: true, At: 0})
+	l.WorkerListed(Notification{Dispatcher: 0, Worker: 1, At: 1000 * ms})
+	l.WorkerListed(Notification{Dispatcher: 0, Worker: 1, At: 2000 * ms}) // told again: the grace does not begin anew
+	l.WorkerListed(Notification{Dispatcher: 0, Worker: 1, Ready: true, At: 4000 * ms})
+	for n, f := range []Attempt{
+		{Dispatcher: 0, FirstByteAt: 1540 * ms}, // within the grace
+		{Dispatcher: 0, FirstByteAt: 2100 * ms}, // beyond
+		{Dispatcher: 1, FirstByteAt: 2100 * ms}, // was not told
+		{Dispatcher: 0, FirstByteAt: 4100 * ms}, // ready again
 	} {
 		id := string(rune('a' + n))
-		l.Ended(l.Tried(id, 0, 0, 0), Errored, 502, "", 0)
+		l.RequestEnded(l.RequestOpened(id, 0, 0, 0), Errored, 502, "", 0)
 		f.Worker = 1
-		l.Received(id, f)
+		l.AttemptReceived(id, f)
 	}
-	breaches := l.Judge(terms)
-	assert.Len(t, breaches, 1)
-	assert.Equal(t, "b", breaches[0].ID)
-	assert.Equal(t, RuleDrains, breaches[0].Rule)
+	violations := l.Check(terms)
+	assert.Len(t, violations, 1)
+	assert.Equal(t, "b", violations[0].ID)
+	assert.Equal(t, RuleDrainsRespected, violations[0].Rule)
 }
 
 func TestFallIsNamedWithTheForwardThatDidIt(t *testing.T) {
 	l := New()
-	l.Tried("heavy", 1, 0, 0)
-	l.Fell(Fall{
-		Worker: 2, ID: "heavy", At: 7 * ms, Sent: 3 * time.Second, Bound: time.Second,
-		What: "1 sent: heavy 3s",
+	l.RequestOpened("heavy", 1, 0, 0)
+	l.WorkerOverloaded(Overload{
+		Worker: 2, ID: "heavy", At: 7 * ms, SentWork: 3 * time.Second, Budget: time.Second,
+		RecentJobs: "1 sent: heavy 3s",
 	})
-	breaches := l.Judge(terms)
-	assert.Len(t, breaches, 1)
-	assert.Equal(t, Breach{
-		Rule: RuleColdBudget, ID: "heavy", Operation: "once", Worker: 2, At: 7 * ms,
-		What: "3s of work within the span, where it bears 1s: 1 sent: heavy 3s",
-	}, breaches[0])
+	violations := l.Check(terms)
+	assert.Len(t, violations, 1)
+	assert.Equal(t, Violation{
+		Rule: RuleWarmupBudget, ID: "heavy", Operation: "once", Worker: 2, At: 7 * ms,
+		Description: "3s of work within the span, where it bears 1s: 1 sent: heavy 3s",
+	}, violations[0])
 }
 
 // Guards against an answer lost on a kept connection that passes for one that was closed between two
@@ -154,22 +154,22 @@
 func TestKeptConnectionThatEndsAfterAForwardLosesTheInvocation(t *testing.T) {
 	for _, forwarded := range []bool{false, true} {
 		l := New()
-		try := l.Tried("a", 1, 0, 1000*ms)
-		l.Sent(try, 5*ms)
+		request := l.RequestOpened("a", 1, 0, 1000*ms)
+		l.RequestSent(request, 5*ms)
 		if forwarded {
-			l.Received("a", at(0, 10*ms, Done, 20*ms))
+			l.AttemptReceived("a", at(0, 10*ms, Done, 20*ms))
 		}
-		l.Moved(try, 25*ms)
-		l.Sent(try, 26*ms)
-		l.Received("a", at(1, 30*ms, Done, 40*ms))
-		l.Ended(try, Succeeded, 200, "made", 50*ms)
+		l.RequestResent(request, 25*ms)
+		l.RequestSent(request, 26*ms)
+		l.AttemptReceived("a", at(1, 30*ms, Done, 40*ms))
+		l.RequestEnded(request, Succeeded, 200, "made", 50*ms)
 		rules := []Rule{}
-		for _, b := range l.Judge(terms) {
+		for _, b := range l.Check(terms) {
 			rules = append(rules, b.Rule)
 		}
 		want := []Rule{}
 		if forwarded {
-			want = []Rule{RuleNoneLost}
+			want = []Rule{RuleNoRequestLost}
 		}
 		assert.Equal(t, want, rules)
 	}
@@ -180,21 +180,21 @@
 func TestThrottleOfWhatWasSentAnewAfterAnEndIsJudgedByWhatCameSince(t *testing.T) {
 	for _, since := range []bool{false, true} {
 		l := New()
-		try := l.Tried("a", 1, 0, 9*time.Second)
-		l.Sent(try, 5*ms)
-		l.Received("a", at(0, 10*ms, Crashed, 20*ms))
-		l.Away(Outage{Dispatcher: 0, From: 20 * ms, To: 50 * ms})
-		l.Moved(try, 25*ms)
-		l.Sent(try, 60*ms)
+		request := l.RequestOpened("a", 1, 0, 9*time.Second)
+		l.RequestSent(request, 5*ms)
+		l.AttemptReceived("a", at(0, 10*ms, Crashed, 20*ms))
+		l.AddOutage(Outage{Dispatcher: 0, From: 20 * ms, To: 50 * ms})
+		l.RequestResent(request, 25*ms)
+		l.RequestSent(request, 60*ms)
 		if since {
-			l.Received("a", at(1, 70*ms, Crashed, 80*ms))
+			l.AttemptReceived("a", at(1, 70*ms, Crashed, 80*ms))
 		}
-		l.Ended(try, Throttled, 503, "", 100*ms)
-		breaches := l.Judge(terms)
+		l.RequestEnded(request, Throttled, 503, "", 100*ms)
+		violations := l.Check(terms)
 		if since {
-			assert.Len(t, breaches, 1, "what this life forwarded may have run")
+			assert.Len(t, violations, 1, "what this life forwarded may have run")
 			continue
 		}
-		assert.Empty(t, breaches)
+		assert.Empty(t, violations)
 	}
 }
--- a/internal/testbed/history/history.go
+++ b/internal/testbed/history/history.go
@@ -8,12 +8,12 @@
 	"time"
 )
 
-// Kind is how one try of a client ended.
-type Kind uint8
+// Outcome is how one try of a client ended.
+type Outcome uint8
 
 // The values of Kind.
 const (
-	Open Kind = iota
+	Pending Outcome = iota
 	Succeeded
 	Throttled
 	Errored
@@ -24,69 +24,69 @@
 	Unsent      // the generator could not send it: it has as many open as it may
 )
 
-// Kinds are their names, as results tell them.
-var Kinds = [...]string{
-	Open: "open", Succeeded: "succeeded", Throttled: "throttled", Errored: "errored",
+// OutcomeNames are their names, as results tell them.
+var OutcomeNames = [...]string{
+	Pending: "open", Succeeded: "succeeded", Throttled: "throttled", Errored: "errored",
 	Unanswered: "unanswered", Broken: "broken", Unreachable: "unreachable", Interrupted: "interrupted",
 	Unsent: "unsent",
 }
 
-// End is how a forward ended at its worker.
-type End uint8
+// AttemptEnd is how a forward ended at its worker.
+type AttemptEnd uint8
 
 // The values of End.
 const (
-	Running    End = iota // or waiting: it has not ended
-	Done                  // the worker wrote its result
-	Failed                // the worker wrote that it failed
-	Returned              // the worker wrote that it never ran
-	Abandoned             // the dispatcher gave it up first
-	Crashed               // the worker's process ended under it
-	Swallowed             // the worker is silent on it
-	Suppressed            // a repeat: the worker gave the first one's result, and nothing ran
+	Running       AttemptEnd = iota // or waiting: it has not ended
+	Done                            // the worker wrote its result
+	Failed                          // the worker wrote that it failed
+	Returned                        // the worker wrote that it never ran
+	Abandoned                       // the dispatcher gave it up first
+	Crashed                         // the worker's process ended under it
+	NeverReported                   // the worker is silent on it
+	Deduplicated                    // a repeat: the worker gave the first one's result, and nothing ran
 )
 
-// Forward is one message that a worker took whole.
-type Forward struct {
-	Dispatcher, Worker int
-	Life               int           // of the worker's process, from 0
-	First, Whole       time.Duration // when its first and its last byte came
-	Started, Ended     time.Duration // 0 if not
-	End                End
-	Result             string
-}
-
-// neverRan tells whether the dispatcher had proof by then that the forward did not run.
-func (f *Forward) neverRan(by time.Duration) bool { return f.End == Returned && f.Ended <= by }
-
-// Try is one message of a client.
-type Try struct {
-	Key                   uint64 // where Keyed
-	Keyed, Again          bool
-	ID                    string
-	Operation, Dispatcher int
-	Sent, Deadline, Ended time.Duration // Sent: its last byte; 0 if it never left
-	Kind                  Kind
-	Status                int
-	Result                string
-	Forwards              []*Forward
-	Crossed               time.Duration // when a kept connection ended under it and it was sent anew; 0 if never
-}
-
-// Notice is what the list service wrote to one dispatcher of one worker.
-type Notice struct {
+// Attempt is one message that a worker took whole.
+type Attempt struct {
+	Dispatcher, Worker      int
+	Incarnation             int           // of the worker's process, from 0
+	FirstByteAt, ReceivedAt time.Duration // when its first and its last byte came
+	StartedAt, EndedAt      time.Duration // 0 if not
+	End                     AttemptEnd
+	Result                  string
+}
+
+// provenUnstarted tells whether the dispatcher had proof by then that the forward did not run.
+func (f *Attempt) provenUnstarted(by time.Duration) bool { return f.End == Returned && f.EndedAt <= by }
+
+// Request is one message of a client.
+type Request struct {
+	Key                       uint64 // where Keyed
+	HasKey, MarkedRetry       bool
+	ID                        string
+	Operation, Dispatcher     int
+	SentAt, Deadline, EndedAt time.Duration // Sent: its last byte; 0 if it never left
+	Outcome                   Outcome
+	Status                    int
+	Result                    string
+	Attempts                  []*Attempt
+	ResentAt                  time.Duration // when a kept connection ended under it and it was sent anew; 0 if never
+}
+
+// Notification is what the list service wrote to one dispatcher of one worker.
+type Notification struct {
 	Dispatcher, Worker int
 	Ready              bool
 	At                 time.Duration
 }
 
-// Fall is a cold worker that was pushed over by the forward of an invocation.
-type Fall struct {
+// Overload is a cold worker that was pushed over by the forward of an invocation.
+type Overload struct {
 	Worker, Dispatcher int
 	ID                 string
 	At                 time.Duration
-	Sent, Bound        time.Duration // core time sent within the span, and what it could bear
-	What               string        // the heaviest of it
+	SentWork, Budget   time.Duration // core time sent within the span, and what it could bear
+	RecentJobs         string        // the heaviest of it
 }
 
 // Outage is a time in which a dispatcher's process was gone or stood still.
@@ -96,125 +96,125 @@
 	From, To   time.Duration
 }
 
-// Ledger takes records from many goroutines.
-type Ledger struct {
-	mu      sync.Mutex
-	tries   []*Try
-	byID    map[string]*Try
-	strange []Breach
-	notices []Notice
-	falls   []Fall
-	outages []Outage
+// Log takes records from many goroutines.
+type Log struct {
+	mu            sync.Mutex
+	requests      []*Request
+	byID          map[string]*Request
+	unknown       []Violation
+	notifications []Notification
+	overloads     []Overload
+	outages       []Outage
 }
 
 // New makes an empty ledger.
-func New() *Ledger { return &Ledger{byID: map[string]*Try{}} }
+func New() *Log { return &Log{byID: map[string]*Request{}} }
 
-// Tried opens a client's try, before its first byte leaves. Deadline is when the client gives up.
-func (l *Ledger) Tried(id string, operation, dispatcher int, deadline time.Duration) *Try {
+// RequestOpened opens a client's try, before its first byte leaves. Deadline is when the client gives up.
+func (l *Log) RequestOpened(id string, operation, dispatcher int, deadline time.Duration) *Request {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	t := &Try{ID: id, Operation: operation, Dispatcher: dispatcher, Deadline: deadline}
+	t := &Request{ID: id, Operation: operation, Dispatcher: dispatcher, Deadline: deadline}
 	l.byID[id] = t
-	l.tries = append(l.tries, t)
+	l.requests = append(l.requests, t)
 	return t
 }
 
-// Keyed tells the key that a try goes under, and whether its client marks it as a repeat.
-func (l *Ledger) Keyed(t *Try, key uint64, again bool) {
+// SetKey tells the key that a try goes under, and whether its client marks it as a repeat.
+func (l *Log) SetKey(t *Request, key uint64, markedRetry bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	t.Key, t.Keyed, t.Again = key, true, again
+	t.Key, t.HasKey, t.MarkedRetry = key, true, markedRetry
 }
 
-// Sent tells that a try's last byte has been written.
-func (l *Ledger) Sent(t *Try, at time.Duration) {
+// RequestSent tells that a try's last byte has been written.
+func (l *Log) RequestSent(t *Request, at time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	t.Sent = at
+	t.SentAt = at
 }
 
-// Moved tells that a try goes out anew, since a kept connection ended with nothing heard: as far as its
+// RequestResent tells that a try goes out anew, since a kept connection ended with nothing heard: as far as its
 // client can tell, that end has crossed it and nobody has read it.
-func (l *Ledger) Moved(t *Try, at time.Duration) {
+func (l *Log) RequestResent(t *Request, at time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	t.Sent, t.Crossed = 0, at
+	t.SentAt, t.ResentAt = 0, at
 }
 
-// Ended closes a try.
-func (l *Ledger) Ended(t *Try, kind Kind, status int, result string, at time.Duration) {
+// RequestEnded closes a try.
+func (l *Log) RequestEnded(t *Request, outcome Outcome, status int, result string, at time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	t.Kind, t.Status, t.Result, t.Ended = kind, status, result, at
+	t.Outcome, t.Status, t.Result, t.EndedAt = outcome, status, result, at
 }
 
-// Received opens a forward that a worker has taken whole. One under an id that no client sent breaks a rule.
-func (l *Ledger) Received(id string, f Forward) *Forward {
+// AttemptReceived opens a forward that a worker has taken whole. One under an id that no client sent breaks a rule.
+func (l *Log) AttemptReceived(id string, f Attempt) *Attempt {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	t := l.byID[id]
 	if t == nil {
-		l.strange = append(l.strange, Breach{
-			Rule: RuleNoneLost, ID: id, Dispatcher: f.Dispatcher,
-			Worker: f.Worker, At: f.Whole, What: "a forward under an id that no client sent",
+		l.unknown = append(l.unknown, Violation{
+			Rule: RuleNoRequestLost, ID: id, Dispatcher: f.Dispatcher,
+			Worker: f.Worker, At: f.ReceivedAt, Description: "a forward under an id that no client sent",
 		})
 		return &f
 	}
-	t.Forwards = append(t.Forwards, &f)
+	t.Attempts = append(t.Attempts, &f)
 	return &f
 }
 
-// Started tells that a forward has begun to run.
-func (l *Ledger) Started(f *Forward, at time.Duration) {
+// AttemptStarted tells that a forward has begun to run.
+func (l *Log) AttemptStarted(f *Attempt, at time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	f.Started = at
+	f.StartedAt = at
 }
 
-// Over closes a forward; the first end counts.
-func (l *Ledger) Over(f *Forward, end End, result string, at time.Duration) {
+// AttemptEnded closes a forward; the first end counts.
+func (l *Log) AttemptEnded(f *Attempt, end AttemptEnd, result string, at time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if f.End == Running {
-		f.End, f.Result, f.Ended = end, result, at
+		f.End, f.Result, f.EndedAt = end, result, at
 	}
 }
 
-// Told tells of a notice.
-func (l *Ledger) Told(n Notice) {
+// WorkerListed tells of a notice.
+func (l *Log) WorkerListed(n Notification) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.notices = append(l.notices, n)
+	l.notifications = append(l.notifications, n)
 }
 
-// Fell tells of a worker that was pushed over.
-func (l *Ledger) Fell(f Fall) {
+// WorkerOverloaded tells of a worker that was pushed over.
+func (l *Log) WorkerOverloaded(f Overload) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.falls = append(l.falls, f)
+	l.overloads = append(l.overloads, f)
 }
 
-// Away tells of an outage that is over, or that lasts to the end.
-func (l *Ledger) Away(o Outage) {
+// AddOutage tells of an outage that is over, or that lasts to the end.
+func (l *Log) AddOutage(o Outage) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.outages = append(l.outages, o)
 }
 
-// Tries hands out what is written down, for reports once all is over.
-func (l *Ledger) Tries() []*Try {
+// Requests hands out what is written down, for reports once all is over.
+func (l *Log) Requests() []*Request {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.tries
+	return l.requests
 }
 
-// Ends tells how the forwards of an invocation stand, in the order in which they came.
-func (l *Ledger) Ends(id string) (ends []End) {
+// AttemptEnds tells how the forwards of an invocation stand, in the order in which they came.
+func (l *Log) AttemptEnds(id string) (ends []AttemptEnd) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if t := l.byID[id]; t != nil {
-		for _, f := range t.Forwards {
+		for _, f := range t.Attempts {
 			ends = append(ends, f.End)
 		}
 	}
--- a/internal/testbed/history/keys.go
+++ b/internal/testbed/history/keys.go
@@ -6,50 +6,50 @@
 	"slices"
 )
 
-// RuleKeys is what dispatchers that keep a state promise beside the four rules: a repeat that its client marks,
+// RuleKeysPersisted is what dispatchers that keep a state promise beside the four rules: a repeat that its client marks,
 // under a key that went out before its dispatcher came back, goes to that one's dedup group or nowhere.
-const RuleKeys Rule = "keys kept through an end"
+const RuleKeysPersisted Rule = "keys kept through an end"
 
-// keys judges that, over all tries under one key. A dispatcher that was never away has promised nothing: it goes
+// checkKeys judges that, over all tries under one key. A dispatcher that was never away has promised nothing: it goes
 // by what the first try's client was told.
-func (l *Ledger) keys(t Terms) (breaches []Breach) {
-	tries := map[uint64][]*Try{}
-	for _, try := range l.tries {
-		if o := &t.Operations[try.Operation]; try.Keyed && (o.ScopeZone || o.ScopeCell) {
-			tries[try.Key] = append(tries[try.Key], try)
+func (l *Log) checkKeys(t RuleConfig) (violations []Violation) {
+	tries := map[uint64][]*Request{}
+	for _, request := range l.requests {
+		if o := &t.Operations[request.Operation]; request.HasKey && (o.ScopeZone || o.ScopeCell) {
+			tries[request.Key] = append(tries[request.Key], request)
 		}
 	}
-	for _, same := range tries {
-		slices.SortStableFunc(same, func(a, b *Try) int { return cmp.Compare(a.ID, b.ID) })
-		for n, later := range same {
-			for _, earlier := range same[:n] {
-				breaches = append(breaches, l.across(t, earlier, later)...)
+	for _, sameKey := range tries {
+		slices.SortStableFunc(sameKey, func(a, b *Request) int { return cmp.Compare(a.ID, b.ID) })
+		for n, later := range sameKey {
+			for _, earlier := range sameKey[:n] {
+				violations = append(violations, l.checkRepeat(t, earlier, later)...)
 			}
 		}
 	}
-	return breaches
+	return violations
 }
 
-func (l *Ledger) across(t Terms, earlier, later *Try) (breaches []Breach) {
+func (l *Log) checkRepeat(t RuleConfig, earlier, later *Request) (violations []Violation) {
 	o := &t.Operations[later.Operation]
-	for _, f := range later.Forwards {
-		for _, e := range earlier.Forwards {
-			back := slices.ContainsFunc(l.outages, func(a Outage) bool {
-				return a.Dispatcher == f.Dispatcher && e.Whole < a.From && a.To-backSlack <= f.First
+	for _, f := range later.Attempts {
+		for _, e := range earlier.Attempts {
+			outageBetween := slices.ContainsFunc(l.outages, func(a Outage) bool {
+				return a.Dispatcher == f.Dispatcher && e.ReceivedAt < a.From && a.To-outageEndSlack <= f.FirstByteAt
 			})
-			if !later.Again || !back || f.First > e.Whole+o.Window-t.Slack {
+			if !later.MarkedRetry || !outageBetween || f.FirstByteAt > e.ReceivedAt+o.DedupWindow-t.Slack {
 				continue
 			}
-			if what := t.repeated(o, e, f); what != "" {
-				breaches = append(breaches, Breach{
-					Rule: RuleKeys, ID: later.ID, Dispatcher: f.Dispatcher,
-					Worker: f.Worker, At: f.First, What: fmt.Sprintf("%s, under the key of %s", what, earlier.ID),
+			if reason := t.forbiddenRepeat(o, e, f); reason != "" {
+				violations = append(violations, Violation{
+					Rule: RuleKeysPersisted, ID: later.ID, Dispatcher: f.Dispatcher,
+					Worker: f.Worker, At: f.FirstByteAt, Description: fmt.Sprintf("%s, under the key of %s", reason, earlier.ID),
 				})
 			}
 		}
 	}
-	return breaches
+	return violations
 }
 
-// backSlack is by how much an outage's end is told too late.
-const backSlack = 300_000_000
+// outageEndSlack is by how much an outage's end is told too late.
+const outageEndSlack = 300_000_000
--- a/internal/testbed/history/keys_test.go
+++ b/internal/testbed/history/keys_test.go
@@ -24,20 +24,20 @@
 		{"at one that was never away", true, 0, 2, 4 * second, false},
 	} {
 		l := New()
-		first := l.Tried("a0", 0, 0, 9*second)
-		l.Keyed(first, 7, false)
-		l.Received("a0", Forward{Worker: 0, Dispatcher: 0, First: second, Whole: second})
-		l.Away(Outage{Dispatcher: 1, From: 2 * second, To: 3 * second})
-		repeat := l.Tried("a1", 0, c.dispatcher, 20*second)
-		l.Keyed(repeat, 7, c.again)
-		l.Received("a1", Forward{Worker: c.worker, Dispatcher: c.dispatcher, First: c.at, Whole: c.at})
-		terms := Terms{
-			Operations: []Repeat{{Name: "choices", ScopeZone: true, Window: 10 * second}},
-			Workers:    []Place{{Zone: 0}, {Zone: 0}, {Zone: 1}}, Keys: true,
+		first := l.RequestOpened("a0", 0, 0, 9*second)
+		l.SetKey(first, 7, false)
+		l.AttemptReceived("a0", Attempt{Worker: 0, Dispatcher: 0, FirstByteAt: second, ReceivedAt: second})
+		l.AddOutage(Outage{Dispatcher: 1, From: 2 * second, To: 3 * second})
+		repeat := l.RequestOpened("a1", 0, c.dispatcher, 20*second)
+		l.SetKey(repeat, 7, c.again)
+		l.AttemptReceived("a1", Attempt{Worker: c.worker, Dispatcher: c.dispatcher, FirstByteAt: c.at, ReceivedAt: c.at})
+		terms := RuleConfig{
+			Operations: []Operation{{Name: "choices", ScopeZone: true, DedupWindow: 10 * second}},
+			Workers:    []Location{{Zone: 0}, {Zone: 0}, {Zone: 1}}, KeysPersisted: true,
 		}
 		broken := false
-		for _, b := range l.Judge(terms) {
-			broken = broken || b.Rule == RuleKeys
+		for _, b := range l.Check(terms) {
+			broken = broken || b.Rule == RuleKeysPersisted
 		}
 		assert.Equal(t, c.broken, broken, c.name)
 	}
--- a/internal/testbed/loadgen/loadgen.go
+++ b/internal/testbed/loadgen/loadgen.go
@@ -18,16 +18,16 @@
 	"canvasroute/internal/testbed/workload"
 )
 
-// Sender plays a schedule.
-type Sender struct {
+// Generator plays a schedule.
+type Generator struct {
 	Operations []workload.Operation
-	Customers  []workload.Customer
+	Tenants    []workload.Tenant
 	Seed       uint64
 	Retries    int           // by a client on its own, after what may be tried again
-	Wait       time.Duration // before one, where the answer does not say
-	MostOpen   int           // calls open at once: what comes beyond is reported as unsent
-	Front      *Front
-	Ledger     *history.Ledger
+	RetryWait  time.Duration // before one, where the answer does not say
+	MaxOpen    int           // calls open at once: what comes beyond is reported as unsent
+	FrontTier  *FrontTier
+	History    *history.Log
 	Recorder   *metrics.Recorder
 	Clock      func() time.Duration // since the experiment's start
 
@@ -36,7 +36,7 @@
 
 // Run sends each arrival at its time, and returns when all calls are over. When ctx ends, what has not been
 // sent is left, and what is open counts as interrupted.
-func (s *Sender) Run(ctx context.Context, schedule []workload.Arrival) {
+func (s *Generator) Run(ctx context.Context, schedule []workload.Arrival) {
 	var calls sync.WaitGroup
 	defer calls.Wait()
 	timer := time.NewTimer(time.Hour)
@@ -52,11 +52,11 @@
 		} else if ctx.Err() != nil {
 			return
 		}
-		c := metrics.Call{Operation: a.Operation, Customer: a.Customer, Intended: a.At, Work: a.Work}
-		if s.open.Add(1) > int64(s.MostOpen) {
+		c := metrics.Call{Operation: a.Operation, Tenant: a.Tenant, Intended: a.At, Work: a.Work}
+		if s.open.Add(1) > int64(s.MaxOpen) {
 			s.open.Add(-1)
-			c.Kind, c.Sent, c.Ended = history.Unsent, a.At, a.At
-			c.Asked = s.Operations[a.Operation].Value * a.Work.Seconds()
+			c.Outcome, c.Sent, c.Ended = history.Unsent, a.At, a.At
+			c.ValueOffered = s.Operations[a.Operation].Value * a.Work.Seconds()
 			s.Recorder.Record(c)
 			continue
 		}
@@ -68,58 +68,58 @@
 }
 
 // Open is how many calls are open.
-func (s *Sender) Open() int { return int(s.open.Load()) }
+func (s *Generator) Open() int { return int(s.open.Load()) }
 
 // answer is how one try ended.
 type answer struct {
-	kind     history.Kind
-	status   int
-	result   string
-	comeBack time.Duration
+	outcome    history.Outcome
+	status     int
+	result     string
+	retryAfter time.Duration
 }
 
 // call carries one call through, with its client's retries.
-func (s *Sender) call(ctx context.Context, n int, a workload.Arrival, c metrics.Call) {
+func (s *Generator) call(ctx context.Context, n int, a workload.Arrival, c metrics.Call) {
 	o := &s.Operations[a.Operation]
 	c.Sent = s.Clock()
 	for try := 0; ; try++ {
-		got := s.try(ctx, n, try, a, o)
-		c.Kind, c.Tries = got.kind, try+1
-		if !again(got.kind, o) || try >= s.Retries || !s.pause(ctx, n, try, got.comeBack) {
+		got := s.sendRequest(ctx, n, try, a, o)
+		c.Outcome, c.Tries = got.outcome, try+1
+		if !mayRetry(got.outcome, o) || try >= s.Retries || !s.waitBeforeRetry(ctx, n, try, got.retryAfter) {
 			break
 		}
 	}
 	c.Ended = s.Clock()
-	c.Asked = o.Value * a.Work.Seconds()
-	if c.Kind == history.Succeeded {
-		allowed := o.Objective.D() + time.Duration(o.Stretch*float64(a.Work))
+	c.ValueOffered = o.Value * a.Work.Seconds()
+	if c.Outcome == history.Succeeded {
+		allowed := o.LatencyObjective.Std() + time.Duration(o.Stretch*float64(a.Work))
 		if c.InTime = c.Ended-a.At <= allowed; c.InTime {
-			c.Earned = c.Asked
+			c.ValueEarned = c.ValueOffered
 		} else {
-			c.Earned = c.Asked * o.Tardy
+			c.ValueEarned = c.ValueOffered * o.LateShare
 		}
 	}
 	s.Recorder.Record(c)
 }
 
-// again tells whether a client tries once more: always where it was sent away, else only where the operation
+// mayRetry tells whether a client tries once more: always where it was sent away, else only where the operation
 // may run again.
-func again(k history.Kind, o *workload.Operation) bool {
+func mayRetry(k history.Outcome, o *workload.Operation) bool {
 	switch k {
 	case history.Throttled, history.Unreachable:
 		return true
 	case history.Errored, history.Unanswered, history.Broken:
-		return o.Repeat != workload.NonIdempotent
+		return o.Idempotency != workload.NonIdempotent
 	}
 	return false
 }
 
-// pause waits before a retry as long as the answer says, or between once and twice the usual wait. The chance
+// waitBeforeRetry waits before a retry as long as the answer says, or between once and twice the usual wait. The chance
 // in it guards against clients that all come back at once.
-func (s *Sender) pause(ctx context.Context, n, try int, comeBack time.Duration) bool {
-	wait := comeBack
-	if more := unit.Chance(s.Seed, fmt.Sprint("retry ", n, " ", try)).Float64(); wait == 0 {
-		wait = time.Duration((1 + more) * float64(s.Wait))
+func (s *Generator) waitBeforeRetry(ctx context.Context, n, try int, retryAfter time.Duration) bool {
+	wait := retryAfter
+	if more := unit.RandomStream(s.Seed, fmt.Sprint("retry ", n, " ", try)).Float64(); wait == 0 {
+		wait = time.Duration((1 + more) * float64(s.RetryWait))
 	}
 	select {
 	case <-time.After(wait):
@@ -129,42 +129,42 @@
 	}
 }
 
-// try hands the invocation in once, under an id of its own.
-func (s *Sender) try(ctx context.Context, n, try int, a workload.Arrival, o *workload.Operation) answer {
-	id := ID(s.Seed, n, try)
-	until := s.Clock() + o.Timeout.D()
-	d := s.Front.choose()
-	record := s.Ledger.Tried(id, a.Operation, d, until)
-	if o.Repeat == workload.Deduplicated {
-		s.Ledger.Keyed(record, a.Key, try > 0 || a.Retry)
+// sendRequest hands the invocation in once, under an id of its own.
+func (s *Generator) sendRequest(ctx context.Context, n, try int, a workload.Arrival, o *workload.Operation) answer {
+	id := RequestID(s.Seed, n, try)
+	until := s.Clock() + o.Timeout.Std()
+	d := s.FrontTier.choose()
+	record := s.History.RequestOpened(id, a.Operation, d, until)
+	if o.Idempotency == workload.IdempotentByKey {
+		s.History.SetKey(record, a.Key, try > 0 || a.Retry)
 	}
-	ctx, cancel := context.WithTimeout(ctx, o.Timeout.D())
+	ctx, cancel := context.WithTimeout(ctx, o.Timeout.Std())
 	defer cancel()
-	message := s.message(id, a, o, try > 0)
-	got, crossed := s.exchange(ctx, record, d, message, false)
-	if crossed { // the dispatcher closed it between two messages: once more on a new one
-		s.Ledger.Moved(record, s.Clock())
+	message := s.encodeRequest(id, a, o, try > 0)
+	got, connectionClosed := s.exchange(ctx, record, d, message, false)
+	if connectionClosed { // the dispatcher closed it between two messages: once more on a new one
+		s.History.RequestResent(record, s.Clock())
 		got, _ = s.exchange(ctx, record, d, message, true)
 	}
-	s.Ledger.Ended(record, got.kind, got.status, got.result, s.Clock())
+	s.History.RequestEnded(record, got.outcome, got.status, got.result, s.Clock())
 	return got
 }
 
-// ID is what a try is sent under.
-func ID(seed uint64, n, try int) string {
+// RequestID is what a try is sent under.
+func RequestID(seed uint64, n, try int) string {
 	return fmt.Sprintf("%04x%08x%04x", uint16(seed), uint32(n), uint16(try))
 }
 
-// message is what goes over the wire. The body tells the worker what to do.
-func (s *Sender) message(id string, a workload.Arrival, o *workload.Operation, retry bool) []byte {
+// encodeRequest is what goes over the wire. The body tells the worker what to do.
+func (s *Generator) encodeRequest(id string, a workload.Arrival, o *workload.Operation, retry bool) []byte {
 	body := fmt.Appendf(nil, `{"operation":%d,"work_us":%d}`, a.Operation, a.Work.Microseconds())
 	b := make([]byte, 0, 512)
 	b = append(b, "POST /api HTTP/1.1\r\nHost: origin.svc\r\nReq-Id: "...)
 	b = append(append(append(b, id...), "\r\nReq-Kind: "...), o.Name...)
 	b = append(b, "\r\nReq-Deadline: "...)
-	b = strconv.AppendFloat(b, o.Timeout.D().Seconds(), 'f', 3, 64)
-	if len(s.Customers) > 0 {
-		b = append(append(b, "\r\nReq-Owner: "...), s.Customers[a.Customer].Name...)
+	b = strconv.AppendFloat(b, o.Timeout.Std().Seconds(), 'f', 3, 64)
+	if len(s.Tenants) > 0 {
+		b = append(append(b, "\r\nReq-Owner: "...), s.Tenants[a.Tenant].Name...)
 	}
 	if a.Hint > 0 {
 		b = strconv.AppendInt(append(b, "\r\nReq-Cost: "...), a.Hint.Microseconds(), 10)
@@ -172,7 +172,7 @@
 	if retry || a.Retry {
 		b = append(b, "\r\nReq-Retry: 1"...)
 	}
-	if o.Repeat == workload.Deduplicated {
+	if o.Idempotency == workload.IdempotentByKey {
 		b = fmt.Appendf(b, "\r\nIdempotency-Key: %016x", a.Key)
 	}
 	b = strconv.AppendInt(append(b, "\r\nContent-Length: "...), int64(len(body)), 10)
@@ -181,70 +181,70 @@
 
 // exchange sends a message and reads its answer. crossed tells of a kept connection that ended with nothing
 // heard.
-func (s *Sender) exchange(ctx context.Context, record *history.Try, d int, message []byte,
+func (s *Generator) exchange(ctx context.Context, record *history.Request, d int, message []byte,
 	fresh bool,
-) (got answer, crossed bool) {
-	c, err := s.Front.get(ctx, d, fresh)
+) (got answer, connectionClosed bool) {
+	c, err := s.FrontTier.connect(ctx, d, fresh)
 	if err != nil {
 		if ctx.Err() != nil {
-			return answer{kind: s.gaveUp(ctx)}, false
+			return answer{outcome: s.outcomeOfEnd(ctx)}, false
 		}
-		return answer{kind: history.Unreachable}, false
+		return answer{outcome: history.Unreachable}, false
 	}
 	stop := context.AfterFunc(ctx, func() { c.SetDeadline(time.Unix(1, 0)) })
-	got, crossed, keep := s.talk(ctx, record, c, message)
+	got, connectionClosed, keep := s.roundTrip(ctx, record, c, message)
 	if stop() && keep {
-		s.Front.put(d, c)
+		s.FrontTier.release(d, c)
 	} else {
 		c.Close()
 	}
-	return got, crossed
+	return got, connectionClosed
 }
 
-func (s *Sender) talk(ctx context.Context, record *history.Try, c *conn, message []byte) (got answer,
-	crossed, keep bool,
+func (s *Generator) roundTrip(ctx context.Context, record *history.Request, c *conn, message []byte) (got answer,
+	connectionClosed, keep bool,
 ) {
 	_, err := c.Write(message)
 	if err == nil {
-		s.Ledger.Sent(record, s.Clock())
-		_, err = c.in.Peek(1)
+		s.History.RequestSent(record, s.Clock())
+		_, err = c.reader.Peek(1)
 	}
 	if err != nil {
 		if ctx.Err() != nil || errors.Is(err, os.ErrDeadlineExceeded) {
-			return answer{kind: s.gaveUp(ctx)}, false, false
+			return answer{outcome: s.outcomeOfEnd(ctx)}, false, false
 		}
-		return answer{kind: history.Broken}, c.used, false
+		return answer{outcome: history.Broken}, c.used, false
 	}
-	r, err := http.ReadResponse(c.in, nil)
+	r, err := http.ReadResponse(c.reader, nil)
 	if err == nil {
 		defer r.Body.Close()
 		var body []byte
 		if body, err = io.ReadAll(r.Body); err == nil {
-			return read(r, body), false, !r.Close
+			return parseAnswer(r, body), false, !r.Close
 		}
 	}
 	if ctx.Err() != nil {
-		return answer{kind: s.gaveUp(ctx)}, false, false
+		return answer{outcome: s.outcomeOfEnd(ctx)}, false, false
 	}
-	return answer{kind: history.Broken}, false, false
+	return answer{outcome: history.Broken}, false, false
 }
 
-func (s *Sender) gaveUp(ctx context.Context) history.Kind {
+func (s *Generator) outcomeOfEnd(ctx context.Context) history.Outcome {
 	if errors.Is(ctx.Err(), context.Canceled) {
 		return history.Interrupted
 	}
 	return history.Unanswered
 }
 
-func read(r *http.Response, body []byte) answer {
-	got := answer{kind: history.Errored, status: r.StatusCode}
+func parseAnswer(r *http.Response, body []byte) answer {
+	got := answer{outcome: history.Errored, status: r.StatusCode}
 	switch r.StatusCode {
 	case http.StatusOK:
-		got.kind, got.result = history.Succeeded, string(body)
+		got.outcome, got.result = history.Succeeded, string(body)
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
-		got.kind = history.Throttled
+		got.outcome = history.Throttled
 		if after, err := strconv.ParseFloat(r.Header.Get("Retry-After"), 64); err == nil && after > 0 {
-			got.comeBack = time.Duration(min(after, 3600) * float64(time.Second))
+			got.retryAfter = time.Duration(min(after, 3600) * float64(time.Second))
 		}
 	}
 	return got
--- a/internal/testbed/loadgen/loadgen_test.go
+++ b/internal/testbed/loadgen/loadgen_test.go
@@ -22,22 +22,22 @@
 const ms = time.Millisecond
 
 // senderTo plays against one dispatcher's address.
-func senderTo(address string, operations ...workload.Operation) *Sender {
+func senderTo(address string, operations ...workload.Operation) *Generator {
 	began := time.Now()
 	if len(operations) == 0 {
 		operations = []workload.Operation{{
-			Name: "status", Objective: unit.Span(time.Second),
-			Timeout: unit.Span(10 * time.Second), Value: 1,
+			Name: "status", LatencyObjective: unit.Duration(time.Second),
+			Timeout: unit.Duration(10 * time.Second), Value: 1,
 		}}
 	}
-	return &Sender{
-		Operations: operations, Seed: 1, MostOpen: 10000, Wait: 5 * ms, Ledger: history.New(),
-		Front: NewFront([]string{address}, time.Second), Recorder: metrics.New(time.Second, len(operations), 0),
+	return &Generator{
+		Operations: operations, Seed: 1, MaxOpen: 10000, RetryWait: 5 * ms, History: history.New(),
+		FrontTier: NewFrontTier([]string{address}, time.Second), Recorder: metrics.NewRecorder(time.Second, len(operations), 0),
 		Clock: func() time.Duration { return time.Since(began) },
 	}
 }
 
-func (s *Sender) summary() metrics.Summary {
+func (s *Generator) summary() metrics.Summary {
 	names := []string{}
 	for _, o := range s.Operations {
 		names = append(names, o.Name)
@@ -84,15 +84,15 @@
 	assert.NoError(t, err)
 	defer ln.Close()
 	s := senderTo(ln.Addr().String(), workload.Operation{
-		Name: "status", Objective: 1,
-		Timeout: unit.Span(300 * ms),
+		Name: "status", LatencyObjective: 1,
+		Timeout: unit.Duration(300 * ms),
 	})
 	s.Run(context.Background(), every(2*ms, 400*ms))
 	got := s.summary()
 	assert.EqualValues(t, 200, got.Total.Answers["unanswered"])
 	assert.Zero(t, got.Generator.Unsent)
 	assert.GreaterOrEqual(t, got.All.P50, 299.0, "none is given up early; how late is the machine's")
-	assert.Len(t, s.Ledger.Judge(history.Terms{Operations: []history.Repeat{{}}}), 200, "each one is lost")
+	assert.Len(t, s.History.Check(history.RuleConfig{Operations: []history.Operation{{}}}), 200, "each one is lost")
 }
 
 func TestGeneratorThatMayNotKeepUpSaysSo(t *testing.T) {
@@ -103,16 +103,16 @@
 	}))
 	defer server.Close()
 	s := senderTo(strings.TrimPrefix(server.URL, "http://"))
-	s.MostOpen = 2
+	s.MaxOpen = 2
 	s.Run(context.Background(), every(ms, 100*ms))
 	got := s.summary()
 	assert.False(t, got.Generator.Trusted)
 	assert.Positive(t, got.Generator.Unsent)
 	assert.EqualValues(t, 100, got.Total.Calls, "none is left out")
-	late := metrics.New(time.Second, 1, 0)
-	late.Record(metrics.Call{Kind: history.Succeeded, Sent: 20 * ms, Ended: 21 * ms})
+	late := metrics.NewRecorder(time.Second, 1, 0)
+	late.Record(metrics.Call{Outcome: history.Succeeded, Sent: 20 * ms, Ended: 21 * ms})
 	sum := late.Summary([]string{"status"}, nil)
-	assert.Equal(t, "1 of 1 calls were sent more than 10ms late", sum.Generator.Why)
+	assert.Equal(t, "1 of 1 calls were sent more than 10ms late", sum.Generator.Reason)
 }
 
 func TestClientsRetryWhatTheOperationAllows(t *testing.T) {
@@ -132,11 +132,11 @@
 	}))
 	defer server.Close()
 	var operations []workload.Operation
-	for _, o := range []workload.Operation{{Name: "safe", Repeat: workload.Idempotent}, {
-		Name:   "once",
-		Repeat: workload.NonIdempotent,
-	}, {Name: "sent-away", Repeat: workload.Deduplicated}} {
-		o.Objective, o.Timeout = unit.Span(time.Second), unit.Span(time.Second)
+	for _, o := range []workload.Operation{{Name: "safe", Idempotency: workload.Idempotent}, {
+		Name:        "once",
+		Idempotency: workload.NonIdempotent,
+	}, {Name: "sent-away", Idempotency: workload.IdempotentByKey}} {
+		o.LatencyObjective, o.Timeout = unit.Duration(time.Second), unit.Duration(time.Second)
 		operations = append(operations, o)
 	}
 	s := senderTo(strings.TrimPrefix(server.URL, "http://"), operations...)
@@ -193,22 +193,22 @@
 	got := s.summary()
 	assert.Equal(t, got.Total.Calls, got.Total.Answers["interrupted"])
 	assert.Positive(t, got.Total.Calls)
-	assert.Empty(t, s.Ledger.Judge(history.Terms{Operations: []history.Repeat{{}}}), "that is nobody's fault")
+	assert.Empty(t, s.History.Check(history.RuleConfig{Operations: []history.Operation{{}}}), "that is nobody's fault")
 }
 
 func TestFrontNoticesADeathLateAndAReturnAtOnce(t *testing.T) {
-	var good, no atomic.Bool
+	var good, refused atomic.Bool
 	good.Store(true)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		switch {
-		case no.Load():
+		case refused.Load():
 			w.WriteHeader(503)
 		case !good.Load():
 			panic(http.ErrAbortHandler)
 		}
 	}))
 	defer server.Close()
-	f := NewFront([]string{strings.TrimPrefix(server.URL, "http://")}, 400*ms)
+	f := NewFrontTier([]string{strings.TrimPrefix(server.URL, "http://")}, 400*ms)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error)
 	go func() { done <- f.Run(ctx) }()
@@ -219,7 +219,7 @@
 	assert.GreaterOrEqual(t, time.Since(died), 300*ms)
 	good.Store(true)
 	assert.Eventually(t, f.Ready, 5*time.Second, ms)
-	no.Store(true)
+	refused.Store(true)
 	died = time.Now()
 	assert.Eventually(t, func() bool { return !f.Ready() }, 5*time.Second, ms)
 	assert.Less(t, time.Since(died), 300*ms, "one that says no is left at once")
--- a/internal/testbed/metrics/recorder.go
+++ b/internal/testbed/metrics/recorder.go
@@ -14,127 +14,131 @@
 
 // What histograms hold: microseconds up to ten minutes, to three figures.
 const (
-	shortest = 1
-	longest  = int64(10 * time.Minute / time.Microsecond)
-	figures  = 3
+	minMicros         = 1
+	maxMicros         = int64(10 * time.Minute / time.Microsecond)
+	significantDigits = 3
 )
 
 // Bounds on the generator's own lateness, beyond which its figures are not to be trusted.
 const (
-	LateAfter = 10 * time.Millisecond
-	lateShare = 0.01
+	LateAfter    = 10 * time.Millisecond
+	maxLateShare = 0.01
 )
 
 // Call is how one call went.
 type Call struct {
-	Operation, Customer int
-	Intended, Sent      time.Duration // Sent: when the first try was begun
-	Ended               time.Duration
-	Work                time.Duration
-	Kind                history.Kind // of the last try
-	Tries               int
-	InTime              bool    // it succeeded within the latency objective
-	Asked, Earned       float64 // billed value
+	Operation, Tenant         int
+	Intended, Sent            time.Duration // Sent: when the first try was begun
+	Ended                     time.Duration
+	Work                      time.Duration
+	Outcome                   history.Outcome // of the last try
+	Tries                     int
+	InTime                    bool    // it succeeded within the latency objective
+	ValueOffered, ValueEarned float64 // billed value
 }
 
 // Recorder takes calls from many goroutines.
 type Recorder struct {
-	every time.Duration
+	slotLength time.Duration
 
 	mu         sync.Mutex
 	succeeded  *hdrhistogram.Histogram // time to the result
 	all        *hdrhistogram.Histogram // time to whatever end: a call without an answer counts with its wait
-	late       *hdrhistogram.Histogram // from when the generator meant to send to when it did
+	lateness   *hdrhistogram.Histogram // from when the generator meant to send to when it did
 	operations []*tally
-	customers  []*tally
+	tenants    []*tally
 	slots      []*slot
 	total      tally
 	lateCalls  int64
 }
 
 type tally struct {
-	kinds         [history.Unsent + 1]int64
-	calls, inTime int64
-	tries         int64
-	asked, earned float64
-	latency       *hdrhistogram.Histogram
+	outcomes                  [history.Unsent + 1]int64
+	calls, inTime             int64
+	tries                     int64
+	valueOffered, valueEarned float64
+	latency                   *hdrhistogram.Histogram
 }
 
 type slot struct {
 	arrivals int64
-	kinds    [history.Unsent + 1]int64
+	outcomes [history.Unsent + 1]int64
 	latency  *hdrhistogram.Histogram // of what succeeded, by when it arrived
 
-	asked, earned float64 // billed value
+	valueOffered, valueEarned float64 // billed value
 }
 
-func histogram() *hdrhistogram.Histogram { return hdrhistogram.New(shortest, longest, figures) }
+func newHistogram() *hdrhistogram.Histogram {
+	return hdrhistogram.New(minMicros, maxMicros, significantDigits)
+}
 
-// New makes a recorder that also keeps figures for each stretch of time of a length.
-func New(every time.Duration, operations, customers int) *Recorder {
-	r := &Recorder{every: every, succeeded: histogram(), all: histogram(), late: histogram()}
+// NewRecorder makes a recorder that also keeps figures for each stretch of time of a length.
+func NewRecorder(every time.Duration, operations, tenants int) *Recorder {
+	r := &Recorder{slotLength: every, succeeded: newHistogram(), all: newHistogram(), lateness: newHistogram()}
 	for range operations {
-		r.operations = append(r.operations, &tally{latency: histogram()})
+		r.operations = append(r.operations, &tally{latency: newHistogram()})
 	}
-	for range customers {
-		r.customers = append(r.customers, &tally{latency: histogram()})
+	for range tenants {
+		r.tenants = append(r.tenants, &tally{latency: newHistogram()})
 	}
 	return r
 }
 
-// record takes a value in microseconds, which micros has brought within the bounds of every histogram here.
-func record(h *hdrhistogram.Histogram, value int64) {
+// recordValue takes a value in microseconds, which micros has brought within the bounds of every histogram here.
+func recordValue(h *hdrhistogram.Histogram, value int64) {
 	_ = h.RecordValue(value) // fails only outside the bounds
 }
 
-// micros is a span in whole microseconds, brought within the bounds of a histogram.
-func micros(d time.Duration) int64 { return min(max(int64(d/time.Microsecond), shortest), longest) }
+// clampMicros is a span in whole microseconds, brought within the bounds of a histogram.
+func clampMicros(d time.Duration) int64 {
+	return min(max(int64(d/time.Microsecond), minMicros), maxMicros)
+}
 
 // Record takes a call that is over.
 func (r *Recorder) Record(c Call) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	took := micros(c.Ended - c.Intended)
-	at := int(c.Intended / r.every)
+	took := clampMicros(c.Ended - c.Intended)
+	at := int(c.Intended / r.slotLength)
 	for len(r.slots) <= at {
-		r.slots = append(r.slots, &slot{latency: hdrhistogram.New(shortest, longest, 2)})
+		r.slots = append(r.slots, &slot{latency: hdrhistogram.New(minMicros, maxMicros, 2)})
 	}
 	s := r.slots[at]
 	s.arrivals++
-	s.kinds[c.Kind]++
-	s.asked, s.earned = s.asked+c.Asked, s.earned+c.Earned
+	s.outcomes[c.Outcome]++
+	s.valueOffered, s.valueEarned = s.valueOffered+c.ValueOffered, s.valueEarned+c.ValueEarned
 	tallies := []*tally{&r.total, r.operations[c.Operation]}
-	if c.Customer < len(r.customers) {
-		tallies = append(tallies, r.customers[c.Customer])
+	if c.Tenant < len(r.tenants) {
+		tallies = append(tallies, r.tenants[c.Tenant])
 	}
 	for _, t := range tallies {
 		t.add(c, took)
 	}
-	if c.Kind == history.Unsent {
+	if c.Outcome == history.Unsent {
 		return
 	}
-	record(r.all, took)
-	record(r.late, micros(c.Sent-c.Intended))
+	recordValue(r.all, took)
+	recordValue(r.lateness, clampMicros(c.Sent-c.Intended))
 	if c.Sent-c.Intended > LateAfter {
 		r.lateCalls++
 	}
-	if c.Kind == history.Succeeded {
-		record(r.succeeded, took)
-		record(s.latency, took)
+	if c.Outcome == history.Succeeded {
+		recordValue(r.succeeded, took)
+		recordValue(s.latency, took)
 	}
 }
 
 func (t *tally) add(c Call, took int64) {
-	t.kinds[c.Kind]++
+	t.outcomes[c.Outcome]++
 	t.calls++
 	t.tries += int64(c.Tries)
-	t.asked += c.Asked
-	t.earned += c.Earned
+	t.valueOffered += c.ValueOffered
+	t.valueEarned += c.ValueEarned
 	if c.InTime {
 		t.inTime++
 	}
-	if t.latency != nil && c.Kind == history.Succeeded {
-		record(t.latency, took)
+	if t.latency != nil && c.Outcome == history.Succeeded {
+		recordValue(t.latency, took)
 	}
 }
 
@@ -142,7 +146,7 @@
 func (r *Recorder) Snapshot() (calls, succeeded, throttled, other int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	k := r.total.kinds
+	k := r.total.outcomes
 	return r.total.calls, k[history.Succeeded], k[history.Throttled],
 		r.total.calls - k[history.Succeeded] - k[history.Throttled]
 }
--- a/internal/testbed/metrics/summary.go
+++ b/internal/testbed/metrics/summary.go
@@ -32,14 +32,14 @@
 
 // Slot is one stretch of time.
 type Slot struct {
-	From     float64          `json:"from_s"`
-	Arrivals int64            `json:"arrivals"`
-	Answers  map[string]int64 `json:"answers"`
-	Asked    float64          `json:"asked_value"`
-	Earned   float64          `json:"earned_value"`
-	P50      float64          `json:"p50_ms"`
-	P95      float64          `json:"p95_ms"`
-	P99      float64          `json:"p99_ms"`
+	From         float64          `json:"from_s"`
+	Arrivals     int64            `json:"arrivals"`
+	Answers      map[string]int64 `json:"answers"`
+	ValueOffered float64          `json:"asked_value"`
+	ValueEarned  float64          `json:"earned_value"`
+	P50          float64          `json:"p50_ms"`
+	P95          float64          `json:"p95_ms"`
+	P99          float64          `json:"p99_ms"`
 }
 
 // Generator is how well the load generator itself kept to its schedule.
@@ -48,88 +48,88 @@
 	LateCalls int64   `json:"late_calls"`
 	Unsent    int64   `json:"unsent"`
 	Trusted   bool    `json:"trusted"`
-	Why       string  `json:"why,omitempty"`
+	Reason    string  `json:"why,omitempty"`
 }
 
 // Summary is all that a recorder holds.
 type Summary struct {
-	Total      Tally     `json:"total"`
-	Succeeded  Latency   `json:"latency_succeeded"`
-	All        Latency   `json:"latency_all"` // unanswered ones count with their wait
-	Generator  Generator `json:"generator"`
-	Operations []Tally   `json:"operations"`
-	Customers  []Tally   `json:"customers,omitempty"`
-	Every      float64   `json:"slot_s"`
-	Slots      []Slot    `json:"slots"`
+	Total       Tally     `json:"total"`
+	Succeeded   Latency   `json:"latency_succeeded"`
+	All         Latency   `json:"latency_all"` // unanswered ones count with their wait
+	Generator   Generator `json:"generator"`
+	Operations  []Tally   `json:"operations"`
+	Tenants     []Tally   `json:"customers,omitempty"`
+	SlotSeconds float64   `json:"slot_s"`
+	Slots       []Slot    `json:"slots"`
 }
 
 // Summary reads the figures off, with the names of operations and customers.
-func (r *Recorder) Summary(operations, customers []string) Summary {
+func (r *Recorder) Summary(operations, tenants []string) Summary {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	s := Summary{
-		Total: r.total.read(""), Succeeded: read(r.succeeded), All: read(r.all),
-		Every: r.every.Seconds(),
+		Total: r.total.export(""), Succeeded: percentiles(r.succeeded), All: percentiles(r.all),
+		SlotSeconds: r.slotLength.Seconds(),
 	}
 	for n, t := range r.operations {
-		s.Operations = append(s.Operations, t.read(operations[n]))
+		s.Operations = append(s.Operations, t.export(operations[n]))
 	}
-	for n, t := range r.customers {
-		s.Customers = append(s.Customers, t.read(customers[n]))
+	for n, t := range r.tenants {
+		s.Tenants = append(s.Tenants, t.export(tenants[n]))
 	}
 	for n, slot := range r.slots {
 		s.Slots = append(s.Slots, Slot{
-			From: float64(n) * s.Every, Arrivals: slot.arrivals, Asked: slot.asked,
-			Earned:  slot.earned,
-			Answers: named(slot.kinds[:]), P50: ms(slot.latency.ValueAtQuantile(50)),
-			P95: ms(slot.latency.ValueAtQuantile(95)), P99: ms(slot.latency.ValueAtQuantile(99)),
+			From: float64(n) * s.SlotSeconds, Arrivals: slot.arrivals, ValueOffered: slot.valueOffered,
+			ValueEarned: slot.valueEarned,
+			Answers:     countByName(slot.outcomes[:]), P50: millis(slot.latency.ValueAtQuantile(50)),
+			P95: millis(slot.latency.ValueAtQuantile(95)), P99: millis(slot.latency.ValueAtQuantile(99)),
 		})
 	}
 	s.Generator = Generator{
-		Late: read(r.late), LateCalls: r.lateCalls,
-		Unsent: r.total.kinds[history.Unsent], Trusted: true,
+		Late: percentiles(r.lateness), LateCalls: r.lateCalls,
+		Unsent: r.total.outcomes[history.Unsent], Trusted: true,
 	}
 	switch g := &s.Generator; {
 	case g.Unsent > 0:
-		g.Trusted, g.Why = false, fmt.Sprintf("%d calls were never sent: too many were open", g.Unsent)
-	case float64(g.LateCalls) > lateShare*float64(g.Late.Count):
-		g.Trusted, g.Why = false, fmt.Sprintf("%d of %d calls were sent more than %v late", g.LateCalls,
+		g.Trusted, g.Reason = false, fmt.Sprintf("%d calls were never sent: too many were open", g.Unsent)
+	case float64(g.LateCalls) > maxLateShare*float64(g.Late.Count):
+		g.Trusted, g.Reason = false, fmt.Sprintf("%d of %d calls were sent more than %v late", g.LateCalls,
 			g.Late.Count, LateAfter)
 	}
 	return s
 }
 
-func (t *tally) read(name string) Tally {
-	out := Tally{Name: name, Calls: t.calls, Answers: named(t.kinds[:]), InTime: t.inTime, Tries: t.tries}
-	if t.asked > 0 {
-		out.ValueShare = t.earned / t.asked
+func (t *tally) export(name string) Tally {
+	out := Tally{Name: name, Calls: t.calls, Answers: countByName(t.outcomes[:]), InTime: t.inTime, Tries: t.tries}
+	if t.valueOffered > 0 {
+		out.ValueShare = t.valueEarned / t.valueOffered
 	}
 	if t.latency != nil {
-		l := read(t.latency)
+		l := percentiles(t.latency)
 		out.Latency = &l
 	}
 	return out
 }
 
-func named(kinds []int64) map[string]int64 {
+func countByName(kinds []int64) map[string]int64 {
 	m := map[string]int64{}
 	for k, n := range kinds {
 		if n > 0 {
-			m[history.Kinds[k]] = n
+			m[history.OutcomeNames[k]] = n
 		}
 	}
 	return m
 }
 
-func ms(us int64) float64 { return float64(us) / 1000 }
+func millis(us int64) float64 { return float64(us) / 1000 }
 
-func read(h *hdrhistogram.Histogram) Latency {
+func percentiles(h *hdrhistogram.Histogram) Latency {
 	l := Latency{Count: h.TotalCount()}
 	if l.Count == 0 {
 		return l
 	}
-	l.Mean, l.Max = h.Mean()/1000, ms(h.Max())
-	l.P50, l.P90, l.P99 = ms(h.ValueAtQuantile(50)), ms(h.ValueAtQuantile(90)), ms(h.ValueAtQuantile(99))
-	l.P999 = ms(h.ValueAtQuantile(99.9))
+	l.Mean, l.Max = h.Mean()/1000, millis(h.Max())
+	l.P50, l.P90, l.P99 = millis(h.ValueAtQuantile(50)), millis(h.ValueAtQuantile(90)), millis(h.ValueAtQuantile(99))
+	l.P999 = millis(h.ValueAtQuantile(99.9))
 	return l
 }
--- a/internal/testbed/network/network.go
+++ b/internal/testbed/network/network.go
@@ -16,47 +16,47 @@
 	"canvasroute/internal/testbed/unit"
 )
 
-// Manner is how the network treats datagrams.
-type Manner struct {
-	Loss   float64       // the share that never arrives
-	Delay  time.Duration // one way
-	Jitter time.Duration // and up to so much more
-	Cut    bool          // nothing arrives
-	Double float64       // the share that arrives twice, the second time up to tenfold as late
+// Conditions is how the network treats datagrams.
+type Conditions struct {
+	Loss           float64       // the share that never arrives
+	Delay          time.Duration // one way
+	Jitter         time.Duration // and up to so much more
+	Partitioned    bool          // nothing arrives
+	DuplicateShare float64       // the share that arrives twice, the second time up to tenfold as late
 }
 
-// Net carries datagrams between a number of dispatchers.
-type Net struct {
-	own   []netip.AddrPort   // where each dispatcher listens
-	socks [][]*net.UDPConn   // [of][as seen by]: what of sends to by goes through here
-	views [][]netip.AddrPort // [by][of]
+// Network carries datagrams between a number of dispatchers.
+type Network struct {
+	listenAddrs []netip.AddrPort   // where each dispatcher listens
+	sockets     [][]*net.UDPConn   // [of][as seen by]: what of sends to by goes through here
+	views       [][]netip.AddrPort // [by][of]
 
-	most int // bytes of one datagram
+	maxBytes int // bytes of one datagram
 
 	mu                 sync.Mutex
-	cut                map[[2]int]int // by from and to: troubles that cut this way off
+	partitions         map[[2]int]int // by from and to: troubles that cut this way off
 	rng                *rand.Rand
-	manner             Manner
+	conditions         Conditions
 	Carried, Discarded int // counts
 }
 
-// Platform is how long a datagram the platform lets through; a longer one is discarded.
-const Platform = 256
+// PlatformDatagramBytes is how long a datagram the platform lets through; a longer one is discarded.
+const PlatformDatagramBytes = 256
 
 // New opens the sockets of a net between dispatchers that listen at these addresses, for datagrams of up to most
 // bytes.
-func New(own []netip.AddrPort, m Manner, most int, seed uint64) (*Net, error) {
+func New(listenAddrs []netip.AddrPort, m Conditions, maxBytes int, seed uint64) (*Network, error) {
 	stream := "peers"
-	if most != Platform {
+	if maxBytes != PlatformDatagramBytes {
 		stream = "link"
 	}
-	n := &Net{
-		own: own, manner: m, most: most, cut: map[[2]int]int{},
-		rng: unit.Chance(seed, stream),
+	n := &Network{
+		listenAddrs: listenAddrs, conditions: m, maxBytes: maxBytes, partitions: map[[2]int]int{},
+		rng: unit.RandomStream(seed, stream),
 	}
-	for of := range own {
-		n.socks = append(n.socks, make([]*net.UDPConn, len(own)))
-		for by := range own {
+	for of := range listenAddrs {
+		n.sockets = append(n.sockets, make([]*net.UDPConn, len(listenAddrs)))
+		for by := range listenAddrs {
 			if by == of {
 				continue
 			}
@@ -65,14 +65,14 @@
 				n.close()
 				return nil, fmt.Errorf("peer network: %w", err)
 			}
-			n.socks[of][by] = pc
+			n.sockets[of][by] = pc
 		}
 	}
-	for by := range own {
-		view := make([]netip.AddrPort, len(own))
-		for of := range own {
-			if view[of] = own[of]; of != by {
-				view[of] = n.socks[of][by].LocalAddr().(*net.UDPAddr).AddrPort()
+	for by := range listenAddrs {
+		view := make([]netip.AddrPort, len(listenAddrs))
+		for of := range listenAddrs {
+			if view[of] = listenAddrs[of]; of != by {
+				view[of] = n.sockets[of][by].LocalAddr().(*net.UDPAddr).AddrPort()
 			}
 		}
 		n.views = append(n.views, view)
@@ -81,88 +81,88 @@
 }
 
 // View is the dispatchers' addresses as one of them sees them, its own among them.
-func (n *Net) View(by int) []netip.AddrPort { return n.views[by] }
+func (n *Network) View(by int) []netip.AddrPort { return n.views[by] }
 
-// Set changes how datagrams are treated from now on.
-func (n *Net) Set(m Manner) {
+// SetConditions changes how datagrams are treated from now on.
+func (n *Network) SetConditions(m Conditions) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.manner = m
+	n.conditions = m
 }
 
-// Sever cuts the way from one dispatcher to another, or heals it. A way that is cut twice has to be healed twice.
-func (n *Net) Sever(from, to int, cut bool) {
+// SetPartition cuts the way from one dispatcher to another, or heals it. A way that is cut twice has to be healed twice.
+func (n *Network) SetPartition(from, to int, cut bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if cut {
-		n.cut[[2]int{from, to}]++
+		n.partitions[[2]int{from, to}]++
 	} else {
-		n.cut[[2]int{from, to}]--
+		n.partitions[[2]int{from, to}]--
 	}
 }
 
 // Run carries datagrams until ctx ends.
-func (n *Net) Run(ctx context.Context) error {
+func (n *Network) Run(ctx context.Context) error {
 	g, ctx := errgroup.WithContext(ctx)
 	defer context.AfterFunc(ctx, n.close)()
-	for to := range n.own {
-		for from := range n.own {
+	for to := range n.listenAddrs {
+		for from := range n.listenAddrs {
 			if to != from {
-				g.Go(func() error { return n.carry(ctx, from, to) })
+				g.Go(func() error { return n.relay(ctx, from, to) })
 			}
 		}
 	}
 	return g.Wait()
 }
 
-// carry takes what one dispatcher sends to the address that stands for another, and hands it on from the
+// relay takes what one dispatcher sends to the address that stands for another, and hands it on from the
 // address that stands for the first one there.
-func (n *Net) carry(ctx context.Context, from, to int) error {
-	b := make([]byte, n.most+1)
+func (n *Network) relay(ctx context.Context, from, to int) error {
+	b := make([]byte, n.maxBytes+1)
 	for {
-		got, err := n.socks[to][from].Read(b)
+		got, err := n.sockets[to][from].Read(b)
 		if ctx.Err() != nil {
 			return nil
 		}
 		if err != nil { // a refusal by a dispatcher that is down is no fault of the net
 			continue
 		}
-		late, again, ok := n.fate(got, from, to)
+		delay, duplicateDelay, ok := n.draw(got, from, to)
 		if !ok {
 			continue
 		}
 		text := append([]byte(nil), b[:got]...)
-		send := func() { _, _ = n.socks[from][to].WriteToUDPAddrPort(text, n.own[to]) }
-		if again > 0 {
-			time.AfterFunc(again, send)
+		send := func() { _, _ = n.sockets[from][to].WriteToUDPAddrPort(text, n.listenAddrs[to]) }
+		if duplicateDelay > 0 {
+			time.AfterFunc(duplicateDelay, send)
 		}
-		if late == 0 {
+		if delay == 0 {
 			send()
 			continue
 		}
-		time.AfterFunc(late, send)
+		time.AfterFunc(delay, send)
 	}
 }
 
-// fate draws what becomes of a datagram: how late it is, and its second copy if there is one.
-func (n *Net) fate(size, from, to int) (late, again time.Duration, arrives bool) {
+// draw draws what becomes of a datagram: how late it is, and its second copy if there is one.
+func (n *Network) draw(size, from, to int) (delay, duplicateDelay time.Duration, arrives bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	lost, more := n.rng.Float64(), n.rng.Float64()
-	if n.manner.Cut || n.cut[[2]int{from, to}] > 0 || lost < n.manner.Loss || size > n.most {
+	lost, jitter := n.rng.Float64(), n.rng.Float64()
+	if n.conditions.Partitioned || n.partitions[[2]int{from, to}] > 0 || lost < n.conditions.Loss || size > n.maxBytes {
 		n.Discarded++
 		return 0, 0, false
 	}
 	n.Carried++
-	late = n.manner.Delay + time.Duration(more*float64(n.manner.Jitter))
-	if n.manner.Double > 0 && n.rng.Float64() < n.manner.Double {
-		again = 1 + time.Duration(n.rng.Float64()*10*float64(late))
+	delay = n.conditions.Delay + time.Duration(jitter*float64(n.conditions.Jitter))
+	if n.conditions.DuplicateShare > 0 && n.rng.Float64() < n.conditions.DuplicateShare {
+		duplicateDelay = 1 + time.Duration(n.rng.Float64()*10*float64(delay))
 	}
-	return late, again, true
+	return delay, duplicateDelay, true
 }
 
-func (n *Net) close() {
-	for _, row := range n.socks {
+func (n *Network) close() {
+	for _, row := range n.sockets {
 		for _, pc := range row {
 			if pc != nil {
 				pc.Close()
