--- a/internal/testbed/network/network_test.go
+++ b/internal/testbed/network/network_test.go
@@ -11,24 +11,24 @@
 )
 
 // sockets opens UDP sockets on the loopback interface, which the end of the test closes.
-func sockets(t *testing.T, count int) (socks []*net.UDPConn, own []netip.AddrPort) {
+func sockets(t *testing.T, count int) (socks []*net.UDPConn, listenAddrs []netip.AddrPort) {
 	for range count {
 		pc, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 		assert.NoError(t, err)
 		t.Cleanup(func() { pc.Close() })
-		socks, own = append(socks, pc), append(own, pc.LocalAddr().(*net.UDPAddr).AddrPort())
+		socks, listenAddrs = append(socks, pc), append(listenAddrs, pc.LocalAddr().(*net.UDPAddr).AddrPort())
 	}
-	return socks, own
+	return socks, listenAddrs
 }
 
 func TestDatagramsComeFromTheAddressThatStandsForTheirSender(t *testing.T) {
-	socks, own := sockets(t, 2)
-	n, err := New(own, Manner{Delay: 20 * time.Millisecond}, Platform, 1)
+	socks, listenAddrs := sockets(t, 2)
+	n, err := New(listenAddrs, Conditions{Delay: 20 * time.Millisecond}, PlatformDatagramBytes, 1)
 	assert.NoError(t, err)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error)
 	go func() { done <- n.Run(ctx) }()
-	assert.Equal(t, own[0], n.View(0)[0])
+	assert.Equal(t, listenAddrs[0], n.View(0)[0])
 	send := func(text string) time.Time {
 		_, err := socks[0].WriteToUDPAddrPort([]byte(text), n.View(0)[1])
 		assert.NoError(t, err)
@@ -48,11 +48,11 @@
 	assert.Equal(t, "hello", text)
 	assert.Equal(t, n.View(1)[0], from)
 	assert.GreaterOrEqual(t, time.Since(sent), 19*time.Millisecond)
-	send(string(make([]byte, Platform+1)))
-	n.Set(Manner{Cut: true})
+	send(string(make([]byte, PlatformDatagramBytes+1)))
+	n.SetConditions(Conditions{Partitioned: true})
 	send("cut")
 	time.Sleep(50 * time.Millisecond) // it has been read and discarded before the net heals
-	n.Set(Manner{})
+	n.SetConditions(Conditions{})
 	send("healed")
 	text, _ = heard(2 * time.Second)
 	assert.Equal(t, "healed", text)
@@ -63,10 +63,10 @@
 
 func TestLossIsDrawnFromTheSeed(t *testing.T) {
 	fates := func(seed uint64) (out []bool) {
-		n, err := New(nil, Manner{Loss: 0.5}, Platform, seed)
+		n, err := New(nil, Conditions{Loss: 0.5}, PlatformDatagramBytes, seed)
 		assert.NoError(t, err)
 		for range 64 {
-			_, _, arrives := n.fate(10, 0, 1)
+			_, _, arrives := n.draw(10, 0, 1)
 			out = append(out, arrives)
 		}
 		return out
--- a/internal/testbed/report/charts.go
+++ b/internal/testbed/report/charts.go
@@ -23,8 +23,8 @@
 
 // Sizes of a chart.
 const (
-	wide = 24 * vg.Centimeter
-	high = 8 * vg.Centimeter
+	chartWidth  = 24 * vg.Centimeter
+	chartHeight = 8 * vg.Centimeter
 )
 
 // colours by what they stand for, so that all charts agree.
@@ -42,22 +42,22 @@
 	},
 }
 
-// canvas makes an empty chart over the run's time, with its troubles marked.
-func canvas(r *experiment.Result, title, unit string) *plot.Plot {
+// newChart makes an empty chart over the run's time, with its troubles marked.
+func newChart(r *experiment.Result, title, unit string) *plot.Plot {
 	p := plot.New()
 	p.Title.Text, p.Y.Label.Text, p.X.Label.Text = title, unit, "seconds from the start"
-	p.X.Min, p.X.Max = 0, max(r.Long, 1)
+	p.X.Min, p.X.Max = 0, max(r.DurationSeconds, 1)
 	p.Legend.Top, p.Legend.Left = true, false
 	p.Add(plotter.NewGrid())
 	return p
 }
 
-// mark shades the times of troubles up to a height. What lasts to the end, or for a moment, is a band of its
+// shadeFaults shades the times of troubles up to a height. What lasts to the end, or for a moment, is a band of its
 // own.
-func mark(p *plot.Plot, r *experiment.Result, low, high float64) {
-	for n, m := range r.Troubles {
+func shadeFaults(p *plot.Plot, r *experiment.Result, low, high float64) {
+	for n, m := range r.Faults {
 		from, to := m.From.Seconds(), m.To.Seconds()
-		to = max(to, from+r.Long/200)
+		to = max(to, from+r.DurationSeconds/200)
 		band, err := plotter.NewPolygon(plotter.XYs{
 			{X: from, Y: low},
 			{X: to, Y: low},
@@ -80,7 +80,7 @@
 	}
 }
 
-func line(p *plot.Plot, name string, points plotter.XYs, dashed bool) {
+func addLine(p *plot.Plot, name string, points plotter.XYs, dashed bool) {
 	if len(points) == 0 {
 		return
 	}
@@ -96,8 +96,8 @@
 	p.Legend.Add(name, l)
 }
 
-func svg(p *plot.Plot) (template.HTML, error) {
-	c := vgsvg.New(wide, high)
+func renderSVG(p *plot.Plot) (template.HTML, error) {
+	c := vgsvg.New(chartWidth, chartHeight)
 	p.Draw(draw.New(c))
 	var b bytes.Buffer
 	if _, err := c.WriteTo(&b); err != nil {
@@ -110,46 +110,46 @@
 	return template.HTML(text), nil
 }
 
-// answers shows arrivals and how they ended, a second.
-func answers(r *experiment.Result) *plot.Plot {
-	p := canvas(r, "Arrivals and answers", "a second")
-	over := func(count func(metrics.Slot) int64) (points plotter.XYs, any bool) {
+// answersChart shows arrivals and how they ended, a second.
+func answersChart(r *experiment.Result) *plot.Plot {
+	p := newChart(r, "Arrivals and answers", "a second")
+	over := func(count func(metrics.Slot) int64) (points plotter.XYs, found bool) {
 		for _, s := range r.Calls.Slots {
 			n := count(s)
-			any = any || n > 0
-			points = append(points, plotter.XY{X: s.From + r.Calls.Every/2, Y: float64(n) / r.Calls.Every})
+			found = found || n > 0
+			points = append(points, plotter.XY{X: s.From + r.Calls.SlotSeconds/2, Y: float64(n) / r.Calls.SlotSeconds})
 		}
-		return points, any
+		return points, found
 	}
 	arrivals, _ := over(func(s metrics.Slot) int64 { return s.Arrivals })
 	top := 1.0
 	for _, at := range arrivals {
 		top = max(top, at.Y)
 	}
-	mark(p, r, 0, top*1.15)
-	line(p, "arrivals", arrivals, true)
+	shadeFaults(p, r, 0, top*1.15)
+	addLine(p, "arrivals", arrivals, true)
 	for _, kind := range []string{
 		"succeeded", "throttled", "errored", "unanswered", "broken", "unreachable",
 		"interrupted", "unsent",
 	} {
-		if points, any := over(func(s metrics.Slot) int64 { return s.Answers[kind] }); any {
-			line(p, kind, points, false)
+		if points, found := over(func(s metrics.Slot) int64 { return s.Answers[kind] }); found {
+			addLine(p, kind, points, false)
 		}
 	}
 	p.Y.Min, p.Y.Max = 0, top*1.15
 	return p
 }
 
-// latency shows percentiles of what succeeded, by when it was meant to be sent.
-func latency(r *experiment.Result) *plot.Plot {
-	p := canvas(r, "Latency of what succeeded, from the intended time of sending", "ms")
+// latencyChart shows percentiles of what succeeded, by when it was meant to be sent.
+func latencyChart(r *experiment.Result) *plot.Plot {
+	p := newChart(r, "Latency of what succeeded, from the intended time of sending", "ms")
 	low, high := math.Inf(1), 1.0
 	lines := map[string]plotter.XYs{}
 	for _, s := range r.Calls.Slots {
 		if s.P50 <= 0 {
 			continue
 		}
-		at := s.From + r.Calls.Every/2
+		at := s.From + r.Calls.SlotSeconds/2
 		for name, v := range map[string]float64{"p50": s.P50, "p95": s.P95, "p99": s.P99} {
 			lines[name] = append(lines[name], plotter.XY{X: at, Y: v})
 			low, high = min(low, v), max(high, v)
@@ -159,35 +159,35 @@
 		return p
 	}
 	low, high = low/1.3, high*1.5
-	mark(p, r, low, high)
+	shadeFaults(p, r, low, high)
 	for _, name := range []string{"p50", "p95", "p99"} {
-		line(p, name, lines[name], false)
+		addLine(p, name, lines[name], false)
 	}
 	p.Y.Scale, p.Y.Tick.Marker = plot.LogScale{}, plot.LogTicks{Prec: 3}
 	p.Y.Min, p.Y.Max = low, high
 	return p
 }
 
-// grid is work done by worker over time.
-type grid struct {
+// workGrid is work done by worker over time.
+type workGrid struct {
 	r *experiment.Result
 }
 
-func (g grid) Dims() (c, r int)   { return len(g.r.Calls.Slots), len(g.r.Workers) }
-func (g grid) X(c int) float64    { return (float64(c) + 0.5) * g.r.Calls.Every }
-func (g grid) Y(r int) float64    { return float64(r) }
-func (g grid) Z(c, r int) float64 { return g.r.Workers[r].BySlot[c] }
+func (g workGrid) Dims() (c, r int)   { return len(g.r.Calls.Slots), len(g.r.Workers) }
+func (g workGrid) X(c int) float64    { return (float64(c) + 0.5) * g.r.Calls.SlotSeconds }
+func (g workGrid) Y(r int) float64    { return float64(r) }
+func (g workGrid) Z(c, r int) float64 { return g.r.Workers[r].BySlot[c] }
 
-// work shows what each worker finished, a second: a crash is a hole, a cold return a pale stretch.
-func work(r *experiment.Result) *plot.Plot {
-	p := canvas(r, "Work finished by worker (darker: more a second)", "worker")
+// workChart shows what each worker finished, a second: a crash is a hole, a cold return a pale stretch.
+func workChart(r *experiment.Result) *plot.Plot {
+	p := newChart(r, "Work finished by worker (darker: more a second)", "worker")
 	shades, err := brewer.GetPalette(brewer.TypeSequential, "Blues", 9)
-	g := grid{r}
+	g := workGrid{r}
 	if c, rows := g.Dims(); err != nil || c < 2 || rows < 2 {
 		return p
 	}
 	p.Add(plotter.NewHeatMap(g, shades))
-	mark(p, r, -0.5, float64(len(r.Workers))-0.5)
+	shadeFaults(p, r, -0.5, float64(len(r.Workers))-0.5)
 	var ticks []plot.Tick
 	for n, w := range r.Workers {
 		t := plot.Tick{Value: float64(n)}
@@ -201,8 +201,8 @@
 	return p
 }
 
-// shares shows the whole work of each worker.
-func shares(r *experiment.Result) *plot.Plot {
+// sharesChart shows the whole work of each worker.
+func sharesChart(r *experiment.Result) *plot.Plot {
 	p := plot.New()
 	p.Title.Text, p.Y.Label.Text = "Invocations finished by worker", "invocations"
 	values, names := plotter.Values{}, []string{}
@@ -212,7 +212,7 @@
 	if len(values) == 0 || slices.Max(values) == 0 {
 		return p
 	}
-	bars, err := plotter.NewBarChart(values, wide*0.7/vg.Length(len(values)))
+	bars, err := plotter.NewBarChart(values, chartWidth*0.7/vg.Length(len(values)))
 	if err != nil {
 		return p
 	}
--- a/internal/testbed/report/compare.go
+++ b/internal/testbed/report/compare.go
@@ -9,15 +9,15 @@
 	"canvasroute/internal/testbed/metrics"
 )
 
-// Figure is one figure of a run that two sets of runs are compared by.
-type Figure struct {
+// Metric is one figure of a run that two sets of runs are compared by.
+type Metric struct {
 	Name   string
-	Of     func(*experiment.Result) float64
+	Value  func(*experiment.Result) float64
 	Better int // 1 if more is better, -1 if less is, 0 if neither
 }
 
 // compared are the figures, those that matter most first.
-var compared = []Figure{
+var figures = []Metric{
 	{"rules broken", func(r *experiment.Result) (n float64) {
 		for _, k := range r.Rules {
 			n += float64(k)
@@ -25,14 +25,14 @@
 		return n
 	}, -1},
 	{"billed value %", func(r *experiment.Result) float64 { return 100 * r.Calls.Total.ValueShare }, 1},
-	{"in time %", func(r *experiment.Result) float64 { return part(r, r.Calls.Total.InTime) }, 1},
-	{"succeeded %", answered("succeeded"), 1},
-	{"throttled %", answered("throttled"), -1},
-	{"errored %", answered("errored"), -1},
-	{"unanswered %", answered("unanswered"), -1},
-	{"latency p50 ms", of(func(l metrics.Latency) float64 { return l.P50 }), -1},
-	{"latency p99 ms", of(func(l metrics.Latency) float64 { return l.P99 }), -1},
-	{"latency max ms", of(func(l metrics.Latency) float64 { return l.Max }), -1},
+	{"in time %", func(r *experiment.Result) float64 { return percentOfCalls(r, r.Calls.Total.InTime) }, 1},
+	{"succeeded %", answerPercent("succeeded"), 1},
+	{"throttled %", answerPercent("throttled"), -1},
+	{"errored %", answerPercent("errored"), -1},
+	{"unanswered %", answerPercent("unanswered"), -1},
+	{"latency p50 ms", latencyFigure(func(l metrics.Latency) float64 { return l.P50 }), -1},
+	{"latency p99 ms", latencyFigure(func(l metrics.Latency) float64 { return l.P99 }), -1},
+	{"latency max ms", latencyFigure(func(l metrics.Latency) float64 { return l.Max }), -1},
 	{"all calls p99 ms", func(r *experiment.Result) float64 { return r.Calls.All.P99 }, -1},
 	{"tries a call", func(r *experiment.Result) float64 {
 		return float64(r.Calls.Total.Tries) / float64(max(r.Calls.Total.Calls, 1))
@@ -42,25 +42,25 @@
 	}, -1},
 }
 
-func part(r *experiment.Result, n int64) float64 {
+func percentOfCalls(r *experiment.Result, n int64) float64 {
 	return 100 * float64(n) / float64(max(r.Calls.Total.Calls, 1))
 }
 
-func answered(kind string) func(*experiment.Result) float64 {
-	return func(r *experiment.Result) float64 { return part(r, r.Calls.Total.Answers[kind]) }
+func answerPercent(kind string) func(*experiment.Result) float64 {
+	return func(r *experiment.Result) float64 { return percentOfCalls(r, r.Calls.Total.Answers[kind]) }
 }
 
-func of(figure func(metrics.Latency) float64) func(*experiment.Result) float64 {
+func latencyFigure(figure func(metrics.Latency) float64) func(*experiment.Result) float64 {
 	return func(r *experiment.Result) float64 { return figure(r.Calls.Succeeded) }
 }
 
-// spread is the mean of a figure over runs and the standard deviation of a single one.
-func spread(runs []*experiment.Result, f Figure) (mean, deviation float64) {
+// meanAndDeviation is the mean of a figure over runs and the standard deviation of a single one.
+func meanAndDeviation(runs []*experiment.Result, f Metric) (mean, deviation float64) {
 	for _, r := range runs {
-		mean += f.Of(r) / float64(len(runs))
+		mean += f.Value(r) / float64(len(runs))
 	}
 	for _, r := range runs {
-		deviation += (f.Of(r) - mean) * (f.Of(r) - mean)
+		deviation += (f.Value(r) - mean) * (f.Value(r) - mean)
 	}
 	if len(runs) < 2 {
 		return mean, 0
@@ -68,14 +68,14 @@
 	return mean, math.Sqrt(deviation / float64(len(runs)-1))
 }
 
-// apart tells whether two means differ by more than their standard errors explain: twice those of both. With
+// differ tells whether two means differ by more than their standard errors explain: twice those of both. With
 // a single run on either side nobody can tell.
-func apart(a, b []*experiment.Result, f Figure) bool {
+func differ(a, b []*experiment.Result, f Metric) bool {
 	if len(a) < 2 || len(b) < 2 {
 		return false
 	}
-	meanA, devA := spread(a, f)
-	meanB, devB := spread(b, f)
+	meanA, devA := meanAndDeviation(a, f)
+	meanB, devB := meanAndDeviation(b, f)
 	se := math.Sqrt(devA*devA/float64(len(a)) + devB*devB/float64(len(b)))
 	return math.Abs(meanA-meanB) > 2*se && meanA != meanB
 }
@@ -90,11 +90,11 @@
 		fmt.Fprintf(&out, "note: %s\n", w)
 	}
 	fmt.Fprintf(&out, "%-18s %20s %20s %12s\n", "", "A", "B", "B - A")
-	for _, f := range compared {
-		meanA, devA := spread(a, f)
-		meanB, devB := spread(b, f)
+	for _, f := range figures {
+		meanA, devA := meanAndDeviation(a, f)
+		meanB, devB := meanAndDeviation(b, f)
 		verdict := ""
-		if apart(a, b, f) {
+		if differ(a, b, f) {
 			verdict = "  B worse"
 			if (meanB-meanA)*float64(f.Better) > 0 {
 				verdict = "  B better"
@@ -117,7 +117,7 @@
 	for _, r := range append(append([]*experiment.Result{}, a...), b...) {
 		if !r.Calls.Generator.Trusted {
 			out = append(out, fmt.Sprintf("seed %d of %s: the generator was late: %s", r.Seed, r.Policy,
-				r.Calls.Generator.Why))
+				r.Calls.Generator.Reason))
 		}
 		if r.Partial {
 			out = append(out, fmt.Sprintf("seed %d of %s is partial", r.Seed, r.Policy))
--- a/internal/testbed/report/page.go
+++ b/internal/testbed/report/page.go
@@ -13,8 +13,8 @@
 	"canvasroute/internal/testbed/history"
 )
 
-// pageName is the page in a result's folder.
-const pageName = "report.html"
+// pageFile is the page in a result's folder.
+const pageFile = "report.html"
 
 // Write leaves a page with charts in a folder, and returns its path.
 func Write(r *experiment.Result, folder string) (string, error) {
@@ -23,12 +23,12 @@
 		Charts []template.HTML
 		Table  []Row
 		Rules  []Row
-	}{Result: r, Table: Figures(r), Rules: rules(r)}
+	}{Result: r, Table: Figures(r), Rules: ruleRows(r)}
 	for _, p := range []func() (template.HTML, error){
-		func() (template.HTML, error) { return svg(answers(r)) },
-		func() (template.HTML, error) { return svg(latency(r)) },
-		func() (template.HTML, error) { return svg(work(r)) },
-		func() (template.HTML, error) { return svg(shares(r)) },
+		func() (template.HTML, error) { return renderSVG(answersChart(r)) },
+		func() (template.HTML, error) { return renderSVG(latencyChart(r)) },
+		func() (template.HTML, error) { return renderSVG(workChart(r)) },
+		func() (template.HTML, error) { return renderSVG(sharesChart(r)) },
 	} {
 		chart, err := p()
 		if err != nil {
@@ -36,14 +36,14 @@
 		}
 		data.Charts = append(data.Charts, chart)
 	}
-	if p := phases(r); p != nil {
-		chart, err := svg(p)
+	if p := phasesChart(r); p != nil {
+		chart, err := renderSVG(p)
 		if err != nil {
 			return "", err
 		}
 		data.Charts = append(data.Charts, chart)
 	}
-	path := filepath.Join(folder, pageName)
+	path := filepath.Join(folder, pageFile)
 	file, err := os.Create(path)
 	if err != nil {
 		return "", err
@@ -62,9 +62,9 @@
 	Bad   bool
 }
 
-// rules tell how each of the four stands.
-func rules(r *experiment.Result) (rows []Row) {
-	for _, rule := range append(slices.Clone(history.Rules[:]), history.RuleKeys) {
+// ruleRows tell how each of the four stands.
+func ruleRows(r *experiment.Result) (rows []Row) {
+	for _, rule := range append(slices.Clone(history.Rules[:]), history.RuleKeysPersisted) {
 		if _, judged := r.Rules[string(rule)]; !judged {
 			continue
 		}
@@ -84,7 +84,7 @@
 		return fmt.Sprintf("%d (%.1f%%)", n, 100*float64(n)/float64(max(c.Total.Calls, 1)))
 	}
 	rows := []Row{{Name: "calls", Value: fmt.Sprintf("%d of %d planned", c.Total.Calls, r.Planned)}}
-	for _, kind := range history.Kinds {
+	for _, kind := range history.OutcomeNames {
 		if n := c.Total.Answers[kind]; n > 0 {
 			rows = append(rows, Row{Name: kind, Value: share(n), Bad: kind == "broken" || kind == "unsent"})
 		}
@@ -92,49 +92,49 @@
 	rows = append(rows,
 		Row{Name: "in time", Value: share(c.Total.InTime)},
 		Row{Name: "billed value", Value: fmt.Sprintf("%.1f%% of what was asked for", 100*c.Total.ValueShare)},
-		Row{Name: "latency p50 / p99 / max", Value: fmt.Sprintf("%s / %s / %s", millis(c.Succeeded.P50),
-			millis(c.Succeeded.P99), millis(c.Succeeded.Max))},
+		Row{Name: "latency p50 / p99 / max", Value: fmt.Sprintf("%s / %s / %s", formatMillis(c.Succeeded.P50),
+			formatMillis(c.Succeeded.P99), formatMillis(c.Succeeded.Max))},
 		Row{Name: "tries a call", Value: fmt.Sprintf("%.2f", float64(c.Total.Tries)/float64(max(c.Total.Calls,
 			1)))},
 		Row{Name: "dispatchers' CPU", Value: fmt.Sprintf("%.2f s", r.CPU())},
 	)
-	for _, b := range r.Backs {
+	for _, b := range r.Recoveries {
 		row := Row{Name: "back after power loss", Value: fmt.Sprintf("%.0f s after the last worker, at best %.0f s (%.2f)",
-			b.Until, b.AtBest, b.Stretch)}
-		if b.Until < 0 {
-			row.Value = fmt.Sprintf("not within the run, at best %.0f s", b.AtBest)
+			b.UntilRecovered, b.UntilRecoveredAtBest, b.RatioToBest)}
+		if b.UntilRecovered < 0 {
+			row.Value = fmt.Sprintf("not within the run, at best %.0f s", b.UntilRecoveredAtBest)
 		}
 		rows = append(rows, row)
 	}
 	g := Row{Name: "generator", Value: "kept to its schedule"}
 	if !c.Generator.Trusted {
-		g.Value, g.Bad = "NOT TO BE TRUSTED: "+c.Generator.Why, true
+		g.Value, g.Bad = "NOT TO BE TRUSTED: "+c.Generator.Reason, true
 	}
 	return append(rows, g)
 }
 
-func millis(v float64) string {
+func formatMillis(v float64) string {
 	return time.Duration(v * float64(time.Millisecond)).Round(10 * time.Microsecond).String()
 }
 
 // Text is the table of a run for a terminal.
 func Text(r *experiment.Result) string {
 	var b strings.Builder
-	for _, row := range append(Figures(r), rules(r)...) {
+	for _, row := range append(Figures(r), ruleRows(r)...) {
 		flag := ""
 		if row.Bad {
 			flag = "  <--"
 		}
 		fmt.Fprintf(&b, "  %-28s %s%s\n", row.Name, row.Value, flag)
 	}
-	for n, br := range r.Breaches {
+	for n, br := range r.Violations {
 		if n == 5 {
-			fmt.Fprintf(&b, "  ... %d more in %s\n", len(r.Breaches)-n, "result.json")
+			fmt.Fprintf(&b, "  ... %d more in %s\n", len(r.Violations)-n, "result.json")
 			break
 		}
 		fmt.Fprintf(&b, "  broken: %s: invocation %s (%s), dispatcher %d, worker %d, at %.3f s: %s\n", br.Rule,
 			br.ID,
-			br.Operation, br.Dispatcher, br.Worker, br.At.Seconds(), br.What)
+			br.Operation, br.Dispatcher, br.Worker, br.At.Seconds(), br.Description)
 	}
 	for _, f := range r.Failures {
 		fmt.Fprintf(&b, "  failure: %s\n", f)
@@ -145,7 +145,7 @@
 var page = template.Must(template.New("page").Funcs(template.FuncMap{
 	"s":   func(d time.Duration) string { return fmt.Sprintf("%.1f s", d.Seconds()) },
 	"pct": func(f float64) string { return fmt.Sprintf("%.1f%%", 100*f) },
-	"ms":  millis, "inc": func(n int) int { return n + 1 },
+	"ms":  formatMillis, "inc": func(n int) int { return n + 1 },
 }).Parse(`<!doctype html>
 <html lang="en"><head><meta charset="utf-8"><title>{{.Name}}, seed {{.Seed}}</title>
 <style>
@@ -157,9 +157,9 @@
 .note{color:#666}
 </style></head><body>
 <h1>{{.Name}}</h1>
-<p>{{.Policy}}{{with .Fault}}, broken on purpose: {{.}}{{end}} &middot; seed {{.Seed}} &middot; {{.Began}}
+<p>{{.Policy}}{{with .Fault}}, broken on purpose: {{.}}{{end}} &middot; seed {{.Seed}} &middot; {{.StartedAt}}
  &middot;
-{{.Long}} s &middot; {{len .Dispatchers}} dispatchers, {{len .Workers}} workers, on {{.Cores}} cores
+{{.DurationSeconds}} s &middot; {{len .Dispatchers}} dispatchers, {{len .Workers}} workers, on {{.Cores}} cores
 {{if .Partial}}&middot; <span class="bad">partial: interrupted</span>{{end}}</p>
 <p class="note">Workers, list service, peer network and clients are stand-ins on loopback; the dispatchers are
 real processes.</p>
@@ -168,9 +168,9 @@
 {{end}}</table>
 <table>{{range .Rules}}<tr><td>{{.Name}}</td><td{{if .Bad}} class="bad"{{end}}>{{.Value}}</td></tr>{{end}}
 </table></div>
-{{with .Troubles}}<h2>Troubles</h2><table>{{range $n, $m := .}}<tr><td>{{inc $n}}</td><td>{{s .From}}
+{{with .Faults}}<h2>Faults</h2><table>{{range $n, $m := .}}<tr><td>{{inc $n}}</td><td>{{s .From}}
  to {{s .To}}</td>
-<td>{{.What}}</td></tr>{{end}}</table>{{end}}
+<td>{{.Description}}</td></tr>{{end}}</table>{{end}}
 {{range .Charts}}{{.}}
 {{end}}
 <h2>Operations</h2><table><tr><th>operation</th><th class="n">calls</th><th class="n">in time</th>
@@ -179,16 +179,16 @@
 <td class="n">{{pct .ValueShare}}</td>{{with .Latency}}<td class="n">{{ms .P50}}</td><td class="n">{{ms .P99}}
 </td>
 <td class="n">{{ms .Max}}</td>{{end}}</tr>{{end}}</table>
-{{with .Calls.Customers}}<h2>Customers</h2><table><tr><th>customer</th><th class="n">calls</th>
+{{with .Calls.Tenants}}<h2>Tenants</h2><table><tr><th>tenant</th><th class="n">calls</th>
 <th class="n">in time</th>
 <th class="n">billed value</th></tr>{{range .}}<tr><td>{{.Name}}</td><td class="n">{{.Calls}}</td>
 <td class="n">{{.InTime}}</td><td class="n">{{pct .ValueShare}}</td></tr>{{end}}</table>{{end}}
-<h2>Dispatchers</h2><table><tr><th>name</th><th class="n">lives</th><th class="n">tries</th><th class="n">CPU
+<h2>Dispatchers</h2><table><tr><th>name</th><th class="n">starts</th><th class="n">tries</th><th class="n">CPU
 </th></tr>
-{{range .Dispatchers}}<tr><td>{{.Name}}</td><td class="n">{{.Lives}}</td><td class="n">{{.Tries}}</td>
+{{range .Dispatchers}}<tr><td>{{.Name}}</td><td class="n">{{.Incarnations}}</td><td class="n">{{.Tries}}</td>
 <td class="n">{{printf "%.2f s" .CPU}}</td></tr>{{end}}</table>
-{{with .Breaches}}<h2 class="bad">Broken rules</h2><table>{{range .}}<tr><td>{{.Rule}}</td><td>{{.ID}}</td>
-<td>{{.Operation}}</td><td>{{s .At}}</td><td>{{.What}}</td></tr>{{end}}</table>{{end}}
+{{with .Violations}}<h2 class="bad">Broken rules</h2><table>{{range .}}<tr><td>{{.Rule}}</td><td>{{.ID}}</td>
+<td>{{.Operation}}</td><td>{{s .At}}</td><td>{{.Description}}</td></tr>{{end}}</table>{{end}}
 {{with .Failures}}<h2 class="bad">Failures</h2><ul>{{range .}}<li>{{.}}</li>{{end}}</ul>{{end}}
 </body></html>
 `))
--- a/internal/testbed/report/phases.go
+++ b/internal/testbed/report/phases.go
@@ -25,19 +25,19 @@
 }
 
 // thick is how much of its row a band fills.
-const thick = 0.35
+const bandShare = 0.35
 
-// phases shows how far each dispatcher had returned, as bands over time. It is nil where none tells.
-func phases(r *experiment.Result) *plot.Plot {
+// phasesChart shows how far each dispatcher had returned, as bands over time. It is nil where none tells.
+func phasesChart(r *experiment.Result) *plot.Plot {
 	if len(r.Phases) == 0 {
 		return nil
 	}
-	p := canvas(r, "Phases of return", "dispatcher")
+	p := newChart(r, "Phases of return", "dispatcher")
 	p.Y.Min, p.Y.Max = -1, float64(len(r.Dispatchers))
-	mark(p, r, -1, float64(len(r.Dispatchers)))
+	shadeFaults(p, r, -1, float64(len(r.Dispatchers)))
 	drawn := map[string]bool{}
 	for n, phase := range r.Phases {
-		to := r.Long
+		to := r.DurationSeconds
 		if n+1 < len(r.Phases) && r.Phases[n+1].Dispatcher == phase.Dispatcher {
 			to = r.Phases[n+1].From
 		}
@@ -47,10 +47,10 @@
 		}
 		y := float64(phase.Dispatcher)
 		band, err := plotter.NewPolygon(plotter.XYs{
-			{X: from, Y: y - thick},
-			{X: to, Y: y - thick},
-			{X: to, Y: y + thick},
-			{X: from, Y: y + thick},
+			{X: from, Y: y - bandShare},
+			{X: to, Y: y - bandShare},
+			{X: to, Y: y + bandShare},
+			{X: from, Y: y + bandShare},
 		})
 		if err != nil {
 			continue
--- a/internal/testbed/report/report_test.go
+++ b/internal/testbed/report/report_test.go
@@ -16,26 +16,26 @@
 
 // run is a result with one figure of its own.
 func run(seed uint64, inTime int) *experiment.Result {
-	rec := metrics.New(time.Second, 1, 0)
+	rec := metrics.NewRecorder(time.Second, 1, 0)
 	for n := range 100 {
 		rec.Record(metrics.Call{
-			Intended: time.Duration(n) * 30 * time.Millisecond, Kind: history.Succeeded,
-			Ended: time.Duration(n+1) * 30 * time.Millisecond, InTime: n < inTime, Tries: 1, Asked: 1,
+			Intended: time.Duration(n) * 30 * time.Millisecond, Outcome: history.Succeeded,
+			Ended: time.Duration(n+1) * 30 * time.Millisecond, InTime: n < inTime, Tries: 1, ValueOffered: 1,
 		})
 	}
 	return &experiment.Result{
-		Name: "test <b>", Seed: seed, Policy: "canvasroute", Long: 3, Schedule: "s",
+		Name: "test <b>", Seed: seed, Policy: "canvasroute", DurationSeconds: 3, Schedule: "s",
 		Calls: rec.Summary([]string{"safe"}, nil), Rules: map[string]int{},
 		Workers:     []experiment.WorkerResult{{Name: "w0", BySlot: []float64{1, 2, 3}}, {Name: "w1", BySlot: []float64{0, 0, 1}, Done: 1}},
 		Dispatchers: []experiment.ProcessResult{{Name: "d0", CPU: 0.5}},
-		Troubles:    []fault.Mark{{From: time.Second, To: 2 * time.Second, What: "1 workers crash"}},
+		Faults:      []fault.Mark{{From: time.Second, To: 2 * time.Second, Description: "1 workers crash"}},
 	}
 }
 
 func TestPageShowsFiguresTroublesAndBreaches(t *testing.T) {
 	r := run(7, 90)
-	r.Rules[string(history.RuleNoneLost)] = 1
-	r.Breaches = []history.Breach{{Rule: history.RuleNoneLost, ID: "deadbeef", What: "no answer"}}
+	r.Rules[string(history.RuleNoRequestLost)] = 1
+	r.Violations = []history.Violation{{Rule: history.RuleNoRequestLost, ID: "deadbeef", Description: "no answer"}}
 	path, err := Write(r, t.TempDir())
 	assert.NoError(t, err)
 	b, err := os.ReadFile(path)
--- a/internal/testbed/unit/unit.go
+++ b/internal/testbed/unit/unit.go
@@ -8,47 +8,47 @@
 	"time"
 )
 
-// Span is a time that a file gives as text with its unit, such as "250ms" or "1m30s". It is never negative.
-type Span time.Duration
+// Duration is a time that a file gives as text with its unit, such as "250ms" or "1m30s". It is never negative.
+type Duration time.Duration
 
 // UnmarshalText reads a span; the error tells what was there.
-func (s *Span) UnmarshalText(b []byte) error {
+func (s *Duration) UnmarshalText(b []byte) error {
 	d, err := time.ParseDuration(string(b))
 	if err != nil || d < 0 {
 		return fmt.Errorf("%q is not a time such as \"250ms\" or \"1m30s\"", b)
 	}
-	*s = Span(d)
+	*s = Duration(d)
 	return nil
 }
 
 // MarshalText writes a span as it is read.
-func (s Span) MarshalText() ([]byte, error) { return []byte(time.Duration(s).String()), nil }
+func (s Duration) MarshalText() ([]byte, error) { return []byte(time.Duration(s).String()), nil }
 
-// D is the span for the standard library.
-func (s Span) D() time.Duration { return time.Duration(s) }
+// Std is the span for the standard library.
+func (s Duration) Std() time.Duration { return time.Duration(s) }
 
-// Shift is a time that may go either way, written like a Span with a sign.
-type Shift time.Duration
+// SignedDuration is a time that may go either way, written like a Span with a sign.
+type SignedDuration time.Duration
 
 // UnmarshalText reads a shift; the error tells what was there.
-func (s *Shift) UnmarshalText(b []byte) error {
+func (s *SignedDuration) UnmarshalText(b []byte) error {
 	d, err := time.ParseDuration(string(b))
 	if err != nil {
 		return fmt.Errorf("%q is not a time such as \"-1h\" or \"90s\"", b)
 	}
-	*s = Shift(d)
+	*s = SignedDuration(d)
 	return nil
 }
 
 // MarshalText writes a shift as it is read.
-func (s Shift) MarshalText() ([]byte, error) { return []byte(time.Duration(s).String()), nil }
+func (s SignedDuration) MarshalText() ([]byte, error) { return []byte(time.Duration(s).String()), nil }
 
-// D is the shift for the standard library.
-func (s Shift) D() time.Duration { return time.Duration(s) }
+// Std is the shift for the standard library.
+func (s SignedDuration) Std() time.Duration { return time.Duration(s) }
 
-// Chance is a stream of random figures drawn from a seed and a name, so that one stream that is drawn from
+// RandomStream is a stream of random figures drawn from a seed and a name, so that one stream that is drawn from
 // more often leaves the others as they were. Source: the standard library's PCG.
-func Chance(seed uint64, stream string) *rand.Rand {
+func RandomStream(seed uint64, stream string) *rand.Rand {
 	h := fnv.New64a()
 	h.Write([]byte(stream))
 	return rand.New(rand.NewPCG(seed, h.Sum64()))
--- a/internal/testbed/worker/exchange.go
+++ b/internal/testbed/worker/exchange.go
@@ -19,14 +19,14 @@
 	WorkUs    int64 `json:"work_us"`
 }
 
-// mostTask bounds a body.
-const mostTask = 64 << 10
+// maxTaskBytes bounds a body.
+const maxTaskBytes = 64 << 10
 
 // exchange is one forward that a worker has accepted: its lines go to the connection that it came on.
 type exchange struct {
 	lines   chan line
-	forward *history.Forward
-	silent  bool // it runs, and nothing more is told of it; under the server's lock
+	attempt *history.Attempt
+	muted   bool // it runs, and nothing more is told of it; under the server's lock
 }
 
 type line struct {
@@ -34,107 +34,107 @@
 	last          bool
 }
 
-// wire is one connection of a dispatcher. While a forward runs, a goroutine watches for what comes next: the
+// dispatcherConn is one connection of a dispatcher. While a forward runs, a goroutine watches for what comes next: the
 // end of the connection, by which a dispatcher gives the forward up, or the next message.
-type wire struct {
+type dispatcherConn struct {
 	net.Conn
-	in    *bufio.Reader
-	next  chan error // from the goroutine that watches; nil if none does
-	early bool       // the next message has begun already
+	reader         *bufio.Reader
+	next           chan error // from the goroutine that watches; nil if none does
+	messageStarted bool       // the next message has begun already
 }
 
-func (w *wire) watch() {
+func (w *dispatcherConn) watch() {
 	if w.next == nil {
 		w.next = make(chan error, 1)
 		go func() {
-			_, err := w.in.Peek(1)
+			_, err := w.reader.Peek(1)
 			w.next <- err
 		}()
 	}
 }
 
-// await waits for the first byte of the next message.
-func (w *wire) await() (err error) {
+// awaitMessage waits for the first byte of the next message.
+func (w *dispatcherConn) awaitMessage() (err error) {
 	switch {
-	case w.early:
+	case w.messageStarted:
 	case w.next != nil:
 		err = <-w.next
 	default:
-		_, err = w.in.Peek(1)
+		_, err = w.reader.Peek(1)
 	}
-	w.next, w.early = nil, false
+	w.next, w.messageStarted = nil, false
 	return err
 }
 
-// serve takes forwards from one connection until it ends.
-func (s *Server) serve(c net.Conn, dispatcher int, life *life) {
-	defer life.drop(c)
-	w := &wire{Conn: c, in: bufio.NewReader(c)}
+// serveConn takes forwards from one connection until it ends.
+func (s *Server) serveConn(c net.Conn, dispatcher int, process *incarnation) {
+	defer process.removeConn(c)
+	w := &dispatcherConn{Conn: c, reader: bufio.NewReader(c)}
 	for {
-		c.SetReadDeadline(time.Now().Add(s.fleet.terms.Idle))
-		if err := w.await(); err != nil {
+		c.SetReadDeadline(time.Now().Add(s.fleet.config.Idle))
+		if err := w.awaitMessage(); err != nil {
 			return
 		}
 		first := s.fleet.clock()
-		r, err := http.ReadRequest(w.in)
+		r, err := http.ReadRequest(w.reader)
 		if err != nil {
 			return
 		}
-		body, err := io.ReadAll(io.LimitReader(r.Body, mostTask+1))
-		if err != nil || len(body) > mostTask {
+		body, err := io.ReadAll(io.LimitReader(r.Body, maxTaskBytes+1))
+		if err != nil || len(body) > maxTaskBytes {
 			return
 		}
 		c.SetReadDeadline(time.Time{})
-		if !s.answer(w, r, body, history.Forward{
-			Dispatcher: dispatcher, Worker: s.n, Life: life.n,
-			First: first, Whole: s.fleet.clock(),
-		}, life) || r.Close {
+		if !s.handle(w, r, body, history.Attempt{
+			Dispatcher: dispatcher, Worker: s.index, Incarnation: process.number,
+			FirstByteAt: first, ReceivedAt: s.fleet.clock(),
+		}, process) || r.Close {
 			return
 		}
 	}
 }
 
-// answer answers one message, and tells whether the connection can go on.
-func (s *Server) answer(c *wire, r *http.Request, body []byte, f history.Forward, life *life) bool {
+// handle answers one message, and tells whether the connection can go on.
+func (s *Server) handle(c *dispatcherConn, r *http.Request, body []byte, f history.Attempt, process *incarnation) bool {
 	switch {
-	case r.Method == http.MethodGet && r.URL.Path == "/ping" && s.fleet.terms.Probes:
-		return s.plain(c, life, 200, "", nil)
-	case r.Method == http.MethodGet && r.URL.Path == "/_load" && s.fleet.terms.Probes:
-		return s.plain(c, life, 200, "", s.report())
+	case r.Method == http.MethodGet && r.URL.Path == "/ping" && s.fleet.config.Probes:
+		return s.writeSimple(c, process, 200, "", nil)
+	case r.Method == http.MethodGet && r.URL.Path == "/_load" && s.fleet.config.Probes:
+		return s.writeSimple(c, process, 200, "", s.loadReport())
 	case r.URL.Path != "/api":
-		return s.plain(c, life, 404, "", nil)
+		return s.writeSimple(c, process, 404, "", nil)
 	}
 	id := r.Header.Get("Req-Id")
 	if id == "" {
-		return s.plain(c, life, 404, "", nil)
+		return s.writeSimple(c, process, 404, "", nil)
 	}
-	record := s.fleet.ledger.Received(id, f)
-	task, ok := s.task(body)
+	record := s.fleet.history.AttemptReceived(id, f)
+	task, ok := s.parseTask(body)
 	if !ok {
-		s.fleet.ledger.Over(record, history.Failed, "", s.fleet.clock())
-		return s.plain(c, life, 400, "", nil)
+		s.fleet.history.AttemptEnded(record, history.Failed, "", s.fleet.clock())
+		return s.writeSimple(c, process, 400, "", nil)
 	}
-	if !life.gate() {
+	if !process.waitWhilePaused() {
 		return false
 	}
-	if s.fleet.terms.Instant {
+	if s.fleet.config.Instant {
 		l := line{state: "done", result: id, last: true}
-		s.fleet.ledger.Started(record, s.fleet.clock())
-		return s.finish(c, appendLine([]byte(head), id, s.name, l), &exchange{forward: record}, l, life)
+		s.fleet.history.AttemptStarted(record, s.fleet.clock())
+		return s.finish(c, appendLine([]byte(responseHead), id, s.name, l), &exchange{attempt: record}, l, process)
 	}
-	e, ok := s.accept(id, r.Header.Get("Idempotency-Key"), task, record, life)
+	e, ok := s.offer(id, r.Header.Get("Idempotency-Key"), task, record, process)
 	switch {
 	case !ok:
 		return false // it has gone down meanwhile
 	case e == nil:
-		s.fleet.ledger.Over(record, history.Returned, "", s.fleet.clock())
-		return s.plain(c, life, 503, "Srv-Declined: 1\r\n", nil)
+		s.fleet.history.AttemptEnded(record, history.Returned, "", s.fleet.clock())
+		return s.writeSimple(c, process, 503, "Srv-Declined: 1\r\n", nil)
 	}
-	return s.stream(c, id, e, life)
+	return s.stream(c, id, e, process)
 }
 
-// task reads a forward's body. ok is false for one that names no operation of the fleet, or no work.
-func (s *Server) task(body []byte) (task Task, ok bool) {
+// parseTask reads a forward's body. ok is false for one that names no operation of the fleet, or no work.
+func (s *Server) parseTask(body []byte) (task Task, ok bool) {
 	if err := json.Unmarshal(body, &task); err != nil {
 		return task, false
 	}
@@ -142,9 +142,9 @@
 	return task, known && task.WorkUs > 0
 }
 
-// plain writes an answer of one piece.
-func (s *Server) plain(c net.Conn, life *life, status int, fields string, body []byte) bool {
-	if !life.gate() {
+// writeSimple writes an answer of one piece.
+func (s *Server) writeSimple(c net.Conn, process *incarnation, status int, fields string, body []byte) bool {
+	if !process.waitWhilePaused() {
 		return false
 	}
 	text := fmt.Sprintf("HTTP/1.1 %d %s\r\n%sContent-Length: %d\r\n\r\n", status, http.StatusText(status),
@@ -154,33 +154,33 @@
 	return err == nil
 }
 
-const head = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n"
+const responseHead = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n"
 
 // stream writes an exchange's lines as chunks until the last one, or until the dispatcher gives it up.
-func (s *Server) stream(c *wire, id string, e *exchange, life *life) bool {
+func (s *Server) stream(c *dispatcherConn, id string, e *exchange, process *incarnation) bool {
 	defer func() { // a process that ended with the last line unwritten: the first end of a forward counts
-		if !life.gate() {
-			s.fleet.ledger.Over(e.forward, history.Crashed, "", s.fleet.clock())
+		if !process.waitWhilePaused() {
+			s.fleet.history.AttemptEnded(e.attempt, history.Crashed, "", s.fleet.clock())
 		}
 	}()
 	c.watch()
 	next := c.next
-	out := append(make([]byte, 0, 512), head...)
+	out := append(make([]byte, 0, 512), responseHead...)
 	for {
 		select {
 		case l := <-e.lines: // what is at hand already goes along
 			if out = appendLine(out, id, s.name, l); l.last {
-				return s.finish(c, out, e, l, life)
+				return s.finish(c, out, e, l, process)
 			}
 			continue
 		default:
 		}
 		if len(out) > 0 {
-			if !life.gate() {
+			if !process.waitWhilePaused() {
 				return false
 			}
 			if _, err := c.Write(out); err != nil {
-				s.abandon(id, e, life)
+				s.abandon(id, e, process)
 				return false
 			}
 			out = out[:0]
@@ -188,34 +188,34 @@
 		select {
 		case l := <-e.lines:
 			if out = appendLine(out, id, s.name, l); l.last {
-				return s.finish(c, out, e, l, life)
+				return s.finish(c, out, e, l, process)
 			}
 		case err := <-next:
 			if err != nil {
-				s.abandon(id, e, life)
+				s.abandon(id, e, process)
 				return false
 			}
-			c.early, c.next, next = true, nil, nil
-		case <-life.over:
+			c.messageStarted, c.next, next = true, nil, nil
+		case <-process.ended:
 			return false
 		}
 	}
 }
 
-var ends = map[string]history.End{"done": history.Done, "returned": history.Returned, "lost": history.Crashed}
+var endOfState = map[string]history.AttemptEnd{"done": history.Done, "returned": history.Returned, "lost": history.Crashed}
 
 // finish writes the last line and the end of the chunks. The ledger has it before a byte leaves: else an
 // answer could be seen before it was made.
-func (s *Server) finish(c net.Conn, out []byte, e *exchange, l line, life *life) bool {
-	if !life.gate() {
+func (s *Server) finish(c net.Conn, out []byte, e *exchange, l line, process *incarnation) bool {
+	if !process.waitWhilePaused() {
 		return false
 	}
 	if l.state != "returned" {
-		s.fleet.ledger.Over(e.forward, ends[l.state], l.result, s.fleet.clock())
+		s.fleet.history.AttemptEnded(e.attempt, endOfState[l.state], l.result, s.fleet.clock())
 	}
 	_, err := c.Write(append(out, "0\r\n\r\n"...))
 	if l.state == "returned" && err == nil { // it proves something only once it has left
-		s.fleet.ledger.Over(e.forward, history.Returned, "", s.fleet.clock())
+		s.fleet.history.AttemptEnded(e.attempt, history.Returned, "", s.fleet.clock())
 	}
 	return err == nil
 }
@@ -236,13 +236,13 @@
 	return append(append(append(b, "\r\n"...), text...), "\n\r\n"...)
 }
 
-// report is the load as the settings name it: in flight, queued, free slots.
-func (s *Server) report() []byte {
+// loadReport is the load as the settings name it: in flight, queued, free slots.
+func (s *Server) loadReport() []byte {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.life == nil {
+	if s.current == nil {
 		return nil
 	}
-	running, queued := s.life.machine.Load()
+	running, queued := s.current.machine.Load()
 	return fmt.Appendf(nil, `{"rif":%d,"q":%d,"x0":%d}`, running+queued, queued, s.kind.Cores-running)
 }
--- a/internal/testbed/worker/machine_test.go
+++ b/internal/testbed/worker/machine_test.go
@@ -11,7 +11,7 @@
 
 var (
 	twoCores = Kind{Cores: 2, Queue: 1}
-	slowCold = Cold{From: 0.2, Ramp: 10 * sec, Multiple: 4, Span: 2 * sec}
+	slowCold = Warmup{InitialShare: 0.2, Duration: 10 * sec, OverloadMultiple: 4, OverloadSpan: 2 * sec}
 	made     = func(id string) string { return "made " + id }
 )
 
@@ -19,7 +19,7 @@
 
 func finished(events []Event) (ids []string) {
 	for _, e := range events {
-		if e.What == Finished {
+		if e.Kind == Finished {
 			ids = append(ids, e.ID)
 		}
 	}
@@ -47,23 +47,23 @@
 	m := NewMachine(twoCores, slowCold, 0, false, made)
 	offer(m, 0, "a", sec)
 	// The integral of 0.2 + 0.08t is 1 where 0.04t^2 + 0.2t = 1, at t = 3.09.
-	at, _ := m.Next()
-	assert.Equal(t, Event{ID: "a", What: Halfway}, m.Advance(at)[0])
-	at, _ = m.Next()
+	at, _ := m.NextEvent()
+	assert.Equal(t, Event{ID: "a", Kind: Halfway}, m.Advance(at)[0])
+	at, _ = m.NextEvent()
 	assert.InDelta(t, 3.0902, at.Seconds(), 1e-3)
 	assert.Equal(t, []string{"a"}, finished(m.Advance(at)))
-	assert.InDelta(t, 0.2+0.08*at.Seconds(), m.Warmth(at), 1e-9)
-	assert.Equal(t, 1.0, m.Warmth(11*sec))
+	assert.InDelta(t, 0.2+0.08*at.Seconds(), m.WarmupFactor(at), 1e-9)
+	assert.Equal(t, 1.0, m.WarmupFactor(11*sec))
 }
 
 func TestPaceChangesWhileWorkRuns(t *testing.T) {
 	m := warm()
 	offer(m, 0, "a", sec)
-	m.Pace(500*time.Millisecond, 0.25)
-	m.Pace(700*time.Millisecond, 0) // it stands still: 0.45 s are left
-	_, any := m.Next()
-	assert.False(t, any)
-	m.Pace(5*sec, 1)
+	m.SetSpeed(500*time.Millisecond, 0.25)
+	m.SetSpeed(700*time.Millisecond, 0) // it stands still: 0.45 s are left
+	_, found := m.NextEvent()
+	assert.False(t, found)
+	m.SetSpeed(5*sec, 1)
 	assert.Empty(t, finished(m.Advance(5440*time.Millisecond)))
 	assert.Equal(t, []string{"a"}, finished(m.Advance(5451*time.Millisecond)))
 }
@@ -72,7 +72,7 @@
 	m := NewMachine(Kind{Cores: 2, Queue: 99}, slowCold, 0, false, made)
 	// It bears 4 * 0.2 * 2 * 2 s = 3.2 s of work at its start.
 	assert.Equal(t, Accepted, offer(m, 0, "a", 3*sec))
-	assert.Equal(t, Toppled, offer(m, 0, "b", 300*time.Millisecond))
+	assert.Equal(t, Overloaded, offer(m, 0, "b", 300*time.Millisecond))
 	assert.Equal(t, Accepted, offer(warm(), 0, "c", 300*sec), "a warm one bears anything")
 	m = NewMachine(twoCores, slowCold, 0, false, made)
 	assert.Equal(t, Accepted, offer(m, 0, "a", 3*sec))
@@ -80,34 +80,34 @@
 }
 
 func TestCancelledJobFreesItsCoreAndItsKey(t *testing.T) {
-	g, m := NewGroup(10*sec), warm()
+	g, m := NewDedupGroup(10*sec), warm()
 	m.Offer(0, Job{ID: "a", Work: sec, Key: "k", Group: g})
 	_, events, _, _ := m.Offer(0, Job{ID: "b", Work: sec, Key: "k", Group: g})
 	assert.Empty(t, events, "a repeat waits for the first one")
 	events = m.Cancel(sec/4, "a")
-	assert.Equal(t, []Event{{ID: "b", What: Began}}, events)
+	assert.Equal(t, []Event{{ID: "b", Kind: Started}}, events)
 	assert.Equal(t, []string{"b"}, finished(m.Advance(2*sec)))
 }
 
 func TestRepeatsAreDroppedWithinTheGroupAndTheWindow(t *testing.T) {
-	g, one, two := NewGroup(10*sec), warm(), warm()
+	g, one, two := NewDedupGroup(10*sec), warm(), warm()
 	one.Offer(0, Job{ID: "a", Work: sec, Key: "k", Group: g})
 	two.Offer(0, Job{ID: "b", Work: sec, Key: "k", Group: g})
 	one.Advance(2 * sec)
-	assert.Equal(t, []Event{{ID: "b", What: Repeated, Result: "made a"}}, two.Advance(2*sec))
+	assert.Equal(t, []Event{{ID: "b", Kind: Deduplicated, Result: "made a"}}, two.Advance(2*sec))
 	_, events, _, _ := two.Offer(9*sec, Job{ID: "c", Work: sec, Key: "k", Group: g})
-	assert.Equal(t, Repeated, events[0].What)
+	assert.Equal(t, Deduplicated, events[0].Kind)
 	_, events, _, _ = two.Offer(11*sec, Job{ID: "d", Work: sec, Key: "k", Group: g})
-	assert.Equal(t, Began, events[0].What, "the window has passed")
-	assert.Len(t, g.first, 1)
+	assert.Equal(t, Started, events[0].Kind, "the window has passed")
+	assert.Len(t, g.firsts, 1)
 }
 
 func TestFirstOneThatWasLostWithItsProcessRunsElsewhere(t *testing.T) {
-	g, one, two := NewGroup(10*sec), warm(), warm()
+	g, one, two := NewDedupGroup(10*sec), warm(), warm()
 	one.Offer(0, Job{ID: "a", Work: sec, Key: "k", Group: g})
 	two.Offer(0, Job{ID: "b", Work: sec, Key: "k", Group: g})
-	one.End()
-	assert.Equal(t, Began, two.Advance(lookAgain)[0].What)
+	one.Stop()
+	assert.Equal(t, Started, two.Advance(duplicateCheckInterval)[0].Kind)
 }
 
 func TestDrainHandsBackWhatWaits(t *testing.T) {
@@ -115,8 +115,8 @@
 	for _, id := range []string{"a", "b", "c"} {
 		offer(m, 0, id, sec)
 	}
-	_, back := m.Drain(0)
-	assert.Equal(t, []string{"c"}, back)
+	_, unstarted := m.Drain(0)
+	assert.Equal(t, []string{"c"}, unstarted)
 	assert.Equal(t, Declined, offer(m, 0, "d", sec))
 	assert.Equal(t, []string{"a", "b"}, finished(m.Advance(2*sec)))
 }
--- a/internal/testbed/worker/server.go
+++ b/internal/testbed/worker/server.go
@@ -11,9 +11,9 @@
 	"canvasroute/internal/testbed/history"
 )
 
-// Terms are what all workers of a fleet have in common.
-type Terms struct {
-	Cold       Cold
+// Config are what all workers of a fleet have in common.
+type Config struct {
+	Cold       Warmup
 	Idle       time.Duration // how long a connection may stand idle
 	StartNotes bool          // a line when a job begins
 	Progress   bool          // and one halfway through
@@ -29,61 +29,61 @@
 
 // Fleet is all workers, and what they share.
 type Fleet struct {
-	terms      Terms
+	config     Config
 	operations []Deduplication
-	ledger     *history.Ledger
+	history    *history.Log
 	clock      func() time.Duration
-	fell       func(worker int)
+	overloaded func(worker int)
 
 	mu      sync.Mutex
-	groups  map[string]*Group
+	groups  map[string]*DedupGroup
 	servers []*Server
 	running sync.WaitGroup
 }
 
 // NewFleet makes an empty fleet. clock tells the time since the experiment's start; fell is called, in a
 // goroutine of its own, when a cold worker has been pushed over and its process has ended.
-func NewFleet(t Terms, operations []Deduplication, l *history.Ledger, clock func() time.Duration,
+func NewFleet(t Config, operations []Deduplication, l *history.Log, clock func() time.Duration,
 	fell func(worker int),
 ) *Fleet {
 	return &Fleet{
-		terms: t, operations: operations, ledger: l, clock: clock, fell: fell,
-		groups: map[string]*Group{},
+		config: t, operations: operations, history: l, clock: clock, overloaded: fell,
+		groups: map[string]*DedupGroup{},
 	}
 }
 
 // Server is one worker on sockets: one listener for each dispatcher, so that it knows which one sends.
 type Server struct {
 	fleet      *Fleet
-	n          int
+	index      int
 	name       string
 	kind       Kind
 	zone, cell int
 
-	mu        sync.Mutex
-	life      *life // nil while it is down
-	lives     int
-	born      time.Duration
-	addresses []string // by dispatcher
-	pace      float64
-	silent    bool
-	coldest   float64
+	mu            sync.Mutex
+	current       *incarnation // nil while it is down
+	incarnations  int
+	startedAt     time.Duration
+	addresses     []string // by dispatcher
+	speed         float64
+	muted         bool
+	maxWarmupLoad float64
 }
 
-// life is one process of a worker: its machine, its connections, and a gate that closes while it stands still
+// incarnation is one process of a worker: its machine, its connections, and a gate that closes while it stands still
 // or is cut off.
-type life struct {
-	n       int
+type incarnation struct {
+	number  int
 	machine *Machine
-	over    chan struct{}
+	ended   chan struct{}
 	wake    chan struct{}
 
-	mu     sync.Mutex
-	conns  map[net.Conn]bool
-	lns    []net.Listener
-	jobs   map[string]*exchange
-	shut   bool
-	opened chan struct{} // nil while the gate is open; closed when it opens
+	mu        sync.Mutex
+	conns     map[net.Conn]bool
+	listeners []net.Listener
+	exchanges map[string]*exchange
+	closed    bool
+	resumed   chan struct{} // nil while the gate is open; closed when it opens
 }
 
 // Add makes one more worker, which is down.
@@ -91,14 +91,14 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	s := &Server{
-		fleet: f, n: len(f.servers), name: name, kind: k, zone: zone, cell: cell, pace: 1,
+		fleet: f, index: len(f.servers), name: name, kind: k, zone: zone, cell: cell, speed: 1,
 		addresses: make([]string, dispatchers),
 	}
 	f.servers = append(f.servers, s)
 	return s
 }
 
-func (f *Fleet) group(operation int, s *Server) *Group {
+func (f *Fleet) group(operation int, s *Server) *DedupGroup {
 	d := f.operations[operation]
 	key := fmt.Sprint(operation, "/")
 	switch d.Scope {
@@ -113,14 +113,14 @@
 	defer f.mu.Unlock()
 	g := f.groups[key]
 	if g == nil {
-		g = NewGroup(d.Window)
+		g = NewDedupGroup(d.Window)
 		f.groups[key] = g
 	}
 	return g
 }
 
-// Wait ends all workers and waits for their goroutines.
-func (f *Fleet) Wait() {
+// Close ends all workers and waits for their goroutines.
+func (f *Fleet) Close() {
 	f.mu.Lock()
 	servers := f.servers
 	f.mu.Unlock()
@@ -134,17 +134,17 @@
 func (s *Server) Start(warm bool) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.life != nil {
+	if s.current != nil {
 		return nil
 	}
-	n := s.lives
+	n := s.incarnations
 	result := func(id string) string { return fmt.Sprintf("%s by %s.%d", id, s.name, n) }
-	l := &life{
-		n: n, over: make(chan struct{}), wake: make(chan struct{}, 1), conns: map[net.Conn]bool{},
-		jobs:    map[string]*exchange{},
-		machine: NewMachine(s.kind, s.fleet.terms.Cold, s.fleet.clock(), warm, result),
+	l := &incarnation{
+		number: n, ended: make(chan struct{}), wake: make(chan struct{}, 1), conns: map[net.Conn]bool{},
+		exchanges: map[string]*exchange{},
+		machine:   NewMachine(s.kind, s.fleet.config.Cold, s.fleet.clock(), warm, result),
 	}
-	l.machine.Pace(s.fleet.clock(), s.pace)
+	l.machine.SetSpeed(s.fleet.clock(), s.speed)
 	for d := range s.addresses {
 		ln, err := listen(s.addresses[d])
 		if err != nil {
@@ -152,16 +152,16 @@
 			return fmt.Errorf("worker %s: %w", s.name, err)
 		}
 		s.addresses[d] = ln.Addr().String()
-		l.lns = append(l.lns, ln)
+		l.listeners = append(l.listeners, ln)
 	}
-	s.life, s.lives = l, s.lives+1
-	if s.born = s.fleet.clock(); warm {
-		s.born = 0
+	s.current, s.incarnations = l, s.incarnations+1
+	if s.startedAt = s.fleet.clock(); warm {
+		s.startedAt = 0
 	}
-	for d, ln := range l.lns {
-		s.fleet.running.Go(func() { s.take(ln, d, l) })
+	for d, ln := range l.listeners {
+		s.fleet.running.Go(func() { s.acceptConns(ln, d, l) })
 	}
-	s.fleet.running.Go(func() { s.run(l) })
+	s.fleet.running.Go(func() { s.runTimer(l) })
 	return nil
 }
 
@@ -176,131 +176,131 @@
 	return net.Listen("tcp", "127.0.0.1:0")
 }
 
-func (s *Server) take(ln net.Listener, dispatcher int, l *life) {
+func (s *Server) acceptConns(ln net.Listener, dispatcher int, l *incarnation) {
 	for {
 		c, err := ln.Accept()
 		if err != nil {
 			return
 		}
-		if !l.gate() || !l.keep(c) {
+		if !l.waitWhilePaused() || !l.addConn(c) {
 			c.Close()
 			return
 		}
-		s.fleet.running.Go(func() { s.serve(c, dispatcher, l) })
+		s.fleet.running.Go(func() { s.serveConn(c, dispatcher, l) })
 	}
 }
 
-// run goes through what comes due by time.
-func (s *Server) run(l *life) {
+// runTimer goes through what comes due by time.
+func (s *Server) runTimer(l *incarnation) {
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
 	for {
 		s.mu.Lock()
-		s.pass(l, l.machine.Advance(s.fleet.clock()))
-		at, any := l.machine.Next()
+		s.deliver(l, l.machine.Advance(s.fleet.clock()))
+		at, found := l.machine.NextEvent()
 		s.mu.Unlock()
 		wait := time.Hour
-		if any {
+		if found {
 			wait = max(at-s.fleet.clock(), 0)
 		}
 		timer.Reset(wait)
 		select {
 		case <-timer.C:
 		case <-l.wake:
-		case <-l.over:
+		case <-l.ended:
 			return
 		}
 	}
 }
 
-// pass hands events to the exchanges that they are of. It runs under the server's lock.
-func (s *Server) pass(l *life, events []Event) {
+// deliver hands events to the exchanges that they are of. It runs under the server's lock.
+func (s *Server) deliver(l *incarnation, events []Event) {
 	for _, ev := range events {
-		e := l.jobs[ev.ID]
+		e := l.exchanges[ev.ID]
 		if e == nil {
 			continue
 		}
-		switch ev.What {
-		case Began:
-			s.fleet.ledger.Started(e.forward, s.fleet.clock())
-			if s.fleet.terms.StartNotes {
+		switch ev.Kind {
+		case Started:
+			s.fleet.history.AttemptStarted(e.attempt, s.fleet.clock())
+			if s.fleet.config.StartNotes {
 				e.lines <- line{state: "started"}
 			}
-			e.silent = s.silent
+			e.muted = s.muted
 		case Halfway:
-			if s.fleet.terms.Progress && !e.silent {
+			if s.fleet.config.Progress && !e.muted {
 				e.lines <- line{state: "running"}
 			}
-		case Finished, Repeated:
-			delete(l.jobs, ev.ID)
-			if e.silent {
-				s.fleet.ledger.Over(e.forward, history.Swallowed, ev.Result, s.fleet.clock())
+		case Finished, Deduplicated:
+			delete(l.exchanges, ev.ID)
+			if e.muted {
+				s.fleet.history.AttemptEnded(e.attempt, history.NeverReported, ev.Result, s.fleet.clock())
 				continue
 			}
-			if ev.What == Repeated {
-				s.fleet.ledger.Over(e.forward, history.Suppressed, ev.Result, s.fleet.clock())
+			if ev.Kind == Deduplicated {
+				s.fleet.history.AttemptEnded(e.attempt, history.Deduplicated, ev.Result, s.fleet.clock())
 			}
 			e.lines <- line{state: "done", result: ev.Result, last: true}
 		}
 	}
 }
 
-// mostLines is how many lines an exchange can have: none ever waits for its connection.
-const mostLines = 4
+// maxLines is how many lines an exchange can have: none ever waits for its connection.
+const maxLines = 4
 
-// accept offers a job to the machine. The exchange is nil if it was declined; ok is false if the process has
+// offer offers a job to the machine. The exchange is nil if it was declined; ok is false if the process has
 // ended, perhaps by this very job.
-func (s *Server) accept(id, key string, t Task, f *history.Forward, l *life) (e *exchange, ok bool) {
+func (s *Server) offer(id, key string, t Task, f *history.Attempt, l *incarnation) (e *exchange, ok bool) {
 	group := s.fleet.group(t.Operation, s)
 	if key == "" {
 		group = nil
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.life != l {
+	if s.current != l {
 		return nil, false
 	}
-	if l.jobs[id] != nil { // the same forward twice on one worker: the first goes on, this one is not begun
+	if l.exchanges[id] != nil { // the same forward twice on one worker: the first goes on, this one is not begun
 		return nil, true
 	}
-	e = &exchange{lines: make(chan line, mostLines), forward: f}
-	l.jobs[id] = e
-	verdict, events, sent, bound := l.machine.Offer(s.fleet.clock(),
+	e = &exchange{lines: make(chan line, maxLines), attempt: f}
+	l.exchanges[id] = e
+	verdict, events, sent, budget := l.machine.Offer(s.fleet.clock(),
 		Job{ID: id, Work: time.Duration(t.WorkUs) * time.Microsecond, Key: key, Group: group})
 	if verdict != Accepted {
-		delete(l.jobs, id)
+		delete(l.exchanges, id)
 	}
-	s.pass(l, events)
-	if bound > 0 {
-		s.coldest = max(s.coldest, sent.Seconds()/bound.Seconds())
+	s.deliver(l, events)
+	if budget > 0 {
+		s.maxWarmupLoad = max(s.maxWarmupLoad, sent.Seconds()/budget.Seconds())
 	}
 	switch verdict {
 	case Declined:
 		return nil, true
-	case Toppled:
-		s.fleet.ledger.Fell(history.Fall{
-			Worker: s.n, Dispatcher: f.Dispatcher, ID: id, At: s.fleet.clock(),
-			Sent: sent, Bound: bound, What: l.machine.Heaviest(12),
+	case Overloaded:
+		s.fleet.history.WorkerOverloaded(history.Overload{
+			Worker: s.index, Dispatcher: f.Dispatcher, ID: id, At: s.fleet.clock(),
+			SentWork: sent, Budget: budget, RecentJobs: l.machine.HeaviestRecent(12),
 		})
 		s.crash()
-		if s.fleet.fell != nil {
-			go s.fleet.fell(s.n)
+		if s.fleet.overloaded != nil {
+			go s.fleet.overloaded(s.index)
 		}
 		return nil, false
 	}
-	l.rouse()
+	l.wakeUp()
 	return e, true
 }
 
 // abandon ends a job that its dispatcher has given up.
-func (s *Server) abandon(id string, e *exchange, l *life) {
+func (s *Server) abandon(id string, e *exchange, l *incarnation) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.fleet.ledger.Over(e.forward, history.Abandoned, "", s.fleet.clock())
-	if s.life == l && l.jobs[id] == e {
-		delete(l.jobs, id)
-		s.pass(l, l.machine.Cancel(s.fleet.clock(), id))
-		l.rouse()
+	s.fleet.history.AttemptEnded(e.attempt, history.Abandoned, "", s.fleet.clock())
+	if s.current == l && l.exchanges[id] == e {
+		delete(l.exchanges, id)
+		s.deliver(l, l.machine.Cancel(s.fleet.clock(), id))
+		l.wakeUp()
 	}
 }
 
@@ -312,14 +312,14 @@
 }
 
 func (s *Server) crash() {
-	l := s.life
+	l := s.current
 	if l == nil {
 		return
 	}
-	s.life = nil
-	l.machine.End()
-	for _, e := range l.jobs {
-		s.fleet.ledger.Over(e.forward, history.Crashed, "", s.fleet.clock())
+	s.current = nil
+	l.machine.Stop()
+	for _, e := range l.exchanges {
+		s.fleet.history.AttemptEnded(e.attempt, history.Crashed, "", s.fleet.clock())
 	}
 	l.close()
 }
@@ -328,94 +328,94 @@
 func (s *Server) Drain() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	l := s.life
+	l := s.current
 	if l == nil {
 		return
 	}
-	events, back := l.machine.Drain(s.fleet.clock())
-	s.pass(l, events)
-	for _, id := range back {
-		if e := l.jobs[id]; e != nil {
-			delete(l.jobs, id)
+	events, unstarted := l.machine.Drain(s.fleet.clock())
+	s.deliver(l, events)
+	for _, id := range unstarted {
+		if e := l.exchanges[id]; e != nil {
+			delete(l.exchanges, id)
 			e.lines <- line{state: "returned", last: true}
 		}
 	}
-	l.rouse()
+	l.wakeUp()
 }
 
-// Pace sets the part of its speed that the worker has from now on, also after a restart.
-func (s *Server) Pace(pace float64) {
+// SetSpeed sets the part of its speed that the worker has from now on, also after a restart.
+func (s *Server) SetSpeed(speed float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.pace = pace
-	if l := s.life; l != nil {
-		s.pass(l, l.machine.Pace(s.fleet.clock(), pace))
-		l.rouse()
+	s.speed = speed
+	if l := s.current; l != nil {
+		s.deliver(l, l.machine.SetSpeed(s.fleet.clock(), speed))
+		l.wakeUp()
 	}
 }
 
 // Pause makes the whole process stand still, or go on: it neither works nor reads nor writes.
-func (s *Server) Pause(still bool) {
+func (s *Server) Pause(paused bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	l := s.life
+	l := s.current
 	if l == nil {
 		return
 	}
-	pace := s.pace
-	if still {
-		pace = 0
+	speed := s.speed
+	if paused {
+		speed = 0
 	}
-	s.pass(l, l.machine.Pace(s.fleet.clock(), pace))
-	l.block(still)
-	l.rouse()
+	s.deliver(l, l.machine.SetSpeed(s.fleet.clock(), speed))
+	l.setPaused(paused)
+	l.wakeUp()
 }
 
-// Cut cuts its machine off the network, or lets it back: it works, open connections are silent, and new ones
+// Partition cuts its machine off the network, or lets it back: it works, open connections are silent, and new ones
 // do not come up.
-func (s *Server) Cut(off bool) {
+func (s *Server) Partition(partitioned bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	l := s.life
+	l := s.current
 	if l == nil {
 		return
 	}
-	l.block(off)
-	for _, ln := range l.lns {
-		if !off {
-			backlog(ln, syscall.SOMAXCONN)
+	l.setPaused(partitioned)
+	for _, ln := range l.listeners {
+		if !partitioned {
+			setBacklog(ln, syscall.SOMAXCONN)
 			continue
 		}
-		backlog(ln, 0)
-		s.fleet.running.Go(func() { l.plug(ln) })
+		setBacklog(ln, 0)
+		s.fleet.running.Go(func() { l.fillBacklog(ln) })
 	}
 }
 
-// backlog sets how many connections the kernel takes that nobody has accepted yet.
-func backlog(ln net.Listener, most int) {
+// setBacklog sets how many connections the kernel takes that nobody has accepted yet.
+func setBacklog(ln net.Listener, limit int) {
 	if raw, err := ln.(*net.TCPListener).SyscallConn(); err == nil {
-		_ = raw.Control(func(fd uintptr) { _ = syscall.Listen(int(fd), most) }) // fails only where it is closed
+		_ = raw.Control(func(fd uintptr) { _ = syscall.Listen(int(fd), limit) }) // fails only where it is closed
 	}
 }
 
 // plugs fill a backlog of nothing, which holds one, and the hand of the goroutine that accepts.
-const plugs = 2
+const backlogFillers = 2
 
-// plug holds connections of our own in the way of others until the gate opens.
-func (l *life) plug(ln net.Listener) {
-	for range plugs {
+// fillBacklog holds connections of our own in the way of others until the gate opens.
+func (l *incarnation) fillBacklog(ln net.Listener) {
+	for range backlogFillers {
 		if c, err := net.DialTimeout("tcp", ln.Addr().String(), 100*time.Millisecond); err == nil {
 			defer c.Close()
 		}
 	}
-	l.gate()
+	l.waitWhilePaused()
 }
 
-// Silence makes it tell nothing more of jobs that begin from now on, or tell again.
-func (s *Server) Silence(silent bool) {
+// Mute makes it tell nothing more of jobs that begin from now on, or tell again.
+func (s *Server) Mute(muted bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.silent = silent
+	s.muted = muted
 }
 
 // Addresses are where it listens, by dispatcher.
@@ -425,93 +425,93 @@
 	return append([]string(nil), s.addresses...)
 }
 
-// Site is its name and kind, and the numbers of its zone and cell.
-func (s *Server) Site() (name, kind string, zone, cell int) {
+// Location is its name and kind, and the numbers of its zone and cell.
+func (s *Server) Location() (name, kind string, zone, cell int) {
 	return s.name, s.kind.Name, s.zone, s.cell
 }
 
-// Nearest is the most work that it was sent within the span while it was cold, over what it bears: above 1 it
+// MaxWarmupLoad is the most work that it was sent within the span while it was cold, over what it bears: above 1 it
 // fell over.
-func (s *Server) Nearest() float64 {
+func (s *Server) MaxWarmupLoad() float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.coldest
+	return s.maxWarmupLoad
 }
 
-// Born is when its process, or the last one, started, from the experiment's start; 0 for long ago.
-func (s *Server) Born() time.Duration {
+// StartedAt is when its process, or the last one, started, from the experiment's start; 0 for long ago.
+func (s *Server) StartedAt() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.born
+	return s.startedAt
 }
 
-// Up tells whether its process runs.
-func (s *Server) Up() bool {
+// Running tells whether its process runs.
+func (s *Server) Running() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.life != nil
+	return s.current != nil
 }
 
-func (l *life) rouse() {
+func (l *incarnation) wakeUp() {
 	select {
 	case l.wake <- struct{}{}:
 	default:
 	}
 }
 
-// gate waits until the process may go on, and tells whether it still lives.
-func (l *life) gate() bool {
+// waitWhilePaused waits until the process may go on, and tells whether it still lives.
+func (l *incarnation) waitWhilePaused() bool {
 	l.mu.Lock()
-	opened, shut := l.opened, l.shut
+	opened, shut := l.resumed, l.closed
 	l.mu.Unlock()
 	if shut || opened == nil {
 		return !shut
 	}
 	select {
 	case <-opened:
-		return l.gate()
-	case <-l.over:
+		return l.waitWhilePaused()
+	case <-l.ended:
 		return false
 	}
 }
 
-func (l *life) block(still bool) {
+func (l *incarnation) setPaused(paused bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	switch {
-	case still && l.opened == nil:
-		l.opened = make(chan struct{})
-	case !still && l.opened != nil:
-		close(l.opened)
-		l.opened = nil
+	case paused && l.resumed == nil:
+		l.resumed = make(chan struct{})
+	case !paused && l.resumed != nil:
+		close(l.resumed)
+		l.resumed = nil
 	}
 }
 
-func (l *life) keep(c net.Conn) bool {
+func (l *incarnation) addConn(c net.Conn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if !l.shut {
+	if !l.closed {
 		l.conns[c] = true
 	}
-	return !l.shut
+	return !l.closed
 }
 
-func (l *life) drop(c net.Conn) {
+func (l *incarnation) removeConn(c net.Conn) {
 	l.mu.Lock()
 	delete(l.conns, c)
 	l.mu.Unlock()
 	c.Close()
 }
 
-func (l *life) close() {
+func (l *incarnation) close() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.shut {
+	if l.closed {
 		return
 	}
-	l.shut = true
-	close(l.over)
-	for _, ln := range l.lns {
+	l.closed = true
+	close(l.ended)
+	for _, ln := range l.listeners {
 		ln.Close()
 	}
 	for c := range l.conns {
--- a/internal/testbed/worker/server_test.go
+++ b/internal/testbed/worker/server_test.go
@@ -18,14 +18,14 @@
 )
 
 // oneWorker is a worker of two cores and a queue of one, before one dispatcher.
-func oneWorker(t *testing.T, terms Terms) (*Server, *history.Ledger) {
+func oneWorker(t *testing.T, config Config) (*Server, *history.Log) {
 	began, l := time.Now(), history.New()
-	terms.Idle = 5 * time.Second
-	f := NewFleet(terms, []Deduplication{{}, {Scope: "zone", Window: 10 * sec}}, l,
+	config.Idle = 5 * time.Second
+	f := NewFleet(config, []Deduplication{{}, {Scope: "zone", Window: 10 * sec}}, l,
 		func() time.Duration { return time.Since(began) }, nil)
 	s := f.Add("w0", twoCores, 0, 0, 1)
 	assert.NoError(t, s.Start(true))
-	t.Cleanup(f.Wait)
+	t.Cleanup(f.Close)
 	return s, l
 }
 
@@ -44,9 +44,9 @@
 	return &client{c, bufio.NewReader(c), t}
 }
 
-func (c *client) send(l *history.Ledger, id string, work time.Duration) {
+func (c *client) send(l *history.Log, id string, work time.Duration) {
 	if l != nil {
-		l.Tried(id, 0, 0, 0)
+		l.RequestOpened(id, 0, 0, 0)
 	}
 	body := fmt.Sprintf(`{"operation":0,"work_us":%d}`, work.Microseconds())
 	_, err := fmt.Fprintf(c, "POST /api HTTP/1.1\r\nHost: x\r\nReq-Id: %s\r\nContent-Length: %d\r\n\r\n%s",
@@ -64,15 +64,15 @@
 	return r.StatusCode, string(b), err
 }
 
-func ended(l *history.Ledger, id string, how history.End) func() bool {
-	return func() bool { return assert.ObjectsAreEqual([]history.End{how}, l.Ends(id)) }
+func ended(l *history.Log, id string, how history.AttemptEnd) func() bool {
+	return func() bool { return assert.ObjectsAreEqual([]history.AttemptEnd{how}, l.AttemptEnds(id)) }
 }
 
 // held is how many jobs the worker has.
 func held(s *Server) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	running, queued := s.life.machine.Load()
+	running, queued := s.current.machine.Load()
 	return running + queued
 }
 
@@ -81,7 +81,7 @@
 }
 
 func TestWorkerTellsStartProgressAndResultAndKeepsTheConnection(t *testing.T) {
-	s, l := oneWorker(t, Terms{StartNotes: true, Progress: true})
+	s, l := oneWorker(t, Config{StartNotes: true, Progress: true})
 	c := connect(t, s)
 	for n := range 2 {
 		id := fmt.Sprint("a", n)
@@ -97,13 +97,13 @@
 		assert.Equal(t, []string{"started", "running", "done"}, states)
 		assert.Contains(t, text, `"result":"`+id+` by w0.0"`)
 	}
-	f := l.Tries()[1].Forwards[0]
+	f := l.Requests()[1].Attempts[0]
 	assert.Equal(t, history.Done, f.End)
-	assert.GreaterOrEqual(t, f.Ended-f.Started, 20*time.Millisecond)
+	assert.GreaterOrEqual(t, f.EndedAt-f.StartedAt, 20*time.Millisecond)
 }
 
 func TestFullWorkerDeclinesAndDrainHandsBackWhatWaits(t *testing.T) {
-	s, l := oneWorker(t, Terms{})
+	s, l := oneWorker(t, Config{})
 	conns := []*client{connect(t, s), connect(t, s), connect(t, s), connect(t, s)}
 	for n, c := range conns[:3] {
 		c.send(l, fmt.Sprint("a", n), 300*time.Millisecond)
@@ -125,7 +125,7 @@
 }
 
 func TestCrashResetsConnectionsAndRefusesNewOnesUntilTheReturn(t *testing.T) {
-	s, l := oneWorker(t, Terms{StartNotes: true})
+	s, l := oneWorker(t, Config{StartNotes: true})
 	c, address := connect(t, s), s.Addresses()[0]
 	c.send(l, "a", time.Minute)
 	_, err := c.in.Peek(1)
@@ -135,7 +135,7 @@
 	assert.True(t, errors.Is(err, syscall.ECONNRESET), err)
 	_, err = net.Dial("tcp", address)
 	assert.True(t, errors.Is(err, syscall.ECONNREFUSED), err)
-	assert.Equal(t, []history.End{history.Crashed}, l.Ends("a"))
+	assert.Equal(t, []history.AttemptEnd{history.Crashed}, l.AttemptEnds("a"))
 	assert.NoError(t, s.Start(false))
 	assert.Equal(t, address, s.Addresses()[0])
 	c = connect(t, s)
@@ -147,7 +147,7 @@
 
 // Guards against a restart that fails, or answers nobody, since another program has taken the port meanwhile.
 func TestReturnGoesElsewhereWhereThePortIsTaken(t *testing.T) {
-	s, _ := oneWorker(t, Terms{})
+	s, _ := oneWorker(t, Config{})
 	address := s.Addresses()[0]
 	s.Crash()
 	ln, err := net.Listen("tcp", address)
@@ -158,7 +158,7 @@
 }
 
 func TestForwardThatIsGivenUpStopsItsWork(t *testing.T) {
-	s, l := oneWorker(t, Terms{})
+	s, l := oneWorker(t, Config{})
 	c := connect(t, s)
 	c.send(l, "a", time.Minute)
 	_, err := c.in.Peek(1)
@@ -169,11 +169,11 @@
 }
 
 func TestSilentWorkerRunsAndSaysNothingMore(t *testing.T) {
-	s, l := oneWorker(t, Terms{StartNotes: true})
-	s.Silence(true)
+	s, l := oneWorker(t, Config{StartNotes: true})
+	s.Mute(true)
 	c := connect(t, s)
 	c.send(l, "a", 5*time.Millisecond)
-	eventually(t, ended(l, "a", history.Swallowed))
+	eventually(t, ended(l, "a", history.NeverReported))
 	c.SetDeadline(time.Now().Add(50 * time.Millisecond))
 	_, text, err := c.read()
 	assert.Error(t, err)
@@ -181,12 +181,12 @@
 }
 
 func TestMachineThatIsCutOffIsSilentAndTakesNoConnection(t *testing.T) {
-	s, l := oneWorker(t, Terms{})
+	s, l := oneWorker(t, Config{})
 	c := connect(t, s)
 	c.send(l, "a", time.Millisecond)
 	_, _, err := c.read()
 	assert.NoError(t, err)
-	s.Cut(true)
+	s.Partition(true)
 	eventually(t, func() bool {
 		late, err := net.DialTimeout("tcp", s.Addresses()[0], 50*time.Millisecond)
 		if err == nil {
@@ -198,7 +198,7 @@
 	c.SetDeadline(time.Now().Add(50 * time.Millisecond))
 	_, err = c.in.Peek(1)
 	assert.Error(t, err)
-	s.Cut(false)
+	s.Partition(false)
 	c.SetDeadline(time.Now().Add(5 * time.Second))
 	_, text, err := c.read()
 	assert.NoError(t, err)
@@ -210,7 +210,7 @@
 }
 
 func TestMessagesThatAWorkerCannotUse(t *testing.T) {
-	s, l := oneWorker(t, Terms{})
+	s, l := oneWorker(t, Config{})
 	c := connect(t, s)
 	for text, want := range map[string]int{
 		"GET /_load HTTP/1.1\r\nHost: x\r\n\r\n":                                    404,
@@ -223,7 +223,7 @@
 		assert.NoError(t, err)
 		assert.Equal(t, want, status, text)
 	}
-	breaches := l.Judge(history.Terms{})
+	breaches := l.Check(history.RuleConfig{})
 	assert.Len(t, breaches, 1, "an id that no client sent")
 	assert.Equal(t, "z", breaches[0].ID)
 }
--- a/internal/testbed/workload/mix.go
+++ b/internal/testbed/workload/mix.go
@@ -13,24 +13,24 @@
 
 // Operation is one operation, in the words of an experiment file.
 type Operation struct {
-	Name      string    `toml:"name"`
-	Repeat    string    `toml:"repeat"`       // idempotent, deduplicated or non-idempotent
-	Scope     string    `toml:"dedup-scope"`  // all, zone or cell: the workers that drop each other's repeats
-	Window    unit.Span `toml:"dedup-window"` // for how long they do
-	Objective unit.Span `toml:"objective"`    // the latency objective
-	Stretch   float64   `toml:"stretch"`      // and so many times the invocation's own work on top
-	Timeout   unit.Span `toml:"timeout"`      // the client timeout of each try
-	Work      unit.Span `toml:"work"`         // mean core time on a worker of standard speed
-	Tail      string    `toml:"tail"`         // constant, exponential, lognormal or pareto
-	Spread    float64   `toml:"spread"`       // lognormal: sigma of the logarithm; pareto: the exponent
-	Share     float64   `toml:"share"`        // of the arrivals, in proportion to those of the others
-	Value     float64   `toml:"value"`        // billed value for each second of work
-	Tardy     float64   `toml:"tardy-value"`  // the part of it that a late answer still earns
-	HintError float64   `toml:"hint-error"`   // sigma of the logarithm of hint over work; below 0: no hint
+	Name             string        `toml:"name"`
+	Idempotency      string        `toml:"repeat"`       // idempotent, deduplicated or non-idempotent
+	DedupScope       string        `toml:"dedup-scope"`  // all, zone or cell: the workers that drop each other's repeats
+	DedupWindow      unit.Duration `toml:"dedup-window"` // for how long they do
+	LatencyObjective unit.Duration `toml:"objective"`    // the latency objective
+	Stretch          float64       `toml:"stretch"`      // and so many times the invocation's own work on top
+	Timeout          unit.Duration `toml:"timeout"`      // the client timeout of each try
+	Work             unit.Duration `toml:"work"`         // mean core time on a worker of standard speed
+	Tail             string        `toml:"tail"`         // constant, exponential, lognormal or pareto
+	Spread           float64       `toml:"spread"`       // lognormal: sigma of the logarithm; pareto: the exponent
+	Share            float64       `toml:"share"`        // of the arrivals, in proportion to those of the others
+	Value            float64       `toml:"value"`        // billed value for each second of work
+	LateShare        float64       `toml:"tardy-value"`  // the part of it that a late answer still earns
+	HintError        float64       `toml:"hint-error"`   // sigma of the logarithm of hint over work; below 0: no hint
 }
 
-// Customer is one customer, in the words of an experiment file.
-type Customer struct {
+// Tenant is one customer, in the words of an experiment file.
+type Tenant struct {
 	Name  string  `toml:"name"`
 	Share float64 `toml:"share"` // of the arrivals, in proportion to those of the others
 	Quota float64 `toml:"quota"` // invocations a second that count in full; 0: no bound
@@ -38,34 +38,34 @@
 
 // The ways an operation may be repeated.
 const (
-	Idempotent    = "idempotent"
-	Deduplicated  = "deduplicated"
-	NonIdempotent = "non-idempotent"
+	Idempotent      = "idempotent"
+	IdempotentByKey = "deduplicated"
+	NonIdempotent   = "non-idempotent"
 )
 
-// mostWork bounds a tail, in means: without it a single draw could outlast an experiment.
-const mostWork = 200
+// maxWorkMeans bounds a tail, in means: without it a single draw could outlast an experiment.
+const maxWorkMeans = 200
 
-// Check tells what is wrong with an operation; the error begins with the key.
-func (o *Operation) Check() error {
+// Validate tells what is wrong with an operation; the error begins with the key.
+func (o *Operation) Validate() error {
 	switch {
 	case o.Name == "":
 		return fmt.Errorf("name: must be a text")
-	case o.Repeat != Idempotent && o.Repeat != Deduplicated && o.Repeat != NonIdempotent:
-		return fmt.Errorf("repeat: %q, must be %s, %s or %s", o.Repeat, Idempotent, Deduplicated, NonIdempotent)
-	case o.Scope != "" && o.Scope != "all" && o.Scope != "zone" && o.Scope != "cell":
-		return fmt.Errorf("dedup-scope: %q, must be all, zone or cell", o.Scope)
-	case o.Repeat == Deduplicated && o.Window <= 0:
+	case o.Idempotency != Idempotent && o.Idempotency != IdempotentByKey && o.Idempotency != NonIdempotent:
+		return fmt.Errorf("repeat: %q, must be %s, %s or %s", o.Idempotency, Idempotent, IdempotentByKey, NonIdempotent)
+	case o.DedupScope != "" && o.DedupScope != "all" && o.DedupScope != "zone" && o.DedupScope != "cell":
+		return fmt.Errorf("dedup-scope: %q, must be all, zone or cell", o.DedupScope)
+	case o.Idempotency == IdempotentByKey && o.DedupWindow <= 0:
 		return fmt.Errorf("dedup-window: must be more than nothing for a deduplicated operation")
 	case o.Work <= 0:
 		return fmt.Errorf("work: must be more than nothing")
-	case o.Objective <= 0:
+	case o.LatencyObjective <= 0:
 		return fmt.Errorf("objective: must be more than nothing")
-	case o.Timeout < o.Objective:
-		return fmt.Errorf("timeout: %v, must not be below the objective %v", o.Timeout.D(), o.Objective.D())
+	case o.Timeout < o.LatencyObjective:
+		return fmt.Errorf("timeout: %v, must not be below the objective %v", o.Timeout.Std(), o.LatencyObjective.Std())
 	case !(o.Share > 0):
 		return fmt.Errorf("share: %v, must be more than 0", o.Share)
-	case !(o.Value >= 0) || !(o.Tardy >= 0 && o.Tardy <= 1):
+	case !(o.Value >= 0) || !(o.LateShare >= 0 && o.LateShare <= 1):
 		return fmt.Errorf("value: must not be negative, tardy-value from 0 to 1")
 	case !(o.Stretch >= 0):
 		return fmt.Errorf("stretch: %v, must not be negative", o.Stretch)
@@ -81,9 +81,9 @@
 	return fmt.Errorf("tail: %q, must be constant, exponential, lognormal or pareto", o.Tail)
 }
 
-// draw is the work of one invocation, by the operation's tail.
-func (o *Operation) draw(rng *rand.Rand) time.Duration {
-	mean, times := o.Work.D().Seconds(), 1.0
+// drawWork is the work of one invocation, by the operation's tail.
+func (o *Operation) drawWork(rng *rand.Rand) time.Duration {
+	mean, times := o.Work.Std().Seconds(), 1.0
 	switch o.Tail {
 	case "exponential":
 		times = rng.ExpFloat64()
@@ -92,41 +92,41 @@
 	case "pareto":
 		times = (o.Spread - 1) / o.Spread / math.Pow(1-rng.Float64(), 1/o.Spread)
 	}
-	work := mean * min(max(times, 1e-3), mostWork)
+	work := mean * min(max(times, 1e-3), maxWorkMeans)
 	return max(time.Duration(work*float64(time.Second)).Round(time.Microsecond), time.Microsecond)
 }
 
-// hint is what the client believes of a piece of work, 0 for nothing.
-func (o *Operation) hint(work time.Duration, rng *rand.Rand) time.Duration {
-	error := rng.NormFloat64() // drawn also where there is no hint, so that the rest of the schedule stays
+// drawHint is what the client believes of a piece of work, 0 for nothing.
+func (o *Operation) drawHint(work time.Duration, rng *rand.Rand) time.Duration {
+	deviation := rng.NormFloat64() // drawn also where there is no hint, so that the rest of the schedule stays
 	if o.HintError < 0 {
 		return 0
 	}
-	return max(time.Duration(float64(work)*math.Exp(error*o.HintError)).Round(time.Microsecond),
+	return max(time.Duration(float64(work)*math.Exp(deviation*o.HintError)).Round(time.Microsecond),
 		time.Microsecond)
 }
 
-// picker draws from shares.
-type picker struct{ upTo []float64 }
+// weightedChoice draws from shares.
+type weightedChoice struct{ cumulative []float64 }
 
-func newPicker[T any](of []T, share func(T) float64) picker {
-	p, sum := picker{}, 0.0
+func newWeightedChoice[T any](of []T, share func(T) float64) weightedChoice {
+	p, sum := weightedChoice{}, 0.0
 	for _, x := range of {
 		sum += share(x)
-		p.upTo = append(p.upTo, sum)
+		p.cumulative = append(p.cumulative, sum)
 	}
 	return p
 }
 
-func (p picker) draw(rng *rand.Rand) int {
-	if len(p.upTo) == 0 {
+func (p weightedChoice) draw(rng *rand.Rand) int {
+	if len(p.cumulative) == 0 {
 		return 0
 	}
-	at := rng.Float64() * p.upTo[len(p.upTo)-1]
-	for n, up := range p.upTo {
+	at := rng.Float64() * p.cumulative[len(p.cumulative)-1]
+	for n, up := range p.cumulative {
 		if at < up {
 			return n
 		}
 	}
-	return len(p.upTo) - 1
+	return len(p.cumulative) - 1
 }
--- a/internal/testbed/workload/trace.go
+++ b/internal/testbed/workload/trace.go
@@ -18,42 +18,42 @@
 	"canvasroute/internal/testbed/unit"
 )
 
-// row is one row of a trace. Times are in seconds.
-type row struct {
+// traceRow is one row of a trace. Times are in seconds.
+type traceRow struct {
 	Time      *float64 `json:"time"`
 	Operation string   `json:"operation"`
 	Hint      float64  `json:"hint"`
 	Work      float64  `json:"work"` // 0: drawn round the hint, or by the operation
-	Customer  string   `json:"customer"`
+	Tenant    string   `json:"customer"`
 	Key       string   `json:"key"`
 	Retry     bool     `json:"retry"`
 }
 
 // columns are the names that a CSV trace's first line may have, in any order; time and operation must be
 // there.
-var columns = []string{"time", "operation", "hint", "work", "customer", "key", "retry"}
+var traceColumns = []string{"time", "operation", "hint", "work", "customer", "key", "retry"}
 
-// longestTrace bounds a time in a trace, in seconds.
-const longestTrace = 7 * 24 * 3600
+// maxTraceSeconds bounds a time in a trace, in seconds.
+const maxTraceSeconds = 7 * 24 * 3600
 
-// Trace reads recorded arrivals: CSV with a first line of names if the name ends in .csv, else a JSON object
+// ReadTrace reads recorded arrivals: CSV with a first line of names if the name ends in .csv, else a JSON object
 // a line. Every row must be good: the error names the file, the line and what is wrong there.
-func (p *Plan) Trace(name string, in io.Reader, seed uint64) ([]Arrival, error) {
-	t := &tracer{plan: p, rng: unit.Chance(seed, "trace"), last: math.Inf(-1)}
-	read := t.lines
+func (p *Plan) ReadTrace(name string, in io.Reader, seed uint64) ([]Arrival, error) {
+	t := &traceReader{plan: p, rng: unit.RandomStream(seed, "trace"), lastTime: math.Inf(-1)}
+	read := t.readJSONLines
 	if strings.HasSuffix(strings.ToLower(name), ".csv") {
-		read = t.table
+		read = t.readCSV
 	}
 	if line, err := read(in); err != nil {
 		return nil, fmt.Errorf("%s:%d: %w", name, line, err)
 	}
-	if len(t.out) == 0 {
+	if len(t.arrivals) == 0 {
 		return nil, fmt.Errorf("%s: holds no arrival", name)
 	}
-	return t.out, nil
+	return t.arrivals, nil
 }
 
-type tracer struct {
+type traceReader struct {
 	plan *Plan
 	rng  interface {
 		NormFloat64() float64
@@ -61,32 +61,32 @@
 		Float64() float64
 		Uint64() uint64
 	}
-	last float64
-	out  []Arrival
+	lastTime float64
+	arrivals []Arrival
 }
 
-// take checks one row and adds its arrival.
-func (t *tracer) take(r row) error {
-	if r.Time == nil || !(*r.Time >= 0 && *r.Time <= longestTrace) {
+// addRow checks one row and adds its arrival.
+func (t *traceReader) addRow(r traceRow) error {
+	if r.Time == nil || !(*r.Time >= 0 && *r.Time <= maxTraceSeconds) {
 		return errors.New("time: must be seconds, from 0 on")
 	}
-	if *r.Time < t.last {
-		return fmt.Errorf("time: %v comes after %v: rows must be in the order of time", *r.Time, t.last)
+	if *r.Time < t.lastTime {
+		return fmt.Errorf("time: %v comes after %v: rows must be in the order of time", *r.Time, t.lastTime)
 	}
-	t.last = *r.Time
+	t.lastTime = *r.Time
 	o := slices.IndexFunc(t.plan.Operations, func(o Operation) bool { return o.Name == r.Operation })
 	if o < 0 {
 		return fmt.Errorf("operation: %q is none of the experiment's", r.Operation)
 	}
-	c := slices.IndexFunc(t.plan.Customers, func(c Customer) bool { return c.Name == r.Customer })
-	if c < 0 && (r.Customer != "" || len(t.plan.Customers) > 0) {
-		return fmt.Errorf("customer: %q is none of the experiment's", r.Customer)
+	c := slices.IndexFunc(t.plan.Tenants, func(c Tenant) bool { return c.Name == r.Tenant })
+	if c < 0 && (r.Tenant != "" || len(t.plan.Tenants) > 0) {
+		return fmt.Errorf("customer: %q is none of the experiment's", r.Tenant)
 	}
 	if !(r.Hint >= 0 && r.Hint <= 1e6) || !(r.Work >= 0 && r.Work <= 1e6) {
 		return errors.New("hint, work: must be seconds, from 0 to 1000000")
 	}
 	a := Arrival{
-		At: seconds(*r.Time), Operation: o, Customer: max(c, 0), Hint: seconds(r.Hint),
+		At: seconds(*r.Time), Operation: o, Tenant: max(c, 0), Hint: seconds(r.Hint),
 		Work: seconds(r.Work), Retry: r.Retry,
 	}
 	op := &t.plan.Operations[o]
@@ -95,21 +95,21 @@
 	case r.Hint > 0: // the error goes the other way round
 		a.Work = max(seconds(r.Hint*math.Exp(-t.rng.NormFloat64()*max(op.HintError, 0))), time.Microsecond)
 	default:
-		a.Work = op.Work.D()
+		a.Work = op.Work.Std()
 	}
 	if a.Key = t.rng.Uint64(); r.Key != "" {
 		h := fnv.New64a()
 		_, _ = io.WriteString(h, r.Key)
 		a.Key = h.Sum64()
 	}
-	t.out = append(t.out, a)
+	t.arrivals = append(t.arrivals, a)
 	return nil
 }
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// lines reads a JSON object a line, and returns the line that is wrong.
-func (t *tracer) lines(in io.Reader) (line int, err error) {
+// readJSONLines reads a JSON object a line, and returns the line that is wrong.
+func (t *traceReader) readJSONLines(in io.Reader) (line int, err error) {
 	s := bufio.NewScanner(in)
 	s.Buffer(nil, 1<<20)
 	for s.Scan() {
@@ -118,7 +118,7 @@
 		if len(b) == 0 {
 			continue
 		}
-		var r row
+		var r traceRow
 		d := json.NewDecoder(bytes.NewReader(b))
 		d.DisallowUnknownFields()
 		if err := d.Decode(&r); err != nil {
@@ -127,15 +127,15 @@
 		if d.More() {
 			return line, errors.New("more than one object")
 		}
-		if err := t.take(r); err != nil {
+		if err := t.addRow(r); err != nil {
 			return line, err
 		}
 	}
 	return line + 1, s.Err()
 }
 
-// table reads CSV, and returns the line that is wrong.
-func (t *tracer) table(in io.Reader) (line int, err error) {
+// readCSV reads CSV, and returns the line that is wrong.
+func (t *traceReader) readCSV(in io.Reader) (line int, err error) {
 	rows := csv.NewReader(in)
 	names, err := rows.Read()
 	if err != nil {
@@ -143,13 +143,13 @@
 	}
 	for n, name := range names {
 		names[n] = strings.TrimSpace(name)
-		if !slices.Contains(columns, names[n]) || slices.Index(names, names[n]) < n {
-			return 1, fmt.Errorf("column %q, must be each of %s once at the most", name, strings.Join(columns, ", "))
+		if !slices.Contains(traceColumns, names[n]) || slices.Index(names, names[n]) < n {
+			return 1, fmt.Errorf("column %q, must be each of %s once at the most", name, strings.Join(traceColumns, ", "))
 		}
 	}
-	for _, must := range columns[:2] {
-		if !slices.Contains(names, must) {
-			return 1, fmt.Errorf("there is no column %q", must)
+	for _, required := range traceColumns[:2] {
+		if !slices.Contains(names, required) {
+			return 1, fmt.Errorf("there is no column %q", required)
 		}
 	}
 	for {
@@ -157,17 +157,17 @@
 		if errors.Is(err, io.EOF) {
 			return 0, nil
 		}
-		var broken *csv.ParseError
-		if errors.As(err, &broken) {
-			return broken.Line, broken.Err
+		var parseError *csv.ParseError
+		if errors.As(err, &parseError) {
+			return parseError.Line, parseError.Err
 		}
 		if err != nil {
 			return 0, err
 		}
 		line, _ := rows.FieldPos(0)
-		r, err := cellsOf(names, cells)
+		r, err := parseCells(names, cells)
 		if err == nil {
-			err = t.take(r)
+			err = t.addRow(r)
 		}
 		if err != nil {
 			return line, err
@@ -175,8 +175,8 @@
 	}
 }
 
-func cellsOf(names, cells []string) (r row, err error) {
-	figure := func(name, s string) (v float64) {
+func parseCells(names, cells []string) (r traceRow, err error) {
+	parseNumber := func(name, s string) (v float64) {
 		if s = strings.TrimSpace(s); s == "" || err != nil {
 			return 0
 		}
@@ -189,17 +189,17 @@
 		cell := strings.TrimSpace(cells[n])
 		switch name {
 		case "time":
-			if v := figure(name, cell); cell != "" {
+			if v := parseNumber(name, cell); cell != "" {
 				r.Time = &v
 			}
 		case "operation":
 			r.Operation = cell
 		case "hint":
-			r.Hint = figure(name, cell)
+			r.Hint = parseNumber(name, cell)
 		case "work":
-			r.Work = figure(name, cell)
+			r.Work = parseNumber(name, cell)
 		case "customer":
-			r.Customer = cell
+			r.Tenant = cell
 		case "key":
 			r.Key = cell
 		case "retry":
--- a/internal/testbed/workload/workload_test.go
+++ b/internal/testbed/workload/workload_test.go
@@ -12,7 +12,7 @@
 
 const sec = time.Second
 
-func span(d time.Duration) unit.Span { return unit.Span(d) }
+func span(d time.Duration) unit.Duration { return unit.Duration(d) }
 
 func somePlan(t *testing.T, phases ...Phase) *Plan {
 	segments, err := Segments(phases)
@@ -20,28 +20,28 @@
 	return &Plan{Segments: segments, Operations: []Operation{
 		{Name: "status", Work: span(sec / 10), Tail: "exponential", Share: 3, HintError: 0.5},
 		{Name: "choices", Work: span(sec / 5), Tail: "pareto", Spread: 1.5, Share: 1, HintError: -1},
-	}, Customers: []Customer{{Name: "uni", Share: 1}, {Name: "polit", Share: 3}}}
+	}, Tenants: []Tenant{{Name: "uni", Share: 1}, {Name: "polit", Share: 3}}}
 }
 
 func TestSameSeedGivesTheSameScheduleToTheByte(t *testing.T) {
 	p := somePlan(t, Phase{Shape: "poisson", Rate: 200, For: span(5 * sec)})
-	assert.Equal(t, Bytes(p.Make(7)), Bytes(p.Make(7)))
-	assert.NotEqual(t, Bytes(p.Make(7)), Bytes(p.Make(8)))
+	assert.Equal(t, Encode(p.Schedule(7)), Encode(p.Schedule(7)))
+	assert.NotEqual(t, Encode(p.Schedule(7)), Encode(p.Schedule(8)))
 }
 
 // Guards against an extra that shifts the draws of all the rest: two plans could then not be compared.
 func TestExtraLoadLeavesTheRestAsItWas(t *testing.T) {
 	p := somePlan(t, Phase{Shape: "poisson", Rate: 200, For: span(5 * sec)})
-	plain := p.Make(7)
-	p.Extras = []Extra{{From: 2 * sec, To: 3 * sec, Factor: 4, Customer: 1}}
-	with, n, extra := p.Make(7), 0, 0
+	plain := p.Schedule(7)
+	p.ExtraLoads = []ExtraLoad{{From: 2 * sec, To: 3 * sec, Factor: 4, Tenant: 1}}
+	with, n, extra := p.Schedule(7), 0, 0
 	for _, a := range with {
 		if n < len(plain) && a == plain[n] {
 			n++
 			continue
 		}
 		extra++
-		assert.True(t, a.At >= 2*sec && a.At < 3*sec && a.Customer == 1, a)
+		assert.True(t, a.At >= 2*sec && a.At < 3*sec && a.Tenant == 1, a)
 	}
 	assert.Len(t, plain, n)
 	assert.InDelta(t, 200*4*0.75, extra, 100, "four times the customer's three quarters of 200")
@@ -50,7 +50,7 @@
 func TestShapesGiveTheRatesThatTheyName(t *testing.T) {
 	count := func(p Phase, from, to time.Duration) (n int) {
 		p.Even = true
-		for _, a := range somePlan(t, p).Make(1) {
+		for _, a := range somePlan(t, p).Schedule(1) {
 			if a.At >= from && a.At < to {
 				n++
 			}
@@ -65,13 +65,13 @@
 	burst := Phase{Shape: "burst", Rate: 10, To: 200, Every: span(4 * sec), Width: span(sec), For: span(8 * sec)}
 	assert.InDelta(t, 200, count(burst, 3*sec, 4*sec), 1)
 	assert.InDelta(t, 30, count(burst, 4*sec, 7*sec), 1)
-	even := somePlan(t, Phase{Shape: "constant", Rate: 100, For: span(sec)}).Make(1)
+	even := somePlan(t, Phase{Shape: "constant", Rate: 100, For: span(sec)}).Schedule(1)
 	assert.Equal(t, []time.Duration{5 * time.Millisecond, 15 * time.Millisecond},
 		[]time.Duration{even[0].At, even[1].At})
 }
 
 func TestPoissonArrivalsHaveTheSpreadOfChance(t *testing.T) {
-	at := somePlan(t, Phase{Shape: "poisson", Rate: 1000, For: span(20 * sec)}).Make(3)
+	at := somePlan(t, Phase{Shape: "poisson", Rate: 1000, For: span(20 * sec)}).Schedule(3)
 	assert.InDelta(t, 20000, len(at), 500)
 	mean, square := 0.0, 0.0
 	for n := 1; n < len(at); n++ {
@@ -83,7 +83,7 @@
 }
 
 func TestTailsKeepTheirMeanAndHintsTheirError(t *testing.T) {
-	rng := unit.Chance(1, "test")
+	rng := unit.RandomStream(1, "test")
 	for _, o := range []Operation{
 		{Tail: "constant"},
 		{Tail: "exponential"},
@@ -93,12 +93,12 @@
 		o.Work = span(sec)
 		sum := 0.0
 		for range 50000 {
-			sum += o.draw(rng).Seconds() / 50000
+			sum += o.drawWork(rng).Seconds() / 50000
 		}
 		assert.InDelta(t, 1, sum, 0.05, o.Tail)
 	}
-	assert.Zero(t, (&Operation{HintError: -1}).hint(sec, rng))
-	assert.Equal(t, sec, (&Operation{}).hint(sec, rng))
+	assert.Zero(t, (&Operation{HintError: -1}).drawHint(sec, rng))
+	assert.Equal(t, sec, (&Operation{}).drawHint(sec, rng))
 }
 
 func TestFaultsInPhasesAndOperationsAreNamed(t *testing.T) {
@@ -113,24 +113,24 @@
 		assert.ErrorContains(t, err, want)
 	}
 	good := Operation{
-		Name: "a", Repeat: Idempotent, Work: 1, Objective: 1, Timeout: 2, Share: 1,
+		Name: "a", Idempotency: Idempotent, Work: 1, LatencyObjective: 1, Timeout: 2, Share: 1,
 		Tail: "constant",
 	}
-	assert.NoError(t, good.Check())
+	assert.NoError(t, good.Validate())
 	for want, change := range map[string]func(*Operation){
-		"repeat:": func(o *Operation) { o.Repeat = "sometimes" }, "timeout:": func(o *Operation) { o.Timeout = 0 },
-		"dedup-window:": func(o *Operation) { o.Repeat = Deduplicated },
+		"repeat:": func(o *Operation) { o.Idempotency = "sometimes" }, "timeout:": func(o *Operation) { o.Timeout = 0 },
+		"dedup-window:": func(o *Operation) { o.Idempotency = IdempotentByKey },
 		"spread:":       func(o *Operation) { o.Tail, o.Spread = "pareto", 1 },
 		"tail:":         func(o *Operation) { o.Tail = "long" }, "share:": func(o *Operation) { o.Share = 0 },
 	} {
 		o := good
 		change(&o)
-		assert.ErrorContains(t, o.Check(), want)
+		assert.ErrorContains(t, o.Validate(), want)
 	}
 }
 
 func trace(t *testing.T, name, text string) ([]Arrival, error) {
-	return somePlan(t).Trace(name, strings.NewReader(text), 1)
+	return somePlan(t).ReadTrace(name, strings.NewReader(text), 1)
 }
 
 func TestTracesAreReadAlike(t *testing.T) {
@@ -140,7 +140,7 @@
 	lines, err := trace(t, "t.jsonl", `{"time":0.5,"operation":"status","key":"k","customer":"uni","hint":0.25}`+
 		"\n\n"+`{"time":0.75,"operation":"choices","key":"k","customer":"polit","retry":true}`+"\n")
 	assert.NoError(t, err)
-	assert.Equal(t, Bytes(table), Bytes(lines))
+	assert.Equal(t, Encode(table), Encode(lines))
 	assert.Equal(t, []any{sec / 2, 250 * time.Millisecond, table[1].Key, true, 200 * time.Millisecond},
 		[]any{table[0].At, table[0].Hint, table[0].Key, table[1].Retry, table[1].Work})
 }
