--- a/internal/testbed/unit/unit.go
+++ b/internal/testbed/unit/unit.go
@@ -1,4 +1,4 @@
-// Package unit has the values that experiment files are written in.
+// Package unit defines the value types of experiment files, and the named random streams that experiments draw from.
 package unit
 
 import (
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// Duration is a time that a file gives as text with its unit, such as "250ms" or "1m30s". It is never negative.
+// Duration is a non-negative time.Duration that a file gives as text with its unit, such as "250ms" or "1m30s".
 type Duration time.Duration
 
-// UnmarshalText reads a span; the error tells what was there.
+// UnmarshalText parses a duration. The error quotes the text.
 func (s *Duration) UnmarshalText(b []byte) error {
 	d, err := time.ParseDuration(string(b))
 	if err != nil || d < 0 {
@@ -21,16 +21,16 @@
 	return nil
 }
 
-// MarshalText writes a span as it is read.
+// MarshalText writes the duration in the form that UnmarshalText reads.
 func (s Duration) MarshalText() ([]byte, error) { return []byte(time.Duration(s).String()), nil }
 
-// Std is the span for the standard library.
+// Std returns the duration as a time.Duration.
 func (s Duration) Std() time.Duration { return time.Duration(s) }
 
-// SignedDuration is a time that may go either way, written like a Span with a sign.
+// SignedDuration is a time.Duration that may be negative, written like a Duration with an optional sign.
 type SignedDuration time.Duration
 
-// UnmarshalText reads a shift; the error tells what was there.
+// UnmarshalText parses a signed duration. The error quotes the text.
 func (s *SignedDuration) UnmarshalText(b []byte) error {
 	d, err := time.ParseDuration(string(b))
 	if err != nil {
@@ -40,14 +40,14 @@
 	return nil
 }
 
-// MarshalText writes a shift as it is read.
+// MarshalText writes the signed duration in the form that UnmarshalText reads.
 func (s SignedDuration) MarshalText() ([]byte, error) { return []byte(time.Duration(s).String()), nil }
 
-// Std is the shift for the standard library.
+// Std returns the signed duration as a time.Duration.
 func (s SignedDuration) Std() time.Duration { return time.Duration(s) }
 
-// RandomStream is a stream of random figures drawn from a seed and a name, so that one stream that is drawn from
-// more often leaves the others as they were. Source: the standard library's PCG.
+// RandomStream returns a random number generator (PCG) seeded by a seed and a stream name. Each use has a stream of
+// its own, so that more draws from one do not change the values of another.
 func RandomStream(seed uint64, stream string) *rand.Rand {
 	h := fnv.New64a()
 	h.Write([]byte(stream))
--- a/internal/testbed/workload/mix.go
+++ b/internal/testbed/workload/mix.go
@@ -1,8 +1,9 @@
-// Package workload makes the schedule of an experiment: what arrives when. It does no I/O but for reading traces
-// that it is handed, and the same plan and seed give the same schedule to the byte.
+// Package workload generates the schedule of an experiment: which request arrives when. It does no I/O except
+// reading a trace from the reader it is given. The same plan and seed give the same schedule, byte for byte.
 package workload
 
 import (
+	"errors"
 	"fmt"
 	"math"
 	"math/rand/v2"
@@ -11,77 +12,96 @@
 	"canvasroute/internal/testbed/unit"
 )
 
-// Operation is one operation, in the words of an experiment file.
+// Operation is one [[operation]] of an experiment file.
 type Operation struct {
 	Name             string        `toml:"name"`
 	Idempotency      string        `toml:"repeat"`       // idempotent, deduplicated or non-idempotent
-	DedupScope       string        `toml:"dedup-scope"`  // all, zone or cell: the workers that drop each other's repeats
-	DedupWindow      unit.Duration `toml:"dedup-window"` // for how long they do
-	LatencyObjective unit.Duration `toml:"objective"`    // the latency objective
-	Stretch          float64       `toml:"stretch"`      // and so many times the invocation's own work on top
-	Timeout          unit.Duration `toml:"timeout"`      // the client timeout of each try
+	DedupScope       string        `toml:"dedup-scope"`  // all, zone or cell: the workers that deduplicate together
+	DedupWindow      unit.Duration `toml:"dedup-window"` // how long a key is remembered
+	LatencyObjective unit.Duration `toml:"objective"`    // fixed part of the latency objective
+	Stretch          float64       `toml:"stretch"`      // added to the objective: this many times the request's own work
+	Timeout          unit.Duration `toml:"timeout"`      // client timeout of each request
 	Work             unit.Duration `toml:"work"`         // mean core time on a worker of standard speed
 	Tail             string        `toml:"tail"`         // constant, exponential, lognormal or pareto
 	Spread           float64       `toml:"spread"`       // lognormal: sigma of the logarithm; pareto: the exponent
-	Share            float64       `toml:"share"`        // of the arrivals, in proportion to those of the others
-	Value            float64       `toml:"value"`        // billed value for each second of work
-	LateShare        float64       `toml:"tardy-value"`  // the part of it that a late answer still earns
+	Share            float64       `toml:"share"`        // relative to the other shares
+	Value            float64       `toml:"value"`        // billed value per second of work
+	LateShare        float64       `toml:"tardy-value"`  // share of the value that a late answer still earns
 	HintError        float64       `toml:"hint-error"`   // sigma of the logarithm of hint over work; below 0: no hint
 }
 
-// Tenant is one customer, in the words of an experiment file.
+// Tenant is one [[customer]] of an experiment file.
 type Tenant struct {
 	Name  string  `toml:"name"`
-	Share float64 `toml:"share"` // of the arrivals, in proportion to those of the others
-	Quota float64 `toml:"quota"` // invocations a second that count in full; 0: no bound
+	Share float64 `toml:"share"` // relative to the other shares
+	Quota float64 `toml:"quota"` // requests per second that earn their full value; 0: unlimited
 }
 
-// The ways an operation may be repeated.
+// The values of Operation.Idempotency.
 const (
 	Idempotent      = "idempotent"
 	IdempotentByKey = "deduplicated"
 	NonIdempotent   = "non-idempotent"
 )
 
-// maxWorkMeans bounds a tail, in means: without it a single draw could outlast an experiment.
+// maxWorkMeans caps a draw from a heavy tail, in multiples of the mean: an uncapped one could outlast the experiment.
 const maxWorkMeans = 200
 
-// Validate tells what is wrong with an operation; the error begins with the key.
+// Validate returns the first invalid key of an operation. The error text begins with the key.
 func (o *Operation) Validate() error {
+	if o.Name == "" {
+		return errors.New("name: must not be empty")
+	}
+	if err := o.validateIdempotency(); err != nil {
+		return err
+	}
 	switch {
-	case o.Name == "":
-		return fmt.Errorf("name: must be a text")
-	case o.Idempotency != Idempotent && o.Idempotency != IdempotentByKey && o.Idempotency != NonIdempotent:
-		return fmt.Errorf("repeat: %q, must be %s, %s or %s", o.Idempotency, Idempotent, IdempotentByKey, NonIdempotent)
-	case o.DedupScope != "" && o.DedupScope != "all" && o.DedupScope != "zone" && o.DedupScope != "cell":
-		return fmt.Errorf("dedup-scope: %q, must be all, zone or cell", o.DedupScope)
-	case o.Idempotency == IdempotentByKey && o.DedupWindow <= 0:
-		return fmt.Errorf("dedup-window: must be more than nothing for a deduplicated operation")
 	case o.Work <= 0:
-		return fmt.Errorf("work: must be more than nothing")
+		return errors.New("work: must be greater than 0")
 	case o.LatencyObjective <= 0:
-		return fmt.Errorf("objective: must be more than nothing")
+		return errors.New("objective: must be greater than 0")
 	case o.Timeout < o.LatencyObjective:
 		return fmt.Errorf("timeout: %v, must not be below the objective %v", o.Timeout.Std(), o.LatencyObjective.Std())
 	case !(o.Share > 0):
-		return fmt.Errorf("share: %v, must be more than 0", o.Share)
+		return fmt.Errorf("share: %v, must be greater than 0", o.Share)
 	case !(o.Value >= 0) || !(o.LateShare >= 0 && o.LateShare <= 1):
-		return fmt.Errorf("value: must not be negative, tardy-value from 0 to 1")
+		return errors.New("value: must not be negative, tardy-value from 0 to 1")
 	case !(o.Stretch >= 0):
 		return fmt.Errorf("stretch: %v, must not be negative", o.Stretch)
-	case o.Tail == "pareto" && !(o.Spread > 1):
-		return fmt.Errorf("spread: %v, a pareto tail has a mean only above 1", o.Spread)
-	case o.Tail == "lognormal" && !(o.Spread > 0 && o.Spread <= 4):
-		return fmt.Errorf("spread: %v, must be above 0 and at most 4 for a lognormal tail", o.Spread)
 	}
+	return o.validateTail()
+}
+
+func (o *Operation) validateIdempotency() error {
+	switch {
+	case o.Idempotency != Idempotent && o.Idempotency != IdempotentByKey && o.Idempotency != NonIdempotent:
+		return fmt.Errorf("repeat: %q, must be %s, %s or %s", o.Idempotency, Idempotent, IdempotentByKey, NonIdempotent)
+	case o.DedupScope != "" && o.DedupScope != "all" && o.DedupScope != "zone" && o.DedupScope != "cell":
+		return fmt.Errorf("dedup-scope: %q, must be all, zone or cell", o.DedupScope)
+	case o.Idempotency == IdempotentByKey && o.DedupWindow <= 0:
+		return errors.New("dedup-window: must be greater than 0 for a deduplicated operation")
+	}
+	return nil
+}
+
+func (o *Operation) validateTail() error {
 	switch o.Tail {
-	case "constant", "exponential", "lognormal", "pareto":
-		return nil
+	case "constant", "exponential":
+	case "pareto":
+		if !(o.Spread > 1) {
+			return fmt.Errorf("spread: %v, must be greater than 1 for a pareto tail, which has no mean below", o.Spread)
+		}
+	case "lognormal":
+		if !(o.Spread > 0 && o.Spread <= 4) {
+			return fmt.Errorf("spread: %v, must be greater than 0 and at most 4 for a lognormal tail", o.Spread)
+		}
+	default:
+		return fmt.Errorf("tail: %q, must be constant, exponential, lognormal or pareto", o.Tail)
 	}
-	return fmt.Errorf("tail: %q, must be constant, exponential, lognormal or pareto", o.Tail)
+	return nil
 }
 
-// drawWork is the work of one invocation, by the operation's tail.
+// drawWork draws the work of one request from the operation's distribution.
 func (o *Operation) drawWork(rng *rand.Rand) time.Duration {
 	mean, times := o.Work.Std().Seconds(), 1.0
 	switch o.Tail {
@@ -96,9 +116,9 @@
 	return max(time.Duration(work*float64(time.Second)).Round(time.Microsecond), time.Microsecond)
 }
 
-// drawHint is what the client believes of a piece of work, 0 for nothing.
+// drawHint draws the client's estimate of a request's work; 0 means that the client sends none.
 func (o *Operation) drawHint(work time.Duration, rng *rand.Rand) time.Duration {
-	deviation := rng.NormFloat64() // drawn also where there is no hint, so that the rest of the schedule stays
+	deviation := rng.NormFloat64() // drawn even when unused, so that later draws do not depend on HintError
 	if o.HintError < 0 {
 		return 0
 	}
@@ -106,7 +126,7 @@
 		time.Microsecond)
 }
 
-// weightedChoice draws from shares.
+// weightedChoice draws an index with probability proportional to its share.
 type weightedChoice struct{ cumulative []float64 }
 
 func newWeightedChoice[T any](of []T, share func(T) float64) weightedChoice {
--- a/internal/testbed/workload/schedule.go
+++ b/internal/testbed/workload/schedule.go
@@ -8,16 +8,16 @@
 	"canvasroute/internal/testbed/unit"
 )
 
-// Arrival is one invocation that a client means to hand in.
+// Arrival is one request that a client is due to send.
 type Arrival struct {
-	At                time.Duration // from the start of the experiment
+	At                time.Duration // since the start of the experiment
 	Operation, Tenant int
-	Work, Hint        time.Duration // Hint 0: none is given
-	Key               uint64        // of a deduplicated operation
-	Retry             bool          // a trace says that this is a client's retry already
+	Work, Hint        time.Duration // Hint 0: the client sends none
+	Key               uint64        // idempotency key, for operations that use one
+	Retry             bool          // the trace marks it as a client's retry
 }
 
-// Plan is all that a schedule follows from, but for the seed.
+// Plan is everything that determines a schedule except the seed.
 type Plan struct {
 	Segments   []Segment
 	Operations []Operation
@@ -25,14 +25,14 @@
 	ExtraLoads []ExtraLoad
 }
 
-// ExtraLoad is load on top for a while: a burst of everything, or one customer far beyond its share.
+// ExtraLoad adds arrivals for a while: a burst over all tenants, or one tenant far above its share.
 type ExtraLoad struct {
 	From, To time.Duration
-	Factor   float64 // of the load at that time that comes on top
-	Tenant   int     // its own, or -1 for all
+	Factor   float64 // of the base rate at that time, added to it
+	Tenant   int     // the tenant that sends it, or -1 for all
 }
 
-// Schedule draws the schedule, in the order of time.
+// Schedule draws the arrivals for a seed, ordered by time.
 func (p *Plan) Schedule(seed uint64) []Arrival {
 	out := p.drawArrivals(p.Segments, seed, "load", -1)
 	for n, e := range p.ExtraLoads {
@@ -74,7 +74,7 @@
 	return out
 }
 
-// Encode writes a schedule in a fixed form, by which two can be compared or told apart by a hash.
+// Encode writes a schedule in a canonical binary form, for comparing and hashing.
 func Encode(schedule []Arrival) (b []byte) {
 	for _, a := range schedule {
 		b = binary.BigEndian.AppendUint64(b, uint64(a.At))
--- a/internal/testbed/workload/shape.go
+++ b/internal/testbed/workload/shape.go
@@ -1,6 +1,7 @@
 package workload
 
 import (
+	"errors"
 	"fmt"
 	"math"
 	"math/rand/v2"
@@ -10,25 +11,29 @@
 	"canvasroute/internal/testbed/unit"
 )
 
-// Phase is one part of the load, in the words of an experiment file. Rates are in invocations a second.
+// maxRate bounds the rates of a phase, in requests per second.
+const maxRate = 1_000_000
+
+// Phase is one [[load.phase]] of an experiment file. Rates are in requests per second.
 type Phase struct {
 	Shape string        `toml:"shape"` // constant, poisson, step, ramp or burst
 	Rate  float64       `toml:"rate"`
 	To    float64       `toml:"to"`    // step, ramp: the rate at the end; burst: the rate within one
 	For   unit.Duration `toml:"for"`   // how long the phase lasts
 	Steps int           `toml:"steps"` // step: how many, the first at rate and the last at to
-	Every unit.Duration `toml:"every"` // burst: from the start of one to the next; the first after one such time
+	Every unit.Duration `toml:"every"` // burst: from one burst's start to the next; the first starts after Every-Width
 	Width unit.Duration `toml:"width"` // burst: how long one lasts
-	Even  bool          `toml:"even"`  // arrivals at equal distances instead of by chance
+	Even  bool          `toml:"even"`  // arrivals evenly spaced instead of Poisson
 }
 
-// Segment is a stretch of time over which the rate goes from one figure to another in a straight line.
+// Segment is an interval over which the rate changes linearly.
 type Segment struct {
-	From, To float64 // invocations a second
+	From, To float64 // requests per second
 	For      time.Duration
 	Even     bool
 }
 
+// rateAt is the rate at time t of the segment.
 func (s Segment) rateAt(t time.Duration) float64 {
 	if s.For <= 0 {
 		return s.To
@@ -36,18 +41,18 @@
 	return s.From + (s.To-s.From)*t.Seconds()/s.For.Seconds()
 }
 
-// expectedArrivals is the mean number of arrivals.
+// expectedArrivals is the mean number of arrivals in the segment.
 func (s Segment) expectedArrivals() float64 { return (s.From + s.To) / 2 * s.For.Seconds() }
 
-// timeOfArrival is the time within the segment by which so many arrivals are due on the mean.
+// timeOfArrival returns the time within the segment by which the expected number of arrivals reaches expected.
 func (s Segment) timeOfArrival(mass float64) time.Duration {
 	slope := (s.To - s.From) / s.For.Seconds()
-	// mass = From*t + slope*t*t/2, in the form that holds its precision where the slope is small.
+	// Solves expected = From*t + slope*t*t/2, in the form that is numerically stable for a small slope.
 	t := 2 * mass / (s.From + math.Sqrt(max(s.From*s.From+2*slope*mass, 0)))
 	return min(time.Duration(t*float64(time.Second)), s.For)
 }
 
-// split splits a segment in two at a time within it.
+// split cuts a segment in two at time t within it.
 func (s Segment) split(t time.Duration) (Segment, Segment) {
 	a, b := s, s
 	a.To, a.For = s.rateAt(t), t
@@ -55,7 +60,7 @@
 	return a, b
 }
 
-// Segments turns phases into segments. The error names the phase and the key.
+// Segments converts phases to segments. The error names the phase and the key.
 func Segments(phases []Phase) (segments []Segment, err error) {
 	for n, p := range phases {
 		more, err := p.segments()
@@ -70,76 +75,88 @@
 func (p Phase) segments() ([]Segment, error) {
 	switch {
 	case p.For <= 0:
-		return nil, fmt.Errorf("for: must be more than nothing")
-	case !(p.Rate >= 0 && p.Rate <= 1e6):
-		return nil, fmt.Errorf("rate: %v, must be from 0 to 1000000 a second", p.Rate)
-	case !(p.To >= 0 && p.To <= 1e6):
-		return nil, fmt.Errorf("to: %v, must be from 0 to 1000000 a second", p.To)
+		return nil, errors.New("for: must be greater than 0")
+	case !(p.Rate >= 0 && p.Rate <= maxRate):
+		return nil, fmt.Errorf("rate: %v, must be from 0 to %d per second", p.Rate, maxRate)
+	case !(p.To >= 0 && p.To <= maxRate):
+		return nil, fmt.Errorf("to: %v, must be from 0 to %d per second", p.To, maxRate)
 	}
-	long := p.For.Std()
 	switch p.Shape {
 	case "constant":
-		return []Segment{{p.Rate, p.Rate, long, true}}, nil
+		return []Segment{{p.Rate, p.Rate, p.For.Std(), true}}, nil
 	case "poisson":
-		return []Segment{{p.Rate, p.Rate, long, p.Even}}, nil
+		return []Segment{{p.Rate, p.Rate, p.For.Std(), p.Even}}, nil
 	case "ramp":
-		return []Segment{{p.Rate, p.To, long, p.Even}}, nil
+		return []Segment{{p.Rate, p.To, p.For.Std(), p.Even}}, nil
 	case "step":
-		if p.Steps < 2 || p.Steps > 1000 {
-			return nil, fmt.Errorf("steps: %d, must be from 2 to 1000", p.Steps)
-		}
-		var out []Segment
-		for k := range p.Steps {
-			r := p.Rate + (p.To-p.Rate)*float64(k)/float64(p.Steps-1)
-			out = append(out, Segment{r, r, long / time.Duration(p.Steps), p.Even})
-		}
-		return out, nil
+		return p.stepSegments()
 	case "burst":
-		if p.Width <= 0 || p.Every <= p.Width {
-			return nil, fmt.Errorf("every: must be longer than width, and width more than nothing")
-		}
-		var out []Segment
-		for at := time.Duration(0); at < long; at += p.Every.Std() {
-			calm := min(p.Every.Std()-p.Width.Std(), long-at)
-			out = append(out, Segment{p.Rate, p.Rate, calm, p.Even})
-			if width := min(p.Width.Std(), long-at-calm); width > 0 {
-				out = append(out, Segment{p.To, p.To, width, p.Even})
-			}
-		}
-		return out, nil
+		return p.burstSegments()
 	}
 	return nil, fmt.Errorf("shape: %q, must be constant, poisson, step, ramp or burst", p.Shape)
 }
 
-// ScaleWithin keeps of segments what lies from one time to another, the rest at no rate, and multiplies the rates.
+func (p Phase) stepSegments() (segments []Segment, err error) {
+	if p.Steps < 2 || p.Steps > 1000 {
+		return nil, fmt.Errorf("steps: %d, must be from 2 to 1000", p.Steps)
+	}
+	for k := range p.Steps {
+		rate := p.Rate + (p.To-p.Rate)*float64(k)/float64(p.Steps-1)
+		segments = append(segments, Segment{rate, rate, p.For.Std() / time.Duration(p.Steps), p.Even})
+	}
+	return segments, nil
+}
+
+func (p Phase) burstSegments() (segments []Segment, err error) {
+	if p.Width <= 0 || p.Every <= p.Width {
+		return nil, errors.New("every: must be longer than width, and width greater than 0")
+	}
+	total := p.For.Std()
+	for at := time.Duration(0); at < total; at += p.Every.Std() {
+		calm := min(p.Every.Std()-p.Width.Std(), total-at)
+		segments = append(segments, Segment{p.Rate, p.Rate, calm, p.Even})
+		if width := min(p.Width.Std(), total-at-calm); width > 0 {
+			segments = append(segments, Segment{p.To, p.To, width, p.Even})
+		}
+	}
+	return segments, nil
+}
+
+// ScaleWithin returns segments of the same total length whose rates are multiplied by factor between from and to, and
+// 0 outside.
 func ScaleWithin(segments []Segment, from, to time.Duration, factor float64) (out []Segment) {
 	at := time.Duration(0)
 	for _, s := range segments {
 		for _, boundary := range []time.Duration{from, to} {
-			if boundary > at && boundary < at+s.For {
-				a, b := s.split(boundary - at)
-				out, at, s = append(out, scaled(a, at >= from && at < to, factor)), boundary, b
+			if boundary <= at || boundary >= at+s.For {
+				continue
 			}
+			before, after := s.split(boundary - at)
+			out = append(out, scaled(before, at >= from && at < to, factor))
+			at, s = boundary, after
 		}
-		out, at = append(out, scaled(s, at >= from && at < to, factor)), at+s.For
+		out = append(out, scaled(s, at >= from && at < to, factor))
+		at += s.For
 	}
 	return out
 }
 
-func scaled(s Segment, in bool, factor float64) Segment {
-	if !in {
+// scaled multiplies a segment's rates by factor if it lies within the interval, else by 0.
+func scaled(s Segment, within bool, factor float64) Segment {
+	if !within {
 		factor = 0
 	}
-	s.From, s.To = s.From*factor, s.To*factor
+	s.From *= factor
+	s.To *= factor
 	return s
 }
 
-// drawTimes draws times. In terms of the mean number due, arrivals by chance are exponential distances apart
-// and even ones lie one apart; a change of the rate within a segment stretches time, not the draw.
+// drawTimes draws arrival times. Measured in expected arrivals, Poisson arrivals have exponential gaps and even ones
+// gaps of 1; timeOfArrival then maps these onto the segment's changing rate.
 func drawTimes(segments []Segment, rng *rand.Rand) (at []time.Duration) {
 	start, next := time.Duration(0), -1.0
 	for _, s := range segments {
-		if next < 0 { // an even load begins in the middle of its first distance
+		if next < 0 { // evenly spaced arrivals start half a gap in
 			next = 0.5
 			if !s.Even {
 				next = rng.ExpFloat64()
@@ -163,7 +180,7 @@
 	return at
 }
 
-// TotalDuration is how long segments last in all.
+// TotalDuration is the sum of the segments' lengths.
 func TotalDuration(segments []Segment) (d time.Duration) {
 	for _, s := range segments {
 		d += s.For
--- a/internal/testbed/workload/trace.go
+++ b/internal/testbed/workload/trace.go
@@ -10,6 +10,7 @@
 	"hash/fnv"
 	"io"
 	"math"
+	"math/rand/v2"
 	"slices"
 	"strconv"
 	"strings"
@@ -23,21 +24,23 @@
 	Time      *float64 `json:"time"`
 	Operation string   `json:"operation"`
 	Hint      float64  `json:"hint"`
-	Work      float64  `json:"work"` // 0: drawn round the hint, or by the operation
+	Work      float64  `json:"work"` // 0: derived from the hint, or the operation's mean
 	Tenant    string   `json:"customer"`
 	Key       string   `json:"key"`
 	Retry     bool     `json:"retry"`
 }
 
-// columns are the names that a CSV trace's first line may have, in any order; time and operation must be
-// there.
+// traceColumns are the allowed names in the header of a CSV trace, in any order. The first two are required.
 var traceColumns = []string{"time", "operation", "hint", "work", "customer", "key", "retry"}
 
-// maxTraceSeconds bounds a time in a trace, in seconds.
+// maxTraceSeconds is the latest time allowed in a trace, in seconds.
 const maxTraceSeconds = 7 * 24 * 3600
 
-// ReadTrace reads recorded arrivals: CSV with a first line of names if the name ends in .csv, else a JSON object
-// a line. Every row must be good: the error names the file, the line and what is wrong there.
+// maxWorkSeconds bounds the work and the hint of a row, in seconds.
+const maxWorkSeconds = 1_000_000
+
+// ReadTrace reads recorded arrivals: CSV with a header if the name ends in .csv, else one JSON object per line. It
+// fails on the first invalid row; the error names the file, the line and the column.
 func (p *Plan) ReadTrace(name string, in io.Reader, seed uint64) ([]Arrival, error) {
 	t := &traceReader{plan: p, rng: unit.RandomStream(seed, "trace"), lastTime: math.Inf(-1)}
 	read := t.readJSONLines
@@ -53,62 +56,77 @@
 	return t.arrivals, nil
 }
 
+// traceReader collects the arrivals of a trace.
 type traceReader struct {
-	plan *Plan
-	rng  interface {
-		NormFloat64() float64
-		ExpFloat64() float64
-		Float64() float64
-		Uint64() uint64
-	}
-	lastTime float64
+	plan     *Plan
+	rng      *rand.Rand
+	lastTime float64 // of the row before, in seconds
 	arrivals []Arrival
 }
 
-// addRow checks one row and adds its arrival.
+// addRow validates one row and appends its arrival.
 func (t *traceReader) addRow(r traceRow) error {
-	if r.Time == nil || !(*r.Time >= 0 && *r.Time <= maxTraceSeconds) {
+	switch {
+	case r.Time == nil || !(*r.Time >= 0 && *r.Time <= maxTraceSeconds):
 		return errors.New("time: must be seconds, from 0 on")
-	}
-	if *r.Time < t.lastTime {
+	case *r.Time < t.lastTime:
 		return fmt.Errorf("time: %v comes after %v: rows must be in the order of time", *r.Time, t.lastTime)
 	}
 	t.lastTime = *r.Time
-	o := slices.IndexFunc(t.plan.Operations, func(o Operation) bool { return o.Name == r.Operation })
-	if o < 0 {
-		return fmt.Errorf("operation: %q is none of the experiment's", r.Operation)
+	o, tenant, err := t.lookUp(r)
+	if err != nil {
+		return err
 	}
-	c := slices.IndexFunc(t.plan.Tenants, func(c Tenant) bool { return c.Name == r.Tenant })
-	if c < 0 && (r.Tenant != "" || len(t.plan.Tenants) > 0) {
-		return fmt.Errorf("customer: %q is none of the experiment's", r.Tenant)
+	if !(r.Hint >= 0 && r.Hint <= maxWorkSeconds) || !(r.Work >= 0 && r.Work <= maxWorkSeconds) {
+		return fmt.Errorf("hint, work: must be seconds, from 0 to %d", maxWorkSeconds)
 	}
-	if !(r.Hint >= 0 && r.Hint <= 1e6) || !(r.Work >= 0 && r.Work <= 1e6) {
-		return errors.New("hint, work: must be seconds, from 0 to 1000000")
+	t.arrivals = append(t.arrivals, Arrival{
+		At: seconds(*r.Time), Operation: o, Tenant: tenant, Hint: seconds(r.Hint),
+		Work: t.work(r, &t.plan.Operations[o]), Retry: r.Retry, Key: t.key(r),
+	})
+	return nil
+}
+
+// lookUp returns the indexes of a row's operation and tenant.
+func (t *traceReader) lookUp(r traceRow) (operation, tenant int, err error) {
+	operation = slices.IndexFunc(t.plan.Operations, func(o Operation) bool { return o.Name == r.Operation })
+	if operation < 0 {
+		return 0, 0, fmt.Errorf("operation: %q is not defined in the experiment", r.Operation)
 	}
-	a := Arrival{
-		At: seconds(*r.Time), Operation: o, Tenant: max(c, 0), Hint: seconds(r.Hint),
-		Work: seconds(r.Work), Retry: r.Retry,
+	tenant = slices.IndexFunc(t.plan.Tenants, func(c Tenant) bool { return c.Name == r.Tenant })
+	if tenant < 0 && (r.Tenant != "" || len(t.plan.Tenants) > 0) {
+		return 0, 0, fmt.Errorf("customer: %q is not defined in the experiment", r.Tenant)
 	}
-	op := &t.plan.Operations[o]
+	return operation, max(tenant, 0), nil
+}
+
+// work is a row's work. Without one it follows from the hint, to which the hint's error is applied in reverse, or it
+// is the operation's mean.
+func (t *traceReader) work(r traceRow, o *Operation) time.Duration {
 	switch {
 	case r.Work > 0:
-	case r.Hint > 0: // the error goes the other way round
-		a.Work = max(seconds(r.Hint*math.Exp(-t.rng.NormFloat64()*max(op.HintError, 0))), time.Microsecond)
-	default:
-		a.Work = op.Work.Std()
+		return seconds(r.Work)
+	case r.Hint > 0:
+		return max(seconds(r.Hint*math.Exp(-t.rng.NormFloat64()*max(o.HintError, 0))), time.Microsecond)
 	}
-	if a.Key = t.rng.Uint64(); r.Key != "" {
-		h := fnv.New64a()
-		_, _ = io.WriteString(h, r.Key)
-		a.Key = h.Sum64()
-	}
-	t.arrivals = append(t.arrivals, a)
-	return nil
+	return o.Work.Std()
+}
+
+// key is the hash of a row's key. A random one is drawn for each row, so that the draws of other rows do not depend
+// on which ones have a key.
+func (t *traceReader) key(r traceRow) uint64 {
+	random := t.rng.Uint64()
+	if r.Key == "" {
+		return random
+	}
+	h := fnv.New64a()
+	_, _ = io.WriteString(h, r.Key)
+	return h.Sum64()
 }
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// readJSONLines reads a JSON object a line, and returns the line that is wrong.
+// readJSONLines reads one JSON object per line. With an error it returns the number of the invalid line.
 func (t *traceReader) readJSONLines(in io.Reader) (line int, err error) {
 	s := bufio.NewScanner(in)
 	s.Buffer(nil, 1<<20)
@@ -134,23 +152,15 @@
 	return line + 1, s.Err()
 }
 
-// readCSV reads CSV, and returns the line that is wrong.
+// readCSV reads CSV with a header. With an error it returns the number of the invalid line.
 func (t *traceReader) readCSV(in io.Reader) (line int, err error) {
 	rows := csv.NewReader(in)
 	names, err := rows.Read()
 	if err != nil {
-		return 1, fmt.Errorf("no first line with the names of the columns: %w", err)
-	}
-	for n, name := range names {
-		names[n] = strings.TrimSpace(name)
-		if !slices.Contains(traceColumns, names[n]) || slices.Index(names, names[n]) < n {
-			return 1, fmt.Errorf("column %q, must be each of %s once at the most", name, strings.Join(traceColumns, ", "))
-		}
+		return 1, fmt.Errorf("no header with the names of the columns: %w", err)
 	}
-	for _, required := range traceColumns[:2] {
-		if !slices.Contains(names, required) {
-			return 1, fmt.Errorf("there is no column %q", required)
-		}
+	if err := validateHeader(names); err != nil {
+		return 1, err
 	}
 	for {
 		cells, err := rows.Read()
@@ -175,40 +185,62 @@
 	}
 }
 
-func parseCells(names, cells []string) (r traceRow, err error) {
-	parseNumber := func(name, s string) (v float64) {
-		if s = strings.TrimSpace(s); s == "" || err != nil {
-			return 0
+// validateHeader trims the names of the columns and checks that each is known, none is double and no required one
+// is missing.
+func validateHeader(names []string) error {
+	for n, name := range names {
+		names[n] = strings.TrimSpace(name)
+		if !slices.Contains(traceColumns, names[n]) || slices.Index(names, names[n]) < n {
+			return fmt.Errorf("column %q, must be one of %s, each at most once", name, strings.Join(traceColumns, ", "))
 		}
-		if v, err = strconv.ParseFloat(s, 64); err != nil {
-			err = fmt.Errorf("%s: %q is not a figure", name, s)
+	}
+	for _, required := range traceColumns[:2] {
+		if !slices.Contains(names, required) {
+			return fmt.Errorf("missing column %q", required)
 		}
-		return v
 	}
+	return nil
+}
+
+// parseCells converts the cells of a CSV row. The error names the column.
+func parseCells(names, cells []string) (r traceRow, err error) {
 	for n, name := range names {
 		cell := strings.TrimSpace(cells[n])
-		switch name {
-		case "time":
-			if v := parseNumber(name, cell); cell != "" {
-				r.Time = &v
-			}
-		case "operation":
-			r.Operation = cell
-		case "hint":
-			r.Hint = parseNumber(name, cell)
-		case "work":
-			r.Work = parseNumber(name, cell)
-		case "customer":
-			r.Tenant = cell
-		case "key":
-			r.Key = cell
-		case "retry":
-			if cell != "" && err == nil {
-				if r.Retry, err = strconv.ParseBool(cell); err != nil {
-					err = fmt.Errorf("retry: %q is neither true nor false", cell)
-				}
-			}
+		if cell == "" {
+			continue
+		}
+		if err := r.setCell(name, cell); err != nil {
+			return r, err
+		}
+	}
+	return r, nil
+}
+
+func (r *traceRow) setCell(name, cell string) (err error) {
+	switch name {
+	case "time":
+		var v float64
+		if v, err = strconv.ParseFloat(cell, 64); err == nil {
+			r.Time = &v
+		}
+	case "operation":
+		r.Operation = cell
+	case "hint":
+		r.Hint, err = strconv.ParseFloat(cell, 64)
+	case "work":
+		r.Work, err = strconv.ParseFloat(cell, 64)
+	case "customer":
+		r.Tenant = cell
+	case "key":
+		r.Key = cell
+	case "retry":
+		if r.Retry, err = strconv.ParseBool(cell); err != nil {
+			return fmt.Errorf("retry: %q is neither true nor false", cell)
 		}
+		return nil
 	}
-	return r, err
+	if err != nil {
+		return fmt.Errorf("%s: %q is not a number", name, cell)
+	}
+	return nil
 }
