--- a/internal/testbed/fault/power.go
+++ b/internal/testbed/fault/power.go
@@ -6,24 +6,24 @@
 	"time"
 )
 
-// What became of a dispatcher's disk in a power loss.
+// The states of a dispatcher's disk after a loss of power.
 const (
 	DiskIntact   = "kept"
 	DiskMissing  = "gone"
-	DiskLostSync = "lost-sync" // the last of what it had said to be written is not there
-	DiskTorn     = "torn"      // cut off at some byte
-	DiskOld      = "old"       // as it was a while before
+	DiskLostSync = "lost-sync" // the newest data that was reported as written is missing
+	DiskTorn     = "torn"      // a file ends early
+	DiskOld      = "old"       // an earlier copy
 	DiskSwapped  = "swapped"   // that of another dispatcher
 	DiskFull     = "full"
 	DiskReadOnly = "read-only"
-	DiskRandom   = "drawn" // each dispatcher's is drawn from the others
+	DiskRandom   = "drawn" // drawn from DiskStates for each dispatcher
 )
 
-// DiskStates are all that a disk may have become.
+// DiskStates are the states that DiskRandom draws from.
 var DiskStates = []string{DiskIntact, DiskMissing, DiskLostSync, DiskTorn, DiskOld, DiskSwapped, DiskFull, DiskReadOnly}
 
-// powerLoss plans that all, a zone, or some that are drawn lose power at once, once or more often, and come back
-// each at its own time.
+// powerLoss plans one or several losses of power of everything, a zone, or randomly picked dispatchers and workers,
+// each of which comes back at a time of its own.
 func (p *planner) powerLoss() string {
 	dispatchers, workers := p.powerLossTargets()
 	never := p.rng.Perm(len(dispatchers))[:min(p.spec.Never, len(dispatchers))]
@@ -37,24 +37,9 @@
 		p.addOutage(at, p.spec.ListBack.Std(), ListDown, ListRecover)
 		p.addOutage(at, p.spec.PeersBack.Std(), PeersCut, PeersRecover)
 		for d, dispatcher := range dispatchers {
-			if slices.Contains(never, d) {
-				continue
+			if !slices.Contains(never, d) {
+				p.addReturn(at, dispatcher, d == clockTarget)
 			}
-			disk := p.spec.Disk
-			switch disk {
-			case "":
-				disk = DiskIntact
-			case DiskRandom:
-				disk = DiskStates[p.rng.IntN(len(DiskStates))]
-			}
-			a := Action{
-				At: at + p.spec.Back.Std() + p.randomSpread(), Kind: PowerReturn, Targets: []int{dispatcher},
-				Mode: disk, Fault: p.index,
-			}
-			if d == clockTarget {
-				a.Duration = p.spec.Clock.Std()
-			}
-			p.timeline.Actions = append(p.timeline.Actions, a)
 		}
 		if p.spec.WorkersBack <= 0 {
 			continue
@@ -67,7 +52,26 @@
 	return fmt.Sprintf("power lost: %d dispatchers, %d workers", len(dispatchers), len(workers))
 }
 
-// addOutage plans that a service is away for a time, where there is one.
+// addReturn plans the return of one dispatcher after a loss of power at a time.
+func (p *planner) addReturn(lostAt time.Duration, dispatcher int, clockJumps bool) {
+	disk := p.spec.Disk
+	switch disk {
+	case "":
+		disk = DiskIntact
+	case DiskRandom:
+		disk = DiskStates[p.rng.IntN(len(DiskStates))]
+	}
+	action := Action{
+		At: lostAt + p.spec.Back.Std() + p.randomSpread(), Kind: PowerReturn, Targets: []int{dispatcher},
+		Mode: disk, Fault: p.index,
+	}
+	if clockJumps {
+		action.Duration = p.spec.Clock.Std()
+	}
+	p.timeline.Actions = append(p.timeline.Actions, action)
+}
+
+// addOutage plans an outage of a service that loses power; 0 means that it keeps its power.
 func (p *planner) addOutage(at, back time.Duration, beginKind, endKind ActionKind) {
 	if back > 0 {
 		p.add(at, beginKind, nil, 0)
@@ -79,7 +83,7 @@
 	return time.Duration(p.rng.Float64() * float64(p.spec.Spread.Std()))
 }
 
-// powerLossTargets are those that lose power: as many as are named, or those of the zone, or all.
+// powerLossTargets are those that lose power: all, or those of the named zone, and of these as many as are named.
 func (p *planner) powerLossTargets() (dispatchers, workers []int) {
 	zone := slices.Index(p.topology.Zones, p.spec.Zone)
 	for d := range p.topology.Dispatchers {
@@ -92,29 +96,16 @@
 			workers = append(workers, w)
 		}
 	}
-	some := func(all []int, limit int) []int {
-		if limit <= 0 || limit >= len(all) {
-			return all
-		}
-		p.rng.Shuffle(len(all), func(a, b int) { all[a], all[b] = all[b], all[a] })
-		all = all[:limit]
-		slices.Sort(all)
-		return all
-	}
-	return some(dispatchers, p.spec.Dispatchers), some(workers, p.spec.Workers)
+	return p.pickAmong(dispatchers, p.spec.Dispatchers), p.pickAmong(workers, p.spec.Workers)
 }
 
-// linkCut plans that some dispatchers no longer hear the others, or are no longer heard.
-func (p *planner) linkCut() string {
-	targets := p.pickRandom(p.spec.Dispatchers, p.topology.Dispatchers)
-	for _, step := range []struct {
-		at time.Duration
-		do ActionKind
-	}{{p.start(), LinkCut}, {p.end(), LinkHeal}} {
-		p.timeline.Actions = append(p.timeline.Actions, Action{
-			At: step.at, Kind: step.do, Targets: targets, Mode: p.spec.Way,
-			Fault: p.index,
-		})
+// pickAmong draws up to limit of the numbers given; 0 means all.
+func (p *planner) pickAmong(all []int, limit int) []int {
+	if limit <= 0 || limit >= len(all) {
+		return all
 	}
-	return fmt.Sprintf("link of %d dispatchers cut", len(targets))
+	p.rng.Shuffle(len(all), func(a, b int) { all[a], all[b] = all[b], all[a] })
+	all = all[:limit]
+	slices.Sort(all)
+	return all
 }
