--- a/internal/testbed/history/check.go
+++ b/internal/testbed/history/check.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Rule is one of the four.
+// Rule is the name of a rule that dispatchers must keep. Results use it as a key.
 type Rule string
 
 // The values of Rule.
@@ -18,79 +18,79 @@
 	RuleWarmupBudget    Rule = "no cold worker pushed over"
 )
 
-// Rules are all four, in their order.
+// Rules are the rules that are always checked.
 var Rules = [...]Rule{RuleNoRequestLost, RuleNoDoubleEffect, RuleDrainsRespected, RuleWarmupBudget}
 
-// Violation is a rule that was broken, and by what.
+// Violation is one violation of a rule.
 type Violation struct {
 	Rule        Rule          `json:"rule"`
 	ID          string        `json:"invocation,omitempty"`
 	Operation   string        `json:"operation,omitempty"`
-	Dispatcher  int           `json:"dispatcher"` // numbers, -1 where there is none
+	Dispatcher  int           `json:"dispatcher"` // index, -1 for none
 	Worker      int           `json:"worker"`
-	At          time.Duration `json:"at_ns"` // from the experiment's start
+	At          time.Duration `json:"at_ns"` // since the start of the experiment
 	Description string        `json:"what"`
 }
 
-// Operation says how far an operation may run again.
+// Operation says when a request of an operation may run more than once.
 type Operation struct {
 	Name                           string
-	Idempotent, NonIdempotent      bool // neither: it is deduplicated
-	ScopeAll, ScopeZone, ScopeCell bool // the group that drops repeats
+	Idempotent, NonIdempotent      bool // neither: idempotent by key
+	ScopeAll, ScopeZone, ScopeCell bool // the workers that deduplicate together
 	DedupWindow                    time.Duration
 }
 
-// Location is where a worker stands.
+// Location is a worker's zone and cell.
 type Location struct{ Zone, Cell int }
 
-// RuleConfig are what the rules are judged by.
+// RuleConfig is what the rules depend on.
 type RuleConfig struct {
 	Operations    []Operation
 	Workers       []Location    // by worker
-	DrainGrace    time.Duration // of a drain
-	Slack         time.Duration // that each time limit is longer by, for the machine's own delays
-	KeysPersisted bool          // dispatchers keep keys through their own end
+	DrainGrace    time.Duration // until a dispatcher must have stopped sending to a draining worker
+	Slack         time.Duration // added to each time limit, for delays of the machine that runs the experiment
+	KeysPersisted bool          // dispatchers persist keys, so RuleKeysPersisted is checked
 }
 
-// Check names every breach, in the order of time.
-func (l *Log) Check(t RuleConfig) []Violation {
+// Check returns all violations, ordered by time.
+func (l *Log) Check(config RuleConfig) []Violation {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	violations := slices.Clone(l.unknown)
 	for _, request := range l.requests {
 		violations = append(violations, l.checkLost(request)...)
-		violations = append(violations, t.checkDoubleEffect(request)...)
+		violations = append(violations, config.checkDoubleEffect(request)...)
 	}
-	violations = append(violations, l.checkDrains(t)...)
-	if t.KeysPersisted {
-		violations = append(violations, l.checkKeys(t)...)
+	violations = append(violations, l.checkDrains(config)...)
+	if config.KeysPersisted {
+		violations = append(violations, l.checkKeys(config)...)
 	}
-	for _, f := range l.overloads {
+	for _, overload := range l.overloads {
 		violations = append(violations, Violation{
-			Rule: RuleWarmupBudget, ID: f.ID, Dispatcher: f.Dispatcher,
-			Worker: f.Worker, At: f.At,
-			Description: fmt.Sprintf("%v of work within the span, where it bears %v: %s",
-				f.SentWork.Round(time.Millisecond), f.Budget.Round(time.Millisecond), f.RecentJobs),
+			Rule: RuleWarmupBudget, ID: overload.ID, Dispatcher: overload.Dispatcher,
+			Worker: overload.Worker, At: overload.At,
+			Description: fmt.Sprintf("%v of work within the span, over its budget of %v: %s",
+				overload.SentWork.Round(time.Millisecond), overload.Budget.Round(time.Millisecond), overload.RecentJobs),
 		})
 	}
 	for n, b := range violations {
-		if request := l.byID[b.ID]; request != nil && request.Operation < len(t.Operations) {
-			violations[n].Operation = t.Operations[request.Operation].Name
+		if request := l.byID[b.ID]; request != nil && request.Operation < len(config.Operations) {
+			violations[n].Operation = config.Operations[request.Operation].Name
 		}
 	}
 	slices.SortStableFunc(violations, func(a, b Violation) int { return cmp.Compare(a.At, b.At) })
 	return violations
 }
 
-// unavailable tells whether the dispatcher was gone or stood still at some time from one to another.
+// unavailable reports whether a dispatcher was down or paused at some time between from and to.
 func (l *Log) unavailable(dispatcher int, from, to time.Duration) bool {
 	return slices.ContainsFunc(l.outages, func(o Outage) bool {
 		return o.Dispatcher == dispatcher && !o.Planned && o.From <= to && o.To >= from
 	})
 }
 
-// checkLost judges rule 1: what a running dispatcher has taken gets one whole answer in time, and a success
-// carries what a worker made for this very invocation.
+// checkLost checks rule 1: a request that a running dispatcher has accepted gets one complete answer in time, and a
+// success carries a result that a worker produced for this request.
 func (l *Log) checkLost(request *Request) []Violation {
 	violation := func(reason string) []Violation {
 		return []Violation{{
@@ -98,108 +98,123 @@
 			At: max(request.EndedAt, request.SentAt), Description: reason,
 		}}
 	}
-	producedResult := func(f *Attempt) bool { return f.Result == request.Result && f.Result != "" }
-	lostOnConnection := func(f *Attempt) bool {
-		return f.FirstByteAt < request.ResentAt && !l.unavailable(request.Dispatcher, f.FirstByteAt, request.ResentAt)
+	producedResult := func(attempt *Attempt) bool { return attempt.Result == request.Result && attempt.Result != "" }
+	lostOnConnection := func(attempt *Attempt) bool {
+		return attempt.FirstByteAt < request.ResentAt && !l.unavailable(request.Dispatcher, attempt.FirstByteAt, request.ResentAt)
 	}
 	switch {
 	case slices.ContainsFunc(request.Attempts, lostOnConnection):
-		return violation("its kept connection ended with no answer, though it had been forwarded")
+		return violation("its idle connection ended without an answer after an attempt had been sent")
 	case request.Outcome == Succeeded && !slices.ContainsFunc(request.Attempts, producedResult):
-		return violation(fmt.Sprintf("answered with %.60q, which no worker made for it", request.Result))
-	case request.SentAt == 0, request.Outcome == Interrupted, l.unavailable(request.Dispatcher, request.SentAt, max(request.EndedAt, request.SentAt)):
+		return violation(fmt.Sprintf("answered with %.60q, which no worker produced for it", request.Result))
+	case request.SentAt == 0, request.Outcome == Interrupted:
+		return nil
+	case l.unavailable(request.Dispatcher, request.SentAt, max(request.EndedAt, request.SentAt)):
 		return nil
 	case request.Outcome == Broken:
-		return violation("its connection ended with no whole answer")
+		return violation("its connection ended without a complete answer")
 	case request.Outcome == Unanswered && request.EndedAt >= request.Deadline:
 		return violation("no answer before the client gave up")
 	}
 	return nil
 }
 
-// checkDoubleEffect judges rule 2 for one invocation.
+// checkDoubleEffect checks rule 2 for one request: no attempt after another that may have run, unless the operation
+// allows it, and no rejection of a request that may have run.
 func (t RuleConfig) checkDoubleEffect(request *Request) (violations []Violation) {
-	o, attempts := &t.Operations[request.Operation], slices.Clone(request.Attempts)
+	operation, attempts := &t.Operations[request.Operation], slices.Clone(request.Attempts)
 	slices.SortStableFunc(attempts, func(a, b *Attempt) int { return cmp.Compare(a.FirstByteAt, b.FirstByteAt) })
-	for n, f := range attempts {
+	for n, attempt := range attempts {
 		for _, earlier := range attempts[:n] {
-			if earlier.FirstByteAt < request.ResentAt && f.FirstByteAt >= request.ResentAt {
-				continue // its client has sent it anew: judged as lost
+			if earlier.FirstByteAt < request.ResentAt && attempt.FirstByteAt >= request.ResentAt {
+				continue // resent by the client: checkLost covers that
 			}
-			if reason := t.forbiddenRepeat(o, earlier, f); reason != "" {
+			if reason := t.forbiddenRepeat(operation, earlier, attempt); reason != "" {
 				violations = append(violations, Violation{
-					Rule: RuleNoDoubleEffect, ID: request.ID, Dispatcher: f.Dispatcher,
-					Worker: f.Worker, At: f.ReceivedAt, Description: reason,
+					Rule: RuleNoDoubleEffect, ID: request.ID, Dispatcher: attempt.Dispatcher,
+					Worker: attempt.Worker, At: attempt.ReceivedAt, Description: reason,
 				})
 				break
 			}
 		}
 	}
-	if request.Outcome != Throttled || o.Idempotent || !o.NonIdempotent && o.ScopeAll {
+	if request.Outcome != Throttled || operation.Idempotent || !operation.NonIdempotent && operation.ScopeAll {
 		return violations
 	}
-	for _, f := range attempts {
-		if f.FirstByteAt < request.ResentAt {
-			continue // sent anew by its client since, and judged as lost: a dispatcher that died has read no more of it
+	for _, attempt := range attempts {
+		if attempt.FirstByteAt < request.ResentAt {
+			continue // resent by the client, which checkLost covers: a new process knows nothing of earlier attempts
 		}
-		if f.ReceivedAt < request.EndedAt && !f.provenUnstarted(request.EndedAt) {
+		if attempt.ReceivedAt < request.EndedAt && !attempt.provenUnstarted(request.EndedAt) {
 			return append(violations, Violation{
-				Rule: RuleNoDoubleEffect, ID: request.ID, Dispatcher: f.Dispatcher,
-				Worker: f.Worker, At: request.EndedAt, Description: "throttled, though a forward may have run",
+				Rule: RuleNoDoubleEffect, ID: request.ID, Dispatcher: attempt.Dispatcher,
+				Worker: attempt.Worker, At: request.EndedAt, Description: "rejected, though an attempt may have run",
 			})
 		}
 	}
 	return violations
 }
 
-// forbiddenRepeat tells what is wrong with one more forward after an earlier one, if anything.
-func (t RuleConfig) forbiddenRepeat(o *Operation, earlier, f *Attempt) string {
-	if o.Idempotent || earlier.provenUnstarted(f.FirstByteAt) {
+// forbiddenRepeat returns why another attempt after an earlier one is forbidden, or "".
+func (t RuleConfig) forbiddenRepeat(operation *Operation, earlier, attempt *Attempt) string {
+	if operation.Idempotent || earlier.provenUnstarted(attempt.FirstByteAt) {
 		return ""
 	}
-	if o.NonIdempotent {
-		return fmt.Sprintf("forwarded again, though worker %d may have run it", earlier.Worker)
+	if operation.NonIdempotent {
+		return fmt.Sprintf("sent again, though worker %d may have run it", earlier.Worker)
 	}
-	a, b := t.Workers[earlier.Worker], t.Workers[f.Worker]
-	if !o.ScopeAll && (!o.ScopeZone || a.Zone != b.Zone) && (!o.ScopeCell || a.Cell != b.Cell) {
-		return fmt.Sprintf("forwarded outside the dedup group of worker %d, which may have run it", earlier.Worker)
+	a, b := t.Workers[earlier.Worker], t.Workers[attempt.Worker]
+	if !operation.ScopeAll && (!operation.ScopeZone || a.Zone != b.Zone) && (!operation.ScopeCell || a.Cell != b.Cell) {
+		return fmt.Sprintf("sent outside the dedup group of worker %d, which may have run it", earlier.Worker)
 	}
-	if f.FirstByteAt > earlier.ReceivedAt+o.DedupWindow {
-		return "forwarded again after the dedup window"
+	if attempt.FirstByteAt > earlier.ReceivedAt+operation.DedupWindow {
+		return "sent again after the dedup window"
 	}
 	return ""
 }
 
-// checkDrains judges rule 3: from the grace after a dispatcher was told, no first byte comes from it.
-func (l *Log) checkDrains(t RuleConfig) (violations []Violation) {
+// checkDrains checks rule 3: a dispatcher sends nothing to a worker from the grace after it was notified that the
+// worker is draining or gone.
+func (l *Log) checkDrains(config RuleConfig) (violations []Violation) {
 	type pair struct{ dispatcher, worker int }
-	notifications := map[pair][]Notification{}
+	byPair := map[pair][]Notification{}
 	for _, n := range l.notifications {
-		notifications[pair{n.Dispatcher, n.Worker}] = append(notifications[pair{n.Dispatcher, n.Worker}], n)
+		key := pair{n.Dispatcher, n.Worker}
+		byPair[key] = append(byPair[key], n)
 	}
-	for _, notices := range notifications {
-		slices.SortStableFunc(notices, func(a, b Notification) int { return cmp.Compare(a.At, b.At) })
+	for _, notifications := range byPair {
+		slices.SortStableFunc(notifications, func(a, b Notification) int { return cmp.Compare(a.At, b.At) })
 	}
 	for _, request := range l.requests {
-		for _, f := range request.Attempts {
-			since, notReady := time.Duration(0), false
-			for _, n := range notifications[pair{f.Dispatcher, f.Worker}] {
-				switch {
-				case n.At > f.FirstByteAt:
-				case n.Ready:
-					notReady = false
-				case !notReady:
-					since, notReady = n.At, true
-				}
-			}
-			if late := f.FirstByteAt - since; notReady && late > t.DrainGrace+t.Slack {
-				violations = append(violations, Violation{
-					Rule: RuleDrainsRespected, ID: request.ID, Dispatcher: f.Dispatcher,
-					Worker: f.Worker, At: f.FirstByteAt, Description: fmt.Sprintf("sent %v after the dispatcher was told that "+
-						"the worker drains or is gone", late.Round(time.Millisecond)),
-				})
+		for _, attempt := range request.Attempts {
+			since, notReady := notReadySince(byPair[pair{attempt.Dispatcher, attempt.Worker}], attempt.FirstByteAt)
+			late := attempt.FirstByteAt - since
+			if !notReady || late <= config.DrainGrace+config.Slack {
+				continue
 			}
+			violations = append(violations, Violation{
+				Rule: RuleDrainsRespected, ID: request.ID, Dispatcher: attempt.Dispatcher,
+				Worker: attempt.Worker, At: attempt.FirstByteAt,
+				Description: fmt.Sprintf("sent %v after the dispatcher was notified that the worker drains or is gone",
+					late.Round(time.Millisecond)),
+			})
 		}
 	}
 	return violations
 }
+
+// notReadySince reports whether a worker was listed as not ready at a time, and since when. A repeated notification
+// does not restart the grace.
+func notReadySince(notifications []Notification, at time.Duration) (since time.Duration, notReady bool) {
+	for _, n := range notifications {
+		switch {
+		case n.At > at:
+		case n.Ready:
+			notReady = false
+		case !notReady:
+			since = n.At
+			notReady = true
+		}
+	}
+	return since, notReady
+}
--- a/internal/testbed/history/history.go
+++ b/internal/testbed/history/history.go
@@ -1,6 +1,6 @@
-// Package history writes down what happened in an experiment, and judges the four rules from that alone. It
-// does no I/O: the stand-ins and the load generator tell it what they did and saw, with times from the
-// experiment's start. What a dispatcher says of itself counts for nothing here.
+// Package history records what happened in an experiment and checks the four rules against that record. It does no
+// I/O: the stand-ins and the load generator report what they did and observed, with times since the start of the
+// experiment. Nothing that a dispatcher reports about itself is used, as a faulty dispatcher may be wrong about that too.
 package history
 
 import (
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Outcome is how one try of a client ended.
+// Outcome is how a client's request ended.
 type Outcome uint8
 
 // The values of Kind.
@@ -17,82 +17,82 @@
 	Succeeded
 	Throttled
 	Errored
-	Unanswered  // the client's time was up, and it left
-	Broken      // the connection ended with no whole answer
-	Unreachable // no dispatcher took the connection: it was never taken
-	Interrupted // the experiment ended first
-	Unsent      // the generator could not send it: it has as many open as it may
+	Unanswered  // the client's timeout expired
+	Broken      // the connection ended without a complete answer
+	Unreachable // no dispatcher accepted the connection
+	Interrupted // the experiment ended before
+	Unsent      // the load generator was at its limit of open calls
 )
 
-// OutcomeNames are their names, as results tell them.
+// OutcomeNames are the names of outcomes in results.
 var OutcomeNames = [...]string{
 	Pending: "open", Succeeded: "succeeded", Throttled: "throttled", Errored: "errored",
 	Unanswered: "unanswered", Broken: "broken", Unreachable: "unreachable", Interrupted: "interrupted",
 	Unsent: "unsent",
 }
 
-// AttemptEnd is how a forward ended at its worker.
+// AttemptEnd is how an attempt ended at its worker.
 type AttemptEnd uint8
 
 // The values of End.
 const (
-	Running       AttemptEnd = iota // or waiting: it has not ended
+	Running       AttemptEnd = iota // queued or running
 	Done                            // the worker wrote its result
 	Failed                          // the worker wrote that it failed
-	Returned                        // the worker wrote that it never ran
-	Abandoned                       // the dispatcher gave it up first
+	Returned                        // the worker wrote that it was never started
+	Abandoned                       // the dispatcher cancelled it
 	Crashed                         // the worker's process ended under it
-	NeverReported                   // the worker is silent on it
-	Deduplicated                    // a repeat: the worker gave the first one's result, and nothing ran
+	NeverReported                   // it ran, but the worker was muted and reported nothing
+	Deduplicated                    // not run: the worker answered with the result of an earlier attempt under the same key
 )
 
-// Attempt is one message that a worker took whole.
+// Attempt is one message of a dispatcher that a worker received completely.
 type Attempt struct {
 	Dispatcher, Worker      int
 	Incarnation             int           // of the worker's process, from 0
-	FirstByteAt, ReceivedAt time.Duration // when its first and its last byte came
-	StartedAt, EndedAt      time.Duration // 0 if not
+	FirstByteAt, ReceivedAt time.Duration // arrival of its first and last byte
+	StartedAt, EndedAt      time.Duration // 0 if it has not
 	End                     AttemptEnd
 	Result                  string
 }
 
-// provenUnstarted tells whether the dispatcher had proof by then that the forward did not run.
+// provenUnstarted reports whether by then the dispatcher had proof that the attempt did not run.
 func (f *Attempt) provenUnstarted(by time.Duration) bool { return f.End == Returned && f.EndedAt <= by }
 
-// Request is one message of a client.
+// Request is one message of a client. A retry is another request, with an ID of its own.
 type Request struct {
-	Key                       uint64 // where Keyed
+	Key                       uint64 // valid if HasKey
 	HasKey, MarkedRetry       bool
 	ID                        string
 	Operation, Dispatcher     int
-	SentAt, Deadline, EndedAt time.Duration // Sent: its last byte; 0 if it never left
+	SentAt, Deadline, EndedAt time.Duration // SentAt: its last byte; 0 if it was never sent
 	Outcome                   Outcome
 	Status                    int
 	Result                    string
 	Attempts                  []*Attempt
-	ResentAt                  time.Duration // when a kept connection ended under it and it was sent anew; 0 if never
+	ResentAt                  time.Duration // when it was sent again because an idle connection had ended; 0 if never
 }
 
-// Notification is what the list service wrote to one dispatcher of one worker.
+// Notification is a worker's state as the list service wrote it to one dispatcher.
 type Notification struct {
 	Dispatcher, Worker int
 	Ready              bool
 	At                 time.Duration
 }
 
-// Overload is a cold worker that was pushed over by the forward of an invocation.
+// Overload is the crash of a warming-up worker that was sent more work than its budget.
 type Overload struct {
 	Worker, Dispatcher int
 	ID                 string
 	At                 time.Duration
-	SentWork, Budget   time.Duration // core time sent within the span, and what it could bear
-	RecentJobs         string        // the heaviest of it
+	SentWork, Budget   time.Duration // core time sent within the span, and allowed within it
+	RecentJobs         string        // the largest recent jobs, for reports
 }
 
-// Outage is a time in which a dispatcher's process was gone or stood still.
+// Outage is a time in which a dispatcher's process was down or paused.
 type Outage struct {
 	Dispatcher int
-	Planned    bool // it was asked to end, and drains first: what it had taken counts
+	Planned    bool // it was asked to end and drains first, so the requests that it had accepted must be answered
 	From, To   time.Duration
 }
 
@@ -110,106 +110,107 @@
 // New makes an empty ledger.
 func New() *Log { return &Log{byID: map[string]*Request{}} }
 
-// RequestOpened opens a client's try, before its first byte leaves. Deadline is when the client gives up.
+// RequestOpened records a client's request before its first byte is sent. The client gives up at the deadline.
 func (l *Log) RequestOpened(id string, operation, dispatcher int, deadline time.Duration) *Request {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	t := &Request{ID: id, Operation: operation, Dispatcher: dispatcher, Deadline: deadline}
-	l.byID[id] = t
-	l.requests = append(l.requests, t)
-	return t
+	request := &Request{ID: id, Operation: operation, Dispatcher: dispatcher, Deadline: deadline}
+	l.byID[id] = request
+	l.requests = append(l.requests, request)
+	return request
 }
 
-// SetKey tells the key that a try goes under, and whether its client marks it as a repeat.
-func (l *Log) SetKey(t *Request, key uint64, markedRetry bool) {
+// SetKey records a request's idempotency key, and whether the client marks the request as a retry.
+func (l *Log) SetKey(request *Request, key uint64, markedRetry bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	t.Key, t.HasKey, t.MarkedRetry = key, true, markedRetry
+	request.Key, request.HasKey, request.MarkedRetry = key, true, markedRetry
 }
 
-// RequestSent tells that a try's last byte has been written.
-func (l *Log) RequestSent(t *Request, at time.Duration) {
+// RequestSent records that a request's last byte has been written.
+func (l *Log) RequestSent(request *Request, at time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	t.SentAt = at
+	request.SentAt = at
 }
 
-// RequestResent tells that a try goes out anew, since a kept connection ended with nothing heard: as far as its
-// client can tell, that end has crossed it and nobody has read it.
-func (l *Log) RequestResent(t *Request, at time.Duration) {
+// RequestResent records that a request is sent again because its idle connection ended before any answer: from the
+// client's view the end of the connection crossed the request, and nobody has read it.
+func (l *Log) RequestResent(request *Request, at time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	t.SentAt, t.ResentAt = 0, at
+	request.SentAt, request.ResentAt = 0, at
 }
 
-// RequestEnded closes a try.
-func (l *Log) RequestEnded(t *Request, outcome Outcome, status int, result string, at time.Duration) {
+// RequestEnded records a request's outcome.
+func (l *Log) RequestEnded(request *Request, outcome Outcome, status int, result string, at time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	t.Outcome, t.Status, t.Result, t.EndedAt = outcome, status, result, at
+	request.Outcome, request.Status, request.Result, request.EndedAt = outcome, status, result, at
 }
 
-// AttemptReceived opens a forward that a worker has taken whole. One under an id that no client sent breaks a rule.
-func (l *Log) AttemptReceived(id string, f Attempt) *Attempt {
+// AttemptReceived records an attempt that a worker has received completely. One whose ID no client has used violates
+// a rule.
+func (l *Log) AttemptReceived(id string, attempt Attempt) *Attempt {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	t := l.byID[id]
-	if t == nil {
+	request := l.byID[id]
+	if request == nil {
 		l.unknown = append(l.unknown, Violation{
-			Rule: RuleNoRequestLost, ID: id, Dispatcher: f.Dispatcher,
-			Worker: f.Worker, At: f.ReceivedAt, Description: "a forward under an id that no client sent",
+			Rule: RuleNoRequestLost, ID: id, Dispatcher: attempt.Dispatcher,
+			Worker: attempt.Worker, At: attempt.ReceivedAt, Description: "attempt with an ID that no client sent",
 		})
-		return &f
+		return &attempt
 	}
-	t.Attempts = append(t.Attempts, &f)
-	return &f
+	request.Attempts = append(request.Attempts, &attempt)
+	return &attempt
 }
 
-// AttemptStarted tells that a forward has begun to run.
-func (l *Log) AttemptStarted(f *Attempt, at time.Duration) {
+// AttemptStarted records that an attempt has started to run.
+func (l *Log) AttemptStarted(attempt *Attempt, at time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	f.StartedAt = at
+	attempt.StartedAt = at
 }
 
-// AttemptEnded closes a forward; the first end counts.
-func (l *Log) AttemptEnded(f *Attempt, end AttemptEnd, result string, at time.Duration) {
+// AttemptEnded records the end of an attempt. Only the first end counts.
+func (l *Log) AttemptEnded(attempt *Attempt, end AttemptEnd, result string, at time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if f.End == Running {
-		f.End, f.Result, f.EndedAt = end, result, at
+	if attempt.End == Running {
+		attempt.End, attempt.Result, attempt.EndedAt = end, result, at
 	}
 }
 
-// WorkerListed tells of a notice.
+// WorkerListed records a worker's state as written to a dispatcher.
 func (l *Log) WorkerListed(n Notification) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.notifications = append(l.notifications, n)
 }
 
-// WorkerOverloaded tells of a worker that was pushed over.
+// WorkerOverloaded records the crash of a warming-up worker.
 func (l *Log) WorkerOverloaded(f Overload) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.overloads = append(l.overloads, f)
 }
 
-// AddOutage tells of an outage that is over, or that lasts to the end.
+// AddOutage records an outage that is over, or that lasts to the end of the experiment.
 func (l *Log) AddOutage(o Outage) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.outages = append(l.outages, o)
 }
 
-// Requests hands out what is written down, for reports once all is over.
+// Requests returns all requests, for reports. It may be called only once nothing is recorded any more.
 func (l *Log) Requests() []*Request {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.requests
 }
 
-// AttemptEnds tells how the forwards of an invocation stand, in the order in which they came.
+// AttemptEnds returns how a request's attempts ended, in the order of their arrival.
 func (l *Log) AttemptEnds(id string) (ends []AttemptEnd) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
