--- a/internal/testbed/experiment/recovery.go
+++ b/internal/testbed/experiment/recovery.go
@@ -46,34 +46,41 @@
 	return all
 }
 
-// recoveries reckons how the fleet came back from each loss of power that workers met.
-func (p *Plan) recoveries(r *Result, t *fault.Timeline, schedule []workload.Arrival) (backs []metrics.Recovery) {
-	var offered []metrics.OfferedCall
+// recoveries measures how the fleet recovered from each loss of power.
+func (p *Plan) recoveries(r *Result, t *fault.Timeline, schedule []workload.Arrival) (all []metrics.Recovery) {
+	var calls []metrics.OfferedCall
 	for _, a := range schedule {
 		o := &p.Operations[a.Operation]
-		offered = append(offered, metrics.OfferedCall{
+		calls = append(calls, metrics.OfferedCall{
 			At: a.At, Work: a.Work, Objective: o.LatencyObjective.Std(), Stretch: o.Stretch,
 			Value: o.Value, LateShare: o.LateShare,
 		})
 	}
-	every := time.Duration(r.Calls.SlotSeconds * float64(time.Second))
-	for k, mark := range t.Marks {
-		if p.Faults[k].Kind != "power-loss" {
+	for index, mark := range t.Marks {
+		if p.Faults[index].Kind != "power-loss" {
 			continue
 		}
-		var workers []metrics.ReturningWorker
-		kinds, _, _ := p.placeWorkers()
-		for n := range kinds {
-			one := metrics.ReturningWorker{Cores: p.Fleet.Kinds[kinds[n]].Cores, BackAt: -1}
-			for _, a := range t.Actions {
-				if a.Fault == k && a.Kind == fault.WorkerRestart && slices.Contains(a.Targets, n) {
-					one.BackAt = max(one.BackAt, a.At)
-				}
+		loss := metrics.PowerLoss{
+			At: mark.From, Slots: r.Calls.Slots, SlotLength: time.Duration(r.Calls.SlotSeconds * float64(time.Second)),
+			Calls: calls, Workers: p.returningWorkers(t, index),
+			Warmup: worker.Warmup{InitialShare: p.Fleet.InitialShare, Duration: p.Fleet.WarmupDuration.Std()},
+		}
+		all = append(all, loss.Recovery())
+	}
+	return all
+}
+
+// returningWorkers are the workers with the time at which a fault's last restart of each is due.
+func (p *Plan) returningWorkers(t *fault.Timeline, index int) (workers []metrics.ReturningWorker) {
+	kinds, _, _ := p.placeWorkers()
+	for n := range kinds {
+		w := metrics.ReturningWorker{Cores: p.Fleet.Kinds[kinds[n]].Cores, BackAt: -1}
+		for _, a := range t.Actions {
+			if a.Fault == index && a.Kind == fault.WorkerRestart && slices.Contains(a.Targets, n) {
+				w.BackAt = max(w.BackAt, a.At)
 			}
-			workers = append(workers, one)
 		}
-		backs = append(backs, metrics.MeasureRecovery(mark.From, r.Calls.Slots, every, offered, workers,
-			worker.Warmup{InitialShare: p.Fleet.InitialShare, Duration: p.Fleet.WarmupDuration.Std()}))
+		workers = append(workers, w)
 	}
-	return backs
+	return workers
 }
--- a/internal/testbed/metrics/recorder.go
+++ b/internal/testbed/metrics/recorder.go
@@ -1,6 +1,6 @@
-// Package metrics counts what an experiment's calls came to. A call is an invocation with its client's
-// retries. Its latency counts from when it was meant to be sent, not from when it was: a generator that waits
-// for a slow dispatcher would hide just the time in question (coordinated omission).
+// Package metrics aggregates the calls of an experiment. A call is a client's request with its retries. Latency counts
+// from the intended time of sending, not from the actual one: a generator that waits for a slow dispatcher would
+// otherwise hide the very delay that is to be measured (coordinated omission).
 package metrics
 
 import (
@@ -12,39 +12,39 @@
 	"canvasroute/internal/testbed/history"
 )
 
-// What histograms hold: microseconds up to ten minutes, to three figures.
+// Range and precision of the histograms, in microseconds.
 const (
 	minMicros         = 1
 	maxMicros         = int64(10 * time.Minute / time.Microsecond)
 	significantDigits = 3
 )
 
-// Bounds on the generator's own lateness, beyond which its figures are not to be trusted.
+// Limits of the generator's own lateness, beyond which its results are not trusted.
 const (
 	LateAfter    = 10 * time.Millisecond
 	maxLateShare = 0.01
 )
 
-// Call is how one call went.
+// Call is a call that is over.
 type Call struct {
 	Operation, Tenant         int
-	Intended, Sent            time.Duration // Sent: when the first try was begun
+	Intended, Sent            time.Duration // Sent: start of the first request
 	Ended                     time.Duration
 	Work                      time.Duration
-	Outcome                   history.Outcome // of the last try
+	Outcome                   history.Outcome // of the last request
 	Tries                     int
-	InTime                    bool    // it succeeded within the latency objective
+	InTime                    bool    // succeeded within the latency objective
 	ValueOffered, ValueEarned float64 // billed value
 }
 
-// Recorder takes calls from many goroutines.
+// Recorder aggregates calls. It is safe for concurrent use.
 type Recorder struct {
 	slotLength time.Duration
 
 	mu         sync.Mutex
-	succeeded  *hdrhistogram.Histogram // time to the result
-	all        *hdrhistogram.Histogram // time to whatever end: a call without an answer counts with its wait
-	lateness   *hdrhistogram.Histogram // from when the generator meant to send to when it did
+	succeeded  *hdrhistogram.Histogram // latency of successful calls
+	all        *hdrhistogram.Histogram // latency of all calls; one without an answer counts with the time waited
+	lateness   *hdrhistogram.Histogram // from the intended to the actual time of sending
 	operations []*tally
 	tenants    []*tally
 	slots      []*slot
@@ -63,7 +63,7 @@
 type slot struct {
 	arrivals int64
 	outcomes [history.Unsent + 1]int64
-	latency  *hdrhistogram.Histogram // of what succeeded, by when it arrived
+	latency  *hdrhistogram.Histogram // of successful calls, by intended time
 
 	valueOffered, valueEarned float64 // billed value
 }
@@ -72,9 +72,9 @@
 	return hdrhistogram.New(minMicros, maxMicros, significantDigits)
 }
 
-// NewRecorder makes a recorder that also keeps figures for each stretch of time of a length.
-func NewRecorder(every time.Duration, operations, tenants int) *Recorder {
-	r := &Recorder{slotLength: every, succeeded: newHistogram(), all: newHistogram(), lateness: newHistogram()}
+// NewRecorder returns a recorder that also aggregates by time slots of a length.
+func NewRecorder(slotLength time.Duration, operations, tenants int) *Recorder {
+	r := &Recorder{slotLength: slotLength, succeeded: newHistogram(), all: newHistogram(), lateness: newHistogram()}
 	for range operations {
 		r.operations = append(r.operations, &tally{latency: newHistogram()})
 	}
@@ -84,17 +84,17 @@
 	return r
 }
 
-// recordValue takes a value in microseconds, which micros has brought within the bounds of every histogram here.
+// recordValue records a value that clampMicros has returned, so that it is within the histogram's range.
 func recordValue(h *hdrhistogram.Histogram, value int64) {
-	_ = h.RecordValue(value) // fails only outside the bounds
+	_ = h.RecordValue(value) // fails only outside the range
 }
 
-// clampMicros is a span in whole microseconds, brought within the bounds of a histogram.
+// clampMicros converts a duration to microseconds within the range of the histograms.
 func clampMicros(d time.Duration) int64 {
 	return min(max(int64(d/time.Microsecond), minMicros), maxMicros)
 }
 
-// Record takes a call that is over.
+// Record adds a call that is over.
 func (r *Recorder) Record(c Call) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -106,7 +106,8 @@
 	s := r.slots[at]
 	s.arrivals++
 	s.outcomes[c.Outcome]++
-	s.valueOffered, s.valueEarned = s.valueOffered+c.ValueOffered, s.valueEarned+c.ValueEarned
+	s.valueOffered += c.ValueOffered
+	s.valueEarned += c.ValueEarned
 	tallies := []*tally{&r.total, r.operations[c.Operation]}
 	if c.Tenant < len(r.tenants) {
 		tallies = append(tallies, r.tenants[c.Tenant])
@@ -142,7 +143,7 @@
 	}
 }
 
-// Snapshot is how calls stand now, for progress.
+// Snapshot returns the number of calls by outcome so far, for progress.
 func (r *Recorder) Snapshot() (calls, succeeded, throttled, other int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/testbed/metrics/recovery.go
+++ b/internal/testbed/metrics/recovery.go
@@ -6,117 +6,148 @@
 	"canvasroute/internal/testbed/worker"
 )
 
-// ReturningWorker is one that takes part in the return after a loss of power.
+// ReturningWorker is a worker that may have lost power.
 type ReturningWorker struct {
 	Cores  int
-	BackAt time.Duration // when it is back, negative for one that was never away
+	BackAt time.Duration // when it is back, negative if it kept its power
 }
 
-// OfferedCall is an invocation, for what it could earn at best.
+// OfferedCall is a planned call and what it can earn.
 type OfferedCall struct {
 	At, Work, Objective time.Duration
 	Stretch             float64
-	Value, LateShare    float64 // for a second of work, and the part of it that a late answer earns
+	Value, LateShare    float64 // per second of work, and the share of it that a late answer earns
 }
 
-// Recovery is how a fleet came back after a loss of power. Times are in seconds.
+// PowerLoss is a loss of power and what is known about the time around it.
+type PowerLoss struct {
+	At         time.Duration
+	Slots      []Slot // measured, by intended time of the calls
+	SlotLength time.Duration
+	Calls      []OfferedCall
+	Workers    []ReturningWorker
+	Warmup     worker.Warmup
+}
+
+// Recovery is how a fleet recovered from a loss of power. Times are in seconds.
 type Recovery struct {
 	LostAt               float64 `json:"lost_s"`
 	LastWorkerBackAt     float64 `json:"last_worker_back_s"`
-	ShareBefore          float64 `json:"share_before"`  // of the billed value asked for
-	UntilRecovered       float64 `json:"until_90_s"`    // from the last worker's return until nine tenths of that are served again, -1: never
-	UntilRecoveredAtBest float64 `json:"until_best_s"`  // the same, as the workers' warmth allows
-	RatioToBest          float64 `json:"until_to_best"` // the one to the other
+	ShareBefore          float64 `json:"share_before"`  // earned of the offered value before the loss
+	UntilRecovered       float64 `json:"until_90_s"`    // from the last worker's return until 90% of ShareBefore is earned again, -1: never
+	UntilRecoveredAtBest float64 `json:"until_best_s"`  // the same for BestValueShare
+	RatioToBest          float64 `json:"until_to_best"` // UntilRecovered to UntilRecoveredAtBest, each plus one slot; 0 if either is never
 }
 
-// recoveredShare is the part of the value before a loss at which service counts as back.
+// recoveredShare is the part of the earned share before a loss at which the fleet counts as recovered.
 const recoveredShare = 0.9
 
+// minOffered and minWork keep quotients over an empty slot finite.
+const (
+	minOffered = 1e-9
+	minWork    = 1e-9
+)
+
 // warmupFactor is the share of its capacity that a worker has at a time.
-func (k ReturningWorker) warmupFactor(c worker.Warmup, at time.Duration) float64 {
+func (w ReturningWorker) warmupFactor(warmup worker.Warmup, at time.Duration) float64 {
 	switch {
-	case k.BackAt < 0 || c.Duration <= 0:
+	case w.BackAt < 0 || warmup.Duration <= 0:
 		return 1
-	case at < k.BackAt:
+	case at < w.BackAt:
 		return 0
 	}
-	return c.Factor(at - k.BackAt)
+	return warmup.Factor(at - w.BackAt)
 }
 
-// MeasureRecovery reckons how a fleet came back from a loss of power at a time. slots are what was measured, by when
-// calls were made; wanted are all calls.
-//
-// At best, each call would begin as it is made, at a worker of the mean warmth of that moment: it takes its work
-// divided by that, earns in full within its objective and its tardy part later, and no more work is done in a
-// slot than all cores do by their warmth. No program can do better by more than the spread of warmth between
-// workers.
-func MeasureRecovery(lost time.Duration, slots []Slot, every time.Duration, calls []OfferedCall, workers []ReturningWorker,
-	c worker.Warmup,
-) Recovery {
-	last := lost
-	for _, k := range workers {
-		last = max(last, k.BackAt)
+// Recovery compares the time that the fleet needed to recover with the shortest that any dispatcher could reach.
+func (l *PowerLoss) Recovery() Recovery {
+	lastBack := l.At
+	for _, w := range l.Workers {
+		lastBack = max(lastBack, w.BackAt)
+	}
+	recovery := Recovery{
+		LostAt: l.At.Seconds(), LastWorkerBackAt: lastBack.Seconds(), UntilRecovered: -1, UntilRecoveredAtBest: -1,
+	}
+	before, known := l.shareBefore()
+	if !known {
+		return recovery
+	}
+	recovery.ShareBefore = before
+	measured := make([]float64, len(l.Slots))
+	best := make([]float64, len(l.Slots))
+	for n, slot := range l.Slots {
+		measured[n] = slot.ValueEarned / max(slot.ValueOffered, minOffered)
+		best[n] = l.bestValueShare(time.Duration(n) * l.SlotLength)
 	}
-	b := Recovery{LostAt: lost.Seconds(), LastWorkerBackAt: last.Seconds(), UntilRecovered: -1, UntilRecoveredAtBest: -1}
+	recovery.UntilRecovered = l.timeToRecovery(lastBack, before, measured)
+	recovery.UntilRecoveredAtBest = l.timeToRecovery(lastBack, before, best)
+	if recovery.UntilRecovered >= 0 && recovery.UntilRecoveredAtBest >= 0 {
+		slot := l.SlotLength.Seconds() // times are no finer than a slot
+		recovery.RatioToBest = (recovery.UntilRecovered + slot) / (recovery.UntilRecoveredAtBest + slot)
+	}
+	return recovery
+}
+
+// shareBefore is the earned share of the offered value in the slots before the loss, unknown if nothing was offered.
+func (l *PowerLoss) shareBefore() (share float64, known bool) {
 	offered, earned := 0.0, 0.0
-	for _, s := range slots {
-		if s.From+every.Seconds() <= lost.Seconds() {
-			offered, earned = offered+s.ValueOffered, earned+s.ValueEarned
+	for _, slot := range l.Slots {
+		if slot.From+l.SlotLength.Seconds() <= l.At.Seconds() {
+			offered += slot.ValueOffered
+			earned += slot.ValueEarned
 		}
 	}
 	if offered == 0 {
-		return b
-	}
-	b.ShareBefore = earned / offered
-	best := make([]float64, len(slots))
-	for n := range slots {
-		best[n] = bestValueShare(time.Duration(n)*every, every, calls, workers, c)
+		return 0, false
 	}
-	share := func(n int) float64 { return slots[n].ValueEarned / max(slots[n].ValueOffered, 1e-9) }
-	b.UntilRecovered = timeToRecovery(slots, last, b.ShareBefore, share)
-	b.UntilRecoveredAtBest = timeToRecovery(slots, last, b.ShareBefore, func(n int) float64 { return best[n] })
-	if b.UntilRecovered >= 0 && b.UntilRecoveredAtBest >= 0 {
-		b.RatioToBest = (b.UntilRecovered + every.Seconds()) / (b.UntilRecoveredAtBest + every.Seconds()) // no finer than a slot
-	}
-	return b
+	return earned / offered, true
 }
 
-// timeToRecovery is the time from the last return to the first of two slots in a row that are back.
-func timeToRecovery(slots []Slot, last time.Duration, before float64, share func(int) float64) float64 {
-	for n := range slots {
-		if slots[n].From+1e-9 < last.Seconds() {
+// timeToRecovery is the time from the last return to the first of two consecutive slots whose share counts as
+// recovered, -1 if there are none.
+func (l *PowerLoss) timeToRecovery(lastBack time.Duration, before float64, shares []float64) float64 {
+	const rounding = 1e-9
+	for n, slot := range l.Slots {
+		if slot.From+rounding < lastBack.Seconds() {
 			continue
 		}
-		if share(n) >= recoveredShare*before && (n+1 >= len(slots) || share(n+1) >= recoveredShare*before) {
-			return slots[n].From - last.Seconds()
+		if shares[n] >= recoveredShare*before && (n+1 >= len(shares) || shares[n+1] >= recoveredShare*before) {
+			return slot.From - lastBack.Seconds()
 		}
 	}
 	return -1
 }
 
-func bestValueShare(from, every time.Duration, calls []OfferedCall, workers []ReturningWorker, cold worker.Warmup) float64 {
+// bestValueShare is an upper bound of the value share of the slot that begins at from. Each call starts at its intended
+// time at a worker of the mean warm-up factor in the middle of the slot: it takes its work divided by that factor, and
+// earns its full value within its objective and LateShare of it later. All calls together do no more work than the
+// cores can in the slot. No dispatcher does better by more than the spread of warm-up factors between workers.
+func (l *PowerLoss) bestValueShare(from time.Duration) float64 {
 	cores, capacity := 0.0, 0.0
-	for _, k := range workers {
-		cores += float64(k.Cores)
-		capacity += float64(k.Cores) * k.warmupFactor(cold, from+every/2)
+	for _, w := range l.Workers {
+		cores += float64(w.Cores)
+		capacity += float64(w.Cores) * w.warmupFactor(l.Warmup, from+l.SlotLength/2)
 	}
-	mean := capacity / max(cores, 1)
+	meanFactor := capacity / max(cores, 1)
 	offered, earned, work := 0.0, 0.0, 0.0
-	for _, c := range calls {
-		if c.At < from || c.At >= from+every {
+	for _, call := range l.Calls {
+		if call.At < from || call.At >= from+l.SlotLength {
+			continue
+		}
+		seconds := call.Work.Seconds()
+		value := call.Value * seconds
+		offered += value
+		work += seconds
+		if meanFactor <= 0 {
 			continue
 		}
-		value := c.Value * c.Work.Seconds()
-		offered, work = offered+value, work+c.Work.Seconds()
-		if mean > 0 {
-			if c.Work.Seconds()/mean > c.Objective.Seconds()+c.Stretch*c.Work.Seconds() {
-				value *= c.LateShare
-			}
-			earned += value
+		if seconds/meanFactor > call.Objective.Seconds()+call.Stretch*seconds {
+			value *= call.LateShare
 		}
+		earned += value
 	}
 	if offered == 0 {
 		return 0
 	}
-	return earned / offered * min(1, capacity*every.Seconds()/max(work, 1e-9))
+	return earned / offered * min(1, capacity*l.SlotLength.Seconds()/max(work, minWork))
 }
--- a/internal/testbed/metrics/recovery_test.go
+++ b/internal/testbed/metrics/recovery_test.go
@@ -9,8 +9,9 @@
 	"canvasroute/internal/testbed/worker"
 )
 
-// Two workers of one core lose power at 2 s and are back, cold, at 3 s and 4 s; a call of 100 ms comes each 100 ms.
-func TestReturnIsReckonedFromTheLastWorkerAgainstItsWarmth(t *testing.T) {
+// Two workers of one core lose power at 2 s and are back, warming up, at 3 s and 4 s. A call of 100 ms arrives every
+// 100 ms.
+func TestRecoveryIsMeasuredFromTheLastReturnAgainstTheWarmup(t *testing.T) {
 	second := time.Second
 	var calls []OfferedCall
 	for at := time.Duration(0); at < 20*second; at += 100 * time.Millisecond {
@@ -28,14 +29,19 @@
 		slots = append(slots, s)
 	}
 	workers := []ReturningWorker{{1, 3 * second}, {1, 4 * second}}
-	b := MeasureRecovery(2*second, slots, second, calls, workers, worker.Warmup{InitialShare: 0.1, Duration: 9 * second})
+	loss := PowerLoss{
+		At: 2 * second, Slots: slots, SlotLength: second, Calls: calls, Workers: workers,
+		Warmup: worker.Warmup{InitialShare: 0.1, Duration: 9 * second},
+	}
+	b := loss.Recovery()
 	assert.Equal(t, []float64{2, 4, 1, 9}, []float64{b.LostAt, b.LastWorkerBackAt, b.ShareBefore, b.UntilRecovered})
-	// By hand: a call takes its 200 ms at half of the warmth, which the mean of the two has at 7.5 s: the slot
-	// from 7 s on is the first whose middle is there. A second's work is one core: reached by then.
+	// By hand: a call takes 200 ms at a factor of one half, which the mean of the two reaches at 7.5 s, the middle of
+	// the slot from 7 s. A second offers the work of one core, which both together can do by then.
 	assert.Equal(t, 3.0, b.UntilRecoveredAtBest)
 	assert.InDelta(t, 10.0/4, b.RatioToBest, 1e-9)
 
-	never := MeasureRecovery(2*second, slots[:10], second, calls, workers, worker.Warmup{InitialShare: 0.1, Duration: 9 * second})
+	loss.Slots = slots[:10]
+	never := loss.Recovery()
 	assert.Equal(t, -1.0, never.UntilRecovered)
 	assert.Zero(t, never.RatioToBest)
 }
--- a/internal/testbed/metrics/summary.go
+++ b/internal/testbed/metrics/summary.go
@@ -8,7 +8,7 @@
 	"canvasroute/internal/testbed/history"
 )
 
-// Latency are percentiles in milliseconds.
+// Latency holds percentiles in milliseconds.
 type Latency struct {
 	Count int64   `json:"count"`
 	Mean  float64 `json:"mean_ms"`
@@ -19,18 +19,18 @@
 	Max   float64 `json:"max_ms"`
 }
 
-// Tally is what calls came to.
+// Tally aggregates the calls of a group.
 type Tally struct {
 	Name       string           `json:"name,omitempty"`
 	Calls      int64            `json:"calls"`
-	Answers    map[string]int64 `json:"answers"` // by kind
+	Answers    map[string]int64 `json:"answers"` // by outcome
 	InTime     int64            `json:"in_time"`
 	Tries      int64            `json:"tries"`
-	ValueShare float64          `json:"value_share"` // of the billed value asked for
+	ValueShare float64          `json:"value_share"` // earned of the offered value
 	Latency    *Latency         `json:"latency,omitempty"`
 }
 
-// Slot is one stretch of time.
+// Slot aggregates the calls that were due in one time slot.
 type Slot struct {
 	From         float64          `json:"from_s"`
 	Arrivals     int64            `json:"arrivals"`
@@ -42,20 +42,20 @@
 	P99          float64          `json:"p99_ms"`
 }
 
-// Generator is how well the load generator itself kept to its schedule.
+// Generator is how closely the load generator kept to its schedule.
 type Generator struct {
-	Late      Latency `json:"late"` // from the intended to the real time of sending
+	Late      Latency `json:"late"` // from the intended to the actual time of sending
 	LateCalls int64   `json:"late_calls"`
 	Unsent    int64   `json:"unsent"`
 	Trusted   bool    `json:"trusted"`
 	Reason    string  `json:"why,omitempty"`
 }
 
-// Summary is all that a recorder holds.
+// Summary is everything that a recorder has aggregated.
 type Summary struct {
 	Total       Tally     `json:"total"`
 	Succeeded   Latency   `json:"latency_succeeded"`
-	All         Latency   `json:"latency_all"` // unanswered ones count with their wait
+	All         Latency   `json:"latency_all"` // a call without an answer counts with the time waited
 	Generator   Generator `json:"generator"`
 	Operations  []Tally   `json:"operations"`
 	Tenants     []Tally   `json:"customers,omitempty"`
@@ -63,7 +63,7 @@
 	Slots       []Slot    `json:"slots"`
 }
 
-// Summary reads the figures off, with the names of operations and customers.
+// Summary returns the aggregates, with the names of operations and tenants.
 func (r *Recorder) Summary(operations, tenants []string) Summary {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/testbed/network/network.go
+++ b/internal/testbed/network/network.go
@@ -1,5 +1,5 @@
-// Package network is a stand-in for the network between dispatchers: datagrams go through it, each pair of
-// dispatchers over addresses of its own, and are lost, delayed or held back as it is told.
+// Package network is a stand-in for the network between dispatchers. It relays datagrams, for each pair of dispatchers
+// over addresses of its own, and loses, delays, duplicates or blocks them as configured.
 package network
 
 import (
@@ -8,6 +8,7 @@
 	"math/rand/v2"
 	"net"
 	"net/netip"
+	"slices"
 	"sync"
 	"time"
 
@@ -16,62 +17,52 @@
 	"canvasroute/internal/testbed/unit"
 )
 
-// Conditions is how the network treats datagrams.
+// Conditions are how the network treats datagrams.
 type Conditions struct {
-	Loss           float64       // the share that never arrives
+	Loss           float64       // share of datagrams lost
 	Delay          time.Duration // one way
-	Jitter         time.Duration // and up to so much more
-	Partitioned    bool          // nothing arrives
-	DuplicateShare float64       // the share that arrives twice, the second time up to tenfold as late
+	Jitter         time.Duration // up to this much more, uniformly distributed
+	Partitioned    bool          // nothing is delivered
+	DuplicateShare float64       // share delivered twice, the second time with up to ten times the delay
 }
 
-// Network carries datagrams between a number of dispatchers.
+// Network relays datagrams between dispatchers.
 type Network struct {
-	listenAddrs []netip.AddrPort   // where each dispatcher listens
-	sockets     [][]*net.UDPConn   // [of][as seen by]: what of sends to by goes through here
-	views       [][]netip.AddrPort // [by][of]
+	listenAddrs []netip.AddrPort   // by dispatcher
+	sockets     [][]*net.UDPConn   // [of][by]: the socket that represents dispatcher of to dispatcher by
+	views       [][]netip.AddrPort // [by][of]: the address of dispatcher of as dispatcher by sees it
 
-	maxBytes int // bytes of one datagram
+	maxBytes int // largest datagram that is relayed
 
 	mu                 sync.Mutex
-	partitions         map[[2]int]int // by from and to: troubles that cut this way off
+	partitions         map[[2]int]int // by sender and receiver: number of faults that cut this direction
 	rng                *rand.Rand
 	conditions         Conditions
-	Carried, Discarded int // counts
+	Carried, Discarded int // datagrams; to be read once Run has returned
 }
 
-// PlatformDatagramBytes is how long a datagram the platform lets through; a longer one is discarded.
+// PlatformDatagramBytes is the largest datagram that the platform's network delivers.
 const PlatformDatagramBytes = 256
 
-// New opens the sockets of a net between dispatchers that listen at these addresses, for datagrams of up to most
-// bytes.
-func New(listenAddrs []netip.AddrPort, m Conditions, maxBytes int, seed uint64) (*Network, error) {
+// New opens the sockets of a network between dispatchers that listen at these addresses, for datagrams of up to
+// maxBytes.
+func New(listenAddrs []netip.AddrPort, conditions Conditions, maxBytes int, seed uint64) (*Network, error) {
 	stream := "peers"
 	if maxBytes != PlatformDatagramBytes {
 		stream = "link"
 	}
 	n := &Network{
-		listenAddrs: listenAddrs, conditions: m, maxBytes: maxBytes, partitions: map[[2]int]int{},
+		listenAddrs: listenAddrs, conditions: conditions, maxBytes: maxBytes, partitions: map[[2]int]int{},
 		rng: unit.RandomStream(seed, stream),
 	}
-	for of := range listenAddrs {
-		n.sockets = append(n.sockets, make([]*net.UDPConn, len(listenAddrs)))
-		for by := range listenAddrs {
-			if by == of {
-				continue
-			}
-			pc, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
-			if err != nil {
-				n.close()
-				return nil, fmt.Errorf("peer network: %w", err)
-			}
-			n.sockets[of][by] = pc
-		}
+	if err := n.openSockets(); err != nil {
+		n.close()
+		return nil, fmt.Errorf("peer network: %w", err)
 	}
 	for by := range listenAddrs {
-		view := make([]netip.AddrPort, len(listenAddrs))
+		view := slices.Clone(listenAddrs)
 		for of := range listenAddrs {
-			if view[of] = listenAddrs[of]; of != by {
+			if of != by {
 				view[of] = n.sockets[of][by].LocalAddr().(*net.UDPAddr).AddrPort()
 			}
 		}
@@ -80,17 +71,34 @@
 	return n, nil
 }
 
-// View is the dispatchers' addresses as one of them sees them, its own among them.
+// openSockets opens a socket for each ordered pair of dispatchers.
+func (n *Network) openSockets() (err error) {
+	for of := range n.listenAddrs {
+		n.sockets = append(n.sockets, make([]*net.UDPConn, len(n.listenAddrs)))
+		for by := range n.listenAddrs {
+			if by == of {
+				continue
+			}
+			if n.sockets[of][by], err = net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)}); err != nil {
+				return err
+			}
+		}
+	}
+	return nil
+}
+
+// View returns the addresses of all dispatchers as one of them sees them. Its own is the real one.
 func (n *Network) View(by int) []netip.AddrPort { return n.views[by] }
 
-// SetConditions changes how datagrams are treated from now on.
+// SetConditions changes the conditions for datagrams that arrive from now on.
 func (n *Network) SetConditions(m Conditions) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.conditions = m
 }
 
-// SetPartition cuts the way from one dispatcher to another, or heals it. A way that is cut twice has to be healed twice.
+// SetPartition cuts the direction from one dispatcher to another, or heals it. Cuts count: a direction that was cut
+// twice has to be healed twice.
 func (n *Network) SetPartition(from, to int, cut bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -101,7 +109,7 @@
 	}
 }
 
-// Run carries datagrams until ctx ends.
+// Run relays datagrams until ctx ends.
 func (n *Network) Run(ctx context.Context) error {
 	g, ctx := errgroup.WithContext(ctx)
 	defer context.AfterFunc(ctx, n.close)()
@@ -115,8 +123,8 @@
 	return g.Wait()
 }
 
-// relay takes what one dispatcher sends to the address that stands for another, and hands it on from the
-// address that stands for the first one there.
+// relay receives what dispatcher from sends to the address that represents dispatcher to, and sends it on from the
+// address that represents the sender to the receiver.
 func (n *Network) relay(ctx context.Context, from, to int) error {
 	b := make([]byte, n.maxBytes+1)
 	for {
@@ -124,7 +132,7 @@
 		if ctx.Err() != nil {
 			return nil
 		}
-		if err != nil { // a refusal by a dispatcher that is down is no fault of the net
+		if err != nil { // an ICMP refusal by a dispatcher that is down
 			continue
 		}
 		delay, duplicateDelay, ok := n.draw(got, from, to)
@@ -144,7 +152,7 @@
 	}
 }
 
-// draw draws what becomes of a datagram: how late it is, and its second copy if there is one.
+// draw decides what happens to a datagram: its delay, and that of a duplicate or 0 for none.
 func (n *Network) draw(size, from, to int) (delay, duplicateDelay time.Duration, arrives bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/testbed/network/network_test.go
+++ b/internal/testbed/network/network_test.go
@@ -21,7 +21,7 @@
 	return socks, listenAddrs
 }
 
-func TestDatagramsComeFromTheAddressThatStandsForTheirSender(t *testing.T) {
+func TestDatagramsComeFromTheAddressOfTheirSender(t *testing.T) {
 	socks, listenAddrs := sockets(t, 2)
 	n, err := New(listenAddrs, Conditions{Delay: 20 * time.Millisecond}, PlatformDatagramBytes, 1)
 	assert.NoError(t, err)
@@ -34,7 +34,7 @@
 		assert.NoError(t, err)
 		return time.Now()
 	}
-	heard := func(within time.Duration) (string, netip.AddrPort) {
+	receive := func(within time.Duration) (string, netip.AddrPort) {
 		b := make([]byte, 512)
 		socks[1].SetReadDeadline(time.Now().Add(within))
 		got, from, err := socks[1].ReadFromUDPAddrPort(b)
@@ -44,25 +44,25 @@
 		return string(b[:got]), netip.AddrPortFrom(from.Addr().Unmap(), from.Port())
 	}
 	sent := send("hello")
-	text, from := heard(2 * time.Second)
+	text, from := receive(2 * time.Second)
 	assert.Equal(t, "hello", text)
 	assert.Equal(t, n.View(1)[0], from)
 	assert.GreaterOrEqual(t, time.Since(sent), 19*time.Millisecond)
 	send(string(make([]byte, PlatformDatagramBytes+1)))
 	n.SetConditions(Conditions{Partitioned: true})
 	send("cut")
-	time.Sleep(50 * time.Millisecond) // it has been read and discarded before the net heals
+	time.Sleep(50 * time.Millisecond) // until it has been read and discarded
 	n.SetConditions(Conditions{})
 	send("healed")
-	text, _ = heard(2 * time.Second)
+	text, _ = receive(2 * time.Second)
 	assert.Equal(t, "healed", text)
 	cancel()
 	assert.NoError(t, <-done)
 	assert.Equal(t, []int{2, 2}, []int{n.Carried, n.Discarded})
 }
 
-func TestLossIsDrawnFromTheSeed(t *testing.T) {
-	fates := func(seed uint64) (out []bool) {
+func TestLossIsDeterministicForASeed(t *testing.T) {
+	draws := func(seed uint64) (out []bool) {
 		n, err := New(nil, Conditions{Loss: 0.5}, PlatformDatagramBytes, seed)
 		assert.NoError(t, err)
 		for range 64 {
@@ -71,7 +71,7 @@
 		}
 		return out
 	}
-	assert.Equal(t, fates(3), fates(3))
-	assert.NotEqual(t, fates(3), fates(4))
-	assert.Contains(t, fates(3), false)
+	assert.Equal(t, draws(3), draws(3))
+	assert.NotEqual(t, draws(3), draws(4))
+	assert.Contains(t, draws(3), false)
 }
