--- a/internal/testbed/discoveryserver/catalog.go
+++ b/internal/testbed/discoveryserver/catalog.go
@@ -1,27 +1,27 @@
-// Package discoveryserver is a stand-in for the platform's list service. The catalog in this file does no I/O and
-// has no clock; the server puts it on sockets, one for each dispatcher, as their views may differ.
+// Package discoveryserver is a stand-in for the platform's list service. Catalog does no I/O and has no clock. Server
+// serves it, on a listener for each dispatcher, as each sees the workers at addresses of its own.
 package discoveryserver
 
 import "time"
 
-// State is what the list says of a worker.
+// State is the state of a worker in the list.
 type State string
 
-// The values of State, as they are written in lists.
+// The values of State, as written in lists.
 const (
 	Ready       State = "Ready"
 	Terminating State = "Terminating"
 	Gone        State = "Gone"
 )
 
-// Entry is a worker as it is listed.
+// Entry is a worker in the list.
 type Entry struct {
-	Worker           int // its number in the testbed
+	Worker           int // index in the testbed
 	Name, Zone, Kind string
 	Cell             int
 	Addresses        []string // by dispatcher
 	State            State
-	StartedAt        time.Time // zero for long ago
+	StartedAt        time.Time // zero: long ago
 }
 
 type change struct {
@@ -29,28 +29,28 @@
 	entry Entry
 }
 
-// Catalog is the list with its history. Version n is what holds after n changes.
+// Catalog is the list with its history. Version n is the list after n changes.
 type Catalog struct {
 	lag     time.Duration
 	changes []change
-	visible int // changes that have been visible: a longer lag hides none again
+	visible int // number of changes that have become visible; a longer lag hides none of them again
 }
 
-// NewCatalog makes an empty list that shows what changes so much later.
+// NewCatalog returns an empty list, whose changes become visible after lag.
 func NewCatalog(lag time.Duration) *Catalog { return &Catalog{lag: lag} }
 
-// Update changes an entry.
+// Update adds or changes an entry.
 func (c *Catalog) Update(now time.Duration, e Entry) {
 	c.changes = append(c.changes, change{now, e})
 }
 
-// SetLag sets how far behind the list runs from now on.
+// SetLag sets the lag for changes that are not visible yet.
 func (c *Catalog) SetLag(now, lag time.Duration) {
 	c.Version(now)
 	c.lag = lag
 }
 
-// Version is the newest one that can be seen.
+// Version returns the newest visible version.
 func (c *Catalog) Version(now time.Duration) int {
 	for c.visible < len(c.changes) && c.changes[c.visible].at <= now-c.lag {
 		c.visible++
@@ -58,17 +58,17 @@
 	return c.visible
 }
 
-// ShowAll makes all changes so far visible: the list that an experiment begins with.
+// ShowAll makes all changes so far visible, for the list that an experiment starts with.
 func (c *Catalog) ShowAll() { c.visible = len(c.changes) }
 
-// Complete is the list as it can be seen, in the order in which workers were first listed, and with those that
-// are gone: a whole list tells of them by leaving them out.
+// Complete returns the visible list in the order in which workers were first listed, including those that are gone.
 func (c *Catalog) Complete(now time.Duration) (version int, entries []Entry) {
 	version = c.Version(now)
 	return version, latest(c.changes[:version])
 }
 
-// ChangesSince is what changed after a version that the asker has; one that is unknown, or 0, gets the whole list.
+// ChangesSince returns the last state of each worker that changed after a version. For an unknown version, or 0, it
+// returns the complete list.
 func (c *Catalog) ChangesSince(now time.Duration, version int) (newest int, complete bool, entries []Entry) {
 	newest = c.Version(now)
 	if version <= 0 || version > newest {
@@ -78,7 +78,7 @@
 	return newest, false, latest(c.changes[version:newest])
 }
 
-// latest keeps the last entry of each worker.
+// latest returns the last entry of each worker.
 func latest(changes []change) (entries []Entry) {
 	indexes := map[int]int{}
 	for _, ch := range changes {
--- a/internal/testbed/discoveryserver/server.go
+++ b/internal/testbed/discoveryserver/server.go
@@ -14,23 +14,23 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// Outage is what is wrong with the list service.
+// Outage is a failure mode of the list service.
 type Outage uint8
 
 // The values of Outage.
 const (
 	Healthy     Outage = iota
-	Down               // watches end, and calls are reset
-	Unavailable        // watches end, and calls are answered 503
+	Down               // watches end, connections are reset
+	Unavailable        // watches end, calls are answered with 503
 )
 
-// Timing of a watch.
+// pollInterval is how often a watch looks for changes, keepAliveInterval how often it writes an empty line without any.
 const (
 	pollInterval      = 20 * time.Millisecond
 	keepAliveInterval = 2 * time.Second
 )
 
-// Server is the list service. Told is called after an entry has been written to a dispatcher.
+// Server is the list service.
 type Server struct {
 	clock    func() time.Duration
 	notified func(dispatcher int, e Entry)
@@ -45,7 +45,7 @@
 	listeners []net.Listener
 }
 
-// New opens a listener for each dispatcher.
+// New opens a listener for each dispatcher. notified is called for each entry that is written to a dispatcher.
 func New(c *Catalog, dispatchers int, clock func() time.Duration, notified func(int, Entry)) (*Server, error) {
 	s := &Server{catalog: c, clock: clock, notified: notified}
 	s.watches, s.endWatches = context.WithCancel(context.Background())
@@ -63,7 +63,7 @@
 	return s, nil
 }
 
-// Address is where a dispatcher finds the list.
+// Address returns the address of the list for a dispatcher.
 func (s *Server) Address(dispatcher int) string { return s.listeners[dispatcher].Addr().String() }
 
 // Run serves until ctx ends.
@@ -95,21 +95,21 @@
 	}
 }
 
-// Update changes an entry.
+// Update adds or changes an entry.
 func (s *Server) Update(e Entry) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.catalog.Update(s.clock(), e)
 }
 
-// SetLag sets how far behind the list runs.
+// SetLag sets the lag for changes that are not visible yet.
 func (s *Server) SetLag(lag time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.catalog.SetLag(s.clock(), lag)
 }
 
-// SetOutage begins or ends a trouble.
+// SetOutage changes the failure mode, and ends all watches.
 func (s *Server) SetOutage(t Outage) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -118,7 +118,7 @@
 	s.watches, s.endWatches = context.WithCancel(context.Background())
 }
 
-// CompleteList is the list now as JSON, in a dispatcher's view.
+// CompleteList returns the visible list as a dispatcher sees it, as JSON.
 func (s *Server) CompleteList(dispatcher int) []byte {
 	s.mu.Lock()
 	version, entries := s.catalog.Complete(s.clock())
@@ -126,24 +126,20 @@
 	return encode(version, true, entries, dispatcher)
 }
 
+// serve answers a call for the list, or a watch of it.
 func (s *Server) serve(w http.ResponseWriter, r *http.Request, dispatcher int) {
 	s.mu.Lock()
-	outage, open := s.outage, s.watches
+	outage, watches := s.outage, s.watches
 	s.mu.Unlock()
 	switch outage {
 	case Down:
-		panic(http.ErrAbortHandler) // the connection is reset
+		panic(http.ErrAbortHandler) // resets the connection
 	case Unavailable:
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
 	if r.URL.Query().Get("stream") != "1" {
-		s.mu.Lock()
-		version, entries := s.catalog.Complete(s.clock())
-		s.mu.Unlock()
-		s.notify(dispatcher, entries, true)
-		_, _ = w.Write(append(encode(version, true, entries, dispatcher), '\n'))
-		s.notify(dispatcher, entries, false)
+		s.serveList(w, dispatcher)
 		return
 	}
 	version, err := strconv.Atoi(r.URL.Query().Get("index"))
@@ -151,14 +147,24 @@
 		http.Error(w, "index: must be a version", http.StatusBadRequest)
 		return
 	}
-	s.watch(w, r, dispatcher, version, open)
+	s.watch(w, r, dispatcher, version, watches)
+}
+
+func (s *Server) serveList(w http.ResponseWriter, dispatcher int) {
+	s.mu.Lock()
+	version, entries := s.catalog.Complete(s.clock())
+	s.mu.Unlock()
+	s.notify(dispatcher, entries, true)
+	_, _ = w.Write(append(encode(version, true, entries, dispatcher), '\n'))
+	s.notify(dispatcher, entries, false)
 }
 
-// watch writes a line for each change until somebody ends it.
+// watch writes a line at its start and for each change, until the client leaves or the watches end.
 func (s *Server) watch(w http.ResponseWriter, r *http.Request, dispatcher, version int,
-	open context.Context,
+	watches context.Context,
 ) {
-	out, first, wroteAt := http.NewResponseController(w), true, time.Now()
+	out := http.NewResponseController(w)
+	wroteAt := time.Time{} // never: the first line is due at once, also where nothing has changed
 	poll := time.NewTicker(pollInterval)
 	defer poll.Stop()
 	for {
@@ -166,13 +172,11 @@
 		newest, complete, entries := s.catalog.ChangesSince(s.clock(), version)
 		s.mu.Unlock()
 		var line []byte
-		switch {
-		case first || newest != version:
-			line = encode(newest, complete && (first || newest != version), entries, dispatcher)
-		case time.Since(wroteAt) >= keepAliveInterval:
-			line = []byte{}
+		changed := wroteAt.IsZero() || newest != version
+		if changed {
+			line = encode(newest, complete, entries, dispatcher)
 		}
-		if line != nil {
+		if changed || time.Since(wroteAt) >= keepAliveInterval {
 			s.notify(dispatcher, entries, true)
 			if _, err := w.Write(append(line, '\n')); err != nil {
 				return
@@ -181,20 +185,21 @@
 				return
 			}
 			s.notify(dispatcher, entries, false)
-			first, version, wroteAt = false, newest, time.Now()
+			version = newest
+			wroteAt = time.Now()
 		}
 		select {
 		case <-poll.C:
 		case <-r.Context().Done():
 			return
-		case <-open.Done():
+		case <-watches.Done():
 			panic(http.ErrAbortHandler)
 		}
 	}
 }
 
-// notify notes what a dispatcher is told: that workers are ready before it can know, and the rest once it can. It
-// guards against a judge that takes a dispatcher that was quicker than the note for one that breaks a drain.
+// notify reports the entries written to a dispatcher: ready ones before they are written (ready), others afterwards. A
+// dispatcher that reacts before its notification is recorded would otherwise seem to violate a drain.
 func (s *Server) notify(dispatcher int, entries []Entry, ready bool) {
 	for _, e := range entries {
 		if ready == (e.State == Ready) {
@@ -203,38 +208,41 @@
 	}
 }
 
+// wireEndpoint is a worker in the protocol of the list service.
 type wireEndpoint struct {
-	Host   string  `json:"host"`
-	Dial   string  `json:"dial"`
-	Site   string  `json:"site"`
-	Class  string  `json:"class"`
-	Block  int     `json:"block"`
-	Health State   `json:"health"`
-	Share  float64 `json:"share"`
-	BornMs int64   `json:"born_ms"`
+	Name            string  `json:"host"`
+	Address         string  `json:"dial"`
+	Zone            string  `json:"site"`
+	Kind            string  `json:"class"`
+	Cell            int     `json:"block"`
+	State           State   `json:"health"`
+	Share           float64 `json:"share"`
+	StartedAtMillis int64   `json:"born_ms"`
 }
 
+// encode writes entries in the protocol of the list service, as one dispatcher sees them. A complete list leaves out
+// workers that are gone.
 func encode(version int, complete bool, entries []Entry, dispatcher int) []byte {
 	list := struct {
-		Seq   int            `json:"seq"`
-		Whole bool           `json:"whole"`
-		Hosts []wireEndpoint `json:"hosts"`
+		Version  int            `json:"seq"`
+		Complete bool           `json:"whole"`
+		Workers  []wireEndpoint `json:"hosts"`
 	}{version, complete, []wireEndpoint{}}
-	for _, e := range entries {
-		if complete && e.State == Gone {
+	for _, entry := range entries {
+		if complete && entry.State == Gone {
 			continue
 		}
-		h := wireEndpoint{
-			Host: e.Name, Dial: e.Addresses[dispatcher], Site: e.Zone, Class: e.Kind, Block: e.Cell,
-			Health: e.State, Share: 1,
+		endpoint := wireEndpoint{
+			Name: entry.Name, Address: entry.Addresses[dispatcher], Zone: entry.Zone, Kind: entry.Kind, Cell: entry.Cell,
+			State: entry.State, Share: 1,
 		}
-		if !e.StartedAt.IsZero() {
-			h.BornMs = e.StartedAt.UnixMilli()
+		if !entry.StartedAt.IsZero() {
+			endpoint.StartedAtMillis = entry.StartedAt.UnixMilli()
 		}
-		list.Hosts = append(list.Hosts, h)
+		list.Workers = append(list.Workers, endpoint)
 	}
 	b, err := json.Marshal(list)
-	if err != nil { // all of it is text and numbers
+	if err != nil { // the fields are text and numbers, which can always be encoded
 		panic(err)
 	}
 	return b
--- a/internal/testbed/discoveryserver/server_test.go
+++ b/internal/testbed/discoveryserver/server_test.go
@@ -13,19 +13,19 @@
 	"github.com/stretchr/testify/assert"
 )
 
-func TestChangesShowOnlyAfterTheLagAndNoneIsHiddenAgain(t *testing.T) {
+func TestChangesAreVisibleAfterTheLagAndStayVisible(t *testing.T) {
 	c := NewCatalog(time.Second)
 	c.Update(0, Entry{Worker: 0, State: Ready})
 	c.Update(500*time.Millisecond, Entry{Worker: 1, State: Ready})
 	assert.Equal(t, 0, c.Version(900*time.Millisecond))
 	assert.Equal(t, 1, c.Version(1100*time.Millisecond))
 	c.SetLag(1100*time.Millisecond, 10*time.Second)
-	assert.Equal(t, 1, c.Version(2*time.Second), "the second one waits longer, the first one stays")
+	assert.Equal(t, 1, c.Version(2*time.Second), "the second is delayed, the first stays visible")
 	c.SetLag(2*time.Second, 0)
 	assert.Equal(t, 2, c.Version(2*time.Second))
 }
 
-func TestWatchersGetWhatChangedSinceTheirVersion(t *testing.T) {
+func TestWatchersGetChangesSinceTheirVersion(t *testing.T) {
 	c := NewCatalog(0)
 	for n := range 3 {
 		c.Update(0, Entry{Worker: n, State: Ready})
@@ -43,12 +43,13 @@
 		"w1")
 }
 
-// served runs a service over one worker, and returns what has been told.
-func served(t *testing.T) (*Server, func() []State) {
-	began, states, mu := time.Now(), []State{}, sync.Mutex{}
+// startServer runs a server that lists one worker, and returns a function for the states reported so far.
+func startServer(t *testing.T) (*Server, func() []State) {
+	t.Helper()
+	startedAt, states, mu := time.Now(), []State{}, sync.Mutex{}
 	c := NewCatalog(0)
 	c.Update(0, Entry{Worker: 0, Name: "w0", Addresses: []string{"127.0.0.1:1", "127.0.0.1:2"}, State: Ready})
-	s, err := New(c, 2, func() time.Duration { return time.Since(began) }, func(_ int, e Entry) {
+	s, err := New(c, 2, func() time.Duration { return time.Since(startedAt) }, func(_ int, e Entry) {
 		mu.Lock()
 		defer mu.Unlock()
 		states = append(states, e.State)
@@ -68,8 +69,8 @@
 	}
 }
 
-func TestWatchTellsEachDispatcherItsOwnAddressesAndEndsInAnOutage(t *testing.T) {
-	s, notified := served(t)
+func TestWatchHasTheDispatchersAddressesAndEndsInAnOutage(t *testing.T) {
+	s, notified := startServer(t)
 	a, err := http.Get("http://" + s.Address(1) + "/catalog/members?stream=1&index=0")
 	assert.NoError(t, err)
 	defer a.Body.Close()
@@ -86,10 +87,10 @@
 	}
 	first := read()
 	assert.True(t, first.Whole)
-	assert.Equal(t, "127.0.0.1:2", first.Hosts[0].Dial)
+	assert.Equal(t, "127.0.0.1:2", first.Hosts[0].Address)
 	s.Update(Entry{Worker: 0, Name: "w0", Addresses: []string{"", ""}, State: Terminating})
 	second := read()
-	assert.Equal(t, []any{2, false, Terminating}, []any{second.Seq, second.Whole, second.Hosts[0].Health})
+	assert.Equal(t, []any{2, false, Terminating}, []any{second.Seq, second.Whole, second.Hosts[0].State})
 	assert.Eventually(t, func() bool { return len(notified()) == 2 }, time.Second, time.Millisecond)
 	assert.Equal(t, []State{Ready, Terminating}, notified())
 	s.SetOutage(Down)
@@ -108,13 +109,13 @@
 	b.Body.Close()
 }
 
-func TestReadyIsNotedBeforeADispatcherCanKnow(t *testing.T) {
+func TestReadyIsReportedBeforeItIsWritten(t *testing.T) {
 	var read atomic.Bool
 	known := make(chan bool, 1)
 	c := NewCatalog(0)
 	c.Update(0, Entry{Worker: 0, Name: "w0", Addresses: []string{"127.0.0.1:1"}, State: Ready})
 	s, err := New(c, 1, func() time.Duration { return 0 }, func(int, Entry) {
-		time.Sleep(50 * time.Millisecond) // longer than a line takes on its way
+		time.Sleep(50 * time.Millisecond) // longer than a line takes to arrive
 		known <- read.Load()
 	})
 	assert.NoError(t, err)
--- a/internal/testbed/loadgen/front_tier.go
+++ b/internal/testbed/loadgen/front_tier.go
@@ -1,5 +1,5 @@
-// Package loadgen is the testbed's load generator on sockets. It is open-loop: each call goes out at its time,
-// however many are still open, and what it could not send on time it reports.
+// Package loadgen is the testbed's load generator. It is open-loop: each call is sent at its time, however many are
+// open. Calls that could not be sent on time are reported.
 package loadgen
 
 import (
@@ -12,34 +12,33 @@
 	"time"
 )
 
-// FrontTier deals calls out among dispatchers, as the front before a tier does: it takes one in once its health
-// is good, and notices only after a while that one has died.
+// FrontTier distributes calls over dispatchers as the platform's front tier does: round-robin over those whose health
+// check succeeded. A dispatcher that does not answer is removed only after a timeout.
 type FrontTier struct {
 	addresses      []string
 	failureTimeout time.Duration
 
 	mu          sync.Mutex
 	inRotation  []bool
-	healthyAt   []time.Time // when its health was last good
+	healthyAt   []time.Time // time of the last successful health check
 	next        int
 	idle        [][]*conn
-	generations []int // connections of an earlier count are of no more use
+	generations []int // incremented when a dispatcher fails: connections of earlier generations are closed, not reused
 
 	healthClient *http.Client
 }
 
-// Health polling.
+// Timing of health checks.
 const (
 	healthCheckInterval = 100 * time.Millisecond
 	healthCheckTimeout  = time.Second
 )
 
-// NewFrontTier makes a front before dispatchers at these addresses, which notices a death after some time. None
-// is taken in yet.
-func NewFrontTier(addresses []string, notice time.Duration) *FrontTier {
+// NewFrontTier returns a front tier for dispatchers at these addresses. A dispatcher is added once it is healthy.
+func NewFrontTier(addresses []string, failureTimeout time.Duration) *FrontTier {
 	n := len(addresses)
 	return &FrontTier{
-		addresses: addresses, failureTimeout: notice, healthClient: &http.Client{Transport: &http.Transport{}},
+		addresses: addresses, failureTimeout: failureTimeout, healthClient: &http.Client{Transport: &http.Transport{}},
 		inRotation: make([]bool, n), healthyAt: make([]time.Time, n),
 		idle: make([][]*conn, n), generations: make([]int, n),
 	}
@@ -53,7 +52,7 @@
 	used       bool
 }
 
-// Run asks for the dispatchers' health until ctx ends.
+// Run checks the dispatchers' health until ctx ends.
 func (f *FrontTier) Run(ctx context.Context) error {
 	var checks sync.WaitGroup
 	for n := range f.addresses {
@@ -78,7 +77,7 @@
 	return nil
 }
 
-// checkHealth tells whether a dispatcher says yes, or says no in so many words.
+// checkHealth reports whether a dispatcher answered that it is healthy, or answered that it is not.
 func (f *FrontTier) checkHealth(ctx context.Context, n int) (healthy, refused bool) {
 	ctx, cancel := context.WithTimeout(ctx, healthCheckTimeout)
 	defer cancel()
@@ -86,21 +85,21 @@
 	if err != nil {
 		return false, false
 	}
-	a, err := f.healthClient.Do(r)
+	arrival, err := f.healthClient.Do(r)
 	if err != nil {
 		return false, false
 	}
-	a.Body.Close()
-	return a.StatusCode == http.StatusOK, a.StatusCode != http.StatusOK
+	arrival.Body.Close()
+	return arrival.StatusCode == http.StatusOK, arrival.StatusCode != http.StatusOK
 }
 
-func (f *FrontTier) updateHealth(n int, good, refused bool) {
+func (f *FrontTier) updateHealth(n int, healthy, refused bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	switch {
-	case good:
+	case healthy:
 		f.inRotation[n], f.healthyAt[n] = true, time.Now()
-	case refused: // it has been emptied: clients go on using the connections that they have
+	case refused: // it drains: clients go on using their open connections
 		f.inRotation[n] = false
 	case f.inRotation[n] && time.Since(f.healthyAt[n]) > f.failureTimeout:
 		f.inRotation[n] = false
@@ -108,7 +107,7 @@
 	}
 }
 
-// Ready tells whether all dispatchers are taken in.
+// Ready reports whether all dispatchers are in rotation.
 func (f *FrontTier) Ready() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -120,8 +119,7 @@
 	return true
 }
 
-// Remove takes a dispatcher out at once: its restart is planned. What is open goes on, and clients go on using
-// the connections that they have.
+// Remove takes a dispatcher out of rotation at once, for a planned restart. Clients go on using their open connections.
 func (f *FrontTier) Remove(n int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -129,7 +127,7 @@
 	f.healthyAt[n] = time.Time{}
 }
 
-// closeIdle ends a dispatcher's idle connections. It runs under the lock.
+// closeIdle closes a dispatcher's idle connections. The caller holds the lock.
 func (f *FrontTier) closeIdle(n int) {
 	for _, c := range f.idle[n] {
 		c.Close()
@@ -138,7 +136,7 @@
 	f.generations[n]++
 }
 
-// choose deals out the next dispatcher, in turn among those that are in; if none is, among all.
+// choose returns the next dispatcher in rotation; if there is none, the next of all.
 func (f *FrontTier) choose() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -152,10 +150,10 @@
 	return f.next
 }
 
-// connect takes an idle connection, or opens one.
-func (f *FrontTier) connect(ctx context.Context, n int, fresh bool) (*conn, error) {
+// connect returns an idle connection, or opens one. With newConn it always opens one.
+func (f *FrontTier) connect(ctx context.Context, n int, newConn bool) (*conn, error) {
 	f.mu.Lock()
-	if k := len(f.idle[n]); k > 0 && !fresh {
+	if k := len(f.idle[n]); k > 0 && !newConn {
 		c := f.idle[n][k-1]
 		f.idle[n] = f.idle[n][:k-1]
 		f.mu.Unlock()
@@ -163,8 +161,8 @@
 	}
 	gen := f.generations[n]
 	f.mu.Unlock()
-	var d net.Dialer
-	nc, err := d.DialContext(ctx, "tcp", f.addresses[n])
+	var dispatcher net.Dialer
+	nc, err := dispatcher.DialContext(ctx, "tcp", f.addresses[n])
 	if err != nil {
 		return nil, fmt.Errorf("connecting to dispatcher %d: %w", n, err)
 	}
--- a/internal/testbed/loadgen/loadgen.go
+++ b/internal/testbed/loadgen/loadgen.go
@@ -18,31 +18,31 @@
 	"canvasroute/internal/testbed/workload"
 )
 
-// Generator plays a schedule.
+// Generator sends the calls of a schedule.
 type Generator struct {
 	Operations []workload.Operation
 	Tenants    []workload.Tenant
 	Seed       uint64
-	Retries    int           // by a client on its own, after what may be tried again
-	RetryWait  time.Duration // before one, where the answer does not say
-	MaxOpen    int           // calls open at once: what comes beyond is reported as unsent
+	Retries    int           // per call, by the client
+	RetryWait  time.Duration // before a retry, if the answer has no Retry-After
+	MaxOpen    int           // concurrent calls; calls beyond are reported as unsent
 	FrontTier  *FrontTier
 	History    *history.Log
 	Recorder   *metrics.Recorder
-	Clock      func() time.Duration // since the experiment's start
+	Clock      func() time.Duration // time since the start of the experiment
 
 	open atomic.Int64
 }
 
-// Run sends each arrival at its time, and returns when all calls are over. When ctx ends, what has not been
-// sent is left, and what is open counts as interrupted.
-func (s *Generator) Run(ctx context.Context, schedule []workload.Arrival) {
+// Run sends each arrival at its time, and returns when all calls are over. When ctx ends, no more calls are sent, and
+// open ones count as interrupted.
+func (g *Generator) Run(ctx context.Context, schedule []workload.Arrival) {
 	var calls sync.WaitGroup
 	defer calls.Wait()
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
-	for n, a := range schedule {
-		if wait := a.At - s.Clock(); wait > 0 {
+	for n, arrival := range schedule {
+		if wait := arrival.At - g.Clock(); wait > 0 {
 			timer.Reset(wait)
 			select {
 			case <-timer.C:
@@ -52,25 +52,25 @@
 		} else if ctx.Err() != nil {
 			return
 		}
-		c := metrics.Call{Operation: a.Operation, Tenant: a.Tenant, Intended: a.At, Work: a.Work}
-		if s.open.Add(1) > int64(s.MaxOpen) {
-			s.open.Add(-1)
-			c.Outcome, c.Sent, c.Ended = history.Unsent, a.At, a.At
-			c.ValueOffered = s.Operations[a.Operation].Value * a.Work.Seconds()
-			s.Recorder.Record(c)
+		c := metrics.Call{Operation: arrival.Operation, Tenant: arrival.Tenant, Intended: arrival.At, Work: arrival.Work}
+		if g.open.Add(1) > int64(g.MaxOpen) {
+			g.open.Add(-1)
+			c.Outcome, c.Sent, c.Ended = history.Unsent, arrival.At, arrival.At
+			c.ValueOffered = g.Operations[arrival.Operation].Value * arrival.Work.Seconds()
+			g.Recorder.Record(c)
 			continue
 		}
 		calls.Go(func() {
-			defer s.open.Add(-1)
-			s.call(ctx, n, a, c)
+			defer g.open.Add(-1)
+			g.call(ctx, n, arrival, c)
 		})
 	}
 }
 
-// Open is how many calls are open.
-func (s *Generator) Open() int { return int(s.open.Load()) }
+// Open returns the number of open calls.
+func (g *Generator) Open() int { return int(g.open.Load()) }
 
-// answer is how one try ended.
+// answer is how one request ended.
 type answer struct {
 	outcome    history.Outcome
 	status     int
@@ -78,32 +78,32 @@
 	retryAfter time.Duration
 }
 
-// call carries one call through, with its client's retries.
-func (s *Generator) call(ctx context.Context, n int, a workload.Arrival, c metrics.Call) {
-	o := &s.Operations[a.Operation]
-	c.Sent = s.Clock()
+// call sends a request and its retries, and records the call.
+func (g *Generator) call(ctx context.Context, n int, arrival workload.Arrival, c metrics.Call) {
+	o := &g.Operations[arrival.Operation]
+	c.Sent = g.Clock()
 	for try := 0; ; try++ {
-		got := s.sendRequest(ctx, n, try, a, o)
+		got := g.sendRequest(ctx, n, try, arrival, o)
 		c.Outcome, c.Tries = got.outcome, try+1
-		if !mayRetry(got.outcome, o) || try >= s.Retries || !s.waitBeforeRetry(ctx, n, try, got.retryAfter) {
+		if !mayRetry(got.outcome, o) || try >= g.Retries || !g.waitBeforeRetry(ctx, n, try, got.retryAfter) {
 			break
 		}
 	}
-	c.Ended = s.Clock()
-	c.ValueOffered = o.Value * a.Work.Seconds()
+	c.Ended = g.Clock()
+	c.ValueOffered = o.Value * arrival.Work.Seconds()
 	if c.Outcome == history.Succeeded {
-		allowed := o.LatencyObjective.Std() + time.Duration(o.Stretch*float64(a.Work))
-		if c.InTime = c.Ended-a.At <= allowed; c.InTime {
+		allowed := o.LatencyObjective.Std() + time.Duration(o.Stretch*float64(arrival.Work))
+		if c.InTime = c.Ended-arrival.At <= allowed; c.InTime {
 			c.ValueEarned = c.ValueOffered
 		} else {
 			c.ValueEarned = c.ValueOffered * o.LateShare
 		}
 	}
-	s.Recorder.Record(c)
+	g.Recorder.Record(c)
 }
 
-// mayRetry tells whether a client tries once more: always where it was sent away, else only where the operation
-// may run again.
+// mayRetry reports whether a client retries: always if the request was rejected, else only if the operation may run
+// again.
 func mayRetry(k history.Outcome, o *workload.Operation) bool {
 	switch k {
 	case history.Throttled, history.Unreachable:
@@ -114,12 +114,12 @@
 	return false
 }
 
-// waitBeforeRetry waits before a retry as long as the answer says, or between once and twice the usual wait. The chance
-// in it guards against clients that all come back at once.
-func (s *Generator) waitBeforeRetry(ctx context.Context, n, try int, retryAfter time.Duration) bool {
+// waitBeforeRetry waits for the answer's Retry-After, or for between once and twice RetryWait: the jitter keeps clients
+// from retrying all at once. It reports false if ctx ends first.
+func (g *Generator) waitBeforeRetry(ctx context.Context, n, try int, retryAfter time.Duration) bool {
 	wait := retryAfter
-	if more := unit.RandomStream(s.Seed, fmt.Sprint("retry ", n, " ", try)).Float64(); wait == 0 {
-		wait = time.Duration((1 + more) * float64(s.RetryWait))
+	if more := unit.RandomStream(g.Seed, fmt.Sprint("retry ", n, " ", try)).Float64(); wait == 0 {
+		wait = time.Duration((1 + more) * float64(g.RetryWait))
 	}
 	select {
 	case <-time.After(wait):
@@ -129,89 +129,89 @@
 	}
 }
 
-// sendRequest hands the invocation in once, under an id of its own.
-func (s *Generator) sendRequest(ctx context.Context, n, try int, a workload.Arrival, o *workload.Operation) answer {
-	id := RequestID(s.Seed, n, try)
-	until := s.Clock() + o.Timeout.Std()
-	d := s.FrontTier.choose()
-	record := s.History.RequestOpened(id, a.Operation, d, until)
+// sendRequest sends one request of a call, under an ID of its own.
+func (g *Generator) sendRequest(ctx context.Context, n, try int, arrival workload.Arrival, o *workload.Operation) answer {
+	id := RequestID(g.Seed, n, try)
+	deadline := g.Clock() + o.Timeout.Std()
+	dispatcher := g.FrontTier.choose()
+	request := g.History.RequestOpened(id, arrival.Operation, dispatcher, deadline)
 	if o.Idempotency == workload.IdempotentByKey {
-		s.History.SetKey(record, a.Key, try > 0 || a.Retry)
+		g.History.SetKey(request, arrival.Key, try > 0 || arrival.Retry)
 	}
 	ctx, cancel := context.WithTimeout(ctx, o.Timeout.Std())
 	defer cancel()
-	message := s.encodeRequest(id, a, o, try > 0)
-	got, connectionClosed := s.exchange(ctx, record, d, message, false)
-	if connectionClosed { // the dispatcher closed it between two messages: once more on a new one
-		s.History.RequestResent(record, s.Clock())
-		got, _ = s.exchange(ctx, record, d, message, true)
+	message := g.encodeRequest(id, arrival, o, try > 0)
+	got, connectionClosed := g.exchange(ctx, request, dispatcher, message, false)
+	if connectionClosed { // the dispatcher closed the connection between two messages
+		g.History.RequestResent(request, g.Clock())
+		got, _ = g.exchange(ctx, request, dispatcher, message, true)
 	}
-	s.History.RequestEnded(record, got.outcome, got.status, got.result, s.Clock())
+	g.History.RequestEnded(request, got.outcome, got.status, got.result, g.Clock())
 	return got
 }
 
-// RequestID is what a try is sent under.
+// RequestID returns the ID of request number try of call n.
 func RequestID(seed uint64, n, try int) string {
 	return fmt.Sprintf("%04x%08x%04x", uint16(seed), uint32(n), uint16(try))
 }
 
-// encodeRequest is what goes over the wire. The body tells the worker what to do.
-func (s *Generator) encodeRequest(id string, a workload.Arrival, o *workload.Operation, retry bool) []byte {
-	body := fmt.Appendf(nil, `{"operation":%d,"work_us":%d}`, a.Operation, a.Work.Microseconds())
+// encodeRequest returns the request as sent. The body is a worker.Task.
+func (g *Generator) encodeRequest(id string, arrival workload.Arrival, o *workload.Operation, retry bool) []byte {
+	body := fmt.Appendf(nil, `{"operation":%d,"work_us":%d}`, arrival.Operation, arrival.Work.Microseconds())
 	b := make([]byte, 0, 512)
 	b = append(b, "POST /api HTTP/1.1\r\nHost: origin.svc\r\nReq-Id: "...)
 	b = append(append(append(b, id...), "\r\nReq-Kind: "...), o.Name...)
 	b = append(b, "\r\nReq-Deadline: "...)
 	b = strconv.AppendFloat(b, o.Timeout.Std().Seconds(), 'f', 3, 64)
-	if len(s.Tenants) > 0 {
-		b = append(append(b, "\r\nReq-Owner: "...), s.Tenants[a.Tenant].Name...)
+	if len(g.Tenants) > 0 {
+		b = append(append(b, "\r\nReq-Owner: "...), g.Tenants[arrival.Tenant].Name...)
 	}
-	if a.Hint > 0 {
-		b = strconv.AppendInt(append(b, "\r\nReq-Cost: "...), a.Hint.Microseconds(), 10)
+	if arrival.Hint > 0 {
+		b = strconv.AppendInt(append(b, "\r\nReq-Cost: "...), arrival.Hint.Microseconds(), 10)
 	}
-	if retry || a.Retry {
+	if retry || arrival.Retry {
 		b = append(b, "\r\nReq-Retry: 1"...)
 	}
 	if o.Idempotency == workload.IdempotentByKey {
-		b = fmt.Appendf(b, "\r\nIdempotency-Key: %016x", a.Key)
+		b = fmt.Appendf(b, "\r\nIdempotency-Key: %016x", arrival.Key)
 	}
 	b = strconv.AppendInt(append(b, "\r\nContent-Length: "...), int64(len(body)), 10)
 	return append(append(b, "\r\n\r\n"...), body...)
 }
 
-// exchange sends a message and reads its answer. crossed tells of a kept connection that ended with nothing
-// heard.
-func (s *Generator) exchange(ctx context.Context, record *history.Request, d int, message []byte,
-	fresh bool,
+// exchange sends a message and reads its answer. connectionClosed reports that a reused connection ended before any
+// answer.
+func (g *Generator) exchange(ctx context.Context, request *history.Request, dispatcher int, message []byte,
+	newConn bool,
 ) (got answer, connectionClosed bool) {
-	c, err := s.FrontTier.connect(ctx, d, fresh)
+	c, err := g.FrontTier.connect(ctx, dispatcher, newConn)
 	if err != nil {
 		if ctx.Err() != nil {
-			return answer{outcome: s.outcomeOfEnd(ctx)}, false
+			return answer{outcome: g.outcomeOfEnd(ctx)}, false
 		}
 		return answer{outcome: history.Unreachable}, false
 	}
 	stop := context.AfterFunc(ctx, func() { c.SetDeadline(time.Unix(1, 0)) })
-	got, connectionClosed, keep := s.roundTrip(ctx, record, c, message)
+	got, connectionClosed, keep := g.roundTrip(ctx, request, c, message)
 	if stop() && keep {
-		s.FrontTier.release(d, c)
+		g.FrontTier.release(dispatcher, c)
 	} else {
 		c.Close()
 	}
 	return got, connectionClosed
 }
 
-func (s *Generator) roundTrip(ctx context.Context, record *history.Request, c *conn, message []byte) (got answer,
+func (g *Generator) roundTrip(ctx context.Context, request *history.Request, c *conn, message []byte) (got answer,
 	connectionClosed, keep bool,
 ) {
 	_, err := c.Write(message)
 	if err == nil {
-		s.History.RequestSent(record, s.Clock())
+		g.History.RequestSent(request, g.Clock())
 		_, err = c.reader.Peek(1)
 	}
 	if err != nil {
 		if ctx.Err() != nil || errors.Is(err, os.ErrDeadlineExceeded) {
-			return answer{outcome: s.outcomeOfEnd(ctx)}, false, false
+			return answer{outcome: g.outcomeOfEnd(ctx)}, false, false
 		}
 		return answer{outcome: history.Broken}, c.used, false
 	}
@@ -224,12 +224,12 @@
 		}
 	}
 	if ctx.Err() != nil {
-		return answer{outcome: s.outcomeOfEnd(ctx)}, false, false
+		return answer{outcome: g.outcomeOfEnd(ctx)}, false, false
 	}
 	return answer{outcome: history.Broken}, false, false
 }
 
-func (s *Generator) outcomeOfEnd(ctx context.Context) history.Outcome {
+func (g *Generator) outcomeOfEnd(ctx context.Context) history.Outcome {
 	if errors.Is(ctx.Err(), context.Canceled) {
 		return history.Interrupted
 	}
--- a/internal/testbed/loadgen/loadgen_test.go
+++ b/internal/testbed/loadgen/loadgen_test.go
@@ -21,9 +21,9 @@
 
 const ms = time.Millisecond
 
-// senderTo plays against one dispatcher's address.
-func senderTo(address string, operations ...workload.Operation) *Generator {
-	began := time.Now()
+// generatorFor returns a generator that sends to one address.
+func generatorFor(address string, operations ...workload.Operation) *Generator {
+	startedAt := time.Now()
 	if len(operations) == 0 {
 		operations = []workload.Operation{{
 			Name: "status", LatencyObjective: unit.Duration(time.Second),
@@ -33,16 +33,16 @@
 	return &Generator{
 		Operations: operations, Seed: 1, MaxOpen: 10000, RetryWait: 5 * ms, History: history.New(),
 		FrontTier: NewFrontTier([]string{address}, time.Second), Recorder: metrics.NewRecorder(time.Second, len(operations), 0),
-		Clock: func() time.Duration { return time.Since(began) },
+		Clock: func() time.Duration { return time.Since(startedAt) },
 	}
 }
 
-func (s *Generator) summary() metrics.Summary {
+func (g *Generator) summary() metrics.Summary {
 	names := []string{}
-	for _, o := range s.Operations {
+	for _, o := range g.Operations {
 		names = append(names, o.Name)
 	}
-	return s.Recorder.Summary(names, nil)
+	return g.Recorder.Summary(names, nil)
 }
 
 func every(gap, long time.Duration) (schedule []workload.Arrival) {
@@ -52,23 +52,23 @@
 	return schedule
 }
 
-// Guards against coordinated omission: a server that stands still from 0.5 s to 1.5 s must cost each of the
-// 200 calls that were due meanwhile the rest of that time. By hand: of 400 calls in 2 s, 5 ms apart, call k
-// of the pause waits 1000 - 5k ms; p99 is the 396th, which leaves four above it, so 980 ms; p90 the 360th, so
-// 800 ms; p50 the 200th, the last one that did not wait.
-func TestLatencyCountsFromTheIntendedTimeThroughAPause(t *testing.T) {
-	began := time.Now()
-	from, to := began.Add(500*ms), began.Add(1500*ms)
+// Checks that there is no coordinated omission: a server that pauses from 0.5 s to 1.5 s delays each of the 200 calls
+// due meanwhile to the end of the pause. By hand: of 400 calls in 2 s, 5 ms apart, call k of the pause waits 1000 - 5k ms.
+// p99 is the 396th in ascending order, which leaves four above it, so 980 ms; p90 the 360th, so 800 ms; p50 the 200th,
+// the last one that did not wait.
+func TestLatencyCountsFromTheIntendedTimeDuringAPause(t *testing.T) {
+	startedAt := time.Now()
+	from, to := startedAt.Add(500*ms), startedAt.Add(1500*ms)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		if now := time.Now(); now.After(from) && now.Before(to) {
 			time.Sleep(time.Until(to))
 		}
 	}))
 	defer server.Close()
-	s := senderTo(strings.TrimPrefix(server.URL, "http://"))
-	s.Clock = func() time.Duration { return time.Since(began) }
-	s.Run(context.Background(), every(5*ms, 2*time.Second))
-	got := s.summary()
+	g := generatorFor(strings.TrimPrefix(server.URL, "http://"))
+	g.Clock = func() time.Duration { return time.Since(startedAt) }
+	g.Run(context.Background(), every(5*ms, 2*time.Second))
+	got := g.summary()
 	assert.EqualValues(t, 400, got.All.Count)
 	assert.InDelta(t, 980, got.All.P99, 100)
 	assert.InDelta(t, 800, got.All.P90, 100)
@@ -77,38 +77,37 @@
 	assert.EqualValues(t, 400, got.Total.Answers["succeeded"])
 }
 
-// Guards against a backlog that is hidden: a dispatcher whose process stands still is still sent to, and what
-// it does not answer is counted, each with its whole wait.
-func TestStalledDispatcherIsStillSentTo(t *testing.T) {
-	ln, err := net.Listen("tcp", "127.0.0.1:0") // nobody ever accepts: the kernel does
+// A paused dispatcher must still get calls, and each that it does not answer counts with the whole time waited.
+func TestPausedDispatcherStillReceivesCalls(t *testing.T) {
+	ln, err := net.Listen("tcp", "127.0.0.1:0") // never accepted from: the kernel completes connections
 	assert.NoError(t, err)
 	defer ln.Close()
-	s := senderTo(ln.Addr().String(), workload.Operation{
+	g := generatorFor(ln.Addr().String(), workload.Operation{
 		Name: "status", LatencyObjective: 1,
 		Timeout: unit.Duration(300 * ms),
 	})
-	s.Run(context.Background(), every(2*ms, 400*ms))
-	got := s.summary()
+	g.Run(context.Background(), every(2*ms, 400*ms))
+	got := g.summary()
 	assert.EqualValues(t, 200, got.Total.Answers["unanswered"])
 	assert.Zero(t, got.Generator.Unsent)
-	assert.GreaterOrEqual(t, got.All.P50, 299.0, "none is given up early; how late is the machine's")
-	assert.Len(t, s.History.Check(history.RuleConfig{Operations: []history.Operation{{}}}), 200, "each one is lost")
+	assert.GreaterOrEqual(t, got.All.P50, 299.0, "none is abandoned before its timeout")
+	assert.Len(t, g.History.Check(history.RuleConfig{Operations: []history.Operation{{}}}), 200, "each one is lost")
 }
 
-func TestGeneratorThatMayNotKeepUpSaysSo(t *testing.T) {
+func TestOverloadedGeneratorIsReported(t *testing.T) {
 	server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter,
 		*http.Request,
 	) {
 		time.Sleep(50 * ms)
 	}))
 	defer server.Close()
-	s := senderTo(strings.TrimPrefix(server.URL, "http://"))
-	s.MaxOpen = 2
-	s.Run(context.Background(), every(ms, 100*ms))
-	got := s.summary()
+	g := generatorFor(strings.TrimPrefix(server.URL, "http://"))
+	g.MaxOpen = 2
+	g.Run(context.Background(), every(ms, 100*ms))
+	got := g.summary()
 	assert.False(t, got.Generator.Trusted)
 	assert.Positive(t, got.Generator.Unsent)
-	assert.EqualValues(t, 100, got.Total.Calls, "none is left out")
+	assert.EqualValues(t, 100, got.Total.Calls, "every call is counted")
 	late := metrics.NewRecorder(time.Second, 1, 0)
 	late.Record(metrics.Call{Outcome: history.Succeeded, Sent: 20 * ms, Ended: 21 * ms})
 	sum := late.Summary([]string{"status"}, nil)
@@ -116,14 +115,14 @@
 }
 
 func TestClientsRetryWhatTheOperationAllows(t *testing.T) {
-	answers := map[string][]int{"safe": {502, 200}, "once": {502, 200}, "sent-away": {503, 503, 200}}
-	asked, keys := map[string]*atomic.Int32{}, make(chan string, 10)
+	answers := map[string][]int{"safe": {502, 200}, "once": {502, 200}, "rejected": {503, 503, 200}}
+	received, keys := map[string]*atomic.Int32{}, make(chan string, 10)
 	for name := range answers {
-		asked[name] = &atomic.Int32{}
+		received[name] = &atomic.Int32{}
 	}
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		name := r.Header.Get("Req-Kind")
-		n := int(asked[name].Add(1)) - 1
+		n := int(received[name].Add(1)) - 1
 		assert.Equal(t, n > 0, r.Header.Get("Req-Retry") == "1")
 		if keys <- r.Header.Get("Idempotency-Key"); answers[name][n] == 503 {
 			w.Header().Set("Retry-After", "0.05")
@@ -135,26 +134,26 @@
 	for _, o := range []workload.Operation{{Name: "safe", Idempotency: workload.Idempotent}, {
 		Name:        "once",
 		Idempotency: workload.NonIdempotent,
-	}, {Name: "sent-away", Idempotency: workload.IdempotentByKey}} {
+	}, {Name: "rejected", Idempotency: workload.IdempotentByKey}} {
 		o.LatencyObjective, o.Timeout = unit.Duration(time.Second), unit.Duration(time.Second)
 		operations = append(operations, o)
 	}
-	s := senderTo(strings.TrimPrefix(server.URL, "http://"), operations...)
-	s.Retries = 2
-	s.Run(context.Background(), []workload.Arrival{{Operation: 0}, {Operation: 1}, {Operation: 2, Key: 9}})
-	got := s.summary()
+	g := generatorFor(strings.TrimPrefix(server.URL, "http://"), operations...)
+	g.Retries = 2
+	g.Run(context.Background(), []workload.Arrival{{Operation: 0}, {Operation: 1}, {Operation: 2, Key: 9}})
+	got := g.summary()
 	assert.Equal(t, map[string]int64{"succeeded": 2, "errored": 1}, got.Total.Answers)
-	assert.EqualValues(t, 1, asked["once"].Load(), "what may have run is not sent again")
-	assert.GreaterOrEqual(t, got.Operations[2].Latency.Max, 100.0, "it came back when it was told to, twice")
+	assert.EqualValues(t, 1, received["once"].Load(), "a request that may have run is not retried")
+	assert.GreaterOrEqual(t, got.Operations[2].Latency.Max, 100.0, "both retries waited for Retry-After")
 	close(keys)
 	seen := map[string]int{}
 	for k := range keys {
 		seen[k]++
 	}
-	assert.Equal(t, map[string]int{"": 3, "0000000000000009": 3}, seen, "retries carry the first try's key")
+	assert.Equal(t, map[string]int{"": 3, "0000000000000009": 3}, seen, "retries carry the key of the first request")
 }
 
-func TestConnectionThatEndsBetweenMessagesIsTriedOnceMore(t *testing.T) {
+func TestRequestOnAClosedIdleConnectionIsSentAgainOnce(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NoError(t, err)
 	defer ln.Close()
@@ -165,18 +164,18 @@
 				return
 			}
 			c.Read(make([]byte, 1024))
-			if n < 2 { // one answer, then the end as the next message comes; a third connection ends at once
+			if n < 2 { // answers once and closes on the next message; a third connection is closed at once
 				io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 				c.Read(make([]byte, 1024))
 			}
 			c.Close()
 		}
 	}()
-	s := senderTo(ln.Addr().String())
-	for range 4 { // each once the one before is over: on a busy machine the second would else come before that
-		s.Run(context.Background(), []workload.Arrival{{}})
+	g := generatorFor(ln.Addr().String())
+	for range 4 { // one after the other: on a busy machine the second could otherwise start before the first has ended
+		g.Run(context.Background(), []workload.Arrival{{}})
 	}
-	assert.Equal(t, map[string]int64{"succeeded": 2, "broken": 2}, s.summary().Total.Answers,
+	assert.Equal(t, map[string]int64{"succeeded": 2, "broken": 2}, g.summary().Total.Answers,
 		"first; second on a new connection; third on a new one that ends; fourth on another that ends")
 }
 
@@ -184,19 +183,19 @@
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NoError(t, err)
 	defer ln.Close()
-	s := senderTo(ln.Addr().String())
+	g := generatorFor(ln.Addr().String())
 	ctx, cancel := context.WithCancel(context.Background())
 	time.AfterFunc(100*ms, cancel)
-	began := time.Now()
-	s.Run(ctx, every(10*ms, time.Minute))
-	assert.Less(t, time.Since(began), 2*time.Second)
-	got := s.summary()
+	startedAt := time.Now()
+	g.Run(ctx, every(10*ms, time.Minute))
+	assert.Less(t, time.Since(startedAt), 2*time.Second)
+	got := g.summary()
 	assert.Equal(t, got.Total.Calls, got.Total.Answers["interrupted"])
 	assert.Positive(t, got.Total.Calls)
-	assert.Empty(t, s.History.Check(history.RuleConfig{Operations: []history.Operation{{}}}), "that is nobody's fault")
+	assert.Empty(t, g.History.Check(history.RuleConfig{Operations: []history.Operation{{}}}), "an interrupted call violates no rule")
 }
 
-func TestFrontNoticesADeathLateAndAReturnAtOnce(t *testing.T) {
+func TestFrontTierDetectsAFailureLateAndARecoveryAtOnce(t *testing.T) {
 	var good, refused atomic.Bool
 	good.Store(true)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -222,7 +221,7 @@
 	refused.Store(true)
 	died = time.Now()
 	assert.Eventually(t, func() bool { return !f.Ready() }, 5*time.Second, ms)
-	assert.Less(t, time.Since(died), 300*ms, "one that says no is left at once")
+	assert.Less(t, time.Since(died), 300*ms, "a dispatcher that answers 503 is removed at once")
 	cancel()
 	assert.NoError(t, <-done)
 }
