--- a/internal/testbed/experiment/environment.go
+++ b/internal/testbed/experiment/environment.go
@@ -107,8 +107,8 @@
 	}
 	f := p.Fleet
 	w.fleet = worker.NewFleet(worker.Config{
-		Idle: f.Idle.Std(), StartNotes: f.StartNotes, Progress: f.Progress,
-		Probes: f.Probes, Instant: f.Instant, Cold: worker.Warmup{
+		IdleTimeout: f.Idle.Std(), StartNotes: f.StartNotes, Progress: f.Progress,
+		Probes: f.Probes, Instant: f.Instant, Warmup: worker.Warmup{
 			InitialShare: f.InitialShare, Duration: f.WarmupDuration.Std(),
 			OverloadMultiple: f.OverloadMultiple,
 			OverloadSpan:     f.OverloadSpan.Std(),
--- a/internal/testbed/worker/dedup.go
+++ b/internal/testbed/worker/dedup.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// DedupGroup drops repeats among the workers that share it: within the window from the start of a first one,
-// others under the same key don't run. Many machines use it at once.
+// DedupGroup deduplicates jobs among the workers that share it: within the window from the start of the first job under
+// a key, others under that key do not run. It is safe for concurrent use.
 type DedupGroup struct {
 	window time.Duration
 
@@ -30,12 +30,12 @@
 	keyDone
 )
 
-// NewDedupGroup makes one that drops repeats for so long.
+// NewDedupGroup returns a group with a dedup window.
 func NewDedupGroup(window time.Duration) *DedupGroup {
 	return &DedupGroup{window: window, firsts: map[string]*firstRun{}}
 }
 
-// start asks to run an invocation under a key.
+// start asks to run a job under a key. For keyUnused the job must run; for keyDone the result is that of the first job.
 func (g *DedupGroup) start(key, id string, now time.Duration) (result string, state keyState) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -59,7 +59,7 @@
 	}
 }
 
-// release frees the key of one that was ended before it was done: the next one is a first one.
+// release frees the key of a job that ended before it was done, so that the next one runs.
 func (g *DedupGroup) release(key, id string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -68,7 +68,7 @@
 	}
 }
 
-// expire forgets keys whose window has passed, once a window. It guards against memory that grows for good.
+// expire removes keys whose window has passed, once per window, to bound the memory.
 func (g *DedupGroup) expire(now time.Duration) {
 	if now < g.expiredAt+g.window {
 		return
--- a/internal/testbed/worker/exchange.go
+++ b/internal/testbed/worker/exchange.go
@@ -13,20 +13,20 @@
 	"canvasroute/internal/testbed/history"
 )
 
-// Task is the body of an invocation in the testbed: what the worker is to do.
+// Task is the body of a request in the testbed: the work that it stands for.
 type Task struct {
 	Operation int   `json:"operation"`
 	WorkUs    int64 `json:"work_us"`
 }
 
-// maxTaskBytes bounds a body.
+// maxTaskBytes bounds the body of a request.
 const maxTaskBytes = 64 << 10
 
-// exchange is one forward that a worker has accepted: its lines go to the connection that it came on.
+// exchange is an accepted attempt. Its lines are written to the connection that it came on.
 type exchange struct {
 	lines   chan line
 	attempt *history.Attempt
-	muted   bool // it runs, and nothing more is told of it; under the server's lock
+	muted   bool // nothing more is reported; guarded by the server's lock
 }
 
 type line struct {
@@ -34,13 +34,13 @@
 	last          bool
 }
 
-// dispatcherConn is one connection of a dispatcher. While a forward runs, a goroutine watches for what comes next: the
-// end of the connection, by which a dispatcher gives the forward up, or the next message.
+// dispatcherConn is a connection of a dispatcher. While an attempt runs, a goroutine waits for what comes next: the end
+// of the connection, by which a dispatcher cancels the attempt, or the next message.
 type dispatcherConn struct {
 	net.Conn
 	reader         *bufio.Reader
-	next           chan error // from the goroutine that watches; nil if none does
-	messageStarted bool       // the next message has begun already
+	next           chan error // result of the goroutine that waits; nil if there is none
+	messageStarted bool       // the first byte of the next message is there
 }
 
 func (w *dispatcherConn) watch() {
@@ -66,16 +66,16 @@
 	return err
 }
 
-// serveConn takes forwards from one connection until it ends.
+// serveConn serves the attempts on one connection until it ends.
 func (s *Server) serveConn(c net.Conn, dispatcher int, process *incarnation) {
 	defer process.removeConn(c)
 	w := &dispatcherConn{Conn: c, reader: bufio.NewReader(c)}
 	for {
-		c.SetReadDeadline(time.Now().Add(s.fleet.config.Idle))
+		c.SetReadDeadline(time.Now().Add(s.fleet.config.IdleTimeout))
 		if err := w.awaitMessage(); err != nil {
 			return
 		}
-		first := s.fleet.clock()
+		firstByteAt := s.fleet.clock()
 		r, err := http.ReadRequest(w.reader)
 		if err != nil {
 			return
@@ -87,15 +87,15 @@
 		c.SetReadDeadline(time.Time{})
 		if !s.handle(w, r, body, history.Attempt{
 			Dispatcher: dispatcher, Worker: s.index, Incarnation: process.number,
-			FirstByteAt: first, ReceivedAt: s.fleet.clock(),
+			FirstByteAt: firstByteAt, ReceivedAt: s.fleet.clock(),
 		}, process) || r.Close {
 			return
 		}
 	}
 }
 
-// handle answers one message, and tells whether the connection can go on.
-func (s *Server) handle(c *dispatcherConn, r *http.Request, body []byte, f history.Attempt, process *incarnation) bool {
+// handle answers one message. It reports whether the connection can be used for the next.
+func (s *Server) handle(c *dispatcherConn, r *http.Request, body []byte, attempt history.Attempt, process *incarnation) bool {
 	switch {
 	case r.Method == http.MethodGet && r.URL.Path == "/ping" && s.fleet.config.Probes:
 		return s.writeSimple(c, process, 200, "", nil)
@@ -108,7 +108,7 @@
 	if id == "" {
 		return s.writeSimple(c, process, 404, "", nil)
 	}
-	record := s.fleet.history.AttemptReceived(id, f)
+	record := s.fleet.history.AttemptReceived(id, attempt)
 	task, ok := s.parseTask(body)
 	if !ok {
 		s.fleet.history.AttemptEnded(record, history.Failed, "", s.fleet.clock())
@@ -125,7 +125,7 @@
 	e, ok := s.offer(id, r.Header.Get("Idempotency-Key"), task, record, process)
 	switch {
 	case !ok:
-		return false // it has gone down meanwhile
+		return false // the process has ended meanwhile
 	case e == nil:
 		s.fleet.history.AttemptEnded(record, history.Returned, "", s.fleet.clock())
 		return s.writeSimple(c, process, 503, "Srv-Declined: 1\r\n", nil)
@@ -133,7 +133,7 @@
 	return s.stream(c, id, e, process)
 }
 
-// parseTask reads a forward's body. ok is false for one that names no operation of the fleet, or no work.
+// parseTask parses a body. ok is false if the operation is unknown or there is no work.
 func (s *Server) parseTask(body []byte) (task Task, ok bool) {
 	if err := json.Unmarshal(body, &task); err != nil {
 		return task, false
@@ -142,7 +142,7 @@
 	return task, known && task.WorkUs > 0
 }
 
-// writeSimple writes an answer of one piece.
+// writeSimple writes an answer that is not chunked.
 func (s *Server) writeSimple(c net.Conn, process *incarnation, status int, fields string, body []byte) bool {
 	if !process.waitWhilePaused() {
 		return false
@@ -156,9 +156,9 @@
 
 const responseHead = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n"
 
-// stream writes an exchange's lines as chunks until the last one, or until the dispatcher gives it up.
+// stream writes the lines of an exchange as chunks until the last one, or until the dispatcher cancels.
 func (s *Server) stream(c *dispatcherConn, id string, e *exchange, process *incarnation) bool {
-	defer func() { // a process that ended with the last line unwritten: the first end of a forward counts
+	defer func() { // covers a process that ended before the last line was written: only the first end counts
 		if !process.waitWhilePaused() {
 			s.fleet.history.AttemptEnded(e.attempt, history.Crashed, "", s.fleet.clock())
 		}
@@ -168,7 +168,7 @@
 	out := append(make([]byte, 0, 512), responseHead...)
 	for {
 		select {
-		case l := <-e.lines: // what is at hand already goes along
+		case l := <-e.lines: // lines that are ready are written together
 			if out = appendLine(out, id, s.name, l); l.last {
 				return s.finish(c, out, e, l, process)
 			}
@@ -204,8 +204,8 @@
 
 var endOfState = map[string]history.AttemptEnd{"done": history.Done, "returned": history.Returned, "lost": history.Crashed}
 
-// finish writes the last line and the end of the chunks. The ledger has it before a byte leaves: else an
-// answer could be seen before it was made.
+// finish writes the last line and the end of the chunks. The result is recorded before it is sent: the client's answer
+// could otherwise be recorded before the worker's result.
 func (s *Server) finish(c net.Conn, out []byte, e *exchange, l line, process *incarnation) bool {
 	if !process.waitWhilePaused() {
 		return false
@@ -214,7 +214,7 @@
 		s.fleet.history.AttemptEnded(e.attempt, endOfState[l.state], l.result, s.fleet.clock())
 	}
 	_, err := c.Write(append(out, "0\r\n\r\n"...))
-	if l.state == "returned" && err == nil { // it proves something only once it has left
+	if l.state == "returned" && err == nil { // proves that the attempt never ran only once it has been sent
 		s.fleet.history.AttemptEnded(e.attempt, history.Returned, "", s.fleet.clock())
 	}
 	return err == nil
@@ -236,7 +236,7 @@
 	return append(append(append(b, "\r\n"...), text...), "\n\r\n"...)
 }
 
-// loadReport is the load as the settings name it: in flight, queued, free slots.
+// loadReport is the load under the names that the settings announce: in flight, queued, free slots.
 func (s *Server) loadReport() []byte {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/testbed/worker/machine.go
+++ b/internal/testbed/worker/machine.go
@@ -1,5 +1,5 @@
-// Package worker is a stand-in for the platform's workers. The machine in this file does no I/O and has no
-// clock: it is told the time, and says what has happened by then. The server puts one on sockets.
+// Package worker is a stand-in for the platform's workers. Machine, which does no I/O and gets the time as an argument,
+// simulates the execution of jobs. Server puts machines on sockets and speaks the workers' protocol.
 package worker
 
 import (
@@ -11,23 +11,23 @@
 	"time"
 )
 
-// Kind is a sort of worker, in the words of an experiment file.
+// Kind is one [[fleet.kind]] of an experiment file.
 type Kind struct {
 	Name  string `toml:"name"`
-	Cores int    `toml:"cores"` // as many invocations run at once
-	Queue int    `toml:"queue"` // and so many wait; what comes beyond is returned
+	Cores int    `toml:"cores"` // jobs that run at once
+	Queue int    `toml:"queue"` // jobs that wait; more are declined
 	Count int    `toml:"count"`
 }
 
-// Warmup is how a worker behaves after its start, in the figures that the settings tell dispatchers.
+// Warmup is how a worker behaves after its start, with the parameters that dispatchers get in their settings.
 type Warmup struct {
-	InitialShare     float64       // the share of its capacity that it starts with
-	Duration         time.Duration // until it has all of it
-	OverloadMultiple float64       // of what it can do at that moment: sent more within the span, it falls over
+	InitialShare     float64       // share of its capacity at the start
+	Duration         time.Duration // until it has its full capacity
+	OverloadMultiple float64       // of its current capacity over the span: a worker that is sent more work within the span crashes
 	OverloadSpan     time.Duration
 }
 
-// Factor is the share of its capacity that a worker has at an age.
+// Factor is the share of its capacity that a worker has at an age. It grows linearly.
 func (c Warmup) Factor(age time.Duration) float64 {
 	if c.Duration <= 0 || age >= c.Duration {
 		return 1
@@ -35,36 +35,36 @@
 	return c.InitialShare + (1-c.InitialShare)*age.Seconds()/c.Duration.Seconds()
 }
 
-// Job is an invocation at a worker.
+// Job is an attempt at a worker.
 type Job struct {
 	ID    string
 	Work  time.Duration // core time on a worker of standard speed
-	Key   string        // "": no repeats are dropped
-	Group *DedupGroup   // that drops them
+	Key   string        // idempotency key, "" for none
+	Group *DedupGroup   // that deduplicates by the key, nil for none
 }
 
-// Verdict is the answer to an offer.
+// Verdict is the machine's decision on an offered job.
 type Verdict uint8
 
 // The values of Verdict.
 const (
 	Accepted   Verdict = iota
-	Declined           // full, or draining: it never runs
-	Overloaded         // this one has pushed the cold worker over: its process ends
+	Declined           // full or draining: the job never runs
+	Overloaded         // the job exceeds the warm-up budget: the process crashes
 )
 
-// EventKind is what has happened to a job.
+// EventKind is what happened to a job.
 type EventKind uint8
 
-// The values of What.
+// The values of EventKind.
 const (
 	Started EventKind = iota + 1
 	Halfway
 	Finished
-	Deduplicated // a first one under the same key has run: Result is its
+	Deduplicated // another job under the same key has run; Result is that job's
 )
 
-// Event is one thing that has happened.
+// Event is something that happened to a job.
 type Event struct {
 	ID     string
 	Kind   EventKind
@@ -73,21 +73,21 @@
 
 type job struct {
 	Job
-	remaining    time.Duration // of the work
-	halfReported bool          // told
+	remaining    time.Duration // work left
+	halfReported bool          // Halfway has been reported
 }
 
-// Machine is one life of a worker's process: cores that run jobs, and a queue before them, taken in order.
+// Machine is one incarnation of a worker's process: cores that run jobs, and a FIFO queue before them.
 type Machine struct {
 	kind            Kind
 	warmup          Warmup
 	now             time.Duration
-	startedAt       time.Duration // of a warm one: long ago
-	speed           float64       // part of its speed that it has; 0 while it stands still
+	startedAt       time.Duration // so long ago that it is warm, for a worker that starts warm
+	speed           float64       // factor of the normal speed; 0 while paused
 	draining        bool
 	running         []*job
 	queue           []*job
-	waitingForFirst []*job // for a first one under the same key
+	waitingForFirst []*job // for a job under the same key that runs elsewhere
 	recent          []recentJob
 	result          func(id string) string
 }
@@ -98,7 +98,7 @@
 	id   string
 }
 
-// HeaviestRecent words what it was sent within the span, the heaviest first, at most so many.
+// HeaviestRecent describes the jobs sent within the warm-up span, up to limit of them, largest first.
 func (m *Machine) HeaviestRecent(limit int) string {
 	all := slices.Clone(m.recent)
 	slices.SortStableFunc(all, func(a, b recentJob) int { return cmp.Compare(b.work, a.work) })
@@ -109,21 +109,22 @@
 	return fmt.Sprintf("%d sent: %s", len(all), strings.Join(words, ", "))
 }
 
-// NewMachine starts a process; warm if it is to have started long ago. result words what a job makes.
-func NewMachine(k Kind, c Warmup, now time.Duration, warm bool, result func(id string) string) *Machine {
-	m := &Machine{kind: k, warmup: c, now: now, startedAt: now, speed: 1, result: result}
+// NewMachine starts a process; a warm one has full capacity at once. result returns the result of a job.
+func NewMachine(kind Kind, warmup Warmup, now time.Duration, warm bool, result func(id string) string) *Machine {
+	m := &Machine{kind: kind, warmup: warmup, now: now, startedAt: now, speed: 1, result: result}
 	if warm {
-		m.startedAt = now - c.Duration
+		m.startedAt = now - warmup.Duration
 	}
 	return m
 }
 
-// WarmupFactor is the share of its capacity that it has, by its age.
+// WarmupFactor is the share of its capacity that the machine has at a time.
 func (m *Machine) WarmupFactor(now time.Duration) float64 {
 	return m.warmup.Factor(now - m.startedAt)
 }
 
-// workByAge is the work that one core at full pace does from the start to an age, in seconds.
+// workByAge is the work that one core at normal speed does from the start to an age, in seconds: the integral of the
+// warm-up factor.
 func (m *Machine) workByAge(age float64) float64 {
 	ramp := m.warmup.Duration.Seconds()
 	within := min(age, ramp)
@@ -148,12 +149,12 @@
 	return 2 * done / (from + math.Sqrt(from*from+2*slope*done))
 }
 
-// workBetween is the work that a core does between two times, in seconds.
+// workBetween is the work that a core does between two times at the current speed, in seconds.
 func (m *Machine) workBetween(from, to time.Duration) float64 {
 	return m.speed * (m.workByAge((to - m.startedAt).Seconds()) - m.workByAge((from - m.startedAt).Seconds()))
 }
 
-// finishTime is when a piece of work that runs from now on will be done.
+// finishTime is when work that runs from now on will be done, MaxInt64 for never.
 func (m *Machine) finishTime(left time.Duration) time.Duration {
 	if m.speed <= 0 {
 		return math.MaxInt64
@@ -165,15 +166,16 @@
 	return m.startedAt + time.Duration(math.Ceil(age*1e9))
 }
 
-// SetSpeed sets the part of its speed that the machine has from now on: less than 1 for a slow one or one that
-// other programs share, 0 for one that stands still.
+// SetSpeed sets the factor of the normal speed from now on: less than 1 for a slow or shared machine, 0 for a paused
+// one.
 func (m *Machine) SetSpeed(now time.Duration, speed float64) []Event {
 	events := m.Advance(now)
 	m.speed = speed
 	return events
 }
 
-// Drain makes it finish what runs and decline what is new; what still waits is handed back.
+// Drain makes the machine decline new jobs. Running jobs go on; the IDs of waiting ones are returned, and those never
+// run.
 func (m *Machine) Drain(now time.Duration) (events []Event, unstarted []string) {
 	events = m.Advance(now)
 	m.draining = true
@@ -184,28 +186,41 @@
 	return events, unstarted
 }
 
-// Offer hands it a job. What it was sent within the span and the bound are told for a fall.
-func (m *Machine) Offer(now time.Duration, j Job) (v Verdict, events []Event, sent, budget time.Duration) {
-	events = m.Advance(now)
+// OfferResult is the outcome of an offer. SentWork and Budget are set only for a worker that warms up.
+type OfferResult struct {
+	Verdict  Verdict
+	Events   []Event
+	SentWork time.Duration // core time sent within the span, this job included
+	Budget   time.Duration // core time allowed within the span
+}
+
+// Offer hands the machine a job. A declined job counts against the warm-up budget as well.
+func (m *Machine) Offer(now time.Duration, j Job) OfferResult {
+	result := OfferResult{Events: m.Advance(now)}
 	if factor := m.WarmupFactor(now); factor < 1 && m.warmup.OverloadMultiple > 0 {
-		m.recent = slices.DeleteFunc(m.recent, func(l recentJob) bool { return l.at <= now-m.warmup.OverloadSpan })
+		m.recent = slices.DeleteFunc(m.recent, func(r recentJob) bool { return r.at <= now-m.warmup.OverloadSpan })
 		m.recent = append(m.recent, recentJob{now, j.Work, j.ID})
-		for _, l := range m.recent {
-			sent += l.work
+		for _, r := range m.recent {
+			result.SentWork += r.work
 		}
-		allowance := m.warmup.OverloadMultiple * factor * float64(m.kind.Cores) * float64(m.warmup.OverloadSpan)
-		if budget = time.Duration(allowance); sent > budget {
-			return Overloaded, events, sent, budget
+		budget := m.warmup.OverloadMultiple * factor * float64(m.kind.Cores) * float64(m.warmup.OverloadSpan)
+		result.Budget = time.Duration(budget)
+		if result.SentWork > result.Budget {
+			result.Verdict = Overloaded
+			return result
 		}
 	}
 	if m.draining || len(m.running) >= m.kind.Cores && len(m.queue) >= m.kind.Queue {
-		return Declined, events, sent, budget
+		result.Verdict = Declined
+		return result
 	}
 	m.queue = append(m.queue, &job{Job: j, remaining: j.Work})
-	return Accepted, m.startQueued(events), sent, budget
+	result.Verdict = Accepted
+	result.Events = m.startQueued(result.Events)
+	return result
 }
 
-// Cancel takes a job out, wherever it is; what it did is lost, and a repeat of it may run.
+// Cancel removes a job. Its work is lost, and another job under its key may run.
 func (m *Machine) Cancel(now time.Duration, id string) []Event {
 	events := m.Advance(now)
 	same := func(j *job) bool { return j.ID == id }
@@ -220,7 +235,7 @@
 	return m.startQueued(events)
 }
 
-// Stop ends the process: a repeat of what ran may run elsewhere.
+// Stop ends the process. Other jobs under the keys of running ones may run elsewhere.
 func (m *Machine) Stop() {
 	for _, j := range m.running {
 		if j.Group != nil {
@@ -230,10 +245,10 @@
 	m.running, m.queue, m.waitingForFirst = nil, nil, nil
 }
 
-// Load is how many jobs run and wait.
+// Load returns the number of running and queued jobs.
 func (m *Machine) Load() (running, queued int) { return len(m.running), len(m.queue) }
 
-// Advance goes to a time, and tells what has happened until then.
+// Advance simulates up to a time, and returns the events until then.
 func (m *Machine) Advance(now time.Duration) (events []Event) {
 	for {
 		at, first := now, false
@@ -249,7 +264,7 @@
 	}
 }
 
-// workUntilEvent is the work until a job has something to tell.
+// workUntilEvent is the work left until a job's next event.
 func (m *Machine) workUntilEvent(j *job) time.Duration {
 	if half := j.remaining - j.Work/2; !j.halfReported && half > 0 {
 		return half
@@ -266,7 +281,7 @@
 			j.halfReported = true
 			events = append(events, Event{ID: j.ID, Kind: Halfway})
 		}
-		if j.remaining <= time.Microsecond { // finer than what times are rounded to
+		if j.remaining <= time.Microsecond { // below the rounding of times
 			result := m.result(j.ID)
 			if j.Group != nil {
 				j.Group.complete(j.Key, j.ID, result)
@@ -278,7 +293,7 @@
 	return m.startQueued(events)
 }
 
-// startQueued starts what waits, in order, while there are cores; repeats need none.
+// startQueued starts waiting jobs in order while cores are free. Deduplicated jobs need no core.
 func (m *Machine) startQueued(events []Event) []Event {
 	if m.speed <= 0 {
 		return events
@@ -310,10 +325,10 @@
 	return append(events, Event{ID: j.ID, Kind: Started})
 }
 
-// duplicateCheckInterval is how often a job that waits for a first one under its key looks whether that is over.
+// duplicateCheckInterval is how often a job checks whether another one under its key has ended.
 const duplicateCheckInterval = 5 * time.Millisecond
 
-// NextEvent is when something may happen by time alone.
+// NextEvent returns the time of the next event without further calls. found is false if there is none.
 func (m *Machine) NextEvent() (at time.Duration, found bool) {
 	at = math.MaxInt64
 	for _, j := range m.running {
--- a/internal/testbed/worker/machine_test.go
+++ b/internal/testbed/worker/machine_test.go
@@ -10,12 +10,12 @@
 const sec = time.Second
 
 var (
-	twoCores = Kind{Cores: 2, Queue: 1}
-	slowCold = Warmup{InitialShare: 0.2, Duration: 10 * sec, OverloadMultiple: 4, OverloadSpan: 2 * sec}
-	made     = func(id string) string { return "made " + id }
+	twoCores   = Kind{Cores: 2, Queue: 1}
+	slowWarmup = Warmup{InitialShare: 0.2, Duration: 10 * sec, OverloadMultiple: 4, OverloadSpan: 2 * sec}
+	resultOf   = func(id string) string { return "made " + id }
 )
 
-func warm() *Machine { return NewMachine(twoCores, slowCold, 0, true, made) }
+func warm() *Machine { return NewMachine(twoCores, slowWarmup, 0, true, resultOf) }
 
 func finished(events []Event) (ids []string) {
 	for _, e := range events {
@@ -27,11 +27,10 @@
 }
 
 func offer(m *Machine, now time.Duration, id string, work time.Duration) Verdict {
-	v, _, _, _ := m.Offer(now, Job{ID: id, Work: work})
-	return v
+	return m.Offer(now, Job{ID: id, Work: work}).Verdict
 }
 
-func TestJobsRunOnCoresThenWaitThenAreDeclined(t *testing.T) {
+func TestJobsRunThenQueueThenAreDeclined(t *testing.T) {
 	m := warm()
 	assert.Equal(t, []Verdict{Accepted, Accepted, Accepted, Declined}, []Verdict{
 		offer(m, 0, "a", sec), offer(m, 0, "b", 2*sec), offer(m, 0, "c", sec), offer(m, 0, "d", sec),
@@ -43,8 +42,8 @@
 	assert.Equal(t, []string{"b", "c"}, finished(m.Advance(2*sec+time.Millisecond)))
 }
 
-func TestWorkIsDoneByWarmth(t *testing.T) {
-	m := NewMachine(twoCores, slowCold, 0, false, made)
+func TestWorkIsDoneByTheWarmupFactor(t *testing.T) {
+	m := NewMachine(twoCores, slowWarmup, 0, false, resultOf)
 	offer(m, 0, "a", sec)
 	// The integral of 0.2 + 0.08t is 1 where 0.04t^2 + 0.2t = 1, at t = 3.09.
 	at, _ := m.NextEvent()
@@ -56,11 +55,11 @@
 	assert.Equal(t, 1.0, m.WarmupFactor(11*sec))
 }
 
-func TestPaceChangesWhileWorkRuns(t *testing.T) {
+func TestSpeedChangesWhileAJobRuns(t *testing.T) {
 	m := warm()
 	offer(m, 0, "a", sec)
 	m.SetSpeed(500*time.Millisecond, 0.25)
-	m.SetSpeed(700*time.Millisecond, 0) // it stands still: 0.45 s are left
+	m.SetSpeed(700*time.Millisecond, 0) // paused with 0.45 s left
 	_, found := m.NextEvent()
 	assert.False(t, found)
 	m.SetSpeed(5*sec, 1)
@@ -68,41 +67,41 @@
 	assert.Equal(t, []string{"a"}, finished(m.Advance(5451*time.Millisecond)))
 }
 
-func TestColdMachineSentTooMuchTopples(t *testing.T) {
-	m := NewMachine(Kind{Cores: 2, Queue: 99}, slowCold, 0, false, made)
-	// It bears 4 * 0.2 * 2 * 2 s = 3.2 s of work at its start.
+func TestWarmingUpMachineOverItsBudgetIsOverloaded(t *testing.T) {
+	m := NewMachine(Kind{Cores: 2, Queue: 99}, slowWarmup, 0, false, resultOf)
+	// Its budget is 4 * 0.2 * 2 * 2 s = 3.2 s of work at its start.
 	assert.Equal(t, Accepted, offer(m, 0, "a", 3*sec))
 	assert.Equal(t, Overloaded, offer(m, 0, "b", 300*time.Millisecond))
-	assert.Equal(t, Accepted, offer(warm(), 0, "c", 300*sec), "a warm one bears anything")
-	m = NewMachine(twoCores, slowCold, 0, false, made)
+	assert.Equal(t, Accepted, offer(warm(), 0, "c", 300*sec), "a warm one has no budget")
+	m = NewMachine(twoCores, slowWarmup, 0, false, resultOf)
 	assert.Equal(t, Accepted, offer(m, 0, "a", 3*sec))
-	assert.Equal(t, Accepted, offer(m, 2*sec, "b", 3*sec), "what lies before the span counts no more")
+	assert.Equal(t, Accepted, offer(m, 2*sec, "b", 3*sec), "work sent before the span does not count")
 }
 
 func TestCancelledJobFreesItsCoreAndItsKey(t *testing.T) {
 	g, m := NewDedupGroup(10*sec), warm()
 	m.Offer(0, Job{ID: "a", Work: sec, Key: "k", Group: g})
-	_, events, _, _ := m.Offer(0, Job{ID: "b", Work: sec, Key: "k", Group: g})
-	assert.Empty(t, events, "a repeat waits for the first one")
+	events := m.Offer(0, Job{ID: "b", Work: sec, Key: "k", Group: g}).Events
+	assert.Empty(t, events, "a job waits for the first one under its key")
 	events = m.Cancel(sec/4, "a")
 	assert.Equal(t, []Event{{ID: "b", Kind: Started}}, events)
 	assert.Equal(t, []string{"b"}, finished(m.Advance(2*sec)))
 }
 
-func TestRepeatsAreDroppedWithinTheGroupAndTheWindow(t *testing.T) {
+func TestJobsAreDeduplicatedWithinTheGroupAndTheWindow(t *testing.T) {
 	g, one, two := NewDedupGroup(10*sec), warm(), warm()
 	one.Offer(0, Job{ID: "a", Work: sec, Key: "k", Group: g})
 	two.Offer(0, Job{ID: "b", Work: sec, Key: "k", Group: g})
 	one.Advance(2 * sec)
 	assert.Equal(t, []Event{{ID: "b", Kind: Deduplicated, Result: "made a"}}, two.Advance(2*sec))
-	_, events, _, _ := two.Offer(9*sec, Job{ID: "c", Work: sec, Key: "k", Group: g})
+	events := two.Offer(9*sec, Job{ID: "c", Work: sec, Key: "k", Group: g}).Events
 	assert.Equal(t, Deduplicated, events[0].Kind)
-	_, events, _, _ = two.Offer(11*sec, Job{ID: "d", Work: sec, Key: "k", Group: g})
+	events = two.Offer(11*sec, Job{ID: "d", Work: sec, Key: "k", Group: g}).Events
 	assert.Equal(t, Started, events[0].Kind, "the window has passed")
 	assert.Len(t, g.firsts, 1)
 }
 
-func TestFirstOneThatWasLostWithItsProcessRunsElsewhere(t *testing.T) {
+func TestKeyOfAJobLostWithItsProcessIsFree(t *testing.T) {
 	g, one, two := NewDedupGroup(10*sec), warm(), warm()
 	one.Offer(0, Job{ID: "a", Work: sec, Key: "k", Group: g})
 	two.Offer(0, Job{ID: "b", Work: sec, Key: "k", Group: g})
@@ -110,7 +109,7 @@
 	assert.Equal(t, Started, two.Advance(duplicateCheckInterval)[0].Kind)
 }
 
-func TestDrainHandsBackWhatWaits(t *testing.T) {
+func TestDrainReturnsWaitingJobs(t *testing.T) {
 	m := warm()
 	for _, id := range []string{"a", "b", "c"} {
 		offer(m, 0, id, sec)
--- a/internal/testbed/worker/server_test.go
+++ b/internal/testbed/worker/server_test.go
@@ -17,12 +17,13 @@
 	"canvasroute/internal/testbed/history"
 )
 
-// oneWorker is a worker of two cores and a queue of one, before one dispatcher.
-func oneWorker(t *testing.T, config Config) (*Server, *history.Log) {
-	began, l := time.Now(), history.New()
-	config.Idle = 5 * time.Second
+// startWorker starts a worker of two cores and a queue of one, for one dispatcher.
+func startWorker(t *testing.T, config Config) (*Server, *history.Log) {
+	t.Helper()
+	startedAt, l := time.Now(), history.New()
+	config.IdleTimeout = 5 * time.Second
 	f := NewFleet(config, []Deduplication{{}, {Scope: "zone", Window: 10 * sec}}, l,
-		func() time.Duration { return time.Since(began) }, nil)
+		func() time.Duration { return time.Since(startedAt) }, nil)
 	s := f.Add("w0", twoCores, 0, 0, 1)
 	assert.NoError(t, s.Start(true))
 	t.Cleanup(f.Close)
@@ -37,6 +38,7 @@
 }
 
 func connect(t *testing.T, s *Server) *client {
+	t.Helper()
 	c, err := net.Dial("tcp", s.Addresses()[0])
 	assert.NoError(t, err)
 	c.SetDeadline(time.Now().Add(10 * time.Second))
@@ -68,20 +70,21 @@
 	return func() bool { return assert.ObjectsAreEqual([]history.AttemptEnd{how}, l.AttemptEnds(id)) }
 }
 
-// held is how many jobs the worker has.
-func held(s *Server) int {
+// jobs returns the number of running and queued jobs.
+func jobs(s *Server) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	running, queued := s.current.machine.Load()
 	return running + queued
 }
 
-func eventually(t *testing.T, what func() bool) {
-	assert.Eventually(t, what, 5*time.Second, time.Millisecond)
+func eventually(t *testing.T, condition func() bool) {
+	t.Helper()
+	assert.Eventually(t, condition, 5*time.Second, time.Millisecond)
 }
 
-func TestWorkerTellsStartProgressAndResultAndKeepsTheConnection(t *testing.T) {
-	s, l := oneWorker(t, Config{StartNotes: true, Progress: true})
+func TestWorkerWritesStartProgressAndResultOnAReusableConnection(t *testing.T) {
+	s, l := startWorker(t, Config{StartNotes: true, Progress: true})
 	c := connect(t, s)
 	for n := range 2 {
 		id := fmt.Sprint("a", n)
@@ -102,13 +105,13 @@
 	assert.GreaterOrEqual(t, f.EndedAt-f.StartedAt, 20*time.Millisecond)
 }
 
-func TestFullWorkerDeclinesAndDrainHandsBackWhatWaits(t *testing.T) {
-	s, l := oneWorker(t, Config{})
+func TestFullWorkerDeclinesAndDrainReturnsWaitingJobs(t *testing.T) {
+	s, l := startWorker(t, Config{})
 	conns := []*client{connect(t, s), connect(t, s), connect(t, s), connect(t, s)}
 	for n, c := range conns[:3] {
 		c.send(l, fmt.Sprint("a", n), 300*time.Millisecond)
 	}
-	eventually(t, func() bool { return held(s) == 3 })
+	eventually(t, func() bool { return jobs(s) == 3 })
 	conns[3].send(l, "a3", time.Second)
 	status, _, err := conns[3].read()
 	assert.NoError(t, err)
@@ -124,8 +127,8 @@
 	assert.Equal(t, []int{1, 2}, []int{returned, done})
 }
 
-func TestCrashResetsConnectionsAndRefusesNewOnesUntilTheReturn(t *testing.T) {
-	s, l := oneWorker(t, Config{StartNotes: true})
+func TestCrashResetsConnectionsAndRefusesNewOnesUntilTheRestart(t *testing.T) {
+	s, l := startWorker(t, Config{StartNotes: true})
 	c, address := connect(t, s), s.Addresses()[0]
 	c.send(l, "a", time.Minute)
 	_, err := c.in.Peek(1)
@@ -142,12 +145,12 @@
 	c.send(l, "b", time.Millisecond)
 	_, text, err := c.read()
 	assert.NoError(t, err)
-	assert.Contains(t, text, "b by w0.1", "its second life")
+	assert.Contains(t, text, "b by w0.1", "the second incarnation")
 }
 
-// Guards against a restart that fails, or answers nobody, since another program has taken the port meanwhile.
-func TestReturnGoesElsewhereWhereThePortIsTaken(t *testing.T) {
-	s, _ := oneWorker(t, Config{})
+// Another program may take the port while the worker is down.
+func TestRestartUsesAnotherPortIfItsOwnIsTaken(t *testing.T) {
+	s, _ := startWorker(t, Config{})
 	address := s.Addresses()[0]
 	s.Crash()
 	ln, err := net.Listen("tcp", address)
@@ -157,19 +160,19 @@
 	assert.NotEqual(t, address, s.Addresses()[0])
 }
 
-func TestForwardThatIsGivenUpStopsItsWork(t *testing.T) {
-	s, l := oneWorker(t, Config{})
+func TestCancelledAttemptStopsItsJob(t *testing.T) {
+	s, l := startWorker(t, Config{})
 	c := connect(t, s)
 	c.send(l, "a", time.Minute)
 	_, err := c.in.Peek(1)
 	assert.NoError(t, err)
 	c.Close()
 	eventually(t, ended(l, "a", history.Abandoned))
-	eventually(t, func() bool { return held(s) == 0 })
+	eventually(t, func() bool { return jobs(s) == 0 })
 }
 
-func TestSilentWorkerRunsAndSaysNothingMore(t *testing.T) {
-	s, l := oneWorker(t, Config{StartNotes: true})
+func TestMutedWorkerRunsJobsWithoutReporting(t *testing.T) {
+	s, l := startWorker(t, Config{StartNotes: true})
 	s.Mute(true)
 	c := connect(t, s)
 	c.send(l, "a", 5*time.Millisecond)
@@ -180,8 +183,8 @@
 	assert.NotContains(t, text, "done")
 }
 
-func TestMachineThatIsCutOffIsSilentAndTakesNoConnection(t *testing.T) {
-	s, l := oneWorker(t, Config{})
+func TestPartitionedWorkerIsSilentAndAcceptsNoConnection(t *testing.T) {
+	s, l := startWorker(t, Config{})
 	c := connect(t, s)
 	c.send(l, "a", time.Millisecond)
 	_, _, err := c.read()
@@ -209,8 +212,8 @@
 	assert.NoError(t, err)
 }
 
-func TestMessagesThatAWorkerCannotUse(t *testing.T) {
-	s, l := oneWorker(t, Config{})
+func TestInvalidMessagesAreRejected(t *testing.T) {
+	s, l := startWorker(t, Config{})
 	c := connect(t, s)
 	for text, want := range map[string]int{
 		"GET /_load HTTP/1.1\r\nHost: x\r\n\r\n":                                    404,
