--- a/internal/testbed/baseline/reverse_proxy.go
+++ b/internal/testbed/baseline/reverse_proxy.go
@@ -6,18 +6,18 @@
 	"net/url"
 )
 
-// reverseProxy is the standard library's reverse proxy over the listed workers in turn. It knows nothing of retries,
-// and passes a worker's lines through as they are: it is there for its cost alone.
-func (r *dispatcher) reverseProxy() http.Handler {
-	return &httputil.ReverseProxy{Transport: r.transport, Rewrite: func(p *httputil.ProxyRequest) {
-		b := r.pick(nil)
+// reverseProxy is the standard library's reverse proxy over the listed workers in turn. It does not retry and passes the
+// workers' lines through unchanged: it serves to compare cost only.
+func (d *dispatcher) reverseProxy() http.Handler {
+	return &httputil.ReverseProxy{Transport: d.transport, Rewrite: func(config *httputil.ProxyRequest) {
+		b := d.pick(nil)
 		if b == nil {
 			return
 		}
-		r.mu.Lock()
+		d.mu.Lock()
 		b.inFlight--
 		target := &url.URL{Scheme: "http", Host: b.address}
-		r.mu.Unlock()
-		p.SetURL(target)
+		d.mu.Unlock()
+		config.SetURL(target)
 	}}
 }
