--- a/internal/lab/command/lab_test.go
+++ b/internal/testbed/command/command_test.go
@@ -20,11 +20,11 @@
 	"github.com/stretchr/testify/assert"
 
 	"canvasroute/internal/daemon"
-	"canvasroute/internal/lab/experiment"
-	"canvasroute/internal/lab/ledger"
+	"canvasroute/internal/testbed/experiment"
+	"canvasroute/internal/testbed/history"
 )
 
-// The test binary stands in for both programs: for canvaslab with arguments after "lab", for canvasroute
+// The test binary stands in for both programs: for testbed with arguments after "testbed", for canvasroute
 // where a dispatcher is started.
 func TestMain(m *testing.M) {
 	switch {
@@ -32,14 +32,14 @@
 		os.Exit(Main(os.Args[1:]))
 	case os.Getenv("LB_CONFIG") != "":
 		os.Exit(daemon.Main())
-	case len(os.Args) > 2 && os.Args[1] == "lab":
+	case len(os.Args) > 2 && os.Args[1] == "testbed":
 		os.Exit(Main(os.Args[2:]))
 	}
 	os.Exit(m.Run())
 }
 
 // short is an experiment of three seconds, in which a worker drains and another one starts cold.
-const short = `name = "short"
+const shortExperiment = `name = "short"
 [dispatchers]
 count = 2
 policy = %q
@@ -91,14 +91,14 @@
 workers = 1
 `
 
-func play(t *testing.T, policy, fault string) *experiment.Result {
-	return playFile(t, fmt.Sprintf(short, policy, fault))
+func playPolicy(t *testing.T, policy, fault string) *experiment.Result {
+	return playFile(t, fmt.Sprintf(shortExperiment, policy, fault))
 }
 
 // scratch is a folder in memory where there is one: how long this machine's disk takes while a dozen plays write to
 // it, up to seconds, is not what a play is about. What a disk can do to a dispatcher, plays and tests do themselves.
 func scratch(t *testing.T) string {
-	dir, err := os.MkdirTemp("/dev/shm", "canvaslab-")
+	dir, err := os.MkdirTemp("/dev/shm", "testbed-")
 	if err != nil {
 		return t.TempDir()
 	}
@@ -121,9 +121,9 @@
 	return r
 }
 
-// broken are the rules that were broken, by name.
-func broken(r *experiment.Result) (rules []ledger.Rule) {
-	for _, rule := range ledger.Rules {
+// brokenRules are the rules that were broken, by name.
+func brokenRules(r *experiment.Result) (rules []history.Rule) {
+	for _, rule := range history.Rules {
 		if r.Rules[string(rule)] > 0 {
 			rules = append(rules, rule)
 		}
@@ -132,16 +132,16 @@
 }
 
 func TestBrokenDispatchersAreCaughtEachByItsRule(t *testing.T) {
-	for fault, rule := range map[string]ledger.Rule{
-		"double-forward": ledger.RuleNoneTwice,
-		"lost-answer":    ledger.RuleNoneLost, "drain-ignored": ledger.RuleDrains,
-		"cold-push": ledger.RuleColdBudget,
+	for fault, rule := range map[string]history.Rule{
+		"double-forward": history.RuleNoDoubleEffect,
+		"lost-answer":    history.RuleNoRequestLost, "drain-ignored": history.RuleDrainsRespected,
+		"cold-push": history.RuleWarmupBudget,
 	} {
 		t.Run(fault, func(t *testing.T) {
 			t.Parallel()
-			r := play(t, "round-robin", fault)
-			assert.Equal(t, []ledger.Rule{rule}, broken(r), r.Breaches)
-			for _, b := range r.Breaches {
+			r := playPolicy(t, "round-robin", fault)
+			assert.Equal(t, []history.Rule{rule}, brokenRules(r), r.Violations)
+			for _, b := range r.Violations {
 				assert.NotEmpty(t, b.ID, "the invocation is named")
 				if fault == "double-forward" {
 					assert.Equal(t, "once", b.Operation)
@@ -156,8 +156,8 @@
 	for _, policy := range []string{experiment.Canvasroute, "round-robin", "least-outstanding", "random"} {
 		t.Run(policy, func(t *testing.T) {
 			t.Parallel()
-			r := play(t, policy, "")
-			assert.Empty(t, r.Breaches)
+			r := playPolicy(t, policy, "")
+			assert.Empty(t, r.Violations)
 			assert.Greater(t, r.Calls.Total.Answers["succeeded"], r.Calls.Total.Calls*8/10)
 		})
 	}
@@ -169,25 +169,25 @@
 	for name, peers := range map[string]string{"told": "", "lossy": "peer-loss = 0.5\n", "untold": "peers = false\n"} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			text := fmt.Sprintf(short, experiment.Canvasroute, "")
+			text := fmt.Sprintf(shortExperiment, experiment.Canvasroute, "")
 			r := playFile(t, strings.Replace(text, "count = 2\n", "count = 2\ncores = 3\n"+peers, 1))
-			assert.Empty(t, r.Breaches)
+			assert.Empty(t, r.Violations)
 			assert.Greater(t, r.Calls.Total.Answers["succeeded"], r.Calls.Total.Calls*8/10)
 		})
 	}
 }
 
-// lab starts canvaslab as a process of its own.
-func lab(t *testing.T, args ...string) (*exec.Cmd, *bytes.Buffer) {
+// testbed starts the program as a process of its own.
+func testbed(t *testing.T, args ...string) (*exec.Cmd, *bytes.Buffer) {
 	self, err := os.Executable()
 	assert.NoError(t, err)
 	out := &bytes.Buffer{}
-	cmd := exec.Command(self, append([]string{"lab"}, args...)...)
+	cmd := exec.Command(self, append([]string{"testbed"}, args...)...)
 	cmd.Stdout, cmd.Stderr = out, out
 	return cmd, out
 }
 
-func exit(t *testing.T, err error) int {
+func exitStatus(t *testing.T, err error) int {
 	var ended *exec.ExitError
 	if errors.As(err, &ended) {
 		return ended.ExitCode()
@@ -199,7 +199,7 @@
 func TestInterruptLeavesNoProcessAndAReadablePartialResult(t *testing.T) {
 	t.Parallel()
 	folder, self := filepath.Join(t.TempDir(), "out"), os.Args[0]
-	cmd, out := lab(t, "demo", "-q", "-o", folder, "--dispatcher", self)
+	cmd, out := testbed(t, "demo", "-q", "-o", folder, "--dispatcher", self)
 	assert.NoError(t, cmd.Start())
 	var listen string
 	assert.Eventually(t, func() bool {
@@ -217,14 +217,14 @@
 	}, 10*time.Second, 10*time.Millisecond)
 	time.Sleep(1500 * time.Millisecond)
 	assert.NoError(t, cmd.Process.Signal(syscall.SIGINT))
-	assert.Equal(t, exitSignal, exit(t, cmd.Wait()), out)
+	assert.Equal(t, exitSignal, exitStatus(t, cmd.Wait()), out)
 	_, err := net.Dial("tcp", listen)
 	assert.ErrorIs(t, err, syscall.ECONNREFUSED)
 	r, err := experiment.ReadResult(folder)
 	assert.NoError(t, err)
 	assert.True(t, r.Partial)
 	assert.Positive(t, r.Calls.Total.Answers["succeeded"])
-	assert.Empty(t, r.Breaches)
+	assert.Empty(t, r.Violations)
 	assert.FileExists(t, filepath.Join(folder, "report.html"))
 }
 
@@ -232,7 +232,7 @@
 	t.Parallel()
 	file := filepath.Join(t.TempDir(), "x.toml")
 	write := func(text string) { assert.NoError(t, os.WriteFile(file, []byte(text), 0o600)) }
-	good := fmt.Sprintf(short, experiment.Canvasroute, "")
+	good := fmt.Sprintf(shortExperiment, experiment.Canvasroute, "")
 	for _, c := range []struct {
 		text, want string
 		args       []string
@@ -250,16 +250,16 @@
 		{"", "no such file", []string{"check", file + "x"}, 2},
 	} {
 		write(c.text)
-		cmd, out := lab(t, c.args...)
-		assert.Equal(t, c.code, exit(t, cmd.Run()), c.want)
+		cmd, out := testbed(t, c.args...)
+		assert.Equal(t, c.code, exitStatus(t, cmd.Run()), c.want)
 		assert.Contains(t, out.String(), c.want)
 	}
 }
 
 // Two processes of each dispatcher, and operators' work meanwhile, are judged as one dispatcher; its own
-// figures agree with what clients saw, which the lab checks where there was one process.
+// figures agree with what clients saw, which the testbed checks where there was one process.
 func TestOperatorsWorkUnderLoadBreaksNoRule(t *testing.T) {
-	r := playFile(t, fmt.Sprintf(short, "canvasroute", "")+`[[trouble]]
+	r := playFile(t, fmt.Sprintf(shortExperiment, "canvasroute", "")+`[[trouble]]
 kind = "upgrade"
 at = "500ms"
 gap = "700ms"
@@ -278,8 +278,8 @@
 for = "2s"
 connections = 40
 `)
-	assert.Empty(t, r.Breaches)
-	assert.Equal(t, 2, r.Dispatchers[0].Lives)
+	assert.Empty(t, r.Violations)
+	assert.Equal(t, 2, r.Dispatchers[0].Incarnations)
 	assert.Greater(t, float64(r.Calls.Total.Answers["succeeded"]), 0.95*float64(r.Planned))
 }
 
--- /dev/null
+++ b/internal/testbed/fault/timeline_test.go
@@ -0,0 +1,112 @@
+package fault
+
+import (
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+
+	"canvasroute/internal/testbed/unit"
+)
+
+var topology = Topology{
+	Workers: 6, Zones: []string{"north", "south"}, WorkerZones: []int{0, 1, 0, 1, 0, 1},
+	Dispatchers: 3,
+	Tenants:     []string{"uni", "polit"},
+}
+
+const sec = unit.Duration(time.Second)
+
+func TestTimelineIsDeterministicForASeed(t *testing.T) {
+	specs := []Spec{
+		{Kind: "crash", At: 2 * sec, For: 3 * sec, Workers: 2},
+		{Kind: "neighbour", At: sec, For: 4 * sec, Every: 2 * sec, Width: sec, Workers: 1, Share: 0.25},
+		{Kind: "rolling-restart", At: 3 * sec},
+	}
+	one, err := Plan(specs, topology, 4)
+	assert.NoError(t, err)
+	again, err := Plan(specs, topology, 4)
+	assert.NoError(t, err)
+	assert.Equal(t, one, again)
+	differs := false
+	for seed := range uint64(20) {
+		other, err := Plan(specs, topology, seed)
+		assert.NoError(t, err)
+		differs = differs || !assert.ObjectsAreEqual(one.Actions, other.Actions)
+	}
+	assert.True(t, differs, "another seed picks other workers")
+	crash, restart := find(one, WorkerCrash)[0], find(one, WorkerRestart)[0]
+	assert.Equal(t, crash.Targets, restart.Targets)
+	assert.Len(t, crash.Targets, 2)
+	assert.Equal(t, []time.Duration{2 * time.Second, 5 * time.Second}, []time.Duration{crash.At, restart.At})
+	speeds := find(one, WorkerSpeed)
+	assert.Equal(t, []float64{0.75, 1, 0.75, 1}, []float64{
+		speeds[0].Value, speeds[1].Value, speeds[2].Value,
+		speeds[3].Value,
+	})
+	restarts := find(one, DispatcherRestart)
+	assert.Equal(t, defaultGap, restarts[1].At-restarts[0].At)
+	assert.Len(t, restarts, 3)
+}
+
+func find(t *Timeline, kind ActionKind) (out []Action) {
+	for _, a := range t.Actions {
+		if a.Kind == kind {
+			out = append(out, a)
+		}
+	}
+	return out
+}
+
+func TestZoneCutAffectsItsWorkers(t *testing.T) {
+	timeline, err := Plan([]Spec{{Kind: "zone-cut", Zone: "south", For: sec}}, topology, 1)
+	assert.NoError(t, err)
+	assert.Equal(t, []int{1, 3, 5}, timeline.Actions[0].Targets)
+}
+
+func TestFloodIsExtraLoadOfOneTenant(t *testing.T) {
+	timeline, err := Plan([]Spec{{Kind: "flood", At: sec, For: sec, Tenant: "polit", Factor: 10}}, topology, 1)
+	assert.NoError(t, err)
+	assert.Equal(t, 1, timeline.ExtraLoads[0].Tenant)
+	assert.Equal(t, 9.0, timeline.ExtraLoads[0].Factor)
+	assert.Empty(t, timeline.Actions)
+}
+
+func TestInvalidFaultsAreRejectedByKey(t *testing.T) {
+	for want, s := range map[string]Spec{
+		`trouble[1].kind: "flu"`:      {Kind: "flu"},
+		"trouble[1].workers: 7":       {Kind: "crash", Workers: 7},
+		"trouble[1].for:":             {Kind: "pause", Workers: 1},
+		"trouble[1].factor:":          {Kind: "slow", Workers: 1, Factor: 1, For: sec},
+		`trouble[1].zone: "west"`:     {Kind: "zone-cut", Zone: "west", For: sec},
+		"trouble[1].dispatchers: 4":   {Kind: "dispatcher-kill", Dispatchers: 4},
+		`trouble[1].customer: "none"`: {Kind: "flood", Tenant: "none", Factor: 2, For: sec},
+		"trouble[1].every:": {
+			Kind: "neighbour", Workers: 1, Share: 0.5, Every: sec, Width: sec,
+			For: sec,
+		},
+	} {
+		t.Run(want, func(t *testing.T) {
+			_, err := Plan([]Spec{{Kind: "list-outage", For: sec}, s}, topology, 1)
+			assert.ErrorContains(t, err, want)
+		})
+	}
+}
+
+func TestOperatorActionsAffectDispatchersAndClients(t *testing.T) {
+	timeline, err := Plan([]Spec{
+		{Kind: "upgrade", At: sec},
+		{Kind: "leave", At: sec, For: sec, Dispatchers: 2},
+		{Kind: "new-settings", At: sec, For: sec, MaxAttempts: 1},
+		{Kind: "silent-clients", For: sec, Connections: 7},
+	}, topology, 1)
+	assert.NoError(t, err)
+	assert.Len(t, find(timeline, DispatcherUpgrade), 3, "in turn")
+	assert.Equal(t, find(timeline, DispatcherLeave)[0].Targets, find(timeline, DispatcherJoin)[0].Targets)
+	settings := find(timeline, DispatcherReconfigure)
+	assert.Equal(t, []any{1.0, 0.0, 3}, []any{settings[0].Value, settings[1].Value, len(settings[0].Targets)})
+	silent := find(timeline, ClientsIdle)[0]
+	assert.Equal(t, []any{7.0, time.Second}, []any{silent.Value, silent.Duration})
+	_, err = Plan([]Spec{{Kind: "silent-clients", For: sec}}, topology, 1)
+	assert.ErrorContains(t, err, "trouble[0].connections: 0, must be from 1")
+}
--- /dev/null
+++ b/internal/testbed/history/history.go
@@ -0,0 +1,223 @@
+// Package history records what happened in an experiment and checks the four rules against that record. It does no
+// I/O: the stand-ins and the load generator report what they did and observed, with times since the start of the
+// experiment. Nothing that a dispatcher reports about itself is used, as a faulty dispatcher may be wrong about that too.
+package history
+
+import (
+	"sync"
+	"time"
+)
+
+// Outcome is how a client's request ended.
+type Outcome uint8
+
+// The values of Kind.
+const (
+	Pending Outcome = iota
+	Succeeded
+	Throttled
+	Errored
+	Unanswered  // the client's timeout expired
+	Broken      // the connection ended without a complete answer
+	Unreachable // no dispatcher accepted the connection
+	Interrupted // the experiment ended before
+	Unsent      // the load generator was at its limit of open calls
+)
+
+// OutcomeNames are the names of outcomes in results.
+var OutcomeNames = [...]string{
+	Pending: "open", Succeeded: "succeeded", Throttled: "throttled", Errored: "errored",
+	Unanswered: "unanswered", Broken: "broken", Unreachable: "unreachable", Interrupted: "interrupted",
+	Unsent: "unsent",
+}
+
+// AttemptEnd is how an attempt ended at its worker.
+type AttemptEnd uint8
+
+// The values of End.
+const (
+	Running       AttemptEnd = iota // queued or running
+	Done                            // the worker wrote its result
+	Failed                          // the worker wrote that it failed
+	Returned                        // the worker wrote that it was never started
+	Abandoned                       // the dispatcher cancelled it
+	Crashed                         // the worker's process ended under it
+	NeverReported                   // it ran, but the worker was muted and reported nothing
+	Deduplicated                    // not run: the worker answered with the result of an earlier attempt under the same key
+)
+
+// Attempt is one message of a dispatcher that a worker received completely.
+type Attempt struct {
+	Dispatcher, Worker      int
+	Incarnation             int           // of the worker's process, from 0
+	FirstByteAt, ReceivedAt time.Duration // arrival of its first and last byte
+	StartedAt, EndedAt      time.Duration // 0 if it has not
+	End                     AttemptEnd
+	Result                  string
+}
+
+// provenUnstarted reports whether by then the dispatcher had proof that the attempt did not run.
+func (f *Attempt) provenUnstarted(by time.Duration) bool { return f.End == Returned && f.EndedAt <= by }
+
+// Request is one message of a client. A retry is another request, with an ID of its own.
+type Request struct {
+	Key                       uint64 // valid if HasKey
+	HasKey, MarkedRetry       bool
+	ID                        string
+	Operation, Dispatcher     int
+	SentAt, Deadline, EndedAt time.Duration // SentAt: its last byte; 0 if it was never sent
+	Outcome                   Outcome
+	Status                    int
+	Result                    string
+	Attempts                  []*Attempt
+	ResentAt                  time.Duration // when it was sent again because an idle connection had ended; 0 if never
+}
+
+// Notification is a worker's state as the list service wrote it to one dispatcher.
+type Notification struct {
+	Dispatcher, Worker int
+	Ready              bool
+	At                 time.Duration
+}
+
+// Overload is the crash of a warming-up worker that was sent more work than its budget.
+type Overload struct {
+	Worker, Dispatcher int
+	ID                 string
+	At                 time.Duration
+	SentWork, Budget   time.Duration // core time sent within the span, and allowed within it
+	RecentJobs         string        // the largest recent jobs, for reports
+}
+
+// Outage is a time in which a dispatcher's process was down or paused.
+type Outage struct {
+	Dispatcher int
+	Planned    bool // it was asked to end and drains first, so the requests that it had accepted must be answered
+	From, To   time.Duration
+}
+
+// Log takes records from many goroutines.
+type Log struct {
+	mu            sync.Mutex
+	requests      []*Request
+	byID          map[string]*Request
+	unknown       []Violation
+	notifications []Notification
+	overloads     []Overload
+	outages       []Outage
+}
+
+// New makes an empty ledger.
+func New() *Log { return &Log{byID: map[string]*Request{}} }
+
+// RequestOpened records a client's request before its first byte is sent. The client gives up at the deadline.
+func (l *Log) RequestOpened(id string, operation, dispatcher int, deadline time.Duration) *Request {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	request := &Request{ID: id, Operation: operation, Dispatcher: dispatcher, Deadline: deadline}
+	l.byID[id] = request
+	l.requests = append(l.requests, request)
+	return request
+}
+
+// SetKey records a request's idempotency key, and whether the client marks the request as a retry.
+func (l *Log) SetKey(request *Request, key uint64, markedRetry bool) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	request.Key, request.HasKey, request.MarkedRetry = key, true, markedRetry
+}
+
+// RequestSent records that a request's last byte has been written.
+func (l *Log) RequestSent(request *Request, at time.Duration) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	request.SentAt = at
+}
+
+// RequestResent records that a request is sent again because its idle connection ended before any answer: from the
+// client's view the end of the connection crossed the request, and nobody has read it.
+func (l *Log) RequestResent(request *Request, at time.Duration) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	request.SentAt, request.ResentAt = 0, at
+}
+
+// RequestEnded records a request's outcome.
+func (l *Log) RequestEnded(request *Request, outcome Outcome, status int, result string, at time.Duration) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	request.Outcome, request.Status, request.Result, request.EndedAt = outcome, status, result, at
+}
+
+// AttemptReceived records an attempt that a worker has received completely. One whose ID no client has used violates
+// a rule.
+func (l *Log) AttemptReceived(id string, attempt Attempt) *Attempt {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	request := l.byID[id]
+	if request == nil {
+		l.unknown = append(l.unknown, Violation{
+			Rule: RuleNoRequestLost, ID: id, Dispatcher: attempt.Dispatcher,
+			Worker: attempt.Worker, At: attempt.ReceivedAt, Description: "attempt with an ID that no client sent",
+		})
+		return &attempt
+	}
+	request.Attempts = append(request.Attempts, &attempt)
+	return &attempt
+}
+
+// AttemptStarted records that an attempt has started to run.
+func (l *Log) AttemptStarted(attempt *Attempt, at time.Duration) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	attempt.StartedAt = at
+}
+
+// AttemptEnded records the end of an attempt. Only the first end counts.
+func (l *Log) AttemptEnded(attempt *Attempt, end AttemptEnd, result string, at time.Duration) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if attempt.End == Running {
+		attempt.End, attempt.Result, attempt.EndedAt = end, result, at
+	}
+}
+
+// WorkerListed records a worker's state as written to a dispatcher.
+func (l *Log) WorkerListed(n Notification) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.notifications = append(l.notifications, n)
+}
+
+// WorkerOverloaded records the crash of a warming-up worker.
+func (l *Log) WorkerOverloaded(f Overload) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.overloads = append(l.overloads, f)
+}
+
+// AddOutage records an outage that is over, or that lasts to the end of the experiment.
+func (l *Log) AddOutage(o Outage) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.outages = append(l.outages, o)
+}
+
+// Requests returns all requests, for reports. It may be called only once nothing is recorded any more.
+func (l *Log) Requests() []*Request {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.requests
+}
+
+// AttemptEnds returns how a request's attempts ended, in the order of their arrival.
+func (l *Log) AttemptEnds(id string) (ends []AttemptEnd) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if t := l.byID[id]; t != nil {
+		for _, f := range t.Attempts {
+			ends = append(ends, f.End)
+		}
+	}
+	return ends
+}
--- a/internal/lab/worker/server_test.go
+++ b/internal/testbed/worker/server_test.go
@@ -14,18 +14,19 @@
 
 	"github.com/stretchr/testify/assert"
 
-	"canvasroute/internal/lab/ledger"
+	"canvasroute/internal/testbed/history"
 )
 
-// oneWorker is a worker of two cores and a queue of one, before one dispatcher.
-func oneWorker(t *testing.T, terms Terms) (*Server, *ledger.Ledger) {
-	began, l := time.Now(), ledger.New()
-	terms.Idle = 5 * time.Second
-	f := NewFleet(terms, []Deduplication{{}, {Scope: "zone", Window: 10 * sec}}, l,
-		func() time.Duration { return time.Since(began) }, nil)
+// startWorker starts a worker of two cores and a queue of one, for one dispatcher.
+func startWorker(t *testing.T, config Config) (*Server, *history.Log) {
+	t.Helper()
+	startedAt, l := time.Now(), history.New()
+	config.IdleTimeout = 5 * time.Second
+	f := NewFleet(config, []Deduplication{{}, {Scope: "zone", Window: 10 * sec}}, l,
+		func() time.Duration { return time.Since(startedAt) }, nil)
 	s := f.Add("w0", twoCores, 0, 0, 1)
 	assert.NoError(t, s.Start(true))
-	t.Cleanup(f.Wait)
+	t.Cleanup(f.Close)
 	return s, l
 }
 
@@ -37,6 +38,7 @@
 }
 
 func connect(t *testing.T, s *Server) *client {
+	t.Helper()
 	c, err := net.Dial("tcp", s.Addresses()[0])
 	assert.NoError(t, err)
 	c.SetDeadline(time.Now().Add(10 * time.Second))
@@ -44,9 +46,9 @@
 	return &client{c, bufio.NewReader(c), t}
 }
 
-func (c *client) send(l *ledger.Ledger, id string, work time.Duration) {
+func (c *client) send(l *history.Log, id string, work time.Duration) {
 	if l != nil {
-		l.Tried(id, 0, 0, 0)
+		l.RequestOpened(id, 0, 0, 0)
 	}
 	body := fmt.Sprintf(`{"operation":0,"work_us":%d}`, work.Microseconds())
 	_, err := fmt.Fprintf(c, "POST /api HTTP/1.1\r\nHost: x\r\nReq-Id: %s\r\nContent-Length: %d\r\n\r\n%s",
@@ -64,24 +66,25 @@
 	return r.StatusCode, string(b), err
 }
 
-func ended(l *ledger.Ledger, id string, how ledger.End) func() bool {
-	return func() bool { return assert.ObjectsAreEqual([]ledger.End{how}, l.Ends(id)) }
+func ended(l *history.Log, id string, how history.AttemptEnd) func() bool {
+	return func() bool { return assert.ObjectsAreEqual([]history.AttemptEnd{how}, l.AttemptEnds(id)) }
 }
 
-// held is how many jobs the worker has.
-func held(s *Server) int {
+// jobs returns the number of running and queued jobs.
+func jobs(s *Server) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	running, queued := s.life.machine.Load()
+	running, queued := s.current.machine.Load()
 	return running + queued
 }
 
-func eventually(t *testing.T, what func() bool) {
-	assert.Eventually(t, what, 5*time.Second, time.Millisecond)
+func eventually(t *testing.T, condition func() bool) {
+	t.Helper()
+	assert.Eventually(t, condition, 5*time.Second, time.Millisecond)
 }
 
-func TestWorkerTellsStartProgressAndResultAndKeepsTheConnection(t *testing.T) {
-	s, l := oneWorker(t, Terms{StartNotes: true, Progress: true})
+func TestWorkerWritesStartProgressAndResultOnAReusableConnection(t *testing.T) {
+	s, l := startWorker(t, Config{StartNotes: true, Progress: true})
 	c := connect(t, s)
 	for n := range 2 {
 		id := fmt.Sprint("a", n)
@@ -97,18 +100,18 @@
 		assert.Equal(t, []string{"started", "running", "done"}, states)
 		assert.Contains(t, text, `"result":"`+id+` by w0.0"`)
 	}
-	f := l.Tries()[1].Forwards[0]
-	assert.Equal(t, ledger.Done, f.End)
-	assert.GreaterOrEqual(t, f.Ended-f.Started, 20*time.Millisecond)
+	f := l.Requests()[1].Attempts[0]
+	assert.Equal(t, history.Done, f.End)
+	assert.GreaterOrEqual(t, f.EndedAt-f.StartedAt, 20*time.Millisecond)
 }
 
-func TestFullWorkerDeclinesAndDrainHandsBackWhatWaits(t *testing.T) {
-	s, l := oneWorker(t, Terms{})
+func TestFullWorkerDeclinesAndDrainReturnsWaitingJobs(t *testing.T) {
+	s, l := startWorker(t, Config{})
 	conns := []*client{connect(t, s), connect(t, s), connect(t, s), connect(t, s)}
 	for n, c := range conns[:3] {
 		c.send(l, fmt.Sprint("a", n), 300*time.Millisecond)
 	}
-	eventually(t, func() bool { return held(s) == 3 })
+	eventually(t, func() bool { return jobs(s) == 3 })
 	conns[3].send(l, "a3", time.Second)
 	status, _, err := conns[3].read()
 	assert.NoError(t, err)
@@ -124,8 +127,8 @@
 	assert.Equal(t, []int{1, 2}, []int{returned, done})
 }
 
-func TestCrashResetsConnectionsAndRefusesNewOnesUntilTheReturn(t *testing.T) {
-	s, l := oneWorker(t, Terms{StartNotes: true})
+func TestCrashResetsConnectionsAndRefusesNewOnesUntilTheRestart(t *testing.T) {
+	s, l := startWorker(t, Config{StartNotes: true})
 	c, address := connect(t, s), s.Addresses()[0]
 	c.send(l, "a", time.Minute)
 	_, err := c.in.Peek(1)
@@ -135,19 +138,19 @@
 	assert.True(t, errors.Is(err, syscall.ECONNRESET), err)
 	_, err = net.Dial("tcp", address)
 	assert.True(t, errors.Is(err, syscall.ECONNREFUSED), err)
-	assert.Equal(t, []ledger.End{ledger.Crashed}, l.Ends("a"))
+	assert.Equal(t, []history.AttemptEnd{history.Crashed}, l.AttemptEnds("a"))
 	assert.NoError(t, s.Start(false))
 	assert.Equal(t, address, s.Addresses()[0])
 	c = connect(t, s)
 	c.send(l, "b", time.Millisecond)
 	_, text, err := c.read()
 	assert.NoError(t, err)
-	assert.Contains(t, text, "b by w0.1", "its second life")
+	assert.Contains(t, text, "b by w0.1", "the second incarnation")
 }
 
-// Guards against a restart that fails, or answers nobody, since another program has taken the port meanwhile.
-func TestReturnGoesElsewhereWhereThePortIsTaken(t *testing.T) {
-	s, _ := oneWorker(t, Terms{})
+// Another program may take the port while the worker is down.
+func TestRestartUsesAnotherPortIfItsOwnIsTaken(t *testing.T) {
+	s, _ := startWorker(t, Config{})
 	address := s.Addresses()[0]
 	s.Crash()
 	ln, err := net.Listen("tcp", address)
@@ -157,36 +160,36 @@
 	assert.NotEqual(t, address, s.Addresses()[0])
 }
 
-func TestForwardThatIsGivenUpStopsItsWork(t *testing.T) {
-	s, l := oneWorker(t, Terms{})
+func TestCancelledAttemptStopsItsJob(t *testing.T) {
+	s, l := startWorker(t, Config{})
 	c := connect(t, s)
 	c.send(l, "a", time.Minute)
 	_, err := c.in.Peek(1)
 	assert.NoError(t, err)
 	c.Close()
-	eventually(t, ended(l, "a", ledger.Abandoned))
-	eventually(t, func() bool { return held(s) == 0 })
+	eventually(t, ended(l, "a", history.Abandoned))
+	eventually(t, func() bool { return jobs(s) == 0 })
 }
 
-func TestSilentWorkerRunsAndSaysNothingMore(t *testing.T) {
-	s, l := oneWorker(t, Terms{StartNotes: true})
-	s.Silence(true)
+func TestMutedWorkerRunsJobsWithoutReporting(t *testing.T) {
+	s, l := startWorker(t, Config{StartNotes: true})
+	s.Mute(true)
 	c := connect(t, s)
 	c.send(l, "a", 5*time.Millisecond)
-	eventually(t, ended(l, "a", ledger.Swallowed))
+	eventually(t, ended(l, "a", history.NeverReported))
 	c.SetDeadline(time.Now().Add(50 * time.Millisecond))
 	_, text, err := c.read()
 	assert.Error(t, err)
 	assert.NotContains(t, text, "done")
 }
 
-func TestMachineThatIsCutOffIsSilentAndTakesNoConnection(t *testing.T) {
-	s, l := oneWorker(t, Terms{})
+func TestPartitionedWorkerIsSilentAndAcceptsNoConnection(t *testing.T) {
+	s, l := startWorker(t, Config{})
 	c := connect(t, s)
 	c.send(l, "a", time.Millisecond)
 	_, _, err := c.read()
 	assert.NoError(t, err)
-	s.Cut(true)
+	s.Partition(true)
 	eventually(t, func() bool {
 		late, err := net.DialTimeout("tcp", s.Addresses()[0], 50*time.Millisecond)
 		if err == nil {
@@ -198,7 +201,7 @@
 	c.SetDeadline(time.Now().Add(50 * time.Millisecond))
 	_, err = c.in.Peek(1)
 	assert.Error(t, err)
-	s.Cut(false)
+	s.Partition(false)
 	c.SetDeadline(time.Now().Add(5 * time.Second))
 	_, text, err := c.read()
 	assert.NoError(t, err)
@@ -209,8 +212,8 @@
 	assert.NoError(t, err)
 }
 
-func TestMessagesThatAWorkerCannotUse(t *testing.T) {
-	s, l := oneWorker(t, Terms{})
+func TestInvalidMessagesAreRejected(t *testing.T) {
+	s, l := startWorker(t, Config{})
 	c := connect(t, s)
 	for text, want := range map[string]int{
 		"GET /_load HTTP/1.1\r\nHost: x\r\n\r\n":                                    404,
@@ -223,7 +226,7 @@
 		assert.NoError(t, err)
 		assert.Equal(t, want, status, text)
 	}
-	breaches := l.Judge(ledger.Terms{})
+	breaches := l.Check(history.RuleConfig{})
 	assert.Len(t, breaches, 1, "an id that no client sent")
 	assert.Equal(t, "z", breaches[0].ID)
 }
