--- a/internal/transport/client_limits.go
+++ b/internal/transport/client_limits.go
@@ -103,7 +103,7 @@
 }
 
 // acquire gives a new connection a slot, evicting another one if need be. overLimit is true where none could be
-// evicted: the connection may only be told so.
+// evicted: the connection only gets a response that says so.
 func (l *clientLimiter) acquire(c *Conn) (overLimit bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/transport/client_limits_test.go
+++ b/internal/transport/client_limits_test.go
@@ -12,7 +12,7 @@
 	"canvasroute/internal/lifecycle"
 )
 
-// A connection that were counted or ranked by an earlier state would make the limit wrong for good, or be evicted
+// A connection counted or ranked by an earlier state would make the limit wrong for good, or be evicted
 // although it is owed a response.
 func TestLimiterStaysConsistentUnderRandomOperations(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -30,8 +30,8 @@
 	Discovery PeerRole = "list"
 )
 
-// Conn is one connection with its buffers and deadlines. One goroutine at a time may use it, but for Interrupt,
-// Interrupted and CloseFor.
+// Conn is one connection with its buffers and deadlines. One goroutine at a time may use it; only Interrupt and
+// Interrupted may be called by others. While WatchForClose watches, nothing else may read or write.
 type Conn struct {
 	nc                net.Conn
 	stream            byteStream
--- a/internal/transport/exchange_test.go
+++ b/internal/transport/exchange_test.go
@@ -86,7 +86,7 @@
 	assert.Equal(t, []any{200, "ab"}, []any{response.status, response.body})
 }
 
-// It can't be probed by interim responses, so nothing tells its half-close from a close.
+// It can't be probed by interim responses, so nothing distinguishes its half-close from a close.
 func TestHalfCloseByAnHTTP10ClientCancelsItsRequest(t *testing.T) {
 	s, handler, _ := startServer(t, 4)
 	c, _ := connect(t, s)
--- a/internal/transport/lingering_close_test.go
+++ b/internal/transport/lingering_close_test.go
@@ -47,7 +47,7 @@
 	assert.Len(t, readResponse(t, r).body, len(body))
 }
 
-// What a client sends after the half-close is dropped: a request that were served then would get no response.
+// What a client sends after the half-close is dropped: a request served then would get no response.
 func TestRequestAfterTheHalfCloseIsNotServed(t *testing.T) {
 	s, handler, _, _ := startGatedServer(t)
 	c, r := connect(t, s)
--- a/internal/transport/pool.go
+++ b/internal/transport/pool.go
@@ -12,14 +12,14 @@
 )
 
 const (
-	// idleDivisor of the workers' idle timeout is how long the pool keeps an idle connection. A worker may close one
-	// sooner than it says, and whether it has processed what was then written to it can't be known.
+	// idleDivisor divides the workers' idle timeout into the time that the pool keeps an idle connection. A worker may
+	// close one sooner than configured, and whether it has processed a message that was then sent can't be known.
 	idleDivisor = 4
 
 	// SettleTime is how long after a response a second one may still come.
 	SettleTime = 50 * time.Millisecond
 
-	expiryChecksPerIdle = 16 // how often Run looks for expired connections in the time that one may be idle
+	expiryChecksPerIdle = 16 // checks for expired connections in the time that one may be idle
 	minExpiryInterval   = 10 * time.Millisecond
 )
 
--- a/internal/transport/pool_stale.go
+++ b/internal/transport/pool_stale.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// suspectFactor of the workers' idle timeout is how long reused connections are suspect after a worker, or what stands
-// between, closed one that the pool would have kept.
+// suspectFactor times the workers' idle timeout is how long reused connections are suspect after a worker, or a proxy
+// before it, has closed one that the pool would have kept.
 const suspectFactor = 6
 
 // suspectReuse makes reused connections suspect for a while. It is called under the lock.
