--- a/internal/daemon/handover.go
+++ b/internal/daemon/handover.go
@@ -302,7 +302,12 @@
 		}
 		finish = func(context.Context) *protocol.Response { return &protocol.Response{Status: 502} } // it may have run
 	}
-	h.server.Import(client, open.Pipelined, open.CloseRequested, open.AcceptsInterim, finish)
+	h.server.Import(transport.MigratedClient{
+		Conn:           client,
+		Pipelined:      open.Pipelined,
+		CloseRequested: open.CloseRequested,
+		AcceptsInterim: open.AcceptsInterim,
+	}, finish)
 }
 
 func (h *handover) serving() *hotrestart.Link {
--- a/internal/transport/migration.go
+++ b/internal/transport/migration.go
@@ -23,7 +23,7 @@
 // Detach takes the client's connection that a request came on out of this process: it ends the watch for the client
 // closing it, and returns its socket with the data that came after the request. ctx is that of Handler.Serve; ok is
 // false for another one. Serve has to return protocol.Migrated then.
-func Detach(ctx context.Context) (socket syscall.Conn, early []byte, ok bool) {
+func Detach(ctx context.Context) (socket syscall.Conn, pipelined []byte, ok bool) {
 	c, ok := ctx.Value(clientConnKey{}).(*Conn)
 	if !ok || c.Socket() == nil {
 		return nil, nil, false
@@ -32,20 +32,25 @@
 	return c.Socket(), append([]byte(nil), c.readBuf.Bytes()...), true
 }
 
-// Import continues with a client's connection that the predecessor detached. finish returns the response to the request
-// that is under way on it, and early is read next. closeRequested says that the client announced this request as its
-// last, acceptsInterim that it understands interim responses.
-func (s *Server) Import(nc net.Conn, early []byte, closeRequested, acceptsInterim bool,
-	finish func(context.Context) *protocol.Response,
-) {
-	c := newConn(nc, Client, nc.RemoteAddr().String(), s.log, nil)
-	c.stream.replay = early
-	c.acceptsInterim = acceptsInterim
+// MigratedClient is a client's connection that the predecessor detached, with what it had read of it.
+type MigratedClient struct {
+	Conn           net.Conn
+	Pipelined      []byte // the data that came after the request; it is read next
+	CloseRequested bool   // the client announced this request as its last
+	AcceptsInterim bool   // the client understands interim responses
+}
+
+// Import continues with a client's connection of the predecessor. finish returns the response to the request that is
+// under way on it.
+func (s *Server) Import(client MigratedClient, finish func(context.Context) *protocol.Response) {
+	c := newConn(client.Conn, Client, client.Conn.RemoteAddr().String(), s.log, nil)
+	c.stream.replay = client.Pipelined
+	c.acceptsInterim = client.AcceptsInterim
 	s.clients.acquire(c)
 	s.clients.markServing(c)
 	s.clients.markUseful(c)
 	s.conns.Go(func() error {
-		reason, err := s.serveAndRespond(c, closeRequested, finish)
+		reason, err := s.serveAndRespond(c, client.CloseRequested, finish)
 		if reason != "" {
 			c.CloseFor(reason, err)
 		} else {
