--- a/internal/protocol/head_parser.go
+++ b/internal/protocol/head_parser.go
@@ -37,8 +37,8 @@
 	if used == 0 || err != nil {
 		return h, used, err
 	}
-	version, rest, _ := strings.Cut(startLine, " ")
-	status, _, _ := strings.Cut(rest, " ")
+	version, statusAndReason, _ := strings.Cut(startLine, " ")
+	status, _, _ := strings.Cut(statusAndReason, " ")
 	h.Status, err = strconv.Atoi(status)
 	if err != nil || len(status) != 3 || h.Status < 100 {
 		return h, used, fmt.Errorf("%w: status line %.80q", ErrMalformed, startLine)
--- a/internal/protocol/load_report.go
+++ b/internal/protocol/load_report.go
@@ -5,30 +5,30 @@
 // ParseLoad parses a worker's load report: a JSON array of the values in the order of names, or an object with the
 // names as keys. One in which a value is missing is ErrMalformed.
 func ParseLoad(b []byte, names []string) ([]float64, error) {
-	s := scanner{input: b}
+	scan := scanner{input: b}
 	values := make([]float64, len(names))
 	found := 0
-	if s.peek() == '[' {
-		s.array(func() {
-			value := s.number()
+	if scan.peek() == '[' {
+		scan.array(func() {
+			value := scan.number()
 			if found < len(values) {
 				values[found] = value
 			}
 			found++
 		})
 	} else {
-		s.object(func(key string) {
+		scan.object(func(key string) {
 			for n, name := range names {
 				if key == name {
-					values[n] = s.number()
+					values[n] = scan.number()
 					found++
 					return
 				}
 			}
-			s.skip()
+			scan.skip()
 		})
 	}
-	if err := s.finish(); err != nil {
+	if err := scan.finish(); err != nil {
 		return nil, err
 	}
 	if found != len(names) {
