--- a/internal/daemon/hot_restart_successor.go
+++ b/internal/daemon/hot_restart_successor.go
@@ -14,6 +14,7 @@
 	"canvasroute/internal/hotrestart"
 	"canvasroute/internal/protocol"
 	"canvasroute/internal/proxy"
+	"canvasroute/internal/transport"
 )
 
 // errNoClientSocket is returned for a request that was handed over without its client's connection.
@@ -111,7 +112,13 @@
 		}
 		finish = badGateway
 	}
-	h.server.Import(client, request.Pipelined, request.CloseRequested, request.AcceptsInterim, finish)
+	migrated := transport.MigratedClient{
+		Conn:           client,
+		Pipelined:      request.Pipelined,
+		CloseRequested: request.CloseRequested,
+		AcceptsInterim: request.AcceptsInterim,
+	}
+	h.server.Import(migrated, finish)
 }
 
 func badGateway(context.Context) *protocol.Response {
