--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -35,39 +35,60 @@
 		return false, err
 	}
 	defer context.AfterFunc(ctx, conn.Interrupt)()
-	body, reason, err := w.open(conn)
-	opened = err == nil
-	if opened {
-		reason, err = w.follow(ctx, conn, body)
+	body, err := w.open(conn)
+	if err != nil {
+		conn.CloseFor(openCloseReason(err), err)
+		return false, err
 	}
+	reason, err := w.follow(ctx, conn, body)
 	conn.CloseFor(reason, err)
-	return opened, err
+	return true, err
+}
+
+// statusError is the error of a poll that was answered with another status than 200.
+type statusError struct {
+	status     int
+	overloaded bool // the poll has waited in the service's queue
 }
 
-// open requests a watch and returns the body that brings its lines; reason goes with an error.
-func (w *Watcher) open(conn *transport.Conn) (body protocol.Body, reason transport.CloseReason, err error) {
+func (e *statusError) Error() string {
+	if e.overloaded {
+		return fmt.Sprintf("discovery: service overloaded: status %d", e.status)
+	}
+	return fmt.Sprintf("discovery: status %d", e.status)
+}
+
+// openCloseReason classifies an error of open.
+func openCloseReason(err error) transport.CloseReason {
+	var refused *statusError
+	if errors.As(err, &refused) {
+		return transport.UnexpectedResponse
+	}
+	return transport.CloseReasonOf(err)
+}
+
+// open requests a watch and returns the body that brings its lines.
+func (w *Watcher) open(conn *transport.Conn) (protocol.Body, error) {
 	began := time.Now()
 	request := protocol.AppendGet(nil, protocol.WatchTarget(w.table.Version()))
 	if err := conn.Send(headTimeout, request); err != nil {
-		return body, transport.CloseReasonOf(err), err
+		return protocol.Body{}, err
 	}
 	conn.SetTimeout(headTimeout)
 	head, err := conn.ReadResponseHead()
 	if err != nil {
-		return body, transport.CloseReasonOf(err), err
+		return protocol.Body{}, err
 	}
-	body, err = protocol.ResponseBody(&head)
+	body, err := protocol.ResponseBody(&head)
 	if err != nil {
-		return body, transport.Malformed, err
+		return protocol.Body{}, err
 	}
-	switch {
-	case head.Status == 503 && time.Since(began) >= overloadedAfter:
-		return body, transport.UnexpectedResponse, fmt.Errorf("%w: status %d", errOverloaded, head.Status)
-	case head.Status != 200:
-		return body, transport.UnexpectedResponse, fmt.Errorf("discovery: status %d", head.Status)
+	if head.Status != 200 {
+		overloaded := head.Status == 503 && time.Since(began) >= overloadedAfter
+		return protocol.Body{}, &statusError{head.Status, overloaded}
 	}
 	conn.SetTimeout(firstLineTimeout - time.Since(began))
-	return body, "", nil
+	return body, nil
 }
 
 // follow applies the lines of a watch until it ends, and returns why to close its connection.
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -23,7 +23,6 @@
 const slowAfter = 700 * time.Millisecond
 
 var (
-	errOverloaded = errors.New("discovery: service overloaded")
 	errMoved      = errors.New("discovery: address changed")
 	errWatchEnded = errors.New("discovery: watch has ended")
 )
@@ -185,8 +184,9 @@
 
 // watchEnd classifies the end of a watch for the balancer, which polls again by it.
 func watchEnd(opened bool, err error) balancer.WatchEnd {
+	var refused *statusError
 	switch {
-	case errors.Is(err, errOverloaded):
+	case errors.As(err, &refused) && refused.overloaded:
 		return balancer.WatchRejected
 	case !opened:
 		return balancer.WatchFailed
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -20,9 +20,9 @@
 )
 
 const (
-	// maxReorder is how much older, in milliseconds, a datagram may be than the last one and count as reordered. One
+	// maxReorderMillis is how much older a datagram may be than the last one and count as reordered. One
 	// that is older still comes from a sender that has restarted or was silent: timestamps have 16 bits.
-	maxReorder = 4000
+	maxReorderMillis = 4000
 	// helloReplyInterval is the least time between two replies to hellos of one peer.
 	helloReplyInterval = time.Second
 )
@@ -208,7 +208,7 @@
 // overtook reports whether a datagram sent at millis is older than the latest one, by no more than reordering explains.
 func (t timestamp) overtook(millis uint16) bool {
 	age := t.millis - millis // modulo 2^16
-	return t.known && age > 0 && age < maxReorder
+	return t.known && age > 0 && age < maxReorderMillis
 }
 
 func millisOf(t time.Time) uint16 { return uint16(t.UnixMilli()) }
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -137,8 +137,8 @@
 		"later":                  {timestamp{5, true}, 6, false},
 		"earlier":                {timestamp{5, true}, 4, true},
 		"earlier, over the wrap": {timestamp{5, true}, 65530, true},
-		"as old as may be":       {timestamp{5000, true}, 5000 - maxReorder + 1, true},
-		"older: a restart":       {timestamp{5000, true}, 5000 - maxReorder, false},
+		"as old as may be":       {timestamp{5000, true}, 5000 - maxReorderMillis + 1, true},
+		"older: a restart":       {timestamp{5000, true}, 5000 - maxReorderMillis, false},
 	} {
 		t.Run(name, func(t *testing.T) { assert.Equal(t, c.want, c.latest.overtook(c.millis)) })
 	}
