--- a/internal/proxy/helpers_test.go
+++ b/internal/proxy/helpers_test.go
@@ -40,7 +40,7 @@
 	declinedText = "HTTP/1.1 503 No\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n"
 )
 
-// startWorker is a worker that calls respond for each attempt, once it has come whole. It returns its address.
+// startWorker is a worker that calls respond for each attempt, once it was received completely. It returns its address.
 func startWorker(t *testing.T, respond func(c net.Conn, r *http.Request)) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -81,7 +81,7 @@
 	}
 }
 
-// startCountingWorker is a worker where attempts succeed, and the number of those that reached it whole.
+// startCountingWorker is a worker where attempts succeed, and the number of those received completely.
 func startCountingWorker(t *testing.T) (address string, attempts *atomic.Int32) {
 	t.Helper()
 	attempts = &atomic.Int32{}
@@ -272,7 +272,7 @@
 func (f *fakeRecovery) Ready() error          { return nil }
 func (f *fakeRecovery) EndpointsReceived()    {}
 func (f *fakeRecovery) EndpointsUnavailable() {}
-func (f *fakeRecovery) Admit(balancer.Arrival) (done func(bool), comeBack time.Duration, ok bool) {
+func (f *fakeRecovery) Admit(balancer.Arrival) (done func(bool), retryAfter time.Duration, ok bool) {
 	return func(bool) {}, 0, true
 }
 
--- a/internal/proxy/recovery.go
+++ b/internal/proxy/recovery.go
@@ -18,12 +18,12 @@
 	EndpointsReceived()
 	// EndpointsUnavailable is called after each poll of the discovery service, or watch on it, that failed.
 	EndpointsUnavailable()
-	// Admit reports whether a request may be admitted yet. done is to be called once it has ended; comeBack is when the
+	// Admit reports whether a request may be admitted yet. done is to be called once it has ended; retryAfter is when the
 	// client of one that is not admitted should retry.
-	Admit(l balancer.Arrival) (done func(succeeded bool), comeBack time.Duration, ok bool)
-	// PriorExecution returns where a request with the same key may have been executed before, nil for nowhere. again is
+	Admit(arrival balancer.Arrival) (done func(succeeded bool), retryAfter time.Duration, ok bool)
+	// PriorExecution returns where a request with the same key may have been executed before, nil for nowhere. isRetry is
 	// its client's mark of a repeat. The error is ErrOutcomeUnknown where that cannot be known.
-	PriorExecution(operation, key string, again bool) (*PriorExecution, error)
+	PriorExecution(operation, key string, isRetry bool) (*PriorExecution, error)
 	// PersistKey returns once it is on disk that a request may be executed at a worker.
 	PersistKey(ctx context.Context, k KeyRecord) error
 }
