--- a/internal/admin/slots.go
+++ b/internal/admin/slots.go
@@ -31,7 +31,7 @@
 // connectionSlots bounds the number of connections. A slot is free again after release.
 type connectionSlots struct {
 	mu        sync.Mutex
-	held      int
+	inUse     int
 	evictable []*connection // in the order of eviction: those answered, then those without a command, the oldest first
 	freed     chan struct{} // a slot may be had: by release or by eviction
 }
@@ -58,7 +58,7 @@
 func (s *connectionSlots) freeOrEvict() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.held < MaxConnections {
+	if s.inUse < MaxConnections {
 		return true
 	}
 	if len(s.evictable) > 0 {
@@ -80,7 +80,7 @@
 	conn.SetReadDeadline(time.Now().Add(commandTimeout))
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.held++
+	s.inUse++
 	s.evictable = append(s.evictable, c)
 	return c
 }
@@ -114,7 +114,7 @@
 	s.pin(c)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.held--
+	s.inUse--
 	s.wake()
 }
 
--- /dev/null
+++ b/internal/daemon/config_check.go
@@ -0,0 +1,49 @@
+package daemon
+
+import (
+	"fmt"
+	"math"
+
+	"github.com/valyala/fastjson"
+)
+
+// The checks of settings that package settings does not make: the simulator's settings may have such values, and a
+// dispatcher on sockets must not be given them.
+
+// checkOperations rejects timeouts that are not positive and names that stand twice.
+func (r *configReader) checkOperations() {
+	first := map[string]int{}
+	for n, operation := range r.root.GetArray("settings", "operations") {
+		path := fmt.Sprintf("settings.operations[%d]", n)
+		for _, key := range []string{"latencyObjectiveS", "clientTimeoutS"} {
+			if operation.Exists(key) {
+				r.checkPositive(operation.Get(key), path+"."+key)
+			}
+		}
+		name := string(operation.GetStringBytes("name"))
+		if previous, repeated := first[name]; repeated {
+			r.reject(path+".name", "%q is that of settings.operations[%d] too", name, previous)
+		}
+		first[name] = n
+	}
+}
+
+// checkMaxAttempts rejects a number of attempts that is not a positive whole number.
+func (r *configReader) checkMaxAttempts() {
+	path := []string{"settings", "policyLimits", "maxForwards"}
+	field := r.root.Get(path...)
+	if field == nil {
+		return
+	}
+	r.checkPositive(field, dotted(path))
+	if n, err := field.Float64(); err == nil && n != math.Trunc(n) {
+		r.reject(dotted(path), "%s, must be a whole number", field)
+	}
+}
+
+func (r *configReader) checkPositive(v *fastjson.Value, key string) {
+	n, err := v.Float64()
+	if err != nil || !(n > 0 && n <= math.MaxInt32) {
+		r.reject(key, "%s, must be a positive number of up to %d", v, math.MaxInt32)
+	}
+}
--- a/internal/daemon/hot_restart_test.go
+++ b/internal/daemon/hot_restart_test.go
@@ -23,17 +23,23 @@
 	ended   chan error
 }
 
-func startProcess(t *testing.T, p Config) *testProcess { return startProcessWith(t, p, nil) }
+// startProcess starts a process and waits until it serves.
+func startProcess(t *testing.T, config Config) *testProcess {
+	t.Helper()
+	return startProcessWith(t, config, nil)
+}
 
-func startProcessWith(t *testing.T, p Config, reload func() (*Config, error)) *testProcess {
+// startProcessWith starts a process that reload gives its configuration again.
+func startProcessWith(t *testing.T, config Config, reload func() (*Config, error)) *testProcess {
+	t.Helper()
 	d := &testProcess{
 		signals: newSignals(),
 		admin:   freeAddress(t),
 		log:     &syncBuffer{},
 		ended:   make(chan error, 1),
 	}
-	p.AdminListen = d.admin
-	go func() { d.ended <- serve(&p, reload, d.signals, zerolog.New(d.log)) }()
+	config.AdminListen = d.admin
+	go func() { d.ended <- serve(&config, reload, d.signals, zerolog.New(d.log)) }()
 	started := func() bool { return strings.Contains(d.log.String(), `"message":"started"`) }
 	assert.Eventually(t, started, 5*time.Second, time.Millisecond)
 	d.awaitAnswer(t, "HEALTH", "done\n")
@@ -62,32 +68,32 @@
 // startHealthChecks makes clients ask for the health on new connections until stop, which counts the answers.
 func startHealthChecks(url string) (stop func() (served, failed int64)) {
 	var good, bad atomic.Int64
-	var g sync.WaitGroup
+	var clients sync.WaitGroup
 	done := make(chan struct{})
 	for range 4 {
-		g.Go(func() {
-			c := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
+		clients.Go(func() {
+			client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 			for {
 				select {
 				case <-done:
 					return
 				default:
 				}
-				a, err := c.Get(url + "/_health")
-				if err == nil && a.StatusCode == 200 {
+				response, err := client.Get(url + "/_health")
+				if err == nil && response.StatusCode == 200 {
 					good.Add(1)
 				} else {
 					bad.Add(1)
 				}
 				if err == nil {
-					a.Body.Close()
+					response.Body.Close()
 				}
 			}
 		})
 	}
 	return func() (int64, int64) {
 		close(done)
-		g.Wait()
+		clients.Wait()
 		return good.Load(), bad.Load()
 	}
 }
@@ -95,13 +101,13 @@
 // Neither connections in the old process's queue, nor health in between, nor requests in flight may be lost.
 func TestHotRestartLosesNoConnectionAndNoRequest(t *testing.T) {
 	t.Setenv("TMPDIR", t.TempDir())
-	p, url := newTestConfig(t, 2*time.Second)
-	old := startProcess(t, p)
+	config, url := newTestConfig(t, 2*time.Second)
+	old := startProcess(t, config)
 	busy, idle := dialClient(t, url), dialClient(t, url)
 	busy.send("b1")
 	old.awaitAnswer(t, "DUMP", "svc.forwards=1\n")
 	stop := startHealthChecks(url)
-	next := startProcess(t, p)
+	next := startProcess(t, config)
 	assert.Contains(t, next.log.String(), `"sockets":1`, "the listener")
 	again := dialClient(t, url)
 	again.send("b1")
@@ -127,7 +133,7 @@
 	assert.Contains(t, dump, "svc.outstanding=0\n")
 	assert.Contains(t, dump, "svc.succeeded.render=4\n")
 	assert.Contains(t, dump, "svc.forwards=2\n", "no attempt was repeated")
-	third := startProcess(t, p) // two in a row
+	third := startProcess(t, config) // two in a row
 	next.stop(t)
 	third.stop(t)
 }
@@ -135,9 +141,9 @@
 // The old process accepts again when the new one ends before it.
 func TestPredecessorTakesBackWhenItsSuccessorDies(t *testing.T) {
 	t.Setenv("TMPDIR", t.TempDir())
-	p, url := newTestConfig(t, time.Millisecond)
-	old := startProcess(t, p)
-	next := startProcess(t, p)
+	config, url := newTestConfig(t, time.Millisecond)
+	old := startProcess(t, config)
+	next := startProcess(t, config)
 	old.awaitAnswer(t, "HEALTH", "error takes no clients: relieved\n")
 	next.stop(t)
 	old.awaitAnswer(t, "HEALTH", "done\n")
@@ -145,7 +151,7 @@
 	c.send("a1")
 	status, closes, _ := c.receive(t)
 	assert.Equal(t, []any{200, false}, []any{status, closes})
-	third := startProcess(t, p)
+	third := startProcess(t, config)
 	assert.Contains(t, third.log.String(), "predecessor connected", "it has the rendezvous again")
 	old.stop(t)
 	third.stop(t)
@@ -154,9 +160,9 @@
 // A hot restart must not undo a drain, and commands are the serving process's, whichever of both is sent them.
 func TestLeaveAndJoinAreForwardedToTheSuccessor(t *testing.T) {
 	t.Setenv("TMPDIR", t.TempDir())
-	p, _ := newTestConfig(t, time.Millisecond)
-	old := startProcess(t, p)
-	next := startProcess(t, p)
+	config, _ := newTestConfig(t, time.Millisecond)
+	old := startProcess(t, config)
+	next := startProcess(t, config)
 	assert.Equal(t, "done\n", runAdminCommand(t, old.admin, "LEAVE"), "meant for the one that serves")
 	left := func() bool {
 		return strings.Contains(runAdminCommand(t, next.admin, "HEALTH"), "error takes no clients: leaving")
@@ -171,8 +177,8 @@
 // On a platform without Unix sockets both processes listen, and the old one drains as at any end.
 func TestWithoutRendezvousBothProcessesListen(t *testing.T) {
 	t.Setenv("TMPDIR", filepath.Join(t.TempDir(), "none"))
-	p, url := newTestConfig(t, time.Millisecond)
-	old, next := startProcess(t, p), startProcess(t, p)
+	config, url := newTestConfig(t, time.Millisecond)
+	old, next := startProcess(t, config), startProcess(t, config)
 	assert.Contains(t, next.log.String(), "hot restart unavailable")
 	old.awaitAnswer(t, "HEALTH", "done\n")
 	old.stop(t)
--- a/internal/daemon/operators_test.go
+++ b/internal/daemon/operators_test.go
@@ -179,9 +179,9 @@
 func TestRendezvousOfHotRestart(t *testing.T) {
 	dir := t.TempDir()
 	t.Setenv("TMPDIR", dir)
-	p, err := parseConfig([]byte(configWithEachKey), fakeEnv())
+	config, err := parseConfig([]byte(configWithEachKey), fakeEnv())
 	assert.NoError(t, err)
-	assert.Equal(t, hotrestart.RendezvousFor(dir, "n3", "127.0.0.1:8080", "127.0.0.1:7946"), connectPredecessor(p, nopLog).rendezvous)
-	p.AdminListen = ""
-	assert.Nil(t, connectPredecessor(p, nopLog), "without an address for operators there is no hot restart")
+	assert.Equal(t, hotrestart.RendezvousFor(dir, "n3", "127.0.0.1:8080", "127.0.0.1:7946"), connectPredecessor(config, nopLog).rendezvous)
+	config.AdminListen = ""
+	assert.Nil(t, connectPredecessor(config, nopLog), "without an address for operators there is no hot restart")
 }
--- a/internal/hotrestart/handover.go
+++ b/internal/hotrestart/handover.go
@@ -39,7 +39,7 @@
 }
 
 func receiveHandover(conn *net.UnixConn) (*Handover, error) {
-	link, err := greet(conn)
+	link, err := newHandshakeLink(conn)
 	if err != nil {
 		return nil, err
 	}
@@ -58,8 +58,8 @@
 	return &Handover{Link: link, Snapshot: first.Snapshot, Sockets: sockets}, nil
 }
 
-// greet checks who the other process is, and returns a link that waits for its first message within bounds.
-func greet(conn *net.UnixConn) (*Link, error) {
+// newHandshakeLink checks who the other process is, and returns a link that waits for its first message within bounds.
+func newHandshakeLink(conn *net.UnixConn) (*Link, error) {
 	if !isSameUser(conn) {
 		return nil, ErrOtherUser
 	}
--- a/internal/hotrestart/link.go
+++ b/internal/hotrestart/link.go
@@ -111,11 +111,11 @@
 		return fmt.Errorf("hot restart: %w", err)
 	}
 	var used error
-	held := raw.Control(func(fd uintptr) {
+	controlErr := raw.Control(func(fd uintptr) {
 		descriptors[0] = int(fd)
 		used = withDescriptors(sockets[1:], descriptors[1:], use)
 	})
-	return errors.Join(held, used)
+	return errors.Join(controlErr, used)
 }
 
 // receive reads the next message, with its sockets by their names.
@@ -142,8 +142,8 @@
 func (l *Link) readLine() ([]byte, error) {
 	var line []byte
 	for {
-		part, err := l.lines.ReadSlice('\n')
-		line = append(line, part...)
+		fragment, err := l.lines.ReadSlice('\n')
+		line = append(line, fragment...)
 		switch {
 		case err == nil:
 			return line, nil
--- a/internal/hotrestart/listener.go
+++ b/internal/hotrestart/listener.go
@@ -70,7 +70,7 @@
 
 // serve hands sockets and state to a successor, and then leaves the link to Serve.
 func (s *Listener) serve(ctx context.Context, conn *net.UnixConn) error {
-	link, err := greet(conn)
+	link, err := newHandshakeLink(conn)
 	if err != nil {
 		return err
 	}
--- a/internal/simadapter/simadapter.go
+++ b/internal/simadapter/simadapter.go
@@ -73,8 +73,8 @@
 // readLine appends a line, which may be longer than the reader's buffer.
 func readLine(r *bufio.Reader, line []byte) ([]byte, error) {
 	for {
-		part, err := r.ReadSlice('\n')
-		line = append(line, part...)
+		fragment, err := r.ReadSlice('\n')
+		line = append(line, fragment...)
 		if !errors.Is(err, bufio.ErrBufferFull) {
 			return line, err
 		}
