--- a/internal/daemon/hot_restart.go
+++ b/internal/daemon/hot_restart.go
@@ -51,6 +51,25 @@
 	siblings  int              // processes that share the memory limit with this one
 }
 
+// newHotRestart connects to the process that serves under the same name and addresses, if there is one, and receives its
+// sockets and state. It returns nil without an address for operators. The rest is set by attach.
+func newHotRestart(c *Config, log zerolog.Logger) *hotRestart {
+	if c.AdminListen == "" {
+		return nil
+	}
+	h := &hotRestart{rendezvous: hotrestart.RendezvousFor(os.TempDir(), c.Name, c.Listen, c.PeerListen), log: log}
+	predecessor, err := hotrestart.Connect(h.rendezvous)
+	if err != nil {
+		log.Warn().Err(err).Msg("predecessor unreachable, starting without its state")
+	}
+	if predecessor != nil {
+		h.predecessor = predecessor
+		log.Info().Int("sockets", len(predecessor.Sockets)).Int("bytes", len(predecessor.Snapshot)).
+			Msg("predecessor connected")
+	}
+	return h
+}
+
 // attach gives the hot restart the parts of the process that it shares.
 func (h *hotRestart) attach(p *process) {
 	h.limits = p.limits
@@ -130,22 +149,3 @@
 	}
 	return update, true
 }
-
-// connectPredecessor connects to the process that serves under the same name and addresses, if there is one, and
-// receives its sockets and state. It returns nil without an address for operators.
-func connectPredecessor(c *Config, log zerolog.Logger) *hotRestart {
-	if c.AdminListen == "" {
-		return nil
-	}
-	h := &hotRestart{rendezvous: hotrestart.RendezvousFor(os.TempDir(), c.Name, c.Listen, c.PeerListen), log: log}
-	predecessor, err := hotrestart.Connect(h.rendezvous)
-	if err != nil {
-		log.Warn().Err(err).Msg("predecessor unreachable, starting without its state")
-	}
-	if predecessor != nil {
-		h.predecessor = predecessor
-		log.Info().Int("sockets", len(predecessor.Sockets)).Int("bytes", len(predecessor.Snapshot)).
-			Msg("predecessor connected")
-	}
-	return h
-}
--- a/internal/daemon/operators_test.go
+++ b/internal/daemon/operators_test.go
@@ -181,7 +181,7 @@
 	t.Setenv("TMPDIR", dir)
 	config, err := parseConfig([]byte(configWithEachKey), fakeEnv())
 	assert.NoError(t, err)
-	assert.Equal(t, hotrestart.RendezvousFor(dir, "n3", "127.0.0.1:8080", "127.0.0.1:7946"), connectPredecessor(config, nopLog).rendezvous)
+	assert.Equal(t, hotrestart.RendezvousFor(dir, "n3", "127.0.0.1:8080", "127.0.0.1:7946"), newHotRestart(config, nopLog).rendezvous)
 	config.AdminListen = ""
-	assert.Nil(t, connectPredecessor(config, nopLog), "without an address for operators there is no hot restart")
+	assert.Nil(t, newHotRestart(config, nopLog), "without an address for operators there is no hot restart")
 }
--- a/internal/daemon/process.go
+++ b/internal/daemon/process.go
@@ -48,7 +48,7 @@
 // start opens the sockets and builds the parts. Nothing runs yet when it returns.
 func (p *process) start() error {
 	p.applyResourceLimits()
-	p.startBalancer()
+	p.buildBalancer()
 	p.connectPredecessor()
 	if err := p.openNode(); err != nil {
 		return err
@@ -56,7 +56,7 @@
 	if err := p.openPeerSocket(); err != nil {
 		return err
 	}
-	p.startProxy()
+	p.buildProxy()
 	if err := p.openClientListener(); err != nil {
 		return err
 	}
@@ -74,9 +74,9 @@
 	debug.SetMemoryLimit(p.limits.heapBytes)
 }
 
-// startBalancer sets the clock and builds the balancer. The clock begins at the time of day and goes on by the
-// monotonic clock, so that a clock that is set back does not stop the balancer's.
-func (p *process) startBalancer() {
+// buildBalancer sets the clock, and builds the balancer and the pool of connections to workers. The clock begins at the
+// time of day and goes on by the monotonic clock, so that a clock that is set back does not stop the balancer's.
+func (p *process) buildBalancer() {
 	const (
 		microsPerTick = int64(time.Second/balancer.Second) / int64(time.Microsecond)
 		ticksPerMilli = float64(balancer.Second / 1000)
@@ -94,7 +94,7 @@
 
 // connectPredecessor takes over from a process that serves under the same name and addresses, if there is one.
 func (p *process) connectPredecessor() {
-	p.restart = connectPredecessor(p.config, p.log)
+	p.restart = newHotRestart(p.config, p.log)
 	p.config.Proxy.PredecessorSnapshot = p.restart.snapshot()
 	p.config.Proxy.MigratesRequests = p.restart != nil
 }
@@ -114,7 +114,7 @@
 	return err
 }
 
-func (p *process) startProxy() {
+func (p *process) buildProxy() {
 	p.state = &lifecycle.State{}
 	p.proxy = proxy.New(p.config.Proxy, p.shards, p.pool, p.datagrams, p.state, p.log)
 	if p.node != nil {
--- a/internal/daemon/recovery.go
+++ b/internal/daemon/recovery.go
@@ -14,7 +14,7 @@
 
 // openNode opens the dispatcher's member of the fleet, if LB_FLEET asks for one, and has the proxy wait for it.
 func (p *process) openNode() error {
-	node, err := openNode(p.config, p.clock, p.restart.snapshot() != nil, p.log)
+	node, err := newNode(p.config, p.clock, p.restart.snapshot() != nil, p.log)
 	if err != nil || node == nil {
 		return err
 	}
@@ -24,9 +24,9 @@
 	return nil
 }
 
-// openNode opens the member of the fleet that a configuration describes, nil where it describes none. takesOver says
+// newNode opens the member of the fleet that a configuration describes, nil where it describes none. takesOver says
 // that a predecessor has handed over its state.
-func openNode(c *Config, now func() balancer.Time, takesOver bool, log zerolog.Logger) (*fleet.Node, error) {
+func newNode(c *Config, now func() balancer.Time, takesOver bool, log zerolog.Logger) (*fleet.Node, error) {
 	if c.Fleet == nil {
 		return nil, nil
 	}
