--- a/internal/fleet/phases.go
+++ b/internal/fleet/phases.go
@@ -134,7 +134,7 @@
 // EndpointsReceived takes that the list service has sent its list.
 func (n *Node) EndpointsReceived() {
 	n.mu.Lock()
-	n.machine.EndpointsReceived(n.uptime(), true)
+	n.machine.EndpointsReceived(n.uptime())
 	n.mu.Unlock()
 	n.notify()
 }
@@ -150,7 +150,7 @@
 // PredecessorServed takes that the proxy has a list of workers to start with, perhaps an old one.
 func (n *Node) PredecessorServed() {
 	n.mu.Lock()
-	n.machine.EndpointsReceived(n.uptime(), false)
+	n.machine.StoredEndpointsLoaded(n.uptime())
 	n.mu.Unlock()
 }
 
--- a/internal/fleet/recovery/admission_test.go
+++ b/internal/fleet/recovery/admission_test.go
@@ -11,7 +11,7 @@
 	s := newTestMachine(1, PreviousIncarnation{})
 	admitted, _ := s.Admit(0, 100*ms)
 	assert.False(t, admitted, "before it may serve")
-	s.EndpointsReceived(0, true)
+	s.EndpointsReceived(0)
 	s.Tick(time.Second)
 	assert.Equal(t, Probing, s.Phase())
 	s.SetCapacity(time.Second, Capacity{Workers: 1, Warm: 6, Now: 0.7})
--- a/internal/fleet/recovery/statemachine.go
+++ b/internal/fleet/recovery/statemachine.go
@@ -101,11 +101,18 @@
 	return actions
 }
 
-// EndpointsReceived takes that a list of workers is known; fresh means that the list service sent it to this process.
-func (s *StateMachine) EndpointsReceived(now time.Duration, fresh bool) {
+// EndpointsReceived takes that the list service has sent a list of workers to this process.
+func (s *StateMachine) EndpointsReceived(now time.Duration) {
+	s.now = now
+	s.endpoints.known = true
+	s.endpoints.fresh = true
+	s.advance()
+}
+
+// StoredEndpointsLoaded takes that a list of workers is known which may be old: from the configuration or from disk.
+func (s *StateMachine) StoredEndpointsLoaded(now time.Duration) {
 	s.now = now
 	s.endpoints.known = true
-	s.endpoints.fresh = s.endpoints.fresh || fresh
 	s.advance()
 }
 
--- a/internal/fleet/recovery/statemachine_test.go
+++ b/internal/fleet/recovery/statemachine_test.go
@@ -57,7 +57,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := newTestMachine(2, PreviousIncarnation{Incarnation: 1})
-			s.EndpointsReceived(ms, true)
+			s.EndpointsReceived(ms)
 			s.TakeActions()
 			for n, phase := range c.phases {
 				for range 3 { // a peer that serves is queried again, about workers
@@ -82,6 +82,6 @@
 	assert.Equal(t, AwaitingEndpoints, s.Phase())
 	s.EndpointsUnavailable(2 * time.Second)
 	assert.Equal(t, AwaitingEndpoints, s.Phase(), "there is no list at all")
-	s.EndpointsReceived(2*time.Second, false)
+	s.StoredEndpointsLoaded(2*time.Second)
 	assert.Equal(t, QueryingPeers, s.Phase())
 }
--- a/internal/fleet/simulate/node.go
+++ b/internal/fleet/simulate/node.go
@@ -77,7 +77,7 @@
 		MaxRetryAfter: 2 * time.Second, Seed: n.world.rng.Uint64(),
 	})
 	n.openStore()
-	n.machine.EndpointsReceived(n.uptime(), false)
+	n.machine.StoredEndpointsLoaded(n.uptime())
 	n.carryOut()
 	n.tick(n.run)
 	n.saveState(n.run)
@@ -131,7 +131,7 @@
 		return
 	}
 	if n.world.listServiceUp {
-		n.machine.EndpointsReceived(n.uptime(), true)
+		n.machine.EndpointsReceived(n.uptime())
 		n.carryOut()
 		return
 	}
