--- a/internal/daemon/back_test.go
+++ b/internal/daemon/back_test.go
@@ -90,7 +90,7 @@
 	_, err = p.node(nil, false, nop)
 	assert.ErrorContains(t, err, `two that go under the name "n3"`, "the address is taken")
 	pc.Close()
-	folder, _, err := store.OpenFolder(filepath.Join(dir, "state"))
+	folder, err := store.OpenFolder(filepath.Join(dir, "state"))
 	assert.NoError(t, err)
 	_, err = p.node(nil, false, nop)
 	assert.ErrorIs(t, err, store.ErrLocked)
@@ -102,10 +102,10 @@
 
 func TestStateShowTellsWhatAFolderHoldsAndWhatIsNotBelieved(t *testing.T) {
 	path := t.TempDir()
-	folder, _, err := store.OpenFolder(path)
+	folder, err := store.OpenFolder(path)
 	assert.NoError(t, err)
 	s, _ := store.Open(folder, "n3")
-	_, err = s.Begin(store.Incarnation{}, 7, 9, false, time.Now().UnixMilli())
+	_, err = s.Begin(store.Start{MinNumber: 7, Nonce: 9, At: time.Now().UnixMilli()})
 	assert.NoError(t, err)
 	assert.NoError(t, s.SetDrained(true))
 	assert.NoError(t, s.AppendKeys([]store.Key{{Sum: 1}}, time.Now().UnixMilli()))
--- a/internal/fleet/incarnation.go
+++ b/internal/fleet/incarnation.go
@@ -27,7 +27,7 @@
 // acquire locks the folder, listens at the address, and reads what the folder holds. It fails if another process has one of
 // them. A folder that cannot be used is no error: the node works without.
 func (n *Node) acquire() error {
-	folder, locked, folderErr := store.OpenFolder(n.settings.State.Folder)
+	folder, folderErr := store.OpenFolder(n.settings.State.Folder)
 	if errors.Is(folderErr, store.ErrLocked) {
 		return folderErr
 	}
@@ -46,7 +46,7 @@
 	if folderErr != nil {
 		recovered.Errors = append(recovered.Errors, folderErr)
 	}
-	if !locked {
+	if folder == nil || folder.ReadOnly() {
 		recovered.Errors = append(recovered.Errors, errFolderReadOnly)
 	}
 	n.takeRecovered(owned, recovered)
@@ -112,7 +112,10 @@
 	}
 	written := make(chan result, 1)
 	go func() {
-		incarnation, err := s.Begin(recovered.Incarnation, recovered.MinNextIncarnation(), nonce, suspect, time.Now().UnixMilli())
+		incarnation, err := s.Begin(store.Start{
+			Previous: recovered.Incarnation, MinNumber: recovered.MinNextIncarnation(), Nonce: nonce,
+			KeysSuspect: suspect, At: time.Now().UnixMilli(),
+		})
 		written <- result{incarnation, err}
 	}()
 	select {
--- a/internal/fleet/node_test.go
+++ b/internal/fleet/node_test.go
@@ -135,7 +135,7 @@
 // Two processes under one name would answer each other's queries and write one folder.
 func TestSecondProcessOfANameIsRefused(t *testing.T) {
 	settings := settingsOfOne(t)
-	folder, _, err := store.OpenFolder(settings.State.Folder)
+	folder, err := store.OpenFolder(settings.State.Folder)
 	assert.NoError(t, err)
 	_, err = Open(context.Background(), settings, configOfOne())
 	var conflict *NameConflictError
--- a/internal/fleet/recovery/statemachine_test.go
+++ b/internal/fleet/recovery/statemachine_test.go
@@ -82,6 +82,6 @@
 	assert.Equal(t, AwaitingEndpoints, s.Phase())
 	s.EndpointsUnavailable(2 * time.Second)
 	assert.Equal(t, AwaitingEndpoints, s.Phase(), "there is no list at all")
-	s.StoredEndpointsLoaded(2*time.Second)
+	s.StoredEndpointsLoaded(2 * time.Second)
 	assert.Equal(t, QueryingPeers, s.Phase())
 }
--- a/internal/fleet/simulate/node.go
+++ b/internal/fleet/simulate/node.go
@@ -94,7 +94,10 @@
 	}
 	nonce := n.world.rng.Uint64()
 	suspect := recovered.KeysMayBeMissing(n.unreliableDisk)
-	incarnation, err := s.Begin(recovered.Incarnation, recovered.MinNextIncarnation(), nonce, suspect, n.wallClock())
+	incarnation, err := s.Begin(store.Start{
+		Previous: recovered.Incarnation, MinNumber: recovered.MinNextIncarnation(), Nonce: nonce,
+		KeysSuspect: suspect, At: n.wallClock(),
+	})
 	n.diskFailed = err != nil
 	n.incarnation = incarnation.Number
 	n.machine.IdentityStored(n.uptime(), incarnation.Number, nonce, recovery.PreviousIncarnationOf(recovered, suspect))
--- a/internal/fleet/store/disk.go
+++ b/internal/fleet/store/disk.go
@@ -35,28 +35,28 @@
 const lockName = "lock"
 
 // OpenFolder locks a folder for this process, and creates it if there is none. It fails with ErrLocked at once if another
-// process has locked it. A folder that cannot be written to can still be read: locked is false then.
-func OpenFolder(path string) (f *Folder, locked bool, err error) {
+// process has locked it. A folder that cannot be written to can still be read: ReadOnly reports that.
+func OpenFolder(path string) (*Folder, error) {
 	if err := os.MkdirAll(path, 0o700); err != nil {
-		return nil, false, fmt.Errorf("state folder: %w", err)
+		return nil, fmt.Errorf("state folder: %w", err)
 	}
-	f = &Folder{path: path}
+	f := &Folder{path: path}
 	lock, err := os.OpenFile(filepath.Join(path, lockName), os.O_CREATE|os.O_RDWR, 0o600)
 	if errors.Is(err, syscall.EROFS) || errors.Is(err, fs.ErrPermission) {
-		return f, false, nil
+		return f, nil
 	}
 	if err != nil {
-		return nil, false, fmt.Errorf("state folder: %w", err)
+		return nil, fmt.Errorf("state folder: %w", err)
 	}
 	if err := syscall.Flock(int(lock.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
 		lock.Close()
 		if errors.Is(err, syscall.EWOULDBLOCK) {
 			err = ErrLocked
 		}
-		return nil, false, fmt.Errorf("state folder %s: %w", path, err)
+		return nil, fmt.Errorf("state folder %s: %w", path, err)
 	}
 	f.lock = lock
-	return f, true, nil
+	return f, nil
 }
 
 // ReadFolder opens a folder for reading, whether or not a process has locked it.
@@ -71,6 +71,9 @@
 	return &Folder{path: path}, nil
 }
 
+// ReadOnly reports whether the folder is not locked, so that nothing may be written to it.
+func (f *Folder) ReadOnly() bool { return f.lock == nil }
+
 // Close unlocks the folder.
 func (f *Folder) Close() error {
 	if f.lock == nil {
--- a/internal/fleet/store/format_test.go
+++ b/internal/fleet/store/format_test.go
@@ -47,7 +47,10 @@
 	t.Helper()
 	s, recovered := Open(disk, wantIncarnation.Name)
 	assert.False(t, recovered.Known)
-	_, err := s.Begin(Incarnation{Name: wantIncarnation.Name, Number: 7, Drained: true}, 1, wantIncarnation.Nonce, true, wantIncarnation.StartedAt)
+	_, err := s.Begin(Start{
+		Previous: Incarnation{Name: wantIncarnation.Name, Number: 7, Drained: true},
+		Nonce:    wantIncarnation.Nonce, KeysSuspect: true, At: wantIncarnation.StartedAt,
+	})
 	assert.NoError(t, err)
 	assert.NoError(t, s.AppendKeys(wantKeys[:2], wantKeys[0].SentAt))
 	assert.NoError(t, s.SaveState(State{WrittenAt: wantIncarnation.StartedAt, SettingsHash: "earlier", Learned: []byte("{}")}))
@@ -88,9 +91,9 @@
 // TestWritesFolderThatEarlierReleaseReads checks that each file is written byte for byte as an earlier release did.
 func TestWritesFolderThatEarlierReleaseReads(t *testing.T) {
 	path := t.TempDir()
-	disk, locked, err := OpenFolder(path)
+	disk, err := OpenFolder(path)
 	assert.NoError(t, err)
-	assert.True(t, locked)
+	assert.False(t, disk.ReadOnly())
 	writeFolder(t, disk)
 	assert.NoError(t, disk.Close())
 	names, err := disk.Names()
--- a/internal/fleet/store/store.go
+++ b/internal/fleet/store/store.go
@@ -60,18 +60,27 @@
 	persistedKeys atomic.Uint64 // in this incarnation; read without waiting for a write
 }
 
-// Begin persists the next incarnation of a dispatcher and returns it. Its number is at least minNumber and above that of
-// the previous one, if that is of the same dispatcher. keysSuspect reports whether keys of previous incarnations may be
-// missing, which later incarnations have to know too. now is Unix time in ms.
-func (s *Store) Begin(previous Incarnation, minNumber, nonce uint64, keysSuspect bool, now int64) (Incarnation, error) {
+// Start is what an incarnation begins with.
+type Start struct {
+	Previous    Incarnation // zero for none
+	MinNumber   uint64
+	Nonce       uint64
+	KeysSuspect bool  // keys of previous incarnations may be missing, which later incarnations have to know too
+	At          int64 // Unix time in ms
+}
+
+// Begin persists the next incarnation of a dispatcher and returns it. Its number is at least start.MinNumber and above that
+// of the previous one, if that is of the same dispatcher.
+func (s *Store) Begin(start Start) (Incarnation, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	next := Incarnation{
-		Name: s.name, Number: max(minNumber, 1), Nonce: nonce, StartedAt: now, KeysSuspect: keysSuspect,
+		Name: s.name, Number: max(start.MinNumber, 1), Nonce: start.Nonce, StartedAt: start.At,
+		KeysSuspect: start.KeysSuspect,
 	}
-	if previous.Name == s.name {
-		next.Number = max(next.Number, previous.Number+1)
-		next.Drained = previous.Drained
+	if start.Previous.Name == s.name {
+		next.Number = max(next.Number, start.Previous.Number+1)
+		next.Drained = start.Previous.Drained
 	}
 	s.incarnation = next
 	s.journal.begin(next.Number)
--- a/internal/fleet/store/store_bench_test.go
+++ b/internal/fleet/store/store_bench_test.go
@@ -8,12 +8,12 @@
 // openBenchmarkStore returns a store on the file system.
 func openBenchmarkStore(b *testing.B) *Store {
 	b.Helper()
-	folder, _, err := OpenFolder(b.TempDir())
+	folder, err := OpenFolder(b.TempDir())
 	if err != nil {
 		b.Fatal(err)
 	}
 	s, recovered := Open(folder, "d0")
-	if _, err := s.Begin(recovered.Incarnation, 1, 1, false, 1000); err != nil {
+	if _, err := s.Begin(Start{Previous: recovered.Incarnation, Nonce: 1, At: 1000}); err != nil {
 		b.Fatal(err)
 	}
 	return s
--- a/internal/fleet/store/store_test.go
+++ b/internal/fleet/store/store_test.go
@@ -14,7 +14,7 @@
 // words of readBack, until the first error.
 func writeIncarnation(disk Disk) (acknowledged []string, err error) {
 	s, recovered := Open(disk, "d0")
-	incarnation, err := s.Begin(recovered.Incarnation, 1, testNonce, false, 1000)
+	incarnation, err := s.Begin(Start{Previous: recovered.Incarnation, Nonce: testNonce, At: 1000})
 	if err != nil {
 		return acknowledged, err
 	}
@@ -115,7 +115,7 @@
 func TestDiskThatDropsASyncIsDetected(t *testing.T) {
 	disk := NewMemory()
 	s, recovered := Open(disk, "d0")
-	_, err := s.Begin(recovered.Incarnation, 1, testNonce, false, 1000)
+	_, err := s.Begin(Start{Previous: recovered.Incarnation, Nonce: testNonce, At: 1000})
 	assert.NoError(t, err)
 	assert.NoError(t, s.AppendKeys([]Key{{Sum: 1}}, 1000))
 	disk.DropSyncs = true
@@ -166,7 +166,7 @@
 	assert.ErrorIs(t, recovered.Errors[0], ErrForeignState)
 	assert.Len(t, recovered.Keys, 3, "where keys may have run is true whoever wrote it")
 	assert.True(t, recovered.KeysSuspect, "its own keys are elsewhere")
-	incarnation, err := s.Begin(recovered.Incarnation, 1, 5, false, 2000)
+	incarnation, err := s.Begin(Start{Previous: recovered.Incarnation, Nonce: 5, At: 2000})
 	assert.NoError(t, err)
 	assert.Equal(t, Incarnation{Name: "d1", Number: 1, Nonce: 5, StartedAt: 2000}, incarnation,
 		"neither its number nor its drain is taken")
@@ -176,7 +176,7 @@
 	errFull := fmt.Errorf("no space left")
 	disk := NewMemory()
 	s, recovered := Open(disk, "d0")
-	_, err := s.Begin(recovered.Incarnation, 1, 5, false, 1000)
+	_, err := s.Begin(Start{Previous: recovered.Incarnation, Nonce: 5, At: 1000})
 	assert.NoError(t, err)
 	assert.NoError(t, s.AppendKeys([]Key{{Sum: 1}}, 1000))
 	disk.WriteError = errFull
@@ -200,17 +200,17 @@
 
 func TestFolderIsLockedByOneProcessAtATime(t *testing.T) {
 	path := t.TempDir()
-	folder, locked, err := OpenFolder(path)
+	folder, err := OpenFolder(path)
 	assert.NoError(t, err)
-	assert.True(t, locked)
+	assert.False(t, folder.ReadOnly())
 	_, err = writeIncarnation(folder)
 	assert.NoError(t, err)
-	_, _, err = OpenFolder(path)
+	_, err = OpenFolder(path)
 	assert.ErrorIs(t, err, ErrLocked)
 	assert.NoError(t, folder.Close())
-	folder, locked, err = OpenFolder(path)
+	folder, err = OpenFolder(path)
 	assert.NoError(t, err)
-	assert.True(t, locked)
+	assert.False(t, folder.ReadOnly())
 	words, _ := readBack(t, folder)
 	assert.Contains(t, words, "drained")
 }
@@ -218,7 +218,7 @@
 func TestSegmentsAreRemovedOnceTheirKeysHaveExpired(t *testing.T) {
 	disk := NewMemory()
 	s, recovered := Open(disk, "d0")
-	_, err := s.Begin(recovered.Incarnation, 1, 5, false, 0)
+	_, err := s.Begin(Start{Previous: recovered.Incarnation, Nonce: 5})
 	assert.NoError(t, err)
 	for n := range int64(100) {
 		now := 1000 + n*20_000
@@ -235,12 +235,12 @@
 func TestSuspectKeysStayMarkedThroughRestarts(t *testing.T) {
 	disk := NewMemory()
 	s, recovered := Open(disk, "d0")
-	_, err := s.Begin(recovered.Incarnation, 1, 5, true, 1000)
+	_, err := s.Begin(Start{Previous: recovered.Incarnation, Nonce: 5, KeysSuspect: true, At: 1000})
 	assert.NoError(t, err)
 	disk = disk.Restart(0)
 	s, recovered = Open(disk, "d0")
 	assert.True(t, recovered.KeysSuspect)
-	_, err = s.Begin(recovered.Incarnation, 1, 6, recovered.KeysSuspect, 1<<40)
+	_, err = s.Begin(Start{Previous: recovered.Incarnation, Nonce: 6, KeysSuspect: recovered.KeysSuspect, At: 1 << 40})
 	assert.NoError(t, err)
 	_, recovered = Open(disk.Restart(0), "d0")
 	assert.True(t, recovered.KeysSuspect)
--- a/internal/lab/experiment/held.go
+++ b/internal/lab/experiment/held.go
@@ -13,8 +13,8 @@
 // jump makes a dispatcher's clock one that jumped by so much while its power was away: all times that it had written
 // are that much further back, or ahead. It guards against ages reckoned by a clock that cannot be believed.
 func jump(folder, name string, by time.Duration) error {
-	disk, held, err := store.OpenFolder(folder)
-	if err != nil || !held {
+	disk, err := store.OpenFolder(folder)
+	if err != nil || disk.ReadOnly() {
 		return err
 	}
 	defer func() { _ = disk.Close() }() // it was only read
@@ -34,7 +34,7 @@
 	ms := by.Milliseconds()
 	s, _ := store.Open(disk, name)
 	life := found.Incarnation
-	if _, err := s.Begin(store.Incarnation{}, life.Number, life.Nonce, found.KeysSuspect, life.StartedAt-ms); err != nil {
+	if _, err := s.Begin(store.Start{MinNumber: life.Number, Nonce: life.Nonce, KeysSuspect: found.KeysSuspect, At: life.StartedAt - ms}); err != nil {
 		return err
 	}
 	for n := range found.Keys {
--- a/internal/lab/experiment/held_test.go
+++ b/internal/lab/experiment/held_test.go
@@ -13,13 +13,13 @@
 func TestJumpMovesTimesAndNothingElse(t *testing.T) {
 	path, now := t.TempDir(), time.Now().UnixMilli()
 	write := func() *store.Folder {
-		disk, _, err := store.OpenFolder(path)
+		disk, err := store.OpenFolder(path)
 		assert.NoError(t, err)
 		return disk
 	}
 	disk := write()
 	s, _ := store.Open(disk, "d1")
-	life, err := s.Begin(store.Incarnation{}, 4, 77, false, now)
+	life, err := s.Begin(store.Start{MinNumber: 4, Nonce: 77, At: now})
 	assert.NoError(t, err)
 	assert.NoError(t, s.AppendKeys([]store.Key{{Sum: 9, Worker: "w3", SentAt: now, ExpiresAt: now + 1000}}, now))
 	assert.NoError(t, s.SaveState(store.State{WrittenAt: now, SettingsHash: "abc"}))
