--- /dev/null
+++ b/internal/fleet/keywriter.go
@@ -0,0 +1,93 @@
+package fleet
+
+import (
+	"context"
+	"fmt"
+	"time"
+
+	"canvasroute/internal/fleet/store"
+)
+
+const (
+	// keyQueueLength is how many keys may wait for the disk. Those that find the queue full wait to enter it.
+	keyQueueLength = 1024
+	// maxKeyBatch bounds the keys that become durable by one sync.
+	maxKeyBatch = 512
+)
+
+// KeyTimeoutError means that a key was not durable within the key timeout.
+type KeyTimeoutError struct{ Timeout time.Duration }
+
+// Error names the timeout.
+func (e *KeyTimeoutError) Error() string { return fmt.Sprintf("key: not on disk within %v", e.Timeout) }
+
+// keyWriter persists keys in batches, so that requests that come at the same time share a sync. It owns the queue of keys.
+type keyWriter struct {
+	timeout time.Duration // for a key to become durable
+	queue   chan pendingKey
+}
+
+// pendingKey is a key on its way to the disk.
+type pendingKey struct {
+	key       store.Key
+	persisted chan error // receives one value, which may find nobody waiting
+}
+
+func newKeyWriter(timeout time.Duration) *keyWriter {
+	return &keyWriter{timeout: timeout, queue: make(chan pendingKey, keyQueueLength)}
+}
+
+// persist returns once a key is durable. After a timeout the key may become durable later, which does no harm.
+func (w *keyWriter) persist(ctx context.Context, key store.Key) error {
+	pending := pendingKey{key: key, persisted: make(chan error, 1)}
+	ctx, cancel := context.WithTimeoutCause(ctx, w.timeout, &KeyTimeoutError{Timeout: w.timeout})
+	defer cancel()
+	select {
+	case w.queue <- pending:
+	case <-ctx.Done():
+		return context.Cause(ctx)
+	}
+	select {
+	case err := <-pending.persisted:
+		return err
+	case <-ctx.Done():
+		return context.Cause(ctx)
+	}
+}
+
+// run passes the keys to write until ctx ends. Those that come during one write go together with the next.
+func (w *keyWriter) run(ctx context.Context, write func([]store.Key) error) {
+	for {
+		batch := w.nextBatch(ctx)
+		if len(batch) == 0 {
+			return
+		}
+		keys := make([]store.Key, 0, len(batch))
+		for _, pending := range batch {
+			keys = append(keys, pending.key)
+		}
+		err := write(keys)
+		for _, pending := range batch {
+			pending.persisted <- err
+		}
+	}
+}
+
+// nextBatch waits for a key, and returns it with those that wait behind it; none if ctx ends.
+func (w *keyWriter) nextBatch(ctx context.Context) (batch []pendingKey) {
+	select {
+	case pending := <-w.queue:
+		batch = append(batch, pending)
+	case <-ctx.Done():
+		return nil
+	}
+	for len(batch) < maxKeyBatch {
+		select {
+		case pending := <-w.queue:
+			batch = append(batch, pending)
+		default:
+			return batch
+		}
+	}
+	return batch
+}
--- a/internal/fleet/node.go
+++ b/internal/fleet/node.go
@@ -49,7 +49,7 @@
 	proxy    *proxy.Proxy     // from Attach
 	balancer *balancer.Shards // from Attach
 
-	keyQueue       chan pendingKey           // keys to be persisted
+	keyWriter      *keyWriter
 	stateChanged   chan struct{}             // the state machine is to be called
 	yields         chan bool                 // from YieldSocket
 	storedCapacity func() map[string]float64 // by kind of worker, from the recovered state; decoded once
@@ -74,9 +74,6 @@
 	socket *messaging.Socket
 }
 
-// keyQueueLength is how many keys may wait for the disk. Those that find the queue full wait to enter it.
-const keyQueueLength = 1024
-
 // NameConflictError means that another process, which is no predecessor, has the folder or the address of this dispatcher.
 type NameConflictError struct {
 	Name string
@@ -96,7 +93,7 @@
 func Open(ctx context.Context, settings *Settings, config Config) (*Node, error) {
 	n := &Node{
 		settings: settings, config: config, log: config.Log, startedAt: time.Now(),
-		keyQueue:     make(chan pendingKey, keyQueueLength),
+		keyWriter:    newKeyWriter(settings.Recovery.KeyTimeout.Std()),
 		stateChanged: make(chan struct{}, 1),
 		yields:       make(chan bool, 4), // more than an upgrade needs
 		machine:      newStateMachine(settings, &config),
@@ -244,9 +241,12 @@
 	})
 	socket := n.resources().socket
 	g.Go(func() error { return socket.Run(ctx, n.receive) })
-	g.Go(func() error { return n.writeKeys(ctx) })
-	g.Go(func() error { return n.saveStates(ctx) })
-	g.Go(func() error { return n.tick(ctx) })
+	for _, loop := range []func(context.Context){n.writeKeys, n.saveStates, n.tick} {
+		g.Go(func() error {
+			loop(ctx)
+			return nil
+		})
+	}
 	err := g.Wait()
 	n.release()
 	return err
--- a/internal/fleet/node_test.go
+++ b/internal/fleet/node_test.go
@@ -103,8 +103,8 @@
 	n, disk := newNodeOnHungDisk(t)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	go func() { _ = n.writeKeys(ctx) }()
-	go func() { _ = n.tick(ctx) }()
+	go n.writeKeys(ctx)
+	go n.tick(ctx)
 	err := n.PersistKey(ctx, proxy.KeyRecord{Operation: "o", Key: "k", Window: time.Second})
 	var timeout *KeyTimeoutError
 	assert.ErrorAs(t, err, &timeout)
--- a/internal/fleet/phases.go
+++ b/internal/fleet/phases.go
@@ -18,7 +18,7 @@
 )
 
 // tick calls the state machine when it asks for it and when something has changed, until ctx ends.
-func (n *Node) tick(ctx context.Context) error {
+func (n *Node) tick(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
@@ -26,7 +26,7 @@
 		case <-timer.C:
 		case <-n.stateChanged:
 		case <-ctx.Done():
-			return nil
+			return
 		}
 		needsCapacity := n.updateCapacity()
 		n.mu.Lock()
--- a/internal/fleet/state.go
+++ b/internal/fleet/state.go
@@ -10,7 +10,7 @@
 )
 
 // saveStates writes the state at each interval until ctx ends. No request waits for it.
-func (n *Node) saveStates(ctx context.Context) error {
+func (n *Node) saveStates(ctx context.Context) {
 	ticker := time.NewTicker(n.settings.State.Interval.Std())
 	defer ticker.Stop()
 	for {
@@ -18,7 +18,7 @@
 		case <-ticker.C:
 			n.saveState()
 		case <-ctx.Done():
-			return nil
+			return
 		}
 	}
 }
