--- a/internal/fleet/messaging/message.go
+++ b/internal/fleet/messaging/message.go
@@ -56,15 +56,15 @@
 	PersistedKeys uint64 `cbor:"20,keyasint,omitempty"` // in heartbeats: in this incarnation
 	WantWorkers   bool   `cbor:"18,keyasint,omitempty"` // in queries: the reply is to name workers
 
-	// In replies.
-	YourIncarnation   uint64             `cbor:"8,keyasint,omitempty"`  // the highest received of the one that asks, but for its present process
-	YourNonce         uint64             `cbor:"9,keyasint,omitempty"`  // its nonce
-	YourPersistedKeys uint64             `cbor:"19,keyasint,omitempty"` // and how many keys it had persisted
-	ReceivedAgoMillis int64              `cbor:"10,keyasint,omitempty"` // since its last message
+	// In replies. The fields that begin with Your are of the dispatcher that asks, but for its present process.
+	YourIncarnation   uint64             `cbor:"8,keyasint,omitempty"`  // the highest received
+	YourNonce         uint64             `cbor:"9,keyasint,omitempty"`  // of that incarnation
+	YourPersistedKeys uint64             `cbor:"19,keyasint,omitempty"` // in that incarnation
+	ReceivedAgoMillis int64              `cbor:"10,keyasint,omitempty"` // since the last message of that incarnation
 	KeysUnconfirmed   bool               `cbor:"21,keyasint,omitempty"` // the sender does not know yet whether it has lost keys
 	KeysSuspect       bool               `cbor:"12,keyasint,omitempty"` // keys that the sender had persisted may be missing
 	MaxObserved       map[string]float64 `cbor:"13,keyasint,omitempty"` // by kind of worker: the most requests seen at work at once
-	Part              uint16             `cbor:"14,keyasint,omitempty"` // number of this part of the reply, from 0
+	Part              uint16             `cbor:"14,keyasint,omitempty"` // number of this part, from 0
 	Parts             uint16             `cbor:"15,keyasint,omitempty"` // number of parts
 	Workers           []Worker           `cbor:"16,keyasint,omitempty"`
 	Keys              []Key              `cbor:"17,keyasint,omitempty"`
--- a/internal/fleet/recovery/peers.go
+++ b/internal/fleet/recovery/peers.go
@@ -149,8 +149,8 @@
 	return answered, s.peers.count()
 }
 
-// activeDispatchers returns how many dispatchers share the workers, this one too: those of which a message has come since this process started,
-// and all that may exist as long as peers have the time to answer.
+// activeDispatchers returns how many dispatchers share the workers, this one too: those of which a message has come since
+// this process started, and all that may exist as long as peers have the time to answer.
 func (s *StateMachine) activeDispatchers() int {
 	if s.phase <= QueryingPeers {
 		return len(s.peers.members)
--- a/internal/fleet/store/store_test.go
+++ b/internal/fleet/store/store_test.go
@@ -262,7 +262,10 @@
 		{"suspect keys", Recovered{KeysSuspect: true}, false, 1, true},
 		{"a crash on a reliable disk", Recovered{Known: true}, false, 1, false},
 		{"a crash on an unreliable disk", Recovered{Known: true}, true, 1, true},
-		{"a clean shutdown on an unreliable disk", Recovered{Known: true, Incarnation: Incarnation{CleanShutdown: true}}, true, 1, false},
+		{
+			"a clean shutdown on an unreliable disk",
+			Recovered{Known: true, Incarnation: Incarnation{CleanShutdown: true}}, true, 1, false,
+		},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			assert.Equal(t, c.wantMin, c.recovered.MinNextIncarnation())
