--- a/internal/fleet/peers.go
+++ b/internal/fleet/peers.go
@@ -126,15 +126,15 @@
 	return workers
 }
 
-// minCapacityToTell is the capacity up to which nothing was observed: one request at a time is what any worker has.
-const minCapacityToTell = 1
+// minObservedCapacity is the capacity up to which nothing was observed: one request at a time is what any worker has.
+const minObservedCapacity = 1
 
 // knownCapacity returns the most requests at once that workers of each kind have been seen to process: by this process and,
 // before it has restored its state, by the stored one.
 func (n *Node) knownCapacity() map[string]float64 {
 	capacity := map[string]float64{}
 	for kind, observed := range n.balancer.MaxObserved() {
-		if kind < len(n.config.Kinds) && observed > minCapacityToTell {
+		if kind < len(n.config.Kinds) && observed > minObservedCapacity {
 			capacity[n.config.Kinds[kind]] = observed
 		}
 	}
--- a/internal/fleet/recovery/keys_test.go
+++ b/internal/fleet/recovery/keys_test.go
@@ -29,7 +29,8 @@
 		{"a key sent in the future", KeyLookup{Sum: 4, MarkedRepeat: true, Uptime: time.Second}, false, ErrClockImplausible},
 		{
 			"an unknown key while keys are pending",
-			KeyLookup{Sum: 9, MarkedRepeat: true, KeysPending: true, Uptime: time.Second}, false, ErrKeysPending,
+			KeyLookup{Sum: 9, MarkedRepeat: true, KeysPending: true, Uptime: time.Second},
+			false, ErrKeysPending,
 		},
 		{"an unknown key without the client's mark", KeyLookup{Sum: 9, KeysPending: true, Uptime: time.Second}, false, nil},
 		{"an expired key after a dedup window", KeyLookup{Sum: 3, MarkedRepeat: true, Uptime: 41 * time.Second}, false, nil},
--- a/internal/fleet/restore.go
+++ b/internal/fleet/restore.go
@@ -148,7 +148,7 @@
 		return capacity
 	}
 	for kind, stats := range snapshot.Learned[0].Kinds {
-		if kind < len(snapshot.Kinds) && stats.MaxObserved > minCapacityToTell {
+		if kind < len(snapshot.Kinds) && stats.MaxObserved > minObservedCapacity {
 			capacity[snapshot.Kinds[kind]] = stats.MaxObserved
 		}
 	}
--- a/internal/fleet/store/store_test.go
+++ b/internal/fleet/store/store_test.go
@@ -264,7 +264,8 @@
 		{"a crash on an unreliable disk", Recovered{Known: true}, true, 1, true},
 		{
 			"a clean shutdown on an unreliable disk",
-			Recovered{Known: true, Incarnation: Incarnation{CleanShutdown: true}}, true, 1, false,
+			Recovered{Known: true, Incarnation: Incarnation{CleanShutdown: true}},
+			true, 1, false,
 		},
 	} {
 		t.Run(c.name, func(t *testing.T) {
