--- a/internal/fleet/node_test.go
+++ b/internal/fleet/node_test.go
@@ -103,8 +103,8 @@
 	n, disk := newNodeOnHungDisk(t)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	go func() { _ = n.writeKeys(ctx) }()
-	go func() { _ = n.tick(ctx) }()
+	go n.writeKeys(ctx)
+	go n.tick(ctx)
 	err := n.PersistKey(ctx, proxy.KeyRecord{Operation: "o", Key: "k", Window: time.Second})
 	var timeout *KeyTimeoutError
 	assert.ErrorAs(t, err, &timeout)
@@ -135,7 +135,7 @@
 // Two processes under one name would answer each other's queries and write one folder.
 func TestSecondProcessOfANameIsRefused(t *testing.T) {
 	settings := settingsOfOne(t)
-	folder, _, err := store.OpenFolder(settings.State.Folder)
+	folder, err := store.OpenFolder(settings.State.Folder)
 	assert.NoError(t, err)
 	_, err = Open(context.Background(), settings, configOfOne())
 	var conflict *NameConflictError
--- a/internal/fleet/phases.go
+++ b/internal/fleet/phases.go
@@ -18,7 +18,7 @@
 )
 
 // tick calls the state machine when it asks for it and when something has changed, until ctx ends.
-func (n *Node) tick(ctx context.Context) error {
+func (n *Node) tick(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
@@ -26,7 +26,7 @@
 		case <-timer.C:
 		case <-n.stateChanged:
 		case <-ctx.Done():
-			return nil
+			return
 		}
 		needsCapacity := n.updateCapacity()
 		n.mu.Lock()
@@ -134,7 +134,7 @@
 // EndpointsReceived takes that the list service has sent its list.
 func (n *Node) EndpointsReceived() {
 	n.mu.Lock()
-	n.machine.EndpointsReceived(n.uptime(), true)
+	n.machine.EndpointsReceived(n.uptime())
 	n.mu.Unlock()
 	n.notify()
 }
@@ -150,7 +150,7 @@
 // PredecessorServed takes that the proxy has a list of workers to start with, perhaps an old one.
 func (n *Node) PredecessorServed() {
 	n.mu.Lock()
-	n.machine.EndpointsReceived(n.uptime(), false)
+	n.machine.StoredEndpointsLoaded(n.uptime())
 	n.mu.Unlock()
 }
 
--- a/internal/fleet/simulate/node.go
+++ b/internal/fleet/simulate/node.go
@@ -1,6 +1,8 @@
 package simulate
 
 import (
+	"cmp"
+	"slices"
 	"time"
 
 	"canvasroute/internal/fleet/messaging"
@@ -75,7 +77,7 @@
 		MaxRetryAfter: 2 * time.Second, Seed: n.world.rng.Uint64(),
 	})
 	n.openStore()
-	n.machine.EndpointsReceived(n.uptime(), false)
+	n.machine.StoredEndpointsLoaded(n.uptime())
 	n.carryOut()
 	n.tick(n.run)
 	n.saveState(n.run)
@@ -92,7 +94,10 @@
 	}
 	nonce := n.world.rng.Uint64()
 	suspect := recovered.KeysMayBeMissing(n.unreliableDisk)
-	incarnation, err := s.Begin(recovered.Incarnation, recovered.MinNextIncarnation(), nonce, suspect, n.wallClock())
+	incarnation, err := s.Begin(store.Start{
+		Previous: recovered.Incarnation, MinNumber: recovered.MinNextIncarnation(), Nonce: nonce,
+		KeysSuspect: suspect, At: n.wallClock(),
+	})
 	n.diskFailed = err != nil
 	n.incarnation = incarnation.Number
 	n.machine.IdentityStored(n.uptime(), incarnation.Number, nonce, recovery.PreviousIncarnationOf(recovered, suspect))
@@ -129,7 +134,7 @@
 		return
 	}
 	if n.world.listServiceUp {
-		n.machine.EndpointsReceived(n.uptime(), true)
+		n.machine.EndpointsReceived(n.uptime())
 		n.carryOut()
 		return
 	}
@@ -203,6 +208,8 @@
 	known := recovery.LocalKnowledge{
 		Keys: n.keys.ForPeers(n.wallClock(), n.uptime()), MaxObserved: map[string]float64{"std": 3},
 	}
+	// In one order: which keys a lost part of the reply holds must follow from the seed.
+	slices.SortFunc(known.Keys, func(a, b messaging.Key) int { return cmp.Compare(a.Sum, b.Sum) })
 	if query.WantWorkers {
 		for worker := range n.world.plan.Workers {
 			id := string(rune('a'+worker%26)) + "-worker"
--- a/internal/testbed/experiment/clock.go
+++ b/internal/testbed/experiment/clock.go
@@ -13,8 +13,8 @@
 // shiftClock makes a dispatcher's clock one that jumped by so much while its power was away: all times that it had written
 // are that much further back, or ahead. It guards against ages reckoned by a clock that cannot be believed.
 func shiftClock(folder, name string, by time.Duration) error {
-	disk, reserved, err := store.OpenFolder(folder)
-	if err != nil || !reserved {
+	disk, err := store.OpenFolder(folder)
+	if err != nil || disk.ReadOnly() {
 		return err
 	}
 	defer func() { _ = disk.Close() }() // it was only read
@@ -34,7 +34,13 @@
 	ms := by.Milliseconds()
 	s, _ := store.Open(disk, name)
 	incarnation := found.Incarnation
-	if _, err := s.Begin(store.Incarnation{}, incarnation.Number, incarnation.Nonce, found.KeysSuspect, incarnation.StartedAt-ms); err != nil {
+	start := store.Start{
+		MinNumber:   incarnation.Number,
+		Nonce:       incarnation.Nonce,
+		KeysSuspect: found.KeysSuspect,
+		At:          incarnation.StartedAt - ms,
+	}
+	if _, err := s.Begin(start); err != nil {
 		return err
 	}
 	for n := range found.Keys {
