--- a/internal/testbed/command/command.go
+++ b/internal/testbed/command/command.go
@@ -187,7 +187,7 @@
 		}
 		fmt.Fprintf(out, "%s, seed %d, %s\n%s  %-28s %s\n\n", r.Name, r.Seed, r.Policy, report.Text(r), "report",
 			page)
-		failed = failed || r.Broken()
+		failed = failed || r.Failed()
 		if r.Partial {
 			return errInterrupted
 		}
--- /dev/null
+++ b/internal/testbed/experiment/actions.go
@@ -0,0 +1,148 @@
+package experiment
+
+import (
+	"context"
+	"time"
+
+	"canvasroute/internal/testbed/discoveryserver"
+	"canvasroute/internal/testbed/fault"
+)
+
+// play applies the actions of the timeline, each at its time, until ctx ends.
+func (env *environment) play(ctx context.Context, actions []fault.Action) {
+	for _, action := range actions {
+		select {
+		case <-time.After(max(action.At-env.clock(), 0)):
+			env.apply(ctx, action)
+		case <-ctx.Done():
+			return
+		}
+	}
+}
+
+func (env *environment) apply(ctx context.Context, action fault.Action) {
+	switch action.Kind {
+	case fault.ListLag, fault.ListLagEnd, fault.ListDown, fault.ListUnavailable, fault.ListRecover:
+		env.applyToDiscovery(action)
+	case fault.LinkCut, fault.LinkHeal, fault.LinkLoss, fault.LinkRecover:
+		env.applyToLink(action)
+	case fault.PeersCut, fault.PeersLoss, fault.PeersRecover:
+		env.applyToPeers(action)
+	case fault.WorkerAdd:
+		env.addWorkers(int(action.Value))
+	case fault.PowerLoss:
+		env.losePower(action.Targets)
+	case fault.PowerReturn:
+		env.returnPower(ctx, action)
+	case fault.DispatcherKill, fault.DispatcherStart, fault.DispatcherPause, fault.DispatcherResume,
+		fault.DispatcherRestart:
+		for _, n := range action.Targets {
+			env.applyToDispatcher(ctx, action.Kind, n)
+		}
+	case fault.DispatcherLeave, fault.DispatcherJoin, fault.DispatcherUpgrade, fault.DispatcherReconfigure,
+		fault.ClientsIdle, fault.ClientsTrickle:
+		env.applyOperators(ctx, action)
+	default:
+		for _, n := range action.Targets {
+			env.applyToWorker(action, n)
+		}
+	}
+}
+
+func (env *environment) applyToDiscovery(action fault.Action) {
+	switch action.Kind {
+	case fault.ListLag:
+		env.discovery.SetLag(action.Duration)
+	case fault.ListLagEnd:
+		env.discovery.SetLag(env.plan.Fleet.ListLag.Std())
+	case fault.ListDown:
+		env.discovery.SetOutage(discoveryserver.Down)
+	case fault.ListUnavailable:
+		env.discovery.SetOutage(discoveryserver.Unavailable)
+	case fault.ListRecover:
+		env.discovery.SetOutage(discoveryserver.Healthy)
+	}
+}
+
+func (env *environment) applyToPeers(action fault.Action) {
+	if env.peers == nil {
+		return
+	}
+	conditions := env.peerConditions()
+	switch action.Kind {
+	case fault.PeersCut:
+		conditions.Partitioned = true
+	case fault.PeersLoss:
+		conditions.Loss = action.Value
+	}
+	env.peers.SetConditions(conditions)
+}
+
+// addWorkers adds workers of the first kind, which have to warm up.
+func (env *environment) addWorkers(count int) {
+	for range count {
+		env.mu.Lock()
+		n := len(env.servers)
+		env.mu.Unlock()
+		zone, cell := env.plan.placement(n)
+		env.recordFailure(env.addWorker(env.plan.Fleet.Kinds[0], zone, cell, false))
+	}
+}
+
+func (env *environment) applyToWorker(action fault.Action, n int) {
+	server := env.server(n)
+	switch action.Kind {
+	case fault.WorkerCrash, fault.WorkerStop:
+		if server.Running() {
+			server.Crash()
+			env.publish(n, discoveryserver.Gone, false)
+		}
+	case fault.WorkerRestart:
+		if !server.Running() {
+			env.recordFailure(server.Start(false))
+			env.publish(n, discoveryserver.Ready, false)
+		}
+	case fault.WorkerSpeed:
+		env.mu.Lock()
+		env.speedFactors[n][action.Fault] = action.Value
+		speed := 1.0
+		for _, factor := range env.speedFactors[n] {
+			speed *= factor
+		}
+		env.mu.Unlock()
+		server.SetSpeed(speed)
+	case fault.WorkerPause, fault.WorkerResume:
+		server.Pause(action.Kind == fault.WorkerPause)
+	case fault.WorkerMute, fault.WorkerUnmute:
+		server.Mute(action.Kind == fault.WorkerMute)
+	case fault.WorkerCut, fault.WorkerHeal:
+		server.Partition(action.Kind == fault.WorkerCut)
+	case fault.WorkerDrain:
+		if server.Running() {
+			server.Drain()
+			env.publish(n, discoveryserver.Terminating, server.StartedAt() <= 0)
+		}
+	}
+}
+
+func (env *environment) applyToDispatcher(ctx context.Context, kind fault.ActionKind, n int) {
+	p := env.process(n)
+	switch kind {
+	case fault.DispatcherKill:
+		env.dispatcherDown(n)
+		p.kill()
+	case fault.DispatcherPause:
+		env.dispatcherDown(n)
+		p.pause(true)
+	case fault.DispatcherResume:
+		p.pause(false)
+		env.dispatcherUp(n)
+	case fault.DispatcherStart:
+		if !p.running() {
+			env.recordFailure(env.launchDispatcher(n))
+			env.dispatcherUp(n)
+		}
+	case fault.DispatcherRestart:
+		env.actions.Go(func() { env.restart(ctx, n) })
+	}
+}
--- a/internal/testbed/experiment/clock.go
+++ b/internal/testbed/experiment/clock.go
@@ -1,23 +1,21 @@
 package experiment
 
 import (
-	"context"
-	"fmt"
 	"time"
 
 	"canvasroute/internal/fleet/store"
 )
 
-// What a dispatcher with a state has to keep through a loss of power, whatever the clock says when it is back.
+// What a dispatcher that persists state must keep through a loss of power, also if its clock jumps meanwhile.
 
-// shiftClock makes a dispatcher's clock one that jumped by so much while its power was away: all times that it had written
-// are that much further back, or ahead. It guards against ages reckoned by a clock that cannot be believed.
+// shiftClock simulates a jump of a dispatcher's clock while it has no power. As a process' clock cannot be changed, it
+// moves all times on the dispatcher's disk in the opposite direction.
 func shiftClock(folder, name string, by time.Duration) error {
-	disk, reserved, err := store.OpenFolder(folder)
-	if err != nil || !reserved {
+	disk, locked, err := store.OpenFolder(folder)
+	if err != nil || !locked {
 		return err
 	}
-	defer func() { _ = disk.Close() }() // it was only read
+	defer func() { _ = disk.Close() }() // every write has returned its error
 	_, found := store.Open(disk, name)
 	if !found.Known || found.Foreign {
 		return nil
@@ -52,26 +50,3 @@
 	}
 	return s.SetDrained(incarnation.Drained)
 }
-
-// drainCheckInterval is how often a dispatcher that was told to leave is asked whether it takes clients.
-const drainCheckInterval = 20 * time.Millisecond
-
-// watchDrained watches a dispatcher that came back while an operator's LEAVE holds: until JOIN it takes no client.
-func (w *environment) watchDrained(ctx context.Context, n int) {
-	p := w.process(n)
-	for ctx.Err() == nil && p.running() && w.drainedBefore(n) {
-		// What was asked before JOIN is answered before it: the order of the two answers tells.
-		if answer, err := callAdmin(p.operatorsAddr, "HEALTH"); err == nil && answer == answerDone && w.drainedBefore(n) {
-			w.recordFailure(fmt.Errorf("%s takes clients again, though an operator had told it to leave", dispatcherName(n)))
-			return
-		}
-		time.Sleep(drainCheckInterval)
-	}
-}
-
-// drainedBefore tells whether an operator's last word to a dispatcher was LEAVE.
-func (w *environment) drainedBefore(n int) bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.drainedByOperator[n]
-}
--- a/internal/testbed/experiment/clock_test.go
+++ b/internal/testbed/experiment/clock_test.go
@@ -9,8 +9,8 @@
 	"canvasroute/internal/fleet/store"
 )
 
-// Guards against a jump that changes anything but times: the plays with one would blame the clock for it.
-func TestJumpMovesTimesAndNothingElse(t *testing.T) {
+// A shift that changed anything but times would make experiments with a clock jump fail for another cause.
+func TestShiftClockMovesTimesAndNothingElse(t *testing.T) {
 	path, now := t.TempDir(), time.Now().UnixMilli()
 	write := func() *store.Folder {
 		disk, _, err := store.OpenFolder(path)
--- /dev/null
+++ b/internal/testbed/experiment/dispatchers.go
@@ -0,0 +1,205 @@
+package experiment
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"net/netip"
+	"sync"
+	"time"
+
+	"canvasroute/internal/testbed/history"
+	"canvasroute/internal/testbed/loadgen"
+	"canvasroute/internal/testbed/network"
+)
+
+// Timing of starts and ends of dispatchers.
+const (
+	readyTimeout      = 15 * time.Second
+	readyPollInterval = 20 * time.Millisecond
+	stopTimeout       = 6 * time.Second
+	removalDelay      = 300 * time.Millisecond // from SIGTERM to the removal from the front tier, at a planned restart
+	restartDelay      = 100 * time.Millisecond // from the end of a process to the next start
+	resumeGrace       = 250 * time.Millisecond // after a resume, until a dispatcher's timing counts again
+)
+
+// forever is the end of an outage that lasts to the end of the experiment.
+const forever = time.Duration(1 << 62)
+
+var errNotReady = errors.New("did not become ready")
+
+// startDispatchers starts all dispatchers on free ports, and waits until all are ready.
+func (env *environment) startDispatchers(ctx, running context.Context) error {
+	settings := &env.plan.Dispatchers
+	peerAddrs, linkAddrs, err := env.newProcesses()
+	if err != nil {
+		return err
+	}
+	if settings.Peers && settings.Count > 1 {
+		peers, err := network.New(peerAddrs, env.peerConditions(), network.PlatformDatagramBytes, env.seed)
+		if err != nil {
+			return err
+		}
+		env.peers = peers // another attempt to start replaces it; the old one runs on unused
+		env.background.Go(func() error { return peers.Run(running) })
+	}
+	if settings.Recovery {
+		if err := env.startLink(running, linkAddrs); err != nil {
+			return err
+		}
+	}
+	var addresses []string
+	for n := range settings.Count {
+		addresses = append(addresses, env.listenAddrs[n].String())
+		if err := env.launchDispatcher(n); err != nil {
+			return err
+		}
+	}
+	frontTier := loadgen.NewFrontTier(addresses, settings.FailureTimeout.Std())
+	env.frontTier = frontTier
+	env.background.Go(func() error { return frontTier.Run(running) })
+	return env.awaitReady(ctx)
+}
+
+// newProcesses assigns ports to all dispatchers, and returns those for datagrams and for the link.
+func (env *environment) newProcesses() (peerAddrs, linkAddrs []netip.AddrPort, err error) {
+	env.listenAddrs = nil
+	env.processes = nil
+	for n := range env.plan.Dispatchers.Count {
+		var ports [4]netip.AddrPort
+		for k := range ports {
+			if ports[k], err = freePort(); err != nil {
+				return nil, nil, err
+			}
+		}
+		p, err := newProcess(dispatcherName(n), env.folder, env.dispatcherCommand)
+		if err != nil {
+			return nil, nil, err
+		}
+		p.operatorsAddr = ports[3].String()
+		env.processes = append(env.processes, p)
+		env.listenAddrs = append(env.listenAddrs, ports[0])
+		peerAddrs = append(peerAddrs, ports[1])
+		linkAddrs = append(linkAddrs, ports[2])
+	}
+	return peerAddrs, linkAddrs, nil
+}
+
+// peerConditions are those of the plan, without any fault.
+func (env *environment) peerConditions() network.Conditions {
+	d := &env.plan.Dispatchers
+	return network.Conditions{Loss: d.PeerLoss, Delay: d.PeerDelay.Std(), Jitter: d.PeerJitter.Std()}
+}
+
+// launchDispatcher starts one dispatcher's process. All workers count as listed to it as ready, until the list service
+// writes otherwise: drains that the process before it was notified of do not bind it.
+func (env *environment) launchDispatcher(n int) error {
+	p := env.process(n)
+	config, err := env.dispatcherConfig(n, p.operatorsAddr, env.plan.Dispatchers.MaxAttempts)
+	if err != nil {
+		return err
+	}
+	env.mu.Lock()
+	workers := len(env.servers)
+	env.mu.Unlock()
+	for k := range workers {
+		env.history.WorkerListed(history.Notification{Dispatcher: n, Worker: k, Ready: true, At: env.clock()})
+	}
+	return p.start(config)
+}
+
+// dispatcherConfig returns the configuration for a dispatcher's start or reload.
+func (env *environment) dispatcherConfig(n int, operatorsAddr string, maxAttempts int) ([]byte, error) {
+	addrs := dispatcherAddrs{
+		listen: env.listenAddrs[n].String(), operators: operatorsAddr, discovery: env.discovery.Address(n),
+	}
+	if env.peers != nil {
+		addrs.peers = env.peers.View(n)
+	}
+	plan := *env.plan
+	plan.Dispatchers.MaxAttempts = maxAttempts
+	env.mu.Lock()
+	endpoints := env.endpointsAtPowerLoss[n]
+	env.mu.Unlock()
+	if endpoints == nil {
+		endpoints = env.discovery.CompleteList(n)
+	}
+	return plan.dispatcherConfig(n, dispatcherSeed(env.seed, n, env.process(n).incarnations), addrs, endpoints)
+}
+
+// process returns the serving process of a dispatcher.
+func (env *environment) process(n int) *process {
+	env.mu.Lock()
+	defer env.mu.Unlock()
+	return env.processes[n]
+}
+
+// awaitReady waits until the front tier has all dispatchers in rotation.
+func (env *environment) awaitReady(ctx context.Context) error {
+	limit := time.Now().Add(readyTimeout)
+	for !env.frontTier.Ready() {
+		for _, p := range env.processes {
+			if !p.running() {
+				return fmt.Errorf("%s %w: see its log %s", p.name, errNotReady, p.log.Name())
+			}
+		}
+		if time.Now().After(limit) {
+			return fmt.Errorf("dispatchers %w within %v", errNotReady, readyTimeout)
+		}
+		select {
+		case <-time.After(readyPollInterval):
+		case <-ctx.Done():
+			return ctx.Err()
+		}
+	}
+	return nil
+}
+
+// restart stops a dispatcher as the platform does for a planned restart, and starts it again.
+func (env *environment) restart(ctx context.Context, n int) {
+	p, from := env.process(n), env.clock()
+	if !p.running() {
+		return
+	}
+	removal := time.AfterFunc(removalDelay, func() { env.frontTier.Remove(n) })
+	defer removal.Stop()
+	env.recordFailure(p.stop(stopTimeout))
+	env.frontTier.Remove(n)
+	time.Sleep(restartDelay)
+	if ctx.Err() != nil {
+		return
+	}
+	env.recordFailure(env.launchDispatcher(n))
+	env.history.AddOutage(history.Outage{Dispatcher: n, Planned: true, From: from, To: env.clock()})
+}
+
+// dispatcherDown records the start of an unplanned outage.
+func (env *environment) dispatcherDown(n int) {
+	env.mu.Lock()
+	defer env.mu.Unlock()
+	env.downSince[n] = env.clock()
+}
+
+// dispatcherUp records the end of an unplanned outage, if there is one.
+func (env *environment) dispatcherUp(n int) {
+	env.mu.Lock()
+	defer env.mu.Unlock()
+	if from, reported := env.downSince[n]; reported {
+		env.history.AddOutage(history.Outage{Dispatcher: n, From: from, To: env.clock() + resumeGrace})
+		delete(env.downSince, n)
+	}
+}
+
+// endProcesses stops all processes that run.
+func (env *environment) endProcesses(within time.Duration) {
+	var ending sync.WaitGroup
+	for _, p := range env.processes {
+		ending.Go(func() {
+			if p.running() {
+				env.recordFailure(p.stop(within))
+			}
+			p.log.Close()
+		})
+	}
+	ending.Wait()
+}
--- a/internal/testbed/experiment/experiment_test.go
+++ b/internal/testbed/experiment/experiment_test.go
@@ -28,19 +28,20 @@
 `
 
 func parsed(t *testing.T, more string) *Plan {
+	t.Helper()
 	p, err := Parse("x.toml", []byte(smallest+more))
 	assert.NoError(t, err)
 	return p
 }
 
-func TestDispatcherThatDoesNotStartIsToldWithItsLog(t *testing.T) {
+func TestFailedStartIsReportedWithTheLog(t *testing.T) {
 	p, folder := parsed(t, "[[load.phase]]\nshape=\"poisson\"\nrate=1\nfor=\"1s\"\n"), t.TempDir()
 	_, err := p.Run(context.Background(), 1, Options{Folder: folder, Dispatcher: "/bin/false"})
 	assert.ErrorContains(t, err, "d0 did not become ready: see its log "+filepath.Join(folder, "d0.log"))
 	assert.NoFileExists(t, filepath.Join(folder, resultName))
 }
 
-func TestFolderThatHoldsAResultIsLeftAlone(t *testing.T) {
+func TestFolderWithAResultIsNotOverwritten(t *testing.T) {
 	p, folder := parsed(t, "[[load.phase]]\nshape=\"poisson\"\nrate=1\nfor=\"1s\"\n"), t.TempDir()
 	assert.NoError(t, os.WriteFile(filepath.Join(folder, resultName), []byte("{}"), 0o600))
 	_, err := p.Run(context.Background(), 1, Options{Folder: folder})
@@ -49,31 +50,30 @@
 	assert.ErrorContains(t, err, "format 0, this program reads 1")
 }
 
-// Guards against a port that somebody listens on, over either protocol.
-func TestPortsThatAreTakenArePassedOver(t *testing.T) {
+// A port that is in use by either protocol must not be assigned, nor one twice in a row.
+func TestTakenPortsAreNotAssigned(t *testing.T) {
 	for range maxPortAttempts {
 		reserved, err := freePort()
 		assert.NoError(t, err)
 		ln, err := net.Listen("tcp", reserved.String())
 		if err != nil {
-			continue // somebody else was faster
+			continue // taken by another process meanwhile
 		}
 		defer ln.Close()
-		portsTaken.Add(^uint32(0)) // it is the next one to be dealt out again
+		portsTaken.Add(^uint32(0)) // so that it is the next to be assigned again
 		at, err := freePort()
 		assert.NoError(t, err)
 		assert.NotEqual(t, reserved, at)
 		next, err := freePort()
 		assert.NoError(t, err)
-		assert.NotEqual(t, at, next, "none twice, though nobody listens there yet")
+		assert.NotEqual(t, at, next, "no port is assigned twice in a row")
 		return
 	}
-	t.Fatal("no port could be listened on")
+	t.Fatal("no port could be opened")
 }
 
-// What the testbed writes as a configuration is what a dispatcher reads: else an experiment would test its
-// defaults.
-func TestConfigurationIsReadByTheDispatcherAsItWasMeant(t *testing.T) {
+// The dispatcher must read the configuration that the testbed writes, or an experiment would test the defaults.
+func TestConfigurationIsReadByTheDispatcher(t *testing.T) {
 	p := parsed(t, `[[operation]]
 name = "keyed"
 repeat = "deduplicated"
@@ -107,11 +107,12 @@
 for = "1s"
 `)
 	path := filepath.Join(t.TempDir(), "c.json")
-	config, err := p.dispatcherConfig(1, 0, 1, "127.0.0.1:8080", "127.0.0.1:9", "127.0.0.1:8500", nil,
+	addrs := dispatcherAddrs{listen: "127.0.0.1:8080", operators: "127.0.0.1:9", discovery: "127.0.0.1:8500"}
+	config, err := p.dispatcherConfig(1, dispatcherSeed(1, 1, 0), addrs,
 		[]byte(`{"seq":1,"hosts":[]}`))
 	assert.NoError(t, err)
 	p.Dispatchers.Peers = false
-	bare, err := p.dispatcherConfig(1, 0, 1, "127.0.0.1:8080", "127.0.0.1:9", "127.0.0.1:8500", nil,
+	bare, err := p.dispatcherConfig(1, dispatcherSeed(1, 1, 0), addrs,
 		[]byte(`{"seq":1,"hosts":[]}`))
 	assert.NoError(t, err)
 	assert.NotEqual(t, config, bare)
@@ -135,7 +136,7 @@
 	assert.Equal(t, 24*time.Second, d.WarmupDuration.Duration())
 }
 
-func TestTraceIsReadFromBesideTheFileAndRefusedWithItsLine(t *testing.T) {
+func TestTraceIsReadRelativeToTheFileAndRejectedWithItsLine(t *testing.T) {
 	folder := t.TempDir()
 	file, trace := filepath.Join(folder, "x.toml"), filepath.Join(folder, "t.csv")
 	assert.NoError(t, os.WriteFile(file, []byte(smallest+"[load]\ntrace=\"t.csv\"\n"), 0o600))
--- a/internal/testbed/experiment/operators.go
+++ b/internal/testbed/experiment/operators.go
@@ -15,116 +15,131 @@
 	"canvasroute/internal/testbed/history"
 )
 
-// What operators do by hand at the dispatchers: calls at their door, new settings, upgrades.
+// What operators do: commands to the admin server, new settings, upgrades.
 
-// Bounds on operators' work.
+// Timing of operators' actions.
 const (
-	adminTimeout   = time.Second
-	upgradeTimeout = 6 * time.Second // for the second process of an upgrade to take clients
+	adminTimeout       = time.Second
+	upgradeTimeout     = 6 * time.Second // for the second process of an upgrade to accept clients
+	healthPollInterval = 20 * time.Millisecond
+	trickleInterval    = 100 * time.Millisecond // between two bytes of a slow client
+	reconnectDelay     = 200 * time.Millisecond // of idle and slow clients
 )
 
-// done is what the door says to a call that was carried out, and to HEALTH where clients are taken.
+// answerDone is the admin server's answer to a successful command, and to HEALTH while clients are accepted.
 const answerDone = "done\n"
 
-// callAdmin makes one call at an operators' door and returns all of the answer.
+// callAdmin sends one command to an admin server and returns the whole answer.
 func callAdmin(addr, call string) (string, error) {
 	c, err := net.DialTimeout("tcp", addr, adminTimeout)
 	if err != nil {
-		return "", fmt.Errorf("operators' door: %w", err)
+		return "", fmt.Errorf("admin server: %w", err)
 	}
 	defer c.Close()
 	c.SetDeadline(time.Now().Add(adminTimeout))
 	if _, err := io.WriteString(c, call+"\n"); err != nil {
-		return "", fmt.Errorf("operators' door: %w", err)
+		return "", fmt.Errorf("admin server: %w", err)
 	}
 	b, err := io.ReadAll(c)
 	if err != nil {
-		return "", fmt.Errorf("operators' door: %s: %w", call, err)
+		return "", fmt.Errorf("admin server: %s: %w", call, err)
 	}
 	return string(b), nil
 }
 
-func (w *environment) callOperators(n int, call string) {
-	answer, err := callAdmin(w.process(n).operatorsAddr, call)
+func (env *environment) callOperators(n int, call string) {
+	answer, err := callAdmin(env.process(n).operatorsAddr, call)
 	if err == nil && answer != answerDone {
 		err = fmt.Errorf("%s: %s answered %q", dispatcherName(n), call, answer)
 	}
-	w.recordFailure(err)
+	env.recordFailure(err)
 }
 
-// reconfigure gives dispatchers a file with another number of forwards, and tells them so.
-func (w *environment) reconfigure(targets []int, maxAttempts int) {
+// reconfigure gives dispatchers a configuration with another number of attempts, and has them reload it.
+func (env *environment) reconfigure(targets []int, maxAttempts int) {
 	for _, n := range targets {
-		config, err := w.dispatcherConfig(n, w.process(n).operatorsAddr, maxAttempts)
+		config, err := env.dispatcherConfig(n, env.process(n).operatorsAddr, maxAttempts)
 		if err == nil {
-			err = w.process(n).writeConfig(config)
+			err = env.process(n).writeConfig(config)
 		}
-		w.recordFailure(err)
-		w.process(n).signal(syscall.SIGHUP, false)
+		env.recordFailure(err)
+		env.process(n).signal(syscall.SIGHUP, false)
 	}
 }
 
-// upgrade starts a second process of a dispatcher, and asks the first one to end once the second takes
-// clients.
-func (w *environment) upgrade(ctx context.Context, n int) {
-	old := w.process(n)
-	next, err := newProcess(fmt.Sprintf("%s-%d", dispatcherName(n), old.incarnations+1), w.folder, w.dispatcherCommand)
+// upgrade starts a second process of a dispatcher, and stops the first one once the second accepts clients.
+func (env *environment) upgrade(ctx context.Context, n int) {
+	old := env.process(n)
+	next, err := env.startSuccessor(n, old)
 	if err != nil {
-		w.recordFailure(err)
+		env.recordFailure(err)
 		return
 	}
-	next.directory, next.incarnations, next.fleet, next.disk = old.directory, old.incarnations, old.fleet, old.disk
-	at, err := freePort()
-	if err != nil {
-		w.recordFailure(err)
+	if err := env.awaitSuccessor(ctx, n, next); err != nil {
+		env.recordFailure(err)
+		next.kill()
 		return
 	}
-	next.operatorsAddr = at.String()
-	config, err := w.dispatcherConfig(n, next.operatorsAddr, w.plan.Dispatchers.MaxAttempts)
-	if err == nil {
-		err = next.start(config)
+	env.mu.Lock()
+	env.processes[n] = next
+	env.mu.Unlock()
+	env.recordFailure(old.stop(stopTimeout))
+	old.log.Close()
+	next.absorb(old)
+}
+
+// startSuccessor starts the second process of an upgrade.
+func (env *environment) startSuccessor(n int, old *process) (*process, error) {
+	next, err := newProcess(fmt.Sprintf("%s-%d", dispatcherName(n), old.incarnations+1), env.folder, env.dispatcherCommand)
+	if err != nil {
+		return nil, err
 	}
+	next.directory = old.directory
+	next.incarnations = old.incarnations
+	next.fleet = old.fleet
+	next.disk = old.disk
+	operatorsAddr, err := freePort()
 	if err != nil {
-		w.recordFailure(err)
-		return
+		return nil, err
+	}
+	next.operatorsAddr = operatorsAddr.String()
+	config, err := env.dispatcherConfig(n, next.operatorsAddr, env.plan.Dispatchers.MaxAttempts)
+	if err != nil {
+		return nil, err
 	}
+	return next, next.start(config)
+}
+
+// awaitSuccessor waits until the second process of an upgrade accepts clients, or has taken over a LEAVE.
+func (env *environment) awaitSuccessor(ctx context.Context, n int, next *process) error {
 	for limit := time.Now().Add(upgradeTimeout); ; {
 		answer, err := callAdmin(next.operatorsAddr, "HEALTH")
-		if err == nil && (answer == answerDone || w.drainedBefore(n) && staysDrained(answer)) {
-			break
+		if err == nil && (answer == answerDone || env.drainedBefore(n) && staysDrained(answer)) {
+			return nil
 		}
 		if time.Now().After(limit) || ctx.Err() != nil {
-			w.recordFailure(fmt.Errorf("%s: its second process does not take clients within %v", dispatcherName(n),
-				upgradeTimeout))
-			next.kill()
-			return
+			return fmt.Errorf("%s: its second process does not accept clients within %v", dispatcherName(n), upgradeTimeout)
 		}
-		time.Sleep(20 * time.Millisecond)
+		time.Sleep(healthPollInterval)
 	}
-	w.mu.Lock()
-	w.processes[n] = next
-	w.mu.Unlock()
-	w.recordFailure(old.stop(stopTimeout))
-	old.log.Close()
-	next.absorb(old)
 }
 
-// staysDrained tells whether a second process says that it goes on with a LEAVE of before: it will never say done.
+// staysDrained reports whether a second process goes on with an earlier LEAVE, in which case it never answers done.
 func staysDrained(health string) bool {
 	return strings.Contains(health, lifecycle.Draining.String()) || strings.Contains(health, lifecycle.Drained.String())
 }
 
-// openIdleClients opens connections of clients that never ask for anything whole, until ctx ends: silent ones, or ones
-// that send a byte now and then. One that is ended is opened again.
-func (w *environment) openIdleClients(ctx context.Context, connections int, every time.Duration) {
+// openIdleClients holds connections on which no request is ever complete, until ctx ends: idle ones, or for an interval
+// above 0 ones that send a byte at a time. A connection that ends is opened again.
+func (env *environment) openIdleClients(ctx context.Context, connections int, every time.Duration) {
 	const text = "POST /api HTTP/1.1\r\nReq-Id: never\r\nReq-Kind: never\r\n"
 	for n := range connections {
-		addr := w.listenAddrs[n%len(w.listenAddrs)].String()
-		w.actions.Go(func() {
+		addr := env.listenAddrs[n%len(env.listenAddrs)].String()
+		env.actions.Go(func() {
 			for ctx.Err() == nil {
-				w.holdConnection(ctx, addr, text, every)
+				env.holdConnection(ctx, addr, text, every)
 				select {
-				case <-time.After(200 * time.Millisecond):
+				case <-time.After(reconnectDelay):
 				case <-ctx.Done():
 				}
 			}
@@ -132,7 +147,7 @@
 	}
 }
 
-func (w *environment) holdConnection(ctx context.Context, addr, text string, every time.Duration) {
+func (env *environment) holdConnection(ctx context.Context, addr, text string, every time.Duration) {
 	c, err := net.DialTimeout("tcp", addr, adminTimeout)
 	if err != nil {
 		return
@@ -152,78 +167,94 @@
 	_, _ = io.Copy(io.Discard, c) // until either side ends it
 }
 
-// applyOperators carries out what a person would do.
-func (w *environment) applyOperators(ctx context.Context, a fault.Action) {
-	switch a.Kind {
-	case fault.DispatcherLeave, fault.DispatcherJoin:
-		call := map[fault.ActionKind]string{fault.DispatcherLeave: "LEAVE", fault.DispatcherJoin: "JOIN"}[a.Kind]
-		for _, n := range a.Targets {
-			w.mu.Lock()
-			w.drainedByOperator[n] = a.Kind == fault.DispatcherLeave
-			w.mu.Unlock()
-			w.callOperators(n, call)
-		}
+// applyOperators does what an operator, or a client that misbehaves, would do.
+func (env *environment) applyOperators(ctx context.Context, action fault.Action) {
+	switch action.Kind {
+	case fault.DispatcherLeave:
+		env.setDrained(action.Targets, true)
+	case fault.DispatcherJoin:
+		env.setDrained(action.Targets, false)
 	case fault.DispatcherReconfigure:
-		maxAttempts := int(a.Value)
+		maxAttempts := int(action.Value)
 		if maxAttempts == 0 {
-			maxAttempts = w.plan.Dispatchers.MaxAttempts
+			maxAttempts = env.plan.Dispatchers.MaxAttempts
 		}
-		w.reconfigure(a.Targets, maxAttempts)
+		env.reconfigure(action.Targets, maxAttempts)
 	case fault.DispatcherUpgrade:
-		for _, n := range a.Targets {
-			w.actions.Go(func() { w.upgrade(ctx, n) })
+		for _, n := range action.Targets {
+			env.actions.Go(func() { env.upgrade(ctx, n) })
 		}
 	case fault.ClientsIdle, fault.ClientsTrickle:
 		every := time.Duration(0)
-		if a.Kind == fault.ClientsTrickle {
-			every = 100 * time.Millisecond
+		if action.Kind == fault.ClientsTrickle {
+			every = trickleInterval
 		}
-		holding, stop := context.WithTimeout(ctx, a.Duration)
+		holding, stop := context.WithTimeout(ctx, action.Duration)
 		context.AfterFunc(holding, stop)
-		w.openIdleClients(holding, int(a.Value), every)
+		env.openIdleClients(holding, int(action.Value), every)
+	}
+}
+
+// setDrained sends LEAVE or JOIN to dispatchers.
+func (env *environment) setDrained(targets []int, drained bool) {
+	command := "JOIN"
+	if drained {
+		command = "LEAVE"
+	}
+	for _, n := range targets {
+		env.mu.Lock()
+		env.drainedByOperator[n] = drained
+		env.mu.Unlock()
+		env.callOperators(n, command)
 	}
 }
 
-// Bounds within which a dispatcher's own figures may differ from the ledger's.
+// Tolerances between a dispatcher's own counters and the recorded history, relative and absolute.
 const (
 	counterTolerance    = 0.01
 	minCounterTolerance = 3
 )
 
-// compareCounters holds the figures of each dispatcher that has had one process against what the ledger saw at
-// clients and workers. What clients left may be counted or not.
-func (w *environment) compareCounters() {
-	for n := range w.listenAddrs {
-		p := w.process(n)
-		if w.plan.Dispatchers.Policy != Canvasroute || p.incarnations != 1 || !p.running() {
+// compareCounters compares the counters of each dispatcher that has had only one process with the outcomes of its
+// requests. Requests whose client left without an answer may be counted or not.
+func (env *environment) compareCounters() {
+	for n := range env.listenAddrs {
+		p := env.process(n)
+		if env.plan.Dispatchers.Policy != Canvasroute || p.incarnations != 1 || !p.running() {
 			continue
 		}
 		dump, err := callAdmin(p.operatorsAddr, "DUMP")
 		if err != nil {
-			w.recordFailure(fmt.Errorf("%s: %w", dispatcherName(n), err))
+			env.recordFailure(fmt.Errorf("%s: %w", dispatcherName(n), err))
 			continue
 		}
-		report, seen := parseCounters(dump), map[string]int{}
-		for _, t := range w.history.Requests() {
-			if t.Dispatcher == n {
-				seen[history.OutcomeNames[t.Outcome]]++
-			}
+		env.compareCountersOf(n, parseCounters(dump))
+	}
+}
+
+func (env *environment) compareCountersOf(n int, reported map[string]int) {
+	observed := map[string]int{}
+	for _, request := range env.history.Requests() {
+		if request.Dispatcher == n {
+			observed[history.OutcomeNames[request.Outcome]]++
 		}
-		uncertain := seen["unanswered"] + seen["broken"] + seen["unreachable"] + seen["interrupted"]
-		for _, pair := range [][2]string{
-			{"succeeded", "succeeded"},
-			{"declined", "throttled"},
-			{"aborted", "errored"},
-		} {
-			reported, observed := report[pair[0]], seen[pair[1]]
-			if slack := uncertain + max(minCounterTolerance, int(counterTolerance*float64(observed))); reported < observed-slack || reported > observed+slack {
-				w.recordFailure(fmt.Errorf("%s: svc.%s says %d, clients saw %d", dispatcherName(n), pair[0], reported, observed))
-			}
+	}
+	uncertain := observed["unanswered"] + observed["broken"] + observed["unreachable"] + observed["interrupted"]
+	for _, pair := range []struct{ counter, outcome string }{
+		{"succeeded", "succeeded"},
+		{"declined", "throttled"},
+		{"aborted", "errored"},
+	} {
+		counter, outcomes := reported[pair.counter], observed[pair.outcome]
+		tolerance := uncertain + max(minCounterTolerance, int(counterTolerance*float64(outcomes)))
+		if counter < outcomes-tolerance || counter > outcomes+tolerance {
+			env.recordFailure(fmt.Errorf("%s: svc.%s says %d, clients saw %d", dispatcherName(n), pair.counter, counter,
+				outcomes))
 		}
 	}
 }
 
-// parseCounters sums a dump by the name of each figure, over operations.
+// parseCounters sums the counters of a dump over operations, by name.
 func parseCounters(dump string) map[string]int {
 	sum := map[string]int{}
 	for line := range strings.Lines(dump) {
@@ -237,3 +268,27 @@
 	}
 	return sum
 }
+
+// drainCheckInterval is how often watchDrained polls a dispatcher's health.
+const drainCheckInterval = 20 * time.Millisecond
+
+// watchDrained checks that a dispatcher that restarted after an operator's LEAVE accepts no client until JOIN.
+func (env *environment) watchDrained(ctx context.Context, n int) {
+	p := env.process(n)
+	for ctx.Err() == nil && p.running() && env.drainedBefore(n) {
+		// The second drainedBefore excludes an answer that a JOIN has overtaken.
+		answer, err := callAdmin(p.operatorsAddr, "HEALTH")
+		if err == nil && answer == answerDone && env.drainedBefore(n) {
+			env.recordFailure(fmt.Errorf("%s accepts clients again after a LEAVE without a JOIN", dispatcherName(n)))
+			return
+		}
+		time.Sleep(drainCheckInterval)
+	}
+}
+
+// drainedBefore reports whether the last command to a dispatcher was LEAVE.
+func (env *environment) drainedBefore(n int) bool {
+	env.mu.Lock()
+	defer env.mu.Unlock()
+	return env.drainedByOperator[n]
+}
--- a/internal/testbed/experiment/plan.go
+++ b/internal/testbed/experiment/plan.go
@@ -1,6 +1,5 @@
-// Package experiment runs what an experiment file names: real dispatcher processes before a stand-in fleet,
-// list service and peer network, under an open-loop load and troubles on a timeline. It leaves a folder with
-// results.
+// Package experiment runs an experiment file: real dispatcher processes with a stand-in fleet, list service and peer
+// network, under an open-loop load and a timeline of faults. It writes the result to a folder.
 package experiment
 
 import (
@@ -19,83 +18,83 @@
 	"canvasroute/internal/tomlconfig"
 )
 
-// Plan is an experiment file.
+// Plan is an experiment file. The keys are the operators' interface.
 type Plan struct {
 	Name        string               `toml:"name"`
 	Seed        uint64               `toml:"seed"`
-	Slack       unit.Duration        `toml:"slack"` // that the ledger grants each time limit of the rules
+	Slack       unit.Duration        `toml:"slack"` // added to the time limits of the rules
 	Dispatchers Dispatchers          `toml:"dispatchers"`
 	Fleet       Fleet                `toml:"fleet"`
 	Operations  []workload.Operation `toml:"operation"`
 	Tenants     []workload.Tenant    `toml:"customer"`
 	Load        Load                 `toml:"load"`
 	Faults      []fault.Spec         `toml:"trouble"`
-	schedule    *workload.Plan       // what the schedule follows from
-	timeline    *fault.Timeline      // of the plan's own seed
+	schedule    *workload.Plan       // what the schedule is drawn from
+	timeline    *fault.Timeline      // for the plan's own seed
 	trace       []workload.Arrival
-	directory   string // the file's folder, which a trace's name counts from
+	directory   string // of the file; a trace's path is relative to it
 }
 
 // Dispatchers are the processes under test.
 type Dispatchers struct {
 	Count          int           `toml:"count"`
 	Policy         string        `toml:"policy"` // canvasroute or one of the baselines
-	Fault          string        `toml:"fault"`  // of a baseline that is broken on purpose
+	Fault          string        `toml:"fault"`  // of a baseline, one of baseline.Faults
 	Cores          float64       `toml:"cores"`
 	MemoryMB       int           `toml:"memory-mb"`
 	Sockets        int           `toml:"sockets"`
-	Peers          bool          `toml:"peers"` // whether they may send one another datagrams
+	Peers          bool          `toml:"peers"` // whether they may send each other datagrams
 	PeerLoss       float64       `toml:"peer-loss"`
 	PeerDelay      unit.Duration `toml:"peer-delay"`
 	PeerJitter     unit.Duration `toml:"peer-jitter"`
-	MaxAttempts    int           `toml:"forwards"` // for one invocation at the most
+	MaxAttempts    int           `toml:"forwards"` // per request
 	Cancellation   bool          `toml:"may-cancel"`
 	Hedging        bool          `toml:"second-copies"`
-	MaxRetryAfter  unit.Duration `toml:"come-back-most"` // longest Retry-After; 0: none may be given
-	FailureTimeout unit.Duration `toml:"notice-after"`   // until the front notices that one has died
+	MaxRetryAfter  unit.Duration `toml:"come-back-most"` // longest Retry-After; 0: not allowed
+	FailureTimeout unit.Duration `toml:"notice-after"`   // until the front tier removes a dispatcher that has died
 	DrainGrace     unit.Duration `toml:"drain-grace"`
-	Granularity    unit.Duration `toml:"granularity"` // of what the decisions may rely on in time
-	PollInterval   unit.Duration `toml:"ask-within"`  // the longest time without asking the list
+	Granularity    unit.Duration `toml:"granularity"` // of times that decisions may rely on
+	PollInterval   unit.Duration `toml:"ask-within"`  // longest time between two polls of the list
 	DialTimeout    unit.Duration `toml:"dial-within"`
-	OverQuotaValue float64       `toml:"surplus-value"` // of what is beyond a customer's quota
+	OverQuotaValue float64       `toml:"surplus-value"` // share of the value of requests over a tenant's quota
 	ValueByCount   bool          `toml:"value-by-number"`
 
-	Recovery       bool          `toml:"recovery"` // each has a state folder and a link to the others
+	Recovery       bool          `toml:"recovery"` // each persists state and has a link to the others
 	StateInterval  unit.Duration `toml:"state-every"`
 	LinkLoss       float64       `toml:"link-loss"`
 	LinkDelay      unit.Duration `toml:"link-delay"`
 	LinkJitter     unit.Duration `toml:"link-jitter"`
-	LinkDuplicates float64       `toml:"link-doubled"` // the share of messages that come twice
+	LinkDuplicates float64       `toml:"link-doubled"` // share of messages delivered twice
 }
 
-// Fleet is the stand-in workers.
+// Fleet configures the stand-in workers.
 type Fleet struct {
 	Zones              []string      `toml:"zones"`
 	CellSize           int           `toml:"cell-size"`
 	Kinds              []worker.Kind `toml:"kind"`
 	InitialShare       float64       `toml:"cold-from"`
 	WarmupDuration     unit.Duration `toml:"cold-ramp"`
-	OverloadMultiple   float64       `toml:"cold-multiple"` // 0: none is ever pushed over
+	OverloadMultiple   float64       `toml:"cold-multiple"` // see worker.Warmup; 0: no budget
 	OverloadSpan       unit.Duration `toml:"cold-span"`
 	Idle               unit.Duration `toml:"idle"`
 	StartNotes         bool          `toml:"start-notes"`
-	AnnounceStartNotes bool          `toml:"tells-start"` // whether the settings announce the notes
+	AnnounceStartNotes bool          `toml:"tells-start"` // whether the settings announce StartNotes
 	Progress           bool          `toml:"progress"`
 	Probes             bool          `toml:"probes"`
 	ListLag            unit.Duration `toml:"list-lag"`
-	Instant            bool          `toml:"instant"` // nothing runs: each job is done as it comes
+	Instant            bool          `toml:"instant"` // jobs take no time
 }
 
-// Load is what the generator sends.
+// Load configures the load generator.
 type Load struct {
 	Phases    []workload.Phase `toml:"phase"`
-	Trace     string           `toml:"trace"` // a file, in place of phases
+	Trace     string           `toml:"trace"` // file with recorded arrivals, instead of phases
 	Retries   int              `toml:"retries"`
 	RetryWait unit.Duration    `toml:"retry-wait"`
 	MaxOpen   int              `toml:"open-most"`
 }
 
-// defaults is what holds where a file says nothing.
+// defaults are the values of keys that a file leaves out.
 func defaults() Plan {
 	return Plan{
 		Seed: 1, Slack: unit.Duration(150 * time.Millisecond),
@@ -117,10 +116,10 @@
 	}
 }
 
-// Canvasroute is the policy under test, as against the baselines.
+// Canvasroute is the policy of the dispatcher under test. The others are those of package baseline.
 const Canvasroute = "canvasroute"
 
-// Read reads and checks an experiment file. The error names the file, and the line or the key.
+// Read reads and validates an experiment file. The error names the file, and the line or the key.
 func Read(path string) (*Plan, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -129,7 +128,7 @@
 	return Parse(path, text)
 }
 
-// Parse is Read for a text that is at hand; a trace is looked for beside the file of that name.
+// Parse reads and validates the text of an experiment file. The path is used for errors and to find a trace.
 func Parse(path string, text []byte) (*Plan, error) {
 	p := defaults()
 	p.directory = filepath.Dir(path)
@@ -142,16 +141,33 @@
 	return &p, nil
 }
 
-// Bounds on what one machine can play.
+// Limits of an experiment on one machine.
 const (
 	maxDispatchers = 32
 	maxWorkers     = 1024
 	maxListeners   = 8192
 	maxDuration    = 6 * time.Hour
+
+	maxCores         = 64
+	minMemoryMB      = 16
+	minSockets       = 64
+	maxAttemptsLimit = 64
 )
 
+// validate checks the keys that the decoder cannot. The error begins with the key.
 func (p *Plan) validate() error {
-	d, f := &p.Dispatchers, &p.Fleet
+	for _, check := range []func() error{
+		p.validateDispatchers, p.validateFleet, p.validateOperations, p.validateTenants, p.validateLoad, p.validateFaults,
+	} {
+		if err := check(); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+func (p *Plan) validateDispatchers() error {
+	d := &p.Dispatchers
 	policies := append([]string{Canvasroute}, baseline.Policies...)
 	switch {
 	case d.Count < 1 || d.Count > maxDispatchers:
@@ -161,22 +177,27 @@
 	case d.Fault != "" && (d.Policy == Canvasroute || !slices.Contains(baseline.Faults, d.Fault)):
 		return fmt.Errorf("dispatchers.fault: %q, must be one of %q, with a baseline's policy", d.Fault,
 			baseline.Faults)
-	case !(d.Cores > 0 && d.Cores <= 64):
-		return fmt.Errorf("dispatchers.cores: %v, must be above 0 and at most 64", d.Cores)
-	case d.MemoryMB < 16 || d.Sockets < 64:
-		return errors.New("dispatchers.memory-mb: must be at least 16, and sockets at least 64")
+	case !(d.Cores > 0 && d.Cores <= maxCores):
+		return fmt.Errorf("dispatchers.cores: %v, must be above 0 and at most %d", d.Cores, maxCores)
+	case d.MemoryMB < minMemoryMB || d.Sockets < minSockets:
+		return fmt.Errorf("dispatchers.memory-mb: must be at least %d, and sockets at least %d", minMemoryMB, minSockets)
 	case !(d.PeerLoss >= 0 && d.PeerLoss <= 1):
 		return fmt.Errorf("dispatchers.peer-loss: %v, must be from 0 to 1", d.PeerLoss)
-	case d.MaxAttempts < 1 || d.MaxAttempts > 64:
-		return fmt.Errorf("dispatchers.forwards: %d, must be from 1 to 64", d.MaxAttempts)
+	case d.MaxAttempts < 1 || d.MaxAttempts > maxAttemptsLimit:
+		return fmt.Errorf("dispatchers.forwards: %d, must be from 1 to %d", d.MaxAttempts, maxAttemptsLimit)
+	}
+	return nil
+}
+
+func (p *Plan) validateFleet() error {
+	f := &p.Fleet
+	switch {
 	case len(f.Zones) == 0:
 		return errors.New("fleet.zones: must name at least one")
 	case f.CellSize < 1:
 		return fmt.Errorf("fleet.cell-size: %d, must be at least 1", f.CellSize)
 	case !(f.InitialShare > 0 && f.InitialShare <= 1) || !(f.OverloadMultiple >= 0):
 		return errors.New("fleet.cold-from: must be above 0 and at most 1, and cold-multiple not negative")
-	case p.Load.Retries < 0 || p.Load.MaxOpen < 1:
-		return errors.New("load.retries: must not be negative, and open-most at least 1")
 	}
 	workers := 0
 	for n, k := range f.Kinds {
@@ -185,54 +206,73 @@
 		}
 		workers += k.Count
 	}
-	if workers < 1 || workers > maxWorkers || workers*d.Count > maxListeners {
+	if workers < 1 || workers > maxWorkers || workers*p.Dispatchers.Count > maxListeners {
 		return fmt.Errorf("fleet.kind: %d workers for %d dispatchers, must be from 1 to %d, and times the "+
-			"dispatchers at most %d", workers, d.Count, maxWorkers, maxListeners)
+			"dispatchers at most %d", workers, p.Dispatchers.Count, maxWorkers, maxListeners)
 	}
-	return p.validateLoad()
+	return nil
 }
 
-func (p *Plan) validateLoad() (err error) {
+func (p *Plan) validateOperations() error {
 	if len(p.Operations) == 0 {
 		return errors.New("operation: there must be at least one")
 	}
+	names := map[string]bool{}
 	for n := range p.Operations {
-		if err := p.Operations[n].Validate(); err != nil {
+		o := &p.Operations[n]
+		if err := o.Validate(); err != nil {
 			return fmt.Errorf("operation[%d].%w", n, err)
 		}
-		same := func(o workload.Operation) bool { return o.Name == p.Operations[n].Name }
-		if slices.IndexFunc(p.Operations, same) < n {
-			return fmt.Errorf("operation[%d].name: %q is there already", n, p.Operations[n].Name)
+		if names[o.Name] {
+			return fmt.Errorf("operation[%d].name: %q is defined twice", n, o.Name)
 		}
+		names[o.Name] = true
 	}
+	return nil
+}
+
+func (p *Plan) validateTenants() error {
 	for n, c := range p.Tenants {
 		if c.Name == "" || !(c.Share > 0) || !(c.Quota >= 0) {
 			return fmt.Errorf("customer[%d]: must have a name, a share above 0 and a quota from 0", n)
 		}
 	}
+	return nil
+}
+
+// validateLoad checks the load, and prepares what the schedule is drawn from.
+func (p *Plan) validateLoad() (err error) {
 	p.schedule = &workload.Plan{Operations: p.Operations, Tenants: p.Tenants}
 	switch {
+	case p.Load.Retries < 0 || p.Load.MaxOpen < 1:
+		return errors.New("load.retries: must not be negative, and open-most at least 1")
 	case p.Load.Trace != "" && len(p.Load.Phases) > 0:
-		return errors.New("load.trace: there are phases as well")
+		return errors.New("load.trace: cannot be combined with phases")
 	case p.Load.Trace != "":
-		if p.trace, err = p.readTrace(); err != nil {
-			return err
-		}
+		p.trace, err = p.readTrace()
 	case len(p.Load.Phases) == 0:
 		return errors.New("load.phase: there must be at least one, or a trace")
 	default:
-		if p.schedule.Segments, err = workload.Segments(p.Load.Phases); err != nil {
-			return err
-		}
+		p.schedule.Segments, err = workload.Segments(p.Load.Phases)
+	}
+	if err != nil {
+		return err
 	}
 	if duration := p.Duration(); duration > maxDuration {
 		return fmt.Errorf("load: lasts %v, must be at most %v", duration, maxDuration)
 	}
-	p.timeline, err = fault.Plan(p.Faults, p.topology(), p.Seed)
-	if err == nil && p.trace != nil && len(p.timeline.ExtraLoads) > 0 {
-		return errors.New("trouble: burst and flood need phases, a trace has no rate")
+	return nil
+}
+
+// validateFaults checks the faults by planning them for the plan's own seed.
+func (p *Plan) validateFaults() (err error) {
+	if p.timeline, err = fault.Plan(p.Faults, p.topology(), p.Seed); err != nil {
+		return err
 	}
-	return err
+	if p.trace != nil && len(p.timeline.ExtraLoads) > 0 {
+		return errors.New("trouble: burst and flood need phases, as a trace has no rate")
+	}
+	return nil
 }
 
 func (p *Plan) readTrace() ([]workload.Arrival, error) {
@@ -248,7 +288,7 @@
 	return p.schedule.ReadTrace(path, file, p.Seed)
 }
 
-// Duration is how long arrivals go on.
+// Duration is the time from the start to the last arrival.
 func (p *Plan) Duration() time.Duration {
 	if n := len(p.trace); n > 0 {
 		return p.trace[n-1].At + time.Millisecond
@@ -256,7 +296,7 @@
 	return workload.TotalDuration(p.schedule.Segments)
 }
 
-// Schedule is the arrivals for a seed; a trace is the same for all.
+// Schedule returns the arrivals for a seed. A trace is the same for all seeds.
 func (p *Plan) Schedule(seed uint64) []workload.Arrival {
 	if p.trace != nil {
 		return p.trace
@@ -266,28 +306,37 @@
 	return s.Schedule(seed)
 }
 
-// placeWorkers are the kinds of worker by number, dealt over the zones in turn.
+// placeWorkers returns the index of the kind, zone and cell of each worker.
 func (p *Plan) placeWorkers() (kinds, zones, cells []int) {
 	for k, kind := range p.Fleet.Kinds {
 		for range kind.Count {
-			n := len(kinds)
-			kinds, zones = append(kinds, k), append(zones, n%len(p.Fleet.Zones))
-			cells = append(cells, n/len(p.Fleet.Zones)/p.Fleet.CellSize*len(p.Fleet.Zones)+zones[n])
+			zone, cell := p.placement(len(kinds))
+			kinds = append(kinds, k)
+			zones = append(zones, zone)
+			cells = append(cells, cell)
 		}
 	}
 	return kinds, zones, cells
 }
 
+// placement is the zone and the cell of a worker. Workers are distributed over the zones in turn, and a cell holds
+// CellSize workers of one zone.
+func (p *Plan) placement(worker int) (zone, cell int) {
+	zones := len(p.Fleet.Zones)
+	zone = worker % zones
+	return zone, worker/zones/p.Fleet.CellSize*zones + zone
+}
+
 func (p *Plan) topology() fault.Topology {
 	kinds, zones, _ := p.placeWorkers()
-	w := fault.Topology{
+	topology := fault.Topology{
 		Workers: len(kinds), Zones: p.Fleet.Zones, WorkerZones: zones,
 		Dispatchers: p.Dispatchers.Count,
 	}
 	for _, c := range p.Tenants {
-		w.Tenants = append(w.Tenants, c.Name)
+		topology.Tenants = append(topology.Tenants, c.Name)
 	}
-	return w
+	return topology
 }
 
 func (p *Plan) operationNames() (names []string) {
@@ -304,7 +353,7 @@
 	return names
 }
 
-// WithPolicy is the plan with another policy, checked anew.
+// WithPolicy returns the plan with another policy, validated again.
 func (p *Plan) WithPolicy(policy string) (*Plan, error) {
 	q := *p
 	q.Dispatchers.Policy = policy
--- a/internal/testbed/experiment/power.go
+++ b/internal/testbed/experiment/power.go
@@ -18,242 +18,269 @@
 	"canvasroute/internal/testbed/unit"
 )
 
-// startLink gives each dispatcher a folder for its state and a link to the others.
-func (w *environment) startLink(ctx context.Context, own []netip.AddrPort) (err error) {
-	links, err := network.New(own, w.linkConditions(), messaging.MaxDatagramBytes, w.seed)
+// startLink starts the network for messages between members, and gives each dispatcher a state folder and a file that
+// names the members.
+func (env *environment) startLink(ctx context.Context, linkAddrs []netip.AddrPort) error {
+	links, err := network.New(linkAddrs, env.linkConditions(), messaging.MaxDatagramBytes, env.seed)
 	if err != nil {
 		return err
 	}
-	w.links = links
-	w.background.Go(func() error { return links.Run(ctx) })
-	for n, p := range w.processes {
-		p.disk = filepath.Join(w.folder, p.name+".state")
-		if p.disk, err = filepath.Abs(p.disk); err != nil {
+	env.links = links
+	env.background.Go(func() error { return links.Run(ctx) })
+	for n, p := range env.processes {
+		if p.disk, err = filepath.Abs(filepath.Join(env.folder, p.name+".state")); err != nil {
 			return err
 		}
-		p.fleet = filepath.Join(w.folder, p.name+".fleet.toml")
-		if err := os.WriteFile(p.fleet, w.fleetConfig(p, own[n], w.links.View(n)), 0o600); err != nil {
+		p.fleet = filepath.Join(env.folder, p.name+".fleet.toml")
+		if err := os.WriteFile(p.fleet, env.fleetConfig(p, linkAddrs[n], links.View(n)), 0o600); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (w *environment) fleetConfig(p *process, listen netip.AddrPort, view []netip.AddrPort) []byte {
+func (env *environment) fleetConfig(p *process, listen netip.AddrPort, view []netip.AddrPort) []byte {
 	b := fmt.Appendf(nil, "[state]\nfolder = %q\nevery = %q\n\n[link]\nlisten = %q\n", p.disk,
-		w.plan.Dispatchers.StateInterval.Std().String(), listen.String())
+		env.plan.Dispatchers.StateInterval.Std().String(), listen.String())
 	for n, at := range view {
 		b = fmt.Appendf(b, "\n[[member]]\nname = %q\naddress = %q\n", dispatcherName(n), at.String())
 	}
 	return b
 }
 
-func (w *environment) linkConditions() network.Conditions {
-	d := &w.plan.Dispatchers
+func (env *environment) linkConditions() network.Conditions {
+	d := &env.plan.Dispatchers
 	return network.Conditions{Loss: d.LinkLoss, Delay: d.LinkDelay.Std(), Jitter: d.LinkJitter.Std(), DuplicateShare: d.LinkDuplicates}
 }
 
-func (w *environment) applyToLink(a fault.Action) {
-	if w.links == nil {
+func (env *environment) applyToLink(action fault.Action) {
+	if env.links == nil {
 		return
 	}
-	m := w.linkConditions()
-	switch a.Kind {
+	conditions := env.linkConditions()
+	switch action.Kind {
 	case fault.LinkLoss:
-		m.Loss = a.Value
-		w.links.SetConditions(m)
+		conditions.Loss = action.Value
+		env.links.SetConditions(conditions)
 	case fault.LinkRecover:
-		w.links.SetConditions(m)
+		env.links.SetConditions(conditions)
 	case fault.LinkCut, fault.LinkHeal:
-		for _, n := range a.Targets {
-			for other := range w.listenAddrs {
-				if slices.Contains(a.Targets, other) {
-					continue
-				}
-				if a.Mode != "heard" {
-					w.links.SetPartition(other, n, a.Kind == fault.LinkCut)
-				}
-				if a.Mode != "hear" {
-					w.links.SetPartition(n, other, a.Kind == fault.LinkCut)
-				}
+		env.partitionLink(action)
+	}
+}
+
+// partitionLink cuts or heals the link between the targets and all other dispatchers, in the direction of the mode.
+func (env *environment) partitionLink(action fault.Action) {
+	cut := action.Kind == fault.LinkCut
+	for _, n := range action.Targets {
+		for other := range env.listenAddrs {
+			if slices.Contains(action.Targets, other) {
+				continue
+			}
+			if action.Mode != "heard" {
+				env.links.SetPartition(other, n, cut)
+			}
+			if action.Mode != "hear" {
+				env.links.SetPartition(n, other, cut)
 			}
 		}
 	}
 }
 
-// applyPower takes power from dispatchers, all at once, or gives it back to one of them. What it starts with is what
-// was known when power failed: nobody has told it anything since.
-func (w *environment) applyPower(ctx context.Context, a fault.Action) {
-	if a.Kind == fault.PowerLoss {
-		var kills sync.WaitGroup
-		for _, n := range a.Targets {
-			endpoints := w.discovery.CompleteList(n)
-			w.mu.Lock()
-			if w.endpointsAtPowerLoss[n] == nil {
-				w.endpointsAtPowerLoss[n] = endpoints
-			}
-			w.mu.Unlock()
-			w.dispatcherDown(n)
-			kills.Go(w.process(n).kill)
+// losePower kills dispatchers, all at once. Each keeps the list of this time for its next start, as nothing reaches it
+// while it has no power.
+func (env *environment) losePower(targets []int) {
+	var kills sync.WaitGroup
+	for _, n := range targets {
+		endpoints := env.discovery.CompleteList(n)
+		env.mu.Lock()
+		if env.endpointsAtPowerLoss[n] == nil {
+			env.endpointsAtPowerLoss[n] = endpoints
 		}
-		kills.Wait()
-		return
+		env.mu.Unlock()
+		env.dispatcherDown(n)
+		kills.Go(env.process(n).kill)
 	}
-	for _, n := range a.Targets {
-		if w.process(n).running() {
+	kills.Wait()
+}
+
+// returnPower starts dispatchers again, with their disks in the state of the mode and their clocks moved by the duration.
+func (env *environment) returnPower(ctx context.Context, action fault.Action) {
+	for _, n := range action.Targets {
+		if env.process(n).running() {
 			continue
 		}
-		if w.links != nil {
-			w.recordFailure(w.damageDisk(n, a))
-			if a.Duration != 0 {
-				w.recordFailure(shiftClock(w.process(n).disk, dispatcherName(n), a.Duration))
+		if env.links != nil {
+			env.recordFailure(env.damageDisk(n, action))
+			if action.Duration != 0 {
+				env.recordFailure(shiftClock(env.process(n).disk, dispatcherName(n), action.Duration))
 			}
 		}
-		w.recordFailure(w.launchDispatcher(n))
-		if w.links != nil && a.Mode == fault.DiskIntact && w.drainedBefore(n) {
-			w.actions.Go(func() { w.watchDrained(ctx, n) })
+		env.recordFailure(env.launchDispatcher(n))
+		if env.links != nil && action.Mode == fault.DiskIntact && env.drainedBefore(n) {
+			env.actions.Go(func() { env.watchDrained(ctx, n) })
 		}
-		w.mu.Lock()
-		delete(w.endpointsAtPowerLoss, n)
-		w.mu.Unlock()
-		w.dispatcherUp(n)
+		env.mu.Lock()
+		delete(env.endpointsAtPowerLoss, n)
+		env.mu.Unlock()
+		env.dispatcherUp(n)
 	}
 }
 
-// oldCopyDelay is when, from the experiment's start, a copy is taken of each disk, for one that is to be old later.
+// oldCopyDelay is when, since the start of the experiment, copyDisks copies each disk for fault.DiskOld.
 const oldCopyDelay = 3 * time.Second
 
-func (w *environment) copyDisks(ctx context.Context) error {
+func (env *environment) copyDisks(ctx context.Context) error {
 	select {
 	case <-time.After(oldCopyDelay):
 	case <-ctx.Done():
 		return nil
 	}
-	for _, p := range w.processes {
-		if err := copyDisk(p.disk, p.disk+".old"); err != nil {
+	for _, p := range env.processes {
+		if err := copyDisk(p.disk, oldDisk(p.disk)); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// copyDisk copies a folder that a dispatcher may be writing to meanwhile: what is gone by then is left out.
+// copyDisk copies a folder that a dispatcher may be writing to. Files that disappear meanwhile are left out.
 func copyDisk(from, to string) error {
 	entries, err := os.ReadDir(from)
 	if err != nil && !os.IsNotExist(err) {
-		return fmt.Errorf("a copy of a disk: %w", err)
+		return fmt.Errorf("copying a disk: %w", err)
 	}
 	if err := os.MkdirAll(to, 0o700); err != nil {
-		return fmt.Errorf("a copy of a disk: %w", err)
+		return fmt.Errorf("copying a disk: %w", err)
 	}
-	for _, e := range entries {
-		if !e.Type().IsRegular() {
+	for _, entry := range entries {
+		if !entry.Type().IsRegular() {
 			continue
 		}
-		b, err := os.ReadFile(filepath.Join(from, e.Name()))
+		b, err := os.ReadFile(filepath.Join(from, entry.Name()))
 		if os.IsNotExist(err) {
 			continue
 		}
 		if err == nil {
-			err = os.WriteFile(filepath.Join(to, e.Name()), b, 0o600)
+			err = os.WriteFile(filepath.Join(to, entry.Name()), b, 0o600)
 		}
 		if err != nil {
-			return fmt.Errorf("a copy of a disk: %w", err)
+			return fmt.Errorf("copying a disk: %w", err)
 		}
 	}
 	return nil
 }
 
-// damageDisk makes of a dispatcher's disk what is left of it after a loss of power.
-func (w *environment) damageDisk(n int, a fault.Action) error {
-	p, rng := w.process(n), unit.RandomStream(w.seed, fmt.Sprint("disk ", n, " ", a.At))
-	names := func() (all []string) {
-		if disk, err := store.ReadFolder(p.disk); err == nil {
-			all, _ = disk.Names() // a full disk of before has others too
-		}
-		for n := range all {
-			all[n] = filepath.Join(p.disk, all[n])
-		}
-		return all
-	}
-	cut := func(path string, by int64) error {
-		info, err := os.Stat(path)
-		if err != nil {
-			return err
-		}
-		return os.Truncate(path, max(info.Size()-by, 0))
-	}
-	switch a.Mode {
+// damageDisk brings the disk of a dispatcher that has lost power to the state of the action's mode.
+func (env *environment) damageDisk(n int, action fault.Action) error {
+	disk := env.process(n).disk
+	switch action.Mode {
 	case fault.DiskMissing:
-		return os.RemoveAll(p.disk)
-	case fault.DiskLostSync: // the newest of everything
-		newest := map[string]string{}
-		for _, path := range names() {
-			kind := strings.TrimSuffix(path, filepath.Ext(path))
-			if reported := newest[kind]; reported == "" || newer(path, reported) {
-				newest[kind] = path
-			}
-		}
-		for kind, path := range newest {
-			err := os.Remove(path)
-			if filepath.Base(kind) == "keys" {
-				err = cut(path, 40)
-			}
-			if err != nil && !os.IsNotExist(err) {
-				return err
-			}
-		}
+		return os.RemoveAll(disk)
+	case fault.DiskLostSync:
+		return loseNewest(diskFiles(disk))
 	case fault.DiskTorn:
-		if all := names(); len(all) > 0 {
-			return cut(all[rng.IntN(len(all))], int64(1+rng.IntN(200)))
+		rng := unit.RandomStream(env.seed, fmt.Sprint("disk ", n, " ", action.At))
+		if files := diskFiles(disk); len(files) > 0 {
+			return truncate(files[rng.IntN(len(files))], int64(1+rng.IntN(maxTornBytes)))
 		}
 	case fault.DiskOld:
-		if _, err := os.Stat(p.disk + ".old"); err != nil {
+		if _, err := os.Stat(oldDisk(disk)); err != nil {
 			return nil
 		}
-		if err := os.RemoveAll(p.disk); err != nil {
-			return err
+		return replaceDisk(disk, oldDisk(disk))
+	case fault.DiskSwapped: // by a copy of the next dispatcher's, which may be running
+		return replaceDisk(disk, env.process((n+1)%len(env.listenAddrs)).disk)
+	case fault.DiskFull:
+		return blockNewFiles(disk, "/dev/full")
+	case fault.DiskReadOnly:
+		return blockNewFiles(disk, "/proc/version")
+	}
+	return nil
+}
+
+const (
+	maxTornBytes    = 200  // lost from the end of a torn file, at most
+	blockedKeyFiles = 1000 // names of files of keys that blockNewFiles takes
+)
+
+// diskFiles returns the paths of the files in a state folder that belong to the store.
+func diskFiles(disk string) (paths []string) {
+	folder, err := store.ReadFolder(disk)
+	if err != nil {
+		return nil
+	}
+	names, _ := folder.Names() // fails on files that a DiskFull of before has left
+	for _, name := range names {
+		paths = append(paths, filepath.Join(disk, name))
+	}
+	return paths
+}
+
+// loseNewest removes the newest file of each kind.
+func loseNewest(files []string) error {
+	newest := map[string]string{}
+	for _, path := range files {
+		kind := strings.TrimSuffix(path, filepath.Ext(path))
+		if candidate := newest[kind]; candidate == "" || newer(path, candidate) {
+			newest[kind] = path
 		}
-		return copyDisk(p.disk+".old", p.disk)
-	case fault.DiskSwapped: // with the next one's, which may be up: it gets a copy
-		next := w.process((n + 1) % len(w.listenAddrs))
-		if err := os.RemoveAll(p.disk); err != nil {
+	}
+	for _, path := range newest {
+		if err := os.Remove(path); err != nil && !os.IsNotExist(err) {
 			return err
 		}
-		return copyDisk(next.disk, p.disk)
-	case fault.DiskFull, fault.DiskReadOnly:
-		return w.blockNewFiles(p, a.Mode)
 	}
 	return nil
 }
 
-func newer(a, b string) bool {
-	x, errX := os.Stat(a)
-	y, errY := os.Stat(b)
-	return errX == nil && errY == nil && x.ModTime().After(y.ModTime())
+// truncate removes bytes from the end of a file.
+func truncate(path string, bytes int64) error {
+	info, err := os.Stat(path)
+	if err != nil {
+		return err
+	}
+	return os.Truncate(path, max(info.Size()-bytes, 0))
 }
 
-// blockNewFiles makes each write that needs a new file fail from now on, by what stands where it would be made: a full
-// device, or what cannot be written.
-func (w *environment) blockNewFiles(p *process, how string) error {
-	to := "/dev/full"
-	if how == fault.DiskReadOnly {
-		to = "/proc/version"
+// replaceDisk replaces a state folder by a copy of another.
+func replaceDisk(disk, source string) error {
+	if err := os.RemoveAll(disk); err != nil {
+		return err
 	}
+	return copyDisk(source, disk)
+}
+
+// oldDisk is the path of the earlier copy of a state folder.
+func oldDisk(disk string) string { return disk + ".old" }
+
+// newer reports whether file a was modified after file b.
+func newer(a, b string) bool {
+	infoA, errA := os.Stat(a)
+	infoB, errB := os.Stat(b)
+	return errA == nil && errB == nil && infoA.ModTime().After(infoB.ModTime())
+}
+
+// blockNewFiles makes each write to a new file fail from now on: the names of the next files are links to target, a full
+// device or a file that cannot be written.
+func blockNewFiles(disk, target string) error {
 	last := 0
-	entries, _ := os.ReadDir(p.disk)
-	for _, e := range entries {
+	entries, err := os.ReadDir(disk)
+	if err != nil && !os.IsNotExist(err) {
+		return err
+	}
+	for _, entry := range entries {
 		var n int
-		if _, err := fmt.Sscanf(e.Name(), "keys.%d", &n); err == nil {
+		if _, err := fmt.Sscanf(entry.Name(), "keys.%d", &n); err == nil {
 			last = max(last, n)
 		}
 	}
 	names := []string{"life.new"}
-	for n := range 1000 {
+	for n := range blockedKeyFiles {
 		names = append(names, fmt.Sprintf("keys.%d", last+1+n))
 	}
 	for _, name := range names {
-		if err := os.Symlink(to, filepath.Join(p.disk, name)); err != nil && !os.IsExist(err) {
+		if err := os.Symlink(target, filepath.Join(disk, name)); err != nil && !os.IsExist(err) {
 			return err
 		}
 	}
--- a/internal/testbed/experiment/process.go
+++ b/internal/testbed/experiment/process.go
@@ -16,22 +16,22 @@
 	"time"
 )
 
-// process is a dispatcher's process through its lives. All signals go to the one process that we started.
+// process is a dispatcher's process over all its incarnations. Signals go only to the process started last.
 type process struct {
 	name, folder  string
 	command       []string // the program and its arguments
-	directory     string   // for its temporary files, the same for both processes of an upgrade
-	operatorsAddr string   // where its operators call
-	fleet         string   // the operators' file for what dispatchers do in common, "" for none
-	disk          string   // where it keeps its state
+	directory     string   // for temporary files, shared by both processes of an upgrade
+	operatorsAddr string   // address of the admin server
+	fleet         string   // path of the fleet's configuration file, "" for none
+	disk          string   // state folder
 	log           *os.File
 
 	mu              sync.Mutex
 	cmd             *exec.Cmd
 	exited          chan struct{} // closed when the process of cmd has ended
-	stopping        bool          // its end is our doing
+	stopping        bool          // it was asked to end, or killed
 	incarnations    int
-	unexpectedExits []string // ends that nobody wanted
+	unexpectedExits []string // descriptions of exits without stopping
 	cpu             time.Duration
 	paused          bool
 }
@@ -48,7 +48,7 @@
 	return &process{name: name, folder: folder, command: command, log: log, directory: directory}, nil
 }
 
-// writeConfig leaves a configuration for the process, whole at any moment.
+// writeConfig replaces the configuration file atomically.
 func (p *process) writeConfig(config []byte) error {
 	path := filepath.Join(p.folder, p.name+".json")
 	if err := os.WriteFile(path+".new", config, 0o600); err != nil {
@@ -57,7 +57,7 @@
 	return os.Rename(path+".new", path)
 }
 
-// absorb takes over what another process of the same dispatcher, which has ended, came to.
+// absorb adds the CPU time and unexpected exits of another process of the same dispatcher, which has ended.
 func (p *process) absorb(old *process) {
 	old.mu.Lock()
 	defer old.mu.Unlock()
@@ -101,7 +101,7 @@
 	return nil
 }
 
-// running tells whether the process runs.
+// running reports whether the process runs.
 func (p *process) running() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -123,7 +123,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.stopping = p.stopping || ends
-	_ = p.cmd.Process.Signal(s) // fails only where it has just ended, which its exit tells
+	_ = p.cmd.Process.Signal(s) // fails only if it has just ended, which Wait reports
 }
 
 func (p *process) pause(still bool) {
@@ -137,16 +137,16 @@
 	p.mu.Unlock()
 }
 
-// kill ends the process at once and waits for its end.
+// kill kills the process and waits for its end.
 func (p *process) kill() {
 	p.signal(syscall.SIGKILL, true)
 	p.wait(context.Background())
 }
 
-// errStopTimeout is a process that did not end in time, and was killed.
+// errStopTimeout means that a process did not end in time and was killed.
 var errStopTimeout = errors.New("did not end in time")
 
-// stop asks the process to end, and kills it after a while.
+// stop asks the process to end, and kills it after the timeout.
 func (p *process) stop(within time.Duration) error {
 	p.mu.Lock()
 	stalled := p.paused
@@ -164,7 +164,7 @@
 	return fmt.Errorf("dispatcher %s: %w", p.name, errStopTimeout)
 }
 
-// wait waits for the end of the process, and tells whether it came before that of ctx.
+// wait waits for the end of the process, and reports whether it came before that of ctx.
 func (p *process) wait(ctx context.Context) bool {
 	p.mu.Lock()
 	gone := p.exited
@@ -180,22 +180,22 @@
 	}
 }
 
-// Ports for dispatchers lie below those that the kernel deals out for connections: else one could be taken by
-// a connection while its dispatcher restarts.
+// Ports for dispatchers are below the kernel's range for outgoing connections, which could otherwise take a port while
+// its dispatcher restarts.
 const (
 	minPort         = 10240
 	maxPort         = 32767
 	maxPortAttempts = 200
 )
 
-// firstPort is where this process begins to deal out ports, and dealt how many it has dealt out, in a ring: none
-// twice soon, since one whose dispatcher is without power is as free as any other, and would go to another play.
+// firstPort is the random offset from which this process assigns ports, portsTaken how many it has assigned. Ports are
+// assigned in a ring, so that one whose dispatcher has no power at the moment is not assigned to another experiment.
 var (
 	firstPort  = rand.Uint32N(maxPort - minPort)
 	portsTaken atomic.Uint32
 )
 
-// freePort finds a port that nobody listens on, over TCP and UDP.
+// freePort returns an address on loopback whose port is free for TCP and UDP.
 func freePort() (netip.AddrPort, error) {
 	home := netip.AddrFrom4([4]byte{127, 0, 0, 1})
 	for range maxPortAttempts {
--- a/internal/testbed/experiment/process_other.go
+++ b/internal/testbed/experiment/process_other.go
@@ -4,5 +4,5 @@
 
 import "syscall"
 
-// apart gives a process a group of its own, so that an interrupt at the terminal comes to us alone.
+// processGroup starts a process in a group of its own, so that an interrupt at the terminal reaches only the testbed.
 func apart() *syscall.SysProcAttr { return &syscall.SysProcAttr{Setpgid: true} }
--- a/internal/testbed/experiment/recovery.go
+++ b/internal/testbed/experiment/recovery.go
@@ -13,7 +13,7 @@
 	"canvasroute/internal/testbed/workload"
 )
 
-// PhaseResult is a phase of a dispatcher's return, as its log tells.
+// PhaseResult is a phase of a dispatcher's recovery, from its log.
 type PhaseResult struct {
 	Dispatcher int     `json:"dispatcher"`
 	Phase      string  `json:"phase"`
@@ -22,9 +22,9 @@
 	Case       string  `json:"case"`
 }
 
-// readPhases reads them from the dispatchers' logs.
-func readPhases(w *environment) (all []PhaseResult) {
-	for n, p := range w.processes {
+// readPhases reads the phases from the dispatchers' logs.
+func readPhases(env *environment) (all []PhaseResult) {
+	for n, p := range env.processes {
 		file, err := os.Open(p.log.Name())
 		if err != nil {
 			continue
@@ -37,7 +37,7 @@
 				Time                      int64
 			}
 			if json.Unmarshal(lines.Bytes(), &l) == nil && l.Message == "returning" {
-				at := time.UnixMilli(l.Time).Sub(time.Unix(0, w.startedAtNanos.Load())).Seconds()
+				at := time.UnixMilli(l.Time).Sub(time.Unix(0, env.startedAtNanos.Load())).Seconds()
 				all = append(all, PhaseResult{n, l.Phase, at, l.Why, l.Case})
 			}
 		}
@@ -74,13 +74,13 @@
 func (p *Plan) returningWorkers(t *fault.Timeline, index int) (workers []metrics.ReturningWorker) {
 	kinds, _, _ := p.placeWorkers()
 	for n := range kinds {
-		w := metrics.ReturningWorker{Cores: p.Fleet.Kinds[kinds[n]].Cores, BackAt: -1}
+		returning := metrics.ReturningWorker{Cores: p.Fleet.Kinds[kinds[n]].Cores, BackAt: -1}
 		for _, a := range t.Actions {
 			if a.Fault == index && a.Kind == fault.WorkerRestart && slices.Contains(a.Targets, n) {
-				w.BackAt = max(w.BackAt, a.At)
+				returning.BackAt = max(returning.BackAt, a.At)
 			}
 		}
-		workers = append(workers, w)
+		workers = append(workers, returning)
 	}
 	return workers
 }
--- a/internal/testbed/experiment/result.go
+++ b/internal/testbed/experiment/result.go
@@ -19,13 +19,13 @@
 	"canvasroute/internal/testbed/workload"
 )
 
-// resultName is the file in a result's folder that holds its figures.
+// resultName is the file in a result's folder that ReadResult reads.
 const resultName = "result.json"
 
-// formatVersion tells results of unlike forms apart.
+// formatVersion is the version of the format of result.json.
 const formatVersion = 1
 
-// Result is what a run came to. All servers in it are stand-ins.
+// Result is the result of a run. Its JSON keys are those of result.json.
 type Result struct {
 	Format          int                 `json:"format"`
 	Name            string              `json:"name"`
@@ -33,97 +33,99 @@
 	Policy          string              `json:"policy"`
 	Fault           string              `json:"fault,omitempty"`
 	StartedAt       string              `json:"began"`
-	Partial         bool                `json:"partial"` // it was interrupted
+	Partial         bool                `json:"partial"` // the run was interrupted
 	DurationSeconds float64             `json:"long_s"`
 	Cores           int                 `json:"machine_cores"`
-	Schedule        string              `json:"schedule"` // its fingerprint
+	Schedule        string              `json:"schedule"` // fingerprint of the schedule
 	Planned         int                 `json:"planned_arrivals"`
 	Calls           metrics.Summary     `json:"calls"`
-	Rules           map[string]int      `json:"rules"` // breaches of each
+	Rules           map[string]int      `json:"rules"` // number of violations by rule
 	Violations      []history.Violation `json:"breaches"`
 	Workers         []WorkerResult      `json:"workers"`
 	Dispatchers     []ProcessResult     `json:"dispatchers"`
 	Faults          []fault.Mark        `json:"troubles"`
-	Recoveries      []metrics.Recovery  `json:"backs,omitempty"`  // from losses of power
-	Phases          []PhaseResult       `json:"phases,omitempty"` // of the return of each dispatcher
+	Recoveries      []metrics.Recovery  `json:"backs,omitempty"`  // from each loss of power
+	Phases          []PhaseResult       `json:"phases,omitempty"` // of each dispatcher's recovery
 	Peers           map[string]int      `json:"peer_datagrams,omitempty"`
-	Failures        []string            `json:"failures"` // of processes and stand-ins
-	Attempts        map[string]int64    `json:"forwards"` // by how they ended at their workers
+	Failures        []string            `json:"failures"` // errors of processes and stand-ins
+	Attempts        map[string]int64    `json:"forwards"` // by AttemptEnd
 }
 
-// WorkerResult is what one worker did.
+// WorkerResult is the result of one worker.
 type WorkerResult struct {
 	Name          string    `json:"name"`
 	Zone          string    `json:"zone"`
 	Kind          string    `json:"kind"`
 	Attempts      int64     `json:"forwards"`
 	Done          int64     `json:"done"`
-	BySlot        []float64 `json:"done_by_slot"` // a second
-	MaxWarmupLoad float64   `json:"cold_nearest"` // most sent within the span while cold, over what it bears: above 1 it fell
+	BySlot        []float64 `json:"done_by_slot"` // per second
+	MaxWarmupLoad float64   `json:"cold_nearest"` // see worker.Server.MaxWarmupLoad
 }
 
-// ProcessResult is what one dispatcher's processes came to.
+// ProcessResult is the result of one dispatcher.
 type ProcessResult struct {
 	Name         string          `json:"name"`
 	Incarnations int             `json:"lives"`
 	CPU          float64         `json:"cpu_s"`
 	Tries        int64           `json:"tries"`
-	Counters     json.RawMessage `json:"counters,omitempty"` // its own, as it last printed them
+	Counters     json.RawMessage `json:"counters,omitempty"` // the counters that it logged last
 }
 
-// endNames are the names of ends in results.
+// endNames are the names of attempt ends in results.
 var endNames = [...]string{
 	history.Running: "running", history.Done: "done", history.Failed: "failed",
 	history.Returned: "returned", history.Abandoned: "abandoned", history.Crashed: "crashed",
 	history.NeverReported: "swallowed", history.Deduplicated: "repeat_dropped",
 }
 
-// maxViolations is how many of them a result holds one by one.
+// maxViolations is how many violations a result lists.
 const maxViolations = 200
 
-func (p *Plan) result(w *environment, recorder *metrics.Recorder, t *fault.Timeline, schedule []workload.Arrival,
+// result collects the result of a run from a closed environment.
+func (p *Plan) result(env *environment, recorder *metrics.Recorder, t *fault.Timeline, schedule []workload.Arrival,
 	seed uint64,
 ) *Result {
-	r := &Result{
+	result := &Result{
 		Format: formatVersion, Name: p.Name, Seed: seed, Policy: p.Dispatchers.Policy,
 		Fault: p.Dispatchers.Fault, DurationSeconds: p.Duration().Seconds(), Cores: runtime.NumCPU(),
 		Schedule: fingerprint(schedule), Planned: len(schedule),
 		Calls: recorder.Summary(p.operationNames(), p.tenantNames()),
 		Rules: map[string]int{}, Violations: []history.Violation{}, Faults: t.Marks,
-		Failures: append([]string{}, w.failures...), Attempts: map[string]int64{},
+		Failures: append([]string{}, env.failures...), Attempts: map[string]int64{},
 	}
-	breaches := w.history.Check(p.ruleConfig(w))
+	violations := env.history.Check(p.ruleConfig(env))
 	for _, rule := range history.Rules {
-		r.Rules[string(rule)] = 0
+		result.Rules[string(rule)] = 0
 	}
 	if p.Dispatchers.Recovery {
-		r.Rules[string(history.RuleKeysPersisted)] = 0
+		result.Rules[string(history.RuleKeysPersisted)] = 0
 	}
-	for _, b := range breaches {
-		r.Rules[string(b.Rule)]++
+	for _, v := range violations {
+		result.Rules[string(v.Rule)]++
 	}
-	r.Violations = append(r.Violations, breaches[:min(len(breaches), maxViolations)]...)
-	r.workers(p, w)
-	for _, process := range w.processes {
-		r.Failures = append(r.Failures, process.unexpectedExits...)
-		r.Dispatchers = append(r.Dispatchers, ProcessResult{
+	result.Violations = append(result.Violations, violations[:min(len(violations), maxViolations)]...)
+	result.addWorkers(p, env)
+	for _, process := range env.processes {
+		result.Failures = append(result.Failures, process.unexpectedExits...)
+		result.Dispatchers = append(result.Dispatchers, ProcessResult{
 			Name: process.name, Incarnations: process.incarnations,
 			CPU: process.cpu.Seconds(), Counters: lastCounters(process.log.Name()),
 		})
 	}
-	for _, try := range w.history.Requests() {
-		r.Dispatchers[try.Dispatcher].Tries++
+	for _, request := range env.history.Requests() {
+		result.Dispatchers[request.Dispatcher].Tries++
 	}
-	r.Recoveries = p.recoveries(r, t, schedule)
-	r.Phases = readPhases(w)
-	if w.peers != nil {
-		r.Peers = map[string]int{"carried": w.peers.Carried, "discarded": w.peers.Discarded}
+	result.Recoveries = p.recoveries(result, t, schedule)
+	result.Phases = readPhases(env)
+	if env.peers != nil {
+		result.Peers = map[string]int{"carried": env.peers.Carried, "discarded": env.peers.Discarded}
 	}
-	return r
+	return result
 }
 
-func (r *Result) workers(p *Plan, w *environment) {
-	for _, s := range w.servers {
+// addWorkers adds the results of the workers, and the number of attempts by end.
+func (r *Result) addWorkers(p *Plan, env *environment) {
+	for _, s := range env.servers {
 		name, kind, zone, _ := s.Location()
 		r.Workers = append(r.Workers, WorkerResult{
 			Name: name, Kind: kind, Zone: p.Fleet.Zones[zone],
@@ -131,8 +133,8 @@
 		})
 	}
 	every := time.Duration(r.Calls.SlotSeconds * float64(time.Second))
-	for _, try := range w.history.Requests() {
-		for _, f := range try.Attempts {
+	for _, request := range env.history.Requests() {
+		for _, f := range request.Attempts {
 			out := &r.Workers[f.Worker]
 			out.Attempts++
 			r.Attempts[endNames[f.End]]++
@@ -147,7 +149,7 @@
 	}
 }
 
-// lastCounters finds the counters that a dispatcher printed last in its log.
+// lastCounters returns the last counters in a dispatcher's log.
 func lastCounters(path string) (last json.RawMessage) {
 	file, err := os.Open(path)
 	if err != nil {
@@ -164,7 +166,7 @@
 	return last
 }
 
-// write leaves the result in a folder, whole or not at all.
+// write writes the result to a folder atomically.
 func (r *Result) write(folder string) error {
 	b, err := json.MarshalIndent(r, "", " ")
 	if err != nil {
@@ -177,7 +179,7 @@
 	return os.Rename(path+".part", path)
 }
 
-// ReadResult reads a result back from its folder.
+// ReadResult reads a result from its folder.
 func ReadResult(folder string) (*Result, error) {
 	path := filepath.Join(folder, resultName)
 	b, err := os.ReadFile(path)
@@ -194,7 +196,7 @@
 	return r, nil
 }
 
-// ReadResults reads the results of all seeds under a folder, or the one in it.
+// ReadResults reads the result in a folder, or those in its subfolders, one for each seed.
 func ReadResults(folder string) (results []*Result, err error) {
 	if r, err := ReadResult(folder); err == nil {
 		return []*Result{r}, nil
@@ -219,7 +221,7 @@
 	return results, nil
 }
 
-// CPU is the time in seconds that all dispatchers used.
+// CPU is the CPU time of all dispatchers, in seconds.
 func (r *Result) CPU() (s float64) {
 	for _, d := range r.Dispatchers {
 		s += d.CPU
@@ -227,5 +229,5 @@
 	return s
 }
 
-// Broken tells whether a rule was broken or a process failed.
-func (r *Result) Broken() bool { return len(r.Violations) > 0 || len(r.Failures) > 0 }
+// Failed reports whether a rule was violated or a process failed.
+func (r *Result) Failed() bool { return len(r.Violations) > 0 || len(r.Failures) > 0 }
--- a/internal/testbed/experiment/run.go
+++ b/internal/testbed/experiment/run.go
@@ -18,26 +18,26 @@
 	"canvasroute/internal/testbed/workload"
 )
 
-// Options are how an experiment is run.
+// Options configure a run.
 type Options struct {
-	Folder     string // of the result; it must not hold one yet
+	Folder     string // for the result; must not hold one yet
 	Dispatcher string // the program under test
-	Self       string // this program, which stands in for baselines
+	Self       string // this program, which also runs the baselines
 	Progress   func(Progress)
 }
 
-// Progress is how a run stands.
+// Progress is the state of a run.
 type Progress struct {
 	At, Of                             time.Duration
 	Calls, Succeeded, Throttled, Other int64
 	Open                               int
 }
 
-// slots is into how many stretches a run's figures are cut at the most.
+// maxSlots is the most time slots that a run is divided into.
 const maxSlots = 120
 
-// Run runs the plan once under a seed, and leaves the result in the folder. When ctx ends before, what has
-// been measured is left as a partial result, and no process remains.
+// Run runs the plan once with a seed, and writes the result to the folder. If ctx ends early, the result is partial. No
+// process is left running.
 func (p *Plan) Run(ctx context.Context, seed uint64, o Options) (*Result, error) {
 	if err := os.MkdirAll(o.Folder, 0o755); err != nil {
 		return nil, err
@@ -50,32 +50,33 @@
 		return nil, err
 	}
 	schedule := p.Schedule(seed)
-	began := time.Now()
-	w, err := openEnvironment(ctx, p, seed, o.Folder, p.dispatcherCommand(o))
+	startedAt := time.Now()
+	env, err := openEnvironment(ctx, p, seed, o.Folder, p.dispatcherCommand(o))
 	if err != nil {
-		return nil, errors.Join(err, w.close())
+		return nil, errors.Join(err, env.close())
 	}
 	recorder := metrics.NewRecorder(max(time.Second, p.Duration()/maxSlots), len(p.Operations), len(p.Tenants))
-	s := &loadgen.Generator{
+	generator := &loadgen.Generator{
 		Operations: p.Operations, Tenants: p.Tenants, Seed: seed, Retries: p.Load.Retries,
-		RetryWait: p.Load.RetryWait.Std(), MaxOpen: p.Load.MaxOpen, FrontTier: w.frontTier, History: w.history, Recorder: recorder,
-		Clock: w.clock,
+		RetryWait: p.Load.RetryWait.Std(), MaxOpen: p.Load.MaxOpen, FrontTier: env.frontTier, History: env.history,
+		Recorder: recorder, Clock: env.clock,
 	}
 	playing, stop := context.WithCancel(ctx)
-	w.actions.Go(func() { w.play(playing, timeline.Actions) })
-	w.actions.Go(func() { p.reportProgress(playing, s, recorder, o.Progress) })
-	s.Run(ctx, schedule)
+	env.actions.Go(func() { env.play(playing, timeline.Actions) })
+	env.actions.Go(func() { p.reportProgress(playing, generator, recorder, o.Progress) })
+	generator.Run(ctx, schedule)
 	stop()
-	closing := w.close()
-	r := p.result(w, recorder, timeline, schedule, seed)
-	r.StartedAt, r.Partial = began.UTC().Format(time.RFC3339), ctx.Err() != nil
+	closing := env.close()
+	r := p.result(env, recorder, timeline, schedule, seed)
+	r.StartedAt = startedAt.UTC().Format(time.RFC3339)
+	r.Partial = ctx.Err() != nil
 	if closing != nil {
 		r.Failures = append(r.Failures, closing.Error())
 	}
 	return r, r.write(o.Folder)
 }
 
-// dispatcherCommand is the program of a dispatcher and its arguments.
+// dispatcherCommand is the command line of a dispatcher.
 func (p *Plan) dispatcherCommand(o Options) []string {
 	d := &p.Dispatchers
 	if d.Policy == Canvasroute {
@@ -88,7 +89,7 @@
 	return command
 }
 
-// Find looks for the program under test: as it is named, or beside this one.
+// Find returns the paths of the dispatcher program, by default the one beside this program, and of this program.
 func Find(named string) (dispatcher, self string, err error) {
 	if self, err = os.Executable(); err != nil {
 		return "", "", err
@@ -106,7 +107,7 @@
 	return dispatcher, self, nil
 }
 
-// progressInterval is how often progress is told.
+// progressInterval is how often progress is reported.
 const progressInterval = 200 * time.Millisecond
 
 func (p *Plan) reportProgress(ctx context.Context, s *loadgen.Generator, r *metrics.Recorder, report func(Progress)) {
@@ -127,8 +128,8 @@
 	}
 }
 
-// ruleConfig are what the ledger judges by.
-func (p *Plan) ruleConfig(w *environment) history.RuleConfig {
+// ruleConfig is what the rules depend on, for the workers of the environment.
+func (p *Plan) ruleConfig(env *environment) history.RuleConfig {
 	t := history.RuleConfig{DrainGrace: p.Dispatchers.DrainGrace.Std(), Slack: p.Slack.Std(), KeysPersisted: p.Dispatchers.Recovery}
 	for _, o := range p.Operations {
 		scope := dedupScope(o)
@@ -138,14 +139,14 @@
 			ScopeCell: scope == "cell", DedupWindow: o.DedupWindow.Std(),
 		})
 	}
-	for _, s := range w.servers {
+	for _, s := range env.servers {
 		_, _, zone, cell := s.Location()
 		t.Workers = append(t.Workers, history.Location{Zone: zone, Cell: cell})
 	}
 	return t
 }
 
-// fingerprint tells two schedules apart.
+// fingerprint is a short hash of a schedule.
 func fingerprint(schedule []workload.Arrival) string {
 	sum := sha256.Sum256(workload.Encode(schedule))
 	return hex.EncodeToString(sum[:8])
--- a/internal/testbed/experiment/saturate.go
+++ b/internal/testbed/experiment/saturate.go
@@ -14,24 +14,24 @@
 	"canvasroute/internal/testbed/workload"
 )
 
-// Saturation is how the highest rate is looked for.
+// Saturation configures the search for the highest sustainable rate.
 type Saturation struct {
 	Policy        string
-	Objective     time.Duration // p99 from the intended time of sending has to keep it, and all have to succeed
-	TrialDuration time.Duration // each trial
+	Objective     time.Duration // limit of p99, counted from the intended time of sending
+	TrialDuration time.Duration // length of each trial
 	Cores         float64
 	Workers       int
-	FirstRate     float64 // the first rate, a second
-	MaxRate       float64 // the highest rate that is tried
-	Steps         int     // halvings of the last interval
+	FirstRate     float64 // first rate, per second
+	MaxRate       float64 // highest rate that is tried
+	Steps         int     // number of bisections
 	Seed          uint64
 }
 
-// Trial is what one rate came to.
+// Trial is the result for one rate.
 type Trial struct {
 	Rate          float64 `json:"rate"`
 	Holds         bool    `json:"holds"`
-	Reason        string  `json:"why,omitempty"` // it does not hold
+	Reason        string  `json:"why,omitempty"` // why it does not hold
 	GeneratorLate bool    `json:"generator_late"`
 	P50           float64 `json:"p50_ms"`
 	P99           float64 `json:"p99_ms"`
@@ -40,14 +40,13 @@
 	Bytes         float64 `json:"alloc_bytes_a_call"`
 }
 
-// minSuccessShare of the calls must succeed at a rate that holds.
+// minSuccessShare is the share of the calls that must succeed for a rate to hold.
 const minSuccessShare = 0.999
 
-// growth is from one rate to the next while rates hold.
+// rateGrowth is the factor from one rate to the next while rates hold.
 const rateGrowth = 1.5
 
-// Saturate looks for the highest rate that holds, each rate on a fresh process before workers that do no
-// work.
+// Saturate searches for the highest rate that holds. Each trial runs new processes, with workers that take no time.
 func Saturate(ctx context.Context, s Saturation, o Options, report func(Trial)) (best Trial, err error) {
 	low, high := 0.0, math.Inf(1)
 	step := 0
@@ -75,7 +74,7 @@
 	return best, ctx.Err()
 }
 
-// planAt is a fleet that costs nothing, so that the dispatcher is all that is measured.
+// planAt is an experiment at a rate whose workers take no time, so that only the dispatcher is measured.
 func (s Saturation) planAt(rate float64) (*Plan, error) {
 	p := defaults()
 	p.Name, p.Seed, p.Fleet.Instant = "saturate", s.Seed, true
@@ -94,39 +93,39 @@
 }
 
 func (s Saturation) trial(ctx context.Context, rate float64, o Options) (Trial, error) {
-	p, err := s.planAt(rate)
+	plan, err := s.planAt(rate)
 	if err != nil {
 		return Trial{}, err
 	}
 	if o.Folder, err = os.MkdirTemp(o.Folder, fmt.Sprintf("%s-%.0f-", s.Policy, rate)); err != nil {
 		return Trial{}, err
 	}
-	r, err := p.Run(ctx, s.Seed, o)
+	result, err := plan.Run(ctx, s.Seed, o)
 	if err != nil {
 		return Trial{}, err
 	}
-	calls, c := float64(max(r.Calls.Total.Calls, 1)), &r.Calls
-	t := Trial{
-		Rate: rate, P50: c.All.P50, P99: c.All.P99, CPU: 1e6 * r.CPU() / calls,
+	calls, c := float64(max(result.Calls.Total.Calls, 1)), &result.Calls
+	trial := Trial{
+		Rate: rate, P50: c.All.P50, P99: c.All.P99, CPU: 1e6 * result.CPU() / calls,
 		GeneratorLate: !c.Generator.Trusted,
 	}
 	var counters struct {
 		Mallocs uint64 `json:"mallocs"`
 		Bytes   uint64 `json:"alloc_bytes"`
 	}
-	if json.Unmarshal(r.Dispatchers[0].Counters, &counters) == nil {
-		t.Mallocs, t.Bytes = float64(counters.Mallocs)/calls, float64(counters.Bytes)/calls
+	if json.Unmarshal(result.Dispatchers[0].Counters, &counters) == nil {
+		trial.Mallocs, trial.Bytes = float64(counters.Mallocs)/calls, float64(counters.Bytes)/calls
 	}
 	succeeded := float64(c.Total.Answers["succeeded"]) / calls
 	switch {
-	case t.GeneratorLate:
-		t.Reason = "generator: " + c.Generator.Reason
+	case trial.GeneratorLate:
+		trial.Reason = "generator: " + c.Generator.Reason
 	case succeeded < minSuccessShare:
-		t.Reason = fmt.Sprintf("%.2f%% succeeded", 100*succeeded)
-	case time.Duration(t.P99*float64(time.Millisecond)) > s.Objective:
-		t.Reason = "p99 beyond the objective"
+		trial.Reason = fmt.Sprintf("%.2f%% succeeded", 100*succeeded)
+	case time.Duration(trial.P99*float64(time.Millisecond)) > s.Objective:
+		trial.Reason = "p99 beyond the objective"
 	default:
-		t.Holds = true
+		trial.Holds = true
 	}
-	return t, os.RemoveAll(filepath.Clean(o.Folder))
+	return trial, os.RemoveAll(filepath.Clean(o.Folder))
 }
--- a/internal/testbed/experiment/settings.go
+++ b/internal/testbed/experiment/settings.go
@@ -9,16 +9,18 @@
 	"canvasroute/internal/testbed/workload"
 )
 
+// jsonObject is an object of the platform's configuration.
 type jsonObject map[string]any
 
+// idempotencyNames are the values of Operation.Idempotency in the platform's settings.
 var idempotencyNames = map[string]string{
 	workload.Idempotent: "idempotent", workload.IdempotentByKey: "deduplicated",
 	workload.NonIdempotent: "at_most_once",
 }
 
-// settings are what the platform tells a dispatcher of the deployment, in its own words.
+// settings are the settings that the platform gives to the dispatcher at a position.
 func (p *Plan) settings(position int) jsonObject {
-	d, f := &p.Dispatchers, &p.Fleet
+	dispatchers, fleet := &p.Dispatchers, &p.Fleet
 	var operations, tenants []jsonObject
 	for _, o := range p.Operations {
 		operations = append(operations, jsonObject{
@@ -32,40 +34,40 @@
 		tenants = append(tenants, jsonObject{"name": c.Name, "quotaPerS": c.Quota})
 	}
 	var kinds []string
-	for _, k := range f.Kinds {
+	for _, k := range fleet.Kinds {
 		kinds = append(kinds, k.Name)
 	}
 	basis := "work"
-	if d.ValueByCount {
+	if dispatchers.ValueByCount {
 		basis = "invocation"
 	}
 	report := jsonObject{"how": "off", "names": []string{}}
-	info := jsonObject{"tellsStart": f.AnnounceStartNotes && f.StartNotes}
-	if f.Probes {
+	info := jsonObject{"tellsStart": fleet.AnnounceStartNotes && fleet.StartNotes}
+	if fleet.Probes {
 		report = jsonObject{"how": "on_probe", "names": []string{"rif", "q", "x0"}}
 		info["reportX0"] = "free slots"
 	}
 	return jsonObject{
-		"balancers": d.Count, "position": position, "zone": position % len(f.Zones), "zones": f.Zones,
-		"shapes": kinds, "granularityS": d.Granularity.Std().Seconds(), "operations": operations, "orgs": tenants,
+		"balancers": dispatchers.Count, "position": position, "zone": position % len(fleet.Zones), "zones": fleet.Zones,
+		"shapes": kinds, "granularityS": dispatchers.Granularity.Std().Seconds(), "operations": operations, "orgs": tenants,
 		"familyInfo": info, "report": report, "registryMode": "subscribe", "billedValueBasis": basis,
-		"surplusBilledValue": d.OverQuotaValue, "prices": jsonObject{"peer": 0, "crossZone": 0},
+		"surplusBilledValue": dispatchers.OverQuotaValue, "prices": jsonObject{"peer": 0, "crossZone": 0},
 		"goal": jsonObject{"whole": 0.8, "worstWindow": 0.1, "worstClass": 0.1},
 		"policyLimits": jsonObject{
-			"maxForwards": d.MaxAttempts, "mayCancel": d.Cancellation,
-			"secondCopies": d.Hedging, "probes": f.Probes, "peers": d.Peers && d.Count > 1,
-			"retryAfter": d.MaxRetryAfter > 0, "maxRetryAfterS": d.MaxRetryAfter.Std().Seconds(),
-			"connIdleS": f.Idle.Std().Seconds(), "dialTimeoutS": d.DialTimeout.Std().Seconds(),
+			"maxForwards": dispatchers.MaxAttempts, "mayCancel": dispatchers.Cancellation,
+			"secondCopies": dispatchers.Hedging, "probes": fleet.Probes, "peers": dispatchers.Peers && dispatchers.Count > 1,
+			"retryAfter": dispatchers.MaxRetryAfter > 0, "maxRetryAfterS": dispatchers.MaxRetryAfter.Std().Seconds(),
+			"connIdleS": fleet.Idle.Std().Seconds(), "dialTimeoutS": dispatchers.DialTimeout.Std().Seconds(),
 		},
 		"rules": jsonObject{
-			"askWithinS": d.PollInterval.Std().Seconds(), "rampTimeS": f.WarmupDuration.Std().Seconds(),
-			"drainGraceS": d.DrainGrace.Std().Seconds(), "fallS": f.OverloadSpan.Std().Seconds(), "coldFrom": f.InitialShare,
-			"overloadFactor": f.OverloadMultiple,
+			"askWithinS": dispatchers.PollInterval.Std().Seconds(), "rampTimeS": fleet.WarmupDuration.Std().Seconds(),
+			"drainGraceS": dispatchers.DrainGrace.Std().Seconds(), "fallS": fleet.OverloadSpan.Std().Seconds(), "coldFrom": fleet.InitialShare,
+			"overloadFactor": fleet.OverloadMultiple,
 		},
 	}
 }
 
-// dedupScope is the group that drops an operation's repeats; none is named where none are dropped.
+// dedupScope is the scope in which workers deduplicate an operation, by default all of them.
 func dedupScope(o workload.Operation) string {
 	if o.Idempotency == workload.IdempotentByKey && o.DedupScope == "" {
 		return "all"
@@ -73,34 +75,45 @@
 	return o.DedupScope
 }
 
-// dispatcherConfigFile is one dispatcher's configuration, as the platform writes it.
+// dispatcherConfigFile is a dispatcher's configuration file, in the platform's format.
 type dispatcherConfigFile struct {
-	Name       string           `json:"name"`
-	Listen     string           `json:"listen"`
-	Discovery  string           `json:"discovery"`
-	Seed       string           `json:"seed"`
-	Limits     jsonObject       `json:"limits"`
-	Mgmt       string           `json:"mgmt"`
-	PeerListen string           `json:"peer_listen,omitempty"`
-	Peers      []netip.AddrPort `json:"peers,omitempty"`
-	Known      json.RawMessage  `json:"known,omitempty"`
-	Settings   jsonObject       `json:"settings"`
+	Name          string           `json:"name"`
+	Listen        string           `json:"listen"`
+	Discovery     string           `json:"discovery"`
+	Seed          string           `json:"seed"`
+	Limits        jsonObject       `json:"limits"`
+	OperatorsAddr string           `json:"mgmt"`
+	PeerListen    string           `json:"peer_listen,omitempty"`
+	Peers         []netip.AddrPort `json:"peers,omitempty"`
+	Known         json.RawMessage  `json:"known,omitempty"`
+	Settings      jsonObject       `json:"settings"`
 }
 
-func (p *Plan) dispatcherConfig(n, incarnation int, seed uint64, listen, mgmt, discovery string, peers []netip.AddrPort,
-	endpoints []byte,
-) ([]byte, error) {
+// dispatcherAddrs are the addresses in a dispatcher's configuration.
+type dispatcherAddrs struct {
+	listen, operators, discovery string
+	peers                        []netip.AddrPort // of all dispatchers as this one sees them, nil if peers are off
+}
+
+// dispatcherConfig returns the configuration of dispatcher n as JSON. endpoints is the list that it starts with.
+func (p *Plan) dispatcherConfig(n int, seed uint64, addrs dispatcherAddrs, endpoints []byte) ([]byte, error) {
 	d := &p.Dispatchers
-	c := dispatcherConfigFile{
-		Name: dispatcherName(n), Listen: listen, Mgmt: mgmt, Discovery: discovery,
-		Seed:   fmt.Sprintf("%016x", unit.RandomStream(seed, fmt.Sprint("dispatcher ", n, " ", incarnation)).Uint64()),
+	file := dispatcherConfigFile{
+		Name: dispatcherName(n), Listen: addrs.listen, OperatorsAddr: addrs.operators, Discovery: addrs.discovery,
+		Seed:   fmt.Sprintf("%016x", seed),
 		Limits: jsonObject{"cores": d.Cores, "memory_mb": d.MemoryMB, "sockets": d.Sockets},
 		Known:  endpoints, Settings: p.settings(n),
 	}
-	if peers != nil {
-		c.PeerListen, c.Peers = peers[n].String(), peers
+	if addrs.peers != nil {
+		file.PeerListen = addrs.peers[n].String()
+		file.Peers = addrs.peers
 	}
-	return json.MarshalIndent(c, "", " ")
+	return json.MarshalIndent(file, "", " ")
+}
+
+// dispatcherSeed is the seed of one incarnation of a dispatcher.
+func dispatcherSeed(seed uint64, n, incarnation int) uint64 {
+	return unit.RandomStream(seed, fmt.Sprint("dispatcher ", n, " ", incarnation)).Uint64()
 }
 
 func dispatcherName(n int) string { return fmt.Sprintf("d%d", n) }
