--- a/internal/testbed/command/command.go
+++ b/internal/testbed/command/command.go
@@ -1,4 +1,4 @@
-// Package command is the command line of testbed.
+// Package command implements the command line of testbed.
 package command
 
 import (
@@ -25,26 +25,26 @@
 //go:embed demo.toml
 var demo []byte
 
-// Codes that the process exits with.
+// Exit codes, which docs/testbed-guide.md documents.
 const (
 	exitOK     = 0
-	exitFailed = 1 // a rule was broken, or something failed
-	exitUsage  = 2 // an argument or a file is wrong
+	exitFailed = 1 // a rule was violated, or something failed
+	exitUsage  = 2 // an argument or a file is invalid
 	exitSignal = 130
 )
 
-// errExperimentFailed is a run that went through and in which a rule was broken or a process failed.
+// errExperimentFailed means that a run was complete, but a rule was violated or a process failed.
 var errExperimentFailed = errors.New("a rule was broken or a process failed")
 
-// errInterrupted is a run that was interrupted; its partial result is there.
+// errInterrupted means that a run was interrupted. Its partial result has been written.
 var errInterrupted = errors.New("interrupted: the result is partial")
 
-// usageError is a fault of what was handed in.
+// usageError is an error in the arguments or a file.
 type usageError struct{ error }
 
 func (b usageError) Unwrap() error { return b.error }
 
-// Main runs testbed with its arguments, and returns the code that the process exits with.
+// Main runs testbed with its arguments, and returns the exit code of the process.
 func Main(args []string) int {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
@@ -69,12 +69,12 @@
 	return exitFailed
 }
 
-// exitCode is that of a stand-in.
+// exitCode is the exit code of a baseline other than 0.
 type exitCode int
 
 func (c exitCode) Error() string { return fmt.Sprintf("exit code %d", int(c)) }
 
-// New makes the command; tables go to out, progress to status.
+// New returns the root command. Tables are written to out, progress to status.
 func New(out, status io.Writer) *cobra.Command {
 	root := &cobra.Command{
 		Use: "testbed", Short: "Experiments with canvasroute on stand-ins",
@@ -90,7 +90,7 @@
 	return root
 }
 
-// runFlags are those of all commands that run experiments.
+// runFlags are the flags of all commands that run experiments.
 type runFlags struct {
 	folder, dispatcher, policy string
 	seeds                      []uint
@@ -151,7 +151,7 @@
 	return c
 }
 
-// run runs a plan under each seed, and leaves a folder for each where there are several.
+// run runs a plan with each seed. With several seeds each result gets a folder of its own.
 func (f *runFlags) run(ctx context.Context, p *experiment.Plan, out, status io.Writer) error {
 	dispatcher, self, err := experiment.Find(f.dispatcher)
 	if err != nil {
@@ -198,7 +198,7 @@
 	return nil
 }
 
-// progress draws a bar; the second result ends it.
+// progress draws a progress bar. The second result ends it.
 func progress(status io.Writer, long time.Duration) (func(experiment.Progress), func()) {
 	bar := progressbar.NewOptions64(long.Milliseconds(), progressbar.OptionSetWriter(status),
 		progressbar.OptionSetWidth(24), progressbar.OptionThrottle(200*time.Millisecond),
@@ -339,7 +339,7 @@
 	return nil
 }
 
-// standInCommand is how the testbed starts baselines in processes of their own.
+// standInCommand is the hidden command by which the testbed starts a baseline in a process of its own.
 func standInCommand() *cobra.Command {
 	t := baseline.Config{}
 	c := &cobra.Command{
--- a/internal/testbed/command/command_test.go
+++ b/internal/testbed/command/command_test.go
@@ -24,8 +24,8 @@
 	"canvasroute/internal/testbed/history"
 )
 
-// The test binary stands in for both programs: for testbed with arguments after "testbed", for canvasroute
-// where a dispatcher is started.
+// The test binary also serves as both programs: as testbed with the arguments after "testbed", and as canvasroute if
+// LB_CONFIG is set.
 func TestMain(m *testing.M) {
 	switch {
 	case len(os.Args) > 1 && os.Args[1] == "stand-in":
@@ -38,7 +38,7 @@
 	os.Exit(m.Run())
 }
 
-// short is an experiment of three seconds, in which a worker drains and another one starts cold.
+// shortExperiment takes three seconds, in which a worker drains and another one starts and warms up.
 const shortExperiment = `name = "short"
 [dispatchers]
 count = 2
@@ -92,12 +92,14 @@
 `
 
 func playPolicy(t *testing.T, policy, fault string) *experiment.Result {
+	t.Helper()
 	return playFile(t, fmt.Sprintf(shortExperiment, policy, fault))
 }
 
-// scratch is a folder in memory where there is one: how long this machine's disk takes while a dozen plays write to
-// it, up to seconds, is not what a play is about. What a disk can do to a dispatcher, plays and tests do themselves.
+// scratch returns a folder in memory if possible: the latency of a disk that a dozen parallel experiments write to, up to
+// seconds, is not what they test. Experiments simulate faults of disks themselves.
 func scratch(t *testing.T) string {
+	t.Helper()
 	dir, err := os.MkdirTemp("/dev/shm", "testbed-")
 	if err != nil {
 		return t.TempDir()
@@ -107,6 +109,7 @@
 }
 
 func playFile(t *testing.T, text string) *experiment.Result {
+	t.Helper()
 	p, err := experiment.Parse("short.toml", []byte(text))
 	assert.NoError(t, err)
 	self, err := os.Executable()
@@ -121,8 +124,8 @@
 	return r
 }
 
-// brokenRules are the rules that were broken, by name.
-func brokenRules(r *experiment.Result) (rules []history.Rule) {
+// violatedRules returns the rules that were violated.
+func violatedRules(r *experiment.Result) (rules []history.Rule) {
 	for _, rule := range history.Rules {
 		if r.Rules[string(rule)] > 0 {
 			rules = append(rules, rule)
@@ -131,7 +134,7 @@
 	return rules
 }
 
-func TestBrokenDispatchersAreCaughtEachByItsRule(t *testing.T) {
+func TestFaultyBaselinesViolateTheirRule(t *testing.T) {
 	for fault, rule := range map[string]history.Rule{
 		"double-forward": history.RuleNoDoubleEffect,
 		"lost-answer":    history.RuleNoRequestLost, "drain-ignored": history.RuleDrainsRespected,
@@ -140,9 +143,9 @@
 		t.Run(fault, func(t *testing.T) {
 			t.Parallel()
 			r := playPolicy(t, "round-robin", fault)
-			assert.Equal(t, []history.Rule{rule}, brokenRules(r), r.Violations)
+			assert.Equal(t, []history.Rule{rule}, violatedRules(r), r.Violations)
 			for _, b := range r.Violations {
-				assert.NotEmpty(t, b.ID, "the invocation is named")
+				assert.NotEmpty(t, b.ID, "the request is named")
 				if fault == "double-forward" {
 					assert.Equal(t, "once", b.Operation)
 				}
@@ -151,8 +154,8 @@
 	}
 }
 
-// Guards against a ledger that cries wolf.
-func TestSoundDispatchersBreakNoRule(t *testing.T) {
+// A sound dispatcher must not be reported.
+func TestSoundDispatchersViolateNoRule(t *testing.T) {
 	for _, policy := range []string{experiment.Canvasroute, "round-robin", "least-outstanding", "random"} {
 		t.Run(policy, func(t *testing.T) {
 			t.Parallel()
@@ -163,10 +166,10 @@
 	}
 }
 
-// Several instances in each of two processes share drains and the cold worker's budget with all the others,
-// also where datagrams between processes are not allowed or are lost.
-func TestInstancesOfSeveralProcessesKeepTheRulesTogether(t *testing.T) {
-	for name, peers := range map[string]string{"told": "", "lossy": "peer-loss = 0.5\n", "untold": "peers = false\n"} {
+// Several shards in each of two processes keep drains and the warm-up budget in common, also if datagrams between
+// processes are not allowed or are lost.
+func TestShardsOfSeveralProcessesKeepTheRules(t *testing.T) {
+	for name, peers := range map[string]string{"peers": "", "lossy peers": "peer-loss = 0.5\n", "no peers": "peers = false\n"} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			text := fmt.Sprintf(shortExperiment, experiment.Canvasroute, "")
@@ -177,8 +180,9 @@
 	}
 }
 
-// testbed starts the program as a process of its own.
+// testbed returns a command that runs the program as a process of its own.
 func testbed(t *testing.T, args ...string) (*exec.Cmd, *bytes.Buffer) {
+	t.Helper()
 	self, err := os.Executable()
 	assert.NoError(t, err)
 	out := &bytes.Buffer{}
@@ -188,6 +192,7 @@
 }
 
 func exitStatus(t *testing.T, err error) int {
+	t.Helper()
 	var ended *exec.ExitError
 	if errors.As(err, &ended) {
 		return ended.ExitCode()
@@ -256,9 +261,9 @@
 	}
 }
 
-// Two processes of each dispatcher, and operators' work meanwhile, are judged as one dispatcher; its own
-// figures agree with what clients saw, which the testbed checks where there was one process.
-func TestOperatorsWorkUnderLoadBreaksNoRule(t *testing.T) {
+// The two processes of an upgrade count as one dispatcher. Without an upgrade the testbed also compares the dispatcher's
+// counters with what clients observed.
+func TestOperatorActionsUnderLoadViolateNoRule(t *testing.T) {
 	r := playFile(t, fmt.Sprintf(shortExperiment, "canvasroute", "")+`[[trouble]]
 kind = "upgrade"
 at = "500ms"
@@ -283,8 +288,8 @@
 	assert.Greater(t, float64(r.Calls.Total.Answers["succeeded"]), 0.95*float64(r.Planned))
 }
 
-// Guards against an upgrade in which the old process is killed: the new one has the listener, and goes on alone.
-func TestNewProcessOfAnUpgradeOutlivesAKilledOldOne(t *testing.T) {
+// If the old process of an upgrade is killed, the new one has the listener and goes on alone.
+func TestNewProcessOfAnUpgradeSurvivesAKilledOldOne(t *testing.T) {
 	dir, self := t.TempDir(), os.Args[0]
 	listen, path := freeAddress(t), filepath.Join(dir, "c.json")
 	assert.NoError(t, os.WriteFile(path, fmt.Appendf(nil, `{"name":"n","listen":%q,"discovery":"127.0.0.1:9",
@@ -318,7 +323,7 @@
 	next, second := start()
 	says(first, "error takes no clients: relieved")
 	assert.NoError(t, old.Process.Kill())
-	_ = old.Wait() // it was killed
+	_ = old.Wait() // reports that it was killed
 	for range 20 {
 		a, err := http.Get("http://" + listen + "/_health")
 		if assert.NoError(t, err) {
--- a/internal/testbed/command/endpoints_test.go
+++ b/internal/testbed/command/endpoints_test.go
@@ -22,20 +22,22 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// Processes of the program before a list service that fails in some way, as the operators' terms have it.
+// Tests of single dispatcher processes with a list service that fails in some way.
 
-// loneProcess is one process, the worker that it is to know, and the address of its list service.
+// loneProcess is one dispatcher process, its worker, and the address of its list service.
 type loneProcess struct {
 	listen, discovery, worker string
 	config                    string
 	cmd                       *exec.Cmd
-	others                    string // further workers in its list
+	others                    string // further entries of its list, as JSON
 }
 
-// addresses counts those given out: each is of a host of its own, so that no client's port is ever taken for it.
+// addresses counts the addresses assigned. Each has a loopback host of its own, so that no outgoing connection takes its
+// port.
 var addresses atomic.Int64
 
 func freeAddress(t *testing.T) string {
+	t.Helper()
 	n := addresses.Add(1)
 	ln, err := net.Listen("tcp", fmt.Sprintf("127.%d.%d.%d:0", 40+os.Getpid()%100, n/250, 1+n%250))
 	assert.NoError(t, err)
@@ -43,20 +45,16 @@
 	return ln.Addr().String()
 }
 
-// endpointList is the list with the one worker.
+// endpointList returns the list with the worker and the others.
 func (l *loneProcess) endpointList(seq int) string {
 	return fmt.Sprintf(`{"seq":%d,"whole":true,"hosts":[{"host":"w","dial":%q,"health":"Ready","born_ms":0}%s]}`, seq, l.worker, l.others)
 }
 
-// newLoneProcess writes the configuration of a process whose list service is not there yet.
+// newLoneProcess writes the configuration of a process, and starts its worker. Its list service is not started.
 func newLoneProcess(t *testing.T, sockets int, known bool) *loneProcess {
-	worker := http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		json.NewEncoder(w).Encode(map[string]string{"id": r.Header.Get("Req-Id"), "state": "done", "result": "made"})
-	})}
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	assert.NoError(t, err)
-	go worker.Serve(ln)
-	t.Cleanup(func() { worker.Close() })
+	t.Helper()
+	ln := listen(t, "127.0.0.1:0")
+	serve(t, ln, answerDone)
 	l := &loneProcess{listen: freeAddress(t), discovery: freeAddress(t), worker: ln.Addr().String()}
 	list := ""
 	if known {
@@ -70,8 +68,9 @@
 	return l
 }
 
-// start runs the process under the limit on descriptors that its configuration tells of.
-func (l *loneProcess) start(t *testing.T, sockets int) (began time.Time) {
+// start starts the process with a limit on descriptors.
+func (l *loneProcess) start(t *testing.T, sockets int) (startedAt time.Time) {
+	t.Helper()
 	l.cmd = exec.Command("sh", "-c", fmt.Sprintf("ulimit -n %d && exec %s", sockets, os.Args[0]))
 	l.cmd.Env = append(os.Environ(), "LB_CONFIG="+l.config, "TMPDIR="+filepath.Dir(l.config))
 	assert.NoError(t, l.cmd.Start())
@@ -82,8 +81,9 @@
 	return time.Now()
 }
 
-// awaitReady waits until health is good.
+// awaitReady waits until the health check succeeds.
 func (l *loneProcess) awaitReady(t *testing.T, within time.Duration) {
+	t.Helper()
 	one := http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	assert.Eventually(t, func() bool {
 		a, err := one.Get("http://" + l.listen + "/_health")
@@ -92,10 +92,10 @@
 		}
 		defer a.Body.Close()
 		return a.StatusCode == 200
-	}, within, 20*time.Millisecond, "it is not ready")
+	}, within, 20*time.Millisecond, "the process is not ready")
 }
 
-// send sends one invocation over a connection of its own.
+// send sends one request over a connection of its own.
 func (l *loneProcess) send(id string) (status int, err error) {
 	c, err := net.DialTimeout("tcp", l.listen, time.Second)
 	if err != nil {
@@ -112,19 +112,16 @@
 	return status, err
 }
 
-// serveDiscovery answers calls for the list in one way, and counts them.
+// serveDiscovery starts the list service with a handler, and counts the calls.
 func (l *loneProcess) serveDiscovery(t *testing.T, calls *atomic.Int64, answer http.HandlerFunc) {
-	ln, err := net.Listen("tcp", l.discovery)
-	assert.NoError(t, err)
-	s := http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	t.Helper()
+	serve(t, listen(t, l.discovery), func(w http.ResponseWriter, r *http.Request) {
 		calls.Add(1)
 		answer(w, r)
-	})}
-	go s.Serve(ln)
-	t.Cleanup(func() { s.Close() })
+	})
 }
 
-// serveWatch answers a call by the list and an empty line each second.
+// serveWatch is a handler that writes the list, and an empty line each second.
 func (l *loneProcess) serveWatch(w http.ResponseWriter, r *http.Request) {
 	for line := l.endpointList(2); ; line = "" {
 		fmt.Fprintln(w, line)
@@ -137,7 +134,7 @@
 	}
 }
 
-// Guards against a restarted process that is not ready while its list service is down, silent or has too much to do.
+// A restarted process must become ready while its list service is down, unresponsive or overloaded.
 func TestRestartedProcessIsReadyInTimeWhateverItsListServiceDoes(t *testing.T) {
 	silent := func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }
 	busy := func(w http.ResponseWriter, r *http.Request) {
@@ -161,9 +158,9 @@
 				l.serveDiscovery(t, &calls, answer(l))
 			}
 			for range 2 { // killed once, and started again
-				began := l.start(t, 128)
+				startedAt := l.start(t, 128)
 				l.awaitReady(t, 2*time.Second)
-				t.Logf("ready after %v", time.Since(began).Round(time.Millisecond))
+				t.Logf("ready after %v", time.Since(startedAt).Round(time.Millisecond))
 				status, err := l.send("a1")
 				assert.NoError(t, err)
 				assert.Equal(t, 200, status)
@@ -182,16 +179,37 @@
 	})
 }
 
-// Guards against idle clients that fill the descriptors while the list service is down: a client that asks, the call
-// for the list, a connection to a worker and the health check all find one.
+// While idle clients use up the descriptors and the list service is down, there must be one left for a client with a
+// request, the call for the list, a connection to a worker and the health check.
 func TestIdleClientsThatFillTheDescriptorsKeepNobodyOut(t *testing.T) {
 	const sockets, idle = 96, 300
 	l := newLoneProcess(t, sockets, true)
 	l.start(t, sockets)
 	l.awaitReady(t, 6*time.Second)
-	filling, refused := make(chan struct{}), atomic.Int64{}
-	defer close(filling)
-	for range idle { // each comes again as soon as it is sent away
+	refused := l.fillDescriptors(t, idle)
+	assert.Eventually(t, func() bool { return refused.Load() > idle }, 10*time.Second, time.Millisecond, "the descriptors are full")
+	l.sendAll(t, "down-", 20)
+	l.awaitReady(t, time.Second)
+	var calls atomic.Int64
+	back := time.Now()
+	l.serveDiscovery(t, &calls, l.serveWatch)
+	assert.Eventually(t, func() bool { return calls.Load() > 0 }, 6*time.Second, time.Millisecond, "the list is polled")
+	t.Logf("polled %v after the list service is back, %d descriptors open, %d connections refused",
+		time.Since(back).Round(time.Millisecond), l.descriptors(t), refused.Load())
+	l.sendAll(t, "up-", 20)
+	l.awaitReady(t, time.Second)
+	assert.LessOrEqual(t, l.descriptors(t), sockets)
+	assert.NoError(t, l.cmd.Process.Signal(syscall.SIGTERM))
+	assert.NoError(t, l.cmd.Wait(), "%s", strings.TrimSpace(l.listen))
+}
+
+// fillDescriptors keeps a number of idle clients connected until the end of the test. Each connects again as soon as its
+// connection is closed. It returns the number of connections refused or closed so far.
+func (l *loneProcess) fillDescriptors(t *testing.T, idle int) *atomic.Int64 {
+	t.Helper()
+	filling, refused := make(chan struct{}), &atomic.Int64{}
+	t.Cleanup(func() { close(filling) })
+	for range idle {
 		go func() {
 			for {
 				c, err := net.DialTimeout("tcp", l.listen, time.Second)
@@ -211,46 +229,80 @@
 			}
 		}()
 	}
-	open := func() int {
-		files, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", l.cmd.Process.Pid))
-		if err != nil && !errors.Is(err, os.ErrNotExist) {
-			assert.NoError(t, err)
-		}
-		return len(files)
+	return refused
+}
+
+// descriptors returns the number of descriptors that the process has open, 0 if it has ended.
+func (l *loneProcess) descriptors(t *testing.T) int {
+	t.Helper()
+	files, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", l.cmd.Process.Pid))
+	if err != nil && !errors.Is(err, os.ErrNotExist) {
+		assert.NoError(t, err)
 	}
-	assert.Eventually(t, func() bool { return refused.Load() > idle }, 10*time.Second, time.Millisecond, "the descriptors are full")
-	answered := 0
-	serve := func(n int) {
-		for range n {
-			status, err := l.send(fmt.Sprint("a", answered))
-			if assert.NoError(t, err) && assert.Equal(t, 200, status) {
-				answered++
+	return len(files)
+}
+
+// sendAll sends requests with IDs of a prefix, one after the other. Each must succeed.
+func (l *loneProcess) sendAll(t *testing.T, prefix string, count int) {
+	t.Helper()
+	for n := range count {
+		status, err := l.send(fmt.Sprint(prefix, n))
+		assert.NoError(t, err)
+		assert.Equal(t, 200, status)
+	}
+}
+
+// serve starts an HTTP server, which the end of the test closes.
+func serve(t *testing.T, ln net.Listener, handler http.HandlerFunc) *http.Server {
+	t.Helper()
+	s := &http.Server{Handler: handler, ErrorLog: log.New(io.Discard, "", 0)}
+	go s.Serve(ln)
+	t.Cleanup(func() { s.Close() })
+	return s
+}
+
+// listen listens on an address.
+func listen(t *testing.T, address string) net.Listener {
+	t.Helper()
+	ln, err := net.Listen("tcp", address)
+	if !assert.NoError(t, err) {
+		t.FailNow()
+	}
+	return ln
+}
+
+// answerDone is a worker that answers at once.
+func answerDone(w http.ResponseWriter, r *http.Request) {
+	json.NewEncoder(w).Encode(map[string]string{"id": r.Header.Get("Req-Id"), "state": "done", "result": "made"})
+}
+
+// sendUntil sends requests to processes, each of which must succeed, until the function returned is called.
+func sendUntil(t *testing.T, processes []*loneProcess) (stop func()) {
+	t.Helper()
+	sending, cancel := context.WithCancel(context.Background())
+	var clients sync.WaitGroup
+	for _, l := range processes {
+		clients.Go(func() {
+			for n := 0; sending.Err() == nil; n++ {
+				status, err := l.send(fmt.Sprint("a", n))
+				assert.NoError(t, err)
+				assert.Equal(t, 200, status)
+				time.Sleep(20 * time.Millisecond)
 			}
-		}
+		})
+	}
+	return func() {
+		cancel()
+		clients.Wait()
 	}
-	serve(20)
-	l.awaitReady(t, time.Second)
-	var calls atomic.Int64
-	back := time.Now()
-	l.serveDiscovery(t, &calls, l.serveWatch)
-	assert.Eventually(t, func() bool { return calls.Load() > 0 }, 6*time.Second, time.Millisecond, "the list is asked for")
-	t.Logf("asked for %v after the return, %d descriptors open, %d sent away", time.Since(back).Round(time.Millisecond),
-		open(), refused.Load())
-	serve(20)
-	l.awaitReady(t, time.Second)
-	assert.LessOrEqual(t, open(), sockets)
-	assert.NoError(t, l.cmd.Process.Signal(syscall.SIGTERM))
-	assert.NoError(t, l.cmd.Wait(), "%s", strings.TrimSpace(l.listen))
 }
 
-// Guards against a drain that is known too late after calls for the list were refused, given up or cut, at each of
-// several processes: from 6 s after it could be had, and the grace, nothing goes to the worker.
+// After calls for the list were refused, timed out or cut off, each of several processes must apply a drain in time: from
+// 6 s after the list is available again, plus the grace, nothing is sent to the worker.
 func TestDrainIsKnownInTimeAtEachProcessWhateverBecameOfCallsBefore(t *testing.T) {
-	const grace = time.Second
-	hang := func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }
-	for name, failed := range map[string]http.HandlerFunc{
+	for name, failing := range map[string]http.HandlerFunc{
 		"refused": nil,
-		"silent":  hang,
+		"silent":  func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() },
 		"busy": func(w http.ResponseWriter, _ *http.Request) {
 			time.Sleep(1900 * time.Millisecond)
 			w.WriteHeader(503)
@@ -263,69 +315,52 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			var last atomic.Int64 // when the worker that drains last got something
-			drains := http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-				last.Store(time.Now().UnixNano())
-				json.NewEncoder(w).Encode(map[string]string{"id": r.Header.Get("Req-Id"), "state": "done", "result": "made"})
-			})}
-			ln, err := net.Listen("tcp", "127.0.0.1:0")
-			assert.NoError(t, err)
-			go drains.Serve(ln)
-			t.Cleanup(func() { drains.Close() })
-			const processes = 3
-			var all []*loneProcess
-			var up, down []*http.Server
-			serve := func(l *loneProcess, answer http.HandlerFunc) *http.Server {
-				ln, err := net.Listen("tcp", l.discovery)
-				assert.NoError(t, err)
-				s := &http.Server{Handler: answer, ErrorLog: log.New(io.Discard, "", 0)}
-				go s.Serve(ln)
-				t.Cleanup(func() { s.Close() })
-				return s
-			}
-			entry := `,{"host":"v","dial":"` + ln.Addr().String() + `","health":%q,"born_ms":0}`
-			for range processes {
-				l := newLoneProcess(t, 128, true)
-				l.others = fmt.Sprintf(entry, "Ready")
-				up = append(up, serve(l, l.serveWatch))
-				l.start(t, 128)
-				l.awaitReady(t, 6*time.Second)
-				all = append(all, l)
-			}
-			asking, stop := context.WithCancel(context.Background())
-			var clients sync.WaitGroup
-			for _, l := range all {
-				clients.Go(func() {
-					for n := 0; asking.Err() == nil; n++ {
-						status, err := l.send(fmt.Sprint("a", n))
-						assert.NoError(t, err)
-						assert.Equal(t, 200, status)
-						time.Sleep(20 * time.Millisecond)
-					}
-				})
-			}
-			defer clients.Wait()
-			defer stop()
-			assert.Eventually(t, func() bool { return last.Load() > 0 }, 3*time.Second, time.Millisecond, "it is used")
-			for n, l := range all { // the service fails, and the worker begins to drain meanwhile
-				up[n].Close()
-				if failed != nil {
-					down = append(down, serve(l, failed))
-				}
-			}
-			time.Sleep(5 * time.Second)
-			for _, s := range down {
-				s.Close()
-			}
-			for _, l := range all {
-				l.others = fmt.Sprintf(entry, "Terminating")
-				serve(l, l.serveWatch)
-			}
-			back := time.Now()
-			time.Sleep(6*time.Second + grace)
-			known := time.Unix(0, last.Load()).Sub(back)
-			t.Logf("the last request reached it %v after the return", known.Round(time.Millisecond))
-			assert.Less(t, known, 6*time.Second)
+			testDrainAfterFailingCalls(t, failing)
 		})
 	}
 }
+
+// testDrainAfterFailingCalls drains a worker while the list service answers with a handler, or refuses connections
+// for nil.
+func testDrainAfterFailingCalls(t *testing.T, failing http.HandlerFunc) {
+	t.Helper()
+	const processes, grace = 3, time.Second
+	var last atomic.Int64 // when the draining worker received its last request
+	ln := listen(t, "127.0.0.1:0")
+	serve(t, ln, func(w http.ResponseWriter, r *http.Request) {
+		last.Store(time.Now().UnixNano())
+		answerDone(w, r)
+	})
+	entry := `,{"host":"v","dial":"` + ln.Addr().String() + `","health":%q,"born_ms":0}`
+	var all []*loneProcess
+	var up, down []*http.Server
+	for range processes {
+		l := newLoneProcess(t, 128, true)
+		l.others = fmt.Sprintf(entry, "Ready")
+		up = append(up, serve(t, listen(t, l.discovery), l.serveWatch))
+		l.start(t, 128)
+		l.awaitReady(t, 6*time.Second)
+		all = append(all, l)
+	}
+	defer sendUntil(t, all)()
+	assert.Eventually(t, func() bool { return last.Load() > 0 }, 3*time.Second, time.Millisecond, "the worker is used")
+	for n, l := range all { // the list services fail, and the worker starts to drain meanwhile
+		up[n].Close()
+		if failing != nil {
+			down = append(down, serve(t, listen(t, l.discovery), failing))
+		}
+	}
+	time.Sleep(5 * time.Second)
+	for _, s := range down {
+		s.Close()
+	}
+	for _, l := range all {
+		l.others = fmt.Sprintf(entry, "Terminating")
+		serve(t, listen(t, l.discovery), l.serveWatch)
+	}
+	back := time.Now()
+	time.Sleep(6*time.Second + grace)
+	known := time.Unix(0, last.Load()).Sub(back)
+	t.Logf("the last request reached it %v after the list services are back", known.Round(time.Millisecond))
+	assert.Less(t, known, 6*time.Second)
+}
--- a/internal/testbed/command/power_test.go
+++ b/internal/testbed/command/power_test.go
@@ -10,7 +10,7 @@
 	"canvasroute/internal/testbed/fault"
 )
 
-// lost is an experiment in which four dispatchers, nine workers and the list service lose power at once.
+// powerLossExperiment is an experiment in which four dispatchers, nine workers and the list service lose power at once.
 const powerLossExperiment = `name = "lost"
 [dispatchers]
 count = 4
@@ -76,8 +76,8 @@
 %s
 `
 
-// Several processes lose power at once and come back with each kind of disk, while messages between them are lost,
-// doubled and late. What must never happen, does not: the verdict rests on no time.
+// Several processes lose power at once and restart with each state of a disk, while messages between them are lost,
+// duplicated and delayed. The rules must be kept; no time is asserted.
 func TestFleetThatLosesPowerKeepsTheRulesWithEachKindOfDisk(t *testing.T) {
 	const rough = "link-loss = 0.2\nlink-jitter = \"30ms\"\nlink-doubled = 0.2\n"
 	for _, disk := range fault.DiskStates {
--- a/internal/testbed/experiment/recovery.go
+++ b/internal/testbed/experiment/recovery.go
@@ -22,6 +22,9 @@
 	Case       string  `json:"case"`
 }
 
+// recoveryMessage is the log message of a dispatcher that enters a phase, see docs/oncall.md.
+const recoveryMessage = "returning"
+
 // readPhases reads the phases from the dispatchers' logs.
 func readPhases(env *environment) (all []PhaseResult) {
 	for n, p := range env.processes {
@@ -36,7 +39,7 @@
 				Message, Phase, Why, Case string
 				Time                      int64
 			}
-			if json.Unmarshal(lines.Bytes(), &l) == nil && l.Message == "returning" {
+			if json.Unmarshal(lines.Bytes(), &l) == nil && l.Message == recoveryMessage {
 				at := time.UnixMilli(l.Time).Sub(time.Unix(0, env.startedAtNanos.Load())).Seconds()
 				all = append(all, PhaseResult{n, l.Phase, at, l.Why, l.Case})
 			}
--- a/internal/testbed/report/charts.go
+++ b/internal/testbed/report/charts.go
@@ -1,4 +1,5 @@
-// Package report shows results to people: charts on a page, a table of figures, and two runs side by side.
+// Package report renders results: an HTML page with charts, a table for the terminal, and a comparison of two sets of
+// runs.
 package report
 
 import (
@@ -27,7 +28,7 @@
 	chartHeight = 8 * vg.Centimeter
 )
 
-// colours by what they stand for, so that all charts agree.
+// colours are the colours of lines by name, the same in all charts.
 var colours = map[string]color.Color{
 	"arrivals": color.Gray{90}, "succeeded": color.RGBA{44, 140, 80, 255}, "throttled": color.RGBA{
 		230, 150,
@@ -42,7 +43,7 @@
 	},
 }
 
-// newChart makes an empty chart over the run's time, with its troubles marked.
+// newChart returns an empty chart over the time of a run.
 func newChart(r *experiment.Result, title, unit string) *plot.Plot {
 	p := plot.New()
 	p.Title.Text, p.Y.Label.Text, p.X.Label.Text = title, unit, "seconds from the start"
@@ -52,8 +53,7 @@
 	return p
 }
 
-// shadeFaults shades the times of troubles up to a height. What lasts to the end, or for a moment, is a band of its
-// own.
+// shadeFaults adds a numbered band for the time of each fault. One without a duration gets a narrow band.
 func shadeFaults(p *plot.Plot, r *experiment.Result, low, high float64) {
 	for n, m := range r.Faults {
 		from, to := m.From.Seconds(), m.To.Seconds()
@@ -104,13 +104,13 @@
 		return "", fmt.Errorf("drawing %q: %w", p.Title.Text, err)
 	}
 	text := b.String()
-	if at := strings.Index(text, "<svg"); at >= 0 { // the prologue is for a file of its own
+	if at := strings.Index(text, "<svg"); at >= 0 { // HTML has no place for the XML prologue
 		text = text[at:]
 	}
 	return template.HTML(text), nil
 }
 
-// answersChart shows arrivals and how they ended, a second.
+// answersChart shows arrivals and outcomes per second.
 func answersChart(r *experiment.Result) *plot.Plot {
 	p := newChart(r, "Arrivals and answers", "a second")
 	over := func(count func(metrics.Slot) int64) (points plotter.XYs, found bool) {
@@ -140,7 +140,7 @@
 	return p
 }
 
-// latencyChart shows percentiles of what succeeded, by when it was meant to be sent.
+// latencyChart shows percentiles of the latency of successful calls, by intended time.
 func latencyChart(r *experiment.Result) *plot.Plot {
 	p := newChart(r, "Latency of what succeeded, from the intended time of sending", "ms")
 	low, high := math.Inf(1), 1.0
@@ -168,7 +168,7 @@
 	return p
 }
 
-// workGrid is work done by worker over time.
+// workGrid is the work finished by worker and time slot.
 type workGrid struct {
 	r *experiment.Result
 }
@@ -178,7 +178,7 @@
 func (g workGrid) Y(r int) float64    { return float64(r) }
 func (g workGrid) Z(c, r int) float64 { return g.r.Workers[r].BySlot[c] }
 
-// workChart shows what each worker finished, a second: a crash is a hole, a cold return a pale stretch.
+// workChart shows the work that each worker finished per second. A crash appears as a gap, warming up as a pale area.
 func workChart(r *experiment.Result) *plot.Plot {
 	p := newChart(r, "Work finished by worker (darker: more a second)", "worker")
 	shades, err := brewer.GetPalette(brewer.TypeSequential, "Blues", 9)
@@ -201,7 +201,7 @@
 	return p
 }
 
-// sharesChart shows the whole work of each worker.
+// sharesChart shows the total number of requests that each worker finished.
 func sharesChart(r *experiment.Result) *plot.Plot {
 	p := plot.New()
 	p.Title.Text, p.Y.Label.Text = "Invocations finished by worker", "invocations"
--- a/internal/testbed/report/compare.go
+++ b/internal/testbed/report/compare.go
@@ -9,14 +9,14 @@
 	"canvasroute/internal/testbed/metrics"
 )
 
-// Metric is one figure of a run that two sets of runs are compared by.
+// Metric is a value of a run by which two sets of runs are compared.
 type Metric struct {
 	Name   string
 	Value  func(*experiment.Result) float64
-	Better int // 1 if more is better, -1 if less is, 0 if neither
+	Better int // 1 if higher is better, -1 if lower is, 0 if neither
 }
 
-// compared are the figures, those that matter most first.
+// figures are the metrics of a comparison, the most important first.
 var figures = []Metric{
 	{"rules broken", func(r *experiment.Result) (n float64) {
 		for _, k := range r.Rules {
@@ -54,7 +54,7 @@
 	return func(r *experiment.Result) float64 { return figure(r.Calls.Succeeded) }
 }
 
-// meanAndDeviation is the mean of a figure over runs and the standard deviation of a single one.
+// meanAndDeviation returns the mean of a metric over runs, and the standard deviation of a single run.
 func meanAndDeviation(runs []*experiment.Result, f Metric) (mean, deviation float64) {
 	for _, r := range runs {
 		mean += f.Value(r) / float64(len(runs))
@@ -68,8 +68,8 @@
 	return mean, math.Sqrt(deviation / float64(len(runs)-1))
 }
 
-// differ tells whether two means differ by more than their standard errors explain: twice those of both. With
-// a single run on either side nobody can tell.
+// differ reports whether two means differ by more than twice their standard error. With a single run on either side the
+// error is unknown, so it reports false.
 func differ(a, b []*experiment.Result, f Metric) bool {
 	if len(a) < 2 || len(b) < 2 {
 		return false
@@ -80,7 +80,7 @@
 	return math.Abs(meanA-meanB) > 2*se && meanA != meanB
 }
 
-// Compare sets two sets of runs side by side.
+// Compare returns a table of two sets of runs side by side.
 func Compare(nameA, nameB string, a, b []*experiment.Result) string {
 	var out strings.Builder
 	fmt.Fprintf(&out, "A: %s, %s, %d runs\nB: %s, %s, %d runs\n\n", nameA, a[0].Policy, len(a), nameB,
@@ -108,7 +108,7 @@
 	return out.String()
 }
 
-// warnings tell what makes a comparison weak.
+// warnings returns reasons that make a comparison unreliable.
 func warnings(a, b []*experiment.Result) (out []string) {
 	if len(a) < 2 || len(b) < 2 {
 		out = append(out, "a single run on a side has no spread: run several seeds for a verdict")
--- a/internal/testbed/report/page.go
+++ b/internal/testbed/report/page.go
@@ -13,10 +13,10 @@
 	"canvasroute/internal/testbed/history"
 )
 
-// pageFile is the page in a result's folder.
+// pageFile is the name of the page in a result's folder.
 const pageFile = "report.html"
 
-// Write leaves a page with charts in a folder, and returns its path.
+// Write writes the page with charts to a folder, and returns its path.
 func Write(r *experiment.Result, folder string) (string, error) {
 	data := struct {
 		*experiment.Result
@@ -62,7 +62,7 @@
 	Bad   bool
 }
 
-// ruleRows tell how each of the four stands.
+// ruleRows returns the number of violations of each rule that was checked.
 func ruleRows(r *experiment.Result) (rows []Row) {
 	for _, rule := range append(slices.Clone(history.Rules[:]), history.RuleKeysPersisted) {
 		if _, judged := r.Rules[string(rule)]; !judged {
@@ -77,7 +77,7 @@
 	return rows
 }
 
-// Figures are a run's main figures for people.
+// Figures returns the main figures of a run as a table.
 func Figures(r *experiment.Result) []Row {
 	c := &r.Calls
 	share := func(n int64) string {
@@ -117,7 +117,7 @@
 	return time.Duration(v * float64(time.Millisecond)).Round(10 * time.Microsecond).String()
 }
 
-// Text is the table of a run for a terminal.
+// Text returns the table of a run for a terminal.
 func Text(r *experiment.Result) string {
 	var b strings.Builder
 	for _, row := range append(Figures(r), ruleRows(r)...) {
--- a/internal/testbed/report/phases.go
+++ b/internal/testbed/report/phases.go
@@ -10,7 +10,7 @@
 	"canvasroute/internal/testbed/experiment"
 )
 
-// phaseColours of a dispatcher's return, in their order.
+// phaseColours are the colours of the phases of a recovery, in their order.
 var phaseColours = []struct {
 	name   string
 	colour color.Color
@@ -24,10 +24,10 @@
 	{"superseded", color.RGBA{0, 0, 0, 255}},
 }
 
-// thick is how much of its row a band fills.
+// bandShare is how much of its row a band fills.
 const bandShare = 0.35
 
-// phasesChart shows how far each dispatcher had returned, as bands over time. It is nil where none tells.
+// phasesChart shows the recovery phases of each dispatcher as bands over time. It is nil if no phase was logged.
 func phasesChart(r *experiment.Result) *plot.Plot {
 	if len(r.Phases) == 0 {
 		return nil
--- a/internal/testbed/report/report_test.go
+++ b/internal/testbed/report/report_test.go
@@ -14,7 +14,7 @@
 	"canvasroute/internal/testbed/metrics"
 )
 
-// run is a result with one figure of its own.
+// run returns a result of 100 calls, inTime of which succeeded within their objective.
 func run(seed uint64, inTime int) *experiment.Result {
 	rec := metrics.NewRecorder(time.Second, 1, 0)
 	for n := range 100 {
