--- a/cmd/testbed/main.go
+++ b/cmd/testbed/main.go
@@ -1,5 +1,5 @@
-// Command testbed runs experiments with canvasroute on stand-ins. Its libraries for plots and files stay
-// out of the dispatcher's own program.
+// Command testbed runs experiments with canvasroute and stand-ins. It is a program of its own so that the libraries for
+// plots and command lines are not linked into the dispatcher.
 package main
 
 import (
--- a/internal/testbed/command/command.go
+++ b/internal/testbed/command/command.go
@@ -77,9 +77,9 @@
 // New returns the root command. Tables are written to out, progress to status.
 func New(out, status io.Writer) *cobra.Command {
 	root := &cobra.Command{
-		Use: "testbed", Short: "Experiments with canvasroute on stand-ins",
-		Long: "testbed starts real canvasroute processes before a stand-in fleet, list service and peer\n" +
-			"network on loopback, plays an open-loop load and troubles, and judges the four rules from its own ledger.",
+		Use: "testbed", Short: "Run experiments with canvasroute and stand-ins",
+		Long: "testbed starts real canvasroute processes with a stand-in fleet, list service and peer network on\n" +
+			"loopback, sends an open-loop load, injects faults, and checks the four rules against its own record.",
 		SilenceUsage: true, SilenceErrors: true,
 	}
 	root.SetOut(out)
@@ -97,19 +97,19 @@
 	quiet                      bool
 }
 
-func (f *runFlags) add(c *cobra.Command) {
-	c.Flags().StringVarP(&f.folder, "out", "o", "", "folder for the result (default testbed-results/NAME-TIME)")
-	c.Flags().StringVar(&f.dispatcher, "dispatcher", "",
+func (f *runFlags) add(command *cobra.Command) {
+	command.Flags().StringVarP(&f.folder, "out", "o", "", "folder for the result (default testbed-results/NAME-TIME)")
+	command.Flags().StringVar(&f.dispatcher, "dispatcher", "",
 		"dispatcher program (default: canvasroute beside this one)")
-	c.Flags().BoolVarP(&f.quiet, "quiet", "q", false, "no progress")
+	command.Flags().BoolVarP(&f.quiet, "quiet", "q", false, "no progress")
 }
 
 func demoCommand(out, status io.Writer) *cobra.Command {
 	f, show := &runFlags{}, false
-	c := &cobra.Command{
+	command := &cobra.Command{
 		Use:   "demo",
 		Short: "Three dispatchers, ten workers, a crash in the middle: half a minute",
-		Args:  cobra.NoArgs, RunE: func(c *cobra.Command, _ []string) error {
+		Args:  cobra.NoArgs, RunE: func(command *cobra.Command, _ []string) error {
 			if show {
 				_, err := out.Write(demo)
 				return err
@@ -118,20 +118,20 @@
 			if err != nil {
 				return err
 			}
-			return f.run(c.Context(), p, out, status)
+			return f.run(command.Context(), p, out, status)
 		},
 	}
-	f.add(c)
-	c.Flags().BoolVar(&show, "show", false, "print the experiment file instead, as a start for one of your own")
-	return c
+	f.add(command)
+	command.Flags().BoolVar(&show, "show", false, "print the experiment file instead, as a start for one of your own")
+	return command
 }
 
 func runCommand(out, status io.Writer) *cobra.Command {
 	f := &runFlags{}
-	c := &cobra.Command{
+	command := &cobra.Command{
 		Use: "run FILE", Short: "Run the experiment that a TOML file names",
 		Args: cobra.ExactArgs(1),
-		RunE: func(c *cobra.Command, args []string) error {
+		RunE: func(command *cobra.Command, args []string) error {
 			p, err := experiment.Read(args[0])
 			if err != nil {
 				return usageError{err}
@@ -141,14 +141,14 @@
 					return usageError{err}
 				}
 			}
-			return f.run(c.Context(), p, out, status)
+			return f.run(command.Context(), p, out, status)
 		},
 	}
-	f.add(c)
-	c.Flags().StringVar(&f.policy, "policy", "", "dispatchers' policy in place of the file's: canvasroute, "+
+	f.add(command)
+	command.Flags().StringVar(&f.policy, "policy", "", "dispatchers' policy instead of the file's: canvasroute, "+
 		strings.Join(baseline.Policies, ", "))
-	c.Flags().UintSliceVar(&f.seeds, "seeds", nil, "seeds to run one after the other, in place of the file's")
-	return c
+	command.Flags().UintSliceVar(&f.seeds, "seeds", nil, "seeds to run one after the other, instead of the file's")
+	return command
 }
 
 // run runs a plan with each seed. With several seeds each result gets a folder of its own.
@@ -199,8 +199,8 @@
 }
 
 // progress draws a progress bar. The second result ends it.
-func progress(status io.Writer, long time.Duration) (func(experiment.Progress), func()) {
-	bar := progressbar.NewOptions64(long.Milliseconds(), progressbar.OptionSetWriter(status),
+func progress(status io.Writer, duration time.Duration) (func(experiment.Progress), func()) {
+	bar := progressbar.NewOptions64(duration.Milliseconds(), progressbar.OptionSetWriter(status),
 		progressbar.OptionSetWidth(24), progressbar.OptionThrottle(200*time.Millisecond),
 		progressbar.OptionSetPredictTime(true), progressbar.OptionClearOnFinish())
 	update := func(g experiment.Progress) {
@@ -222,17 +222,17 @@
 	return &cobra.Command{
 		Use: "check FILE...", Short: "Check experiment files without running them",
 		Args: cobra.MinimumNArgs(1), RunE: func(_ *cobra.Command, args []string) error {
-			var faults []error
+			var invalid []error
 			for _, path := range args {
 				p, err := experiment.Read(path)
 				if err != nil {
-					faults = append(faults, err)
+					invalid = append(invalid, err)
 					continue
 				}
 				fmt.Fprintf(out, "%s: good; %d arrivals in %v\n", path, len(p.Schedule(p.Seed)), p.Duration())
 			}
-			if len(faults) > 0 {
-				return usageError{errors.Join(faults...)}
+			if len(invalid) > 0 {
+				return usageError{errors.Join(invalid...)}
 			}
 			return nil
 		},
@@ -242,7 +242,7 @@
 func compareCommand(out io.Writer) *cobra.Command {
 	return &cobra.Command{
 		Use:   "compare A B",
-		Short: "Set two runs, or two folders of runs over seeds, side by side",
+		Short: "Compare two runs, or two folders of runs with several seeds",
 		Args:  cobra.ExactArgs(2), RunE: func(_ *cobra.Command, args []string) error {
 			a, err := experiment.ReadResults(args[0])
 			if err != nil {
@@ -260,14 +260,14 @@
 
 func saturateCommand(out, status io.Writer) *cobra.Command {
 	f := &runFlags{}
-	s := experiment.Saturation{Seed: 1, Steps: 4}
+	saturation := experiment.Saturation{Seed: 1, Steps: 4}
 	alone, null := false, false
-	c := &cobra.Command{
+	command := &cobra.Command{
 		Use: "saturate", Short: "Find the highest rate at which the objective holds",
 		Long: "saturate looks for the highest rate at which p99, counted from the intended time, keeps the\n" +
-			"objective and nothing fails, on one core before workers that do no work; beside it, the same for the\n" +
+			"objective and nothing fails, on one core with workers that take no time, and compares it with that of the\n" +
 			"standard library's ReverseProxy.",
-		Args: cobra.NoArgs, RunE: func(c *cobra.Command, _ []string) error {
+		Args: cobra.NoArgs, RunE: func(command *cobra.Command, _ []string) error {
 			policies := []string{experiment.Canvasroute, "reverse-proxy"}
 			switch {
 			case null:
@@ -275,21 +275,21 @@
 			case alone:
 				policies = policies[:1]
 			}
-			return f.saturate(c.Context(), s, policies, out, status)
+			return f.saturate(command.Context(), saturation, policies, out, status)
 		},
 	}
-	c.Flags().StringVar(&f.dispatcher, "dispatcher", "",
+	command.Flags().StringVar(&f.dispatcher, "dispatcher", "",
 		"dispatcher program (default: canvasroute beside this one)")
-	c.Flags().DurationVar(&s.Objective, "objective", 50*time.Millisecond, "for p99")
-	c.Flags().DurationVar(&s.TrialDuration, "for", 4*time.Second, "length of a trial")
-	c.Flags().Float64Var(&s.Cores, "cores", 1, "of the dispatcher")
-	c.Flags().IntVar(&s.Workers, "workers", 16, "in the stand-in fleet")
-	c.Flags().Float64Var(&s.FirstRate, "from", 3000, "first rate, a second")
-	c.Flags().Float64Var(&s.MaxRate, "to", 100000, "highest rate that is tried")
-	c.Flags().BoolVar(&alone, "alone", false, "without ReverseProxy beside it")
-	c.Flags().BoolVar(&null, "null", false,
-		"a server that answers at once in its place: what the generator holds")
-	return c
+	command.Flags().DurationVar(&saturation.Objective, "objective", 50*time.Millisecond, "for p99")
+	command.Flags().DurationVar(&saturation.TrialDuration, "for", 4*time.Second, "length of a trial")
+	command.Flags().Float64Var(&saturation.Cores, "cores", 1, "of the dispatcher")
+	command.Flags().IntVar(&saturation.Workers, "workers", 16, "in the stand-in fleet")
+	command.Flags().Float64Var(&saturation.FirstRate, "from", 3000, "first rate, a second")
+	command.Flags().Float64Var(&saturation.MaxRate, "to", 100000, "highest rate that is tried")
+	command.Flags().BoolVar(&alone, "alone", false, "without ReverseProxy for comparison")
+	command.Flags().BoolVar(&null, "null", false,
+		"a server that answers at once instead: measures the load generator")
+	return command
 }
 
 func (f *runFlags) saturate(ctx context.Context, s experiment.Saturation, policies []string,
@@ -341,18 +341,18 @@
 
 // standInCommand is the hidden command by which the testbed starts a baseline in a process of its own.
 func standInCommand() *cobra.Command {
-	t := baseline.Config{}
-	c := &cobra.Command{
+	config := baseline.Config{}
+	command := &cobra.Command{
 		Use: "stand-in", Hidden: true, Args: cobra.NoArgs,
 		Short: "Serve as a baseline dispatcher, as LB_CONFIG says",
 		RunE: func(*cobra.Command, []string) error {
-			if code := baseline.Main(t); code != 0 {
+			if code := baseline.Main(config); code != 0 {
 				return exitCode(code)
 			}
 			return nil
 		},
 	}
-	c.Flags().StringVar(&t.Policy, "policy", "round-robin", "one of "+strings.Join(baseline.Policies, ", "))
-	c.Flags().StringVar(&t.Fault, "fault", "", "one of "+strings.Join(baseline.Faults, ", "))
-	return c
+	command.Flags().StringVar(&config.Policy, "policy", "round-robin", "one of "+strings.Join(baseline.Policies, ", "))
+	command.Flags().StringVar(&config.Fault, "fault", "", "one of "+strings.Join(baseline.Faults, ", "))
+	return command
 }
--- a/internal/testbed/command/endpoints_test.go
+++ b/internal/testbed/command/endpoints_test.go
@@ -261,14 +261,21 @@
 	return s
 }
 
-// listen listens on an address.
+// listen listens on an address. A process that a parallel test starts has a copy of each open listener from its fork to
+// its exec, so that the port of one that has just been closed may be in use for a moment: listen tries for a second.
 func listen(t *testing.T, address string) net.Listener {
 	t.Helper()
-	ln, err := net.Listen("tcp", address)
-	if !assert.NoError(t, err) {
-		t.FailNow()
+	for limit := time.Now().Add(time.Second); ; {
+		ln, err := net.Listen("tcp", address)
+		if err == nil {
+			return ln
+		}
+		if !errors.Is(err, syscall.EADDRINUSE) || time.Now().After(limit) {
+			assert.NoError(t, err)
+			t.FailNow()
+		}
+		time.Sleep(5 * time.Millisecond)
 	}
-	return ln
 }
 
 // answerDone is a worker that answers at once.
--- a/internal/testbed/experiment/experiment_test.go
+++ b/internal/testbed/experiment/experiment_test.go
@@ -151,3 +151,16 @@
 	assert.Len(t, p.Schedule(1), 2)
 	assert.Equal(t, 1501*time.Millisecond, p.Duration())
 }
+
+// The ready experiment files must stay valid: operators run them as they are.
+func TestReadyExperimentFilesAreValid(t *testing.T) {
+	paths, err := filepath.Glob("../../../deploy/testbed/*.toml")
+	assert.NoError(t, err)
+	assert.NotEmpty(t, paths)
+	for _, path := range paths {
+		t.Run(filepath.Base(path), func(t *testing.T) {
+			_, err := Read(path)
+			assert.NoError(t, err)
+		})
+	}
+}
--- a/internal/testbed/metrics/summary.go
+++ b/internal/testbed/metrics/summary.go
@@ -67,36 +67,36 @@
 func (r *Recorder) Summary(operations, tenants []string) Summary {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	s := Summary{
+	summary := Summary{
 		Total: r.total.export(""), Succeeded: percentiles(r.succeeded), All: percentiles(r.all),
 		SlotSeconds: r.slotLength.Seconds(),
 	}
 	for n, t := range r.operations {
-		s.Operations = append(s.Operations, t.export(operations[n]))
+		summary.Operations = append(summary.Operations, t.export(operations[n]))
 	}
 	for n, t := range r.tenants {
-		s.Tenants = append(s.Tenants, t.export(tenants[n]))
+		summary.Tenants = append(summary.Tenants, t.export(tenants[n]))
 	}
 	for n, slot := range r.slots {
-		s.Slots = append(s.Slots, Slot{
-			From: float64(n) * s.SlotSeconds, Arrivals: slot.arrivals, ValueOffered: slot.valueOffered,
+		summary.Slots = append(summary.Slots, Slot{
+			From: float64(n) * summary.SlotSeconds, Arrivals: slot.arrivals, ValueOffered: slot.valueOffered,
 			ValueEarned: slot.valueEarned,
 			Answers:     countByName(slot.outcomes[:]), P50: millis(slot.latency.ValueAtQuantile(50)),
 			P95: millis(slot.latency.ValueAtQuantile(95)), P99: millis(slot.latency.ValueAtQuantile(99)),
 		})
 	}
-	s.Generator = Generator{
+	summary.Generator = Generator{
 		Late: percentiles(r.lateness), LateCalls: r.lateCalls,
 		Unsent: r.total.outcomes[history.Unsent], Trusted: true,
 	}
-	switch g := &s.Generator; {
+	switch g := &summary.Generator; {
 	case g.Unsent > 0:
 		g.Trusted, g.Reason = false, fmt.Sprintf("%d calls were never sent: too many were open", g.Unsent)
 	case float64(g.LateCalls) > maxLateShare*float64(g.Late.Count):
 		g.Trusted, g.Reason = false, fmt.Sprintf("%d of %d calls were sent more than %v late", g.LateCalls,
 			g.Late.Count, LateAfter)
 	}
-	return s
+	return summary
 }
 
 func (t *tally) export(name string) Tally {
--- a/internal/testbed/report/charts.go
+++ b/internal/testbed/report/charts.go
@@ -45,16 +45,16 @@
 
 // newChart returns an empty chart over the time of a run.
 func newChart(r *experiment.Result, title, unit string) *plot.Plot {
-	p := plot.New()
-	p.Title.Text, p.Y.Label.Text, p.X.Label.Text = title, unit, "seconds from the start"
-	p.X.Min, p.X.Max = 0, max(r.DurationSeconds, 1)
-	p.Legend.Top, p.Legend.Left = true, false
-	p.Add(plotter.NewGrid())
-	return p
+	chart := plot.New()
+	chart.Title.Text, chart.Y.Label.Text, chart.X.Label.Text = title, unit, "seconds from the start"
+	chart.X.Min, chart.X.Max = 0, max(r.DurationSeconds, 1)
+	chart.Legend.Top, chart.Legend.Left = true, false
+	chart.Add(plotter.NewGrid())
+	return chart
 }
 
 // shadeFaults adds a numbered band for the time of each fault. One without a duration gets a narrow band.
-func shadeFaults(p *plot.Plot, r *experiment.Result, low, high float64) {
+func shadeFaults(chart *plot.Plot, r *experiment.Result, low, high float64) {
 	for n, m := range r.Faults {
 		from, to := m.From.Seconds(), m.To.Seconds()
 		to = max(to, from+r.DurationSeconds/200)
@@ -68,19 +68,19 @@
 			continue
 		}
 		band.Color, band.Width = color.NRGBA{200, 60, 60, 36}, 0
-		p.Add(band)
+		chart.Add(band)
 		text, err := plotter.NewLabels(plotter.XYLabels{
 			XYs:    plotter.XYs{{X: from, Y: high}},
 			Labels: []string{fmt.Sprint(" ", n+1)},
 		})
 		if err == nil {
 			text.Offset = vg.Point{Y: -12}
-			p.Add(text)
+			chart.Add(text)
 		}
 	}
 }
 
-func addLine(p *plot.Plot, name string, points plotter.XYs, dashed bool) {
+func addLine(chart *plot.Plot, name string, points plotter.XYs, dashed bool) {
 	if len(points) == 0 {
 		return
 	}
@@ -92,8 +92,8 @@
 	if dashed {
 		l.Dashes = []vg.Length{vg.Points(5), vg.Points(3)}
 	}
-	p.Add(l)
-	p.Legend.Add(name, l)
+	chart.Add(l)
+	chart.Legend.Add(name, l)
 }
 
 func renderSVG(p *plot.Plot) (template.HTML, error) {
@@ -112,7 +112,7 @@
 
 // answersChart shows arrivals and outcomes per second.
 func answersChart(r *experiment.Result) *plot.Plot {
-	p := newChart(r, "Arrivals and answers", "a second")
+	chart := newChart(r, "Arrivals and answers", "a second")
 	over := func(count func(metrics.Slot) int64) (points plotter.XYs, found bool) {
 		for _, s := range r.Calls.Slots {
 			n := count(s)
@@ -126,23 +126,23 @@
 	for _, at := range arrivals {
 		top = max(top, at.Y)
 	}
-	shadeFaults(p, r, 0, top*1.15)
-	addLine(p, "arrivals", arrivals, true)
+	shadeFaults(chart, r, 0, top*1.15)
+	addLine(chart, "arrivals", arrivals, true)
 	for _, kind := range []string{
 		"succeeded", "throttled", "errored", "unanswered", "broken", "unreachable",
 		"interrupted", "unsent",
 	} {
 		if points, found := over(func(s metrics.Slot) int64 { return s.Answers[kind] }); found {
-			addLine(p, kind, points, false)
+			addLine(chart, kind, points, false)
 		}
 	}
-	p.Y.Min, p.Y.Max = 0, top*1.15
-	return p
+	chart.Y.Min, chart.Y.Max = 0, top*1.15
+	return chart
 }
 
 // latencyChart shows percentiles of the latency of successful calls, by intended time.
 func latencyChart(r *experiment.Result) *plot.Plot {
-	p := newChart(r, "Latency of what succeeded, from the intended time of sending", "ms")
+	chart := newChart(r, "Latency of what succeeded, from the intended time of sending", "ms")
 	low, high := math.Inf(1), 1.0
 	lines := map[string]plotter.XYs{}
 	for _, s := range r.Calls.Slots {
@@ -156,16 +156,16 @@
 		}
 	}
 	if math.IsInf(low, 1) {
-		return p
+		return chart
 	}
 	low, high = low/1.3, high*1.5
-	shadeFaults(p, r, low, high)
+	shadeFaults(chart, r, low, high)
 	for _, name := range []string{"p50", "p95", "p99"} {
-		addLine(p, name, lines[name], false)
+		addLine(chart, name, lines[name], false)
 	}
-	p.Y.Scale, p.Y.Tick.Marker = plot.LogScale{}, plot.LogTicks{Prec: 3}
-	p.Y.Min, p.Y.Max = low, high
-	return p
+	chart.Y.Scale, chart.Y.Tick.Marker = plot.LogScale{}, plot.LogTicks{Prec: 3}
+	chart.Y.Min, chart.Y.Max = low, high
+	return chart
 }
 
 // workGrid is the work finished by worker and time slot.
@@ -180,14 +180,14 @@
 
 // workChart shows the work that each worker finished per second. A crash appears as a gap, warming up as a pale area.
 func workChart(r *experiment.Result) *plot.Plot {
-	p := newChart(r, "Work finished by worker (darker: more a second)", "worker")
+	chart := newChart(r, "Work finished by worker (darker: more a second)", "worker")
 	shades, err := brewer.GetPalette(brewer.TypeSequential, "Blues", 9)
 	g := workGrid{r}
 	if c, rows := g.Dims(); err != nil || c < 2 || rows < 2 {
-		return p
+		return chart
 	}
-	p.Add(plotter.NewHeatMap(g, shades))
-	shadeFaults(p, r, -0.5, float64(len(r.Workers))-0.5)
+	chart.Add(plotter.NewHeatMap(g, shades))
+	shadeFaults(chart, r, -0.5, float64(len(r.Workers))-0.5)
 	var ticks []plot.Tick
 	for n, w := range r.Workers {
 		t := plot.Tick{Value: float64(n)}
@@ -196,31 +196,31 @@
 		}
 		ticks = append(ticks, t)
 	}
-	p.Y.Tick.Marker = plot.ConstantTicks(ticks)
-	p.Y.Min, p.Y.Max = -0.5, float64(len(r.Workers))-0.5
-	return p
+	chart.Y.Tick.Marker = plot.ConstantTicks(ticks)
+	chart.Y.Min, chart.Y.Max = -0.5, float64(len(r.Workers))-0.5
+	return chart
 }
 
 // sharesChart shows the total number of requests that each worker finished.
 func sharesChart(r *experiment.Result) *plot.Plot {
-	p := plot.New()
-	p.Title.Text, p.Y.Label.Text = "Invocations finished by worker", "invocations"
+	chart := plot.New()
+	chart.Title.Text, chart.Y.Label.Text = "Invocations finished by worker", "invocations"
 	values, names := plotter.Values{}, []string{}
 	for _, w := range r.Workers {
 		values, names = append(values, float64(w.Done)), append(names, w.Name)
 	}
 	if len(values) == 0 || slices.Max(values) == 0 {
-		return p
+		return chart
 	}
 	bars, err := plotter.NewBarChart(values, chartWidth*0.7/vg.Length(len(values)))
 	if err != nil {
-		return p
+		return chart
 	}
 	bars.Color, bars.LineStyle.Width = colours["p50"], 0
-	p.Add(bars)
+	chart.Add(bars)
 	if len(names) <= 30 {
-		p.NominalX(names...)
+		chart.NominalX(names...)
 	}
-	p.Y.Min = 0
-	return p
+	chart.Y.Min = 0
+	return chart
 }
--- a/internal/testbed/report/page.go
+++ b/internal/testbed/report/page.go
@@ -79,22 +79,22 @@
 
 // Figures returns the main figures of a run as a table.
 func Figures(r *experiment.Result) []Row {
-	c := &r.Calls
+	calls := &r.Calls
 	share := func(n int64) string {
-		return fmt.Sprintf("%d (%.1f%%)", n, 100*float64(n)/float64(max(c.Total.Calls, 1)))
+		return fmt.Sprintf("%d (%.1f%%)", n, 100*float64(n)/float64(max(calls.Total.Calls, 1)))
 	}
-	rows := []Row{{Name: "calls", Value: fmt.Sprintf("%d of %d planned", c.Total.Calls, r.Planned)}}
+	rows := []Row{{Name: "calls", Value: fmt.Sprintf("%d of %d planned", calls.Total.Calls, r.Planned)}}
 	for _, kind := range history.OutcomeNames {
-		if n := c.Total.Answers[kind]; n > 0 {
+		if n := calls.Total.Answers[kind]; n > 0 {
 			rows = append(rows, Row{Name: kind, Value: share(n), Bad: kind == "broken" || kind == "unsent"})
 		}
 	}
 	rows = append(rows,
-		Row{Name: "in time", Value: share(c.Total.InTime)},
-		Row{Name: "billed value", Value: fmt.Sprintf("%.1f%% of what was asked for", 100*c.Total.ValueShare)},
-		Row{Name: "latency p50 / p99 / max", Value: fmt.Sprintf("%s / %s / %s", formatMillis(c.Succeeded.P50),
-			formatMillis(c.Succeeded.P99), formatMillis(c.Succeeded.Max))},
-		Row{Name: "tries a call", Value: fmt.Sprintf("%.2f", float64(c.Total.Tries)/float64(max(c.Total.Calls,
+		Row{Name: "in time", Value: share(calls.Total.InTime)},
+		Row{Name: "billed value", Value: fmt.Sprintf("%.1f%% of what was asked for", 100*calls.Total.ValueShare)},
+		Row{Name: "latency p50 / p99 / max", Value: fmt.Sprintf("%s / %s / %s", formatMillis(calls.Succeeded.P50),
+			formatMillis(calls.Succeeded.P99), formatMillis(calls.Succeeded.Max))},
+		Row{Name: "tries a call", Value: fmt.Sprintf("%.2f", float64(calls.Total.Tries)/float64(max(calls.Total.Calls,
 			1)))},
 		Row{Name: "dispatchers' CPU", Value: fmt.Sprintf("%.2f s", r.CPU())},
 	)
@@ -107,8 +107,8 @@
 		rows = append(rows, row)
 	}
 	g := Row{Name: "generator", Value: "kept to its schedule"}
-	if !c.Generator.Trusted {
-		g.Value, g.Bad = "NOT TO BE TRUSTED: "+c.Generator.Reason, true
+	if !calls.Generator.Trusted {
+		g.Value, g.Bad = "NOT TO BE TRUSTED: "+calls.Generator.Reason, true
 	}
 	return append(rows, g)
 }
--- a/internal/testbed/report/phases.go
+++ b/internal/testbed/report/phases.go
@@ -32,9 +32,9 @@
 	if len(r.Phases) == 0 {
 		return nil
 	}
-	p := newChart(r, "Phases of return", "dispatcher")
-	p.Y.Min, p.Y.Max = -1, float64(len(r.Dispatchers))
-	shadeFaults(p, r, -1, float64(len(r.Dispatchers)))
+	chart := newChart(r, "Phases of return", "dispatcher")
+	chart.Y.Min, chart.Y.Max = -1, float64(len(r.Dispatchers))
+	shadeFaults(chart, r, -1, float64(len(r.Dispatchers)))
 	drawn := map[string]bool{}
 	for n, phase := range r.Phases {
 		to := r.DurationSeconds
@@ -61,16 +61,16 @@
 				band.Color = c.colour
 			}
 		}
-		p.Add(band)
+		chart.Add(band)
 		if !drawn[phase.Phase] {
 			drawn[phase.Phase] = true
-			p.Legend.Add(phase.Phase, band)
+			chart.Legend.Add(phase.Phase, band)
 		}
 	}
 	ticks := make([]plot.Tick, len(r.Dispatchers))
 	for n := range r.Dispatchers {
 		ticks[n] = plot.Tick{Value: float64(n), Label: fmt.Sprintf("d%d", n)}
 	}
-	p.Y.Tick.Marker = plot.ConstantTicks(ticks)
-	return p
+	chart.Y.Tick.Marker = plot.ConstantTicks(ticks)
+	return chart
 }
--- a/internal/testbed/workload/trace.go
+++ b/internal/testbed/workload/trace.go
@@ -128,11 +128,11 @@
 
 // readJSONLines reads one JSON object per line. With an error it returns the number of the invalid line.
 func (t *traceReader) readJSONLines(in io.Reader) (line int, err error) {
-	s := bufio.NewScanner(in)
-	s.Buffer(nil, 1<<20)
-	for s.Scan() {
+	scanner := bufio.NewScanner(in)
+	scanner.Buffer(nil, 1<<20)
+	for scanner.Scan() {
 		line++
-		b := bytes.TrimSpace(s.Bytes())
+		b := bytes.TrimSpace(scanner.Bytes())
 		if len(b) == 0 {
 			continue
 		}
@@ -149,7 +149,7 @@
 			return line, err
 		}
 	}
-	return line + 1, s.Err()
+	return line + 1, scanner.Err()
 }
 
 // readCSV reads CSV with a header. With an error it returns the number of the invalid line.
