--- a/internal/testbed/report/phases.go
+++ b/internal/testbed/report/phases.go
@@ -10,7 +10,7 @@
 	"canvasroute/internal/testbed/experiment"
 )
 
-// phaseColours of a dispatcher's return, in their order.
+// phaseColours are the colours of the phases of a recovery, in their order.
 var phaseColours = []struct {
 	name   string
 	colour color.Color
@@ -24,17 +24,17 @@
 	{"superseded", color.RGBA{0, 0, 0, 255}},
 }
 
-// thick is how much of its row a band fills.
+// bandShare is how much of its row a band fills.
 const bandShare = 0.35
 
-// phasesChart shows how far each dispatcher had returned, as bands over time. It is nil where none tells.
+// phasesChart shows the recovery phases of each dispatcher as bands over time. It is nil if no phase was logged.
 func phasesChart(r *experiment.Result) *plot.Plot {
 	if len(r.Phases) == 0 {
 		return nil
 	}
-	p := newChart(r, "Phases of return", "dispatcher")
-	p.Y.Min, p.Y.Max = -1, float64(len(r.Dispatchers))
-	shadeFaults(p, r, -1, float64(len(r.Dispatchers)))
+	chart := newChart(r, "Phases of return", "dispatcher")
+	chart.Y.Min, chart.Y.Max = -1, float64(len(r.Dispatchers))
+	shadeFaults(chart, r, -1, float64(len(r.Dispatchers)))
 	drawn := map[string]bool{}
 	for n, phase := range r.Phases {
 		to := r.DurationSeconds
@@ -61,16 +61,16 @@
 				band.Color = c.colour
 			}
 		}
-		p.Add(band)
+		chart.Add(band)
 		if !drawn[phase.Phase] {
 			drawn[phase.Phase] = true
-			p.Legend.Add(phase.Phase, band)
+			chart.Legend.Add(phase.Phase, band)
 		}
 	}
 	ticks := make([]plot.Tick, len(r.Dispatchers))
 	for n := range r.Dispatchers {
 		ticks[n] = plot.Tick{Value: float64(n), Label: fmt.Sprintf("d%d", n)}
 	}
-	p.Y.Tick.Marker = plot.ConstantTicks(ticks)
-	return p
+	chart.Y.Tick.Marker = plot.ConstantTicks(ticks)
+	return chart
 }
