--- a/cmd/canvasroute/main.go
+++ b/cmd/canvasroute/main.go
@@ -1,5 +1,5 @@
 // Command canvasroute is the dispatcher on sockets. LB_CONFIG names its configuration; with arguments it runs a
-// command of its own and serves nobody.
+// command, such as `state show`, and does not serve.
 package main
 
 import (
--- a/internal/admin/slots.go
+++ b/internal/admin/slots.go
@@ -104,7 +104,7 @@
 	}
 	c.conn.SetReadDeadline(time.Now().Add(lingerTimeout))
 	s.evictable = slices.Insert(s.evictable, 0, c)
-	s.wake() // whoever awaits a slot can evict this one
+	s.wake() // a goroutine that awaits a slot can evict this one
 	return true
 }
 
--- a/internal/daemon/config_check.go
+++ b/internal/daemon/config_check.go
@@ -10,7 +10,7 @@
 // The checks of settings that package settings does not make: the simulator's settings may have such values, and a
 // dispatcher on sockets must not be given them.
 
-// checkOperations rejects timeouts that are not positive and names that stand twice.
+// checkOperations rejects timeouts that are not positive and names that are used twice.
 func (r *configReader) checkOperations() {
 	first := map[string]int{}
 	for n, operation := range r.root.GetArray("settings", "operations") {
--- a/internal/daemon/config_reader.go
+++ b/internal/daemon/config_reader.go
@@ -87,7 +87,7 @@
 	return n
 }
 
-// seconds reads a duration in seconds. 0 stands for the default.
+// seconds reads a duration in seconds. 0 selects the default.
 func (r *configReader) seconds(unset time.Duration, path ...string) time.Duration {
 	s := r.number(bounds{unset.Seconds(), 0, math.MaxInt32}, path...)
 	if s == 0 {
--- a/internal/daemon/hot_restart_successor.go
+++ b/internal/daemon/hot_restart_successor.go
@@ -35,7 +35,7 @@
 	return h.predecessor.Snapshot
 }
 
-// disconnect closes the link to the predecessor. A predecessor that was not told that this process serves goes on as
+// disconnect closes the link to the predecessor. Unless it has been notified that this process serves, it goes on as
 // before.
 func (h *hotRestart) disconnect() {
 	if h != nil && h.predecessor != nil {
@@ -43,7 +43,7 @@
 	}
 }
 
-// followPredecessor tells the predecessor that this process serves, and takes over what it hands over until it has
+// followPredecessor notifies the predecessor that this process serves, and takes over what it hands over until it has
 // ended.
 func (h *hotRestart) followPredecessor(ctx context.Context) {
 	link := h.predecessor.Link
@@ -92,8 +92,8 @@
 	}
 }
 
-// importRequest goes on with a request that the predecessor has handed over. sockets are the client's connection and, by
-// the numbers of the attempts, those to workers. A request that cannot be gone on with is answered 502, as an attempt may
+// importRequest continues a request that the predecessor has handed over. sockets are the client's connection and, by
+// the numbers of the attempts, those to workers. A request that cannot be continued is answered 502, as an attempt may
 // have been executed.
 func (h *hotRestart) importRequest(text json.RawMessage, sockets map[string]*os.File) {
 	client, attempts := h.openConnections(sockets)
--- a/internal/daemon/operators_test.go
+++ b/internal/daemon/operators_test.go
@@ -119,7 +119,7 @@
 		{"no configuration", "", 2},
 		{"a configuration that is not there", filepath.Join(t.TempDir(), "none"), 2},
 		{"an address that another program has", write(taken.Addr().String()), 1},
-		{"told to end", write(free), 0},
+		{"stopped by SIGTERM", write(free), 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Setenv("LB_CONFIG", c.config)
--- a/internal/daemon/reload.go
+++ b/internal/daemon/reload.go
@@ -7,7 +7,7 @@
 	"canvasroute/internal/settings"
 )
 
-// reload applies the configuration file anew while the process runs: the address of discovery, and the settings that
+// reload reads the configuration file again while the process runs, and applies it: the address of discovery, and the settings that
 // need no restart. The file is checked as a whole, and applied as a whole or not at all. Workers, what is known of them
 // and requests in flight stay as they are.
 func (p *process) reload() {
--- a/internal/hotrestart/link.go
+++ b/internal/hotrestart/link.go
@@ -167,7 +167,7 @@
 // SendCommand forwards an operator's command to the successor.
 func (l *Link) SendCommand(command string) error { return l.send(message{Command: command}) }
 
-// SendServing tells the predecessor that this process accepts connections from now on.
+// SendServing notifies the predecessor that this process accepts connections from now on.
 func (l *Link) SendServing() error { return l.send(message{Serving: true}) }
 
 // SendRequest hands over one request in flight, in JSON, with its sockets.
--- a/internal/hotrestart/listener.go
+++ b/internal/hotrestart/listener.go
@@ -33,7 +33,7 @@
 }
 
 // Run serves successors until ctx ends, one at a time: after one that has failed to start, the next may come. If the
-// rendezvous cannot be listened at, that is logged, and a later process starts without this one's help; it is no error.
+// rendezvous cannot be listened at, Run logs that and returns nil: a later process then starts without this one's state.
 func (s *Listener) Run(ctx context.Context) error {
 	for ctx.Err() == nil && !s.IsStopping() {
 		ln, err := s.Rendezvous.listen() // again where a successor had taken the rendezvous and has died
--- a/internal/hotrestart/rendezvous.go
+++ b/internal/hotrestart/rendezvous.go
@@ -45,7 +45,7 @@
 	return use(&net.UnixAddr{Name: path, Net: "unix"})
 }
 
-// listen listens at the rendezvous, in place of whoever had it: what a killed process has left there, or a predecessor.
+// listen listens at the rendezvous, and replaces what is there: the socket of a killed process, or a predecessor's.
 // The socket is renamed into place once it listens, so that no process finds none in between.
 func (r Rendezvous) listen() (*net.UnixListener, error) {
 	temporary := fmt.Sprintf("%s.%d", r.file, os.Getpid())
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,6 +1,6 @@
 // Package settings reads the platform's settings, which every dispatcher is given at its start, as the balancer's
 // configuration. The simulator's adapter and the dispatcher on sockets both read them here. It checks and defaults what
-// the balancer goes by, and nothing else: keys that it does not know are ignored, and what only the dispatcher on sockets
+// the balancer uses, and nothing else: keys that it does not know are ignored, and what only the dispatcher on sockets
 // needs is read by package daemon.
 package settings
 
@@ -183,7 +183,7 @@
 func words[T any](choices map[string]T) string {
 	var list []string
 	for word := range choices {
-		if word != "" { // stands for a setting that is left out
+		if word != "" { // the setting is left out
 			list = append(list, word)
 		}
 	}
--- a/internal/simadapter/gossip.go
+++ b/internal/simadapter/gossip.go
@@ -24,7 +24,7 @@
 	in.reply.close()
 }
 
-// receiveLoads reads a peer's message. Workers that this instance has not been told of are ignored.
+// receiveLoads reads a peer's message. Workers that are in none of this instance's lists so far are ignored.
 func (in *instance) receiveLoads(from balancer.PeerID, digits []byte) error {
 	message := make([]byte, hex.DecodedLen(len(digits)))
 	if _, err := hex.Decode(message, digits); err != nil {
--- a/internal/simadapter/simadapter_test.go
+++ b/internal/simadapter/simadapter_test.go
@@ -100,8 +100,8 @@
 
 func TestMessagesFromUnknownPeersAreHarmless(t *testing.T) {
 	for _, octets := range []string{"", "ff", "ffff05", "0000ff0000ff00"} {
-		heard := `{"Heard":{"dispatcher":4,"sender":99999,"octets":"` + octets + `"}}`
-		out, err := run(batch(start, list, heard, arrival))
+		event := `{"Heard":{"dispatcher":4,"sender":99999,"octets":"` + octets + `"}}`
+		out, err := run(batch(start, list, event, arrival))
 		assert.NoError(t, err)
 		assert.Contains(t, out, "Issue")
 	}
