--- a/internal/admission/controller.go
+++ b/internal/admission/controller.go
@@ -72,9 +72,9 @@
 	return math.Floor(n*share) != math.Floor((n-1)*share)
 }
 
-// Overloaded reports whether enough requests have been examined in this interval for a sample to be worth its cost. If
+// ShouldSample reports whether enough requests have been examined in this interval for a sample to be worth its cost. If
 // not, the caller reports a delay of 0 instead of taking one. It does not say whether load is shed, see AdmittedShare.
-func (c *Controller) Overloaded() bool { return c.Examined() >= minExamined }
+func (c *Controller) ShouldSample() bool { return c.Examined() >= minExamined }
 
 // Examined is the number of requests in this interval.
 func (c *Controller) Examined() int64 { return c.examined.Load() }
--- a/internal/daemon/admin_handler_test.go
+++ b/internal/daemon/admin_handler_test.go
@@ -16,7 +16,7 @@
 // A drained dispatcher must finish the requests that it has taken, take no more, and keep no connection.
 func TestLeaveDrainsAndJoinTakesClientsAgain(t *testing.T) {
 	admin := freeAddress(t)
-	long := 2 * lifecycle.AcceptAfterStop
+	long := 2 * lifecycle.DrainGrace
 	url, _, ended := startDispatcher(t, long, nil, func(p *Config) { p.AdminListen, p.MaxClientTimeout = admin, 3*time.Second })
 	assert.Equal(t, "done\n", runAdminCommand(t, admin, "HEALTH"))
 	idle, busy, late := dialClient(t, url), dialClient(t, url), dialClient(t, url)
@@ -32,7 +32,7 @@
 	assert.Equal(t, []any{503, true}, []any{a.StatusCode, a.Close})
 	_, err = idle.in.ReadByte()
 	assert.ErrorIs(t, err, io.EOF)
-	assert.InDelta(t, lifecycle.AcceptAfterStop.Seconds(), time.Since(left).Seconds(), 0.3, "clients may use it until then")
+	assert.InDelta(t, lifecycle.DrainGrace.Seconds(), time.Since(left).Seconds(), 0.3, "clients may use it until then")
 	_, err = late.in.ReadByte()
 	assert.ErrorIs(t, err, io.EOF)
 	late = dialClient(t, url)
--- a/internal/daemon/config_parse.go
+++ b/internal/daemon/config_parse.go
@@ -98,7 +98,7 @@
 func (r *configReader) readIdentity(c *Config) {
 	c.Name = r.text(envName, "name")
 	c.Listen = r.address(envListen, "listen").String()
-	c.Proxy.Discovery = r.address(envDiscovery, "discovery").String()
+	c.Proxy.DiscoveryAddress = r.address(envDiscovery, "discovery").String()
 	if r.getenv(envAdmin) != "" || r.root.Exists("mgmt") {
 		c.AdminListen = r.address(envAdmin, "mgmt").String()
 	}
@@ -159,7 +159,7 @@
 	}
 	c.Proxy.Zones = r.names("settings", "zones")
 	c.Proxy.Kinds = r.names("settings", "shapes")
-	c.Proxy.Report = r.names("settings", "report", "names")
+	c.Proxy.ReportFields = r.names("settings", "report", "names")
 }
 
 // operation reads the n-th operation. balanced are the operations that package settings has read, in the same order.
--- a/internal/daemon/config_test.go
+++ b/internal/daemon/config_test.go
@@ -17,7 +17,7 @@
 	assert.NoError(t, err)
 	assert.Equal(t, "other", c.Name)
 	assert.Equal(t, "127.0.0.1:8080", c.Listen)
-	assert.Equal(t, "127.0.0.1:8500", c.Proxy.Discovery)
+	assert.Equal(t, "127.0.0.1:8500", c.Proxy.DiscoveryAddress)
 	assert.Equal(t, uint64(0x8c1f30d27a5be964), c.Seed)
 	assert.Equal(t, 8*time.Second, c.WorkerIdleTimeout)
 	assert.Equal(t, 200*time.Millisecond, c.Proxy.DialTimeout)
--- a/internal/daemon/hot_restart_predecessor.go
+++ b/internal/daemon/hot_restart_predecessor.go
@@ -59,7 +59,7 @@
 // takeBack takes back all that was left to a successor which has ended. A process that is stopping leaves the sockets
 // alone.
 func (h *hotRestart) takeBack() {
-	h.proxy.SiblingGone(balancer.Successor)
+	h.proxy.ForgetSibling(balancer.Successor)
 	h.addSiblings(-1)
 	h.setConnectionLimits(h.allConnections())
 	h.mu.Lock()
--- a/internal/daemon/hot_restart_successor.go
+++ b/internal/daemon/hot_restart_successor.go
@@ -60,7 +60,7 @@
 		Request:       h.importRequest,
 		Command:       h.runForwardedCommand,
 	})
-	h.proxy.SiblingGone(balancer.Predecessor)
+	h.proxy.ForgetSibling(balancer.Predecessor)
 	h.addSiblings(-1)
 	h.setConnectionLimits(h.allConnections())
 	h.log.Info().AnErr("cause", err).Msg("predecessor ended")
--- a/internal/daemon/operations_test.go
+++ b/internal/daemon/operations_test.go
@@ -111,7 +111,7 @@
 	}
 	dispatcher.awaitAnswer(t, "DUMP", "svc.outstanding=0\n")
 	assert.Contains(t, runAdminCommand(t, dispatcher.admin, "DUMP"), "svc.forwards=2\n")
-	assert.Greater(t, 4*time.Second, lifecycle.AcceptAfterStop)
+	assert.Greater(t, 4*time.Second, lifecycle.DrainGrace)
 	dispatcher.stop(t)
 }
 
--- a/internal/daemon/operators_test.go
+++ b/internal/daemon/operators_test.go
@@ -46,8 +46,8 @@
 				Name: "render", DefaultTimeout: 2500 * time.Millisecond, RequiresKey: true, DedupScope: 2,
 				DedupWindow: time.Minute,
 			}},
-			Tenants: []string{"acme"}, Zones: []string{"a", "b"}, Kinds: []string{"m"}, Report: []string{"rif"},
-			DialTimeout: 200 * time.Millisecond, MaxRetryAfter: 2 * time.Second, Discovery: "127.0.0.1:8500",
+			Tenants: []string{"acme"}, Zones: []string{"a", "b"}, Kinds: []string{"m"}, ReportFields: []string{"rif"},
+			DialTimeout: 200 * time.Millisecond, MaxRetryAfter: 2 * time.Second, DiscoveryAddress: "127.0.0.1:8500",
 			Peers: []netip.AddrPort{
 				netip.MustParseAddrPort("127.0.0.1:7946"),
 				netip.MustParseAddrPort("127.0.0.2:7946"),
@@ -92,10 +92,10 @@
 	read, err := ReadConfig(variables)
 	assert.NoError(t, err)
 	assert.Equal(t, []string{"n9", "127.0.0.9:1", "127.0.0.9:2", "127.0.0.9:3", "/tmp/canvasroute-state"},
-		[]string{read.Name, read.Listen, read.Proxy.Discovery, read.AdminListen, read.Fleet.State.Folder})
+		[]string{read.Name, read.Listen, read.Proxy.DiscoveryAddress, read.AdminListen, read.Fleet.State.Folder})
 	again, err := ReloadConfig(variables)
 	assert.NoError(t, err)
-	assert.Equal(t, "127.0.0.1:8500", again.Proxy.Discovery, "a running dispatcher takes the file's list service")
+	assert.Equal(t, "127.0.0.1:8500", again.Proxy.DiscoveryAddress, "a running dispatcher takes the file's list service")
 	assert.Equal(t, "127.0.0.9:3", again.AdminListen)
 }
 
--- a/internal/daemon/process.go
+++ b/internal/daemon/process.go
@@ -160,7 +160,7 @@
 	})
 	g.Go(func() error { return p.proxy.Run(working) })
 	g.Go(func() error { return p.pool.Run(working) })
-	g.Go(func() error { return p.server.TakeOver(working) })
+	g.Go(func() error { return p.server.FollowLifecycle(working) })
 	if p.node != nil {
 		g.Go(func() error { return p.node.Run(working) })
 	}
--- a/internal/daemon/recovery.go
+++ b/internal/daemon/recovery.go
@@ -38,7 +38,7 @@
 		WarmupDuration: c.Balancer.WarmupDuration.Duration(),
 		MaxRetryAfter:  c.Proxy.MaxRetryAfter,
 		DedupWindow:    maxPartialDedupWindow(c.Balancer.Operations),
-		TakesOver:      takesOver,
+		IsSuccessor:    takesOver,
 		Now:            now,
 		Log:            log,
 	})
@@ -60,7 +60,7 @@
 func attachNode(node *fleet.Node, requests *proxy.Proxy, shards *balancer.Shards, state *lifecycle.State) {
 	node.Attach(requests, shards)
 	if _, endpoints := requests.Endpoints(); len(endpoints) > 0 {
-		node.PredecessorServed()
+		node.StoredEndpointsLoaded()
 	}
 	if node.Drained() { // LEAVE holds across restarts, until JOIN
 		state.Drain(time.Now())
--- a/internal/daemon/reload.go
+++ b/internal/daemon/reload.go
@@ -22,14 +22,14 @@
 	}
 	applied := p.config.withReloaded(next)
 	p.proxy.Reconfigure(applied.Proxy, applied.Balancer)
-	p.proxy.SetDiscoveryAddress(next.Proxy.Discovery)
+	p.proxy.SetDiscoveryAddress(next.Proxy.DiscoveryAddress)
 	p.config = applied
 	p.adminHandler.reloadsApplied.Add(1)
 	operations := []string{}
 	for _, o := range applied.Proxy.Operations {
 		operations = append(operations, o.Name)
 	}
-	p.log.Info().Str("discovery", next.Proxy.Discovery).Strs("operations", operations).
+	p.log.Info().Str("discovery", next.Proxy.DiscoveryAddress).Strs("operations", operations).
 		Int("forwards", applied.Balancer.MaxAttempts).Strs("at_next_start", requiringRestart(applied, next)).
 		Msg("configuration reloaded")
 }
@@ -74,7 +74,7 @@
 	merged.Balancer.ReportQueue = c.Balancer.ReportQueue
 	merged.Balancer.ReportFree = c.Balancer.ReportFree
 
-	merged.Proxy.Discovery = next.Proxy.Discovery
+	merged.Proxy.DiscoveryAddress = next.Proxy.DiscoveryAddress
 	merged.Proxy.Operations = next.Proxy.Operations
 	merged.Proxy.Tenants = next.Proxy.Tenants
 	merged.Proxy.DialTimeout = next.Proxy.DialTimeout
@@ -103,7 +103,7 @@
 		{"settings.policyLimits.connIdleS", applied.WorkerIdleTimeout, file.WorkerIdleTimeout},
 		{"settings.zones", applied.Proxy.Zones, file.Proxy.Zones},
 		{"settings.shapes", applied.Proxy.Kinds, file.Proxy.Kinds},
-		{"settings.report", applied.Proxy.Report, file.Proxy.Report},
+		{"settings.report", applied.Proxy.ReportFields, file.Proxy.ReportFields},
 		{
 			"settings: balancers, position, zone, peers, probes, start notes or reports",
 			applied.Balancer,
--- a/internal/discovery/table.go
+++ b/internal/discovery/table.go
@@ -108,7 +108,7 @@
 		return number
 	}
 	number := balancer.WorkerID(len(t.workers))
-	tag := protocol.Tag(endpoint.ID)
+	tag := protocol.WorkerTag(endpoint.ID)
 	t.numbers[endpoint.ID] = number
 	t.workers = append(t.workers, worker{tag: tag})
 	t.log.Info().Int("worker", int(number)).Str("host", endpoint.ID).Str("addr", endpoint.Address).
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -74,7 +74,7 @@
 	if err := conn.Send(headTimeout, request); err != nil {
 		return protocol.Body{}, err
 	}
-	conn.SetTimeout(headTimeout)
+	conn.SetReadTimeout(headTimeout)
 	head, err := conn.ReadResponseHead()
 	if err != nil {
 		return protocol.Body{}, err
@@ -87,7 +87,7 @@
 		overloaded := head.Status == 503 && time.Since(began) >= overloadedAfter
 		return protocol.Body{}, &statusError{head.Status, overloaded}
 	}
-	conn.SetTimeout(firstLineTimeout - time.Since(began))
+	conn.SetReadTimeout(firstLineTimeout - time.Since(began))
 	return body, nil
 }
 
@@ -108,7 +108,7 @@
 	}
 	switch {
 	case errors.Is(context.Cause(ctx), errMoved):
-		return transport.StaleRetired, nil
+		return transport.Stale, nil
 	case ctx.Err() != nil:
 		return transport.Stopping, nil
 	case malformed != nil:
@@ -116,7 +116,7 @@
 	case err == nil:
 		return transport.CloseRequested, errWatchEnded
 	case transport.CloseReasonOf(err) == transport.TooSlow:
-		return transport.WatchSilent, err
+		return transport.WatchTimeout, err
 	}
 	return transport.CloseReasonOf(err), err
 }
@@ -125,7 +125,7 @@
 // the service is alive: single bytes may come without end.
 func (w *Watcher) applyLines(reader *protocol.LineReader, conn *transport.Conn) error {
 	for line, complete := reader.Next(); complete; line, complete = reader.Next() {
-		conn.SetTimeout(lineTimeout)
+		conn.SetReadTimeout(lineTimeout)
 		if len(line) == 0 {
 			continue
 		}
--- a/internal/fleet/keys.go
+++ b/internal/fleet/keys.go
@@ -38,7 +38,7 @@
 		return nil, nil
 	}
 	n.counters.repeatsToGroup++
-	return &proxy.PriorExecution{Worker: found.Worker, Zone: found.Zone, Cell: found.Cell, SentMs: found.SentAt}, nil
+	return &proxy.PriorExecution{Worker: found.Worker, Zone: found.Zone, Cell: found.Cell, SentAtMillis: found.SentAt}, nil
 }
 
 // PersistKey returns once a key is durable, so that its request may be sent. It fails with a KeyTimeoutError after the key
@@ -48,7 +48,7 @@
 	return n.keyWriter.persist(ctx, store.Key{
 		Sum:    keyChecksum(record.Operation, record.Key),
 		Worker: record.Worker, Zone: record.Zone, Cell: record.Cell,
-		SentAt: now, ExpiresAt: now + record.Window.Milliseconds(),
+		SentAt: now, ExpiresAt: now + record.DedupWindow.Milliseconds(),
 	})
 }
 
--- a/internal/fleet/node.go
+++ b/internal/fleet/node.go
@@ -33,7 +33,7 @@
 	DedupWindow    time.Duration // the longest in which workers drop the repeats of a key
 	WarmupDuration time.Duration // until a worker is warm
 	MaxRetryAfter  time.Duration // the most that a client is advised to wait
-	TakesOver      bool          // it is the successor in an upgrade: the predecessor leaves it the folder and the address
+	IsSuccessor    bool          // it is the successor in an upgrade: the predecessor leaves it the folder and the address
 	Now            func() balancer.Time
 	Log            zerolog.Logger
 }
@@ -98,7 +98,7 @@
 		yields:       make(chan bool, 4), // more than an upgrade needs
 		machine:      newStateMachine(settings, &config),
 		keys:         recovery.NewKeys(config.DedupWindow),
-		successor:    config.TakesOver,
+		successor:    config.IsSuccessor,
 	}
 	n.storedCapacity = sync.OnceValue(n.readStoredCapacity)
 	if n.successor {
--- a/internal/fleet/node_test.go
+++ b/internal/fleet/node_test.go
@@ -105,7 +105,7 @@
 	defer cancel()
 	go n.writeKeys(ctx)
 	go n.tick(ctx)
-	err := n.PersistKey(ctx, proxy.KeyRecord{Operation: "o", Key: "k", Window: time.Second})
+	err := n.PersistKey(ctx, proxy.KeyRecord{Operation: "o", Key: "k", DedupWindow: time.Second})
 	var timeout *KeyTimeoutError
 	assert.ErrorAs(t, err, &timeout)
 	assert.ErrorContains(t, err, "not on disk")
--- a/internal/fleet/phases.go
+++ b/internal/fleet/phases.go
@@ -147,8 +147,8 @@
 	n.notify()
 }
 
-// PredecessorServed takes that the proxy has a list of workers to start with, perhaps an old one.
-func (n *Node) PredecessorServed() {
+// StoredEndpointsLoaded takes that the proxy has a list of workers to start with, perhaps an old one.
+func (n *Node) StoredEndpointsLoaded() {
 	n.mu.Lock()
 	n.machine.StoredEndpointsLoaded(n.uptime())
 	n.mu.Unlock()
--- a/internal/fleet/recovery/trust.go
+++ b/internal/fleet/recovery/trust.go
@@ -11,7 +11,7 @@
 // The values of Fact.
 const (
 	FactIdentity Fact = iota
-	FactList
+	FactEndpoints
 	FactWorkerStarts
 	FactCapacity
 	FactSizes
@@ -52,7 +52,7 @@
 		IfWrong:             "peers report the higher incarnation, and this one is raised above it",
 	},
 	{
-		Fact: FactList, Name: "endpoint list", Stored: "facts, every interval",
+		Fact: FactEndpoints, Name: "endpoint list", Stored: "facts, every interval",
 		SurvivesFleetOutage: true,
 		CheckedWith:         "the list service",
 		Default:             "the list in the configuration, else none: HEALTH says no",
--- a/internal/fleet/recovery/trust_test.go
+++ b/internal/fleet/recovery/trust_test.go
@@ -22,7 +22,7 @@
 		{"young backoffs after a fleet-wide outage", FactBackoffs, time.Second, FleetWide, false},
 		{"old backoffs", FactBackoffs, time.Minute, OnlyThis, false},
 		{"old quotas", FactQuotas, 2 * time.Minute, Partial, false},
-		{"an endpoint list of any age", FactList, 1000 * time.Hour, FleetWide, true},
+		{"an endpoint list of any age", FactEndpoints, 1000 * time.Hour, FleetWide, true},
 		{"non-idempotent requests", FactNonIdempotent, 0, OnlyThis, false},
 		{"sends during warm-up", FactWarmupSends, 0, OnlyThis, false},
 		{"a manual drain of any age", FactManualDrain, 1000 * time.Hour, FleetWide, true},
--- a/internal/fleet/state.go
+++ b/internal/fleet/state.go
@@ -34,7 +34,7 @@
 	if s == nil || !applied {
 		return
 	}
-	learned, err := json.Marshal(n.proxy.Learned())
+	learned, err := json.Marshal(n.proxy.SnapshotForDisk())
 	if err == nil {
 		err = s.SaveState(store.State{
 			WrittenAt: time.Now().UnixMilli(), SettingsHash: n.config.SettingsHash, Learned: learned, Peers: peers,
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -19,10 +19,10 @@
 // singleWorker is an endpoint table with one worker.
 type singleWorker struct{ id string }
 
-func (s singleWorker) Tag(balancer.WorkerID) uint16 { return protocol.Tag(s.id) }
+func (s singleWorker) Tag(balancer.WorkerID) uint16 { return protocol.WorkerTag(s.id) }
 
 func (s singleWorker) ByTag(tag uint16) (balancer.WorkerID, bool) {
-	return 0, tag == protocol.Tag(s.id)
+	return 0, tag == protocol.WorkerTag(s.id)
 }
 
 // newBalancer returns a balancer of two dispatchers with one worker and one operation.
@@ -64,7 +64,7 @@
 func TestDroppedDatagramsAreCounted(t *testing.T) {
 	e, peer := newExchange()
 	load := func(millis uint16) []byte {
-		return protocol.AppendLoads(nil, millis, protocol.NoInstance, []protocol.Load{{Tag: protocol.Tag("w"), InFlight: 3}})
+		return protocol.AppendLoads(nil, millis, protocol.NoInstance, []protocol.Load{{Tag: protocol.WorkerTag("w"), InFlight: 3}})
 	}
 	e.receive(peer, load(5))
 	e.receive(peer, load(65530)) // reordered, across the wrap of the timestamp
--- a/internal/lifecycle/phase.go
+++ b/internal/lifecycle/phase.go
@@ -3,7 +3,7 @@
 // Phase is how far a process takes clients.
 type Phase uint8
 
-// The values of Phase. An operator's LEAVE leads to Draining and, after AcceptAfterStop, to Drained; JOIN leads back to
+// The values of Phase. An operator's LEAVE leads to Draining and, after DrainGrace, to Drained; JOIN leads back to
 // Serving. A successor that serves leads from Serving to HandedOff, and its death back. SIGTERM leads to Stopping, or to
 // StoppingHandedOff beside a successor, and both end in Closing.
 const (
--- a/internal/lifecycle/state.go
+++ b/internal/lifecycle/state.go
@@ -9,9 +9,9 @@
 	"time"
 )
 
-// AcceptAfterStop is how long after Drain requests on open connections are still served. The platform requires that two
+// DrainGrace is how long after Drain requests on open connections are still served. The platform requires that two
 // seconds after LEAVE a dispatcher begins no request and holds no idle connection.
-const AcceptAfterStop = 1800 * time.Millisecond
+const DrainGrace = 1800 * time.Millisecond
 
 // ErrStopping is returned for what cannot be done any more while the process ends. Operators read its text.
 var ErrStopping = errors.New("the process ends")
@@ -32,7 +32,7 @@
 }
 
 func (s *State) phaseAt(now time.Time) Phase {
-	if s.phase == Draining && now.Sub(s.since) >= AcceptAfterStop {
+	if s.phase == Draining && now.Sub(s.since) >= DrainGrace {
 		return Drained
 	}
 	return s.phase
@@ -100,8 +100,8 @@
 	}
 }
 
-// CloseIdle begins the last phase, in which idle connections are closed.
-func (s *State) CloseIdle(now time.Time) {
+// BeginClosing begins the last phase, in which idle connections are closed.
+func (s *State) BeginClosing(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.phase != Closing {
@@ -127,7 +127,7 @@
 		s.changed = make(chan struct{})
 	}
 	if s.phaseAt(now) == Draining {
-		wait = AcceptAfterStop - now.Sub(s.since)
+		wait = DrainGrace - now.Sub(s.since)
 	}
 	return wait, s.changed
 }
--- a/internal/lifecycle/state_test.go
+++ b/internal/lifecycle/state_test.go
@@ -15,10 +15,10 @@
 	var s State
 	assert.Equal(t, Serving, s.PhaseAt(start))
 	s.Drain(start)
-	assert.Equal(t, Draining, s.PhaseAt(after(AcceptAfterStop-1)))
-	s.Drain(after(AcceptAfterStop / 2)) // does not begin again
-	assert.Equal(t, Drained, s.PhaseAt(after(AcceptAfterStop)))
-	assert.Less(t, AcceptAfterStop, 2*time.Second, "the platform's bound on requests that are begun after LEAVE")
+	assert.Equal(t, Draining, s.PhaseAt(after(DrainGrace-1)))
+	s.Drain(after(DrainGrace / 2)) // does not begin again
+	assert.Equal(t, Drained, s.PhaseAt(after(DrainGrace)))
+	assert.Less(t, DrainGrace, 2*time.Second, "the platform's bound on requests that are begun after LEAVE")
 }
 
 func TestRejoinTakesClientsAtOnceHoweverOften(t *testing.T) {
@@ -41,7 +41,7 @@
 	assert.ErrorIs(t, s.Rejoin(after(time.Second)), ErrStopping)
 	s.Drain(after(time.Second))
 	assert.Equal(t, Stopping, s.PhaseAt(after(time.Minute)))
-	s.CloseIdle(after(time.Minute))
+	s.BeginClosing(after(time.Minute))
 	assert.Equal(t, Closing, s.PhaseAt(after(time.Minute)))
 	s.Stop(after(time.Minute))
 	assert.Equal(t, Closing, s.PhaseAt(after(time.Minute)), "a second signal takes nothing back")
@@ -51,8 +51,8 @@
 func TestDrainedProcessKeepsNoIdleConnectionWhenItStops(t *testing.T) {
 	var s State
 	s.Drain(start)
-	s.Stop(after(AcceptAfterStop))
-	assert.False(t, s.PhaseAt(after(AcceptAfterStop)).KeepsIdleConnections())
+	s.Stop(after(DrainGrace))
+	assert.False(t, s.PhaseAt(after(DrainGrace)).KeepsIdleConnections())
 }
 
 func TestNextChangeByTimeAndByCall(t *testing.T) {
@@ -62,7 +62,7 @@
 	s.Drain(start)
 	<-changed
 	wait, changed = s.NextChange(after(time.Second))
-	assert.Equal(t, AcceptAfterStop-time.Second, wait)
+	assert.Equal(t, DrainGrace-time.Second, wait)
 	assert.NoError(t, s.Rejoin(after(time.Second)))
 	<-changed
 }
@@ -78,7 +78,7 @@
 	assert.Equal(t, StoppingHandedOff, s.PhaseAt(start))
 	s.TakeBack(start)
 	assert.Equal(t, StoppingHandedOff, s.PhaseAt(start), "it goes on stopping")
-	s.CloseIdle(start)
+	s.BeginClosing(start)
 	assert.ErrorIs(t, s.HandOff(start), ErrStopping)
 	assert.Equal(t, Closing, s.PhaseAt(start))
 }
--- a/internal/protocol/load_datagram.go
+++ b/internal/protocol/load_datagram.go
@@ -27,8 +27,8 @@
 // MaxLoads is how many loads one datagram holds.
 const MaxLoads = (settings.MaxMessageBytes - timestampBytes - instanceBytes) / loadBytes
 
-// ErrDatagram reports a datagram that is not of this protocol.
-var ErrDatagram = errors.New("malformed datagram")
+// ErrMalformedDatagram reports a datagram that is not of this protocol.
+var ErrMalformedDatagram = errors.New("malformed datagram")
 
 // Load is the number of attempts that a dispatcher has in flight at one worker.
 type Load struct {
@@ -36,8 +36,8 @@
 	InFlight int
 }
 
-// Tag shortens a worker's name. Of two workers with the same tag the receiver means the one it knew first.
-func Tag(name string) uint16 {
+// WorkerTag shortens a worker's name. Of two workers with the same tag the receiver means the one it knew first.
+func WorkerTag(name string) uint16 {
 	h := fnv.New32a()
 	h.Write([]byte(name))
 	return uint16(h.Sum32() ^ h.Sum32()>>16)
@@ -56,10 +56,10 @@
 	return b
 }
 
-// ParseLoads parses a datagram. instance is 0 where none is named. The error is ErrDatagram.
+// ParseLoads parses a datagram. instance is 0 where none is named. The error is ErrMalformedDatagram.
 func ParseLoads(b []byte) (timestamp uint16, instance int, loads []Load, err error) {
 	if len(b) < timestampBytes || len(b) > settings.MaxMessageBytes {
-		return 0, 0, nil, ErrDatagram
+		return 0, 0, nil, ErrMalformedDatagram
 	}
 	timestamp = binary.BigEndian.Uint16(b)
 	b = b[timestampBytes:]
@@ -69,7 +69,7 @@
 		instance = int(b[0])
 		b = b[instanceBytes:]
 	default:
-		return 0, 0, nil, ErrDatagram
+		return 0, 0, nil, ErrMalformedDatagram
 	}
 	for ; len(b) > 0; b = b[loadBytes:] {
 		loads = append(loads, Load{Tag: binary.BigEndian.Uint16(b), InFlight: int(b[2])})
--- a/internal/protocol/load_datagram_test.go
+++ b/internal/protocol/load_datagram_test.go
@@ -17,12 +17,12 @@
 		{"one of several instances", 3, 3},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			b := AppendLoads(nil, 0xfffe, tt.instance, []Load{{Tag("s-1"), 3}, {Tag("s-2"), 300}})
+			b := AppendLoads(nil, 0xfffe, tt.instance, []Load{{WorkerTag("s-1"), 3}, {WorkerTag("s-2"), 300}})
 			timestamp, instance, loads, err := ParseLoads(b)
 			assert.NoError(t, err)
 			assert.Equal(t, uint16(0xfffe), timestamp)
 			assert.Equal(t, tt.wantInstance, instance)
-			assert.Equal(t, []Load{{Tag("s-1"), 3}, {Tag("s-2"), 255}}, loads)
+			assert.Equal(t, []Load{{WorkerTag("s-1"), 3}, {WorkerTag("s-2"), 255}}, loads)
 			largest := AppendLoads(nil, 0, tt.instance, make([]Load, 1000))
 			assert.LessOrEqual(t, len(largest), 256, "no longer datagram may be sent")
 		})
@@ -34,7 +34,7 @@
 	for _, length := range []int{0, 1, 4, 7, 257} {
 		t.Run(strconv.Itoa(length), func(t *testing.T) {
 			_, _, _, err := ParseLoads(make([]byte, length))
-			assert.ErrorIs(t, err, ErrDatagram)
+			assert.ErrorIs(t, err, ErrMalformedDatagram)
 		})
 	}
 }
--- a/internal/protocol/wire_test.go
+++ b/internal/protocol/wire_test.go
@@ -39,7 +39,7 @@
 // TestWorkerTagBytes checks the short form of a worker's name, which all dispatchers have to agree on.
 func TestWorkerTagBytes(t *testing.T) {
 	for name, want := range map[string]uint16{"": 0x1cd9, "w": 0xcd3a, "s-1": 0xb53f, "s-00ffa1c2": 0xd52d} {
-		assert.Equal(t, want, Tag(name), name)
+		assert.Equal(t, want, WorkerTag(name), name)
 	}
 }
 
@@ -163,7 +163,7 @@
 		assert.Equal(t, []any{word, true}, []any{string(command), complete})
 	}
 	assert.Equal(t, "done\n", string(AppendCommandResult(nil, nil)))
-	assert.Equal(t, "error malformed datagram\n", string(AppendCommandResult(nil, ErrDatagram)))
+	assert.Equal(t, "error malformed datagram\n", string(AppendCommandResult(nil, ErrMalformedDatagram)))
 	assert.Equal(t, "done\nsvc.succeeded.render=7\nsvc.forwards=-1\nend\n", string(AppendDump(nil,
 		[]Metric{{Name: "succeeded", Operation: "render", Value: 7}, {Name: "forwards", Value: -1}})))
 }
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -203,7 +203,7 @@
 	return attemptResult{r.outcome, r.result, func() {
 		err := r.err
 		if err == nil { // without its last chunk, the connection cannot be used again
-			conn.SetTimeout(trailerTimeout)
+			conn.SetReadTimeout(trailerTimeout)
 			err = conn.ReadChunks(&r.body, func([]byte) bool { return true })
 		}
 		switch {
--- a/internal/proxy/check.go
+++ b/internal/proxy/check.go
@@ -11,9 +11,9 @@
 // errNotReady is the error of a process that should get no new clients.
 var errNotReady = errors.New("takes no clients")
 
-// Check answers what can be answered by the head alone: health checks, unknown paths and methods, and requests that are
+// AnswerByHead answers what can be answered by the head alone: health checks, unknown paths and methods, and requests that are
 // rejected before their body is read. It returns nil for a request that Serve should answer.
-func (p *Proxy) Check(h *protocol.Head) *protocol.Response {
+func (p *Proxy) AnswerByHead(h *protocol.Head) *protocol.Response {
 	switch path := h.Path(); {
 	case path == protocol.PathHealth && (h.Method == "GET" || h.Method == "HEAD"):
 		if p.workersAvailable() != nil || !p.lifecycle.PhaseAt(time.Now()).Healthy() {
--- a/internal/proxy/interleaving_test.go
+++ b/internal/proxy/interleaving_test.go
@@ -196,7 +196,7 @@
 
 // usage is what the tenants have used of their quotas, by name.
 func (r *reconfigurable) usage() map[string]float64 {
-	snapshot := r.Learned()
+	snapshot := r.SnapshotForDisk()
 	byName := map[string]float64{}
 	for n, name := range snapshot.Tenants {
 		byName[name] = snapshot.Learned[0].Tenants[n].Usage
--- a/internal/proxy/operators_test.go
+++ b/internal/proxy/operators_test.go
@@ -108,7 +108,7 @@
 		{"a request", "POST", "/api?q=1", nil},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			assert.Equal(t, c.want, p.Check(&protocol.Head{Method: c.method, Target: c.target}))
+			assert.Equal(t, c.want, p.AnswerByHead(&protocol.Head{Method: c.method, Target: c.target}))
 		})
 	}
 }
--- a/internal/proxy/probe.go
+++ b/internal/proxy/probe.go
@@ -70,6 +70,6 @@
 	if err != nil || head.Status != 200 {
 		return loadReport{closeConnection: true}, err
 	}
-	values, err := protocol.ParseLoad(body, p.config.Report)
+	values, err := protocol.ParseLoad(body, p.config.ReportFields)
 	return loadReport{values, head.CloseRequested() || frame.EndsWithConnection()}, err
 }
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -39,10 +39,10 @@
 type Config struct {
 	Operations          []Operation
 	Tenants, Zones      []string
-	Kinds, Report       []string // kinds of workers; fields of their load reports
+	Kinds, ReportFields []string // kinds of workers; fields of their load reports
 	DialTimeout         time.Duration
 	MaxRetryAfter       time.Duration // 0 where clients are not told when to retry
-	Discovery           string        // address of the discovery service
+	DiscoveryAddress    string        // address of the discovery service
 	Peers               []netip.AddrPort
 	Position            int // of this dispatcher in Peers
 	InitialEndpoints    *protocol.EndpointList
@@ -102,7 +102,7 @@
 
 func (p *Proxy) watcherConfig() discovery.Config {
 	c := discovery.Config{
-		Address:     p.config.Discovery,
+		Address:     p.config.DiscoveryAddress,
 		DialTimeout: func() time.Duration { return p.settings.Load().dialTimeout },
 	}
 	if p.config.Recovery != nil {
--- a/internal/proxy/queueing.go
+++ b/internal/proxy/queueing.go
@@ -41,7 +41,7 @@
 			return nil
 		}
 		sentAt := time.Now()
-		if !p.admission.Overloaded() {
+		if !p.admission.ShouldSample() {
 			p.admission.ObserveDelay(sentAt.Sub(began), 0)
 			continue
 		}
--- a/internal/proxy/queueing_test.go
+++ b/internal/proxy/queueing_test.go
@@ -23,7 +23,7 @@
 			for range 10 {
 				p.admission.Admit()
 			}
-			if p.admission.Overloaded() {
+			if p.admission.ShouldSample() {
 				overloaded++
 			}
 		case err := <-stopped:
--- a/internal/proxy/recovery.go
+++ b/internal/proxy/recovery.go
@@ -35,7 +35,7 @@
 type PriorExecution struct {
 	Worker, Zone string
 	Cell         int
-	SentMs       int64 // Unix time in milliseconds
+	SentAtMillis int64 // Unix time in milliseconds
 }
 
 // KeyRecord is what is persisted of an attempt before it is sent.
@@ -44,7 +44,7 @@
 	Worker         string
 	Zone           string        // set where the zone drops repeats
 	Cell           int           // set where the cell drops repeats
-	Window         time.Duration // how long they are dropped
+	DedupWindow    time.Duration // how long they are dropped
 }
 
 // persistsKeys reports whether a part of the fleet alone drops repeats of an operation. Then it has to be known where
@@ -68,7 +68,7 @@
 	if !known {
 		return nil, ErrOutcomeUnknown
 	}
-	return &balancer.PriorAttempt{Worker: worker, SentAt: p.config.FromUnix(float64(prior.SentMs))}, nil
+	return &balancer.PriorAttempt{Worker: worker, SentAt: p.config.FromUnix(float64(prior.SentAtMillis))}, nil
 }
 
 // persistKey makes durable which worker an attempt goes to, where that has to be known after a loss of power.
@@ -80,7 +80,7 @@
 	}
 	endpoint := p.endpoints.Endpoint(worker)
 	record := KeyRecord{
-		Operation: request.Operation, Key: request.IdempotencyKey, Worker: endpoint.ID, Window: operation.DedupWindow,
+		Operation: request.Operation, Key: request.IdempotencyKey, Worker: endpoint.ID, DedupWindow: operation.DedupWindow,
 	}
 	if operation.DedupScope == balancer.ScopeZone { // the group alone: with both, two workers of it would differ
 		record.Zone = endpoint.Zone
--- a/internal/proxy/sibling.go
+++ b/internal/proxy/sibling.go
@@ -52,8 +52,8 @@
 	p.requestIDs.applySibling(u.Opened, u.Closed)
 }
 
-// SiblingGone forgets what the sibling process had in flight, as it has ended.
-func (p *Proxy) SiblingGone(from balancer.SiblingRole) {
+// ForgetSibling forgets what the sibling process had in flight, as it has ended.
+func (p *Proxy) ForgetSibling(from balancer.SiblingRole) {
 	p.balancer.UpdateSibling(from, nil)
 	p.requestIDs.forgetSibling()
 }
--- a/internal/proxy/snapshot.go
+++ b/internal/proxy/snapshot.go
@@ -25,14 +25,14 @@
 
 // Snapshot returns what is known now, for a successor. From then on SiblingUpdate returns which request IDs change.
 func (p *Proxy) Snapshot() Snapshot {
-	s := p.Learned()
+	s := p.SnapshotForDisk()
 	p.requestIDs.startTracking()
 	s.Sibling = p.SiblingUpdate(balancer.Successor)
 	return s
 }
 
-// Learned returns what is known now except the requests in flight, for the disk.
-func (p *Proxy) Learned() Snapshot {
+// SnapshotForDisk returns what is known now except the requests in flight, for the disk.
+func (p *Proxy) SnapshotForDisk() Snapshot {
 	s := Snapshot{Kinds: p.config.Kinds, Tenants: p.settings.Load().tenantNames, Learned: p.balancer.Snapshot()}
 	contents := p.endpoints.Contents()
 	s.Version = contents.Version
--- a/internal/simadapter/discovery.go
+++ b/internal/simadapter/discovery.go
@@ -40,7 +40,7 @@
 		return id
 	}
 	id := balancer.WorkerID(len(t.quoted))
-	tag := protocol.Tag(name)
+	tag := protocol.WorkerTag(name)
 	t.ids[name] = id
 	t.quoted = append(t.quoted, quoted(name))
 	t.tags = append(t.tags, tag)
--- a/internal/testbed/baseline/endpoints.go
+++ b/internal/testbed/baseline/endpoints.go
@@ -43,7 +43,7 @@
 // watch applies the lines of one watch until it ends.
 func (d *dispatcher) watch(ctx context.Context) error {
 	d.mu.Lock()
-	target := "http://" + d.settings.Proxy.Discovery + protocol.WatchTarget(d.version)
+	target := "http://" + d.settings.Proxy.DiscoveryAddress + protocol.WatchTarget(d.version)
 	d.mu.Unlock()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, target, nil)
 	if err != nil {
--- a/internal/transport/client_eviction.go
+++ b/internal/transport/client_eviction.go
@@ -60,9 +60,9 @@
 		slot.evicted = true
 		slot.removeFromQueue()
 		if slot.useful {
-			c.SetTimeout(transitGrace)
+			c.SetReadTimeout(transitGrace)
 		} else {
-			c.SetTimeout(unusedTransitGrace)
+			c.SetReadTimeout(unusedTransitGrace)
 		}
 		return true
 	}
--- a/internal/transport/client_limits.go
+++ b/internal/transport/client_limits.go
@@ -112,9 +112,9 @@
 	l.slots[c] = slot
 	l.addToCount(slot, 1)
 	l.enqueue(c, slot)
-	c.SetTimeout(firstRequestTimeout)
+	c.SetReadTimeout(firstRequestTimeout)
 	if l.closesIdle() {
-		c.SetTimeout(finalRequestTimeout)
+		c.SetReadTimeout(finalRequestTimeout)
 	}
 	return overLimit
 }
@@ -156,11 +156,11 @@
 	l.enqueue(c, slot)
 	switch {
 	case l.closesIdle():
-		c.SetTimeout(transitGrace)
+		c.SetReadTimeout(transitGrace)
 	case slot.useful:
-		c.SetTimeout(idleTimeout)
+		c.SetReadTimeout(idleTimeout)
 	default:
-		c.SetTimeout(firstRequestTimeout)
+		c.SetReadTimeout(firstRequestTimeout)
 	}
 }
 
@@ -173,12 +173,12 @@
 	switch {
 	case slot.evicted:
 	case l.closesIdle():
-		c.SetTimeout(finalRequestTimeout)
+		c.SetReadTimeout(finalRequestTimeout)
 	case slot.awaitingFirst:
 	case slot.useful:
-		c.SetTimeout(requestReadTimeout)
+		c.SetReadTimeout(requestReadTimeout)
 	default:
-		c.SetTimeout(firstRequestTimeout)
+		c.SetReadTimeout(firstRequestTimeout)
 	}
 }
 
@@ -234,9 +234,9 @@
 	for c, slot := range l.slots {
 		switch slot.state {
 		case stateIdle:
-			c.SetTimeout(transitGrace)
+			c.SetReadTimeout(transitGrace)
 		case stateReading:
-			c.SetTimeout(finalRequestTimeout)
+			c.SetReadTimeout(finalRequestTimeout)
 		}
 	}
 }
--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -97,12 +97,12 @@
 }
 
 // CloseFor closes the connection and writes its log line. Only the first call has an effect. Where the peer's process
-// is known to have ended, StaleRetired is logged instead of reason.
+// is known to have ended, Stale is logged instead of reason.
 func (c *Conn) CloseFor(reason CloseReason, cause error) {
 	c.closeOnce.Do(func() {
 		c.nc.Close()
 		if c.peerProcessEnded.Load() {
-			reason = StaleRetired
+			reason = Stale
 		}
 		event := c.log.Info().Str("side", string(c.role)).Str("addr", c.addr).Str("reason", string(reason)).
 			Dur("age_ms", time.Since(c.openedAt)).Int("messages", c.messagesSent).
--- a/internal/transport/conn_test.go
+++ b/internal/transport/conn_test.go
@@ -18,7 +18,7 @@
 
 func TestConnectionLogsItsCloseOnce(t *testing.T) {
 	c, _, log := connPair(t)
-	c.CloseFor(WatchSilent, io.EOF)
+	c.CloseFor(WatchTimeout, io.EOF)
 	c.CloseFor(Stopping, nil)
 	assert.Equal(t, 1, strings.Count(log.String(), "\n"))
 	assert.Contains(t, log.String(), `"side":"worker","addr":"w","reason":"silent"`)
--- a/internal/transport/deadline.go
+++ b/internal/transport/deadline.go
@@ -5,8 +5,8 @@
 // pastDeadline makes the reads, writes or accepts that it is set for fail at once with a timeout.
 var pastDeadline = time.Unix(1, 0)
 
-// SetTimeout sets the read deadline to d from now. 0 removes the deadline; a negative d is one that has passed.
-func (c *Conn) SetTimeout(d time.Duration) {
+// SetReadTimeout sets the read deadline to d from now. 0 removes the deadline; a negative d is one that has passed.
+func (c *Conn) SetReadTimeout(d time.Duration) {
 	var deadline time.Time
 	if d != 0 {
 		deadline = time.Now().Add(d)
--- a/internal/transport/deadline_test.go
+++ b/internal/transport/deadline_test.go
@@ -11,7 +11,7 @@
 // A deadline may have passed before it is set, as what came before took longer than the whole timeout.
 func TestNegativeTimeoutIsADeadlineThatHasPassed(t *testing.T) {
 	c, _, _ := connPair(t)
-	c.SetTimeout(-time.Second)
+	c.SetReadTimeout(-time.Second)
 	_, err := c.ReadResponseHead()
 	assert.Equal(t, TooSlow, CloseReasonOf(err))
 }
@@ -28,7 +28,7 @@
 	c.Interrupt()
 	assert.Error(t, c.Send(time.Hour, []byte(echoRequest)))
 	assert.Error(t, c.SendOnReused(time.Hour, []byte(echoRequest)))
-	c.SetTimeout(time.Hour)
+	c.SetReadTimeout(time.Hour)
 	_, err := c.ReadResponseHead()
 	assert.Equal(t, TooSlow, CloseReasonOf(err))
 	c.StartRecording()
--- a/internal/transport/exchange.go
+++ b/internal/transport/exchange.go
@@ -43,7 +43,7 @@
 		return s.handleReadError(c, err)
 	}
 	request := &clientRequest{head: head, body: body}
-	if rejection := s.handler.Check(&request.head); rejection != nil {
+	if rejection := s.handler.AnswerByHead(&request.head); rejection != nil {
 		return s.reject(c, request, rejection, overLimit)
 	}
 	if head.ExpectsContinue() && body.Length() <= protocol.MaxBodyBytes {
@@ -166,19 +166,19 @@
 		if _, sendErr := s.respond(c, s.handler.OverBudget(nil), true); sendErr == nil {
 			c.halfCloseAndDrain(transitGrace) // not longer: its slot is needed
 		}
-		return OverBudget, nil
+		return Evicted, nil
 	case partial:
 		s.respondMalformed(c, err)
 		return TooSlow, err
 	case c.hasUnreadData() && !c.Interrupted(): // a request came just as the deadline passed
-		c.SetTimeout(finalRequestTimeout)
+		c.SetReadTimeout(finalRequestTimeout)
 		return "", nil
 	case evicted:
-		return OverBudget, nil
+		return Evicted, nil
 	case s.lifecycle.PhaseAt(time.Now()).ClosesAfterResponse():
 		return Stopping, nil
 	}
-	return IdleRetired, nil
+	return IdleTimeout, nil
 }
 
 // respondMalformed responds to a request that could not be read.
--- a/internal/transport/helpers_test.go
+++ b/internal/transport/helpers_test.go
@@ -96,7 +96,7 @@
 
 func newEchoHandler() *echoHandler { return &echoHandler{canceled: make(chan error, 1)} }
 
-func (e *echoHandler) Check(head *protocol.Head) *protocol.Response {
+func (e *echoHandler) AnswerByHead(head *protocol.Head) *protocol.Response {
 	if head.Path() == "/none" {
 		return &protocol.Response{Status: 404}
 	}
--- a/internal/transport/lingering_close.go
+++ b/internal/transport/lingering_close.go
@@ -17,7 +17,7 @@
 	if !ok || socket.CloseWrite() != nil {
 		return
 	}
-	c.SetTimeout(timeout)
+	c.SetReadTimeout(timeout)
 	for range maxDrainReads {
 		c.readBuf.Discard(c.readBuf.Len())
 		if c.fill() != nil {
--- a/internal/transport/pool.go
+++ b/internal/transport/pool.go
@@ -122,7 +122,7 @@
 	c := p.track(nc, addr, true)
 	p.finishDial(pending)
 	if pending.invalidated {
-		c.CloseFor(StaleRetired, nil)
+		c.CloseFor(Stale, nil)
 		return nil, errDialInvalidated
 	}
 	return c, nil
@@ -180,7 +180,7 @@
 func (p *Pool) reasonToClose(c *Conn) CloseReason {
 	switch {
 	case p.closeOnPut[c]:
-		return StaleRetired
+		return Stale
 	case c.Interrupted(): // perhaps by CloseOpenedBefore
 		return AttemptCanceled
 	case c.readBuf.Len() > 0:
@@ -188,7 +188,7 @@
 	case p.closed:
 		return Stopping
 	case len(p.waiters) > 0 && !slices.ContainsFunc(p.waiters, c.satisfies):
-		return OverBudget
+		return Evicted
 	}
 	return ""
 }
--- a/internal/transport/pool_idle.go
+++ b/internal/transport/pool_idle.go
@@ -78,7 +78,7 @@
 // closeIdleConn closes an idle connection. One that its worker closed before it expired makes reuse suspect.
 func (p *Pool) closeIdleConn(c *Conn) {
 	if !c.readable() {
-		c.CloseFor(IdleRetired, nil)
+		c.CloseFor(IdleTimeout, nil)
 		return
 	}
 	c.CloseFor(PeerClosed, nil)
--- a/internal/transport/pool_slots.go
+++ b/internal/transport/pool_slots.go
@@ -41,7 +41,7 @@
 	p.waiters = append(p.waiters, w) // under the same lock: a connection that is put back from now on finds the waiter
 	p.mu.Unlock()
 	if oldest != nil {
-		oldest.CloseFor(OverBudget, nil)
+		oldest.CloseFor(Evicted, nil)
 	}
 	select {
 	case p.slots <- struct{}{}:
--- a/internal/transport/pool_stale.go
+++ b/internal/transport/pool_stale.go
@@ -50,7 +50,7 @@
 
 func closeStale(conns []*Conn) {
 	for _, c := range conns {
-		c.CloseFor(StaleRetired, nil)
+		c.CloseFor(Stale, nil)
 	}
 }
 
--- a/internal/transport/pool_stale_test.go
+++ b/internal/transport/pool_stale_test.go
@@ -51,7 +51,7 @@
 	assert.Equal(t, TooSlow, CloseReasonOf(err), "the read ends")
 	older.CloseFor(CloseReasonOf(err), err)
 	assert.Contains(t, log.String(), "stale_retired")
-	newer.SetTimeout(10 * time.Millisecond)
+	newer.SetReadTimeout(10 * time.Millisecond)
 	_, err = newer.ReadResponseHead()
 	assert.Error(t, err)
 	assert.False(t, newer.peerProcessEnded.Load())
--- a/internal/transport/read_test.go
+++ b/internal/transport/read_test.go
@@ -19,7 +19,7 @@
 			io.WriteString(peer, text[n:n+1])
 		}
 	}()
-	c.SetTimeout(testTimeout)
+	c.SetReadTimeout(testTimeout)
 	head, err := c.ReadResponseHead()
 	assert.NoError(t, err)
 	assert.Equal(t, 200, head.Status)
@@ -34,7 +34,7 @@
 	c, peer, _ := connPair(t)
 	go io.WriteString(peer,
 		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nabcd\r\n4\r\nabcd\r\n0\r\n\r\n")
-	c.SetTimeout(testTimeout)
+	c.SetReadTimeout(testTimeout)
 	head, err := c.ReadResponseHead()
 	assert.NoError(t, err)
 	body, err := protocol.ResponseBody(&head)
--- a/internal/transport/recording.go
+++ b/internal/transport/recording.go
@@ -8,8 +8,8 @@
 // maxRecordedBytes is how much of what is read on a connection can be recorded.
 const maxRecordedBytes = 1 << 20
 
-// ErrRecordingTooLarge reports a connection that isn't recorded, or on which more came than can be recorded.
-var ErrRecordingTooLarge = errors.New("more data than can be recorded")
+// ErrNotRecorded reports a connection that isn't recorded, or on which more came than can be recorded.
+var ErrNotRecorded = errors.New("more data than can be recorded")
 
 // recorder keeps what is read on a connection, so that this process or its successor can read it again.
 type recorder struct {
@@ -35,11 +35,11 @@
 func (c *Conn) StopRecording() { c.stream.recorder = nil }
 
 // Recorded returns all that has been read since StartRecording, and what is still to be replayed after it. Nobody may
-// read meanwhile. The error is ErrRecordingTooLarge where not all of it is there.
+// read meanwhile. The error is ErrNotRecorded where not all of it is there.
 func (c *Conn) Recorded() ([]byte, error) {
 	recorder := c.stream.recorder
 	if recorder == nil || recorder.overflowed {
-		return nil, ErrRecordingTooLarge
+		return nil, ErrNotRecorded
 	}
 	data := recorder.data
 	return append(data[:len(data):len(data)], c.stream.replay...), nil
--- a/internal/transport/recording_test.go
+++ b/internal/transport/recording_test.go
@@ -60,8 +60,8 @@
 			c, _, _ := connPair(t)
 			tt.record(c)
 			_, err := c.Recorded()
-			assert.ErrorIs(t, err, ErrRecordingTooLarge)
-			assert.ErrorIs(t, c.Rewind(), ErrRecordingTooLarge)
+			assert.ErrorIs(t, err, ErrNotRecorded)
+			assert.ErrorIs(t, c.Rewind(), ErrNotRecorded)
 		})
 	}
 }
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -19,8 +19,8 @@
 	// connection; then Serve returns nil. protocol.Migrated says that another process sends the response.
 	Serve(ctx context.Context, head *protocol.Head, body []byte, received time.Time) *protocol.Response
 	// Check returns the response to a request that needs no body or is rejected by its head; nil to read the body.
-	Check(head *protocol.Head) *protocol.Response
-	// OverBudget returns the response on a connection beyond the limit, or to a body for which no memory is left. head
+	AnswerByHead(head *protocol.Head) *protocol.Response
+	// Evicted returns the response on a connection beyond the limit, or to a body for which no memory is left. head
 	// is nil where none was read.
 	OverBudget(head *protocol.Head) *protocol.Response
 	// MalformedRequest returns the response to a request that failed with an error of reading it.
@@ -85,7 +85,7 @@
 		<-deadlineSet // set later it would end acceptQueued
 	}
 	phase := s.lifecycle.PhaseAt(time.Now())
-	s.lifecycle.CloseIdle(time.Now())
+	s.lifecycle.BeginClosing(time.Now())
 	if phase.AcceptsConnections() {
 		s.acceptQueued()
 	}
@@ -94,9 +94,9 @@
 	return s.conns.Wait()
 }
 
-// TakeOver follows the phases of the process until ctx ends: it closes idle connections where none may be idle, and
+// FollowLifecycle follows the phases of the process until ctx ends: it closes idle connections where none may be idle, and
 // stops accepting where another process does that. The error is always nil.
-func (s *Server) TakeOver(ctx context.Context) error {
+func (s *Server) FollowLifecycle(ctx context.Context) error {
 	for {
 		wait, changed := s.lifecycle.NextChange(time.Now())
 		phase := s.lifecycle.PhaseAt(time.Now())
@@ -129,7 +129,7 @@
 			s.start(nc)
 		case errors.Is(err, net.ErrClosed):
 			return
-		case isTimeout(err): // ctx has ended, or TakeOver has stopped accepting
+		case isTimeout(err): // ctx has ended, or FollowLifecycle has stopped accepting
 			if !s.waitUntilAccepting(ctx) {
 				return
 			}
@@ -169,7 +169,7 @@
 		_, changed := s.lifecycle.NextChange(time.Now())
 		if s.lifecycle.PhaseAt(time.Now()).AcceptsConnections() {
 			s.ln.SetDeadline(time.Time{})
-			// TakeOver or the end of ctx may have set the deadline that this has just removed.
+			// FollowLifecycle or the end of ctx may have set the deadline that this has just removed.
 			if s.lifecycle.PhaseAt(time.Now()).AcceptsConnections() && ctx.Err() == nil {
 				return true
 			}
--- a/internal/transport/shutdown_test.go
+++ b/internal/transport/shutdown_test.go
@@ -74,11 +74,11 @@
 // A process that was drained before it is stopped still is the only one that accepts from its queue.
 func TestDrainedServerStillServesNewConnectionsAtShutdown(t *testing.T) {
 	s, _, _ := startServer(t, 4)
-	s.lifecycle.Drain(time.Now().Add(-lifecycle.AcceptAfterStop))
+	s.lifecycle.Drain(time.Now().Add(-lifecycle.DrainGrace))
 	s.lifecycle.Stop(time.Now())
 	applied, cancel := context.WithCancel(context.Background())
 	cancel()
-	assert.NoError(t, s.TakeOver(applied)) // it applies the present phase before it looks at the context
+	assert.NoError(t, s.FollowLifecycle(applied)) // it applies the present phase before it looks at the context
 	c, r := connect(t, s)
 	assert.Equal(t, clientResponse{200, "ab", true}, roundTrip(t, c, r, echoRequest))
 }
