--- a/internal/balancer/asks_test.go
+++ b/internal/balancer/asks_test.go
@@ -50,7 +50,7 @@
 				d.SetTime(now)
 				d.EndpointsUnavailable()
 				a.answer = never
-			case a.answer == never && !d.watching && d.nextPoll <= now:
+			case a.answer == never && !d.discovery.watching && d.discovery.nextPoll <= now:
 				calls++
 				a.answer, a.list = q.call(now)
 			}
--- a/internal/balancer/back.go
+++ b/internal/balancer/back.go
@@ -10,20 +10,20 @@
 // A start told since ends it; work done at a pace that no cold worker has ends it for
 // what is no larger than some such pieces: hints are rough, and the largest would all go to the first that seems warm.
 func (d *Balancer) restartSuspected(w WorkerID, size Work) bool {
-	if d.warmupDuration == 0 || float64(size) <= d.overloadFactor*float64(d.verifiedSize[w]) {
+	if d.config.warmupDuration == 0 || float64(size) <= d.config.overloadFactor*float64(d.workers[w].verifiedSize) {
 		return false
 	}
-	if d.fleetRestartAt > 0 && d.startedAt[w] < d.fleetRestartAt && (!d.watching || d.now < d.watchingSince+d.maxPollInterval) {
+	if d.warmup.fleetRestartAt > 0 && d.workers[w].startedAt < d.warmup.fleetRestartAt && (!d.discovery.watching || d.now < d.discovery.watchingSince+d.config.maxPollInterval) {
 		return true
 	}
-	return !d.answered && d.failedPolls > 0 && !slices.Contains(d.seniorPeers, true)
+	return !d.discovery.answered && d.discovery.failedPolls > 0 && !slices.Contains(d.gossip.seniorPeers, true)
 }
 
 // confirmedWarmup is the share of its capacity that a worker has by its age, and no more than that of one that has just
 // started where it is in doubt for work of a size.
 func (d *Balancer) confirmedWarmup(w WorkerID, size Work) float64 {
 	if d.restartSuspected(w, size) {
-		return min(d.warmupFactor(w), d.initialWarmup)
+		return min(d.warmupFactor(w), d.config.initialWarmup)
 	}
 	return d.warmupFactor(w)
 }
@@ -31,14 +31,14 @@
 // observeSuccess takes a piece of work that succeeded for what it says of its worker's warmth, and of its operation's runs.
 func (d *Balancer) observeSuccess(w WorkerID, i *request, took Time) {
 	if float64(i.size) >= verifiedPace*float64(took) {
-		d.verifiedSize[w] = max(d.verifiedSize[w], i.size)
+		d.workers[w].verifiedSize = max(d.workers[w].verifiedSize, i.size)
 	}
-	d.operations[i.operation].observeRun(took)
+	d.operations.byID[i.operation].observeRun(took)
 }
 
 // ReportFleetRestart tells that all dispatchers lost power, workers perhaps too, and that this one is back since a time.
 func (f *Picker) ReportFleetRestart(since Time) {
-	f.update(func(d *Balancer) { d.fleetRestartAt = since })
+	f.update(func(d *Balancer) { d.warmup.fleetRestartAt = since })
 }
 
 // ReportSeniorPeer tells that a peer has lived longer than this dispatcher.
@@ -50,10 +50,11 @@
 // this dispatcher has sent them counts.
 func (f *Picker) DelayWarmingWorkers(before Time) {
 	f.update(func(d *Balancer) {
-		for w, born := range d.startedAt {
+		for w := range d.workers {
+			born := d.workers[w].startedAt
 			if born > 0 && born < before && d.warmupFactor(WorkerID(w)) < 1 {
-				d.notBefore[w] = max(d.notBefore[w], before+d.warmupWindow)
-				d.reviewAt = min(d.reviewAt, d.notBefore[w])
+				d.workers[w].notBefore = max(d.workers[w].notBefore, before+d.config.warmupWindow)
+				d.due.reviewAt = min(d.due.reviewAt, d.workers[w].notBefore)
 			}
 		}
 	})
@@ -62,8 +63,8 @@
 // SeedMaxObserved takes what others have seen a kind of worker bear, where nothing was learnt of it here.
 func (f *Picker) SeedMaxObserved(k KindID, most float64) {
 	f.update(func(d *Balancer) {
-		if int(k) < len(d.maxObserved) && d.maxObserved[k] <= 1 && most > 1 {
-			d.maxObserved[k] = most
+		if int(k) < len(d.slots.kinds) && d.slots.kinds[k].maxObserved <= 1 && most > 1 {
+			d.slots.kinds[k].maxObserved = most
 			d.setSlots(k, most)
 		}
 	})
@@ -73,7 +74,11 @@
 func (f *Picker) MaxObserved() []float64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return slices.Clone(f.balancer.maxObserved)
+	var most []float64
+	for _, k := range f.balancer.slots.kinds {
+		most = append(most, k.maxObserved)
+	}
+	return most
 }
 
 // Capacity is what the workers that take work bear at once, in all: how many there are, what they bear when they
@@ -83,11 +88,11 @@
 	defer f.mu.Unlock()
 	d := f.balancer
 	d.SetTime(f.clock())
-	for _, w := range d.ring {
-		if d.state[w] != Healthy || d.consecutiveFailures[w] > 0 && d.now < d.probeAfter[w] {
+	for _, w := range d.subsetting.ring {
+		if d.workers[w].state != Healthy || d.workers[w].consecutiveFailures > 0 && d.now < d.workers[w].probeAfter {
 			continue
 		}
-		warmth, most := d.confirmedWarmup(w, d.median), d.maxObserved[d.kind[w]]
+		warmth, most := d.confirmedWarmup(w, d.sizes.median), d.slots.kinds[d.workers[w].kind].maxObserved
 		workers, bears, now = workers+1, bears+most, now+warmth*most
 	}
 	return workers, bears, now
@@ -97,7 +102,7 @@
 func (f *Picker) MedianSize() Work {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.balancer.median
+	return f.balancer.sizes.median
 }
 
 // PriorAttempt is where and when an invocation under the same key may have run before this one landed.
@@ -110,15 +115,15 @@
 // up at once.
 func (f *Picker) SubmitAfter(l Arrival, past PriorAttempt) *RequestHandle {
 	t := f.submit(l, func(d *Balancer, t *RequestHandle) {
-		i := &d.requests[t.id]
+		i := &d.requests.byID[t.id]
 		i.attempts = append(i.attempts, attempt{worker: past.Worker, sentAt: past.SentAt, mayHaveRun: true})
 		i.spentElsewhere--
 		t.beginAttempt(t.deadline)
 		t.reported[0] = true
 		t.inFlight--
 		t.cancels[0](nil)
-		able := func(w WorkerID) bool { return d.state[w] == Healthy && d.mayAttempt(i, w) }
-		if !slices.ContainsFunc(d.ring, able) {
+		able := func(w WorkerID) bool { return d.workers[w].state == Healthy && d.mayAttempt(i, w) }
+		if !slices.ContainsFunc(d.subsetting.ring, able) {
 			d.rejectOrFail(t.id)
 		}
 	})
--- a/internal/balancer/cold_test.go
+++ b/internal/balancer/cold_test.go
@@ -51,7 +51,7 @@
 
 func (l *lineEffects) SendAttempt(inv RequestID, _ WorkerID, _ Time) {
 	d := l.c.fleet[l.number]
-	i := &d.requests[inv]
+	i := &d.requests.byID[inv]
 	j := &job{from: d, inv: inv, n: len(i.attempts) - 1, left: float64(i.size)}
 	if l.c.off != nil {
 		j.left *= l.c.off()
@@ -116,7 +116,7 @@
 			}
 		}
 		d := c.fleet[0]
-		worst = max(worst, within/(d.overloadFactor*d.warmupFactor(0)*coldSlots*float64(span)))
+		worst = max(worst, within/(d.config.overloadFactor*d.warmupFactor(0)*coldSlots*float64(span)))
 	}
 	return worst
 }
@@ -130,7 +130,7 @@
 		d := New(terms, uint64(number), &lineEffects{number: PeerID(number), c: c})
 		d.SetTime(c.now)
 		d.UpdateEndpoints([]Endpoint{{Worker: 0, ID: "w", StartedAt: c.born}}, true, true)
-		d.maxObserved[0], d.slots[0] = coldSlots, coldSlots
+		d.slots.kinds[0].maxObserved, d.slots.kinds[0].estimate = coldSlots, coldSlots
 		c.fleet = append(c.fleet, d)
 	}
 	return c
@@ -149,12 +149,12 @@
 
 func TestColdWorkerIsClosedToThoseWhoAreNotToldOfIt(t *testing.T) {
 	d, _ := newWarmBalancer(2, 1)
-	d.gossip = true
+	d.config.gossip = true
 	d.UpdateEndpoints([]Endpoint{{Worker: 0, ID: "w0", StartedAt: d.now}}, false, true)
 	assert.True(t, d.withinWarmupBudget(0, 100))
-	d.peerInFlight[0] = 1 // as many as were seen to run at once
+	d.workers[0].peerInFlight = 1 // as many as were seen to run at once
 	assert.False(t, d.withinWarmupBudget(0, 100))
-	d.peerInFlight[0], d.availability[bothIntervals].position[0] = 0, notInSubset
+	d.workers[0].peerInFlight, d.subsetting.subsets[bothIntervals].position[0] = 0, notInSubset
 	assert.False(t, d.withinWarmupBudget(0, 100))
 }
 
@@ -174,7 +174,7 @@
 // nearly all others wait at, and the most that was ever so voted for counted for good.
 func TestMostAtWorkIsWhatVotesAgreeOn(t *testing.T) {
 	d, _ := newWarmBalancer(2, 1)
-	d.reportFree = -1 // no reports tell
+	d.config.reportFree = -1 // no reports tell
 	vote := func(load, times int, atOnce bool) {
 		for range times {
 			d.observeSlots(0, load, atOnce)
@@ -183,13 +183,13 @@
 	vote(1, 10, true)
 	vote(2, 10, true)
 	vote(3, 6, true)
-	assert.EqualValues(t, 3, d.maxObserved[0])
+	assert.EqualValues(t, 3, d.slots.kinds[0].maxObserved)
 	vote(4, 2, true)
-	assert.EqualValues(t, 4, d.maxObserved[0], "for all that is known then")
+	assert.EqualValues(t, 4, d.slots.kinds[0].maxObserved, "for all that is known then")
 	vote(4, 3, false)
 	vote(5, 4, false)
 	vote(5, 2, true)
-	assert.EqualValues(t, 3, d.maxObserved[0])
+	assert.EqualValues(t, 3, d.slots.kinds[0].maxObserved)
 	vote(4, 5, true)
-	assert.EqualValues(t, 4, d.maxObserved[0])
+	assert.EqualValues(t, 4, d.slots.kinds[0].maxObserved)
 }
--- a/internal/balancer/crossings_test.go
+++ b/internal/balancer/crossings_test.go
@@ -139,8 +139,8 @@
 			assert.Equal(t, 0, f.OpenRequests(), "after %q", order)
 			assert.Len(t, f.freeIDs, len(f.handles), "after %q", order)
 			assert.Equal(t, len(f.freeIDs), len(slices.Compact(slices.Sorted(slices.Values(f.freeIDs)))))
-			for _, n := range f.balancer.inFlight {
-				assert.Zero(t, n, "after %q", order)
+			for _, w := range f.balancer.workers {
+				assert.Zero(t, w.inFlight, "after %q", order)
 			}
 		}
 		for n := 0; left > 0 && n < len(moments); n++ {
--- a/internal/balancer/decide_test.go
+++ b/internal/balancer/decide_test.go
@@ -14,18 +14,18 @@
 	for n := range 60 {
 		d.observeSize(Work(1 + n*7%60))
 		if n < minSample-1 {
-			assert.Empty(t, d.cutPoints, "one lane until there are enough hints")
+			assert.Empty(t, d.sizes.cutPoints, "one lane until there are enough hints")
 		}
 	}
 	d.updateCutPoints()
 	small, all := Work(0), Work(0)
-	for _, s := range d.sample {
+	for _, s := range d.sizes.sample {
 		all += s
-		if s < d.cutPoints[0] {
+		if s < d.sizes.cutPoints[0] {
 			small += s
 		}
 	}
-	assert.Len(t, d.cutPoints, intervals-1)
+	assert.Len(t, d.sizes.cutPoints, intervals-1)
 	assert.InDelta(t, 0.5, float64(small)/float64(all), 0.04)
 }
 
@@ -37,8 +37,8 @@
 	for range maxSample {
 		d.observeSize(500) // a shift to large jobs displaces all that was known
 	}
-	assert.Len(t, d.sample, maxSample)
-	assert.EqualValues(t, 500, slices.Min(d.sample))
+	assert.Len(t, d.sizes.sample, maxSample)
+	assert.EqualValues(t, 500, slices.Min(d.sizes.sample))
 }
 
 func TestBlocksAreAlikeAtEveryDispatcher(t *testing.T) {
@@ -49,13 +49,13 @@
 		list = append(list, Endpoint{Worker: WorkerID(w), ID: fmt.Sprintf("w%d", w)})
 	}
 	b.UpdateEndpoints(list, true, true)
-	assert.Equal(t, a.ring, b.ring)
-	assert.NotEqual(t, a.roundRobin, b.roundRobin, "each rotation starts at a place of its own")
+	assert.Equal(t, a.subsetting.ring, b.subsetting.ring)
+	assert.NotEqual(t, a.subsetting.subsets[wholeRing].roundRobin, b.subsetting.subsets[wholeRing].roundRobin, "each rotation starts at a place of its own")
 }
 
 func TestRotationTakesTurnsWithinTheBlock(t *testing.T) {
 	d, _ := newWarmBalancer(6, 1)
-	d.cutPoints = []Work{100}
+	d.sizes.cutPoints = []Work{100}
 	small, large := map[WorkerID]int{}, map[WorkerID]int{}
 	for range 6 {
 		w, ok := d.pickWorker(&request{interval: 0, quotaWeight: 1, deadline: 200 * Second})
@@ -64,7 +64,7 @@
 		w, _ = d.pickWorker(&request{interval: 1, quotaWeight: 1, deadline: 200 * Second})
 		large[w]++
 	}
-	for n, w := range d.ring {
+	for n, w := range d.subsetting.ring {
 		assert.Equal(t, []int{2, 0}[n/3], small[w])
 		assert.Equal(t, []int{0, 2}[n/3], large[w])
 	}
@@ -72,16 +72,16 @@
 
 func TestFullBlockBorrows(t *testing.T) {
 	d, _ := newWarmBalancer(4, 1)
-	d.cutPoints = []Work{100}
-	d.unstarted[d.ring[0]], d.unstarted[d.ring[1]] = 1, 1
+	d.sizes.cutPoints = []Work{100}
+	d.workers[d.subsetting.ring[0]].unstarted, d.workers[d.subsetting.ring[1]].unstarted = 1, 1
 	w, ok := d.pickWorker(&request{interval: 0, quotaWeight: 1, deadline: 200 * Second})
 	assert.True(t, ok)
-	assert.Contains(t, d.ring[2:], w)
+	assert.Contains(t, d.subsetting.ring[2:], w)
 }
 
 func TestOverTwiceTheMeanIsPassedOver(t *testing.T) {
 	d, _ := newWarmBalancer(4, 1)
-	busy := d.ring[2]
+	busy := d.subsetting.ring[2]
 	d.addInFlight(busy, 3)
 	for range 8 {
 		w, ok := d.pickWorker(&request{quotaWeight: 1, deadline: 200 * Second})
@@ -96,7 +96,7 @@
 	check := func(op OperationID, how Outcome, same, other, throttle bool) {
 		d, _ := newWarmBalancer(4, 1)
 		d.RequestArrived(0, Arrival{Operation: op, Timeout: 10 * Second, SizeHint: 100})
-		i := &d.requests[0]
+		i := &d.requests.byID[0]
 		d.startAttempt(0, 0)
 		d.AttemptEnded(0, 0, how, false)
 		i.closed = false // as if the module had not answered yet
@@ -128,7 +128,7 @@
 	assert.False(t, d.mayReject(i))
 	i.operation = 0
 	assert.True(t, d.mayAttempt(i, 1))
-	d.hedging = false
+	d.config.hedging = false
 	assert.False(t, d.mayAttempt(i, 1), "second copies are not allowed")
 }
 
@@ -147,7 +147,7 @@
 	d.now += Second
 	d.UpdateEndpoints([]Endpoint{{Worker: 0, ID: "w0", StartedAt: d.now}}, false, true)
 	part := 4 * 0.2 * 1 * float64(2*Second) * (1 - warmupMargin) / 2 // one slot is known of
-	d.warmupUnit = part                                              // as much as one piece of work
+	d.config.meanObjective = part                                    // as much as one piece of work
 	assert.True(t, d.withinWarmupBudget(0, Work(part)))
 	assert.False(t, d.withinWarmupBudget(0, Work(part)+1))
 	d.RequestArrived(0, Arrival{Timeout: 10 * Second, SizeHint: Work(part)})
@@ -178,13 +178,13 @@
 				assert.False(t, d.withinWarmupBudget(0, 100), "one at most is saved up")
 			}
 		}
-		d.firstTries += 1000 // the worker was of no use to any of them
+		d.warmup.firstTries += 1000 // the worker was of no use to any of them
 		assert.True(t, d.withinWarmupBudget(0, 100))
 		d.RequestArrived(5, Arrival{Timeout: 10 * Second, SizeHint: 100})
 		d.startAttempt(5, 0)
 		assert.False(t, d.withinWarmupBudget(0, 100), "one at most, however much has landed")
 		d.RequestArrived(6, Arrival{Timeout: 5 * Second, SizeHint: 100})
-		assert.Equal(t, 1006, d.firstTries, "a client that comes again asks for nothing more")
+		assert.Equal(t, 1006, d.warmup.firstTries, "a client that comes again asks for nothing more")
 		assert.True(t, d.withinWarmupBudget(1, 1<<40))
 	}
 	assert.InDelta(t, 200*5*2*0.4/2.4, open, 10)
@@ -192,8 +192,8 @@
 
 func TestColdWorkerGetsNothingThatItsSlownessMakesLate(t *testing.T) {
 	d, _ := newWarmBalancer(1, 1)
-	d.startedAt[0], d.maxObserved[0], d.slots[0] = d.now-5*Second, 9, 9 // at two fifths of its capacity
-	d.dispatchers, d.median = 1, Second                                 // hints come
+	d.workers[0].startedAt, d.slots.kinds[0].maxObserved, d.slots.kinds[0].estimate = d.now-5*Second, 9, 9 // at two fifths of its capacity
+	d.config.dispatchers, d.sizes.median = 1, Second                                                       // hints come
 	for size, taken := range map[Work]bool{Second / 2: true, Second: false} {
 		_, ok := d.pickWorker(&request{interval: bothIntervals, quotaWeight: 1, size: size, deadline: 200 * Second})
 		assert.Equal(t, taken, ok, "1.5 times the size over the objective of a second: %d", size)
@@ -201,19 +201,19 @@
 	late := &request{interval: bothIntervals, quotaWeight: 1, size: Second, deadline: 200 * Second, late: true}
 	_, ok := d.pickWorker(late)
 	assert.True(t, ok, "what is late in any case may still earn something")
-	d.median = 0
+	d.sizes.median = 0
 	_, ok = d.pickWorker(&request{interval: bothIntervals, quotaWeight: 1, size: Second, deadline: 200 * Second})
 	assert.True(t, ok, "no hint tells that it would be late")
 }
 
 func TestAllTogetherKeepAColdWorkersBudget(t *testing.T) {
 	d, _ := newWarmBalancer(2, 1)
-	d.dispatchers, d.warmupUnit, d.now = 200, 1, 200*Second // small work: there is a part for each
+	d.config.dispatchers, d.config.meanObjective, d.now = 200, 1, 200*Second // small work: there is a part for each
 	for age := Time(0); age < 20*Second; age += Second {
 		d.UpdateEndpoints([]Endpoint{{Worker: 0, ID: "w0", StartedAt: d.now - age}}, false, true)
 		sent := Work(0)
-		for d.position = range 200 {
-			d.maxObserved[0] = 3 + float64(d.position%2) // they need not believe alike
+		for d.config.position = range 200 {
+			d.slots.kinds[0].maxObserved = 3 + float64(d.config.position%2) // they need not believe alike
 			for size := Work(1); d.withinWarmupBudget(0, size); size++ {
 				sent++
 			}
@@ -228,7 +228,7 @@
 	d.RequestArrived(0, Arrival{Operation: 1, Timeout: Second / 100, SizeHint: 100}) // a late try of little grace
 	d.RunDueRules()
 	assert.Equal(t, []string{"forward 0 to 0"}, b.lines)
-	d.SetTime(min(d.wakeAt, d.now+Second/100))
+	d.SetTime(min(d.due.wakeAt, d.now+Second/100))
 	d.RunDueRules()
 	assert.Equal(t, []string{"forward 0 to 0", "error 0", "cancel 0.0"}, b.lines)
 	d.AttemptEnded(0, 0, Succeeded, true) // after the end: harmless
@@ -239,7 +239,7 @@
 
 func TestLateHeldWorkIsThrottledAtOnce(t *testing.T) {
 	d, b := newWarmBalancer(1, 1)
-	d.unstarted[0] = 1
+	d.workers[0].unstarted = 1
 	d.RequestArrived(0, Arrival{Timeout: 10 * Second, SizeHint: 100})
 	d.RequestArrived(1, Arrival{Operation: 1, Timeout: 10 * Second, SizeHint: 100})
 	d.now += Second + 1
@@ -249,40 +249,40 @@
 
 func TestHeldOrderIsByValueThenLatestStart(t *testing.T) {
 	d, _ := newWarmBalancer(1, 1)
-	d.unstarted[0] = 1
+	d.workers[0].unstarted = 1
 	for inv, op := range []OperationID{0, 0, 1} {
 		d.now += 10
 		d.RequestArrived(RequestID(inv), Arrival{Operation: op, Timeout: 10 * Second, SizeHint: 100})
 	}
-	d.requests[0].quotaWeight = d.overQuotaShare
+	d.requests.byID[0].quotaWeight = d.config.overQuotaShare
 	d.updateCutPoints()
-	assert.Equal(t, []RequestID{2, 1, 0}, d.pending)
+	assert.Equal(t, []RequestID{2, 1, 0}, d.pending.ids)
 }
 
 func TestOperationThatLostMostIsWeighedByItsPartInTheGoal(t *testing.T) {
 	d, _ := newWarmBalancer(1, 1)
-	d.worstOperationWeight = 1
-	d.probeAfter[0] = 200 * Second
+	d.config.worstOperationWeight = 1
+	d.workers[0].probeAfter = 200 * Second
 	for inv, op := range []OperationID{1, 0, 1} { // worth 8 and 1 for a unit of work
 		d.now++
 		d.RequestArrived(RequestID(inv), Arrival{Operation: op, Timeout: 10 * Second, SizeHint: Second})
 	}
-	assert.Equal(t, []RequestID{0, 2, 1}, d.pending)
+	assert.Equal(t, []RequestID{0, 2, 1}, d.pending.ids)
 	d.RequestArrived(3, Arrival{Timeout: 10 * Second, SizeHint: Second})
 	d.rejectOrFail(3)
-	assert.Equal(t, []RequestID{1, 0, 2}, d.pending, "else the operation of little value would get nothing")
+	assert.Equal(t, []RequestID{1, 0, 2}, d.pending.ids, "else the operation of little value would get nothing")
 }
 
 func TestWhatWaitsOnAWorkerPastHopeIsThrottled(t *testing.T) {
 	d, b := newWarmBalancer(1, 1)
-	d.operations[0].slack, d.operations[1].slack = 2, 2
+	d.operations.byID[0].slack, d.operations.byID[1].slack = 2, 2
 	d.RequestArrived(0, Arrival{Timeout: 10 * Second, SizeHint: Second})
 	d.RunDueRules()
 	d.RequestArrived(1, Arrival{Operation: 1, Timeout: 10 * Second, SizeHint: Second})
-	d.unstarted[0] = 0
+	d.workers[0].unstarted = 0
 	d.RunDueRules()
 	d.now += 2*Second + 1 // the objective, and half of what the hint allows on top
-	d.reviewAt = d.now
+	d.due.reviewAt = d.now
 	d.RunDueRules()
 	assert.Equal(t, []string{"forward 0 to 0", "forward 1 to 0", "throttle 0 back 20000", "cancel 0.0"}, b.lines)
 }
@@ -291,7 +291,7 @@
 	d, b := newWarmBalancer(2, 1)
 	d.RequestArrived(0, Arrival{Timeout: 10 * Second, SizeHint: 100})
 	d.RunDueRules()
-	d.now += d.patience
+	d.now += d.config.patience
 	d.RunDueRules()
 	assert.Len(t, b.lines, 3)
 	assert.Equal(t, "cancel 0.0", b.lines[2])
@@ -300,7 +300,7 @@
 
 func TestSlotsBelievedStandOneFalseWait(t *testing.T) {
 	d, _ := newWarmBalancer(2, 1)
-	d.reportFree = -1
+	d.config.reportFree = -1
 	vote := func(load int, atOnce ...bool) {
 		for _, v := range atOnce {
 			d.observeSlots(0, load, v)
@@ -308,14 +308,14 @@
 	}
 	vote(1, true, true)
 	vote(2, false) // a forward that no peer had told of yet
-	assert.EqualValues(t, initialSlots, d.slots[0])
+	assert.EqualValues(t, initialSlots, d.slots.kinds[0].estimate)
 	vote(4, false, false)
-	assert.EqualValues(t, 3, d.slots[0])
-	assert.EqualValues(t, 1, d.maxObserved[0])
+	assert.EqualValues(t, 3, d.slots.kinds[0].estimate)
+	assert.EqualValues(t, 1, d.slots.kinds[0].maxObserved)
 	vote(3, true, true)
 	vote(2, true, true, true)
-	assert.EqualValues(t, 3, d.slots[0])
-	assert.EqualValues(t, 3, d.maxObserved[0], "twice seen")
+	assert.EqualValues(t, 3, d.slots.kinds[0].estimate)
+	assert.EqualValues(t, 3, d.slots.kinds[0].maxObserved, "twice seen")
 }
 
 func TestCustomersCountByTheirTrafficAgainstTheirShare(t *testing.T) {
@@ -335,8 +335,8 @@
 
 func TestCustomersBeyondTheirShareLeaveRoom(t *testing.T) {
 	d, _ := newWarmBalancer(1, 1)
-	d.slots[0], d.maxObserved[0] = 3, 3
-	d.gossip = true
+	d.slots.kinds[0].estimate, d.slots.kinds[0].maxObserved = 3, 3
+	d.config.gossip = true
 	d.ReceiveLoad(1, Load{Worker: 0, InFlight: 2})
 	_, ok := d.pickWorker(&request{interval: bothIntervals, deadline: 200 * Second, quotaWeight: 0.2})
 	assert.False(t, ok)
@@ -346,7 +346,7 @@
 
 func TestProbesFollowLandings(t *testing.T) {
 	d, b := newWarmBalancer(3, 1)
-	d.probes = true
+	d.config.probes = true
 	for inv := range RequestID(5) {
 		d.RequestArrived(inv, Arrival{Timeout: 10 * Second, SizeHint: 100})
 		for range 3 {
@@ -360,9 +360,9 @@
 
 func TestFullPartsLeadElsewhereUntilOneIsFull(t *testing.T) {
 	d, b := newWarmBalancer(9, 1)
-	d.gossip, d.dispatchers, d.subsetSize, d.hedging = true, 9, 1, false
+	d.config.gossip, d.config.dispatchers, d.config.dispatchersPerWorker, d.config.hedging = true, 9, 1, false
 	d.updateSubsets()
-	assert.Len(t, d.subsets[bothIntervals], intervals)
+	assert.Len(t, d.subsetting.subsets[bothIntervals].workers, intervals)
 	for inv := range RequestID(intervals + 2) {
 		d.RequestArrived(inv, Arrival{Operation: 1, Timeout: 10 * Second, SizeHint: Second})
 		d.RunDueRules()
@@ -372,7 +372,7 @@
 	d.RunDueRules()
 	assert.Len(t, b.lines, intervals+2, "held: where nothing is told, others may be full as well")
 	d.now += Second + 1
-	d.capacityChanged = true
+	d.due.capacityChanged = true
 	d.RunDueRules()
 	assert.Greater(t, len(b.lines), intervals+2)
 }
@@ -382,7 +382,7 @@
 	d.ReceiveLoad(1, Load{Worker: 0, InFlight: 3})
 	d.ReceiveLoad(1, Load{Worker: 0, InFlight: 2})
 	assert.Equal(t, 2, d.load(0))
-	d.now += 3*d.resendInterval + 1
+	d.now += 3*d.gossip.resendInterval + 1
 	d.resendLoads()
 	assert.Equal(t, 0, d.load(0))
 }
@@ -392,12 +392,15 @@
 		told, keep := map[WorkerID][]int{}, [][2]int(nil)
 		for p := range size[1] {
 			d, _ := newWarmBalancer(size[0], 1)
-			d.position, d.dispatchers, d.subsetSize = p, size[1], size[2]
+			d.config.position, d.config.dispatchers, d.config.dispatchersPerWorker = p, size[1], size[2]
 			d.updateSubsets()
-			for _, w := range d.subsets[bothIntervals] {
+			for _, w := range d.subsetting.subsets[bothIntervals].workers {
 				told[w] = append(told[w], p)
 			}
-			keep = d.subsetPeerRange
+			keep = nil
+			for _, w := range d.workers {
+				keep = append(keep, w.subsetPeerRange)
+			}
 		}
 		for w := range WorkerID(size[0]) {
 			var peers []int
@@ -411,16 +414,16 @@
 
 func TestListIsAskedForWithBackoff(t *testing.T) {
 	d, b := newWarmBalancer(1, 1)
-	d.pollEndpoints, d.watching = true, false
+	d.config.pollEndpoints, d.discovery.watching = true, false
 	d.RunDueRules()
 	d.RunDueRules()
 	assert.Equal(t, []string{"subscribe"}, b.lines, "once, until an answer comes")
 	last := Time(0)
 	for range 4 {
 		d.EndpointsUnavailable()
-		assert.Greater(t, d.nextPoll-d.now, last/2)
-		last = d.nextPoll - d.now
-		assert.Less(t, last, d.maxPollInterval)
+		assert.Greater(t, d.discovery.nextPoll-d.now, last/2)
+		last = d.discovery.nextPoll - d.now
+		assert.Less(t, last, d.config.maxPollInterval)
 	}
 }
 
@@ -459,10 +462,10 @@
 		d.startAttempt(inv, 0)
 	}
 	d.AttemptEnded(0, 0, ConnectionStale, true)
-	assert.Equal(t, 0, d.consecutiveFailures[0], "a kept connection may end and its worker be well")
+	assert.Equal(t, 0, d.workers[0].consecutiveFailures, "a kept connection may end and its worker be well")
 	d.AttemptEnded(1, 0, NoConnection, true)
 	d.AttemptEnded(2, 0, NoConnection, true)
-	assert.Equal(t, []any{1, d.now + Second}, []any{d.consecutiveFailures[0], d.probeAfter[0]})
+	assert.Equal(t, []any{1, d.now + Second}, []any{d.workers[0].consecutiveFailures, d.workers[0].probeAfter})
 }
 
 // Guards against a worker that tells of a start and then nothing more, for as long as the client waits.
@@ -474,15 +477,15 @@
 		copied int
 	}{{0, 50 * Second, 0, 1}, {0, 40 * Second, 0, 0}, {0, 50 * Second, 4, 0}, {1, 50 * Second, 0, 0}} {
 		d, _ := newWarmBalancer(2, 1)
-		d.gossip, d.subsets[bothIntervals] = true, d.ring
+		d.config.gossip, d.subsetting.subsets[bothIntervals].workers = true, d.subsetting.ring
 		d.indexSubset(bothIntervals)
 		d.RequestArrived(0, Arrival{Operation: c.op, Timeout: 90 * Second, SizeHint: 1000})
 		d.RunDueRules()
 		d.AttemptStarted(0, 0)
-		d.peerInFlight[1-d.requests[0].attempts[0].worker] = c.busy
+		d.workers[1-d.requests.byID[0].attempts[0].worker].peerInFlight = c.busy
 		d.now += c.ran
 		d.reviewOpenRequests()
-		assert.Len(t, d.requests[0].attempts, 1+c.copied, c)
+		assert.Len(t, d.requests.byID[0].attempts, 1+c.copied, c)
 	}
 }
 
@@ -502,7 +505,7 @@
 		d.AttemptStarted(0, 0)
 		d.AttemptEnded(0, 0, Succeeded, true)
 		d.RunDueRules()
-		assert.Zero(t, d.unstarted[0])
+		assert.Zero(t, d.workers[0].unstarted)
 	}
 	assert.Equal(t, []string{"forward 0 to 0", "forward 0 to 0", "forward 0 to 0"}, b.lines[len(b.lines)-3:])
 }
@@ -516,12 +519,12 @@
 	}
 	d.AttemptStarted(0, 0)
 	d.AttemptStarted(0, 0)
-	assert.Equal(t, 1, d.unstarted[0])
+	assert.Equal(t, 1, d.workers[0].unstarted)
 }
 
 // Guards against a load report out of all proportion, after which no worker elsewhere was tried for long.
 func TestLoadReportBelowNothingCountsAsNoSlotFree(t *testing.T) {
 	d, _ := newWarmBalancer(1, 1)
 	d.ReceiveLoadReport(0, []float64{-1e9})
-	assert.InDelta(t, 1-learningRate, d.freeSlotRatio, 1e-9)
+	assert.InDelta(t, 1-learningRate, d.slots.freeSlotRatio, 1e-9)
 }
--- a/internal/balancer/ended_test.go
+++ b/internal/balancer/ended_test.go
@@ -11,7 +11,7 @@
 	const inv = 0
 	d.RequestArrived(inv, Arrival{Operation: 0, Timeout: 20 * Second, SizeHint: 100})
 	d.RunDueRules()
-	w := d.requests[inv].attempts[0].worker
+	w := d.requests.byID[inv].attempts[0].worker
 	d.AttemptEnded(inv, 0, ConnectionRefused, false)
 	return w
 }
@@ -20,23 +20,23 @@
 func TestWorkerWhoseProcessWasSeenToEndIsColdFromWhenItIsHeardAgain(t *testing.T) {
 	d, _ := newWarmBalancer(1, 1)
 	w := refuse(d)
-	assert.Equal(t, d.initialWarmup, d.warmupFactor(w), "as cold as can be until it is heard")
-	assert.False(t, d.withinWarmupBudget(w, Work(4*d.initialWarmup*float64(d.warmupWindow))), "so much would push it over")
+	assert.Equal(t, d.config.initialWarmup, d.warmupFactor(w), "as cold as can be until it is heard")
+	assert.False(t, d.withinWarmupBudget(w, Work(4*d.config.initialWarmup*float64(d.config.warmupWindow))), "so much would push it over")
 	d.EndpointsUnavailable()
 	d.SetTime(d.now + 15*Second)
-	assert.Equal(t, d.initialWarmup, d.warmupFactor(w), "nobody knows when it was back")
+	assert.Equal(t, d.config.initialWarmup, d.warmupFactor(w), "nobody knows when it was back")
 	d.RequestArrived(1, Arrival{Operation: 0, Timeout: 20 * Second, SizeHint: 100})
 	d.RunDueRules()
 	d.AttemptStarted(1, 0)
-	assert.Equal(t, d.initialWarmup, d.warmupFactor(w))
-	d.SetTime(d.now + d.warmupDuration/2)
-	assert.InDelta(t, d.initialWarmup+(1-d.initialWarmup)/2, d.warmupFactor(w), 0.01, "it warms from then on")
+	assert.Equal(t, d.config.initialWarmup, d.warmupFactor(w))
+	d.SetTime(d.now + d.config.warmupDuration/2)
+	assert.InDelta(t, d.config.initialWarmup+(1-d.config.initialWarmup)/2, d.warmupFactor(w), 0.01, "it warms from then on")
 }
 
 func TestListThatIsFollowedTellsInTimeWhetherAProcessIsNew(t *testing.T) {
 	d, _ := newWarmBalancer(1, 1)
 	w := refuse(d)
-	d.SetTime(d.now + d.maxPollInterval - 1)
+	d.SetTime(d.now + d.config.maxPollInterval - 1)
 	assert.Less(t, d.warmupFactor(w), 1.0)
 	d.SetTime(d.now + 1)
 	assert.Equal(t, 1.0, d.warmupFactor(w), "it would have told by now")
@@ -44,18 +44,18 @@
 	d, _ = newWarmBalancer(1, 1)
 	w = refuse(d)
 	d.EndpointsUnavailable()
-	d.SetTime(d.now + 2*d.maxPollInterval)
+	d.SetTime(d.now + 2*d.config.maxPollInterval)
 	assert.Less(t, d.warmupFactor(w), 1.0, "nobody tells while no list is followed")
-	d.UpdateEndpoints([]Endpoint{{Worker: w, ID: "w0", StartedAt: d.now - d.warmupDuration/2}}, false, true)
-	assert.InDelta(t, d.initialWarmup+(1-d.initialWarmup)/2, d.warmupFactor(w), 0.01, "what the list tells is exact")
+	d.UpdateEndpoints([]Endpoint{{Worker: w, ID: "w0", StartedAt: d.now - d.config.warmupDuration/2}}, false, true)
+	assert.InDelta(t, d.config.initialWarmup+(1-d.config.initialWarmup)/2, d.warmupFactor(w), 0.01, "what the list tells is exact")
 }
 
 // Guards against a list that tells late of a start before the end that was seen.
 func TestStartBeforeTheEndThatWasSeenWarmsNobody(t *testing.T) {
 	d, _ := newWarmBalancer(1, 1)
 	w := refuse(d)
-	d.UpdateEndpoints([]Endpoint{{Worker: w, ID: "w0", StartedAt: d.now - d.warmupDuration/2}}, false, true)
-	assert.Equal(t, d.initialWarmup, d.warmupFactor(w))
+	d.UpdateEndpoints([]Endpoint{{Worker: w, ID: "w0", StartedAt: d.now - d.config.warmupDuration/2}}, false, true)
+	assert.Equal(t, d.config.initialWarmup, d.warmupFactor(w))
 }
 
 // Guards against a zone that has lost power while no list is to be had: only a part of it is met meanwhile.
@@ -65,13 +65,13 @@
 		d.RequestArrived(7, Arrival{Operation: 0, Timeout: 20 * Second, SizeHint: 100})
 		d.RunDueRules()
 		d.AttemptStarted(7, 0)
-		runs := d.requests[7].attempts[0].worker
+		runs := d.requests.byID[7].attempts[0].worker
 		if !followed {
 			d.EndpointsUnavailable()
 		}
 		gone := refuse(d)
 		for w := range WorkerID(8) {
-			doubted := w == gone || !followed && d.workerZone[w] == d.workerZone[gone] && w != runs
+			doubted := w == gone || !followed && d.workers[w].zone == d.workers[gone].zone && w != runs
 			assert.Equal(t, doubted, d.warmupFactor(w) < 1, "worker %d, followed %v", w, followed)
 		}
 	}
@@ -80,7 +80,7 @@
 // lonelyDispatcher goes by a list from before its start, and has called for another one in vain.
 func lonelyDispatcher() *Balancer {
 	d, _ := newWarmBalancer(4, 1)
-	d.gossip, d.answered, d.watching = true, false, false
+	d.config.gossip, d.discovery.answered, d.discovery.watching = true, false, false
 	d.EndpointsUnavailable()
 	return d
 }
@@ -101,7 +101,7 @@
 		d = lonelyDispatcher()
 		d.RequestArrived(0, Arrival{Operation: 0, Timeout: 20 * Second, SizeHint: hint})
 		d.RunDueRules()
-		w := d.requests[0].attempts[0].worker
+		w := d.requests.byID[0].attempts[0].worker
 		d.AttemptStarted(0, 0)
 		d.SetTime(d.now + Time(took*float64(hint)))
 		d.AttemptEnded(0, 0, Succeeded, true)
--- a/internal/balancer/facade.go
+++ b/internal/balancer/facade.go
@@ -299,9 +299,9 @@
 func (f *Picker) StopAfter(within Time) {
 	f.update(func(d *Balancer) {
 		f.stopAt = min(f.stopAt, d.now+within)
-		for inv := range d.open.newestFirst() {
-			d.requests[inv].deadline = min(d.requests[inv].deadline, f.stopAt-d.margin)
-			d.reviewAt = min(d.reviewAt, d.requests[inv].deadline)
+		for inv := range d.requests.newestFirst() {
+			d.requests.byID[inv].deadline = min(d.requests.byID[inv].deadline, f.stopAt-d.config.margin)
+			d.due.reviewAt = min(d.due.reviewAt, d.requests.byID[inv].deadline)
 		}
 	})
 }
@@ -320,7 +320,7 @@
 	defer f.mu.Unlock()
 	size := Work(float64(l.SizeHint) * max(l.Slots, 1))
 	if size == 0 {
-		size = f.balancer.median
+		size = f.balancer.sizes.median
 	}
 	return float64(size) > stopConfidence*float64(f.stopAt-f.clock())
 }
@@ -331,12 +331,12 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	d, now := f.balancer, f.clock()
-	for _, w := range d.ring {
-		if d.state[w] == Healthy && (d.consecutiveFailures[w] > 0 && now < d.probeAfter[w] || now < d.zoneEjectedUntil[d.workerZone[w]]) {
+	for _, w := range d.subsetting.ring {
+		if d.workers[w].state == Healthy && (d.workers[w].consecutiveFailures > 0 && now < d.workers[w].probeAfter || now < d.zones[d.workers[w].zone].ejectedUntil) {
 			avoided++
 		}
 	}
-	return len(d.ring), avoided
+	return len(d.subsetting.ring), avoided
 }
 
 // AwaitPoll blocks until the list should be asked for.
@@ -398,14 +398,14 @@
 // it told was cut, the wait begins anew: it is not overloaded, and what it has to tell counts as told.
 func (f *Picker) ReportWatchEnded(how WatchEnd) {
 	f.update(func(d *Balancer) {
-		if d.consecutiveBusy++; how != WatchRejected {
-			d.consecutiveBusy = 0
+		if d.discovery.consecutiveBusy++; how != WatchRejected {
+			d.discovery.consecutiveBusy = 0
 		}
-		if d.retrySpeedup = 1; how == WatchSilent {
-			d.retrySpeedup = 2
+		if d.discovery.retrySpeedup = 1; how == WatchSilent {
+			d.discovery.retrySpeedup = 2
 		}
 		if how == WatchSilent || how == WatchCut {
-			d.failedPolls = 0
+			d.discovery.failedPolls = 0
 		}
 		select {
 		case <-f.pollDue:
@@ -418,19 +418,21 @@
 // ReportFirstPollSlow tells that the first call for the list has not been answered for a while: what is known of workers
 // from before the start has to do.
 func (f *Picker) ReportFirstPollSlow() {
-	f.update(func(d *Balancer) { d.endpointsStale, d.capacityChanged = false, true })
+	f.update(func(d *Balancer) { d.discovery.endpointsStale, d.due.capacityChanged = false, true })
 }
 
 // ReportDiscoveryMoved tells that the list is to be had elsewhere from now on: it is asked for at once, however
 // long the wait was to be after calls to the old place.
 func (f *Picker) ReportDiscoveryMoved() {
-	f.update(func(d *Balancer) { d.watching, d.failedPolls, d.nextPoll = false, 0, d.now })
+	f.update(func(d *Balancer) {
+		d.discovery.watching, d.discovery.failedPolls, d.discovery.nextPoll = false, 0, d.now
+	})
 }
 
 // ReceiveLoad takes what a peer tells of a worker. One whose list is on its way to the rules is not known yet.
 func (f *Picker) ReceiveLoad(from PeerID, l Load) {
 	f.update(func(d *Balancer) {
-		if int(l.Worker) < len(d.hash) {
+		if int(l.Worker) < len(d.workers) {
 			d.ReceiveLoad(from, l)
 		}
 	})
@@ -441,10 +443,10 @@
 func (f *Picker) ReceivePeerStarted(from PeerID) {
 	f.update(func(d *Balancer) {
 		d.recordPeerAge(from, true)
-		for _, w := range d.ring {
+		for _, w := range d.subsetting.ring {
 			d.ReceiveLoad(from, Load{Worker: w})
-			if d.inFlight[w] > 0 {
-				d.sentLoad[w] = -1
+			if d.workers[w].inFlight > 0 {
+				d.workers[w].sentLoad = -1
 				d.markLoadChanged(w)
 			}
 		}
@@ -455,21 +457,21 @@
 func (f *Picker) Isolated() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return !f.balancer.answered && !slices.Contains(f.balancer.seniorPeers, true)
+	return !f.balancer.discovery.answered && !slices.Contains(f.balancer.gossip.seniorPeers, true)
 }
 
 // gossipPeers are the dispatchers that tell this one of a worker, or are told; all while no list is known.
 func (f *Picker) gossipPeers() (peers []PeerID) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	d, seen := f.balancer, make([]bool, f.balancer.dispatchers)
-	for _, w := range d.subsets[bothIntervals] {
+	d, seen := f.balancer, make([]bool, f.balancer.config.dispatchers)
+	for _, w := range d.subsetting.subsets[bothIntervals].workers {
 		for p := range d.subsetPeers(w) {
 			seen[p] = true
 		}
 	}
 	for p := range seen {
-		if p != d.position && (seen[p] || len(d.subsets[bothIntervals]) == 0) {
+		if p != d.config.position && (seen[p] || len(d.subsetting.subsets[bothIntervals].workers) == 0) {
 			peers = append(peers, PeerID(p))
 		}
 	}
@@ -500,21 +502,21 @@
 		}
 	}
 	ctx := t.beginAttempt(until)
-	repeat := l.picker.balancer.operations[l.picker.balancer.requests[inv].operation].idempotency
+	repeat := l.picker.balancer.operations.byID[l.picker.balancer.requests.byID[inv].operation].idempotency
 	t.push(Decision{Action: SendAttempt, Worker: tgt, Attempt: len(t.cancels) - 1, Ctx: ctx, Idempotency: repeat, SendBy: l.picker.sendBy(inv)})
 }
 
 // sendBy is when the retry window closes for the invocation's last forward, zero where none does. It guards
 // against a repeat that is decided on within the window, and sent behind it, as its connection came up late.
 func (f *Picker) sendBy(inv RequestID) (closes time.Time) {
-	i := &f.balancer.requests[inv]
-	o := &f.balancer.operations[i.operation]
+	i := &f.balancer.requests.byID[inv]
+	o := &f.balancer.operations.byID[i.operation]
 	if o.idempotency != IdempotentByKey {
 		return closes
 	}
 	for _, earlier := range i.attempts[:len(i.attempts)-1] { // the first one was sent first
 		if earlier.inFlight || earlier.mayHaveRun {
-			left := earlier.sentAt + o.dedupWindow - f.balancer.margin - f.balancer.now
+			left := earlier.sentAt + o.dedupWindow - f.balancer.config.margin - f.balancer.now
 			return time.Now().Add(left.Duration())
 		}
 	}
--- a/internal/balancer/facade_bench_test.go
+++ b/internal/balancer/facade_bench_test.go
@@ -28,8 +28,8 @@
 // of those comes to its time while the clock stands still.
 func facadeWithOpen(b *testing.B, workers, open int) *Picker {
 	f, _ := facadeOf(testConfig, workers)
-	f.balancer.slots[0] = float64(open + 8)
-	f.balancer.maxObserved[0] = f.balancer.slots[0]
+	f.balancer.slots.kinds[0].estimate = float64(open + 8)
+	f.balancer.slots.kinds[0].maxObserved = f.balancer.slots.kinds[0].estimate
 	for range workers * open {
 		t := f.Submit(Arrival{Timeout: 1000 * Second, SizeHint: 100})
 		c, err := t.Pick(context.Background())
@@ -70,7 +70,7 @@
 // held.
 func BenchmarkLandingBesideHeld(b *testing.B) {
 	f := facadeWithOpen(b, 256, 8)
-	f.balancer.slots[0] = 8
+	f.balancer.slots.kinds[0].estimate = 8
 	for n := range 10000 {
 		f.Submit(Arrival{Timeout: 1000 * Second, SizeHint: Work(100 + n%50)})
 	}
--- a/internal/balancer/facade_test.go
+++ b/internal/balancer/facade_test.go
@@ -96,7 +96,7 @@
 				assert.Zero(t, choice.SendBy)
 				return
 			}
-			left := (c.left - f.balancer.margin).Duration()
+			left := (c.left - f.balancer.config.margin).Duration()
 			assert.WithinRange(t, choice.SendBy, before.Add(left), time.Now().Add(left))
 		})
 	}
@@ -122,7 +122,7 @@
 	ticket := f.Submit(Arrival{Timeout: 3 * Second})
 	ticket.clientLeft()
 	assert.Equal(t, 0, f.OpenRequests())
-	assert.Equal(t, 0, f.balancer.inFlight[0]+f.balancer.inFlight[1])
+	assert.Equal(t, 0, f.balancer.workers[0].inFlight+f.balancer.workers[1].inFlight)
 }
 
 // Guards against a forward that goes out after the answer, where forwards may not be called off.
@@ -199,7 +199,7 @@
 	cancel()
 	assert.NoError(t, <-ended)
 	assert.Equal(t, 0, f.OpenRequests())
-	assert.Zero(t, f.balancer.inFlight[0]+f.balancer.inFlight[1]+f.balancer.inFlight[2]+f.balancer.inFlight[3], "nothing is left out")
+	assert.Zero(t, f.balancer.workers[0].inFlight+f.balancer.workers[1].inFlight+f.balancer.workers[2].inFlight+f.balancer.workers[3].inFlight, "nothing is left out")
 }
 
 // Guards against a crash: a peer may tell of a worker whose list is still on its way to the rules.
@@ -256,7 +256,7 @@
 	assert.NoError(t, err)
 	f.ReceiveLoad(1, Load{Worker: 0, InFlight: 3})
 	f.ReceivePeerStarted(1)
-	assert.Equal(t, 0, f.balancer.peerInFlight[0])
+	assert.Equal(t, 0, f.balancer.workers[0].peerInFlight)
 	*now += Second
 	f.update(func(*Balancer) {})
 	news, err := f.NextLoadUpdates(context.Background())
--- a/internal/balancer/hand.go
+++ b/internal/balancer/hand.go
@@ -46,12 +46,12 @@
 		if t.closed || t.inFlight != out || sends {
 			return
 		}
-		i := &d.requests[t.id]
-		o := &d.operations[i.operation]
+		i := &d.requests.byID[t.id]
+		o := &d.operations.byID[i.operation]
 		ok = true
 		a = MigratedRequest{
 			o.name, o.latencyObjective, o.dedupWindow, o.retryAfter, o.value, o.slack, o.lateShare, o.idempotency, o.dedupScope, o.kind, t.deadline,
-			i.latestStart, i.size, i.quotaWeight, i.spentElsewhere, d.maxAttempts, nil,
+			i.latestStart, i.size, i.quotaWeight, i.spentElsewhere, d.config.maxAttempts, nil,
 		}
 		for _, f := range i.attempts {
 			a.Attempts = append(a.Attempts, MigratedAttempt{f.worker, f.sentAt, f.startedAt, f.inFlight, f.mayHaveRun})
@@ -90,18 +90,18 @@
 }
 
 func (d *Balancer) importRequest(inv RequestID, a MigratedRequest) {
-	d.requests = append(d.requests, make([]request, max(0, int(inv)+1-len(d.requests)))...)
+	d.requests.byID = append(d.requests.byID, make([]request, max(0, int(inv)+1-len(d.requests.byID)))...)
 	op := d.operationNumber(a.operation())
 	grace := Time(time.Until(a.Deadline) / (time.Second / Second))
-	i := &d.requests[inv]
+	i := &d.requests.byID[inv]
 	*i = request{
-		operation: op, deadline: d.now + grace - d.margin, latestStart: a.LatestStart, size: a.Size, quotaWeight: a.QuotaWeight,
+		operation: op, deadline: d.now + grace - d.config.margin, latestStart: a.LatestStart, size: a.Size, quotaWeight: a.QuotaWeight,
 		attempts: i.attempts[:0], interval: bothIntervals,
 	}
 	i.latestWaitedStart, i.late = d.latestWaitedStart(op, a.LatestStart), d.now > a.LatestStart
-	i.spentElsewhere = d.maxAttempts - min(a.MaxAttempts-a.SpentElsewhere, d.maxAttempts)
-	if len(d.cutPoints) > 0 {
-		i.interval, _ = slices.BinarySearch(d.cutPoints, i.size+1)
+	i.spentElsewhere = d.config.maxAttempts - min(a.MaxAttempts-a.SpentElsewhere, d.config.maxAttempts)
+	if len(d.sizes.cutPoints) > 0 {
+		i.interval, _ = slices.BinarySearch(d.sizes.cutPoints, i.size+1)
 	}
 	d.addOpenRequest(inv)
 	for _, f := range a.Attempts {
@@ -112,15 +112,15 @@
 		}
 		i.inFlight++
 		d.addInFlight(f.Worker, 1)
-		if d.startNotices && f.StartedAt == 0 {
-			d.unstarted[f.Worker]++
+		if d.config.startNotices && f.StartedAt == 0 {
+			d.workers[f.Worker].unstarted++
 		}
 		d.markLoadChanged(f.Worker)
 	}
 	if i.inFlight == 0 {
 		d.enqueue(inv)
 	}
-	d.capacityChanged, d.reviewAt = true, min(d.reviewAt, d.now+d.patience, i.deadline)
+	d.due.capacityChanged, d.due.reviewAt = true, min(d.due.reviewAt, d.now+d.config.patience, i.deadline)
 }
 
 // operation is the one that it landed with.
--- a/internal/balancer/hand_test.go
+++ b/internal/balancer/hand_test.go
@@ -66,7 +66,7 @@
 	terms.Operations = append(terms.Operations, OperationConfig{Name: "fresh", LatencyObjective: Second, Kind: -1})
 	numbers := s.Reconfigure(terms).Operations
 	for _, f := range s.pickers {
-		assert.Equal(t, "fresh", f.balancer.operations[numbers[len(numbers)-1]].name)
+		assert.Equal(t, "fresh", f.balancer.operations.byID[numbers[len(numbers)-1]].name)
 	}
 }
 
@@ -95,7 +95,7 @@
 	assert.Equal(t, 1, f.balancer.load(c.Worker))
 	f.AddRecentSends([]RecentSend{{1, 500}, {99, 1}})
 	assert.Empty(t, f.RecentSendsSince(0), "what it sent is not ours to tell")
-	assert.Equal(t, Work(500), f.balancer.sends[1][len(f.balancer.sends[1])-1].work)
+	assert.Equal(t, Work(500), f.balancer.workers[1].sends[len(f.balancer.workers[1].sends)-1].work)
 }
 
 // Guards against a successor that begins with nothing: eight slots believed, and every failure to be found
@@ -105,15 +105,15 @@
 	terms.ReportFree, terms.Gossip = -1, true
 	old, now := facadeOf(terms, 4)
 	old.update(func(d *Balancer) {
-		d.votes[0], d.maxObserved[0] = []int{0, 2, 2, 5, -9, -9}, 3
+		d.slots.kinds[0].votes, d.slots.kinds[0].maxObserved = []int{0, 2, 2, 5, -9, -9}, 3
 		d.setSlots(0, 3)
-		d.consecutiveFailures[2], d.probeAfter[2], d.zoneEjectedUntil[1], d.zoneFailures[1] = 2, d.now+Second, d.now+Second, 4
+		d.workers[2].consecutiveFailures, d.workers[2].probeAfter, d.zones[1].ejectedUntil, d.zones[1].failures = 2, d.now+Second, d.now+Second, 4
 		for n := range 60 {
 			d.observeSize(Work(100 + n))
 		}
 		d.ReceiveLoad(1, Load{3, 2})
 		d.quotaWeight(0)
-		d.operations[1].requestedWork, d.operations[1].longestTimeout = 700, 9*Second
+		d.operations.byID[1].requestedWork, d.operations.byID[1].longestTimeout = 700, 9*Second
 	})
 	next, at := facadeOf(terms, 4)
 	*at = *now
@@ -121,17 +121,30 @@
 	d, was := next.balancer, old.balancer
 	for _, pair := range [][2]any{
 		{was.slots, d.slots},
-		{was.votes, d.votes},
-		{was.consecutiveFailures, d.consecutiveFailures},
-		{was.probeAfter, d.probeAfter},
-		{was.zoneEjectedUntil, d.zoneEjectedUntil},
-		{was.sample, d.sample},
-		{was.tenantUsage, d.tenantUsage},
-		{was.operations, d.operations},
-		{was.peerInFlight, d.peerInFlight},
+		{failures(was), failures(d)},
+		{was.zones, d.zones},
+		{was.sizes.sample, d.sizes.sample},
+		{was.quotas.tenants[0].usage, d.quotas.tenants[0].usage},
+		{was.operations.byID, d.operations.byID},
+		{peersInFlight(was), peersInFlight(d)},
 	} {
 		assert.Equal(t, fmt.Sprint(pair[0]), fmt.Sprint(pair[1]))
 	}
 	_, avoided := next.WorkerCounts()
 	assert.Equal(t, 3, avoided, "one that failed, and two in a zone that is taken for lost")
 }
+
+// failures are the failures in a row at each worker, and when it is tried again.
+func failures(d *Balancer) (all [][2]int) {
+	for _, w := range d.workers {
+		all = append(all, [2]int{w.consecutiveFailures, int(w.probeAfter)})
+	}
+	return all
+}
+
+func peersInFlight(d *Balancer) (all []int) {
+	for _, w := range d.workers {
+		all = append(all, w.peerInFlight)
+	}
+	return all
+}
--- a/internal/balancer/instances_test.go
+++ b/internal/balancer/instances_test.go
@@ -28,13 +28,13 @@
 	terms.Gossip = true
 	s := instancesOf(terms, 3, 4)
 	for j, f := range s.pickers {
-		assert.Equal(t, []int{6, 3 + j}, []int{f.balancer.dispatchers, f.balancer.position})
-		assert.Equal(t, 1.0/6, f.balancer.dispatcherShare, "budgets and shares are cut into as many parts")
-		assert.True(t, f.balancer.gossip)
+		assert.Equal(t, []int{6, 3 + j}, []int{f.balancer.config.dispatchers, f.balancer.config.position})
+		assert.Equal(t, 1.0/6, f.balancer.config.dispatcherShare, "budgets and shares are cut into as many parts")
+		assert.True(t, f.balancer.config.gossip)
 	}
 	alone := instancesOf(testConfig, 1, 4)
-	assert.Equal(t, []int{2, 1}, []int{alone.pickers[0].balancer.dispatchers, alone.pickers[0].balancer.position})
-	assert.False(t, alone.pickers[0].balancer.gossip, "one instance is as it was")
+	assert.Equal(t, []int{2, 1}, []int{alone.pickers[0].balancer.config.dispatchers, alone.pickers[0].balancer.config.position})
+	assert.False(t, alone.pickers[0].balancer.config.gossip, "one instance is as it was")
 	for range 6 {
 		s.Submit(Arrival{Timeout: 3 * Second})
 	}
@@ -55,8 +55,8 @@
 		ctx, cancel := context.WithTimeout(context.Background(), 200*time.Millisecond)
 		news, err := s.NextLoadUpdates(ctx, 0)
 		cancel()
-		assert.Equal(t, 1, s.pickers[1].balancer.peerInFlight[c.Worker], "heard within the process")
-		assert.Equal(t, 0, s.pickers[0].balancer.peerInFlight[c.Worker], "not by the one that told")
+		assert.Equal(t, 1, s.pickers[1].balancer.workers[c.Worker].peerInFlight, "heard within the process")
+		assert.Equal(t, 0, s.pickers[0].balancer.workers[c.Worker].peerInFlight, "not by the one that told")
 		if !outside {
 			assert.Error(t, err, "nothing may leave the process")
 			continue
@@ -73,7 +73,7 @@
 	terms.PollEndpoints = true
 	s := instancesOf(terms, 3, 1)
 	for _, f := range s.pickers {
-		f.update(func(d *Balancer) { d.nextPoll = 0 }) // their turn has come
+		f.update(func(d *Balancer) { d.discovery.nextPoll = 0 }) // their turn has come
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
 	defer cancel()
@@ -81,8 +81,8 @@
 	assert.Error(t, s.AwaitPoll(ctx), "the others want it by the same call")
 	s.UpdateEndpoints([]Endpoint{{Worker: 0, ID: "w0", State: Draining}}, true, false)
 	for _, f := range s.pickers {
-		assert.True(t, f.balancer.watching)
-		assert.Equal(t, Draining, f.balancer.state[0], "a drain holds for all")
+		assert.True(t, f.balancer.discovery.watching)
+		assert.Equal(t, Draining, f.balancer.workers[0].state, "a drain holds for all")
 	}
 }
 
@@ -136,8 +136,8 @@
 		near := s.GossipPeers()
 		assert.Less(t, len(near), 30)
 		d := s.pickers[0].balancer
-		for _, w := range d.subsets[bothIntervals] {
-			for p := d.subsetPeerRange[w][0]; p < d.subsetPeerRange[w][1]; p++ {
+		for _, w := range d.subsetting.subsets[bothIntervals].workers {
+			for p := d.workers[w].subsetPeerRange[0]; p < d.workers[w].subsetPeerRange[1]; p++ {
 				if p%80 != n {
 					assert.Contains(t, near, p%80, "told of worker %d", w)
 				}
--- a/internal/balancer/landed.go
+++ b/internal/balancer/landed.go
@@ -8,6 +8,7 @@
 // openRequests keeps the invocations that are open in the order in which they landed. One that is over leaves a gap, and
 // the gaps are closed once they are more than half: an end costs the same whatever is open beside it.
 type openRequests struct {
+	byID []request
 	ids  []RequestID // with gaps
 	live int
 }
@@ -18,20 +19,20 @@
 const minGaps = 64
 
 func (d *Balancer) addOpenRequest(inv RequestID) {
-	o := &d.open
+	o := &d.requests
 	if len(o.ids) > 2*o.live+minGaps {
 		o.ids = slices.DeleteFunc(o.ids, func(inv RequestID) bool { return inv == closedGap })
 		for n, inv := range o.ids {
-			d.requests[inv].openIndex = n
+			d.requests.byID[inv].openIndex = n
 		}
 	}
-	d.requests[inv].openIndex = len(o.ids)
+	d.requests.byID[inv].openIndex = len(o.ids)
 	o.ids, o.live = append(o.ids, inv), o.live+1
 }
 
 func (d *Balancer) removeOpenRequest(inv RequestID) {
-	d.open.ids[d.requests[inv].openIndex] = closedGap
-	d.open.live--
+	d.requests.ids[d.requests.byID[inv].openIndex] = closedGap
+	d.requests.live--
 }
 
 // newestFirst goes through what is open, the latest landed first. What is gone through may end meanwhile.
@@ -47,6 +48,6 @@
 
 // dequeue takes an invocation out of those that wait for a worker.
 func (d *Balancer) dequeue(inv RequestID) {
-	n := slices.Index(d.pending, inv)
-	d.pending, d.requests[inv].queued = slices.Delete(d.pending, n, n+1), false
+	n := slices.Index(d.pending.ids, inv)
+	d.pending.ids, d.requests.byID[inv].queued = slices.Delete(d.pending.ids, n, n+1), false
 }
--- a/internal/balancer/legacy.go
+++ b/internal/balancer/legacy.go
@@ -80,30 +80,30 @@
 	defer f.mu.Unlock()
 	d := f.balancer
 	l := Snapshot{
-		Sample: append([]Work(nil), d.sample...), Sampled: d.sampled, TotalValue: d.totalValue, FreeSlotRatio: d.freeSlotRatio,
-		UnheardNotBefore: d.unheardNotBefore, Arrivals: d.arrivals,
+		Sample: append([]Work(nil), d.sizes.sample...), Sampled: d.sizes.sampled, TotalValue: d.operations.totalValue, FreeSlotRatio: d.slots.freeSlotRatio,
+		UnheardNotBefore: d.gossip.unheardNotBefore, Arrivals: d.loadProbes.arrivals,
 	}
-	for _, o := range d.operations {
+	for _, o := range d.operations.byID {
 		l.Operations = append(l.Operations, OperationStats{
 			o.name, o.longestTimeout, o.meanSize, o.requestedWork, o.lostWork, o.arrivals,
 			o.meanRun, o.runs,
 		})
 	}
-	for c := range d.tenantUsage {
-		l.Tenants = append(l.Tenants, TenantStats{d.tenantUsage[c], d.tenantUsageAt[c]})
+	for c := range d.quotas.tenants {
+		l.Tenants = append(l.Tenants, TenantStats{d.quotas.tenants[c].usage, d.quotas.tenants[c].usageAt})
 	}
-	for k := range d.slots {
-		l.Kinds = append(l.Kinds, KindStats{d.slots[k], d.maxObserved[k], append([]int(nil), d.votes[k]...)})
+	for k := range d.slots.kinds {
+		l.Kinds = append(l.Kinds, KindStats{d.slots.kinds[k].estimate, d.slots.kinds[k].maxObserved, append([]int(nil), d.slots.kinds[k].votes...)})
 	}
-	for z := range d.zoneFailures {
-		l.Zones = append(l.Zones, ZoneStats{d.zoneFailures[z], d.zoneEjectedUntil[z]})
+	for z := range d.zones {
+		l.Zones = append(l.Zones, ZoneStats{d.zones[z].failures, d.zones[z].ejectedUntil})
 	}
-	for w := range d.hash {
-		learnt := WorkerStats{ConsecutiveFailures: d.consecutiveFailures[w], PossiblyExecuted: d.possiblyExecuted[w], ProbeAfter: d.probeAfter[w], NotBefore: d.notBefore[w]}
-		for _, h := range d.peerLoads[w] {
+	for w := range d.workers {
+		learnt := WorkerStats{ConsecutiveFailures: d.workers[w].consecutiveFailures, PossiblyExecuted: d.workers[w].possiblyExecuted, ProbeAfter: d.workers[w].probeAfter, NotBefore: d.workers[w].notBefore}
+		for _, h := range d.workers[w].peerLoads {
 			learnt.PeerLoads = append(learnt.PeerLoads, PeerLoad{h.from, h.inFlight, h.receivedAt})
 		}
-		for _, s := range d.sends[w] {
+		for _, s := range d.workers[w].sends {
 			learnt.Sends = append(learnt.Sends, SentWork{s.sentAt, s.work})
 		}
 		l.Workers = append(l.Workers, learnt)
@@ -118,46 +118,46 @@
 }
 
 func (d *Balancer) restore(l Snapshot) {
-	d.sample, d.sampled, d.totalValue, d.freeSlotRatio = l.Sample, l.Sampled, l.TotalValue, l.FreeSlotRatio
-	d.unheardNotBefore, d.arrivals, d.probeAt = l.UnheardNotBefore, l.Arrivals, l.Arrivals
-	if len(d.sample) > 0 {
+	d.sizes.sample, d.sizes.sampled, d.operations.totalValue, d.slots.freeSlotRatio = l.Sample, l.Sampled, l.TotalValue, l.FreeSlotRatio
+	d.gossip.unheardNotBefore, d.loadProbes.arrivals, d.loadProbes.nextAt = l.UnheardNotBefore, l.Arrivals, l.Arrivals
+	if len(d.sizes.sample) > 0 {
 		d.updateCutPoints()
 	}
 	for _, was := range l.Operations { // of one with other terms before, the last
-		o := slices.IndexFunc(d.operations, func(o operation) bool { return o.name == was.Name })
+		o := slices.IndexFunc(d.operations.byID, func(o operation) bool { return o.name == was.Name })
 		if o < 0 {
 			continue
 		}
-		op := &d.operations[o]
+		op := &d.operations.byID[o]
 		op.longestTimeout, op.meanSize, op.requestedWork, op.lostWork, op.arrivals = was.LongestTimeout, was.MeanSize, was.RequestedWork, was.LostWork, was.Arrivals
 		op.meanRun, op.runs = was.MeanRun, was.Runs
 	}
-	for c := range d.tenantUsage[:min(len(d.tenantUsage), len(l.Tenants))] {
-		d.tenantUsage[c], d.tenantUsageAt[c] = l.Tenants[c].Usage, l.Tenants[c].At
+	for c := range d.quotas.tenants[:min(len(d.quotas.tenants), len(l.Tenants))] {
+		d.quotas.tenants[c].usage, d.quotas.tenants[c].usageAt = l.Tenants[c].Usage, l.Tenants[c].At
 	}
-	for k := range d.slots[:min(len(d.slots), len(l.Kinds))] {
+	for k := range d.slots.kinds[:min(len(d.slots.kinds), len(l.Kinds))] {
 		if was := l.Kinds[k]; was.Slots > 0 {
-			d.votes[k], d.maxObserved[k] = was.Votes, was.MaxObserved
+			d.slots.kinds[k].votes, d.slots.kinds[k].maxObserved = was.Votes, was.MaxObserved
 			d.setSlots(KindID(k), was.Slots)
 		}
 	}
-	for z := range d.zoneFailures[:min(len(d.zoneFailures), len(l.Zones))] {
-		d.zoneFailures[z], d.zoneEjectedUntil[z] = l.Zones[z].Failures, l.Zones[z].EjectedUntil
+	for z := range d.zones[:min(len(d.zones), len(l.Zones))] {
+		d.zones[z].failures, d.zones[z].ejectedUntil = l.Zones[z].Failures, l.Zones[z].EjectedUntil
 	}
-	for w := range d.hash[:min(len(d.hash), len(l.Workers))] {
+	for w := range d.workers[:min(len(d.workers), len(l.Workers))] {
 		d.restoreWorker(WorkerID(w), l.Workers[w])
 	}
 }
 
 func (d *Balancer) restoreWorker(w WorkerID, was WorkerStats) {
-	d.consecutiveFailures[w], d.probeAfter[w], d.notBefore[w] = was.ConsecutiveFailures, was.ProbeAfter, was.NotBefore
-	d.possiblyExecuted[w] = was.PossiblyExecuted
+	d.workers[w].consecutiveFailures, d.workers[w].probeAfter, d.workers[w].notBefore = was.ConsecutiveFailures, was.ProbeAfter, was.NotBefore
+	d.workers[w].possiblyExecuted = was.PossiblyExecuted
 	for _, h := range was.PeerLoads {
 		d.ReceiveLoad(h.From, Load{w, h.InFlight})
-		d.peerLoads[w][len(d.peerLoads[w])-1].receivedAt = h.ReceivedAt
+		d.workers[w].peerLoads[len(d.workers[w].peerLoads)-1].receivedAt = h.ReceivedAt
 	}
 	for _, s := range was.Sends {
-		d.sends[w] = append(d.sends[w], send{sentAt: s.At, work: s.Work, bySibling: true})
+		d.workers[w].sends = append(d.workers[w].sends, send{sentAt: s.At, work: s.Work, bySibling: true})
 	}
 }
 
@@ -193,7 +193,7 @@
 	}
 	for n, f := range s.pickers {
 		f.Restore(all[n])
-		f.update(func(d *Balancer) { d.endpointsStale = false }) // the list is the predecessor's, who follows it
+		f.update(func(d *Balancer) { d.discovery.endpointsStale = false }) // the list is the predecessor's, who follows it
 	}
 	return true
 }
--- a/internal/balancer/retune.go
+++ b/internal/balancer/retune.go
@@ -18,31 +18,26 @@
 // after the new ones is booked where it belongs. Fewer forwards bind at once. What says who and where this
 // dispatcher is among the others, and what workers tell, stays as it was at the start.
 func (d *Balancer) Reconfigure(t Config) (numbers AssignedIDs) {
-	t.Dispatchers, t.Position, t.Gossip = d.dispatchers, d.position, d.gossip
-	fresh := New(t, d.seed, d.effects)
+	t.Dispatchers, t.Position, t.Gossip = d.config.dispatchers, d.config.position, d.config.gossip
+	fresh := New(t, d.random.seed, d.effects)
 	for n := range t.Operations {
-		numbers.Operations = append(numbers.Operations, d.operationNumber(fresh.operations[n]))
+		numbers.Operations = append(numbers.Operations, d.operationNumber(fresh.operations.byID[n]))
 	}
-	for n, name := range fresh.tenants {
-		numbers.Tenants = append(numbers.Tenants, d.tenantNumber(name, fresh.quota[n]))
+	for _, c := range fresh.quotas.tenants {
+		numbers.Tenants = append(numbers.Tenants, d.tenantNumber(c.name, c.quota))
 	}
-	d.initialWarmup, d.overloadFactor, d.warmupDuration, d.warmupWindow = fresh.initialWarmup, fresh.overloadFactor, fresh.warmupDuration, fresh.warmupWindow
-	d.warmupUnit, d.overQuotaShare, d.crossZoneCost = fresh.warmupUnit, fresh.overQuotaShare, fresh.crossZoneCost
-	d.valuePerRequest, d.worstOperationWeight = fresh.valuePerRequest, fresh.worstOperationWeight
-	d.margin, d.maxPollInterval, d.pollSpread, d.patience = fresh.margin, fresh.maxPollInterval, fresh.pollSpread, fresh.patience
-	d.cancellation, d.hedging = fresh.cancellation, fresh.hedging
-	d.firstPollSpread, d.maxRetryPoll = fresh.firstPollSpread, fresh.maxRetryPoll
-	d.probes, d.subsetSize = fresh.probes, fresh.subsetSize
+	was := d.config.maxAttempts
+	next := fresh.config
+	next.keepStartupFigures(&d.config)
+	d.config = next
 	d.updateSubsets()
-	d.capacityChanged, d.reviewAt = true, d.now
-	was := d.maxAttempts
-	d.maxAttempts = fresh.maxAttempts
-	for inv := range d.open.newestFirst() {
-		i := &d.requests[inv]
-		i.spentElsewhere = d.maxAttempts - min(was-i.spentElsewhere, d.maxAttempts)
+	d.due.capacityChanged, d.due.reviewAt = true, d.now
+	for inv := range d.requests.newestFirst() {
+		i := &d.requests.byID[inv]
+		i.spentElsewhere = d.config.maxAttempts - min(was-i.spentElsewhere, d.config.maxAttempts)
 		// No forward may be left to it.
-		able := func(w WorkerID) bool { return d.state[w] == Healthy && d.mayAttempt(i, w) }
-		if len(i.attempts) > 0 && i.inFlight == 0 && !slices.ContainsFunc(d.ring, able) {
+		able := func(w WorkerID) bool { return d.workers[w].state == Healthy && d.mayAttempt(i, w) }
+		if len(i.attempts) > 0 && i.inFlight == 0 && !slices.ContainsFunc(d.subsetting.ring, able) {
 			d.rejectOrFail(inv)
 		}
 	}
@@ -52,13 +47,12 @@
 
 // tenantNumber gives a customer its quota, and a number if it has none yet.
 func (d *Balancer) tenantNumber(name string, quota float64) TenantID {
-	n := slices.Index(d.tenants, name)
+	n := slices.IndexFunc(d.quotas.tenants, func(c tenant) bool { return c.name == name })
 	if n < 0 {
-		n = len(d.tenants)
-		d.tenants, d.quota = append(d.tenants, name), append(d.quota, 0)
-		d.tenantUsage, d.tenantUsageAt = append(d.tenantUsage, 0), append(d.tenantUsageAt, 0)
+		n = len(d.quotas.tenants)
+		d.quotas.tenants = append(d.quotas.tenants, tenant{name: name})
 	}
-	d.quota[n] = quota
+	d.quotas.tenants[n].quota = quota
 	return TenantID(n)
 }
 
@@ -67,23 +61,23 @@
 // numbers.
 func (d *Balancer) operationNumber(o operation) OperationID {
 	latest := -1
-	for n := range d.operations {
-		if d.operations[n].name != o.name {
+	for n := range d.operations.byID {
+		if d.operations.byID[n].name != o.name {
 			continue
 		}
-		if d.operations[n].sameConfig(&o) {
+		if d.operations.byID[n].sameConfig(&o) {
 			return OperationID(n)
 		}
 		latest = n
 	}
 	if latest >= 0 {
-		was := &d.operations[latest]
+		was := &d.operations.byID[latest]
 		o.longestTimeout, o.meanSize, o.valueDensity, o.requestedWork, o.lostWork, o.arrivals = was.longestTimeout, was.meanSize, was.valueDensity, was.requestedWork,
 			was.lostWork, was.arrivals
 		o.meanRun, o.runs = was.meanRun, was.runs
 	}
-	d.operations = append(d.operations, o)
-	return OperationID(len(d.operations) - 1)
+	d.operations.byID = append(d.operations.byID, o)
+	return OperationID(len(d.operations.byID) - 1)
 }
 
 func (o *operation) sameConfig(b *operation) bool {
--- a/internal/balancer/retune_test.go
+++ b/internal/balancer/retune_test.go
@@ -27,7 +27,7 @@
 	d.UpdateEndpoints([]Endpoint{{Worker: 0, ID: "a"}, {Worker: 1, ID: "b"}}, true, true)
 	d.RequestArrived(0, Arrival{Operation: 0, Timeout: 5 * Second, SizeHint: 100})
 	d.RunDueRules()
-	assert.Len(t, d.requests[0].attempts, 1)
+	assert.Len(t, d.requests.byID[0].attempts, 1)
 	return d, b
 }
 
@@ -46,14 +46,14 @@
 	assert.Contains(t, b.lines, "error 1", "it may not run again")
 	d.AttemptEnded(0, 0, ConnectionReset, false)
 	d.RunDueRules()
-	assert.Len(t, d.requests[0].attempts, 2, "this one may")
-	assert.Equal(t, d.operations[0].longestTimeout, d.operations[5].longestTimeout, "it goes on with what was learnt")
+	assert.Len(t, d.requests.byID[0].attempts, 2, "this one may")
+	assert.Equal(t, d.operations.byID[0].longestTimeout, d.operations.byID[5].longestTimeout, "it goes on with what was learnt")
 	assert.Equal(t, []OperationID{0, 1, 2, 3, 4}, d.Reconfigure(namedTerms()).Operations, "a class that is back as it was")
 	gone := namedTerms()
 	gone.Operations = gone.Operations[4:]
 	assert.Equal(t, []OperationID{4}, d.Reconfigure(gone).Operations)
 	d.AttemptEnded(0, 1, Succeeded, true)
-	assert.True(t, d.requests[0].closed, "its class is no longer there")
+	assert.True(t, d.requests.byID[0].closed, "its class is no longer there")
 }
 
 func TestFewerForwardsBindAtOnceAndMoreDoNot(t *testing.T) {
@@ -67,27 +67,27 @@
 	d.RequestArrived(0, Arrival{Operation: 0, Timeout: 5 * Second, SizeHint: 100})
 	d.RunDueRules()
 	d.Reconfigure(namedTerms())
-	assert.Len(t, d.requests[0].attempts, 1)
+	assert.Len(t, d.requests.byID[0].attempts, 1)
 	d.AttemptEnded(0, 0, Overloaded, false)
 	d.RunDueRules()
-	assert.True(t, d.requests[0].closed, "it landed when one was allowed")
+	assert.True(t, d.requests.byID[0].closed, "it landed when one was allowed")
 	d.SetTime(d.now + 2*Second)
 	d.RequestArrived(1, Arrival{Operation: 0, Timeout: 5 * Second, SizeHint: 100})
 	d.RunDueRules()
 	d.AttemptEnded(1, 0, Overloaded, false)
 	d.RunDueRules()
-	assert.Len(t, d.requests[1].attempts, 2)
+	assert.Len(t, d.requests.byID[1].attempts, 2)
 }
 
 // Guards against an invocation that waits for a worker it may no longer be sent to.
 func TestWhatMayNoLongerBeForwardedIsGivenUpAtOnce(t *testing.T) {
 	d, b := retuned(t)
-	for w := range d.probeAfter { // the others are full too
-		d.probeAfter[w] = d.now + 4*Second
+	for w := range d.workers { // the others are full too
+		d.workers[w].probeAfter = d.now + 4*Second
 	}
 	d.AttemptEnded(0, 0, Overloaded, false)
 	d.RunDueRules()
-	assert.True(t, d.requests[0].queued)
+	assert.True(t, d.requests.byID[0].queued)
 	few := namedTerms()
 	few.MaxAttempts = 1
 	d.Reconfigure(few)
--- a/internal/balancer/runs.go
+++ b/internal/balancer/runs.go
@@ -10,8 +10,8 @@
 // meanRunTime is how long work of an operation runs: by its hints, or, where none come, by what has run. It
 // guards against workers that are full and would be tried again at once, as their work seems to take no time.
 func (d *Balancer) meanRunTime(op OperationID) Time {
-	if o := &d.operations[op]; o.meanSize < 1 {
+	if o := &d.operations.byID[op]; o.meanSize < 1 {
 		return Time(o.meanRun)
 	}
-	return Time(d.operations[op].meanSize)
+	return Time(d.operations.byID[op].meanSize)
 }
--- a/internal/balancer/runs_test.go
+++ b/internal/balancer/runs_test.go
@@ -12,13 +12,13 @@
 	for name, hint := range map[string]Work{"none": 0, "as long as it runs": Second / 2} {
 		t.Run(name, func(t *testing.T) {
 			d, _ := newWarmBalancer(2, 1)
-			d.startNotices = false
+			d.config.startNotices = false
 			inv := RequestID(0)
 			land := func() *attempt {
 				d.RequestArrived(inv, Arrival{Operation: 0, Timeout: 30 * Second, SizeHint: hint})
 				d.RunDueRules()
 				inv++
-				return &d.requests[inv-1].attempts[0]
+				return &d.requests.byID[inv-1].attempts[0]
 			}
 			for range 60 {
 				land()
@@ -30,9 +30,9 @@
 			d.AttemptEnded(inv-1, 0, Overloaded, false)
 			d.RunDueRules()
 			full := f.worker
-			assert.InDelta(t, Second/2, float64(d.probeAfter[full]-d.now), 0.1*Second)
-			assert.Len(t, d.requests[inv-1].attempts, 2, "it goes to the other one")
-			assert.NotEqual(t, full, d.requests[inv-1].attempts[1].worker)
+			assert.InDelta(t, Second/2, float64(d.workers[full].probeAfter-d.now), 0.1*Second)
+			assert.Len(t, d.requests.byID[inv-1].attempts, 2, "it goes to the other one")
+			assert.NotEqual(t, full, d.requests.byID[inv-1].attempts[1].worker)
 			assert.NotEqual(t, full, land().worker, "nor does another one go there")
 		})
 	}
@@ -41,12 +41,12 @@
 func TestWhatRunsIsLearntForTermsThatChange(t *testing.T) {
 	d, _ := retuned(t)
 	d.SetTime(d.now + Second)
-	d.operations[0].observeRun(Second)
+	d.operations.byID[0].observeRun(Second)
 	stricter := namedTerms()
 	stricter.Operations[0].Idempotency = NonIdempotent
 	n := d.Reconfigure(stricter).Operations[0]
-	assert.Equal(t, []any{d.operations[0].meanRun, d.operations[0].runs}, []any{d.operations[n].meanRun, d.operations[n].runs})
-	assert.Equal(t, float64(Second), d.operations[n].meanRun)
+	assert.Equal(t, []any{d.operations.byID[0].meanRun, d.operations.byID[0].runs}, []any{d.operations.byID[n].meanRun, d.operations.byID[n].runs})
+	assert.Equal(t, float64(Second), d.operations.byID[n].meanRun)
 }
 
 // Guards against invocations that use up their forwards on a zone that is full, each finding it out for
@@ -65,11 +65,11 @@
 			d.UpdateEndpoints(list, true, true)
 			d.RequestArrived(0, Arrival{Operation: 0, Timeout: 30 * Second, SizeHint: 100})
 			d.RunDueRules()
-			f := d.requests[0].attempts
-			assert.Equal(t, ZoneID(0), d.workerZone[f[0].worker], "near at first")
+			f := d.requests.byID[0].attempts
+			assert.Equal(t, ZoneID(0), d.workers[f[0].worker].zone, "near at first")
 			d.AttemptEnded(0, 0, Overloaded, false)
 			d.RunDueRules()
-			second += int(d.workerZone[d.requests[0].attempts[1].worker])
+			second += int(d.workers[d.requests.byID[0].attempts[1].worker].zone)
 		}
 		return second
 	}
--- a/internal/balancer/seats_test.go
+++ b/internal/balancer/seats_test.go
@@ -11,30 +11,31 @@
 
 // sound checks the indexes against all that they stand for.
 func sound(t *testing.T, d *Balancer) {
-	for p, part := range d.subsets {
+	for p := range d.subsetting.subsets {
+		part := d.subsetting.subsets[p].workers
 		own := 0
 		for n, w := range part {
-			own += d.inFlight[w]
-			assert.EqualValues(t, n, d.availability[p].position[w])
-			if d.availability[p].maybeFree[n/64]>>(n%64)&1 == 0 {
+			own += d.workers[w].inFlight
+			assert.EqualValues(t, n, d.subsetting.subsets[p].position[w])
+			if d.subsetting.subsets[p].maybeFree[n/64]>>(n%64)&1 == 0 {
 				assert.True(t, d.isFull(w), "a worker that may have room is passed over")
 				assert.False(t, d.isAvailable(w))
 			}
 		}
-		assert.Equal(t, own, d.availability[p].inFlight)
-		for w := range d.hash {
+		assert.Equal(t, own, d.subsetting.subsets[p].inFlight)
+		for w := range d.workers {
 			assert.Equal(t, slices.Contains(part, WorkerID(w)), d.inSubset(p, WorkerID(w)))
 		}
 	}
-	assert.Equal(t, slices.ContainsFunc(d.ring, d.isAvailable), d.anyAvailable())
+	assert.Equal(t, slices.ContainsFunc(d.subsetting.ring, d.isAvailable), d.anyAvailable())
 	open := []RequestID{}
-	for inv := range d.open.newestFirst() {
-		assert.False(t, d.requests[inv].closed)
+	for inv := range d.requests.newestFirst() {
+		assert.False(t, d.requests.byID[inv].closed)
 		open = append(open, inv)
 	}
-	assert.Len(t, open, d.open.live)
-	for inv := range d.requests {
-		assert.Equal(t, slices.Contains(d.pending, RequestID(inv)), d.requests[inv].queued)
+	assert.Len(t, open, d.requests.live)
+	for inv := range d.requests.byID {
+		assert.Equal(t, slices.Contains(d.pending.ids, RequestID(inv)), d.requests.byID[inv].queued)
 	}
 }
 
@@ -62,7 +63,7 @@
 			l.next++
 		}
 		d.RequestArrived(inv, Arrival{
-			Operation: OperationID(l.rng.IntN(len(d.operations))), Timeout: Time(2+l.rng.IntN(3)) * Second,
+			Operation: OperationID(l.rng.IntN(len(d.operations.byID))), Timeout: Time(2+l.rng.IntN(3)) * Second,
 			Tenant: TenantID(l.rng.IntN(2)), SizeHint: Work(l.rng.IntN(9000)),
 		})
 	case 3, 4:
@@ -73,12 +74,12 @@
 		if inv, n, ok := l.pick(); ok {
 			l.out[inv] = slices.DeleteFunc(l.out[inv], func(m int) bool { return m == n })
 			how := Outcome(1 + l.rng.IntN(int(ConnectionStale)))
-			d.AttemptEnded(inv, n, how, how == Succeeded && !d.requests[inv].closed)
+			d.AttemptEnded(inv, n, how, how == Succeeded && !d.requests.byID[inv].closed)
 		}
 	case 8:
-		d.ReceiveLoad(1, Load{Worker: WorkerID(l.rng.IntN(len(d.hash))), InFlight: l.rng.IntN(6)})
+		d.ReceiveLoad(1, Load{Worker: WorkerID(l.rng.IntN(len(d.workers))), InFlight: l.rng.IntN(6)})
 	case 9:
-		w := WorkerID(l.rng.IntN(len(d.hash)))
+		w := WorkerID(l.rng.IntN(len(d.workers)))
 		e := Endpoint{Worker: w, ID: fmt.Sprintf("w%d", w), Zone: ZoneID(w % 2), Cell: CellID(w), State: WorkerState(l.rng.IntN(3))}
 		if l.rng.IntN(2) == 0 {
 			e.StartedAt = d.now
@@ -94,12 +95,12 @@
 	for _, line := range l.b.lines[l.seen:] {
 		var inv, tgt int
 		if n, _ := fmt.Sscanf(line, "forward %d to %d", &inv, &tgt); n == 2 {
-			l.out[RequestID(inv)] = append(l.out[RequestID(inv)], len(l.d.requests[inv].attempts)-1)
+			l.out[RequestID(inv)] = append(l.out[RequestID(inv)], len(l.d.requests.byID[inv].attempts)-1)
 		}
 	}
 	l.seen = len(l.b.lines)
 	for inv := range l.next {
-		if l.d.requests[inv].closed && len(l.out[inv]) == 0 && !slices.Contains(l.free, inv) {
+		if l.d.requests.byID[inv].closed && len(l.out[inv]) == 0 && !slices.Contains(l.free, inv) {
 			l.free = append(l.free, inv)
 		}
 	}
@@ -128,7 +129,7 @@
 			list = append(list, Endpoint{Worker: WorkerID(w), ID: fmt.Sprintf("w%d", w), Zone: ZoneID(w % 2), Cell: CellID(w)})
 		}
 		d.UpdateEndpoints(list, true, true)
-		d.slots[0] = 1 // so that more are believed as work starts
+		d.slots.kinds[0].estimate = 1 // so that more are believed as work starts
 		l := &life{d: d, b: b, rng: rand.New(rand.NewPCG(seed, 1)), out: map[RequestID][]int{}}
 		for n := 0; n < 1500 && !t.Failed(); n++ {
 			l.step()
@@ -143,14 +144,14 @@
 // Guards against gaps that are never closed, and against a place that is wrong once they have been.
 func TestOpenInvocationsKeepTheirOrderThroughGaps(t *testing.T) {
 	d, _ := newWarmBalancer(1, 1)
-	d.requests = make([]request, 1000)
+	d.requests.byID = make([]request, 1000)
 	for inv := range RequestID(1000) {
 		d.addOpenRequest(inv)
 		if inv >= 3 {
 			d.removeOpenRequest(inv - 2)
 		}
 	}
-	assert.Equal(t, []RequestID{999, 998, 0}, slices.Collect(d.open.newestFirst()))
-	assert.LessOrEqual(t, len(d.open.ids), 2*3+minGaps+2)
-	assert.Equal(t, 3, d.open.live)
+	assert.Equal(t, []RequestID{999, 998, 0}, slices.Collect(d.requests.newestFirst()))
+	assert.LessOrEqual(t, len(d.requests.ids), 2*3+minGaps+2)
+	assert.Equal(t, 3, d.requests.live)
 }
--- a/internal/balancer/size_test.go
+++ b/internal/balancer/size_test.go
@@ -24,8 +24,8 @@
 			d := New(terms, uint64(position), b)
 			d.SetTime(100 * Second)
 			d.UpdateEndpoints(list, true, true)
-			assert.Len(t, d.ring, many)
-			for _, w := range d.subsets[bothIntervals] {
+			assert.Len(t, d.subsetting.ring, many)
+			for _, w := range d.subsetting.subsets[bothIntervals].workers {
 				kept[w]++
 			}
 			if position == many-1 {
@@ -33,14 +33,14 @@
 					d.RequestArrived(inv, Arrival{Timeout: 20 * Second, SizeHint: 100})
 				}
 				d.RunDueRules()
-				d.SetTime(d.now + d.margin)
+				d.SetTime(d.now + d.config.margin)
 				d.RunDueRules()
 				used := 0
-				for _, n := range d.inFlight {
-					used += min(n, 1)
+				for _, w := range d.workers {
+					used += min(w.inFlight, 1)
 				}
 				assert.Equal(t, many, used, "each has room for one that has not begun")
-				for peer := range d.subsetPeers(d.subsets[bothIntervals][0]) {
+				for peer := range d.subsetPeers(d.subsetting.subsets[bothIntervals].workers[0]) {
 					assert.Less(t, int(peer), many)
 					told++
 				}
--- a/internal/balancer/sum_test.go
+++ b/internal/balancer/sum_test.go
@@ -51,21 +51,21 @@
 
 func (l *releaseEffects) SendAttempt(inv RequestID, tgt WorkerID, _ Time) {
 	r, d, w := l.r, l.d, l.r.workers[tgt]
-	size := float64(d.requests[inv].size) * math.Exp(0.2*r.rng.NormFloat64()) // hints are rough
+	size := float64(d.requests.byID[inv].size) * math.Exp(0.2*r.rng.NormFloat64()) // hints are rough
 	if !r.way.hints {
 		size = r.size()
 	}
-	w.waiting = append(w.waiting, &job{from: d, inv: inv, n: len(d.requests[inv].attempts) - 1, left: size})
+	w.waiting = append(w.waiting, &job{from: d, inv: inv, n: len(d.requests.byID[inv].attempts) - 1, left: size})
 	if w.sent = append(w.sent, r.now); w.cold {
-		w.sent = slices.DeleteFunc(w.sent, func(at Time) bool { return at <= r.now-d.warmupWindow })
-		n := d.overloadFactor * r.warmth(w) * standSlots * float64(d.warmupWindow) / standWork
+		w.sent = slices.DeleteFunc(w.sent, func(at Time) bool { return at <= r.now-d.config.warmupWindow })
+		n := d.config.overloadFactor * r.warmth(w) * standSlots * float64(d.config.warmupWindow) / standWork
 		w.worst = max(w.worst, float64(len(w.sent))/(n+2*math.Sqrt(n)+2))
 	}
 }
 
 func (l *releaseEffects) CancelAttempt(inv RequestID, n int) {
 	d := l.d
-	w := l.r.workers[d.requests[inv].attempts[n].worker]
+	w := l.r.workers[d.requests.byID[inv].attempts[n].worker]
 	off := func(j *job) bool { return j.from == d && j.inv == inv && j.n == n }
 	w.running, w.waiting = slices.DeleteFunc(w.running, off), slices.DeleteFunc(w.waiting, off)
 	l.r.cancelled = append(l.r.cancelled, &job{from: d, inv: inv, n: n})
@@ -81,7 +81,7 @@
 
 func (r *release) warmth(w *stand) float64 {
 	if d := r.fleet[0]; w.cold {
-		return min(1, d.initialWarmup+(1-d.initialWarmup)*float64(r.now-r.born)/float64(d.warmupDuration))
+		return min(1, d.config.initialWarmup+(1-d.config.initialWarmup)*float64(r.now-r.born)/float64(d.config.warmupDuration))
 	}
 	return 1
 }
@@ -96,7 +96,7 @@
 func (r *release) step() {
 	r.now += tick
 	for _, j := range r.cancelled {
-		r.report(j.from, func() { j.from.AttemptEnded(j.inv, j.n, Canceled, j.from.requests[j.inv].closed) })
+		r.report(j.from, func() { j.from.AttemptEnded(j.inv, j.n, Canceled, j.from.requests.byID[j.inv].closed) })
 	}
 	r.cancelled = nil
 	for _, w := range r.workers {
@@ -119,8 +119,8 @@
 		r.report(r.fleet[m.to], func() { r.fleet[m.to].ReceiveLoad(m.from, m.l) })
 	}
 	for _, d := range r.fleet {
-		if d.wakeAt <= r.now {
-			r.report(d, func() { d.WakeFired(uint64(d.wakeAt)) })
+		if d.due.wakeAt <= r.now {
+			r.report(d, func() { d.WakeFired(uint64(d.due.wakeAt)) })
 		}
 	}
 }
--- a/internal/balancer/told_test.go
+++ b/internal/balancer/told_test.go
@@ -33,17 +33,17 @@
 			d.RequestArrived(0, Arrival{Timeout: 10 * Second})
 			d.RunDueRules()
 			assert.Empty(t, b.lines, "the list may be old")
-			d.SetTime(d.nextPoll)
+			d.SetTime(d.discovery.nextPoll)
 			d.RunDueRules()
 			assert.Equal(t, []string{"subscribe"}, b.lines)
 			end(d)
 			d.RunDueRules()
 			assert.Contains(t, b.lines[1:], map[string]string{
 				"answered": "forward 0 to 1",
-				"failed":   fmt.Sprint("forward 0 to ", d.requests[0].attempts[0].worker),
+				"failed":   fmt.Sprint("forward 0 to ", d.requests.byID[0].attempts[0].worker),
 			}[name])
 			d.UpdateEndpoints([]Endpoint{{Worker: 0, ID: "w"}}, false, false) // what others tell of does not hold up what is known
-			assert.False(t, d.endpointsStale)
+			assert.False(t, d.discovery.endpointsStale)
 		})
 	}
 }
@@ -52,9 +52,9 @@
 func TestSuccessorGoesByItsPredecessorsListAtOnce(t *testing.T) {
 	s := NewShards(toldTerms(3, 2), 1, 1, func() Time { return 100 * Second }, func(string) {})
 	s.UpdateEndpoints([]Endpoint{{Worker: 0, ID: "w"}}, true, true)
-	assert.True(t, s.pickers[0].balancer.endpointsStale)
+	assert.True(t, s.pickers[0].balancer.discovery.endpointsStale)
 	assert.True(t, s.RestoreFromPredecessor(s.Snapshot()))
-	assert.False(t, s.pickers[0].balancer.endpointsStale)
+	assert.False(t, s.pickers[0].balancer.discovery.endpointsStale)
 }
 
 func TestListIsAskedForAgainInTimeWhateverBecameOfTheCallsBefore(t *testing.T) {
@@ -63,16 +63,16 @@
 			d := New(toldTerms(n, position), uint64(position), &recorder{})
 			d.SetTime(100 * Second)
 			d.UpdateEndpoints([]Endpoint{{ID: "w"}}, true, false)
-			assert.LessOrEqual(t, d.nextPoll-d.now, 2*Time(Second), "the first call")
+			assert.LessOrEqual(t, d.discovery.nextPoll-d.now, 2*Time(Second), "the first call")
 			for call := range 20 { // and 2 s at most for the answer
 				d.EndpointsUnavailable()
-				assert.LessOrEqual(t, d.nextPoll-d.now, 4*Time(Second), "%d dispatchers, call %d", n, call)
-				assert.Greater(t, d.nextPoll, d.now)
+				assert.LessOrEqual(t, d.discovery.nextPoll-d.now, 4*Time(Second), "%d dispatchers, call %d", n, call)
+				assert.Greater(t, d.discovery.nextPoll, d.now)
 			}
 			d.UpdateEndpoints(nil, false, true)
-			d.retrySpeedup = 2 // it has taken up to 3 s of the 6 already
+			d.discovery.retrySpeedup = 2 // it has taken up to 3 s of the 6 already
 			d.EndpointsUnavailable()
-			assert.LessOrEqual(t, d.nextPoll-d.now, 2*Time(Second), "after silence")
+			assert.LessOrEqual(t, d.discovery.nextPoll-d.now, 2*Time(Second), "after silence")
 		}
 	}
 }
@@ -126,12 +126,12 @@
 				a.d.UpdateEndpoints([]Endpoint{{ID: "w"}}, true, true)
 				told, a.answer = append(told, now), never
 			case a.answer <= now:
-				if a.d.consecutiveBusy++; now-a.came < Second { // as the network tells
-					a.d.consecutiveBusy = 0
+				if a.d.discovery.consecutiveBusy++; now-a.came < Second { // as the network tells
+					a.d.discovery.consecutiveBusy = 0
 				}
 				a.d.EndpointsUnavailable()
 				a.answer = never
-			case a.answer == never && !a.d.watching && a.d.nextPoll <= now:
+			case a.answer == never && !a.d.discovery.watching && a.d.discovery.nextPoll <= now:
 				calls++
 				a.came = now
 				a.answer, a.list = s.call(now)
--- a/internal/balancer/twin.go
+++ b/internal/balancer/twin.go
@@ -15,7 +15,8 @@
 func (f *Picker) InFlightFor(to SiblingRole) (loads []Load) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for w, n := range f.balancer.inFlight {
+	for w := range f.balancer.workers {
+		n := f.balancer.workers[w].inFlight
 		if n -= f.siblings[to].of(WorkerID(w)); n > 0 {
 			loads = append(loads, Load{WorkerID(w), n})
 		}
@@ -30,15 +31,15 @@
 		was := f.siblings[from]
 		f.siblings[from] = nil
 		for _, l := range loads {
-			if int(l.Worker) < len(d.hash) {
+			if int(l.Worker) < len(d.workers) {
 				f.siblings[from] = f.siblings[from].with(l)
 			}
 		}
-		for w := range d.inFlight {
+		for w := range d.workers {
 			if by := f.siblings[from].of(WorkerID(w)) - was.of(WorkerID(w)); by != 0 {
 				d.addInFlight(WorkerID(w), by)
 				d.markLoadChanged(WorkerID(w))
-				d.capacityChanged = d.capacityChanged || by < 0
+				d.due.capacityChanged = d.due.capacityChanged || by < 0
 			}
 		}
 	})
@@ -65,8 +66,8 @@
 func (f *Picker) AddRecentSends(spent []RecentSend) {
 	f.update(func(d *Balancer) {
 		for _, s := range spent {
-			if int(s.Worker) < len(d.hash) {
-				d.sends[s.Worker] = append(d.recentSends(s.Worker), send{sentAt: d.now, work: s.Work, bySibling: true})
+			if int(s.Worker) < len(d.workers) {
+				d.workers[s.Worker].sends = append(d.recentSends(s.Worker), send{sentAt: d.now, work: s.Work, bySibling: true})
 			}
 		}
 	})
@@ -82,9 +83,9 @@
 func (f *Picker) RecentSendsSince(after Time) (spent []RecentSend) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for w, all := range f.balancer.sends {
+	for w := range f.balancer.workers {
 		sum := Work(0)
-		for _, s := range all {
+		for _, s := range f.balancer.workers[w].sends {
 			if s.sentAt > after && !s.bySibling {
 				sum += s.work
 			}
