--- a/internal/balancer/cold_test.go
+++ b/internal/balancer/cold_test.go
@@ -154,7 +154,7 @@
 	assert.True(t, d.withinWarmupBudget(0, 100))
 	d.workers[0].peerInFlight = 1 // as many as were seen to run at once
 	assert.False(t, d.withinWarmupBudget(0, 100))
-	d.workers[0].peerInFlight, d.subsetting.subsets[bothIntervals].position[0] = 0, notInSubset
+	d.workers[0].peerInFlight, d.subsetting.subsets[bothIntervals].positions[0] = 0, notInSubset
 	assert.False(t, d.withinWarmupBudget(0, 100))
 }
 
@@ -177,7 +177,7 @@
 	d.config.reportFree = -1 // no reports tell
 	vote := func(load, times int, atOnce bool) {
 		for range times {
-			d.observeSlots(0, load, atOnce)
+			d.observeQueueing(0, load, atOnce)
 		}
 	}
 	vote(1, 10, true)
--- a/internal/balancer/decide_test.go
+++ b/internal/balancer/decide_test.go
@@ -58,10 +58,10 @@
 	d.sizes.cutPoints = []Work{100}
 	small, large := map[WorkerID]int{}, map[WorkerID]int{}
 	for range 6 {
-		w, ok := d.pickWorker(&request{interval: 0, quotaWeight: 1, deadline: 200 * Second})
+		w, ok := d.pickWorker(&request{attemptLimit: 4, interval: 0, quotaWeight: 1, deadline: 200 * Second})
 		assert.True(t, ok)
 		small[w]++
-		w, _ = d.pickWorker(&request{interval: 1, quotaWeight: 1, deadline: 200 * Second})
+		w, _ = d.pickWorker(&request{attemptLimit: 4, interval: 1, quotaWeight: 1, deadline: 200 * Second})
 		large[w]++
 	}
 	for n, w := range d.subsetting.ring {
@@ -74,7 +74,7 @@
 	d, _ := newWarmBalancer(4, 1)
 	d.sizes.cutPoints = []Work{100}
 	d.workers[d.subsetting.ring[0]].unstarted, d.workers[d.subsetting.ring[1]].unstarted = 1, 1
-	w, ok := d.pickWorker(&request{interval: 0, quotaWeight: 1, deadline: 200 * Second})
+	w, ok := d.pickWorker(&request{attemptLimit: 4, interval: 0, quotaWeight: 1, deadline: 200 * Second})
 	assert.True(t, ok)
 	assert.Contains(t, d.subsetting.ring[2:], w)
 }
@@ -84,7 +84,7 @@
 	busy := d.subsetting.ring[2]
 	d.addInFlight(busy, 3)
 	for range 8 {
-		w, ok := d.pickWorker(&request{quotaWeight: 1, deadline: 200 * Second})
+		w, ok := d.pickWorker(&request{attemptLimit: 4, quotaWeight: 1, deadline: 200 * Second})
 		assert.True(t, ok)
 		assert.NotEqual(t, busy, w)
 	}
@@ -123,7 +123,7 @@
 
 func TestForwardStillOutMayHaveRun(t *testing.T) {
 	d, _ := newWarmBalancer(4, 1)
-	i := &request{operation: 1, deadline: 200 * Second, inFlight: 1, attempts: []attempt{{worker: 0, sentAt: d.now, inFlight: true}}}
+	i := &request{attemptLimit: 4, operation: 1, deadline: 200 * Second, inFlight: 1, attempts: []attempt{{worker: 0, sentAt: d.now, inFlight: true}}}
 	assert.False(t, d.mayAttempt(i, 1))
 	assert.False(t, d.mayReject(i))
 	i.operation = 0
@@ -195,14 +195,14 @@
 	d.workers[0].startedAt, d.slots.kinds[0].maxObserved, d.slots.kinds[0].estimate = d.now-5*Second, 9, 9 // at two fifths of its capacity
 	d.config.dispatchers, d.sizes.median = 1, Second                                                       // hints come
 	for size, taken := range map[Work]bool{Second / 2: true, Second: false} {
-		_, ok := d.pickWorker(&request{interval: bothIntervals, quotaWeight: 1, size: size, deadline: 200 * Second})
+		_, ok := d.pickWorker(&request{attemptLimit: 4, interval: bothIntervals, quotaWeight: 1, size: size, deadline: 200 * Second})
 		assert.Equal(t, taken, ok, "1.5 times the size over the objective of a second: %d", size)
 	}
-	late := &request{interval: bothIntervals, quotaWeight: 1, size: Second, deadline: 200 * Second, late: true}
+	late := &request{attemptLimit: 4, interval: bothIntervals, quotaWeight: 1, size: Second, deadline: 200 * Second, late: true}
 	_, ok := d.pickWorker(late)
 	assert.True(t, ok, "what is late in any case may still earn something")
 	d.sizes.median = 0
-	_, ok = d.pickWorker(&request{interval: bothIntervals, quotaWeight: 1, size: Second, deadline: 200 * Second})
+	_, ok = d.pickWorker(&request{attemptLimit: 4, interval: bothIntervals, quotaWeight: 1, size: Second, deadline: 200 * Second})
 	assert.True(t, ok, "no hint tells that it would be late")
 }
 
@@ -303,7 +303,7 @@
 	d.config.reportFree = -1
 	vote := func(load int, atOnce ...bool) {
 		for _, v := range atOnce {
-			d.observeSlots(0, load, v)
+			d.observeQueueing(0, load, v)
 		}
 	}
 	vote(1, true, true)
@@ -338,9 +338,9 @@
 	d.slots.kinds[0].estimate, d.slots.kinds[0].maxObserved = 3, 3
 	d.config.gossip = true
 	d.ReceiveLoad(1, Load{Worker: 0, InFlight: 2})
-	_, ok := d.pickWorker(&request{interval: bothIntervals, deadline: 200 * Second, quotaWeight: 0.2})
+	_, ok := d.pickWorker(&request{attemptLimit: 4, interval: bothIntervals, deadline: 200 * Second, quotaWeight: 0.2})
 	assert.False(t, ok)
-	_, ok = d.pickWorker(&request{interval: bothIntervals, deadline: 200 * Second, quotaWeight: 1})
+	_, ok = d.pickWorker(&request{attemptLimit: 4, interval: bothIntervals, deadline: 200 * Second, quotaWeight: 1})
 	assert.True(t, ok)
 }
 
@@ -435,7 +435,7 @@
 		d.startAttempt(0, 0)
 		d.AttemptEnded(0, 0, how, true)
 	}
-	once, again := &request{operation: 1, quotaWeight: 1, deadline: never}, &request{quotaWeight: 1, deadline: never}
+	once, again := &request{attemptLimit: 4, operation: 1, quotaWeight: 1, deadline: never}, &request{attemptLimit: 4, quotaWeight: 1, deadline: never}
 	takes := func(i *request) bool {
 		_, ok := d.pickWorker(i)
 		return ok
@@ -478,7 +478,7 @@
 	}{{0, 50 * Second, 0, 1}, {0, 40 * Second, 0, 0}, {0, 50 * Second, 4, 0}, {1, 50 * Second, 0, 0}} {
 		d, _ := newWarmBalancer(2, 1)
 		d.config.gossip, d.subsetting.subsets[bothIntervals].workers = true, d.subsetting.ring
-		d.indexSubset(bothIntervals)
+		d.subsetting.subsets[bothIntervals].reindex(d.workers)
 		d.RequestArrived(0, Arrival{Operation: c.op, Timeout: 90 * Second, SizeHint: 1000})
 		d.RunDueRules()
 		d.AttemptStarted(0, 0)
--- a/internal/balancer/ended_test.go
+++ b/internal/balancer/ended_test.go
@@ -91,9 +91,9 @@
 	assert.False(t, d.withinWarmupBudget(0, much))
 	d.ReceiveLoad(1, Load{Worker: 3, InFlight: 1})
 	assert.True(t, d.withinWarmupBudget(0, much), "one who lives tells of what is out")
-	d.recordPeerAge(1, true)
+	d.gossip.recordPeerAge(1, true)
 	assert.False(t, d.withinWarmupBudget(0, much), "it has just started too")
-	d.recordPeerAge(1, false)
+	d.gossip.recordPeerAge(1, false)
 	assert.False(t, d.withinWarmupBudget(0, much), "and what it tells is of no older date")
 
 	hint := much / Work(testConfig.OverloadFactor)
--- /dev/null
+++ b/internal/balancer/endpoints.go
@@ -0,0 +1,57 @@
+package balancer
+
+import "hash/fnv"
+
+// UpdateEndpoints takes a list of endpoints, whole or changes to it. answer tells whether it may be the answer to a poll;
+// else it is a list from before the start.
+func (b *Balancer) UpdateEndpoints(entries []Endpoint, whole, answer bool) {
+	if answer {
+		b.discovery.recordAnswer(b.now)
+	} else if len(entries) > 0 {
+		b.discovery.recordInitialList(b.now, &b.config)
+	}
+	if whole {
+		for n := range b.workers {
+			b.workers[n].state = Gone
+		}
+	}
+	for n := range entries {
+		b.updateEndpoint(&entries[n])
+	}
+	b.updateRing()
+	b.updateSubsets()
+	b.due.capacityChanged = true
+}
+
+func (b *Balancer) updateEndpoint(entry *Endpoint) {
+	for int(entry.Worker) >= len(b.workers) {
+		b.workers = append(b.workers, worker{state: Gone})
+	}
+	for int(entry.Zone) >= len(b.zones) {
+		b.zones = append(b.zones, zone{deliveryTime: Time(b.config.meanObjective / deliveryMargin)})
+	}
+	worker := &b.workers[entry.Worker]
+	if entry.StartedAt > worker.startedAt {
+		worker.recordRestart(entry.StartedAt)
+	}
+	hash := fnv.New64a()
+	hash.Write([]byte(entry.ID))
+	worker.hash = hash.Sum64()
+	worker.zone = entry.Zone
+	worker.kind = entry.Kind
+	worker.cell = entry.Cell
+	worker.state = entry.State
+}
+
+// recordRestart takes notice that the list tells of a new process: what was known of the one before is void, and it
+// has to warm up.
+func (w *worker) recordRestart(startedAt Time) {
+	w.startedAt = startedAt
+	w.earnsCredit = false
+	w.possiblyExecuted = false
+	w.consecutiveFailures = 0
+	w.probeAfter = 0
+	if startedAt >= w.exitedAt {
+		w.exitedAt = 0
+	}
+}
--- a/internal/balancer/facade_test.go
+++ b/internal/balancer/facade_test.go
@@ -231,7 +231,7 @@
 	assert.True(t, asked(), "and nobody takes it up before the next word")
 	f.ReportWatchEnded(WatchFailed)
 	assert.False(t, asked())
-	f.ReportDiscoveryMoved()
+	f.update(func(d *Balancer) { d.discovery.pollNow(d.now) })
 	assert.True(t, asked())
 	for range 5 { // it answers, and is cut: no backoff
 		<-f.pollDue
@@ -255,7 +255,7 @@
 	_, err := f.NextLoadUpdates(context.Background())
 	assert.NoError(t, err)
 	f.ReceiveLoad(1, Load{Worker: 0, InFlight: 3})
-	f.ReceivePeerStarted(1)
+	f.update(func(d *Balancer) { d.receivePeerStarted(1) })
 	assert.Equal(t, 0, f.balancer.workers[0].peerInFlight)
 	*now += Second
 	f.update(func(*Balancer) {})
--- /dev/null
+++ b/internal/balancer/fleet_restart.go
@@ -0,0 +1,135 @@
+package balancer
+
+// PriorAttempt is an attempt under the same key that may have run before a request arrived, at the worker or at another
+// one of its dedup scope.
+type PriorAttempt struct {
+	Worker WorkerID
+	SentAt Time
+}
+
+// SubmitAfter takes in a request that may have run before: it goes to the dedup scope of that attempt, or gets its final
+// answer at once.
+func (p *Picker) SubmitAfter(arrival Arrival, prior PriorAttempt) *RequestHandle {
+	return p.submit(arrival, func(b *Balancer, h *RequestHandle) {
+		request := b.requests.get(h.id)
+		request.attempts = append(request.attempts, attempt{worker: prior.Worker, sentAt: prior.SentAt, mayHaveRun: true})
+		request.attemptLimit++ // the prior attempt is not one of those that are allowed from here
+		h.beginAttempt(h.deadline)
+		h.markReported(0)
+		if !b.mayAttemptAnywhere(request) {
+			b.rejectOrFail(h.id)
+		}
+	})
+}
+
+// delayWarmingWorkers sends nothing to workers that are warming up and started before a time, for as long as what an
+// earlier process of this dispatcher has sent them counts against their budget.
+func (b *Balancer) delayWarmingWorkers(before Time) {
+	for n := range b.workers {
+		worker := &b.workers[n]
+		if worker.startedAt > 0 && worker.startedAt < before && b.warmupFactor(WorkerID(n)) < 1 {
+			worker.notBefore = max(worker.notBefore, before+b.config.warmupWindow)
+			b.due.reviewBy(worker.notBefore)
+		}
+	}
+}
+
+// seedMaxObserved takes the most attempts that others have seen running at a kind of worker, where nothing was observed
+// here.
+func (b *Balancer) seedMaxObserved(kind KindID, slots float64) {
+	if int(kind) >= len(b.slots.kinds) || slots <= 1 {
+		return
+	}
+	if observed := &b.slots.kinds[kind].maxObserved; *observed <= 1 {
+		*observed = slots
+		b.setSlotEstimate(kind, slots)
+	}
+}
+
+func (b *Balancer) maxObserved() (slots []float64) {
+	for _, kind := range b.slots.kinds {
+		slots = append(slots, kind.maxObserved)
+	}
+	return slots
+}
+
+// capacity counts the workers that take attempts, and the slots that they have when all are warm and as warm as they
+// are now.
+func (b *Balancer) capacity() (workers int, warm, current float64) {
+	for _, id := range b.subsetting.ring {
+		worker := &b.workers[id]
+		if worker.state != Healthy || b.isEjected(worker) {
+			continue
+		}
+		slots := b.maxObservedSlots(id)
+		workers++
+		warm += slots
+		current += b.confirmedWarmup(id, b.sizes.median) * slots
+	}
+	return workers, warm, current
+}
+
+func (b *Balancer) isEjected(worker *worker) bool {
+	return worker.consecutiveFailures > 0 && b.now < worker.probeAfter
+}
+
+// workerCounts counts the listed workers, and of them those that are ejected, alone or with their zone.
+func (b *Balancer) workerCounts() (listed, ejected int) {
+	for _, id := range b.subsetting.ring {
+		worker := &b.workers[id]
+		if worker.state == Healthy && (b.isEjected(worker) || b.now < b.zones[worker.zone].ejectedUntil) {
+			ejected++
+		}
+	}
+	return len(b.subsetting.ring), ejected
+}
+
+// limitDeadlines has all open requests answered by a time.
+func (b *Balancer) limitDeadlines(latest Time) {
+	for id := range b.requests.newestFirst() {
+		request := b.requests.get(id)
+		request.deadline = min(request.deadline, latest)
+		b.due.reviewBy(request.deadline)
+	}
+}
+
+// ReportFleetRestart tells that all dispatchers lost power, workers perhaps too, and since when this one is back.
+func (s *Shards) ReportFleetRestart(since Time) {
+	s.updateAll(func(b *Balancer) { b.warmup.fleetRestartAt = since })
+}
+
+// DelayWarmingWorkers sends nothing to workers that are warming up and started before a time, for as long as what an
+// earlier process of this dispatcher has sent them counts against their budget.
+func (s *Shards) DelayWarmingWorkers(before Time) {
+	s.updateAll(func(b *Balancer) { b.delayWarmingWorkers(before) })
+}
+
+// SeedMaxObserved takes the most attempts that others have seen running at a kind of worker, where nothing was observed
+// here.
+func (s *Shards) SeedMaxObserved(kind KindID, slots float64) {
+	s.updateAll(func(b *Balancer) { b.seedMaxObserved(kind, slots) })
+}
+
+// MaxObserved is the most attempts that the first shard has seen running at once at a worker, by KindID.
+func (s *Shards) MaxObserved() (slots []float64) {
+	s.first().read(func(b *Balancer) { slots = b.maxObserved() })
+	return slots
+}
+
+// Capacity counts the workers that take attempts, as the first shard sees them, and the slots that they have when all
+// are warm and as warm as they are now.
+func (s *Shards) Capacity() (workers int, warm, current float64) {
+	s.first().read(func(b *Balancer) { workers, warm, current = b.capacity() })
+	return workers, warm, current
+}
+
+// MedianSize is the size that the first shard takes for a request without a hint.
+func (s *Shards) MedianSize() (size Work) {
+	s.first().read(func(b *Balancer) { size = b.sizes.median })
+	return size
+}
+
+// SubmitAfter calls Picker.SubmitAfter on the shard whose turn it is.
+func (s *Shards) SubmitAfter(arrival Arrival, prior PriorAttempt) *RequestHandle {
+	return s.next().SubmitAfter(arrival, prior)
+}
--- a/internal/balancer/hand_test.go
+++ b/internal/balancer/hand_test.go
@@ -93,8 +93,8 @@
 	assert.Equal(t, []int{2, 0}, []int{f.balancer.load(c.Worker), f.balancer.load(1 - c.Worker)})
 	f.UpdateSibling(Predecessor, nil)
 	assert.Equal(t, 1, f.balancer.load(c.Worker))
-	f.AddRecentSends([]RecentSend{{1, 500}, {99, 1}})
-	assert.Empty(t, f.RecentSendsSince(0), "what it sent is not ours to tell")
+	f.update(func(d *Balancer) { d.addRecentSends([]RecentSend{{1, 500}, {99, 1}}) })
+	assert.Empty(t, f.balancer.recentSendsSince(0), "what it sent is not ours to tell")
 	assert.Equal(t, Work(500), f.balancer.workers[1].sends[len(f.balancer.workers[1].sends)-1].work)
 }
 
@@ -106,7 +106,7 @@
 	old, now := facadeOf(terms, 4)
 	old.update(func(d *Balancer) {
 		d.slots.kinds[0].votes, d.slots.kinds[0].maxObserved = []int{0, 2, 2, 5, -9, -9}, 3
-		d.setSlots(0, 3)
+		d.setSlotEstimate(0, 3)
 		d.workers[2].consecutiveFailures, d.workers[2].probeAfter, d.zones[1].ejectedUntil, d.zones[1].failures = 2, d.now+Second, d.now+Second, 4
 		for n := range 60 {
 			d.observeSize(Work(100 + n))
--- /dev/null
+++ b/internal/balancer/open_requests.go
@@ -0,0 +1,75 @@
+package balancer
+
+import (
+	"iter"
+	"slices"
+)
+
+// requestTable owns the requests, by RequestID, and the order in which the open ones arrived. One that is closed leaves
+// a gap in the order, and the gaps are removed once they are more than half: closing costs the same however many
+// requests are open.
+type requestTable struct {
+	byID      []request
+	order     []RequestID // open requests as they arrived, with gaps
+	openCount int
+}
+
+// request is what is known of a request from its arrival to the outcome of its last attempt.
+type request struct {
+	operation         OperationID
+	closed            bool    // it has its final answer, or its client has left
+	queued            bool    // it waits for a worker
+	late              bool    // it can no longer keep its objective
+	quotaWeight       float64 // less than 1 beyond its tenant's quota
+	latestStart       Time    // last start that may keep the latency objective
+	latestWaitedStart Time    // last start that is waited for: later than latestStart where a late answer earns something
+	deadline          Time    // of the final answer
+	size              Work
+	interval          int // of sizes, or bothIntervals
+	attemptLimit      int
+	attempts          []attempt
+	inFlight          int // attempts that have not ended
+	orderIndex        int // its place in requestTable.order
+}
+
+const (
+	closedGap = RequestID(-1)
+	minGaps   = 64 // fewer are never worth removing
+)
+
+func (t *requestTable) get(id RequestID) *request { return &t.byID[id] }
+
+// reserve makes room for a request with a number.
+func (t *requestTable) reserve(id RequestID) *request {
+	t.byID = append(t.byID, make([]request, max(0, int(id)+1-len(t.byID)))...)
+	return &t.byID[id]
+}
+
+// addOpen takes a request into the order, as the latest.
+func (t *requestTable) addOpen(id RequestID) {
+	if len(t.order) > 2*t.openCount+minGaps {
+		t.order = slices.DeleteFunc(t.order, func(id RequestID) bool { return id == closedGap })
+		for index, id := range t.order {
+			t.byID[id].orderIndex = index
+		}
+	}
+	t.byID[id].orderIndex = len(t.order)
+	t.order = append(t.order, id)
+	t.openCount++
+}
+
+func (t *requestTable) removeOpen(id RequestID) {
+	t.order[t.byID[id].orderIndex] = closedGap
+	t.openCount--
+}
+
+// newestFirst goes through the open requests, the latest arrival first. They may be closed meanwhile.
+func (t *requestTable) newestFirst() iter.Seq[RequestID] {
+	return func(yield func(RequestID) bool) {
+		for n := len(t.order) - 1; n >= 0; n-- {
+			if t.order[n] != closedGap && !yield(t.order[n]) {
+				return
+			}
+		}
+	}
+}
--- /dev/null
+++ b/internal/balancer/picker_effects.go
@@ -0,0 +1,83 @@
+package balancer
+
+import (
+	"context"
+	"time"
+)
+
+// pickerEffects are the effects of a Picker's Balancer. Its methods run under the Picker's lock.
+type pickerEffects struct{ picker *Picker }
+
+func (e pickerEffects) SendAttempt(id RequestID, worker WorkerID, within Time) {
+	p := e.picker
+	h := p.handles[id]
+	until := h.deadline
+	if within > 0 {
+		if earlier := time.Now().Add(within.Duration()); earlier.Before(until) {
+			until = earlier
+		}
+	}
+	operation := p.balancer.requests.get(id).operation
+	h.push(Decision{
+		Action:      SendAttempt,
+		Worker:      worker,
+		Ctx:         h.beginAttempt(until),
+		Attempt:     len(h.cancels) - 1,
+		Idempotency: p.balancer.operations.byID[operation].idempotency,
+		SendBy:      p.sendBy(id),
+	})
+}
+
+func (e pickerEffects) CancelAttempt(id RequestID, number int) {
+	if h := e.picker.handles[id]; h != nil {
+		h.cancels[number](ErrAttemptCanceled)
+	}
+}
+
+func (e pickerEffects) Reject(id RequestID, retryAfter Time) {
+	e.picker.handles[id].respond(Decision{Action: RespondRejected, RetryAfter: retryAfter})
+}
+
+func (e pickerEffects) Fail(id RequestID) {
+	e.picker.handles[id].respond(Decision{Action: RespondFailed})
+}
+
+func (e pickerEffects) Wake(key uint64, after Time) {
+	e.picker.wakeKey = key
+	e.picker.wakeAt = e.picker.balancer.now + after
+	signal(e.picker.wakeChanged)
+}
+
+func (e pickerEffects) PollEndpoints() { signal(e.picker.pollDue) }
+
+func (e pickerEffects) Log(line string) { e.picker.log(line) }
+
+func (e pickerEffects) Probe(worker WorkerID) {
+	select {
+	case e.picker.probes <- worker:
+	default: // as many are waiting already
+	}
+}
+
+func (e pickerEffects) SendLoad(to PeerID, load Load) {
+	p := e.picker
+	for n := range p.loadUpdates {
+		if p.loadUpdates[n].To == to {
+			p.loadUpdates[n].Loads = append(p.loadUpdates[n].Loads, load)
+			return
+		}
+	}
+	p.loadUpdates = append(p.loadUpdates, LoadUpdate{To: to, Loads: []Load{load}})
+	signal(p.loadUpdatesReady)
+}
+
+// beginAttempt counts one more attempt in flight, which ends by itself at a time, and returns its context.
+func (h *RequestHandle) beginAttempt(until time.Time) context.Context {
+	timed, stop := context.WithDeadline(h.picker.lifetime, until)
+	ctx, cancel := context.WithCancelCause(timed)
+	h.cancels = append(h.cancels, func(cause error) { cancel(cause); stop() })
+	h.reported = append(h.reported, false)
+	h.sent = append(h.sent, false)
+	h.inFlight++
+	return ctx
+}
--- /dev/null
+++ b/internal/balancer/reconfigure.go
@@ -0,0 +1,57 @@
+package balancer
+
+import "fmt"
+
+// AssignedIDs are the numbers of the operations and tenants of a configuration, in their order there.
+type AssignedIDs struct {
+	Operations []OperationID
+	Tenants    []TenantID
+}
+
+// Reconfigure takes a new configuration while requests are open, and returns the numbers of its operations and tenants.
+//
+// An operation whose configuration is as it was keeps its number; another one has a new number and goes on with the
+// statistics of its name, so that requests that arrived before keep the configuration that they arrived with. A tenant keeps
+// its number for good, also while no configuration names it: a request that was read under the old one and arrives after
+// the new one counts where it belongs. A lower limit of attempts binds at once, a higher one only new requests. Which
+// dispatcher this is, and what the platform reports, stay as they were at the start.
+func (b *Balancer) Reconfigure(config Config) (assigned AssignedIDs) {
+	config.Dispatchers = b.config.dispatchers
+	config.Position = b.config.position
+	config.Gossip = b.config.gossip
+	for _, operation := range config.Operations {
+		assigned.Operations = append(assigned.Operations, b.operations.assign(newOperation(config, operation)))
+	}
+	for _, tenant := range config.Tenants {
+		assigned.Tenants = append(assigned.Tenants, b.quotas.assign(tenant.Name, tenant.Quota*b.config.dispatcherShare))
+	}
+	derived := newDerivedConfig(config)
+	derived.keepStartupFigures(&b.config)
+	b.config = derived
+	b.updateSubsets()
+	b.due.capacityChanged = true
+	b.due.reviewAt = b.now
+	b.limitAttempts()
+	b.effects.Log(fmt.Sprintf("configuration applied: %d operations, at most %d attempts", len(config.Operations), config.MaxAttempts))
+	return assigned
+}
+
+// limitAttempts binds open requests to the configured limit, and answers those that may not be attempted any more.
+func (b *Balancer) limitAttempts() {
+	for id := range b.requests.newestFirst() {
+		request := b.requests.get(id)
+		request.attemptLimit = min(request.attemptLimit, b.config.maxAttempts)
+		if len(request.attempts) > 0 && request.inFlight == 0 && !b.mayAttemptAnywhere(request) {
+			b.rejectOrFail(id)
+		}
+	}
+}
+
+// Reconfigure takes a new configuration at all shards, and returns the numbers of its operations and tenants, which are
+// the same at each. config counts processes, as that of the start did.
+func (s *Shards) Reconfigure(config Config) (assigned AssignedIDs) {
+	s.reconfiguring.Lock()
+	defer s.reconfiguring.Unlock()
+	s.updateAll(func(b *Balancer) { assigned = b.Reconfigure(config) })
+	return assigned
+}
--- a/internal/balancer/seats_test.go
+++ b/internal/balancer/seats_test.go
@@ -16,7 +16,7 @@
 		own := 0
 		for n, w := range part {
 			own += d.workers[w].inFlight
-			assert.EqualValues(t, n, d.subsetting.subsets[p].position[w])
+			assert.EqualValues(t, n, d.subsetting.subsets[p].positions[w])
 			if d.subsetting.subsets[p].maybeFree[n/64]>>(n%64)&1 == 0 {
 				assert.True(t, d.isFull(w), "a worker that may have room is passed over")
 				assert.False(t, d.isAvailable(w))
@@ -24,7 +24,7 @@
 		}
 		assert.Equal(t, own, d.subsetting.subsets[p].inFlight)
 		for w := range d.workers {
-			assert.Equal(t, slices.Contains(part, WorkerID(w)), d.inSubset(p, WorkerID(w)))
+			assert.Equal(t, slices.Contains(part, WorkerID(w)), d.subsetting.inSubset(p, WorkerID(w)))
 		}
 	}
 	assert.Equal(t, slices.ContainsFunc(d.subsetting.ring, d.isAvailable), d.anyAvailable())
@@ -33,7 +33,7 @@
 		assert.False(t, d.requests.byID[inv].closed)
 		open = append(open, inv)
 	}
-	assert.Len(t, open, d.requests.live)
+	assert.Len(t, open, d.requests.openCount)
 	for inv := range d.requests.byID {
 		assert.Equal(t, slices.Contains(d.pending.ids, RequestID(inv)), d.requests.byID[inv].queued)
 	}
@@ -146,12 +146,12 @@
 	d, _ := newWarmBalancer(1, 1)
 	d.requests.byID = make([]request, 1000)
 	for inv := range RequestID(1000) {
-		d.addOpenRequest(inv)
+		d.requests.addOpen(inv)
 		if inv >= 3 {
-			d.removeOpenRequest(inv - 2)
+			d.requests.removeOpen(inv - 2)
 		}
 	}
 	assert.Equal(t, []RequestID{999, 998, 0}, slices.Collect(d.requests.newestFirst()))
-	assert.LessOrEqual(t, len(d.requests.ids), 2*3+minGaps+2)
-	assert.Equal(t, 3, d.requests.live)
+	assert.LessOrEqual(t, len(d.requests.order), 2*3+minGaps+2)
+	assert.Equal(t, 3, d.requests.openCount)
 }
--- /dev/null
+++ b/internal/balancer/shards.go
@@ -0,0 +1,224 @@
+package balancer
+
+import (
+	"context"
+	"slices"
+	"sync"
+	"sync/atomic"
+)
+
+// Shards are the pickers of one process, one a core and each with a lock of its own. Each is a dispatcher like any
+// other, with its number among all shards of all processes, so that budgets, quotas, subsets and staggered polls hold
+// over all of them. They tell one another in memory what other peers tell by datagram. All processes must have as many
+// shards. Changes of what is known go to all of them in turn; requests go to each in turn.
+type Shards struct {
+	pickers    []*Picker
+	firstPeer  PeerID // of the first one here
+	gossip     bool   // whether other processes may be told
+	roundRobin atomic.Uint32
+
+	reconfiguring sync.Mutex // held while operations are numbered, which has to be the same at all shards
+}
+
+// NewShards makes a number of shards for a process. config.Dispatchers and config.Position count processes. clock
+// returns the current time, and log takes remarks.
+func NewShards(config Config, count int, seed uint64, clock func() Time, log func(string)) *Shards {
+	s := &Shards{firstPeer: PeerID(config.Position * count), gossip: config.Gossip}
+	position := config.Position
+	config.Dispatchers *= count
+	config.Gossip = config.Gossip || count > 1
+	for n := range count {
+		config.Position = position*count + n
+		picker := NewPicker(config, seed+uint64(n), clock, log)
+		if n > 0 { // the process polls and probes, whichever shard wants it
+			picker.pollDue = s.pickers[0].pollDue
+			picker.probes = s.pickers[0].probes
+		}
+		s.pickers = append(s.pickers, picker)
+	}
+	return s
+}
+
+// Count is how many there are.
+func (s *Shards) Count() int { return len(s.pickers) }
+
+// PeerID is that of a shard among all shards of all processes.
+func (s *Shards) PeerID(shard int) PeerID { return s.firstPeer + PeerID(shard) }
+
+// Submit takes in a request at the shard whose turn it is. The caller has to Pick until it gets an answer.
+func (s *Shards) Submit(arrival Arrival) *RequestHandle { return s.next().Submit(arrival) }
+
+// next is the shard whose turn it is.
+func (s *Shards) next() *Picker {
+	if len(s.pickers) == 1 {
+		return s.pickers[0]
+	}
+	return s.pickers[s.roundRobin.Add(1)%uint32(len(s.pickers))]
+}
+
+// first is the shard that answers for all where each would say the same.
+func (s *Shards) first() *Picker { return s.pickers[0] }
+
+// updateAll makes a call on each shard's Balancer in turn, and applies the rules that are due then.
+func (s *Shards) updateAll(call func(*Balancer)) {
+	for _, picker := range s.pickers {
+		picker.update(call)
+	}
+}
+
+// updateAllOf makes a call on each shard's Balancer in turn for each shard of another process.
+func (s *Shards) updateAllOf(process int, call func(b *Balancer, peer PeerID)) {
+	for _, picker := range s.pickers {
+		for n := range s.pickers {
+			peer := PeerID(process*len(s.pickers) + n)
+			picker.update(func(b *Balancer) { call(b, peer) })
+		}
+	}
+}
+
+// Run blocks until ctx ends, and applies the rules of a shard whenever one comes due by time alone.
+func (s *Shards) Run(ctx context.Context, shard int) error { return s.pickers[shard].Run(ctx) }
+
+// Now is the time by which decisions are made.
+func (s *Shards) Now() Time { return s.first().clock() }
+
+// OpenRequests is the number of requests that are not closed, or have attempts in flight.
+func (s *Shards) OpenRequests() (open int) {
+	for _, picker := range s.pickers {
+		open += picker.OpenRequests()
+	}
+	return open
+}
+
+// StopAfter tells that no answer is possible after a span from now: the process ends then.
+func (s *Shards) StopAfter(span Time) {
+	for _, picker := range s.pickers {
+		picker.StopAfter(span)
+	}
+}
+
+// CancelAll cancels all attempts that are still in flight, as the process ends.
+func (s *Shards) CancelAll() {
+	for _, picker := range s.pickers {
+		picker.CancelAll()
+	}
+}
+
+// MissesStop tells whether a request that arrives now would, by its size hint, not be done before the process ends.
+func (s *Shards) MissesStop(arrival Arrival) bool { return s.first().MissesStop(arrival) }
+
+// WorkerCounts counts the workers that are listed, and of them those that are ejected now, at the shard that has the most.
+func (s *Shards) WorkerCounts() (listed, ejected int) {
+	for _, picker := range s.pickers {
+		listedHere, ejectedHere := picker.WorkerCounts()
+		listed = max(listed, listedHere)
+		ejected = max(ejected, ejectedHere)
+	}
+	return listed, ejected
+}
+
+// AwaitPoll blocks until the endpoint list should be polled, or returns the error of ctx.
+func (s *Shards) AwaitPoll(ctx context.Context) error { return s.first().AwaitPoll(ctx) }
+
+// NextProbe blocks until a worker should be probed, or returns the error of ctx.
+func (s *Shards) NextProbe(ctx context.Context) (WorkerID, error) { return s.first().NextProbe(ctx) }
+
+// NextLoadUpdates blocks until a shard has something to tell other processes, or returns the error of ctx. Meanwhile it
+// tells the other shards here what is for them, without the lock of the one that tells: two may tell each other at once.
+func (s *Shards) NextLoadUpdates(ctx context.Context, shard int) ([]LoadUpdate, error) {
+	for {
+		updates, err := s.pickers[shard].NextLoadUpdates(ctx)
+		if err != nil {
+			return nil, err
+		}
+		outside := updates[:0]
+		for _, update := range updates {
+			local := int(update.To - s.firstPeer)
+			switch {
+			case local >= 0 && local < len(s.pickers):
+				for _, load := range update.Loads {
+					s.pickers[local].ReceiveLoad(s.PeerID(shard), load)
+				}
+			case s.gossip:
+				outside = append(outside, update)
+			}
+		}
+		if len(outside) > 0 {
+			return outside, nil
+		}
+	}
+}
+
+// UpdateEndpoints takes a list of endpoints, whole or changes to it. known tells that it is from before the start.
+func (s *Shards) UpdateEndpoints(entries []Endpoint, whole, known bool) {
+	for _, picker := range s.pickers {
+		picker.UpdateEndpoints(entries, whole, known)
+	}
+}
+
+// ReportWatchEnded tells that the endpoint list could not be had, or is no longer watched.
+func (s *Shards) ReportWatchEnded(end WatchEnd) {
+	for _, picker := range s.pickers {
+		picker.ReportWatchEnded(end)
+	}
+}
+
+// ReportFirstPollSlow tells that the first poll has not been answered for a while: the endpoints from before the start
+// have to do.
+func (s *Shards) ReportFirstPollSlow() {
+	s.updateAll(func(b *Balancer) {
+		b.discovery.endpointsStale = false
+		b.due.capacityChanged = true
+	})
+}
+
+// ReportDiscoveryMoved tells that the endpoint service has another address: it is polled at once, however long the wait
+// was to be.
+func (s *Shards) ReportDiscoveryMoved() {
+	s.updateAll(func(b *Balancer) { b.discovery.pollNow(b.now) })
+}
+
+// ReceiveLoadReport takes the values of a worker's load report, at the places that Config names.
+func (s *Shards) ReceiveLoadReport(worker WorkerID, values []float64) {
+	s.updateAll(func(b *Balancer) { b.ReceiveLoadReport(worker, values) })
+}
+
+// ReceiveLoad takes what a shard of another process has in flight at a worker.
+func (s *Shards) ReceiveLoad(from PeerID, load Load) {
+	for _, picker := range s.pickers {
+		picker.ReceiveLoad(from, load)
+	}
+}
+
+// ReceivePeerStarted tells that another process has just started, by its number among the processes.
+func (s *Shards) ReceivePeerStarted(process int) {
+	s.updateAllOf(process, (*Balancer).receivePeerStarted)
+}
+
+// ReportSeniorPeer tells that another process has run for longer than this one, by its number among the processes.
+func (s *Shards) ReportSeniorPeer(process int) {
+	s.updateAllOf(process, func(b *Balancer, peer PeerID) { b.gossip.recordPeerAge(peer, false) })
+}
+
+// Isolated tells whether all dispatchers may have lost power, as far as this process can see.
+func (s *Shards) Isolated() (isolated bool) {
+	s.first().read(func(b *Balancer) { isolated = !b.discovery.answered && !b.gossip.hearsSenior() })
+	return isolated
+}
+
+// GossipPeers are the other processes with which this one exchanges load, by number and in order; all of them while
+// there is no endpoint list.
+func (s *Shards) GossipPeers() (processes []int) {
+	own := int(s.firstPeer) / len(s.pickers)
+	for _, picker := range s.pickers {
+		picker.read(func(b *Balancer) {
+			for _, peer := range b.gossipPeers() {
+				if process := int(peer) / len(s.pickers); process != own {
+					processes = append(processes, process)
+				}
+			}
+		})
+	}
+	slices.Sort(processes)
+	return slices.Compact(processes)
+}
--- a/internal/balancer/starved_test.go
+++ b/internal/balancer/starved_test.go
@@ -136,7 +136,7 @@
 	d.RunDueRules()
 	assert.Equal(t, []RequestID{1, 0}, d.pending.ids, "it earns a fifth now")
 	d.workers[0].unstarted = 0
-	d.markMaybeFree(0)
+	d.subsetting.markMaybeFree(0)
 	d.due.capacityChanged = true
 	d.RunDueRules()
 	assert.Equal(t, []string{"forward 1 to 0"}, b.lines)
@@ -154,7 +154,7 @@
 	d.RunDueRules()
 	sent := Work(0)
 	for w := range d.workers {
-		for _, s := range d.recentSends(WorkerID(w)) {
+		for _, s := range d.workers[WorkerID(w)].sendsAfter(d.warmupWindowStart()) {
 			sent += s.work
 		}
 	}
--- a/internal/balancer/zone_test.go
+++ b/internal/balancer/zone_test.go
@@ -30,7 +30,7 @@
 	assert.NotContains(t, fmt.Sprint(b.lines), "error")
 
 	takes := func() WorkerID {
-		w, ok := d.pickWorker(&request{interval: bothIntervals, quotaWeight: 1, size: 100, deadline: never})
+		w, ok := d.pickWorker(&request{attemptLimit: 4, interval: bothIntervals, quotaWeight: 1, size: 100, deadline: never})
 		assert.True(t, ok)
 		return w
 	}
