--- a/internal/testbed/command/command.go
+++ b/internal/testbed/command/command.go
@@ -316,14 +316,14 @@
 				if !t.Holds {
 					verdict = t.Reason
 				}
-				fmt.Fprintf(status, "  %-14s %8.0f a second  p99 %9.2f ms  %s\n", policy, t.Rate, t.P99, verdict)
+				fmt.Fprintf(status, "  %-14s %8.0f per second  p99 %9.2f ms  %s\n", policy, t.Rate, t.P99, verdict)
 			})
 		if err != nil {
 			return err
 		}
 		best[policy] = b
 	}
-	fmt.Fprintf(out, "%-14s %10s %10s %10s %12s %12s %12s\n", "", "a second", "p50 ms", "p99 ms", "CPU us/call",
+	fmt.Fprintf(out, "%-14s %10s %10s %10s %12s %12s %12s\n", "", "per second", "p50 ms", "p99 ms", "CPU us/call",
 		"allocs/call", "bytes/call")
 	for _, policy := range policies {
 		b := best[policy]
--- a/internal/testbed/discoveryserver/catalog.go
+++ b/internal/testbed/discoveryserver/catalog.go
@@ -85,7 +85,8 @@
 		n, known := indexes[ch.entry.Worker]
 		if !known {
 			n = len(entries)
-			indexes[ch.entry.Worker], entries = n, append(entries, Entry{})
+			indexes[ch.entry.Worker] = n
+			entries = append(entries, Entry{})
 		}
 		entries[n] = ch.entry
 	}
--- a/internal/testbed/experiment/process.go
+++ b/internal/testbed/experiment/process.go
@@ -80,13 +80,17 @@
 	if p.fleet != "" {
 		cmd.Env = append(cmd.Env, "LB_FLEET="+p.fleet)
 	}
-	cmd.Stdout, cmd.Stderr = p.log, p.log
+	cmd.Stdout = p.log
+	cmd.Stderr = p.log
 	cmd.SysProcAttr = processGroup()
 	if err := cmd.Start(); err != nil {
 		return fmt.Errorf("dispatcher %s: %w", p.name, err)
 	}
 	gone := make(chan struct{})
-	p.cmd, p.exited, p.stopping, p.paused = cmd, gone, false, false
+	p.cmd = cmd
+	p.exited = gone
+	p.stopping = false
+	p.paused = false
 	p.incarnations++
 	go func() {
 		err := cmd.Wait()
--- a/internal/testbed/experiment/saturate.go
+++ b/internal/testbed/experiment/saturate.go
@@ -57,7 +57,8 @@
 		}
 		report(t)
 		if t.Holds {
-			low, best = rate, t
+			low = rate
+			best = t
 		} else {
 			high = rate
 		}
@@ -77,11 +78,19 @@
 // planAt is an experiment at a rate whose workers take no time, so that only the dispatcher is measured.
 func (s Saturation) planAt(rate float64) (*Plan, error) {
 	p := defaults()
-	p.Name, p.Seed, p.Fleet.Instant = "saturate", s.Seed, true
+	p.Name = "saturate"
+	p.Seed = s.Seed
+	p.Fleet.Instant = true
 	d := &p.Dispatchers
-	d.Policy, d.Cores, d.MemoryMB, d.Sockets, d.Peers = s.Policy, s.Cores, 1024, 8192, false
+	d.Policy = s.Policy
+	d.Cores = s.Cores
+	d.MemoryMB = 1024
+	d.Sockets = 8192
+	d.Peers = false
 	p.Fleet.Kinds = []worker.Kind{{Name: "null", Cores: 64, Queue: 4096, Count: s.Workers}}
-	p.Fleet.StartNotes, p.Fleet.AnnounceStartNotes, p.Fleet.OverloadMultiple = false, false, 0
+	p.Fleet.StartNotes = false
+	p.Fleet.AnnounceStartNotes = false
+	p.Fleet.OverloadMultiple = 0
 	p.Operations = []workload.Operation{{
 		Name: "null", Idempotency: workload.Idempotent, LatencyObjective: unit.Duration(s.Objective),
 		Timeout: unit.Duration(2 * time.Second), Work: unit.Duration(100 * time.Microsecond), Tail: "constant", Share: 1,
@@ -114,7 +123,8 @@
 		Bytes   uint64 `json:"alloc_bytes"`
 	}
 	if json.Unmarshal(result.Dispatchers[0].Counters, &counters) == nil {
-		trial.Mallocs, trial.Bytes = float64(counters.Mallocs)/calls, float64(counters.Bytes)/calls
+		trial.Mallocs = float64(counters.Mallocs) / calls
+		trial.Bytes = float64(counters.Bytes) / calls
 	}
 	succeeded := float64(c.Total.Answers["succeeded"]) / calls
 	switch {
--- a/internal/testbed/history/check_keys_test.go
+++ b/internal/testbed/history/check_keys_test.go
@@ -11,9 +11,9 @@
 	second := time.Second
 	for _, c := range []struct {
 		name       string
-		again      bool
-		dispatcher int // of the repeat; 1 was away from 2 s to 3 s, 0 never
-		worker     int // of the repeat; the first went to 0
+		marked     bool
+		dispatcher int // of the retry; 1 has an outage from 2 s to 3 s, 0 has none
+		worker     int // of the retry; the first went to 0
 		at         time.Duration
 		violated   bool
 	}{
@@ -21,7 +21,7 @@
 		{"another group", true, 1, 2, 4 * second, true},
 		{"not marked", false, 1, 2, 4 * second, false},
 		{"after the window", true, 1, 2, 12 * second, false},
-		{"at one that was never away", true, 0, 2, 4 * second, false},
+		{"at a dispatcher without an outage", true, 0, 2, 4 * second, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			l := New()
@@ -29,8 +29,8 @@
 			l.SetKey(first, 7, false)
 			l.AttemptReceived("a0", Attempt{Worker: 0, Dispatcher: 0, FirstByteAt: second, ReceivedAt: second})
 			l.AddOutage(Outage{Dispatcher: 1, From: 2 * second, To: 3 * second})
-			repeat := l.RequestOpened("a1", 0, c.dispatcher, 20*second)
-			l.SetKey(repeat, 7, c.again)
+			retry := l.RequestOpened("a1", 0, c.dispatcher, 20*second)
+			l.SetKey(retry, 7, c.marked)
 			l.AttemptReceived("a1", Attempt{Worker: c.worker, Dispatcher: c.dispatcher, FirstByteAt: c.at, ReceivedAt: c.at})
 			config := RuleConfig{
 				Operations: []Operation{{Name: "choices", ScopeZone: true, DedupWindow: 10 * second}},
--- a/internal/testbed/history/history.go
+++ b/internal/testbed/history/history.go
@@ -96,7 +96,7 @@
 	From, To   time.Duration
 }
 
-// Log takes records from many goroutines.
+// Log is the record of an experiment. It is safe for concurrent use.
 type Log struct {
 	mu            sync.Mutex
 	requests      []*Request
@@ -107,7 +107,7 @@
 	outages       []Outage
 }
 
-// New makes an empty ledger.
+// New returns an empty record.
 func New() *Log { return &Log{byID: map[string]*Request{}} }
 
 // RequestOpened records a client's request before its first byte is sent. The client gives up at the deadline.
@@ -124,7 +124,9 @@
 func (l *Log) SetKey(request *Request, key uint64, markedRetry bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	request.Key, request.HasKey, request.MarkedRetry = key, true, markedRetry
+	request.Key = key
+	request.HasKey = true
+	request.MarkedRetry = markedRetry
 }
 
 // RequestSent records that a request's last byte has been written.
@@ -139,14 +141,18 @@
 func (l *Log) RequestResent(request *Request, at time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	request.SentAt, request.ResentAt = 0, at
+	request.SentAt = 0
+	request.ResentAt = at
 }
 
 // RequestEnded records a request's outcome.
 func (l *Log) RequestEnded(request *Request, outcome Outcome, status int, result string, at time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	request.Outcome, request.Status, request.Result, request.EndedAt = outcome, status, result, at
+	request.Outcome = outcome
+	request.Status = status
+	request.Result = result
+	request.EndedAt = at
 }
 
 // AttemptReceived records an attempt that a worker has received completely. One whose ID no client has used violates
@@ -178,7 +184,9 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if attempt.End == Running {
-		attempt.End, attempt.Result, attempt.EndedAt = end, result, at
+		attempt.End = end
+		attempt.Result = result
+		attempt.EndedAt = at
 	}
 }
 
--- a/internal/testbed/loadgen/front_tier.go
+++ b/internal/testbed/loadgen/front_tier.go
@@ -98,7 +98,8 @@
 	defer f.mu.Unlock()
 	switch {
 	case healthy:
-		f.inRotation[n], f.healthyAt[n] = true, time.Now()
+		f.inRotation[n] = true
+		f.healthyAt[n] = time.Now()
 	case refused: // it drains: clients go on using their open connections
 		f.inRotation[n] = false
 	case f.inRotation[n] && time.Since(f.healthyAt[n]) > f.failureTimeout:
--- a/internal/testbed/loadgen/loadgen.go
+++ b/internal/testbed/loadgen/loadgen.go
@@ -55,7 +55,9 @@
 		c := metrics.Call{Operation: arrival.Operation, Tenant: arrival.Tenant, Intended: arrival.At, Work: arrival.Work}
 		if g.open.Add(1) > int64(g.MaxOpen) {
 			g.open.Add(-1)
-			c.Outcome, c.Sent, c.Ended = history.Unsent, arrival.At, arrival.At
+			c.Outcome = history.Unsent
+			c.Sent = arrival.At
+			c.Ended = arrival.At
 			c.ValueOffered = g.Operations[arrival.Operation].Value * arrival.Work.Seconds()
 			g.Recorder.Record(c)
 			continue
@@ -84,7 +86,8 @@
 	c.Sent = g.Clock()
 	for try := 0; ; try++ {
 		got := g.sendRequest(ctx, n, try, arrival, o)
-		c.Outcome, c.Tries = got.outcome, try+1
+		c.Outcome = got.outcome
+		c.Tries = try + 1
 		if !mayRetry(got.outcome, o) || try >= g.Retries || !g.waitBeforeRetry(ctx, n, try, got.retryAfter) {
 			break
 		}
@@ -240,7 +243,8 @@
 	got := answer{outcome: history.Errored, status: r.StatusCode}
 	switch r.StatusCode {
 	case http.StatusOK:
-		got.outcome, got.result = history.Succeeded, string(body)
+		got.outcome = history.Succeeded
+		got.result = string(body)
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
 		got.outcome = history.Throttled
 		if after, err := strconv.ParseFloat(r.Header.Get("Retry-After"), 64); err == nil && after > 0 {
--- a/internal/testbed/metrics/summary.go
+++ b/internal/testbed/metrics/summary.go
@@ -91,9 +91,11 @@
 	}
 	switch g := &summary.Generator; {
 	case g.Unsent > 0:
-		g.Trusted, g.Reason = false, fmt.Sprintf("%d calls were never sent: too many were open", g.Unsent)
+		g.Trusted = false
+		g.Reason = fmt.Sprintf("%d calls were never sent: too many were open", g.Unsent)
 	case float64(g.LateCalls) > maxLateShare*float64(g.Late.Count):
-		g.Trusted, g.Reason = false, fmt.Sprintf("%d of %d calls were sent more than %v late", g.LateCalls,
+		g.Trusted = false
+		g.Reason = fmt.Sprintf("%d of %d calls were sent more than %v late", g.LateCalls,
 			g.Late.Count, LateAfter)
 	}
 	return summary
@@ -128,8 +130,11 @@
 	if l.Count == 0 {
 		return l
 	}
-	l.Mean, l.Max = h.Mean()/1000, millis(h.Max())
-	l.P50, l.P90, l.P99 = millis(h.ValueAtQuantile(50)), millis(h.ValueAtQuantile(90)), millis(h.ValueAtQuantile(99))
+	l.Mean = h.Mean() / 1000
+	l.Max = millis(h.Max())
+	l.P50 = millis(h.ValueAtQuantile(50))
+	l.P90 = millis(h.ValueAtQuantile(90))
+	l.P99 = millis(h.ValueAtQuantile(99))
 	l.P999 = millis(h.ValueAtQuantile(99.9))
 	return l
 }
--- a/internal/testbed/report/charts.go
+++ b/internal/testbed/report/charts.go
@@ -46,9 +46,13 @@
 // newChart returns an empty chart over the time of a run.
 func newChart(r *experiment.Result, title, unit string) *plot.Plot {
 	chart := plot.New()
-	chart.Title.Text, chart.Y.Label.Text, chart.X.Label.Text = title, unit, "seconds from the start"
-	chart.X.Min, chart.X.Max = 0, max(r.DurationSeconds, 1)
-	chart.Legend.Top, chart.Legend.Left = true, false
+	chart.Title.Text = title
+	chart.Y.Label.Text = unit
+	chart.X.Label.Text = "seconds from the start"
+	chart.X.Min = 0
+	chart.X.Max = max(r.DurationSeconds, 1)
+	chart.Legend.Top = true
+	chart.Legend.Left = false
 	chart.Add(plotter.NewGrid())
 	return chart
 }
@@ -67,7 +71,8 @@
 		if err != nil {
 			continue
 		}
-		band.Color, band.Width = color.NRGBA{200, 60, 60, 36}, 0
+		band.Color = color.NRGBA{200, 60, 60, 36}
+		band.Width = 0
 		chart.Add(band)
 		text, err := plotter.NewLabels(plotter.XYLabels{
 			XYs:    plotter.XYs{{X: from, Y: high}},
@@ -88,7 +93,8 @@
 	if err != nil {
 		return
 	}
-	l.Color, l.Width = colours[name], vg.Points(1.6)
+	l.Color = colours[name]
+	l.Width = vg.Points(1.6)
 	if dashed {
 		l.Dashes = []vg.Length{vg.Points(5), vg.Points(3)}
 	}
@@ -112,7 +118,7 @@
 
 // answersChart shows arrivals and outcomes per second.
 func answersChart(r *experiment.Result) *plot.Plot {
-	chart := newChart(r, "Arrivals and answers", "a second")
+	chart := newChart(r, "Arrivals and answers", "per second")
 	over := func(count func(metrics.Slot) int64) (points plotter.XYs, found bool) {
 		for _, s := range r.Calls.Slots {
 			n := count(s)
@@ -136,13 +142,14 @@
 			addLine(chart, kind, points, false)
 		}
 	}
-	chart.Y.Min, chart.Y.Max = 0, top*1.15
+	chart.Y.Min = 0
+	chart.Y.Max = top * 1.15
 	return chart
 }
 
 // latencyChart shows percentiles of the latency of successful calls, by intended time.
 func latencyChart(r *experiment.Result) *plot.Plot {
-	chart := newChart(r, "Latency of what succeeded, from the intended time of sending", "ms")
+	chart := newChart(r, "Latency of successful calls, from the intended time of sending", "ms")
 	low, high := math.Inf(1), 1.0
 	lines := map[string]plotter.XYs{}
 	for _, s := range r.Calls.Slots {
@@ -152,19 +159,23 @@
 		at := s.From + r.Calls.SlotSeconds/2
 		for name, v := range map[string]float64{"p50": s.P50, "p95": s.P95, "p99": s.P99} {
 			lines[name] = append(lines[name], plotter.XY{X: at, Y: v})
-			low, high = min(low, v), max(high, v)
+			low = min(low, v)
+			high = max(high, v)
 		}
 	}
 	if math.IsInf(low, 1) {
 		return chart
 	}
-	low, high = low/1.3, high*1.5
+	low /= 1.3
+	high *= 1.5
 	shadeFaults(chart, r, low, high)
 	for _, name := range []string{"p50", "p95", "p99"} {
 		addLine(chart, name, lines[name], false)
 	}
-	chart.Y.Scale, chart.Y.Tick.Marker = plot.LogScale{}, plot.LogTicks{Prec: 3}
-	chart.Y.Min, chart.Y.Max = low, high
+	chart.Y.Scale = plot.LogScale{}
+	chart.Y.Tick.Marker = plot.LogTicks{Prec: 3}
+	chart.Y.Min = low
+	chart.Y.Max = high
 	return chart
 }
 
@@ -180,7 +191,7 @@
 
 // workChart shows the work that each worker finished per second. A crash appears as a gap, warming up as a pale area.
 func workChart(r *experiment.Result) *plot.Plot {
-	chart := newChart(r, "Work finished by worker (darker: more a second)", "worker")
+	chart := newChart(r, "Requests finished by worker over time (darker: more per second)", "worker")
 	shades, err := brewer.GetPalette(brewer.TypeSequential, "Blues", 9)
 	g := workGrid{r}
 	if c, rows := g.Dims(); err != nil || c < 2 || rows < 2 {
@@ -197,17 +208,20 @@
 		ticks = append(ticks, t)
 	}
 	chart.Y.Tick.Marker = plot.ConstantTicks(ticks)
-	chart.Y.Min, chart.Y.Max = -0.5, float64(len(r.Workers))-0.5
+	chart.Y.Min = -0.5
+	chart.Y.Max = float64(len(r.Workers)) - 0.5
 	return chart
 }
 
 // sharesChart shows the total number of requests that each worker finished.
 func sharesChart(r *experiment.Result) *plot.Plot {
 	chart := plot.New()
-	chart.Title.Text, chart.Y.Label.Text = "Invocations finished by worker", "invocations"
+	chart.Title.Text = "Requests finished by worker"
+	chart.Y.Label.Text = "requests"
 	values, names := plotter.Values{}, []string{}
 	for _, w := range r.Workers {
-		values, names = append(values, float64(w.Done)), append(names, w.Name)
+		values = append(values, float64(w.Done))
+		names = append(names, w.Name)
 	}
 	if len(values) == 0 || slices.Max(values) == 0 {
 		return chart
@@ -216,7 +230,8 @@
 	if err != nil {
 		return chart
 	}
-	bars.Color, bars.LineStyle.Width = colours["p50"], 0
+	bars.Color = colours["p50"]
+	bars.LineStyle.Width = 0
 	chart.Add(bars)
 	if len(names) <= 30 {
 		chart.NominalX(names...)
--- a/internal/testbed/report/compare.go
+++ b/internal/testbed/report/compare.go
@@ -34,10 +34,10 @@
 	{"latency p99 ms", latencyFigure(func(l metrics.Latency) float64 { return l.P99 }), -1},
 	{"latency max ms", latencyFigure(func(l metrics.Latency) float64 { return l.Max }), -1},
 	{"all calls p99 ms", func(r *experiment.Result) float64 { return r.Calls.All.P99 }, -1},
-	{"tries a call", func(r *experiment.Result) float64 {
+	{"requests per call", func(r *experiment.Result) float64 {
 		return float64(r.Calls.Total.Tries) / float64(max(r.Calls.Total.Calls, 1))
 	}, -1},
-	{"CPU us a call", func(r *experiment.Result) float64 {
+	{"CPU us per call", func(r *experiment.Result) float64 {
 		return 1e6 * r.CPU() / float64(max(r.Calls.Total.Calls, 1))
 	}, -1},
 }
@@ -103,7 +103,7 @@
 		fmt.Fprintf(&out, "%-18s %11.3f ±%7.3f %11.3f ±%7.3f %+12.3f%s\n", f.Name, meanA, devA, meanB, devB,
 			meanB-meanA, verdict)
 	}
-	out.WriteString("\n± is the standard deviation of single runs; a verdict stands where means differ by more " +
+	out.WriteString("\n± is the standard deviation of single runs; a verdict is given where means differ by more " +
 		"than\ntwice their standard errors.\n")
 	return out.String()
 }
--- a/internal/testbed/report/page.go
+++ b/internal/testbed/report/page.go
@@ -65,12 +65,13 @@
 // ruleRows returns the number of violations of each rule that was checked.
 func ruleRows(r *experiment.Result) (rows []Row) {
 	for _, rule := range append(slices.Clone(history.Rules[:]), history.RuleKeysPersisted) {
-		if _, judged := r.Rules[string(rule)]; !judged {
+		if _, checked := r.Rules[string(rule)]; !checked {
 			continue
 		}
 		row := Row{Name: string(rule), Value: "kept"}
 		if n := r.Rules[string(rule)]; n > 0 {
-			row.Value, row.Bad = fmt.Sprintf("broken %d times", n), true
+			row.Value = fmt.Sprintf("broken %d times", n)
+			row.Bad = true
 		}
 		rows = append(rows, row)
 	}
@@ -91,15 +92,15 @@
 	}
 	rows = append(rows,
 		Row{Name: "in time", Value: share(calls.Total.InTime)},
-		Row{Name: "billed value", Value: fmt.Sprintf("%.1f%% of what was asked for", 100*calls.Total.ValueShare)},
+		Row{Name: "billed value", Value: fmt.Sprintf("%.1f%% of the value offered", 100*calls.Total.ValueShare)},
 		Row{Name: "latency p50 / p99 / max", Value: fmt.Sprintf("%s / %s / %s", formatMillis(calls.Succeeded.P50),
 			formatMillis(calls.Succeeded.P99), formatMillis(calls.Succeeded.Max))},
-		Row{Name: "tries a call", Value: fmt.Sprintf("%.2f", float64(calls.Total.Tries)/float64(max(calls.Total.Calls,
+		Row{Name: "requests per call", Value: fmt.Sprintf("%.2f", float64(calls.Total.Tries)/float64(max(calls.Total.Calls,
 			1)))},
 		Row{Name: "dispatchers' CPU", Value: fmt.Sprintf("%.2f s", r.CPU())},
 	)
 	for _, b := range r.Recoveries {
-		row := Row{Name: "back after power loss", Value: fmt.Sprintf("%.0f s after the last worker, at best %.0f s (%.2f)",
+		row := Row{Name: "recovery after power loss", Value: fmt.Sprintf("%.0f s after the last worker, at best %.0f s (%.2f)",
 			b.UntilRecovered, b.UntilRecoveredAtBest, b.RatioToBest)}
 		if b.UntilRecovered < 0 {
 			row.Value = fmt.Sprintf("not within the run, at best %.0f s", b.UntilRecoveredAtBest)
@@ -108,7 +109,8 @@
 	}
 	g := Row{Name: "generator", Value: "kept to its schedule"}
 	if !calls.Generator.Trusted {
-		g.Value, g.Bad = "NOT TO BE TRUSTED: "+calls.Generator.Reason, true
+		g.Value = "NOT TO BE TRUSTED: " + calls.Generator.Reason
+		g.Bad = true
 	}
 	return append(rows, g)
 }
@@ -132,7 +134,7 @@
 			fmt.Fprintf(&b, "  ... %d more in %s\n", len(r.Violations)-n, "result.json")
 			break
 		}
-		fmt.Fprintf(&b, "  broken: %s: invocation %s (%s), dispatcher %d, worker %d, at %.3f s: %s\n", br.Rule,
+		fmt.Fprintf(&b, "  broken: %s: request %s (%s), dispatcher %d, worker %d, at %.3f s: %s\n", br.Rule,
 			br.ID,
 			br.Operation, br.Dispatcher, br.Worker, br.At.Seconds(), br.Description)
 	}
@@ -157,7 +159,7 @@
 .note{color:#666}
 </style></head><body>
 <h1>{{.Name}}</h1>
-<p>{{.Policy}}{{with .Fault}}, broken on purpose: {{.}}{{end}} &middot; seed {{.Seed}} &middot; {{.StartedAt}}
+<p>{{.Policy}}{{with .Fault}}, with the fault {{.}}{{end}} &middot; seed {{.Seed}} &middot; {{.StartedAt}}
  &middot;
 {{.DurationSeconds}} s &middot; {{len .Dispatchers}} dispatchers, {{len .Workers}} workers, on {{.Cores}} cores
 {{if .Partial}}&middot; <span class="bad">partial: interrupted</span>{{end}}</p>
--- a/internal/testbed/report/phases.go
+++ b/internal/testbed/report/phases.go
@@ -33,7 +33,8 @@
 		return nil
 	}
 	chart := newChart(r, "Phases of return", "dispatcher")
-	chart.Y.Min, chart.Y.Max = -1, float64(len(r.Dispatchers))
+	chart.Y.Min = -1
+	chart.Y.Max = float64(len(r.Dispatchers))
 	shadeFaults(chart, r, -1, float64(len(r.Dispatchers)))
 	drawn := map[string]bool{}
 	for n, phase := range r.Phases {
--- a/internal/testbed/report/report_test.go
+++ b/internal/testbed/report/report_test.go
@@ -32,7 +32,7 @@
 	}
 }
 
-func TestPageShowsFiguresTroublesAndBreaches(t *testing.T) {
+func TestPageShowsFiguresFaultsAndViolations(t *testing.T) {
 	r := run(7, 90)
 	r.Rules[string(history.RuleNoRequestLost)] = 1
 	r.Violations = []history.Violation{{Rule: history.RuleNoRequestLost, ID: "deadbeef", Description: "no answer"}}
@@ -46,7 +46,27 @@
 	}
 	assert.Equal(t, 4, strings.Count(page, "<svg"))
 	assert.Equal(t, 4, strings.Count(page, "</svg>"))
-	assert.Contains(t, Text(r), "invocation deadbeef")
+	assert.Contains(t, Text(r), "request deadbeef")
+}
+
+// The page binds fields by name, which the compiler does not check.
+func TestPageShowsTenantsRecoveriesAndPhases(t *testing.T) {
+	r := run(7, 90)
+	recorder := metrics.NewRecorder(time.Second, 1, 1)
+	recorder.Record(metrics.Call{Outcome: history.Succeeded, Ended: time.Millisecond, InTime: true, Tries: 1, ValueOffered: 1})
+	r.Calls = recorder.Summary([]string{"safe"}, []string{"uni"})
+	r.Recoveries = []metrics.Recovery{{UntilRecovered: 3, UntilRecoveredAtBest: 2, RatioToBest: 4.0 / 3}}
+	r.Phases = []experiment.PhaseResult{{Phase: "identity", From: 1}, {Phase: "full", From: 2}}
+	r.Failures = []string{"d0 ended by itself"}
+	path, err := Write(r, t.TempDir())
+	assert.NoError(t, err)
+	b, err := os.ReadFile(path)
+	assert.NoError(t, err)
+	page := string(b)
+	for _, want := range []string{"<h2>Tenants</h2>", "<td>uni</td>", "3 s after the last worker", "d0 ended by itself"} {
+		assert.Contains(t, page, want)
+	}
+	assert.Equal(t, 5, strings.Count(page, "<svg"), "one more chart for the phases")
 }
 
 func TestCompareGivesAVerdictOnlyBeyondTheSpread(t *testing.T) {
--- a/internal/testbed/worker/dedup.go
+++ b/internal/testbed/worker/dedup.go
@@ -55,7 +55,8 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if f := g.firsts[key]; f != nil && f.id == id {
-		f.done, f.result = true, result
+		f.done = true
+		f.result = result
 	}
 }
 
--- a/internal/testbed/worker/exchange.go
+++ b/internal/testbed/worker/exchange.go
@@ -62,7 +62,8 @@
 	default:
 		_, err = w.reader.Peek(1)
 	}
-	w.next, w.messageStarted = nil, false
+	w.next = nil
+	w.messageStarted = false
 	return err
 }
 
@@ -195,7 +196,9 @@
 				s.abandon(id, e, process)
 				return false
 			}
-			c.messageStarted, c.next, next = true, nil, nil
+			c.messageStarted = true
+			c.next = nil
+			next = nil
 		case <-process.ended:
 			return false
 		}
--- a/internal/testbed/worker/machine.go
+++ b/internal/testbed/worker/machine.go
@@ -182,7 +182,8 @@
 	for _, j := range append(m.queue, m.waitingForFirst...) {
 		unstarted = append(unstarted, j.ID)
 	}
-	m.queue, m.waitingForFirst = nil, nil
+	m.queue = nil
+	m.waitingForFirst = nil
 	return events, unstarted
 }
 
@@ -242,7 +243,9 @@
 			j.Group.release(j.Key, j.ID)
 		}
 	}
-	m.running, m.queue, m.waitingForFirst = nil, nil, nil
+	m.running = nil
+	m.queue = nil
+	m.waitingForFirst = nil
 }
 
 // Load returns the number of running and queued jobs.
@@ -254,7 +257,8 @@
 		at, first := now, false
 		for _, j := range m.running {
 			if d := m.finishTime(m.workUntilEvent(j)); d <= at {
-				at, first = d, true
+				at = d
+				first = true
 			}
 		}
 		events = m.step(max(at, m.now), events)
--- a/internal/testbed/worker/server.go
+++ b/internal/testbed/worker/server.go
@@ -54,7 +54,8 @@
 		s.addresses[d] = ln.Addr().String()
 		process.listeners = append(process.listeners, ln)
 	}
-	s.current, s.incarnations = process, s.incarnations+1
+	s.current = process
+	s.incarnations++
 	if s.startedAt = s.fleet.clock(); warm {
 		s.startedAt = 0
 	}
--- a/internal/testbed/worker/server_test.go
+++ b/internal/testbed/worker/server_test.go
@@ -226,7 +226,7 @@
 		assert.NoError(t, err)
 		assert.Equal(t, want, status, text)
 	}
-	breaches := l.Check(history.RuleConfig{})
-	assert.Len(t, breaches, 1, "an id that no client sent")
-	assert.Equal(t, "z", breaches[0].ID)
+	violations := l.Check(history.RuleConfig{})
+	assert.Len(t, violations, 1, "an id that no client sent")
+	assert.Equal(t, "z", violations[0].ID)
 }
--- a/internal/testbed/workload/shape.go
+++ b/internal/testbed/workload/shape.go
@@ -55,8 +55,10 @@
 // split cuts a segment in two at time t within it.
 func (s Segment) split(t time.Duration) (Segment, Segment) {
 	a, b := s, s
-	a.To, a.For = s.rateAt(t), t
-	b.From, b.For = s.rateAt(t), s.For-t
+	a.To = s.rateAt(t)
+	a.For = t
+	b.From = s.rateAt(t)
+	b.For = s.For - t
 	return a, b
 }
 
@@ -133,7 +135,8 @@
 			}
 			before, after := s.split(boundary - at)
 			out = append(out, scaled(before, at >= from && at < to, factor))
-			at, s = boundary, after
+			at = boundary
+			s = after
 		}
 		out = append(out, scaled(s, at >= from && at < to, factor))
 		at += s.For
--- a/internal/testbed/workload/workload_test.go
+++ b/internal/testbed/workload/workload_test.go
@@ -45,7 +45,7 @@
 		assert.True(t, a.At >= 2*sec && a.At < 3*sec && a.Tenant == 1, a)
 	}
 	assert.Len(t, plain, n)
-	assert.InDelta(t, 200*4*0.75, extra, 100, "four times the customer's three quarters of 200")
+	assert.InDelta(t, 200*4*0.75, extra, 100, "four times the tenant's three quarters of 200")
 }
 
 func TestShapesHaveTheirRates(t *testing.T) {
