--- a/internal/testbed/command/command.go
+++ b/internal/testbed/command/command.go
@@ -307,22 +307,24 @@
 	best := map[string]experiment.Trial{}
 	for _, policy := range policies {
 		s.Policy = policy
-		b, err := experiment.Saturate(ctx, s, experiment.Options{
-			Folder: folder, Dispatcher: dispatcher,
-			Self: self,
-		},
-			func(t experiment.Trial) {
-				verdict := "holds"
-				if !t.Holds {
-					verdict = t.Reason
-				}
-				fmt.Fprintf(status, "  %-14s %8.0f per second  p99 %9.2f ms  %s\n", policy, t.Rate, t.P99, verdict)
-			})
+		o := experiment.Options{Folder: folder, Dispatcher: dispatcher, Self: self}
+		best[policy], err = experiment.Saturate(ctx, s, o, func(t experiment.Trial) {
+			verdict := "holds"
+			if !t.Holds {
+				verdict = t.Reason
+			}
+			fmt.Fprintf(status, "  %-14s %8.0f per second  p99 %9.2f ms  %s\n", policy, t.Rate, t.P99, verdict)
+		})
 		if err != nil {
 			return err
 		}
-		best[policy] = b
 	}
+	printSaturation(out, policies, best)
+	return nil
+}
+
+// printSaturation prints the best trial of each policy, and the ratio of canvasroute's to the reverse proxy's.
+func printSaturation(out io.Writer, policies []string, best map[string]experiment.Trial) {
 	fmt.Fprintf(out, "%-14s %10s %10s %10s %12s %12s %12s\n", "", "per second", "p50 ms", "p99 ms", "CPU us/call",
 		"allocs/call", "bytes/call")
 	for _, policy := range policies {
@@ -333,10 +335,8 @@
 	if p := best["reverse-proxy"]; p.Rate > 0 {
 		c := best[experiment.Canvasroute]
 		fmt.Fprintf(out, "%-14s %9.2fx %21.2fx %11.2fx %11.2fx %11.2fx\n", "ratio", c.Rate/p.Rate, c.P99/p.P99,
-			c.CPU/p.CPU,
-			c.Mallocs/p.Mallocs, c.Bytes/p.Bytes)
+			c.CPU/p.CPU, c.Mallocs/p.Mallocs, c.Bytes/p.Bytes)
 	}
-	return nil
 }
 
 // standInCommand is the hidden command by which the testbed starts a baseline in a process of its own.
--- a/internal/testbed/experiment/clock.go
+++ b/internal/testbed/experiment/clock.go
@@ -11,8 +11,8 @@
 // shiftClock simulates a jump of a dispatcher's clock while it has no power. As a process' clock cannot be changed, it
 // moves all times on the dispatcher's disk in the opposite direction.
 func shiftClock(folder, name string, by time.Duration) error {
-	disk, locked, err := store.OpenFolder(folder)
-	if err != nil || !locked {
+	disk, writable, err := store.OpenFolder(folder)
+	if err != nil || !writable {
 		return err
 	}
 	defer func() { _ = disk.Close() }() // every write has returned its error
--- a/internal/testbed/experiment/environment.go
+++ b/internal/testbed/experiment/environment.go
@@ -45,7 +45,7 @@
 	actions     sync.WaitGroup // actions of faults that are still running
 
 	mu                   sync.Mutex
-	processes            []*process // the serving one of each dispatcher
+	processes            []*process // the serving one of each dispatcher; an upgrade replaces it
 	servers              []*worker.Server
 	speedFactors         []map[int]float64     // by worker, then by fault
 	downSince            map[int]time.Duration // by dispatcher
--- a/internal/testbed/worker/exchange.go
+++ b/internal/testbed/worker/exchange.go
@@ -149,12 +149,12 @@
 		return false
 	}
 	text := fmt.Sprintf("HTTP/1.1 %d %s\r\n%sContent-Length: %d\r\n\r\n", status, http.StatusText(status),
-		fields,
-		len(body))
+		fields, len(body))
 	_, err := c.Write(append([]byte(text), body...))
 	return err == nil
 }
 
+// responseHead is the head of an answer in chunks.
 const responseHead = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n"
 
 // stream writes the lines of an exchange as chunks until the last one, or until the dispatcher cancels.
--- a/internal/testbed/worker/machine.go
+++ b/internal/testbed/worker/machine.go
@@ -254,15 +254,15 @@
 // Advance simulates up to a time, and returns the events until then.
 func (m *Machine) Advance(now time.Duration) (events []Event) {
 	for {
-		at, first := now, false
+		at, due := now, false
 		for _, j := range m.running {
 			if d := m.finishTime(m.workUntilEvent(j)); d <= at {
 				at = d
-				first = true
+				due = true
 			}
 		}
 		events = m.step(max(at, m.now), events)
-		if !first {
+		if !due {
 			return m.startQueued(events)
 		}
 	}
@@ -276,6 +276,7 @@
 	return j.remaining
 }
 
+// step does the work up to a time that is not after the next event.
 func (m *Machine) step(at time.Duration, events []Event) []Event {
 	workDone := time.Duration(math.Round(m.workBetween(m.now, at) * 1e9))
 	m.now = at
@@ -315,6 +316,7 @@
 	return events
 }
 
+// start starts a job on a core, unless another job under its key runs or has run.
 func (m *Machine) start(j *job, events []Event) []Event {
 	if j.Group != nil {
 		switch result, state := j.Group.start(j.Key, j.ID, m.now); state {
