--- a/internal/testbed/worker/exchange.go
+++ b/internal/testbed/worker/exchange.go
@@ -62,7 +62,8 @@
 	default:
 		_, err = w.reader.Peek(1)
 	}
-	w.next, w.messageStarted = nil, false
+	w.next = nil
+	w.messageStarted = false
 	return err
 }
 
@@ -148,12 +149,12 @@
 		return false
 	}
 	text := fmt.Sprintf("HTTP/1.1 %d %s\r\n%sContent-Length: %d\r\n\r\n", status, http.StatusText(status),
-		fields,
-		len(body))
+		fields, len(body))
 	_, err := c.Write(append([]byte(text), body...))
 	return err == nil
 }
 
+// responseHead is the head of an answer in chunks.
 const responseHead = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n"
 
 // stream writes the lines of an exchange as chunks until the last one, or until the dispatcher cancels.
@@ -195,7 +196,9 @@
 				s.abandon(id, e, process)
 				return false
 			}
-			c.messageStarted, c.next, next = true, nil, nil
+			c.messageStarted = true
+			c.next = nil
+			next = nil
 		case <-process.ended:
 			return false
 		}
