--- a/internal/balancer/helper_test.go
+++ b/internal/balancer/helper_test.go
@@ -15,14 +15,22 @@
 func (b *recorder) SendAttempt(inv RequestID, tgt WorkerID, _ Time) {
 	b.add("forward %d to %d", inv, tgt)
 }
+
 func (b *recorder) CancelAttempt(inv RequestID, n int) { b.add("cancel %d.%d", inv, n) }
-func (b *recorder) Reject(inv RequestID, back Time)    { b.add("throttle %d back %d", inv, back) }
-func (b *recorder) Fail(inv RequestID)                 { b.add("error %d", inv) }
-func (b *recorder) Wake(uint64, Time)                  {}
-func (b *recorder) PollEndpoints()                     { b.add("subscribe") }
-func (b *recorder) Probe(tgt WorkerID)                 { b.add("probe %d", tgt) }
-func (b *recorder) SendLoad(to PeerID, l Load)         { b.add("tell %d of %d: %d", to, l.Worker, l.InFlight) }
-func (b *recorder) Log(string)                         {}
+
+func (b *recorder) Reject(inv RequestID, back Time) { b.add("throttle %d back %d", inv, back) }
+
+func (b *recorder) Fail(inv RequestID) { b.add("error %d", inv) }
+
+func (b *recorder) Wake(uint64, Time) {}
+
+func (b *recorder) PollEndpoints() { b.add("subscribe") }
+
+func (b *recorder) Probe(tgt WorkerID) { b.add("probe %d", tgt) }
+
+func (b *recorder) SendLoad(to PeerID, l Load) { b.add("tell %d of %d: %d", to, l.Worker, l.InFlight) }
+
+func (b *recorder) Log(string) {}
 
 var testConfig = Config{
 	Dispatchers: 2, Kinds: 1, Granularity: 20, MaxPollInterval: 10 * Second, WarmupDuration: 20 * Second, WarmupWindow: 2 * Second,
--- a/internal/balancer/starved_test.go
+++ b/internal/balancer/review_test.go
@@ -6,6 +6,76 @@
 	"github.com/stretchr/testify/assert"
 )
 
+func TestFinalAnswerComesInTimeWithoutOutcome(t *testing.T) {
+	d, b := newWarmBalancer(1, 1)
+	d.RequestArrived(0, Arrival{Operation: 1, Timeout: Second / 100, SizeHint: 100}) // a late try of little grace
+	d.RunDueRules()
+	assert.Equal(t, []string{"forward 0 to 0"}, b.lines)
+	d.SetTime(min(d.due.wakeAt, d.now+Second/100))
+	d.RunDueRules()
+	assert.Equal(t, []string{"forward 0 to 0", "error 0", "cancel 0.0"}, b.lines)
+	d.AttemptEnded(0, 0, Succeeded, true) // after the end: harmless
+	d.ClientLeft(0, -1)
+	d.RunDueRules()
+	assert.Len(t, b.lines, 3)
+}
+
+func TestLateHeldWorkIsThrottledAtOnce(t *testing.T) {
+	d, b := newWarmBalancer(1, 1)
+	d.workers[0].unstarted = 1
+	d.RequestArrived(0, Arrival{Timeout: 10 * Second, SizeHint: 100})
+	d.RequestArrived(1, Arrival{Operation: 1, Timeout: 10 * Second, SizeHint: 100})
+	d.now += Second + 1
+	d.RunDueRules()
+	assert.ElementsMatch(t, []string{"throttle 0 back 20000", "throttle 1 back 0"}, b.lines)
+}
+
+func TestWhatWaitsOnAWorkerPastHopeIsThrottled(t *testing.T) {
+	d, b := newWarmBalancer(1, 1)
+	d.operations.byID[0].slack, d.operations.byID[1].slack = 2, 2
+	d.RequestArrived(0, Arrival{Timeout: 10 * Second, SizeHint: Second})
+	d.RunDueRules()
+	d.RequestArrived(1, Arrival{Operation: 1, Timeout: 10 * Second, SizeHint: Second})
+	d.workers[0].unstarted = 0
+	d.RunDueRules()
+	d.now += 2*Second + 1 // the objective, and half of what the hint allows on top
+	d.due.reviewAt = d.now
+	d.RunDueRules()
+	assert.Equal(t, []string{"forward 0 to 0", "forward 1 to 0", "throttle 0 back 20000", "cancel 0.0"}, b.lines)
+}
+
+func TestUnstartedForwardMovesOn(t *testing.T) {
+	d, b := newWarmBalancer(2, 1)
+	d.RequestArrived(0, Arrival{Timeout: 10 * Second, SizeHint: 100})
+	d.RunDueRules()
+	d.now += d.config.patience
+	d.RunDueRules()
+	assert.Len(t, b.lines, 3)
+	assert.Equal(t, "cancel 0.0", b.lines[2])
+	assert.NotEqual(t, b.lines[0], b.lines[1])
+}
+
+// Guards against a worker that tells of a start and then nothing more, for as long as the client waits.
+func TestWorkThatRunsOnAndOnIsCopiedWhereThereIsRoomToSpare(t *testing.T) {
+	for _, c := range []struct {
+		op     OperationID
+		ran    Time
+		busy   int
+		copied int
+	}{{0, 50 * Second, 0, 1}, {0, 40 * Second, 0, 0}, {0, 50 * Second, 4, 0}, {1, 50 * Second, 0, 0}} {
+		d, _ := newWarmBalancer(2, 1)
+		d.config.gossip, d.subsetting.subsets[bothIntervals].workers = true, d.subsetting.ring
+		d.subsetting.subsets[bothIntervals].reindex(d.workers)
+		d.RequestArrived(0, Arrival{Operation: c.op, Timeout: 90 * Second, SizeHint: 1000})
+		d.RunDueRules()
+		d.AttemptStarted(0, 0)
+		d.workers[1-d.requests.byID[0].attempts[0].worker].peerInFlight = c.busy
+		d.now += c.ran
+		d.reviewOpenRequests()
+		assert.Len(t, d.requests.byID[0].attempts, 1+c.copied, c)
+	}
+}
+
 // far is a dispatcher whose caller tells when a worker has a forward.
 func far() (*Balancer, *recorder) {
 	b := &recorder{}
@@ -56,19 +126,6 @@
 	assert.LessOrEqual(t, d.zones[0].deliveryTime, d.config.warmupWindow/8)
 }
 
-func TestStartAsAForwardArrivesTellsOfAFreeSlotHoweverFarItIs(t *testing.T) {
-	d, _ := far()
-	for inv := range RequestID(4) {
-		d.RequestArrived(inv, Arrival{Timeout: 10 * Second, SizeHint: 100})
-		d.RunDueRules()
-		d.SetTime(d.now + 3*d.config.patience)
-		d.AttemptDelivered(inv, 0)
-		d.AttemptStarted(inv, 0)
-		d.AttemptEnded(inv, 0, Succeeded, true)
-	}
-	assert.Positive(t, d.slots.kinds[0].votes[1], "starts at once at a load of one")
-}
-
 // Guards against a client that comes again after its objective, whose forward was called off in the moment in which
 // it was sent: however long it would have waited, it could never be served.
 func TestClientThatComesAgainLateIsGivenTheTimeToBeServed(t *testing.T) {
@@ -141,96 +198,3 @@
 	d.RunDueRules()
 	assert.Equal(t, []string{"forward 1 to 0"}, b.lines)
 }
-
-// Guards against figures that mean nothing where no hints come: what is lost, and of what, and what a cold worker
-// is sent.
-func TestWithoutHintsSizesAreWhatWasSeen(t *testing.T) {
-	d, _ := newWarmBalancer(2, 1)
-	d.operations.byID[0].meanRun, d.operations.byID[1].meanRun, d.operations.byID[1].value = 500, 4000, 8
-	for inv, op := range []OperationID{0, 1} {
-		d.RequestArrived(RequestID(inv), Arrival{Operation: op, Timeout: 20 * Second})
-		assert.Equal(t, Work(d.operations.byID[op].meanRun), d.requests.byID[inv].size)
-	}
-	d.RunDueRules()
-	sent := Work(0)
-	for w := range d.workers {
-		for _, s := range d.workers[WorkerID(w)].sendsAfter(d.warmupWindowStart()) {
-			sent += s.work
-		}
-	}
-	assert.Equal(t, Work(4500), sent)
-	d.rejectOrFail(1)
-	assert.Equal(t, OperationID(1), d.operations.worst)
-	d.RequestArrived(2, Arrival{Operation: 0, Timeout: 20 * Second})
-	for n := 0; n < 3; n++ {
-		d.rejectOrFail(RequestID(2))
-		d.RequestArrived(2, Arrival{Operation: 0, Timeout: 20 * Second})
-	}
-	assert.Equal(t, OperationID(1), d.operations.worst, "three of four lost are less than one of one")
-}
-
-// Guards against work that may not run again and is kept for many seconds from all workers of a zone that was cut off:
-// where what failed there never ran, its own failure there is harmless as well.
-func TestWorkerThatWasOutOfReachIsOpenToNonIdempotentWorkAtItsTrial(t *testing.T) {
-	for how, soon := range map[Outcome]bool{NoConnection: true, ConnectionRefused: true, ConnectionReset: false, WorkerError: false} {
-		d, b := newWarmBalancer(1, 1)
-		d.config.warmupDuration = 0
-		for inv := RequestID(0); d.workers[0].consecutiveFailures < 2; inv++ {
-			d.SetTime(max(d.now, d.workers[0].probeAfter))
-			d.RequestArrived(inv, Arrival{Timeout: 20 * Second, SizeHint: 100})
-			d.RunDueRules()
-			d.AttemptEnded(inv, 0, how, false)
-			d.ClientLeft(inv, -1)
-		}
-		b.lines = nil
-		d.SetTime(d.workers[0].probeAfter)
-		d.RequestArrived(7, Arrival{Operation: 1, Timeout: 20 * Second, SizeHint: 100})
-		d.RunDueRules()
-		if soon {
-			assert.Equal(t, []string{"forward 7 to 0"}, b.lines, "outcome %d", how)
-			d.AttemptEnded(7, 0, NoConnection, false)
-			d.SetTime(d.workers[0].probeAfter)
-			d.RequestArrived(8, Arrival{Timeout: 20 * Second, SizeHint: 100})
-			d.RunDueRules()
-			d.AttemptEnded(8, 0, WorkerError, false)
-			assert.True(t, d.workers[0].possiblyExecuted)
-		} else {
-			assert.Empty(t, b.lines, "outcome %d", how)
-		}
-		d.UpdateEndpoints([]Endpoint{{Worker: 0, ID: "w0", StartedAt: d.now}}, false, true)
-		assert.False(t, d.workers[0].possiblyExecuted, "another process")
-	}
-}
-
-// Guards against parts that many dispatchers have saved up, each for the moment in which its rotation comes round, and
-// that all are sent once other workers are gone.
-func TestColdWorkerGetsItsPartAsItFallsDue(t *testing.T) {
-	terms := testConfig
-	terms.Dispatchers, terms.Position, terms.ReportFree = 200, 7, -1
-	d := New(terms, 1, &recorder{})
-	d.SetTime(100 * Second)
-	list := []Endpoint{{Worker: 0, ID: "w0", StartedAt: d.now - 5*Second}}
-	for w := WorkerID(1); w < 20; w++ {
-		list = append(list, Endpoint{Worker: w, ID: string(rune('a' + w))})
-	}
-	d.UpdateEndpoints(list, true, true)
-	for turn := range 20 {
-		d.RequestArrived(RequestID(turn), Arrival{Timeout: 20 * Second, SizeHint: 100})
-		for p := range d.subsetting.subsets {
-			d.subsetting.subsets[p].roundRobin = turn
-		}
-		d.withinWarmupBudget(0, 100)
-		d.workers[0].credit = 0.5
-		w, ok := d.pickWorker(&d.requests.byID[turn])
-		assert.True(t, ok)
-		assert.NotEqual(t, WorkerID(0), w, "not yet")
-		d.workers[0].credit = 1
-		w, _ = d.pickWorker(&d.requests.byID[turn])
-		assert.Equal(t, WorkerID(0), w, "wherever the rotation stands")
-	}
-	d.warmup.firstTries += 1000
-	assert.True(t, d.withinWarmupBudget(0, 100))
-	d.recordProcessExit(0)
-	d.workers[0].exitedAt = 0 // and a list has told of its start
-	assert.False(t, d.withinWarmupBudget(0, 100), "its next process is shared anew: all would have saved up one for it")
-}
--- a/internal/balancer/cold_test.go
+++ b/internal/balancer/warmup_budget_test.go
@@ -9,6 +9,71 @@
 	"github.com/stretchr/testify/assert"
 )
 
+func TestColdWorkerIsHeldToThePartOfEachDispatcher(t *testing.T) {
+	d, _ := newWarmBalancer(2, 1)
+	d.now += Second
+	d.UpdateEndpoints([]Endpoint{{Worker: 0, ID: "w0", StartedAt: d.now}}, false, true)
+	part := 4 * 0.2 * 1 * float64(2*Second) * (1 - warmupMargin) / 2 // one slot is known of
+	d.config.meanObjective = part                                    // as much as one piece of work
+	assert.True(t, d.withinWarmupBudget(0, Work(part)))
+	assert.False(t, d.withinWarmupBudget(0, Work(part)+1))
+	d.RequestArrived(0, Arrival{Timeout: 10 * Second, SizeHint: Work(part)})
+	d.startAttempt(0, 0)
+	assert.False(t, d.withinWarmupBudget(0, 1), "what was sent counts, whatever became of it")
+	d.now += 2 * Second
+	assert.True(t, d.withinWarmupBudget(0, 1), "the span has passed")
+	assert.True(t, d.withinWarmupBudget(1, 1<<40), "a warm worker has no such budget")
+}
+
+// Guards against parts too small for any piece of work, with which a cold worker is shut to nearly all: each sends
+// there by what lands at it, and what all save up begins evenly spread.
+func TestColdWorkerOfManyDispatchersIsOpenToEachByWhatLandsThere(t *testing.T) {
+	open := 0
+	for position := range 200 {
+		terms := testConfig
+		terms.Dispatchers, terms.Position = 200, position
+		d := New(terms, 1, &recorder{})
+		d.SetTime(100 * Second)
+		d.UpdateEndpoints([]Endpoint{{Worker: 0, ID: "w0", StartedAt: d.now - 5*Second}, {Worker: 1, ID: "w1"}, {Worker: 2, ID: "w2"}}, true, true)
+		assert.False(t, d.withinWarmupBudget(0, 100), "nothing has landed, so nothing may go there")
+		// At two fifths of its capacity, of two and two fifths in all, it may get twice its part: a third.
+		for inv := range RequestID(5) {
+			d.RequestArrived(inv, Arrival{Timeout: 10 * Second, SizeHint: 100})
+			if d.withinWarmupBudget(0, 100) {
+				open++
+				d.startAttempt(inv, 0)
+				assert.False(t, d.withinWarmupBudget(0, 100), "one at most is saved up")
+			}
+		}
+		d.warmup.firstTries += 1000 // the worker was of no use to any of them
+		assert.True(t, d.withinWarmupBudget(0, 100))
+		d.RequestArrived(5, Arrival{Timeout: 10 * Second, SizeHint: 100})
+		d.startAttempt(5, 0)
+		assert.False(t, d.withinWarmupBudget(0, 100), "one at most, however much has landed")
+		d.RequestArrived(6, Arrival{Timeout: 5 * Second, SizeHint: 100})
+		assert.Equal(t, 1006, d.warmup.firstTries, "a client that comes again asks for nothing more")
+		assert.True(t, d.withinWarmupBudget(1, 1<<40))
+	}
+	assert.InDelta(t, 200*5*2*0.4/2.4, open, 10)
+}
+
+func TestAllTogetherKeepAColdWorkersBudget(t *testing.T) {
+	d, _ := newWarmBalancer(2, 1)
+	d.config.dispatchers, d.config.meanObjective, d.now = 200, 1, 200*Second // small work: there is a part for each
+	for age := Time(0); age < 20*Second; age += Second {
+		d.UpdateEndpoints([]Endpoint{{Worker: 0, ID: "w0", StartedAt: d.now - age}}, false, true)
+		sent := Work(0)
+		for d.config.position = range 200 {
+			d.slots.kinds[0].maxObserved = 3 + float64(d.config.position%2) // they need not believe alike
+			for size := Work(1); d.withinWarmupBudget(0, size); size++ {
+				sent++
+			}
+		}
+		assert.Positive(t, sent, "age %d", age)
+		assert.Less(t, float64(sent), 4*d.warmupFactor(0)*4*float64(2*Second), "age %d", age)
+	}
+}
+
 // coldWorker is one that has just started: each of its slots is slow by its age, beyond them it takes
 // nothing.
 type coldWorker struct {
@@ -169,27 +234,3 @@
 		}
 	}
 }
-
-// Guards against a budget for more slots than a kind has: by late news some forwards start at once at loads that
-// nearly all others wait at, and the most that was ever so voted for counted for good.
-func TestMostAtWorkIsWhatVotesAgreeOn(t *testing.T) {
-	d, _ := newWarmBalancer(2, 1)
-	d.config.reportFree = -1 // no reports tell
-	vote := func(load, times int, atOnce bool) {
-		for range times {
-			d.observeQueueing(0, load, atOnce)
-		}
-	}
-	vote(1, 10, true)
-	vote(2, 10, true)
-	vote(3, 6, true)
-	assert.EqualValues(t, 3, d.slots.kinds[0].maxObserved)
-	vote(4, 2, true)
-	assert.EqualValues(t, 4, d.slots.kinds[0].maxObserved, "for all that is known then")
-	vote(4, 3, false)
-	vote(5, 4, false)
-	vote(5, 2, true)
-	assert.EqualValues(t, 3, d.slots.kinds[0].maxObserved)
-	vote(4, 5, true)
-	assert.EqualValues(t, 4, d.slots.kinds[0].maxObserved)
-}
