--- a/internal/balancer/types.go
+++ b/internal/balancer/types.go
@@ -1,5 +1,3 @@
-// Package balancer holds canvasroute's decisions. This file has its types and the two interfaces:
-// the methods of Balancer that are called with what has happened, and Link, which it answers through.
 package balancer
 
 import "time"
@@ -10,22 +8,26 @@
 // Work is core time, in the same unit as Time.
 type Work int64
 
-// Second is one second of Time, and of Work on a core of standard speed.
+// Second is one second as a Time, and as a Work on a core of standard speed.
 const Second = 10_000
 
-// The kinds of id. Each counts from 0 within one dispatcher.
+// Duration is the span for the standard library.
+func (t Time) Duration() time.Duration { return time.Duration(t) * (time.Second / Second) }
+
+// The kinds of number. Each counts from 0 within one dispatcher.
 type (
-	// RequestID is an invocation; the caller numbers them and may use a number again once all is over.
+	// RequestID is a request. The caller assigns it, and may use it again once the request is closed and all its
+	// attempts have ended.
 	RequestID int32
-	// WorkerID is a worker; the caller numbers them as the lists name them.
+	// WorkerID is a worker. The caller assigns it as endpoint lists name workers.
 	WorkerID int32
-	// OperationID is an operation, by its place in Terms.Operations.
+	// OperationID is an operation, by its place in Config.Operations or as Reconfigure assigns it.
 	OperationID int32
-	// TenantID is a customer, by its place in Terms.Customers.
+	// TenantID is a tenant, by its place in Config.Tenants or as Reconfigure assigns it.
 	TenantID int32
 	// ZoneID is a failure zone of workers.
 	ZoneID int32
-	// KindID is a kind of worker, below Terms.Kinds.
+	// KindID is a kind of worker, below Config.Kinds.
 	KindID int32
 	// CellID is a group of workers within a zone.
 	CellID int32
@@ -33,98 +35,104 @@
 	PeerID int32
 )
 
-// Idempotency tells whether an operation may run again.
+// Idempotency tells whether a request may be executed again.
 type Idempotency uint8
 
-// The values of Idempotency.
+// The degrees of idempotency.
 const (
-	Idempotent Idempotency = iota
-	IdempotentByKey
-	NonIdempotent
+	Idempotent      Idempotency = iota // any number of times
+	IdempotentByKey                    // where a worker drops repeats, within the dedup window and scope
+	NonIdempotent                      // never, if it may have been executed
 )
 
-// DedupScope is the group of workers that drops an operation's repeats.
+// DedupScope is the group of workers that drops repeats of a request.
 type DedupScope uint8
 
-// The values of Scope, from all workers to those of one cell.
+// The scopes, from all workers to those of one cell.
 const (
 	ScopeAll DedupScope = iota
 	ScopeZone
 	ScopeCell
 )
 
-// WorkerState is what the list says of a worker.
+// WorkerState is what the endpoint list says of a worker.
 type WorkerState uint8
 
-// The values of State.
+// The states of a worker.
 const (
-	Healthy WorkerState = iota
-	Draining
+	Healthy  WorkerState = iota
+	Draining             // it finishes what it has, and gets nothing more
 	Gone
 )
 
-// Outcome is how one forward, or one probe, ended.
+// Outcome is how an attempt, or a probe, ended.
 type Outcome uint8
 
-// The values of Outcome.
+// The outcomes.
 const (
 	Succeeded Outcome = iota + 1
 	WorkerError
-	Overloaded
+	Overloaded // the worker refused it
 	TimedOut
-	NoConnection
+	NoConnection // none came up
 	ConnectionReset
 	Canceled
 	NotSent
-	ConnectionStale   // a kept connection ended under it with nothing heard: it may have run, the worker may be well
-	ConnectionRefused // nobody listens at the worker: its process has ended, and it never ran
+	ConnectionStale   // a reused connection ended without a response: it may have run, and the worker may be well
+	ConnectionRefused // nobody listens at the worker: its process has ended, and the attempt never ran
 )
 
-// neverRan tells of a forward that surely has not run.
+// neverRan tells of an attempt that has certainly not been executed.
 func (o Outcome) neverRan() bool {
 	return o == Overloaded || o == NoConnection || o == NotSent || o == ConnectionRefused
 }
 
-// OperationConfig are the terms of one operation.
+// OperationConfig is the configuration of one operation.
 type OperationConfig struct {
-	Name                          string // by which it is known in other terms
-	LatencyObjective, DedupWindow Time
-	Value, LateShare              float64
-	Stretch                       float64 // the objective grows by this many times the work
-	Idempotency                   Idempotency
-	DedupScope                    DedupScope
-	Kind                          KindID // the one kind of worker that runs it, or -1
+	Name             string  // by which other configurations know it
+	LatencyObjective Time    // an answer is late after it
+	DedupWindow      Time    // how long workers remember the key of a request
+	Value            float64 // of an answer in time
+	LateShare        float64 // share of the value that a late answer earns
+	Stretch          float64 // the objective grows by this many times the size
+	Idempotency      Idempotency
+	DedupScope       DedupScope
+	Kind             KindID // the one kind of worker that runs it, or -1 for all
 }
 
-// TenantConfig are the terms of one customer: its invocations a second that count in full, perhaps infinite.
+// TenantConfig is the configuration of one tenant.
 type TenantConfig struct {
-	Quota float64
-	Name  string // by which it is known in other terms
+	Quota float64 // requests a second that count in full, perhaps infinite
+	Name  string  // by which other configurations know it
 }
 
-// Config are what a dispatcher is told at its start. New derives its figures from them and keeps none.
+// Config is the configuration of one dispatcher. New derives its figures from it and keeps no reference to it.
 type Config struct {
 	Dispatchers, Kinds                               int
-	Position                                         int     // its own number among the dispatchers
-	GossipCost                                       float64 // the price of a Tell for each invocation
-	Zone                                             ZoneID
+	Position                                         int     // this dispatcher's number among all, from 0
+	GossipCost                                       float64 // price of a message to a peer, against the value of a request
+	Zone                                             ZoneID  // this dispatcher's zone
 	Operations                                       []OperationConfig
 	Tenants                                          []TenantConfig
-	Granularity, MaxPollInterval, MaxRetryAfter      Time
-	NotifyDeadline                                   Time // a change of the list counts as told then, whatever became of calls; 0: no such term
+	Granularity                                      Time // of the platform's scheduling
+	MaxPollInterval                                  Time // longest time without a poll that the platform allows
+	MaxRetryAfter                                    Time // longest advice to a rejected client
+	NotifyDeadline                                   Time // a change of endpoints counts as known then, whatever became of polls; 0 for none
 	WarmupDuration, WarmupWindow                     Time
-	InitialWarmup, OverloadFactor                    float64
-	OverQuotaShare, CrossZoneCost                    float64
+	InitialWarmup                                    float64 // share of its capacity that a worker has as it starts
+	OverloadFactor                                   float64 // a warming worker breaks at this many times its capacity
+	OverQuotaShare                                   float64 // weight of a request beyond its tenant's quota
+	CrossZoneCost                                    float64 // price of an attempt in another zone
 	PollEndpoints, Cancellation, Hedging, RetryAfter bool
 	Probes, Gossip, StartNotices, ReportsOnProbe     bool
-	DeliveryNotices                                  bool    // the caller tells when a worker has a forward
-	WorstOperationWeight                             float64 // its weight in the goal, against all else
-	ValuePerRequest                                  float64 // 1 if billed value is for each, 0 if for a unit of work
+	DeliveryNotices                                  bool    // the caller reports that a worker has received an attempt
+	WorstOperationWeight                             float64 // weight in the goal of the operation that loses most
+	ValuePerRequest                                  float64 // 1 if value is billed by request, 0 if by unit of work
 	MaxAttempts                                      int
-	ReportInFlight, ReportQueue, ReportFree          int // places in a load report, -1 where not reported
+	ReportInFlight, ReportQueue, ReportFree          int // indexes in a load report, -1 where not reported
 }
 
-// Endpoint is a worker as a list names it.
+// Endpoint is a worker as an endpoint list names it.
 type Endpoint struct {
 	Worker    WorkerID
 	ID        string
@@ -132,16 +140,16 @@
 	Kind      KindID
 	Cell      CellID
 	State     WorkerState
-	StartedAt Time // when it last started; 0 means long ago
+	StartedAt Time // when its process last started; 0 is long ago
 }
 
-// Arrival is an invocation as it lands.
+// Arrival is a request as it arrives.
 type Arrival struct {
 	Operation OperationID
 	Tenant    TenantID
-	Timeout   Time // until the client gives up this try
-	SizeHint  Work // 0 where there is none
-	Slots     float64
+	Timeout   Time    // until the client gives up this try
+	SizeHint  Work    // for each of its slots; 0 for no hint
+	Slots     float64 // that it takes; less than 1 counts as 1
 }
 
 // Load is what one dispatcher has in flight at a worker.
@@ -150,18 +158,24 @@
 	InFlight int
 }
 
-// Effects carries a dispatcher's answers out. Forwards of an invocation are numbered 0, 1, 2... as made.
+// Effects carries out what a Balancer decides. Attempts of a request are numbered 0, 1, 2... as they are sent.
 type Effects interface {
-	SendAttempt(inv RequestID, tgt WorkerID, within Time)
-	CancelAttempt(inv RequestID, forward int)
-	Reject(inv RequestID, comeBack Time)
-	Fail(inv RequestID)
+	// SendAttempt sends an attempt to a worker; it ends within a span, 0 for the request's deadline alone.
+	SendAttempt(id RequestID, worker WorkerID, within Time)
+	// CancelAttempt cancels an attempt that is in flight. Its outcome still has to be reported.
+	CancelAttempt(id RequestID, number int)
+	// Reject tells the client to come again, after a span, 0 for no advice.
+	Reject(id RequestID, retryAfter Time)
+	// Fail tells the client that the request failed.
+	Fail(id RequestID)
+	// Wake requests a call of WakeFired with the key after a span. It replaces any earlier request.
 	Wake(key uint64, after Time)
+	// PollEndpoints requests the endpoint list; UpdateEndpoints or EndpointsUnavailable answers.
 	PollEndpoints()
-	Probe(tgt WorkerID)
-	SendLoad(to PeerID, l Load)
+	// Probe requests a load report from a worker.
+	Probe(worker WorkerID)
+	// SendLoad tells a peer what is in flight here at a worker.
+	SendLoad(to PeerID, load Load)
+	// Log takes a remark.
 	Log(line string)
 }
-
-// Duration is the span for the standard library.
-func (t Time) Duration() time.Duration { return time.Duration(t) * (time.Second / Second) }
