--- a/internal/balancer/discovery_test.go
+++ b/internal/balancer/discovery_test.go
@@ -8,18 +8,18 @@
 	"github.com/stretchr/testify/assert"
 )
 
-func TestListIsAskedForWithBackoff(t *testing.T) {
-	d, b := newWarmBalancer(1, 1)
-	d.config.pollEndpoints, d.discovery.watching = true, false
-	d.RunDueRules()
-	d.RunDueRules()
-	assert.Equal(t, []string{"subscribe"}, b.lines, "once, until an answer comes")
+func TestPollsBackOff(t *testing.T) {
+	balancer, effects := newWarmBalancer(1, 1)
+	balancer.config.pollEndpoints, balancer.discovery.watching = true, false
+	balancer.RunDueRules()
+	balancer.RunDueRules()
+	assert.Equal(t, []string{"poll"}, effects.lines, "once, until an answer comes")
 	last := Time(0)
 	for range 4 {
-		d.EndpointsUnavailable()
-		assert.Greater(t, d.discovery.nextPoll-d.now, last/2)
-		last = d.discovery.nextPoll - d.now
-		assert.Less(t, last, d.config.maxPollInterval)
+		balancer.EndpointsUnavailable()
+		assert.Greater(t, balancer.discovery.nextPoll-balancer.now, last/2)
+		last = balancer.discovery.nextPoll - balancer.now
+		assert.Less(t, last, balancer.config.maxPollInterval)
 	}
 }
 
@@ -39,33 +39,33 @@
 	return q.freeAt, true
 }
 
-// startTogether starts dispatchers in one tick and follows their calls; it returns when each has its list.
-func startTogether(n int, numbers []int, q *queue) (have []Time, calls int) {
+// pollTogether starts dispatchers in one tick and follows their calls; it returns when each has its list.
+func pollTogether(n int, numbers []int, q *queue) (have []Time, calls int) {
 	type asker struct {
-		d      *Balancer
-		answer Time
-		list   bool
+		balancer *Balancer
+		answer   Time
+		list     bool
 	}
 	var askers []*asker
 	for _, number := range numbers {
-		terms := testConfig
-		terms.PollEndpoints, terms.Dispatchers, terms.Position = true, n, number
-		d := New(terms, uint64(number), &recorder{})
-		d.SetTime(100 * Second)
-		d.UpdateEndpoints([]Endpoint{{ID: "w"}}, true, false)
-		askers = append(askers, &asker{d: d, answer: never})
+		config := testConfig
+		config.PollEndpoints, config.Dispatchers, config.Position = true, n, number
+		balancer := New(config, uint64(number), &recorder{})
+		balancer.SetTime(100 * Second)
+		balancer.UpdateEndpoints([]Endpoint{{ID: "w"}}, true, false)
+		askers = append(askers, &asker{balancer: balancer, answer: never})
 	}
 	for now := Time(100 * Second); now < 160*Second && len(have) < len(askers); now += 20 {
 		for _, a := range askers {
-			switch d := a.d; {
+			switch balancer := a.balancer; {
 			case a.answer <= now && a.list:
-				d.UpdateEndpoints([]Endpoint{{ID: "w"}}, true, true)
+				balancer.UpdateEndpoints([]Endpoint{{ID: "w"}}, true, true)
 				have, a.answer = append(have, now-100*Second), never
 			case a.answer <= now:
-				d.SetTime(now)
-				d.EndpointsUnavailable()
+				balancer.SetTime(now)
+				balancer.EndpointsUnavailable()
 				a.answer = never
-			case a.answer == never && !d.discovery.watching && d.discovery.nextPoll <= now:
+			case a.answer == never && !balancer.discovery.watching && balancer.discovery.nextPoll <= now:
 				calls++
 				a.answer, a.list = q.call(now)
 			}
@@ -76,7 +76,7 @@
 
 // Guards against a fleet that starts at once and asks at once, and whose repeats then keep the service busy
 // with calls that nobody waits for any more.
-func TestFleetThatStartsAtOnceLeavesTheListServiceTimeToAnswer(t *testing.T) {
+func TestStartingFleetLeavesTheEndpointServiceTimeToAnswer(t *testing.T) {
 	var everybody []int
 	for number := range 80 {
 		everybody = append(everybody, number)
@@ -92,7 +92,7 @@
 		{1250, everybody, 30 * Second}, // twice as much
 	} {
 		t.Run(fmt.Sprint(len(c.numbers), "x", c.each), func(t *testing.T) {
-			have, calls := startTogether(80, c.numbers, &queue{each: c.each, patience: 2 * Second})
+			have, calls := pollTogether(80, c.numbers, &queue{each: c.each, patience: 2 * Second})
 			if assert.Len(t, have, len(c.numbers), "all have the list") {
 				assert.Less(t, slices.Max(have), c.within)
 			}
@@ -101,77 +101,77 @@
 	}
 }
 
-func TestFewDispatchersAskForTheListAtOnce(t *testing.T) {
-	have, calls := startTogether(2, []int{0, 1}, &queue{each: 600, patience: 2 * Second})
+func TestFewDispatchersPollAtOnce(t *testing.T) {
+	have, calls := pollTogether(2, []int{0, 1}, &queue{each: 600, patience: 2 * Second})
 	assert.Equal(t, 2, calls)
 	assert.Less(t, slices.Max(have), Time(Second/4))
 }
 
-// toldTerms are those of a platform on which a change counts as told 6 s after it could be had.
-func toldTerms(dispatchers, position int) Config {
-	terms := testConfig
-	terms.PollEndpoints, terms.NotifyDeadline = true, 6*Second
-	terms.Dispatchers, terms.Position = dispatchers, position
-	return terms
+// notifyDeadlineConfig are those of a platform on which a change counts as told 6 s after it could be had.
+func notifyDeadlineConfig(dispatchers, position int) Config {
+	config := testConfig
+	config.PollEndpoints, config.NotifyDeadline = true, 6*Second
+	config.Dispatchers, config.Position = dispatchers, position
+	return config
 }
 
 // Guards against work sent to a worker that has gone while this dispatcher was away: what counts as told does so
 // from the first moment of a new process.
-func TestNothingIsSentByAListFromBeforeTheStartUntilACallHasEnded(t *testing.T) {
+func TestNoAttemptByAStaleListBeforeTheFirstPollEnds(t *testing.T) {
 	for name, end := range map[string]func(*Balancer){
-		"answered": func(d *Balancer) {
-			d.UpdateEndpoints([]Endpoint{{Worker: 0, ID: "w", State: Gone}, {Worker: 1, ID: "v"}}, false, true)
+		"answered": func(balancer *Balancer) {
+			balancer.UpdateEndpoints([]Endpoint{{Worker: 0, ID: "w", State: Gone}, {Worker: 1, ID: "v"}}, false, true)
 		},
 		"failed": (*Balancer).EndpointsUnavailable,
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := &recorder{}
-			d := New(toldTerms(3, 2), 1, b)
-			d.SetTime(100 * Second)
-			d.UpdateEndpoints([]Endpoint{{Worker: 0, ID: "w"}, {Worker: 1, ID: "v"}}, true, false)
-			d.RequestArrived(0, Arrival{Timeout: 10 * Second})
-			d.RunDueRules()
-			assert.Empty(t, b.lines, "the list may be old")
-			d.SetTime(d.discovery.nextPoll)
-			d.RunDueRules()
-			assert.Equal(t, []string{"subscribe"}, b.lines)
-			end(d)
-			d.RunDueRules()
-			assert.Contains(t, b.lines[1:], map[string]string{
-				"answered": "forward 0 to 1",
-				"failed":   fmt.Sprint("forward 0 to ", d.requests.byID[0].attempts[0].worker),
+			effects := &recorder{}
+			balancer := New(notifyDeadlineConfig(3, 2), 1, effects)
+			balancer.SetTime(100 * Second)
+			balancer.UpdateEndpoints([]Endpoint{{Worker: 0, ID: "w"}, {Worker: 1, ID: "v"}}, true, false)
+			balancer.RequestArrived(0, Arrival{Timeout: 10 * Second})
+			balancer.RunDueRules()
+			assert.Empty(t, effects.lines, "the list may be old")
+			balancer.SetTime(balancer.discovery.nextPoll)
+			balancer.RunDueRules()
+			assert.Equal(t, []string{"poll"}, effects.lines)
+			end(balancer)
+			balancer.RunDueRules()
+			assert.Contains(t, effects.lines[1:], map[string]string{
+				"answered": "attempt 0 to 1",
+				"failed":   fmt.Sprint("attempt 0 to ", balancer.requests.byID[0].attempts[0].worker),
 			}[name])
-			d.UpdateEndpoints([]Endpoint{{Worker: 0, ID: "w"}}, false, false) // what others tell of does not hold up what is known
-			assert.False(t, d.discovery.endpointsStale)
+			balancer.UpdateEndpoints([]Endpoint{{Worker: 0, ID: "w"}}, false, false) // what others tell of does not hold up what is known
+			assert.False(t, balancer.discovery.endpointsStale)
 		})
 	}
 }
 
 // Guards against a process that goes on for another one, whose list is followed, and would wait for its own.
-func TestSuccessorGoesByItsPredecessorsListAtOnce(t *testing.T) {
-	s := NewShards(toldTerms(3, 2), 1, 1, func() Time { return 100 * Second }, func(string) {})
+func TestSuccessorUsesItsPredecessorsListAtOnce(t *testing.T) {
+	s := NewShards(notifyDeadlineConfig(3, 2), 1, 1, func() Time { return 100 * Second }, func(string) {})
 	s.UpdateEndpoints([]Endpoint{{Worker: 0, ID: "w"}}, true, true)
 	assert.True(t, s.pickers[0].balancer.discovery.endpointsStale)
 	assert.True(t, s.RestoreFromPredecessor(s.Snapshot()))
 	assert.False(t, s.pickers[0].balancer.discovery.endpointsStale)
 }
 
-func TestListIsAskedForAgainInTimeWhateverBecameOfTheCallsBefore(t *testing.T) {
+func TestPollsRepeatInTimeWhateverBecameOfTheLast(t *testing.T) {
 	for _, n := range []int{1, 30, 350, 1024} {
 		for position := 0; position < n; position += 1 + n/10 {
-			d := New(toldTerms(n, position), uint64(position), &recorder{})
-			d.SetTime(100 * Second)
-			d.UpdateEndpoints([]Endpoint{{ID: "w"}}, true, false)
-			assert.LessOrEqual(t, d.discovery.nextPoll-d.now, 2*Time(Second), "the first call")
+			balancer := New(notifyDeadlineConfig(n, position), uint64(position), &recorder{})
+			balancer.SetTime(100 * Second)
+			balancer.UpdateEndpoints([]Endpoint{{ID: "w"}}, true, false)
+			assert.LessOrEqual(t, balancer.discovery.nextPoll-balancer.now, 2*Time(Second), "the first call")
 			for call := range 20 { // and 2 s at most for the answer
-				d.EndpointsUnavailable()
-				assert.LessOrEqual(t, d.discovery.nextPoll-d.now, 4*Time(Second), "%d dispatchers, call %d", n, call)
-				assert.Greater(t, d.discovery.nextPoll, d.now)
+				balancer.EndpointsUnavailable()
+				assert.LessOrEqual(t, balancer.discovery.nextPoll-balancer.now, 4*Time(Second), "%d dispatchers, call %d", n, call)
+				assert.Greater(t, balancer.discovery.nextPoll, balancer.now)
 			}
-			d.UpdateEndpoints(nil, false, true)
-			d.discovery.retrySpeedup = 2 // it has taken up to 3 s of the 6 already
-			d.EndpointsUnavailable()
-			assert.LessOrEqual(t, d.discovery.nextPoll-d.now, 2*Time(Second), "after silence")
+			balancer.UpdateEndpoints(nil, false, true)
+			balancer.discovery.retrySpeedup = 2 // it has taken up to 3 s of the 6 already
+			balancer.EndpointsUnavailable()
+			assert.LessOrEqual(t, balancer.discovery.nextPoll-balancer.now, 2*Time(Second), "after silence")
 		}
 	}
 }
@@ -200,37 +200,37 @@
 	call(now Time) (at Time, list bool)
 }
 
-// askAll follows the calls of dispatchers whose watches have just ended, or that start with a list from before. It
+// pollAll follows the calls of dispatchers whose watches have just ended, or that start with a list from before. It
 // returns when each has its list, in order, and the number of calls.
-func askAll(n int, starts bool, s service, until Time) (told []Time, calls int) {
+func pollAll(n int, starts bool, s service, until Time) (told []Time, calls int) {
 	type asker struct {
-		d            *Balancer
+		balancer     *Balancer
 		came, answer Time
 		list         bool
 	}
 	var askers []*asker
 	for position := range n {
-		d := New(toldTerms(n, position), uint64(position), &recorder{})
-		d.SetTime(100 * Second)
-		if d.UpdateEndpoints([]Endpoint{{ID: "w"}}, true, !starts); !starts {
-			d.EndpointsUnavailable() // all watches end as the service goes down
+		balancer := New(notifyDeadlineConfig(n, position), uint64(position), &recorder{})
+		balancer.SetTime(100 * Second)
+		if balancer.UpdateEndpoints([]Endpoint{{ID: "w"}}, true, !starts); !starts {
+			balancer.EndpointsUnavailable() // all watches end as the service goes down
 		}
-		askers = append(askers, &asker{d: d, answer: never})
+		askers = append(askers, &asker{balancer: balancer, answer: never})
 	}
 	for now := Time(100 * Second); now < until && len(told) < n; now += 20 {
 		for _, a := range askers {
-			a.d.SetTime(now)
+			a.balancer.SetTime(now)
 			switch {
 			case a.answer <= now && a.list:
-				a.d.UpdateEndpoints([]Endpoint{{ID: "w"}}, true, true)
+				a.balancer.UpdateEndpoints([]Endpoint{{ID: "w"}}, true, true)
 				told, a.answer = append(told, now), never
 			case a.answer <= now:
-				if a.d.discovery.consecutiveBusy++; now-a.came < Second { // as the network tells
-					a.d.discovery.consecutiveBusy = 0
+				if a.balancer.discovery.consecutiveBusy++; now-a.came < Second { // as the network tells
+					a.balancer.discovery.consecutiveBusy = 0
 				}
-				a.d.EndpointsUnavailable()
+				a.balancer.EndpointsUnavailable()
 				a.answer = never
-			case a.answer == never && !a.d.discovery.watching && a.d.discovery.nextPoll <= now:
+			case a.answer == never && !a.balancer.discovery.watching && a.balancer.discovery.nextPoll <= now:
 				calls++
 				a.came = now
 				a.answer, a.list = s.call(now)
@@ -243,11 +243,11 @@
 
 // Guards against dispatchers that learn too late of what changed while the list service was down. It can take one
 // call from each in 4 s.
-func TestAllAreToldInTimeOnceTheListServiceIsBack(t *testing.T) {
+func TestAllKnowInTimeOnceTheEndpointServiceIsBack(t *testing.T) {
 	for n, most := range map[int]float64{3: 7, 30: 5, 350: 5} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			s := &outage{until: 108 * Second, each: 4 * Second / Time(n), patience: 2 * Second}
-			told, calls := askAll(n, false, s, 130*Second)
+			told, calls := pollAll(n, false, s, 130*Second)
 			if assert.Len(t, told, n) {
 				assert.LessOrEqual(t, told[n-1]-s.until, 6*Time(Second))
 			}
@@ -261,7 +261,7 @@
 // Guards against calls that come again so soon that a service with too many callers, which works through those given
 // up as well, never gets to those that still wait: all have their list in the end, also where it can take one call
 // from each in no less than 12 s.
-func TestServiceWithTooManyCallersIsNotKeptFromAnswering(t *testing.T) {
+func TestBusyEndpointServiceIsNotKeptFromAnswering(t *testing.T) {
 	for _, c := range []struct {
 		all, within Time // in seconds
 		calls       float64
@@ -269,7 +269,7 @@
 		for _, n := range []int{30, 350} {
 			for _, starts := range []bool{true, false} {
 				name := fmt.Sprintf("%d calls in %d s, starts %t", n, c.all, starts)
-				told, calls := askAll(n, starts, &queue{each: c.all * Second / Time(n), patience: 2 * Second}, 300*Second)
+				told, calls := pollAll(n, starts, &queue{each: c.all * Second / Time(n), patience: 2 * Second}, 300*Second)
 				if assert.Len(t, told, n, name) {
 					assert.LessOrEqual(t, told[n-1], 100*Second+c.within*Second, name)
 				}
--- a/internal/balancer/ejection_test.go
+++ b/internal/balancer/ejection_test.go
@@ -8,26 +8,26 @@
 )
 
 // Guards against a program that fails all it gets: it is always idle, and so would get more than its turn.
-func TestWorkerThatFailsAllIsTriedOutByWorkThatMayRunAgain(t *testing.T) {
-	d, _ := newWarmBalancer(1, 1)
-	fail := func(how Outcome) {
-		d.RequestArrived(0, Arrival{Timeout: 90 * Second, SizeHint: 100})
-		d.startAttempt(0, 0)
-		d.AttemptEnded(0, 0, how, true)
+func TestEjectedWorkerIsProbedByIdempotentWork(t *testing.T) {
+	balancer, _ := newWarmBalancer(1, 1)
+	fail := func(outcome Outcome) {
+		balancer.RequestArrived(0, Arrival{Timeout: 90 * Second, SizeHint: 100})
+		balancer.startAttempt(0, 0)
+		balancer.AttemptEnded(0, 0, outcome, true)
 	}
 	once, again := &request{attemptLimit: 4, operation: 1, quotaWeight: 1, deadline: never}, &request{attemptLimit: 4, quotaWeight: 1, deadline: never}
 	takes := func(i *request) bool {
-		_, ok := d.pickWorker(i)
+		_, ok := balancer.pickWorker(i)
 		return ok
 	}
 	fail(ConnectionReset)
 	assert.True(t, takes(once), "a single one is chance")
 	fail(WorkerError)
 	assert.False(t, takes(again))
-	d.now += 2 * Second
+	balancer.now += 2 * Second
 	assert.True(t, takes(again), "a trial")
 	assert.False(t, takes(once), "not by this")
-	d.now += 8 * Second
+	balancer.now += 8 * Second
 	assert.True(t, takes(once), "nothing else has tried")
 	fail(Succeeded)
 	fail(WorkerError)
@@ -35,131 +35,131 @@
 }
 
 // Guards against a long rest for one failure: all that is out at a worker ends with its process.
-func TestOneFailureEndsAllThatIsOutAndCountsOnce(t *testing.T) {
-	d, _ := newWarmBalancer(1, 1)
-	for inv := range RequestID(3) {
-		d.RequestArrived(inv, Arrival{Timeout: 90 * Second, SizeHint: 100})
-		d.startAttempt(inv, 0)
+func TestFailuresOfOneProcessExitCountOnce(t *testing.T) {
+	balancer, _ := newWarmBalancer(1, 1)
+	for id := range RequestID(3) {
+		balancer.RequestArrived(id, Arrival{Timeout: 90 * Second, SizeHint: 100})
+		balancer.startAttempt(id, 0)
 	}
-	d.AttemptEnded(0, 0, ConnectionStale, true)
-	assert.Equal(t, 0, d.workers[0].consecutiveFailures, "a kept connection may end and its worker be well")
-	d.AttemptEnded(1, 0, NoConnection, true)
-	d.AttemptEnded(2, 0, NoConnection, true)
-	assert.Equal(t, []any{1, d.now + Second}, []any{d.workers[0].consecutiveFailures, d.workers[0].probeAfter})
+	balancer.AttemptEnded(0, 0, ConnectionStale, true)
+	assert.Equal(t, 0, balancer.workers[0].consecutiveFailures, "a kept connection may end and its worker be well")
+	balancer.AttemptEnded(1, 0, NoConnection, true)
+	balancer.AttemptEnded(2, 0, NoConnection, true)
+	assert.Equal(t, []any{1, balancer.now + Second}, []any{balancer.workers[0].consecutiveFailures, balancer.workers[0].probeAfter})
 }
 
 // Guards against a lost zone that is still listed: an invocation would use up its forwards there one by one.
-func TestLostZoneIsLeftAfterAFewForwardsAndTriedAgain(t *testing.T) {
-	d, b := newWarmBalancer(40, 1) // even workers in zone 0, odd ones in zone 1
-	d.config.zone, d.config.crossZoneCost, d.config.startNotices = 1, 0.01, false
+func TestLostZoneIsEjectedAndTriedAgain(t *testing.T) {
+	balancer, effects := newWarmBalancer(40, 1) // even workers in zone 0, odd ones in zone 1
+	balancer.config.zone, balancer.config.crossZoneCost, balancer.config.startNotices = 1, 0.01, false
 	lost := 0
-	for inv := range RequestID(10) {
-		d.RequestArrived(inv, Arrival{Operation: 2, Timeout: 20 * Second, SizeHint: 100})
-		d.RunDueRules()
-		for i := &d.requests.byID[inv]; !i.closed; d.RunDueRules() {
+	for id := range RequestID(10) {
+		balancer.RequestArrived(id, Arrival{Operation: 2, Timeout: 20 * Second, SizeHint: 100})
+		balancer.RunDueRules()
+		for i := &balancer.requests.byID[id]; !i.closed; balancer.RunDueRules() {
 			f := len(i.attempts) - 1
-			if d.workers[i.attempts[f].worker].zone == 1 {
+			if balancer.workers[i.attempts[f].worker].zone == 1 {
 				lost++
-				d.AttemptEnded(inv, f, NoConnection, false)
+				balancer.AttemptEnded(id, f, NoConnection, false)
 				continue
 			}
-			d.AttemptEnded(inv, f, Succeeded, true)
+			balancer.AttemptEnded(id, f, Succeeded, true)
 		}
 	}
 	assert.Equal(t, zoneFailureThreshold, lost)
-	assert.NotContains(t, fmt.Sprint(b.lines), "throttle")
-	assert.NotContains(t, fmt.Sprint(b.lines), "error")
+	assert.NotContains(t, fmt.Sprint(effects.lines), "reject")
+	assert.NotContains(t, fmt.Sprint(effects.lines), "fail")
 
 	takes := func() WorkerID {
-		w, ok := d.pickWorker(&request{attemptLimit: 4, interval: bothIntervals, quotaWeight: 1, size: 100, deadline: never})
+		w, ok := balancer.pickWorker(&request{attemptLimit: 4, interval: bothIntervals, quotaWeight: 1, size: 100, deadline: never})
 		assert.True(t, ok)
 		return w
 	}
-	assert.Zero(t, d.workers[takes()].zone)
-	d.SetTime(d.now + Second)
+	assert.Zero(t, balancer.workers[takes()].zone)
+	balancer.SetTime(balancer.now + Second)
 	w := takes()
-	assert.Equal(t, ZoneID(1), d.workers[w].zone, "tried again")
-	d.recordZoneFailure(w)
-	assert.Equal(t, d.now+2*Second, d.zones[1].ejectedUntil, "later and later")
-	d.recordZoneSuccess(w)
-	assert.Equal(t, ZoneID(1), d.workers[takes()].zone, "what begins there ends it")
+	assert.Equal(t, ZoneID(1), balancer.workers[w].zone, "tried again")
+	balancer.recordZoneFailure(w)
+	assert.Equal(t, balancer.now+2*Second, balancer.zones[1].ejectedUntil, "later and later")
+	balancer.recordZoneSuccess(w)
+	assert.Equal(t, ZoneID(1), balancer.workers[takes()].zone, "what begins there ends it")
 }
 
-func TestOnlyZoneAndLastZoneAreNeverLeft(t *testing.T) {
-	d, _ := newWarmBalancer(1, 1)
+func TestLastZoneIsNeverEjected(t *testing.T) {
+	balancer, _ := newWarmBalancer(1, 1)
 	for range 2 * zoneFailureThreshold {
-		d.recordZoneFailure(0)
+		balancer.recordZoneFailure(0)
 	}
-	assert.LessOrEqual(t, d.zones[0].ejectedUntil, d.now)
-	d, _ = newWarmBalancer(2, 1)
+	assert.LessOrEqual(t, balancer.zones[0].ejectedUntil, balancer.now)
+	balancer, _ = newWarmBalancer(2, 1)
 	for range 2 * zoneFailureThreshold {
-		d.recordZoneFailure(0)
-		d.recordZoneFailure(1)
+		balancer.recordZoneFailure(0)
+		balancer.recordZoneFailure(1)
 	}
-	assert.Greater(t, d.zones[0].ejectedUntil, d.now)
-	assert.LessOrEqual(t, d.zones[1].ejectedUntil, d.now)
+	assert.Greater(t, balancer.zones[0].ejectedUntil, balancer.now)
+	assert.LessOrEqual(t, balancer.zones[1].ejectedUntil, balancer.now)
 }
 
 // Guards against work that may not run again and is kept for many seconds from all workers of a zone that was cut off:
 // where what failed there never ran, its own failure there is harmless as well.
-func TestWorkerThatWasOutOfReachIsOpenToNonIdempotentWorkAtItsTrial(t *testing.T) {
-	for how, soon := range map[Outcome]bool{NoConnection: true, ConnectionRefused: true, ConnectionReset: false, WorkerError: false} {
-		d, b := newWarmBalancer(1, 1)
-		d.config.warmupDuration = 0
-		for inv := RequestID(0); d.workers[0].consecutiveFailures < 2; inv++ {
-			d.SetTime(max(d.now, d.workers[0].probeAfter))
-			d.RequestArrived(inv, Arrival{Timeout: 20 * Second, SizeHint: 100})
-			d.RunDueRules()
-			d.AttemptEnded(inv, 0, how, false)
-			d.ClientLeft(inv, -1)
+func TestUnreachableWorkerIsProbedByNonIdempotentWork(t *testing.T) {
+	for outcome, soon := range map[Outcome]bool{NoConnection: true, ConnectionRefused: true, ConnectionReset: false, WorkerError: false} {
+		balancer, effects := newWarmBalancer(1, 1)
+		balancer.config.warmupDuration = 0
+		for id := RequestID(0); balancer.workers[0].consecutiveFailures < 2; id++ {
+			balancer.SetTime(max(balancer.now, balancer.workers[0].probeAfter))
+			balancer.RequestArrived(id, Arrival{Timeout: 20 * Second, SizeHint: 100})
+			balancer.RunDueRules()
+			balancer.AttemptEnded(id, 0, outcome, false)
+			balancer.ClientLeft(id, -1)
 		}
-		b.lines = nil
-		d.SetTime(d.workers[0].probeAfter)
-		d.RequestArrived(7, Arrival{Operation: 1, Timeout: 20 * Second, SizeHint: 100})
-		d.RunDueRules()
+		effects.lines = nil
+		balancer.SetTime(balancer.workers[0].probeAfter)
+		balancer.RequestArrived(7, Arrival{Operation: 1, Timeout: 20 * Second, SizeHint: 100})
+		balancer.RunDueRules()
 		if soon {
-			assert.Equal(t, []string{"forward 7 to 0"}, b.lines, "outcome %d", how)
-			d.AttemptEnded(7, 0, NoConnection, false)
-			d.SetTime(d.workers[0].probeAfter)
-			d.RequestArrived(8, Arrival{Timeout: 20 * Second, SizeHint: 100})
-			d.RunDueRules()
-			d.AttemptEnded(8, 0, WorkerError, false)
-			assert.True(t, d.workers[0].possiblyExecuted)
+			assert.Equal(t, []string{"attempt 7 to 0"}, effects.lines, "outcome %d", outcome)
+			balancer.AttemptEnded(7, 0, NoConnection, false)
+			balancer.SetTime(balancer.workers[0].probeAfter)
+			balancer.RequestArrived(8, Arrival{Timeout: 20 * Second, SizeHint: 100})
+			balancer.RunDueRules()
+			balancer.AttemptEnded(8, 0, WorkerError, false)
+			assert.True(t, balancer.workers[0].possiblyExecuted)
 		} else {
-			assert.Empty(t, b.lines, "outcome %d", how)
+			assert.Empty(t, effects.lines, "outcome %d", outcome)
 		}
-		d.UpdateEndpoints([]Endpoint{{Worker: 0, ID: "w0", StartedAt: d.now}}, false, true)
-		assert.False(t, d.workers[0].possiblyExecuted, "another process")
+		balancer.UpdateEndpoints([]Endpoint{{Worker: 0, ID: "w0", StartedAt: balancer.now}}, false, true)
+		assert.False(t, balancer.workers[0].possiblyExecuted, "another process")
 	}
 }
 
 // Guards against a full worker that is tried again at once by all that is held, as work that brings no hint
 // seems to take no time: the forwards that are allowed are used up on workers known to be full.
-func TestFullWorkerRestsForAMeanRunAlsoWithoutHints(t *testing.T) {
+func TestOverloadedWorkerRestsForAMeanRunAlsoWithoutHints(t *testing.T) {
 	for name, hint := range map[string]Work{"none": 0, "as long as it runs": Second / 2} {
 		t.Run(name, func(t *testing.T) {
-			d, _ := newWarmBalancer(2, 1)
-			d.config.startNotices = false
-			inv := RequestID(0)
+			balancer, _ := newWarmBalancer(2, 1)
+			balancer.config.startNotices = false
+			id := RequestID(0)
 			land := func() *attempt {
-				d.RequestArrived(inv, Arrival{Operation: 0, Timeout: 30 * Second, SizeHint: hint})
-				d.RunDueRules()
-				inv++
-				return &d.requests.byID[inv-1].attempts[0]
+				balancer.RequestArrived(id, Arrival{Operation: 0, Timeout: 30 * Second, SizeHint: hint})
+				balancer.RunDueRules()
+				id++
+				return &balancer.requests.byID[id-1].attempts[0]
 			}
 			for range 60 {
 				land()
-				d.SetTime(d.now + Second/2)
-				d.AttemptEnded(inv-1, 0, Succeeded, true)
-				d.RunDueRules()
+				balancer.SetTime(balancer.now + Second/2)
+				balancer.AttemptEnded(id-1, 0, Succeeded, true)
+				balancer.RunDueRules()
 			}
 			f := land()
-			d.AttemptEnded(inv-1, 0, Overloaded, false)
-			d.RunDueRules()
+			balancer.AttemptEnded(id-1, 0, Overloaded, false)
+			balancer.RunDueRules()
 			full := f.worker
-			assert.InDelta(t, Second/2, float64(d.workers[full].probeAfter-d.now), 0.1*Second)
-			assert.Len(t, d.requests.byID[inv-1].attempts, 2, "it goes to the other one")
-			assert.NotEqual(t, full, d.requests.byID[inv-1].attempts[1].worker)
+			assert.InDelta(t, Second/2, float64(balancer.workers[full].probeAfter-balancer.now), 0.1*Second)
+			assert.Len(t, balancer.requests.byID[id-1].attempts, 2, "it goes to the other one")
+			assert.NotEqual(t, full, balancer.requests.byID[id-1].attempts[1].worker)
 			assert.NotEqual(t, full, land().worker, "nor does another one go there")
 		})
 	}
--- a/internal/balancer/fleet_size_test.go
+++ b/internal/balancer/fleet_size_test.go
@@ -9,7 +9,7 @@
 
 // Guards against bounds on the number of dispatchers or workers: with 1,024 of each every worker is listed, in some
 // dispatcher's part, and used, with messages and without.
-func TestManyDispatchersAndWorkersAreAllTaken(t *testing.T) {
+func TestAllWorkersOfALargeFleetAreUsed(t *testing.T) {
 	const many = 1024
 	var list []Endpoint
 	for w := range many {
@@ -18,29 +18,29 @@
 	for _, peers := range []bool{true, false} {
 		kept, told := make([]int, many), 0
 		for position := range many {
-			terms := testConfig
-			terms.Dispatchers, terms.Position, terms.Gossip, terms.GossipCost = many, position, peers, 0.001
-			b := &recorder{}
-			d := New(terms, uint64(position), b)
-			d.SetTime(100 * Second)
-			d.UpdateEndpoints(list, true, true)
-			assert.Len(t, d.subsetting.ring, many)
-			for _, w := range d.subsetting.subsets[bothIntervals].workers {
+			config := testConfig
+			config.Dispatchers, config.Position, config.Gossip, config.GossipCost = many, position, peers, 0.001
+			effects := &recorder{}
+			balancer := New(config, uint64(position), effects)
+			balancer.SetTime(100 * Second)
+			balancer.UpdateEndpoints(list, true, true)
+			assert.Len(t, balancer.subsetting.ring, many)
+			for _, w := range balancer.subsetting.subsets[bothIntervals].workers {
 				kept[w]++
 			}
 			if position == many-1 {
-				for inv := range RequestID(2 * many) {
-					d.RequestArrived(inv, Arrival{Timeout: 20 * Second, SizeHint: 100})
+				for id := range RequestID(2 * many) {
+					balancer.RequestArrived(id, Arrival{Timeout: 20 * Second, SizeHint: 100})
 				}
-				d.RunDueRules()
-				d.SetTime(d.now + d.config.margin)
-				d.RunDueRules()
+				balancer.RunDueRules()
+				balancer.SetTime(balancer.now + balancer.config.margin)
+				balancer.RunDueRules()
 				used := 0
-				for _, w := range d.workers {
+				for _, w := range balancer.workers {
 					used += min(w.inFlight, 1)
 				}
 				assert.Equal(t, many, used, "each has room for one that has not begun")
-				for peer := range d.subsetPeers(d.subsetting.subsets[bothIntervals].workers[0]) {
+				for peer := range balancer.subsetPeers(balancer.subsetting.subsets[bothIntervals].workers[0]) {
 					assert.Less(t, int(peer), many)
 					told++
 				}
--- a/internal/balancer/helper_test.go
+++ b/internal/balancer/helper_test.go
@@ -8,29 +8,31 @@
 // recorder writes down the answers of a dispatcher.
 type recorder struct{ lines []string }
 
-func (b *recorder) add(format string, args ...any) {
-	b.lines = append(b.lines, fmt.Sprintf(format, args...))
+func (r *recorder) add(format string, args ...any) {
+	r.lines = append(r.lines, fmt.Sprintf(format, args...))
 }
 
-func (b *recorder) SendAttempt(inv RequestID, tgt WorkerID, _ Time) {
-	b.add("forward %d to %d", inv, tgt)
+func (r *recorder) SendAttempt(id RequestID, target WorkerID, _ Time) {
+	r.add("attempt %d to %d", id, target)
 }
 
-func (b *recorder) CancelAttempt(inv RequestID, n int) { b.add("cancel %d.%d", inv, n) }
+func (r *recorder) CancelAttempt(id RequestID, n int) { r.add("cancel %d.%d", id, n) }
 
-func (b *recorder) Reject(inv RequestID, back Time) { b.add("throttle %d back %d", inv, back) }
+func (r *recorder) Reject(id RequestID, back Time) { r.add("reject %d, retry after %d", id, back) }
 
-func (b *recorder) Fail(inv RequestID) { b.add("error %d", inv) }
+func (r *recorder) Fail(id RequestID) { r.add("fail %d", id) }
 
-func (b *recorder) Wake(uint64, Time) {}
+func (r *recorder) Wake(uint64, Time) {}
 
-func (b *recorder) PollEndpoints() { b.add("subscribe") }
+func (r *recorder) PollEndpoints() { r.add("poll") }
 
-func (b *recorder) Probe(tgt WorkerID) { b.add("probe %d", tgt) }
+func (r *recorder) Probe(target WorkerID) { r.add("probe %d", target) }
 
-func (b *recorder) SendLoad(to PeerID, l Load) { b.add("tell %d of %d: %d", to, l.Worker, l.InFlight) }
+func (r *recorder) SendLoad(to PeerID, l Load) {
+	r.add("load for %d: worker %d has %d", to, l.Worker, l.InFlight)
+}
 
-func (b *recorder) Log(string) {}
+func (r *recorder) Log(string) {}
 
 var testConfig = Config{
 	Dispatchers: 2, Kinds: 1, Granularity: 20, MaxPollInterval: 10 * Second, WarmupDuration: 20 * Second, WarmupWindow: 2 * Second,
@@ -49,13 +51,13 @@
 
 // newWarmBalancer has n warm workers; even ones are in zone 0, odd ones in zone 1, each in a cell of its own.
 func newWarmBalancer(n int, seed uint64) (*Balancer, *recorder) {
-	b := &recorder{}
-	d := New(testConfig, seed, b)
-	d.SetTime(100 * Second)
+	effects := &recorder{}
+	balancer := New(testConfig, seed, effects)
+	balancer.SetTime(100 * Second)
 	var list []Endpoint
 	for w := range n {
 		list = append(list, Endpoint{Worker: WorkerID(w), ID: fmt.Sprintf("w%d", w), Zone: ZoneID(w % 2), Cell: CellID(w)})
 	}
-	d.UpdateEndpoints(list, true, true)
-	return d, b
+	balancer.UpdateEndpoints(list, true, true)
+	return balancer, effects
 }
--- a/internal/balancer/load_probes_test.go
+++ b/internal/balancer/load_probes_test.go
@@ -8,16 +8,16 @@
 	"github.com/stretchr/testify/assert"
 )
 
-func TestProbesFollowLandings(t *testing.T) {
-	d, b := newWarmBalancer(3, 1)
-	d.config.probes = true
-	for inv := range RequestID(5) {
-		d.RequestArrived(inv, Arrival{Timeout: 10 * Second, SizeHint: 100})
+func TestProbesFollowArrivals(t *testing.T) {
+	balancer, effects := newWarmBalancer(3, 1)
+	balancer.config.probes = true
+	for id := range RequestID(5) {
+		balancer.RequestArrived(id, Arrival{Timeout: 10 * Second, SizeHint: 100})
 		for range 3 {
-			d.RunDueRules()
-			d.now += Second / 100
+			balancer.RunDueRules()
+			balancer.now += Second / 100
 		}
 	}
-	probes := slices.DeleteFunc(b.lines, func(l string) bool { return !strings.HasPrefix(l, "probe") })
+	probes := slices.DeleteFunc(effects.lines, func(l string) bool { return !strings.HasPrefix(l, "probe") })
 	assert.Len(t, probes, 3, "the price is for each invocation, not for time")
 }
--- a/internal/balancer/migration_test.go
+++ b/internal/balancer/migration_test.go
@@ -10,34 +10,34 @@
 
 // passed is a value as it is read at the other process.
 func passed[T any](t *testing.T, v T) (out T) {
-	b, err := json.Marshal(v)
+	encoded, err := json.Marshal(v)
 	assert.NoError(t, err)
-	assert.NoError(t, json.Unmarshal(b, &out))
+	assert.NoError(t, json.Unmarshal(encoded, &out))
 	return out
 }
 
 // Guards against an effect that happens twice, or a repeat that is not made, because another process goes on.
-func TestWhatIsHandedOverKeepsItsTermsAndItsForwards(t *testing.T) {
+func TestMigratedRequestKeepsItsConfigurationAndAttempts(t *testing.T) {
 	for _, c := range []struct {
 		operation OperationID
 		want      Action
 	}{{0, SendAttempt}, {1, RespondFailed}} {
-		old, _ := facadeOf(namedTerms(), 4)
-		next, _ := facadeOf(Config{
+		old, _ := newTestPicker(namedConfig(), 4)
+		next, _ := newTestPicker(Config{
 			Dispatchers: 2, Kinds: 1, MaxAttempts: 4, ReportInFlight: -1, ReportQueue: -1,
-			ReportFree: -1, Tenants: namedTerms().Tenants, Operations: namedTerms().Operations[3:4],
+			ReportFree: -1, Tenants: namedConfig().Tenants, Operations: namedConfig().Operations[3:4],
 		}, 4)
-		ticket := old.Submit(Arrival{Operation: c.operation, Timeout: 3 * Second})
-		first := pick(t, ticket)
-		_, ok := ticket.Export(0)
+		handle := old.Submit(Arrival{Operation: c.operation, Timeout: 3 * Second})
+		first := pick(t, handle)
+		_, ok := handle.Export(0)
 		assert.False(t, ok, "a forward is out that does not stand still")
-		a, ok := ticket.Export(1)
+		a, ok := handle.Export(1)
 		assert.True(t, ok)
-		assert.Equal(t, RespondElsewhere, pick(t, ticket).Action)
+		assert.Equal(t, RespondElsewhere, pick(t, handle).Action)
 		assert.Equal(t, 0, old.OpenRequests())
 		assert.Empty(t, old.InFlightFor(Successor))
-		assert.False(t, ticket.Report(first.Attempt, Succeeded), "the other one's to report")
-		_, ok = ticket.Export(0)
+		assert.False(t, handle.Report(first.Attempt, Succeeded), "the other one's to report")
+		_, ok = handle.Export(0)
 		assert.False(t, ok, "once")
 
 		adopted, contexts := next.Import(passed(t, a))
@@ -57,25 +57,25 @@
 
 // Guards against an operation that has another number at one instance than at the others, once new terms
 // come: what lands there would be repeated, or not, as another one.
-func TestAllInstancesNumberWhatIsHandedOverAlike(t *testing.T) {
+func TestAllShardsNumberMigratedOperationsAlike(t *testing.T) {
 	now := Time(100 * Second)
-	s := NewShards(namedTerms(), 2, 1, func() Time { return now }, func(string) {})
+	s := NewShards(namedConfig(), 2, 1, func() Time { return now }, func(string) {})
 	s.Import(MigratedRequest{Name: "foreign", Idempotency: NonIdempotent, Deadline: time.Now().Add(time.Second)})
-	terms := namedTerms()
-	terms.Operations = append(terms.Operations, OperationConfig{Name: "fresh", LatencyObjective: Second, Kind: -1})
-	numbers := s.Reconfigure(terms).Operations
-	for _, f := range s.pickers {
-		assert.Equal(t, "fresh", f.balancer.operations.byID[numbers[len(numbers)-1]].name)
+	config := namedConfig()
+	config.Operations = append(config.Operations, OperationConfig{Name: "fresh", LatencyObjective: Second, Kind: -1})
+	numbers := s.Reconfigure(config).Operations
+	for _, picker := range s.pickers {
+		assert.Equal(t, "fresh", picker.balancer.operations.byID[numbers[len(numbers)-1]].name)
 	}
 }
 
-func TestWhatWaitsForAWorkerIsHandedOverToo(t *testing.T) {
-	old, _ := facadeOf(namedTerms(), 0)
+func TestPendingRequestIsMigrated(t *testing.T) {
+	old, _ := newTestPicker(namedConfig(), 0)
 	a, ok := old.Submit(Arrival{Timeout: 3 * Second}).Export(0)
 	assert.True(t, ok)
-	next, _ := facadeOf(namedTerms(), 1)
-	ticket, _ := next.Import(passed(t, a))
+	next, _ := newTestPicker(namedConfig(), 1)
+	handle, _ := next.Import(passed(t, a))
 	next.update(func(*Balancer) {})
-	assert.Equal(t, SendAttempt, pick(t, ticket).Action)
-	assert.InDelta(t, 3, time.Until(ticket.deadline).Seconds(), 0.5)
+	assert.Equal(t, SendAttempt, pick(t, handle).Action)
+	assert.InDelta(t, 3, time.Until(handle.deadline).Seconds(), 0.5)
 }
--- a/internal/balancer/open_requests_test.go
+++ b/internal/balancer/open_requests_test.go
@@ -8,16 +8,16 @@
 )
 
 // Guards against gaps that are never closed, and against a place that is wrong once they have been.
-func TestOpenInvocationsKeepTheirOrderThroughGaps(t *testing.T) {
-	d, _ := newWarmBalancer(1, 1)
-	d.requests.byID = make([]request, 1000)
-	for inv := range RequestID(1000) {
-		d.requests.addOpen(inv)
-		if inv >= 3 {
-			d.requests.removeOpen(inv - 2)
+func TestOpenRequestsKeepTheirOrderThroughGaps(t *testing.T) {
+	balancer, _ := newWarmBalancer(1, 1)
+	balancer.requests.byID = make([]request, 1000)
+	for id := range RequestID(1000) {
+		balancer.requests.addOpen(id)
+		if id >= 3 {
+			balancer.requests.removeOpen(id - 2)
 		}
 	}
-	assert.Equal(t, []RequestID{999, 998, 0}, slices.Collect(d.requests.newestFirst()))
-	assert.LessOrEqual(t, len(d.requests.order), 2*3+minGaps+2)
-	assert.Equal(t, 3, d.requests.openCount)
+	assert.Equal(t, []RequestID{999, 998, 0}, slices.Collect(balancer.requests.newestFirst()))
+	assert.LessOrEqual(t, len(balancer.requests.order), 2*3+minGaps+2)
+	assert.Equal(t, 3, balancer.requests.openCount)
 }
--- a/internal/balancer/operations_test.go
+++ b/internal/balancer/operations_test.go
@@ -8,38 +8,38 @@
 
 // Guards against figures that mean nothing where no hints come: what is lost, and of what, and what a cold worker
 // is sent.
-func TestWithoutHintsSizesAreWhatWasSeen(t *testing.T) {
-	d, _ := newWarmBalancer(2, 1)
-	d.operations.byID[0].meanRun, d.operations.byID[1].meanRun, d.operations.byID[1].value = 500, 4000, 8
-	for inv, op := range []OperationID{0, 1} {
-		d.RequestArrived(RequestID(inv), Arrival{Operation: op, Timeout: 20 * Second})
-		assert.Equal(t, Work(d.operations.byID[op].meanRun), d.requests.byID[inv].size)
+func TestSizesWithoutHintsAreMeanRuns(t *testing.T) {
+	balancer, _ := newWarmBalancer(2, 1)
+	balancer.operations.byID[0].meanRun, balancer.operations.byID[1].meanRun, balancer.operations.byID[1].value = 500, 4000, 8
+	for id, op := range []OperationID{0, 1} {
+		balancer.RequestArrived(RequestID(id), Arrival{Operation: op, Timeout: 20 * Second})
+		assert.Equal(t, Work(balancer.operations.byID[op].meanRun), balancer.requests.byID[id].size)
 	}
-	d.RunDueRules()
+	balancer.RunDueRules()
 	sent := Work(0)
-	for w := range d.workers {
-		for _, s := range d.workers[WorkerID(w)].sendsAfter(d.warmupWindowStart()) {
+	for w := range balancer.workers {
+		for _, s := range balancer.workers[WorkerID(w)].sendsAfter(balancer.warmupWindowStart()) {
 			sent += s.work
 		}
 	}
 	assert.Equal(t, Work(4500), sent)
-	d.rejectOrFail(1)
-	assert.Equal(t, OperationID(1), d.operations.worst)
-	d.RequestArrived(2, Arrival{Operation: 0, Timeout: 20 * Second})
+	balancer.rejectOrFail(1)
+	assert.Equal(t, OperationID(1), balancer.operations.worst)
+	balancer.RequestArrived(2, Arrival{Operation: 0, Timeout: 20 * Second})
 	for n := 0; n < 3; n++ {
-		d.rejectOrFail(RequestID(2))
-		d.RequestArrived(2, Arrival{Operation: 0, Timeout: 20 * Second})
+		balancer.rejectOrFail(RequestID(2))
+		balancer.RequestArrived(2, Arrival{Operation: 0, Timeout: 20 * Second})
 	}
-	assert.Equal(t, OperationID(1), d.operations.worst, "three of four lost are less than one of one")
+	assert.Equal(t, OperationID(1), balancer.operations.worst, "three of four lost are less than one of one")
 }
 
-func TestWhatRunsIsLearntForTermsThatChange(t *testing.T) {
-	d, _ := retuned(t)
-	d.SetTime(d.now + Second)
-	d.operations.byID[0].observeRun(Second)
-	stricter := namedTerms()
+func TestStatisticsOfRunsSurviveReconfiguration(t *testing.T) {
+	balancer, _ := newReconfigured(t)
+	balancer.SetTime(balancer.now + Second)
+	balancer.operations.byID[0].observeRun(Second)
+	stricter := namedConfig()
 	stricter.Operations[0].Idempotency = NonIdempotent
-	n := d.Reconfigure(stricter).Operations[0]
-	assert.Equal(t, []any{d.operations.byID[0].meanRun, d.operations.byID[0].runs}, []any{d.operations.byID[n].meanRun, d.operations.byID[n].runs})
-	assert.Equal(t, float64(Second), d.operations.byID[n].meanRun)
+	n := balancer.Reconfigure(stricter).Operations[0]
+	assert.Equal(t, []any{balancer.operations.byID[0].meanRun, balancer.operations.byID[0].runs}, []any{balancer.operations.byID[n].meanRun, balancer.operations.byID[n].runs})
+	assert.Equal(t, float64(Second), balancer.operations.byID[n].meanRun)
 }
--- a/internal/balancer/picker_bench_test.go
+++ b/internal/balancer/picker_bench_test.go
@@ -14,10 +14,10 @@
 	for _, workers := range []int{16, 256, 4096} {
 		for _, open := range []int{0, 4, 16} {
 			b.Run(fmt.Sprintf("workers=%d/open=%d", workers, open), func(b *testing.B) {
-				f := facadeWithOpen(b, workers, open)
+				picker := facadeWithOpen(b, workers, open)
 				b.ReportAllocs()
 				for b.Loop() {
-					carry(b, f)
+					carry(b, picker)
 				}
 			})
 		}
@@ -27,22 +27,22 @@
 // facadeWithOpen has workers that are believed to have room for all that is open, and so many open on each. None
 // of those comes to its time while the clock stands still.
 func facadeWithOpen(b *testing.B, workers, open int) *Picker {
-	f, _ := facadeOf(testConfig, workers)
-	f.balancer.slots.kinds[0].estimate = float64(open + 8)
-	f.balancer.slots.kinds[0].maxObserved = f.balancer.slots.kinds[0].estimate
+	picker, _ := newTestPicker(testConfig, workers)
+	picker.balancer.slots.kinds[0].estimate = float64(open + 8)
+	picker.balancer.slots.kinds[0].maxObserved = picker.balancer.slots.kinds[0].estimate
 	for range workers * open {
-		t := f.Submit(Arrival{Timeout: 1000 * Second, SizeHint: 100})
+		t := picker.Submit(Arrival{Timeout: 1000 * Second, SizeHint: 100})
 		c, err := t.Pick(context.Background())
 		if err != nil || c.Action != SendAttempt {
 			b.Fatal("not sent: ", c, err)
 		}
 		t.ReportStarted(c.Attempt)
 	}
-	return f
+	return picker
 }
 
-func carry(b *testing.B, f *Picker) {
-	t := f.Submit(Arrival{Timeout: 3 * Second, SizeHint: 100})
+func carry(b *testing.B, picker *Picker) {
+	t := picker.Submit(Arrival{Timeout: 3 * Second, SizeHint: 100})
 	c, err := t.Pick(context.Background())
 	if err != nil || c.Action != SendAttempt {
 		b.Fatal("not sent: ", c, err)
@@ -56,28 +56,28 @@
 
 // BenchmarkListRenewedWhole is a list of 4,096 workers that comes whole while 65,536 invocations are open.
 func BenchmarkListRenewedWhole(b *testing.B) {
-	f := facadeWithOpen(b, 4096, 16)
+	picker := facadeWithOpen(b, 4096, 16)
 	list := make([]Endpoint, 4096)
 	for w := range list {
 		list[w] = Endpoint{Worker: WorkerID(w), ID: fmt.Sprintf("w%d", w), Zone: ZoneID(w % 2), Cell: CellID(w)}
 	}
 	for b.Loop() {
-		f.UpdateEndpoints(list, true, false)
+		picker.UpdateEndpoints(list, true, false)
 	}
 }
 
 // BenchmarkLandingBesideHeld is a landing and its end by its client where all 256 workers are full and 10,000 are
 // held.
 func BenchmarkLandingBesideHeld(b *testing.B) {
-	f := facadeWithOpen(b, 256, 8)
-	f.balancer.slots.kinds[0].estimate = 8
+	picker := facadeWithOpen(b, 256, 8)
+	picker.balancer.slots.kinds[0].estimate = 8
 	for n := range 10000 {
-		f.Submit(Arrival{Timeout: 1000 * Second, SizeHint: Work(100 + n%50)})
+		picker.Submit(Arrival{Timeout: 1000 * Second, SizeHint: Work(100 + n%50)})
 	}
 	gone, cancel := context.WithCancel(context.Background())
 	cancel()
 	for b.Loop() {
-		t := f.Submit(Arrival{Timeout: 3 * Second, SizeHint: 100})
+		t := picker.Submit(Arrival{Timeout: 3 * Second, SizeHint: 100})
 		if _, err := t.Pick(gone); err == nil {
 			b.Fatal("it was not held")
 		}
@@ -86,22 +86,22 @@
 
 // BenchmarkAllWorkersCold is one invocation's way where each of 4,096 workers has just started.
 func BenchmarkAllWorkersCold(b *testing.B) {
-	f, now := facadeOf(testConfig, 0)
+	picker, now := newTestPicker(testConfig, 0)
 	var list []Endpoint
 	for w := range 4096 {
 		list = append(list, Endpoint{Worker: WorkerID(w), ID: fmt.Sprintf("w%d", w), StartedAt: *now - Second})
 	}
-	f.UpdateEndpoints(list, true, false)
+	picker.UpdateEndpoints(list, true, false)
 	for b.Loop() {
 		*now += 10 // what was sent counts no more after the span
-		carry(b, f)
+		carry(b, picker)
 	}
 }
 
 // BenchmarkSweep goes through 65,536 open invocations, as every tenth of the shortest objective.
 func BenchmarkSweep(b *testing.B) {
-	f := facadeWithOpen(b, 4096, 16)
+	picker := facadeWithOpen(b, 4096, 16)
 	for b.Loop() {
-		f.balancer.reviewOpenRequests()
+		picker.balancer.reviewOpenRequests()
 	}
 }
--- a/internal/balancer/picker_test.go
+++ b/internal/balancer/picker_test.go
@@ -10,64 +10,64 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// facadeOf has n warm workers and a clock that the test sets.
-func facadeOf(t Config, n int) (*Picker, *Time) {
+// newTestPicker has n warm workers and a clock that the test sets.
+func newTestPicker(t Config, n int) (*Picker, *Time) {
 	now := Time(100 * Second)
-	f := NewPicker(t, 1, func() Time { return now }, func(string) {})
+	picker := NewPicker(t, 1, func() Time { return now }, func(string) {})
 	var list []Endpoint
 	for w := range n {
 		list = append(list, Endpoint{Worker: WorkerID(w), ID: fmt.Sprintf("w%d", w), Zone: ZoneID(w % 2), Cell: CellID(w)})
 	}
-	f.UpdateEndpoints(list, true, false)
-	return f, &now
+	picker.UpdateEndpoints(list, true, false)
+	return picker, &now
 }
 
-func pick(t *testing.T, ticket *RequestHandle) Decision {
+func pick(t *testing.T, handle *RequestHandle) Decision {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
-	c, err := ticket.Pick(ctx)
+	c, err := handle.Pick(ctx)
 	assert.NoError(t, err)
 	return c
 }
 
-func TestPickSendsAndThenAnswersWithTheForwardThatSucceeded(t *testing.T) {
-	f, _ := facadeOf(testConfig, 2)
-	ticket := f.Submit(Arrival{Timeout: 3 * Second})
-	c := pick(t, ticket)
+func TestPickSendsAndThenRespondsWithTheAttemptThatSucceeded(t *testing.T) {
+	picker, _ := newTestPicker(testConfig, 2)
+	handle := picker.Submit(Arrival{Timeout: 3 * Second})
+	c := pick(t, handle)
 	assert.Equal(t, SendAttempt, c.Action)
 	assert.Equal(t, Idempotent, c.Idempotency)
-	assert.Equal(t, NonIdempotent, pick(t, f.Submit(Arrival{Operation: 1, Timeout: 3 * Second})).Idempotency)
+	assert.Equal(t, NonIdempotent, pick(t, picker.Submit(Arrival{Operation: 1, Timeout: 3 * Second})).Idempotency)
 	assert.NoError(t, c.Ctx.Err())
-	assert.True(t, ticket.Report(c.Attempt, Succeeded))
-	assert.Equal(t, Decision{Action: RespondResult, Attempt: c.Attempt}, pick(t, ticket))
-	assert.Equal(t, 1, f.OpenRequests(), "the other one")
-	assert.False(t, ticket.Report(c.Attempt, Succeeded), "a second report counts for nothing")
+	assert.True(t, handle.Report(c.Attempt, Succeeded))
+	assert.Equal(t, Decision{Action: RespondResult, Attempt: c.Attempt}, pick(t, handle))
+	assert.Equal(t, 1, picker.OpenRequests(), "the other one")
+	assert.False(t, handle.Report(c.Attempt, Succeeded), "a second report counts for nothing")
 }
 
-func TestPickThrottlesWhereThereIsNoWorkerInTime(t *testing.T) {
-	f, now := facadeOf(testConfig, 0)
-	ticket := f.Submit(Arrival{Timeout: 3 * Second})
+func TestPickRejectsWhereThereIsNoWorkerInTime(t *testing.T) {
+	picker, now := newTestPicker(testConfig, 0)
+	handle := picker.Submit(Arrival{Timeout: 3 * Second})
 	*now += 3 * Second
-	f.update(func(*Balancer) {})
-	assert.Equal(t, RespondRejected, pick(t, ticket).Action)
-	assert.Equal(t, 0, f.OpenRequests())
+	picker.update(func(*Balancer) {})
+	assert.Equal(t, RespondRejected, pick(t, handle).Action)
+	assert.Equal(t, 0, picker.OpenRequests())
 }
 
-func TestMayHaveRunEndsANonIdempotentInvocationAsErrored(t *testing.T) {
-	f, _ := facadeOf(testConfig, 4)
-	ticket := f.Submit(Arrival{Operation: 1, Timeout: 3 * Second})
-	ticket.Report(pick(t, ticket).Attempt, ConnectionReset)
-	assert.Equal(t, RespondFailed, pick(t, ticket).Action)
+func TestNonIdempotentRequestThatMayHaveRunFails(t *testing.T) {
+	picker, _ := newTestPicker(testConfig, 4)
+	handle := picker.Submit(Arrival{Operation: 1, Timeout: 3 * Second})
+	handle.Report(pick(t, handle).Attempt, ConnectionReset)
+	assert.Equal(t, RespondFailed, pick(t, handle).Action)
 }
 
-func TestNeverRanLetsANonIdempotentInvocationBeSentAgain(t *testing.T) {
-	f, _ := facadeOf(testConfig, 4)
-	ticket := f.Submit(Arrival{Operation: 1, Timeout: 3 * Second})
-	ticket.Report(pick(t, ticket).Attempt, NoConnection)
-	assert.Equal(t, SendAttempt, pick(t, ticket).Action)
+func TestNonIdempotentRequestThatNeverRanIsSentAgain(t *testing.T) {
+	picker, _ := newTestPicker(testConfig, 4)
+	handle := picker.Submit(Arrival{Operation: 1, Timeout: 3 * Second})
+	handle.Report(pick(t, handle).Attempt, NoConnection)
+	assert.Equal(t, SendAttempt, pick(t, handle).Action)
 }
 
-func TestRepeatHasToBeSentBeforeItsRetryWindowCloses(t *testing.T) {
+func TestRepeatHasToBeSentBeforeTheDedupWindowCloses(t *testing.T) {
 	const zoned, step = OperationID(2), Second / 4
 	window := testConfig.Operations[zoned].DedupWindow
 	for name, c := range map[string]struct {
@@ -82,184 +82,184 @@
 		"where it may run again anyway":         {0, []Outcome{ConnectionReset}, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
-			f, now := facadeOf(testConfig, 8)
-			ticket := f.Submit(Arrival{Operation: c.op, Timeout: 30 * Second})
-			choice := pick(t, ticket)
+			picker, now := newTestPicker(testConfig, 8)
+			handle := picker.Submit(Arrival{Operation: c.op, Timeout: 30 * Second})
+			choice := pick(t, handle)
 			var before time.Time
-			for _, how := range c.ends {
+			for _, outcome := range c.ends {
 				*now += step
 				before = time.Now()
-				ticket.Report(choice.Attempt, how)
-				choice = pick(t, ticket)
+				handle.Report(choice.Attempt, outcome)
+				choice = pick(t, handle)
 			}
 			if c.left == 0 {
 				assert.Zero(t, choice.SendBy)
 				return
 			}
-			left := (c.left - f.balancer.config.margin).Duration()
+			left := (c.left - picker.balancer.config.margin).Duration()
 			assert.WithinRange(t, choice.SendBy, before.Add(left), time.Now().Add(left))
 		})
 	}
 }
 
-func TestClientThatLeavesCallsItsForwardsOff(t *testing.T) {
-	f, _ := facadeOf(testConfig, 2)
-	ticket := f.Submit(Arrival{Timeout: 3 * Second})
-	c := pick(t, ticket)
+func TestClientThatLeavesCancelsItsAttempts(t *testing.T) {
+	picker, _ := newTestPicker(testConfig, 2)
+	handle := picker.Submit(Arrival{Timeout: 3 * Second})
+	c := pick(t, handle)
 	gone, leave := context.WithCancel(context.Background())
 	leave()
-	_, err := ticket.Pick(gone)
+	_, err := handle.Pick(gone)
 	assert.ErrorIs(t, err, context.Canceled)
 	assert.ErrorIs(t, context.Cause(c.Ctx), ErrAttemptCanceled)
-	assert.Equal(t, 1, f.OpenRequests(), "its number is not used again before the forward has reported")
-	ticket.Report(c.Attempt, Canceled)
-	assert.Equal(t, 0, f.OpenRequests())
+	assert.Equal(t, 1, picker.OpenRequests(), "its number is not used again before the forward has reported")
+	handle.Report(c.Attempt, Canceled)
+	assert.Equal(t, 0, picker.OpenRequests())
 }
 
 // Guards against numbers that never come free: a choice that nobody picks has nobody to report it.
-func TestChoiceToSendThatNobodyPickedIsReportedWhenTheClientLeaves(t *testing.T) {
-	f, _ := facadeOf(testConfig, 2)
-	ticket := f.Submit(Arrival{Timeout: 3 * Second})
-	ticket.clientLeft()
-	assert.Equal(t, 0, f.OpenRequests())
-	assert.Equal(t, 0, f.balancer.workers[0].inFlight+f.balancer.workers[1].inFlight)
+func TestUnpickedAttemptIsReportedWhenTheClientLeaves(t *testing.T) {
+	picker, _ := newTestPicker(testConfig, 2)
+	handle := picker.Submit(Arrival{Timeout: 3 * Second})
+	handle.clientLeft()
+	assert.Equal(t, 0, picker.OpenRequests())
+	assert.Equal(t, 0, picker.balancer.workers[0].inFlight+picker.balancer.workers[1].inFlight)
 }
 
 // Guards against a forward that goes out after the answer, where forwards may not be called off.
-func TestForwardNotPickedBeforeTheAnswerIsNeverSent(t *testing.T) {
-	terms := testConfig
-	terms.Cancellation = false
-	f, _ := facadeOf(terms, 2)
-	ticket := f.Submit(Arrival{Timeout: 3 * Second})
-	first := pick(t, ticket)
-	f.update(func(d *Balancer) { d.startAttempt(ticket.id, 1-first.Worker) })
-	assert.True(t, ticket.Report(first.Attempt, Succeeded))
-	assert.Equal(t, Decision{Action: RespondResult, Attempt: first.Attempt}, pick(t, ticket))
-	assert.Equal(t, 0, f.OpenRequests())
+func TestAttemptNotPickedBeforeTheAnswerIsNeverSent(t *testing.T) {
+	config := testConfig
+	config.Cancellation = false
+	picker, _ := newTestPicker(config, 2)
+	handle := picker.Submit(Arrival{Timeout: 3 * Second})
+	first := pick(t, handle)
+	picker.update(func(balancer *Balancer) { balancer.startAttempt(handle.id, 1-first.Worker) })
+	assert.True(t, handle.Report(first.Attempt, Succeeded))
+	assert.Equal(t, Decision{Action: RespondResult, Attempt: first.Attempt}, pick(t, handle))
+	assert.Equal(t, 0, picker.OpenRequests())
 }
 
-func TestNumbersAreUsedAgain(t *testing.T) {
-	f, _ := facadeOf(testConfig, 2)
+func TestRequestIDsAreUsedAgain(t *testing.T) {
+	picker, _ := newTestPicker(testConfig, 2)
 	for range 3 {
-		ticket := f.Submit(Arrival{Timeout: 3 * Second})
-		assert.Equal(t, RequestID(0), ticket.id)
-		ticket.Report(pick(t, ticket).Attempt, Succeeded)
-		pick(t, ticket)
+		handle := picker.Submit(Arrival{Timeout: 3 * Second})
+		assert.Equal(t, RequestID(0), handle.id)
+		handle.Report(pick(t, handle).Attempt, Succeeded)
+		pick(t, handle)
 	}
 }
 
-func TestEndByAnswersWhatIsOpenBeforeTheProcessEnds(t *testing.T) {
-	f, now := facadeOf(testConfig, 2)
-	idempotent := f.Submit(Arrival{Timeout: 30 * Second})
-	once := f.Submit(Arrival{Operation: 1, Timeout: 30 * Second})
+func TestStopAfterAnswersOpenRequestsBeforeTheProcessEnds(t *testing.T) {
+	picker, now := newTestPicker(testConfig, 2)
+	idempotent := picker.Submit(Arrival{Timeout: 30 * Second})
+	once := picker.Submit(Arrival{Operation: 1, Timeout: 30 * Second})
 	assert.Equal(t, SendAttempt, pick(t, idempotent).Action)
 	assert.Equal(t, SendAttempt, pick(t, once).Action)
-	f.StopAfter(3 * Second)
+	picker.StopAfter(3 * Second)
 	*now += 3 * Second
-	f.update(func(*Balancer) {})
+	picker.update(func(*Balancer) {})
 	assert.Equal(t, RespondRejected, pick(t, idempotent).Action)
 	assert.Equal(t, RespondFailed, pick(t, once).Action)
 }
 
-func TestTickGoesThroughTheRulesWhenOneComesDue(t *testing.T) {
+func TestRunAppliesRulesAsTheyComeDue(t *testing.T) {
 	start := time.Now()
-	f := NewPicker(testConfig, 1, func() Time { return Second + Time(time.Since(start)/100000) }, func(string) {})
+	picker := NewPicker(testConfig, 1, func() Time { return Second + Time(time.Since(start)/100000) }, func(string) {})
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error)
-	go func() { ended <- f.Run(ctx) }()
-	ticket := f.Submit(Arrival{Timeout: Second / 10})
-	assert.Equal(t, RespondRejected, pick(t, ticket).Action, "no worker is known, and no other call is made")
+	go func() { ended <- picker.Run(ctx) }()
+	handle := picker.Submit(Arrival{Timeout: Second / 10})
+	assert.Equal(t, RespondRejected, pick(t, handle).Action, "no worker is known, and no other call is made")
 	cancel()
 	assert.NoError(t, <-ended)
 }
 
-func TestManyClientsAtOnce(t *testing.T) {
-	f, _ := facadeOf(testConfig, 4)
+func TestManyClientsConcurrently(t *testing.T) {
+	picker, _ := newTestPicker(testConfig, 4)
 	start := time.Now()
-	f.clock = func() Time { return 100*Second + Time(time.Since(start)/100000) }
+	picker.clock = func() Time { return 100*Second + Time(time.Since(start)/100000) }
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error)
-	go func() { ended <- f.Run(ctx) }()
+	go func() { ended <- picker.Run(ctx) }()
 	var clients sync.WaitGroup
 	for n := range 50 {
 		clients.Go(func() {
-			ticket := f.Submit(Arrival{Operation: OperationID(n % len(testConfig.Operations)), Timeout: 3 * Second})
+			handle := picker.Submit(Arrival{Operation: OperationID(n % len(testConfig.Operations)), Timeout: 3 * Second})
 			for {
-				c := pick(t, ticket)
+				c := pick(t, handle)
 				if c.Action != SendAttempt {
 					return
 				}
-				ticket.ReportStarted(c.Attempt)
-				ticket.Report(c.Attempt, []Outcome{Succeeded, Overloaded, Succeeded, WorkerError}[(n+c.Attempt)%4])
-				f.ReceiveLoad(1, Load{Worker: c.Worker, InFlight: n % 3})
+				handle.ReportStarted(c.Attempt)
+				handle.Report(c.Attempt, []Outcome{Succeeded, Overloaded, Succeeded, WorkerError}[(n+c.Attempt)%4])
+				picker.ReceiveLoad(1, Load{Worker: c.Worker, InFlight: n % 3})
 			}
 		})
 	}
 	clients.Wait()
 	cancel()
 	assert.NoError(t, <-ended)
-	assert.Equal(t, 0, f.OpenRequests())
-	assert.Zero(t, f.balancer.workers[0].inFlight+f.balancer.workers[1].inFlight+f.balancer.workers[2].inFlight+f.balancer.workers[3].inFlight, "nothing is left out")
+	assert.Equal(t, 0, picker.OpenRequests())
+	assert.Zero(t, picker.balancer.workers[0].inFlight+picker.balancer.workers[1].inFlight+picker.balancer.workers[2].inFlight+picker.balancer.workers[3].inFlight, "nothing is left out")
 }
 
 // Guards against a crash: a peer may tell of a worker whose list is still on its way to the rules.
-func TestPeerThatTellsOfAWorkerNotListedYetIsPassedOver(t *testing.T) {
-	f, _ := facadeOf(testConfig, 1)
-	assert.NotPanics(t, func() { f.ReceiveLoad(1, Load{Worker: 7, InFlight: 2}) })
+func TestLoadOfAnUnknownWorkerIsPassedOver(t *testing.T) {
+	picker, _ := newTestPicker(testConfig, 1)
+	assert.NotPanics(t, func() { picker.ReceiveLoad(1, Load{Worker: 7, InFlight: 2}) })
 }
 
-func TestNewsForOnePeerGoTogether(t *testing.T) {
-	f, _ := facadeOf(testConfig, 1)
-	l := pickerEffects{f}
+func TestLoadsForOnePeerGoTogether(t *testing.T) {
+	picker, _ := newTestPicker(testConfig, 1)
+	l := pickerEffects{picker}
 	l.SendLoad(1, Load{0, 2})
 	l.SendLoad(0, Load{0, 2})
 	l.SendLoad(1, Load{1, 3})
-	news, err := f.NextLoadUpdates(context.Background())
+	news, err := picker.NextLoadUpdates(context.Background())
 	assert.NoError(t, err)
 	assert.Equal(t, []LoadUpdate{{1, []Load{{0, 2}, {1, 3}}}, {0, []Load{{0, 2}}}}, news)
 }
 
 // Guards against a list service that is asked again with no wait, and one that is asked late after it moved.
-func TestListIsAskedForAgainAfterAWaitOrAtOnceWhereItMoved(t *testing.T) {
-	terms := testConfig
-	terms.PollEndpoints = true
-	f, now := facadeOf(terms, 1)
-	asked := func() bool { return len(f.pollDue) > 0 }
-	f.ReportWatchEnded(WatchFailed)
+func TestPollAfterAWaitOrAtOnceWhereTheServiceMoved(t *testing.T) {
+	config := testConfig
+	config.PollEndpoints = true
+	picker, now := newTestPicker(config, 1)
+	asked := func() bool { return len(picker.pollDue) > 0 }
+	picker.ReportWatchEnded(WatchFailed)
 	*now += 5 * Second
-	f.update(func(*Balancer) {})
+	picker.update(func(*Balancer) {})
 	assert.True(t, asked(), "and nobody takes it up before the next word")
-	f.ReportWatchEnded(WatchFailed)
+	picker.ReportWatchEnded(WatchFailed)
 	assert.False(t, asked())
-	f.update(func(d *Balancer) { d.discovery.pollNow(d.now) })
+	picker.update(func(balancer *Balancer) { balancer.discovery.pollNow(balancer.now) })
 	assert.True(t, asked())
 	for range 5 { // it answers, and is cut: no backoff
-		<-f.pollDue
-		f.ReportWatchEnded(WatchCut)
+		<-picker.pollDue
+		picker.ReportWatchEnded(WatchCut)
 		*now += 1300 * Second / 1000
-		f.update(func(*Balancer) {})
+		picker.update(func(*Balancer) {})
 		assert.True(t, asked())
 	}
 }
 
 // Guards against a peer that starts again with no view of our load, and against our view of what it had out.
-func TestPeerThatHasStartedIsToldWhatIsOutHere(t *testing.T) {
-	terms := testConfig
-	terms.Gossip = true
-	f, now := facadeOf(terms, 2)
-	ticket := f.Submit(Arrival{Timeout: 90 * Second, SizeHint: Work(9 * Second)})
-	c := pick(t, ticket)
-	ticket.ReportStarted(c.Attempt)
+func TestPeerThatHasStartedIsToldTheLoadHere(t *testing.T) {
+	config := testConfig
+	config.Gossip = true
+	picker, now := newTestPicker(config, 2)
+	handle := picker.Submit(Arrival{Timeout: 90 * Second, SizeHint: Work(9 * Second)})
+	c := pick(t, handle)
+	handle.ReportStarted(c.Attempt)
 	*now += Second
-	f.update(func(*Balancer) {})
-	_, err := f.NextLoadUpdates(context.Background())
+	picker.update(func(*Balancer) {})
+	_, err := picker.NextLoadUpdates(context.Background())
 	assert.NoError(t, err)
-	f.ReceiveLoad(1, Load{Worker: 0, InFlight: 3})
-	f.update(func(d *Balancer) { d.receivePeerStarted(1) })
-	assert.Equal(t, 0, f.balancer.workers[0].peerInFlight)
+	picker.ReceiveLoad(1, Load{Worker: 0, InFlight: 3})
+	picker.update(func(balancer *Balancer) { balancer.receivePeerStarted(1) })
+	assert.Equal(t, 0, picker.balancer.workers[0].peerInFlight)
 	*now += Second
-	f.update(func(*Balancer) {})
-	news, err := f.NextLoadUpdates(context.Background())
+	picker.update(func(*Balancer) {})
+	news, err := picker.NextLoadUpdates(context.Background())
 	assert.NoError(t, err)
 	assert.Equal(t, []LoadUpdate{{1, []Load{{c.Worker, 1}}}}, news)
 }
--- a/internal/balancer/quotas_test.go
+++ b/internal/balancer/quotas_test.go
@@ -6,12 +6,12 @@
 	"github.com/stretchr/testify/assert"
 )
 
-func TestCustomersCountByTheirTrafficAgainstTheirShare(t *testing.T) {
+func TestQuotaWeightFollowsUsage(t *testing.T) {
 	counts := func(c TenantID, landings int, every Time) (last float64) {
-		d, _ := newWarmBalancer(2, 1)
+		balancer, _ := newWarmBalancer(2, 1)
 		for range landings {
-			d.now += every
-			last = d.quotaWeight(c)
+			balancer.now += every
+			last = balancer.quotaWeight(c)
 		}
 		return last
 	}
--- a/internal/balancer/release_test.go
+++ b/internal/balancer/release_test.go
@@ -44,31 +44,31 @@
 
 type releaseEffects struct {
 	recorder
-	r      *release
-	number int
-	d      *Balancer
+	r        *release
+	number   int
+	balancer *Balancer
 }
 
-func (l *releaseEffects) SendAttempt(inv RequestID, tgt WorkerID, _ Time) {
-	r, d, w := l.r, l.d, l.r.workers[tgt]
-	size := float64(d.requests.byID[inv].size) * math.Exp(0.2*r.rng.NormFloat64()) // hints are rough
+func (l *releaseEffects) SendAttempt(id RequestID, target WorkerID, _ Time) {
+	r, balancer, w := l.r, l.balancer, l.r.workers[target]
+	size := float64(balancer.requests.byID[id].size) * math.Exp(0.2*r.rng.NormFloat64()) // hints are rough
 	if !r.way.hints {
 		size = r.size()
 	}
-	w.waiting = append(w.waiting, &job{from: d, inv: inv, n: len(d.requests.byID[inv].attempts) - 1, left: size})
+	w.waiting = append(w.waiting, &job{from: balancer, inv: id, n: len(balancer.requests.byID[id].attempts) - 1, left: size})
 	if w.sent = append(w.sent, r.now); w.cold {
-		w.sent = slices.DeleteFunc(w.sent, func(at Time) bool { return at <= r.now-d.config.warmupWindow })
-		n := d.config.overloadFactor * r.warmth(w) * standSlots * float64(d.config.warmupWindow) / standWork
+		w.sent = slices.DeleteFunc(w.sent, func(at Time) bool { return at <= r.now-balancer.config.warmupWindow })
+		n := balancer.config.overloadFactor * r.warmth(w) * standSlots * float64(balancer.config.warmupWindow) / standWork
 		w.worst = max(w.worst, float64(len(w.sent))/(n+2*math.Sqrt(n)+2))
 	}
 }
 
-func (l *releaseEffects) CancelAttempt(inv RequestID, n int) {
-	d := l.d
-	w := l.r.workers[d.requests.byID[inv].attempts[n].worker]
-	off := func(j *job) bool { return j.from == d && j.inv == inv && j.n == n }
+func (l *releaseEffects) CancelAttempt(id RequestID, n int) {
+	balancer := l.balancer
+	w := l.r.workers[balancer.requests.byID[id].attempts[n].worker]
+	off := func(j *job) bool { return j.from == balancer && j.inv == id && j.n == n }
 	w.running, w.waiting = slices.DeleteFunc(w.running, off), slices.DeleteFunc(w.waiting, off)
-	l.r.cancelled = append(l.r.cancelled, &job{from: d, inv: inv, n: n})
+	l.r.cancelled = append(l.r.cancelled, &job{from: balancer, inv: id, n: n})
 }
 
 func (l *releaseEffects) SendLoad(to PeerID, load Load) {
@@ -80,17 +80,17 @@
 func (r *release) size() float64 { return standWork * math.Exp(0.8*r.rng.NormFloat64()-0.32) }
 
 func (r *release) warmth(w *stand) float64 {
-	if d := r.fleet[0]; w.cold {
-		return min(1, d.config.initialWarmup+(1-d.config.initialWarmup)*float64(r.now-r.born)/float64(d.config.warmupDuration))
+	if balancer := r.fleet[0]; w.cold {
+		return min(1, balancer.config.initialWarmup+(1-balancer.config.initialWarmup)*float64(r.now-r.born)/float64(balancer.config.warmupDuration))
 	}
 	return 1
 }
 
 // report gives a dispatcher one outcome, or a start.
-func (r *release) report(d *Balancer, do func()) {
-	d.SetTime(r.now)
+func (r *release) report(balancer *Balancer, do func()) {
+	balancer.SetTime(r.now)
 	do()
-	d.RunDueRules()
+	balancer.RunDueRules()
 }
 
 func (r *release) step() {
@@ -118,9 +118,9 @@
 		m := r.news[0]
 		r.report(r.fleet[m.to], func() { r.fleet[m.to].ReceiveLoad(m.from, m.l) })
 	}
-	for _, d := range r.fleet {
-		if d.due.wakeAt <= r.now {
-			r.report(d, func() { d.WakeFired(uint64(d.due.wakeAt)) })
+	for _, balancer := range r.fleet {
+		if balancer.due.wakeAt <= r.now {
+			r.report(balancer, func() { balancer.WakeFired(uint64(balancer.due.wakeAt)) })
 		}
 	}
 }
@@ -136,14 +136,14 @@
 	}
 	var traffic []float64
 	start := func(number int) *Balancer {
-		terms := testConfig
-		terms.Dispatchers, terms.Position, terms.ReportFree, terms.OverloadFactor = n, number, -1, 3
-		terms.ValuePerRequest, terms.Gossip, terms.GossipCost = 1, way.peers, 0.0004
+		config := testConfig
+		config.Dispatchers, config.Position, config.ReportFree, config.OverloadFactor = n, number, -1, 3
+		config.ValuePerRequest, config.Gossip, config.GossipCost = 1, way.peers, 0.0004
 		link := &releaseEffects{r: r, number: number}
-		link.d = New(terms, seed+uint64(r.now)+uint64(number), link)
-		link.d.SetTime(r.now)
-		link.d.UpdateEndpoints(list, true, true)
-		return link.d
+		link.balancer = New(config, seed+uint64(r.now)+uint64(number), link)
+		link.balancer.SetTime(r.now)
+		link.balancer.UpdateEndpoints(list, true, true)
+		return link.balancer
 	}
 	for number := range n {
 		r.fleet = append(r.fleet, start(number))
@@ -169,8 +169,8 @@
 				for n := range leaving {
 					leaving[n].State = Gone
 				}
-				for _, d := range r.fleet {
-					r.report(d, func() { d.UpdateEndpoints(leaving, false, true) })
+				for _, balancer := range r.fleet {
+					r.report(balancer, func() { balancer.UpdateEndpoints(leaving, false, true) })
 				}
 			}
 			if r.born == 0 && r.now >= 105*Second { // a release, told to all at once
@@ -179,8 +179,8 @@
 					r.workers[w].cold, r.workers[w].sent, list[w].StartedAt = true, nil, r.born
 					r.workers[w].done, r.workers[w].could = 0, 0
 				}
-				for _, d := range r.fleet {
-					r.report(d, func() { d.UpdateEndpoints(list[:workers*6/10], false, true) })
+				for _, balancer := range r.fleet {
+					r.report(balancer, func() { balancer.UpdateEndpoints(list[:workers*6/10], false, true) })
 				}
 			}
 		}
@@ -188,20 +188,20 @@
 		for ; draw > traffic[number]; number++ {
 			draw -= traffic[number]
 		}
-		l, d := Arrival{Timeout: 10 * Second}, r.fleet[number]
+		l, balancer := Arrival{Timeout: 10 * Second}, r.fleet[number]
 		if way.hints {
 			l.SizeHint = Work(r.size())
 		}
-		inv := landed[number]
+		id := landed[number]
 		landed[number]++
-		r.report(d, func() { d.RequestArrived(inv, l) })
+		r.report(balancer, func() { balancer.RequestArrived(id, l) })
 	}
 	return r
 }
 
 // Guards against cold workers that are pushed over by the sum of what many send, and against ones that nearly all
 // dispatchers leave alone: they are most of what there is after a release, and those left are then overrun.
-func TestColdWorkersAreUsedAndNotPushedOverByAllDispatchersTogether(t *testing.T) {
+func TestWarmingWorkersAreUsedAndNotOverloadedByAFleet(t *testing.T) {
 	for name, way := range map[string]way{
 		"nothing told":                       {},
 		"hints":                              {hints: true},
--- a/internal/balancer/shards_test.go
+++ b/internal/balancer/shards_test.go
@@ -10,8 +10,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// instancesOf has n instances in the second of two processes, and workers that all of them know.
-func instancesOf(t Config, n, workers int) *Shards {
+// newTestShards has n instances in the second of two processes, and workers that all of them know.
+func newTestShards(t Config, n, workers int) *Shards {
 	now := Time(100 * Second)
 	t.Dispatchers, t.Position = 2, 1
 	s := NewShards(t, n, 1, func() Time { return now }, func(string) {})
@@ -23,35 +23,35 @@
 	return s
 }
 
-func TestInstancesAreDispatchersAmongAllOfAllProcesses(t *testing.T) {
-	terms := testConfig
-	terms.Gossip = true
-	s := instancesOf(terms, 3, 4)
-	for j, f := range s.pickers {
-		assert.Equal(t, []int{6, 3 + j}, []int{f.balancer.config.dispatchers, f.balancer.config.position})
-		assert.Equal(t, 1.0/6, f.balancer.config.dispatcherShare, "budgets and shares are cut into as many parts")
-		assert.True(t, f.balancer.config.gossip)
+func TestShardsAreDispatchersAmongAllOfAllProcesses(t *testing.T) {
+	config := testConfig
+	config.Gossip = true
+	s := newTestShards(config, 3, 4)
+	for j, picker := range s.pickers {
+		assert.Equal(t, []int{6, 3 + j}, []int{picker.balancer.config.dispatchers, picker.balancer.config.position})
+		assert.Equal(t, 1.0/6, picker.balancer.config.dispatcherShare, "budgets and shares are cut into as many parts")
+		assert.True(t, picker.balancer.config.gossip)
 	}
-	alone := instancesOf(testConfig, 1, 4)
+	alone := newTestShards(testConfig, 1, 4)
 	assert.Equal(t, []int{2, 1}, []int{alone.pickers[0].balancer.config.dispatchers, alone.pickers[0].balancer.config.position})
 	assert.False(t, alone.pickers[0].balancer.config.gossip, "one instance is as it was")
 	for range 6 {
 		s.Submit(Arrival{Timeout: 3 * Second})
 	}
-	for _, f := range s.pickers {
-		assert.Equal(t, 2, f.OpenRequests())
+	for _, picker := range s.pickers {
+		assert.Equal(t, 2, picker.OpenRequests())
 	}
 	assert.Equal(t, 6, s.OpenRequests())
 }
 
-func TestInstancesTellOneAnotherInMemory(t *testing.T) {
+func TestShardsGossipInMemory(t *testing.T) {
 	for _, outside := range []bool{false, true} {
-		terms := testConfig
-		terms.Gossip = outside
-		s := instancesOf(terms, 2, 1)
-		ticket := s.pickers[0].Submit(Arrival{Timeout: 3 * Second})
-		c := pick(t, ticket)
-		s.pickers[0].update(func(d *Balancer) { d.sendChangedLoads() }) // as its time comes
+		config := testConfig
+		config.Gossip = outside
+		s := newTestShards(config, 2, 1)
+		handle := s.pickers[0].Submit(Arrival{Timeout: 3 * Second})
+		c := pick(t, handle)
+		s.pickers[0].update(func(balancer *Balancer) { balancer.sendChangedLoads() }) // as its time comes
 		ctx, cancel := context.WithTimeout(context.Background(), 200*time.Millisecond)
 		news, err := s.NextLoadUpdates(ctx, 0)
 		cancel()
@@ -68,29 +68,29 @@
 	}
 }
 
-func TestOneCallForTheListServesAllInstances(t *testing.T) {
-	terms := testConfig
-	terms.PollEndpoints = true
-	s := instancesOf(terms, 3, 1)
-	for _, f := range s.pickers {
-		f.update(func(d *Balancer) { d.discovery.nextPoll = 0 }) // their turn has come
+func TestOnePollServesAllShards(t *testing.T) {
+	config := testConfig
+	config.PollEndpoints = true
+	s := newTestShards(config, 3, 1)
+	for _, picker := range s.pickers {
+		picker.update(func(balancer *Balancer) { balancer.discovery.nextPoll = 0 }) // their turn has come
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
 	defer cancel()
 	assert.NoError(t, s.AwaitPoll(ctx))
 	assert.Error(t, s.AwaitPoll(ctx), "the others want it by the same call")
 	s.UpdateEndpoints([]Endpoint{{Worker: 0, ID: "w0", State: Draining}}, true, false)
-	for _, f := range s.pickers {
-		assert.True(t, f.balancer.discovery.watching)
-		assert.Equal(t, Draining, f.balancer.workers[0].state, "a drain holds for all")
+	for _, picker := range s.pickers {
+		assert.True(t, picker.balancer.discovery.watching)
+		assert.Equal(t, Draining, picker.balancer.workers[0].state, "a drain holds for all")
 	}
 }
 
 // Guards against two instances that tell each other at once and wait for each other's lock.
-func TestInstancesThatTellEachOtherAtOnceDoNotWait(t *testing.T) {
-	terms := testConfig
-	terms.Granularity = 0
-	s := instancesOf(terms, 4, 8)
+func TestShardsThatTellEachOtherAtOnceDoNotDeadlock(t *testing.T) {
+	config := testConfig
+	config.Granularity = 0
+	s := newTestShards(config, 4, 8)
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
 	for j := range s.Count() {
@@ -100,15 +100,15 @@
 	for range 8 {
 		lives.Go(func() {
 			for range 300 {
-				ticket := s.Submit(Arrival{Timeout: 3 * Second, SizeHint: 10})
-				c, err := ticket.Pick(ctx)
+				handle := s.Submit(Arrival{Timeout: 3 * Second, SizeHint: 10})
+				c, err := handle.Pick(ctx)
 				if !assert.NoError(t, err) {
 					return
 				}
-				ticket.picker.update(func(d *Balancer) { d.sendChangedLoads() })
-				ticket.ReportStarted(c.Attempt)
-				ticket.Report(c.Attempt, Succeeded)
-				_, err = ticket.Pick(ctx)
+				handle.picker.update(func(balancer *Balancer) { balancer.sendChangedLoads() })
+				handle.ReportStarted(c.Attempt)
+				handle.Report(c.Attempt, Succeeded)
+				_, err = handle.Pick(ctx)
 				assert.NoError(t, err)
 			}
 		})
@@ -118,13 +118,13 @@
 }
 
 // Guards against a fleet that restarts at once and greets all with all: it is charged for each message.
-func TestNeighboursAreThoseWhoShareWorkers(t *testing.T) {
-	terms := testConfig
-	terms.Dispatchers, terms.Gossip, terms.GossipCost = 80, true, 0.000625
+func TestGossipPeersShareWorkers(t *testing.T) {
+	config := testConfig
+	config.Dispatchers, config.Gossip, config.GossipCost = 80, true, 0.000625
 	fleet := make([]*Shards, 80)
 	for n := range fleet {
-		terms.Position = n
-		fleet[n] = NewShards(terms, 1, 1, func() Time { return 0 }, func(string) {})
+		config.Position = n
+		fleet[n] = NewShards(config, 1, 1, func() Time { return 0 }, func(string) {})
 		assert.Len(t, fleet[n].GossipPeers(), 79, "all, before there is a list")
 		var list []Endpoint
 		for w := range 60 {
@@ -135,9 +135,9 @@
 	for n, s := range fleet {
 		near := s.GossipPeers()
 		assert.Less(t, len(near), 30)
-		d := s.pickers[0].balancer
-		for _, w := range d.subsetting.subsets[bothIntervals].workers {
-			for p := d.workers[w].subsetPeerRange[0]; p < d.workers[w].subsetPeerRange[1]; p++ {
+		balancer := s.pickers[0].balancer
+		for _, w := range balancer.subsetting.subsets[bothIntervals].workers {
+			for p := balancer.workers[w].subsetPeerRange[0]; p < balancer.workers[w].subsetPeerRange[1]; p++ {
 				if p%80 != n {
 					assert.Contains(t, near, p%80, "told of worker %d", w)
 				}
--- a/internal/balancer/slot_estimation_test.go
+++ b/internal/balancer/slot_estimation_test.go
@@ -6,66 +6,66 @@
 	"github.com/stretchr/testify/assert"
 )
 
-func TestSlotsBelievedStandOneFalseWait(t *testing.T) {
-	d, _ := newWarmBalancer(2, 1)
-	d.config.reportFree = -1
+func TestSlotEstimateStandsOneFalseWait(t *testing.T) {
+	balancer, _ := newWarmBalancer(2, 1)
+	balancer.config.reportFree = -1
 	vote := func(load int, atOnce ...bool) {
 		for _, v := range atOnce {
-			d.observeQueueing(0, load, v)
+			balancer.observeQueueing(0, load, v)
 		}
 	}
 	vote(1, true, true)
 	vote(2, false) // a forward that no peer had told of yet
-	assert.EqualValues(t, initialSlots, d.slots.kinds[0].estimate)
+	assert.EqualValues(t, initialSlots, balancer.slots.kinds[0].estimate)
 	vote(4, false, false)
-	assert.EqualValues(t, 3, d.slots.kinds[0].estimate)
-	assert.EqualValues(t, 1, d.slots.kinds[0].maxObserved)
+	assert.EqualValues(t, 3, balancer.slots.kinds[0].estimate)
+	assert.EqualValues(t, 1, balancer.slots.kinds[0].maxObserved)
 	vote(3, true, true)
 	vote(2, true, true, true)
-	assert.EqualValues(t, 3, d.slots.kinds[0].estimate)
-	assert.EqualValues(t, 3, d.slots.kinds[0].maxObserved, "twice seen")
+	assert.EqualValues(t, 3, balancer.slots.kinds[0].estimate)
+	assert.EqualValues(t, 3, balancer.slots.kinds[0].maxObserved, "twice seen")
 }
 
 // Guards against a load report out of all proportion, after which no worker elsewhere was tried for long.
-func TestLoadReportBelowNothingCountsAsNoSlotFree(t *testing.T) {
-	d, _ := newWarmBalancer(1, 1)
-	d.ReceiveLoadReport(0, []float64{-1e9})
-	assert.InDelta(t, 1-learningRate, d.slots.freeSlotRatio, 1e-9)
+func TestNegativeLoadReportCountsAsNoFreeSlot(t *testing.T) {
+	balancer, _ := newWarmBalancer(1, 1)
+	balancer.ReceiveLoadReport(0, []float64{-1e9})
+	assert.InDelta(t, 1-learningRate, balancer.slots.freeSlotRatio, 1e-9)
 }
 
-func TestStartAsAForwardArrivesTellsOfAFreeSlotHoweverFarItIs(t *testing.T) {
-	d, _ := far()
-	for inv := range RequestID(4) {
-		d.RequestArrived(inv, Arrival{Timeout: 10 * Second, SizeHint: 100})
-		d.RunDueRules()
-		d.SetTime(d.now + 3*d.config.patience)
-		d.AttemptDelivered(inv, 0)
-		d.AttemptStarted(inv, 0)
-		d.AttemptEnded(inv, 0, Succeeded, true)
+func TestStartOnDeliveryIsAVoteForAFreeSlot(t *testing.T) {
+	balancer, _ := newDeliveryNoticesBalancer()
+	for id := range RequestID(4) {
+		balancer.RequestArrived(id, Arrival{Timeout: 10 * Second, SizeHint: 100})
+		balancer.RunDueRules()
+		balancer.SetTime(balancer.now + 3*balancer.config.patience)
+		balancer.AttemptDelivered(id, 0)
+		balancer.AttemptStarted(id, 0)
+		balancer.AttemptEnded(id, 0, Succeeded, true)
 	}
-	assert.Positive(t, d.slots.kinds[0].votes[1], "starts at once at a load of one")
+	assert.Positive(t, balancer.slots.kinds[0].votes[1], "starts at once at a load of one")
 }
 
 // Guards against a budget for more slots than a kind has: by late news some forwards start at once at loads that
 // nearly all others wait at, and the most that was ever so voted for counted for good.
-func TestMostAtWorkIsWhatVotesAgreeOn(t *testing.T) {
-	d, _ := newWarmBalancer(2, 1)
-	d.config.reportFree = -1 // no reports tell
+func TestMaxObservedIsWhatVotesAgreeOn(t *testing.T) {
+	balancer, _ := newWarmBalancer(2, 1)
+	balancer.config.reportFree = -1 // no reports tell
 	vote := func(load, times int, atOnce bool) {
 		for range times {
-			d.observeQueueing(0, load, atOnce)
+			balancer.observeQueueing(0, load, atOnce)
 		}
 	}
 	vote(1, 10, true)
 	vote(2, 10, true)
 	vote(3, 6, true)
-	assert.EqualValues(t, 3, d.slots.kinds[0].maxObserved)
+	assert.EqualValues(t, 3, balancer.slots.kinds[0].maxObserved)
 	vote(4, 2, true)
-	assert.EqualValues(t, 4, d.slots.kinds[0].maxObserved, "for all that is known then")
+	assert.EqualValues(t, 4, balancer.slots.kinds[0].maxObserved, "for all that is known then")
 	vote(4, 3, false)
 	vote(5, 4, false)
 	vote(5, 2, true)
-	assert.EqualValues(t, 3, d.slots.kinds[0].maxObserved)
+	assert.EqualValues(t, 3, balancer.slots.kinds[0].maxObserved)
 	vote(4, 5, true)
-	assert.EqualValues(t, 4, d.slots.kinds[0].maxObserved)
+	assert.EqualValues(t, 4, balancer.slots.kinds[0].maxObserved)
 }
