--- a/internal/balancer/release_test.go
+++ b/internal/balancer/release_test.go
@@ -20,6 +20,11 @@
 	cancelled []*job
 	news      []message
 	way       way
+
+	seed        uint64
+	dispatchers int
+	endpoints   []Endpoint
+	arrived     []RequestID // requests that arrived at each dispatcher
 }
 
 // way is how a fleet is.
@@ -125,76 +130,124 @@
 	}
 }
 
-// playRelease lands work at a rate that fills a part of what all workers can do when they are warm; some dispatchers get
-// many times as much as others.
+// releasedAt is when the release begins, on the clock of the tests, and leaveAfter how long after it warm workers leave.
+const (
+	releasedAt = 105 * Second
+	leaveAfter = 4 * Second
+)
+
+// released is the number of workers that the release replaces.
+func (r *release) released() int { return len(r.workers) * 6 / 10 }
+
+// startDispatcher makes a dispatcher that knows the endpoints of the moment and nothing else.
+func (r *release) startDispatcher(number int) *Balancer {
+	config := testConfig
+	config.Dispatchers = r.dispatchers
+	config.Position = number
+	config.ReportFree = -1
+	config.OverloadFactor = 3
+	config.ValuePerRequest = 1
+	config.Gossip = r.way.peers
+	config.GossipCost = 0.0004
+	effects := &releaseEffects{r: r, number: number}
+	effects.balancer = New(config, r.seed+uint64(r.now)+uint64(number), effects)
+	effects.balancer.SetTime(r.now)
+	effects.balancer.UpdateEndpoints(r.endpoints, true, true)
+	return effects.balancer
+}
+
+// restartSome kills a tenth of the dispatchers, which start again from nothing, twice a second after the release.
+func (r *release) restartSome() {
+	if !r.way.restarts || r.born == 0 || (r.now-r.born)%(Second/2)/tick != 0 {
+		return
+	}
+	for range (r.dispatchers + 9) / 10 {
+		number := r.rng.IntN(r.dispatchers)
+		r.fleet[number] = r.startDispatcher(number)
+		r.arrived[number] = 0
+	}
+}
+
+// removeWarm has nearly all workers leave that were not replaced.
+func (r *release) removeWarm() {
+	if !r.way.leave || r.born == 0 || r.now-r.born != leaveAfter {
+		return
+	}
+	leaving := slices.Clone(r.endpoints[r.released()+1:])
+	for n := range leaving {
+		leaving[n].State = Gone
+	}
+	r.updateAll(leaving)
+}
+
+// replaceWorkers makes the release, which all dispatchers learn of at once.
+func (r *release) replaceWorkers() {
+	if r.born != 0 || r.now < releasedAt {
+		return
+	}
+	r.born = r.now
+	for n := range r.released() {
+		worker := r.workers[n]
+		worker.cold = true
+		worker.sent = nil
+		worker.done = 0
+		worker.could = 0
+		r.endpoints[n].StartedAt = r.born
+	}
+	r.updateAll(r.endpoints[:r.released()])
+}
+
+func (r *release) updateAll(changed []Endpoint) {
+	for _, balancer := range r.fleet {
+		r.report(balancer, func() { balancer.UpdateEndpoints(changed, false, true) })
+	}
+}
+
+// arrive has a request arrive at one of the dispatchers, by their traffic.
+func (r *release) arrive(traffic []float64, total float64) {
+	number, draw := 0, r.rng.Float64()*total
+	for ; draw > traffic[number]; number++ {
+		draw -= traffic[number]
+	}
+	arrival := Arrival{Timeout: 10 * Second}
+	if r.way.hints {
+		arrival.SizeHint = Work(r.size())
+	}
+	id := r.arrived[number]
+	r.arrived[number]++
+	balancer := r.fleet[number]
+	r.report(balancer, func() { balancer.RequestArrived(id, arrival) })
+}
+
+// playRelease has requests arrive at a rate that fills a part of what all workers can do when they are warm; some
+// dispatchers get many times as many as others.
 func playRelease(n, workers int, part float64, seed uint64, way way) *release {
-	r := &release{now: 100 * Second, rng: rand.New(rand.NewPCG(seed, 1)), way: way}
-	var list []Endpoint
+	r := &release{
+		now: 100 * Second, rng: rand.New(rand.NewPCG(seed, 1)), way: way,
+		seed: seed, dispatchers: n, arrived: make([]RequestID, n),
+	}
 	for w := range workers {
 		r.workers = append(r.workers, &stand{})
-		list = append(list, Endpoint{Worker: WorkerID(w), ID: fmt.Sprintf("w%d", w)})
+		r.endpoints = append(r.endpoints, Endpoint{Worker: WorkerID(w), ID: fmt.Sprintf("w%d", w)})
 	}
 	var traffic []float64
-	start := func(number int) *Balancer {
-		config := testConfig
-		config.Dispatchers, config.Position, config.ReportFree, config.OverloadFactor = n, number, -1, 3
-		config.ValuePerRequest, config.Gossip, config.GossipCost = 1, way.peers, 0.0004
-		link := &releaseEffects{r: r, number: number}
-		link.balancer = New(config, seed+uint64(r.now)+uint64(number), link)
-		link.balancer.SetTime(r.now)
-		link.balancer.UpdateEndpoints(list, true, true)
-		return link.balancer
-	}
 	for number := range n {
-		r.fleet = append(r.fleet, start(number))
+		r.fleet = append(r.fleet, r.startDispatcher(number))
 		traffic = append(traffic, math.Exp(r.rng.NormFloat64()))
 	}
 	total := 0.0
 	for _, share := range traffic {
 		total += share
 	}
-	landed := make([]RequestID, n)
 	gap := standWork / (part * float64(workers*standSlots))
 	for at, end := float64(r.now), r.now+15*Second; r.now < end; {
 		for at += gap * r.rng.ExpFloat64(); float64(r.now) < at; {
 			r.step()
-			if again := (r.now - r.born) % (Second / 2) / tick; way.restarts && r.born > 0 && again == 0 {
-				for range (n + 9) / 10 { // a tenth is killed, and starts again from nothing
-					number := r.rng.IntN(n)
-					r.fleet[number], landed[number] = start(number), 0
-				}
-			}
-			if way.leave && r.born > 0 && r.now-r.born == 4*Second {
-				leaving := slices.Clone(list[workers*6/10+1:])
-				for n := range leaving {
-					leaving[n].State = Gone
-				}
-				for _, balancer := range r.fleet {
-					r.report(balancer, func() { balancer.UpdateEndpoints(leaving, false, true) })
-				}
-			}
-			if r.born == 0 && r.now >= 105*Second { // a release, told to all at once
-				r.born = r.now
-				for w := range workers * 6 / 10 {
-					r.workers[w].cold, r.workers[w].sent, list[w].StartedAt = true, nil, r.born
-					r.workers[w].done, r.workers[w].could = 0, 0
-				}
-				for _, balancer := range r.fleet {
-					r.report(balancer, func() { balancer.UpdateEndpoints(list[:workers*6/10], false, true) })
-				}
-			}
-		}
-		number, draw := 0, r.rng.Float64()*total
-		for ; draw > traffic[number]; number++ {
-			draw -= traffic[number]
-		}
-		l, balancer := Arrival{Timeout: 10 * Second}, r.fleet[number]
-		if way.hints {
-			l.SizeHint = Work(r.size())
+			r.restartSome()
+			r.removeWarm()
+			r.replaceWorkers()
 		}
-		id := landed[number]
-		landed[number]++
-		r.report(balancer, func() { balancer.RequestArrived(id, l) })
+		r.arrive(traffic, total)
 	}
 	return r
 }
--- a/internal/balancer/request_handle_test.go
+++ b/internal/balancer/request_handle_test.go
@@ -51,74 +51,108 @@
 	s.CancelAll()
 }
 
-// moments are what may happen to an invocation at its goroutines, each in any order with the others.
-const moments = "psthrfcleb"
+// events are what may happen to a request at its goroutines, each in any order with the others.
+var events = []struct {
+	name  byte
+	apply func(*requestPlay)
+}{
+	{'p', (*requestPlay).pick},
+	{'s', func(r *requestPlay) { r.withFirst(func(sent Decision) { r.handle.ReportSent(sent.Attempt) }) }},
+	{'t', func(r *requestPlay) { r.withFirst(func(started Decision) { r.handle.ReportStarted(started.Attempt) }) }},
+	{'h', (*requestPlay).export},
+	{'r', func(r *requestPlay) { r.report(Succeeded) }},
+	{'f', func(r *requestPlay) { r.report(Overloaded) }},
+	{'c', func(r *requestPlay) { r.report(Canceled) }},
+	{'l', (*requestPlay).leave},
+	{'e', func(r *requestPlay) { r.handle.RejectOrFail() }},
+	{'b', func(r *requestPlay) { r.picker.StopAfter(0) }}, // the process ends, and no answer is possible any more
+}
 
-// play lets an invocation go through moments in an order, as far as its goroutines could have them happen,
-// and then to its end. It returns how many answers its client got.
-func play(t *testing.T, picker *Picker, order []byte) (answers int) {
-	handle := picker.Submit(Arrival{Timeout: 3 * Second})
-	var out []Decision
-	left := false
-	took := func() {
-		if left || answers > 0 {
-			return
-		}
-		if c, ok := handle.next(); ok && c.Action == SendAttempt {
-			out = append(out, c)
-		} else if ok {
-			answers++
-		}
+// requestPlay lets a request go through events, as far as its goroutines could have them happen.
+type requestPlay struct {
+	t        *testing.T
+	picker   *Picker
+	handle   *RequestHandle
+	inFlight []Decision // attempts that were picked and have not been reported
+	left     bool       // the client has
+	answers  int        // that the client got
+}
+
+func (r *requestPlay) over() bool { return r.left || r.answers > 0 }
+
+func (r *requestPlay) pick() {
+	if r.over() {
+		return
 	}
-	report := func(outcome Outcome) {
-		if len(out) == 0 {
-			return
-		}
-		c := out[0]
-		out = out[1:]
-		handle.Report(c.Attempt, outcome)
-		assert.False(t, handle.Report(c.Attempt, Succeeded), "a second outcome of one forward is none")
-		assert.Error(t, c.Ctx.Err())
+	decision, ok := r.handle.next()
+	switch {
+	case ok && decision.Action == SendAttempt:
+		r.inFlight = append(r.inFlight, decision)
+	case ok:
+		r.answers++
 	}
-	for _, moment := range order {
-		switch {
-		case moment == 'p':
-			took()
-		case moment == 's' && len(out) > 0:
-			handle.ReportSent(out[0].Attempt)
-		case moment == 't' && len(out) > 0:
-			handle.ReportStarted(out[0].Attempt)
-		case moment == 'h': // its forward may be handed to another process; the last one out parks
-			if _, ok := handle.Export(len(out)); ok {
-				for _, c := range out {
-					assert.Error(t, c.Ctx.Err())
-				}
-				out = nil
-			}
-		case moment == 'r':
-			report(Succeeded)
-		case moment == 'f':
-			report(Overloaded)
-		case moment == 'c':
-			report(Canceled)
-		case moment == 'l' && !left && answers == 0:
-			left = true
-			handle.clientLeft()
-		case moment == 'e':
-			handle.RejectOrFail()
-		case moment == 'b': // the process ends, and no answer is possible any more
-			picker.StopAfter(0)
+}
+
+func (r *requestPlay) withFirst(call func(Decision)) {
+	if len(r.inFlight) > 0 {
+		call(r.inFlight[0])
+	}
+}
+
+func (r *requestPlay) report(outcome Outcome) {
+	r.t.Helper()
+	r.withFirst(func(ended Decision) {
+		r.inFlight = r.inFlight[1:]
+		r.handle.Report(ended.Attempt, outcome)
+		assert.False(r.t, r.handle.Report(ended.Attempt, Succeeded), "a second outcome of one attempt is none")
+		assert.Error(r.t, ended.Ctx.Err())
+	})
+}
+
+// export has another process go on with the request. Its attempts stand still then.
+func (r *requestPlay) export() {
+	r.t.Helper()
+	if _, ok := r.handle.Export(len(r.inFlight)); !ok {
+		return
+	}
+	for _, decision := range r.inFlight {
+		assert.Error(r.t, decision.Ctx.Err())
+	}
+	r.inFlight = nil
+}
+
+func (r *requestPlay) leave() {
+	if !r.over() {
+		r.left = true
+		r.handle.clientLeft()
+	}
+}
+
+// finish plays the request to its end.
+func (r *requestPlay) finish() {
+	r.t.Helper()
+	for n := 0; len(r.inFlight) > 0 || !r.over(); n++ {
+		r.pick()
+		r.report(Overloaded)
+		if n > 10 {
+			r.leave()
 		}
 	}
-	for n := 0; len(out) > 0 || !left && answers == 0; n++ {
-		took()
-		report(Overloaded)
-		if n > 10 && !left && answers == 0 {
-			left = true
-			handle.clientLeft()
+}
+
+// play lets a request go through events in an order, and then to its end. It returns how many answers its client got.
+func play(t *testing.T, picker *Picker, order []byte) (answers int) {
+	t.Helper()
+	r := &requestPlay{t: t, picker: picker, handle: picker.Submit(Arrival{Timeout: 3 * Second})}
+	for _, name := range order {
+		for _, event := range events {
+			if event.name == name {
+				event.apply(r)
+			}
 		}
 	}
-	return answers
+	r.finish()
+	return r.answers
 }
 
 // Guards against a number that is freed twice or never, two answers, and none: whatever comes between a
@@ -143,8 +177,8 @@
 				assert.Zero(t, w.inFlight, "after %q", order)
 			}
 		}
-		for n := 0; left > 0 && n < len(moments); n++ {
-			order = append(order, moments[n])
+		for n := 0; left > 0 && n < len(events); n++ {
+			order = append(order, events[n].name)
 			all(left - 1)
 			order = order[:len(order)-1]
 		}
