--- a/internal/balancer/endpoints.go
+++ b/internal/balancer/endpoints.go
@@ -33,6 +33,7 @@
 	worker := &b.workers[entry.Worker]
 	if entry.StartedAt > worker.startedAt {
 		worker.recordRestart(entry.StartedAt)
+		b.warmup.latestStart = max(b.warmup.latestStart, entry.StartedAt)
 	}
 	hash := fnv.New64a()
 	hash.Write([]byte(entry.ID))
--- a/internal/balancer/pick_worker.go
+++ b/internal/balancer/pick_worker.go
@@ -13,7 +13,7 @@
 // those of the other subsets. Workers that no peer tells of are tried last, and not for a while after one refused;
 // those of this dispatcher's zone come first, where no peer tells of any only for the first attempt.
 func (b *Balancer) pickWorker(request *request) (WorkerID, bool) {
-	if !b.config.gossip { // warming workers get their credit as it falls due: saved up, all might send theirs at once
+	if !b.config.gossip && !b.noneWarming() { // warming workers get their credit as it falls due: saved up, all might send theirs at once
 		if worker, ok := b.pickFromSubset(request, wholeRing, pickLimits{withCredit: true, sameZone: true}); ok {
 			return worker, ok
 		}
--- a/internal/balancer/subsetting.go
+++ b/internal/balancer/subsetting.go
@@ -90,16 +90,25 @@
 	}
 }
 
+// ringPlace is a worker with its place on the ring.
+type ringPlace struct {
+	hash   uint64
+	worker WorkerID
+}
+
 // updateRing renews the order of the listed workers.
 func (b *Balancer) updateRing() {
-	ring := b.subsetting.ring[:0]
+	places := make([]ringPlace, 0, len(b.workers))
 	for n := range b.workers {
 		if b.workers[n].state != Gone {
-			ring = append(ring, WorkerID(n))
+			places = append(places, ringPlace{hash: b.workers[n].hash, worker: WorkerID(n)})
 		}
 	}
-	slices.SortFunc(ring, func(x, y WorkerID) int { return cmp.Compare(b.workers[x].hash, b.workers[y].hash) })
-	b.subsetting.ring = ring
+	slices.SortFunc(places, func(x, y ringPlace) int { return cmp.Compare(x.hash, y.hash) })
+	b.subsetting.ring = b.subsetting.ring[:0]
+	for _, place := range places {
+		b.subsetting.ring = append(b.subsetting.ring, place.worker)
+	}
 }
 
 // updateSubsets renews this dispatcher's subset of each interval's block, all of it where dispatchers are few, and the
--- a/internal/balancer/warmup.go
+++ b/internal/balancer/warmup.go
@@ -9,6 +9,8 @@
 // warmup owns what the warm-up of all workers has in common. What is known of one is in workerWarmup.
 type warmup struct {
 	fleetRestartAt Time    // since when this dispatcher is back, where all lost power; 0: they did not
+	latestStart    Time    // of any worker, by the endpoint list
+	exitSeen       bool    // the process of some worker was seen to end
 	firstTries     int     // requests that arrived, but for those whose client came again
 	warmCapacity   float64 // of all healthy workers together, in warm workers
 	warmCapacityAt Time    // when it was added up
@@ -29,6 +31,11 @@
 	return b.config.initialWarmup + (1-b.config.initialWarmup)*age/float64(b.config.warmupDuration)
 }
 
+// noneWarming tells that no worker has a warm-up factor below 1, without going through all of them.
+func (b *Balancer) noneWarming() bool {
+	return !b.warmup.exitSeen && (b.warmup.latestStart == 0 || b.now-b.warmup.latestStart >= b.config.warmupDuration)
+}
+
 // mayHaveRestarted tells whether a worker's process may be newer than the list says. A list that is watched says so
 // within its longest interval.
 func (b *Balancer) mayHaveRestarted(worker *worker) bool {
@@ -71,6 +78,7 @@
 // late. While no list is watched the other workers of its zone may have ended with it, as in a power loss, but for
 // those where an attempt runs.
 func (b *Balancer) recordProcessExit(id WorkerID) {
+	b.warmup.exitSeen = true
 	exited := &b.workers[id]
 	exited.exitedAt = b.now
 	exited.respondedAt = never
