--- a/internal/balancer/availability_test.go
+++ b/internal/balancer/availability_test.go
@@ -39,13 +39,13 @@
 	}
 }
 
-// randomLife drives a dispatcher by chance: invocations land, start and end in every way, workers come, cool down, drain
+// randomLife drives a dispatcher by chance: requests land, start and end in every way, workers come, cool down, drain
 // and go, peers tell of load, and time passes.
 type randomLife struct {
 	balancer *Balancer
 	effects  *recorder
 	rng      *rand.Rand
-	out      map[RequestID][]int // forwards that have not ended
+	out      map[RequestID][]int // attempts that have not ended
 	seen     int
 	free     []RequestID
 	next     RequestID
@@ -90,7 +90,7 @@
 	l.follow()
 }
 
-// follow takes note of the forwards that the last step made, and frees the numbers of what is over.
+// follow takes note of the attempts that the last step made, and frees the numbers of what is over.
 func (l *randomLife) follow() {
 	for _, line := range l.effects.lines[l.seen:] {
 		var id, target int
@@ -115,7 +115,7 @@
 	return 0, 0, false
 }
 
-// Guards against an index that has missed a change: a worker with room would then get no more work.
+// Regression test for an index that has missed a change: a worker with room would then get no more work.
 func TestIndexesMatchTheirWorkersWhateverHappens(t *testing.T) {
 	for seed := range uint64(8) {
 		config := testConfig
--- a/internal/balancer/discovery_test.go
+++ b/internal/balancer/discovery_test.go
@@ -23,7 +23,7 @@
 	}
 }
 
-// queue is a list service of fixed capacity: it works through calls in turn, those given up as well, as it
+// queue is an endpoint service of fixed capacity: it works through calls in turn, those given up as well, as it
 // learns of that only when it answers.
 type queue struct {
 	each, patience Time
@@ -74,7 +74,7 @@
 	return have, calls
 }
 
-// Guards against a fleet that starts at once and asks at once, and whose repeats then keep the service busy
+// Regression test for a fleet that starts at once and asks at once, and whose repeats then keep the service busy
 // with calls that nobody waits for any more.
 func TestStartingFleetLeavesTheEndpointServiceTimeToAnswer(t *testing.T) {
 	var everybody []int
@@ -115,7 +115,7 @@
 	return config
 }
 
-// Guards against work sent to a worker that has gone while this dispatcher was away: what counts as told does so
+// Regression test for work sent to a worker that has gone while this dispatcher was away: what counts as known does so
 // from the first moment of a new process.
 func TestNoAttemptByAStaleListBeforeTheFirstPollEnds(t *testing.T) {
 	for name, end := range map[string]func(*Balancer){
@@ -147,7 +147,7 @@
 	}
 }
 
-// Guards against a process that goes on for another one, whose list is followed, and would wait for its own.
+// Regression test for a process that goes on for another one, whose list is followed, and would wait for its own.
 func TestSuccessorUsesItsPredecessorsListAtOnce(t *testing.T) {
 	s := NewShards(notifyDeadlineConfig(3, 2), 1, 1, func() Time { return 100 * Second }, func(string) {})
 	s.UpdateEndpoints([]Endpoint{{Worker: 0, ID: "w"}}, true, true)
@@ -176,7 +176,7 @@
 	}
 }
 
-// outage is a list service that is down until a time, and then works through calls in turn; it turns away at once
+// outage is an endpoint service that is down until a time, and then works through calls in turn; it turns away at once
 // what it would answer too late.
 type outage struct {
 	until, each, patience, freeAt Time
@@ -195,7 +195,7 @@
 	return o.freeAt, true
 }
 
-// service is a list service as a simulation has it: when an answer comes, and whether it is the list.
+// service is an endpoint service as a simulation has it: when an answer comes, and whether it is the list.
 type service interface {
 	call(now Time) (at Time, list bool)
 }
@@ -241,7 +241,7 @@
 	return told, calls
 }
 
-// Guards against dispatchers that learn too late of what changed while the list service was down. It can take one
+// Regression test for dispatchers that learn too late of what changed while the endpoint service was down. It can take one
 // call from each in 4 s.
 func TestAllKnowInTimeOnceTheEndpointServiceIsBack(t *testing.T) {
 	for n, most := range map[int]float64{3: 7, 30: 5, 350: 5} {
@@ -258,7 +258,7 @@
 	}
 }
 
-// Guards against calls that come again so soon that a service with too many callers, which works through those given
+// Regression test for calls that come again so soon that a service with too many callers, which works through those given
 // up as well, never gets to those that still wait: all have their list in the end, also where it can take one call
 // from each in no less than 12 s.
 func TestBusyEndpointServiceIsNotKeptFromAnswering(t *testing.T) {
--- a/internal/balancer/ejection_test.go
+++ b/internal/balancer/ejection_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// Guards against a program that fails all it gets: it is always idle, and so would get more than its turn.
+// Regression test for a program that fails all it gets: it is always idle, and so would get more than its turn.
 func TestEjectedWorkerIsProbedByIdempotentWork(t *testing.T) {
 	balancer, _ := newWarmBalancer(1, 1)
 	fail := func(outcome Outcome) {
@@ -34,7 +34,7 @@
 	assert.True(t, takes(again), "a success clears it")
 }
 
-// Guards against a long rest for one failure: all that is out at a worker ends with its process.
+// Regression test for a long rest for one failure: all that is in flight at a worker ends with its process.
 func TestFailuresOfOneProcessExitCountOnce(t *testing.T) {
 	balancer, _ := newWarmBalancer(1, 1)
 	for id := range RequestID(3) {
@@ -48,7 +48,7 @@
 	assert.Equal(t, []any{1, balancer.now + Second}, []any{balancer.workers[0].consecutiveFailures, balancer.workers[0].probeAfter})
 }
 
-// Guards against a lost zone that is still listed: an invocation would use up its forwards there one by one.
+// Regression test for a lost zone that is still listed: a request would use up its attempts there one by one.
 func TestLostZoneIsEjectedAndTriedAgain(t *testing.T) {
 	balancer, effects := newWarmBalancer(40, 1) // even workers in zone 0, odd ones in zone 1
 	balancer.config.zone, balancer.config.crossZoneCost, balancer.config.startNotices = 1, 0.01, false
@@ -100,7 +100,7 @@
 	assert.LessOrEqual(t, balancer.zones[1].ejectedUntil, balancer.now)
 }
 
-// Guards against work that may not run again and is kept for many seconds from all workers of a zone that was cut off:
+// Regression test for work that may not run again and is kept for many seconds from all workers of a zone that was cut off:
 // where what failed there never ran, its own failure there is harmless as well.
 func TestUnreachableWorkerIsProbedByNonIdempotentWork(t *testing.T) {
 	for outcome, soon := range map[Outcome]bool{NoConnection: true, ConnectionRefused: true, ConnectionReset: false, WorkerError: false} {
@@ -133,8 +133,8 @@
 	}
 }
 
-// Guards against a full worker that is tried again at once by all that is held, as work that brings no hint
-// seems to take no time: the forwards that are allowed are used up on workers known to be full.
+// Regression test for a full worker that is tried again at once by all that is pending, as work that brings no hint
+// seems to take no time: the attempts that are allowed are used up on workers known to be full.
 func TestOverloadedWorkerRestsForAMeanRunAlsoWithoutHints(t *testing.T) {
 	for name, hint := range map[string]Work{"none": 0, "as long as it runs": Second / 2} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/balancer/fleet_size_test.go
+++ b/internal/balancer/fleet_size_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// Guards against bounds on the number of dispatchers or workers: with 1,024 of each every worker is listed, in some
+// Regression test for bounds on the number of dispatchers or workers: with 1,024 of each every worker is listed, in some
 // dispatcher's part, and used, with messages and without.
 func TestAllWorkersOfALargeFleetAreUsed(t *testing.T) {
 	const many = 1024
--- a/internal/balancer/load_probes_test.go
+++ b/internal/balancer/load_probes_test.go
@@ -19,5 +19,5 @@
 		}
 	}
 	probes := slices.DeleteFunc(effects.lines, func(l string) bool { return !strings.HasPrefix(l, "probe") })
-	assert.Len(t, probes, 3, "the price is for each invocation, not for time")
+	assert.Len(t, probes, 3, "the price is for each request, not for time")
 }
--- a/internal/balancer/migration_test.go
+++ b/internal/balancer/migration_test.go
@@ -16,7 +16,7 @@
 	return out
 }
 
-// Guards against an effect that happens twice, or a repeat that is not made, because another process goes on.
+// Regression test for an effect that happens twice, or a repeat that is not made, because another process goes on.
 func TestMigratedRequestKeepsItsConfigurationAndAttempts(t *testing.T) {
 	for _, c := range []struct {
 		operation OperationID
@@ -30,7 +30,7 @@
 		handle := old.Submit(Arrival{Operation: c.operation, Timeout: 3 * Second})
 		first := pick(t, handle)
 		_, ok := handle.Export(0)
-		assert.False(t, ok, "a forward is out that does not stand still")
+		assert.False(t, ok, "an attempt is in flight that does not stand still")
 		a, ok := handle.Export(1)
 		assert.True(t, ok)
 		assert.Equal(t, RespondElsewhere, pick(t, handle).Action)
@@ -55,8 +55,8 @@
 	}
 }
 
-// Guards against an operation that has another number at one instance than at the others, once new terms
-// come: what lands there would be repeated, or not, as another one.
+// Regression test for an operation that has another number at one shard than at the others, once new terms
+// come: what arrives there would be repeated, or not, as another one.
 func TestAllShardsNumberMigratedOperationsAlike(t *testing.T) {
 	now := Time(100 * Second)
 	s := NewShards(namedConfig(), 2, 1, func() Time { return now }, func(string) {})
--- a/internal/balancer/open_requests_test.go
+++ b/internal/balancer/open_requests_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// Guards against gaps that are never closed, and against a place that is wrong once they have been.
+// Regression test for gaps that are never closed, and for a place that is wrong once they have been.
 func TestOpenRequestsKeepTheirOrderThroughGaps(t *testing.T) {
 	balancer, _ := newWarmBalancer(1, 1)
 	balancer.requests.byID = make([]request, 1000)
--- a/internal/balancer/operations_test.go
+++ b/internal/balancer/operations_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// Guards against figures that mean nothing where no hints come: what is lost, and of what, and what a cold worker
+// Regression test for figures that mean nothing where no hints come: what is lost, and of what, and what a warming worker
 // is sent.
 func TestSizesWithoutHintsAreMeanRuns(t *testing.T) {
 	balancer, _ := newWarmBalancer(2, 1)
--- a/internal/balancer/pending.go
+++ b/internal/balancer/pending.go
@@ -29,11 +29,15 @@
 	b.requests.get(id).queued = false
 }
 
-// comparePriority puts a before b if it has more value per unit of work, or as much and its latest start is earlier.
+// comparePriority puts the first request before the second if it has the higher priority, or the same and an earlier
+// latest start.
 func (b *Balancer) comparePriority(first, second RequestID) int {
 	x := b.requests.get(first)
 	y := b.requests.get(second)
-	return cmp.Or(cmp.Compare(b.priority(y), b.priority(x)), cmp.Compare(x.latestStart, y.latestStart))
+	if order := cmp.Compare(b.priority(y), b.priority(x)); order != 0 {
+		return order
+	}
+	return cmp.Compare(x.latestStart, y.latestStart)
 }
 
 // priority is what a unit of work earns: of the value of all requests, and, for the operation that lost the largest share
--- a/internal/balancer/pick_worker_test.go
+++ b/internal/balancer/pick_worker_test.go
@@ -92,14 +92,14 @@
 	assert.Len(t, effects.lines, intervals+2)
 	balancer.AttemptEnded(intervals, 0, Overloaded, false)
 	balancer.RunDueRules()
-	assert.Len(t, effects.lines, intervals+2, "held: where nothing is told, others may be full as well")
+	assert.Len(t, effects.lines, intervals+2, "pending: where nothing is told, others may be full as well")
 	balancer.now += Second + 1
 	balancer.due.capacityChanged = true
 	balancer.RunDueRules()
 	assert.Greater(t, len(effects.lines), intervals+2)
 }
 
-// Guards against parts that many dispatchers have saved up, each for the moment in which its rotation comes round, and
+// Regression test for parts that many dispatchers have saved up, each for the moment in which its rotation comes round, and
 // that all are sent once other workers are gone.
 func TestWarmupCreditIsSpentAsItFallsDue(t *testing.T) {
 	config := testConfig
@@ -132,7 +132,7 @@
 	assert.False(t, balancer.withinWarmupBudget(0, 100), "its next process is shared anew: all would have saved up one for it")
 }
 
-// Guards against invocations that use up their forwards on a zone that is full, each finding it out for
+// Regression test for requests that use up their attempts on a zone that is full, each finding it out for
 // itself, while others have room.
 func TestRetryLeavesTheZoneWhereNoPeersTell(t *testing.T) {
 	far := func(peers bool) (second int) {
--- a/internal/balancer/picker_bench_test.go
+++ b/internal/balancer/picker_bench_test.go
@@ -6,10 +6,10 @@
 	"testing"
 )
 
-// BenchmarkLandPickReport is the cost of one invocation's decisions without any contention: landing, picking,
-// the start note and the report, beside invocations that stay open. Run it with
+// BenchmarkLandPickReport is the cost of one request's decisions without any contention: arrival, picking,
+// the start notice and the report, beside requests that stay open. Run it with
 //
-//	go test ./decide -run '^$' -bench LandPickReport -benchmem
+//	go test ./internal/balancer -run '^$' -bench LandPickReport -benchmem
 func BenchmarkLandPickReport(b *testing.B) {
 	for _, workers := range []int{16, 256, 4096} {
 		for _, open := range []int{0, 4, 16} {
@@ -54,7 +54,7 @@
 	}
 }
 
-// BenchmarkListRenewedWhole is a list of 4,096 workers that comes whole while 65,536 invocations are open.
+// BenchmarkListRenewedWhole is a list of 4,096 workers that comes whole while 65,536 requests are open.
 func BenchmarkListRenewedWhole(b *testing.B) {
 	picker := facadeWithOpen(b, 4096, 16)
 	list := make([]Endpoint, 4096)
@@ -66,8 +66,8 @@
 	}
 }
 
-// BenchmarkLandingBesideHeld is a landing and its end by its client where all 256 workers are full and 10,000 are
-// held.
+// BenchmarkLandingBesideHeld is a arrival and its end by its client where all 256 workers are full and 10,000 are
+// pending.
 func BenchmarkLandingBesideHeld(b *testing.B) {
 	picker := facadeWithOpen(b, 256, 8)
 	picker.balancer.slots.kinds[0].estimate = 8
@@ -79,12 +79,12 @@
 	for b.Loop() {
 		t := picker.Submit(Arrival{Timeout: 3 * Second, SizeHint: 100})
 		if _, err := t.Pick(gone); err == nil {
-			b.Fatal("it was not held")
+			b.Fatal("it was not pending")
 		}
 	}
 }
 
-// BenchmarkAllWorkersCold is one invocation's way where each of 4,096 workers has just started.
+// BenchmarkAllWorkersCold is one request's way where each of 4,096 workers has just started.
 func BenchmarkAllWorkersCold(b *testing.B) {
 	picker, now := newTestPicker(testConfig, 0)
 	var list []Endpoint
@@ -98,7 +98,7 @@
 	}
 }
 
-// BenchmarkSweep goes through 65,536 open invocations, as every tenth of the shortest objective.
+// BenchmarkSweep goes through 65,536 open requests, as every tenth of the shortest objective.
 func BenchmarkSweep(b *testing.B) {
 	picker := facadeWithOpen(b, 4096, 16)
 	for b.Loop() {
--- a/internal/balancer/picker_test.go
+++ b/internal/balancer/picker_test.go
@@ -111,12 +111,12 @@
 	_, err := handle.Pick(gone)
 	assert.ErrorIs(t, err, context.Canceled)
 	assert.ErrorIs(t, context.Cause(c.Ctx), ErrAttemptCanceled)
-	assert.Equal(t, 1, picker.OpenRequests(), "its number is not used again before the forward has reported")
+	assert.Equal(t, 1, picker.OpenRequests(), "its number is not used again before the attempt has reported")
 	handle.Report(c.Attempt, Canceled)
 	assert.Equal(t, 0, picker.OpenRequests())
 }
 
-// Guards against numbers that never come free: a choice that nobody picks has nobody to report it.
+// Regression test for numbers that never come free: a choice that nobody picks has nobody to report it.
 func TestUnpickedAttemptIsReportedWhenTheClientLeaves(t *testing.T) {
 	picker, _ := newTestPicker(testConfig, 2)
 	handle := picker.Submit(Arrival{Timeout: 3 * Second})
@@ -125,7 +125,7 @@
 	assert.Equal(t, 0, picker.balancer.workers[0].inFlight+picker.balancer.workers[1].inFlight)
 }
 
-// Guards against a forward that goes out after the answer, where forwards may not be called off.
+// Regression test for an attempt that goes out after the answer, where attempts may not be canceled.
 func TestAttemptNotPickedBeforeTheAnswerIsNeverSent(t *testing.T) {
 	config := testConfig
 	config.Cancellation = false
@@ -202,7 +202,7 @@
 	assert.Zero(t, picker.balancer.workers[0].inFlight+picker.balancer.workers[1].inFlight+picker.balancer.workers[2].inFlight+picker.balancer.workers[3].inFlight, "nothing is left out")
 }
 
-// Guards against a crash: a peer may tell of a worker whose list is still on its way to the rules.
+// Regression test for a crash: a peer may tell of a worker whose list is still on its way to the rules.
 func TestLoadOfAnUnknownWorkerIsPassedOver(t *testing.T) {
 	picker, _ := newTestPicker(testConfig, 1)
 	assert.NotPanics(t, func() { picker.ReceiveLoad(1, Load{Worker: 7, InFlight: 2}) })
@@ -219,7 +219,7 @@
 	assert.Equal(t, []LoadUpdate{{1, []Load{{0, 2}, {1, 3}}}, {0, []Load{{0, 2}}}}, news)
 }
 
-// Guards against a list service that is asked again with no wait, and one that is asked late after it moved.
+// Regression test for an endpoint service that is asked again with no wait, and one that is asked late after it moved.
 func TestPollAfterAWaitOrAtOnceWhereTheServiceMoved(t *testing.T) {
 	config := testConfig
 	config.PollEndpoints = true
@@ -242,7 +242,7 @@
 	}
 }
 
-// Guards against a peer that starts again with no view of our load, and against our view of what it had out.
+// Regression test for a peer that starts again with no view of our load, and for our view of what it had out.
 func TestPeerThatHasStartedIsToldTheLoadHere(t *testing.T) {
 	config := testConfig
 	config.Gossip = true
--- a/internal/balancer/reconfigure_test.go
+++ b/internal/balancer/reconfigure_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// namedConfig are testConfig with names: o0, o1 and so on, and a customer alone.
+// namedConfig are testConfig with names: o0, o1 and so on, and a tenant alone.
 func namedConfig() Config {
 	t := testConfig
 	t.Operations, t.Tenants = slices.Clone(t.Operations), []TenantConfig{{Quota: 1e9, Name: "a"}}
@@ -18,7 +18,7 @@
 	return t
 }
 
-// newReconfigured has two warm workers and an invocation of the first operation, idempotent, whose first forward is
+// newReconfigured has two warm workers and a request of the first operation, idempotent, whose first attempt is
 // out.
 func newReconfigured(t *testing.T) (*Balancer, *recorder) {
 	effects := &recorder{}
@@ -31,8 +31,8 @@
 	return balancer, effects
 }
 
-// Guards against work that changes its class under way: what may be repeated, and what may not, is what it
-// landed as.
+// Regression test for work that changes its class under way: what may be repeated, and what may not, is what it
+// arrived as.
 func TestOpenRequestKeepsTheConfigurationItArrivedWith(t *testing.T) {
 	balancer, effects := newReconfigured(t)
 	stricter := namedConfig()
@@ -47,7 +47,7 @@
 	balancer.AttemptEnded(0, 0, ConnectionReset, false)
 	balancer.RunDueRules()
 	assert.Len(t, balancer.requests.byID[0].attempts, 2, "this one may")
-	assert.Equal(t, balancer.operations.byID[0].longestTimeout, balancer.operations.byID[5].longestTimeout, "it goes on with what was learnt")
+	assert.Equal(t, balancer.operations.byID[0].longestTimeout, balancer.operations.byID[5].longestTimeout, "it goes on with what was learned")
 	assert.Equal(t, []OperationID{0, 1, 2, 3, 4}, balancer.Reconfigure(namedConfig()).Operations, "a class that is back as it was")
 	gone := namedConfig()
 	gone.Operations = gone.Operations[4:]
@@ -70,7 +70,7 @@
 	assert.Len(t, balancer.requests.byID[0].attempts, 1)
 	balancer.AttemptEnded(0, 0, Overloaded, false)
 	balancer.RunDueRules()
-	assert.True(t, balancer.requests.byID[0].closed, "it landed when one was allowed")
+	assert.True(t, balancer.requests.byID[0].closed, "it arrived when one was allowed")
 	balancer.SetTime(balancer.now + 2*Second)
 	balancer.RequestArrived(1, Arrival{Operation: 0, Timeout: 5 * Second, SizeHint: 100})
 	balancer.RunDueRules()
@@ -79,7 +79,7 @@
 	assert.Len(t, balancer.requests.byID[1].attempts, 2)
 }
 
-// Guards against an invocation that waits for a worker it may no longer be sent to.
+// Regression test for a request that waits for a worker it may no longer be sent to.
 func TestRequestWithoutAttemptsLeftIsRejectedAtOnce(t *testing.T) {
 	balancer, effects := newReconfigured(t)
 	for w := range balancer.workers { // the others are full too
@@ -107,6 +107,6 @@
 	assert.Equal(t, []TenantID{1, 2}, numbers, "each name keeps its number for good")
 	assert.Less(t, balancer.quotaWeight(numbers[0]), 1.0, "beyond its share, also at another place")
 	assert.Equal(t, 1.0, balancer.quotaWeight(numbers[1]))
-	assert.Equal(t, 1.0, balancer.quotaWeight(0), "what still lands by the old names is booked on its own customer")
+	assert.Equal(t, 1.0, balancer.quotaWeight(0), "what still arrives by the old names is booked on its own tenant")
 	assert.Equal(t, []TenantID{0}, balancer.Reconfigure(Config{Dispatchers: 2, Tenants: first.Tenants[:1]}).Tenants)
 }
--- a/internal/balancer/release_test.go
+++ b/internal/balancer/release_test.go
@@ -252,7 +252,7 @@
 	return r
 }
 
-// Guards against cold workers that are pushed over by the sum of what many send, and against ones that nearly all
+// Regression test for warming workers that are overloaded by the sum of what many send, and for ones that nearly all
 // dispatchers leave alone: they are most of what there is after a release, and those left are then overrun.
 func TestWarmingWorkersAreUsedAndNotOverloadedByAFleet(t *testing.T) {
 	for name, way := range map[string]way{
--- a/internal/balancer/request_handle_test.go
+++ b/internal/balancer/request_handle_test.go
@@ -9,8 +9,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// Guards against a forward that goes out after its client has left, or has its answer, as its connection came
-// up late: that it may not be called off once it is sent says nothing of before.
+// Regression test for an attempt that goes out after its client has left, or has its answer, as its connection came
+// up late: that it may not be canceled once it is sent says nothing of before.
 func TestUnsentAttemptIsCanceledWhateverTheConfiguration(t *testing.T) {
 	config := testConfig
 	config.Cancellation = false
@@ -25,7 +25,7 @@
 			over(late)
 			over(sent)
 			assert.ErrorIs(t, context.Cause(c.Ctx), ErrAttemptCanceled)
-			assert.NoError(t, s.Ctx.Err(), "this one may not be called off")
+			assert.NoError(t, s.Ctx.Err(), "this one may not be canceled")
 			late.Report(c.Attempt, NotSent)
 			sent.Report(s.Attempt, TimedOut)
 			late.next()
@@ -155,7 +155,7 @@
 	return r.answers
 }
 
-// Guards against a number that is freed twice or never, two answers, and none: whatever comes between a
+// Regression test for a number that is freed twice or never, two answers, and none: whatever comes between a
 // choice's being made and its being taken, or a result and its report.
 func TestEachOrderOfEventsEndsOnce(t *testing.T) {
 	config := testConfig
@@ -184,7 +184,7 @@
 		}
 	}
 	all(3)
-	order = append(order, 'p') // most orders have a first forward that was taken
+	order = append(order, 'p') // most orders have a first attempt that was taken
 	all(3)
 }
 
--- a/internal/balancer/retry_test.go
+++ b/internal/balancer/retry_test.go
@@ -49,7 +49,7 @@
 	assert.False(t, balancer.mayAttempt(i, 1), "second copies are not allowed")
 }
 
-// Guards against workers that send start notes which the settings do not announce: each served once,
+// Regression test for workers that send start notices which the settings do not announce: each served once,
 // and was then taken to have one waiting for good.
 func TestUnannouncedStartNoticesShutNoWorkerOut(t *testing.T) {
 	config := testConfig
@@ -70,7 +70,7 @@
 	assert.Equal(t, []string{"attempt 0 to 0", "attempt 0 to 0", "attempt 0 to 0"}, effects.lines[len(effects.lines)-3:])
 }
 
-// Guards against a second start note for one forward, which would count one that still waits as begun.
+// Regression test for a second start notice for one attempt, which would count one that still waits as begun.
 func TestSecondStartNoticeChangesNothing(t *testing.T) {
 	balancer, _ := newWarmBalancer(1, 1)
 	for id := range RequestID(2) {
--- a/internal/balancer/review_test.go
+++ b/internal/balancer/review_test.go
@@ -55,7 +55,7 @@
 	assert.NotEqual(t, effects.lines[0], effects.lines[1])
 }
 
-// Guards against a worker that tells of a start and then nothing more, for as long as the client waits.
+// Regression test for a worker that tells of a start and then nothing more, for as long as the client waits.
 func TestLongRunIsHedgedWhereThereIsRoomToSpare(t *testing.T) {
 	for _, c := range []struct {
 		op     OperationID
@@ -76,7 +76,7 @@
 	}
 }
 
-// newDeliveryNoticesBalancer is a dispatcher whose caller tells when a worker has a forward.
+// newDeliveryNoticesBalancer is a dispatcher whose caller tells when a worker has an attempt.
 func newDeliveryNoticesBalancer() (*Balancer, *recorder) {
 	effects := &recorder{}
 	config := testConfig
@@ -87,7 +87,7 @@
 	return balancer, effects
 }
 
-// Guards against an operation of a short objective that is hardly served, as each of its forwards is called off
+// Regression test for an operation of a short objective that is hardly served, as each of its attempts is canceled
 // before its worker could have told of a start.
 func TestAttemptOnItsWayIsNotMigrated(t *testing.T) {
 	balancer, effects := newDeliveryNoticesBalancer()
@@ -107,7 +107,7 @@
 	assert.Equal(t, "cancel 0.0", effects.lines[2])
 }
 
-// Guards against workers that say nothing at all, and against a figure that no forward could ever raise.
+// Regression test for workers that say nothing at all, and for a figure that no attempt could ever raise.
 func TestAttemptThatIsNeverDeliveredIsMigrated(t *testing.T) {
 	balancer, effects := newDeliveryNoticesBalancer()
 	for range 50 { // near workers have what is sent after 10 ms
@@ -126,7 +126,7 @@
 	assert.LessOrEqual(t, balancer.zones[0].deliveryTime, balancer.config.warmupWindow/8)
 }
 
-// Guards against a client that comes again after its objective, whose forward was called off in the moment in which
+// Regression test for a client that comes again after its objective, whose attempt was canceled in the moment in which
 // it was sent: however long it would have waited, it could never be served.
 func TestLateRetryIsGivenTimeToBeServed(t *testing.T) {
 	balancer, effects := newWarmBalancer(1, 1)
@@ -179,7 +179,7 @@
 	assert.Contains(t, effects.lines, "reject 0, retry after 20000", "it waits behind others, and clogs the queue")
 }
 
-// Guards against late work that keeps others from being in time.
+// Regression test for late work that keeps others from being in time.
 func TestLateRequestGoesBehindThoseInTime(t *testing.T) {
 	balancer, effects := newWarmBalancer(1, 1)
 	balancer.operations.byID[0].value, balancer.operations.byID[1].value, balancer.operations.byID[0].lateShare, balancer.operations.byID[0].longestTimeout = 9, 8, 0.2, 20*Second
--- a/internal/balancer/shards_test.go
+++ b/internal/balancer/shards_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// newTestShards has n instances in the second of two processes, and workers that all of them know.
+// newTestShards has n shards in the second of two processes, and workers that all of them know.
 func newTestShards(t Config, n, workers int) *Shards {
 	now := Time(100 * Second)
 	t.Dispatchers, t.Position = 2, 1
@@ -34,7 +34,7 @@
 	}
 	alone := newTestShards(testConfig, 1, 4)
 	assert.Equal(t, []int{2, 1}, []int{alone.pickers[0].balancer.config.dispatchers, alone.pickers[0].balancer.config.position})
-	assert.False(t, alone.pickers[0].balancer.config.gossip, "one instance is as it was")
+	assert.False(t, alone.pickers[0].balancer.config.gossip, "one shard is as it was")
 	for range 6 {
 		s.Submit(Arrival{Timeout: 3 * Second})
 	}
@@ -62,7 +62,7 @@
 			continue
 		}
 		for _, n := range news {
-			assert.Less(t, int(n.To), 2, "an instance of the other process")
+			assert.Less(t, int(n.To), 2, "a shard of the other process")
 		}
 		assert.Len(t, news, 2)
 	}
@@ -86,7 +86,7 @@
 	}
 }
 
-// Guards against two instances that tell each other at once and wait for each other's lock.
+// Regression test for two shards that tell each other at once and wait for each other's lock.
 func TestShardsThatTellEachOtherAtOnceDoNotDeadlock(t *testing.T) {
 	config := testConfig
 	config.Granularity = 0
@@ -117,7 +117,7 @@
 	assert.Zero(t, s.OpenRequests())
 }
 
-// Guards against a fleet that restarts at once and greets all with all: it is charged for each message.
+// Regression test for a fleet that restarts at once and greets all with all: it is charged for each message.
 func TestGossipPeersShareWorkers(t *testing.T) {
 	config := testConfig
 	config.Dispatchers, config.Gossip, config.GossipCost = 80, true, 0.000625
--- a/internal/balancer/sibling_test.go
+++ b/internal/balancer/sibling_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// Guards against two processes that each take a worker for free, and tell peers of their own part.
+// Regression test for two processes that each take a worker for free, and tell peers of their own part.
 func TestLoadOfTheSiblingCountsAsOurs(t *testing.T) {
 	picker, _ := newTestPicker(namedConfig(), 2)
 	c := pick(t, picker.Submit(Arrival{Timeout: 3 * Second}))
--- a/internal/balancer/slot_estimation_test.go
+++ b/internal/balancer/slot_estimation_test.go
@@ -15,7 +15,7 @@
 		}
 	}
 	vote(1, true, true)
-	vote(2, false) // a forward that no peer had told of yet
+	vote(2, false) // an attempt that no peer had told of yet
 	assert.EqualValues(t, initialSlots, balancer.slots.kinds[0].estimate)
 	vote(4, false, false)
 	assert.EqualValues(t, 3, balancer.slots.kinds[0].estimate)
@@ -26,7 +26,7 @@
 	assert.EqualValues(t, 3, balancer.slots.kinds[0].maxObserved, "twice seen")
 }
 
-// Guards against a load report out of all proportion, after which no worker elsewhere was tried for long.
+// Regression test for a load report out of all proportion, after which no worker elsewhere was tried for long.
 func TestNegativeLoadReportCountsAsNoFreeSlot(t *testing.T) {
 	balancer, _ := newWarmBalancer(1, 1)
 	balancer.ReceiveLoadReport(0, []float64{-1e9})
@@ -46,7 +46,7 @@
 	assert.Positive(t, balancer.slots.kinds[0].votes[1], "starts at once at a load of one")
 }
 
-// Guards against a budget for more slots than a kind has: by late news some forwards start at once at loads that
+// Regression test for a budget for more slots than a kind has: by late news some attempts start at once at loads that
 // nearly all others wait at, and the most that was ever so voted for counted for good.
 func TestMaxObservedIsWhatVotesAgreeOn(t *testing.T) {
 	balancer, _ := newWarmBalancer(2, 1)
--- a/internal/balancer/snapshot_test.go
+++ b/internal/balancer/snapshot_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// Guards against a successor that begins with nothing: eight slots believed, and every failure to be found
+// Regression test for a successor that begins with nothing: eight slots believed, and every failure to be found
 // out again.
 func TestSnapshotIsRestored(t *testing.T) {
 	config := namedConfig()
--- a/internal/balancer/warmup_budget_test.go
+++ b/internal/balancer/warmup_budget_test.go
@@ -25,8 +25,8 @@
 	assert.True(t, balancer.withinWarmupBudget(1, 1<<40), "a warm worker has no such budget")
 }
 
-// Guards against parts too small for any piece of work, with which a cold worker is shut to nearly all: each sends
-// there by what lands at it, and what all save up begins evenly spread.
+// Regression test for parts too small for any piece of work, with which a warming worker is shut to nearly all: each sends
+// there by what arrives at it, and what all save up begins evenly spread.
 func TestWarmupCreditIsEarnedByArrivals(t *testing.T) {
 	open := 0
 	for position := range 200 {
@@ -35,7 +35,7 @@
 		balancer := New(config, 1, &recorder{})
 		balancer.SetTime(100 * Second)
 		balancer.UpdateEndpoints([]Endpoint{{Worker: 0, ID: "w0", StartedAt: balancer.now - 5*Second}, {Worker: 1, ID: "w1"}, {Worker: 2, ID: "w2"}}, true, true)
-		assert.False(t, balancer.withinWarmupBudget(0, 100), "nothing has landed, so nothing may go there")
+		assert.False(t, balancer.withinWarmupBudget(0, 100), "nothing has arrived, so nothing may go there")
 		// At two fifths of its capacity, of two and two fifths in all, it may get twice its part: a third.
 		for id := range RequestID(5) {
 			balancer.RequestArrived(id, Arrival{Timeout: 10 * Second, SizeHint: 100})
@@ -49,7 +49,7 @@
 		assert.True(t, balancer.withinWarmupBudget(0, 100))
 		balancer.RequestArrived(5, Arrival{Timeout: 10 * Second, SizeHint: 100})
 		balancer.startAttempt(5, 0)
-		assert.False(t, balancer.withinWarmupBudget(0, 100), "one at most, however much has landed")
+		assert.False(t, balancer.withinWarmupBudget(0, 100), "one at most, however much has arrived")
 		balancer.RequestArrived(6, Arrival{Timeout: 5 * Second, SizeHint: 100})
 		assert.Equal(t, 1006, balancer.warmup.firstTries, "a client that comes again asks for nothing more")
 		assert.True(t, balancer.withinWarmupBudget(1, 1<<40))
@@ -163,7 +163,7 @@
 	}
 }
 
-// load lands work at all of them, far more than the worker can do, from its start until it is warm; it
+// load arrives work at all of them, far more than the worker can do, from its start until it is warm; it
 // returns the most that was sent within the span, over what the rule allows at the end of it.
 func (c *coldWorker) load(span Time) (worst float64) {
 	sizes := []Work{600, 1500, 4000, 9000, 20000}
@@ -201,7 +201,7 @@
 	return c
 }
 
-// Guards against two faults at once: a worker that is open to one dispatcher of many is hardly used until it
+// Regression test for two faults at once: a worker that is open to one dispatcher of many is hardly used until it
 // is warm, and one that all rush to whenever a slot comes free falls over.
 func TestWarmingWorkerIsUsedByGossipingDispatchersAndNotOverloaded(t *testing.T) {
 	for _, n := range []int{2, 10, 40} {
@@ -223,7 +223,7 @@
 	assert.False(t, balancer.withinWarmupBudget(0, 100))
 }
 
-// Guards against hints that are off, and against a worker that is found full by each of those who may send there:
+// Regression test for hints that are off, and for a worker that is found full by each of those who may send there:
 // what it turns away counts as sent.
 func TestWarmingWorkerIsNotOverloadedByWrongHints(t *testing.T) {
 	for _, n := range []int{2, 6, 10} {
--- a/internal/balancer/warmup_test.go
+++ b/internal/balancer/warmup_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// refuseConnection lands an invocation and lets the worker that gets it refuse the connection.
+// refuseConnection arrives a request and lets the worker that gets it refuse the connection.
 func refuseConnection(balancer *Balancer) WorkerID {
 	const inv = 0
 	balancer.RequestArrived(inv, Arrival{Operation: 0, Timeout: 20 * Second, SizeHint: 100})
@@ -16,7 +16,7 @@
 	return w
 }
 
-// Guards against a worker that lost power and is back, and is sent to as a warm one since no list says otherwise.
+// Regression test for a worker that lost power and is back, and is sent to as a warm one since no list says otherwise.
 func TestWorkerWarmsUpFromItsFirstResponseAfterAnExit(t *testing.T) {
 	balancer, _ := newWarmBalancer(1, 1)
 	w := refuseConnection(balancer)
@@ -50,7 +50,7 @@
 	assert.InDelta(t, balancer.config.initialWarmup+(1-balancer.config.initialWarmup)/2, balancer.warmupFactor(w), 0.01, "what the list tells is exact")
 }
 
-// Guards against a list that tells late of a start before the end that was seen.
+// Regression test for a list that tells late of a start before the end that was seen.
 func TestStartBeforeTheExitWarmsNobody(t *testing.T) {
 	balancer, _ := newWarmBalancer(1, 1)
 	w := refuseConnection(balancer)
@@ -58,7 +58,7 @@
 	assert.Equal(t, balancer.config.initialWarmup, balancer.warmupFactor(w))
 }
 
-// Guards against a zone that has lost power while no list is to be had: only a part of it is met meanwhile.
+// Regression test for a zone that has lost power while no list is to be had: only a part of it is met meanwhile.
 func TestOthersOfAZoneMayHaveExitedWhileNoListIsWatched(t *testing.T) {
 	for _, followed := range []bool{true, false} {
 		balancer, _ := newWarmBalancer(8, 1)
@@ -90,7 +90,7 @@
 	balancer := newIsolatedBalancer()
 	assert.False(t, balancer.withinWarmupBudget(0, much))
 	balancer.ReceiveLoad(1, Load{Worker: 3, InFlight: 1})
-	assert.True(t, balancer.withinWarmupBudget(0, much), "one who lives tells of what is out")
+	assert.True(t, balancer.withinWarmupBudget(0, much), "one who lives tells of what is in flight")
 	balancer.gossip.recordPeerAge(1, true)
 	assert.False(t, balancer.withinWarmupBudget(0, much), "it has just started too")
 	balancer.gossip.recordPeerAge(1, false)
@@ -110,7 +110,7 @@
 	w := paced(1.6)
 	assert.False(t, balancer.withinWarmupBudget(w, much), "a hint may be as far off, at a worker that is cold")
 	w = paced(1.4)
-	assert.True(t, balancer.withinWarmupBudget(w, much), "no cold worker is so fast")
+	assert.True(t, balancer.withinWarmupBudget(w, much), "no warming worker is so fast")
 	assert.False(t, balancer.withinWarmupBudget(w, 2*much), "but the largest would all go to the first that seems warm")
 	assert.False(t, balancer.withinWarmupBudget((w+1)%4, much))
 	balancer.UpdateEndpoints(nil, false, true)
