--- a/internal/balancer/ejection_test.go
+++ b/internal/balancer/ejection_test.go
@@ -164,3 +164,18 @@
 		})
 	}
 }
+
+// Where no request has a hint and none had run as they arrived, their mean size is nothing, and the first run tells.
+func TestOverloadedWorkerRestsForTheFirstRunSeen(t *testing.T) {
+	balancer, _ := newWarmBalancer(2, 1)
+	balancer.config.startNotices = false
+	for id := range RequestID(2) {
+		balancer.RequestArrived(id, Arrival{Timeout: 30 * Second})
+		balancer.RunDueRules()
+	}
+	balancer.SetTime(balancer.now + Second/2)
+	balancer.AttemptEnded(0, 0, Succeeded, true)
+	balancer.AttemptEnded(1, 0, Overloaded, false)
+	overloaded := balancer.requests.get(1).attempts[0].worker
+	assert.Equal(t, balancer.now+Second/2, balancer.workers[overloaded].probeAfter)
+}
