--- a/internal/balancer/availability_test.go
+++ b/internal/balancer/availability_test.go
@@ -84,7 +84,7 @@
 		if l.rng.IntN(2) == 0 {
 			e.StartedAt = balancer.now
 		}
-		balancer.UpdateEndpoints([]Endpoint{e}, false, false)
+		balancer.UpdateEndpoints([]Endpoint{e}, ChangedEndpoints, FromBeforeStart)
 	}
 	balancer.RunDueRules()
 	l.follow()
@@ -128,7 +128,7 @@
 		for w := range 70 { // more than one word of bits
 			list = append(list, Endpoint{Worker: WorkerID(w), ID: fmt.Sprintf("w%d", w), Zone: ZoneID(w % 2), Cell: CellID(w)})
 		}
-		balancer.UpdateEndpoints(list, true, true)
+		balancer.UpdateEndpoints(list, AllEndpoints, FromDiscovery)
 		balancer.slots.kinds[0].estimate = 1 // so that more are believed as work starts
 		l := &randomLife{balancer: balancer, effects: effects, rng: rand.New(rand.NewPCG(seed, 1)), out: map[RequestID][]int{}}
 		for n := 0; n < 1500 && !t.Failed(); n++ {
--- a/internal/balancer/discovery_test.go
+++ b/internal/balancer/discovery_test.go
@@ -52,14 +52,14 @@
 		config.PollEndpoints, config.Dispatchers, config.Position = true, n, number
 		balancer := New(config, uint64(number), &recorder{})
 		balancer.SetTime(100 * Second)
-		balancer.UpdateEndpoints([]Endpoint{{ID: "w"}}, true, false)
+		balancer.UpdateEndpoints([]Endpoint{{ID: "w"}}, AllEndpoints, FromBeforeStart)
 		askers = append(askers, &asker{balancer: balancer, answer: never})
 	}
 	for now := Time(100 * Second); now < 160*Second && len(have) < len(askers); now += 20 {
 		for _, a := range askers {
 			switch balancer := a.balancer; {
 			case a.answer <= now && a.list:
-				balancer.UpdateEndpoints([]Endpoint{{ID: "w"}}, true, true)
+				balancer.UpdateEndpoints([]Endpoint{{ID: "w"}}, AllEndpoints, FromDiscovery)
 				have, a.answer = append(have, now-100*Second), never
 			case a.answer <= now:
 				balancer.SetTime(now)
@@ -120,7 +120,7 @@
 func TestNoAttemptByAStaleListBeforeTheFirstPollEnds(t *testing.T) {
 	for name, end := range map[string]func(*Balancer){
 		"answered": func(balancer *Balancer) {
-			balancer.UpdateEndpoints([]Endpoint{{Worker: 0, ID: "w", State: Gone}, {Worker: 1, ID: "v"}}, false, true)
+			balancer.UpdateEndpoints([]Endpoint{{Worker: 0, ID: "w", State: Gone}, {Worker: 1, ID: "v"}}, ChangedEndpoints, FromDiscovery)
 		},
 		"failed": (*Balancer).EndpointsUnavailable,
 	} {
@@ -128,7 +128,7 @@
 			effects := &recorder{}
 			balancer := New(notifyDeadlineConfig(3, 2), 1, effects)
 			balancer.SetTime(100 * Second)
-			balancer.UpdateEndpoints([]Endpoint{{Worker: 0, ID: "w"}, {Worker: 1, ID: "v"}}, true, false)
+			balancer.UpdateEndpoints([]Endpoint{{Worker: 0, ID: "w"}, {Worker: 1, ID: "v"}}, AllEndpoints, FromBeforeStart)
 			balancer.RequestArrived(0, Arrival{Timeout: 10 * Second})
 			balancer.RunDueRules()
 			assert.Empty(t, effects.lines, "the list may be old")
@@ -141,7 +141,7 @@
 				"answered": "attempt 0 to 1",
 				"failed":   fmt.Sprint("attempt 0 to ", balancer.requests.byID[0].attempts[0].worker),
 			}[name])
-			balancer.UpdateEndpoints([]Endpoint{{Worker: 0, ID: "w"}}, false, false) // what others tell of does not hold up what is known
+			balancer.UpdateEndpoints([]Endpoint{{Worker: 0, ID: "w"}}, ChangedEndpoints, FromBeforeStart) // what others tell of does not hold up what is known
 			assert.False(t, balancer.discovery.endpointsStale)
 		})
 	}
@@ -150,7 +150,7 @@
 // Regression test for a process that goes on for another one, whose list is followed, and would wait for its own.
 func TestSuccessorUsesItsPredecessorsListAtOnce(t *testing.T) {
 	s := NewShards(notifyDeadlineConfig(3, 2), 1, 1, func() Time { return 100 * Second }, func(string) {})
-	s.UpdateEndpoints([]Endpoint{{Worker: 0, ID: "w"}}, true, true)
+	s.UpdateEndpoints([]Endpoint{{Worker: 0, ID: "w"}}, AllEndpoints, FromBeforeStart)
 	assert.True(t, s.pickers[0].balancer.discovery.endpointsStale)
 	assert.True(t, s.RestoreFromPredecessor(s.Snapshot()))
 	assert.False(t, s.pickers[0].balancer.discovery.endpointsStale)
@@ -161,14 +161,14 @@
 		for position := 0; position < n; position += 1 + n/10 {
 			balancer := New(notifyDeadlineConfig(n, position), uint64(position), &recorder{})
 			balancer.SetTime(100 * Second)
-			balancer.UpdateEndpoints([]Endpoint{{ID: "w"}}, true, false)
+			balancer.UpdateEndpoints([]Endpoint{{ID: "w"}}, AllEndpoints, FromBeforeStart)
 			assert.LessOrEqual(t, balancer.discovery.nextPoll-balancer.now, 2*Time(Second), "the first call")
 			for call := range 20 { // and 2 s at most for the answer
 				balancer.EndpointsUnavailable()
 				assert.LessOrEqual(t, balancer.discovery.nextPoll-balancer.now, 4*Time(Second), "%d dispatchers, call %d", n, call)
 				assert.Greater(t, balancer.discovery.nextPoll, balancer.now)
 			}
-			balancer.UpdateEndpoints(nil, false, true)
+			balancer.UpdateEndpoints(nil, ChangedEndpoints, FromDiscovery)
 			balancer.discovery.retrySpeedup = 2 // it has taken up to 3 s of the 6 already
 			balancer.EndpointsUnavailable()
 			assert.LessOrEqual(t, balancer.discovery.nextPoll-balancer.now, 2*Time(Second), "after silence")
@@ -212,7 +212,12 @@
 	for position := range n {
 		balancer := New(notifyDeadlineConfig(n, position), uint64(position), &recorder{})
 		balancer.SetTime(100 * Second)
-		if balancer.UpdateEndpoints([]Endpoint{{ID: "w"}}, true, !starts); !starts {
+		source := FromBeforeStart
+		if !starts {
+			source = FromDiscovery
+		}
+		balancer.UpdateEndpoints([]Endpoint{{ID: "w"}}, AllEndpoints, source)
+		if !starts {
 			balancer.EndpointsUnavailable() // all watches end as the service goes down
 		}
 		askers = append(askers, &asker{balancer: balancer, answer: never})
@@ -222,7 +227,7 @@
 			a.balancer.SetTime(now)
 			switch {
 			case a.answer <= now && a.list:
-				a.balancer.UpdateEndpoints([]Endpoint{{ID: "w"}}, true, true)
+				a.balancer.UpdateEndpoints([]Endpoint{{ID: "w"}}, AllEndpoints, FromDiscovery)
 				told, a.answer = append(told, now), never
 			case a.answer <= now:
 				if a.balancer.discovery.consecutiveBusy++; now-a.came < Second { // as the network tells
--- a/internal/balancer/ejection_test.go
+++ b/internal/balancer/ejection_test.go
@@ -128,7 +128,7 @@
 		} else {
 			assert.Empty(t, effects.lines, "outcome %d", outcome)
 		}
-		balancer.UpdateEndpoints([]Endpoint{{Worker: 0, ID: "w0", StartedAt: balancer.now}}, false, true)
+		balancer.UpdateEndpoints([]Endpoint{{Worker: 0, ID: "w0", StartedAt: balancer.now}}, ChangedEndpoints, FromDiscovery)
 		assert.False(t, balancer.workers[0].possiblyExecuted, "another process")
 	}
 }
--- a/internal/balancer/endpoints.go
+++ b/internal/balancer/endpoints.go
@@ -2,15 +2,32 @@
 
 import "hash/fnv"
 
-// UpdateEndpoints takes a list of endpoints, whole or changes to it. answer tells whether it may be the answer to a poll;
-// else it is a list from before the start.
-func (b *Balancer) UpdateEndpoints(entries []Endpoint, whole, answer bool) {
-	if answer {
+// ListExtent tells what a list of endpoints names.
+type ListExtent uint8
+
+// The extents of a list.
+const (
+	ChangedEndpoints ListExtent = iota // only those that have changed
+	AllEndpoints                       // all: a worker that is not named is gone
+)
+
+// ListSource tells where a list of endpoints comes from.
+type ListSource uint8
+
+// The sources of a list.
+const (
+	FromDiscovery   ListSource = iota // it answers a poll, or comes by the watch that the poll began
+	FromBeforeStart                   // it was known before the start, or a peer or the predecessor told it
+)
+
+// UpdateEndpoints takes a list of endpoints.
+func (b *Balancer) UpdateEndpoints(entries []Endpoint, extent ListExtent, source ListSource) {
+	if source == FromDiscovery {
 		b.discovery.recordAnswer(b.now)
 	} else if len(entries) > 0 {
 		b.discovery.recordInitialList(b.now, &b.config)
 	}
-	if whole {
+	if extent == AllEndpoints {
 		for n := range b.workers {
 			b.workers[n].state = Gone
 		}
--- a/internal/balancer/fleet_size_test.go
+++ b/internal/balancer/fleet_size_test.go
@@ -23,7 +23,7 @@
 			effects := &recorder{}
 			balancer := New(config, uint64(position), effects)
 			balancer.SetTime(100 * Second)
-			balancer.UpdateEndpoints(list, true, true)
+			balancer.UpdateEndpoints(list, AllEndpoints, FromDiscovery)
 			assert.Len(t, balancer.subsetting.ring, many)
 			for _, w := range balancer.subsetting.subsets[bothIntervals].workers {
 				kept[w]++
--- a/internal/balancer/helper_test.go
+++ b/internal/balancer/helper_test.go
@@ -58,6 +58,6 @@
 	for w := range n {
 		list = append(list, Endpoint{Worker: WorkerID(w), ID: fmt.Sprintf("w%d", w), Zone: ZoneID(w % 2), Cell: CellID(w)})
 	}
-	balancer.UpdateEndpoints(list, true, true)
+	balancer.UpdateEndpoints(list, AllEndpoints, FromDiscovery)
 	return balancer, effects
 }
--- a/internal/balancer/pick_worker_test.go
+++ b/internal/balancer/pick_worker_test.go
@@ -45,10 +45,10 @@
 
 func TestDrainingAndGoneWorkersAreNotAvailable(t *testing.T) {
 	balancer, _ := newWarmBalancer(2, 1)
-	balancer.UpdateEndpoints([]Endpoint{{Worker: 0, ID: "w0", State: Draining}}, false, true)
+	balancer.UpdateEndpoints([]Endpoint{{Worker: 0, ID: "w0", State: Draining}}, ChangedEndpoints, FromDiscovery)
 	assert.False(t, balancer.isAvailable(0))
 	assert.True(t, balancer.isAvailable(1))
-	balancer.UpdateEndpoints([]Endpoint{{Worker: 0, ID: "w0"}}, true, true)
+	balancer.UpdateEndpoints([]Endpoint{{Worker: 0, ID: "w0"}}, AllEndpoints, FromDiscovery)
 	assert.True(t, balancer.isAvailable(0), "a worker may come back")
 	assert.False(t, balancer.isAvailable(1), "absent from a complete list")
 }
@@ -110,7 +110,7 @@
 	for w := WorkerID(1); w < 20; w++ {
 		list = append(list, Endpoint{Worker: w, ID: string(rune('a' + w))})
 	}
-	balancer.UpdateEndpoints(list, true, true)
+	balancer.UpdateEndpoints(list, AllEndpoints, FromDiscovery)
 	for turn := range 20 {
 		balancer.RequestArrived(RequestID(turn), Arrival{Timeout: 20 * Second, SizeHint: 100})
 		for p := range balancer.subsetting.subsets {
@@ -145,7 +145,7 @@
 			for w := range 8 {
 				list = append(list, Endpoint{Worker: WorkerID(w), ID: string(rune('a' + w)), Zone: ZoneID(w % 2)})
 			}
-			balancer.UpdateEndpoints(list, true, true)
+			balancer.UpdateEndpoints(list, AllEndpoints, FromDiscovery)
 			balancer.RequestArrived(0, Arrival{Operation: 0, Timeout: 30 * Second, SizeHint: 100})
 			balancer.RunDueRules()
 			f := balancer.requests.byID[0].attempts
--- a/internal/balancer/picker.go
+++ b/internal/balancer/picker.go
@@ -228,9 +228,9 @@
 	}
 }
 
-// UpdateEndpoints takes a list of endpoints, whole or changes to it. known tells that it is from before the start.
-func (p *Picker) UpdateEndpoints(entries []Endpoint, whole, known bool) {
-	p.update(func(b *Balancer) { b.UpdateEndpoints(entries, whole, !known) })
+// UpdateEndpoints takes a list of endpoints.
+func (p *Picker) UpdateEndpoints(entries []Endpoint, extent ListExtent, source ListSource) {
+	p.update(func(b *Balancer) { b.UpdateEndpoints(entries, extent, source) })
 }
 
 // WatchEnd is how a poll of the endpoint list, or the watch that it began, ended.
--- a/internal/balancer/picker_bench_test.go
+++ b/internal/balancer/picker_bench_test.go
@@ -62,7 +62,7 @@
 		list[w] = Endpoint{Worker: WorkerID(w), ID: fmt.Sprintf("w%d", w), Zone: ZoneID(w % 2), Cell: CellID(w)}
 	}
 	for b.Loop() {
-		picker.UpdateEndpoints(list, true, false)
+		picker.UpdateEndpoints(list, AllEndpoints, FromDiscovery)
 	}
 }
 
@@ -91,7 +91,7 @@
 	for w := range 4096 {
 		list = append(list, Endpoint{Worker: WorkerID(w), ID: fmt.Sprintf("w%d", w), StartedAt: *now - Second})
 	}
-	picker.UpdateEndpoints(list, true, false)
+	picker.UpdateEndpoints(list, AllEndpoints, FromDiscovery)
 	for b.Loop() {
 		*now += 10 // what was sent counts no more after the span
 		carry(b, picker)
--- a/internal/balancer/picker_test.go
+++ b/internal/balancer/picker_test.go
@@ -18,7 +18,7 @@
 	for w := range n {
 		list = append(list, Endpoint{Worker: WorkerID(w), ID: fmt.Sprintf("w%d", w), Zone: ZoneID(w % 2), Cell: CellID(w)})
 	}
-	picker.UpdateEndpoints(list, true, false)
+	picker.UpdateEndpoints(list, AllEndpoints, FromDiscovery)
 	return picker, &now
 }
 
--- a/internal/balancer/reconfigure_test.go
+++ b/internal/balancer/reconfigure_test.go
@@ -24,7 +24,7 @@
 	effects := &recorder{}
 	balancer := New(namedConfig(), 1, effects)
 	balancer.SetTime(100 * Second)
-	balancer.UpdateEndpoints([]Endpoint{{Worker: 0, ID: "a"}, {Worker: 1, ID: "b"}}, true, true)
+	balancer.UpdateEndpoints([]Endpoint{{Worker: 0, ID: "a"}, {Worker: 1, ID: "b"}}, AllEndpoints, FromDiscovery)
 	balancer.RequestArrived(0, Arrival{Operation: 0, Timeout: 5 * Second, SizeHint: 100})
 	balancer.RunDueRules()
 	assert.Len(t, balancer.requests.byID[0].attempts, 1)
--- a/internal/balancer/release_test.go
+++ b/internal/balancer/release_test.go
@@ -152,7 +152,7 @@
 	effects := &releaseEffects{r: r, number: number}
 	effects.balancer = New(config, r.seed+uint64(r.now)+uint64(number), effects)
 	effects.balancer.SetTime(r.now)
-	effects.balancer.UpdateEndpoints(r.endpoints, true, true)
+	effects.balancer.UpdateEndpoints(r.endpoints, AllEndpoints, FromDiscovery)
 	return effects.balancer
 }
 
@@ -199,7 +199,7 @@
 
 func (r *release) updateAll(changed []Endpoint) {
 	for _, balancer := range r.fleet {
-		r.report(balancer, func() { balancer.UpdateEndpoints(changed, false, true) })
+		r.report(balancer, func() { balancer.UpdateEndpoints(changed, ChangedEndpoints, FromDiscovery) })
 	}
 }
 
--- a/internal/balancer/request_handle_test.go
+++ b/internal/balancer/request_handle_test.go
@@ -39,7 +39,7 @@
 	config := testConfig
 	config.Cancellation = false
 	s := NewShards(config, 2, 1, func() Time { return 100 * Second }, func(string) {})
-	s.UpdateEndpoints([]Endpoint{{Worker: 0, ID: "w"}, {Worker: 1, ID: "v"}}, true, false)
+	s.UpdateEndpoints([]Endpoint{{Worker: 0, ID: "w"}, {Worker: 1, ID: "v"}}, AllEndpoints, FromDiscovery)
 	for range 2 { // one at each
 		handle := s.Submit(Arrival{Timeout: 3600 * Second})
 		c := pick(t, handle)
@@ -193,11 +193,11 @@
 	picker, _ := newTestPicker(testConfig, 2)
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	picker.UpdateEndpoints(nil, true, false)
+	picker.UpdateEndpoints(nil, AllEndpoints, FromDiscovery)
 	handle := picker.Submit(Arrival{Timeout: 3 * Second})
 	_, err := handle.Pick(ctx)
 	assert.ErrorIs(t, err, context.Canceled)
-	picker.UpdateEndpoints([]Endpoint{{Worker: 0, ID: "w0"}}, true, false) // now there would be room
+	picker.UpdateEndpoints([]Endpoint{{Worker: 0, ID: "w0"}}, AllEndpoints, FromDiscovery) // now there would be room
 	assert.Empty(t, handle.decisions)
 	assert.Equal(t, 0, picker.OpenRequests())
 	assert.Less(t, time.Until(handle.deadline), 4*time.Second)
--- a/internal/balancer/retry_test.go
+++ b/internal/balancer/retry_test.go
@@ -57,7 +57,7 @@
 	effects := &recorder{}
 	balancer := New(config, 1, effects)
 	balancer.SetTime(100 * Second)
-	balancer.UpdateEndpoints([]Endpoint{{Worker: 0, ID: "w0"}}, true, true)
+	balancer.UpdateEndpoints([]Endpoint{{Worker: 0, ID: "w0"}}, AllEndpoints, FromDiscovery)
 	for range 3 {
 		balancer.RequestArrived(0, Arrival{Timeout: 3 * Second})
 		balancer.RunDueRules()
--- a/internal/balancer/review_test.go
+++ b/internal/balancer/review_test.go
@@ -83,7 +83,7 @@
 	config.DeliveryNotices, config.ReportFree = true, -1
 	balancer := New(config, 1, effects)
 	balancer.SetTime(100 * Second)
-	balancer.UpdateEndpoints([]Endpoint{{Worker: 0, ID: "w0"}, {Worker: 1, ID: "w1"}}, true, true)
+	balancer.UpdateEndpoints([]Endpoint{{Worker: 0, ID: "w0"}, {Worker: 1, ID: "w1"}}, AllEndpoints, FromDiscovery)
 	return balancer, effects
 }
 
--- a/internal/balancer/shards.go
+++ b/internal/balancer/shards.go
@@ -149,10 +149,10 @@
 	}
 }
 
-// UpdateEndpoints takes a list of endpoints, whole or changes to it. known tells that it is from before the start.
-func (s *Shards) UpdateEndpoints(entries []Endpoint, whole, known bool) {
+// UpdateEndpoints takes a list of endpoints.
+func (s *Shards) UpdateEndpoints(entries []Endpoint, extent ListExtent, source ListSource) {
 	for _, picker := range s.pickers {
-		picker.UpdateEndpoints(entries, whole, known)
+		picker.UpdateEndpoints(entries, extent, source)
 	}
 }
 
--- a/internal/balancer/shards_test.go
+++ b/internal/balancer/shards_test.go
@@ -19,7 +19,7 @@
 	for w := range workers {
 		list = append(list, Endpoint{Worker: WorkerID(w), ID: fmt.Sprintf("w%d", w), Zone: ZoneID(w % 2), Cell: CellID(w)})
 	}
-	s.UpdateEndpoints(list, true, true)
+	s.UpdateEndpoints(list, AllEndpoints, FromBeforeStart)
 	return s
 }
 
@@ -79,7 +79,7 @@
 	defer cancel()
 	assert.NoError(t, s.AwaitPoll(ctx))
 	assert.Error(t, s.AwaitPoll(ctx), "the others want it by the same call")
-	s.UpdateEndpoints([]Endpoint{{Worker: 0, ID: "w0", State: Draining}}, true, false)
+	s.UpdateEndpoints([]Endpoint{{Worker: 0, ID: "w0", State: Draining}}, AllEndpoints, FromDiscovery)
 	for _, picker := range s.pickers {
 		assert.True(t, picker.balancer.discovery.watching)
 		assert.Equal(t, Draining, picker.balancer.workers[0].state, "a drain holds for all")
@@ -130,7 +130,7 @@
 		for w := range 60 {
 			list = append(list, Endpoint{Worker: WorkerID(w), ID: fmt.Sprintf("w%d", w)})
 		}
-		fleet[n].UpdateEndpoints(list, true, true)
+		fleet[n].UpdateEndpoints(list, AllEndpoints, FromBeforeStart)
 	}
 	for n, s := range fleet {
 		near := s.GossipPeers()
--- a/internal/balancer/subsetting_test.go
+++ b/internal/balancer/subsetting_test.go
@@ -14,7 +14,7 @@
 	for w := 8; w >= 0; w-- {
 		list = append(list, Endpoint{Worker: WorkerID(w), ID: fmt.Sprintf("w%d", w)})
 	}
-	other.UpdateEndpoints(list, true, true)
+	other.UpdateEndpoints(list, AllEndpoints, FromDiscovery)
 	assert.Equal(t, a.subsetting.ring, other.subsetting.ring)
 	assert.NotEqual(t, a.subsetting.subsets[wholeRing].roundRobin, other.subsetting.subsets[wholeRing].roundRobin, "each rotation starts at a place of its own")
 }
--- a/internal/balancer/warmup_budget_test.go
+++ b/internal/balancer/warmup_budget_test.go
@@ -12,7 +12,7 @@
 func TestWarmupBudgetIsPartedAmongDispatchers(t *testing.T) {
 	balancer, _ := newWarmBalancer(2, 1)
 	balancer.now += Second
-	balancer.UpdateEndpoints([]Endpoint{{Worker: 0, ID: "w0", StartedAt: balancer.now}}, false, true)
+	balancer.UpdateEndpoints([]Endpoint{{Worker: 0, ID: "w0", StartedAt: balancer.now}}, ChangedEndpoints, FromDiscovery)
 	part := 4 * 0.2 * 1 * float64(2*Second) * (1 - warmupMargin) / 2 // one slot is known of
 	balancer.config.meanObjective = part                             // as much as one piece of work
 	assert.True(t, balancer.withinWarmupBudget(0, Work(part)))
@@ -34,7 +34,7 @@
 		config.Dispatchers, config.Position = 200, position
 		balancer := New(config, 1, &recorder{})
 		balancer.SetTime(100 * Second)
-		balancer.UpdateEndpoints([]Endpoint{{Worker: 0, ID: "w0", StartedAt: balancer.now - 5*Second}, {Worker: 1, ID: "w1"}, {Worker: 2, ID: "w2"}}, true, true)
+		balancer.UpdateEndpoints([]Endpoint{{Worker: 0, ID: "w0", StartedAt: balancer.now - 5*Second}, {Worker: 1, ID: "w1"}, {Worker: 2, ID: "w2"}}, AllEndpoints, FromDiscovery)
 		assert.False(t, balancer.withinWarmupBudget(0, 100), "nothing has arrived, so nothing may go there")
 		// At two fifths of its capacity, of two and two fifths in all, it may get twice its part: a third.
 		for id := range RequestID(5) {
@@ -61,7 +61,7 @@
 	balancer, _ := newWarmBalancer(2, 1)
 	balancer.config.dispatchers, balancer.config.meanObjective, balancer.now = 200, 1, 200*Second // small work: there is a part for each
 	for age := Time(0); age < 20*Second; age += Second {
-		balancer.UpdateEndpoints([]Endpoint{{Worker: 0, ID: "w0", StartedAt: balancer.now - age}}, false, true)
+		balancer.UpdateEndpoints([]Endpoint{{Worker: 0, ID: "w0", StartedAt: balancer.now - age}}, ChangedEndpoints, FromDiscovery)
 		sent := Work(0)
 		for balancer.config.position = range 200 {
 			balancer.slots.kinds[0].maxObserved = 3 + float64(balancer.config.position%2) // they need not believe alike
@@ -194,7 +194,7 @@
 		config.Position = number
 		balancer := New(config, uint64(number), &lineEffects{number: PeerID(number), c: c})
 		balancer.SetTime(c.now)
-		balancer.UpdateEndpoints([]Endpoint{{Worker: 0, ID: "w", StartedAt: c.born}}, true, true)
+		balancer.UpdateEndpoints([]Endpoint{{Worker: 0, ID: "w", StartedAt: c.born}}, AllEndpoints, FromDiscovery)
 		balancer.slots.kinds[0].maxObserved, balancer.slots.kinds[0].estimate = coldSlots, coldSlots
 		c.fleet = append(c.fleet, balancer)
 	}
@@ -215,7 +215,7 @@
 func TestWarmingWorkerIsClosedToDispatchersThatHearNothingOfIt(t *testing.T) {
 	balancer, _ := newWarmBalancer(2, 1)
 	balancer.config.gossip = true
-	balancer.UpdateEndpoints([]Endpoint{{Worker: 0, ID: "w0", StartedAt: balancer.now}}, false, true)
+	balancer.UpdateEndpoints([]Endpoint{{Worker: 0, ID: "w0", StartedAt: balancer.now}}, ChangedEndpoints, FromDiscovery)
 	assert.True(t, balancer.withinWarmupBudget(0, 100))
 	balancer.workers[0].peerInFlight = 1 // as many as were seen to run at once
 	assert.False(t, balancer.withinWarmupBudget(0, 100))
--- a/internal/balancer/warmup_test.go
+++ b/internal/balancer/warmup_test.go
@@ -46,7 +46,7 @@
 	balancer.EndpointsUnavailable()
 	balancer.SetTime(balancer.now + 2*balancer.config.maxPollInterval)
 	assert.Less(t, balancer.warmupFactor(w), 1.0, "nobody tells while no list is followed")
-	balancer.UpdateEndpoints([]Endpoint{{Worker: w, ID: "w0", StartedAt: balancer.now - balancer.config.warmupDuration/2}}, false, true)
+	balancer.UpdateEndpoints([]Endpoint{{Worker: w, ID: "w0", StartedAt: balancer.now - balancer.config.warmupDuration/2}}, ChangedEndpoints, FromDiscovery)
 	assert.InDelta(t, balancer.config.initialWarmup+(1-balancer.config.initialWarmup)/2, balancer.warmupFactor(w), 0.01, "what the list tells is exact")
 }
 
@@ -54,7 +54,7 @@
 func TestStartBeforeTheExitWarmsNobody(t *testing.T) {
 	balancer, _ := newWarmBalancer(1, 1)
 	w := refuseConnection(balancer)
-	balancer.UpdateEndpoints([]Endpoint{{Worker: w, ID: "w0", StartedAt: balancer.now - balancer.config.warmupDuration/2}}, false, true)
+	balancer.UpdateEndpoints([]Endpoint{{Worker: w, ID: "w0", StartedAt: balancer.now - balancer.config.warmupDuration/2}}, ChangedEndpoints, FromDiscovery)
 	assert.Equal(t, balancer.config.initialWarmup, balancer.warmupFactor(w))
 }
 
@@ -113,6 +113,6 @@
 	assert.True(t, balancer.withinWarmupBudget(w, much), "no warming worker is so fast")
 	assert.False(t, balancer.withinWarmupBudget(w, 2*much), "but the largest would all go to the first that seems warm")
 	assert.False(t, balancer.withinWarmupBudget((w+1)%4, much))
-	balancer.UpdateEndpoints(nil, false, true)
+	balancer.UpdateEndpoints(nil, ChangedEndpoints, FromDiscovery)
 	assert.True(t, balancer.withinWarmupBudget((w+1)%4, much), "a list that is followed tells of starts")
 }
--- a/internal/proxy/back.go
+++ b/internal/proxy/back.go
@@ -142,7 +142,7 @@
 func (r *Proxy) MergeEndpoints(entries []protocol.Endpoint) {
 	l := protocol.EndpointList{Version: r.fleet.listVersion(), Endpoints: entries}
 	taken, old := r.fleet.take(&l)
-	r.facade.UpdateEndpoints(taken, false, true)
+	r.facade.UpdateEndpoints(taken, balancer.ChangedEndpoints, balancer.FromBeforeStart)
 	for _, o := range old {
 		if r.pool.CloseIdle(o.address); !o.born.IsZero() {
 			r.pool.CloseOpenedBefore(o.address, o.born)
--- a/internal/proxy/legacy.go
+++ b/internal/proxy/legacy.go
@@ -58,7 +58,7 @@
 		}
 	}
 	entries, _ := r.fleet.take(&protocol.EndpointList{Version: l.Version, Complete: true, Endpoints: l.Endpoints})
-	r.facade.UpdateEndpoints(entries, true, true)
+	r.facade.UpdateEndpoints(entries, balancer.AllEndpoints, balancer.FromBeforeStart)
 	for n := range l.Learned {
 		learnt := &l.Learned[n]
 		learnt.Tenants = align(learnt.Tenants, l.Tenants, r.now.Load().owners)
--- a/internal/proxy/list.go
+++ b/internal/proxy/list.go
@@ -235,7 +235,11 @@
 	if r.beforeListed != nil {
 		r.beforeListed()
 	}
-	r.facade.UpdateEndpoints(entries, l.Complete, false)
+	extent := balancer.ChangedEndpoints
+	if l.Complete {
+		extent = balancer.AllEndpoints
+	}
+	r.facade.UpdateEndpoints(entries, extent, balancer.FromDiscovery)
 	r.settled.Store(true)
 	if r.terms.Recovery != nil {
 		r.terms.Recovery.EndpointsReceived()
--- a/internal/proxy/router.go
+++ b/internal/proxy/router.go
@@ -104,7 +104,7 @@
 	}
 	if t.InitialEndpoints != nil && !r.heir {
 		entries, _ := r.fleet.take(t.InitialEndpoints)
-		f.UpdateEndpoints(entries, true, true)
+		f.UpdateEndpoints(entries, balancer.AllEndpoints, balancer.FromBeforeStart)
 	}
 	return r
 }
--- a/internal/simadapter/fleet.go
+++ b/internal/simadapter/fleet.go
@@ -70,6 +70,14 @@
 		e.entry.Worker = w
 		entries = append(entries, e.entry)
 	}
-	in.dispatcher.UpdateEndpoints(entries, mode != "patch", mode != "stale_copy")
+	extent := balancer.AllEndpoints
+	if mode == "patch" {
+		extent = balancer.ChangedEndpoints
+	}
+	source := balancer.FromDiscovery
+	if mode == "stale_copy" {
+		source = balancer.FromBeforeStart
+	}
+	in.dispatcher.UpdateEndpoints(entries, extent, source)
 	return nil
 }
