--- a/internal/balancer/fleet_restart.go
+++ b/internal/balancer/fleet_restart.go
@@ -46,53 +46,6 @@
 	}
 }
 
-func (b *Balancer) maxObserved() (slots []float64) {
-	for _, kind := range b.slots.kinds {
-		slots = append(slots, kind.maxObserved)
-	}
-	return slots
-}
-
-// capacity counts the workers that take attempts, and the slots that they have when all are warm and as warm as they
-// are now.
-func (b *Balancer) capacity() (workers int, warm, current float64) {
-	for _, id := range b.subsetting.ring {
-		worker := &b.workers[id]
-		if worker.state != Healthy || b.isEjected(worker) {
-			continue
-		}
-		slots := b.maxObservedSlots(id)
-		workers++
-		warm += slots
-		current += b.confirmedWarmup(id, b.sizes.median) * slots
-	}
-	return workers, warm, current
-}
-
-func (b *Balancer) isEjected(worker *worker) bool {
-	return worker.consecutiveFailures > 0 && b.now < worker.probeAfter
-}
-
-// workerCounts counts the listed workers, and of them those that are ejected, alone or with their zone.
-func (b *Balancer) workerCounts() (listed, ejected int) {
-	for _, id := range b.subsetting.ring {
-		worker := &b.workers[id]
-		if worker.state == Healthy && (b.isEjected(worker) || b.now < b.zones[worker.zone].ejectedUntil) {
-			ejected++
-		}
-	}
-	return len(b.subsetting.ring), ejected
-}
-
-// limitDeadlines has all open requests answered by a time.
-func (b *Balancer) limitDeadlines(latest Time) {
-	for id := range b.requests.newestFirst() {
-		request := b.requests.get(id)
-		request.deadline = min(request.deadline, latest)
-		b.due.reviewBy(request.deadline)
-	}
-}
-
 // ReportFleetRestart tells that all dispatchers lost power, workers perhaps too, and since when this one is back.
 func (s *Shards) ReportFleetRestart(since Time) {
 	s.updateAll(func(b *Balancer) { b.warmup.fleetRestartAt = since })
@@ -110,25 +63,6 @@
 	s.updateAll(func(b *Balancer) { b.seedMaxObserved(kind, slots) })
 }
 
-// MaxObserved is the most attempts that the first shard has seen running at once at a worker, by KindID.
-func (s *Shards) MaxObserved() (slots []float64) {
-	s.first().read(func(b *Balancer) { slots = b.maxObserved() })
-	return slots
-}
-
-// Capacity counts the workers that take attempts, as the first shard sees them, and the slots that they have when all
-// are warm and as warm as they are now.
-func (s *Shards) Capacity() (workers int, warm, current float64) {
-	s.first().read(func(b *Balancer) { workers, warm, current = b.capacity() })
-	return workers, warm, current
-}
-
-// MedianSize is the size that the first shard takes for a request without a hint.
-func (s *Shards) MedianSize() (size Work) {
-	s.first().read(func(b *Balancer) { size = b.sizes.median })
-	return size
-}
-
 // SubmitAfter calls Picker.SubmitAfter on the shard whose turn it is.
 func (s *Shards) SubmitAfter(arrival Arrival, prior PriorAttempt) *RequestHandle {
 	return s.next().SubmitAfter(arrival, prior)
--- a/internal/balancer/picker.go
+++ b/internal/balancer/picker.go
@@ -168,6 +168,15 @@
 	})
 }
 
+// limitDeadlines has all open requests answered by a time.
+func (b *Balancer) limitDeadlines(latest Time) {
+	for id := range b.requests.newestFirst() {
+		request := b.requests.get(id)
+		request.deadline = min(request.deadline, latest)
+		b.due.reviewBy(request.deadline)
+	}
+}
+
 // CancelAll cancels all attempts that are still in flight, as the process ends and nobody waits for them: else it would
 // stay for as long as its clients would have waited.
 func (p *Picker) CancelAll() { p.cancelAll(ErrAttemptCanceled) }
--- a/internal/proxy/list.go
+++ b/internal/proxy/list.go
@@ -225,6 +225,10 @@
 func (r *Proxy) told(l protocol.EndpointList) {
 	r.counts.Lists.Add(1)
 	entries, old := r.fleet.take(&l)
+	extent := balancer.ChangedEndpoints
+	if l.Complete {
+		extent = balancer.AllEndpoints
+	}
 	// First, as the decisions at once send to those that are listed anew: not on what led to the process
 	// before.
 	for _, o := range old {
@@ -235,10 +239,6 @@
 	if r.beforeListed != nil {
 		r.beforeListed()
 	}
-	extent := balancer.ChangedEndpoints
-	if l.Complete {
-		extent = balancer.AllEndpoints
-	}
 	r.facade.UpdateEndpoints(entries, extent, balancer.FromDiscovery)
 	r.settled.Store(true)
 	if r.terms.Recovery != nil {
