--- a/internal/balancer/subsetting.go
+++ b/internal/balancer/subsetting.go
@@ -16,7 +16,8 @@
 
 // subsetting owns which workers this dispatcher uses (deterministic subsetting), and in which order.
 type subsetting struct {
-	ring    []WorkerID // all listed workers by hash: the same order at every dispatcher
+	ring    []WorkerID  // all listed workers by hash: the same order at every dispatcher
+	places  []ringPlace // of the ring: kept for the next sort
 	subsets [subsetCount]subset
 }
 
@@ -44,8 +45,9 @@
 // reindex renews the index after the set has changed.
 func (s *subset) reindex(workers []worker) {
 	s.positions = s.positions[:0]
-	for range workers {
-		s.positions = append(s.positions, notInSubset)
+	s.positions = slices.Grow(s.positions, len(workers))[:len(workers)]
+	for n := range s.positions {
+		s.positions[n] = notInSubset
 	}
 	s.maybeFree = s.maybeFree[:0]
 	for range (len(s.workers) + wordBits - 1) / wordBits {
@@ -98,13 +100,14 @@
 
 // updateRing renews the order of the listed workers.
 func (b *Balancer) updateRing() {
-	places := make([]ringPlace, 0, len(b.workers))
+	places := b.subsetting.places[:0]
 	for n := range b.workers {
 		if b.workers[n].state != Gone {
 			places = append(places, ringPlace{hash: b.workers[n].hash, worker: WorkerID(n)})
 		}
 	}
 	slices.SortFunc(places, func(x, y ringPlace) int { return cmp.Compare(x.hash, y.hash) })
+	b.subsetting.places = places
 	b.subsetting.ring = b.subsetting.ring[:0]
 	for _, place := range places {
 		b.subsetting.ring = append(b.subsetting.ring, place.worker)
