--- /dev/null
+++ b/internal/balancer/load_probes_test.go
@@ -0,0 +1,23 @@
+package balancer
+
+import (
+	"slices"
+	"strings"
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+)
+
+func TestProbesFollowArrivals(t *testing.T) {
+	balancer, effects := newWarmBalancer(3, 1)
+	balancer.config.probes = true
+	for id := range RequestID(5) {
+		balancer.RequestArrived(id, Arrival{Timeout: 10 * Second, SizeHint: 100})
+		for range 3 {
+			balancer.RunDueRules()
+			balancer.now += Second / 100
+		}
+	}
+	probes := slices.DeleteFunc(effects.lines, func(l string) bool { return !strings.HasPrefix(l, "probe") })
+	assert.Len(t, probes, 3, "the price is for each request, not for time")
+}
--- /dev/null
+++ b/internal/balancer/migration_test.go
@@ -0,0 +1,81 @@
+package balancer
+
+import (
+	"encoding/json"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+)
+
+// passed is a value as it is read at the other process.
+func passed[T any](t *testing.T, v T) (out T) {
+	encoded, err := json.Marshal(v)
+	assert.NoError(t, err)
+	assert.NoError(t, json.Unmarshal(encoded, &out))
+	return out
+}
+
+// Regression test for an effect that happens twice, or a repeat that is not made, because another process goes on.
+func TestMigratedRequestKeepsItsConfigurationAndAttempts(t *testing.T) {
+	for _, c := range []struct {
+		operation OperationID
+		want      Action
+	}{{0, SendAttempt}, {1, RespondFailed}} {
+		old, _ := newTestPicker(namedConfig(), 4)
+		next, _ := newTestPicker(Config{
+			Dispatchers: 2, Kinds: 1, MaxAttempts: 4, ReportInFlight: -1, ReportQueue: -1,
+			ReportFree: -1, Tenants: namedConfig().Tenants, Operations: namedConfig().Operations[3:4],
+		}, 4)
+		handle := old.Submit(Arrival{Operation: c.operation, Timeout: 3 * Second})
+		first := pick(t, handle)
+		_, ok := handle.Export(0)
+		assert.False(t, ok, "an attempt is in flight that does not stand still")
+		a, ok := handle.Export(1)
+		assert.True(t, ok)
+		assert.Equal(t, RespondElsewhere, pick(t, handle).Action)
+		assert.Equal(t, 0, old.OpenRequests())
+		assert.Empty(t, old.InFlightFor(Successor))
+		assert.False(t, handle.Report(first.Attempt, Succeeded), "the other one's to report")
+		_, ok = handle.Export(0)
+		assert.False(t, ok, "once")
+
+		adopted, contexts := next.Import(passed(t, a))
+		assert.Equal(t, []Load{{first.Worker, 1}}, next.InFlightFor(Predecessor))
+		assert.NoError(t, contexts[0].Err())
+		adopted.Report(0, ConnectionReset)
+		got := pick(t, adopted)
+		assert.Equal(t, c.want, got.Action, "its class is not known here")
+		if got.Action == SendAttempt {
+			assert.Equal(t, 1, got.Attempt)
+			adopted.Report(1, Succeeded)
+			pick(t, adopted)
+		}
+		assert.Equal(t, 0, next.OpenRequests())
+	}
+}
+
+// Regression test for an operation that has another number at one shard than at the others, once new terms
+// come: what arrives there would be repeated, or not, as another one.
+func TestAllShardsNumberMigratedOperationsAlike(t *testing.T) {
+	now := Time(100 * Second)
+	s := NewShards(namedConfig(), 2, 1, func() Time { return now }, func(string) {})
+	s.Import(MigratedRequest{Name: "foreign", Idempotency: NonIdempotent, Deadline: time.Now().Add(time.Second)})
+	config := namedConfig()
+	config.Operations = append(config.Operations, OperationConfig{Name: "fresh", LatencyObjective: Second, Kind: -1})
+	numbers := s.Reconfigure(config).Operations
+	for _, picker := range s.pickers {
+		assert.Equal(t, "fresh", picker.balancer.operations.byID[numbers[len(numbers)-1]].name)
+	}
+}
+
+func TestPendingRequestIsMigrated(t *testing.T) {
+	old, _ := newTestPicker(namedConfig(), 0)
+	a, ok := old.Submit(Arrival{Timeout: 3 * Second}).Export(0)
+	assert.True(t, ok)
+	next, _ := newTestPicker(namedConfig(), 1)
+	handle, _ := next.Import(passed(t, a))
+	next.update(func(*Balancer) {})
+	assert.Equal(t, SendAttempt, pick(t, handle).Action)
+	assert.InDelta(t, 3, time.Until(handle.deadline).Seconds(), 0.5)
+}
--- /dev/null
+++ b/internal/balancer/pending_test.go
@@ -0,0 +1,33 @@
+package balancer
+
+import (
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+)
+
+func TestPendingOrderIsByValueThenLatestStart(t *testing.T) {
+	balancer, _ := newWarmBalancer(1, 1)
+	balancer.workers[0].unstarted = 1
+	for id, op := range []OperationID{0, 0, 1} {
+		balancer.now += 10
+		balancer.RequestArrived(RequestID(id), Arrival{Operation: op, Timeout: 10 * Second, SizeHint: 100})
+	}
+	balancer.requests.byID[0].quotaWeight = balancer.config.overQuotaShare
+	balancer.updateCutPoints()
+	assert.Equal(t, []RequestID{2, 1, 0}, balancer.pending.ids)
+}
+
+func TestWorstOperationHasItsWeightInTheGoal(t *testing.T) {
+	balancer, _ := newWarmBalancer(1, 1)
+	balancer.config.worstOperationWeight = 1
+	balancer.workers[0].probeAfter = 200 * Second
+	for id, op := range []OperationID{1, 0, 1} { // worth 8 and 1 for a unit of work
+		balancer.now++
+		balancer.RequestArrived(RequestID(id), Arrival{Operation: op, Timeout: 10 * Second, SizeHint: Second})
+	}
+	assert.Equal(t, []RequestID{0, 2, 1}, balancer.pending.ids)
+	balancer.RequestArrived(3, Arrival{Timeout: 10 * Second, SizeHint: Second})
+	balancer.rejectOrFail(3)
+	assert.Equal(t, []RequestID{1, 0, 2}, balancer.pending.ids, "else the operation of little value would get nothing")
+}
--- a/internal/balancer/picker.go
+++ b/internal/balancer/picker.go
@@ -168,6 +168,15 @@
 	})
 }
 
+// limitDeadlines has all open requests answered by a time.
+func (b *Balancer) limitDeadlines(latest Time) {
+	for id := range b.requests.newestFirst() {
+		request := b.requests.get(id)
+		request.deadline = min(request.deadline, latest)
+		b.due.reviewBy(request.deadline)
+	}
+}
+
 // CancelAll cancels all attempts that are still in flight, as the process ends and nobody waits for them: else it would
 // stay for as long as its clients would have waited.
 func (p *Picker) CancelAll() { p.cancelAll(ErrAttemptCanceled) }
@@ -228,9 +237,9 @@
 	}
 }
 
-// UpdateEndpoints takes a list of endpoints, whole or changes to it. known tells that it is from before the start.
-func (p *Picker) UpdateEndpoints(entries []Endpoint, whole, known bool) {
-	p.update(func(b *Balancer) { b.UpdateEndpoints(entries, whole, !known) })
+// UpdateEndpoints takes a list of endpoints.
+func (p *Picker) UpdateEndpoints(entries []Endpoint, extent ListExtent, source ListSource) {
+	p.update(func(b *Balancer) { b.UpdateEndpoints(entries, extent, source) })
 }
 
 // WatchEnd is how a poll of the endpoint list, or the watch that it began, ended.
--- /dev/null
+++ b/internal/balancer/shards_test.go
@@ -0,0 +1,150 @@
+package balancer
+
+import (
+	"context"
+	"fmt"
+	"sync"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+)
+
+// newTestShards has n shards in the second of two processes, and workers that all of them know.
+func newTestShards(t Config, n, workers int) *Shards {
+	now := Time(100 * Second)
+	t.Dispatchers, t.Position = 2, 1
+	s := NewShards(t, n, 1, func() Time { return now }, func(string) {})
+	var list []Endpoint
+	for w := range workers {
+		list = append(list, Endpoint{Worker: WorkerID(w), ID: fmt.Sprintf("w%d", w), Zone: ZoneID(w % 2), Cell: CellID(w)})
+	}
+	s.UpdateEndpoints(list, AllEndpoints, FromBeforeStart)
+	return s
+}
+
+func TestShardsAreDispatchersAmongAllOfAllProcesses(t *testing.T) {
+	config := testConfig
+	config.Gossip = true
+	s := newTestShards(config, 3, 4)
+	for j, picker := range s.pickers {
+		assert.Equal(t, []int{6, 3 + j}, []int{picker.balancer.config.dispatchers, picker.balancer.config.position})
+		assert.Equal(t, 1.0/6, picker.balancer.config.dispatcherShare, "budgets and shares are cut into as many parts")
+		assert.True(t, picker.balancer.config.gossip)
+	}
+	alone := newTestShards(testConfig, 1, 4)
+	assert.Equal(t, []int{2, 1}, []int{alone.pickers[0].balancer.config.dispatchers, alone.pickers[0].balancer.config.position})
+	assert.False(t, alone.pickers[0].balancer.config.gossip, "one shard is as it was")
+	for range 6 {
+		s.Submit(Arrival{Timeout: 3 * Second})
+	}
+	for _, picker := range s.pickers {
+		assert.Equal(t, 2, picker.OpenRequests())
+	}
+	assert.Equal(t, 6, s.OpenRequests())
+}
+
+func TestShardsGossipInMemory(t *testing.T) {
+	for _, outside := range []bool{false, true} {
+		config := testConfig
+		config.Gossip = outside
+		s := newTestShards(config, 2, 1)
+		handle := s.pickers[0].Submit(Arrival{Timeout: 3 * Second})
+		c := pick(t, handle)
+		s.pickers[0].update(func(balancer *Balancer) { balancer.sendChangedLoads() }) // as its time comes
+		ctx, cancel := context.WithTimeout(context.Background(), 200*time.Millisecond)
+		news, err := s.NextLoadUpdates(ctx, 0)
+		cancel()
+		assert.Equal(t, 1, s.pickers[1].balancer.workers[c.Worker].peerInFlight, "heard within the process")
+		assert.Equal(t, 0, s.pickers[0].balancer.workers[c.Worker].peerInFlight, "not by the one that told")
+		if !outside {
+			assert.Error(t, err, "nothing may leave the process")
+			continue
+		}
+		for _, n := range news {
+			assert.Less(t, int(n.To), 2, "a shard of the other process")
+		}
+		assert.Len(t, news, 2)
+	}
+}
+
+func TestOnePollServesAllShards(t *testing.T) {
+	config := testConfig
+	config.PollEndpoints = true
+	s := newTestShards(config, 3, 1)
+	for _, picker := range s.pickers {
+		picker.update(func(balancer *Balancer) { balancer.discovery.nextPoll = 0 }) // their turn has come
+	}
+	ctx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
+	defer cancel()
+	assert.NoError(t, s.AwaitPoll(ctx))
+	assert.Error(t, s.AwaitPoll(ctx), "the others want it by the same call")
+	s.UpdateEndpoints([]Endpoint{{Worker: 0, ID: "w0", State: Draining}}, AllEndpoints, FromDiscovery)
+	for _, picker := range s.pickers {
+		assert.True(t, picker.balancer.discovery.watching)
+		assert.Equal(t, Draining, picker.balancer.workers[0].state, "a drain holds for all")
+	}
+}
+
+// Regression test for two shards that tell each other at once and wait for each other's lock.
+func TestShardsThatTellEachOtherAtOnceDoNotDeadlock(t *testing.T) {
+	config := testConfig
+	config.Granularity = 0
+	s := newTestShards(config, 4, 8)
+	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
+	defer cancel()
+	for j := range s.Count() {
+		go func() { _, _ = s.NextLoadUpdates(ctx, j) }()
+	}
+	var lives sync.WaitGroup
+	for range 8 {
+		lives.Go(func() {
+			for range 300 {
+				handle := s.Submit(Arrival{Timeout: 3 * Second, SizeHint: 10})
+				c, err := handle.Pick(ctx)
+				if !assert.NoError(t, err) {
+					return
+				}
+				handle.picker.update(func(balancer *Balancer) { balancer.sendChangedLoads() })
+				handle.ReportStarted(c.Attempt)
+				handle.Report(c.Attempt, Succeeded)
+				_, err = handle.Pick(ctx)
+				assert.NoError(t, err)
+			}
+		})
+	}
+	lives.Wait()
+	assert.Zero(t, s.OpenRequests())
+}
+
+// Regression test for a fleet that restarts at once and greets all with all: it is charged for each message.
+func TestGossipPeersShareWorkers(t *testing.T) {
+	config := testConfig
+	config.Dispatchers, config.Gossip, config.GossipCost = 80, true, 0.000625
+	fleet := make([]*Shards, 80)
+	for n := range fleet {
+		config.Position = n
+		fleet[n] = NewShards(config, 1, 1, func() Time { return 0 }, func(string) {})
+		assert.Len(t, fleet[n].GossipPeers(), 79, "all, before there is a list")
+		var list []Endpoint
+		for w := range 60 {
+			list = append(list, Endpoint{Worker: WorkerID(w), ID: fmt.Sprintf("w%d", w)})
+		}
+		fleet[n].UpdateEndpoints(list, AllEndpoints, FromBeforeStart)
+	}
+	for n, s := range fleet {
+		near := s.GossipPeers()
+		assert.Less(t, len(near), 30)
+		balancer := s.pickers[0].balancer
+		for _, w := range balancer.subsetting.subsets[bothIntervals].workers {
+			for p := balancer.workers[w].subsetPeerRange[0]; p < balancer.workers[w].subsetPeerRange[1]; p++ {
+				if p%80 != n {
+					assert.Contains(t, near, p%80, "told of worker %d", w)
+				}
+			}
+		}
+		for _, p := range near {
+			assert.Contains(t, fleet[p].GossipPeers(), n, "each of the other")
+		}
+	}
+}
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -101,7 +101,7 @@
 func (w *Watcher) Seed(list *protocol.EndpointList, zones []string) {
 	w.table.addZones(zones)
 	endpoints, _ := w.table.Update(list)
-	w.balancer.UpdateEndpoints(endpoints, true, true)
+	w.balancer.UpdateEndpoints(endpoints, balancer.AllEndpoints, balancer.FromBeforeStart)
 }
 
 // SkipFirstPoll counts the first poll as answered if any worker is listed.
@@ -111,10 +111,18 @@
 func (w *Watcher) Merge(endpoints []protocol.Endpoint) {
 	list := protocol.EndpointList{Version: w.table.Version(), Endpoints: endpoints}
 	updated, outdated := w.table.Update(&list)
-	w.balancer.UpdateEndpoints(updated, false, true)
+	w.balancer.UpdateEndpoints(updated, balancer.ChangedEndpoints, balancer.FromBeforeStart)
 	w.closeOutdated(outdated)
 }
 
+// extentOf is whether a list names all workers or only those that have changed.
+func extentOf(list protocol.EndpointList) balancer.ListExtent {
+	if list.Complete {
+		return balancer.AllEndpoints
+	}
+	return balancer.ChangedEndpoints
+}
+
 // Apply applies a list, or a change to it, from the discovery service.
 func (w *Watcher) Apply(list protocol.EndpointList) {
 	w.Counters.Lists.Add(1)
@@ -125,7 +133,7 @@
 	if w.hooks.beforeUpdate != nil {
 		w.hooks.beforeUpdate()
 	}
-	w.balancer.UpdateEndpoints(endpoints, list.Complete, false)
+	w.balancer.UpdateEndpoints(endpoints, extentOf(list), balancer.FromDiscovery)
 	w.answered.Store(true)
 	if w.config.Observer != nil {
 		w.config.Observer.EndpointsReceived()
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -37,7 +37,7 @@
 		Tenants:    []balancer.TenantConfig{{Quota: 1e9}},
 		Operations: []balancer.OperationConfig{{LatencyObjective: balancer.Second, Value: 1, Kind: -1}},
 	}, 1, 1, clock, func(string) {})
-	b.UpdateEndpoints([]balancer.Endpoint{{Worker: 0, ID: "w", State: balancer.Healthy}}, true, true)
+	b.UpdateEndpoints([]balancer.Endpoint{{Worker: 0, ID: "w", State: balancer.Healthy}}, balancer.AllEndpoints, balancer.FromBeforeStart)
 	return b
 }
 
--- a/internal/simadapter/discovery.go
+++ b/internal/simadapter/discovery.go
@@ -118,8 +118,14 @@
 		endpoint.Worker = in.workers.findOrAdd(listed.name)
 		endpoints = append(endpoints, endpoint)
 	}
-	complete := mode != modePatch
-	mayAnswerPoll := mode != modeStaleCopy
-	in.balancer.UpdateEndpoints(endpoints, complete, mayAnswerPoll)
+	extent := balancer.AllEndpoints
+	if mode == modePatch {
+		extent = balancer.ChangedEndpoints
+	}
+	source := balancer.FromDiscovery
+	if mode == modeStaleCopy {
+		source = balancer.FromBeforeStart
+	}
+	in.balancer.UpdateEndpoints(endpoints, extent, source)
 	return nil
 }
