--- a/internal/balancer/availability_test.go
+++ b/internal/balancer/availability_test.go
@@ -77,7 +77,7 @@
 			balancer.AttemptEnded(id, n, outcome, outcome == Succeeded && !balancer.requests.byID[id].closed)
 		}
 	case 8:
-		balancer.ReceiveLoad(1, Load{Worker: WorkerID(l.rng.IntN(len(balancer.workers))), InFlight: l.rng.IntN(6)})
+		balancer.ReceiveLoad(1, WorkerLoad{Worker: WorkerID(l.rng.IntN(len(balancer.workers))), InFlight: l.rng.IntN(6)})
 	case 9:
 		w := WorkerID(l.rng.IntN(len(balancer.workers)))
 		e := Endpoint{Worker: w, ID: fmt.Sprintf("w%d", w), Zone: ZoneID(w % 2), Cell: CellID(w), State: WorkerState(l.rng.IntN(3))}
--- a/internal/balancer/config.go
+++ b/internal/balancer/config.go
@@ -82,9 +82,9 @@
 		maxRetryPoll:    config.MaxPollInterval * 4 / 5,
 	}
 	derived.firstPollSpread = derived.pollSpread
-	if config.NotifyDeadline > 0 {
-		derived.firstPollSpread = min(derived.pollSpread, config.NotifyDeadline/3)
-		derived.maxRetryPoll = min(derived.maxRetryPoll, config.NotifyDeadline*2/3)
+	if config.EndpointChangeDeadline > 0 {
+		derived.firstPollSpread = min(derived.pollSpread, config.EndpointChangeDeadline/3)
+		derived.maxRetryPoll = min(derived.maxRetryPoll, config.EndpointChangeDeadline*2/3)
 		derived.awaitFirstPoll = true
 	}
 	if derived.gossip && config.GossipCost > 0 { // peers are sent two messages for each attempt: its start and its end
--- a/internal/balancer/discovery_test.go
+++ b/internal/balancer/discovery_test.go
@@ -110,7 +110,7 @@
 // notifyDeadlineConfig are those of a platform on which a change counts as told 6 s after it could be had.
 func notifyDeadlineConfig(dispatchers, position int) Config {
 	config := testConfig
-	config.PollEndpoints, config.NotifyDeadline = true, 6*Second
+	config.PollEndpoints, config.EndpointChangeDeadline = true, 6*Second
 	config.Dispatchers, config.Position = dispatchers, position
 	return config
 }
--- a/internal/balancer/gossip.go
+++ b/internal/balancer/gossip.go
@@ -74,7 +74,7 @@
 }
 
 // ReceiveLoad takes what a peer has in flight at a worker.
-func (b *Balancer) ReceiveLoad(from PeerID, load Load) {
+func (b *Balancer) ReceiveLoad(from PeerID, load WorkerLoad) {
 	b.gossip.recordPeerAge(from, false)
 	worker := &b.workers[load.Worker]
 	loadBefore := b.load(load.Worker)
@@ -141,7 +141,7 @@
 		worker := &b.workers[id]
 		if worker.inFlight != worker.sentLoad {
 			for peer := range b.subsetPeers(id) {
-				b.effects.SendLoad(peer, Load{Worker: id, InFlight: worker.inFlight})
+				b.effects.SendLoad(peer, WorkerLoad{Worker: id, InFlight: worker.inFlight})
 			}
 		}
 		worker.sentLoad = worker.inFlight
@@ -173,7 +173,7 @@
 func (b *Balancer) receivePeerStarted(from PeerID) {
 	b.gossip.recordPeerAge(from, true)
 	for _, id := range b.subsetting.ring {
-		b.ReceiveLoad(from, Load{Worker: id})
+		b.ReceiveLoad(from, WorkerLoad{Worker: id})
 		b.retellLoad(id)
 	}
 }
--- a/internal/balancer/gossip_test.go
+++ b/internal/balancer/gossip_test.go
@@ -8,8 +8,8 @@
 
 func TestLoadsOfSilentPeersAreForgotten(t *testing.T) {
 	balancer, _ := newWarmBalancer(2, 1)
-	balancer.ReceiveLoad(1, Load{Worker: 0, InFlight: 3})
-	balancer.ReceiveLoad(1, Load{Worker: 0, InFlight: 2})
+	balancer.ReceiveLoad(1, WorkerLoad{Worker: 0, InFlight: 3})
+	balancer.ReceiveLoad(1, WorkerLoad{Worker: 0, InFlight: 2})
 	assert.Equal(t, 2, balancer.load(0))
 	balancer.now += 3*balancer.gossip.resendInterval + 1
 	balancer.resendLoads()
--- a/internal/balancer/helper_test.go
+++ b/internal/balancer/helper_test.go
@@ -28,7 +28,7 @@
 
 func (r *recorder) Probe(target WorkerID) { r.add("probe %d", target) }
 
-func (r *recorder) SendLoad(to PeerID, l Load) {
+func (r *recorder) SendLoad(to PeerID, l WorkerLoad) {
 	r.add("load for %d: worker %d has %d", to, l.Worker, l.InFlight)
 }
 
--- a/internal/balancer/migration_test.go
+++ b/internal/balancer/migration_test.go
@@ -41,7 +41,7 @@
 		assert.False(t, ok, "once")
 
 		adopted, contexts := next.Import(passed(t, a))
-		assert.Equal(t, []Load{{first.Worker, 1}}, next.InFlightFor(Predecessor))
+		assert.Equal(t, []WorkerLoad{{first.Worker, 1}}, next.InFlightFor(Predecessor))
 		assert.NoError(t, contexts[0].Err())
 		adopted.Report(0, ConnectionReset)
 		got := pick(t, adopted)
--- a/internal/balancer/pick_worker_test.go
+++ b/internal/balancer/pick_worker_test.go
@@ -73,7 +73,7 @@
 	balancer, _ := newWarmBalancer(1, 1)
 	balancer.slots.kinds[0].estimate, balancer.slots.kinds[0].maxObserved = 3, 3
 	balancer.config.gossip = true
-	balancer.ReceiveLoad(1, Load{Worker: 0, InFlight: 2})
+	balancer.ReceiveLoad(1, WorkerLoad{Worker: 0, InFlight: 2})
 	_, ok := balancer.pickWorker(&request{attemptLimit: 4, interval: bothIntervals, deadline: 200 * Second, quotaWeight: 0.2})
 	assert.False(t, ok)
 	_, ok = balancer.pickWorker(&request{attemptLimit: 4, interval: bothIntervals, deadline: 200 * Second, quotaWeight: 1})
--- a/internal/balancer/picker.go
+++ b/internal/balancer/picker.go
@@ -36,7 +36,7 @@
 // LoadUpdate is what one peer has to be told of the load here.
 type LoadUpdate struct {
 	To    PeerID
-	Loads []Load
+	Loads []WorkerLoad
 }
 
 // stopConfidence is the share of the time left to a process that ends which a size hint may fill: hints are rough, and
@@ -181,8 +181,8 @@
 // stay for as long as its clients would have waited.
 func (p *Picker) CancelAll() { p.cancelAll(ErrAttemptCanceled) }
 
-// MissesStop tells whether a request that arrives now would, by its size hint, not be done before the process ends.
-func (p *Picker) MissesStop(arrival Arrival) (misses bool) {
+// WouldMissStop tells whether a request that arrives now would, by its size hint, not be done before the process ends.
+func (p *Picker) WouldMissStop(arrival Arrival) (misses bool) {
 	p.read(func(b *Balancer) {
 		size := Work(float64(arrival.SizeHint) * max(arrival.Slots, 1))
 		if size == 0 {
@@ -267,7 +267,7 @@
 }
 
 // ReceiveLoad takes what a peer has in flight at a worker. Workers that are not known here yet are passed over.
-func (p *Picker) ReceiveLoad(from PeerID, load Load) {
+func (p *Picker) ReceiveLoad(from PeerID, load WorkerLoad) {
 	p.update(func(b *Balancer) {
 		if int(load.Worker) < len(b.workers) {
 			b.ReceiveLoad(from, load)
--- a/internal/balancer/picker_effects.go
+++ b/internal/balancer/picker_effects.go
@@ -59,7 +59,7 @@
 	}
 }
 
-func (e pickerEffects) SendLoad(to PeerID, load Load) {
+func (e pickerEffects) SendLoad(to PeerID, load WorkerLoad) {
 	p := e.picker
 	for n := range p.loadUpdates {
 		if p.loadUpdates[n].To == to {
@@ -67,7 +67,7 @@
 			return
 		}
 	}
-	p.loadUpdates = append(p.loadUpdates, LoadUpdate{To: to, Loads: []Load{load}})
+	p.loadUpdates = append(p.loadUpdates, LoadUpdate{To: to, Loads: []WorkerLoad{load}})
 	signal(p.loadUpdatesReady)
 }
 
--- a/internal/balancer/picker_test.go
+++ b/internal/balancer/picker_test.go
@@ -191,7 +191,7 @@
 				}
 				handle.ReportStarted(c.Attempt)
 				handle.Report(c.Attempt, []Outcome{Succeeded, Overloaded, Succeeded, WorkerError}[(n+c.Attempt)%4])
-				picker.ReceiveLoad(1, Load{Worker: c.Worker, InFlight: n % 3})
+				picker.ReceiveLoad(1, WorkerLoad{Worker: c.Worker, InFlight: n % 3})
 			}
 		})
 	}
@@ -205,18 +205,18 @@
 // Regression test for a crash: a peer may tell of a worker whose list is still on its way to the rules.
 func TestLoadOfAnUnknownWorkerIsPassedOver(t *testing.T) {
 	picker, _ := newTestPicker(testConfig, 1)
-	assert.NotPanics(t, func() { picker.ReceiveLoad(1, Load{Worker: 7, InFlight: 2}) })
+	assert.NotPanics(t, func() { picker.ReceiveLoad(1, WorkerLoad{Worker: 7, InFlight: 2}) })
 }
 
 func TestLoadsForOnePeerGoTogether(t *testing.T) {
 	picker, _ := newTestPicker(testConfig, 1)
 	l := pickerEffects{picker}
-	l.SendLoad(1, Load{0, 2})
-	l.SendLoad(0, Load{0, 2})
-	l.SendLoad(1, Load{1, 3})
+	l.SendLoad(1, WorkerLoad{0, 2})
+	l.SendLoad(0, WorkerLoad{0, 2})
+	l.SendLoad(1, WorkerLoad{1, 3})
 	news, err := picker.NextLoadUpdates(context.Background())
 	assert.NoError(t, err)
-	assert.Equal(t, []LoadUpdate{{1, []Load{{0, 2}, {1, 3}}}, {0, []Load{{0, 2}}}}, news)
+	assert.Equal(t, []LoadUpdate{{1, []WorkerLoad{{0, 2}, {1, 3}}}, {0, []WorkerLoad{{0, 2}}}}, news)
 }
 
 // Regression test for an endpoint service that is asked again with no wait, and one that is asked late after it moved.
@@ -254,12 +254,12 @@
 	picker.update(func(*Balancer) {})
 	_, err := picker.NextLoadUpdates(context.Background())
 	assert.NoError(t, err)
-	picker.ReceiveLoad(1, Load{Worker: 0, InFlight: 3})
+	picker.ReceiveLoad(1, WorkerLoad{Worker: 0, InFlight: 3})
 	picker.update(func(balancer *Balancer) { balancer.receivePeerStarted(1) })
 	assert.Equal(t, 0, picker.balancer.workers[0].peerInFlight)
 	*now += Second
 	picker.update(func(*Balancer) {})
 	news, err := picker.NextLoadUpdates(context.Background())
 	assert.NoError(t, err)
-	assert.Equal(t, []LoadUpdate{{1, []Load{{c.Worker, 1}}}}, news)
+	assert.Equal(t, []LoadUpdate{{1, []WorkerLoad{{c.Worker, 1}}}}, news)
 }
--- a/internal/balancer/release_test.go
+++ b/internal/balancer/release_test.go
@@ -76,7 +76,7 @@
 	l.r.cancelled = append(l.r.cancelled, &job{from: balancer, inv: id, n: n})
 }
 
-func (l *releaseEffects) SendLoad(to PeerID, load Load) {
+func (l *releaseEffects) SendLoad(to PeerID, load WorkerLoad) {
 	if l.r.rng.Float64() >= l.r.way.lost {
 		l.r.news = append(l.r.news, message{l.r.now + flight, PeerID(l.number), to, load})
 	}
--- a/internal/balancer/shards.go
+++ b/internal/balancer/shards.go
@@ -104,8 +104,8 @@
 	}
 }
 
-// MissesStop tells whether a request that arrives now would, by its size hint, not be done before the process ends.
-func (s *Shards) MissesStop(arrival Arrival) bool { return s.first().MissesStop(arrival) }
+// WouldMissStop tells whether a request that arrives now would, by its size hint, not be done before the process ends.
+func (s *Shards) WouldMissStop(arrival Arrival) bool { return s.first().WouldMissStop(arrival) }
 
 // WorkerCounts counts the workers that are listed, and of them those that are ejected now, at the shard that has the most.
 func (s *Shards) WorkerCounts() (listed, ejected int) {
@@ -184,7 +184,7 @@
 }
 
 // ReceiveLoad takes what a shard of another process has in flight at a worker.
-func (s *Shards) ReceiveLoad(from PeerID, load Load) {
+func (s *Shards) ReceiveLoad(from PeerID, load WorkerLoad) {
 	for _, picker := range s.pickers {
 		picker.ReceiveLoad(from, load)
 	}
--- a/internal/balancer/sibling.go
+++ b/internal/balancer/sibling.go
@@ -27,22 +27,22 @@
 }
 
 // add returns f with more in flight at a worker.
-func (f inFlightByWorker) add(load Load) inFlightByWorker {
+func (f inFlightByWorker) add(load WorkerLoad) inFlightByWorker {
 	f = append(f, make(inFlightByWorker, max(0, int(load.Worker)+1-len(f)))...)
 	f[load.Worker] += load.InFlight
 	return f
 }
 
 // set returns f with what is in flight at a worker.
-func (f inFlightByWorker) set(load Load) inFlightByWorker {
-	return f.add(Load{Worker: load.Worker, InFlight: load.InFlight - f.of(load.Worker)})
+func (f inFlightByWorker) set(load WorkerLoad) inFlightByWorker {
+	return f.add(WorkerLoad{Worker: load.Worker, InFlight: load.InFlight - f.of(load.Worker)})
 }
 
 // loads are the workers with something in flight.
-func (f inFlightByWorker) loads() (loads []Load) {
+func (f inFlightByWorker) loads() (loads []WorkerLoad) {
 	for id, inFlight := range f {
 		if inFlight > 0 {
-			loads = append(loads, Load{Worker: WorkerID(id), InFlight: inFlight})
+			loads = append(loads, WorkerLoad{Worker: WorkerID(id), InFlight: inFlight})
 		}
 	}
 	return loads
@@ -50,7 +50,7 @@
 
 // InFlightFor is what a sibling has to be told: what is in flight here at each worker, without what that sibling itself
 // told of.
-func (p *Picker) InFlightFor(to SiblingRole) []Load {
+func (p *Picker) InFlightFor(to SiblingRole) []WorkerLoad {
 	var inFlight inFlightByWorker
 	p.read(func(b *Balancer) {
 		for n := range b.workers {
@@ -62,7 +62,7 @@
 
 // UpdateSibling takes all that a sibling has in flight. It counts as in flight here: the processes are one dispatcher,
 // whose peers are told the sum.
-func (p *Picker) UpdateSibling(from SiblingRole, loads []Load) {
+func (p *Picker) UpdateSibling(from SiblingRole, loads []WorkerLoad) {
 	p.update(func(b *Balancer) {
 		before := p.siblings[from]
 		var now inFlightByWorker
@@ -110,7 +110,7 @@
 
 // InFlightFor is what a sibling has to be told: what is in flight at all shards here, without what that sibling itself
 // told of.
-func (s *Shards) InFlightFor(to SiblingRole) []Load {
+func (s *Shards) InFlightFor(to SiblingRole) []WorkerLoad {
 	var sum inFlightByWorker
 	for _, picker := range s.pickers {
 		for _, load := range picker.InFlightFor(to) {
@@ -122,7 +122,7 @@
 
 // UpdateSibling takes all that a sibling has in flight. The first shard counts it, and tells the others as it tells of
 // its own.
-func (s *Shards) UpdateSibling(from SiblingRole, loads []Load) {
+func (s *Shards) UpdateSibling(from SiblingRole, loads []WorkerLoad) {
 	s.first().UpdateSibling(from, loads)
 }
 
--- a/internal/balancer/snapshot.go
+++ b/internal/balancer/snapshot.go
@@ -52,23 +52,23 @@
 
 // WorkerStats is what is known of one worker beside its entry in the endpoint list.
 type WorkerStats struct {
-	ConsecutiveFailures int        `json:"Fails"`
-	PossiblyExecuted    bool       `json:"Ruined"` // an attempt that failed there may have run
-	ProbeAfter          Time       `json:"TrialAt"`
-	NotBefore           Time       `json:"OpenAt"`
-	PeerLoads           []PeerLoad `json:"Heard"`
-	Sends               []SentWork `json:"Spent"`
+	ConsecutiveFailures int                `json:"Fails"`
+	PossiblyExecuted    bool               `json:"Ruined"` // an attempt that failed there may have run
+	ProbeAfter          Time               `json:"TrialAt"`
+	NotBefore           Time               `json:"OpenAt"`
+	PeerLoads           []SnapshotPeerLoad `json:"Heard"`
+	Sends               []SnapshotSend     `json:"Spent"`
 }
 
-// PeerLoad is what a peer last said of a worker.
-type PeerLoad struct {
+// SnapshotPeerLoad is what a peer last said of a worker.
+type SnapshotPeerLoad struct {
 	From       PeerID `json:"From"`
 	InFlight   int    `json:"InFlight"`
 	ReceivedAt Time   `json:"At"`
 }
 
-// SentWork is work that was sent to a worker at a time.
-type SentWork struct {
+// SnapshotSend is work that was sent to a worker at a time.
+type SnapshotSend struct {
 	At   Time `json:"At"`
 	Work Work `json:"Work"`
 }
@@ -131,10 +131,10 @@
 		NotBefore:           w.notBefore,
 	}
 	for _, known := range w.peerLoads {
-		learned.PeerLoads = append(learned.PeerLoads, PeerLoad{From: known.from, InFlight: known.inFlight, ReceivedAt: known.receivedAt})
+		learned.PeerLoads = append(learned.PeerLoads, SnapshotPeerLoad{From: known.from, InFlight: known.inFlight, ReceivedAt: known.receivedAt})
 	}
 	for _, sent := range w.sends {
-		learned.Sends = append(learned.Sends, SentWork{At: sent.sentAt, Work: sent.work})
+		learned.Sends = append(learned.Sends, SnapshotSend{At: sent.sentAt, Work: sent.work})
 	}
 	return learned
 }
@@ -200,7 +200,7 @@
 	worker.probeAfter = learned.ProbeAfter
 	worker.notBefore = learned.NotBefore
 	for _, heard := range learned.PeerLoads {
-		b.ReceiveLoad(heard.From, Load{Worker: id, InFlight: heard.InFlight})
+		b.ReceiveLoad(heard.From, WorkerLoad{Worker: id, InFlight: heard.InFlight})
 		worker.peerLoads[len(worker.peerLoads)-1].receivedAt = heard.ReceivedAt
 	}
 	for _, sent := range learned.Sends {
--- a/internal/balancer/snapshot_test.go
+++ b/internal/balancer/snapshot_test.go
@@ -20,7 +20,7 @@
 		for n := range 60 {
 			balancer.observeSize(Work(100 + n))
 		}
-		balancer.ReceiveLoad(1, Load{3, 2})
+		balancer.ReceiveLoad(1, WorkerLoad{3, 2})
 		balancer.quotaWeight(0)
 		balancer.operations.byID[1].requestedWork, balancer.operations.byID[1].longestTimeout = 700, 9*Second
 	})
--- a/internal/balancer/types.go
+++ b/internal/balancer/types.go
@@ -117,7 +117,7 @@
 	Granularity                                      Time // of the platform's scheduling
 	MaxPollInterval                                  Time // longest time without a poll that the platform allows
 	MaxRetryAfter                                    Time // longest advice to a rejected client
-	NotifyDeadline                                   Time // a change of endpoints counts as known then, whatever became of polls; 0 for none
+	EndpointChangeDeadline                           Time // a change of endpoints counts as known then, whatever became of polls; 0 for none
 	WarmupDuration, WarmupWindow                     Time
 	InitialWarmup                                    float64 // share of its capacity that a worker has as it starts
 	OverloadFactor                                   float64 // a warming worker breaks at this many times its capacity
@@ -152,8 +152,8 @@
 	Slots     float64 // that it takes; less than 1 counts as 1
 }
 
-// Load is what one dispatcher has in flight at a worker.
-type Load struct {
+// WorkerLoad is what one dispatcher has in flight at a worker.
+type WorkerLoad struct {
 	Worker   WorkerID
 	InFlight int
 }
@@ -175,7 +175,7 @@
 	// Probe requests a load report from a worker.
 	Probe(worker WorkerID)
 	// SendLoad tells a peer what is in flight here at a worker.
-	SendLoad(to PeerID, load Load)
+	SendLoad(to PeerID, load WorkerLoad)
 	// Log takes a remark.
 	Log(line string)
 }
--- a/internal/balancer/warmup_budget_test.go
+++ b/internal/balancer/warmup_budget_test.go
@@ -98,7 +98,7 @@
 type message struct {
 	due      Time
 	from, to PeerID
-	l        Load
+	l        WorkerLoad
 }
 
 const (
@@ -129,7 +129,7 @@
 	l.c.refused = append(l.c.refused, j)
 }
 
-func (l *lineEffects) SendLoad(to PeerID, load Load) {
+func (l *lineEffects) SendLoad(to PeerID, load WorkerLoad) {
 	l.c.news = append(l.c.news, message{l.c.now + flight, l.number, to, load})
 }
 
--- a/internal/balancer/warmup_test.go
+++ b/internal/balancer/warmup_test.go
@@ -89,7 +89,7 @@
 	much := Work(testConfig.OverloadFactor * testConfig.InitialWarmup * float64(testConfig.WarmupWindow))
 	balancer := newIsolatedBalancer()
 	assert.False(t, balancer.withinWarmupBudget(0, much))
-	balancer.ReceiveLoad(1, Load{Worker: 3, InFlight: 1})
+	balancer.ReceiveLoad(1, WorkerLoad{Worker: 3, InFlight: 1})
 	assert.True(t, balancer.withinWarmupBudget(0, much), "one who lives tells of what is in flight")
 	balancer.gossip.recordPeerAge(1, true)
 	assert.False(t, balancer.withinWarmupBudget(0, much), "it has just started too")
--- a/internal/daemon/config_parse.go
+++ b/internal/daemon/config_parse.go
@@ -91,7 +91,7 @@
 	interval := r.seconds(defaultPollInterval, "settings", "rules", "askWithinS")
 	c.Balancer.PollEndpoints = true
 	c.Balancer.MaxPollInterval = settings.DurationOf(interval.Seconds())
-	c.Balancer.NotifyDeadline = notifyDeadline
+	c.Balancer.EndpointChangeDeadline = notifyDeadline
 	c.Balancer.DeliveryNotices = true
 }
 
--- a/internal/daemon/operators_test.go
+++ b/internal/daemon/operators_test.go
@@ -61,7 +61,7 @@
 	}
 	d := read.Balancer
 	assert.Equal(t, []any{int64(70_000), int64(60_000), true, true},
-		[]any{int64(d.MaxPollInterval), int64(d.NotifyDeadline), d.DeliveryNotices, d.PollEndpoints})
+		[]any{int64(d.MaxPollInterval), int64(d.EndpointChangeDeadline), d.DeliveryNotices, d.PollEndpoints})
 	want.Balancer, want.keys, want.settingsHash = d, read.keys, read.settingsHash
 	assert.Equal(t, want, read)
 	unset := []string{}
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -200,7 +200,7 @@
 	}
 	for _, load := range loads {
 		if worker, known := e.endpoints.ByTag(load.Tag); known {
-			e.balancer.ReceiveLoad(balancer.PeerID(peer), balancer.Load{Worker: worker, InFlight: load.InFlight})
+			e.balancer.ReceiveLoad(balancer.PeerID(peer), balancer.WorkerLoad{Worker: worker, InFlight: load.InFlight})
 		}
 	}
 }
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -104,7 +104,7 @@
 	cancel()
 	assert.NoError(t, <-stopped)
 
-	e.balancer.ReceiveLoad(1, balancer.Load{Worker: 0, InFlight: 8})
+	e.balancer.ReceiveLoad(1, balancer.WorkerLoad{Worker: 0, InFlight: 8})
 	assert.False(t, isSentWithin(t, 50*time.Millisecond, e.balancer), "the peer's load fills the worker")
 	e.receive(e.config.Peers[1], datagram[:n])
 	assert.True(t, isSentWithin(t, receiveTimeout, e.balancer), "a peer that has just started has nothing in flight")
@@ -121,7 +121,7 @@
 	}
 	assert.EqualValues(t, 1, e.Counters.Sent.Load(), "once, so that two do not answer each other for ever")
 	e.helloReplies[1] = time.Time{}
-	e.balancer.ReceiveLoad(2, balancer.Load{Worker: 0, InFlight: 1})
+	e.balancer.ReceiveLoad(2, balancer.WorkerLoad{Worker: 0, InFlight: 1})
 	e.receive(peer, hello(timestampIn(4)))
 	assert.EqualValues(t, 1, e.Counters.Sent.Load(), "it has met an older peer")
 }
--- a/internal/proxy/format_test.go
+++ b/internal/proxy/format_test.go
@@ -188,8 +188,8 @@
 		Zones:   []balancer.ZoneStats{{Failures: 5, EjectedUntil: 35}},
 		Workers: []balancer.WorkerStats{{
 			ConsecutiveFailures: 2, PossiblyExecuted: true, ProbeAfter: 36, NotBefore: 37,
-			PeerLoads: []balancer.PeerLoad{{From: 1, InFlight: 6, ReceivedAt: 38}},
-			Sends:     []balancer.SentWork{{At: 39, Work: 1_500}},
+			PeerLoads: []balancer.SnapshotPeerLoad{{From: 1, InFlight: 6, ReceivedAt: 38}},
+			Sends:     []balancer.SnapshotSend{{At: 39, Work: 1_500}},
 		}},
 		Sample:           []balancer.Work{11, 12, 13},
 		Sampled:          40,
@@ -254,7 +254,7 @@
 	return &Snapshot{Endpoints: make([]protocol.Endpoint, 1), Learned: []balancer.Snapshot{{
 		Operations: make([]balancer.OperationStats, 1), Tenants: make([]balancer.TenantStats, 1),
 		Kinds: make([]balancer.KindStats, 1), Zones: make([]balancer.ZoneStats, 1),
-		Workers: []balancer.WorkerStats{{PeerLoads: make([]balancer.PeerLoad, 1), Sends: make([]balancer.SentWork, 1)}},
+		Workers: []balancer.WorkerStats{{PeerLoads: make([]balancer.SnapshotPeerLoad, 1), Sends: make([]balancer.SnapshotSend, 1)}},
 	}}}
 }
 
--- a/internal/proxy/recovery.go
+++ b/internal/proxy/recovery.go
@@ -112,6 +112,6 @@
 func (p *Proxy) ReceiveLoad(process int, workerID string, inFlight int) {
 	if worker, known := p.endpoints.ByID(workerID); known {
 		peer := balancer.PeerID(process * p.balancer.Count())
-		p.balancer.ReceiveLoad(peer, balancer.Load{Worker: worker, InFlight: inFlight})
+		p.balancer.ReceiveLoad(peer, balancer.WorkerLoad{Worker: worker, InFlight: inFlight})
 	}
 }
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -76,7 +76,7 @@
 ) *protocol.Response {
 	phase := p.lifecycle.PhaseAt(time.Now())
 	endsWithProcess := phase.IsStopping() && phase != lifecycle.StoppingHandedOff
-	if !phase.AdmitsRequests() || endsWithProcess && p.balancer.MissesStop(arrival) {
+	if !phase.AdmitsRequests() || endsWithProcess && p.balancer.WouldMissStop(arrival) {
 		p.counters.rejected.Add(1)
 		return &protocol.Response{Status: 503, RetryAfter: r.settings.maxRetryAfter}
 	}
--- a/internal/proxy/sibling.go
+++ b/internal/proxy/sibling.go
@@ -33,10 +33,10 @@
 
 // ReceiveSiblingUpdate applies an update of the sibling process. Workers that are not listed here are left out.
 func (p *Proxy) ReceiveSiblingUpdate(from balancer.SiblingRole, u SiblingUpdate) {
-	var loads []balancer.Load
+	var loads []balancer.WorkerLoad
 	for id, inFlight := range u.InFlight {
 		if worker, known := p.endpoints.ByID(id); known {
-			loads = append(loads, balancer.Load{Worker: worker, InFlight: inFlight})
+			loads = append(loads, balancer.WorkerLoad{Worker: worker, InFlight: inFlight})
 		}
 	}
 	p.balancer.UpdateSibling(from, loads)
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -55,7 +55,7 @@
 }
 
 // notInSettings are the fields that package daemon sets itself.
-var notInSettings = []string{"NotifyDeadline", "DeliveryNotices"}
+var notInSettings = []string{"EndpointChangeDeadline", "DeliveryNotices"}
 
 // TestEachSettingArrivesInItsField pins the keys of the settings.
 func TestEachSettingArrivesInItsField(t *testing.T) {
--- a/internal/simadapter/gossip.go
+++ b/internal/simadapter/gossip.go
@@ -15,7 +15,7 @@
 )
 
 // SendLoad implements balancer.Effects.
-func (in *instance) SendLoad(to balancer.PeerID, l balancer.Load) {
+func (in *instance) SendLoad(to balancer.PeerID, l balancer.WorkerLoad) {
 	message := binary.BigEndian.AppendUint16(nil, in.workers.tags[l.Worker])
 	message = append(message, byte(min(l.InFlight, maxInFlight)))
 	in.reply.open("Signal", in.number)
@@ -32,7 +32,7 @@
 	}
 	for ; len(message) >= loadBytes; message = message[loadBytes:] {
 		if worker, known := in.workers.byTag[binary.BigEndian.Uint16(message)]; known {
-			in.balancer.ReceiveLoad(from, balancer.Load{Worker: worker, InFlight: int(message[2])})
+			in.balancer.ReceiveLoad(from, balancer.WorkerLoad{Worker: worker, InFlight: int(message[2])})
 		}
 	}
 	return nil
