--- a/internal/simadapter/wire_test.go
+++ b/internal/simadapter/wire_test.go
@@ -8,62 +8,65 @@
 	"canvasroute/internal/balancer"
 )
 
-// TestCommandBytes pins the text of each command that the simulator reads: its name, its fields and their order.
-func TestCommandBytes(t *testing.T) {
-	for _, c := range []struct {
-		name    string
-		command func(in *instance, id balancer.RequestID, worker balancer.WorkerID)
-		want    string
-	}{
-		{
-			"attempt", func(in *instance, id balancer.RequestID, worker balancer.WorkerID) { in.SendAttempt(id, worker, 0) },
-			`{"Issue":{"dispatcher":4,"rid":"q\"1","worker":"a:1"}}`,
-		},
-		{
-			"attempt with a limit", func(in *instance, id balancer.RequestID, worker balancer.WorkerID) {
-				in.SendAttempt(id, worker, 12_500)
-			},
-			`{"Issue":{"dispatcher":4,"rid":"q\"1","worker":"a:1","withinS":1.25}}`,
-		},
-		{
-			"canceled attempt", func(in *instance, id balancer.RequestID, _ balancer.WorkerID) { in.CancelAttempt(id, 3) },
-			`{"AbortAttempt":{"dispatcher":4,"rid":"q\"1","hop":3}}`,
-		},
-		{
-			"rejection", func(in *instance, id balancer.RequestID, _ balancer.WorkerID) { in.Reject(id, 0) },
-			`{"Bounce":{"dispatcher":4,"rid":"q\"1"}}`,
-		},
-		{
-			"rejection with a retry time", func(in *instance, id balancer.RequestID, _ balancer.WorkerID) { in.Reject(id, 5_000) },
-			`{"Bounce":{"dispatcher":4,"rid":"q\"1","comeBackS":0.5}}`,
-		},
-		{
-			"failure", func(in *instance, id balancer.RequestID, _ balancer.WorkerID) { in.Fail(id) },
-			`{"DropRequest":{"dispatcher":4,"rid":"q\"1"}}`,
-		},
-		{
-			"wake-up", func(in *instance, _ balancer.RequestID, _ balancer.WorkerID) { in.Wake(77, 20_000) },
-			`{"WakeMe":{"dispatcher":4,"keyBack":77,"offsetS":2}}`,
+// commandCases are one effect each, and the text that the simulator reads.
+var commandCases = []struct {
+	name    string
+	command func(in *instance, id balancer.RequestID, worker balancer.WorkerID)
+	want    string
+}{
+	{
+		"attempt", func(in *instance, id balancer.RequestID, worker balancer.WorkerID) { in.SendAttempt(id, worker, 0) },
+		`{"Issue":{"dispatcher":4,"rid":"q\"1","worker":"a:1"}}`,
+	},
+	{
+		"attempt with a limit", func(in *instance, id balancer.RequestID, worker balancer.WorkerID) {
+			in.SendAttempt(id, worker, 12_500)
 		},
-		{
-			"poll", func(in *instance, _ balancer.RequestID, _ balancer.WorkerID) { in.PollEndpoints() },
-			`{"Subscribe":{"dispatcher":4,"want":true}}`,
+		`{"Issue":{"dispatcher":4,"rid":"q\"1","worker":"a:1","withinS":1.25}}`,
+	},
+	{
+		"canceled attempt", func(in *instance, id balancer.RequestID, _ balancer.WorkerID) { in.CancelAttempt(id, 3) },
+		`{"AbortAttempt":{"dispatcher":4,"rid":"q\"1","hop":3}}`,
+	},
+	{
+		"rejection", func(in *instance, id balancer.RequestID, _ balancer.WorkerID) { in.Reject(id, 0) },
+		`{"Bounce":{"dispatcher":4,"rid":"q\"1"}}`,
+	},
+	{
+		"rejection with a retry time", func(in *instance, id balancer.RequestID, _ balancer.WorkerID) { in.Reject(id, 5_000) },
+		`{"Bounce":{"dispatcher":4,"rid":"q\"1","comeBackS":0.5}}`,
+	},
+	{
+		"failure", func(in *instance, id balancer.RequestID, _ balancer.WorkerID) { in.Fail(id) },
+		`{"DropRequest":{"dispatcher":4,"rid":"q\"1"}}`,
+	},
+	{
+		"wake-up", func(in *instance, _ balancer.RequestID, _ balancer.WorkerID) { in.Wake(77, 20_000) },
+		`{"WakeMe":{"dispatcher":4,"keyBack":77,"offsetS":2}}`,
+	},
+	{
+		"poll", func(in *instance, _ balancer.RequestID, _ balancer.WorkerID) { in.PollEndpoints() },
+		`{"Subscribe":{"dispatcher":4,"want":true}}`,
+	},
+	{
+		"probe", func(in *instance, _ balancer.RequestID, worker balancer.WorkerID) { in.Probe(worker) },
+		`{"HealthCheck":{"dispatcher":4,"worker":"a:1"}}`,
+	},
+	{
+		"load", func(in *instance, _ balancer.RequestID, worker balancer.WorkerID) {
+			in.SendLoad(2, balancer.WorkerLoad{Worker: worker, InFlight: 300})
 		},
-		{
-			"probe", func(in *instance, _ balancer.RequestID, worker balancer.WorkerID) { in.Probe(worker) },
-			`{"HealthCheck":{"dispatcher":4,"worker":"a:1"}}`,
-		},
-		{
-			"load", func(in *instance, _ balancer.RequestID, worker balancer.WorkerID) {
-				in.SendLoad(2, balancer.WorkerLoad{Worker: worker, InFlight: 300})
-			},
-			`{"Signal":{"dispatcher":4,"dst":2,"octets":"e5d4ff"}}`,
-		},
-		{
-			"remark", func(in *instance, _ balancer.RequestID, _ balancer.WorkerID) { in.Log("a \"b\"") },
-			`{"Remark":{"dispatcher":4,"text":"a \"b\""}}`,
-		},
-	} {
+		`{"Signal":{"dispatcher":4,"dst":2,"octets":"e5d4ff"}}`,
+	},
+	{
+		"remark", func(in *instance, _ balancer.RequestID, _ balancer.WorkerID) { in.Log("a \"b\"") },
+		`{"Remark":{"dispatcher":4,"text":"a \"b\""}}`,
+	},
+}
+
+// TestCommandBytes pins the text of each command that the simulator reads: its name, its fields and their order.
+func TestCommandBytes(t *testing.T) {
+	for _, c := range commandCases {
 		t.Run(c.name, func(t *testing.T) {
 			in := newInstance(4, &reply{})
 			id := in.requests.add(`q"1`)
