--- a/internal/balancer/picker_effects.go
+++ b/internal/balancer/picker_effects.go
@@ -18,10 +18,11 @@
 		}
 	}
 	operation := p.balancer.requests.get(id).operation
+	ctx := h.beginAttempt(until) // before its number is read: the order of both within one expression isn't specified
 	h.push(Decision{
 		Action:      SendAttempt,
 		Worker:      worker,
-		Ctx:         h.beginAttempt(until),
+		Ctx:         ctx,
 		Attempt:     len(h.cancels) - 1,
 		Idempotency: p.balancer.operations.byID[operation].idempotency,
 		SendBy:      p.sendBy(id),
