--- a/internal/admin/command.go
+++ b/internal/admin/command.go
@@ -46,10 +46,10 @@
 	for {
 		n, err := conn.Read(line[received:])
 		received += n
-		command, complete, malformed := protocol.ParseCommand(line[:received])
+		command, parseErr := protocol.ParseCommand(line[:received])
 		switch {
-		case complete:
-			return command, malformed
+		case !errors.Is(parseErr, protocol.ErrIncompleteCommand):
+			return command, parseErr
 		case errors.Is(err, os.ErrDeadlineExceeded) && !late:
 			late = true
 			conn.SetReadDeadline(time.Now().Add(lateGrace))
--- a/internal/balancer/arrivals.go
+++ b/internal/balancer/arrivals.go
@@ -11,10 +11,10 @@
 	sinceFirstTry := operation.longestTimeout - arrival.Timeout // a client that comes again has less time left
 	*arrived = request{
 		operation:    arrival.Operation,
-		deadline:     b.now + arrival.Timeout - b.config.margin,
+		deadline:     b.now.Add(arrival.Timeout - b.config.margin),
 		attemptLimit: b.config.maxAttempts,
 		attempts:     arrived.attempts[:0],
-		latestStart:  b.now - sinceFirstTry + operation.latencyObjective,
+		latestStart:  b.now.Add(operation.latencyObjective - sinceFirstTry),
 		quotaWeight:  b.quotaWeight(arrival.Tenant),
 	}
 	hinted := Work(float64(arrival.SizeHint) * max(arrival.Slots, 1))
@@ -30,15 +30,15 @@
 	b.requests.addOpen(id)
 	b.enqueue(id)
 	b.due.capacityChanged = true
-	b.due.reviewBy(min(b.now+b.config.patience, arrived.deadline))
+	b.due.reviewBy(min(b.now.Add(b.config.patience), arrived.deadline))
 }
 
 // latestWaitedStart is until when a request waits for its start: as long as that may keep the latency objective. Where
 // nothing tells which workers have room, that none has room now says little: a client that comes again waits as long
 // as one that comes first, if a late answer earns something.
 func (b *Balancer) latestWaitedStart(operation *operation, latestStart Time) Time {
-	if operation.lateShare > 0 && !b.config.gossip && b.config.reportFree < 0 {
-		return max(latestStart, b.now+operation.latencyObjective)
+	if operation.lateShare > 0 && !b.config.gossip && b.config.reportFree == NotReported {
+		return max(latestStart, b.now.Add(operation.latencyObjective))
 	}
 	return latestStart
 }
@@ -59,8 +59,8 @@
 	b.observeQueueing(started.worker, b.load(started.worker), b.queueingTime(started) < b.config.patience)
 }
 
-// AttemptEnded takes the outcome of an attempt. closed tells that its request was closed with it: this is its answer.
-func (b *Balancer) AttemptEnded(id RequestID, number int, outcome Outcome, closed bool) {
+// AttemptEnded takes the outcome of an attempt, and whether its result is the answer of the request.
+func (b *Balancer) AttemptEnded(id RequestID, number int, outcome Outcome, answer Answer) {
 	request := b.requests.get(id)
 	ended := &request.attempts[number]
 	ended.inFlight = false
@@ -74,7 +74,7 @@
 	}
 	b.observeOutcome(request, ended, outcome)
 	switch {
-	case closed:
+	case answer == FinalAnswer:
 		b.closeRequest(id, number)
 	case request.closed || request.inFlight > 0:
 	case b.mayAttemptAnywhere(request):
@@ -93,7 +93,7 @@
 		worker.possiblyExecuted = false
 		b.recordZoneSuccess(ended.worker)
 		b.recordResponse(ended)
-		b.observeSuccess(ended.worker, request, b.now-max(ended.sentAt, ended.startedAt))
+		b.observeSuccess(ended.worker, request, b.now.Sub(max(ended.sentAt, ended.startedAt)))
 	case Overloaded:
 		b.recordResponse(ended)
 		b.observeQueueing(ended.worker, b.load(ended.worker)+1, false)
@@ -103,5 +103,6 @@
 	}
 }
 
-// ClientLeft closes a request whose client has gone. flowing is the number of an attempt that goes on, or -1.
-func (b *Balancer) ClientLeft(id RequestID, flowing int) { b.closeRequest(id, flowing) }
+// ClientLeft closes a request whose client has gone. streaming is the number of an attempt whose response is being
+// streamed and which therefore goes on, or NoAttempt.
+func (b *Balancer) ClientLeft(id RequestID, streaming int) { b.closeRequest(id, streaming) }
--- a/internal/balancer/attempts.go
+++ b/internal/balancer/attempts.go
@@ -27,19 +27,19 @@
 // observeDelivery counts how long an attempt has been on its way in the mean of its zone.
 func (b *Balancer) observeDelivery(delivered *attempt) {
 	zone := &b.zones[b.workers[delivered.worker].zone]
-	difference := float64(b.now - delivered.sentAt - zone.deliveryTime)
-	zone.deliveryTime = min(zone.deliveryTime+Time(learningRate*difference), b.config.warmupWindow/8)
+	difference := float64(b.now.Sub(delivered.sentAt) - zone.deliveryTime)
+	zone.deliveryTime = min(zone.deliveryTime+Duration(learningRate*difference), b.config.warmupWindow/8)
 }
 
 // queueingTime is how long an attempt has certainly waited at its worker for its start.
-func (b *Balancer) queueingTime(waiting *attempt) Time {
+func (b *Balancer) queueingTime(waiting *attempt) Duration {
 	switch {
 	case waiting.deliveredAt > 0:
-		return b.now - waiting.deliveredAt
+		return b.now.Sub(waiting.deliveredAt)
 	case b.config.deliveryNotices:
-		return b.now - waiting.sentAt - deliveryMargin*b.zones[b.workers[waiting.worker].zone].deliveryTime
+		return b.now.Sub(waiting.sentAt) - deliveryMargin*b.zones[b.workers[waiting.worker].zone].deliveryTime
 	}
-	return b.now - waiting.sentAt
+	return b.now.Sub(waiting.sentAt)
 }
 
 // unstartedAttempt is the only attempt in flight, if its worker would have reported its start and has not, else nil.
--- a/internal/balancer/availability_test.go
+++ b/internal/balancer/availability_test.go
@@ -63,7 +63,7 @@
 			l.next++
 		}
 		balancer.RequestArrived(id, Arrival{
-			Operation: OperationID(l.rng.IntN(len(balancer.operations.byID))), Timeout: Time(2+l.rng.IntN(3)) * Second,
+			Operation: OperationID(l.rng.IntN(len(balancer.operations.byID))), Timeout: Duration(2+l.rng.IntN(3)) * Second,
 			Tenant: TenantID(l.rng.IntN(2)), SizeHint: Work(l.rng.IntN(9000)),
 		})
 	case 3, 4:
@@ -74,7 +74,7 @@
 		if id, n, ok := l.pick(); ok {
 			l.out[id] = slices.DeleteFunc(l.out[id], func(m int) bool { return m == n })
 			outcome := Outcome(1 + l.rng.IntN(int(ConnectionStale)))
-			balancer.AttemptEnded(id, n, outcome, outcome == Succeeded && !balancer.requests.byID[id].closed)
+			balancer.AttemptEnded(id, n, outcome, answerOf(outcome == Succeeded && !balancer.requests.byID[id].closed))
 		}
 	case 8:
 		balancer.ReceiveLoad(1, WorkerLoad{Worker: WorkerID(l.rng.IntN(len(balancer.workers))), InFlight: l.rng.IntN(6)})
--- a/internal/balancer/balancer.go
+++ b/internal/balancer/balancer.go
@@ -9,6 +9,9 @@
 // never is a moment that does not come.
 const never = Time(math.MaxInt64)
 
+// forever is a span that does not end.
+const forever = Duration(math.MaxInt64)
+
 // learningRate is the weight of a new sample in a running mean.
 const learningRate = 0.2
 
--- a/internal/balancer/capacity.go
+++ b/internal/balancer/capacity.go
@@ -8,20 +8,26 @@
 	return slots
 }
 
-// capacity counts the workers that take attempts, and the slots that they have when all are warm and as warm as they
-// are now.
-func (b *Balancer) capacity() (workers int, warm, current float64) {
+// Capacity is what the workers that take attempts can run at once.
+type Capacity struct {
+	Workers      int     // that take attempts
+	WarmSlots    float64 // of all of them, once they are warm
+	CurrentSlots float64 // the same, at their present warm-up
+}
+
+// capacity adds up the capacity of the workers that take attempts.
+func (b *Balancer) capacity() (total Capacity) {
 	for _, id := range b.subsetting.ring {
 		worker := &b.workers[id]
 		if worker.state != Healthy || b.isEjected(worker) {
 			continue
 		}
 		slots := b.maxObservedSlots(id)
-		workers++
-		warm += slots
-		current += b.confirmedWarmup(id, b.sizes.median) * slots
+		total.Workers++
+		total.WarmSlots += slots
+		total.CurrentSlots += b.confirmedWarmup(id, b.sizes.median) * slots
 	}
-	return workers, warm, current
+	return total
 }
 
 // isEjected tells whether failures keep attempts from a worker now.
@@ -46,11 +52,10 @@
 	return slots
 }
 
-// Capacity counts the workers that take attempts, as the first shard sees them, and the slots that they have when all
-// are warm and as warm as they are now.
-func (s *Shards) Capacity() (workers int, warm, current float64) {
-	s.first().read(func(b *Balancer) { workers, warm, current = b.capacity() })
-	return workers, warm, current
+// Capacity returns the capacity of the workers that take attempts, as the first shard sees them.
+func (s *Shards) Capacity() (total Capacity) {
+	s.first().read(func(b *Balancer) { total = b.capacity() })
+	return total
 }
 
 // MedianSize is the size that the first shard takes for a request without a hint.
--- a/internal/balancer/config.go
+++ b/internal/balancer/config.go
@@ -17,32 +17,32 @@
 	deliveryNotices bool // the network reports that a worker has received an attempt
 	gossip          bool // peers exchange what they have in flight
 	probes          bool // load reports come as answers to probes
-	reportInFlight  int  // index in a load report, -1 where it is not reported
-	reportQueue     int
-	reportFree      int
+	reportInFlight  ReportIndex
+	reportQueue     ReportIndex
+	reportFree      ReportIndex
 
 	// Limits, prices and weights.
 	maxAttempts          int
-	patience             Time    // how long an attempt may stay unstarted: a tenth of the shortest latency objective
-	margin               Time    // kept before deadlines: two scheduling granules and a millisecond
-	overQuotaShare       float64 // weight of a request beyond its tenant's quota
-	crossZoneCost        float64 // price of an attempt in another zone
-	worstOperationWeight float64 // half of the operation's weight in the goal: losses come in bursts
-	valuePerRequest      float64 // 1 if value is billed by request, 0 if by unit of work
-	meanObjective        float64 // mean latency objective of the operations, as work
+	patience             Duration // how long an attempt may stay unstarted: a tenth of the shortest latency objective
+	margin               Duration // kept before deadlines: two scheduling granules and a millisecond
+	overQuotaShare       float64  // weight of a request beyond its tenant's quota
+	crossZoneCost        float64  // price of an attempt in another zone
+	worstOperationWeight float64  // half of the operation's weight in the goal: losses come in bursts
+	valuePerRequest      float64  // 1 if value is billed by request, 0 if by unit of work
+	meanObjective        float64  // mean latency objective of the operations, as work
 
 	// Warm-up of workers.
 	initialWarmup  float64 // share of its capacity that a worker has as it starts
 	overloadFactor float64 // a worker breaks when it gets this many times its current capacity
-	warmupDuration Time
-	warmupWindow   Time // span over which the work sent to a warming worker is added up
+	warmupDuration Duration
+	warmupWindow   Duration // span over which the work sent to a warming worker is added up
 
 	// Polling of the endpoint list.
-	maxPollInterval Time
-	pollSpread      Time // span over which all dispatchers' polls are spread
-	firstPollSpread Time // the same for the first polls after a start
-	maxRetryPoll    Time // longest wait after a failed poll
-	awaitFirstPoll  bool // no attempt goes out by a list from before the start until the first poll has ended
+	maxPollInterval Duration
+	pollSpread      Duration // span over which all dispatchers' polls are spread
+	firstPollSpread Duration // the same for the first polls after a start
+	maxRetryPoll    Duration // longest wait after a failed poll
+	awaitFirstPoll  bool     // no attempt goes out by a list from before the start until the first poll has ended
 }
 
 func newDerivedConfig(config Config) derivedConfig {
@@ -65,7 +65,7 @@
 		reportFree:      config.ReportFree,
 
 		maxAttempts:          config.MaxAttempts,
-		patience:             never,
+		patience:             forever,
 		margin:               2*config.Granularity + Second/1000,
 		overQuotaShare:       config.OverQuotaShare,
 		crossZoneCost:        config.CrossZoneCost,
@@ -78,7 +78,7 @@
 		warmupWindow:   config.WarmupWindow,
 
 		maxPollInterval: config.MaxPollInterval,
-		pollSpread:      min(config.MaxPollInterval*Time(config.Dispatchers)/pollsPerInterval, Time(maxPollSpread*float64(config.MaxPollInterval))),
+		pollSpread:      min(config.MaxPollInterval*Duration(config.Dispatchers)/pollsPerInterval, Duration(maxPollSpread*float64(config.MaxPollInterval))),
 		maxRetryPoll:    config.MaxPollInterval * 4 / 5,
 	}
 	derived.firstPollSpread = derived.pollSpread
--- a/internal/balancer/discovery.go
+++ b/internal/balancer/discovery.go
@@ -4,7 +4,7 @@
 	pollsPerInterval = 128 // polls that the endpoint service takes from all dispatchers within maxPollInterval
 	maxPollSpread    = 0.6 // of maxPollInterval at most is taken for one poll of each dispatcher
 
-	firstRetryPoll    = Time(Second / 2) // wait after the first failed poll, doubled with each further one
+	firstRetryPoll    = Duration(Second / 2) // wait after the first failed poll, doubled with each further one
 	maxRetryDoublings = 4
 	busyPolls         = 2 // consecutive polls turned away as the service was busy, after which waits grow longer still
 	maxBusyDoublings  = 2
@@ -15,11 +15,11 @@
 type discovery struct {
 	watching        bool
 	watchingSince   Time
-	answered        bool // a poll has been answered since the start
-	endpointsStale  bool // the list is from before the start, and the first poll has not ended
-	failedPolls     int  // consecutive ones
-	consecutiveBusy int  // consecutive polls that were turned away after a wait: the service has too many callers
-	retrySpeedup    Time // 2 after a watch that fell silent, which was noticed late, else 1
+	answered        bool     // a poll has been answered since the start
+	endpointsStale  bool     // the list is from before the start, and the first poll has not ended
+	failedPolls     int      // consecutive ones
+	consecutiveBusy int      // consecutive polls that were turned away after a wait: the service has too many callers
+	retrySpeedup    Duration // 2 after a watch that fell silent, which was noticed late, else 1
 	nextPoll        Time
 }
 
@@ -36,7 +36,7 @@
 
 // recordInitialList takes notice of a list from before the start. Dispatchers that start together poll in turn.
 func (d *discovery) recordInitialList(now Time, config *derivedConfig) {
-	d.nextPoll = now + config.firstPollSpread*Time(config.position)/Time(config.dispatchers)
+	d.nextPoll = now.Add(config.firstPollSpread * Duration(config.position) / Duration(config.dispatchers))
 	// Workers may have been drained or removed since.
 	d.endpointsStale = config.awaitFirstPoll && !d.answered && d.failedPolls == 0
 }
@@ -55,7 +55,7 @@
 	if d.consecutiveBusy == 0 { // a change has to be known soon after the service is back
 		wait = min(wait, config.maxRetryPoll/d.retrySpeedup)
 	}
-	d.nextPoll = now + wait/4 + Time(random.next()%uint64(wait*3/4+1))
+	d.nextPoll = now.Add(wait/4 + Duration(random.next()%uint64(wait*3/4+1)))
 }
 
 // recordWatchEnd takes notice of how a poll or a watch ended, before the failure itself is recorded. Where the service
@@ -90,6 +90,6 @@
 
 // pollEndpoints requests the endpoint list, and again if no answer comes.
 func (b *Balancer) pollEndpoints() {
-	b.discovery.nextPoll = b.now + b.config.maxPollInterval
+	b.discovery.nextPoll = b.now.Add(b.config.maxPollInterval)
 	b.effects.PollEndpoints()
 }
--- a/internal/balancer/discovery_test.go
+++ b/internal/balancer/discovery_test.go
@@ -149,7 +149,7 @@
 
 // Regression test for a process that goes on for another one, whose list is followed, and would wait for its own.
 func TestSuccessorUsesItsPredecessorsListAtOnce(t *testing.T) {
-	s := NewShards(notifyDeadlineConfig(3, 2), 1, 1, func() Time { return 100 * Second }, func(string) {})
+	s := NewShards(notifyDeadlineConfig(3, 2), 1, 1, func() Time { return 100 * Second }, func(Event) {})
 	s.UpdateEndpoints([]Endpoint{{Worker: 0, ID: "w"}}, AllEndpoints, FromBeforeStart)
 	assert.True(t, s.pickers[0].balancer.discovery.endpointsStale)
 	assert.True(t, s.RestoreFromPredecessor(s.Snapshot()))
@@ -258,7 +258,7 @@
 			}
 			assert.Less(t, float64(calls)/float64(n), most, "calls of each")
 			t.Logf("%d dispatchers: %.1f calls each, %d turned away, the last told after %v", n,
-				float64(calls)/float64(n), s.turnedAway, (told[len(told)-1] - s.until).Duration())
+				float64(calls)/float64(n), s.turnedAway, told[len(told)-1].Sub(s.until).Standard())
 		})
 	}
 }
--- a/internal/balancer/ejection.go
+++ b/internal/balancer/ejection.go
@@ -1,7 +1,6 @@
 package balancer
 
 import (
-	"fmt"
 	"slices"
 )
 
@@ -10,7 +9,7 @@
 	// started, after which the zone is ejected.
 	zoneFailureThreshold = 3
 
-	firstEjection        = Time(Second) // doubled with each further failure
+	firstEjection        = Duration(Second) // doubled with each further failure
 	maxEjectionDoublings = 3
 )
 
@@ -29,8 +28,8 @@
 	}
 	worker.consecutiveFailures++
 	if outcome.neverRan() || worker.consecutiveFailures > 1 { // a single attempt that broke is chance
-		worker.probeAfter = b.now + firstEjection<<min(worker.consecutiveFailures-1, maxEjectionDoublings)
-		b.effects.Log(fmt.Sprintf("worker %d ejected, consecutive failures %d", failed.worker, worker.consecutiveFailures))
+		worker.probeAfter = b.now.Add(firstEjection << min(worker.consecutiveFailures-1, maxEjectionDoublings))
+		b.effects.Log(WorkerEjected{Worker: failed.worker, ConsecutiveFailures: worker.consecutiveFailures})
 	}
 }
 
@@ -44,8 +43,8 @@
 	if zone.failures < zoneFailureThreshold || b.now < zone.ejectedUntil || !b.hasOtherZone(failed) {
 		return
 	}
-	zone.ejectedUntil = b.now + firstEjection<<min(zone.failures-zoneFailureThreshold, maxEjectionDoublings)
-	b.effects.Log(fmt.Sprintf("zone %d ejected, consecutive failures %d", failed, zone.failures))
+	zone.ejectedUntil = b.now.Add(firstEjection << min(zone.failures-zoneFailureThreshold, maxEjectionDoublings))
+	b.effects.Log(ZoneEjected{Zone: failed, ConsecutiveFailures: zone.failures})
 }
 
 // hasOtherZone tells whether there is a healthy worker in a zone that is not ejected, beside one zone.
@@ -70,17 +69,17 @@
 
 // backOff sends nothing to a worker for a while, nor to all that no peer tells of if it is one of them: these may be
 // full as well.
-func (b *Balancer) backOff(id WorkerID, span Time) {
-	b.workers[id].probeAfter = b.now + span
+func (b *Balancer) backOff(id WorkerID, span Duration) {
+	b.workers[id].probeAfter = b.now.Add(span)
 	if !b.hearsLoadOf(id) {
-		b.gossip.unheardNotBefore = b.now + span
+		b.gossip.unheardNotBefore = b.now.Add(span)
 	}
 }
 
 // overloadBackoff is how long nothing is sent to a worker that refused an attempt as overloaded: until a slot comes free,
 // after about a mean run. A worker that is warming up is left alone for as long as what it is sent counts: what it
 // refuses counts too, is in no load that peers tell of, and each of them would try it again.
-func (b *Balancer) overloadBackoff(id WorkerID, operation OperationID) Time {
+func (b *Balancer) overloadBackoff(id WorkerID, operation OperationID) Duration {
 	if b.confirmedWarmup(id, b.sizes.median) == 1 {
 		return b.operations.byID[operation].expectedRun()
 	}
--- a/internal/balancer/ejection_test.go
+++ b/internal/balancer/ejection_test.go
@@ -13,7 +13,7 @@
 	fail := func(outcome Outcome) {
 		balancer.RequestArrived(0, Arrival{Timeout: 90 * Second, SizeHint: 100})
 		balancer.startAttempt(0, 0)
-		balancer.AttemptEnded(0, 0, outcome, true)
+		balancer.AttemptEnded(0, 0, outcome, FinalAnswer)
 	}
 	once, again := &request{attemptLimit: 4, operation: 1, quotaWeight: 1, deadline: never}, &request{attemptLimit: 4, quotaWeight: 1, deadline: never}
 	takes := func(i *request) bool {
@@ -41,10 +41,10 @@
 		balancer.RequestArrived(id, Arrival{Timeout: 90 * Second, SizeHint: 100})
 		balancer.startAttempt(id, 0)
 	}
-	balancer.AttemptEnded(0, 0, ConnectionStale, true)
+	balancer.AttemptEnded(0, 0, ConnectionStale, FinalAnswer)
 	assert.Equal(t, 0, balancer.workers[0].consecutiveFailures, "a kept connection may end and its worker be well")
-	balancer.AttemptEnded(1, 0, NoConnection, true)
-	balancer.AttemptEnded(2, 0, NoConnection, true)
+	balancer.AttemptEnded(1, 0, NoConnection, FinalAnswer)
+	balancer.AttemptEnded(2, 0, NoConnection, FinalAnswer)
 	assert.Equal(t, []any{1, balancer.now + Second}, []any{balancer.workers[0].consecutiveFailures, balancer.workers[0].probeAfter})
 }
 
@@ -60,10 +60,10 @@
 			f := len(i.attempts) - 1
 			if balancer.workers[i.attempts[f].worker].zone == 1 {
 				lost++
-				balancer.AttemptEnded(id, f, NoConnection, false)
+				balancer.AttemptEnded(id, f, NoConnection, NoAnswer)
 				continue
 			}
-			balancer.AttemptEnded(id, f, Succeeded, true)
+			balancer.AttemptEnded(id, f, Succeeded, FinalAnswer)
 		}
 	}
 	assert.Equal(t, zoneFailureThreshold, lost)
@@ -110,8 +110,8 @@
 			balancer.SetTime(max(balancer.now, balancer.workers[0].probeAfter))
 			balancer.RequestArrived(id, Arrival{Timeout: 20 * Second, SizeHint: 100})
 			balancer.RunDueRules()
-			balancer.AttemptEnded(id, 0, outcome, false)
-			balancer.ClientLeft(id, -1)
+			balancer.AttemptEnded(id, 0, outcome, NoAnswer)
+			balancer.ClientLeft(id, NoAttempt)
 		}
 		effects.lines = nil
 		balancer.SetTime(balancer.workers[0].probeAfter)
@@ -119,11 +119,11 @@
 		balancer.RunDueRules()
 		if soon {
 			assert.Equal(t, []string{"attempt 7 to 0"}, effects.lines, "outcome %d", outcome)
-			balancer.AttemptEnded(7, 0, NoConnection, false)
+			balancer.AttemptEnded(7, 0, NoConnection, NoAnswer)
 			balancer.SetTime(balancer.workers[0].probeAfter)
 			balancer.RequestArrived(8, Arrival{Timeout: 20 * Second, SizeHint: 100})
 			balancer.RunDueRules()
-			balancer.AttemptEnded(8, 0, WorkerError, false)
+			balancer.AttemptEnded(8, 0, WorkerError, NoAnswer)
 			assert.True(t, balancer.workers[0].possiblyExecuted)
 		} else {
 			assert.Empty(t, effects.lines, "outcome %d", outcome)
@@ -150,11 +150,11 @@
 			for range 60 {
 				land()
 				balancer.SetTime(balancer.now + Second/2)
-				balancer.AttemptEnded(id-1, 0, Succeeded, true)
+				balancer.AttemptEnded(id-1, 0, Succeeded, FinalAnswer)
 				balancer.RunDueRules()
 			}
 			f := land()
-			balancer.AttemptEnded(id-1, 0, Overloaded, false)
+			balancer.AttemptEnded(id-1, 0, Overloaded, NoAnswer)
 			balancer.RunDueRules()
 			full := f.worker
 			assert.InDelta(t, Second/2, float64(balancer.workers[full].probeAfter-balancer.now), 0.1*Second)
@@ -174,8 +174,8 @@
 		balancer.RunDueRules()
 	}
 	balancer.SetTime(balancer.now + Second/2)
-	balancer.AttemptEnded(0, 0, Succeeded, true)
-	balancer.AttemptEnded(1, 0, Overloaded, false)
+	balancer.AttemptEnded(0, 0, Succeeded, FinalAnswer)
+	balancer.AttemptEnded(1, 0, Overloaded, NoAnswer)
 	overloaded := balancer.requests.get(1).attempts[0].worker
 	assert.Equal(t, balancer.now+Second/2, balancer.workers[overloaded].probeAfter)
 }
--- a/internal/balancer/endpoints.go
+++ b/internal/balancer/endpoints.go
@@ -45,7 +45,7 @@
 		b.workers = append(b.workers, worker{state: Gone})
 	}
 	for int(entry.Zone) >= len(b.zones) {
-		b.zones = append(b.zones, zone{deliveryTime: Time(b.config.meanObjective / deliveryMargin)})
+		b.zones = append(b.zones, zone{deliveryTime: Duration(b.config.meanObjective / deliveryMargin)})
 	}
 	worker := &b.workers[entry.Worker]
 	if entry.StartedAt > worker.startedAt {
--- a/internal/balancer/fleet_restart.go
+++ b/internal/balancer/fleet_restart.go
@@ -28,7 +28,7 @@
 	for n := range b.workers {
 		worker := &b.workers[n]
 		if worker.startedAt > 0 && worker.startedAt < before && b.warmupFactor(WorkerID(n)) < 1 {
-			worker.notBefore = max(worker.notBefore, before+b.config.warmupWindow)
+			worker.notBefore = max(worker.notBefore, before.Add(b.config.warmupWindow))
 			b.due.reviewBy(worker.notBefore)
 		}
 	}
--- a/internal/balancer/fleet_size_test.go
+++ b/internal/balancer/fleet_size_test.go
@@ -33,7 +33,7 @@
 					balancer.RequestArrived(id, Arrival{Timeout: 20 * Second, SizeHint: 100})
 				}
 				balancer.RunDueRules()
-				balancer.SetTime(balancer.now + balancer.config.margin)
+				balancer.SetTime(balancer.now.Add(balancer.config.margin))
 				balancer.RunDueRules()
 				used := 0
 				for _, w := range balancer.workers {
--- a/internal/balancer/gossip.go
+++ b/internal/balancer/gossip.go
@@ -23,8 +23,8 @@
 	changedLoads     []WorkerID
 	sendLoadsAt      Time
 	resendAt         Time
-	resendInterval   Time // between messages that repeat what was said
-	unheardNotBefore Time // no attempt before it to workers that no peer tells of
+	resendInterval   Duration // between messages that repeat what was said
+	unheardNotBefore Time     // no attempt before it to workers that no peer tells of
 }
 
 func newGossip() gossip {
@@ -33,7 +33,7 @@
 
 // setResendInterval spaces repeated messages by some mean runs, from the total of a number of sizes.
 func (g *gossip) setResendInterval(total Work, count int) {
-	g.resendInterval = max(minResendInterval, meanRunsPerResend*Time(total)/Time(count))
+	g.resendInterval = max(minResendInterval, meanRunsPerResend*Duration(total)/Duration(count))
 }
 
 // recordPeerAge takes notice of a message from a peer: that it has just started, or any other one.
@@ -93,8 +93,8 @@
 func (b *Balancer) staggerAccess(id WorkerID) {
 	worker := &b.workers[id]
 	sharers := max(worker.subsetPeerRange[1]-worker.subsetPeerRange[0], 1)
-	turn := (Time(b.config.position) + b.now/Second) % Time(sharers)
-	worker.notBefore = b.now + turn*b.config.patience/2
+	turn := (Duration(b.config.position) + Duration(b.now/Second)) % Duration(sharers)
+	worker.notBefore = b.now.Add(turn * b.config.patience / 2)
 	b.due.reviewBy(worker.notBefore)
 }
 
@@ -131,7 +131,7 @@
 func (b *Balancer) markLoadChanged(id WorkerID) {
 	if b.config.gossip {
 		b.gossip.changedLoads = append(b.gossip.changedLoads, id)
-		b.gossip.sendLoadsAt = min(b.gossip.sendLoadsAt, b.now+b.config.margin)
+		b.gossip.sendLoadsAt = min(b.gossip.sendLoadsAt, b.now.Add(b.config.margin))
 	}
 }
 
@@ -152,9 +152,9 @@
 
 // resendLoads has peers told again of all that is in flight here, as messages get lost, and forgets silent peers.
 func (b *Balancer) resendLoads() {
-	b.gossip.resendAt = b.now + b.gossip.resendInterval
+	b.gossip.resendAt = b.now.Add(b.gossip.resendInterval)
 	for _, id := range b.subsetting.ring {
-		b.workers[id].forgetBefore(b.now - 2*b.gossip.resendInterval)
+		b.workers[id].forgetBefore(b.now.Add(-2 * b.gossip.resendInterval))
 		b.subsetting.markMaybeFree(id)
 		b.retellLoad(id)
 	}
--- a/internal/balancer/gossip_test.go
+++ b/internal/balancer/gossip_test.go
@@ -11,7 +11,7 @@
 	balancer.ReceiveLoad(1, WorkerLoad{Worker: 0, InFlight: 3})
 	balancer.ReceiveLoad(1, WorkerLoad{Worker: 0, InFlight: 2})
 	assert.Equal(t, 2, balancer.load(0))
-	balancer.now += 3*balancer.gossip.resendInterval + 1
+	balancer.now = balancer.now.Add(3*balancer.gossip.resendInterval + 1)
 	balancer.resendLoads()
 	assert.Equal(t, 0, balancer.load(0))
 }
--- a/internal/balancer/helper_test.go
+++ b/internal/balancer/helper_test.go
@@ -12,17 +12,17 @@
 	r.lines = append(r.lines, fmt.Sprintf(format, args...))
 }
 
-func (r *recorder) SendAttempt(id RequestID, target WorkerID, _ Time) {
+func (r *recorder) SendAttempt(id RequestID, target WorkerID, _ Duration) {
 	r.add("attempt %d to %d", id, target)
 }
 
 func (r *recorder) CancelAttempt(id RequestID, n int) { r.add("cancel %d.%d", id, n) }
 
-func (r *recorder) Reject(id RequestID, back Time) { r.add("reject %d, retry after %d", id, back) }
+func (r *recorder) Reject(id RequestID, back Duration) { r.add("reject %d, retry after %d", id, back) }
 
 func (r *recorder) Fail(id RequestID) { r.add("fail %d", id) }
 
-func (r *recorder) Wake(uint64, Time) {}
+func (r *recorder) Wake(uint64, Duration) {}
 
 func (r *recorder) PollEndpoints() { r.add("poll") }
 
@@ -32,20 +32,20 @@
 	r.add("load for %d: worker %d has %d", to, l.Worker, l.InFlight)
 }
 
-func (r *recorder) Log(string) {}
+func (r *recorder) Log(Event) {}
 
 var testConfig = Config{
 	Dispatchers: 2, Kinds: 1, Granularity: 20, MaxPollInterval: 10 * Second, WarmupDuration: 20 * Second, WarmupWindow: 2 * Second,
 	InitialWarmup: 0.2, OverloadFactor: 4, Cancellation: true, Hedging: true, MaxAttempts: 4, OverQuotaShare: 0.1,
 	StartNotices: true, RetryAfter: true, MaxRetryAfter: 2 * Second,
-	ReportInFlight: -1, ReportQueue: -1, ReportFree: 0,
+	ReportInFlight: NotReported, ReportQueue: NotReported, ReportFree: 0,
 	Tenants: []TenantConfig{{Quota: math.Inf(1)}, {Quota: 20}, {Quota: 0.2}},
 	Operations: []OperationConfig{
-		{LatencyObjective: Second, Value: 1, LateShare: 0.2, Kind: -1},
-		{LatencyObjective: Second, Value: 8, Idempotency: NonIdempotent, Kind: -1},
-		{LatencyObjective: Second, DedupWindow: 5 * Second, Value: 1, Idempotency: IdempotentByKey, DedupScope: ScopeZone, Kind: -1},
-		{LatencyObjective: Second, DedupWindow: 5 * Second, Value: 1, Idempotency: IdempotentByKey, DedupScope: ScopeAll, Kind: -1},
-		{LatencyObjective: Second, DedupWindow: 5 * Second, Value: 1, Idempotency: IdempotentByKey, DedupScope: ScopeCell, Kind: -1},
+		{LatencyObjective: Second, Value: 1, LateShare: 0.2, Kind: AnyKind},
+		{LatencyObjective: Second, Value: 8, Idempotency: NonIdempotent, Kind: AnyKind},
+		{LatencyObjective: Second, DedupWindow: 5 * Second, Value: 1, Idempotency: IdempotentByKey, DedupScope: ScopeZone, Kind: AnyKind},
+		{LatencyObjective: Second, DedupWindow: 5 * Second, Value: 1, Idempotency: IdempotentByKey, DedupScope: ScopeAll, Kind: AnyKind},
+		{LatencyObjective: Second, DedupWindow: 5 * Second, Value: 1, Idempotency: IdempotentByKey, DedupScope: ScopeCell, Kind: AnyKind},
 	},
 }
 
--- a/internal/balancer/migration.go
+++ b/internal/balancer/migration.go
@@ -10,9 +10,9 @@
 // operation as it arrived.
 type MigratedRequest struct {
 	Name             string      `json:"Name"`
-	LatencyObjective Time        `json:"Objective"`
-	DedupWindow      Time        `json:"Window"`
-	RetryAfter       Time        `json:"ComeBack"`
+	LatencyObjective Duration    `json:"Objective"`
+	DedupWindow      Duration    `json:"Window"`
+	RetryAfter       Duration    `json:"ComeBack"`
 	Value            float64     `json:"Value"`
 	Slack            float64     `json:"Slack"`
 	LateShare        float64     `json:"Tardy"`
@@ -51,7 +51,7 @@
 		migrated = b.exportRequest(h.id)
 		migrated.Deadline = h.deadline
 		h.closed = true
-		b.closeRequest(h.id, -1)
+		b.closeRequest(h.id, NoAttempt)
 		for number, attempt := range migrated.Attempts {
 			if attempt.InFlight {
 				h.attemptEnded(number, NotSent)
@@ -116,11 +116,11 @@
 
 func (b *Balancer) importRequest(id RequestID, migrated MigratedRequest) {
 	operation := b.operations.assign(migrated.operation())
-	left := Time(time.Until(migrated.Deadline) / (time.Second / Second))
+	left := DurationOf(time.Until(migrated.Deadline))
 	imported := b.requests.reserve(id)
 	*imported = request{
 		operation:         operation,
-		deadline:          b.now + left - b.config.margin,
+		deadline:          b.now.Add(left - b.config.margin),
 		latestStart:       migrated.LatestStart,
 		latestWaitedStart: b.latestWaitedStart(&b.operations.byID[operation], migrated.LatestStart),
 		late:              b.now > migrated.LatestStart,
@@ -138,7 +138,7 @@
 		b.enqueue(id)
 	}
 	b.due.capacityChanged = true
-	b.due.reviewBy(min(b.now+b.config.patience, imported.deadline))
+	b.due.reviewBy(min(b.now.Add(b.config.patience), imported.deadline))
 }
 
 func (b *Balancer) importAttempt(request *request, migrated *MigratedAttempt) {
--- a/internal/balancer/migration_test.go
+++ b/internal/balancer/migration_test.go
@@ -24,8 +24,8 @@
 	}{{0, SendAttempt}, {1, RespondFailed}} {
 		old, _ := newTestPicker(namedConfig(), 4)
 		next, _ := newTestPicker(Config{
-			Dispatchers: 2, Kinds: 1, MaxAttempts: 4, ReportInFlight: -1, ReportQueue: -1,
-			ReportFree: -1, Tenants: namedConfig().Tenants, Operations: namedConfig().Operations[3:4],
+			Dispatchers: 2, Kinds: 1, MaxAttempts: 4, ReportInFlight: NotReported, ReportQueue: NotReported,
+			ReportFree: NotReported, Tenants: namedConfig().Tenants, Operations: namedConfig().Operations[3:4],
 		}, 4)
 		handle := old.Submit(Arrival{Operation: c.operation, Timeout: 3 * Second})
 		first := pick(t, handle)
@@ -59,10 +59,10 @@
 // come: what arrives there would be repeated, or not, as another one.
 func TestAllShardsNumberMigratedOperationsAlike(t *testing.T) {
 	now := Time(100 * Second)
-	s := NewShards(namedConfig(), 2, 1, func() Time { return now }, func(string) {})
+	s := NewShards(namedConfig(), 2, 1, func() Time { return now }, func(Event) {})
 	s.Import(MigratedRequest{Name: "foreign", Idempotency: NonIdempotent, Deadline: time.Now().Add(time.Second)})
 	config := namedConfig()
-	config.Operations = append(config.Operations, OperationConfig{Name: "fresh", LatencyObjective: Second, Kind: -1})
+	config.Operations = append(config.Operations, OperationConfig{Name: "fresh", LatencyObjective: Second, Kind: AnyKind})
 	numbers := s.Reconfigure(config).Operations
 	for _, picker := range s.pickers {
 		assert.Equal(t, "fresh", picker.balancer.operations.byID[numbers[len(numbers)-1]].name)
--- a/internal/balancer/operations.go
+++ b/internal/balancer/operations.go
@@ -12,21 +12,21 @@
 // operation is the configuration of an operation and what its requests have shown.
 type operation struct {
 	name             string
-	latencyObjective Time
-	dedupWindow      Time
-	retryAfter       Time    // advice to rejected clients, 0 for none
-	value            float64 // of an answer in time
-	lateShare        float64 // share of its value that a late answer earns
-	slack            float64 // the objective grows by this many times the size
+	latencyObjective Duration
+	dedupWindow      Duration
+	retryAfter       Duration // advice to rejected clients, 0 for none
+	value            float64  // of an answer in time
+	lateShare        float64  // share of its value that a late answer earns
+	slack            float64  // the objective grows by this many times the size
 	idempotency      Idempotency
 	dedupScope       DedupScope
-	kind             KindID // the kind of worker that runs it, or -1 for all
+	kind             KindID // the kind of worker that runs it, or AnyKind
 
 	operationStatistics
 }
 
 type operationStatistics struct {
-	longestTimeout Time // that of a client's first try
+	longestTimeout Duration // that of a client's first try
 	arrivals       int
 	meanSize       float64
 	valueDensity   float64 // value per unit of work
@@ -112,7 +112,7 @@
 }
 
 // observeRun counts how long an attempt that succeeded ran.
-func (o *operation) observeRun(took Time) {
+func (o *operation) observeRun(took Duration) {
 	o.runs++
 	if took > 0 {
 		o.meanRun += max(learningRate/4, 1/float64(o.runs)) * (float64(took) - o.meanRun)
@@ -121,9 +121,9 @@
 
 // expectedRun is how long a request runs: by the sizes that its clients hint, or, where none do, by what has run.
 // Without it an overloaded worker would be tried again at once, as its work would seem to take no time.
-func (o *operation) expectedRun() Time {
+func (o *operation) expectedRun() Duration {
 	if o.meanSize < 1 {
-		return Time(o.meanRun)
+		return Duration(o.meanRun)
 	}
-	return Time(o.meanSize)
+	return Duration(o.meanSize)
 }
--- a/internal/balancer/pick_worker.go
+++ b/internal/balancer/pick_worker.go
@@ -6,7 +6,7 @@
 	minFreeSlotRatio = 0.5
 
 	// nonIdempotentProbeDelay is how long after a probe is due non-idempotent work may make it, if no other work has.
-	nonIdempotentProbeDelay = 8 * Second
+	nonIdempotentProbeDelay = Duration(8 * Second)
 )
 
 // pickWorker finds a worker for a request: the next one with room in the round-robin order of its interval, or else in
@@ -69,7 +69,7 @@
 		return false
 	case b.now < b.zones[worker.zone].ejectedUntil:
 		return false
-	case operation.kind >= 0 && operation.kind != worker.kind:
+	case operation.kind != AnyKind && operation.kind != worker.kind:
 		return false
 	case limits.withCredit && b.warmupFactor(id) >= 1:
 		return false
@@ -85,7 +85,7 @@
 // mayTryNonIdempotent tells whether non-idempotent work may go to a worker that has failed. Where what failed may have
 // run, other work tries it first, unless none has for a while after the probe is due.
 func (b *Balancer) mayTryNonIdempotent(worker *worker) bool {
-	return worker.consecutiveFailures == 0 || !worker.possiblyExecuted || b.now >= worker.probeAfter+nonIdempotentProbeDelay
+	return worker.consecutiveFailures == 0 || !worker.possiblyExecuted || b.now >= worker.probeAfter.Add(nonIdempotentProbeDelay)
 }
 
 // inTimeDespiteWarmup tells whether a request would not be late at a worker only because that is warming up.
--- a/internal/balancer/pick_worker_test.go
+++ b/internal/balancer/pick_worker_test.go
@@ -90,7 +90,7 @@
 		balancer.RunDueRules()
 	}
 	assert.Len(t, effects.lines, intervals+2)
-	balancer.AttemptEnded(intervals, 0, Overloaded, false)
+	balancer.AttemptEnded(intervals, 0, Overloaded, NoAnswer)
 	balancer.RunDueRules()
 	assert.Len(t, effects.lines, intervals+2, "pending: where nothing is told, others may be full as well")
 	balancer.now += Second + 1
@@ -150,7 +150,7 @@
 			balancer.RunDueRules()
 			f := balancer.requests.byID[0].attempts
 			assert.Equal(t, ZoneID(0), balancer.workers[f[0].worker].zone, "near at first")
-			balancer.AttemptEnded(0, 0, Overloaded, false)
+			balancer.AttemptEnded(0, 0, Overloaded, NoAnswer)
 			balancer.RunDueRules()
 			second += int(balancer.workers[balancer.requests.byID[0].attempts[1].worker].zone)
 		}
--- a/internal/balancer/picker.go
+++ b/internal/balancer/picker.go
@@ -27,7 +27,7 @@
 	Ctx         context.Context // of SendAttempt: ends when the attempt is canceled or the client's time is up
 	Idempotency Idempotency     // of SendAttempt: whether it may run again, and so how sure its connection has to be
 	SendBy      time.Time       // of SendAttempt: when the dedup window closes; zero for no bound
-	RetryAfter  Time            // of RespondRejected: how long the client should wait, 0 for no advice
+	RetryAfter  Duration        // of RespondRejected: how long the client should wait, 0 for no advice
 }
 
 // ErrAttemptCanceled is the cause of the context of an attempt that a decision has ended.
@@ -52,7 +52,7 @@
 	mu       sync.Mutex // guards all below, but for the channels
 	balancer *Balancer
 	clock    func() Time
-	log      func(string)
+	log      func(Event)
 
 	handles   []*RequestHandle // by RequestID, nil where the number is free
 	freeIDs   []RequestID
@@ -72,8 +72,9 @@
 	loadUpdatesReady chan struct{}
 }
 
-// NewPicker makes a Picker around a new Balancer. clock returns the current time, and log takes remarks.
-func NewPicker(config Config, seed uint64, clock func() Time, log func(string)) *Picker {
+// NewPicker makes a Picker around a new Balancer. clock returns the current time, and log takes events, under
+// the Picker's lock.
+func NewPicker(config Config, seed uint64, clock func() Time, log func(Event)) *Picker {
 	p := &Picker{
 		clock:            clock,
 		log:              log,
@@ -112,10 +113,10 @@
 }
 
 func (p *Picker) submit(arrival Arrival, arrived func(*Balancer, *RequestHandle)) *RequestHandle {
-	h := p.newHandle(time.Now().Add(arrival.Timeout.Duration()))
+	h := p.newHandle(time.Now().Add(arrival.Timeout.Standard()))
 	p.update(func(b *Balancer) {
 		p.assignID(h)
-		arrival.Timeout = min(arrival.Timeout, p.stopAt-b.now)
+		arrival.Timeout = min(arrival.Timeout, p.stopAt.Sub(b.now))
 		b.RequestArrived(h.id, arrival)
 		arrived(b, h)
 	})
@@ -135,7 +136,7 @@
 		p.mu.Unlock()
 		wait := time.Hour
 		if at != never {
-			wait = max((at - p.clock()).Duration(), 0)
+			wait = max(at.Sub(p.clock()).Standard(), 0)
 		}
 		timer.Reset(wait)
 		select {
@@ -161,10 +162,10 @@
 }
 
 // StopAfter tells that no answer is possible after a span from now: the process ends then.
-func (p *Picker) StopAfter(span Time) {
+func (p *Picker) StopAfter(span Duration) {
 	p.update(func(b *Balancer) {
-		p.stopAt = min(p.stopAt, b.now+span)
-		b.limitDeadlines(p.stopAt - b.config.margin)
+		p.stopAt = min(p.stopAt, b.now.Add(span))
+		b.limitDeadlines(p.stopAt.Add(-b.config.margin))
 	})
 }
 
@@ -188,7 +189,7 @@
 		if size == 0 {
 			size = b.sizes.median
 		}
-		misses = float64(size) > stopConfidence*float64(p.stopAt-b.now)
+		misses = float64(size) > stopConfidence*float64(p.stopAt.Sub(b.now))
 	})
 	return misses
 }
@@ -306,8 +307,8 @@
 	}
 	for _, earlier := range request.attempts[:len(request.attempts)-1] { // the first one was sent first
 		if earlier.inFlight || earlier.mayHaveRun {
-			left := earlier.sentAt + operation.dedupWindow - b.config.margin - b.now
-			return time.Now().Add(left.Duration())
+			left := earlier.sentAt.Add(operation.dedupWindow - b.config.margin).Sub(b.now)
+			return time.Now().Add(left.Standard())
 		}
 	}
 	return closes
--- a/internal/balancer/picker_effects.go
+++ b/internal/balancer/picker_effects.go
@@ -8,12 +8,12 @@
 // pickerEffects are the effects of a Picker's Balancer. Its methods run under the Picker's lock.
 type pickerEffects struct{ picker *Picker }
 
-func (e pickerEffects) SendAttempt(id RequestID, worker WorkerID, within Time) {
+func (e pickerEffects) SendAttempt(id RequestID, worker WorkerID, within Duration) {
 	p := e.picker
 	h := p.handles[id]
 	until := h.deadline
 	if within > 0 {
-		if earlier := time.Now().Add(within.Duration()); earlier.Before(until) {
+		if earlier := time.Now().Add(within.Standard()); earlier.Before(until) {
 			until = earlier
 		}
 	}
@@ -35,7 +35,7 @@
 	}
 }
 
-func (e pickerEffects) Reject(id RequestID, retryAfter Time) {
+func (e pickerEffects) Reject(id RequestID, retryAfter Duration) {
 	e.picker.handles[id].respond(Decision{Action: RespondRejected, RetryAfter: retryAfter})
 }
 
@@ -43,15 +43,15 @@
 	e.picker.handles[id].respond(Decision{Action: RespondFailed})
 }
 
-func (e pickerEffects) Wake(key uint64, after Time) {
+func (e pickerEffects) Wake(key uint64, after Duration) {
 	e.picker.wakeKey = key
-	e.picker.wakeAt = e.picker.balancer.now + after
+	e.picker.wakeAt = e.picker.balancer.now.Add(after)
 	signal(e.picker.wakeChanged)
 }
 
 func (e pickerEffects) PollEndpoints() { signal(e.picker.pollDue) }
 
-func (e pickerEffects) Log(line string) { e.picker.log(line) }
+func (e pickerEffects) Log(event Event) { e.picker.log(event) }
 
 func (e pickerEffects) Probe(worker WorkerID) {
 	select {
--- a/internal/balancer/picker_test.go
+++ b/internal/balancer/picker_test.go
@@ -13,7 +13,7 @@
 // newTestPicker has n warm workers and a clock that the test sets.
 func newTestPicker(t Config, n int) (*Picker, *Time) {
 	now := Time(100 * Second)
-	picker := NewPicker(t, 1, func() Time { return now }, func(string) {})
+	picker := NewPicker(t, 1, func() Time { return now }, func(Event) {})
 	var list []Endpoint
 	for w := range n {
 		list = append(list, Endpoint{Worker: WorkerID(w), ID: fmt.Sprintf("w%d", w), Zone: ZoneID(w % 2), Cell: CellID(w)})
@@ -73,7 +73,7 @@
 	for name, c := range map[string]struct {
 		op   OperationID
 		ends []Outcome // of the attempts before the last one, a step apart
-		left Time      // of the window as the last one is decided on, 0 for no bound
+		left Duration  // of the window as the last one is decided on, 0 for no bound
 	}{
 		"the first attempt":                     {op: zoned},
 		"after one that may have run":           {zoned, []Outcome{ConnectionReset}, window - step},
@@ -96,7 +96,7 @@
 				assert.Zero(t, choice.SendBy)
 				return
 			}
-			left := (c.left - picker.balancer.config.margin).Duration()
+			left := (c.left - picker.balancer.config.margin).Standard()
 			assert.WithinRange(t, choice.SendBy, before.Add(left), time.Now().Add(left))
 		})
 	}
@@ -163,7 +163,7 @@
 
 func TestRunAppliesRulesAsTheyComeDue(t *testing.T) {
 	start := time.Now()
-	picker := NewPicker(testConfig, 1, func() Time { return Second + Time(time.Since(start)/100000) }, func(string) {})
+	picker := NewPicker(testConfig, 1, func() Time { return Second + Time(time.Since(start)/100000) }, func(Event) {})
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error)
 	go func() { ended <- picker.Run(ctx) }()
--- a/internal/balancer/quotas.go
+++ b/internal/balancer/quotas.go
@@ -44,7 +44,7 @@
 func (q *quotas) weight(id TenantID, now Time, overQuotaShare float64) float64 {
 	tenant := &q.tenants[id]
 	seconds := max(2, quotaSample/tenant.quota) // in which usage decays
-	tenant.usage = tenant.usage*math.Exp(-float64(now-tenant.usageAt)/Second/seconds) + 1
+	tenant.usage = tenant.usage*math.Exp(-float64(now.Sub(tenant.usageAt))/Second/seconds) + 1
 	tenant.usageAt = now
 	within := min(1, quotaMargin*tenant.quota*seconds/tenant.usage)
 	return within + (1-within)*overQuotaShare
--- a/internal/balancer/reconfigure.go
+++ b/internal/balancer/reconfigure.go
@@ -1,7 +1,5 @@
 package balancer
 
-import "fmt"
-
 // AssignedIDs are the numbers of the operations and tenants of a configuration, in their order there.
 type AssignedIDs struct {
 	Operations []OperationID
@@ -32,7 +30,7 @@
 	b.due.capacityChanged = true
 	b.due.reviewAt = b.now
 	b.limitAttempts()
-	b.effects.Log(fmt.Sprintf("configuration applied: %d operations, at most %d attempts", len(config.Operations), config.MaxAttempts))
+	b.effects.Log(ConfigurationApplied{Operations: len(config.Operations), MaxAttempts: config.MaxAttempts})
 	return assigned
 }
 
--- a/internal/balancer/reconfigure_test.go
+++ b/internal/balancer/reconfigure_test.go
@@ -41,10 +41,10 @@
 	assert.Equal(t, []OperationID{5, 1, 2, 3, 4}, numbers, "those that are as they were keep their numbers")
 	balancer.RequestArrived(1, Arrival{Operation: numbers[0], Timeout: 5 * Second, SizeHint: 100})
 	balancer.RunDueRules()
-	balancer.AttemptEnded(1, 0, ConnectionReset, false)
+	balancer.AttemptEnded(1, 0, ConnectionReset, NoAnswer)
 	balancer.RunDueRules()
 	assert.Contains(t, effects.lines, "fail 1", "it may not run again")
-	balancer.AttemptEnded(0, 0, ConnectionReset, false)
+	balancer.AttemptEnded(0, 0, ConnectionReset, NoAnswer)
 	balancer.RunDueRules()
 	assert.Len(t, balancer.requests.byID[0].attempts, 2, "this one may")
 	assert.Equal(t, balancer.operations.byID[0].longestTimeout, balancer.operations.byID[5].longestTimeout, "it goes on with what was learned")
@@ -52,7 +52,7 @@
 	gone := namedConfig()
 	gone.Operations = gone.Operations[4:]
 	assert.Equal(t, []OperationID{4}, balancer.Reconfigure(gone).Operations)
-	balancer.AttemptEnded(0, 1, Succeeded, true)
+	balancer.AttemptEnded(0, 1, Succeeded, FinalAnswer)
 	assert.True(t, balancer.requests.byID[0].closed, "its class is no longer there")
 }
 
@@ -61,20 +61,20 @@
 	few := namedConfig()
 	few.MaxAttempts = 1
 	balancer.Reconfigure(few)
-	balancer.AttemptEnded(0, 0, Overloaded, false)
+	balancer.AttemptEnded(0, 0, Overloaded, NoAnswer)
 	balancer.RunDueRules()
 	assert.Contains(t, effects.lines, "reject 0, retry after 20000")
 	balancer.RequestArrived(0, Arrival{Operation: 0, Timeout: 5 * Second, SizeHint: 100})
 	balancer.RunDueRules()
 	balancer.Reconfigure(namedConfig())
 	assert.Len(t, balancer.requests.byID[0].attempts, 1)
-	balancer.AttemptEnded(0, 0, Overloaded, false)
+	balancer.AttemptEnded(0, 0, Overloaded, NoAnswer)
 	balancer.RunDueRules()
 	assert.True(t, balancer.requests.byID[0].closed, "it arrived when one was allowed")
 	balancer.SetTime(balancer.now + 2*Second)
 	balancer.RequestArrived(1, Arrival{Operation: 0, Timeout: 5 * Second, SizeHint: 100})
 	balancer.RunDueRules()
-	balancer.AttemptEnded(1, 0, Overloaded, false)
+	balancer.AttemptEnded(1, 0, Overloaded, NoAnswer)
 	balancer.RunDueRules()
 	assert.Len(t, balancer.requests.byID[1].attempts, 2)
 }
@@ -85,7 +85,7 @@
 	for w := range balancer.workers { // the others are full too
 		balancer.workers[w].probeAfter = balancer.now + 4*Second
 	}
-	balancer.AttemptEnded(0, 0, Overloaded, false)
+	balancer.AttemptEnded(0, 0, Overloaded, NoAnswer)
 	balancer.RunDueRules()
 	assert.True(t, balancer.requests.byID[0].queued)
 	few := namedConfig()
--- a/internal/balancer/release_test.go
+++ b/internal/balancer/release_test.go
@@ -54,7 +54,7 @@
 	balancer *Balancer
 }
 
-func (l *releaseEffects) SendAttempt(id RequestID, target WorkerID, _ Time) {
+func (l *releaseEffects) SendAttempt(id RequestID, target WorkerID, _ Duration) {
 	r, balancer, w := l.r, l.balancer, l.r.workers[target]
 	size := float64(balancer.requests.byID[id].size) * math.Exp(0.2*r.rng.NormFloat64()) // hints are rough
 	if !r.way.hints {
@@ -62,7 +62,7 @@
 	}
 	w.waiting = append(w.waiting, &job{from: balancer, inv: id, n: len(balancer.requests.byID[id].attempts) - 1, left: size})
 	if w.sent = append(w.sent, r.now); w.cold {
-		w.sent = slices.DeleteFunc(w.sent, func(at Time) bool { return at <= r.now-balancer.config.warmupWindow })
+		w.sent = slices.DeleteFunc(w.sent, func(at Time) bool { return at <= r.now.Add(-balancer.config.warmupWindow) })
 		n := balancer.config.overloadFactor * r.warmth(w) * standSlots * float64(balancer.config.warmupWindow) / standWork
 		w.worst = max(w.worst, float64(len(w.sent))/(n+2*math.Sqrt(n)+2))
 	}
@@ -101,7 +101,7 @@
 func (r *release) step() {
 	r.now += tick
 	for _, j := range r.cancelled {
-		r.report(j.from, func() { j.from.AttemptEnded(j.inv, j.n, Canceled, j.from.requests.byID[j.inv].closed) })
+		r.report(j.from, func() { j.from.AttemptEnded(j.inv, j.n, Canceled, answerOf(j.from.requests.byID[j.inv].closed)) })
 	}
 	r.cancelled = nil
 	for _, w := range r.workers {
@@ -114,7 +114,7 @@
 			by := min(j.left, r.warmth(w)*float64(tick))
 			if j.left, w.done = j.left-by, w.done+by; j.left <= 0 {
 				w.running = slices.DeleteFunc(w.running, func(o *job) bool { return o == j })
-				r.report(j.from, func() { j.from.AttemptEnded(j.inv, j.n, Succeeded, true) })
+				r.report(j.from, func() { j.from.AttemptEnded(j.inv, j.n, Succeeded, FinalAnswer) })
 			}
 		}
 		w.could += standSlots * r.warmth(w) * float64(tick)
@@ -144,7 +144,7 @@
 	config := testConfig
 	config.Dispatchers = r.dispatchers
 	config.Position = number
-	config.ReportFree = -1
+	config.ReportFree = NotReported
 	config.OverloadFactor = 3
 	config.ValuePerRequest = 1
 	config.Gossip = r.way.peers
--- a/internal/balancer/request_handle.go
+++ b/internal/balancer/request_handle.go
@@ -44,7 +44,7 @@
 	h.picker.update(func(b *Balancer) {
 		if !h.closed {
 			h.closed = true
-			b.ClientLeft(h.id, -1)
+			b.ClientLeft(h.id, NoAttempt)
 			h.cancelUnsent()
 		}
 		for _, decision := range h.decisions { // nobody will send these any more
@@ -141,7 +141,15 @@
 
 func (h *RequestHandle) attemptEnded(number int, outcome Outcome) {
 	h.markReported(number)
-	h.picker.balancer.AttemptEnded(h.id, number, outcome, h.closed)
+	h.picker.balancer.AttemptEnded(h.id, number, outcome, answerOf(h.closed))
+}
+
+// answerOf is FinalAnswer for a request that was closed with its attempt.
+func answerOf(closed bool) Answer {
+	if closed {
+		return FinalAnswer
+	}
+	return NoAnswer
 }
 
 // markReported ends an attempt here, and its context.
--- a/internal/balancer/request_handle_test.go
+++ b/internal/balancer/request_handle_test.go
@@ -38,7 +38,7 @@
 func TestCancelAllEndsAttemptsInFlight(t *testing.T) {
 	config := testConfig
 	config.Cancellation = false
-	s := NewShards(config, 2, 1, func() Time { return 100 * Second }, func(string) {})
+	s := NewShards(config, 2, 1, func() Time { return 100 * Second }, func(Event) {})
 	s.UpdateEndpoints([]Endpoint{{Worker: 0, ID: "w"}, {Worker: 1, ID: "v"}}, AllEndpoints, FromDiscovery)
 	for range 2 { // one at each
 		handle := s.Submit(Arrival{Timeout: 3600 * Second})
--- a/internal/balancer/retry.go
+++ b/internal/balancer/retry.go
@@ -27,7 +27,7 @@
 
 // dropsRepeat tells whether a worker would drop an attempt that repeats an earlier one, if that has run.
 func (b *Balancer) dropsRepeat(operation *operation, earlier *attempt, id WorkerID) bool {
-	if operation.idempotency == NonIdempotent || b.now >= earlier.sentAt+operation.dedupWindow-b.config.margin {
+	if operation.idempotency == NonIdempotent || b.now >= earlier.sentAt.Add(operation.dedupWindow-b.config.margin) {
 		return false
 	}
 	first := &b.workers[earlier.worker]
@@ -90,10 +90,10 @@
 	} else {
 		b.effects.Fail(id)
 	}
-	b.closeRequest(id, -1)
+	b.closeRequest(id, NoAttempt)
 }
 
-// closeRequest ends a request, and cancels its attempts but for the one with the number kept, or -1 for none.
+// closeRequest ends a request, and cancels its attempts but for the one with the number kept, or NoAttempt.
 func (b *Balancer) closeRequest(id RequestID, kept int) {
 	request := b.requests.get(id)
 	if request.closed {
--- a/internal/balancer/retry_test.go
+++ b/internal/balancer/retry_test.go
@@ -15,7 +15,7 @@
 		balancer.RequestArrived(0, Arrival{Operation: op, Timeout: 10 * Second, SizeHint: 100})
 		i := &balancer.requests.byID[0]
 		balancer.startAttempt(0, 0)
-		balancer.AttemptEnded(0, 0, outcome, false)
+		balancer.AttemptEnded(0, 0, outcome, NoAnswer)
 		i.closed = false // as if the module had not answered yet
 		assert.Equal(t, same, balancer.mayAttempt(i, 0), "operation %d outcome %d: same group", op, outcome)
 		assert.Equal(t, other, balancer.mayAttempt(i, 1), "operation %d outcome %d: other group", op, outcome)
@@ -63,7 +63,7 @@
 		balancer.RunDueRules()
 		balancer.AttemptStarted(0, 0)
 		balancer.AttemptStarted(0, 0)
-		balancer.AttemptEnded(0, 0, Succeeded, true)
+		balancer.AttemptEnded(0, 0, Succeeded, FinalAnswer)
 		balancer.RunDueRules()
 		assert.Zero(t, balancer.workers[0].unstarted)
 	}
--- a/internal/balancer/review.go
+++ b/internal/balancer/review.go
@@ -6,7 +6,7 @@
 // reviewOpenRequests goes through the open requests, the latest first: those that are out of time get their answer, an
 // attempt that sits in a worker's queue is migrated, and one that runs on and on is hedged.
 func (b *Balancer) reviewOpenRequests() {
-	b.due.reviewAt = b.now + b.config.patience
+	b.due.reviewAt = b.now.Add(b.config.patience)
 	b.due.capacityChanged = true
 	for id := range b.requests.newestFirst() {
 		request := b.requests.get(id)
@@ -51,8 +51,8 @@
 	if unstarted == nil || !b.config.cancellation {
 		return false
 	}
-	certainSlack := Time(hintConfidence * b.operations.byID[request.operation].slack * float64(request.size))
-	hopelessAfter := max(request.latestStart+certainSlack, request.latestWaitedStart)
+	certainSlack := Duration(hintConfidence * b.operations.byID[request.operation].slack * float64(request.size))
+	hopelessAfter := max(request.latestStart.Add(certainSlack), request.latestWaitedStart)
 	return b.now > hopelessAfter && b.queueingTime(unstarted) >= b.config.margin && b.mayReject(request)
 }
 
@@ -86,7 +86,7 @@
 		return false
 	}
 	latest := &request.attempts[len(request.attempts)-1]
-	return latest.inFlight && latest.startedAt > 0 && b.now-latest.startedAt > request.deadline-b.now
+	return latest.inFlight && latest.startedAt > 0 && b.now.Sub(latest.startedAt) > request.deadline.Sub(b.now)
 }
 
 // hedge sends a second attempt to a worker that is known to have room to spare.
--- a/internal/balancer/review_test.go
+++ b/internal/balancer/review_test.go
@@ -14,8 +14,8 @@
 	balancer.SetTime(min(balancer.due.wakeAt, balancer.now+Second/100))
 	balancer.RunDueRules()
 	assert.Equal(t, []string{"attempt 0 to 0", "fail 0", "cancel 0.0"}, effects.lines)
-	balancer.AttemptEnded(0, 0, Succeeded, true) // after the end: harmless
-	balancer.ClientLeft(0, -1)
+	balancer.AttemptEnded(0, 0, Succeeded, FinalAnswer) // after the end: harmless
+	balancer.ClientLeft(0, NoAttempt)
 	balancer.RunDueRules()
 	assert.Len(t, effects.lines, 3)
 }
@@ -48,7 +48,7 @@
 	balancer, effects := newWarmBalancer(2, 1)
 	balancer.RequestArrived(0, Arrival{Timeout: 10 * Second, SizeHint: 100})
 	balancer.RunDueRules()
-	balancer.now += balancer.config.patience
+	balancer.now = balancer.now.Add(balancer.config.patience)
 	balancer.RunDueRules()
 	assert.Len(t, effects.lines, 3)
 	assert.Equal(t, "cancel 0.0", effects.lines[2])
@@ -94,14 +94,14 @@
 	balancer.RequestArrived(0, Arrival{Timeout: 10 * Second, SizeHint: 100})
 	balancer.RunDueRules()
 	assert.Len(t, effects.lines, 1)
-	balancer.SetTime(balancer.now + balancer.config.patience)
+	balancer.SetTime(balancer.now.Add(balancer.config.patience))
 	balancer.RunDueRules()
 	assert.Len(t, effects.lines, 1, "it need not have arrived yet")
 	balancer.AttemptDelivered(0, 0)
-	balancer.SetTime(balancer.now + balancer.config.patience - 1)
+	balancer.SetTime(balancer.now.Add(balancer.config.patience - 1))
 	balancer.RunDueRules()
 	assert.Len(t, effects.lines, 1)
-	balancer.SetTime(balancer.now + balancer.config.patience)
+	balancer.SetTime(balancer.now.Add(balancer.config.patience))
 	balancer.RunDueRules()
 	assert.Len(t, effects.lines, 3, "it waits behind others there")
 	assert.Equal(t, "cancel 0.0", effects.lines[2])
@@ -115,7 +115,7 @@
 	}
 	balancer.RequestArrived(0, Arrival{Timeout: 10 * Second, SizeHint: 100})
 	balancer.RunDueRules()
-	balancer.SetTime(balancer.now + balancer.config.patience + deliveryMargin*100)
+	balancer.SetTime(balancer.now.Add(balancer.config.patience + deliveryMargin*100))
 	balancer.RunDueRules()
 	assert.Len(t, effects.lines, 3)
 	assert.Greater(t, balancer.zones[0].deliveryTime, Time(100), "those on their way teach as well")
@@ -134,24 +134,24 @@
 	balancer.RequestArrived(0, Arrival{Timeout: 20 * Second, SizeHint: 100})
 	balancer.RunDueRules()
 	balancer.AttemptStarted(0, 0)
-	balancer.AttemptEnded(0, 0, Succeeded, true)
+	balancer.AttemptEnded(0, 0, Succeeded, FinalAnswer)
 	balancer.RequestArrived(0, Arrival{Timeout: 18 * Second, SizeHint: 100}) // a second after its objective
 	balancer.RunDueRules()
 	assert.Equal(t, "attempt 0 to 0", effects.lines[1])
-	for until := balancer.now + balancer.operations.byID[0].latencyObjective; balancer.now < until; {
-		balancer.SetTime(balancer.now + balancer.config.patience/2)
+	for until := balancer.now.Add(balancer.operations.byID[0].latencyObjective); balancer.now < until; {
+		balancer.SetTime(balancer.now.Add(balancer.config.patience / 2))
 		balancer.RunDueRules()
 		if balancer.now <= until {
 			assert.Len(t, effects.lines, 2, "%d before its time", until-balancer.now)
 		}
 	}
-	balancer.SetTime(balancer.now + balancer.config.patience)
+	balancer.SetTime(balancer.now.Add(balancer.config.patience))
 	balancer.RunDueRules()
 	assert.Equal(t, []string{"reject 0, retry after 20000", "cancel 0.0"}, effects.lines[2:], "it clogs the worker's queue")
 
 	balancer.operations.byID[0].lateShare = 0 // a late answer earns nothing: it would only be in the way
 	balancer.RequestArrived(0, Arrival{Timeout: 18 * Second, SizeHint: 100})
-	balancer.SetTime(balancer.now + balancer.config.patience)
+	balancer.SetTime(balancer.now.Add(balancer.config.patience))
 	balancer.RunDueRules()
 	assert.Contains(t, effects.lines[4:], "reject 0, retry after 20000")
 }
@@ -160,7 +160,7 @@
 func TestLateRetryIsNotCanceledBeforeItsWorkerCouldStart(t *testing.T) {
 	balancer, effects := newDeliveryNoticesBalancer()
 	balancer.config.reportFree, balancer.operations.byID[0].longestTimeout, balancer.zones[0].deliveryTime = 0, 20*Second, 100
-	balancer.due.reviewAt = balancer.now + balancer.config.patience
+	balancer.due.reviewAt = balancer.now.Add(balancer.config.patience)
 	balancer.RequestArrived(0, Arrival{Timeout: 18 * Second, SizeHint: 100})
 	balancer.RunDueRules()
 	for range 3 { // each sweep
@@ -173,7 +173,7 @@
 	balancer.due.reviewAt = balancer.now
 	balancer.RunDueRules()
 	assert.Equal(t, 1, len(effects.lines), "the word of its start may be on the way")
-	balancer.SetTime(balancer.now + balancer.config.margin)
+	balancer.SetTime(balancer.now.Add(balancer.config.margin))
 	balancer.due.reviewAt = balancer.now
 	balancer.RunDueRules()
 	assert.Contains(t, effects.lines, "reject 0, retry after 20000", "it waits behind others, and clogs the queue")
--- a/internal/balancer/rules.go
+++ b/internal/balancer/rules.go
@@ -62,6 +62,6 @@
 	}
 	if next < b.due.wakeAt {
 		b.due.wakeAt = next
-		b.effects.Wake(uint64(next), next-b.now)
+		b.effects.Wake(uint64(next), next.Sub(b.now))
 	}
 }
--- a/internal/balancer/shards.go
+++ b/internal/balancer/shards.go
@@ -21,8 +21,8 @@
 }
 
 // NewShards makes a number of shards for a process. config.Dispatchers and config.Position count processes. clock
-// returns the current time, and log takes remarks.
-func NewShards(config Config, count int, seed uint64, clock func() Time, log func(string)) *Shards {
+// returns the current time, and log takes events.
+func NewShards(config Config, count int, seed uint64, clock func() Time, log func(Event)) *Shards {
 	s := &Shards{firstPeer: PeerID(config.Position * count), gossip: config.Gossip}
 	position := config.Position
 	config.Dispatchers *= count
@@ -91,7 +91,7 @@
 }
 
 // StopAfter tells that no answer is possible after a span from now: the process ends then.
-func (s *Shards) StopAfter(span Time) {
+func (s *Shards) StopAfter(span Duration) {
 	for _, picker := range s.pickers {
 		picker.StopAfter(span)
 	}
--- a/internal/balancer/shards_test.go
+++ b/internal/balancer/shards_test.go
@@ -14,7 +14,7 @@
 func newTestShards(t Config, n, workers int) *Shards {
 	now := Time(100 * Second)
 	t.Dispatchers, t.Position = 2, 1
-	s := NewShards(t, n, 1, func() Time { return now }, func(string) {})
+	s := NewShards(t, n, 1, func() Time { return now }, func(Event) {})
 	var list []Endpoint
 	for w := range workers {
 		list = append(list, Endpoint{Worker: WorkerID(w), ID: fmt.Sprintf("w%d", w), Zone: ZoneID(w % 2), Cell: CellID(w)})
@@ -124,7 +124,7 @@
 	fleet := make([]*Shards, 80)
 	for n := range fleet {
 		config.Position = n
-		fleet[n] = NewShards(config, 1, 1, func() Time { return 0 }, func(string) {})
+		fleet[n] = NewShards(config, 1, 1, func() Time { return 0 }, func(Event) {})
 		assert.Len(t, fleet[n].GossipPeers(), 79, "all, before there is a list")
 		var list []Endpoint
 		for w := range 60 {
--- a/internal/balancer/slot_estimation.go
+++ b/internal/balancer/slot_estimation.go
@@ -53,7 +53,7 @@
 
 // observeQueueing takes notice that an attempt at a worker started at once, or had to wait, at a load.
 func (b *Balancer) observeQueueing(id WorkerID, load int, atOnce bool) {
-	if b.config.reportFree >= 0 || b.warmupFactor(id) < 1 { // reports tell, or the worker is slow for another reason
+	if b.config.reportFree != NotReported || b.warmupFactor(id) < 1 { // reports tell, or the worker is slow for another reason
 		return
 	}
 	if b.config.gossip && !b.hearsLoadOf(id) { // the load from other dispatchers is not known
@@ -66,13 +66,13 @@
 // ReceiveLoadReport takes the values of a worker's load report, at the places that Config names. They show its
 // slots; reports are late, so they say nothing of its load now.
 func (b *Balancer) ReceiveLoadReport(id WorkerID, values []float64) {
-	if b.config.reportFree < 0 || len(values) == 0 || b.warmupFactor(id) < 1 {
+	if b.config.reportFree == NotReported || len(values) == 0 || b.warmupFactor(id) < 1 {
 		return
 	}
 	slots := values[b.config.reportFree]
 	anyFree := min(max(math.Round(slots), 0), 1) // a report out of all proportion counts like any other
 	b.slots.freeSlotRatio += learningRate * (anyFree - b.slots.freeSlotRatio)
-	if b.config.reportInFlight >= 0 && b.config.reportQueue >= 0 {
+	if b.config.reportInFlight != NotReported && b.config.reportQueue != NotReported {
 		slots += values[b.config.reportInFlight] - values[b.config.reportQueue]
 	}
 	kind := b.workers[id].kind
--- a/internal/balancer/slot_estimation_test.go
+++ b/internal/balancer/slot_estimation_test.go
@@ -38,10 +38,10 @@
 	for id := range RequestID(4) {
 		balancer.RequestArrived(id, Arrival{Timeout: 10 * Second, SizeHint: 100})
 		balancer.RunDueRules()
-		balancer.SetTime(balancer.now + 3*balancer.config.patience)
+		balancer.SetTime(balancer.now.Add(3 * balancer.config.patience))
 		balancer.AttemptDelivered(id, 0)
 		balancer.AttemptStarted(id, 0)
-		balancer.AttemptEnded(id, 0, Succeeded, true)
+		balancer.AttemptEnded(id, 0, Succeeded, FinalAnswer)
 	}
 	assert.Positive(t, balancer.slots.kinds[0].votes[1], "starts at once at a load of one")
 }
--- a/internal/balancer/snapshot.go
+++ b/internal/balancer/snapshot.go
@@ -21,14 +21,14 @@
 
 // OperationStats is what was learned of one operation.
 type OperationStats struct {
-	Name           string  `json:"Name"`
-	LongestTimeout Time    `json:"Longest"`
-	MeanSize       float64 `json:"Mean"`
-	RequestedWork  float64 `json:"Asked"`
-	LostWork       float64 `json:"Lost"`
-	Arrivals       int     `json:"Landed"`
-	MeanRun        float64 `json:"Run"`
-	Runs           int     `json:"Runs"`
+	Name           string   `json:"Name"`
+	LongestTimeout Duration `json:"Longest"`
+	MeanSize       float64  `json:"Mean"`
+	RequestedWork  float64  `json:"Asked"`
+	LostWork       float64  `json:"Lost"`
+	Arrivals       int      `json:"Landed"`
+	MeanRun        float64  `json:"Run"`
+	Runs           int      `json:"Runs"`
 }
 
 // TenantStats is the recent usage of one tenant, and when it was reckoned.
--- a/internal/balancer/warmup.go
+++ b/internal/balancer/warmup.go
@@ -24,16 +24,16 @@
 	if b.mayHaveRestarted(worker) {
 		startedAt = max(startedAt, min(worker.respondedAt, b.now))
 	}
-	if startedAt == 0 || b.config.warmupDuration == 0 || b.now-startedAt >= b.config.warmupDuration {
+	if startedAt == 0 || b.config.warmupDuration == 0 || b.now.Sub(startedAt) >= b.config.warmupDuration {
 		return 1
 	}
-	age := float64(max(b.now-startedAt, 0))
+	age := float64(max(b.now.Sub(startedAt), 0))
 	return b.config.initialWarmup + (1-b.config.initialWarmup)*age/float64(b.config.warmupDuration)
 }
 
 // noneWarming tells that no worker has a warm-up factor below 1, without going through all of them.
 func (b *Balancer) noneWarming() bool {
-	return !b.warmup.exitSeen && (b.warmup.latestStart == 0 || b.now-b.warmup.latestStart >= b.config.warmupDuration)
+	return !b.warmup.exitSeen && (b.warmup.latestStart == 0 || b.now.Sub(b.warmup.latestStart) >= b.config.warmupDuration)
 }
 
 // mayHaveRestarted tells whether a worker's process may be newer than the list says. A list that is watched says so
@@ -42,7 +42,7 @@
 	if worker.exitedAt == 0 {
 		return false
 	}
-	listedBy := max(b.discovery.watchingSince, worker.exitedAt) + b.config.maxPollInterval
+	listedBy := max(b.discovery.watchingSince, worker.exitedAt).Add(b.config.maxPollInterval)
 	return !b.discovery.watching || b.now < listedBy
 }
 
@@ -67,7 +67,7 @@
 		return false
 	}
 	if restart := b.warmup.fleetRestartAt; restart > 0 && worker.startedAt < restart {
-		if !b.discovery.watching || b.now < b.discovery.watchingSince+b.config.maxPollInterval {
+		if !b.discovery.watching || b.now < b.discovery.watchingSince.Add(b.config.maxPollInterval) {
 			return true
 		}
 	}
@@ -107,7 +107,7 @@
 }
 
 // observeSuccess takes notice of how long an attempt that succeeded took: it may show that its worker is warm.
-func (b *Balancer) observeSuccess(id WorkerID, request *request, took Time) {
+func (b *Balancer) observeSuccess(id WorkerID, request *request, took Duration) {
 	if float64(request.size) >= verifiedPace*float64(took) {
 		worker := &b.workers[id]
 		worker.verifiedSize = max(worker.verifiedSize, request.size)
@@ -132,7 +132,7 @@
 }
 
 // warmupWindowStart is the moment after which what was sent to a warming worker counts.
-func (b *Balancer) warmupWindowStart() Time { return b.now - b.config.warmupWindow }
+func (b *Balancer) warmupWindowStart() Time { return b.now.Add(-b.config.warmupWindow) }
 
 // warmupCredit is how many attempts a warming worker may get from here, where dispatchers are many and no peer tells what
 // it sends: of the first tries that arrive here, the worker's share of the capacity of all healthy workers, and half of
@@ -155,7 +155,7 @@
 
 // refreshWarmCapacity adds up the capacity of all healthy workers, some times in a warm-up window.
 func (b *Balancer) refreshWarmCapacity() {
-	if b.warmup.warmCapacity != 0 && b.now <= b.warmup.warmCapacityAt+b.config.warmupWindow/capacityRefreshes {
+	if b.warmup.warmCapacity != 0 && b.now <= b.warmup.warmCapacityAt.Add(b.config.warmupWindow/capacityRefreshes) {
 		return
 	}
 	b.warmup.warmCapacity = 0
--- a/internal/balancer/warmup_budget_test.go
+++ b/internal/balancer/warmup_budget_test.go
@@ -114,7 +114,7 @@
 	c      *coldWorker
 }
 
-func (l *lineEffects) SendAttempt(id RequestID, _ WorkerID, _ Time) {
+func (l *lineEffects) SendAttempt(id RequestID, _ WorkerID, _ Duration) {
 	balancer := l.c.fleet[l.number]
 	i := &balancer.requests.byID[id]
 	j := &job{from: balancer, inv: id, n: len(i.attempts) - 1, left: float64(i.size)}
@@ -140,7 +140,7 @@
 		balancer.SetTime(c.now)
 	}
 	for _, j := range c.refused {
-		j.from.AttemptEnded(j.inv, j.n, Overloaded, false)
+		j.from.AttemptEnded(j.inv, j.n, Overloaded, NoAnswer)
 	}
 	c.refused = nil
 	speed := c.fleet[0].warmupFactor(0)
@@ -150,7 +150,7 @@
 		c.used, j.left = c.used+done, j.left-done
 		j.from.AttemptStarted(j.inv, j.n)
 		if j.left <= 0 {
-			j.from.AttemptEnded(j.inv, j.n, Succeeded, true)
+			j.from.AttemptEnded(j.inv, j.n, Succeeded, FinalAnswer)
 		}
 	}
 	c.running = slices.DeleteFunc(c.running, func(j *job) bool { return j.left <= 0 })
--- a/internal/balancer/warmup_test.go
+++ b/internal/balancer/warmup_test.go
@@ -12,7 +12,7 @@
 	balancer.RequestArrived(inv, Arrival{Operation: 0, Timeout: 20 * Second, SizeHint: 100})
 	balancer.RunDueRules()
 	w := balancer.requests.byID[inv].attempts[0].worker
-	balancer.AttemptEnded(inv, 0, ConnectionRefused, false)
+	balancer.AttemptEnded(inv, 0, ConnectionRefused, NoAnswer)
 	return w
 }
 
@@ -29,14 +29,14 @@
 	balancer.RunDueRules()
 	balancer.AttemptStarted(1, 0)
 	assert.Equal(t, balancer.config.initialWarmup, balancer.warmupFactor(w))
-	balancer.SetTime(balancer.now + balancer.config.warmupDuration/2)
+	balancer.SetTime(balancer.now.Add(balancer.config.warmupDuration / 2))
 	assert.InDelta(t, balancer.config.initialWarmup+(1-balancer.config.initialWarmup)/2, balancer.warmupFactor(w), 0.01, "it warms from then on")
 }
 
 func TestWatchedListEndsTheSuspicionOfARestart(t *testing.T) {
 	balancer, _ := newWarmBalancer(1, 1)
 	w := refuseConnection(balancer)
-	balancer.SetTime(balancer.now + balancer.config.maxPollInterval - 1)
+	balancer.SetTime(balancer.now.Add(balancer.config.maxPollInterval - 1))
 	assert.Less(t, balancer.warmupFactor(w), 1.0)
 	balancer.SetTime(balancer.now + 1)
 	assert.Equal(t, 1.0, balancer.warmupFactor(w), "it would have told by now")
@@ -44,9 +44,9 @@
 	balancer, _ = newWarmBalancer(1, 1)
 	w = refuseConnection(balancer)
 	balancer.EndpointsUnavailable()
-	balancer.SetTime(balancer.now + 2*balancer.config.maxPollInterval)
+	balancer.SetTime(balancer.now.Add(2 * balancer.config.maxPollInterval))
 	assert.Less(t, balancer.warmupFactor(w), 1.0, "nobody tells while no list is followed")
-	balancer.UpdateEndpoints([]Endpoint{{Worker: w, ID: "w0", StartedAt: balancer.now - balancer.config.warmupDuration/2}}, ChangedEndpoints, FromDiscovery)
+	balancer.UpdateEndpoints([]Endpoint{{Worker: w, ID: "w0", StartedAt: balancer.now.Add(-balancer.config.warmupDuration / 2)}}, ChangedEndpoints, FromDiscovery)
 	assert.InDelta(t, balancer.config.initialWarmup+(1-balancer.config.initialWarmup)/2, balancer.warmupFactor(w), 0.01, "what the list tells is exact")
 }
 
@@ -54,7 +54,7 @@
 func TestStartBeforeTheExitWarmsNobody(t *testing.T) {
 	balancer, _ := newWarmBalancer(1, 1)
 	w := refuseConnection(balancer)
-	balancer.UpdateEndpoints([]Endpoint{{Worker: w, ID: "w0", StartedAt: balancer.now - balancer.config.warmupDuration/2}}, ChangedEndpoints, FromDiscovery)
+	balancer.UpdateEndpoints([]Endpoint{{Worker: w, ID: "w0", StartedAt: balancer.now.Add(-balancer.config.warmupDuration / 2)}}, ChangedEndpoints, FromDiscovery)
 	assert.Equal(t, balancer.config.initialWarmup, balancer.warmupFactor(w))
 }
 
@@ -104,7 +104,7 @@
 		w := balancer.requests.byID[0].attempts[0].worker
 		balancer.AttemptStarted(0, 0)
 		balancer.SetTime(balancer.now + Time(took*float64(hint)))
-		balancer.AttemptEnded(0, 0, Succeeded, true)
+		balancer.AttemptEnded(0, 0, Succeeded, FinalAnswer)
 		return w
 	}
 	w := paced(1.6)
--- a/internal/balancer/worker_table.go
+++ b/internal/balancer/worker_table.go
@@ -61,7 +61,7 @@
 
 // zone is what attempts have shown of a failure zone, by ZoneID.
 type zone struct {
-	failures     int  // consecutive attempts that broke or found nobody there
-	ejectedUntil Time // no attempt goes there before it
-	deliveryTime Time // mean time until a worker there has received an attempt
+	failures     int      // consecutive attempts that broke or found nobody there
+	ejectedUntil Time     // no attempt goes there before it
+	deliveryTime Duration // mean time until a worker there has received an attempt
 }
--- a/internal/daemon/admin_handler.go
+++ b/internal/daemon/admin_handler.go
@@ -31,13 +31,16 @@
 // Health returns nil once this process takes clients, or why it does not.
 func (a *adminHandler) Health() error { return a.proxy.Ready() }
 
-// Drain stops taking clients.
+// Drain stops taking clients. With a folder to keep it in, that holds after a restart too.
 func (a *adminHandler) Drain() error {
 	if forwarded, err := a.restart.forwardCommand(commandLeave); forwarded {
 		return err
 	}
 	a.state.Drain(time.Now())
-	return a.persistDrained(true)
+	if a.node == nil {
+		return nil
+	}
+	return a.node.PersistDrain()
 }
 
 // Rejoin takes clients again. It fails with lifecycle.ErrStopping.
@@ -51,15 +54,10 @@
 	if err := a.state.Rejoin(time.Now()); err != nil {
 		return err
 	}
-	return a.persistDrained(false)
-}
-
-// persistDrained has a command hold after a restart too, where there is a folder to keep it in.
-func (a *adminHandler) persistDrained(drained bool) error {
 	if a.node == nil {
 		return nil
 	}
-	return a.node.SetDrained(drained)
+	return a.node.PersistRejoin()
 }
 
 // Metrics returns the dispatcher's figures in the order of the answer to DUMP.
--- a/internal/daemon/config_parse.go
+++ b/internal/daemon/config_parse.go
@@ -147,7 +147,7 @@
 	c.Proxy.Position = c.Balancer.Position
 	c.Proxy.DialTimeout = r.seconds(defaultDialTimeout, "settings", "policyLimits", "dialTimeoutS")
 	if c.Balancer.RetryAfter {
-		c.Proxy.MaxRetryAfter = c.Balancer.MaxRetryAfter.Duration()
+		c.Proxy.MaxRetryAfter = c.Balancer.MaxRetryAfter.Standard()
 	}
 	for n, v := range r.root.GetArray("settings", "operations") {
 		operation := r.operation(n, v, c.Balancer.Operations)
@@ -168,7 +168,7 @@
 	if n < len(balanced) {
 		operation.RequiresKey = balanced[n].Idempotency == balancer.IdempotentByKey
 		operation.DedupScope = balanced[n].DedupScope
-		operation.DedupWindow = balanced[n].DedupWindow.Duration()
+		operation.DedupWindow = balanced[n].DedupWindow.Standard()
 	}
 	if s := v.GetFloat64("clientTimeoutS"); s > 0 {
 		operation.DefaultTimeout = time.Duration(s * float64(time.Second))
--- a/internal/daemon/hot_restart_predecessor.go
+++ b/internal/daemon/hot_restart_predecessor.go
@@ -49,7 +49,7 @@
 		h.log.Warn().Err(err).Msg("successor serves, but this process cannot hand off")
 		return
 	}
-	h.yieldSockets(true)
+	h.yieldSockets()
 	h.mu.Lock()
 	h.successor = link
 	h.mu.Unlock()
@@ -66,14 +66,26 @@
 	h.successor = nil
 	h.mu.Unlock()
 	h.state.TakeBack(time.Now())
-	h.yieldSockets(h.isStopping())
+	if h.isStopping() {
+		h.yieldSockets()
+	} else {
+		h.reclaimSockets()
+	}
+}
+
+// yieldSockets leaves the sockets for datagrams to a successor.
+func (h *hotRestart) yieldSockets() {
+	h.proxy.YieldDatagrams()
+	if h.node != nil {
+		h.node.YieldSocket()
+	}
 }
 
-// yieldSockets leaves the sockets for datagrams to a successor, or takes them back.
-func (h *hotRestart) yieldSockets(yield bool) {
-	h.proxy.YieldDatagrams(yield)
+// reclaimSockets takes the sockets for datagrams back.
+func (h *hotRestart) reclaimSockets() {
+	h.proxy.ReclaimDatagrams()
 	if h.node != nil {
-		h.node.YieldSocket(yield)
+		h.node.ReclaimSocket()
 	}
 }
 
--- a/internal/daemon/hot_restart_successor.go
+++ b/internal/daemon/hot_restart_successor.go
@@ -98,7 +98,7 @@
 // have been executed.
 func (h *hotRestart) importRequest(text json.RawMessage, sockets map[string]*os.File) {
 	client, attempts := h.openConnections(sockets)
-	request, finish, err := h.proxy.Import(text, attempts)
+	request, err := h.proxy.Import(text, attempts)
 	if err == nil && client == nil {
 		err = errNoClientSocket
 	}
@@ -107,10 +107,10 @@
 		for _, conn := range attempts {
 			conn.Close()
 		}
-		if client == nil || request == nil {
+		if client == nil || request.MigratedRequest == nil {
 			return
 		}
-		finish = badGateway
+		request.Finish = badGateway
 	}
 	migrated := transport.MigratedClient{
 		Conn:           client,
@@ -118,7 +118,7 @@
 		CloseRequested: request.CloseRequested,
 		AcceptsInterim: request.AcceptsInterim,
 	}
-	h.server.Import(migrated, finish)
+	h.server.Import(migrated, request.Finish)
 }
 
 func badGateway(context.Context) *protocol.Response {
--- a/internal/daemon/process.go
+++ b/internal/daemon/process.go
@@ -78,17 +78,17 @@
 // time of day and goes on by the monotonic clock, so that a clock that is set back does not stop the balancer's.
 func (p *process) buildBalancer() {
 	const (
-		microsPerTick = int64(time.Second/balancer.Second) / int64(time.Microsecond)
-		ticksPerMilli = float64(balancer.Second / 1000)
+		microsPerTick = int64(balancer.Tick / time.Microsecond)
+		ticksPerMilli = float64(time.Millisecond / balancer.Tick)
 	)
 	start := time.Now()
 	base := balancer.Time(start.UnixMicro() / microsPerTick)
-	p.clock = func() balancer.Time { return base + balancer.Time(time.Since(start)/(time.Second/balancer.Second)) }
+	p.clock = func() balancer.Time { return base.Add(balancer.DurationOf(time.Since(start))) }
 	p.config.Proxy.FromUnix = func(milliseconds float64) balancer.Time {
 		return balancer.Time(milliseconds * ticksPerMilli)
 	}
 	p.shards = balancer.NewShards(p.config.Balancer, p.config.shardCount(), p.config.Seed, p.clock,
-		func(line string) { p.log.Warn().Msg(line) })
+		func(event balancer.Event) { logBalancerEvent(p.log, event) })
 	p.pool = transport.NewPool(p.limits.workerConnections, p.config.WorkerIdleTimeout, p.log)
 }
 
@@ -110,10 +110,15 @@
 	if err != nil {
 		return fmt.Errorf("peer_listen: %w", err)
 	}
-	p.datagrams, err = transport.ListenDatagrams(addr, p.restart.socket(hotrestart.PeerSocket), p.restart != nil)
+	p.datagrams, err = transport.ListenDatagrams(addr, p.listenOptions(hotrestart.PeerSocket))
 	return err
 }
 
+// listenOptions says how one of the sockets is opened that a predecessor hands over and a successor takes over.
+func (p *process) listenOptions(socketName string) transport.ListenOptions {
+	return transport.ListenOptions{Inherited: p.restart.socket(socketName), ReusePort: p.restart != nil}
+}
+
 func (p *process) buildProxy() {
 	p.state = &lifecycle.State{}
 	p.proxy = proxy.New(p.config.Proxy, p.shards, p.pool, p.datagrams, p.state, p.log)
@@ -123,7 +128,7 @@
 }
 
 func (p *process) openClientListener() error {
-	listener, err := transport.ListenClients(p.config.Listen, p.restart.socket(hotrestart.ClientSocket), p.restart != nil)
+	listener, err := transport.ListenClients(p.config.Listen, p.listenOptions(hotrestart.ClientSocket))
 	if err != nil {
 		return err
 	}
--- a/internal/daemon/recovery.go
+++ b/internal/daemon/recovery.go
@@ -35,7 +35,7 @@
 		Position:       c.Balancer.Position,
 		SettingsHash:   c.settingsHash,
 		Kinds:          c.Proxy.Kinds,
-		WarmupDuration: c.Balancer.WarmupDuration.Duration(),
+		WarmupDuration: c.Balancer.WarmupDuration.Standard(),
 		MaxRetryAfter:  c.Proxy.MaxRetryAfter,
 		DedupWindow:    maxPartialDedupWindow(c.Balancer.Operations),
 		IsSuccessor:    takesOver,
@@ -50,7 +50,7 @@
 	longest := time.Duration(0)
 	for _, o := range operations {
 		if o.Idempotency == balancer.IdempotentByKey && o.DedupScope != balancer.ScopeAll {
-			longest = max(longest, o.DedupWindow.Duration())
+			longest = max(longest, o.DedupWindow.Standard())
 		}
 	}
 	return longest
--- a/internal/discovery/helpers_test.go
+++ b/internal/discovery/helpers_test.go
@@ -94,14 +94,14 @@
 func newWatcherOf(address, workerAddress string) *Watcher {
 	began := time.Now()
 	clock := func() balancer.Time {
-		return balancer.Second + balancer.Time(time.Since(began)/(time.Second/balancer.Second))
+		return balancer.Time(balancer.Second).Add(balancer.DurationOf(time.Since(began)))
 	}
 	shards := balancer.NewShards(balancer.Config{
 		Dispatchers: 2, Kinds: 1, MaxAttempts: 1, Granularity: 20, ReportInFlight: -1, ReportQueue: -1, ReportFree: -1,
 		Tenants:       []balancer.TenantConfig{{Quota: 1e9}},
-		Operations:    []balancer.OperationConfig{{LatencyObjective: balancer.Second, Value: 1, Kind: -1}},
+		Operations:    []balancer.OperationConfig{{LatencyObjective: balancer.Second, Value: 1, Kind: balancer.AnyKind}},
 		PollEndpoints: true, MaxPollInterval: 1000 * balancer.Second,
-	}, 1, 1, clock, func(string) {})
+	}, 1, 1, clock, func(balancer.Event) {})
 	pool := transport.NewPool(4, time.Minute, zerolog.Nop())
 	config := Config{Address: address, DialTimeout: func() time.Duration { return time.Second }}
 	w := NewWatcher(config, newTable(), shards, pool, zerolog.Nop())
--- a/internal/fleet/keys.go
+++ b/internal/fleet/keys.go
@@ -22,12 +22,12 @@
 }
 
 // PriorExecution returns where a request under the same key may have run in a previous incarnation of any dispatcher, nil for
-// nowhere. It fails with proxy.ErrOutcomeUnknown if nobody can tell. again is the client's mark of a repeat.
-func (n *Node) PriorExecution(operation, key string, again bool) (*proxy.PriorExecution, error) {
+// nowhere. It fails with proxy.ErrOutcomeUnknown if nobody can tell.
+func (n *Node) PriorExecution(request proxy.KeyedRequest) (*proxy.PriorExecution, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	found, err := n.keys.Find(recovery.KeyLookup{
-		Sum: keyChecksum(operation, key), MarkedRepeat: again, KeysPending: n.machine.PeerKeysPending(n.uptime()),
+		Sum: keyChecksum(request.Operation, request.Key), MarkedRepeat: request.MarkedRepeat, KeysPending: n.machine.PeerKeysPending(n.uptime()),
 		Now: time.Now().UnixMilli(), Uptime: n.uptime(),
 	})
 	switch {
--- a/internal/fleet/node.go
+++ b/internal/fleet/node.go
@@ -51,7 +51,7 @@
 
 	keyWriter      *keyWriter
 	stateChanged   chan struct{}             // the state machine is to be called
-	yields         chan bool                 // from YieldSocket
+	yields         chan bool                 // true from YieldSocket, false from ReclaimSocket
 	storedCapacity func() map[string]float64 // by kind of worker, from the recovered state; decoded once
 
 	mu          sync.Mutex // guards the fields below; never held during a write to disk
@@ -266,9 +266,13 @@
 	}
 }
 
-// YieldSocket leaves the folder and the address to a successor (true), or takes them back once that one has ended (false).
-// It does not wait.
-func (n *Node) YieldSocket(yield bool) {
+// YieldSocket leaves the folder and the address to a successor. It does not wait.
+func (n *Node) YieldSocket() { n.requestYield(true) }
+
+// ReclaimSocket takes the folder and the address back once the successor has ended. It does not wait.
+func (n *Node) ReclaimSocket() { n.requestYield(false) }
+
+func (n *Node) requestYield(yield bool) {
 	select {
 	case n.yields <- yield:
 	default: // as many are waiting already
--- a/internal/fleet/node_test.go
+++ b/internal/fleet/node_test.go
@@ -114,8 +114,7 @@
 		n.notify()
 		assertDoesNotWait(t, "DUMP", func() { n.Metrics() })
 		assertDoesNotWait(t, "a request", func() {
-			_, _, admitted := n.Admit(balancer.Arrival{})
-			assert.False(t, admitted, "no request is sent before the state is restored")
+			assert.False(t, n.Admit(balancer.Arrival{}).Admitted, "no request is sent before the state is restored")
 		})
 		time.Sleep(time.Millisecond)
 	}
--- a/internal/fleet/phases.go
+++ b/internal/fleet/phases.go
@@ -8,6 +8,7 @@
 	"canvasroute/internal/balancer"
 	"canvasroute/internal/fleet/messaging"
 	"canvasroute/internal/fleet/recovery"
+	"canvasroute/internal/proxy"
 )
 
 const (
@@ -52,10 +53,12 @@
 	if phase != recovery.Probing && phase != recovery.SlowStart {
 		return false
 	}
-	workers, warm, now := n.balancer.Capacity()
+	capacity := n.balancer.Capacity()
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.machine.SetCapacity(n.uptime(), recovery.Capacity{Workers: workers, Warm: warm, Now: now})
+	n.machine.SetCapacity(n.uptime(), recovery.Capacity{
+		Workers: capacity.Workers, Warm: capacity.WarmSlots, Now: capacity.CurrentSlots,
+	})
 	return true
 }
 
@@ -173,18 +176,17 @@
 	return nil
 }
 
-// Admit reports whether a request may come in. If so, done is to be called with its success once it has ended; else retryAfter
-// is when its client should come back, 0 for no advice.
-func (n *Node) Admit(arrival balancer.Arrival) (done func(succeeded bool), retryAfter time.Duration, admitted bool) {
+// Admit decides whether a request may come in.
+func (n *Node) Admit(arrival balancer.Arrival) proxy.RecoveryAdmission {
 	n.mu.Lock()
 	serving := n.machine.Phase() == recovery.Serving
 	admitting := n.admitting
 	n.mu.Unlock()
 	if !admitting { // no request may be sent before the state is restored
-		return nil, n.config.MaxRetryAfter, false
+		return proxy.RecoveryAdmission{RetryAfter: n.config.MaxRetryAfter}
 	}
 	if serving {
-		return func(bool) {}, 0, true
+		return proxy.RecoveryAdmission{Admitted: true, Done: func(bool) {}}
 	}
 	size := arrival.SizeHint
 	if size == 0 {
@@ -192,12 +194,12 @@
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	admitted, retryAfter = n.machine.Admit(n.uptime(), balancer.Time(size).Duration())
+	admitted, retryAfter := n.machine.Admit(n.uptime(), balancer.Duration(size).Standard())
 	if !admitted {
 		n.counters.requestsRejected++
-		return nil, retryAfter, false
+		return proxy.RecoveryAdmission{RetryAfter: retryAfter}
 	}
-	return n.requestEnded, 0, true
+	return proxy.RecoveryAdmission{Admitted: true, Done: n.requestEnded}
 }
 
 // requestEnded passes the end of an admitted request to the state machine.
--- a/internal/fleet/restore.go
+++ b/internal/fleet/restore.go
@@ -51,7 +51,7 @@
 	outage := n.machine.Outage()
 	state := n.recovered.State
 	n.mu.Unlock()
-	processStart := n.config.Now() - balancer.Time(n.uptime()/(time.Second/balancer.Second))
+	processStart := n.config.Now().Add(-balancer.DurationOf(n.uptime()))
 	if state != nil {
 		if snapshot, ok := n.storedSnapshot(); ok {
 			age := recovery.RecordAgeOf(state.WrittenAt, time.Now().UnixMilli())
--- a/internal/fleet/state.go
+++ b/internal/fleet/state.go
@@ -62,8 +62,13 @@
 	}
 }
 
-// SetDrained persists that an operator has drained this dispatcher, or has ended the drain.
-func (n *Node) SetDrained(drained bool) error {
+// PersistDrain persists that an operator has drained this dispatcher.
+func (n *Node) PersistDrain() error { return n.persistDrained(true) }
+
+// PersistRejoin persists that an operator has ended the drain.
+func (n *Node) PersistRejoin() error { return n.persistDrained(false) }
+
+func (n *Node) persistDrained(drained bool) error {
 	s := n.resources().store
 	if s == nil {
 		return errNoFolder
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -94,10 +94,17 @@
 	return g.Wait()
 }
 
-// Yield leaves sending and receiving to the sibling process during a hot restart, or takes them back.
-func (e *Exchange) Yield(yield bool) {
+// Yield leaves sending and receiving to the sibling process during a hot restart.
+func (e *Exchange) Yield() {
 	if e.datagrams != nil {
-		e.datagrams.Yield(yield)
+		e.datagrams.Yield()
+	}
+}
+
+// Reclaim takes sending and receiving back from the sibling process.
+func (e *Exchange) Reclaim() {
+	if e.datagrams != nil {
+		e.datagrams.Reclaim()
 	}
 }
 
@@ -178,27 +185,27 @@
 // receive takes a datagram. One that is malformed, reordered or from a stranger is counted and dropped.
 func (e *Exchange) receive(from netip.AddrPort, datagram []byte) {
 	process := slices.Index(e.config.Peers, from)
-	millis, shard, loads, err := protocol.ParseLoads(datagram)
+	message, err := protocol.ParseLoads(datagram)
 	switch {
 	case process < 0 || process == e.config.Position:
 		e.Counters.Strangers.Add(1)
 		return
-	case err != nil, shard >= e.balancer.Count(): // peers have as many shards as this process
+	case err != nil, message.Instance >= e.balancer.Count(): // peers have as many shards as this process
 		e.Counters.Malformed.Add(1)
 		return
 	}
-	peer := process*e.balancer.Count() + shard
-	if len(loads) > 0 && e.latest[peer].overtook(millis) {
+	peer := process*e.balancer.Count() + message.Instance
+	if len(message.Loads) > 0 && e.latest[peer].overtook(message.Timestamp) {
 		e.Counters.Reordered.Add(1)
 		return
 	}
-	e.latest[peer] = timestamp{millis, true}
+	e.latest[peer] = timestamp{millis: message.Timestamp, known: true}
 	e.Counters.Received.Add(1)
-	if len(loads) == 0 {
+	if len(message.Loads) == 0 {
 		e.balancer.ReceivePeerStarted(process)
 		e.replyToHello(process)
 	}
-	for _, load := range loads {
+	for _, load := range message.Loads {
 		if worker, known := e.endpoints.ByTag(load.Tag); known {
 			e.balancer.ReceiveLoad(balancer.PeerID(peer), balancer.WorkerLoad{Worker: worker, InFlight: load.InFlight})
 		}
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -29,14 +29,14 @@
 func newBalancer() *balancer.Shards {
 	began := time.Now()
 	clock := func() balancer.Time {
-		return balancer.Second + balancer.Time(time.Since(began)/(time.Second/balancer.Second))
+		return balancer.Time(balancer.Second).Add(balancer.DurationOf(time.Since(began)))
 	}
 	b := balancer.NewShards(balancer.Config{
 		Dispatchers: 2, Kinds: 1, MaxAttempts: 1, Cancellation: true, Granularity: 20,
 		ReportInFlight: -1, ReportQueue: -1, ReportFree: -1,
 		Tenants:    []balancer.TenantConfig{{Quota: 1e9}},
-		Operations: []balancer.OperationConfig{{LatencyObjective: balancer.Second, Value: 1, Kind: -1}},
-	}, 1, 1, clock, func(string) {})
+		Operations: []balancer.OperationConfig{{LatencyObjective: balancer.Second, Value: 1, Kind: balancer.AnyKind}},
+	}, 1, 1, clock, func(balancer.Event) {})
 	b.UpdateEndpoints([]balancer.Endpoint{{Worker: 0, ID: "w", State: balancer.Healthy}}, balancer.AllEndpoints, balancer.FromBeforeStart)
 	return b
 }
@@ -54,7 +54,7 @@
 	assert.NoError(t, err)
 	t.Cleanup(func() { peer.Close() })
 	e.config.Peers[1] = peer.LocalAddr().(*net.UDPAddr).AddrPort()
-	e.datagrams, err = transport.ListenDatagrams(netip.MustParseAddrPort("127.0.0.1:0"), nil, false)
+	e.datagrams, err = transport.ListenDatagrams(netip.MustParseAddrPort("127.0.0.1:0"), transport.ListenOptions{})
 	assert.NoError(t, err)
 	return peer
 }
@@ -98,9 +98,9 @@
 	assert.NoError(t, peer.SetReadDeadline(time.Now().Add(receiveTimeout)))
 	n, err := peer.Read(datagram)
 	assert.NoError(t, err)
-	_, _, loads, err := protocol.ParseLoads(datagram[:n])
+	hello, err := protocol.ParseLoads(datagram[:n])
 	assert.NoError(t, err)
-	assert.Empty(t, loads)
+	assert.Empty(t, hello.Loads)
 	cancel()
 	assert.NoError(t, <-stopped)
 
--- a/internal/protocol/admin_command.go
+++ b/internal/protocol/admin_command.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"errors"
 	"fmt"
 )
 
@@ -19,25 +20,28 @@
 // MaxCommandBytes is the longest line of a command, with its end.
 const MaxCommandBytes = 256
 
-// ParseCommand parses the command in the first line of b. complete is false while that line has no end yet; what
-// follows it is ignored. The error is ErrMalformed, and its text is sent to the operator.
-func ParseCommand(b []byte) (command Command, complete bool, err error) {
+// ErrIncompleteCommand reports a line of a command that has no end yet.
+var ErrIncompleteCommand = errors.New("incomplete command")
+
+// ParseCommand parses the command in the first line of b; what follows that line is ignored. The error is
+// ErrIncompleteCommand while the line has no end, or ErrMalformed, whose text is sent to the operator.
+func ParseCommand(b []byte) (Command, error) {
 	line, _, complete := bytes.Cut(b, []byte("\n"))
 	switch {
 	case len(line) >= MaxCommandBytes:
-		return "", true, fmt.Errorf("%w: a line of more than %d bytes", ErrMalformed, MaxCommandBytes)
+		return "", fmt.Errorf("%w: a line of more than %d bytes", ErrMalformed, MaxCommandBytes)
 	case !complete:
-		return "", false, nil
+		return "", ErrIncompleteCommand
 	}
 	line = bytes.TrimSpace(line)
-	command = Command(line)
+	command := Command(line)
 	switch command {
 	case CommandHealth, CommandDump, CommandLeave, CommandJoin:
-		return command, true, nil
+		return command, nil
 	case "":
-		return "", true, fmt.Errorf("%w: an empty line, must be HEALTH, DUMP, LEAVE or JOIN", ErrMalformed)
+		return "", fmt.Errorf("%w: an empty line, must be HEALTH, DUMP, LEAVE or JOIN", ErrMalformed)
 	}
-	return "", true, fmt.Errorf("%w: unknown call %.40q, must be HEALTH, DUMP, LEAVE or JOIN", ErrMalformed,
+	return "", fmt.Errorf("%w: unknown call %.40q, must be HEALTH, DUMP, LEAVE or JOIN", ErrMalformed,
 		line)
 }
 
--- a/internal/protocol/body_test.go
+++ b/internal/protocol/body_test.go
@@ -51,9 +51,9 @@
 		{"chunks in HTTP/1.0", "HTTP/1.0", "Transfer-Encoding: chunked"},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			h, _, err := ParseRequestHead([]byte("POST /api " + tt.version + "\r\n" + tt.fieldLines + "\r\n\r\n"))
+			h, err := ParseRequestHead([]byte("POST /api " + tt.version + "\r\n" + tt.fieldLines + "\r\n\r\n"))
 			assert.NoError(t, err)
-			_, err = RequestBody(&h)
+			_, err = RequestBody(&h.Head)
 			assert.ErrorIs(t, err, ErrMalformed)
 		})
 	}
--- a/internal/protocol/fuzz_test.go
+++ b/internal/protocol/fuzz_test.go
@@ -16,11 +16,11 @@
 		}
 		_, _ = ParseEndpointList(b)
 		_, _ = ParseLoad(b, []string{"rif"})
-		_, _, _, _ = ParseLoads(b)
-		if _, used, _ := ParseRequestHead(b); used > len(b) {
+		_, _ = ParseLoads(b)
+		if head, _ := ParseRequestHead(b); head.Length > len(b) {
 			t.Fatal("more used than there is")
 		}
-		if _, used, _ := ParseResponseHead(b); used > len(b) {
+		if head, _ := ParseResponseHead(b); head.Length > len(b) {
 			t.Fatal("more used than there is")
 		}
 	})
--- a/internal/protocol/head_parser.go
+++ b/internal/protocol/head_parser.go
@@ -7,44 +7,54 @@
 	"strings"
 )
 
-// ParseRequestHead parses a request's head at the start of b. used is its length with the empty line that ends it, 0
-// while it is incomplete. It is strict: what another parser might understand in another way, such as a bare LF or a
-// control byte, is ErrMalformed, as it could smuggle a request past one of the two (RFC 9112, 11.2). A head over
-// MaxHeadBytes is ErrHeadTooLarge.
-func ParseRequestHead(b []byte) (h Head, used int, err error) {
-	startLine, fieldLines, used, err := cutHead(b)
-	if used == 0 || err != nil {
-		return h, used, err
+// ParsedHead is a head at the start of some bytes.
+type ParsedHead struct {
+	Head
+
+	// Length is that of the head in bytes, with the empty line that ends it; 0 while the head is incomplete. It is set
+	// for a malformed head too.
+	Length int
+}
+
+// ParseRequestHead parses a request's head at the start of b. It is strict: what another parser might understand in
+// another way, such as a bare LF or a control byte, is ErrMalformed, as it could smuggle a request past one of the two
+// (RFC 9112, 11.2). A head over MaxHeadBytes is ErrHeadTooLarge.
+func ParseRequestHead(b []byte) (h ParsedHead, err error) {
+	text, err := cutHead(b)
+	h.Length = text.length
+	if h.Length == 0 || err != nil {
+		return h, err
 	}
-	head := b[:used]
+	head := b[:h.Length]
 	if bytes.Count(head, []byte("\n")) != bytes.Count(head, []byte("\r\n")) {
-		return h, used, fmt.Errorf("%w: line that ends in a bare LF", ErrMalformed)
+		return h, fmt.Errorf("%w: line that ends in a bare LF", ErrMalformed)
 	}
-	parts := strings.Split(startLine, " ")
+	parts := strings.Split(text.startLine, " ")
 	if len(parts) != 3 || !isToken(parts[0]) || !strings.HasPrefix(parts[1], "/") || !isPrintable(parts[1]) {
-		return h, used, fmt.Errorf("%w: request line %.80q", ErrMalformed, startLine)
+		return h, fmt.Errorf("%w: request line %.80q", ErrMalformed, text.startLine)
 	}
 	h.Method = parts[0]
 	h.Target = parts[1]
-	err = h.parseVersionAndFields(parts[2], fieldLines)
-	return h, used, err
+	err = h.parseVersionAndFields(parts[2], text.fieldLines)
+	return h, err
 }
 
 // ParseResponseHead parses a response's head at the start of b, as ParseRequestHead does, but accepts lines that end in
 // a bare LF (RFC 9112, 2.2).
-func ParseResponseHead(b []byte) (h Head, used int, err error) {
-	startLine, fieldLines, used, err := cutHead(b)
-	if used == 0 || err != nil {
-		return h, used, err
+func ParseResponseHead(b []byte) (h ParsedHead, err error) {
+	text, err := cutHead(b)
+	h.Length = text.length
+	if h.Length == 0 || err != nil {
+		return h, err
 	}
-	version, statusAndReason, _ := strings.Cut(startLine, " ")
+	version, statusAndReason, _ := strings.Cut(text.startLine, " ")
 	status, _, _ := strings.Cut(statusAndReason, " ")
 	h.Status, err = strconv.Atoi(status)
 	if err != nil || len(status) != 3 || h.Status < 100 {
-		return h, used, fmt.Errorf("%w: status line %.80q", ErrMalformed, startLine)
+		return h, fmt.Errorf("%w: status line %.80q", ErrMalformed, text.startLine)
 	}
-	err = h.parseVersionAndFields(version, fieldLines)
-	return h, used, err
+	err = h.parseVersionAndFields(version, text.fieldLines)
+	return h, err
 }
 
 func (h *Head) parseVersionAndFields(version, fieldLines string) (err error) {
@@ -56,9 +66,16 @@
 	return err
 }
 
-// cutHead finds the start line and the field lines of a head, and its length with the empty line that ends it: 0 while
-// that has not come. Empty lines before the head are skipped, as some senders end a body with one (RFC 9112, 2.2).
-func cutHead(b []byte) (startLine, fieldLines string, used int, err error) {
+// headText is the text of a head.
+type headText struct {
+	startLine  string
+	fieldLines string
+	length     int // in bytes, with the empty line that ends it; 0 while that has not come
+}
+
+// cutHead finds the parts of a head. Empty lines before the head are skipped, as some senders end a body with one
+// (RFC 9112, 2.2).
+func cutHead(b []byte) (headText, error) {
 	skipped := len(b) - len(bytes.TrimLeft(b, "\r\n"))
 	end, terminator := bytes.Index(b[skipped:], []byte("\n\r\n")), len("\n\r\n")
 	if bare := bytes.Index(b[skipped:], []byte("\n\n")); bare >= 0 && (end < 0 || bare < end) {
@@ -66,16 +83,20 @@
 	}
 	if end < 0 {
 		if len(b) >= MaxHeadBytes {
-			return "", "", 0, ErrHeadTooLarge
+			return headText{}, ErrHeadTooLarge
 		}
-		return "", "", 0, nil
+		return headText{}, nil
 	}
 	if end+terminator > MaxHeadBytes {
-		return "", "", 0, ErrHeadTooLarge
+		return headText{}, ErrHeadTooLarge
 	}
 	text := string(b[skipped : skipped+end])
-	startLine, fieldLines, _ = strings.Cut(text, "\n")
-	return strings.TrimSuffix(startLine, "\r"), fieldLines, skipped + end + terminator, nil
+	startLine, fieldLines, _ := strings.Cut(text, "\n")
+	return headText{
+		startLine:  strings.TrimSuffix(startLine, "\r"),
+		fieldLines: fieldLines,
+		length:     skipped + end + terminator,
+	}, nil
 }
 
 // parseVersion returns the minor version of HTTP/1.x.
--- a/internal/protocol/head_test.go
+++ b/internal/protocol/head_test.go
@@ -10,21 +10,21 @@
 func TestHeadIsParsedOnceComplete(t *testing.T) {
 	const text = "\r\nPOST /api?x=1 HTTP/1.1\r\nReq-Id: a\r\nX:  b \r\n\r\nrest"
 	for n := range strings.Index(text, "rest") {
-		_, used, err := ParseRequestHead([]byte(text[:n]))
+		h, err := ParseRequestHead([]byte(text[:n]))
 		assert.NoError(t, err)
-		assert.Zero(t, used)
+		assert.Zero(t, h.Length)
 	}
-	h, used, err := ParseRequestHead([]byte(text))
+	h, err := ParseRequestHead([]byte(text))
 	assert.NoError(t, err)
-	assert.Equal(t, "rest", text[used:])
+	assert.Equal(t, "rest", text[h.Length:])
 	assert.Equal(t, []string{"POST", "/api?x=1", "/api", "a", "b"},
 		[]string{h.Method, h.Target, h.Path(), h.Field("req-id"), h.Field("x")})
 }
 
 func TestResponseHeadMayHaveBareLineFeeds(t *testing.T) {
-	_, used, err := ParseResponseHead([]byte("HTTP/1.1 200 OK\nA: b\n\n"))
+	h, err := ParseResponseHead([]byte("HTTP/1.1 200 OK\nA: b\n\n"))
 	assert.NoError(t, err)
-	assert.NotZero(t, used)
+	assert.NotZero(t, h.Length)
 }
 
 func TestMalformedRequestHeads(t *testing.T) {
@@ -44,7 +44,7 @@
 		{"empty name", "GET / HTTP/1.1\r\n : c\r\n\r\n"},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			_, _, err := ParseRequestHead([]byte(tt.text))
+			_, err := ParseRequestHead([]byte(tt.text))
 			assert.ErrorIs(t, err, ErrMalformed)
 		})
 	}
@@ -55,14 +55,14 @@
 		"HTTP/1.1 2x0 OK\r\n\r\n", "HTTP/1.1\r\n\r\n", "GARBAGE\r\n\r\n", "HTTP/3 200\r\n\r\n",
 	} {
 		t.Run(text, func(t *testing.T) {
-			_, _, err := ParseResponseHead([]byte(text))
+			_, err := ParseResponseHead([]byte(text))
 			assert.ErrorIs(t, err, ErrMalformed)
 		})
 	}
 }
 
 func TestHeadOverTheLimitIsTooLarge(t *testing.T) {
-	_, _, err := ParseRequestHead([]byte(strings.Repeat("a", MaxHeadBytes)))
+	_, err := ParseRequestHead([]byte(strings.Repeat("a", MaxHeadBytes)))
 	assert.ErrorIs(t, err, ErrHeadTooLarge)
 }
 
--- a/internal/protocol/load_datagram.go
+++ b/internal/protocol/load_datagram.go
@@ -56,23 +56,30 @@
 	return b
 }
 
-// ParseLoads parses a datagram. instance is 0 where none is named. The error is ErrMalformedDatagram.
-func ParseLoads(b []byte) (timestamp uint16, instance int, loads []Load, err error) {
+// LoadDatagram is what a datagram between dispatchers says.
+type LoadDatagram struct {
+	Timestamp uint16 // when it was sent, in Unix milliseconds modulo 2^16
+	Instance  int    // of its process that sent it, 0 where none is named
+	Loads     []Load // none for a process that has just started
+}
+
+// ParseLoads parses a datagram. The error is ErrMalformedDatagram.
+func ParseLoads(b []byte) (LoadDatagram, error) {
 	if len(b) < timestampBytes || len(b) > settings.MaxMessageBytes {
-		return 0, 0, nil, ErrMalformedDatagram
+		return LoadDatagram{}, ErrMalformedDatagram
 	}
-	timestamp = binary.BigEndian.Uint16(b)
+	datagram := LoadDatagram{Timestamp: binary.BigEndian.Uint16(b)}
 	b = b[timestampBytes:]
 	switch len(b) % loadBytes {
 	case 0:
 	case instanceBytes:
-		instance = int(b[0])
+		datagram.Instance = int(b[0])
 		b = b[instanceBytes:]
 	default:
-		return 0, 0, nil, ErrMalformedDatagram
+		return LoadDatagram{}, ErrMalformedDatagram
 	}
 	for ; len(b) > 0; b = b[loadBytes:] {
-		loads = append(loads, Load{Tag: binary.BigEndian.Uint16(b), InFlight: int(b[2])})
+		datagram.Loads = append(datagram.Loads, Load{Tag: binary.BigEndian.Uint16(b), InFlight: int(b[2])})
 	}
-	return timestamp, instance, loads, nil
+	return datagram, nil
 }
--- a/internal/protocol/load_datagram_test.go
+++ b/internal/protocol/load_datagram_test.go
@@ -18,11 +18,11 @@
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			b := AppendLoads(nil, 0xfffe, tt.instance, []Load{{WorkerTag("s-1"), 3}, {WorkerTag("s-2"), 300}})
-			timestamp, instance, loads, err := ParseLoads(b)
+			datagram, err := ParseLoads(b)
 			assert.NoError(t, err)
-			assert.Equal(t, uint16(0xfffe), timestamp)
-			assert.Equal(t, tt.wantInstance, instance)
-			assert.Equal(t, []Load{{WorkerTag("s-1"), 3}, {WorkerTag("s-2"), 255}}, loads)
+			assert.Equal(t, uint16(0xfffe), datagram.Timestamp)
+			assert.Equal(t, tt.wantInstance, datagram.Instance)
+			assert.Equal(t, []Load{{WorkerTag("s-1"), 3}, {WorkerTag("s-2"), 255}}, datagram.Loads)
 			largest := AppendLoads(nil, 0, tt.instance, make([]Load, 1000))
 			assert.LessOrEqual(t, len(largest), 256, "no longer datagram may be sent")
 		})
@@ -33,7 +33,7 @@
 func TestDatagramsOfOtherLengthsAreMalformed(t *testing.T) {
 	for _, length := range []int{0, 1, 4, 7, 257} {
 		t.Run(strconv.Itoa(length), func(t *testing.T) {
-			_, _, _, err := ParseLoads(make([]byte, length))
+			_, err := ParseLoads(make([]byte, length))
 			assert.ErrorIs(t, err, ErrMalformedDatagram)
 		})
 	}
--- a/internal/protocol/wire_test.go
+++ b/internal/protocol/wire_test.go
@@ -28,9 +28,9 @@
 		t.Run(c.name, func(t *testing.T) {
 			b := AppendLoads(nil, 0xabcd, c.instance, c.loads)
 			assert.Equal(t, c.want, hex.EncodeToString(b))
-			timestamp, instance, read, err := ParseLoads(b)
+			datagram, err := ParseLoads(b)
 			assert.NoError(t, err)
-			assert.Equal(t, []any{uint16(0xabcd), max(c.instance, 0), len(c.loads)}, []any{timestamp, instance, len(read)})
+			assert.Equal(t, []any{uint16(0xabcd), max(c.instance, 0), len(c.loads)}, []any{datagram.Timestamp, datagram.Instance, len(datagram.Loads)})
 		})
 	}
 	assert.Len(t, AppendLoads(nil, 0, 5, make([]Load, 1000)), 255, "84 loads at the most")
@@ -158,9 +158,9 @@
 // TestOperatorCommands checks the words of operators' commands, and the forms of the responses.
 func TestOperatorCommands(t *testing.T) {
 	for _, word := range []string{"HEALTH", "DUMP", "LEAVE", "JOIN"} {
-		command, complete, err := ParseCommand([]byte(word + "\n"))
+		command, err := ParseCommand([]byte(word + "\n"))
 		assert.NoError(t, err)
-		assert.Equal(t, []any{word, true}, []any{string(command), complete})
+		assert.Equal(t, word, string(command))
 	}
 	assert.Equal(t, "done\n", string(AppendCommandResult(nil, nil)))
 	assert.Equal(t, "error malformed datagram\n", string(AppendCommandResult(nil, ErrMalformedDatagram)))
--- a/internal/proxy/format_test.go
+++ b/internal/proxy/format_test.go
@@ -239,11 +239,11 @@
 // fullRequest is a request as a client hands it in, with each field set.
 func fullRequest(t *testing.T) *protocol.Request {
 	t.Helper()
-	h, _, err := protocol.ParseRequestHead([]byte("POST /api?q=1 HTTP/1.1\r\nReq-Id: request-1\r\nReq-Kind: render\r\n" +
+	h, err := protocol.ParseRequestHead([]byte("POST /api?q=1 HTTP/1.1\r\nReq-Id: request-1\r\nReq-Kind: render\r\n" +
 		"Req-Owner: acme\r\nReq-Deadline: 2.5\r\nReq-Cost: 1500\r\nReq-Extra: slots=1.5\r\n" +
 		"Idempotency-Key: key-1\r\nContent-Type: text/plain\r\n\r\n"))
 	assert.NoError(t, err)
-	request, err := protocol.ParseRequest(&h)
+	request, err := protocol.ParseRequest(&h.Head)
 	assert.NoError(t, err)
 	request.Body = []byte("body \x00\xff")
 	return request
--- a/internal/proxy/helpers_test.go
+++ b/internal/proxy/helpers_test.go
@@ -147,9 +147,9 @@
 		ReportInFlight: -1, ReportQueue: -1, ReportFree: -1,
 		Tenants: []balancer.TenantConfig{{Quota: 1e9}},
 		Operations: []balancer.OperationConfig{
-			{LatencyObjective: balancer.Second, Value: 1, Kind: -1},
-			{LatencyObjective: balancer.Second, Value: 1, Kind: -1, Idempotency: balancer.NonIdempotent},
-			{LatencyObjective: balancer.Second, Value: 1, Kind: -1, Idempotency: balancer.IdempotentByKey},
+			{LatencyObjective: balancer.Second, Value: 1, Kind: balancer.AnyKind},
+			{LatencyObjective: balancer.Second, Value: 1, Kind: balancer.AnyKind, Idempotency: balancer.NonIdempotent},
+			{LatencyObjective: balancer.Second, Value: 1, Kind: balancer.AnyKind, Idempotency: balancer.IdempotentByKey},
 		},
 	}
 	worker := protocol.Endpoint{ID: "w", Address: address, State: protocol.Ready}
@@ -168,8 +168,10 @@
 		InitialEndpoints: &protocol.EndpointList{Version: 7, Complete: true, Endpoints: []protocol.Endpoint{worker}},
 	}
 	change(&balancing, &config)
-	clock := func() balancer.Time { return balancer.Second + balancerTime(time.Since(began)) }
-	shards := balancer.NewShards(balancing, 1, 1, clock, func(string) {})
+	clock := func() balancer.Time {
+		return balancer.Time(balancer.Second).Add(balancer.DurationOf(time.Since(began)))
+	}
+	shards := balancer.NewShards(balancing, 1, 1, clock, func(balancer.Event) {})
 	pool := transport.NewPool(4, time.Minute, zerolog.Nop())
 	return New(config, shards, pool, nil, &lifecycle.State{}, zerolog.Nop())
 }
@@ -188,7 +190,7 @@
 }
 
 // withRetryWindow allows repeats of keyed in one zone, within a window.
-func withRetryWindow(window balancer.Time) func(*balancer.Config, *Config) {
+func withRetryWindow(window balancer.Duration) func(*balancer.Config, *Config) {
 	return func(balancing *balancer.Config, config *Config) {
 		balancing.MaxAttempts = 4
 		balancing.Operations[2].DedupWindow = window
@@ -200,11 +202,11 @@
 
 // parseHead parses the head of a request with the header fields.
 func parseHead(fields string) *protocol.Head {
-	h, _, err := protocol.ParseRequestHead([]byte("POST /api HTTP/1.1\r\n" + fields + "\r\n"))
+	h, err := protocol.ParseRequestHead([]byte("POST /api HTTP/1.1\r\n" + fields + "\r\n"))
 	if err != nil {
 		panic(err)
 	}
-	return &h
+	return &h.Head
 }
 
 // requestHead is the head of the request a1 for an operation.
@@ -272,11 +274,11 @@
 func (f *fakeRecovery) Ready() error          { return nil }
 func (f *fakeRecovery) EndpointsReceived()    {}
 func (f *fakeRecovery) EndpointsUnavailable() {}
-func (f *fakeRecovery) Admit(balancer.Arrival) (done func(bool), retryAfter time.Duration, ok bool) {
-	return func(bool) {}, 0, true
+func (f *fakeRecovery) Admit(balancer.Arrival) RecoveryAdmission {
+	return RecoveryAdmission{Admitted: true, Done: func(bool) {}}
 }
 
-func (f *fakeRecovery) PriorExecution(string, string, bool) (*PriorExecution, error) {
+func (f *fakeRecovery) PriorExecution(KeyedRequest) (*PriorExecution, error) {
 	f.priorExecution()
 	return nil, nil
 }
--- a/internal/proxy/interleaving_test.go
+++ b/internal/proxy/interleaving_test.go
@@ -149,7 +149,7 @@
 		received.Add(1)
 		io.WriteString(c, failedText) // it may have been executed
 	})
-	p := newProxyWith(address, withRetryWindow(balancerTime(window)))
+	p := newProxyWith(address, withRetryWindow(balancer.DurationOf(window)))
 	attempts := 0
 	p.hooks.beforeSend = func() {
 		attempts++
--- a/internal/proxy/migration.go
+++ b/internal/proxy/migration.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"encoding/json"
-	"errors"
 	"fmt"
 	"net"
 	"syscall"
@@ -13,9 +12,6 @@
 	"canvasroute/internal/transport"
 )
 
-// errNoSocket is the error of a connection whose socket cannot be passed on.
-var errNoSocket = errors.New("connection has no socket")
-
 // MigratedRequest is a request in flight, as one process of this dispatcher passes it to its sibling. Its sockets are
 // passed along: that of the client and one for each attempt in flight.
 type MigratedRequest struct {
@@ -109,13 +105,13 @@
 	m := *r.migration
 	r.mu.Unlock()
 	sockets, err := collectSockets(m)
-	client, pipelined, detached := transport.Detach(ctx)
-	m.request.Pipelined = pipelined
-	if !detached && err == nil {
-		err = errNoSocket
+	client, detachErr := transport.Detach(ctx)
+	m.request.Pipelined = client.Pipelined
+	if err == nil {
+		err = detachErr
 	}
 	if err == nil && ctx.Err() == nil {
-		err = m.migrator(m.request, client, sockets)
+		err = m.migrator(m.request, client.Socket, sockets)
 	}
 	for _, a := range m.attempts {
 		a.pause.end()
@@ -147,33 +143,39 @@
 		m.request.Reused[number] = a.reused
 		sockets[number] = a.pause.conn.Socket()
 		if sockets[number] == nil {
-			return nil, errNoSocket
+			return nil, transport.ErrNoSocket
 		}
 	}
 	return sockets, nil
 }
 
+// ImportedRequest is a request of the sibling process that goes on here.
+type ImportedRequest struct {
+	*MigratedRequest // nil where it could not be parsed
+
+	// Finish returns the answer. It is to be called once for the client; it is nil with an error of Import.
+	Finish func(context.Context) *protocol.Response
+}
+
 // Import prepares to continue a request that the sibling process passes on as JSON, with the connections of its attempts
-// by their numbers. finish is to be called for the client and returns the answer; it is nil with an error. The request
-// is returned as far as it could be parsed.
-func (p *Proxy) Import(text json.RawMessage, attempts map[int]net.Conn) (m *MigratedRequest,
-	finish func(context.Context) *protocol.Response, err error,
-) {
-	m = &MigratedRequest{}
+// by their numbers. With an error the request is returned as far as it could be parsed.
+func (p *Proxy) Import(text json.RawMessage, attempts map[int]net.Conn) (ImportedRequest, error) {
+	m := &MigratedRequest{}
 	if err := json.Unmarshal(text, m); err != nil {
-		return nil, nil, fmt.Errorf("migrated request: %w", err)
+		return ImportedRequest{}, fmt.Errorf("migrated request: %w", err)
 	}
 	for n := range m.Balancing.Attempts {
 		worker, known := p.endpoints.ByID(m.Workers[n])
 		if !known {
-			return m, nil, fmt.Errorf("migrated request: worker %q is not known here", m.Workers[n])
+			return ImportedRequest{MigratedRequest: m}, fmt.Errorf("migrated request: worker %q is not known here", m.Workers[n])
 		}
 		m.Balancing.Attempts[n].Worker = worker
 	}
 	p.operations.add(m.Request.Operation)
-	return m, func(ctx context.Context) *protocol.Response {
+	finish := func(ctx context.Context) *protocol.Response {
 		return p.counted(m.Request.Operation, func() *protocol.Response { return p.continueRequest(ctx, m, attempts) })
-	}, nil
+	}
+	return ImportedRequest{MigratedRequest: m, Finish: finish}, nil
 }
 
 // continueRequest answers a migrated request.
--- a/internal/proxy/migration_test.go
+++ b/internal/proxy/migration_test.go
@@ -77,9 +77,9 @@
 
 func TestImportRefusesUnknownWorkerAndMalformedRequest(t *testing.T) {
 	p := newProxy(closedAddress)
-	_, _, err := p.Import([]byte(`{"Decided":{"Forwards":[{"Tgt":0}]},"Hosts":["nobody"]}`), nil)
+	_, err := p.Import([]byte(`{"Decided":{"Forwards":[{"Tgt":0}]},"Hosts":["nobody"]}`), nil)
 	assert.ErrorContains(t, err, `"nobody"`)
-	_, _, err = p.Import([]byte(`{`), nil)
+	_, err = p.Import([]byte(`{`), nil)
 	assert.Error(t, err)
 }
 
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -155,15 +155,13 @@
 // StopWithin bounds the time for answers, as this process stops: requests that would not be done by then are rejected,
 // since a request that is cut off after it was begun cannot always be sent again. Their clients should retry late:
 // connections still arrive here for a while, and dispatchers may be restarted in turn.
-func (p *Proxy) StopWithin(within time.Duration) { p.balancer.StopAfter(balancerTime(within)) }
+func (p *Proxy) StopWithin(within time.Duration) { p.balancer.StopAfter(balancer.DurationOf(within)) }
 
 // SetDiscoveryAddress changes the address of the discovery service. The new one is polled at once.
 func (p *Proxy) SetDiscoveryAddress(address string) { p.discovery.SetAddress(address) }
 
-// YieldDatagrams leaves gossip to the sibling process during a hot restart, or takes it back.
-func (p *Proxy) YieldDatagrams(yield bool) { p.gossip.Yield(yield) }
+// YieldDatagrams leaves gossip to the sibling process during a hot restart.
+func (p *Proxy) YieldDatagrams() { p.gossip.Yield() }
 
-// balancerTime converts a duration to the unit of the balancer.
-func balancerTime(d time.Duration) balancer.Time {
-	return balancer.Time(d / (time.Second / balancer.Second))
-}
+// ReclaimDatagrams takes gossip back from the sibling process.
+func (p *Proxy) ReclaimDatagrams() { p.gossip.Reclaim() }
--- a/internal/proxy/recovery.go
+++ b/internal/proxy/recovery.go
@@ -18,16 +18,29 @@
 	EndpointsReceived()
 	// EndpointsUnavailable is called after each poll of the discovery service, or watch on it, that failed.
 	EndpointsUnavailable()
-	// Admit reports whether a request may be admitted yet. done is to be called once it has ended; retryAfter is when the
-	// client of one that is not admitted should retry.
-	Admit(arrival balancer.Arrival) (done func(succeeded bool), retryAfter time.Duration, ok bool)
-	// PriorExecution returns where a request with the same key may have been executed before, nil for nowhere. isRetry is
-	// its client's mark of a repeat. The error is ErrOutcomeUnknown where that cannot be known.
-	PriorExecution(operation, key string, isRetry bool) (*PriorExecution, error)
+	// Admit decides whether a request may be admitted yet.
+	Admit(arrival balancer.Arrival) RecoveryAdmission
+	// PriorExecution returns where a request with the same key may have been executed before, nil for nowhere. The error
+	// is ErrOutcomeUnknown where that cannot be known.
+	PriorExecution(request KeyedRequest) (*PriorExecution, error)
 	// PersistKey returns once it is on disk that a request may be executed at a worker.
 	PersistKey(ctx context.Context, k KeyRecord) error
 }
 
+// RecoveryAdmission is the answer of Recovery.Admit.
+type RecoveryAdmission struct {
+	Admitted   bool
+	RetryAfter time.Duration        // for the client of a request that is not admitted, 0 for no advice
+	Done       func(succeeded bool) // to be called once an admitted request has ended
+}
+
+// KeyedRequest identifies a request by its idempotency key.
+type KeyedRequest struct {
+	Operation    string
+	Key          string
+	MarkedRepeat bool // its client says that it has sent the request before
+}
+
 // ErrOutcomeUnknown is the error of a key that may have been used at a worker that is not known.
 var ErrOutcomeUnknown = errors.New("request may have been executed at an unknown worker")
 
@@ -57,7 +70,9 @@
 	if p.config.Recovery == nil || !operation.persistsKeys() {
 		return nil, nil
 	}
-	prior, err := p.config.Recovery.PriorExecution(r.request.Operation, r.request.IdempotencyKey, isRetry)
+	prior, err := p.config.Recovery.PriorExecution(KeyedRequest{
+		Operation: r.request.Operation, Key: r.request.IdempotencyKey, MarkedRepeat: isRetry,
+	})
 	if prior == nil || err != nil {
 		return nil, err
 	}
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -84,14 +84,14 @@
 		r.handle = p.balancer.Submit(arrival)
 		return p.execute(ctx, r, make(chan string, 1))
 	}
-	done, retryAfter, ok := p.config.Recovery.Admit(arrival)
-	if !ok {
+	admission := p.config.Recovery.Admit(arrival)
+	if !admission.Admitted {
 		p.counters.rejected.Add(1)
-		return &protocol.Response{Status: 503, RetryAfter: retryAfter}
+		return &protocol.Response{Status: 503, RetryAfter: admission.RetryAfter}
 	}
 	prior, err := p.priorAttempt(r, isRetry)
 	if err != nil { // it may have been executed: a rejection would say that it was not
-		done(false)
+		admission.Done(false)
 		p.counters.failed.Add(1)
 		return &protocol.Response{Status: 502}
 	}
@@ -101,7 +101,7 @@
 		r.handle = p.balancer.SubmitAfter(arrival, *prior)
 	}
 	response := p.execute(ctx, r, make(chan string, 1))
-	done(response != nil && response.Status == 200)
+	admission.Done(response != nil && response.Status == 200)
 	return response
 }
 
@@ -131,7 +131,7 @@
 			return &protocol.Response{Status: 200, Body: []byte(<-results)}
 		case balancer.RespondRejected:
 			p.counters.rejected.Add(1)
-			return &protocol.Response{Status: 429, RetryAfter: decision.RetryAfter.Duration()}
+			return &protocol.Response{Status: 429, RetryAfter: decision.RetryAfter.Standard()}
 		case balancer.RespondElsewhere:
 			return p.migrate(ctx, r)
 		default:
--- a/internal/proxy/settings.go
+++ b/internal/proxy/settings.go
@@ -79,7 +79,7 @@
 		request.Timeout = o.DefaultTimeout
 	}
 	return balancer.Arrival{
-		Operation: o.number, Tenant: tenant, Timeout: balancerTime(request.Timeout),
-		SizeHint: balancer.Work(balancerTime(request.SizeHint)), Slots: request.Slots,
+		Operation: o.number, Tenant: tenant, Timeout: balancer.DurationOf(request.Timeout),
+		SizeHint: balancer.Work(balancer.DurationOf(request.SizeHint)), Slots: request.Slots,
 	}, nil
 }
--- a/internal/settings/operations.go
+++ b/internal/settings/operations.go
@@ -8,9 +8,6 @@
 	"canvasroute/internal/balancer"
 )
 
-// anyKind is the kind of an operation that runs on workers of all kinds.
-const anyKind = -1
-
 // idempotencies are the values of an operation's repeat.
 var idempotencies = map[string]balancer.Idempotency{
 	"idempotent":   balancer.Idempotent,
@@ -62,7 +59,7 @@
 		LateShare:        v.GetFloat64("tardyBilledValue"),
 		Idempotency:      idempotency,
 		DedupScope:       scope,
-		Kind:             anyKind,
+		Kind:             balancer.AnyKind,
 	}
 	if stretches := info.GetArray("classStretch"); n < len(stretches) {
 		operation.Stretch = stretches[n].GetFloat64()
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -31,8 +31,8 @@
 
 // DurationOf is a duration in seconds as the balancer's time. It is rounded down, so that nothing is taken to last longer
 // than it does.
-func DurationOf(seconds float64) balancer.Time {
-	return balancer.Time(math.Floor(seconds*balancer.Second + roundingSlack))
+func DurationOf(seconds float64) balancer.Duration {
+	return balancer.Duration(math.Floor(seconds*balancer.Second + roundingSlack))
 }
 
 // Parse reads the settings. It fails with ErrNotObject, or with a *KeyError for settings that no dispatcher can work
@@ -100,21 +100,22 @@
 	c.OverloadFactor = rules.GetFloat64("overloadFactor")
 }
 
-// parseLoadReports reads what workers report, and where: the number of each value in a report, -1 for one that is not
-// reported.
+// parseLoadReports reads what workers report, and the place of each value in a report.
 func parseLoadReports(c *balancer.Config, report, info *fastjson.Value) {
 	c.StartNotices = info.GetBool("tellsStart")
 	c.ReportsOnProbe = string(report.GetStringBytes("how")) == "on_probe"
-	c.ReportInFlight, c.ReportQueue, c.ReportFree = -1, -1, -1
+	c.ReportInFlight = balancer.NotReported
+	c.ReportQueue = balancer.NotReported
+	c.ReportFree = balancer.NotReported
 	for n, name := range report.GetArray("names") {
 		switch string(name.GetStringBytes()) {
 		case "rif":
-			c.ReportInFlight = n
+			c.ReportInFlight = balancer.ReportIndex(n)
 		case "q":
-			c.ReportQueue = n
+			c.ReportQueue = balancer.ReportIndex(n)
 		case "x0":
 			if string(info.GetStringBytes("reportX0")) == "free slots" {
-				c.ReportFree = n
+				c.ReportFree = balancer.ReportIndex(n)
 			}
 		}
 	}
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -101,7 +101,7 @@
 	assert.NoError(t, err)
 	assert.Equal(t, balancer.Config{
 		Dispatchers: 1, Kinds: 1, Operations: []balancer.OperationConfig{{Kind: -1}},
-		Tenants: []balancer.TenantConfig{{Quota: math.Inf(1)}}, ReportInFlight: -1, ReportQueue: -1, ReportFree: -1,
+		Tenants: []balancer.TenantConfig{{Quota: math.Inf(1)}}, ReportInFlight: balancer.NotReported, ReportQueue: balancer.NotReported, ReportFree: balancer.NotReported,
 	},
 		read)
 }
--- a/internal/simadapter/effects.go
+++ b/internal/simadapter/effects.go
@@ -5,7 +5,7 @@
 // The methods here implement balancer.Effects: each one writes a command of the reply.
 
 // SendAttempt implements balancer.Effects.
-func (in *instance) SendAttempt(id balancer.RequestID, worker balancer.WorkerID, within balancer.Time) {
+func (in *instance) SendAttempt(id balancer.RequestID, worker balancer.WorkerID, within balancer.Duration) {
 	request := in.requests.get(id)
 	request.attempts++
 	request.inFlight++
@@ -27,7 +27,7 @@
 }
 
 // Reject implements balancer.Effects.
-func (in *instance) Reject(id balancer.RequestID, retryAfter balancer.Time) {
+func (in *instance) Reject(id balancer.RequestID, retryAfter balancer.Duration) {
 	in.reply.open("Bounce", in.number)
 	in.reply.writeRaw("rid", in.requests.get(id).quoted)
 	if retryAfter > 0 {
@@ -46,7 +46,7 @@
 }
 
 // Wake implements balancer.Effects.
-func (in *instance) Wake(key uint64, after balancer.Time) {
+func (in *instance) Wake(key uint64, after balancer.Duration) {
 	in.reply.open("WakeMe", in.number)
 	in.reply.writeInt("keyBack", int64(key))
 	in.reply.writeSeconds("offsetS", after)
@@ -68,4 +68,6 @@
 }
 
 // Log implements balancer.Effects.
-func (in *instance) Log(line string) { in.reply.writeText("Remark", in.number, line) }
+func (in *instance) Log(event balancer.Event) {
+	in.reply.writeText("Remark", in.number, event.String())
+}
--- a/internal/simadapter/reply.go
+++ b/internal/simadapter/reply.go
@@ -51,9 +51,9 @@
 	r.line = strconv.AppendInt(r.line, n, 10)
 }
 
-func (r *reply) writeSeconds(key string, t balancer.Time) {
+func (r *reply) writeSeconds(key string, d balancer.Duration) {
 	r.writeRaw(key, "")
-	r.line = strconv.AppendFloat(r.line, float64(t)/balancer.Second, 'f', -1, 64)
+	r.line = strconv.AppendFloat(r.line, float64(d)/balancer.Second, 'f', -1, 64)
 }
 
 // writeText writes a whole command that has a text.
--- a/internal/simadapter/requests.go
+++ b/internal/simadapter/requests.go
@@ -137,7 +137,11 @@
 	request.inFlight--
 	request.ended = request.ended || closed
 	in.requests.ending = append(in.requests.ending, id)
-	in.balancer.AttemptEnded(id, attempt, balancer.Outcome(outcome), closed)
+	answer := balancer.NoAnswer
+	if closed {
+		answer = balancer.FinalAnswer
+	}
+	in.balancer.AttemptEnded(id, attempt, balancer.Outcome(outcome), answer)
 	in.balancer.ReceiveLoadReport(worker, in.parseLoadReport(fields))
 	return nil
 }
@@ -156,11 +160,10 @@
 // clientTimedOut passes on that a client is gone. A request that has ended earlier in this batch may be named, and is
 // unknown by now.
 func (in *instance) clientTimedOut(fields *fastjson.Value) {
-	const noAttempt = -1
 	id, known := in.requests.ids[string(fields.GetStringBytes("rid"))]
 	if !known {
 		return
 	}
 	in.requests.end(id)
-	in.balancer.ClientLeft(id, noAttempt)
+	in.balancer.ClientLeft(id, balancer.NoAttempt)
 }
--- a/internal/simadapter/wire_test.go
+++ b/internal/simadapter/wire_test.go
@@ -59,7 +59,7 @@
 		`{"Signal":{"dispatcher":4,"dst":2,"octets":"e5d4ff"}}`,
 	},
 	{
-		"remark", func(in *instance, _ balancer.RequestID, _ balancer.WorkerID) { in.Log("a \"b\"") },
+		"remark", func(in *instance, _ balancer.RequestID, _ balancer.WorkerID) { in.Log(textEvent("a \"b\"")) },
 		`{"Remark":{"dispatcher":4,"text":"a \"b\""}}`,
 	},
 }
@@ -76,3 +76,8 @@
 		})
 	}
 }
+
+// textEvent is an event that is nothing but its text.
+type textEvent string
+
+func (e textEvent) String() string { return string(e) }
--- a/internal/testbed/experiment/experiment_test.go
+++ b/internal/testbed/experiment/experiment_test.go
@@ -128,12 +128,12 @@
 	})
 	keyed := d.Operations[1]
 	assert.Equal(t, []any{40 * time.Second, 3 * time.Second, 5.0, 0.25, 1.5}, []any{
-		keyed.DedupWindow.Duration(),
-		keyed.LatencyObjective.Duration(), keyed.Value, keyed.LateShare, keyed.Stretch,
+		keyed.DedupWindow.Standard(),
+		keyed.LatencyObjective.Standard(), keyed.Value, keyed.LateShare, keyed.Stretch,
 	})
 	assert.Equal(t, []string{"a", "b"}, got.Proxy.Zones)
 	assert.Equal(t, 7.0, d.Tenants[0].Quota)
-	assert.Equal(t, 24*time.Second, d.WarmupDuration.Duration())
+	assert.Equal(t, 24*time.Second, d.WarmupDuration.Standard())
 }
 
 func TestTraceIsReadRelativeToTheFileAndRejectedWithItsLine(t *testing.T) {
--- a/internal/transport/datagrams.go
+++ b/internal/transport/datagrams.go
@@ -31,16 +31,21 @@
 // Socket is the socket as it can be passed to another process.
 func (d *Datagrams) Socket() syscall.Conn { return d.conn }
 
-// Yield leaves the socket to another process if yield is true, and takes it back if not. While it is yielded nothing is
-// received or sent here.
-func (d *Datagrams) Yield(yield bool) {
+// Yield leaves the socket to another process. While it is yielded nothing is received or sent here.
+func (d *Datagrams) Yield() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	switch {
-	case yield && d.resume == nil:
+	if d.resume == nil {
 		d.resume = make(chan struct{})
 		d.conn.SetReadDeadline(pastDeadline)
-	case !yield && d.resume != nil:
+	}
+}
+
+// Reclaim takes the socket back from the process that it was yielded to.
+func (d *Datagrams) Reclaim() {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if d.resume != nil {
 		d.conn.SetReadDeadline(time.Time{})
 		close(d.resume)
 		d.resume = nil
--- a/internal/transport/datagrams_test.go
+++ b/internal/transport/datagrams_test.go
@@ -10,7 +10,7 @@
 )
 
 func TestDatagramOverTheLimitIsNotSent(t *testing.T) {
-	d, err := ListenDatagrams(netip.MustParseAddrPort("127.0.0.1:0"), nil, false)
+	d, err := ListenDatagrams(netip.MustParseAddrPort("127.0.0.1:0"), ListenOptions{})
 	assert.NoError(t, err)
 	to := d.conn.LocalAddr().(*net.UDPAddr).AddrPort()
 	ctx, cancel := context.WithCancel(context.Background())
--- a/internal/transport/helpers_test.go
+++ b/internal/transport/helpers_test.go
@@ -149,7 +149,7 @@
 
 func listenLoopback(t *testing.T) *net.TCPListener {
 	t.Helper()
-	ln, err := ListenClients("127.0.0.1:0", nil, false)
+	ln, err := ListenClients("127.0.0.1:0", ListenOptions{})
 	assert.NoError(t, err)
 	return ln
 }
--- a/internal/transport/listen.go
+++ b/internal/transport/listen.go
@@ -12,11 +12,18 @@
 	"golang.org/x/sys/unix"
 )
 
-// ListenClients listens for clients at a TCP address. A listener that was inherited from the predecessor is used
-// instead if there is one: both processes then accept from one queue, and what waits in it outlives either. shared lets
-// a second process of this dispatcher listen at the same address, with a queue of its own.
-func ListenClients(addr string, inherited *os.File, shared bool) (*net.TCPListener, error) {
-	ln, err := openOrInherit(inherited, shared, net.FileListener, func(c net.ListenConfig) (net.Listener, error) {
+// ListenOptions say how a socket is opened where a second process of this dispatcher may serve at the same address.
+type ListenOptions struct {
+	// Inherited is the predecessor's socket, which is used instead of a new one; nil without a predecessor. Both
+	// processes then accept from one queue, and what waits in it outlives either.
+	Inherited *os.File
+	// ReusePort lets a second process listen at the same address, with a queue of its own.
+	ReusePort bool
+}
+
+// ListenClients listens for clients at a TCP address.
+func ListenClients(addr string, options ListenOptions) (*net.TCPListener, error) {
+	ln, err := openOrInherit(options, net.FileListener, func(c net.ListenConfig) (net.Listener, error) {
 		return c.Listen(context.Background(), "tcp", addr)
 	})
 	if err != nil {
@@ -29,9 +36,9 @@
 	return tcp, nil
 }
 
-// ListenDatagrams opens the UDP socket between dispatchers, or uses the inherited one. shared is as for ListenClients.
-func ListenDatagrams(addr netip.AddrPort, inherited *os.File, shared bool) (*Datagrams, error) {
-	pc, err := openOrInherit(inherited, shared, net.FilePacketConn, func(c net.ListenConfig) (net.PacketConn, error) {
+// ListenDatagrams opens the UDP socket between dispatchers, or uses the inherited one.
+func ListenDatagrams(addr netip.AddrPort, options ListenOptions) (*Datagrams, error) {
+	pc, err := openOrInherit(options, net.FilePacketConn, func(c net.ListenConfig) (net.PacketConn, error) {
 		return c.ListenPacket(context.Background(), "udp", addr.String())
 	})
 	if err != nil {
@@ -45,15 +52,15 @@
 }
 
 // openOrInherit makes a socket of an inherited file, which it closes, or opens one where there is none.
-func openOrInherit[T any](inherited *os.File, shared bool, inherit func(*os.File) (T, error),
+func openOrInherit[T any](options ListenOptions, inherit func(*os.File) (T, error),
 	open func(net.ListenConfig) (T, error),
 ) (T, error) {
-	if inherited != nil {
-		defer inherited.Close()
-		return inherit(inherited)
+	if options.Inherited != nil {
+		defer options.Inherited.Close()
+		return inherit(options.Inherited)
 	}
 	var config net.ListenConfig
-	if shared {
+	if options.ReusePort {
 		config.Control = setReusePort
 	}
 	return open(config)
--- a/internal/transport/migration.go
+++ b/internal/transport/migration.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"net"
 	"syscall"
 
@@ -20,16 +21,24 @@
 // clientConnKey is the key of the client's *Conn in the context of Handler.Serve.
 type clientConnKey struct{}
 
-// Detach takes the client's connection that a request came on out of this process: it ends the watch for the client
-// closing it, and returns its socket with the data that came after the request. ctx is that of Handler.Serve; ok is
-// false for another one. Serve has to return protocol.Migrated then.
-func Detach(ctx context.Context) (socket syscall.Conn, pipelined []byte, ok bool) {
+// ErrNoSocket is the error of Detach for a context that has no client's connection, or one that is no socket.
+var ErrNoSocket = errors.New("connection has no socket")
+
+// DetachedClient is a client's connection that has been taken out of this process.
+type DetachedClient struct {
+	Socket    syscall.Conn
+	Pipelined []byte // the data that came after the request
+}
+
+// Detach takes the client's connection that a request came on out of this process, and ends the watch for the client
+// closing it. ctx is that of Handler.Serve, which has to return protocol.Migrated then. The error is ErrNoSocket.
+func Detach(ctx context.Context) (DetachedClient, error) {
 	c, ok := ctx.Value(clientConnKey{}).(*Conn)
 	if !ok || c.Socket() == nil {
-		return nil, nil, false
+		return DetachedClient{}, ErrNoSocket
 	}
 	c.stopCloseWatch()
-	return c.Socket(), append([]byte(nil), c.readBuf.Bytes()...), true
+	return DetachedClient{Socket: c.Socket(), Pipelined: append([]byte(nil), c.readBuf.Bytes()...)}, nil
 }
 
 // MigratedClient is a client's connection that the predecessor detached, with what it had read of it.
--- a/internal/transport/migration_test.go
+++ b/internal/transport/migration_test.go
@@ -25,11 +25,11 @@
 	if head.Path() != "/migrate" {
 		return d.echoHandler.Serve(ctx, head, body, received)
 	}
-	_, pipelined, ok := Detach(ctx)
-	if !ok {
+	client, err := Detach(ctx)
+	if err != nil {
 		return &protocol.Response{Status: 500}
 	}
-	d.detached <- pipelined
+	d.detached <- client.Pipelined
 	return protocol.Migrated
 }
 
@@ -46,8 +46,8 @@
 }
 
 func TestContextOfNoRequestCannotBeDetached(t *testing.T) {
-	_, _, ok := Detach(context.Background())
-	assert.False(t, ok)
+	_, err := Detach(context.Background())
+	assert.ErrorIs(t, err, ErrNoSocket)
 }
 
 func TestImportedClientGetsItsResponseAndIsServedOn(t *testing.T) {
--- a/internal/transport/read.go
+++ b/internal/transport/read.go
@@ -36,17 +36,17 @@
 }
 
 // readHead reads until parse finds a complete head or an error.
-func (c *Conn) readHead(parse func([]byte) (protocol.Head, int, error), onFirstByte func()) (protocol.Head, error) {
+func (c *Conn) readHead(parse func([]byte) (protocol.ParsedHead, error), onFirstByte func()) (protocol.Head, error) {
 	for {
 		if c.readBuf.Len() > 0 {
 			if onFirstByte != nil {
 				onFirstByte()
 				onFirstByte = nil
 			}
-			head, used, err := parse(c.readBuf.Bytes())
-			if err != nil || used > 0 {
-				c.readBuf.Discard(used)
-				return head, err
+			head, err := parse(c.readBuf.Bytes())
+			if err != nil || head.Length > 0 {
+				c.readBuf.Discard(head.Length)
+				return head.Head, err
 			}
 		}
 		if c.readBuf.Full() {
--- a/internal/transport/shutdown_test.go
+++ b/internal/transport/shutdown_test.go
@@ -20,7 +20,7 @@
 	ln := listenLoopback(t)
 	file, err := ln.File()
 	assert.NoError(t, err)
-	successor, err = ListenClients("", file, false)
+	successor, err = ListenClients("", ListenOptions{Inherited: file})
 	assert.NoError(t, err)
 	t.Cleanup(func() { successor.Close() })
 	return newTestServer(ln, 4, newEchoHandler()), successor
