--- a/internal/balancer/arrivals.go
+++ b/internal/balancer/arrivals.go
@@ -6,23 +6,22 @@
 // and whose attempts have all ended.
 func (b *Balancer) RequestArrived(id RequestID, arrival Arrival) {
 	arrived := b.requests.reserve(id)
-	operation := &b.operations.byID[arrival.Operation]
-	operation.longestTimeout = max(operation.longestTimeout, arrival.Timeout)
-	sinceFirstTry := operation.longestTimeout - arrival.Timeout // a client that comes again has less time left
+	op := &b.operations.byID[arrival.Operation]
+	op.longestTimeout = max(op.longestTimeout, arrival.Timeout)
+	sinceFirstTry := op.longestTimeout - arrival.Timeout // a client that retries has less time left
 	*arrived = request{
 		operation:    arrival.Operation,
 		deadline:     b.now.Add(arrival.Timeout - b.config.margin),
 		attemptLimit: b.config.maxAttempts,
 		attempts:     arrived.attempts[:0],
-		latestStart:  b.now.Add(operation.latencyObjective - sinceFirstTry),
+		latestStart:  b.now.Add(op.latencyObjective - sinceFirstTry),
 		quotaWeight:  b.quotaWeight(arrival.Tenant),
 	}
-	hinted := Work(float64(arrival.SizeHint) * max(arrival.Slots, 1))
-	arrived.size = cmp.Or(b.observeSize(hinted), Work(operation.meanRun)) // without any hints, sizes are what was seen
+	arrived.size = cmp.Or(b.observeSize(arrival.size()), Work(op.meanRun)) // without any hints, what was seen to run
 	arrived.late = b.now > arrived.latestStart
-	arrived.latestWaitedStart = b.latestWaitedStart(operation, arrived.latestStart)
-	arrived.interval = b.sizes.interval(arrived.size)
-	if !arrived.late { // a client that comes again asks for nothing more than it did
+	arrived.latestWaitedStart = b.latestWaitedStart(op, arrived.latestStart)
+	arrived.interval = b.sizes.Of(arrived.size)
+	if !arrived.late { // a client that retries asks for nothing more than it did
 		b.warmup.firstTries++
 	}
 	b.loadProbes.arrivals++
@@ -33,76 +32,37 @@
 	b.due.reviewBy(min(b.now.Add(b.config.patience), arrived.deadline))
 }
 
-// latestWaitedStart is until when a request waits for its start: as long as that may keep the latency objective. Where
-// nothing tells which workers have room, that none has room now says little: a client that comes again waits as long
-// as one that comes first, if a late answer earns something.
-func (b *Balancer) latestWaitedStart(operation *operation, latestStart Time) Time {
-	if operation.lateShare > 0 && !b.config.gossip && b.config.reportFree == NotReported {
-		return max(latestStart, b.now.Add(operation.latencyObjective))
+// latestWaitedStart returns until when a request waits for its start: as long as that may keep the latency objective.
+// Where nothing shows which workers have a free slot, that none seems to have one says little. A client that retries
+// waits as long as one that comes first then, if a late answer earns something.
+func (b *Balancer) latestWaitedStart(op *operation, latestStart Time) Time {
+	freeSlotsKnown := b.config.gossip || b.config.reportFree != NotReported
+	if op.lateShare > 0 && !freeSlotsKnown {
+		return max(latestStart, b.now.Add(op.latencyObjective))
 	}
 	return latestStart
 }
 
-// AttemptStarted takes a worker's notice that it has started an attempt. Where workers give no such notice it changes
-// nothing: the attempt was never counted as unstarted, and to count it as started would shut its worker out for good.
-func (b *Balancer) AttemptStarted(id RequestID, number int) {
-	started := &b.requests.get(id).attempts[number]
-	if !b.config.startNotices || !started.inFlight || started.startedAt != 0 {
-		return
-	}
-	started.startedAt = b.now
-	b.due.capacityChanged = true
-	b.workers[started.worker].unstarted--
-	b.recordZoneSuccess(started.worker)
-	b.recordResponse(started)
-	b.subsetting.markMaybeFree(started.worker)
-	b.observeQueueing(started.worker, b.load(started.worker), b.queueingTime(started) < b.config.patience)
+// quotaWeight counts a request of a tenant that arrives now, and returns its weight: see package quota.
+func (b *Balancer) quotaWeight(id TenantID) float64 {
+	return b.tenants.Weigh(int(id), b.now, b.config.overQuotaShare)
 }
 
-// AttemptEnded takes the outcome of an attempt, and whether its result is the answer of the request.
-func (b *Balancer) AttemptEnded(id RequestID, number int, outcome Outcome, answer Answer) {
-	request := b.requests.get(id)
-	ended := &request.attempts[number]
-	ended.inFlight = false
-	ended.mayHaveRun = !outcome.neverRan()
-	request.inFlight--
-	b.due.capacityChanged = true
-	b.addInFlight(ended.worker, -1)
-	b.markLoadChanged(ended.worker)
-	if ended.startedAt == 0 && b.config.startNotices {
-		b.workers[ended.worker].unstarted--
+// observeSize takes in the hinted size of a request. It returns the size to reckon with: the median where there is no
+// hint, which is 0 before the first hints.
+func (b *Balancer) observeSize(hinted Work) Work {
+	if hinted <= 0 {
+		return b.sizes.Median()
 	}
-	b.observeOutcome(request, ended, outcome)
-	switch {
-	case answer == FinalAnswer:
-		b.closeRequest(id, number)
-	case request.closed || request.inFlight > 0:
-	case b.mayAttemptAnywhere(request):
-		b.enqueue(id)
-	default:
-		b.rejectOrFail(id)
+	if b.sizes.Observe(hinted) {
+		b.updateCutPoints()
 	}
+	return hinted
 }
 
-// observeOutcome takes what an outcome shows of the worker.
-func (b *Balancer) observeOutcome(request *request, ended *attempt, outcome Outcome) {
-	switch outcome {
-	case Succeeded:
-		worker := &b.workers[ended.worker]
-		worker.consecutiveFailures = 0
-		worker.possiblyExecuted = false
-		b.recordZoneSuccess(ended.worker)
-		b.recordResponse(ended)
-		b.observeSuccess(ended.worker, request, b.now.Sub(max(ended.sentAt, ended.startedAt)))
-	case Overloaded:
-		b.recordResponse(ended)
-		b.observeQueueing(ended.worker, b.load(ended.worker)+1, false)
-		b.backOff(ended.worker, b.overloadBackoff(ended.worker, request.operation))
-	case WorkerError, NoConnection, ConnectionRefused, ConnectionReset: // a crash, a cut link, a program that fails all
-		b.recordFailure(ended, outcome)
-	}
+// updateCutPoints renews the size intervals and what depends on them.
+func (b *Balancer) updateCutPoints() {
+	b.sizes.Update()
+	b.gossip.setResendInterval(b.sizes.SampleTotal(), len(b.sizes.Sample()))
+	b.pending.sort(b.comparePriority)
 }
-
-// ClientLeft closes a request whose client has gone. streaming is the number of an attempt whose response is being
-// streamed and which therefore goes on, or NoAttempt.
-func (b *Balancer) ClientLeft(id RequestID, streaming int) { b.closeRequest(id, streaming) }
--- a/internal/balancer/availability_test.go
+++ b/internal/balancer/availability_test.go
@@ -129,7 +129,7 @@
 			list = append(list, Endpoint{Worker: WorkerID(w), ID: fmt.Sprintf("w%d", w), Zone: ZoneID(w % 2), Cell: CellID(w)})
 		}
 		balancer.UpdateEndpoints(list, AllEndpoints, FromDiscovery)
-		balancer.slots.kinds[0].estimate = 1 // so that more are believed as work starts
+		balancer.slots.kinds[0].Estimate = 1 // so that more are believed as work starts
 		l := &randomLife{balancer: balancer, effects: effects, rng: rand.New(rand.NewPCG(seed, 1)), out: map[RequestID][]int{}}
 		for n := 0; n < 1500 && !t.Failed(); n++ {
 			l.step()
--- a/internal/balancer/balancer.go
+++ b/internal/balancer/balancer.go
@@ -3,19 +3,18 @@
 import (
 	"fmt"
 	"hash/fnv"
-	"math"
-)
-
-// never is a moment that does not come.
-const never = Time(math.MaxInt64)
 
-// forever is a span that does not end.
-const forever = Duration(math.MaxInt64)
+	"canvasroute/internal/balancer/polling"
+	"canvasroute/internal/balancer/quota"
+	"canvasroute/internal/balancer/sizeinterval"
+)
 
-// learningRate is the weight of a new sample in a running mean.
-const learningRate = 0.2
+// maxFirstPosition bounds the round-robin position at which a dispatcher begins. Any number far above that of the
+// workers does.
+const maxFirstPosition = 1 << 20
 
-// Balancer holds the decisions of one dispatcher. The package comment tells how it is driven.
+// Balancer holds the decisions of one dispatcher. The package comment says how it is driven, and where each rule stands.
+// It is not safe for concurrent use: a Picker guards it by its lock.
 type Balancer struct {
 	effects Effects
 	now     Time
@@ -23,43 +22,45 @@
 	random  randomSource
 
 	operations operationTable
-	quotas     quotas
+	tenants    quota.Tenants
 	requests   requestTable
 	pending    pendingQueue
 	workers    []worker // by WorkerID
 	zones      []zone   // by ZoneID
 	subsetting subsetting
-	sizes      sizeIntervals
+	sizes      sizeinterval.Intervals
 	slots      slotEstimates
 	warmup     warmup
-	discovery  discovery
+	polling    polling.Schedule
 	gossip     gossip
 	loadProbes loadProbes
 	due        dueTimes
 }
 
-// dueTimes tell when the rules have something to do.
+// dueTimes say when the rules have something to do.
 type dueTimes struct {
 	capacityChanged bool // something has changed that may let a pending request go
 	reviewAt        Time // when an open request may need its answer or another attempt
 	wakeAt          Time // the wake-up that was requested last, never for none
 }
 
-// New makes a Balancer without any endpoints. Equal seeds and equal calls give equal decisions.
+// New returns a Balancer without any endpoints. Equal seeds and equal calls give equal decisions.
 func New(config Config, seed uint64, effects Effects) *Balancer {
 	b := &Balancer{
-		effects:   effects,
-		config:    newDerivedConfig(config),
-		random:    randomSource{seed: seed},
-		slots:     newSlotEstimates(config.Kinds),
-		discovery: discovery{retrySpeedup: 1},
-		gossip:    newGossip(),
-		due:       dueTimes{wakeAt: never},
+		effects: effects,
+		config:  newDerivedConfig(config),
+		random:  randomSource{seed: seed},
+		slots:   newSlotEstimates(config.Kinds),
+		gossip:  newGossip(),
+		due:     dueTimes{wakeAt: never},
 	}
+	b.polling = polling.NewSchedule(b.config.polling)
 	b.operations = newOperationTable(config)
-	b.quotas = newQuotas(config.Tenants, b.config.dispatcherShare)
+	for _, tenant := range config.Tenants {
+		b.tenants.Add(tenant.Name, tenant.Quota*b.config.dispatcherShare)
+	}
 	for n := range b.subsetting.subsets { // each dispatcher begins its rotations elsewhere
-		b.subsetting.subsets[n].roundRobin = int(b.random.next() % (1 << 20))
+		b.subsetting.subsets[n].roundRobin = int(b.random.next() % maxFirstPosition)
 	}
 	return b
 }
@@ -78,7 +79,10 @@
 func (t *dueTimes) reviewBy(at Time) { t.reviewAt = min(t.reviewAt, at) }
 
 // randomSource draws numbers from a seed.
-type randomSource struct{ seed, draws uint64 }
+type randomSource struct {
+	seed  uint64
+	draws uint64 // so far
+}
 
 func (s *randomSource) next() uint64 {
 	s.draws++
--- a/internal/balancer/discovery_test.go
+++ b/internal/balancer/discovery_test.go
@@ -10,15 +10,16 @@
 
 func TestPollsBackOff(t *testing.T) {
 	balancer, effects := newWarmBalancer(1, 1)
-	balancer.config.pollEndpoints, balancer.discovery.watching = true, false
+	balancer.config.pollEndpoints = true
+	balancer.polling.PollNow(LongAgo)
 	balancer.RunDueRules()
 	balancer.RunDueRules()
 	assert.Equal(t, []string{"poll"}, effects.lines, "once, until an answer comes")
 	last := Time(0)
 	for range 4 {
 		balancer.EndpointsUnavailable()
-		assert.Greater(t, balancer.discovery.nextPoll-balancer.now, last/2)
-		last = balancer.discovery.nextPoll - balancer.now
+		assert.Greater(t, balancer.polling.DueAt()-balancer.now, last/2)
+		last = balancer.polling.DueAt() - balancer.now
 		assert.Less(t, last, balancer.config.maxPollInterval)
 	}
 }
@@ -65,7 +66,7 @@
 				balancer.SetTime(now)
 				balancer.EndpointsUnavailable()
 				a.answer = never
-			case a.answer == never && !balancer.discovery.watching && balancer.discovery.nextPoll <= now:
+			case a.answer == never && !balancer.polling.Watching() && balancer.polling.DueAt() <= now:
 				calls++
 				a.answer, a.list = q.call(now)
 			}
@@ -132,7 +133,7 @@
 			balancer.RequestArrived(0, Arrival{Timeout: 10 * Second})
 			balancer.RunDueRules()
 			assert.Empty(t, effects.lines, "the list may be old")
-			balancer.SetTime(balancer.discovery.nextPoll)
+			balancer.SetTime(balancer.polling.DueAt())
 			balancer.RunDueRules()
 			assert.Equal(t, []string{"poll"}, effects.lines)
 			end(balancer)
@@ -142,7 +143,7 @@
 				"failed":   fmt.Sprint("attempt 0 to ", balancer.requests.byID[0].attempts[0].worker),
 			}[name])
 			balancer.UpdateEndpoints([]Endpoint{{Worker: 0, ID: "w"}}, ChangedEndpoints, FromBeforeStart) // what others tell of does not hold up what is known
-			assert.False(t, balancer.discovery.endpointsStale)
+			assert.False(t, balancer.polling.EndpointsStale())
 		})
 	}
 }
@@ -151,9 +152,9 @@
 func TestSuccessorUsesItsPredecessorsListAtOnce(t *testing.T) {
 	s := NewShards(notifyDeadlineConfig(3, 2), 1, 1, func() Time { return 100 * Second }, func(Event) {})
 	s.UpdateEndpoints([]Endpoint{{Worker: 0, ID: "w"}}, AllEndpoints, FromBeforeStart)
-	assert.True(t, s.pickers[0].balancer.discovery.endpointsStale)
+	assert.True(t, s.pickers[0].balancer.polling.EndpointsStale())
 	assert.True(t, s.RestoreFromPredecessor(s.Snapshot()))
-	assert.False(t, s.pickers[0].balancer.discovery.endpointsStale)
+	assert.False(t, s.pickers[0].balancer.polling.EndpointsStale())
 }
 
 func TestPollsRepeatInTimeWhateverBecameOfTheLast(t *testing.T) {
@@ -162,16 +163,16 @@
 			balancer := New(notifyDeadlineConfig(n, position), uint64(position), &recorder{})
 			balancer.SetTime(100 * Second)
 			balancer.UpdateEndpoints([]Endpoint{{ID: "w"}}, AllEndpoints, FromBeforeStart)
-			assert.LessOrEqual(t, balancer.discovery.nextPoll-balancer.now, 2*Time(Second), "the first call")
+			assert.LessOrEqual(t, balancer.polling.DueAt()-balancer.now, 2*Time(Second), "the first call")
 			for call := range 20 { // and 2 s at most for the answer
 				balancer.EndpointsUnavailable()
-				assert.LessOrEqual(t, balancer.discovery.nextPoll-balancer.now, 4*Time(Second), "%d dispatchers, call %d", n, call)
-				assert.Greater(t, balancer.discovery.nextPoll, balancer.now)
+				assert.LessOrEqual(t, balancer.polling.DueAt()-balancer.now, 4*Time(Second), "%d dispatchers, call %d", n, call)
+				assert.Greater(t, balancer.polling.DueAt(), balancer.now)
 			}
 			balancer.UpdateEndpoints(nil, ChangedEndpoints, FromDiscovery)
-			balancer.discovery.retrySpeedup = 2 // it has taken up to 3 s of the 6 already
+			balancer.polling.RecordWatchEnd(WatchSilent) // it has taken up to 3 s of the 6 already
 			balancer.EndpointsUnavailable()
-			assert.LessOrEqual(t, balancer.discovery.nextPoll-balancer.now, 2*Time(Second), "after silence")
+			assert.LessOrEqual(t, balancer.polling.DueAt()-balancer.now, 2*Time(Second), "after silence")
 		}
 	}
 }
@@ -230,12 +231,14 @@
 				a.balancer.UpdateEndpoints([]Endpoint{{ID: "w"}}, AllEndpoints, FromDiscovery)
 				told, a.answer = append(told, now), never
 			case a.answer <= now:
-				if a.balancer.discovery.consecutiveBusy++; now-a.came < Second { // as the network tells
-					a.balancer.discovery.consecutiveBusy = 0
+				end := WatchRejected // as the network tells
+				if now-a.came < Second {
+					end = WatchFailed
 				}
+				a.balancer.polling.RecordWatchEnd(end)
 				a.balancer.EndpointsUnavailable()
 				a.answer = never
-			case a.answer == never && !a.balancer.discovery.watching && a.balancer.discovery.nextPoll <= now:
+			case a.answer == never && !a.balancer.polling.Watching() && a.balancer.polling.DueAt() <= now:
 				calls++
 				a.came = now
 				a.answer, a.list = s.call(now)
--- a/internal/balancer/doc.go
+++ b/internal/balancer/doc.go
@@ -1,35 +1,38 @@
 // Package balancer decides which worker runs a request, when another attempt is made, and when a request is rejected.
 //
+// # How it is driven
+//
 // A Balancer holds the decisions of one dispatcher and does no I/O. Its caller sets the clock with SetTime, calls the
 // method that names what has happened, such as RequestArrived or AttemptEnded, and then RunDueRules. The Balancer
-// answers through Effects while these calls run. It is not safe for concurrent use. All moments and spans are a Time,
-// in tenths of a millisecond, and all sizes a Work, in core time of the same unit.
+// answers through Effects while these calls run. It is not safe for concurrent use.
 //
 // Picker makes one Balancer usable by goroutines that block, and Shards runs several pickers in one process, one a
-// core. The package reads no configuration files, opens no sockets and starts no goroutines; it sees the wall clock
-// only in the deadlines of contexts that a Picker hands out.
-//
-// Workers are chosen by the STAR rule (size-based task assignment by intervals with round-robin): a sample of size
-// hints is cut into intervals of equal work, each interval has a block of the workers, taken from a ring ordered by
-// hash and therefore the same at every dispatcher, and each dispatcher goes through its subset of a block in
-// round-robin order. A worker with more in flight than twice the mean of its subset is passed over, and a request
-// whose block is full borrows from the others.
-//
-// Each part of a Balancer is a struct that owns its state, in a file of its own:
-//
-//   - sizeIntervals: sampled hints and cut points (size_intervals.go)
-//   - worker, zone: what is known of each worker and each zone (worker_table.go)
-//   - subsetting: the ring, the subsets and their round-robin positions (subsetting.go, availability.go)
-//   - slotEstimates: votes and estimates by kind of worker (slot_estimation.go)
-//   - warmup, workerWarmup: how warm workers are and what they were sent (warmup.go)
-//   - workerEjection, zone: consecutive failures and when to try again (ejection.go)
-//   - pendingQueue: requests that wait for a worker (pending_queue.go)
-//   - quotas: the usage of tenants (quotas.go)
-//   - discovery: when the endpoint list is polled (discovery.go)
-//   - gossip, workerGossip: what peers have in flight, and what they have to be told (gossip.go)
-//   - requestTable, attempt: open requests and their attempts (open_requests.go, attempts.go)
-//   - operationTable: configuration and statistics of operations (operations.go)
-//
-// The policy, which is what chooses workers, allows attempts and rejects requests, is in the files that policy in
-// deploy/balancer.toml names.
+// core. The package reads no configuration files, opens no sockets and starts no goroutines. Only the deadlines of
+// contexts that a Picker hands out go by the wall clock.
+//
+// # Worker choice
+//
+// Workers are chosen by the STAR rule (size-based task assignment by intervals with round-robin). Size hints are cut
+// into intervals of equal work, and each interval has a block of the workers. Blocks are cut from a ring ordered by hash,
+// which is the same at every dispatcher; each dispatcher goes through its subset of a block in round-robin order. A
+// worker with more than twice the mean load of its subset is passed over. A request whose block is full borrows from the
+// others.
+//
+// # Where each rule stands
+//
+//   - order in which rules are applied: rules.go
+//   - size intervals: package sizeinterval; ring and subsets: subsetting.go; choice: pick_worker.go, mean_load.go
+//   - why a worker is passed over: eligibility.go, which lists every reason (exclusion)
+//   - slow start of workers: slow_start.go (budget), warmup_credit.go (many dispatchers), warm_up.go (how warm one is),
+//     process_exit.go (restarts that the endpoint list does not name yet)
+//   - outlier ejection of workers and zones: package outlier, ejection.go; backoff after an overload: overload.go
+//   - slots of a worker: package slotestimate, slot_estimation.go
+//   - order of waiting requests: priority.go, pending.go; quotas of tenants: package quota
+//   - retries: retry.go; rejection and Retry-After: rejection.go; time limits: review.go
+//   - hedged requests: hedging.go; migration of unstarted attempts: unstarted_attempts.go
+//   - polling of the endpoint list and its backoff: package polling
+//   - load between dispatchers: gossip.go; load reports of workers: load_probes.go
+//   - hot restart: snapshot.go, migration.go, sibling.go; new configuration: reconfigure.go; power loss: fleet_restart.go
+//
+// Time, Duration and Work are in ticks of a tenth of a millisecond: see package tick.
 package balancer
--- a/internal/balancer/ejection_test.go
+++ b/internal/balancer/ejection_test.go
@@ -5,6 +5,8 @@
 	"testing"
 
 	"github.com/stretchr/testify/assert"
+
+	"canvasroute/internal/balancer/outlier"
 )
 
 // Regression test for a program that fails all it gets: it is always idle, and so would get more than its turn.
@@ -42,10 +44,10 @@
 		balancer.startAttempt(id, 0)
 	}
 	balancer.AttemptEnded(0, 0, ConnectionStale, FinalAnswer)
-	assert.Equal(t, 0, balancer.workers[0].consecutiveFailures, "a kept connection may end and its worker be well")
+	assert.Equal(t, 0, balancer.workers[0].health.ConsecutiveFailures, "a kept connection may end and its worker be well")
 	balancer.AttemptEnded(1, 0, NoConnection, FinalAnswer)
 	balancer.AttemptEnded(2, 0, NoConnection, FinalAnswer)
-	assert.Equal(t, []any{1, balancer.now + Second}, []any{balancer.workers[0].consecutiveFailures, balancer.workers[0].probeAfter})
+	assert.Equal(t, []any{1, balancer.now + Second}, []any{balancer.workers[0].health.ConsecutiveFailures, balancer.workers[0].health.ProbeAfter})
 }
 
 // Regression test for a lost zone that is still listed: a request would use up its attempts there one by one.
@@ -66,7 +68,7 @@
 			balancer.AttemptEnded(id, f, Succeeded, FinalAnswer)
 		}
 	}
-	assert.Equal(t, zoneFailureThreshold, lost)
+	assert.Equal(t, outlier.ZoneThreshold, lost)
 	assert.NotContains(t, fmt.Sprint(effects.lines), "reject")
 	assert.NotContains(t, fmt.Sprint(effects.lines), "fail")
 
@@ -80,24 +82,24 @@
 	w := takes()
 	assert.Equal(t, ZoneID(1), balancer.workers[w].zone, "tried again")
 	balancer.recordZoneFailure(w)
-	assert.Equal(t, balancer.now+2*Second, balancer.zones[1].ejectedUntil, "later and later")
+	assert.Equal(t, balancer.now+2*Second, balancer.zones[1].health.EjectedUntil, "later and later")
 	balancer.recordZoneSuccess(w)
 	assert.Equal(t, ZoneID(1), balancer.workers[takes()].zone, "what begins there ends it")
 }
 
 func TestLastZoneIsNeverEjected(t *testing.T) {
 	balancer, _ := newWarmBalancer(1, 1)
-	for range 2 * zoneFailureThreshold {
+	for range 2 * outlier.ZoneThreshold {
 		balancer.recordZoneFailure(0)
 	}
-	assert.LessOrEqual(t, balancer.zones[0].ejectedUntil, balancer.now)
+	assert.LessOrEqual(t, balancer.zones[0].health.EjectedUntil, balancer.now)
 	balancer, _ = newWarmBalancer(2, 1)
-	for range 2 * zoneFailureThreshold {
+	for range 2 * outlier.ZoneThreshold {
 		balancer.recordZoneFailure(0)
 		balancer.recordZoneFailure(1)
 	}
-	assert.Greater(t, balancer.zones[0].ejectedUntil, balancer.now)
-	assert.LessOrEqual(t, balancer.zones[1].ejectedUntil, balancer.now)
+	assert.Greater(t, balancer.zones[0].health.EjectedUntil, balancer.now)
+	assert.LessOrEqual(t, balancer.zones[1].health.EjectedUntil, balancer.now)
 }
 
 // Regression test for work that may not run again and is kept for many seconds from all workers of a zone that was cut off:
@@ -106,30 +108,30 @@
 	for outcome, soon := range map[Outcome]bool{NoConnection: true, ConnectionRefused: true, ConnectionReset: false, WorkerError: false} {
 		balancer, effects := newWarmBalancer(1, 1)
 		balancer.config.warmupDuration = 0
-		for id := RequestID(0); balancer.workers[0].consecutiveFailures < 2; id++ {
-			balancer.SetTime(max(balancer.now, balancer.workers[0].probeAfter))
+		for id := RequestID(0); balancer.workers[0].health.ConsecutiveFailures < 2; id++ {
+			balancer.SetTime(max(balancer.now, balancer.workers[0].health.ProbeAfter))
 			balancer.RequestArrived(id, Arrival{Timeout: 20 * Second, SizeHint: 100})
 			balancer.RunDueRules()
 			balancer.AttemptEnded(id, 0, outcome, NoAnswer)
 			balancer.ClientLeft(id, NoAttempt)
 		}
 		effects.lines = nil
-		balancer.SetTime(balancer.workers[0].probeAfter)
+		balancer.SetTime(balancer.workers[0].health.ProbeAfter)
 		balancer.RequestArrived(7, Arrival{Operation: 1, Timeout: 20 * Second, SizeHint: 100})
 		balancer.RunDueRules()
 		if soon {
 			assert.Equal(t, []string{"attempt 7 to 0"}, effects.lines, "outcome %d", outcome)
 			balancer.AttemptEnded(7, 0, NoConnection, NoAnswer)
-			balancer.SetTime(balancer.workers[0].probeAfter)
+			balancer.SetTime(balancer.workers[0].health.ProbeAfter)
 			balancer.RequestArrived(8, Arrival{Timeout: 20 * Second, SizeHint: 100})
 			balancer.RunDueRules()
 			balancer.AttemptEnded(8, 0, WorkerError, NoAnswer)
-			assert.True(t, balancer.workers[0].possiblyExecuted)
+			assert.True(t, balancer.workers[0].health.PossiblyExecuted)
 		} else {
 			assert.Empty(t, effects.lines, "outcome %d", outcome)
 		}
 		balancer.UpdateEndpoints([]Endpoint{{Worker: 0, ID: "w0", StartedAt: balancer.now}}, ChangedEndpoints, FromDiscovery)
-		assert.False(t, balancer.workers[0].possiblyExecuted, "another process")
+		assert.False(t, balancer.workers[0].health.PossiblyExecuted, "another process")
 	}
 }
 
@@ -157,7 +159,7 @@
 			balancer.AttemptEnded(id-1, 0, Overloaded, NoAnswer)
 			balancer.RunDueRules()
 			full := f.worker
-			assert.InDelta(t, Second/2, float64(balancer.workers[full].probeAfter-balancer.now), 0.1*Second)
+			assert.InDelta(t, Second/2, float64(balancer.workers[full].health.ProbeAfter-balancer.now), 0.1*Second)
 			assert.Len(t, balancer.requests.byID[id-1].attempts, 2, "it goes to the other one")
 			assert.NotEqual(t, full, balancer.requests.byID[id-1].attempts[1].worker)
 			assert.NotEqual(t, full, land().worker, "nor does another one go there")
@@ -177,5 +179,5 @@
 	balancer.AttemptEnded(0, 0, Succeeded, FinalAnswer)
 	balancer.AttemptEnded(1, 0, Overloaded, NoAnswer)
 	overloaded := balancer.requests.get(1).attempts[0].worker
-	assert.Equal(t, balancer.now+Second/2, balancer.workers[overloaded].probeAfter)
+	assert.Equal(t, balancer.now+Second/2, balancer.workers[overloaded].health.ProbeAfter)
 }
--- a/internal/balancer/endpoints.go
+++ b/internal/balancer/endpoints.go
@@ -2,7 +2,7 @@
 
 import "hash/fnv"
 
-// ListExtent tells what a list of endpoints names.
+// ListExtent says which workers a list of endpoints names.
 type ListExtent uint8
 
 // The extents of a list.
@@ -11,21 +11,21 @@
 	AllEndpoints                       // all: a worker that is not named is gone
 )
 
-// ListSource tells where a list of endpoints comes from.
+// ListSource says where a list of endpoints comes from.
 type ListSource uint8
 
 // The sources of a list.
 const (
 	FromDiscovery   ListSource = iota // it answers a poll, or comes by the watch that the poll began
-	FromBeforeStart                   // it was known before the start, or a peer or the predecessor told it
+	FromBeforeStart                   // it was known before the start, or comes from a peer or the predecessor
 )
 
 // UpdateEndpoints takes a list of endpoints.
 func (b *Balancer) UpdateEndpoints(entries []Endpoint, extent ListExtent, source ListSource) {
 	if source == FromDiscovery {
-		b.discovery.recordAnswer(b.now)
+		b.polling.RecordAnswer(b.now)
 	} else if len(entries) > 0 {
-		b.discovery.recordInitialList(b.now, &b.config)
+		b.polling.RecordInitialList(b.now)
 	}
 	if extent == AllEndpoints {
 		for n := range b.workers {
@@ -45,31 +45,30 @@
 		b.workers = append(b.workers, worker{state: Gone})
 	}
 	for int(entry.Zone) >= len(b.zones) {
-		b.zones = append(b.zones, zone{deliveryTime: Duration(b.config.meanObjective / deliveryMargin)})
+		b.zones = append(b.zones, zone{deliveryTime: b.config.initialDeliveryTime()})
 	}
-	worker := &b.workers[entry.Worker]
-	if entry.StartedAt > worker.startedAt {
-		worker.recordRestart(entry.StartedAt)
+	w := &b.workers[entry.Worker]
+	if entry.StartedAt > w.warmup.startedAt {
+		w.recordRestart(entry.StartedAt)
 		b.warmup.latestStart = max(b.warmup.latestStart, entry.StartedAt)
 	}
+	w.hash = ringHash(entry.ID)
+	w.zone = entry.Zone
+	w.kind = entry.Kind
+	w.cell = entry.Cell
+	w.state = entry.State
+}
+
+// ringHash returns the place of a worker on the ring.
+func ringHash(workerID string) uint64 {
 	hash := fnv.New64a()
-	hash.Write([]byte(entry.ID))
-	worker.hash = hash.Sum64()
-	worker.zone = entry.Zone
-	worker.kind = entry.Kind
-	worker.cell = entry.Cell
-	worker.state = entry.State
+	hash.Write([]byte(workerID))
+	return hash.Sum64()
 }
 
-// recordRestart takes notice that the list tells of a new process: what was known of the one before is void, and it
-// has to warm up.
+// recordRestart notes that the list names a new process of the worker. What was known of the one before is void, and the
+// new one has to warm up.
 func (w *worker) recordRestart(startedAt Time) {
-	w.startedAt = startedAt
-	w.earnsCredit = false
-	w.possiblyExecuted = false
-	w.consecutiveFailures = 0
-	w.probeAfter = 0
-	if startedAt >= w.exitedAt {
-		w.exitedAt = 0
-	}
+	w.health.RecordRestart()
+	w.warmup.recordListedStart(startedAt)
 }
--- a/internal/balancer/gossip.go
+++ b/internal/balancer/gossip.go
@@ -6,25 +6,47 @@
 )
 
 const (
-	// maxGossipShare is the share of a request's billed value that is spent on telling peers of it.
+	// maxGossipShare is the share of a request's billed value that is spent on messages to peers about it.
 	maxGossipShare = 0.0125
+	// messagesPerAttempt is how many messages to each peer an attempt takes: at its start and at its end.
+	messagesPerAttempt = 2
 
-	initialResendInterval = 2 * Second
-	minResendInterval     = Second / 2
+	// Loads are repeated after some mean runs, as messages get lost. A peer that is silent for some intervals between
+	// repetitions has ended, or is cut off.
+	initialResendInterval = Duration(2 * Second)
+	minResendInterval     = Duration(Second / 2)
 	meanRunsPerResend     = 3
-	retellInFlight        = -1 // as workerGossip.sentLoad: peers have to be told again
+	resendsUntilForgotten = 2
+
+	// notSent is workerGossip.sentLoad where peers have to be sent the load whatever it is.
+	notSent = -1
 )
 
-// gossip owns what peers said of their age, and when they have to be told what is in flight here. What they said of
-// workers is in workerGossip.
+// gossip owns what peers said of their age, and when they are sent what is in flight here. What they said of workers is
+// in workerGossip.
 type gossip struct {
 	seniorPeers      []bool // by PeerID: peers that have run for longer than this dispatcher
 	juniorPeers      []bool // by PeerID: peers that started after it
 	changedLoads     []WorkerID
 	sendLoadsAt      Time
 	resendAt         Time
-	resendInterval   Duration // between messages that repeat what was said
-	unheardNotBefore Time     // no attempt before it to workers that no peer tells of
+	resendInterval   Duration // between messages that repeat loads
+	unheardNotBefore Time     // no attempt before it to workers whose load no peer reports
+}
+
+// workerGossip is what peers have said of a worker, and what they have been sent.
+type workerGossip struct {
+	peerInFlight int // sum of peerLoads
+	peerLoads    []peerLoad
+	sentLoad     int       // in flight here as peers were last sent it, or notSent
+	peers        peerRange // dispatchers that have the worker in their subset
+}
+
+// peerLoad is what a peer last said of a worker.
+type peerLoad struct {
+	from       PeerID
+	inFlight   int
+	receivedAt Time
 }
 
 func newGossip() gossip {
@@ -36,17 +58,27 @@
 	g.resendInterval = max(minResendInterval, meanRunsPerResend*Duration(total)/Duration(count))
 }
 
-// recordPeerAge takes notice of a message from a peer: that it has just started, or any other one.
-func (g *gossip) recordPeerAge(from PeerID, started bool) {
+// recordJuniorPeer notes that a peer has just started.
+func (g *gossip) recordJuniorPeer(from PeerID) {
+	g.growTo(from)
+	g.juniorPeers[from] = true
+	g.seniorPeers[from] = false
+}
+
+// recordPeer notes any other message from a peer. It has run for longer unless it is known to have started later.
+func (g *gossip) recordPeer(from PeerID) {
+	g.growTo(from)
+	g.seniorPeers[from] = !g.juniorPeers[from]
+}
+
+func (g *gossip) growTo(from PeerID) {
 	if missing := int(from) + 1 - len(g.seniorPeers); missing > 0 {
 		g.seniorPeers = append(g.seniorPeers, make([]bool, missing)...)
 		g.juniorPeers = append(g.juniorPeers, make([]bool, missing)...)
 	}
-	g.juniorPeers[from] = g.juniorPeers[from] || started
-	g.seniorPeers[from] = !g.juniorPeers[from]
 }
 
-// hearsSenior tells whether a peer that has run for longer than this dispatcher was heard.
+// hearsSenior reports whether a peer that has run for longer than this dispatcher was heard.
 func (g *gossip) hearsSenior() bool { return slices.Contains(g.seniorPeers, true) }
 
 // receive stores what a peer has in flight at the worker, and returns what it said before.
@@ -64,7 +96,7 @@
 	return before
 }
 
-// forgetBefore drops what peers said before a moment: they have ended, or are cut off.
+// forgetBefore drops what peers said before a moment.
 func (w *workerGossip) forgetBefore(oldest Time) {
 	w.peerLoads = slices.DeleteFunc(w.peerLoads, func(known peerLoad) bool { return known.receivedAt < oldest })
 	w.peerInFlight = 0
@@ -73,36 +105,43 @@
 	}
 }
 
+// hearsLoadOf reports whether peers report to this dispatcher what they have in flight at a worker.
+func (b *Balancer) hearsLoadOf(id WorkerID) bool {
+	return b.config.gossip && b.subsetting.inSubset(bothIntervals, id)
+}
+
 // ReceiveLoad takes what a peer has in flight at a worker.
 func (b *Balancer) ReceiveLoad(from PeerID, load WorkerLoad) {
-	b.gossip.recordPeerAge(from, false)
-	worker := &b.workers[load.Worker]
+	b.gossip.recordPeer(from)
 	loadBefore := b.load(load.Worker)
-	if before := worker.receive(from, load.InFlight, b.now); load.InFlight < before {
+	before := b.workers[load.Worker].gossip.receive(from, load.InFlight, b.now)
+	if load.InFlight < before {
 		b.due.capacityChanged = true
-		if b.warmupFactor(load.Worker) < 1 && float64(loadBefore) >= b.maxObservedSlots(load.Worker) {
+		wasFull := float64(loadBefore) >= b.maxObservedSlots(load.Worker)
+		if b.warmupFactor(load.Worker) < 1 && wasFull {
 			b.staggerAccess(load.Worker)
 		}
 	}
 	b.subsetting.markMaybeFree(load.Worker)
 }
 
-// staggerAccess lets the dispatchers that hear of room at a worker that was full and is warming up try it one after the
-// other, each once it would know of the one before: else all would send there at once, and what is sent counts against
-// its budget even if it is refused. The dispatcher whose attempt ended knows first, and so goes first.
+// staggerAccess is called as a slot comes free at a worker that warms up and was full. The dispatchers that hear of it
+// try the worker one after the other, each once it would have heard of the one before. If all sent at once, what the
+// worker rejects would still count against its budget. The dispatcher whose attempt ended knows first, and so goes first.
 func (b *Balancer) staggerAccess(id WorkerID) {
-	worker := &b.workers[id]
-	sharers := max(worker.subsetPeerRange[1]-worker.subsetPeerRange[0], 1)
-	turn := (Duration(b.config.position) + Duration(b.now/Second)) % Duration(sharers)
-	worker.notBefore = b.now.Add(turn * b.config.patience / 2)
-	b.due.reviewBy(worker.notBefore)
+	w := &b.workers[id]
+	sharers := max(w.gossip.peers.count(), 1)
+	rotation := Duration(b.now / Second) // so that it is not always the same dispatcher that comes last
+	rank := (Duration(b.config.position) + rotation) % Duration(sharers)
+	w.notBefore = b.now.Add(rank * b.config.patience / 2)
+	b.due.reviewBy(w.notBefore)
 }
 
-// subsetPeers goes through the other dispatchers that have a worker in their subset.
+// subsetPeers yields the other dispatchers that have a worker in their subset.
 func (b *Balancer) subsetPeers(id WorkerID) iter.Seq[PeerID] {
-	sharers := b.workers[id].subsetPeerRange
+	sharers := b.workers[id].gossip.peers
 	return func(yield func(PeerID) bool) {
-		for n := sharers[0]; n < sharers[1]; n++ {
+		for n := sharers.from; n < sharers.to; n++ {
 			if peer := n % b.config.dispatchers; peer != b.config.position && !yield(PeerID(peer)) {
 				return
 			}
@@ -110,7 +149,8 @@
 	}
 }
 
-// gossipPeers are the dispatchers that tell this one of a worker, or are told; all while there is no endpoint list.
+// gossipPeers returns the dispatchers with which this one exchanges the load of some worker; all of them while there is
+// no endpoint list.
 func (b *Balancer) gossipPeers() (peers []PeerID) {
 	workers := b.subsetting.subsets[bothIntervals].workers
 	shares := make([]bool, b.config.dispatchers)
@@ -127,7 +167,8 @@
 	return peers
 }
 
-// markLoadChanged has peers told of a worker once a refusal would have come back: then there is nothing to tell.
+// markLoadChanged has peers sent the load of a worker once a rejection would have come back: then there may be nothing
+// to send.
 func (b *Balancer) markLoadChanged(id WorkerID) {
 	if b.config.gossip {
 		b.gossip.changedLoads = append(b.gossip.changedLoads, id)
@@ -135,45 +176,46 @@
 	}
 }
 
-// sendChangedLoads tells peers what has changed since they were last told.
+// sendChangedLoads sends peers the loads that have changed since they were last sent.
 func (b *Balancer) sendChangedLoads() {
 	for _, id := range b.gossip.changedLoads {
-		worker := &b.workers[id]
-		if worker.inFlight != worker.sentLoad {
+		w := &b.workers[id]
+		if w.inFlight != w.gossip.sentLoad {
 			for peer := range b.subsetPeers(id) {
-				b.effects.SendLoad(peer, WorkerLoad{Worker: id, InFlight: worker.inFlight})
+				b.effects.SendLoad(peer, WorkerLoad{Worker: id, InFlight: w.inFlight})
 			}
 		}
-		worker.sentLoad = worker.inFlight
+		w.gossip.sentLoad = w.inFlight
 	}
 	b.gossip.changedLoads = b.gossip.changedLoads[:0]
 	b.gossip.sendLoadsAt = never
 }
 
-// resendLoads has peers told again of all that is in flight here, as messages get lost, and forgets silent peers.
+// resendLoads has peers sent again all that is in flight here, as messages get lost, and forgets silent peers.
 func (b *Balancer) resendLoads() {
 	b.gossip.resendAt = b.now.Add(b.gossip.resendInterval)
+	oldest := b.now.Add(-resendsUntilForgotten * b.gossip.resendInterval)
 	for _, id := range b.subsetting.ring {
-		b.workers[id].forgetBefore(b.now.Add(-2 * b.gossip.resendInterval))
+		b.workers[id].gossip.forgetBefore(oldest)
 		b.subsetting.markMaybeFree(id)
-		b.retellLoad(id)
+		b.resendLoad(id)
 	}
 }
 
-// retellLoad has peers told again of a worker at which something is in flight.
-func (b *Balancer) retellLoad(id WorkerID) {
+// resendLoad has peers sent again the load of a worker at which something is in flight.
+func (b *Balancer) resendLoad(id WorkerID) {
 	if b.workers[id].inFlight > 0 {
-		b.workers[id].sentLoad = retellInFlight
+		b.workers[id].gossip.sentLoad = notSent
 		b.markLoadChanged(id)
 	}
 }
 
-// receivePeerStarted takes notice that a peer has just started: it has nothing in flight, and is told what is in
-// flight here. Else it would learn of that only as it changes.
+// receivePeerStarted notes that a peer has just started: it has nothing in flight. It is sent what is in flight here,
+// which it would otherwise learn only as that changes.
 func (b *Balancer) receivePeerStarted(from PeerID) {
-	b.gossip.recordPeerAge(from, true)
+	b.gossip.recordJuniorPeer(from)
 	for _, id := range b.subsetting.ring {
 		b.ReceiveLoad(from, WorkerLoad{Worker: id})
-		b.retellLoad(id)
+		b.resendLoad(id)
 	}
 }
--- /dev/null
+++ b/internal/balancer/hedging.go
@@ -0,0 +1,30 @@
+package balancer
+
+// maxHedgeLoadShare is the share of a worker's slots that may be taken where a hedged request is sent. A second attempt
+// must not take the place of a first one.
+const maxHedgeLoadShare = 0.5
+
+// shouldHedge reports whether the only attempt of a request has run for more than half of its time. Its worker is slow
+// then, or will not answer any more. Sooner, a hedged request would mostly repeat sound work: hints are rough, and many
+// requests that run for four times their hint are just large.
+func (b *Balancer) shouldHedge(req *request) bool {
+	if req.inFlight != 1 {
+		return false
+	}
+	latest := &req.attempts[len(req.attempts)-1]
+	if !latest.inFlight || latest.startedAt == notYet {
+		return false
+	}
+	return b.now.Sub(latest.startedAt) > req.deadline.Sub(b.now)
+}
+
+// hedge sends a second attempt to a worker that is known to have slots to spare.
+func (b *Balancer) hedge(id RequestID) {
+	target, ok := b.pickWorker(b.requests.get(id))
+	if !ok || !b.hearsLoadOf(target) {
+		return
+	}
+	if float64(b.load(target)) < b.estimatedSlots(target)*maxHedgeLoadShare {
+		b.startAttempt(id, target)
+	}
+}
--- a/internal/balancer/helper_test.go
+++ b/internal/balancer/helper_test.go
@@ -3,6 +3,8 @@
 import (
 	"fmt"
 	"math"
+
+	"canvasroute/internal/balancer/slotestimate"
 )
 
 // recorder writes down the answers of a dispatcher.
@@ -61,3 +63,22 @@
 	balancer.UpdateEndpoints(list, AllEndpoints, FromDiscovery)
 	return balancer, effects
 }
+
+// withinWarmupBudget reports whether slow start lets a worker have one more attempt of a size.
+func (b *Balancer) withinWarmupBudget(id WorkerID, size Work) bool {
+	return b.slowStartExclusion(id, size) == eligible
+}
+
+// setSizes replaces the sample of sizes, and renews the size intervals.
+func setSizes(balancer *Balancer, sizes ...Work) {
+	balancer.sizes.Restore(sizes, len(sizes))
+	balancer.sizes.Update()
+}
+
+// startOf is how an attempt starts.
+func startOf(atOnce bool) slotestimate.Start {
+	if atOnce {
+		return slotestimate.AtOnce
+	}
+	return slotestimate.Waited
+}
--- a/internal/balancer/load_probes.go
+++ b/internal/balancer/load_probes.go
@@ -1,7 +1,7 @@
 package balancer
 
-// arrivalsPerProbe is how many requests arrive between two probes: a load report comes only with a probe, and each
-// probe has its price.
+// arrivalsPerProbe is how many requests arrive between two probes. A load report comes only with a probe, and each probe
+// has its price.
 const arrivalsPerProbe = 2
 
 // loadProbes owns when a worker is probed for its load report.
@@ -10,8 +10,11 @@
 	nextAt   int // count of arrivals at which the next probe is due
 }
 
+func (p *loadProbes) due() bool { return p.arrivals >= p.nextAt }
+
+// probeNextWorker probes the workers of the ring in turn. Dispatchers begin at different ones.
 func (b *Balancer) probeNextWorker() {
 	b.loadProbes.nextAt = b.loadProbes.arrivals + arrivalsPerProbe
-	turn := b.config.position + b.loadProbes.arrivals/arrivalsPerProbe
-	b.effects.Probe(b.subsetting.ring[turn%len(b.subsetting.ring)])
+	next := b.config.position + b.loadProbes.arrivals/arrivalsPerProbe
+	b.effects.Probe(b.subsetting.ring[next%len(b.subsetting.ring)])
 }
--- a/internal/balancer/migration.go
+++ b/internal/balancer/migration.go
@@ -7,7 +7,7 @@
 )
 
 // MigratedRequest is a request that one process of this dispatcher passes to another, with the configuration of its
-// operation as it arrived.
+// operation as it arrived. The JSON names are those of earlier versions, which have to read it.
 type MigratedRequest struct {
 	Name             string      `json:"Name"`
 	LatencyObjective Duration    `json:"Objective"`
@@ -38,8 +38,8 @@
 	MayHaveRun bool     `json:"Ran"`
 }
 
-// Export takes a request out of the decisions, for another process to go on with. It does so, and returns true, only
-// while the request is open with a number of attempts in flight, none of them still to be picked; Pick then returns
+// Export takes a request out of the decisions, for another process to continue. It does so, and returns true, only while
+// the request is open with a number of attempts in flight and none still to be picked. Pick then returns
 // RespondElsewhere.
 func (h *RequestHandle) Export(inFlight int) (migrated MigratedRequest, ok bool) {
 	h.picker.update(func(b *Balancer) {
@@ -51,9 +51,9 @@
 		migrated = b.exportRequest(h.id)
 		migrated.Deadline = h.deadline
 		h.closed = true
-		b.closeRequest(h.id, NoAttempt)
-		for number, attempt := range migrated.Attempts {
-			if attempt.InFlight {
+		b.closeRequest(h.id)
+		for number, exported := range migrated.Attempts {
+			if exported.InFlight {
 				h.attemptEnded(number, NotSent)
 			}
 		}
@@ -63,50 +63,50 @@
 }
 
 func (b *Balancer) exportRequest(id RequestID) MigratedRequest {
-	request := b.requests.get(id)
-	operation := &b.operations.byID[request.operation]
+	req := b.requests.get(id)
+	op := &b.operations.byID[req.operation]
 	migrated := MigratedRequest{
-		Name:             operation.name,
-		LatencyObjective: operation.latencyObjective,
-		DedupWindow:      operation.dedupWindow,
-		RetryAfter:       operation.retryAfter,
-		Value:            operation.value,
-		Slack:            operation.slack,
-		LateShare:        operation.lateShare,
-		Idempotency:      operation.idempotency,
-		DedupScope:       operation.dedupScope,
-		Kind:             operation.kind,
+		Name:             op.name,
+		LatencyObjective: op.latencyObjective,
+		DedupWindow:      op.dedupWindow,
+		RetryAfter:       op.retryAfter,
+		Value:            op.value,
+		Slack:            op.slack,
+		LateShare:        op.lateShare,
+		Idempotency:      op.idempotency,
+		DedupScope:       op.dedupScope,
+		Kind:             op.kind,
 
-		LatestStart:    request.latestStart,
-		Size:           request.size,
-		QuotaWeight:    request.quotaWeight,
-		SpentElsewhere: b.config.maxAttempts - request.attemptLimit,
+		LatestStart:    req.latestStart,
+		Size:           req.size,
+		QuotaWeight:    req.quotaWeight,
+		SpentElsewhere: b.config.maxAttempts - req.attemptLimit,
 		MaxAttempts:    b.config.maxAttempts,
 	}
-	for _, attempt := range request.attempts {
+	for _, made := range req.attempts {
 		migrated.Attempts = append(migrated.Attempts, MigratedAttempt{
-			Worker:     attempt.worker,
-			SentAt:     attempt.sentAt,
-			StartedAt:  attempt.startedAt,
-			InFlight:   attempt.inFlight,
-			MayHaveRun: attempt.mayHaveRun,
+			Worker:     made.worker,
+			SentAt:     made.sentAt,
+			StartedAt:  made.startedAt,
+			InFlight:   made.inFlight,
+			MayHaveRun: made.mayHaveRun,
 		})
 	}
 	return migrated
 }
 
-// Import goes on with a request that another process has exported. It returns the contexts of its attempts; those that
-// are in flight have to be reported by their numbers.
+// Import continues a request that another process has exported. It returns the contexts of its attempts by their
+// numbers; those that are in flight have to be reported.
 func (p *Picker) Import(migrated MigratedRequest) (*RequestHandle, []context.Context) {
 	h := p.newHandle(migrated.Deadline)
 	contexts := make([]context.Context, len(migrated.Attempts))
 	p.update(func(b *Balancer) {
 		p.assignID(h)
 		b.importRequest(h.id, migrated)
-		for number, attempt := range migrated.Attempts {
+		for number, imported := range migrated.Attempts {
 			contexts[number] = h.beginAttempt(migrated.Deadline)
 			h.sent[number] = true
-			if !attempt.InFlight {
+			if !imported.InFlight {
 				h.markReported(number)
 			}
 		}
@@ -115,17 +115,17 @@
 }
 
 func (b *Balancer) importRequest(id RequestID, migrated MigratedRequest) {
-	operation := b.operations.assign(migrated.operation())
+	number := b.operations.assign(migrated.operation())
 	left := DurationOf(time.Until(migrated.Deadline))
 	imported := b.requests.reserve(id)
 	*imported = request{
-		operation:         operation,
+		operation:         number,
 		deadline:          b.now.Add(left - b.config.margin),
 		latestStart:       migrated.LatestStart,
-		latestWaitedStart: b.latestWaitedStart(&b.operations.byID[operation], migrated.LatestStart),
+		latestWaitedStart: b.latestWaitedStart(&b.operations.byID[number], migrated.LatestStart),
 		late:              b.now > migrated.LatestStart,
 		size:              migrated.Size,
-		interval:          b.sizes.interval(migrated.Size),
+		interval:          b.sizes.Of(migrated.Size),
 		quotaWeight:       migrated.QuotaWeight,
 		attemptLimit:      min(migrated.MaxAttempts-migrated.SpentElsewhere, b.config.maxAttempts),
 		attempts:          imported.attempts[:0],
@@ -141,8 +141,8 @@
 	b.due.reviewBy(min(b.now.Add(b.config.patience), imported.deadline))
 }
 
-func (b *Balancer) importAttempt(request *request, migrated *MigratedAttempt) {
-	request.attempts = append(request.attempts, attempt{
+func (b *Balancer) importAttempt(req *request, migrated *MigratedAttempt) {
+	req.attempts = append(req.attempts, attempt{
 		worker:     migrated.Worker,
 		sentAt:     migrated.SentAt,
 		startedAt:  migrated.StartedAt,
@@ -152,7 +152,7 @@
 	if !migrated.InFlight {
 		return
 	}
-	request.inFlight++
+	req.inFlight++
 	b.addInFlight(migrated.Worker, 1)
 	if b.config.startNotices && migrated.StartedAt == 0 {
 		b.workers[migrated.Worker].unstarted++
@@ -160,24 +160,23 @@
 	b.markLoadChanged(migrated.Worker)
 }
 
-// operation is the one that the request arrived with.
+// operation returns the one that the request arrived with.
 func (m *MigratedRequest) operation() operation {
-	return operation{
+	return operation{lateShare: m.LateShare, operationTerms: operationTerms{
 		name:             m.Name,
 		latencyObjective: m.LatencyObjective,
 		dedupWindow:      m.DedupWindow,
 		retryAfter:       m.RetryAfter,
 		value:            m.Value,
-		lateShare:        m.LateShare,
 		slack:            m.Slack,
 		idempotency:      m.Idempotency,
 		dedupScope:       m.DedupScope,
 		kind:             m.Kind,
-	}
+	}}
 }
 
-// Import goes on with a request that another process has exported, at the shard whose turn it is. All shards number its
-// operation: else the next configuration would have other numbers at one than at another.
+// Import continues a request that another process has exported, at the next shard in turn. All shards number its
+// operation: otherwise the next configuration would get other numbers at one shard than at another.
 func (s *Shards) Import(migrated MigratedRequest) (*RequestHandle, []context.Context) {
 	s.reconfiguring.Lock()
 	defer s.reconfiguring.Unlock()
--- a/internal/balancer/open_requests.go
+++ b/internal/balancer/open_requests.go
@@ -5,31 +5,35 @@
 	"slices"
 )
 
-// requestTable owns the requests, by RequestID, and the order in which the open ones arrived. One that is closed leaves
-// a gap in the order, and the gaps are removed once they are more than half: closing costs the same however many
-// requests are open.
-type requestTable struct {
-	byID      []request
-	order     []RequestID // open requests as they arrived, with gaps
-	openCount int
-}
-
 // request is what is known of a request from its arrival to the outcome of its last attempt.
 type request struct {
-	operation         OperationID
-	closed            bool    // it has its final answer, or its client has left
-	queued            bool    // it waits for a worker
-	late              bool    // it can no longer keep its objective
-	quotaWeight       float64 // less than 1 beyond its tenant's quota
+	operation OperationID
+	size      Work
+	interval  int // of sizes, or bothIntervals
+
+	closed bool // it has its final answer, or its client has left
+	queued bool // it waits for a worker
+	late   bool // it can no longer keep its objective
+
+	quotaWeight       float64 // 1 within its tenant's quota, less beyond it
 	latestStart       Time    // last start that may keep the latency objective
 	latestWaitedStart Time    // last start that is waited for: later than latestStart where a late answer earns something
 	deadline          Time    // of the final answer
-	size              Work
-	interval          int // of sizes, or bothIntervals
-	attemptLimit      int
-	attempts          []attempt
-	inFlight          int // attempts that have not ended
-	orderIndex        int // its place in requestTable.order
+
+	attemptLimit int // attempts that it may have, the first one included
+	attempts     []attempt
+	inFlight     int // attempts that have not ended
+
+	orderIndex int // its place in requestTable.order
+}
+
+// requestTable owns the requests, by RequestID, and the order in which the open ones arrived. One that is closed leaves
+// a gap in the order, and gaps are removed once they are more than half. So closing costs the same however many requests
+// are open.
+type requestTable struct {
+	byID      []request
+	order     []RequestID // open requests as they arrived, with gaps
+	openCount int
 }
 
 const (
@@ -48,22 +52,26 @@
 // addOpen takes a request into the order, as the latest.
 func (t *requestTable) addOpen(id RequestID) {
 	if len(t.order) > 2*t.openCount+minGaps {
-		t.order = slices.DeleteFunc(t.order, func(id RequestID) bool { return id == closedGap })
-		for index, id := range t.order {
-			t.byID[id].orderIndex = index
-		}
+		t.removeGaps()
 	}
 	t.byID[id].orderIndex = len(t.order)
 	t.order = append(t.order, id)
 	t.openCount++
 }
 
+func (t *requestTable) removeGaps() {
+	t.order = slices.DeleteFunc(t.order, func(id RequestID) bool { return id == closedGap })
+	for index, id := range t.order {
+		t.byID[id].orderIndex = index
+	}
+}
+
 func (t *requestTable) removeOpen(id RequestID) {
 	t.order[t.byID[id].orderIndex] = closedGap
 	t.openCount--
 }
 
-// newestFirst goes through the open requests, the latest arrival first. They may be closed meanwhile.
+// newestFirst yields the open requests, the latest arrival first. They may be closed meanwhile.
 func (t *requestTable) newestFirst() iter.Seq[RequestID] {
 	return func(yield func(RequestID) bool) {
 		for n := len(t.order) - 1; n >= 0; n-- {
@@ -73,3 +81,24 @@
 		}
 	}
 }
+
+// closeRequest ends a request, and cancels its attempts.
+func (b *Balancer) closeRequest(id RequestID) { b.closeRequestExcept(id, NoAttempt) }
+
+// closeRequestExcept ends a request, and cancels its attempts but for the one with a number.
+func (b *Balancer) closeRequestExcept(id RequestID, remaining int) {
+	req := b.requests.get(id)
+	if req.closed {
+		return
+	}
+	for number := range req.attempts {
+		if req.attempts[number].inFlight && b.config.cancellation && number != remaining {
+			b.effects.CancelAttempt(id, number)
+		}
+	}
+	req.closed = true
+	if req.queued {
+		b.dequeue(id)
+	}
+	b.requests.removeOpen(id)
+}
--- a/internal/balancer/operations.go
+++ b/internal/balancer/operations.go
@@ -5,73 +5,82 @@
 // operationTable owns the operations, by OperationID, and what requests of each have shown.
 type operationTable struct {
 	byID       []operation
-	worst      OperationID // the one that lost the largest share of its work, -1 before any loss
+	worst      OperationID // the one that lost the largest share of its work, or noOperation before any loss
 	totalValue float64     // of all requests that arrived
 }
 
+// noOperation stands for an operation where there is none.
+const noOperation OperationID = -1
+
 // operation is the configuration of an operation and what its requests have shown.
 type operation struct {
+	operationTerms
+	lateShare float64 // share of its value that a late answer earns
+
+	operationStatistics
+}
+
+// operationTerms are what two operations of one name must have in common to share a number.
+type operationTerms struct {
 	name             string
 	latencyObjective Duration
 	dedupWindow      Duration
 	retryAfter       Duration // advice to rejected clients, 0 for none
 	value            float64  // of an answer in time
-	lateShare        float64  // share of its value that a late answer earns
 	slack            float64  // the objective grows by this many times the size
 	idempotency      Idempotency
 	dedupScope       DedupScope
 	kind             KindID // the kind of worker that runs it, or AnyKind
-
-	operationStatistics
 }
 
 type operationStatistics struct {
 	longestTimeout Duration // that of a client's first try
 	arrivals       int
-	meanSize       float64
+	meanSize       float64 // in ticks of work
 	valueDensity   float64 // value per unit of work
-	requestedWork  float64
-	lostWork       float64 // of requests that were rejected or failed
-	runs           int
-	meanRun        float64 // how long attempts that succeeded took
+	requestedWork  float64 // in ticks
+	lostWork       float64 // of requests that were rejected or failed, in ticks
+	runs           int     // attempts that succeeded
+	meanRun        float64 // how long they took, in ticks
 }
 
 func newOperationTable(config Config) operationTable {
-	table := operationTable{worst: -1}
-	for _, operation := range config.Operations {
-		table.byID = append(table.byID, newOperation(config, operation))
+	table := operationTable{worst: noOperation}
+	for _, from := range config.Operations {
+		table.byID = append(table.byID, newOperation(config, from))
 	}
 	return table
 }
 
+// newOperation returns an operation that has seen no request. Rejected clients get the longest advice to wait, and only
+// where a late answer still earns something: it is better to come after the overload than soon.
 func newOperation(config Config, from OperationConfig) operation {
-	made := operation{
+	made := operation{lateShare: from.LateShare, operationTerms: operationTerms{
 		name:             from.Name,
 		latencyObjective: from.LatencyObjective,
 		dedupWindow:      from.DedupWindow,
 		value:            from.Value,
-		lateShare:        from.LateShare,
 		slack:            max(from.Stretch-1, 0),
 		idempotency:      from.Idempotency,
 		dedupScope:       from.DedupScope,
 		kind:             from.Kind,
-	}
-	if config.RetryAfter && from.LateShare > 0 { // a late answer still earns: better after the overload than soon
+	}}
+	if config.RetryAfter && from.LateShare > 0 {
 		made.retryAfter = config.MaxRetryAfter
 	}
 	return made
 }
 
-// assign returns the number of an operation with the same name and configuration, or adds one. Numbers are never
-// used again: a request may be open under an old one, and the same calls give each shard the same numbers. One
-// whose configuration has changed goes on with the statistics of its name.
+// assign returns the number of an operation with the same terms, or adds one. Numbers are never used again: a request
+// may be open under an old one, and the same calls give each shard the same numbers. An operation whose terms have
+// changed continues with the statistics of its name. The late share is no term: it may change under the same number.
 func (t *operationTable) assign(added operation) OperationID {
 	latest := -1
 	for n := range t.byID {
 		if t.byID[n].name != added.name {
 			continue
 		}
-		if t.byID[n].sameConfig(&added) {
+		if t.byID[n].operationTerms == added.operationTerms {
 			return OperationID(n)
 		}
 		latest = n
@@ -83,47 +92,46 @@
 	return OperationID(len(t.byID) - 1)
 }
 
-// sameConfig does not compare the late share: an operation of which nothing else changes keeps its number and its share.
-func (o *operation) sameConfig(other *operation) bool {
-	return o.latencyObjective == other.latencyObjective && o.dedupWindow == other.dedupWindow && o.retryAfter == other.retryAfter &&
-		o.value == other.value && o.slack == other.slack &&
-		o.idempotency == other.idempotency && o.dedupScope == other.dedupScope && o.kind == other.kind
-}
-
 // observeArrival counts a request of a size. valuePerRequest is 1 if value is billed by request, 0 if by unit of work.
 func (t *operationTable) observeArrival(id OperationID, size Work, valuePerRequest float64) {
-	o := &t.byID[id]
-	o.meanSize += max(learningRate/4, 1/float64(1+o.arrivals)) * (float64(size) - o.meanSize)
-	o.arrivals++
-	o.requestedWork += float64(size)
-	o.valueDensity = o.value / math.Pow(max(o.meanSize, 1), valuePerRequest)
-	t.totalValue += o.valueDensity * float64(size)
+	op := &t.byID[id]
+	op.meanSize += sampleWeight(op.arrivals) * (float64(size) - op.meanSize)
+	op.arrivals++
+	op.requestedWork += float64(size)
+	op.valueDensity = op.value / math.Pow(max(op.meanSize, 1), valuePerRequest)
+	t.totalValue += op.valueDensity * float64(size)
 }
 
-// observeLoss counts a request that was not served, and tells whether another operation is now the worst.
+// observeLoss counts a request that was not served, and reports whether another operation is now the worst.
 func (t *operationTable) observeLoss(id OperationID, size Work) (worstChanged bool) {
-	o := &t.byID[id]
-	o.lostWork += float64(size)
-	if t.worst >= 0 && o.lostWork*t.byID[t.worst].requestedWork <= t.byID[t.worst].lostWork*o.requestedWork {
+	op := &t.byID[id]
+	op.lostWork += float64(size)
+	if t.worst != noOperation && !op.lostMoreThan(&t.byID[t.worst]) {
 		return false
 	}
 	t.worst = id
 	return true
 }
 
+// lostMoreThan reports whether the operation lost a larger share of its work than another one.
+func (op *operation) lostMoreThan(other *operation) bool {
+	return op.lostWork*other.requestedWork > other.lostWork*op.requestedWork
+}
+
 // observeRun counts how long an attempt that succeeded ran.
-func (o *operation) observeRun(took Duration) {
-	o.runs++
+func (op *operation) observeRun(took Duration) {
+	earlier := op.runs
+	op.runs++
 	if took > 0 {
-		o.meanRun += max(learningRate/4, 1/float64(o.runs)) * (float64(took) - o.meanRun)
+		op.meanRun += sampleWeight(earlier) * (float64(took) - op.meanRun)
 	}
 }
 
-// expectedRun is how long a request runs: by the sizes that its clients hint, or, where none do, by what has run.
+// expectedRun returns how long a request runs: by the sizes that its clients hint, or, where none do, by what has run.
 // Without it an overloaded worker would be tried again at once, as its work would seem to take no time.
-func (o *operation) expectedRun() Duration {
-	if o.meanSize < 1 {
-		return Duration(o.meanRun)
+func (op *operation) expectedRun() Duration {
+	if op.meanSize < 1 {
+		return Duration(op.meanRun)
 	}
-	return Duration(o.meanSize)
+	return Duration(op.meanSize)
 }
--- a/internal/balancer/operations_test.go
+++ b/internal/balancer/operations_test.go
@@ -18,7 +18,7 @@
 	balancer.RunDueRules()
 	sent := Work(0)
 	for w := range balancer.workers {
-		for _, s := range balancer.workers[WorkerID(w)].sendsAfter(balancer.warmupWindowStart()) {
+		for _, s := range balancer.workers[WorkerID(w)].warmup.sendsAfter(balancer.warmupWindowStart()) {
 			sent += s.work
 		}
 	}
--- a/internal/balancer/pending_queue.go
+++ b/internal/balancer/pending_queue.go
@@ -17,5 +17,5 @@
 
 func (q *pendingQueue) removeAt(index int) { q.ids = slices.Delete(q.ids, index, index+1) }
 
-// sort puts the queue in order after something has changed that priorities depend on.
+// sort renews the order after something has changed that priorities depend on.
 func (q *pendingQueue) sort(compare compareRequests) { slices.SortFunc(q.ids, compare) }
--- a/internal/balancer/pending_test.go
+++ b/internal/balancer/pending_test.go
@@ -21,7 +21,7 @@
 func TestWorstOperationHasItsWeightInTheGoal(t *testing.T) {
 	balancer, _ := newWarmBalancer(1, 1)
 	balancer.config.worstOperationWeight = 1
-	balancer.workers[0].probeAfter = 200 * Second
+	balancer.workers[0].health.ProbeAfter = 200 * Second
 	for id, op := range []OperationID{1, 0, 1} { // worth 8 and 1 for a unit of work
 		balancer.now++
 		balancer.RequestArrived(RequestID(id), Arrival{Operation: op, Timeout: 10 * Second, SizeHint: Second})
--- a/internal/balancer/pick_worker_test.go
+++ b/internal/balancer/pick_worker_test.go
@@ -1,14 +1,18 @@
 package balancer
 
 import (
+	"slices"
 	"testing"
 
 	"github.com/stretchr/testify/assert"
+
+	"canvasroute/internal/balancer/sizeinterval"
 )
 
 func TestPickGoesRoundTheSubsetOfTheInterval(t *testing.T) {
 	balancer, _ := newWarmBalancer(6, 1)
-	balancer.sizes.cutPoints = []Work{100}
+	setSizes(balancer, slices.Repeat([]Work{100}, sizeinterval.MinSample)...)
+	assert.Equal(t, []Work{100}, balancer.sizes.CutPoints())
 	small, large := map[WorkerID]int{}, map[WorkerID]int{}
 	for range 6 {
 		w, ok := balancer.pickWorker(&request{attemptLimit: 4, interval: 0, quotaWeight: 1, deadline: 200 * Second})
@@ -25,7 +29,8 @@
 
 func TestPickBorrowsFromOtherIntervals(t *testing.T) {
 	balancer, _ := newWarmBalancer(4, 1)
-	balancer.sizes.cutPoints = []Work{100}
+	setSizes(balancer, slices.Repeat([]Work{100}, sizeinterval.MinSample)...)
+	assert.Equal(t, []Work{100}, balancer.sizes.CutPoints())
 	balancer.workers[balancer.subsetting.ring[0]].unstarted, balancer.workers[balancer.subsetting.ring[1]].unstarted = 1, 1
 	w, ok := balancer.pickWorker(&request{attemptLimit: 4, interval: 0, quotaWeight: 1, deadline: 200 * Second})
 	assert.True(t, ok)
@@ -55,8 +60,9 @@
 
 func TestWarmingWorkerGetsNothingThatItsSlownessMakesLate(t *testing.T) {
 	balancer, _ := newWarmBalancer(1, 1)
-	balancer.workers[0].startedAt, balancer.slots.kinds[0].maxObserved, balancer.slots.kinds[0].estimate = balancer.now-5*Second, 9, 9 // at two fifths of its capacity
-	balancer.config.dispatchers, balancer.sizes.median = 1, Second                                                                     // hints come
+	balancer.workers[0].warmup.startedAt, balancer.slots.kinds[0].MaxObserved, balancer.slots.kinds[0].Estimate = balancer.now-5*Second, 9, 9 // at two fifths of its capacity
+	balancer.config.dispatchers = 1
+	setSizes(balancer, Second) // hints come
 	for size, taken := range map[Work]bool{Second / 2: true, Second: false} {
 		_, ok := balancer.pickWorker(&request{attemptLimit: 4, interval: bothIntervals, quotaWeight: 1, size: size, deadline: 200 * Second})
 		assert.Equal(t, taken, ok, "1.5 times the size over the objective of a second: %d", size)
@@ -64,14 +70,14 @@
 	late := &request{attemptLimit: 4, interval: bothIntervals, quotaWeight: 1, size: Second, deadline: 200 * Second, late: true}
 	_, ok := balancer.pickWorker(late)
 	assert.True(t, ok, "what is late in any case may still earn something")
-	balancer.sizes.median = 0
+	setSizes(balancer, 0)
 	_, ok = balancer.pickWorker(&request{attemptLimit: 4, interval: bothIntervals, quotaWeight: 1, size: Second, deadline: 200 * Second})
 	assert.True(t, ok, "no hint tells that it would be late")
 }
 
 func TestTenantsBeyondTheirQuotaLeaveRoom(t *testing.T) {
 	balancer, _ := newWarmBalancer(1, 1)
-	balancer.slots.kinds[0].estimate, balancer.slots.kinds[0].maxObserved = 3, 3
+	balancer.slots.kinds[0].Estimate, balancer.slots.kinds[0].MaxObserved = 3, 3
 	balancer.config.gossip = true
 	balancer.ReceiveLoad(1, WorkerLoad{Worker: 0, InFlight: 2})
 	_, ok := balancer.pickWorker(&request{attemptLimit: 4, interval: bothIntervals, deadline: 200 * Second, quotaWeight: 0.2})
@@ -84,19 +90,19 @@
 	balancer, effects := newWarmBalancer(9, 1)
 	balancer.config.gossip, balancer.config.dispatchers, balancer.config.dispatchersPerWorker, balancer.config.hedging = true, 9, 1, false
 	balancer.updateSubsets()
-	assert.Len(t, balancer.subsetting.subsets[bothIntervals].workers, intervals)
-	for id := range RequestID(intervals + 2) {
+	assert.Len(t, balancer.subsetting.subsets[bothIntervals].workers, sizeinterval.Count)
+	for id := range RequestID(sizeinterval.Count + 2) {
 		balancer.RequestArrived(id, Arrival{Operation: 1, Timeout: 10 * Second, SizeHint: Second})
 		balancer.RunDueRules()
 	}
-	assert.Len(t, effects.lines, intervals+2)
-	balancer.AttemptEnded(intervals, 0, Overloaded, NoAnswer)
+	assert.Len(t, effects.lines, sizeinterval.Count+2)
+	balancer.AttemptEnded(sizeinterval.Count, 0, Overloaded, NoAnswer)
 	balancer.RunDueRules()
-	assert.Len(t, effects.lines, intervals+2, "pending: where nothing is told, others may be full as well")
+	assert.Len(t, effects.lines, sizeinterval.Count+2, "pending: where nothing is told, others may be full as well")
 	balancer.now += Second + 1
 	balancer.due.capacityChanged = true
 	balancer.RunDueRules()
-	assert.Greater(t, len(effects.lines), intervals+2)
+	assert.Greater(t, len(effects.lines), sizeinterval.Count+2)
 }
 
 // Regression test for parts that many dispatchers have saved up, each for the moment in which its rotation comes round, and
@@ -117,18 +123,18 @@
 			balancer.subsetting.subsets[p].roundRobin = turn
 		}
 		balancer.withinWarmupBudget(0, 100)
-		balancer.workers[0].credit = 0.5
+		balancer.workers[0].warmup.credit.attempts = 0.5
 		w, ok := balancer.pickWorker(&balancer.requests.byID[turn])
 		assert.True(t, ok)
 		assert.NotEqual(t, WorkerID(0), w, "not yet")
-		balancer.workers[0].credit = 1
+		balancer.workers[0].warmup.credit.attempts = 1
 		w, _ = balancer.pickWorker(&balancer.requests.byID[turn])
 		assert.Equal(t, WorkerID(0), w, "wherever the rotation stands")
 	}
 	balancer.warmup.firstTries += 1000
 	assert.True(t, balancer.withinWarmupBudget(0, 100))
 	balancer.recordProcessExit(0)
-	balancer.workers[0].exitedAt = 0 // and a list has told of its start
+	balancer.workers[0].warmup.exitedAt = 0 // and a list has told of its start
 	assert.False(t, balancer.withinWarmupBudget(0, 100), "its next process is shared anew: all would have saved up one for it")
 }
 
--- a/internal/balancer/picker.go
+++ b/internal/balancer/picker.go
@@ -7,16 +7,16 @@
 	"time"
 )
 
-// Action is what a Pick tells the goroutine that serves a client to do.
+// Action is what the goroutine that serves a client has to do next.
 type Action uint8
 
 // The actions.
 const (
 	SendAttempt      Action = iota + 1 // send an attempt to Worker under Ctx, and report it by its number
 	RespondResult                      // give the client the result of the attempt with the number
-	RespondRejected                    // tell the client to come again
+	RespondRejected                    // tell the client to retry
 	RespondFailed                      // tell the client that the request failed
-	RespondElsewhere                   // another process goes on with the request: no answer from here
+	RespondElsewhere                   // another process continues the request: no answer from here
 )
 
 // Decision is the answer to a Pick.
@@ -33,17 +33,13 @@
 // ErrAttemptCanceled is the cause of the context of an attempt that a decision has ended.
 var ErrAttemptCanceled = errors.New("attempt canceled")
 
-// LoadUpdate is what one peer has to be told of the load here.
+// LoadUpdate is what one peer has to be sent of the load here.
 type LoadUpdate struct {
 	To    PeerID
 	Loads []WorkerLoad
 }
 
-// stopConfidence is the share of the time left to a process that ends which a size hint may fill: hints are rough, and
-// what is cut off may have run.
-const stopConfidence = 0.5
-
-// maxQueuedProbes is how many probes may wait. More would tell nothing new.
+// maxQueuedProbes is how many probes may wait. More would show nothing new.
 const maxQueuedProbes = 64
 
 // Picker lets goroutines that block use one Balancer: they submit, pick and report. It serializes their calls, assigns
@@ -72,7 +68,7 @@
 	loadUpdatesReady chan struct{}
 }
 
-// NewPicker makes a Picker around a new Balancer. clock returns the current time, and log takes events, under
+// NewPicker returns a Picker around a new Balancer. clock returns the current time, and log takes events, under
 // the Picker's lock.
 func NewPicker(config Config, seed uint64, clock func() Time, log func(Event)) *Picker {
 	p := &Picker{
@@ -90,7 +86,7 @@
 	return p
 }
 
-// update makes a call under the lock, and applies the rules that are due then.
+// update makes a call under the lock at the current time, and applies the rules that are due then.
 func (p *Picker) update(call func(*Balancer)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -107,7 +103,7 @@
 	call(p.balancer)
 }
 
-// Submit takes in a request. The caller has to Pick until it gets an answer.
+// Submit takes in a request. The caller has to call Pick until it gets an answer.
 func (p *Picker) Submit(arrival Arrival) *RequestHandle {
 	return p.submit(arrival, func(*Balancer, *RequestHandle) {})
 }
@@ -123,8 +119,8 @@
 	return h
 }
 
-// Run blocks until ctx ends, and applies the rules whenever one comes due by time alone. It begins with that: without
-// any endpoints nothing else would ever have the list polled.
+// Run blocks until ctx ends, and applies the rules whenever one comes due by time alone. It applies them at once too:
+// without any endpoints nothing else would ever have the list polled.
 func (p *Picker) Run(ctx context.Context) error {
 	p.update(func(*Balancer) {})
 	timer := time.NewTimer(0)
@@ -161,7 +157,7 @@
 	return p.openCount
 }
 
-// StopAfter tells that no answer is possible after a span from now: the process ends then.
+// StopAfter bounds all answers: none is possible after a span from now, as the process ends then.
 func (p *Picker) StopAfter(span Duration) {
 	p.update(func(b *Balancer) {
 		p.stopAt = min(p.stopAt, b.now.Add(span))
@@ -172,32 +168,33 @@
 // limitDeadlines has all open requests answered by a time.
 func (b *Balancer) limitDeadlines(latest Time) {
 	for id := range b.requests.newestFirst() {
-		request := b.requests.get(id)
-		request.deadline = min(request.deadline, latest)
-		b.due.reviewBy(request.deadline)
+		req := b.requests.get(id)
+		req.deadline = min(req.deadline, latest)
+		b.due.reviewBy(req.deadline)
 	}
 }
 
-// CancelAll cancels all attempts that are still in flight, as the process ends and nobody waits for them: else it would
-// stay for as long as its clients would have waited.
+// CancelAll cancels all attempts that are still in flight, as the process ends and nobody waits for them. Otherwise the
+// process would stay for as long as its clients would have waited.
 func (p *Picker) CancelAll() { p.cancelAll(ErrAttemptCanceled) }
 
-// WouldMissStop tells whether a request that arrives now would, by its size hint, not be done before the process ends.
+// WouldMissStop reports whether a request that arrives now would, by its size hint, not be done before the process ends.
 func (p *Picker) WouldMissStop(arrival Arrival) (misses bool) {
 	p.read(func(b *Balancer) {
-		size := Work(float64(arrival.SizeHint) * max(arrival.Slots, 1))
+		size := arrival.size()
 		if size == 0 {
-			size = b.sizes.median
+			size = b.sizes.Median()
 		}
 		misses = float64(size) > stopConfidence*float64(p.stopAt.Sub(b.now))
 	})
 	return misses
 }
 
-// WorkerCounts counts the workers that are listed, and of them those that are ejected now, alone or with their zone.
+// WorkerCounts returns the number of listed workers, and of those that are ejected now, alone or with their zone.
 func (p *Picker) WorkerCounts() (listed, ejected int) {
-	p.read(func(b *Balancer) { listed, ejected = b.workerCounts() })
-	return listed, ejected
+	var counts workerCounts
+	p.read(func(b *Balancer) { counts = b.countWorkers() })
+	return counts.listed, counts.ejected
 }
 
 // AwaitPoll blocks until the endpoint list should be polled, or returns the error of ctx.
@@ -213,14 +210,14 @@
 // NextProbe blocks until a worker should be probed, or returns the error of ctx.
 func (p *Picker) NextProbe(ctx context.Context) (WorkerID, error) {
 	select {
-	case worker := <-p.probes:
-		return worker, nil
+	case id := <-p.probes:
+		return id, nil
 	case <-ctx.Done():
 		return 0, ctx.Err()
 	}
 }
 
-// NextLoadUpdates blocks until peers should be told something, or returns the error of ctx.
+// NextLoadUpdates blocks until peers have to be sent something, or returns the error of ctx.
 func (p *Picker) NextLoadUpdates(ctx context.Context) ([]LoadUpdate, error) {
 	for {
 		p.mu.Lock()
@@ -243,22 +240,11 @@
 	p.update(func(b *Balancer) { b.UpdateEndpoints(entries, extent, source) })
 }
 
-// WatchEnd is how a poll of the endpoint list, or the watch that it began, ended.
-type WatchEnd uint8
-
-// The ends of a watch.
-const (
-	WatchFailed   WatchEnd = iota // refused, given up, or not understood
-	WatchRejected                 // turned away after it had waited: the service has too many callers
-	WatchCut                      // the watch had begun, and its connection ended
-	WatchSilent                   // the watch had begun, and fell silent some time ago
-)
-
-// ReportWatchEnded tells that the endpoint list could not be had, or is no longer watched. A poll that was due before
-// is answered by that: else it would follow with no wait.
+// ReportWatchEnded notes that the endpoint list could not be had, or is no longer watched. It answers a poll that was
+// due before, which would otherwise follow without a wait.
 func (p *Picker) ReportWatchEnded(end WatchEnd) {
 	p.update(func(b *Balancer) {
-		b.discovery.recordWatchEnd(end)
+		b.polling.RecordWatchEnd(end)
 		select {
 		case <-p.pollDue:
 		default:
@@ -267,7 +253,7 @@
 	})
 }
 
-// ReceiveLoad takes what a peer has in flight at a worker. Workers that are not known here yet are passed over.
+// ReceiveLoad takes what a peer has in flight at a worker. Workers that are not known here yet are ignored.
 func (p *Picker) ReceiveLoad(from PeerID, load WorkerLoad) {
 	p.update(func(b *Balancer) {
 		if int(load.Worker) < len(b.workers) {
@@ -296,22 +282,22 @@
 	p.openCount--
 }
 
-// sendBy is when the dedup window closes for the latest attempt of a request, zero for no bound. An attempt that is
-// decided on within the window could else be sent after it, as its connection came up late.
-func (p *Picker) sendBy(id RequestID) (closes time.Time) {
+// sendBy returns when the dedup window closes for the latest attempt of a request, zero for no bound. Without it an
+// attempt that is decided on within the window could be sent after it, as its connection came up late.
+func (p *Picker) sendBy(id RequestID) (noBound time.Time) {
 	b := p.balancer
-	request := b.requests.get(id)
-	operation := &b.operations.byID[request.operation]
-	if operation.idempotency != IdempotentByKey {
-		return closes
+	req := b.requests.get(id)
+	op := &b.operations.byID[req.operation]
+	if op.idempotency != IdempotentByKey {
+		return noBound
 	}
-	for _, earlier := range request.attempts[:len(request.attempts)-1] { // the first one was sent first
-		if earlier.inFlight || earlier.mayHaveRun {
-			left := earlier.sentAt.Add(operation.dedupWindow - b.config.margin).Sub(b.now)
+	for n := range len(req.attempts) - 1 { // the first one was sent first
+		if earlier := &req.attempts[n]; earlier.mayExecute() {
+			left := b.lastSafeRepeat(op, earlier).Sub(b.now)
 			return time.Now().Add(left.Standard())
 		}
 	}
-	return closes
+	return noBound
 }
 
 // signal wakes the reader of a channel with room for one, unless it has been woken already.
--- a/internal/balancer/picker_bench_test.go
+++ b/internal/balancer/picker_bench_test.go
@@ -28,8 +28,8 @@
 // of those comes to its time while the clock stands still.
 func facadeWithOpen(b *testing.B, workers, open int) *Picker {
 	picker, _ := newTestPicker(testConfig, workers)
-	picker.balancer.slots.kinds[0].estimate = float64(open + 8)
-	picker.balancer.slots.kinds[0].maxObserved = picker.balancer.slots.kinds[0].estimate
+	picker.balancer.slots.kinds[0].Estimate = float64(open + 8)
+	picker.balancer.slots.kinds[0].MaxObserved = picker.balancer.slots.kinds[0].Estimate
 	for range workers * open {
 		t := picker.Submit(Arrival{Timeout: 1000 * Second, SizeHint: 100})
 		c, err := t.Pick(context.Background())
@@ -70,7 +70,7 @@
 // pending.
 func BenchmarkLandingBesideHeld(b *testing.B) {
 	picker := facadeWithOpen(b, 256, 8)
-	picker.balancer.slots.kinds[0].estimate = 8
+	picker.balancer.slots.kinds[0].Estimate = 8
 	for n := range 10000 {
 		picker.Submit(Arrival{Timeout: 1000 * Second, SizeHint: Work(100 + n%50)})
 	}
--- a/internal/balancer/picker_effects.go
+++ b/internal/balancer/picker_effects.go
@@ -5,10 +5,11 @@
 	"time"
 )
 
-// pickerEffects are the effects of a Picker's Balancer. Its methods run under the Picker's lock.
+// pickerEffects turns the effects of a Balancer into decisions of request handles, and signals to the goroutines that
+// poll, probe and gossip. Its methods run under the Picker's lock.
 type pickerEffects struct{ picker *Picker }
 
-func (e pickerEffects) SendAttempt(id RequestID, worker WorkerID, within Duration) {
+func (e pickerEffects) SendAttempt(id RequestID, target WorkerID, within Duration) {
 	p := e.picker
 	h := p.handles[id]
 	until := h.deadline
@@ -17,14 +18,14 @@
 			until = earlier
 		}
 	}
-	operation := p.balancer.requests.get(id).operation
+	op := &p.balancer.operations.byID[p.balancer.requests.get(id).operation]
 	ctx := h.beginAttempt(until) // before its number is read: the order of both within one expression isn't specified
 	h.push(Decision{
 		Action:      SendAttempt,
-		Worker:      worker,
+		Worker:      target,
 		Ctx:         ctx,
 		Attempt:     len(h.cancels) - 1,
-		Idempotency: p.balancer.operations.byID[operation].idempotency,
+		Idempotency: op.idempotency,
 		SendBy:      p.sendBy(id),
 	})
 }
@@ -53,9 +54,9 @@
 
 func (e pickerEffects) Log(event Event) { e.picker.log(event) }
 
-func (e pickerEffects) Probe(worker WorkerID) {
+func (e pickerEffects) Probe(id WorkerID) {
 	select {
-	case e.picker.probes <- worker:
+	case e.picker.probes <- id:
 	default: // as many are waiting already
 	}
 }
--- a/internal/balancer/picker_test.go
+++ b/internal/balancer/picker_test.go
@@ -231,7 +231,7 @@
 	assert.True(t, asked(), "and nobody takes it up before the next word")
 	picker.ReportWatchEnded(WatchFailed)
 	assert.False(t, asked())
-	picker.update(func(balancer *Balancer) { balancer.discovery.pollNow(balancer.now) })
+	picker.update(func(balancer *Balancer) { balancer.polling.PollNow(balancer.now) })
 	assert.True(t, asked())
 	for range 5 { // it answers, and is cut: no backoff
 		<-picker.pollDue
@@ -256,7 +256,7 @@
 	assert.NoError(t, err)
 	picker.ReceiveLoad(1, WorkerLoad{Worker: 0, InFlight: 3})
 	picker.update(func(balancer *Balancer) { balancer.receivePeerStarted(1) })
-	assert.Equal(t, 0, picker.balancer.workers[0].peerInFlight)
+	assert.Equal(t, 0, picker.balancer.workers[0].gossip.peerInFlight)
 	*now += Second
 	picker.update(func(*Balancer) {})
 	news, err := picker.NextLoadUpdates(context.Background())
--- /dev/null
+++ b/internal/balancer/quota/quota_test.go
@@ -0,0 +1,48 @@
+package quota
+
+import (
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+
+	"canvasroute/internal/balancer/tick"
+)
+
+// weightAfter returns the weight of the last of some requests of a new tenant, which arrive at a rate per second.
+func weightAfter(requests int, rate, quota float64) (weight float64) {
+	var tenants Tenants
+	number := tenants.Assign("a", quota)
+	now := tick.Time(0)
+	for range requests {
+		now = now.Add(tick.Duration(tick.Second / rate))
+		weight = tenants.Weigh(number, now, 0.1)
+	}
+	return weight
+}
+
+func TestRequestsCountForLessBeyondTheQuota(t *testing.T) {
+	for name, c := range map[string]struct{ rate, quota, least, most float64 }{
+		"no quota":           {1000, Unlimited, 1, 1},
+		"within the quota":   {10, 10, 1, 1},
+		"a little beyond":    {12, 10, 1, 1},
+		"twice the quota":    {20, 10, 0.7, 0.9},
+		"many times as much": {1000, 10, 0.1, 0.15},
+	} {
+		t.Run(name, func(t *testing.T) {
+			weight := weightAfter(2000, c.rate, c.quota)
+			assert.GreaterOrEqual(t, weight, c.least)
+			assert.LessOrEqual(t, weight, c.most)
+		})
+	}
+}
+
+func TestTenantKeepsItsNumberAndUsage(t *testing.T) {
+	var tenants, restored Tenants
+	assert.Equal(t, 0, tenants.Assign("a", 1))
+	assert.Equal(t, 1, tenants.Assign("b", 1))
+	tenants.Weigh(0, 0, 0.1)
+	assert.Equal(t, 0, tenants.Assign("a", 2), "the same tenant with another quota")
+	restored.Add("a", 2)
+	restored.Restore(tenants.Usage())
+	assert.Equal(t, tenants.Usage()[:1], restored.Usage())
+}
--- a/internal/balancer/reconfigure.go
+++ b/internal/balancer/reconfigure.go
@@ -8,24 +8,26 @@
 
 // Reconfigure takes a new configuration while requests are open, and returns the numbers of its operations and tenants.
 //
-// An operation whose configuration is as it was keeps its number; another one has a new number and goes on with the
-// statistics of its name, so that requests that arrived before keep the configuration that they arrived with. A tenant keeps
-// its number for good, also while no configuration names it: a request that was read under the old one and arrives after
-// the new one counts where it belongs. A lower limit of attempts binds at once, a higher one only new requests. Which
-// dispatcher this is, and what the platform reports, stay as they were at the start.
+// An operation whose configuration is as it was keeps its number; another one gets a new number and continues with the
+// statistics of its name. So requests that arrived before keep the configuration that they arrived with. A tenant keeps
+// its number for good, also while no configuration names it. So a request that was read under the old configuration and
+// arrives after the new one counts where it belongs. A lower limit of attempts binds at once, a higher one only new
+// requests. Which dispatcher this is, and what the platform reports, stay as they were at the start.
 func (b *Balancer) Reconfigure(config Config) (assigned AssignedIDs) {
 	config.Dispatchers = b.config.dispatchers
 	config.Position = b.config.position
 	config.Gossip = b.config.gossip
-	for _, operation := range config.Operations {
-		assigned.Operations = append(assigned.Operations, b.operations.assign(newOperation(config, operation)))
+	for _, op := range config.Operations {
+		assigned.Operations = append(assigned.Operations, b.operations.assign(newOperation(config, op)))
 	}
 	for _, tenant := range config.Tenants {
-		assigned.Tenants = append(assigned.Tenants, b.quotas.assign(tenant.Name, tenant.Quota*b.config.dispatcherShare))
+		number := b.tenants.Assign(tenant.Name, tenant.Quota*b.config.dispatcherShare)
+		assigned.Tenants = append(assigned.Tenants, TenantID(number))
 	}
 	derived := newDerivedConfig(config)
 	derived.keepStartupFigures(&b.config)
 	b.config = derived
+	b.polling.Reconfigure(derived.polling)
 	b.updateSubsets()
 	b.due.capacityChanged = true
 	b.due.reviewAt = b.now
@@ -37,9 +39,10 @@
 // limitAttempts binds open requests to the configured limit, and answers those that may not be attempted any more.
 func (b *Balancer) limitAttempts() {
 	for id := range b.requests.newestFirst() {
-		request := b.requests.get(id)
-		request.attemptLimit = min(request.attemptLimit, b.config.maxAttempts)
-		if len(request.attempts) > 0 && request.inFlight == 0 && !b.mayAttemptAnywhere(request) {
+		req := b.requests.get(id)
+		req.attemptLimit = min(req.attemptLimit, b.config.maxAttempts)
+		isRetry := len(req.attempts) > 0 && req.inFlight == 0
+		if isRetry && !b.mayAttemptAnywhere(req) {
 			b.rejectOrFail(id)
 		}
 	}
--- a/internal/balancer/reconfigure_test.go
+++ b/internal/balancer/reconfigure_test.go
@@ -83,7 +83,7 @@
 func TestRequestWithoutAttemptsLeftIsRejectedAtOnce(t *testing.T) {
 	balancer, effects := newReconfigured(t)
 	for w := range balancer.workers { // the others are full too
-		balancer.workers[w].probeAfter = balancer.now + 4*Second
+		balancer.workers[w].health.ProbeAfter = balancer.now + 4*Second
 	}
 	balancer.AttemptEnded(0, 0, Overloaded, NoAnswer)
 	balancer.RunDueRules()
--- a/internal/balancer/release_test.go
+++ b/internal/balancer/release_test.go
@@ -99,7 +99,7 @@
 }
 
 func (r *release) step() {
-	r.now += tick
+	r.now += stepTime
 	for _, j := range r.cancelled {
 		r.report(j.from, func() { j.from.AttemptEnded(j.inv, j.n, Canceled, answerOf(j.from.requests.byID[j.inv].closed)) })
 	}
@@ -111,13 +111,13 @@
 			r.report(j.from, func() { j.from.AttemptStarted(j.inv, j.n) })
 		}
 		for _, j := range slices.Clone(w.running) {
-			by := min(j.left, r.warmth(w)*float64(tick))
+			by := min(j.left, r.warmth(w)*float64(stepTime))
 			if j.left, w.done = j.left-by, w.done+by; j.left <= 0 {
 				w.running = slices.DeleteFunc(w.running, func(o *job) bool { return o == j })
 				r.report(j.from, func() { j.from.AttemptEnded(j.inv, j.n, Succeeded, FinalAnswer) })
 			}
 		}
-		w.could += standSlots * r.warmth(w) * float64(tick)
+		w.could += standSlots * r.warmth(w) * float64(stepTime)
 	}
 	for ; len(r.news) > 0 && r.news[0].due <= r.now; r.news = r.news[1:] {
 		m := r.news[0]
@@ -158,7 +158,7 @@
 
 // restartSome kills a tenth of the dispatchers, which start again from nothing, twice a second after the release.
 func (r *release) restartSome() {
-	if !r.way.restarts || r.born == 0 || (r.now-r.born)%(Second/2)/tick != 0 {
+	if !r.way.restarts || r.born == 0 || (r.now-r.born)%(Second/2)/stepTime != 0 {
 		return
 	}
 	for range (r.dispatchers + 9) / 10 {
--- a/internal/balancer/request_handle.go
+++ b/internal/balancer/request_handle.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// RequestHandle is one request that a Picker has taken in. One goroutine picks; others may report attempts meanwhile.
+// RequestHandle is one request that a Picker has taken in. One goroutine calls Pick; others may report attempts
+// meanwhile. The fields are guarded by the Picker's lock, except ready.
 type RequestHandle struct {
 	picker    *Picker
 	id        RequestID
@@ -47,7 +48,7 @@
 			b.ClientLeft(h.id, NoAttempt)
 			h.cancelUnsent()
 		}
-		for _, decision := range h.decisions { // nobody will send these any more
+		for _, decision := range h.decisions { // nobody will send these attempts any more
 			if decision.Action == SendAttempt {
 				h.attemptEnded(decision.Attempt, NotSent)
 			}
@@ -78,8 +79,8 @@
 }
 
 // cancelUnsent cancels the attempts that have not been sent to their last byte, also where the platform allows no
-// cancellation: they have never run. Else one could go out after its client has left or was answered, as its connection
-// came up late or a disk was slow.
+// cancellation: they have never run. Otherwise one could be sent after its client has left or was answered, as its
+// connection came up late or a disk was slow.
 func (h *RequestHandle) cancelUnsent() {
 	for number, sent := range h.sent {
 		if !sent && !h.reported[number] {
@@ -88,14 +89,14 @@
 	}
 }
 
-// ReportSent tells that the attempt with a number has been sent to its last byte.
+// ReportSent notes that the attempt with a number has been sent to its last byte. From then on it may run.
 func (h *RequestHandle) ReportSent(number int) {
 	h.picker.mu.Lock()
 	defer h.picker.mu.Unlock()
 	h.sent[number] = true
 }
 
-// ReportDelivered tells that the worker has received the attempt with a number, whether it has started it or not.
+// ReportDelivered notes that the worker has received the attempt with a number, whether it has started it or not.
 func (h *RequestHandle) ReportDelivered(number int) {
 	h.picker.update(func(b *Balancer) {
 		if !h.reported[number] {
@@ -104,7 +105,7 @@
 	})
 }
 
-// ReportStarted tells that the worker has started the attempt with a number.
+// ReportStarted notes that the worker has started the attempt with a number.
 func (h *RequestHandle) ReportStarted(number int) {
 	h.picker.update(func(b *Balancer) {
 		if !h.reported[number] {
@@ -113,7 +114,7 @@
 	})
 }
 
-// Report tells the outcome of the attempt with a number; only the first report counts. It returns whether the result of
+// Report takes the outcome of the attempt with a number; only the first report counts. It reports whether the result of
 // this attempt is the client's answer.
 func (h *RequestHandle) Report(number int, outcome Outcome) (answers bool) {
 	h.picker.update(func(*Balancer) {
@@ -144,14 +145,6 @@
 	h.picker.balancer.AttemptEnded(h.id, number, outcome, answerOf(h.closed))
 }
 
-// answerOf is FinalAnswer for a request that was closed with its attempt.
-func answerOf(closed bool) Answer {
-	if closed {
-		return FinalAnswer
-	}
-	return NoAnswer
-}
-
 // markReported ends an attempt here, and its context.
 func (h *RequestHandle) markReported(number int) {
 	h.reported[number] = true
--- a/internal/balancer/review_test.go
+++ b/internal/balancer/review_test.go
@@ -69,7 +69,7 @@
 		balancer.RequestArrived(0, Arrival{Operation: c.op, Timeout: 90 * Second, SizeHint: 1000})
 		balancer.RunDueRules()
 		balancer.AttemptStarted(0, 0)
-		balancer.workers[1-balancer.requests.byID[0].attempts[0].worker].peerInFlight = c.busy
+		balancer.workers[1-balancer.requests.byID[0].attempts[0].worker].gossip.peerInFlight = c.busy
 		balancer.now += c.ran
 		balancer.reviewOpenRequests()
 		assert.Len(t, balancer.requests.byID[0].attempts, 1+c.copied, c)
@@ -130,7 +130,7 @@
 // it was sent: however long it would have waited, it could never be served.
 func TestLateRetryIsGivenTimeToBeServed(t *testing.T) {
 	balancer, effects := newWarmBalancer(1, 1)
-	balancer.config.reportFree = -1 // nothing tells which workers have room
+	balancer.config.reportFree = NotReported // nothing tells which workers have room
 	balancer.RequestArrived(0, Arrival{Timeout: 20 * Second, SizeHint: 100})
 	balancer.RunDueRules()
 	balancer.AttemptStarted(0, 0)
@@ -183,7 +183,7 @@
 func TestLateRequestGoesBehindThoseInTime(t *testing.T) {
 	balancer, effects := newWarmBalancer(1, 1)
 	balancer.operations.byID[0].value, balancer.operations.byID[1].value, balancer.operations.byID[0].lateShare, balancer.operations.byID[0].longestTimeout = 9, 8, 0.2, 20*Second
-	balancer.config.reportFree = -1 // nothing tells which workers have room
+	balancer.config.reportFree = NotReported // nothing tells which workers have room
 	balancer.workers[0].unstarted = 1
 	balancer.RequestArrived(0, Arrival{Timeout: 20*Second - Second/2, SizeHint: 100}) // its client comes again
 	balancer.RequestArrived(1, Arrival{Operation: 1, Timeout: 20 * Second, SizeHint: 100})
--- a/internal/balancer/shards.go
+++ b/internal/balancer/shards.go
@@ -7,20 +7,20 @@
 	"sync/atomic"
 )
 
-// Shards are the pickers of one process, one a core and each with a lock of its own. Each is a dispatcher like any
-// other, with its number among all shards of all processes, so that budgets, quotas, subsets and staggered polls hold
-// over all of them. They tell one another in memory what other peers tell by datagram. All processes must have as many
-// shards. Changes of what is known go to all of them in turn; requests go to each in turn.
+// Shards are the pickers of one process, one a core and each with a lock of its own. To the rules each shard is a
+// dispatcher like any other, with its position among all shards of all processes. So budgets, quotas, subsets and
+// staggered polls hold over all of them. Shards of a process exchange loads in memory, as other peers do by datagram. All
+// processes must have as many shards. What changes for the dispatcher goes to all shards; requests go to them in turn.
 type Shards struct {
 	pickers    []*Picker
 	firstPeer  PeerID // of the first one here
-	gossip     bool   // whether other processes may be told
+	gossip     bool   // loads may be sent to other processes
 	roundRobin atomic.Uint32
 
-	reconfiguring sync.Mutex // held while operations are numbered, which has to be the same at all shards
+	reconfiguring sync.Mutex // held while operations are numbered: numbers have to be the same at all shards
 }
 
-// NewShards makes a number of shards for a process. config.Dispatchers and config.Position count processes. clock
+// NewShards returns a number of shards for a process. config.Dispatchers and config.Position count processes. clock
 // returns the current time, and log takes events.
 func NewShards(config Config, count int, seed uint64, clock func() Time, log func(Event)) *Shards {
 	s := &Shards{firstPeer: PeerID(config.Position * count), gossip: config.Gossip}
@@ -39,16 +39,16 @@
 	return s
 }
 
-// Count is how many there are.
+// Count returns the number of shards.
 func (s *Shards) Count() int { return len(s.pickers) }
 
-// PeerID is that of a shard among all shards of all processes.
+// PeerID returns the number of a shard among all shards of all processes.
 func (s *Shards) PeerID(shard int) PeerID { return s.firstPeer + PeerID(shard) }
 
-// Submit takes in a request at the shard whose turn it is. The caller has to Pick until it gets an answer.
+// Submit takes in a request at the next shard in turn. The caller has to call Pick until it gets an answer.
 func (s *Shards) Submit(arrival Arrival) *RequestHandle { return s.next().Submit(arrival) }
 
-// next is the shard whose turn it is.
+// next returns the next shard in turn.
 func (s *Shards) next() *Picker {
 	if len(s.pickers) == 1 {
 		return s.pickers[0]
@@ -56,7 +56,7 @@
 	return s.pickers[s.roundRobin.Add(1)%uint32(len(s.pickers))]
 }
 
-// first is the shard that answers for all where each would say the same.
+// first returns the shard that answers for all where each would say the same.
 func (s *Shards) first() *Picker { return s.pickers[0] }
 
 // updateAll makes a call on each shard's Balancer in turn, and applies the rules that are due then.
@@ -79,10 +79,10 @@
 // Run blocks until ctx ends, and applies the rules of a shard whenever one comes due by time alone.
 func (s *Shards) Run(ctx context.Context, shard int) error { return s.pickers[shard].Run(ctx) }
 
-// Now is the time by which decisions are made.
+// Now returns the time by which decisions are made.
 func (s *Shards) Now() Time { return s.first().clock() }
 
-// OpenRequests is the number of requests that are not closed, or have attempts in flight.
+// OpenRequests returns the number of requests that are not closed, or have attempts in flight.
 func (s *Shards) OpenRequests() (open int) {
 	for _, picker := range s.pickers {
 		open += picker.OpenRequests()
@@ -90,7 +90,7 @@
 	return open
 }
 
-// StopAfter tells that no answer is possible after a span from now: the process ends then.
+// StopAfter bounds all answers: none is possible after a span from now, as the process ends then.
 func (s *Shards) StopAfter(span Duration) {
 	for _, picker := range s.pickers {
 		picker.StopAfter(span)
@@ -104,10 +104,10 @@
 	}
 }
 
-// WouldMissStop tells whether a request that arrives now would, by its size hint, not be done before the process ends.
+// WouldMissStop reports whether a request that arrives now would, by its size hint, not be done before the process ends.
 func (s *Shards) WouldMissStop(arrival Arrival) bool { return s.first().WouldMissStop(arrival) }
 
-// WorkerCounts counts the workers that are listed, and of them those that are ejected now, at the shard that has the most.
+// WorkerCounts returns the number of listed workers, and of those that are ejected now, at the shard that has the most.
 func (s *Shards) WorkerCounts() (listed, ejected int) {
 	for _, picker := range s.pickers {
 		listedHere, ejectedHere := picker.WorkerCounts()
@@ -123,8 +123,9 @@
 // NextProbe blocks until a worker should be probed, or returns the error of ctx.
 func (s *Shards) NextProbe(ctx context.Context) (WorkerID, error) { return s.first().NextProbe(ctx) }
 
-// NextLoadUpdates blocks until a shard has something to tell other processes, or returns the error of ctx. Meanwhile it
-// tells the other shards here what is for them, without the lock of the one that tells: two may tell each other at once.
+// NextLoadUpdates blocks until a shard has something to send to other processes, or returns the error of ctx. Meanwhile
+// it passes loads to the other shards here. It holds no lock of the sending shard then, as two may send to each other at
+// once.
 func (s *Shards) NextLoadUpdates(ctx context.Context, shard int) ([]LoadUpdate, error) {
 	for {
 		updates, err := s.pickers[shard].NextLoadUpdates(ctx)
@@ -156,31 +157,28 @@
 	}
 }
 
-// ReportWatchEnded tells that the endpoint list could not be had, or is no longer watched.
+// ReportWatchEnded notes that the endpoint list could not be had, or is no longer watched.
 func (s *Shards) ReportWatchEnded(end WatchEnd) {
 	for _, picker := range s.pickers {
 		picker.ReportWatchEnded(end)
 	}
 }
 
-// ReportFirstPollSlow tells that the first poll has not been answered for a while: the endpoints from before the start
-// have to do.
+// ReportFirstPollSlow notes that the first poll has not been answered for a while. The endpoints from before the start
+// are used until it is.
 func (s *Shards) ReportFirstPollSlow() {
-	s.updateAll(func(b *Balancer) {
-		b.discovery.endpointsStale = false
-		b.due.capacityChanged = true
-	})
+	s.updateAll((*Balancer).acceptStaleEndpoints)
 }
 
-// ReportDiscoveryMoved tells that the endpoint service has another address: it is polled at once, however long the wait
+// ReportDiscoveryMoved notes that the endpoint service has another address. It is polled at once, however long the wait
 // was to be.
 func (s *Shards) ReportDiscoveryMoved() {
-	s.updateAll(func(b *Balancer) { b.discovery.pollNow(b.now) })
+	s.updateAll(func(b *Balancer) { b.polling.PollNow(b.now) })
 }
 
 // ReceiveLoadReport takes the values of a worker's load report, at the places that Config names.
-func (s *Shards) ReceiveLoadReport(worker WorkerID, values []float64) {
-	s.updateAll(func(b *Balancer) { b.ReceiveLoadReport(worker, values) })
+func (s *Shards) ReceiveLoadReport(id WorkerID, values []float64) {
+	s.updateAll(func(b *Balancer) { b.ReceiveLoadReport(id, values) })
 }
 
 // ReceiveLoad takes what a shard of another process has in flight at a worker.
@@ -190,24 +188,25 @@
 	}
 }
 
-// ReceivePeerStarted tells that another process has just started, by its number among the processes.
+// ReceivePeerStarted notes that another process has just started, by its number among the processes.
 func (s *Shards) ReceivePeerStarted(process int) {
 	s.updateAllOf(process, (*Balancer).receivePeerStarted)
 }
 
-// ReportSeniorPeer tells that another process has run for longer than this one, by its number among the processes.
+// ReportSeniorPeer notes that another process has run for longer than this one, by its number among the processes.
 func (s *Shards) ReportSeniorPeer(process int) {
-	s.updateAllOf(process, func(b *Balancer, peer PeerID) { b.gossip.recordPeerAge(peer, false) })
+	s.updateAllOf(process, func(b *Balancer, peer PeerID) { b.gossip.recordPeer(peer) })
 }
 
-// Isolated tells whether all dispatchers may have lost power, as far as this process can see.
+// Isolated reports whether all dispatchers may have lost power, as far as this process can see: no poll has been
+// answered since its start, and no peer has been heard that has run for longer.
 func (s *Shards) Isolated() (isolated bool) {
-	s.first().read(func(b *Balancer) { isolated = !b.discovery.answered && !b.gossip.hearsSenior() })
+	s.first().read(func(b *Balancer) { isolated = !b.polling.Answered() && !b.gossip.hearsSenior() })
 	return isolated
 }
 
-// GossipPeers are the other processes with which this one exchanges load, by number and in order; all of them while
-// there is no endpoint list.
+// GossipPeers returns the other processes with which this one exchanges load, by number and in order. It returns all of
+// them while there is no endpoint list.
 func (s *Shards) GossipPeers() (processes []int) {
 	own := int(s.firstPeer) / len(s.pickers)
 	for _, picker := range s.pickers {
--- a/internal/balancer/shards_test.go
+++ b/internal/balancer/shards_test.go
@@ -55,8 +55,8 @@
 		ctx, cancel := context.WithTimeout(context.Background(), 200*time.Millisecond)
 		news, err := s.NextLoadUpdates(ctx, 0)
 		cancel()
-		assert.Equal(t, 1, s.pickers[1].balancer.workers[c.Worker].peerInFlight, "heard within the process")
-		assert.Equal(t, 0, s.pickers[0].balancer.workers[c.Worker].peerInFlight, "not by the one that told")
+		assert.Equal(t, 1, s.pickers[1].balancer.workers[c.Worker].gossip.peerInFlight, "heard within the process")
+		assert.Equal(t, 0, s.pickers[0].balancer.workers[c.Worker].gossip.peerInFlight, "not by the one that told")
 		if !outside {
 			assert.Error(t, err, "nothing may leave the process")
 			continue
@@ -73,7 +73,7 @@
 	config.PollEndpoints = true
 	s := newTestShards(config, 3, 1)
 	for _, picker := range s.pickers {
-		picker.update(func(balancer *Balancer) { balancer.discovery.nextPoll = 0 }) // their turn has come
+		picker.update(func(balancer *Balancer) { balancer.polling.PollNow(LongAgo) }) // their turn has come
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
 	defer cancel()
@@ -81,7 +81,7 @@
 	assert.Error(t, s.AwaitPoll(ctx), "the others want it by the same call")
 	s.UpdateEndpoints([]Endpoint{{Worker: 0, ID: "w0", State: Draining}}, AllEndpoints, FromDiscovery)
 	for _, picker := range s.pickers {
-		assert.True(t, picker.balancer.discovery.watching)
+		assert.True(t, picker.balancer.polling.Watching())
 		assert.Equal(t, Draining, picker.balancer.workers[0].state, "a drain holds for all")
 	}
 }
@@ -137,7 +137,7 @@
 		assert.Less(t, len(near), 30)
 		balancer := s.pickers[0].balancer
 		for _, w := range balancer.subsetting.subsets[bothIntervals].workers {
-			for p := balancer.workers[w].subsetPeerRange[0]; p < balancer.workers[w].subsetPeerRange[1]; p++ {
+			for p := balancer.workers[w].gossip.peers.from; p < balancer.workers[w].gossip.peers.to; p++ {
 				if p%80 != n {
 					assert.Contains(t, near, p%80, "told of worker %d", w)
 				}
--- a/internal/balancer/sibling.go
+++ b/internal/balancer/sibling.go
@@ -1,6 +1,6 @@
 package balancer
 
-// SiblingRole is that of another process of this dispatcher during a hot restart.
+// SiblingRole is the role of another process of this dispatcher during a hot restart.
 type SiblingRole uint8
 
 // The roles of a sibling.
@@ -16,7 +16,7 @@
 	Work   Work
 }
 
-// inFlightByWorker is what a sibling has in flight, by WorkerID.
+// inFlightByWorker is the number of attempts that a sibling has in flight, by WorkerID.
 type inFlightByWorker []int
 
 func (f inFlightByWorker) of(id WorkerID) int {
@@ -38,7 +38,7 @@
 	return f.add(WorkerLoad{Worker: load.Worker, InFlight: load.InFlight - f.of(load.Worker)})
 }
 
-// loads are the workers with something in flight.
+// loads returns the workers with something in flight.
 func (f inFlightByWorker) loads() (loads []WorkerLoad) {
 	for id, inFlight := range f {
 		if inFlight > 0 {
@@ -48,8 +48,8 @@
 	return loads
 }
 
-// InFlightFor is what a sibling has to be told: what is in flight here at each worker, without what that sibling itself
-// told of.
+// InFlightFor returns what a sibling has to be sent: what is in flight here at each worker, without what that sibling
+// itself reported.
 func (p *Picker) InFlightFor(to SiblingRole) []WorkerLoad {
 	var inFlight inFlightByWorker
 	p.read(func(b *Balancer) {
@@ -61,7 +61,7 @@
 }
 
 // UpdateSibling takes all that a sibling has in flight. It counts as in flight here: the processes are one dispatcher,
-// whose peers are told the sum.
+// whose peers are sent the sum.
 func (p *Picker) UpdateSibling(from SiblingRole, loads []WorkerLoad) {
 	p.update(func(b *Balancer) {
 		before := p.siblings[from]
@@ -83,20 +83,21 @@
 	})
 }
 
-// addRecentSends takes what a sibling has sent to workers since it last told: it counts against their warm-up budget.
+// addRecentSends takes what a sibling has sent to workers since its last report. It counts against their warm-up budget.
 func (b *Balancer) addRecentSends(sends []RecentSend) {
 	for _, sent := range sends {
 		if int(sent.Worker) < len(b.workers) {
-			b.workers[sent.Worker].recordSend(send{sentAt: b.now, work: sent.Work, bySibling: true}, b.warmupWindowStart())
+			made := send{sentAt: b.now, work: sent.Work, bySibling: true}
+			b.workers[sent.Worker].warmup.recordSend(made, b.warmupWindowStart())
 		}
 	}
 }
 
-// recentSendsSince is what was sent from here within the warm-up window and after a time, by worker.
+// recentSendsSince returns what was sent from here within the warm-up window and after a moment, by worker.
 func (b *Balancer) recentSendsSince(after Time) (sends []RecentSend) {
 	for n := range b.workers {
 		sum := Work(0)
-		for _, sent := range b.workers[n].sends {
+		for _, sent := range b.workers[n].warmup.sends {
 			if sent.sentAt > after && !sent.bySibling {
 				sum += sent.work
 			}
@@ -108,8 +109,8 @@
 	return sends
 }
 
-// InFlightFor is what a sibling has to be told: what is in flight at all shards here, without what that sibling itself
-// told of.
+// InFlightFor returns what a sibling has to be sent: what is in flight at all shards here, without what that sibling
+// itself reported.
 func (s *Shards) InFlightFor(to SiblingRole) []WorkerLoad {
 	var sum inFlightByWorker
 	for _, picker := range s.pickers {
@@ -120,8 +121,8 @@
 	return sum.loads()
 }
 
-// UpdateSibling takes all that a sibling has in flight. The first shard counts it, and tells the others as it tells of
-// its own.
+// UpdateSibling takes all that a sibling has in flight. The first shard counts it, and sends it to the others with its
+// own load.
 func (s *Shards) UpdateSibling(from SiblingRole, loads []WorkerLoad) {
 	s.first().UpdateSibling(from, loads)
 }
@@ -131,7 +132,7 @@
 	s.updateAll(func(b *Balancer) { b.addRecentSends(sends) })
 }
 
-// RecentSendsSince is what all shards sent to workers within the warm-up window and after a time.
+// RecentSendsSince returns what all shards sent to workers within the warm-up window and after a moment.
 func (s *Shards) RecentSendsSince(after Time) (sends []RecentSend) {
 	for _, picker := range s.pickers {
 		picker.read(func(b *Balancer) { sends = append(sends, b.recentSendsSince(after)...) })
--- a/internal/balancer/sibling_test.go
+++ b/internal/balancer/sibling_test.go
@@ -20,5 +20,5 @@
 	assert.Equal(t, 1, picker.balancer.load(c.Worker))
 	picker.update(func(balancer *Balancer) { balancer.addRecentSends([]RecentSend{{1, 500}, {99, 1}}) })
 	assert.Empty(t, picker.balancer.recentSendsSince(0), "what it sent is not ours to tell")
-	assert.Equal(t, Work(500), picker.balancer.workers[1].sends[len(picker.balancer.workers[1].sends)-1].work)
+	assert.Equal(t, Work(500), picker.balancer.workers[1].warmup.sends[len(picker.balancer.workers[1].warmup.sends)-1].work)
 }
--- /dev/null
+++ b/internal/balancer/sizeinterval/sizeinterval.go
@@ -0,0 +1,99 @@
+// Package sizeinterval cuts the sizes of requests into intervals that hold equal work.
+//
+// It is the first half of the STAR rule (size-based task assignment by intervals with round-robin). Each interval has
+// workers of its own, so small requests do not wait behind large ones. The cut points follow a sample of recent sizes.
+package sizeinterval
+
+import (
+	"slices"
+
+	"canvasroute/internal/balancer/tick"
+)
+
+const (
+	// Count is the number of intervals. Each has its own block of workers.
+	Count = 2
+	// Undivided is what Of returns while there are no cut points; no interval has this number.
+	Undivided = Count
+
+	// MaxSample is the number of sizes behind the cut points; older ones drop out.
+	MaxSample = 128
+	// MinSample is the number of sizes before there are cut points.
+	MinSample = 50
+	// updatesPerSample is how many times the cut points are renewed while a full sample is replaced.
+	updatesPerSample = 8
+)
+
+// Intervals owns a sample of sizes and the cut points that follow from it. The zero value has seen no size.
+type Intervals struct {
+	sample    []tick.Work
+	observed  int // sizes since the start
+	median    tick.Work
+	total     tick.Work   // of the sample as the cut points were set
+	cutPoints []tick.Work // lower bounds of all intervals but the first
+}
+
+// Observe adds a size to the sample, and reports whether Update is due.
+func (s *Intervals) Observe(size tick.Work) (updateDue bool) {
+	s.sample = append(s.sample, size)
+	s.sample = s.sample[max(0, len(s.sample)-MaxSample):]
+	s.observed++
+	return s.observed%(MaxSample/updatesPerSample) == 0 || s.observed == MinSample
+}
+
+// Update sets the cut points so that each interval holds the same share of the sample's work. The sample must not be
+// empty.
+func (s *Intervals) Update() {
+	sorted := slices.Sorted(slices.Values(s.sample))
+	s.total = 0
+	for _, size := range sorted {
+		s.total += size
+	}
+	s.median = sorted[len(sorted)/2]
+	s.cutPoints = s.cutPoints[:0]
+	if s.observed >= MinSample {
+		s.setCutPoints(sorted)
+	}
+}
+
+func (s *Intervals) setCutPoints(sorted []tick.Work) {
+	smaller := tick.Work(0) // work of the sizes before the one at hand
+	for _, size := range sorted {
+		next := len(s.cutPoints) + 1
+		if next < Count && smaller*Count >= s.total*tick.Work(next) {
+			s.cutPoints = append(s.cutPoints, size)
+		}
+		smaller += size
+	}
+}
+
+// Of returns the number of the interval that holds a size, or Undivided while there are no cut points.
+func (s *Intervals) Of(size tick.Work) int {
+	if len(s.cutPoints) == 0 {
+		return Undivided
+	}
+	interval, _ := slices.BinarySearch(s.cutPoints, size+1)
+	return interval
+}
+
+// Median returns the middle size of the sample at the last Update, 0 before the first one.
+func (s *Intervals) Median() tick.Work { return s.median }
+
+// CutPoints returns the lower bounds of all intervals but the first; none before enough sizes were seen.
+func (s *Intervals) CutPoints() []tick.Work { return s.cutPoints }
+
+// SampleTotal returns the work of the sample at the last Update.
+func (s *Intervals) SampleTotal() tick.Work { return s.total }
+
+// Sample returns the sizes that the next Update goes by, the oldest first. The caller must not change them.
+func (s *Intervals) Sample() []tick.Work { return s.sample }
+
+// Observed returns how many sizes were observed since the start, those of a restored sample included.
+func (s *Intervals) Observed() int { return s.observed }
+
+// Restore replaces the sample by an earlier one, of which a number of sizes had been observed. Update is due then
+// unless the sample is empty.
+func (s *Intervals) Restore(sample []tick.Work, observed int) {
+	s.sample = sample
+	s.observed = observed
+}
--- a/internal/balancer/snapshot.go
+++ b/internal/balancer/snapshot.go
@@ -1,9 +1,14 @@
 package balancer
 
-import "slices"
+import (
+	"slices"
 
-// Snapshot is what a Balancer has learned, for a process that goes on with it. Workers and zones keep their numbers;
-// tenants and kinds are in the order of the configuration, and operations are known by name.
+	"canvasroute/internal/balancer/quota"
+)
+
+// Snapshot is what a Balancer has learned, for a process that continues with it. Workers and zones keep their numbers;
+// tenants and kinds are in the order of the configuration, and operations are identified by name. The JSON names are
+// those of earlier versions and of state folders.
 type Snapshot struct {
 	Operations []OperationStats `json:"Operations"`
 	Tenants    []TenantStats    `json:"Customers"`
@@ -37,7 +42,7 @@
 	At    Time    `json:"At"`
 }
 
-// KindStats is what was learned of the slots of a kind of worker; Slots is 0 for nothing.
+// KindStats is what was learned of the slots of a kind of worker; Slots is 0 where nothing was.
 type KindStats struct {
 	Slots       float64 `json:"Slots"`
 	MaxObserved float64 `json:"Most"`
@@ -50,7 +55,7 @@
 	EjectedUntil Time `json:"At"`
 }
 
-// WorkerStats is what is known of one worker beside its entry in the endpoint list.
+// WorkerStats is what was learned of one worker, beside its entry in the endpoint list.
 type WorkerStats struct {
 	ConsecutiveFailures int                `json:"Fails"`
 	PossiblyExecuted    bool               `json:"Ruined"` // an attempt that failed there may have run
@@ -73,7 +78,7 @@
 	Work Work `json:"Work"`
 }
 
-// Snapshot is what has been learned here.
+// Snapshot returns what has been learned here.
 func (p *Picker) Snapshot() (learned Snapshot) {
 	p.read(func(b *Balancer) { learned = b.snapshot() })
 	return learned
@@ -81,8 +86,8 @@
 
 func (b *Balancer) snapshot() Snapshot {
 	learned := Snapshot{
-		Sample:           append([]Work(nil), b.sizes.sample...),
-		Sampled:          b.sizes.sampled,
+		Sample:           append([]Work(nil), b.sizes.Sample()...),
+		Sampled:          b.sizes.Observed(),
 		TotalValue:       b.operations.totalValue,
 		FreeSlotRatio:    b.slots.freeSlotRatio,
 		UnheardNotBefore: b.gossip.unheardNotBefore,
@@ -91,18 +96,19 @@
 	for n := range b.operations.byID {
 		learned.Operations = append(learned.Operations, b.operations.byID[n].snapshot())
 	}
-	for _, tenant := range b.quotas.tenants {
-		learned.Tenants = append(learned.Tenants, TenantStats{Usage: tenant.usage, At: tenant.usageAt})
+	for _, usage := range b.tenants.Usage() {
+		learned.Tenants = append(learned.Tenants, TenantStats{Usage: usage.Requests, At: usage.At})
 	}
 	for _, kind := range b.slots.kinds {
 		learned.Kinds = append(learned.Kinds, KindStats{
-			Slots:       kind.estimate,
-			MaxObserved: kind.maxObserved,
-			Votes:       append([]int(nil), kind.votes...),
+			Slots:       kind.Estimate,
+			MaxObserved: kind.MaxObserved,
+			Votes:       append([]int(nil), kind.Votes...),
 		})
 	}
-	for _, zone := range b.zones {
-		learned.Zones = append(learned.Zones, ZoneStats{Failures: zone.failures, EjectedUntil: zone.ejectedUntil})
+	for n := range b.zones {
+		known := &b.zones[n].health
+		learned.Zones = append(learned.Zones, ZoneStats{Failures: known.Failures, EjectedUntil: known.EjectedUntil})
 	}
 	for n := range b.workers {
 		learned.Workers = append(learned.Workers, b.workers[n].snapshot())
@@ -125,53 +131,55 @@
 
 func (w *worker) snapshot() WorkerStats {
 	learned := WorkerStats{
-		ConsecutiveFailures: w.consecutiveFailures,
-		PossiblyExecuted:    w.possiblyExecuted,
-		ProbeAfter:          w.probeAfter,
+		ConsecutiveFailures: w.health.ConsecutiveFailures,
+		PossiblyExecuted:    w.health.PossiblyExecuted,
+		ProbeAfter:          w.health.ProbeAfter,
 		NotBefore:           w.notBefore,
 	}
-	for _, known := range w.peerLoads {
-		learned.PeerLoads = append(learned.PeerLoads, SnapshotPeerLoad{From: known.from, InFlight: known.inFlight, ReceivedAt: known.receivedAt})
+	for _, known := range w.gossip.peerLoads {
+		learned.PeerLoads = append(learned.PeerLoads, SnapshotPeerLoad{
+			From: known.from, InFlight: known.inFlight, ReceivedAt: known.receivedAt,
+		})
 	}
-	for _, sent := range w.sends {
+	for _, sent := range w.warmup.sends {
 		learned.Sends = append(learned.Sends, SnapshotSend{At: sent.sentAt, Work: sent.work})
 	}
 	return learned
 }
 
-// Restore goes on with what another Balancer has learned. The endpoints have to be known, and no request may have
-// arrived yet.
+// Restore takes what another Balancer has learned. It is called once the endpoints are known, and before the first
+// request.
 func (p *Picker) Restore(learned Snapshot) {
 	p.update(func(b *Balancer) { b.restore(learned) })
 }
 
 func (b *Balancer) restore(learned Snapshot) {
-	b.sizes.sample = learned.Sample
-	b.sizes.sampled = learned.Sampled
+	b.sizes.Restore(learned.Sample, learned.Sampled)
 	b.operations.totalValue = learned.TotalValue
 	b.slots.freeSlotRatio = learned.FreeSlotRatio
 	b.gossip.unheardNotBefore = learned.UnheardNotBefore
 	b.loadProbes = loadProbes{arrivals: learned.Arrivals, nextAt: learned.Arrivals}
-	if len(b.sizes.sample) > 0 {
+	if len(learned.Sample) > 0 {
 		b.updateCutPoints()
 	}
-	for _, operation := range learned.Operations { // the last one, where there were several configurations of one name
-		b.operations.restore(operation)
+	for _, stats := range learned.Operations { // the last one, where there were several configurations of one name
+		b.operations.restore(stats)
 	}
-	for n := range min(len(b.quotas.tenants), len(learned.Tenants)) {
-		b.quotas.tenants[n].usage = learned.Tenants[n].Usage
-		b.quotas.tenants[n].usageAt = learned.Tenants[n].At
+	var usage []quota.Usage
+	for _, tenant := range learned.Tenants {
+		usage = append(usage, quota.Usage{Requests: tenant.Usage, At: tenant.At})
 	}
+	b.tenants.Restore(usage)
 	for n := range min(len(b.slots.kinds), len(learned.Kinds)) {
 		if kind := learned.Kinds[n]; kind.Slots > 0 {
-			b.slots.kinds[n].votes = kind.Votes
-			b.slots.kinds[n].maxObserved = kind.MaxObserved
+			b.slots.kinds[n].Votes = kind.Votes
+			b.slots.kinds[n].MaxObserved = kind.MaxObserved
 			b.setSlotEstimate(KindID(n), kind.Slots)
 		}
 	}
 	for n := range min(len(b.zones), len(learned.Zones)) {
-		b.zones[n].failures = learned.Zones[n].Failures
-		b.zones[n].ejectedUntil = learned.Zones[n].EjectedUntil
+		b.zones[n].health.Failures = learned.Zones[n].Failures
+		b.zones[n].health.EjectedUntil = learned.Zones[n].EjectedUntil
 	}
 	for n := range min(len(b.workers), len(learned.Workers)) {
 		b.restoreWorker(WorkerID(n), &learned.Workers[n])
@@ -194,21 +202,21 @@
 }
 
 func (b *Balancer) restoreWorker(id WorkerID, learned *WorkerStats) {
-	worker := &b.workers[id]
-	worker.consecutiveFailures = learned.ConsecutiveFailures
-	worker.possiblyExecuted = learned.PossiblyExecuted
-	worker.probeAfter = learned.ProbeAfter
-	worker.notBefore = learned.NotBefore
+	w := &b.workers[id]
+	w.health.ConsecutiveFailures = learned.ConsecutiveFailures
+	w.health.PossiblyExecuted = learned.PossiblyExecuted
+	w.health.ProbeAfter = learned.ProbeAfter
+	w.notBefore = learned.NotBefore
 	for _, heard := range learned.PeerLoads {
 		b.ReceiveLoad(heard.From, WorkerLoad{Worker: id, InFlight: heard.InFlight})
-		worker.peerLoads[len(worker.peerLoads)-1].receivedAt = heard.ReceivedAt
+		w.gossip.peerLoads[len(w.gossip.peerLoads)-1].receivedAt = heard.ReceivedAt
 	}
 	for _, sent := range learned.Sends {
-		worker.sends = append(worker.sends, send{sentAt: sent.At, work: sent.Work, bySibling: true})
+		w.warmup.sends = append(w.warmup.sends, send{sentAt: sent.At, work: sent.Work, bySibling: true})
 	}
 }
 
-// Snapshot is what each shard has learned.
+// Snapshot returns what each shard has learned.
 func (s *Shards) Snapshot() (all []Snapshot) {
 	for _, picker := range s.pickers {
 		all = append(all, picker.Snapshot())
@@ -216,8 +224,8 @@
 	return all
 }
 
-// RestoreFromDisk goes on with what the shards of an earlier process have learned, where that had another number of
-// shards each with what the first one had. It returns false for nothing learned.
+// RestoreFromDisk takes what the shards of an earlier process have learned. If that had another number of shards, each
+// shard takes what the first one had learned. It reports whether there was anything to take.
 func (s *Shards) RestoreFromDisk(all []Snapshot) bool {
 	if len(all) == 0 {
 		return false
@@ -232,15 +240,15 @@
 	return true
 }
 
-// RestoreFromPredecessor goes on with what the shards of the predecessor have learned. It does nothing and returns false
-// where that has another number of shards.
+// RestoreFromPredecessor takes what the shards of the predecessor have learned. It does nothing and returns false where
+// that process has another number of shards.
 func (s *Shards) RestoreFromPredecessor(all []Snapshot) bool {
 	if len(all) != len(s.pickers) {
 		return false
 	}
 	for n, picker := range s.pickers {
 		picker.Restore(all[n])
-		picker.update(func(b *Balancer) { b.discovery.endpointsStale = false }) // the predecessor watches the list
+		picker.update(func(b *Balancer) { b.polling.AcceptStaleEndpoints() }) // the predecessor watches the list
 	}
 	return true
 }
--- a/internal/balancer/snapshot_test.go
+++ b/internal/balancer/snapshot_test.go
@@ -14,9 +14,9 @@
 	config.ReportFree, config.Gossip = -1, true
 	old, now := newTestPicker(config, 4)
 	old.update(func(balancer *Balancer) {
-		balancer.slots.kinds[0].votes, balancer.slots.kinds[0].maxObserved = []int{0, 2, 2, 5, -9, -9}, 3
+		balancer.slots.kinds[0].Votes, balancer.slots.kinds[0].MaxObserved = []int{0, 2, 2, 5, -9, -9}, 3
 		balancer.setSlotEstimate(0, 3)
-		balancer.workers[2].consecutiveFailures, balancer.workers[2].probeAfter, balancer.zones[1].ejectedUntil, balancer.zones[1].failures = 2, balancer.now+Second, balancer.now+Second, 4
+		balancer.workers[2].health.ConsecutiveFailures, balancer.workers[2].health.ProbeAfter, balancer.zones[1].health.EjectedUntil, balancer.zones[1].health.Failures = 2, balancer.now+Second, balancer.now+Second, 4
 		for n := range 60 {
 			balancer.observeSize(Work(100 + n))
 		}
@@ -32,8 +32,8 @@
 		{was.slots, balancer.slots},
 		{failures(was), failures(balancer)},
 		{was.zones, balancer.zones},
-		{was.sizes.sample, balancer.sizes.sample},
-		{was.quotas.tenants[0].usage, balancer.quotas.tenants[0].usage},
+		{was.sizes.Sample(), balancer.sizes.Sample()},
+		{was.tenants.Usage(), balancer.tenants.Usage()},
 		{was.operations.byID, balancer.operations.byID},
 		{peersInFlight(was), peersInFlight(balancer)},
 	} {
@@ -46,14 +46,14 @@
 // failures are the failures in a row at each worker, and when it is tried again.
 func failures(balancer *Balancer) (all [][2]int) {
 	for _, w := range balancer.workers {
-		all = append(all, [2]int{w.consecutiveFailures, int(w.probeAfter)})
+		all = append(all, [2]int{w.health.ConsecutiveFailures, int(w.health.ProbeAfter)})
 	}
 	return all
 }
 
 func peersInFlight(balancer *Balancer) (all []int) {
 	for _, w := range balancer.workers {
-		all = append(all, w.peerInFlight)
+		all = append(all, w.gossip.peerInFlight)
 	}
 	return all
 }
--- a/internal/balancer/subsetting.go
+++ b/internal/balancer/subsetting.go
@@ -4,14 +4,16 @@
 	"cmp"
 	"math"
 	"slices"
+
+	"canvasroute/internal/balancer/sizeinterval"
 )
 
-// The subsets of the workers over which a dispatcher goes round: those of each interval of sizes, all of these, and the
-// whole ring.
+// The subsets of the workers over which a dispatcher goes in round-robin order: those of each interval of sizes, all of
+// these, and the whole ring.
 const (
-	bothIntervals = intervals + iota
-	wholeRing
-	subsetCount
+	bothIntervals = sizeinterval.Undivided
+	wholeRing     = bothIntervals + 1
+	subsetCount   = wholeRing + 1
 )
 
 // subsetting owns which workers this dispatcher uses (deterministic subsetting), and in which order.
@@ -21,9 +23,9 @@
 	subsets [subsetCount]subset
 }
 
-// subset is an ordered set of workers with a round-robin position. Its index finds workers that may have room without
-// going through all of them: a bit of maybeFree is cleared only once the worker at that position is known to have
-// no room until something changes about it, and set again by any such change. Time alone, which warms a worker up
+// subset is an ordered set of workers with a round-robin position. Its index finds workers that may have a free slot
+// without going through all of them. A bit of maybeFree is cleared once the worker at that position is known to have
+// no free slot until something changes about it. Any such change sets the bit again. Time alone, which warms a worker up
 // or ends its ejection, never needs a bit that is cleared.
 type subset struct {
 	workers    []WorkerID
@@ -60,29 +62,29 @@
 	}
 }
 
-// inSubset tells whether a worker is in a subset.
-func (s *subsetting) inSubset(subset int, id WorkerID) bool { return s.subsets[subset].contains(id) }
+// inSubset reports whether a worker is in the subset with a number.
+func (s *subsetting) inSubset(number int, id WorkerID) bool { return s.subsets[number].contains(id) }
 
 // addInFlight counts attempts that were sent to a worker, or have ended there.
 func (s *subsetting) addInFlight(id WorkerID, count int) {
 	for n := range s.subsets {
-		if subset := &s.subsets[n]; subset.contains(id) {
-			subset.inFlight += count
+		if among := &s.subsets[n]; among.contains(id) {
+			among.inFlight += count
 		}
 	}
 }
 
-// markMaybeFree takes notice of a change after which a worker may have room.
+// markMaybeFree sets the bits of a worker that may have a free slot after a change.
 func (s *subsetting) markMaybeFree(id WorkerID) {
 	for n := range s.subsets {
-		if subset := &s.subsets[n]; subset.contains(id) {
-			position := subset.positions[id]
-			subset.maybeFree[position/wordBits] |= 1 << (position % wordBits)
+		if among := &s.subsets[n]; among.contains(id) {
+			position := among.positions[id]
+			among.maybeFree[position/wordBits] |= 1 << (position % wordBits)
 		}
 	}
 }
 
-// markAllMaybeFree takes notice of a change after which any worker may have room.
+// markAllMaybeFree sets all bits, after a change that may free slots at any worker.
 func (s *subsetting) markAllMaybeFree() {
 	for n := range s.subsets {
 		words := s.subsets[n].maybeFree
@@ -114,18 +116,16 @@
 	}
 }
 
-// updateSubsets renews this dispatcher's subset of each interval's block, all of it where dispatchers are few, and the
-// peers that have a worker in theirs: they alone are told of it, so that the price of gossip does not grow with the
-// number of dispatchers.
+// updateSubsets renews this dispatcher's subset of each interval's block, which is all of the block where dispatchers
+// are few. It also renews which peers have a worker in theirs. They alone are sent its load, so the price of gossip does
+// not grow with the number of dispatchers.
 func (b *Balancer) updateSubsets() {
 	subsets := &b.subsetting.subsets
-	ring := b.subsetting.ring
 	both := &subsets[bothIntervals]
 	both.workers = both.workers[:0]
-	subsets[wholeRing].workers = ring
-	for interval := range intervals {
-		block := ring[len(ring)*interval/intervals : len(ring)*(interval+1)/intervals] // the same at every dispatcher
-		b.updateSubsetOf(&subsets[interval], block)
+	subsets[wholeRing].workers = b.subsetting.ring
+	for interval := range sizeinterval.Count {
+		b.updateSubsetOf(&subsets[interval], b.blockOf(interval))
 		both.workers = append(both.workers, subsets[interval].workers...)
 	}
 	for n := range subsets {
@@ -133,22 +133,42 @@
 	}
 }
 
-// updateSubsetOf renews this dispatcher's subset of a block: as many workers as give each worker the wanted number of
-// dispatchers, from a place by this dispatcher's position on and round.
-func (b *Balancer) updateSubsetOf(subset *subset, block []WorkerID) {
+// blockOf returns the workers of an interval of sizes, the same at every dispatcher.
+func (b *Balancer) blockOf(interval int) []WorkerID {
+	ring := b.subsetting.ring
+	first := len(ring) * interval / sizeinterval.Count
+	end := len(ring) * (interval + 1) / sizeinterval.Count
+	return ring[first:end]
+}
+
+// updateSubsetOf renews this dispatcher's subset of a block. It holds as many workers as give each worker the wanted
+// number of dispatchers. It begins at a place by this dispatcher's position, and goes round the block.
+func (b *Balancer) updateSubsetOf(own *subset, block []WorkerID) {
 	dispatchers := b.config.dispatchers
 	size := len(block)
 	first := size * b.config.position / dispatchers
-	subsetSize := min(size, (size*b.config.dispatchersPerWorker+dispatchers-1)/dispatchers)
-	subset.workers = subset.workers[:0]
+	subsetSize := min(size, divideUp(size*b.config.dispatchersPerWorker, dispatchers))
+	own.workers = own.workers[:0]
 	for place, id := range block {
-		// The first and last dispatcher whose subset, which begins at size*position/dispatchers, reaches this place.
-		b.workers[id].subsetPeerRange = [2]int{
-			((place-subsetSize+1+size)*dispatchers + size - 1) / size,
-			((place+1+size)*dispatchers + size - 1) / size,
+		// The subset of the dispatcher at position p begins at size*p/dispatchers. So these are the first dispatcher
+		// whose subset reaches this place, and the first one whose subset begins behind it.
+		b.workers[id].gossip.peers = peerRange{
+			from: divideUp((place-subsetSize+1+size)*dispatchers, size),
+			to:   divideUp((place+1+size)*dispatchers, size),
 		}
 		if place < subsetSize {
-			subset.workers = append(subset.workers, block[(first+place)%size])
+			own.workers = append(own.workers, block[(first+place)%size])
 		}
 	}
 }
+
+// divideUp divides numbers that are not negative, and rounds up.
+func divideUp(dividend, divisor int) int { return (dividend + divisor - 1) / divisor }
+
+// peerRange is a range of dispatchers by position, modulo their number.
+type peerRange struct {
+	from int
+	to   int // not in the range
+}
+
+func (r peerRange) count() int { return r.to - r.from }
--- a/internal/balancer/subsetting_test.go
+++ b/internal/balancer/subsetting_test.go
@@ -21,7 +21,7 @@
 
 func TestSubsetPeersAreThoseWithTheWorkerInTheirSubset(t *testing.T) {
 	for _, size := range [][3]int{{9, 200, 21}, {85, 200, 21}, {300, 1000, 7}, {5, 3, 3}, {1, 40, 4}} {
-		told, keep := map[WorkerID][]int{}, [][2]int(nil)
+		told, keep := map[WorkerID][]int{}, []peerRange(nil)
 		for p := range size[1] {
 			balancer, _ := newWarmBalancer(size[0], 1)
 			balancer.config.position, balancer.config.dispatchers, balancer.config.dispatchersPerWorker = p, size[1], size[2]
@@ -31,12 +31,12 @@
 			}
 			keep = nil
 			for _, w := range balancer.workers {
-				keep = append(keep, w.subsetPeerRange)
+				keep = append(keep, w.gossip.peers)
 			}
 		}
 		for w := range WorkerID(size[0]) {
 			var peers []int
-			for p := keep[w][0]; p < keep[w][1]; p++ {
+			for p := keep[w].from; p < keep[w].to; p++ {
 				peers = append(peers, p%size[1])
 			}
 			assert.ElementsMatch(t, told[w], peers, "worker %d of %v", w, size)
--- a/internal/balancer/warmup_budget_test.go
+++ b/internal/balancer/warmup_budget_test.go
@@ -13,8 +13,8 @@
 	balancer, _ := newWarmBalancer(2, 1)
 	balancer.now += Second
 	balancer.UpdateEndpoints([]Endpoint{{Worker: 0, ID: "w0", StartedAt: balancer.now}}, ChangedEndpoints, FromDiscovery)
-	part := 4 * 0.2 * 1 * float64(2*Second) * (1 - warmupMargin) / 2 // one slot is known of
-	balancer.config.meanObjective = part                             // as much as one piece of work
+	part := 4 * 0.2 * 1 * float64(2*Second) * (1 - warmupReserve) / 2 // one slot is known of
+	balancer.config.meanObjective = part                              // as much as one piece of work
 	assert.True(t, balancer.withinWarmupBudget(0, Work(part)))
 	assert.False(t, balancer.withinWarmupBudget(0, Work(part)+1))
 	balancer.RequestArrived(0, Arrival{Timeout: 10 * Second, SizeHint: Work(part)})
@@ -64,7 +64,7 @@
 		balancer.UpdateEndpoints([]Endpoint{{Worker: 0, ID: "w0", StartedAt: balancer.now - age}}, ChangedEndpoints, FromDiscovery)
 		sent := Work(0)
 		for balancer.config.position = range 200 {
-			balancer.slots.kinds[0].maxObserved = 3 + float64(balancer.config.position%2) // they need not believe alike
+			balancer.slots.kinds[0].MaxObserved = 3 + float64(balancer.config.position%2) // they need not believe alike
 			for size := Work(1); balancer.withinWarmupBudget(0, size); size++ {
 				sent++
 			}
@@ -103,7 +103,7 @@
 
 const (
 	coldSlots = 3
-	tick      = Time(20)
+	stepTime  = Time(20)
 	flight    = Time(200) // of a message
 )
 
@@ -133,9 +133,9 @@
 	l.c.news = append(l.c.news, message{l.c.now + flight, l.number, to, load})
 }
 
-// step lets a tick pass.
+// step lets one step pass.
 func (c *coldWorker) step() {
-	c.now += tick
+	c.now += stepTime
 	for _, balancer := range c.fleet {
 		balancer.SetTime(c.now)
 	}
@@ -144,9 +144,9 @@
 	}
 	c.refused = nil
 	speed := c.fleet[0].warmupFactor(0)
-	c.could += coldSlots * speed * float64(tick)
+	c.could += coldSlots * speed * float64(stepTime)
 	for _, j := range c.running {
-		done := min(j.left, speed*float64(tick))
+		done := min(j.left, speed*float64(stepTime))
 		c.used, j.left = c.used+done, j.left-done
 		j.from.AttemptStarted(j.inv, j.n)
 		if j.left <= 0 {
@@ -195,7 +195,7 @@
 		balancer := New(config, uint64(number), &lineEffects{number: PeerID(number), c: c})
 		balancer.SetTime(c.now)
 		balancer.UpdateEndpoints([]Endpoint{{Worker: 0, ID: "w", StartedAt: c.born}}, AllEndpoints, FromDiscovery)
-		balancer.slots.kinds[0].maxObserved, balancer.slots.kinds[0].estimate = coldSlots, coldSlots
+		balancer.slots.kinds[0].MaxObserved, balancer.slots.kinds[0].Estimate = coldSlots, coldSlots
 		c.fleet = append(c.fleet, balancer)
 	}
 	return c
@@ -217,9 +217,9 @@
 	balancer.config.gossip = true
 	balancer.UpdateEndpoints([]Endpoint{{Worker: 0, ID: "w0", StartedAt: balancer.now}}, ChangedEndpoints, FromDiscovery)
 	assert.True(t, balancer.withinWarmupBudget(0, 100))
-	balancer.workers[0].peerInFlight = 1 // as many as were seen to run at once
+	balancer.workers[0].gossip.peerInFlight = 1 // as many as were seen to run at once
 	assert.False(t, balancer.withinWarmupBudget(0, 100))
-	balancer.workers[0].peerInFlight, balancer.subsetting.subsets[bothIntervals].positions[0] = 0, notInSubset
+	balancer.workers[0].gossip.peerInFlight, balancer.subsetting.subsets[bothIntervals].positions[0] = 0, notInSubset
 	assert.False(t, balancer.withinWarmupBudget(0, 100))
 }
 
--- a/internal/balancer/warmup_test.go
+++ b/internal/balancer/warmup_test.go
@@ -4,6 +4,8 @@
 	"testing"
 
 	"github.com/stretchr/testify/assert"
+
+	"canvasroute/internal/balancer/polling"
 )
 
 // refuseConnection arrives a request and lets the worker that gets it refuse the connection.
@@ -80,7 +82,8 @@
 // newIsolatedBalancer goes by a list from before its start, and has called for another one in vain.
 func newIsolatedBalancer() *Balancer {
 	balancer, _ := newWarmBalancer(4, 1)
-	balancer.config.gossip, balancer.discovery.answered, balancer.discovery.watching = true, false, false
+	balancer.config.gossip = true
+	balancer.polling = polling.NewSchedule(balancer.config.polling)
 	balancer.EndpointsUnavailable()
 	return balancer
 }
@@ -91,9 +94,9 @@
 	assert.False(t, balancer.withinWarmupBudget(0, much))
 	balancer.ReceiveLoad(1, WorkerLoad{Worker: 3, InFlight: 1})
 	assert.True(t, balancer.withinWarmupBudget(0, much), "one who lives tells of what is in flight")
-	balancer.gossip.recordPeerAge(1, true)
+	balancer.gossip.recordJuniorPeer(1)
 	assert.False(t, balancer.withinWarmupBudget(0, much), "it has just started too")
-	balancer.gossip.recordPeerAge(1, false)
+	balancer.gossip.recordPeer(1)
 	assert.False(t, balancer.withinWarmupBudget(0, much), "and what it tells is of no older date")
 
 	hint := much / Work(testConfig.OverloadFactor)
--- a/internal/balancer/worker_table.go
+++ b/internal/balancer/worker_table.go
@@ -1,7 +1,8 @@
 package balancer
 
-// worker is all that is known of one worker, by WorkerID. Its parts are changed by the parts of the balancer that
-// they are named after.
+import "canvasroute/internal/balancer/outlier"
+
+// worker is all that is known of one worker, by WorkerID. Each part is changed by the file that it is named after.
 type worker struct {
 	hash  uint64 // of its ID: its place on the ring
 	zone  ZoneID
@@ -9,59 +10,52 @@
 	cell  CellID
 	state WorkerState
 
-	inFlight  int // attempts from here, a sibling process included
-	unstarted int // of these, attempts whose start has not been reported
+	inFlight  int  // attempts from here, those of a sibling process included
+	unstarted int  // of these, attempts whose start has not been reported
+	notBefore Time // no attempt before: it is another dispatcher's turn
 
-	workerEjection
-	workerGossip
-	workerWarmup
+	health outlier.Worker
+	gossip workerGossip
+	warmup workerWarmup
 }
 
-// workerEjection is what failures and refusals have shown of a worker.
-type workerEjection struct {
-	consecutiveFailures int
-	possiblyExecuted    bool // an attempt that failed there since the last success may have run
-	probeAfter          Time // no attempt before it: the worker was ejected or overloaded
-	notBefore           Time // no attempt before it: it is another dispatcher's turn
+// zone is what attempts have shown of a failure zone, by ZoneID.
+type zone struct {
+	health       outlier.Zone
+	deliveryTime Duration // mean time until a worker there has received an attempt
 }
 
-// workerGossip is what peers have said of a worker, and what they have been told.
-type workerGossip struct {
-	peerInFlight    int // sum of peerLoads
-	peerLoads       []peerLoad
-	sentLoad        int    // in flight here as peers were last told, -1 to tell them again
-	subsetPeerRange [2]int // peers that have the worker in their subset: from, to, modulo the number of dispatchers
+// load returns the attempts in flight at a worker, from here and from the peers that report it.
+func (b *Balancer) load(id WorkerID) int {
+	w := &b.workers[id]
+	return w.inFlight + max(w.gossip.peerInFlight, 0)
 }
 
-// peerLoad is what a peer last said of a worker.
-type peerLoad struct {
-	from       PeerID
-	inFlight   int
-	receivedAt Time
+// addInFlight counts attempts that were sent to a worker, or have ended there.
+func (b *Balancer) addInFlight(id WorkerID, count int) {
+	b.workers[id].inFlight += count
+	b.subsetting.addInFlight(id, count)
+	if count < 0 {
+		b.subsetting.markMaybeFree(id)
+	}
 }
 
-// workerWarmup is what tells how warm a worker is, and what it was sent.
-type workerWarmup struct {
-	startedAt    Time // by the endpoint list; 0 is long ago
-	exitedAt     Time // when its process was seen to have ended; 0: it was not
-	respondedAt  Time // first response of the next process, never before that
-	verifiedSize Work // largest work that it has done at the pace of a warm worker
-	sends        []send
-	credit       float64 // attempts that it may get from here while it warms up, where nothing is gossiped
-	creditCount  int     // firstTries as credit was last reckoned
-	earnsCredit  bool    // credit is being reckoned for the process that runs now
-}
+// zoneOf returns what attempts have shown of a worker's zone.
+func (b *Balancer) zoneOf(id WorkerID) *zone { return &b.zones[b.workers[id].zone] }
 
-// send is work sent to a worker.
-type send struct {
-	sentAt    Time
-	work      Work
-	bySibling bool // by another process of this dispatcher
+// workerCounts are the numbers of listed workers.
+type workerCounts struct {
+	listed  int
+	ejected int // healthy by the list, but ejected themselves or with their zone
 }
 
-// zone is what attempts have shown of a failure zone, by ZoneID.
-type zone struct {
-	failures     int      // consecutive attempts that broke or found nobody there
-	ejectedUntil Time     // no attempt goes there before it
-	deliveryTime Duration // mean time until a worker there has received an attempt
+func (b *Balancer) countWorkers() (counts workerCounts) {
+	counts.listed = len(b.subsetting.ring)
+	for _, id := range b.subsetting.ring {
+		w := &b.workers[id]
+		if w.state == Healthy && (w.health.Ejected(b.now) || b.zoneOf(id).health.Ejected(b.now)) {
+			counts.ejected++
+		}
+	}
+	return counts
 }
