--- a/internal/daemon/config.go
+++ b/internal/daemon/config.go
@@ -24,28 +24,30 @@
 // errConfigNotSet is returned without LB_CONFIG.
 var errConfigNotSet = errors.New(envConfig + ": not set; it names the configuration file")
 
-// Config is the configuration of a dispatcher's process.
+// Config is the configuration of a dispatcher's process. The keys behind the fields, with units, defaults and ranges,
+// are in config_table.go. While the process runs it is replaced and not changed, see process.
 type Config struct {
-	Name              string // unique among the dispatchers
-	Listen            string // address for clients
-	PeerListen        string // address for datagrams of other dispatchers, "" without gossip
-	AdminListen       string // address for operators, "" for none
-	Seed              uint64
-	Cores             float64
-	MemoryMB          int           // limit on memory, in MiB
-	Sockets           int           // limit on descriptors
-	WorkerIdleTimeout time.Duration // workers close connections that are idle for so long
-	MaxClientTimeout  time.Duration // the longest client timeout of all operations
-	Balancer          balancer.Config
+	Name              string          // unique among the dispatchers
+	Listen            string          // address for clients
+	PeerListen        string          // address for datagrams of other dispatchers, "" without gossip
+	AdminListen       string          // admin address, "" for none
+	Seed              uint64          // of the balancer's random numbers
+	Cores             float64         // limit on processor time, in cores
+	MemoryMB          int             // limit on memory, in MiB
+	Sockets           int             // limit on open descriptors
+	WorkerIdleTimeout time.Duration   // workers close connections that are idle for so long
+	MaxClientTimeout  time.Duration   // the longest default client timeout of all operations
+	Balancer          balancer.Config // what package settings reads, with the values of setPollingDiscovery
 	Proxy             proxy.Config
 	Fleet             *fleet.Settings // nil without LB_FLEET
 
-	settingsHash string          // identifies the settings that state on disk was learnt under
+	settingsHash string          // identifies the settings under which the state on disk was learnt
 	keys         map[string]bool // paths of the keys in the file, see configKeys
 }
 
-// ReadConfig reads the configuration from the file that LB_CONFIG names. The other environment variables override the
-// file's name and addresses. A fault of one key is a *settings.KeyError.
+// ReadConfig returns the configuration in the file that LB_CONFIG names. The other environment variables override the
+// file's name and addresses. It fails with a *settings.KeyError for a single key, with errConfigNotSet, errNotJSON or
+// errNotObject, or with the error of reading a file.
 func ReadConfig(getenv func(string) string) (*Config, error) {
 	path := getenv(envConfig)
 	if path == "" {
@@ -68,8 +70,8 @@
 	return c, nil
 }
 
-// ReloadConfig reads the configuration of a dispatcher that runs already. The file's address of discovery holds: the
-// environment still has the one of the start.
+// ReloadConfig returns the configuration for a dispatcher that runs already, as ReadConfig does. Only LB_DISCOVERY is
+// ignored: it still has the address from the start, and the discovery service may have moved since.
 func ReloadConfig(getenv func(string) string) (*Config, error) {
 	return ReadConfig(func(variable string) string {
 		if variable == envDiscovery {
--- a/internal/daemon/config_check.go
+++ b/internal/daemon/config_check.go
@@ -7,8 +7,8 @@
 	"github.com/valyala/fastjson"
 )
 
-// The checks of settings that package settings does not make: the simulator's settings may have such values, and a
-// dispatcher on sockets must not be given them.
+// Checks of the settings that package settings does not make: the simulator's settings may have such values, and a
+// dispatcher on sockets must not.
 
 // checkOperations rejects timeouts that are not positive and names that are used twice.
 func (r *configReader) checkOperations() {
@@ -30,17 +30,18 @@
 
 // checkMaxAttempts rejects a number of attempts that is not a positive whole number.
 func (r *configReader) checkMaxAttempts() {
-	path := []string{"settings", "policyLimits", "maxForwards"}
+	path := keyPath{"settings", "policyLimits", "maxForwards"}
 	field := r.root.Get(path...)
 	if field == nil {
 		return
 	}
-	r.checkPositive(field, dotted(path))
+	r.checkPositive(field, path.String())
 	if n, err := field.Float64(); err == nil && n != math.Trunc(n) {
-		r.reject(dotted(path), "%s, must be a whole number", field)
+		r.reject(path.String(), "%s, must be a whole number", field)
 	}
 }
 
+// checkPositive rejects a value that is not a number above 0, up to math.MaxInt32.
 func (r *configReader) checkPositive(v *fastjson.Value, key string) {
 	n, err := v.Float64()
 	if err != nil || !(n > 0 && n <= math.MaxInt32) {
--- a/internal/daemon/config_parse.go
+++ b/internal/daemon/config_parse.go
@@ -16,41 +16,25 @@
 	"canvasroute/internal/settings"
 )
 
-// Defaults of keys that the file may leave out.
-const (
-	defaultCores             = 1.0
-	defaultMemoryMB          = 192 // MiB
-	defaultSockets           = 1024
-	defaultWorkerIdleTimeout = 10 * time.Second
-	defaultDialTimeout       = 250 * time.Millisecond
-	defaultPollInterval      = 10 * time.Second
-	defaultClientTimeout     = 30 * time.Second
-)
+// endpointChangeDeadline is how long after a change of the endpoint list each dispatcher has to know it. The platform
+// fixes it; no key sets it.
+const endpointChangeDeadline = 6 * balancer.Second
 
-// Bounds on the limits.
+// Numbers in texts.
 const (
-	minCores    = 0.01
-	maxCores    = 4096
-	minMemoryMB = 16 // MiB
-	maxMemoryMB = 1 << 24
-	minSockets  = 64
-	maxSockets  = 1 << 24
+	settingsHashDigits = 16 // hexadecimal digits of the settings' hash that are kept
+	seedBase           = 16
+	seedBits           = 64
 )
 
-// notifyDeadline is how long after a change of the worker list dispatchers count as informed of it. The platform fixes
-// it; no setting has it.
-const notifyDeadline = 6 * balancer.Second
-
-// settingsHashDigits is the length of the settings' hash, in hexadecimal digits.
-const settingsHashDigits = 16
-
+// Why a file is rejected as a whole.
 var (
 	errNotJSON   = errors.New("not JSON")
 	errNotObject = errors.New("not a JSON object")
 )
 
-// parseConfig reads, checks and defaults the text of a configuration file. Faults are reported in the order of the steps
-// here; of several, the first one is returned.
+// parseConfig returns the configuration that a file's text describes, with the defaults of missing keys. Of several
+// faults it returns the one that the order of the steps here finds first.
 func parseConfig(text []byte, getenv func(string) string) (*Config, error) {
 	root, err := fastjson.ParseBytes(text)
 	if err != nil {
@@ -64,10 +48,10 @@
 		return nil, fmt.Errorf("settings: %w", err)
 	}
 	r := &configReader{root: root, getenv: getenv}
-	r.readDiscoveryPolling(c)
+	r.setPollingDiscovery(c)
 	r.readIdentity(c)
 	r.readLimits(c)
-	c.WorkerIdleTimeout = r.seconds(defaultWorkerIdleTimeout, "settings", "policyLimits", "connIdleS")
+	c.WorkerIdleTimeout = r.seconds(workerIdleTimeoutKey)
 	r.readPeers(c)
 	r.readInitialEndpoints(c)
 	r.readProxy(c)
@@ -81,20 +65,22 @@
 	return c, nil
 }
 
+// hashSettings returns the hash by which the state on disk names the settings that it was learnt under.
 func hashSettings(v *fastjson.Value) string {
 	return fmt.Sprintf("%x", sha256.Sum256(v.MarshalTo(nil)))[:settingsHashDigits]
 }
 
-// readDiscoveryPolling sets what the settings leave to the process: the list service is polled, whatever the settings
-// say of a service that pushes, and the proxy reports when a worker has received an attempt.
-func (r *configReader) readDiscoveryPolling(c *Config) {
-	interval := r.seconds(defaultPollInterval, "settings", "rules", "askWithinS")
+// setPollingDiscovery sets what a process on sockets does in its own way, whatever the settings say: it polls the
+// discovery service, and its proxy reports when a worker has received an attempt.
+func (r *configReader) setPollingDiscovery(c *Config) {
+	interval := r.seconds(pollIntervalKey)
 	c.Balancer.PollEndpoints = true
 	c.Balancer.MaxPollInterval = settings.DurationOf(interval.Seconds())
-	c.Balancer.EndpointChangeDeadline = notifyDeadline
+	c.Balancer.EndpointChangeDeadline = endpointChangeDeadline
 	c.Balancer.DeliveryNotices = true
 }
 
+// readIdentity reads who the dispatcher is and the addresses that it uses.
 func (r *configReader) readIdentity(c *Config) {
 	c.Name = r.text(envName, "name")
 	c.Listen = r.address(envListen, "listen").String()
@@ -105,13 +91,14 @@
 	c.Seed = r.seed()
 }
 
+// readLimits reads the limits on the machine's resources.
 func (r *configReader) readLimits(c *Config) {
-	c.Cores = r.number(bounds{defaultCores, minCores, maxCores}, "limits", "cores")
-	c.MemoryMB = int(r.number(bounds{defaultMemoryMB, minMemoryMB, maxMemoryMB}, "limits", "memory_mb"))
-	c.Sockets = int(r.number(bounds{defaultSockets, minSockets, maxSockets}, "limits", "sockets"))
+	c.Cores = r.number(coresKey)
+	c.MemoryMB = int(r.number(memoryKey))
+	c.Sockets = int(r.number(socketsKey))
 }
 
-// readPeers reads the addresses for gossip, one for each dispatcher with this one's own among them.
+// readPeers reads the addresses for gossip: one for each dispatcher, this one included. Without gossip there are none.
 func (r *configReader) readPeers(c *Config) {
 	if !c.Balancer.Gossip {
 		return
@@ -129,7 +116,7 @@
 	}
 }
 
-// readInitialEndpoints reads the workers that the dispatcher starts with, if the file has any.
+// readInitialEndpoints reads the endpoint list that the dispatcher starts with, if the file has one.
 func (r *configReader) readInitialEndpoints(c *Config) {
 	v := r.root.Get("known")
 	if v == nil || v.Type() == fastjson.TypeNull {
@@ -143,9 +130,10 @@
 	c.Proxy.InitialEndpoints = &list
 }
 
+// readProxy reads the operations, the names of tenants, zones and kinds, and the timeouts.
 func (r *configReader) readProxy(c *Config) {
 	c.Proxy.Position = c.Balancer.Position
-	c.Proxy.DialTimeout = r.seconds(defaultDialTimeout, "settings", "policyLimits", "dialTimeoutS")
+	c.Proxy.DialTimeout = r.seconds(dialTimeoutKey)
 	if c.Balancer.RetryAfter {
 		c.Proxy.MaxRetryAfter = c.Balancer.MaxRetryAfter.Standard()
 	}
@@ -162,7 +150,8 @@
 	c.Proxy.ReportFields = r.names("settings", "report", "names")
 }
 
-// operation reads the n-th operation. balanced are the operations that package settings has read, in the same order.
+// operation reads the n-th operation's name and default timeout. The rest is in balanced, the operations that package
+// settings has read, in the same order.
 func (r *configReader) operation(n int, v *fastjson.Value, balanced []balancer.OperationConfig) proxy.Operation {
 	operation := proxy.Operation{DefaultTimeout: defaultClientTimeout}
 	if n < len(balanced) {
@@ -189,7 +178,7 @@
 // seed reads the seed of the balancer's random numbers.
 func (r *configReader) seed() uint64 {
 	text := r.text("", "seed")
-	seed, err := strconv.ParseUint(text, 16, 64)
+	seed, err := strconv.ParseUint(text, seedBase, seedBits)
 	if err != nil {
 		r.reject("seed", "%q, must be up to 16 hexadecimal digits", text)
 	}
--- a/internal/daemon/config_reader.go
+++ b/internal/daemon/config_reader.go
@@ -12,35 +12,33 @@
 	"canvasroute/internal/settings"
 )
 
-// configReader takes values out of a configuration file and the environment. It keeps the first fault and goes on, so
+// configReader reads values from a configuration file and the environment. It keeps the first fault and continues, so
 // that its callers need not check after each value.
 type configReader struct {
-	root   *fastjson.Value
-	getenv func(string) string
-	err    error // a *settings.KeyError
+	root   *fastjson.Value     // the file's object
+	getenv func(string) string // "" for a variable that is not set
+	err    error               // the first fault: a *settings.KeyError, or one that wraps the cause
 }
 
-// bounds are the default of a number, and the least and greatest value that is accepted.
-type bounds struct{ unset, min, max float64 }
-
+// reject records what is wrong with the value of a key, and what is accepted.
 func (r *configReader) reject(key, format string, args ...any) {
 	if r.err == nil {
 		r.err = &settings.KeyError{Key: key, Problem: fmt.Sprintf(format, args...)}
 	}
 }
 
-// rejectError rejects a key for an error that says all about it.
+// rejectError records the error of the package that has parsed the value of a key.
 func (r *configReader) rejectError(key string, err error) {
 	if r.err == nil {
 		r.err = fmt.Errorf("%s: %w", key, err)
 	}
 }
 
-// dotted is the path of a key as it is written in faults.
-func dotted(path []string) string { return strings.Join(path, ".") }
+// String is the path as faults have it, such as "limits.cores".
+func (path keyPath) String() string { return strings.Join(path, ".") }
 
-// text reads a non-empty string that must be there, in the environment variable or at the file's key. No variable
-// overrides a key for which variable is "".
+// text returns the value of an environment variable or, where it is not set, the non-empty string at the file's key.
+// With "" for variable, no variable overrides the key.
 func (r *configReader) text(variable, key string) string {
 	if s := r.override(variable); s != "" {
 		return s
@@ -53,6 +51,7 @@
 	return string(field.GetStringBytes())
 }
 
+// override returns the value of an environment variable, "" where it is not set or there is none for the key.
 func (r *configReader) override(variable string) string {
 	if variable == "" {
 		return ""
@@ -60,7 +59,7 @@
 	return r.getenv(variable)
 }
 
-// address reads an IP address with a port, as text reads it.
+// address returns the IP address with a port that text returns. A fault names the variable where that has the value.
 func (r *configReader) address(variable, key string) netip.AddrPort {
 	text := r.text(variable, key)
 	addr, err := netip.ParseAddrPort(text)
@@ -73,35 +72,35 @@
 	return addr
 }
 
-// number reads a number within bounds, or its default where the file has none.
-func (r *configReader) number(b bounds, path ...string) float64 {
-	field := r.root.Get(path...)
+// number returns the number at a key, or the key's default.
+func (r *configReader) number(key numberKey) float64 {
+	field := r.root.Get(key.path...)
 	if field == nil {
-		return b.unset
+		return key.defaultValue
 	}
 	n, err := field.Float64()
-	if err != nil || !(n >= b.min && n <= b.max) {
-		r.reject(dotted(path), "%s, must be a number from %v to %v", field, b.min, b.max)
-		return b.unset
+	if err != nil || !(n >= key.min && n <= key.max) {
+		r.reject(key.path.String(), "%s, must be a number from %v to %v", field, key.min, key.max)
+		return key.defaultValue
 	}
 	return n
 }
 
-// seconds reads a duration in seconds. 0 selects the default.
-func (r *configReader) seconds(unset time.Duration, path ...string) time.Duration {
-	s := r.number(bounds{unset.Seconds(), 0, math.MaxInt32}, path...)
+// seconds returns the duration at a key, or the key's default.
+func (r *configReader) seconds(key durationKey) time.Duration {
+	s := r.number(numberKey{path: key.path, defaultValue: key.defaultValue.Seconds(), min: 0, max: math.MaxInt32})
 	if s == 0 {
-		return unset
+		return key.defaultValue
 	}
 	return time.Duration(s * float64(time.Second))
 }
 
-// names reads a list of strings, empty where the file has none.
+// names returns the list of strings at a path, empty where the file has none.
 func (r *configReader) names(path ...string) []string {
 	var names []string
 	for n, v := range r.root.GetArray(path...) {
 		if v.Type() != fastjson.TypeString {
-			r.reject(fmt.Sprintf("%s[%d]", dotted(path), n), "must be a string")
+			r.reject(fmt.Sprintf("%s[%d]", keyPath(path), n), "must be a string")
 		}
 		names = append(names, string(v.GetStringBytes()))
 	}
--- a/internal/daemon/config_test.go
+++ b/internal/daemon/config_test.go
@@ -30,11 +30,11 @@
 		`"dialTimeoutS":0.2,`, "", `"clientTimeoutS":2.5,`, "").Replace(testConfiguration)
 	c, err = parseConfig([]byte(withoutOptional), fakeEnv())
 	assert.NoError(t, err)
-	assert.Equal(t, defaultWorkerIdleTimeout, c.WorkerIdleTimeout)
-	assert.Equal(t, defaultDialTimeout, c.Proxy.DialTimeout)
+	assert.Equal(t, workerIdleTimeoutKey.defaultValue, c.WorkerIdleTimeout)
+	assert.Equal(t, dialTimeoutKey.defaultValue, c.Proxy.DialTimeout)
 	assert.Equal(t, defaultClientTimeout, c.MaxClientTimeout)
-	assert.Equal(t, defaultSockets, c.Sockets)
-	assert.Equal(t, defaultMemoryMB, c.MemoryMB)
+	assert.Equal(t, int(socketsKey.defaultValue), c.Sockets)
+	assert.Equal(t, int(memoryKey.defaultValue), c.MemoryMB)
 }
 
 func TestInvalidConfigurationIsRejectedByKey(t *testing.T) {
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,7 +1,12 @@
-// Package daemon runs a dispatcher as a process: it reads, checks and defaults the configuration (config.go and the
-// files beside it), starts the parts in order (process.go), handles signals, reloads the configuration, and hands
-// sockets and requests over to a successor process. It decides nothing about requests: that is package balancer's, and
-// package proxy does the I/O. The settings within the configuration are read by package settings.
+// Package daemon runs a dispatcher as a process. It decides nothing about requests: package balancer does, and package
+// proxy does the I/O. Where to read what an engineer on call asks:
+//
+//   - the keys of the configuration, their units, defaults and ranges: config_table.go;
+//   - which goroutine owns the configuration: type process;
+//   - the order in which the parts are started, and why: process.start;
+//   - what SIGHUP changes, and what waits for the next start: process.reload;
+//   - how SIGTERM ends the process, and within which bounds: process.shutDown;
+//   - what the two processes of a hot restart hand over, and in which order: type hotRestart.
 package daemon
 
 import (
@@ -13,11 +18,11 @@
 // Exit codes of the process, which service managers see.
 const (
 	exitOK        = 0
-	exitFailure   = 1 // the process could not start or go on, or a command failed
+	exitFailure   = 1 // the process could not start or continue, or a command failed
 	exitBadConfig = 2 // the configuration is invalid
 )
 
-// Main runs a dispatcher until a signal ends it, and returns the code that the process exits with.
+// Main runs a dispatcher until a signal ends it, and returns the process's exit code.
 func Main() int {
 	// Before anything else: a signal that is not received would kill the process.
 	received := notifySignals()
@@ -37,8 +42,8 @@
 	return exitOK
 }
 
-// serve runs a dispatcher until a signal ends it, and returns when all requests that it has taken are answered. reload
-// reads the configuration again.
+// serve runs a dispatcher until a signal ends it or a part of it fails. It returns when all admitted requests are
+// answered or handed over. reload reads the configuration again.
 func serve(config *Config, reload func() (*Config, error), received *signals, log zerolog.Logger) error {
 	p := &process{config: config, readConfig: reload, signals: received, log: log}
 	defer p.disconnect()
