--- a/internal/daemon/admin_handler.go
+++ b/internal/daemon/admin_handler.go
@@ -10,28 +10,30 @@
 	"canvasroute/internal/proxy"
 )
 
-// Commands as they are forwarded to a successor.
+// Commands in messages to a successor.
 const (
 	commandLeave = string(protocol.CommandLeave)
 	commandJoin  = string(protocol.CommandJoin)
 )
 
-// adminHandler runs operators' commands. LEAVE and JOIN that come while a successor serves are meant for the dispatcher
-// as a whole, and are forwarded to the successor.
+// adminHandler runs operators' commands, as admin.Handler describes them. LEAVE and JOIN are meant for the dispatcher as a
+// whole: where a successor serves, they are forwarded to it. HEALTH and DUMP are answered for this process.
 type adminHandler struct {
 	proxy   *proxy.Proxy
 	state   *lifecycle.State
-	restart *hotRestart // nil without an address for operators
+	restart *hotRestart // nil without an admin address
 	node    *fleet.Node // nil without LB_FLEET
 
+	// Metrics since the start of the process.
 	reloadsApplied  atomic.Int64
 	reloadsRejected atomic.Int64
 }
 
-// Health returns nil once this process takes clients, or why it does not.
+// Health returns nil while this process should get new clients, or else an error that says why not.
 func (a *adminHandler) Health() error { return a.proxy.Ready() }
 
-// Drain stops taking clients. With a folder to keep it in, that holds after a restart too.
+// Drain begins to drain the dispatcher, until Rejoin. With LB_FLEET it fails where the drain cannot be persisted, by
+// which it outlasts restarts; this process drains all the same.
 func (a *adminHandler) Drain() error {
 	if forwarded, err := a.restart.forwardCommand(commandLeave); forwarded {
 		return err
@@ -43,7 +45,7 @@
 	return a.node.PersistDrain()
 }
 
-// Rejoin takes clients again. It fails with lifecycle.ErrStopping.
+// Rejoin ends a drain. It fails with lifecycle.ErrStopping, and as Drain does where the end cannot be persisted.
 func (a *adminHandler) Rejoin() error {
 	if a.state.PhaseAt(time.Now()).IsStopping() {
 		return lifecycle.ErrStopping
@@ -60,7 +62,7 @@
 	return a.node.PersistRejoin()
 }
 
-// Metrics returns the dispatcher's figures in the order of the answer to DUMP.
+// Metrics returns the metrics of this process in the order of the answer to DUMP.
 func (a *adminHandler) Metrics() []protocol.Metric {
 	metrics := a.proxy.Metrics()
 	if a.node != nil {
--- a/internal/daemon/balancer_events.go
+++ b/internal/daemon/balancer_events.go
@@ -6,7 +6,8 @@
 	"canvasroute/internal/balancer"
 )
 
-// logBalancerEvent logs an event of the balancer: a constant message, with the parts of the event as fields.
+// logBalancerEvent logs an event of the balancer: a constant message, with the event's parts as fields. An event that has
+// no case here is logged as its text.
 func logBalancerEvent(log zerolog.Logger, event balancer.Event) {
 	switch e := event.(type) {
 	case balancer.WorkerEjected:
--- a/internal/daemon/command.go
+++ b/internal/daemon/command.go
@@ -13,11 +13,11 @@
 	"canvasroute/internal/proxy"
 )
 
-// errStateRejected is returned for a folder of which some records are not usable.
+// errStateRejected is returned for a folder with records that are not usable. Operators read its text.
 var errStateRejected = errors.New("some of it is not believed")
 
-// RunCommand runs a command of the program other than serving, and returns the code that it exits with: 0, or 1 for a
-// wrong command line, a folder that cannot be read, and a folder of which some is not usable.
+// RunCommand runs a command of the program other than serving, and returns the exit code: 0, or 1 for a failure. Failures
+// are a wrong command line, a folder that cannot be read, and a folder with records that are not usable.
 func RunCommand(args []string, stdout, stderr io.Writer) int {
 	root := &cobra.Command{
 		Use:          "canvasroute",
@@ -36,6 +36,7 @@
 	return exitOK
 }
 
+// newStateShowCommand returns the command "state show".
 func newStateShowCommand(stdout io.Writer) *cobra.Command {
 	asJSON := false
 	command := &cobra.Command{
@@ -47,56 +48,56 @@
 			if asJSON {
 				write = writeJSON
 			}
-			return showState(args[0], func(s stateSummary) error { return write(stdout, s) })
+			return showState(args[0], func(summary stateSummary) error { return write(stdout, summary) })
 		},
 	}
 	command.Flags().BoolVar(&asJSON, "json", false, "as JSON")
 	return command
 }
 
-// showState writes what a folder holds. It fails with errStateRejected, after it has written it, where some of it is not
-// usable.
+// showState writes what a folder holds. Where some records are not usable it fails with errStateRejected, after it has
+// written the rest.
 func showState(folder string, write func(stateSummary) error) error {
 	disk, err := store.ReadFolder(folder)
 	if err != nil {
 		return err
 	}
-	s := summarizeState(disk)
-	if err := write(s); err != nil {
+	summary := summarizeState(disk)
+	if err := write(summary); err != nil {
 		return err
 	}
-	if len(s.Rejected) > 0 {
+	if len(summary.Rejected) > 0 {
 		return errStateRejected
 	}
 	return nil
 }
 
 // stateSummary is what operators are shown of a folder. The JSON keys and the lines of writeText are an interface:
-// operators' scripts read them.
+// operators' scripts read them. Both keep older words than the fields, see docs/glossary.md.
 type stateSummary struct {
-	Name            string    `json:"name"`
-	Incarnation     uint64    `json:"life"`
-	Nonce           string    `json:"token"`
-	StartedAt       time.Time `json:"began"`
-	Drained         bool      `json:"left_by_hand"`
-	CleanShutdown   bool      `json:"ended_in_order"`
-	SavedAt         time.Time `json:"facts_written,omitzero"` // zero without learnt state
-	SettingsHash    string    `json:"settings,omitempty"`
-	EndpointVersion int64     `json:"list_version"`
-	Workers         int       `json:"workers"`
-	Capacities      []string  `json:"bears,omitempty"` // by kind of worker, in requests at once
-	Keys            int       `json:"keys"`
-	KeysSuspect     bool      `json:"keys_may_be_missing"`
+	Name            string    `json:"name"`                   // of the dispatcher
+	Incarnation     uint64    `json:"life"`                   // number of the last start
+	Nonce           string    `json:"token"`                  // of the incarnation, 16 hexadecimal digits
+	StartedAt       time.Time `json:"began"`                  // of the incarnation, in UTC
+	Drained         bool      `json:"left_by_hand"`           // an operator has drained the dispatcher
+	CleanShutdown   bool      `json:"ended_in_order"`         // the incarnation has ended by itself
+	SavedAt         time.Time `json:"facts_written,omitzero"` // of the learnt state, in UTC; zero without
+	SettingsHash    string    `json:"settings,omitempty"`     // of the settings that the state was learnt under
+	EndpointVersion int64     `json:"list_version"`           // of the endpoint list
+	Workers         int       `json:"workers"`                // in the endpoint list
+	Capacities      []string  `json:"bears,omitempty"`        // by kind of worker, in requests at once
+	Keys            int       `json:"keys"`                   // idempotency keys whose attempts may have run
+	KeysSuspect     bool      `json:"keys_may_be_missing"`    // the disk may have lost keys that it had synced
 	Rejected        []string  `json:"not_believed,omitempty"` // why records are not usable
 }
 
-// summarizeState reads a folder's records as the dispatcher does whose folder it is.
+// summarizeState returns what the dispatcher whose folder it is would recover from it.
 func summarizeState(disk store.Disk) stateSummary {
-	// The records say whose folder it is. Opening it under another name rejects them as foreign.
-	_, anonymous := store.Open(disk, "")
-	_, recovered := store.Open(disk, anonymous.Incarnation.Name)
+	// Opening a folder under another name rejects its records as foreign, but returns the name in them.
+	_, foreign := store.Open(disk, "")
+	_, recovered := store.Open(disk, foreign.Incarnation.Name)
 	incarnation := recovered.Incarnation
-	s := stateSummary{
+	summary := stateSummary{
 		Name:          incarnation.Name,
 		Incarnation:   incarnation.Number,
 		Nonce:         fmt.Sprintf("%016x", incarnation.Nonce),
@@ -107,12 +108,12 @@
 		KeysSuspect:   recovered.KeysSuspect,
 	}
 	for _, err := range recovered.Errors {
-		s.Rejected = append(s.Rejected, err.Error())
+		summary.Rejected = append(summary.Rejected, err.Error())
 	}
 	if recovered.State != nil {
-		s.addLearnedState(recovered.State)
+		summary.addLearnedState(recovered.State)
 	}
-	return s
+	return summary
 }
 
 // addLearnedState adds what the dispatcher has learnt of workers and endpoints.
@@ -129,46 +130,49 @@
 	if len(snapshot.Learned) == 0 {
 		return
 	}
-	for k, kind := range snapshot.Learned[0].Kinds { // one shard stands for all
-		if k < len(snapshot.Kinds) {
-			s.Capacities = append(s.Capacities, fmt.Sprintf("%s: %v at once", snapshot.Kinds[k], kind.MaxObserved))
+	oneShard := snapshot.Learned[0] // the shards learn the same
+	for kind, capacity := range oneShard.Kinds {
+		if kind < len(snapshot.Kinds) {
+			s.Capacities = append(s.Capacities, fmt.Sprintf("%s: %v at once", snapshot.Kinds[kind], capacity.MaxObserved))
 		}
 	}
 }
 
-func writeJSON(out io.Writer, s stateSummary) error {
+// writeJSON writes a summary for scripts.
+func writeJSON(out io.Writer, summary stateSummary) error {
 	encoder := json.NewEncoder(out)
 	encoder.SetIndent("", " ")
-	return encoder.Encode(s)
+	return encoder.Encode(summary)
 }
 
 // writeText writes a summary in lines for people.
-func writeText(out io.Writer, s stateSummary) error {
-	w := &lineWriter{out: out}
-	w.line("dispatcher %q, life %d (token %s), began %s", s.Name, s.Incarnation, s.Nonce, s.StartedAt.Format(time.RFC3339))
-	if s.Drained {
-		w.line("told to leave by hand: it takes no clients until JOIN")
-	}
-	if s.CleanShutdown {
-		w.line("ended in order")
-	}
-	if s.SavedAt.IsZero() {
-		w.line("facts: none")
+func writeText(out io.Writer, summary stateSummary) error {
+	lines := &lineWriter{out: out}
+	lines.line("dispatcher %q, life %d (token %s), began %s", summary.Name, summary.Incarnation, summary.Nonce,
+		summary.StartedAt.Format(time.RFC3339))
+	if summary.Drained {
+		lines.line("told to leave by hand: it takes no clients until JOIN")
+	}
+	if summary.CleanShutdown {
+		lines.line("ended in order")
+	}
+	if summary.SavedAt.IsZero() {
+		lines.line("facts: none")
 	} else {
-		w.line("facts of %s, settings %s: list %d, %d workers", s.SavedAt.Format(time.RFC3339), s.SettingsHash,
-			s.EndpointVersion, s.Workers)
+		lines.line("facts of %s, settings %s: list %d, %d workers", summary.SavedAt.Format(time.RFC3339),
+			summary.SettingsHash, summary.EndpointVersion, summary.Workers)
 	}
-	for _, capacity := range s.Capacities {
-		w.line("  bears %s", capacity)
+	for _, capacity := range summary.Capacities {
+		lines.line("  bears %s", capacity)
 	}
-	w.line("keys that may have run: %d", s.Keys)
-	if s.KeysSuspect {
-		w.line("  some that had been acknowledged may be missing: marked repeats of unknown keys would be errors")
+	lines.line("keys that may have run: %d", summary.Keys)
+	if summary.KeysSuspect {
+		lines.line("  some that had been acknowledged may be missing: marked repeats of unknown keys would be errors")
 	}
-	for _, why := range s.Rejected {
-		w.line("not believed: %s", why)
+	for _, why := range summary.Rejected {
+		lines.line("not believed: %s", why)
 	}
-	return w.err
+	return lines.err
 }
 
 // lineWriter writes lines until the first error.
--- a/internal/daemon/config_parse.go
+++ b/internal/daemon/config_parse.go
@@ -70,8 +70,8 @@
 	return fmt.Sprintf("%x", sha256.Sum256(v.MarshalTo(nil)))[:settingsHashDigits]
 }
 
-// setPollingDiscovery sets what a process on sockets does in its own way, whatever the settings say: it polls the
-// discovery service, and its proxy reports when a worker has received an attempt.
+// setPollingDiscovery sets what no key decides for a process on sockets. It polls the discovery service, and its proxy
+// reports when a worker has received an attempt.
 func (r *configReader) setPollingDiscovery(c *Config) {
 	interval := r.seconds(pollIntervalKey)
 	c.Balancer.PollEndpoints = true
--- a/internal/daemon/config_table.go
+++ b/internal/daemon/config_table.go
@@ -7,20 +7,20 @@
 //
 // Texts and lists are required where their row does not say "optional". An address is an IP address with a port.
 //
-//	name                     unique among the dispatchers; overridden by LB_NAME
-//	listen                   address for clients; overridden by LB_LISTEN
-//	discovery                address of the discovery service; overridden by LB_DISCOVERY, at the start only
-//	mgmt                     optional: admin address, without which there is no hot restart; overridden by LB_MGMT
-//	seed                     seed of the balancer's random numbers, up to 16 hexadecimal digits
-//	known                    optional: endpoint list to start with
-//	peer_listen              address for gossip; read only where settings.policyLimits.peers is true
-//	peers                    all dispatchers' addresses for gossip, by position; read only with peer_listen
-//	peers_all                optional, and not read
-//	settings.operations[]    name: unique; clientTimeoutS, latencyObjectiveS: optional, seconds, above 0
-//	settings.orgs[]          name of each tenant; the list is optional
-//	settings.zones, .shapes  optional: names of the zones, and of the kinds of workers
-//	settings.report.names    optional: fields of the workers' load reports
-//	settings.policyLimits    maxForwards: optional, attempts per request, a whole number above 0
+//	name                     unique among the dispatchers; overridden by LB_NAME.
+//	listen                   address for clients; overridden by LB_LISTEN.
+//	discovery                address of the discovery service; overridden by LB_DISCOVERY, at the start only.
+//	mgmt                     optional: admin address, without which there is no hot restart; overridden by LB_MGMT.
+//	seed                     seed of the balancer's random numbers, up to 16 hexadecimal digits.
+//	known                    optional: endpoint list to start with.
+//	peer_listen              address for gossip; read only where settings.policyLimits.peers is true.
+//	peers                    all dispatchers' addresses for gossip, by position; read only with peer_listen.
+//	peers_all                optional, and not read.
+//	settings.operations[]    name: unique; clientTimeoutS, latencyObjectiveS: where present, seconds above 0.
+//	settings.orgs[]          name of each tenant; the list is optional.
+//	settings.zones, .shapes  optional: names of the zones, and of the kinds of workers.
+//	settings.report.names    optional: fields of the workers' load reports.
+//	settings.policyLimits    maxForwards: optional, attempts per request, a whole number above 0.
 //
 // The variables below are the keys with a number or a duration. A key that is missing has its default.
 var (
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,12 +1,12 @@
 // Package daemon runs a dispatcher as a process. It decides nothing about requests: package balancer does, and package
 // proxy does the I/O. Where to read what an engineer on call asks:
 //
-//   - the keys of the configuration, their units, defaults and ranges: config_table.go;
-//   - which goroutine owns the configuration: type process;
-//   - the order in which the parts are started, and why: process.start;
-//   - what SIGHUP changes, and what waits for the next start: process.reload;
-//   - how SIGTERM ends the process, and within which bounds: process.shutDown;
-//   - what the two processes of a hot restart hand over, and in which order: type hotRestart.
+//   - The keys of the configuration, their units, defaults and ranges: config_table.go.
+//   - Which goroutine owns the configuration: type process.
+//   - The order in which the parts are started, and why: process.start.
+//   - What SIGHUP changes, and what waits for the next start: process.reload.
+//   - How SIGTERM ends the process, and within which bounds: process.shutDown.
+//   - What the two processes of a hot restart hand over, and in which order: type hotRestart.
 package daemon
 
 import (
--- a/internal/daemon/hot_restart.go
+++ b/internal/daemon/hot_restart.go
@@ -18,17 +18,29 @@
 	"canvasroute/internal/transport"
 )
 
-// siblingUpdateInterval is how often the two processes of a hot restart send each other their requests in flight and
-// connections.
+// siblingUpdateInterval is the time between two updates that a process of a hot restart sends to the other, its sibling.
 const siblingUpdateInterval = 50 * time.Millisecond
 
-// hotRestart is this process's part in a hot restart: as the successor of a process that serves already
-// (hot_restart_successor.go), and later as the predecessor of another (hot_restart_predecessor.go). Both processes share
-// the listener's queue and the socket for datagrams, count each other's requests in flight, and keep within the resource
-// limits together (hot_restart_limits.go).
+// hotRestart is this process's part in a hot restart, in which a second process of the same dispatcher takes over. A
+// process is first the successor of one that serves (hot_restart_successor.go), and later the predecessor of another
+// (hot_restart_predecessor.go). What is handed over, in order:
 //
-// Without an address for operators there is no hot restart: the methods that other files call take a nil *hotRestart
-// for a process without predecessor and successor.
+//  1. At its start the successor connects to the predecessor. It receives the listener for clients, the socket for
+//     gossip, and the snapshot of what the proxy has learnt. Both may then accept from one queue of connections; the
+//     predecessor serves as before.
+//  2. When its parts run, the successor notifies the predecessor that it serves. The predecessor then leaves accepting,
+//     gossip, and the folder and address of the fleet's node to it (handOffTo). Open connections stay.
+//  3. Each sends the other an update every siblingUpdateInterval: requests in flight, recent sends, and the connections
+//     that it needs. So both keep within the resource limits together (hot_restart_limits.go), and each rejects a request
+//     whose ID is in flight at the other.
+//  4. LEAVE and JOIN that reach the predecessor are forwarded to the successor.
+//  5. After SIGTERM the predecessor hands over each request in flight, with the connections of its client and attempts
+//     (exportRequests). It tries at once, and with each update again for those that could not be moved yet.
+//  6. When the predecessor has ended, the successor has all of the resource limits. If the successor ends first, the
+//     predecessor takes back what it left (takeBack), unless it is stopping.
+//
+// Without an admin address there is no hot restart: the methods that other files call accept a nil *hotRestart, for a
+// process without predecessor and successor.
 type hotRestart struct {
 	rendezvous  hotrestart.Rendezvous
 	predecessor *hotrestart.Handover // nil without a predecessor
@@ -44,7 +56,7 @@
 	datagrams *transport.Datagrams // nil without gossip
 	node      *fleet.Node          // nil without LB_FLEET
 
-	exporting sync.Mutex // held while the requests in flight are gone through
+	exporting sync.Mutex // serializes passes over the requests in flight
 
 	mu        sync.Mutex
 	successor *hotrestart.Link // to the successor that serves, nil without one
@@ -52,7 +64,7 @@
 }
 
 // newHotRestart connects to the process that serves under the same name and addresses, if there is one, and receives its
-// sockets and state. It returns nil without an address for operators. The rest is set by attach.
+// sockets and snapshot. If that fails, this process starts without them. It returns nil without an admin address.
 func newHotRestart(c *Config, log zerolog.Logger) *hotRestart {
 	if c.AdminListen == "" {
 		return nil
@@ -70,7 +82,7 @@
 	return h
 }
 
-// attach gives the hot restart the parts of the process that it shares.
+// attach gives the hot restart the parts of the process that it shares. It has to be called before run.
 func (h *hotRestart) attach(p *process) {
 	h.limits = p.limits
 	h.state = p.state
@@ -82,7 +94,7 @@
 	h.node = p.node
 }
 
-// run accepts successors, and goes on beside the predecessor until it has ended. It returns when ctx ends.
+// run waits for successors, and follows the predecessor until that one has ended. It returns when ctx ends.
 func (h *hotRestart) run(ctx context.Context) error {
 	listener := hotrestart.Listener{
 		Rendezvous: h.rendezvous,
@@ -105,7 +117,7 @@
 
 func (h *hotRestart) isStopping() bool { return h.state.PhaseAt(time.Now()).IsStopping() }
 
-// sharedSockets are the sockets that a successor gets.
+// sharedSockets returns the sockets that a successor receives.
 func (h *hotRestart) sharedSockets() []hotrestart.Socket {
 	sockets := []hotrestart.Socket{{Name: hotrestart.ClientSocket, Conn: h.listener}}
 	if h.datagrams != nil {
@@ -114,8 +126,8 @@
 	return sockets
 }
 
-// sendUpdates starts sending updates to the sibling. It goes on until stop is called or ctx ends, which also closes the
-// link. stop waits for its goroutine.
+// sendUpdates starts a goroutine that sends updates to the sibling until stop is called or ctx ends. At its end it closes
+// the link. stop waits for it.
 func (h *hotRestart) sendUpdates(ctx context.Context, link *hotrestart.Link, update func() proxy.SiblingUpdate) (stop func()) {
 	ctx, cancel := context.WithCancel(ctx)
 	done := make(chan struct{})
@@ -141,7 +153,7 @@
 	}
 }
 
-// parseSiblingUpdate reads an update of the sibling. One that is malformed is logged and otherwise ignored.
+// parseSiblingUpdate parses an update of the sibling. One that is malformed is logged and otherwise ignored.
 func (h *hotRestart) parseSiblingUpdate(text json.RawMessage) (update proxy.SiblingUpdate, ok bool) {
 	if err := json.Unmarshal(text, &update); err != nil {
 		h.log.Warn().Err(err).Msg("malformed sibling update")
--- a/internal/daemon/hot_restart_predecessor.go
+++ b/internal/daemon/hot_restart_predecessor.go
@@ -12,10 +12,10 @@
 	"canvasroute/internal/proxy"
 )
 
-// serveSuccessor goes on beside a successor until one of the two has ended. If it is the successor, this process accepts
-// connections again, unless it is stopping.
+// serveSuccessor runs beside a successor, which has received sockets and snapshot, until one of the two has ended. If the
+// successor ends, this process takes back what it has left to it.
 func (h *hotRestart) serveSuccessor(ctx context.Context, link *hotrestart.Link) {
-	h.addSiblings(1)
+	h.addSibling()
 	share := h.openConnectionShare().halfway(h.allConnections())
 	stop := h.sendUpdates(ctx, link, func() proxy.SiblingUpdate {
 		if h.isStopping() {
@@ -43,7 +43,7 @@
 	h.log.Info().AnErr("cause", err).Stringer("phase", h.state.PhaseAt(time.Now())).Msg("successor ended")
 }
 
-// handOffTo leaves accepting, datagrams and the fleet's messages to a successor that serves.
+// handOffTo leaves accepting connections and the sockets for datagrams to a successor that serves.
 func (h *hotRestart) handOffTo(link *hotrestart.Link) {
 	if err := h.state.HandOff(time.Now()); err != nil {
 		h.log.Warn().Err(err).Msg("successor serves, but this process cannot hand off")
@@ -56,11 +56,11 @@
 	h.log.Info().Msg("successor serves")
 }
 
-// takeBack takes back all that was left to a successor which has ended. A process that is stopping leaves the sockets
-// alone.
+// takeBack takes back what was left to a successor that has ended. A process that is stopping yields the sockets instead,
+// as it has no more use for them.
 func (h *hotRestart) takeBack() {
 	h.proxy.ForgetSibling(balancer.Successor)
-	h.addSiblings(-1)
+	h.removeSibling()
 	h.setConnectionLimits(h.allConnections())
 	h.mu.Lock()
 	h.successor = nil
@@ -73,7 +73,7 @@
 	}
 }
 
-// yieldSockets leaves the sockets for datagrams to a successor.
+// yieldSockets leaves gossip, and the folder and address of the fleet's node, to a successor.
 func (h *hotRestart) yieldSockets() {
 	h.proxy.YieldDatagrams()
 	if h.node != nil {
@@ -81,7 +81,7 @@
 	}
 }
 
-// reclaimSockets takes the sockets for datagrams back.
+// reclaimSockets takes back what yieldSockets has left to a successor.
 func (h *hotRestart) reclaimSockets() {
 	h.proxy.ReclaimDatagrams()
 	if h.node != nil {
@@ -89,7 +89,7 @@
 	}
 }
 
-// servingSuccessor is the link to a successor that serves, nil without one.
+// servingSuccessor returns the link to a successor that serves, nil without one.
 func (h *hotRestart) servingSuccessor() *hotrestart.Link {
 	if h == nil {
 		return nil
@@ -99,8 +99,8 @@
 	return h.successor
 }
 
-// exportRequests hands over the requests in flight to the successor that serves, as far as that is possible at the
-// moment. It returns false without such a successor.
+// exportRequests hands over the requests in flight that can be moved now to the successor that serves. It reports whether
+// there is such a successor.
 func (h *hotRestart) exportRequests() bool {
 	link := h.servingSuccessor()
 	if link == nil {
@@ -118,7 +118,8 @@
 	return true
 }
 
-// forwardCommand passes an operator's command on to the successor that serves. It returns false without one.
+// forwardCommand sends an operator's command to the successor that serves. Without one it reports that it has not been
+// forwarded, and this process has to run it.
 func (h *hotRestart) forwardCommand(command string) (forwarded bool, err error) {
 	link := h.servingSuccessor()
 	if link == nil {
--- a/internal/daemon/hot_restart_successor.go
+++ b/internal/daemon/hot_restart_successor.go
@@ -20,7 +20,7 @@
 // errNoClientSocket is returned for a request that was handed over without its client's connection.
 var errNoClientSocket = errors.New("migrated request: no client socket")
 
-// socket is one of the sockets that the predecessor has handed over, nil where it has not.
+// socket returns a socket that the predecessor has handed over, nil if it has not.
 func (h *hotRestart) socket(name string) *os.File {
 	if h == nil || h.predecessor == nil {
 		return nil
@@ -28,7 +28,7 @@
 	return h.predecessor.Sockets[name]
 }
 
-// snapshot is the state that the predecessor has handed over, nil without a predecessor.
+// snapshot returns the proxy.Snapshot that the predecessor has handed over, nil without a predecessor.
 func (h *hotRestart) snapshot() json.RawMessage {
 	if h == nil || h.predecessor == nil {
 		return nil
@@ -36,19 +36,18 @@
 	return h.predecessor.Snapshot
 }
 
-// disconnect closes the link to the predecessor. Unless it has been notified that this process serves, it goes on as
-// before.
+// disconnect closes the link to the predecessor, which takes it for the end of this process.
 func (h *hotRestart) disconnect() {
 	if h != nil && h.predecessor != nil {
 		h.predecessor.Link.Close()
 	}
 }
 
-// followPredecessor notifies the predecessor that this process serves, and takes over what it hands over until it has
-// ended.
+// followPredecessor notifies the predecessor that this process serves, and receives what it hands over until it has
+// ended. By then this process has all of the resource limits.
 func (h *hotRestart) followPredecessor(ctx context.Context) {
 	link := h.predecessor.Link
-	h.addSiblings(1)
+	h.addSibling()
 	h.setConnectionLimits(h.allConnections().half()) // until the predecessor's first update
 	stop := h.sendUpdates(ctx, link, func() proxy.SiblingUpdate { return h.proxy.SiblingUpdate(balancer.Predecessor) })
 	defer stop()
@@ -61,12 +60,12 @@
 		Command:       h.runForwardedCommand,
 	})
 	h.proxy.ForgetSibling(balancer.Predecessor)
-	h.addSiblings(-1)
+	h.removeSibling()
 	h.setConnectionLimits(h.allConnections())
 	h.log.Info().AnErr("cause", err).Msg("predecessor ended")
 }
 
-// receivePredecessorUpdate takes over what the predecessor has in flight, and the connections that it needs no more.
+// receivePredecessorUpdate counts what the predecessor has in flight, and takes the connections that it does not need.
 func (h *hotRestart) receivePredecessorUpdate(text json.RawMessage) {
 	update, ok := h.parseSiblingUpdate(text)
 	if !ok {
@@ -80,7 +79,7 @@
 	})
 }
 
-// runForwardedCommand runs an operator's command that the predecessor was given: this process is the one that serves.
+// runForwardedCommand runs LEAVE or JOIN that the predecessor has received, as this process serves instead of it.
 func (h *hotRestart) runForwardedCommand(command string) {
 	h.log.Info().Str("call", command).Msg("operator command forwarded by predecessor")
 	now := time.Now()
@@ -93,9 +92,9 @@
 	}
 }
 
-// importRequest continues a request that the predecessor has handed over. sockets are the client's connection and, by
-// the numbers of the attempts, those to workers. A request that cannot be continued is answered 502, as an attempt may
-// have been executed.
+// importRequest continues a request that the predecessor has handed over. sockets has the client's connection and, by the
+// numbers of the attempts, those to workers. A request that cannot be continued is answered 502, as a worker may have
+// executed an attempt.
 func (h *hotRestart) importRequest(text json.RawMessage, sockets map[string]*os.File) {
 	client, attempts := h.openConnections(sockets)
 	request, err := h.proxy.Import(text, attempts)
@@ -121,12 +120,13 @@
 	h.server.Import(migrated, request.Finish)
 }
 
+// badGateway is the answer to a request that cannot be continued.
 func badGateway(context.Context) *protocol.Response {
 	return &protocol.Response{Status: http.StatusBadGateway}
 }
 
-// openConnections turns the sockets of a request into connections: the client's, nil where it cannot be had, and those
-// of the attempts by their numbers. It closes the files.
+// openConnections returns the connections of a request's sockets: the client's, and those of the attempts by their
+// numbers. One that cannot be opened is logged and left out; the client's is then nil. It closes the files.
 func (h *hotRestart) openConnections(sockets map[string]*os.File) (client net.Conn, attempts map[int]net.Conn) {
 	attempts = map[int]net.Conn{}
 	for name, file := range sockets {
--- a/internal/daemon/process.go
+++ b/internal/daemon/process.go
@@ -22,8 +22,12 @@
 	"canvasroute/internal/transport"
 )
 
-// process holds the parts of a running dispatcher. start fills the fields in the order in which they stand here. While
-// the process runs, config belongs to the goroutine of handleSignals; the other fields do not change.
+// process holds the parts of a running dispatcher. start fills the fields in the order in which they stand here; before
+// its step a field is nil.
+//
+// While the process runs, the goroutine of handleSignals alone owns config: a reload replaces it with another Config, and
+// the shutdown reads its timeouts there. The other parts have copies of what they need, and are notified of a reload by
+// calls. The other fields do not change any more.
 type process struct {
 	config     *Config
 	readConfig func() (*Config, error) // reads the configuration again
@@ -34,7 +38,7 @@
 	clock        func() balancer.Time
 	shards       *balancer.Shards
 	pool         *transport.Pool
-	restart      *hotRestart          // nil without an address for operators
+	restart      *hotRestart          // nil without an admin address
 	node         *fleet.Node          // nil without LB_FLEET
 	datagrams    *transport.Datagrams // nil without gossip
 	state        *lifecycle.State
@@ -42,10 +46,22 @@
 	listener     *net.TCPListener
 	server       *transport.Server
 	adminHandler *adminHandler
-	adminServer  *admin.Server // nil without an address for operators
+	adminServer  *admin.Server // nil without an admin address
 }
 
-// start opens the sockets and builds the parts. Nothing runs yet when it returns.
+// start opens the sockets and builds the parts. Nothing runs yet when it returns. Each step uses what earlier ones have
+// built, so their order is fixed:
+//
+//  1. The limits on resources bound the pool, the server and the heap.
+//  2. The balancer and the pool need the limits and the clock.
+//  3. The predecessor hands over its state and sockets before the steps that use them.
+//  4. The fleet's node leaves the folder and its address to a predecessor at first. The endpoint list that the node has
+//     stored may replace the configured one, with which the proxy starts.
+//  5. The socket for gossip is the predecessor's, or a new one. The proxy sends and receives on it.
+//  6. The proxy answers the clients that connect to the listener.
+//  7. The listener for clients is the predecessor's, or a new one. With it the hot restart has all parts that it needs.
+//  8. The admin server runs commands on all of them. If its address is in use, the start fails and a predecessor serves
+//     as before: only run notifies it of a successor.
 func (p *process) start() error {
 	p.applyResourceLimits()
 	p.buildBalancer()
@@ -68,14 +84,15 @@
 	return nil
 }
 
+// applyResourceLimits derives the limits from the configuration, and sets those of the Go runtime.
 func (p *process) applyResourceLimits() {
 	runtime.GOMAXPROCS(max(1, int(math.Ceil(p.config.Cores))))
 	p.limits = p.config.resourceLimits()
 	debug.SetMemoryLimit(p.limits.heapBytes)
 }
 
-// buildBalancer sets the clock, and builds the balancer and the pool of connections to workers. The clock begins at the
-// time of day and goes on by the monotonic clock, so that a clock that is set back does not stop the balancer's.
+// buildBalancer sets the clock, and builds the balancer and the pool of connections to workers. The clock starts at the
+// time of day and follows the monotonic clock, so that it advances even if the machine's clock is set back.
 func (p *process) buildBalancer() {
 	const (
 		microsPerTick = int64(balancer.Tick / time.Microsecond)
@@ -92,16 +109,17 @@
 	p.pool = transport.NewPool(p.limits.workerConnections, p.config.WorkerIdleTimeout, p.log)
 }
 
-// connectPredecessor takes over from a process that serves under the same name and addresses, if there is one.
+// connectPredecessor receives state and sockets from a process with the same name and addresses, if one serves.
 func (p *process) connectPredecessor() {
 	p.restart = newHotRestart(p.config, p.log)
 	p.config.Proxy.PredecessorSnapshot = p.restart.snapshot()
 	p.config.Proxy.MigratesRequests = p.restart != nil
 }
 
-// disconnect closes the connection to the predecessor, which goes on alone if this process has never served.
+// disconnect closes the link to the predecessor. One that was not notified that this process serves continues alone.
 func (p *process) disconnect() { p.restart.disconnect() }
 
+// openPeerSocket opens or inherits the socket for gossip, where there is gossip.
 func (p *process) openPeerSocket() error {
 	if !p.config.Balancer.Gossip {
 		return nil
@@ -114,11 +132,12 @@
 	return err
 }
 
-// listenOptions says how one of the sockets is opened that a predecessor hands over and a successor takes over.
+// listenOptions returns how to open a socket that the processes of a hot restart share, by its name there.
 func (p *process) listenOptions(socketName string) transport.ListenOptions {
 	return transport.ListenOptions{Inherited: p.restart.socket(socketName), ReusePort: p.restart != nil}
 }
 
+// buildProxy builds the proxy, and gives the node the parts whose state it restores.
 func (p *process) buildProxy() {
 	p.state = &lifecycle.State{}
 	p.proxy = proxy.New(p.config.Proxy, p.shards, p.pool, p.datagrams, p.state, p.log)
@@ -127,6 +146,7 @@
 	}
 }
 
+// openClientListener opens or inherits the listener for clients. With it the parts that a hot restart shares are complete.
 func (p *process) openClientListener() error {
 	listener, err := transport.ListenClients(p.config.Listen, p.listenOptions(hotrestart.ClientSocket))
 	if err != nil {
@@ -141,6 +161,7 @@
 	return nil
 }
 
+// openAdmin opens the admin server, where there is an admin address.
 func (p *process) openAdmin() error {
 	p.adminHandler = &adminHandler{proxy: p.proxy, state: p.state, restart: p.restart, node: p.node}
 	if p.config.AdminListen == "" {
@@ -151,8 +172,10 @@
 	return err
 }
 
-// run runs the parts until a signal ends the process or one of them fails. Accepting ends first, then the connections
-// of clients, then what requests in flight need.
+// run runs the parts until a signal ends the process or one of them fails. Each part has a goroutine. Two contexts end
+// them in order: accepting ends the server's accepting of connections; working ends the other parts. The server cancels
+// working itself when its last connection is closed, as until then requests in flight need the other parts. A part that
+// fails ends accepting, by way of handleSignals, and with it the process.
 func (p *process) run() error {
 	accepting, stopAccepting := context.WithCancel(context.Background())
 	working, stopWorking := context.WithCancel(context.Background())
@@ -174,7 +197,7 @@
 		g.Go(func() error { return p.restart.run(working) })
 	}
 	g.Go(func() error { return p.handleSignals(failed, working, stopAccepting) })
-	err := g.Wait()
+	err := g.Wait() // the first part's error
 	p.proxy.LogCounters("exit")
 	return err
 }
--- a/internal/daemon/recovery.go
+++ b/internal/daemon/recovery.go
@@ -12,9 +12,10 @@
 	"canvasroute/internal/proxy"
 )
 
-// openNode opens the dispatcher's member of the fleet, if LB_FLEET asks for one, and has the proxy wait for it.
+// openNode opens the dispatcher's node of the fleet, where LB_FLEET configures one. The proxy then waits for its recovery.
 func (p *process) openNode() error {
-	node, err := newNode(p.config, p.clock, p.restart.snapshot() != nil, p.log)
+	isSuccessor := p.restart.snapshot() != nil
+	node, err := newNode(p.config, p.clock, isSuccessor, p.log)
 	if err != nil || node == nil {
 		return err
 	}
@@ -24,9 +25,9 @@
 	return nil
 }
 
-// newNode opens the member of the fleet that a configuration describes, nil where it describes none. takesOver says
-// that a predecessor has handed over its state.
-func newNode(c *Config, now func() balancer.Time, takesOver bool, log zerolog.Logger) (*fleet.Node, error) {
+// newNode opens the node that a configuration describes, nil where it describes none. A successor has its predecessor's
+// state, and gets the folder and the address when that process leaves them. It fails with a *fleet.NameConflictError.
+func newNode(c *Config, now func() balancer.Time, isSuccessor bool, log zerolog.Logger) (*fleet.Node, error) {
 	if c.Fleet == nil {
 		return nil, nil
 	}
@@ -38,31 +39,31 @@
 		WarmupDuration: c.Balancer.WarmupDuration.Standard(),
 		MaxRetryAfter:  c.Proxy.MaxRetryAfter,
 		DedupWindow:    maxPartialDedupWindow(c.Balancer.Operations),
-		IsSuccessor:    takesOver,
+		IsSuccessor:    isSuccessor,
 		Now:            now,
 		Log:            log,
 	})
 }
 
-// maxPartialDedupWindow is the longest deduplication window of the operations whose keys are shared by a zone or a cell
-// only, and not by all workers; 0 without such an operation.
+// maxPartialDedupWindow returns the longest deduplication window of the operations whose keys only a zone or a cell
+// shares, 0 without such an operation. Where all workers share keys, a repeat is dropped wherever it is sent.
 func maxPartialDedupWindow(operations []balancer.OperationConfig) time.Duration {
 	longest := time.Duration(0)
-	for _, o := range operations {
-		if o.Idempotency == balancer.IdempotentByKey && o.DedupScope != balancer.ScopeAll {
-			longest = max(longest, o.DedupWindow.Standard())
+	for _, operation := range operations {
+		if operation.Idempotency == balancer.IdempotentByKey && operation.DedupScope != balancer.ScopeAll {
+			longest = max(longest, operation.DedupWindow.Standard())
 		}
 	}
 	return longest
 }
 
-// attachNode gives the node the state that it restores. It has to be called before anything runs.
+// attachNode gives the node the parts whose state it restores. It has to be called before anything runs.
 func attachNode(node *fleet.Node, requests *proxy.Proxy, shards *balancer.Shards, state *lifecycle.State) {
 	node.Attach(requests, shards)
 	if _, endpoints := requests.Endpoints(); len(endpoints) > 0 {
 		node.StoredEndpointsLoaded()
 	}
-	if node.Drained() { // LEAVE holds across restarts, until JOIN
+	if node.Drained() { // a drain by LEAVE outlasts restarts, until JOIN
 		state.Drain(time.Now())
 	}
 }
--- a/internal/daemon/reload.go
+++ b/internal/daemon/reload.go
@@ -7,9 +7,17 @@
 	"canvasroute/internal/settings"
 )
 
-// reload reads the configuration file again while the process runs, and applies it: the address of discovery, and the settings that
-// need no restart. The file is checked as a whole, and applied as a whole or not at all. Workers, what is known of them
-// and requests in flight stay as they are.
+// reload handles SIGHUP: it reads the configuration file again, and applies it as a whole or not at all. The goroutine of
+// handleSignals calls it, which owns the configuration. A file that is not valid, or that checkReload rejects, changes
+// nothing. Each key of an accepted file is treated in one of four ways:
+//
+//   - name, listen and peer_listen identify the dispatcher: checkReload rejects a file with another value.
+//   - discovery, and the settings that withReloaded takes over, are in force when reload returns. These are operations,
+//     tenants and quotas, rules, prices, the goal, and policyLimits except connIdleS, peers and probes.
+//   - The keys of requiringRestart wait for the next start. The log line names those that differ.
+//   - seed and known matter at a start only, and are not compared. The file of LB_FLEET is read, but not applied.
+//
+// The state of workers stays, and requests in flight keep the operation with which they arrived.
 func (p *process) reload() {
 	next, err := p.readConfig()
 	if err == nil {
@@ -26,16 +34,16 @@
 	p.config = applied
 	p.adminHandler.reloadsApplied.Add(1)
 	operations := []string{}
-	for _, o := range applied.Proxy.Operations {
-		operations = append(operations, o.Name)
+	for _, operation := range applied.Proxy.Operations {
+		operations = append(operations, operation.Name)
 	}
 	p.log.Info().Str("discovery", next.Proxy.DiscoveryAddress).Strs("operations", operations).
 		Int("forwards", applied.Balancer.MaxAttempts).Strs("at_next_start", requiringRestart(applied, next)).
 		Msg("configuration reloaded")
 }
 
-// checkReload returns why a running process cannot go on with another configuration, as a *settings.KeyError: a key that
-// the current one has is missing, or it is another dispatcher's.
+// checkReload returns a *settings.KeyError for a configuration that a running process cannot take over: it is another
+// dispatcher's, or it lacks a key that the current one has.
 func (c *Config) checkReload(next *Config) error {
 	if key := firstMissingKey(c.keys, next.keys); key != "" {
 		return &settings.KeyError{Key: key, Problem: "missing; the configuration in force has it"}
@@ -55,12 +63,13 @@
 	return nil
 }
 
-// withReloaded returns the configuration with all that a reload may change of it. The rest requires a restart.
+// withReloaded returns the configuration with what a reload changes. Of the rest it keeps the current values.
 func (c *Config) withReloaded(next *Config) *Config {
 	merged := *c
 	merged.keys = next.keys
 	merged.MaxClientTimeout = next.MaxClientTimeout
 
+	// The balancer takes over all but its place in the fleet, and what workers and peers report to it.
 	merged.Balancer = next.Balancer
 	merged.Balancer.Dispatchers = c.Balancer.Dispatchers
 	merged.Balancer.Position = c.Balancer.Position
@@ -82,16 +91,18 @@
 	return &merged
 }
 
-// requiringRestart names the keys whose values in the file are not in force until the next start.
+// requiringRestart returns the keys whose values in the file wait for the next start. Operators read them in the log.
 func requiringRestart(applied, file *Config) []string {
 	type limits struct {
-		cores             float64
-		memoryMB, sockets int
+		cores    float64
+		memoryMB int
+		sockets  int
 	}
 	keys := []string{}
-	for _, k := range []struct {
-		key           string
-		applied, file any
+	for _, row := range []struct {
+		key     string
+		applied any // the value in force
+		file    any // the value in the file
 	}{
 		{"mgmt", applied.AdminListen, file.AdminListen},
 		{"peers", applied.Proxy.Peers, file.Proxy.Peers},
@@ -110,8 +121,8 @@
 			file.Balancer,
 		},
 	} {
-		if !reflect.DeepEqual(k.applied, k.file) {
-			keys = append(keys, k.key)
+		if !reflect.DeepEqual(row.applied, row.file) {
+			keys = append(keys, row.key)
 		}
 	}
 	return keys
--- a/internal/daemon/resource_limits.go
+++ b/internal/daemon/resource_limits.go
@@ -2,37 +2,41 @@
 
 import "canvasroute/internal/admin"
 
-// How the limits on memory and descriptors are divided.
+// How the limits on memory and descriptors are divided. What is left of the memory is for stacks and files.
 const (
-	heapShare             = 0.75     // of the memory limit is the garbage collector's limit; the rest is for stacks and files
+	heapShare             = 0.75     // of the memory limit is the limit of the garbage collector
 	connectionMemoryShare = 0.5      // of the memory limit is for connections
-	bytesPerConnection    = 32 << 10 // of memory
 	bodyMemoryShare       = 0.125    // of the memory limit is for request bodies
-	clientShare           = 0.6      // of the connections are clients'
-	rejectedClientShare   = 1.0 / 16 // of the clients' connections, on top, are held while they are turned away
-	ownDescriptors        = 24       // listener, datagrams, discovery, standard streams, poller and short-lived ones
+	bytesPerConnection    = 32 << 10 // of memory
 	mebibyte              = 1 << 20  // bytes
-	maxShards             = 64       // a shard's number takes one byte in messages between dispatchers
+
+	clientShare         = 0.6      // of the connections are clients'
+	rejectedClientShare = 1.0 / 16 // of the clients' connections may be open in addition while they are rejected
+
+	ownDescriptors   = 24                       // listener, datagrams, discovery, standard streams, poller, short-lived files
+	adminDescriptors = admin.MaxConnections + 2 // the listener's, and a connection's for which a slot is not free yet
+
+	maxShards = 64 // a shard's number takes one byte in messages between dispatchers
 )
 
-// shardCount is the number of balancer shards: one for each whole core, at least one.
+// shardCount returns the number of balancer shards: one for each whole core, at least one and at most maxShards.
 func (c *Config) shardCount() int { return min(max(int(c.Cores), 1), maxShards) }
 
 // resourceLimits are upper bounds for the whole process.
 type resourceLimits struct {
-	clientConnections int
-	workerConnections int
-	bodyBytes         int64 // request bodies held at once
+	clientConnections int   // open at once, those that are being rejected not included
+	workerConnections int   // open at once, the idle ones included
+	bodyBytes         int64 // of all request bodies in memory
 	heapBytes         int64 // memory limit of the garbage collector
 }
 
-// resourceLimits derives the bounds from the limits on descriptors and memory: the one that allows fewer connections
-// decides.
+// resourceLimits derives the bounds from the limits on descriptors and memory. The limit that allows fewer connections
+// decides their number.
 func (c *Config) resourceLimits() resourceLimits {
 	memory := float64(c.MemoryMB) * mebibyte
 	own := ownDescriptors
 	if c.AdminListen != "" {
-		own += admin.MaxConnections + 2 // the admin listener, and one connection about to be turned away
+		own += adminDescriptors
 	}
 	connections := min(c.Sockets-own, int(memory*connectionMemoryShare/bytesPerConnection))
 	clients := int(float64(connections) * clientShare)
--- a/internal/daemon/shutdown.go
+++ b/internal/daemon/shutdown.go
@@ -5,32 +5,40 @@
 	"time"
 )
 
-// Bounds on the shutdown after SIGTERM or SIGINT. The platform sends SIGKILL 700 ms after the longest client timeout,
-// which counts as 3 s at most, or later.
+// Bounds on the end of the process, counted from SIGTERM or SIGINT. The platform sends SIGKILL 700 ms after the longest
+// client timeout, of which it counts at most 3 s.
 const (
-	acceptAfterStop = 500 * time.Millisecond // clients learn of the end with some delay, and are accepted until then
-	maxDrain        = 3 * time.Second        // of the longest client timeout that is waited for
-	drainMargin     = 450 * time.Millisecond // waited beyond the longest client timeout
-	closeMargin     = 100 * time.Millisecond // for clients to read the last responses
+	acceptAfterStop  = 500 * time.Millisecond // connections are accepted so long: clients learn late that the process ends
+	maxClientTimeout = 3 * time.Second        // of the longest client timeout that is waited for
+	responseMargin   = 450 * time.Millisecond // for responses, beyond the longest client timeout
+	closeMargin      = 100 * time.Millisecond // for clients to read the last responses
 )
 
-// drain begins the end of the process: requests in flight end within bounds, or go on at a successor. It returns when
-// no more connections are to be accepted.
-func (p *process) drain(failed context.Context) {
-	within := min(p.config.MaxClientTimeout, maxDrain) + drainMargin
+// shutDown begins the graceful shutdown, and returns when accepting has to end. Its steps:
+//
+//  1. At once the phase is lifecycle.Stopping: health checks fail, and each response closes its connection.
+//  2. Requests in flight get their responses within responseTime: the longest client timeout, at most maxClientTimeout,
+//     and responseMargin. The proxy rejects at once what would miss that bound.
+//  3. Where a successor serves, requests in flight are handed over to it instead. The bound is set after acceptAfterStop,
+//     for those that could not be handed over by then: a request that has moved does not depend on this process's end.
+//  4. After acceptAfterStop, or once a part of the process has failed, shutDown returns. Its caller ends the accepting,
+//     and transport.Server.Run closes idle connections and waits for the others.
+//  5. At responseTime and closeMargin the server closes the connections that are left, in whatever state.
+//
+// When the last connection is closed the other parts end, see process.run. Step 5 comes before the platform's SIGKILL.
+func (p *process) shutDown(failed context.Context) {
+	responseTime := min(p.config.MaxClientTimeout, maxClientTimeout) + responseMargin
 	p.state.Stop(time.Now())
-	p.server.CloseAllAfter(within + closeMargin)
-	// Requests that a successor takes over are not bound by this process's end. The bound is set after they have had
-	// time to go, for those that are left.
-	exported := p.restart.exportRequests()
-	if !exported {
-		p.proxy.StopWithin(within)
+	p.server.CloseAllAfter(responseTime + closeMargin)
+	handsOver := p.restart.exportRequests()
+	if !handsOver {
+		p.proxy.StopWithin(responseTime)
 	}
 	select {
 	case <-time.After(acceptAfterStop):
 	case <-failed.Done():
 	}
-	if exported {
-		p.proxy.StopWithin(within - acceptAfterStop)
+	if handsOver {
+		p.proxy.StopWithin(responseTime - acceptAfterStop)
 	}
 }
--- a/internal/daemon/signals.go
+++ b/internal/daemon/signals.go
@@ -7,8 +7,8 @@
 	"syscall"
 )
 
-// signals holds the signals that have arrived and are not handled yet, at most one of each kind: a second one of a kind
-// asks for nothing new, and many of one kind do not displace another kind.
+// signals holds the signals that are not handled yet, at most one of each kind: a second one asks for nothing new. Each
+// kind has a channel of its own, so that many signals of one kind do not displace another kind.
 type signals struct {
 	logCounters chan os.Signal // SIGUSR1
 	reload      chan os.Signal // SIGHUP
@@ -38,8 +38,9 @@
 	signal.Stop(s.stop)
 }
 
-// handleSignals handles one signal after the other until the first one to stop, until a part of the process has failed,
-// or until working ends. stopAccepting ends the accepting of clients' connections.
+// handleSignals handles one signal after the other, in the goroutine that owns the configuration. It ends with the first
+// signal to stop, when a part of the process has failed, or with working. stopAccepting ends the accepting of clients'
+// connections.
 func (p *process) handleSignals(failed, working context.Context, stopAccepting context.CancelFunc) error {
 	for {
 		select {
@@ -54,7 +55,7 @@
 			p.reload()
 		case s := <-p.signals.stop:
 			p.log.Info().Str("signal", s.String()).Msg("draining")
-			p.drain(failed)
+			p.shutDown(failed)
 			stopAccepting()
 			return nil
 		}
