--- a/internal/daemon/admin_handler_test.go
+++ b/internal/daemon/admin_handler_test.go
@@ -13,52 +13,56 @@
 	"canvasroute/internal/lifecycle"
 )
 
-// A drained dispatcher must finish the requests that it has taken, take no more, and keep no connection.
+// A drained dispatcher must finish the requests that it has admitted, admit no more, and keep no connection.
 func TestLeaveDrainsAndJoinTakesClientsAgain(t *testing.T) {
 	admin := freeAddress(t)
-	long := 2 * lifecycle.DrainGrace
-	url, _, ended := startDispatcher(t, long, nil, func(p *Config) { p.AdminListen, p.MaxClientTimeout = admin, 3*time.Second })
+	workerDelay := 2 * lifecycle.DrainGrace
+	dispatcher := startDispatcher(t, workerDelay, nil, func(c *Config) {
+		c.AdminListen = admin
+		c.MaxClientTimeout = 3 * time.Second
+	})
+	url := dispatcher.url
 	assert.Equal(t, "done\n", runAdminCommand(t, admin, "HEALTH"))
-	idle, busy, late := dialClient(t, url), dialClient(t, url), dialClient(t, url)
-	busy.send("b1")
+	idle := dialClient(t, url)
+	inFlight := dialClient(t, url)
+	unused := dialClient(t, url)
+	inFlight.send("b1")
 	assert.Eventually(t, func() bool { return strings.Contains(runAdminCommand(t, admin, "DUMP"), "svc.outstanding=1\n") },
 		time.Second, 10*time.Millisecond)
-	left := time.Now()
+	drainedAt := time.Now()
 	assert.Equal(t, "done\n", runAdminCommand(t, admin, "LEAVE"))
 	assert.Equal(t, "error takes no clients: leaving\n", runAdminCommand(t, admin, "HEALTH"))
-	a, err := http.Get(url + "/_health")
+	health, err := http.Get(url + "/_health")
 	assert.NoError(t, err)
-	a.Body.Close()
-	assert.Equal(t, []any{503, true}, []any{a.StatusCode, a.Close})
+	health.Body.Close()
+	assert.Equal(t, []any{503, true}, []any{health.StatusCode, health.Close})
 	_, err = idle.in.ReadByte()
 	assert.ErrorIs(t, err, io.EOF)
-	assert.InDelta(t, lifecycle.DrainGrace.Seconds(), time.Since(left).Seconds(), 0.3, "clients may use it until then")
-	_, err = late.in.ReadByte()
+	assert.InDelta(t, lifecycle.DrainGrace.Seconds(), time.Since(drainedAt).Seconds(), 0.3, "clients may use it until then")
+	_, err = unused.in.ReadByte()
 	assert.ErrorIs(t, err, io.EOF)
-	late = dialClient(t, url)
+	late := dialClient(t, url)
 	late.send("l1")
-	status, closes, retryAfter := late.receive(t)
-	assert.Equal(t, []any{503, true, "2"}, []any{status, closes, retryAfter}, "at once, with when to retry")
-	assert.Less(t, time.Since(left), long-time.Second)
-	status, closes, _ = busy.receive(t)
-	assert.Equal(t, []any{200, true}, []any{status, closes}, "a request in flight is neither cut nor shortened")
+	assert.Equal(t, clientResponse{status: 503, closes: true, retryAfter: "2"}, late.receive(t),
+		"at once, with when to retry")
+	assert.Less(t, time.Since(drainedAt), workerDelay-time.Second)
+	inFlight.assertResponse(t, 200, true, "a request in flight is neither cut nor shortened")
 	assert.Equal(t, "done\n", runAdminCommand(t, admin, "JOIN"))
 	assert.Equal(t, "done\n", runAdminCommand(t, admin, "HEALTH"))
-	again := dialClient(t, url)
-	again.send("a1")
-	status, closes, _ = again.receive(t)
-	assert.Equal(t, []any{200, false}, []any{status, closes})
+	afterJoin := dialClient(t, url)
+	afterJoin.send("a1")
+	afterJoin.assertResponse(t, 200, false)
 	assertMetrics(t, admin,
 		"svc.succeeded.render=2", "svc.declined.render=1", "svc.aborted.render=0", "svc.forwards=2", "svc.outstanding=0",
 		"svc.discovered=1", "svc.ejected=0", "svc.sighup_applied=0", "svc.sighup_rejected=0")
 	assert.Equal(t, "done\n", runAdminCommand(t, admin, "LEAVE"))
 	assert.NoError(t, syscall.Kill(syscall.Getpid(), syscall.SIGTERM))
-	ends := func() bool { return runAdminCommand(t, admin, "JOIN") == "error the process ends\n" }
-	assert.Eventually(t, ends, time.Second, time.Millisecond)
-	assert.NoError(t, <-ended)
+	isStopping := func() bool { return runAdminCommand(t, admin, "JOIN") == "error the process ends\n" }
+	assert.Eventually(t, isStopping, time.Second, time.Millisecond)
+	assert.NoError(t, <-dispatcher.ended)
 }
 
-// assertMetrics checks that the answer to DUMP has lines.
+// assertMetrics checks that the answer to DUMP has the lines.
 func assertMetrics(t *testing.T, admin string, lines ...string) {
 	t.Helper()
 	dump := runAdminCommand(t, admin, "DUMP")
--- a/internal/daemon/config_size_test.go
+++ b/internal/daemon/config_size_test.go
@@ -12,21 +12,21 @@
 // A configuration has no bound on the number of dispatchers or workers.
 func TestConfigurationTakesManyDispatchersAndWorkers(t *testing.T) {
 	const many = 1024
-	v := fastjson.MustParse(testConfiguration)
+	configuration := fastjson.MustParse(testConfiguration)
 	var peers, hosts []string
 	for n := range many {
 		peers = append(peers, fmt.Sprintf(`"10.3.%d.%d:7946"`, n/256, n%256))
 		hosts = append(hosts, fmt.Sprintf(`{"host":"s-%06d","dial":"10.1.%d.%d:8080","health":"Ready","born_ms":0}`,
 			n, n/256, n%256))
 	}
-	v.Set("peers", fastjson.MustParse("["+strings.Join(peers, ",")+"]"))
-	v.Set("known", fastjson.MustParse(`{"seq":1,"whole":true,"hosts":[`+strings.Join(hosts, ",")+`]}`))
-	v.Get("settings").Set("balancers", fastjson.MustParse("1024"))
-	v.Get("settings").Set("position", fastjson.MustParse("1023"))
-	p, err := parseConfig(v.MarshalTo(nil), fakeEnv())
+	configuration.Set("peers", fastjson.MustParse("["+strings.Join(peers, ",")+"]"))
+	configuration.Set("known", fastjson.MustParse(`{"seq":1,"whole":true,"hosts":[`+strings.Join(hosts, ",")+`]}`))
+	configuration.Get("settings").Set("balancers", fastjson.MustParse("1024"))
+	configuration.Get("settings").Set("position", fastjson.MustParse("1023"))
+	c, err := parseConfig(configuration.MarshalTo(nil), fakeEnv())
 	assert.NoError(t, err)
-	assert.Len(t, p.Proxy.Peers, many)
-	assert.Len(t, p.Proxy.InitialEndpoints.Endpoints, many)
-	assert.Equal(t, many, p.Balancer.Dispatchers)
-	assert.Equal(t, many-1, p.Balancer.Position)
+	assert.Len(t, c.Proxy.Peers, many)
+	assert.Len(t, c.Proxy.InitialEndpoints.Endpoints, many)
+	assert.Equal(t, many, c.Balancer.Dispatchers)
+	assert.Equal(t, many-1, c.Balancer.Position)
 }
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -21,26 +21,21 @@
 		{"worker does not answer in time", time.Minute, 429, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			url, log, ended := startDispatcher(t, c.workerDelay, nil)
+			dispatcher := startDispatcher(t, c.workerDelay, nil)
 			answered := make(chan struct{})
 			go func() {
 				defer close(answered)
-				status, body := sendRequest(t, url)
+				status, body := sendRequest(t, dispatcher.url)
 				assert.Equal(t, []any{c.status, c.body}, []any{status, body})
 			}()
 			assert.Eventually(t, func() bool {
 				assert.NoError(t, syscall.Kill(os.Getpid(), syscall.SIGUSR1))
-				return strings.Contains(log.String(), `"forwards":{"sent":1`)
+				return strings.Contains(dispatcher.log.String(), `"forwards":{"sent":1`)
 			}, 5*time.Second, 20*time.Millisecond, "SIGUSR1 logs the counters")
 			assert.NoError(t, syscall.Kill(os.Getpid(), syscall.SIGTERM))
 			<-answered
-			select {
-			case err := <-ended:
-				assert.NoError(t, err)
-			case <-time.After(5 * time.Second):
-				t.Fatal("it does not end")
-			}
-			assert.Contains(t, log.String(), `"why":"exit","open":0,"taken":1`)
+			awaitEnd(t, dispatcher.ended, 5*time.Second)
+			assert.Contains(t, dispatcher.log.String(), `"why":"exit","open":0,"taken":1`)
 		})
 	}
 }
--- a/internal/daemon/helpers_test.go
+++ b/internal/daemon/helpers_test.go
@@ -8,6 +8,7 @@
 	"io"
 	"net"
 	"net/http"
+	"os"
 	"strings"
 	"sync"
 	"testing"
@@ -30,11 +31,11 @@
 
 var nopLog = zerolog.Nop()
 
-// fakeEnv is an environment of the variables in pairs, each followed by its value.
+// fakeEnv returns an environment of the variables in pairs, each followed by its value.
 func fakeEnv(pairs ...string) func(string) string {
-	return func(key string) string {
+	return func(variable string) string {
 		for n := 0; n < len(pairs); n += 2 {
-			if pairs[n] == key {
+			if pairs[n] == variable {
 				return pairs[n+1]
 			}
 		}
@@ -42,25 +43,42 @@
 	}
 }
 
-// syncBuffer is a log that is read while it is written.
+// writeFile writes a file of a test and returns its path.
+func writeFile(t *testing.T, path, text string) string {
+	t.Helper()
+	assert.NoError(t, os.WriteFile(path, []byte(text), 0o600))
+	return path
+}
+
+// standaloneConfiguration returns testConfiguration for a dispatcher with another address for clients, without gossip,
+// and with a discovery service that is down.
+func standaloneConfiguration(listen string) string {
+	return strings.NewReplacer("127.0.0.1:8080", listen, "127.0.0.1:8500", unusedAddress, `"peers":true`, `"peers":false`).
+		Replace(testConfiguration)
+}
+
+// unusedAddress is an address at which no server listens.
+const unusedAddress = "127.0.0.1:9"
+
+// syncBuffer is a log that may be read while it is written.
 type syncBuffer struct {
-	mu sync.Mutex
-	b  bytes.Buffer
+	mu     sync.Mutex
+	buffer bytes.Buffer
 }
 
-func (s *syncBuffer) Write(p []byte) (int, error) {
+func (s *syncBuffer) Write(text []byte) (int, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.b.Write(p)
+	return s.buffer.Write(text)
 }
 
 func (s *syncBuffer) String() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.b.String()
+	return s.buffer.String()
 }
 
-// freeAddress is an address that nobody listens on.
+// freeAddress returns an address that no socket has.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	free, err := net.Listen("tcp", "127.0.0.1:0")
@@ -69,8 +87,28 @@
 	return free.Addr().String()
 }
 
-// newTestConfig is the configuration of a dispatcher with one worker, which answers after a delay, and a list service
-// that is down.
+// acceptsConnections reports whether a process accepts connections at an address.
+func acceptsConnections(addr string) bool {
+	conn, err := net.Dial("tcp", addr)
+	if err == nil {
+		conn.Close()
+	}
+	return err == nil
+}
+
+// awaitEnd waits for the end of a process without an error.
+func awaitEnd(t *testing.T, ended <-chan error, timeout time.Duration) {
+	t.Helper()
+	select {
+	case err := <-ended:
+		assert.NoError(t, err)
+	case <-time.After(timeout):
+		t.Fatal("it does not end")
+	}
+}
+
+// newTestConfig returns the configuration of a dispatcher with one worker, which answers after a delay, and a discovery
+// service that is down.
 func newTestConfig(t *testing.T, workerDelay time.Duration) (c Config, url string) {
 	t.Helper()
 	worker := http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -80,34 +118,40 @@
 		}
 		json.NewEncoder(w).Encode(map[string]string{"id": r.Header.Get("Req-Id"), "state": "done", "result": "made"})
 	})}
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NoError(t, err)
-	go worker.Serve(ln)
+	go worker.Serve(listener)
 	t.Cleanup(func() { worker.Close() })
 	parsed, err := parseConfig([]byte(testConfiguration),
-		fakeEnv("LB_LISTEN", freeAddress(t), "LB_DISCOVERY", "127.0.0.1:9"))
+		fakeEnv("LB_LISTEN", freeAddress(t), "LB_DISCOVERY", unusedAddress))
 	assert.NoError(t, err)
 	parsed.Balancer.Gossip = false
-	parsed.Proxy.InitialEndpoints.Endpoints[0].Address = ln.Addr().String()
+	parsed.Proxy.InitialEndpoints.Endpoints[0].Address = listener.Addr().String()
 	parsed.MaxClientTimeout = time.Second
 	return *parsed, "http://" + parsed.Listen
 }
 
-// startDispatcher starts a dispatcher that receives the test process's signals, and waits until it is healthy. reload
-// reads its configuration again; changes alter the first one.
-func startDispatcher(t *testing.T, workerDelay time.Duration, reload func() (*Config, error), changes ...func(*Config)) (
-	url string, log *syncBuffer, ended <-chan error,
-) {
+// dispatcher is a process that receives the signals of the test's own process.
+type dispatcher struct {
+	url   string
+	log   *syncBuffer
+	ended <-chan error
+}
+
+// startDispatcher starts a dispatcher and waits until it is healthy. reload reads its configuration again; changes alter
+// the first one.
+func startDispatcher(t *testing.T, workerDelay time.Duration, reload func() (*Config, error), changes ...func(*Config),
+) *dispatcher {
 	t.Helper()
-	c, url := newTestConfig(t, workerDelay)
+	config, url := newTestConfig(t, workerDelay)
 	for _, change := range changes {
-		change(&c)
+		change(&config)
 	}
-	log = &syncBuffer{}
-	end := make(chan error, 1)
+	log := &syncBuffer{}
+	ended := make(chan error, 1)
 	received := notifySignals()
 	t.Cleanup(received.close)
-	go func() { end <- serve(&c, reload, received, zerolog.New(log)) }()
+	go func() { ended <- serve(&config, reload, received, zerolog.New(log)) }()
 	assert.Eventually(t, func() bool {
 		response, err := http.Get(url + "/_health")
 		if err != nil {
@@ -115,8 +159,8 @@
 		}
 		response.Body.Close()
 		return response.StatusCode == 200
-	}, 5*time.Second, 10*time.Millisecond, "ready with the list that it was started with")
-	return url, log, end
+	}, 5*time.Second, 10*time.Millisecond, "ready with the endpoint list that it was started with")
+	return &dispatcher{url: url, log: log, ended: ended}
 }
 
 // sendRequest sends one request and reads its response.
@@ -131,24 +175,24 @@
 		return 0, ""
 	}
 	defer response.Body.Close()
-	b, err := io.ReadAll(response.Body)
+	text, err := io.ReadAll(response.Body)
 	assert.NoError(t, err)
-	return response.StatusCode, string(b)
+	return response.StatusCode, string(text)
 }
 
 // runAdminCommand sends one command to the admin address and returns the answer.
 func runAdminCommand(t *testing.T, addr, command string) string {
 	t.Helper()
-	c, err := net.Dial("tcp", addr)
+	conn, err := net.Dial("tcp", addr)
 	if !assert.NoError(t, err) {
 		return ""
 	}
-	defer c.Close()
-	c.SetDeadline(time.Now().Add(time.Second))
-	fmt.Fprintln(c, command)
-	b, err := io.ReadAll(c)
+	defer conn.Close()
+	conn.SetDeadline(time.Now().Add(time.Second))
+	fmt.Fprintln(conn, command)
+	answer, err := io.ReadAll(conn)
 	assert.NoError(t, err)
-	return string(b)
+	return string(answer)
 }
 
 // client is a client's connection.
@@ -159,11 +203,11 @@
 
 func dialClient(t *testing.T, url string) *client {
 	t.Helper()
-	c, err := net.Dial("tcp", strings.TrimPrefix(url, "http://"))
+	conn, err := net.Dial("tcp", strings.TrimPrefix(url, "http://"))
 	assert.NoError(t, err)
-	t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(10 * time.Second))
-	return &client{c, bufio.NewReader(c)}
+	t.Cleanup(func() { conn.Close() })
+	conn.SetDeadline(time.Now().Add(10 * time.Second))
+	return &client{conn, bufio.NewReader(conn)}
 }
 
 // send sends one request.
@@ -172,13 +216,31 @@
 		"Content-Length: 0\r\n\r\n", id)
 }
 
+// clientResponse is what a client sees of a response.
+type clientResponse struct {
+	status     int
+	closes     bool   // it announces that the connection is closed
+	retryAfter string // "" without the header
+}
+
 // receive reads one response.
-func (c *client) receive(t *testing.T) (status int, closes bool, retryAfter string) {
+func (c *client) receive(t *testing.T) clientResponse {
 	t.Helper()
 	response, err := http.ReadResponse(c.in, nil)
 	if !assert.NoError(t, err) {
-		return 0, true, ""
+		return clientResponse{closes: true}
 	}
 	io.Copy(io.Discard, response.Body)
-	return response.StatusCode, response.Close, response.Header.Get("Retry-After")
+	return clientResponse{
+		status:     response.StatusCode,
+		closes:     response.Close,
+		retryAfter: response.Header.Get("Retry-After"),
+	}
+}
+
+// assertResponse checks the status of the next response, and whether it announces that the connection is closed.
+func (c *client) assertResponse(t *testing.T, status int, closes bool, explanation ...any) {
+	t.Helper()
+	response := c.receive(t)
+	assert.Equal(t, []any{status, closes}, []any{response.status, response.closes}, explanation...)
 }
--- a/internal/daemon/hot_restart_test.go
+++ b/internal/daemon/hot_restart_test.go
@@ -29,7 +29,7 @@
 	return startProcessWith(t, config, nil)
 }
 
-// startProcessWith starts a process that reload gives its configuration again.
+// startProcessWith starts a process whose configuration reload reads again.
 func startProcessWith(t *testing.T, config Config, reload func() (*Config, error)) *testProcess {
 	t.Helper()
 	d := &testProcess{
@@ -40,8 +40,8 @@
 	}
 	config.AdminListen = d.admin
 	go func() { d.ended <- serve(&config, reload, d.signals, zerolog.New(d.log)) }()
-	started := func() bool { return strings.Contains(d.log.String(), `"message":"started"`) }
-	assert.Eventually(t, started, 5*time.Second, time.Millisecond)
+	hasStarted := func() bool { return strings.Contains(d.log.String(), `"message":"started"`) }
+	assert.Eventually(t, hasStarted, 5*time.Second, time.Millisecond)
 	d.awaitAnswer(t, "HEALTH", "done\n")
 	return d
 }
@@ -57,17 +57,12 @@
 func (d *testProcess) stop(t *testing.T) {
 	t.Helper()
 	d.signals.stop <- syscall.SIGTERM
-	select {
-	case err := <-d.ended:
-		assert.NoError(t, err)
-	case <-time.After(6 * time.Second):
-		t.Fatal("it does not end")
-	}
+	awaitEnd(t, d.ended, 6*time.Second)
 }
 
-// startHealthChecks makes clients ask for the health on new connections until stop, which counts the answers.
-func startHealthChecks(url string) (stop func() (served, failed int64)) {
-	var good, bad atomic.Int64
+// startHealthChecks checks the health on new connections until stop, which returns how many checks passed and failed.
+func startHealthChecks(url string) (stop func() (passed, failed int64)) {
+	var passed, failed atomic.Int64
 	var clients sync.WaitGroup
 	done := make(chan struct{})
 	for range 4 {
@@ -81,9 +76,9 @@
 				}
 				response, err := client.Get(url + "/_health")
 				if err == nil && response.StatusCode == 200 {
-					good.Add(1)
+					passed.Add(1)
 				} else {
-					bad.Add(1)
+					failed.Add(1)
 				}
 				if err == nil {
 					response.Body.Close()
@@ -94,99 +89,95 @@
 	return func() (int64, int64) {
 		close(done)
 		clients.Wait()
-		return good.Load(), bad.Load()
+		return passed.Load(), failed.Load()
 	}
 }
 
-// Neither connections in the old process's queue, nor health in between, nor requests in flight may be lost.
+// No connection in the listener's queue, no health check and no request in flight may be lost.
 func TestHotRestartLosesNoConnectionAndNoRequest(t *testing.T) {
 	t.Setenv("TMPDIR", t.TempDir())
 	config, url := newTestConfig(t, 2*time.Second)
-	old := startProcess(t, config)
-	busy, idle := dialClient(t, url), dialClient(t, url)
-	busy.send("b1")
-	old.awaitAnswer(t, "DUMP", "svc.forwards=1\n")
+	predecessor := startProcess(t, config)
+	inFlight := dialClient(t, url)
+	idle := dialClient(t, url)
+	inFlight.send("b1")
+	predecessor.awaitAnswer(t, "DUMP", "svc.forwards=1\n")
 	stop := startHealthChecks(url)
-	next := startProcess(t, config)
-	assert.Contains(t, next.log.String(), `"sockets":1`, "the listener")
-	again := dialClient(t, url)
-	again.send("b1")
-	status, _, _ := again.receive(t)
-	assert.Equal(t, 409, status, "its ID is in flight at the other process")
-	idle.send("i1") // on a connection that the old one has
-	old.awaitAnswer(t, "DUMP", "svc.forwards=2\n")
-	began := time.Now()
-	old.stop(t)
-	assert.Less(t, time.Since(began), 1500*time.Millisecond, "it does not wait for the requests that it has handed over")
-	next.awaitAnswer(t, "DUMP", "svc.outstanding=2\n")
-	for _, c := range []*client{busy, idle} {
-		status, closes, _ := c.receive(t)
-		assert.Equal(t, []any{200, false}, []any{status, closes}, "its connection goes on at the new one")
+	successor := startProcess(t, config)
+	assert.Contains(t, successor.log.String(), `"sockets":1`, "the listener")
+	repeated := dialClient(t, url)
+	repeated.send("b1")
+	assert.Equal(t, 409, repeated.receive(t).status, "its ID is in flight at the other process")
+	idle.send("i1") // on a connection that the predecessor has
+	predecessor.awaitAnswer(t, "DUMP", "svc.forwards=2\n")
+	signalledAt := time.Now()
+	predecessor.stop(t)
+	assert.Less(t, time.Since(signalledAt), 1500*time.Millisecond, "it does not wait for the requests that it has handed over")
+	successor.awaitAnswer(t, "DUMP", "svc.outstanding=2\n")
+	for _, c := range []*client{inFlight, idle} {
+		c.assertResponse(t, 200, false, "its connection is open at the successor")
 		c.send("again" + c.LocalAddr().String())
-		status, _, _ = c.receive(t)
-		assert.Equal(t, 200, status)
+		assert.Equal(t, 200, c.receive(t).status)
 	}
-	served, failed := stop()
-	assert.Positive(t, served)
+	passed, failed := stop()
+	assert.Positive(t, passed)
 	assert.Zero(t, failed)
-	dump := runAdminCommand(t, next.admin, "DUMP")
+	dump := runAdminCommand(t, successor.admin, "DUMP")
 	assert.Contains(t, dump, "svc.outstanding=0\n")
 	assert.Contains(t, dump, "svc.succeeded.render=4\n")
 	assert.Contains(t, dump, "svc.forwards=2\n", "no attempt was repeated")
-	third := startProcess(t, config) // two in a row
-	next.stop(t)
+	third := startProcess(t, config) // a second hot restart in a row
+	successor.stop(t)
 	third.stop(t)
 }
 
-// The old process accepts again when the new one ends before it.
+// The predecessor accepts again when the successor ends before it.
 func TestPredecessorTakesBackWhenItsSuccessorDies(t *testing.T) {
 	t.Setenv("TMPDIR", t.TempDir())
 	config, url := newTestConfig(t, time.Millisecond)
-	old := startProcess(t, config)
-	next := startProcess(t, config)
-	old.awaitAnswer(t, "HEALTH", "error takes no clients: relieved\n")
-	next.stop(t)
-	old.awaitAnswer(t, "HEALTH", "done\n")
+	predecessor := startProcess(t, config)
+	successor := startProcess(t, config)
+	predecessor.awaitAnswer(t, "HEALTH", "error takes no clients: relieved\n")
+	successor.stop(t)
+	predecessor.awaitAnswer(t, "HEALTH", "done\n")
 	c := dialClient(t, url)
 	c.send("a1")
-	status, closes, _ := c.receive(t)
-	assert.Equal(t, []any{200, false}, []any{status, closes})
+	c.assertResponse(t, 200, false)
 	third := startProcess(t, config)
 	assert.Contains(t, third.log.String(), "predecessor connected", "it has the rendezvous again")
-	old.stop(t)
+	predecessor.stop(t)
 	third.stop(t)
 }
 
-// A hot restart must not undo a drain, and commands are the serving process's, whichever of both is sent them.
+// A hot restart must not undo a drain. Commands are meant for the process that serves, whichever receives them.
 func TestLeaveAndJoinAreForwardedToTheSuccessor(t *testing.T) {
 	t.Setenv("TMPDIR", t.TempDir())
 	config, _ := newTestConfig(t, time.Millisecond)
-	old := startProcess(t, config)
-	next := startProcess(t, config)
-	assert.Equal(t, "done\n", runAdminCommand(t, old.admin, "LEAVE"), "meant for the one that serves")
-	left := func() bool {
-		return strings.Contains(runAdminCommand(t, next.admin, "HEALTH"), "error takes no clients: leaving")
+	predecessor := startProcess(t, config)
+	successor := startProcess(t, config)
+	assert.Equal(t, "done\n", runAdminCommand(t, predecessor.admin, "LEAVE"), "meant for the one that serves")
+	drains := func() bool {
+		return strings.Contains(runAdminCommand(t, successor.admin, "HEALTH"), "error takes no clients: leaving")
 	}
-	assert.Eventually(t, left, time.Second, time.Millisecond)
-	assert.Equal(t, "done\n", runAdminCommand(t, old.admin, "JOIN"))
-	next.awaitAnswer(t, "HEALTH", "done\n")
-	old.stop(t)
-	next.stop(t)
+	assert.Eventually(t, drains, time.Second, time.Millisecond)
+	assert.Equal(t, "done\n", runAdminCommand(t, predecessor.admin, "JOIN"))
+	successor.awaitAnswer(t, "HEALTH", "done\n")
+	predecessor.stop(t)
+	successor.stop(t)
 }
 
-// On a platform without Unix sockets both processes listen, and the old one drains as at any end.
+// On a platform without Unix sockets both processes listen, and the predecessor shuts down as without a successor.
 func TestWithoutRendezvousBothProcessesListen(t *testing.T) {
 	t.Setenv("TMPDIR", filepath.Join(t.TempDir(), "none"))
 	config, url := newTestConfig(t, time.Millisecond)
-	old, next := startProcess(t, config), startProcess(t, config)
-	assert.Contains(t, next.log.String(), "hot restart unavailable")
-	old.awaitAnswer(t, "HEALTH", "done\n")
-	old.stop(t)
+	predecessor, successor := startProcess(t, config), startProcess(t, config)
+	assert.Contains(t, successor.log.String(), "hot restart unavailable")
+	predecessor.awaitAnswer(t, "HEALTH", "done\n")
+	predecessor.stop(t)
 	for n := range 8 {
 		c := dialClient(t, url)
 		c.send(fmt.Sprint("a", n))
-		status, _, _ := c.receive(t)
-		assert.Equal(t, 200, status)
+		assert.Equal(t, 200, c.receive(t).status)
 	}
-	next.stop(t)
+	successor.stop(t)
 }
--- a/internal/daemon/operators_test.go
+++ b/internal/daemon/operators_test.go
@@ -19,7 +19,7 @@
 	"canvasroute/internal/proxy"
 )
 
-// configWithEachKey is a configuration with each key that is read beside those of package settings, and no default among its values.
+// configWithEachKey has each key that this package reads, with a value other than its default.
 const configWithEachKey = `{"name":"n3","listen":"127.0.0.1:8080","discovery":"127.0.0.1:8500","mgmt":"127.0.0.1:8600",
 "seed":"8c1f30d27a5be964","limits":{"cores":2.5,"memory_mb":200,"sockets":2048},
 "peer_listen":"127.0.0.1:7946","peers":["127.0.0.1:7946","127.0.0.2:7946"],"peers_all":"127.3.255.1:7946",
@@ -59,44 +59,43 @@
 			}}},
 		},
 	}
-	d := read.Balancer
+	balancing := read.Balancer
 	assert.Equal(t, []any{int64(70_000), int64(60_000), true, true},
-		[]any{int64(d.MaxPollInterval), int64(d.EndpointChangeDeadline), d.DeliveryNotices, d.PollEndpoints})
-	want.Balancer, want.keys, want.settingsHash = d, read.keys, read.settingsHash
+		[]any{int64(balancing.MaxPollInterval), int64(balancing.EndpointChangeDeadline), balancing.DeliveryNotices, balancing.PollEndpoints})
+	want.Balancer, want.keys, want.settingsHash = balancing, read.keys, read.settingsHash
 	assert.Equal(t, want, read)
 	unset := []string{}
-	v := reflect.ValueOf(*read)
-	for n := range v.NumField() {
-		if v.Field(n).IsZero() {
-			unset = append(unset, v.Type().Field(n).Name)
+	config := reflect.ValueOf(*read)
+	for n := range config.NumField() {
+		if config.Field(n).IsZero() {
+			unset = append(unset, config.Type().Field(n).Name)
 		}
 	}
 	assert.Equal(t, []string{"Fleet"}, unset, "it has a file of its own")
 }
 
-// TestSettingsHash pins the hash that the folder on disk holds: with another one, what was learnt is not believed.
+// TestSettingsHash pins the hash that the folder on disk has. State with another hash was learnt under other settings.
 func TestSettingsHash(t *testing.T) {
 	read, err := parseConfig([]byte(configWithEachKey), fakeEnv())
 	assert.NoError(t, err)
 	assert.Equal(t, "8aeee8ff73cee782", read.settingsHash)
 }
 
-// TestEachVariableOfTheEnvironment pins the variables, which go before the file.
+// TestEachVariableOfTheEnvironment pins the variables, which override the file.
 func TestEachVariableOfTheEnvironment(t *testing.T) {
 	dir := t.TempDir()
-	config, fleetPath := filepath.Join(dir, "config.json"), filepath.Join(dir, "fleet.toml")
-	assert.NoError(t, os.WriteFile(config, []byte(testConfiguration), 0o600))
-	assert.NoError(t, os.WriteFile(fleetPath, []byte(strings.Replace(testFleetFile, `"n3"`, `"n9"`, 1)), 0o600))
+	config := writeFile(t, filepath.Join(dir, "config.json"), testConfiguration)
+	fleetPath := writeFile(t, filepath.Join(dir, "fleet.toml"), strings.Replace(testFleetFile, `"n3"`, `"n9"`, 1))
 	variables := fakeEnv("LB_CONFIG", config, "LB_FLEET", fleetPath, "LB_NAME", "n9", "LB_LISTEN", "127.0.0.9:1",
 		"LB_DISCOVERY", "127.0.0.9:2", "LB_MGMT", "127.0.0.9:3")
 	read, err := ReadConfig(variables)
 	assert.NoError(t, err)
 	assert.Equal(t, []string{"n9", "127.0.0.9:1", "127.0.0.9:2", "127.0.0.9:3", "/tmp/canvasroute-state"},
 		[]string{read.Name, read.Listen, read.Proxy.DiscoveryAddress, read.AdminListen, read.Fleet.State.Folder})
-	again, err := ReloadConfig(variables)
+	reloaded, err := ReloadConfig(variables)
 	assert.NoError(t, err)
-	assert.Equal(t, "127.0.0.1:8500", again.Proxy.DiscoveryAddress, "a running dispatcher takes the file's list service")
-	assert.Equal(t, "127.0.0.9:3", again.AdminListen)
+	assert.Equal(t, "127.0.0.1:8500", reloaded.Proxy.DiscoveryAddress, "a running dispatcher polls the address in the file")
+	assert.Equal(t, "127.0.0.9:3", reloaded.AdminListen)
 }
 
 // TestProcessExitCodes pins the codes that a service manager sees.
@@ -105,11 +104,7 @@
 	assert.NoError(t, err)
 	defer taken.Close()
 	write := func(listen string) string {
-		path := filepath.Join(t.TempDir(), "config.json")
-		text := strings.NewReplacer("127.0.0.1:8080", listen, "127.0.0.1:8500", "127.0.0.1:9", `"peers":true`,
-			`"peers":false`).Replace(testConfiguration)
-		assert.NoError(t, os.WriteFile(path, []byte(text), 0o600))
-		return path
+		return writeFile(t, filepath.Join(t.TempDir(), "config.json"), standaloneConfiguration(listen))
 	}
 	free := freeAddress(t)
 	for _, c := range []struct {
@@ -126,14 +121,8 @@
 			ended := make(chan int, 1)
 			go func() { ended <- Main() }()
 			if c.want == 0 {
-				serves := func() bool {
-					conn, err := net.Dial("tcp", free)
-					if err == nil {
-						conn.Close()
-					}
-					return err == nil
-				}
-				assert.Eventually(t, serves, 5*time.Second, time.Millisecond)
+				listens := func() bool { return acceptsConnections(free) }
+				assert.Eventually(t, listens, 5*time.Second, time.Millisecond)
 				assert.NoError(t, syscall.Kill(os.Getpid(), syscall.SIGTERM))
 			}
 			select {
@@ -149,8 +138,8 @@
 	assert.Equal(t, 0, RunCommand([]string{"--help"}, &stdout, &stderr))
 }
 
-// TestStateShowOfEarlierRelease reads the folder that an earlier release wrote, with the snapshot in it, and compares what
-// operators are shown with what that release showed.
+// TestStateShowOfEarlierRelease reads the folder that an earlier release wrote, snapshot included. Operators are shown what
+// that release showed.
 func TestStateShowOfEarlierRelease(t *testing.T) {
 	const folder = "../fleet/store/testdata/folder"
 	for golden, args := range map[string][]string{
@@ -168,14 +157,13 @@
 // TestStateShowOfTornFolder pins the key under which faults are shown, and the exit code.
 func TestStateShowOfTornFolder(t *testing.T) {
 	folder := t.TempDir()
-	assert.NoError(t, os.WriteFile(filepath.Join(folder, "life.a"), []byte("x"), 0o600))
+	writeFile(t, filepath.Join(folder, "life.a"), "x")
 	var stdout, stderr bytes.Buffer
 	assert.Equal(t, 1, RunCommand([]string{"state", "show", folder, "--json"}, &stdout, &stderr))
 	assert.Contains(t, stdout.String(), "\n \"not_believed\": [\n  \"life.a: ")
 }
 
-// TestRendezvousOfHotRestart pins by what the processes of one dispatcher find each other: another release has to look
-// in the same place.
+// TestRendezvousOfHotRestart pins where the processes of one dispatcher find each other. All releases have to agree on it.
 func TestRendezvousOfHotRestart(t *testing.T) {
 	dir := t.TempDir()
 	t.Setenv("TMPDIR", dir)
@@ -183,5 +171,5 @@
 	assert.NoError(t, err)
 	assert.Equal(t, hotrestart.RendezvousFor(dir, "n3", "127.0.0.1:8080", "127.0.0.1:7946"), newHotRestart(config, nopLog).rendezvous)
 	config.AdminListen = ""
-	assert.Nil(t, newHotRestart(config, nopLog), "without an address for operators there is no hot restart")
+	assert.Nil(t, newHotRestart(config, nopLog), "without an admin address there is no hot restart")
 }
--- a/internal/daemon/recovery_test.go
+++ b/internal/daemon/recovery_test.go
@@ -15,7 +15,7 @@
 	"canvasroute/internal/fleet/store"
 )
 
-// Without LB_FLEET there is no file, no listener and no goroutine more.
+// Without LB_FLEET nothing of the fleet exists: no file, no listener and no goroutine.
 func TestWithoutFleetFileThereIsNoNode(t *testing.T) {
 	c, err := parseConfig([]byte(testConfiguration), fakeEnv())
 	assert.NoError(t, err)
@@ -41,10 +41,9 @@
 
 func TestInvalidFleetFileIsRejectedByPlace(t *testing.T) {
 	dir := t.TempDir()
-	config, fleetPath := filepath.Join(dir, "config.json"), filepath.Join(dir, "fleet.toml")
-	assert.NoError(t, os.WriteFile(config, []byte(testConfiguration), 0o600))
+	config := writeFile(t, filepath.Join(dir, "config.json"), testConfiguration)
 	read := func(text string) error {
-		assert.NoError(t, os.WriteFile(fleetPath, []byte(text), 0o600))
+		fleetPath := writeFile(t, filepath.Join(dir, "fleet.toml"), text)
 		_, err := ReadConfig(fakeEnv("LB_CONFIG", config, "LB_FLEET", fleetPath))
 		return err
 	}
@@ -69,24 +68,22 @@
 	assert.ErrorContains(t, err, "LB_FLEET")
 }
 
-// Of two processes with one name on one machine, the second neither writes nor serves.
+// Of two processes with the same name on one machine, the second neither writes nor serves.
 func TestSecondProcessOfTheSameNameIsRejected(t *testing.T) {
 	dir := t.TempDir()
-	fleetPath := filepath.Join(dir, "fleet.toml")
-	pc, err := net.ListenPacket("udp", "127.0.0.1:0")
+	socket, err := net.ListenPacket("udp", "127.0.0.1:0")
 	assert.NoError(t, err)
-	defer pc.Close()
+	defer socket.Close()
 	text := strings.NewReplacer("/tmp/canvasroute-state", filepath.Join(dir, "state"), `"127.0.0.1:7950"`,
-		`"`+pc.LocalAddr().String()+`"`, "[[member]]\nname = \"n3\"", "[recovery]\nidentity-within = \"50ms\"\n"+
+		`"`+socket.LocalAddr().String()+`"`, "[[member]]\nname = \"n3\"", "[recovery]\nidentity-within = \"50ms\"\n"+
 			"ask-every = \"10ms\"\n[[member]]\nname = \"n3\"").Replace(testFleetFile)
-	assert.NoError(t, os.WriteFile(fleetPath, []byte(text), 0o600))
-	config := filepath.Join(dir, "config.json")
-	assert.NoError(t, os.WriteFile(config, []byte(testConfiguration), 0o600))
+	fleetPath := writeFile(t, filepath.Join(dir, "fleet.toml"), text)
+	config := writeFile(t, filepath.Join(dir, "config.json"), testConfiguration)
 	c, err := ReadConfig(fakeEnv("LB_CONFIG", config, "LB_FLEET", fleetPath))
 	assert.NoError(t, err)
 	_, err = newNode(c, nil, false, nopLog)
 	assert.ErrorContains(t, err, `two that go under the name "n3"`, "the address is taken")
-	pc.Close()
+	socket.Close()
 	folder, err := store.OpenFolder(filepath.Join(dir, "state"))
 	assert.NoError(t, err)
 	_, err = newNode(c, nil, false, nopLog)
@@ -101,12 +98,12 @@
 	path := t.TempDir()
 	folder, err := store.OpenFolder(path)
 	assert.NoError(t, err)
-	s, _ := store.Open(folder, "n3")
-	_, err = s.Begin(store.Start{MinNumber: 7, Nonce: 9, At: time.Now().UnixMilli()})
+	opened, _ := store.Open(folder, "n3")
+	_, err = opened.Begin(store.Start{MinNumber: 7, Nonce: 9, At: time.Now().UnixMilli()})
 	assert.NoError(t, err)
-	assert.NoError(t, s.SetDrained(true))
-	assert.NoError(t, s.AppendKeys([]store.Key{{Sum: 1}}, time.Now().UnixMilli()))
-	assert.NoError(t, s.SaveState(store.State{
+	assert.NoError(t, opened.SetDrained(true))
+	assert.NoError(t, opened.AppendKeys([]store.Key{{Sum: 1}}, time.Now().UnixMilli()))
+	assert.NoError(t, opened.SaveState(store.State{
 		WrittenAt: time.Now().UnixMilli(), SettingsHash: "abc",
 		Learned: []byte(`{"Version":41,"Kinds":["m"],"Learnt":[{"Kinds":[{"Slots":3,"Most":3}]}]}`),
 	}))
@@ -121,9 +118,9 @@
 	assert.NoError(t, os.Truncate(filepath.Join(path, "facts.b"), 20))
 	stdout.Reset()
 	assert.Equal(t, 1, RunCommand([]string{"state", "show", path, "--json"}, &stdout, &stderr))
-	var got stateSummary
-	assert.NoError(t, json.Unmarshal(stdout.Bytes(), &got))
-	assert.Len(t, got.Rejected, 1)
-	assert.Contains(t, got.Rejected[0], "facts.b: torn")
+	var summary stateSummary
+	assert.NoError(t, json.Unmarshal(stdout.Bytes(), &summary))
+	assert.Len(t, summary.Rejected, 1)
+	assert.Contains(t, summary.Rejected[0], "facts.b: torn")
 	assert.Equal(t, 1, RunCommand([]string{"state", "show", filepath.Join(path, "none")}, &stdout, &stderr))
 }
--- a/internal/daemon/reload_test.go
+++ b/internal/daemon/reload_test.go
@@ -18,34 +18,35 @@
 // sighupWith replaces a configuration file and sends SIGHUP to the test process.
 func sighupWith(t *testing.T, path, text string) {
 	t.Helper()
-	assert.NoError(t, os.WriteFile(path, []byte(text), 0o600))
+	writeFile(t, path, text)
 	assert.NoError(t, syscall.Kill(os.Getpid(), syscall.SIGHUP))
 }
 
-// SIGHUP must neither end the process nor leave it with a list service that has moved.
+// SIGHUP must not end the process. Afterwards it polls the discovery service at its new address.
 func TestSighupReloadsTheConfiguration(t *testing.T) {
 	polled := make(chan string, 8)
-	list := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	discovery := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		polled <- r.URL.String()
 		io.WriteString(w, "\n")
 		w.(http.Flusher).Flush()
 		<-r.Context().Done()
 	}))
-	defer list.Close()
+	defer discovery.Close()
 	path := filepath.Join(t.TempDir(), "config.json")
-	url, log, ended := startDispatcher(t, 200*time.Millisecond, func() (*Config, error) {
-		return ReloadConfig(fakeEnv("LB_CONFIG", path, "LB_DISCOVERY", "127.0.0.1:9"))
+	dispatcher := startDispatcher(t, 200*time.Millisecond, func() (*Config, error) {
+		return ReloadConfig(fakeEnv("LB_CONFIG", path, "LB_DISCOVERY", unusedAddress))
 	})
+	url, log := dispatcher.url, dispatcher.log
 	answered := make(chan struct{})
 	go func() {
 		defer close(answered)
 		status, body := sendRequest(t, url)
-		assert.Equal(t, []any{200, "made"}, []any{status, body}, "requests in flight go on")
+		assert.Equal(t, []any{200, "made"}, []any{status, body}, "requests in flight are not affected")
 	}()
 	sighupWith(t, path, `{"name":`)
 	rejected := func() bool { return strings.Contains(log.String(), "invalid configuration, keeping the current one") }
 	assert.Eventually(t, rejected, 5*time.Second, time.Millisecond)
-	sighupWith(t, path, strings.NewReplacer("127.0.0.1:8500", strings.TrimPrefix(list.URL, "http://"),
+	sighupWith(t, path, strings.NewReplacer("127.0.0.1:8500", strings.TrimPrefix(discovery.URL, "http://"),
 		`"sockets":1024`, `"sockets":512`, "127.0.0.1:8080", strings.TrimPrefix(url, "http://")).Replace(testConfiguration))
 	select {
 	case target := <-polled:
@@ -56,17 +57,19 @@
 	assert.Contains(t, log.String(), `"at_next_start":["limits",`, "the test's own changes of the first configuration follow")
 	<-answered
 	assert.NoError(t, syscall.Kill(os.Getpid(), syscall.SIGTERM))
-	assert.NoError(t, <-ended)
+	assert.NoError(t, <-dispatcher.ended)
 }
 
-// A file is applied whole or not at all, and an operation that the file no longer has is not served.
+// A file is applied as a whole or not at all. An operation that the file no longer has is not served.
 func TestSighupAppliesNewSettingsWholeOrNotAtAll(t *testing.T) {
 	path, admin := filepath.Join(t.TempDir(), "config.json"), freeAddress(t)
-	url, _, ended := startDispatcher(t, 300*time.Millisecond, func() (*Config, error) {
+	dispatcher := startDispatcher(t, 300*time.Millisecond, func() (*Config, error) {
 		return ReloadConfig(fakeEnv("LB_CONFIG", path, "LB_MGMT", admin))
-	}, func(c *Config) { c.AdminListen, c.PeerListen = admin, "" })
-	whole := strings.NewReplacer("127.0.0.1:8080", strings.TrimPrefix(url, "http://"), "127.0.0.1:8500", "127.0.0.1:9",
-		`"peers":true`, `"peers":false`).Replace(testConfiguration)
+	}, func(c *Config) {
+		c.AdminListen = admin
+		c.PeerListen = ""
+	})
+	valid := standaloneConfiguration(strings.TrimPrefix(dispatcher.url, "http://"))
 	reloadUntil := func(t *testing.T, text, metric string) {
 		t.Helper()
 		sighupWith(t, path, text)
@@ -74,7 +77,7 @@
 		assert.Eventually(t, counted, time.Second, 5*time.Millisecond, metric)
 	}
 	statusOf := func(operation string) int {
-		request, err := http.NewRequest("POST", url+"/api", nil)
+		request, err := http.NewRequest("POST", dispatcher.url+"/api", nil)
 		assert.NoError(t, err)
 		request.Header.Set("Req-Id", operation)
 		request.Header.Set("Req-Kind", operation)
@@ -87,15 +90,15 @@
 	}
 	for n, c := range []struct{ name, text string }{
 		{"empty", ""},
-		{"half a file", whole[:len(whole)/2]},
+		{"truncated file", valid[:len(valid)/2]},
 		{"no object", "[]"},
-		{"key missing", strings.Replace(whole, `"maxForwards":3,`, "", 1)},
-		{"negative timeout", strings.Replace(whole, `"clientTimeoutS":2.5`, `"clientTimeoutS":-1`, 1)},
-		{"key of an operation missing", strings.Replace(whole, `"clientTimeoutS":2.5,`, "", 1)},
-		{"another dispatcher's", strings.Replace(whole, `"name":"n3"`, `"name":"n4"`, 1)},
+		{"key missing", strings.Replace(valid, `"maxForwards":3,`, "", 1)},
+		{"negative timeout", strings.Replace(valid, `"clientTimeoutS":2.5`, `"clientTimeoutS":-1`, 1)},
+		{"operation without a key", strings.Replace(valid, `"clientTimeoutS":2.5,`, "", 1)},
+		{"another dispatcher's", strings.Replace(valid, `"name":"n3"`, `"name":"n4"`, 1)},
 		{
 			"one change valid and one not",
-			strings.Replace(strings.Replace(whole, "render", "other", 1), `"maxForwards":3`, `"maxForwards":0`, 1),
+			strings.Replace(strings.Replace(valid, "render", "other", 1), `"maxForwards":3`, `"maxForwards":0`, 1),
 		},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -107,11 +110,12 @@
 	go func() { inFlight <- statusOf("render") }()
 	sent := func() bool { return strings.Contains(runAdminCommand(t, admin, "DUMP"), "svc.forwards=1\n") }
 	assert.Eventually(t, sent, time.Second, time.Millisecond)
-	reloadUntil(t, strings.Replace(whole, "render", "other", 1), "svc.sighup_applied=1")
-	assert.Equal(t, []int{200, 400, 200}, []int{statusOf("other"), statusOf("render"), <-inFlight}, "requests in flight go on")
-	reloadUntil(t, whole, "svc.sighup_applied=2")
+	reloadUntil(t, strings.Replace(valid, "render", "other", 1), "svc.sighup_applied=1")
+	assert.Equal(t, []int{200, 400, 200}, []int{statusOf("other"), statusOf("render"), <-inFlight},
+		"requests in flight are not affected")
+	reloadUntil(t, valid, "svc.sighup_applied=2")
 	assert.Equal(t, 200, statusOf("render"))
-	assert.Contains(t, runAdminCommand(t, admin, "DUMP"), "svc.succeeded.render=2\n", "its counts go on")
+	assert.Contains(t, runAdminCommand(t, admin, "DUMP"), "svc.succeeded.render=2\n", "its counters were not reset")
 	assert.NoError(t, syscall.Kill(os.Getpid(), syscall.SIGTERM))
-	assert.NoError(t, <-ended)
+	assert.NoError(t, <-dispatcher.ended)
 }
--- a/internal/daemon/signals_test.go
+++ b/internal/daemon/signals_test.go
@@ -4,7 +4,6 @@
 	"errors"
 	"fmt"
 	"io"
-	"net"
 	"strings"
 	"sync"
 	"syscall"
@@ -16,9 +15,9 @@
 	"canvasroute/internal/balancer"
 )
 
-// In each test here a signal arrives at a moment at which it seldom does (docs/crossings.md).
+// In each test here a signal arrives at an unusual moment, see docs/crossings.md.
 
-// killDelay is when SIGKILL may follow SIGTERM, at newTestConfig's longest client timeout of 1 s.
+// killDelay is the time from SIGTERM to SIGKILL, at newTestConfig's longest client timeout of 1 s.
 const killDelay = time.Second + 700*time.Millisecond
 
 // preparedProcess returns a process's signals, which a test may send before it starts the process too.
@@ -32,28 +31,18 @@
 	}
 }
 
-// assertEndsInTime waits for a process that ends by itself before it could be killed.
-func assertEndsInTime(t *testing.T, since time.Time, ended <-chan error) {
+// assertEndsInTime checks that a process ends by itself before it could be killed.
+func assertEndsInTime(t *testing.T, signalledAt time.Time, ended <-chan error) {
 	t.Helper()
-	select {
-	case err := <-ended:
-		assert.NoError(t, err)
-		assert.Less(t, time.Since(since), killDelay)
-	case <-time.After(10 * time.Second):
-		t.Fatal("it does not end")
-	}
+	awaitEnd(t, ended, 10*time.Second)
+	assert.Less(t, time.Since(signalledAt), killDelay)
 }
 
-// awaitListening connects once a process listens.
+// awaitListening waits until a process listens, and connects to it.
 func awaitListening(t *testing.T, url string) *client {
 	t.Helper()
-	assert.Eventually(t, func() bool {
-		c, err := net.Dial("tcp", strings.TrimPrefix(url, "http://"))
-		if err == nil {
-			c.Close()
-		}
-		return err == nil
-	}, 5*time.Second, time.Millisecond)
+	listens := func() bool { return acceptsConnections(strings.TrimPrefix(url, "http://")) }
+	assert.Eventually(t, listens, 5*time.Second, time.Millisecond)
 	return dialClient(t, url)
 }
 
@@ -61,24 +50,23 @@
 	config, url := newTestConfig(t, 10*time.Millisecond)
 	received, start := preparedProcess(config, nil)
 	received.stop <- syscall.SIGTERM
-	began := time.Now()
+	signalledAt := time.Now()
 	ended := start()
 	c := awaitListening(t, url)
 	c.send("a1")
-	status, closes, _ := c.receive(t)
-	assert.Equal(t, []any{200, true}, []any{status, closes})
-	assertEndsInTime(t, began, ended)
+	c.assertResponse(t, 200, true)
+	assertEndsInTime(t, signalledAt, ended)
 }
 
 func TestSigtermWhileTheConfigurationIsReloaded(t *testing.T) {
-	for name, reloadError := range map[string]error{"valid": nil, "invalid": errors.New("half a file")} {
+	for name, reloadError := range map[string]error{"valid": nil, "invalid": errors.New("truncated file")} {
 		t.Run(name, func(t *testing.T) {
 			config, url := newTestConfig(t, 300*time.Millisecond)
 			var received *signals
-			var signalled time.Time
+			var signalledAt time.Time
 			read := make(chan bool, 1)
 			received, start := preparedProcess(config, func() (*Config, error) {
-				signalled = time.Now()
+				signalledAt = time.Now()
 				received.stop <- syscall.SIGTERM
 				read <- true
 				next := config
@@ -89,9 +77,8 @@
 			c.send("a1")
 			received.reload <- syscall.SIGHUP
 			<-read
-			status, closes, _ := c.receive(t)
-			assert.Equal(t, []any{200, true}, []any{status, closes})
-			assertEndsInTime(t, signalled, ended)
+			c.assertResponse(t, 200, true)
+			assertEndsInTime(t, signalledAt, ended)
 		})
 	}
 }
@@ -105,61 +92,60 @@
 	ended := start()
 	c := awaitListening(t, url)
 	io.WriteString(c, "POST /api HTTP/1.1\r\nReq-Id: a1\r\nReq-Kind: render\r\nReq-Deadline: 30\r\n\r\n")
-	gone := awaitListening(t, url)
-	io.WriteString(gone, "POST /api HTTP/1.1\r\nReq-Id: a2\r\nReq-Kind: render\r\nReq-Deadline: 30\r\n\r\n")
-	out := func() bool {
+	leaving := awaitListening(t, url) // closes its connection while its request is in flight
+	io.WriteString(leaving, "POST /api HTTP/1.1\r\nReq-Id: a2\r\nReq-Kind: render\r\nReq-Deadline: 30\r\n\r\n")
+	bothSent := func() bool {
 		return strings.Contains(runAdminCommand(t, config.AdminListen, "DUMP"), "svc.forwards=2\n")
 	}
-	assert.Eventually(t, out, 5*time.Second, time.Millisecond)
-	gone.Close()
-	signalled := time.Now()
+	assert.Eventually(t, bothSent, 5*time.Second, time.Millisecond)
+	leaving.Close()
+	signalledAt := time.Now()
 	received.stop <- syscall.SIGTERM
-	status, _, _ := c.receive(t)
-	assert.Contains(t, []int{429, 502}, status)
-	assertEndsInTime(t, signalled, ended)
+	assert.Contains(t, []int{429, 502}, c.receive(t).status)
+	assertEndsInTime(t, signalledAt, ended)
 }
 
-// Clients go on sending on kept connections until a response closes them: each request is answered.
+// Clients send on persistent connections until a response closes them. Each request is answered.
 func TestClientsOnKeptConnectionsGetEachResponseWhileTheProcessEnds(t *testing.T) {
 	config, url := newTestConfig(t, 5*time.Millisecond)
 	received, start := preparedProcess(config, nil)
 	ended := start()
 	awaitListening(t, url)
 	var clients sync.WaitGroup
-	asking := make(chan bool, 64)
+	sending := make(chan bool, 64)
 	for n := range 12 {
 		clients.Go(func() {
 			c := dialClient(t, url)
 			for m := range 1000 {
 				c.send(fmt.Sprintf("c%d.%d", n, m))
-				status, closes, _ := c.receive(t)
-				if !assert.Contains(t, []int{200, 429, 503}, status) || closes {
+				response := c.receive(t)
+				if !assert.Contains(t, []int{200, 429, 503}, response.status) || response.closes {
 					return
 				}
 				if m == 3 {
-					asking <- true
+					sending <- true
 				}
 			}
 			t.Error("its connection is never closed")
 		})
 	}
 	for range 12 {
-		<-asking
+		<-sending
 	}
-	signalled := time.Now()
+	signalledAt := time.Now()
 	received.stop <- syscall.SIGTERM
 	clients.Wait()
-	assertEndsInTime(t, signalled, ended)
+	assertEndsInTime(t, signalledAt, ended)
 }
 
-// A client that pipelines without end is not waited for.
+// The shutdown does not wait for a client that pipelines without end.
 func TestClientThatPipelinesWithoutEndDoesNotDelayTheEnd(t *testing.T) {
 	config, url := newTestConfig(t, time.Millisecond)
 	received, start := preparedProcess(config, nil)
 	ended := start()
 	c := awaitListening(t, url)
 	go io.Copy(io.Discard, c)
-	flooding := make(chan bool)
+	pipelining := make(chan bool)
 	go func() {
 		for n := 0; ; n++ {
 			_, err := fmt.Fprintf(c, "POST /api HTTP/1.1\r\nReq-Id: a%d\r\nReq-Kind: render\r\n\r\n", n)
@@ -167,12 +153,12 @@
 				return
 			}
 			if n == 100 {
-				close(flooding)
+				close(pipelining)
 			}
 		}
 	}()
-	<-flooding
-	signalled := time.Now()
+	<-pipelining
+	signalledAt := time.Now()
 	received.stop <- syscall.SIGTERM
-	assertEndsInTime(t, signalled, ended)
+	assertEndsInTime(t, signalledAt, ended)
 }
