--- a/internal/lifecycle/phase.go
+++ b/internal/lifecycle/phase.go
@@ -1,45 +1,53 @@
 package lifecycle
 
-// Phase is how far a process takes clients.
+// Phase says which connections and requests a process accepts. The methods of State change it:
+//
+//   - Drain (LEAVE): from Serving to Draining. DrainGrace later the phase is Drained.
+//   - Rejoin (JOIN): from Draining or Drained to Serving.
+//   - HandOff: from Serving to HandedOff, from Stopping to StoppingHandedOff.
+//   - TakeBack: from HandedOff to Serving.
+//   - Stop (SIGTERM, SIGINT): from Serving or Draining to Stopping, from Drained to Closing, from HandedOff to
+//     StoppingHandedOff.
+//   - BeginClosing: from any phase to Closing.
+//
+// In a phase that is not named there, a method changes nothing. A process that stops never serves again.
 type Phase uint8
 
-// The values of Phase. An operator's LEAVE leads to Draining and, after DrainGrace, to Drained; JOIN leads back to
-// Serving. A successor that serves leads from Serving to HandedOff, and its death back. SIGTERM leads to Stopping, or to
-// StoppingHandedOff beside a successor, and both end in Closing.
+// The values of Phase. Their order is that of phaseWords.
 const (
 	Serving           Phase = iota
-	Draining                // health is bad; requests on open connections are still served
-	Drained                 // nothing new is served; what was taken before goes on
+	Draining                // health checks fail; requests on open connections are still served
+	Drained                 // new requests are rejected; admitted ones run to their end
 	HandedOff               // a successor accepts connections; requests on open ones are still served here
-	Stopping                // the process ends, and accepts connections a little longer
-	StoppingHandedOff       // the process ends, and a successor accepts connections
-	Closing                 // the process ends, and idle connections are closed
+	Stopping                // the process ends; it still accepts connections and serves requests
+	StoppingHandedOff       // the process ends; a successor accepts connections
+	Closing                 // the process ends; idle connections are closed, and the last requests answered
 )
 
-// phaseWords are what operators read in answers to HEALTH and in the log.
+// phaseWords are what operators read in answers to HEALTH and in the log. They keep older words than the constants.
 var phaseWords = [...]string{"serving", "leaving", "away", "relieved", "ending", "yielding", "closing"}
 
-// String is the word that operators read.
+// String returns the word that operators read.
 func (p Phase) String() string { return phaseWords[p] }
 
-// TakesClients reports whether this process takes clients: what HEALTH answers.
+// TakesClients reports whether this process should get new clients. HEALTH answers it.
 func (p Phase) TakesClients() bool { return p == Serving }
 
-// Healthy reports whether clients should be sent to the dispatcher, whichever of its processes then serves them: what
-// the health check of load balancers is answered.
+// Healthy reports whether the dispatcher should get new clients, whichever of its processes serves them. The health check
+// on the address for clients answers it.
 func (p Phase) Healthy() bool { return p == Serving || p == HandedOff || p == StoppingHandedOff }
 
-// AcceptsConnections reports whether this process accepts connections. Without a successor nobody else does, so even one
-// that is drained accepts them, to answer that it serves nothing.
+// AcceptsConnections reports whether this process accepts connections. Only a successor accepts them instead. A drained
+// process accepts them to reject their requests, as connections that nobody accepts would wait in the queue.
 func (p Phase) AcceptsConnections() bool { return p != HandedOff && p != StoppingHandedOff }
 
-// ClosesAfterResponse reports whether each response ends its connection.
+// ClosesAfterResponse reports whether each response closes its connection, so that the client connects elsewhere.
 func (p Phase) ClosesAfterResponse() bool { return p != Serving }
 
-// AdmitsRequests reports whether new requests are served.
+// AdmitsRequests reports whether new requests on open connections are served.
 func (p Phase) AdmitsRequests() bool { return p != Drained }
 
-// KeepsIdleConnections reports whether connections without a request stay open.
+// KeepsIdleConnections reports whether connections without a request in flight stay open.
 func (p Phase) KeepsIdleConnections() bool { return p != Drained && p != Closing }
 
 // IsStopping reports whether the process ends.
--- a/internal/lifecycle/phase_test.go
+++ b/internal/lifecycle/phase_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// TestPhaseWords pins the words that operators read in answers and in the log, by the numbers of the phases.
+// TestPhaseWords pins the words that operators read in answers and in the log, in the order of the phases.
 func TestPhaseWords(t *testing.T) {
 	for n, want := range []string{"serving", "leaving", "away", "relieved", "ending", "yielding", "closing"} {
 		assert.Equal(t, want, Phase(n).String())
@@ -14,29 +14,76 @@
 	assert.EqualError(t, ErrStopping, "the process ends")
 }
 
-// TestWhatEachPhaseAllows is the table of phases. Somebody accepts connections at any time, and clients are not sent
-// elsewhere during a hot restart: Healthy and AcceptsConnections show that.
+// TestWhatEachPhaseAllows is the table of phases. Two invariants show in it: in each phase either this process or its
+// successor accepts connections, and a dispatcher is healthy all through a hot restart.
 func TestWhatEachPhaseAllows(t *testing.T) {
 	type answers struct {
-		takesClients, healthy, acceptsConnections, closesAfterResponse, admitsRequests, keepsIdle, isStopping bool
+		takesClients        bool
+		healthy             bool
+		acceptsConnections  bool
+		closesAfterResponse bool
+		admitsRequests      bool
+		keepsIdle           bool
+		isStopping          bool
 	}
 	for _, c := range []struct {
 		phase Phase
 		want  answers
 	}{
-		{Serving, answers{true, true, true, false, true, true, false}},
-		{Draining, answers{false, false, true, true, true, true, false}},
-		{Drained, answers{false, false, true, true, false, false, false}},
-		{HandedOff, answers{false, true, false, true, true, true, false}},
-		{Stopping, answers{false, false, true, true, true, true, true}},
-		{StoppingHandedOff, answers{false, true, false, true, true, true, true}},
-		{Closing, answers{false, false, true, true, true, false, true}},
+		{Serving, answers{
+			takesClients:       true,
+			healthy:            true,
+			acceptsConnections: true,
+			admitsRequests:     true,
+			keepsIdle:          true,
+		}},
+		{Draining, answers{
+			acceptsConnections:  true,
+			closesAfterResponse: true,
+			admitsRequests:      true,
+			keepsIdle:           true,
+		}},
+		{Drained, answers{
+			acceptsConnections:  true,
+			closesAfterResponse: true,
+		}},
+		{HandedOff, answers{
+			healthy:             true,
+			closesAfterResponse: true,
+			admitsRequests:      true,
+			keepsIdle:           true,
+		}},
+		{Stopping, answers{
+			acceptsConnections:  true,
+			closesAfterResponse: true,
+			admitsRequests:      true,
+			keepsIdle:           true,
+			isStopping:          true,
+		}},
+		{StoppingHandedOff, answers{
+			healthy:             true,
+			closesAfterResponse: true,
+			admitsRequests:      true,
+			keepsIdle:           true,
+			isStopping:          true,
+		}},
+		{Closing, answers{
+			acceptsConnections:  true,
+			closesAfterResponse: true,
+			admitsRequests:      true,
+			isStopping:          true,
+		}},
 	} {
 		t.Run(c.phase.String(), func(t *testing.T) {
 			p := c.phase
 			assert.Equal(t, c.want, answers{
-				p.TakesClients(), p.Healthy(), p.AcceptsConnections(), p.ClosesAfterResponse(), p.AdmitsRequests(),
-				p.KeepsIdleConnections(), p.IsStopping(),
+				takesClients:        p.TakesClients(),
+				healthy:             p.Healthy(),
+				acceptsConnections:  p.AcceptsConnections(),
+				closesAfterResponse: p.ClosesAfterResponse(),
+				admitsRequests:      p.AdmitsRequests(),
+				keepsIdle:           p.KeepsIdleConnections(),
+				isStopping:          p.IsStopping(),
 			})
 		})
 	}
--- a/internal/lifecycle/state.go
+++ b/internal/lifecycle/state.go
@@ -1,6 +1,6 @@
-// Package lifecycle says how far a process takes clients. Health, admission, idle connections and the end of the process
-// all ask it, so that none of them decides by itself. It does no I/O and reads no clock: its callers pass the time, and
-// act on the phase.
+// Package lifecycle decides which connections and requests a process accepts, from its start to its end. Health checks,
+// admission, idle connections and the shutdown go by the one State of the process. It does no I/O and reads no clock: its
+// callers pass the time, and act on the phase.
 package lifecycle
 
 import (
@@ -9,28 +9,29 @@
 	"time"
 )
 
-// DrainGrace is how long after Drain requests on open connections are still served. The platform requires that two
-// seconds after LEAVE a dispatcher begins no request and holds no idle connection.
+// DrainGrace is how long after Drain requests on open connections are still served. The platform's limit is two seconds
+// after LEAVE: from then on a dispatcher may not admit a request or keep an idle connection open.
 const DrainGrace = 1800 * time.Millisecond
 
-// ErrStopping is returned for what cannot be done any more while the process ends. Operators read its text.
+// ErrStopping is returned by changes that are not possible while the process ends. Operators read its text.
 var ErrStopping = errors.New("the process ends")
 
-// State is the phase of a process, for many goroutines. The zero State is Serving.
+// State is the phase of a process, see Phase for its changes. Many goroutines may use it. The zero State is Serving.
 type State struct {
 	mu      sync.Mutex
-	phase   Phase // as set last; never Drained, which follows from Draining by time
-	since   time.Time
+	phase   Phase         // as set last; never Drained, which follows from Draining by time
+	since   time.Time     // when phase was set; zero for the first Serving
 	changed chan struct{} // closed at the next change; nil while nobody waits for it
 }
 
-// PhaseAt is the phase at a time.
+// PhaseAt returns the phase at a time, which is not before the last change.
 func (s *State) PhaseAt(now time.Time) Phase {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.phaseAt(now)
 }
 
+// phaseAt is PhaseAt for callers that hold mu.
 func (s *State) phaseAt(now time.Time) Phase {
 	if s.phase == Draining && now.Sub(s.since) >= DrainGrace {
 		return Drained
@@ -38,7 +39,8 @@
 	return s.phase
 }
 
-// Drain stops taking clients. While it drains already, or ends, it changes nothing.
+// Drain begins to drain the process for an operator. A second call does not extend DrainGrace. Beside a successor, or
+// while the process ends, it changes nothing.
 func (s *State) Drain(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -47,7 +49,7 @@
 	}
 }
 
-// Rejoin takes clients again, at once. It fails with ErrStopping.
+// Rejoin ends a drain at once. It fails with ErrStopping.
 func (s *State) Rejoin(now time.Time) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -60,8 +62,8 @@
 	return nil
 }
 
-// HandOff leaves accepting connections to a successor. A process that drains takes no clients anyway, and goes on
-// draining. It fails with ErrStopping in Closing, where it is too late.
+// HandOff leaves accepting connections to a successor. A process that drains continues to drain, as it should not get
+// clients anyway. It fails with ErrStopping in Closing: accepting has ended then.
 func (s *State) HandOff(now time.Time) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -76,7 +78,7 @@
 	return nil
 }
 
-// TakeBack takes clients again after HandOff, as the successor has ended. A process that is stopping goes on doing so.
+// TakeBack ends a HandOff after the end of the successor. A process that stops continues to stop.
 func (s *State) TakeBack(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -85,7 +87,7 @@
 	}
 }
 
-// Stop begins the end of the process. One that is drained closes at once, so that it does not serve again.
+// Stop begins the end of the process. A drained process goes to Closing at once, as Stopping would admit requests again.
 func (s *State) Stop(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -100,7 +102,7 @@
 	}
 }
 
-// BeginClosing begins the last phase, in which idle connections are closed.
+// BeginClosing begins the last phase, when accepting has ended.
 func (s *State) BeginClosing(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -109,6 +111,7 @@
 	}
 }
 
+// set changes the phase and wakes those who wait for a change. The caller holds mu.
 func (s *State) set(phase Phase, now time.Time) {
 	s.phase = phase
 	s.since = now
@@ -118,8 +121,8 @@
 	}
 }
 
-// NextChange returns a channel that is closed at the next change by a call, and how long it is until the phase changes
-// by time alone: 0 where it does not.
+// NextChange returns when the phase changes next. changed is closed at the next change by a call. wait is the time until
+// a change without a call, the end of DrainGrace; it is 0 where there is none.
 func (s *State) NextChange(now time.Time) (wait time.Duration, changed <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/lifecycle/state_test.go
+++ b/internal/lifecycle/state_test.go
@@ -7,9 +7,11 @@
 	"github.com/stretchr/testify/assert"
 )
 
+// start is when the states of the tests begin.
 var start = time.Unix(1000, 0)
 
-func after(d time.Duration) time.Time { return start.Add(d) }
+// after returns the time that is a duration after start.
+func after(elapsed time.Duration) time.Time { return start.Add(elapsed) }
 
 func TestDrainServesForAWhileAndThenIsDrained(t *testing.T) {
 	var s State
@@ -18,7 +20,7 @@
 	assert.Equal(t, Draining, s.PhaseAt(after(DrainGrace-1)))
 	s.Drain(after(DrainGrace / 2)) // does not begin again
 	assert.Equal(t, Drained, s.PhaseAt(after(DrainGrace)))
-	assert.Less(t, DrainGrace, 2*time.Second, "the platform's bound on requests that are begun after LEAVE")
+	assert.Less(t, DrainGrace, 2*time.Second, "the platform's limit on admitting requests after LEAVE")
 }
 
 func TestRejoinTakesClientsAtOnceHoweverOften(t *testing.T) {
@@ -77,7 +79,7 @@
 	s.Stop(start)
 	assert.Equal(t, StoppingHandedOff, s.PhaseAt(start))
 	s.TakeBack(start)
-	assert.Equal(t, StoppingHandedOff, s.PhaseAt(start), "it goes on stopping")
+	assert.Equal(t, StoppingHandedOff, s.PhaseAt(start), "it continues to stop")
 	s.BeginClosing(start)
 	assert.ErrorIs(t, s.HandOff(start), ErrStopping)
 	assert.Equal(t, Closing, s.PhaseAt(start))
