--- a/internal/hotrestart/format_test.go
+++ b/internal/hotrestart/format_test.go
@@ -37,7 +37,7 @@
 			func(l *Link) error { return l.send(message{Version: 1, Snapshot: snapshot}, sockets...) },
 		},
 		{"successor serves", message{Serving: true}, func(l *Link) error { return l.SendServing() }},
-		{"running counts", message{Update: update}, func(l *Link) error { return l.SendSiblingUpdate(update) }},
+		{"sibling update", message{Update: update}, func(l *Link) error { return l.SendSiblingUpdate(update) }},
 		{
 			"migrated request",
 			message{Request: request, Sockets: []string{"clients", "peers"}},
@@ -81,10 +81,10 @@
 func TestMessageFixturesSetEachField(t *testing.T) {
 	set := map[string]bool{}
 	for _, kind := range messageKinds(nil) {
-		v := reflect.ValueOf(kind.message)
-		for n := range v.NumField() {
-			name := v.Type().Field(n).Name
-			set[name] = set[name] || !v.Field(n).IsZero()
+		fields := reflect.ValueOf(kind.message)
+		for n := range fields.NumField() {
+			name := fields.Type().Field(n).Name
+			set[name] = set[name] || !fields.Field(n).IsZero()
 		}
 	}
 	for name, anywhere := range set {
@@ -92,7 +92,7 @@
 	}
 }
 
-// goldenLines are the lines of the golden file, with their ends.
+// goldenLines returns the lines of the golden file, with their ends.
 func goldenLines(t *testing.T) []string {
 	t.Helper()
 	text, err := os.ReadFile(goldenMessages)
@@ -100,7 +100,7 @@
 	return slices.Collect(strings.Lines(string(text)))
 }
 
-// connectedPair is two Unix sockets that are connected to each other.
+// connectedPair returns two Unix sockets that are connected to each other.
 func connectedPair(t *testing.T) (here, there *net.UnixConn) {
 	t.Helper()
 	fds, err := unix.Socketpair(unix.AF_UNIX, unix.SOCK_STREAM, 0)
--- a/internal/hotrestart/handover.go
+++ b/internal/hotrestart/handover.go
@@ -10,18 +10,19 @@
 	"time"
 )
 
-// handshakeTimeout bounds all that a start waits for the other process.
+// handshakeTimeout bounds the time that each side waits for the first message of the other.
 const handshakeTimeout = 2 * time.Second
 
 // Handover is what a process has received from its predecessor.
 type Handover struct {
-	Link     *Link
-	Sockets  map[string]*os.File // by their names
+	Link     *Link               // to the predecessor
+	Sockets  map[string]*os.File // by their names: ClientSocket and PeerSocket
 	Snapshot json.RawMessage     // the predecessor's state
 }
 
-// Connect connects to the predecessor and receives what it hands over. It returns nil, and no error, without one. The
-// predecessor goes on serving until SendServing.
+// Connect connects to the predecessor and receives what it hands over. Without a predecessor it returns nil and no error.
+// It fails with ErrOtherUser, ErrVersionMismatch or the error of the connection. The predecessor serves as before until
+// Link.SendServing.
 func Connect(r Rendezvous) (*Handover, error) {
 	conn, err := r.dial()
 	if errors.Is(err, os.ErrNotExist) || errors.Is(err, syscall.ECONNREFUSED) {
@@ -38,6 +39,7 @@
 	return handover, nil
 }
 
+// receiveHandover makes the handshake of a successor.
 func receiveHandover(conn *net.UnixConn) (*Handover, error) {
 	link, err := newHandshakeLink(conn)
 	if err != nil {
@@ -46,19 +48,19 @@
 	if err := link.send(message{Version: version}); err != nil {
 		return nil, err
 	}
-	first, sockets, err := link.receive()
-	if err == nil {
-		err = first.checkVersion()
-	}
+	first, err := link.receive()
 	if err != nil {
-		closeAll(sockets)
+		return nil, err
+	}
+	if err := first.checkVersion(); err != nil {
+		closeAll(first.files)
 		return nil, err
 	}
 	conn.SetReadDeadline(time.Time{})
-	return &Handover{Link: link, Snapshot: first.Snapshot, Sockets: sockets}, nil
+	return &Handover{Link: link, Snapshot: first.Snapshot, Sockets: first.files}, nil
 }
 
-// newHandshakeLink checks who the other process is, and returns a link that waits for its first message within bounds.
+// newHandshakeLink returns a link that waits for its first message until handshakeTimeout. It fails with ErrOtherUser.
 func newHandshakeLink(conn *net.UnixConn) (*Link, error) {
 	if !isSameUser(conn) {
 		return nil, ErrOtherUser
@@ -67,8 +69,8 @@
 	return newLink(conn), nil
 }
 
-func closeAll(sockets map[string]*os.File) {
-	for _, f := range sockets {
-		f.Close()
+func closeAll(files map[string]*os.File) {
+	for _, file := range files {
+		file.Close()
 	}
 }
--- a/internal/hotrestart/hotrestart_test.go
+++ b/internal/hotrestart/hotrestart_test.go
@@ -15,16 +15,19 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// startPredecessor listens for successors until the test ends, and hands over one socket and a text.
+// startPredecessor listens for successors until the test ends. It hands over one socket and a text, and returns each
+// update that it receives.
 func startPredecessor(t *testing.T, r Rendezvous, connected chan<- *Link) (shared *net.TCPListener) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NoError(t, err)
 	shared = listener.(*net.TCPListener)
 	predecessor := Listener{
-		Rendezvous: r, Log: zerolog.Nop(), IsStopping: func() bool { return false },
-		Sockets:  func() []Socket { return []Socket{{ClientSocket, shared}} },
-		Snapshot: func() any { return "known" },
+		Rendezvous: r,
+		Log:        zerolog.Nop(),
+		IsStopping: func() bool { return false },
+		Sockets:    func() []Socket { return []Socket{{ClientSocket, shared}} },
+		Snapshot:   func() any { return "known" },
 		Serve: func(ctx context.Context, l *Link) {
 			defer context.AfterFunc(ctx, l.Close)()
 			connected <- l
@@ -53,30 +56,31 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			assert.NoError(t, os.MkdirAll(c.dir, 0o700))
-			rendezvous, connected := RendezvousFor(c.dir, "n3", "127.0.0.1:1"), make(chan *Link, 2)
+			rendezvous := RendezvousFor(c.dir, "n3", "127.0.0.1:1")
+			connected := make(chan *Link, 2)
 			shared := startPredecessor(t, rendezvous, connected)
-			for range 2 { // after a successor that has failed, the next may come
+			for range 2 { // after a successor that has failed, the next may connect
 				handover, err := Connect(rendezvous)
 				if !assert.NoError(t, err) {
 					return
 				}
 				<-connected
 				assert.JSONEq(t, `"known"`, string(handover.Snapshot))
-				ln, err := net.FileListener(handover.Sockets[ClientSocket])
+				listener, err := net.FileListener(handover.Sockets[ClientSocket])
 				assert.NoError(t, err)
-				assert.Equal(t, shared.Addr(), ln.Addr(), "one queue")
-				ln.Close()
+				assert.Equal(t, shared.Addr(), listener.Addr(), "one queue")
+				listener.Close()
 				assert.NoError(t, handover.Link.SendSiblingUpdate(7))
-				m, _, err := handover.Link.receive()
+				update, err := handover.Link.receive()
 				assert.NoError(t, err)
-				assert.JSONEq(t, "7", string(m.Update))
+				assert.JSONEq(t, "7", string(update.Update))
 				handover.Link.Close()
 			}
 		})
 	}
 }
 
-// A start must neither fail nor wait because of what another process has left at the rendezvous.
+// What another process has left at the rendezvous must neither fail nor delay a start.
 func TestStartWithoutPredecessor(t *testing.T) {
 	startsAlone := func(t *testing.T, r Rendezvous) {
 		t.Helper()
@@ -87,9 +91,9 @@
 	r := RendezvousFor(t.TempDir(), "n3")
 	t.Run("nothing there", func(t *testing.T) { startsAlone(t, r) })
 	t.Run("socket of a killed process", func(t *testing.T) {
-		ln, err := r.listen()
+		listener, err := r.listen()
 		assert.NoError(t, err)
-		ln.Close()
+		listener.Close()
 		startsAlone(t, r)
 	})
 	t.Run("ordinary file", func(t *testing.T) {
@@ -114,22 +118,22 @@
 	defer conn.Close()
 	conn.SetDeadline(time.Now().Add(5 * time.Second))
 	assert.NoError(t, newLink(conn).send(message{Version: version + 1}))
-	_, _, err = newLink(conn).receive()
-	assert.Error(t, err, "nothing is handed to it")
+	_, err = newLink(conn).receive()
+	assert.Error(t, err, "it receives nothing")
 	assert.ErrorIs(t, (&message{Version: version + 1}).checkVersion(), ErrVersionMismatch)
 	_, err = parseMessage([]byte(`{"v":`))
 	assert.ErrorIs(t, err, ErrVersionMismatch)
 }
 
-// A start waits for a predecessor that hangs within a bound.
+// A start waits for a predecessor that does not answer until handshakeTimeout.
 func TestSilentPredecessorIsGivenUp(t *testing.T) {
 	r := RendezvousFor(t.TempDir(), "n3")
-	ln, err := r.listen()
+	listener, err := r.listen()
 	assert.NoError(t, err)
-	defer ln.Close()
-	began := time.Now()
+	defer listener.Close()
+	startedAt := time.Now()
 	_, err = Connect(r)
 	assert.ErrorIs(t, err, os.ErrDeadlineExceeded)
-	assert.InDelta(t, handshakeTimeout.Seconds(), time.Since(began).Seconds(), 0.5)
+	assert.InDelta(t, handshakeTimeout.Seconds(), time.Since(startedAt).Seconds(), 0.5)
 	assert.NotErrorIs(t, err, syscall.ECONNREFUSED)
 }
--- a/internal/hotrestart/link.go
+++ b/internal/hotrestart/link.go
@@ -16,15 +16,15 @@
 // sendTimeout bounds the sending of one message.
 const sendTimeout = time.Second
 
-// maxSockets is how many descriptors come with one message.
+// maxSockets bounds the descriptors beside one message.
 const maxSockets = 64
 
 // Link is the connection between the two processes of a hot restart. Many goroutines may send, one may receive.
 type Link struct {
 	conn    *net.UnixConn
-	lines   *bufio.Reader
-	files   []*os.File // received, with messages that are not read yet
-	sending sync.Mutex
+	lines   *bufio.Reader // reads from conn through a descriptorReader
+	files   []*os.File    // received descriptors, of messages that are not parsed yet; for the receiving goroutine
+	sending sync.Mutex    // held while a message is written
 }
 
 func newLink(conn *net.UnixConn) *Link {
@@ -33,10 +33,10 @@
 	return l
 }
 
-// Close closes the link. The other process sees it as this one's end.
+// Close closes the link. The other process takes that for the end of this one.
 func (l *Link) Close() { l.conn.Close() }
 
-// descriptorReader reads bytes, and keeps the descriptors that come with them in the link.
+// descriptorReader reads bytes for the link, and collects the descriptors beside them in Link.files.
 type descriptorReader struct{ link *Link }
 
 // Read implements io.Reader.
@@ -55,7 +55,7 @@
 	for i := range messages {
 		descriptors, err := unix.ParseUnixRights(&messages[i])
 		if err != nil {
-			continue // not descriptors
+			continue // a control message without descriptors
 		}
 		for _, fd := range descriptors {
 			unix.CloseOnExec(fd)
@@ -65,10 +65,11 @@
 	return n, err
 }
 
-// send sends a message with sockets, which stay open in this process too.
+// send sends a message with sockets, which stay open in this process too. It fails with a *TooManySocketsError, or with
+// the error of the connection.
 func (l *Link) send(m message, sockets ...Socket) error {
 	if len(sockets) > maxSockets {
-		return fmt.Errorf("hot restart: %d sockets in a message, at most %d are possible", len(sockets), maxSockets)
+		return &TooManySocketsError{Sockets: len(sockets)}
 	}
 	for _, s := range sockets {
 		m.Sockets = append(m.Sockets, s.Name)
@@ -85,7 +86,7 @@
 	return withDescriptors(sockets, descriptors, func() error { return l.write(line, descriptors) })
 }
 
-// write writes a line, with descriptors beside its first byte.
+// write writes a line, with descriptors beside its first byte. The caller holds sending.
 func (l *Link) write(line []byte, descriptors []int) error {
 	if len(descriptors) > 0 {
 		n, _, err := l.conn.WriteMsgUnix(line, unix.UnixRights(descriptors...), nil)
@@ -100,8 +101,8 @@
 	return nil
 }
 
-// withDescriptors puts the sockets' descriptors into a slice of the same length and calls use. Until it returns, no
-// socket is closed and no descriptor used for something else.
+// withDescriptors fills descriptors, one for each socket, and calls use. Until use returns, no socket is closed and no
+// descriptor is reused: SyscallConn guarantees that for one socket at a time, hence the recursion.
 func withDescriptors(sockets []Socket, descriptors []int, use func() error) error {
 	if len(sockets) == 0 {
 		return use()
@@ -118,27 +119,34 @@
 	return errors.Join(controlErr, used)
 }
 
-// receive reads the next message, with its sockets by their names.
-func (l *Link) receive() (message, map[string]*os.File, error) {
+// receivedMessage is a message with the sockets that came with it.
+type receivedMessage struct {
+	message
+	files map[string]*os.File // by the names of the sockets; the receiver closes them
+}
+
+// receive reads the next message. It fails with ErrVersionMismatch, or with the error of the connection.
+func (l *Link) receive() (receivedMessage, error) {
 	line, err := l.readLine()
 	if err != nil {
-		return message{}, nil, err
+		return receivedMessage{}, err
 	}
 	m, err := parseMessage(line)
 	if err != nil {
-		return m, nil, err
+		return receivedMessage{}, err
 	}
 	if len(m.Sockets) > len(l.files) {
-		return m, nil, fmt.Errorf("%w: %d descriptors for %d sockets", ErrVersionMismatch, len(l.files), len(m.Sockets))
+		return receivedMessage{}, fmt.Errorf("%w: %d descriptors for %d sockets", ErrVersionMismatch, len(l.files), len(m.Sockets))
 	}
-	sockets := map[string]*os.File{}
+	files := map[string]*os.File{}
 	for n, name := range m.Sockets {
-		sockets[name] = l.files[n]
+		files[name] = l.files[n]
 	}
 	l.files = l.files[len(m.Sockets):]
-	return m, sockets, nil
+	return receivedMessage{message: m, files: files}, nil
 }
 
+// readLine reads a line with its end. It fails with ErrVersionMismatch for one that is longer than maxMessageBytes.
 func (l *Link) readLine() ([]byte, error) {
 	var line []byte
 	for {
@@ -155,7 +163,7 @@
 	}
 }
 
-// SendSiblingUpdate sends what this process has in flight, in JSON.
+// SendSiblingUpdate sends what this process has in flight, encoded in JSON.
 func (l *Link) SendSiblingUpdate(v any) error {
 	text, err := marshal(v)
 	if err != nil {
@@ -170,7 +178,7 @@
 // SendServing notifies the predecessor that this process accepts connections from now on.
 func (l *Link) SendServing() error { return l.send(message{Serving: true}) }
 
-// SendRequest hands over one request in flight, in JSON, with its sockets.
+// SendRequest hands over one request in flight, encoded in JSON, with its sockets.
 func (l *Link) SendRequest(v any, sockets []Socket) error {
 	text, err := marshal(v)
 	if err != nil {
@@ -179,26 +187,30 @@
 	return l.send(message{Request: text}, sockets...)
 }
 
-// Handler has a function for each kind of message that a link receives. Any may be nil.
+// Handler has a function for each kind of message that a link receives. A nil one ignores the messages of its kind.
 type Handler struct {
-	Serving       func()
-	SiblingUpdate func(json.RawMessage)
-	Command       func(string)
-	Request       func(json.RawMessage, map[string]*os.File) // closes the files
+	Serving       func()                // the successor serves from now on
+	SiblingUpdate func(json.RawMessage) // what the other process has in flight
+	Command       func(string)          // an operator's command that the predecessor forwards
+
+	// Request has the request in flight that the predecessor hands over, and its sockets by their names: ClientSocket, and
+	// the numbers of the attempts. It closes the files.
+	Request func(json.RawMessage, map[string]*os.File)
 }
 
-// Receive handles messages until the other process ends or the link is closed, and returns why.
+// Receive handles one message after the other until the other process ends or the link is closed. It returns the error
+// that has ended the receiving.
 func (l *Link) Receive(h Handler) error {
 	for {
-		m, sockets, err := l.receive()
+		m, err := l.receive()
 		if err != nil {
 			return err
 		}
-		h.handle(m, sockets)
+		h.handle(m)
 	}
 }
 
-func (h Handler) handle(m message, sockets map[string]*os.File) {
+func (h Handler) handle(m receivedMessage) {
 	if m.Serving && h.Serving != nil {
 		h.Serving()
 	}
@@ -209,8 +221,8 @@
 		h.Command(m.Command)
 	}
 	if m.Request != nil && h.Request != nil {
-		h.Request(m.Request, sockets)
+		h.Request(m.Request, m.files)
 		return
 	}
-	closeAll(sockets)
+	closeAll(m.files)
 }
--- a/internal/hotrestart/rendezvous.go
+++ b/internal/hotrestart/rendezvous.go
@@ -10,17 +10,17 @@
 	"golang.org/x/sys/unix"
 )
 
-// maxPathBytes is the longest path of a Unix socket that is used as it is. The system allows 107 bytes, and the socket
-// has a longer name until it is in place.
+// maxPathBytes is the longest path of a Unix socket that is used as it is. The system allows 107 bytes, and until the
+// socket is in place its name is longer by a process ID.
 const maxPathBytes = 90
 
 // Rendezvous is the Unix socket at which the processes of one dispatcher find each other.
 type Rendezvous struct {
 	dir  string
-	file string
+	file string // name of the socket in dir
 }
 
-// RendezvousFor is the rendezvous of a dispatcher, which its name and addresses identify, in a directory. All releases
+// RendezvousFor returns the rendezvous in a directory of the dispatcher that its name and addresses identify. All releases
 // have to find the same one.
 func RendezvousFor(dir string, identity ...string) Rendezvous {
 	h := fnv.New64a()
@@ -30,8 +30,8 @@
 
 func (r Rendezvous) path(file string) string { return filepath.Join(r.dir, file) }
 
-// withAddress calls use with the address of a file in the directory. A path that is too long for an address leads by
-// way of the directory's descriptor, which is open during the call.
+// withAddress calls use with the address of a file in the directory. Instead of a path that is too long, the address has
+// the path of the directory's descriptor, which is open during the call.
 func (r Rendezvous) withAddress(file string, use func(*net.UnixAddr) error) error {
 	path := r.path(file)
 	if len(path) > maxPathBytes {
@@ -45,11 +45,11 @@
 	return use(&net.UnixAddr{Name: path, Net: "unix"})
 }
 
-// listen listens at the rendezvous, and replaces what is there: the socket of a killed process, or a predecessor's.
-// The socket is renamed into place once it listens, so that no process finds none in between.
+// listen listens at the rendezvous, and replaces the file there: the socket of a predecessor or of a killed process. The
+// new socket listens before it is renamed into place, so that a process that connects always finds one.
 func (r Rendezvous) listen() (*net.UnixListener, error) {
 	temporary := fmt.Sprintf("%s.%d", r.file, os.Getpid())
-	_ = os.Remove(r.path(temporary)) // mostly there is none; one that cannot be removed fails the listening
+	_ = os.Remove(r.path(temporary)) // if there is one that cannot be removed, listening fails
 	var ln *net.UnixListener
 	err := r.withAddress(temporary, func(addr *net.UnixAddr) error {
 		var err error
@@ -67,7 +67,7 @@
 	return ln, nil
 }
 
-// stat is the file at the rendezvous, nil for none.
+// stat returns what is at the rendezvous, nil for nothing.
 func (r Rendezvous) stat() os.FileInfo {
 	info, err := os.Stat(r.path(r.file))
 	if err != nil {
@@ -76,6 +76,7 @@
 	return info
 }
 
+// dial connects to the process that listens at the rendezvous.
 func (r Rendezvous) dial() (*net.UnixConn, error) {
 	var conn *net.UnixConn
 	err := r.withAddress(r.file, func(addr *net.UnixAddr) error {
@@ -86,7 +87,8 @@
 	return conn, err
 }
 
-// isSameUser reports whether the other end is a process of the same user. Nothing is sent to another's, nor believed.
+// isSameUser reports whether the process at the other end runs as the same user. Another user's process gets no sockets,
+// and its messages are not read.
 func isSameUser(conn *net.UnixConn) bool {
 	raw, err := conn.SyscallConn()
 	if err != nil {
