--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -1,6 +1,10 @@
-// Package admin serves operators' commands on an address of their own: one line to a connection, one answer, and the
-// connection ends. It runs no command itself, see Handler, and waits on no client, worker or list service. Its
-// descriptors are set aside, so that it answers while all connections of clients are in use.
+// Package admin answers operators' commands on an address of their own: each connection has one line, one answer and its
+// end. Handler runs the commands. The server shares no connections and no descriptors with clients, so that it answers
+// while all of theirs are in use. Three bounds keep a caller from blocking others:
+//
+//   - MaxConnections are open at once. Another caller replaces one that is waited for, see connectionSlots.
+//   - The command's line has to arrive within commandTimeout of the accept.
+//   - The caller has to take the answer within responseTimeout, and to close the connection within lingerTimeout.
 package admin
 
 import (
@@ -16,15 +20,15 @@
 	"canvasroute/internal/protocol"
 )
 
-// acceptRetryDelay is waited after a failed accept, such as one for want of descriptors.
+// acceptRetryDelay is the wait after a failed accept, such as one for want of descriptors.
 const acceptRetryDelay = 10 * time.Millisecond
 
-// Handler runs operators' commands. Each error is answered with its text.
+// Handler runs operators' commands. An error is answered with its text.
 type Handler interface {
-	Health() error // nil once this process takes clients, else why it does not
-	Drain() error  // stops taking clients
-	Rejoin() error // takes clients again
-	Metrics() []protocol.Metric
+	Health() error              // HEALTH: nil while this process should get new clients, else why not
+	Drain() error               // LEAVE: begins to drain the dispatcher
+	Rejoin() error              // JOIN: ends a drain
+	Metrics() []protocol.Metric // DUMP: the metrics, in the order of the answer
 }
 
 // Server accepts operators' connections.
@@ -35,7 +39,7 @@
 	slots    *connectionSlots
 }
 
-// Listen opens a server at an address; it accepts once it runs.
+// Listen returns a server that listens at an address. Callers are answered once it runs.
 func Listen(addr string, handler Handler, log zerolog.Logger) (*Server, error) {
 	listener, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -44,7 +48,8 @@
 	return &Server{listener: listener, handler: handler, log: log, slots: newConnectionSlots()}, nil
 }
 
-// Run answers commands until ctx ends. It returns when the connections that it holds then are done.
+// Run answers commands until ctx ends. It returns when the open connections have ended, which ctx interrupts unless their
+// command is being run or answered. The error is always nil.
 func (s *Server) Run(ctx context.Context) error {
 	var connections errgroup.Group
 	stop := context.AfterFunc(ctx, func() {
@@ -69,6 +74,6 @@
 			return nil
 		})
 	}
-	s.slots.evictAll() // one may have been added after ctx has ended
+	s.slots.evictAll() // a connection may have been added after the call at the end of ctx
 	return connections.Wait()
 }
--- a/internal/admin/server_test.go
+++ b/internal/admin/server_test.go
@@ -16,8 +16,11 @@
 	"canvasroute/internal/protocol"
 )
 
-// fakeHandler counts the commands that it is given.
-type fakeHandler struct{ drains, rejoins int }
+// fakeHandler counts the commands that it runs.
+type fakeHandler struct {
+	drains  int
+	rejoins int
+}
 
 func (h *fakeHandler) Health() error { return errors.New("takes no clients: leaving") }
 
@@ -102,13 +105,13 @@
 	io.WriteString(closing, "LEAVE")
 	assert.NoError(t, closing.CloseWrite())
 	assert.Equal(t, "error the line has no end\n", readAll(t, closing))
-	began := time.Now()
+	startedAt := time.Now()
 	assert.Equal(t, "error no whole line came in time\n", exchange(t, addr, "LEAVE"))
-	assert.InDelta(t, commandTimeout.Seconds(), time.Since(began).Seconds(), 0.5)
+	assert.InDelta(t, commandTimeout.Seconds(), time.Since(startedAt).Seconds(), 0.5)
 	assert.Zero(t, handler.drains)
 }
 
-// Among callers that send nothing or do not read, one that sends a command is answered in time.
+// Callers that send nothing or do not read must not delay the answer to another.
 func TestSilentCallersDoNotKeepOthersOut(t *testing.T) {
 	addr, _ := startServer(t)
 	for n := range 100 {
@@ -117,12 +120,12 @@
 			io.WriteString(conn, "DUMP\n")
 		}
 	}
-	began := time.Now()
+	startedAt := time.Now()
 	assert.Contains(t, exchange(t, addr, "DUMP\n"), "end\n")
-	assert.Less(t, time.Since(began), time.Second)
+	assert.Less(t, time.Since(startedAt), time.Second)
 }
 
-// A line may arrive just as its connection is evicted, or its time is up.
+// A line may arrive just as its connection is evicted, or as its timeout passes.
 func TestCommandThatArrivesAsItsWaitEndsIsAnswered(t *testing.T) {
 	server, err := Listen("127.0.0.1:0", &fakeHandler{}, zerolog.Nop())
 	assert.NoError(t, err)
--- a/internal/admin/slots.go
+++ b/internal/admin/slots.go
@@ -8,9 +8,7 @@
 	"time"
 )
 
-// MaxConnections is how many connections are held at once: as many descriptors are set aside, beside the listener's.
-// When all are held and another caller comes, one that has its answer is closed, or else the one that has gone longest
-// without sending a command: callers that connect and send nothing keep nobody out.
+// MaxConnections is how many connections are open at once. The process sets as many descriptors aside for them.
 const MaxConnections = 16
 
 // Bounds on waiting for a caller.
@@ -19,28 +17,31 @@
 	lingerTimeout  = 250 * time.Millisecond // for the caller to close the connection after the answer
 )
 
-// longPast is a deadline that interrupts a read at once.
+// longPast is a read deadline that interrupts a read at once.
 var longPast = time.Unix(1, 0)
 
-// connection is a caller's connection that holds a slot.
+// connection is a caller's connection that uses a slot.
 type connection struct {
 	conn    net.Conn
-	evicted bool // its slot is wanted; guarded by connectionSlots.mu
+	evicted bool // the wait for the caller was interrupted; guarded by connectionSlots.mu
 }
 
-// connectionSlots bounds the number of connections. A slot is free again after release.
+// connectionSlots bounds the number of connections, and chooses which one another caller replaces. First come those whose
+// caller has its answer, the last one answered before the others. Then come those that have not sent a command, the one
+// that waits longest first. A connection whose command is being run or answered is not evicted. So callers that connect
+// and send nothing keep no other caller out.
 type connectionSlots struct {
 	mu        sync.Mutex
-	inUse     int
-	evictable []*connection // in the order of eviction: those answered, then those without a command, the oldest first
-	freed     chan struct{} // a slot may be had: by release or by eviction
+	inUse     int           // slots of connections that are not released
+	evictable []*connection // in the order of eviction
+	freed     chan struct{} // has a value when a slot was released, or a connection became evictable
 }
 
 func newConnectionSlots() *connectionSlots {
 	return &connectionSlots{freed: make(chan struct{}, 1)}
 }
 
-// await waits until a slot is free, and evicts a connection where none is. It returns false when ctx has ended.
+// await waits until a slot is free, and evicts a connection where none is. It reports false when ctx has ended.
 func (s *connectionSlots) await(ctx context.Context) bool {
 	for {
 		if s.freeOrEvict() {
@@ -54,7 +55,7 @@
 	}
 }
 
-// freeOrEvict reports whether a slot is free. If none is, it interrupts the next evictable connection.
+// freeOrEvict reports whether a slot is free. If none is, it evicts a connection, whose slot is free after release.
 func (s *connectionSlots) freeOrEvict() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -68,13 +69,14 @@
 	return false
 }
 
-// evict interrupts the wait for the caller. The connection's goroutine then ends it.
+// evict interrupts the wait for the caller. The connection's goroutine then releases its slot. The caller holds
+// connectionSlots.mu.
 func (c *connection) evict() {
 	c.evicted = true
 	c.conn.SetReadDeadline(longPast)
 }
 
-// add takes a slot for a connection that has not sent its command yet.
+// add uses a slot for a connection that has not sent its command yet.
 func (s *connectionSlots) add(conn net.Conn) *connection {
 	c := &connection{conn: conn}
 	conn.SetReadDeadline(time.Now().Add(commandTimeout))
@@ -85,7 +87,7 @@
 	return c
 }
 
-// pin protects a connection from eviction while its command is run.
+// pin protects a connection from eviction while its command is run and answered.
 func (s *connectionSlots) pin(c *connection) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -94,8 +96,8 @@
 	}
 }
 
-// linger gives a caller that has its answer some time to close the connection; meanwhile it is the next one to be
-// evicted. It returns false for one that is evicted already.
+// linger gives a caller that has its answer lingerTimeout to close the connection, which is the next one to be evicted
+// meanwhile. It reports false for a connection that was evicted before it was pinned.
 func (s *connectionSlots) linger(c *connection) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -118,6 +120,7 @@
 	s.wake()
 }
 
+// wake has await look for a slot again. One value in the channel is enough for all reasons since its last look.
 func (s *connectionSlots) wake() {
 	select {
 	case s.freed <- struct{}{}:
@@ -125,7 +128,7 @@
 	}
 }
 
-// evictAll interrupts all connections that have not sent a command, and those that linger.
+// evictAll evicts all connections that are not pinned.
 func (s *connectionSlots) evictAll() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
