--- a/internal/admission/controller_test.go
+++ b/internal/admission/controller_test.go
@@ -8,15 +8,15 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// Time of the core that a request costs.
+// Time of the core that one request takes.
 const (
 	admittedCost = 100 * time.Microsecond
 	rejectedCost = 25 * time.Microsecond
 )
 
-// flood plays a core with one queue, at a rate of requests a second. It returns how many are admitted and the longest
-// delay, both from a time on.
-func flood(c *Controller, rate float64, from, to time.Duration) (admitted int, longest time.Duration) {
+// simulateCore simulates a core that serves one queue, to which requests come at a rate per second until a time. It returns
+// how many requests were admitted and the longest delay, both counted from a time on.
+func simulateCore(c *Controller, rate float64, from, to time.Duration) (admitted int, longest time.Duration) {
 	idleAt := time.Duration(0)
 	gap := time.Duration(float64(time.Second) / rate)
 	sampleAt := SampleInterval
@@ -43,9 +43,9 @@
 	const capacity = 10_000 // requests a second, if all are admitted
 	for _, factor := range []float64{1.5, 3} {
 		t.Run(fmt.Sprintf("%v times the capacity", factor), func(t *testing.T) {
-			admitted, longest := flood(New(1), factor*capacity, 2*time.Second, 6*time.Second)
+			admitted, longest := simulateCore(New(1), factor*capacity, 2*time.Second, 6*time.Second)
 			assert.Less(t, longest, 50*time.Millisecond)
-			// What the core can admit with the time that is left when all others are rejected.
+			// The requests that the core can admit in 4 s, in the time that rejecting all the others leaves.
 			possible := 4 * (1 - factor*capacity*rejectedCost.Seconds()) / (admittedCost - rejectedCost).Seconds()
 			assert.Greater(t, float64(admitted), 0.75*possible)
 		})
@@ -53,12 +53,11 @@
 }
 
 func TestAllAreAdmittedBelowCapacity(t *testing.T) {
-	admitted, _ := flood(New(1), 9000, 0, 2*time.Second)
+	admitted, _ := simulateCore(New(1), 9000, 0, 2*time.Second)
 	assert.InDelta(t, 18000, admitted, 1)
 }
 
-// A machine that stands still now and then, or gives the process too little, must not make it reject requests while it
-// has little to do.
+// Pauses of the machine, or a lack of processor time, must not shed load while few requests arrive.
 func TestDelayWithFewRequestsIsIgnored(t *testing.T) {
 	c := New(1)
 	for sampleAt := SampleInterval; sampleAt < 5*time.Second; sampleAt += SampleInterval {
@@ -85,7 +84,7 @@
 
 func TestAdmittedAreSpreadEvenlyAndTheShareRecovers(t *testing.T) {
 	c := New(1)
-	flood(c, 40000, 0, 2*time.Second)
+	simulateCore(c, 40000, 0, 2*time.Second)
 	assert.Less(t, c.AdmittedShare(), 0.5)
 	share := c.AdmittedShare()
 	rejectedInARow, longest := 0, 0
