--- a/internal/admission/controller.go
+++ b/internal/admission/controller.go
@@ -67,7 +67,7 @@
 
 func (c *Controller) setShare(share float64) { c.share.Store(math.Float64bits(share)) }
 
-// Admit reports whether one more request is admitted. While load is shed, admitted requests are spread evenly: the n-th one
+// Admit reports whether one more request is admitted. While load is shed, admitted requests are spread evenly. The n-th one
 // is admitted if the whole part of n times the share exceeds that of n-1 times the share.
 func (c *Controller) Admit() bool {
 	// A float64 has 53 bits: numbers below 1 << 40 leave 13 of them to the fraction of the product.
--- a/internal/daemon/config_table.go
+++ b/internal/daemon/config_table.go
@@ -20,7 +20,7 @@
 //	settings.orgs[]          name of each tenant; the list is optional.
 //	settings.zones, .shapes  optional: names of the zones, and of the kinds of workers.
 //	settings.report.names    optional: fields of the workers' load reports.
-//	settings.policyLimits    maxForwards: optional, attempts per request, a whole number above 0.
+//	settings.policyLimits    maxForwards: attempts per request, a whole number above 0. Without it no attempt is made.
 //
 // The variables below are the keys with a number or a duration. A key that is missing has its default.
 var (
