--- a/internal/daemon/helpers_test.go
+++ b/internal/daemon/helpers_test.go
@@ -131,8 +131,8 @@
 	return *parsed, "http://" + parsed.Listen
 }
 
-// dispatcher is a process that receives the signals of the test's own process.
-type dispatcher struct {
+// runningDispatcher is a process that receives the signals of the test's own process.
+type runningDispatcher struct {
 	url   string
 	log   *syncBuffer
 	ended <-chan error
@@ -141,7 +141,7 @@
 // startDispatcher starts a dispatcher and waits until it is healthy. reload reads its configuration again; changes alter
 // the first one.
 func startDispatcher(t *testing.T, workerDelay time.Duration, reload func() (*Config, error), changes ...func(*Config),
-) *dispatcher {
+) *runningDispatcher {
 	t.Helper()
 	config, url := newTestConfig(t, workerDelay)
 	for _, change := range changes {
@@ -160,7 +160,7 @@
 		response.Body.Close()
 		return response.StatusCode == 200
 	}, 5*time.Second, 10*time.Millisecond, "ready with the endpoint list that it was started with")
-	return &dispatcher{url: url, log: log, ended: ended}
+	return &runningDispatcher{url: url, log: log, ended: ended}
 }
 
 // sendRequest sends one request and reads its response.
--- a/internal/daemon/hot_restart_successor.go
+++ b/internal/daemon/hot_restart_successor.go
@@ -79,7 +79,8 @@
 	})
 }
 
-// runForwardedCommand runs LEAVE or JOIN that the predecessor has received, as this process serves instead of it.
+// runForwardedCommand runs LEAVE or JOIN that the predecessor has received, as this process serves instead of it. Other
+// than by adminHandler, the drain and its end are not persisted here, even with LB_FLEET.
 func (h *hotRestart) runForwardedCommand(command string) {
 	h.log.Info().Str("call", command).Msg("operator command forwarded by predecessor")
 	now := time.Now()
--- a/internal/daemon/hot_restart_test.go
+++ b/internal/daemon/hot_restart_test.go
@@ -67,14 +67,14 @@
 	done := make(chan struct{})
 	for range 4 {
 		clients.Go(func() {
-			client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
+			httpClient := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 			for {
 				select {
 				case <-done:
 					return
 				default:
 				}
-				response, err := client.Get(url + "/_health")
+				response, err := httpClient.Get(url + "/_health")
 				if err == nil && response.StatusCode == 200 {
 					passed.Add(1)
 				} else {
--- a/internal/daemon/operators_test.go
+++ b/internal/daemon/operators_test.go
@@ -2,11 +2,14 @@
 
 import (
 	"bytes"
+	"fmt"
+	"math"
 	"net"
 	"net/netip"
 	"os"
 	"path/filepath"
 	"reflect"
+	"strconv"
 	"strings"
 	"syscall"
 	"testing"
@@ -74,6 +77,30 @@
 	assert.Equal(t, []string{"Fleet"}, unset, "it has a file of its own")
 }
 
+// TestOperatingPageShowsNumbersOfTheConfiguration keeps the default and the range of each number on the operators' page
+// and in config_table.go together.
+func TestOperatingPageShowsNumbersOfTheConfiguration(t *testing.T) {
+	page, err := os.ReadFile("../../docs/operating.md")
+	assert.NoError(t, err)
+	decimal := func(number float64) string { return strconv.FormatFloat(number, 'f', -1, 64) }
+	rowOf := func(key string) string {
+		for line := range strings.Lines(string(page)) {
+			if strings.HasPrefix(line, "| `"+key+"` |") {
+				return line
+			}
+		}
+		return ""
+	}
+	for _, key := range []numberKey{coresKey, memoryKey, socketsKey} {
+		want := fmt.Sprintf("| %s | %s to %s |", decimal(key.defaultValue), decimal(key.min), decimal(key.max))
+		assert.Contains(t, rowOf(key.path.String()), want)
+	}
+	for _, key := range []durationKey{workerIdleTimeoutKey, dialTimeoutKey, pollIntervalKey} {
+		want := fmt.Sprintf("| seconds | %s, also for 0 | 0 to %d |", decimal(key.defaultValue.Seconds()), math.MaxInt32)
+		assert.Contains(t, rowOf(key.path.String()), want)
+	}
+}
+
 // TestSettingsHash pins the hash that the folder on disk has. State with another hash was learnt under other settings.
 func TestSettingsHash(t *testing.T) {
 	read, err := parseConfig([]byte(configWithEachKey), fakeEnv())
--- a/internal/daemon/process.go
+++ b/internal/daemon/process.go
@@ -22,8 +22,8 @@
 	"canvasroute/internal/transport"
 )
 
-// process holds the parts of a running dispatcher. start fills the fields in the order in which they stand here; before
-// its step a field is nil.
+// process holds the parts of a running dispatcher. start fills the fields in the order in which they stand here. Before
+// its step a field has its zero value, and no step may use it.
 //
 // While the process runs, the goroutine of handleSignals alone owns config: a reload replaces it with another Config, and
 // the shutdown reads its timeouts there. The other parts have copies of what they need, and are notified of a reload by
@@ -34,19 +34,19 @@
 	signals    *signals
 	log        zerolog.Logger
 
-	limits       resourceLimits
-	clock        func() balancer.Time
+	limits       resourceLimits       // from step 1 of start
+	clock        func() balancer.Time // from step 2, as shards and pool
 	shards       *balancer.Shards
 	pool         *transport.Pool
-	restart      *hotRestart          // nil without an admin address
-	node         *fleet.Node          // nil without LB_FLEET
-	datagrams    *transport.Datagrams // nil without gossip
-	state        *lifecycle.State
+	restart      *hotRestart          // from step 3; nil without an admin address
+	node         *fleet.Node          // from step 4; nil without LB_FLEET
+	datagrams    *transport.Datagrams // from step 5; nil without gossip
+	state        *lifecycle.State     // from step 6, as proxy
 	proxy        *proxy.Proxy
-	listener     *net.TCPListener
+	listener     *net.TCPListener // from step 7, as server
 	server       *transport.Server
-	adminHandler *adminHandler
-	adminServer  *admin.Server // nil without an admin address
+	adminHandler *adminHandler // from step 8
+	adminServer  *admin.Server // from step 8; nil without an admin address
 }
 
 // start opens the sockets and builds the parts. Nothing runs yet when it returns. Each step uses what earlier ones have
