--- a/internal/lifecycle/phase_test.go
+++ b/internal/lifecycle/phase_test.go
@@ -14,69 +14,73 @@
 	assert.EqualError(t, ErrStopping, "the process ends")
 }
 
-// TestWhatEachPhaseAllows is the table of phases. Two invariants show in it: in each phase either this process or its
-// successor accepts connections, and a dispatcher is healthy all through a hot restart.
+// phaseAnswers are the answers of a phase to each question about it.
+type phaseAnswers struct {
+	takesClients        bool
+	healthy             bool
+	acceptsConnections  bool
+	closesAfterResponse bool
+	admitsRequests      bool
+	keepsIdle           bool
+	isStopping          bool
+}
+
+// phaseTable is what each phase allows. Two invariants show in it: in each phase either this process or its successor
+// accepts connections, and a dispatcher is healthy all through a hot restart.
+var phaseTable = []struct {
+	phase Phase
+	want  phaseAnswers
+}{
+	{Serving, phaseAnswers{
+		takesClients:       true,
+		healthy:            true,
+		acceptsConnections: true,
+		admitsRequests:     true,
+		keepsIdle:          true,
+	}},
+	{Draining, phaseAnswers{
+		acceptsConnections:  true,
+		closesAfterResponse: true,
+		admitsRequests:      true,
+		keepsIdle:           true,
+	}},
+	{Drained, phaseAnswers{
+		acceptsConnections:  true,
+		closesAfterResponse: true,
+	}},
+	{HandedOff, phaseAnswers{
+		healthy:             true,
+		closesAfterResponse: true,
+		admitsRequests:      true,
+		keepsIdle:           true,
+	}},
+	{Stopping, phaseAnswers{
+		acceptsConnections:  true,
+		closesAfterResponse: true,
+		admitsRequests:      true,
+		keepsIdle:           true,
+		isStopping:          true,
+	}},
+	{StoppingHandedOff, phaseAnswers{
+		healthy:             true,
+		closesAfterResponse: true,
+		admitsRequests:      true,
+		keepsIdle:           true,
+		isStopping:          true,
+	}},
+	{Closing, phaseAnswers{
+		acceptsConnections:  true,
+		closesAfterResponse: true,
+		admitsRequests:      true,
+		isStopping:          true,
+	}},
+}
+
 func TestWhatEachPhaseAllows(t *testing.T) {
-	type answers struct {
-		takesClients        bool
-		healthy             bool
-		acceptsConnections  bool
-		closesAfterResponse bool
-		admitsRequests      bool
-		keepsIdle           bool
-		isStopping          bool
-	}
-	for _, c := range []struct {
-		phase Phase
-		want  answers
-	}{
-		{Serving, answers{
-			takesClients:       true,
-			healthy:            true,
-			acceptsConnections: true,
-			admitsRequests:     true,
-			keepsIdle:          true,
-		}},
-		{Draining, answers{
-			acceptsConnections:  true,
-			closesAfterResponse: true,
-			admitsRequests:      true,
-			keepsIdle:           true,
-		}},
-		{Drained, answers{
-			acceptsConnections:  true,
-			closesAfterResponse: true,
-		}},
-		{HandedOff, answers{
-			healthy:             true,
-			closesAfterResponse: true,
-			admitsRequests:      true,
-			keepsIdle:           true,
-		}},
-		{Stopping, answers{
-			acceptsConnections:  true,
-			closesAfterResponse: true,
-			admitsRequests:      true,
-			keepsIdle:           true,
-			isStopping:          true,
-		}},
-		{StoppingHandedOff, answers{
-			healthy:             true,
-			closesAfterResponse: true,
-			admitsRequests:      true,
-			keepsIdle:           true,
-			isStopping:          true,
-		}},
-		{Closing, answers{
-			acceptsConnections:  true,
-			closesAfterResponse: true,
-			admitsRequests:      true,
-			isStopping:          true,
-		}},
-	} {
+	for _, c := range phaseTable {
 		t.Run(c.phase.String(), func(t *testing.T) {
 			p := c.phase
-			assert.Equal(t, c.want, answers{
+			assert.Equal(t, c.want, phaseAnswers{
 				takesClients:        p.TakesClients(),
 				healthy:             p.Healthy(),
 				acceptsConnections:  p.AcceptsConnections(),
