--- a/internal/daemon/shutdown.go
+++ b/internal/daemon/shutdown.go
@@ -30,15 +30,15 @@
 	responseTime := min(p.config.MaxClientTimeout, maxClientTimeout) + responseMargin
 	p.state.Stop(time.Now())
 	p.server.CloseAllAfter(responseTime + closeMargin)
-	handsOver := p.restart.exportRequests()
-	if !handsOver {
+	migrates := p.restart.exportRequests()
+	if !migrates {
 		p.proxy.StopWithin(responseTime)
 	}
 	select {
 	case <-time.After(acceptAfterStop):
 	case <-failed.Done():
 	}
-	if handsOver {
+	if migrates {
 		p.proxy.StopWithin(responseTime - acceptAfterStop)
 	}
 }
