--- a/internal/balancer/attempt_events.go
+++ b/internal/balancer/attempt_events.go
@@ -51,7 +51,8 @@
 	}
 }
 
-// observeOutcome notes what an outcome shows of the worker.
+// observeOutcome notes what an outcome shows of the worker. The other outcomes show nothing. A timeout or a cancellation
+// may be due to the request, and a reused connection may end while its worker is well.
 func (b *Balancer) observeOutcome(req *request, ended *attempt, outcome Outcome) {
 	switch outcome {
 	case Succeeded:
--- a/internal/balancer/attempts.go
+++ b/internal/balancer/attempts.go
@@ -13,8 +13,8 @@
 // notYet stands for the moment of something that has not happened.
 const notYet = LongAgo
 
-// mayExecute reports whether the attempt may have run, or may still run.
-func (a *attempt) mayExecute() bool { return a.inFlight || a.mayHaveRun }
+// mayRun reports whether the attempt may have run, runs, or may still run.
+func (a *attempt) mayRun() bool { return a.inFlight || a.mayHaveRun }
 
 // ranFor returns how long an attempt has taken that succeeds now: since its start if that was reported.
 func (a *attempt) ranFor(now Time) Duration { return now.Sub(max(a.sentAt, a.startedAt)) }
--- a/internal/balancer/config.go
+++ b/internal/balancer/config.go
@@ -7,7 +7,7 @@
 	DedupWindow      Duration // how long workers remember the key of a request
 	Value            float64  // of an answer in time
 	LateShare        float64  // share of the value that a late answer earns
-	Stretch          float64  // the objective grows by this many times the size
+	Stretch          float64  // the objective grows by this many times the size, the run itself included
 	Idempotency      Idempotency
 	DedupScope       DedupScope
 	Kind             KindID // the one kind of worker that runs it, or AnyKind
@@ -30,7 +30,7 @@
 	Granularity                                      Duration // of the platform's scheduling
 	MaxPollInterval                                  Duration // longest time without a poll that the platform allows
 	MaxRetryAfter                                    Duration // longest advice to a rejected client
-	EndpointChangeDeadline                           Duration // a change of endpoints counts as known then, whatever became of polls; 0 for none
+	EndpointChangeDeadline                           Duration // every dispatcher is expected to know a change so long after it, even if its polls failed; 0 for none
 	WarmupDuration, WarmupWindow                     Duration
 	InitialWarmup                                    float64 // share of its capacity that a worker has as it starts
 	OverloadFactor                                   float64 // a warming worker breaks at this many times its capacity
--- a/internal/balancer/derived_config.go
+++ b/internal/balancer/derived_config.go
@@ -6,7 +6,8 @@
 )
 
 const (
-	// marginGranules is how many granules of the platform's scheduling are kept before a deadline, beside a millisecond.
+	// marginGranules is how many scheduling granules of the platform are kept before a deadline, in addition to one
+	// millisecond.
 	marginGranules = 2
 	// worstOperationShare is the part of its weight in the goal that the operation with the largest loss gets. Losses
 	// come in bursts, and one burst must not decide for long.
@@ -39,13 +40,13 @@
 
 	// Limits, prices and weights.
 	maxAttempts          int
-	patience             Duration // how long an attempt may stay unstarted
+	patience             Duration // how long an attempt may stay unstarted; also the longest time between two reviews
 	margin               Duration // kept before deadlines
 	overQuotaShare       float64  // weight of a request beyond its tenant's quota
 	crossZoneCost        float64  // price of an attempt in another zone
 	worstOperationWeight float64  // what the operation that loses most adds to its value
 	valuePerRequest      float64  // 1 if value is billed by request, 0 if by unit of work
-	meanObjective        float64  // mean latency objective of the operations, in ticks of work
+	meanObjective        float64  // mean latency objective of the operations, in ticks: stands for the work of a request
 
 	// Warm-up of workers.
 	initialWarmup  float64 // share of its capacity that a worker has as it starts
--- a/internal/balancer/doc.go
+++ b/internal/balancer/doc.go
@@ -6,8 +6,8 @@
 // method that names what has happened, such as RequestArrived or AttemptEnded, and then RunDueRules. The Balancer
 // answers through Effects while these calls run. It is not safe for concurrent use.
 //
-// Picker makes one Balancer usable by goroutines that block, and Shards runs several pickers in one process, one a
-// core. The package reads no configuration files, opens no sockets and starts no goroutines. Only the deadlines of
+// Picker makes one Balancer usable by goroutines that block, and Shards runs several pickers in one process, one per
+// core. Methods of a Balancer run under the lock of its Picker; in the simulator one goroutine calls them. The package reads no configuration files, opens no sockets and starts no goroutines. Only the deadlines of
 // contexts that a Picker hands out go by the wall clock.
 //
 // # Worker choice
--- a/internal/balancer/eligibility.go
+++ b/internal/balancer/eligibility.go
@@ -3,7 +3,7 @@
 // exclusion is why a worker may not be sent an attempt of a request now.
 type exclusion uint8
 
-// The reasons, in the order in which they are looked at.
+// The reasons, grouped by what causes them. exclusionOf has the order in which they are looked at.
 const (
 	eligible exclusion = iota
 
@@ -14,18 +14,18 @@
 	notWarmingUp            // only workers that warm up are looked for
 	awaitingIdempotentProbe // it failed, and a request that may run again has to try it first
 	tooSlowWhileWarmingUp   // the request would be late there that would be in time at a warm worker
-	reservedWithinQuota     // its last slots are for requests within their tenant's quota
 
-	// The worker takes no attempt of any request.
-	notListed          // it is draining or gone
-	unstartedAttempt   // it has not started an earlier attempt: it is full after all
-	probeInFlight      // it failed, and one attempt that probes it is in flight
-	noFreeSlot         // as many attempts are in flight as it has slots
-	backingOff         // it is ejected, was overloaded, or it is another dispatcher's turn
-	aboveMeanLoad      // it has more in flight than others of the subset (STAR)
-	loadUnknown        // it warms up, and its load from other dispatchers is not known here
-	beyondWarmupBudget // it warms up, and all dispatchers together may send it no more
-	noWarmupCredit     // it warms up, and this dispatcher has earned no attempt there
+	// The worker takes no attempt of any request, or none of a tenant beyond its quota.
+	notHealthy          // it is draining or gone
+	unstartedAttempt    // it has not started an earlier attempt: it is full after all
+	probeInFlight       // it failed, and one attempt that probes it is in flight
+	noFreeSlot          // as many attempts are in flight as it has slots
+	backingOff          // it is ejected, was overloaded, or it is another dispatcher's turn
+	reservedWithinQuota // its last slots are for requests within their tenant's quota
+	aboveMeanLoad       // it has more in flight than others of the subset (STAR)
+	loadUnknown         // it warms up, and its load from other dispatchers is not known here
+	beyondWarmupBudget  // it warms up, and all dispatchers together may send it no more
+	noWarmupCredit      // it warms up, and this dispatcher has earned no attempt there
 
 	// The request may have no more attempts, or none at this worker.
 	requestClosed    // it has its answer
@@ -38,12 +38,15 @@
 
 // pickLimits leave workers out of a search.
 type pickLimits struct {
-	sameZone   bool // all but those of this dispatcher's zone
-	withCredit bool // all but those that warm up and have credit for an attempt
+	sameZone       bool // all but those of this dispatcher's zone
+	onlyWithCredit bool // all but those that warm up and have earned an attempt
 }
 
 // exclusionOf returns why a worker of a subset may not be sent an attempt of a request now, or eligible. Of several
-// reasons it returns the first.
+// reasons it returns the first. The order matters from slow start on, which earns credit when it is asked.
+//
+// Workers outside the subset are left out before, and those that maybeFreeWorkers knows to be full. While the endpoint
+// list is from before the start, no worker is looked for at all.
 func (b *Balancer) exclusionOf(req *request, id WorkerID, among *subset, limits pickLimits) exclusion {
 	if why := b.unsuitability(req, id, limits); why != eligible {
 		return why
@@ -51,6 +54,9 @@
 	if why := b.unavailability(id); why != eligible {
 		return why
 	}
+	if float64(b.load(id)) >= slotsWithinQuota(req.quotaWeight, b.estimatedSlots(id)) {
+		return reservedWithinQuota
+	}
 	if b.exceedsMeanLoad(among, id) {
 		return aboveMeanLoad
 	}
@@ -60,7 +66,7 @@
 	if why := b.attemptExclusion(req, id); why != eligible {
 		return why
 	}
-	if limits.withCredit && b.workers[id].warmup.credit.attempts < 1 {
+	if limits.onlyWithCredit && b.workers[id].warmup.credit.attempts < 1 {
 		return noWarmupCredit
 	}
 	return eligible
@@ -77,20 +83,18 @@
 		return zoneEjected
 	case op.kind != AnyKind && op.kind != w.kind:
 		return wrongKind
-	case limits.withCredit && b.warmupFactor(id) >= 1:
+	case limits.onlyWithCredit && b.warmupFactor(id) >= 1:
 		return notWarmingUp
 	case op.idempotency == NonIdempotent && !w.health.AcceptsNonIdempotent(b.now):
 		return awaitingIdempotentProbe
 	case b.lateOnlyByWarmup(req, op, id):
 		return tooSlowWhileWarmingUp
-	case float64(b.load(id)) >= slotsWithinQuota(req.quotaWeight, b.estimatedSlots(id)):
-		return reservedWithinQuota
 	}
 	return eligible
 }
 
 // lateOnlyByWarmup reports whether a request that could be in time would be late at a worker only because that one is
-// warming up. Without size hints nobody knows.
+// warming up. Without size hints it reports false.
 func (b *Balancer) lateOnlyByWarmup(req *request, op *operation, id WorkerID) bool {
 	if req.late || b.sizes.Median() == 0 {
 		return false
@@ -125,7 +129,7 @@
 	w := &b.workers[id]
 	switch {
 	case w.state != Healthy:
-		return notListed
+		return notHealthy
 	case w.unstarted > 0:
 		return unstartedAttempt
 	case w.health.Suspect() && w.inFlight > 0:
--- a/internal/balancer/eligibility_test.go
+++ b/internal/balancer/eligibility_test.go
@@ -27,7 +27,7 @@
 		b.operations.byID[req.operation].kind = 1
 	}, wrongKind},
 	"only warming workers are looked for": {func(_ *Balancer, _ *request, limits *pickLimits) {
-		limits.withCredit = true
+		limits.onlyWithCredit = true
 	}, notWarmingUp},
 	"an attempt that failed there may have run": {func(b *Balancer, req *request, _ *pickLimits) {
 		req.operation = 1
@@ -47,7 +47,7 @@
 	}, reservedWithinQuota},
 	"it drains": {func(b *Balancer, _ *request, _ *pickLimits) {
 		b.workers[excluded].state = Draining
-	}, notListed},
+	}, notHealthy},
 	"an earlier attempt has not started": {func(b *Balancer, _ *request, _ *pickLimits) {
 		b.workers[excluded].unstarted = 1
 	}, unstartedAttempt},
--- a/internal/balancer/gossip.go
+++ b/internal/balancer/gossip.go
@@ -11,11 +11,11 @@
 	// messagesPerAttempt is how many messages to each peer an attempt takes: at its start and at its end.
 	messagesPerAttempt = 2
 
-	// Loads are repeated after some mean runs, as messages get lost. A peer that is silent for some intervals between
+	// Loads are repeated after some mean sizes of requests, as messages get lost. A peer that is silent for some intervals between
 	// repetitions has ended, or is cut off.
 	initialResendInterval = Duration(2 * Second)
 	minResendInterval     = Duration(Second / 2)
-	meanRunsPerResend     = 3
+	meanSizesPerResend    = 3
 	resendsUntilForgotten = 2
 
 	// notSent is workerGossip.sentLoad where peers have to be sent the load whatever it is.
@@ -53,9 +53,9 @@
 	return gossip{sendLoadsAt: never, resendInterval: initialResendInterval}
 }
 
-// setResendInterval spaces repeated messages by some mean runs, from the total of a number of sizes.
+// setResendInterval spaces repeated messages by some mean sizes, from the total of a number of sizes.
 func (g *gossip) setResendInterval(total Work, count int) {
-	g.resendInterval = max(minResendInterval, meanRunsPerResend*Duration(total)/Duration(count))
+	g.resendInterval = max(minResendInterval, meanSizesPerResend*Duration(total)/Duration(count))
 }
 
 // recordJuniorPeer notes that a peer has just started.
@@ -131,9 +131,10 @@
 func (b *Balancer) staggerAccess(id WorkerID) {
 	w := &b.workers[id]
 	sharers := max(w.gossip.peers.count(), 1)
-	rotation := Duration(b.now / Second) // so that it is not always the same dispatcher that comes last
-	rank := (Duration(b.config.position) + rotation) % Duration(sharers)
-	w.notBefore = b.now.Add(rank * b.config.patience / 2)
+	rotation := int(b.now / Second) // so that it is not always the same dispatcher that comes last
+	rank := (b.config.position + rotation) % sharers
+	// A peer has heard of the attempt before its own within half of the patience.
+	w.notBefore = b.now.Add(Duration(rank) * b.config.patience / 2)
 	b.due.reviewBy(w.notBefore)
 }
 
@@ -167,8 +168,8 @@
 	return peers
 }
 
-// markLoadChanged has peers sent the load of a worker once a rejection would have come back: then there may be nothing
-// to send.
+// markLoadChanged schedules sending the load of a worker to its peers. It waits for the margin, in which a rejection may
+// come back and leave nothing to send.
 func (b *Balancer) markLoadChanged(id WorkerID) {
 	if b.config.gossip {
 		b.gossip.changedLoads = append(b.gossip.changedLoads, id)
@@ -191,7 +192,7 @@
 	b.gossip.sendLoadsAt = never
 }
 
-// resendLoads has peers sent again all that is in flight here, as messages get lost, and forgets silent peers.
+// resendLoads schedules sending all that is in flight here again, as messages get lost, and forgets silent peers.
 func (b *Balancer) resendLoads() {
 	b.gossip.resendAt = b.now.Add(b.gossip.resendInterval)
 	oldest := b.now.Add(-resendsUntilForgotten * b.gossip.resendInterval)
@@ -202,7 +203,7 @@
 	}
 }
 
-// resendLoad has peers sent again the load of a worker at which something is in flight.
+// resendLoad schedules sending the load of a worker again, if anything is in flight there.
 func (b *Balancer) resendLoad(id WorkerID) {
 	if b.workers[id].inFlight > 0 {
 		b.workers[id].gossip.sentLoad = notSent
--- a/internal/balancer/hedging.go
+++ b/internal/balancer/hedging.go
@@ -4,9 +4,10 @@
 // must not take the place of a first one.
 const maxHedgeLoadShare = 0.5
 
-// shouldHedge reports whether the only attempt of a request has run for more than half of its time. Its worker is slow
-// then, or will not answer any more. Sooner, a hedged request would mostly repeat sound work: hints are rough, and many
-// requests that run for four times their hint are just large.
+// shouldHedge reports whether the only attempt of a request has run for longer than the time that is left to its
+// deadline. Its worker is slow then, or will not answer any more. Any earlier, hedging would mostly duplicate healthy
+// work: hints are rough, and many requests that run for four times their hint are just large. It needs workers that
+// report starts; reviewRequest asks only while no request is pending.
 func (b *Balancer) shouldHedge(req *request) bool {
 	if req.inFlight != 1 {
 		return false
@@ -18,7 +19,8 @@
 	return b.now.Sub(latest.startedAt) > req.deadline.Sub(b.now)
 }
 
-// hedge sends a second attempt to a worker that is known to have slots to spare.
+// hedge sends a second attempt, if the next worker in turn is known to have slots to spare. Its load must be known, so
+// without gossip there is no hedging.
 func (b *Balancer) hedge(id RequestID) {
 	target, ok := b.pickWorker(b.requests.get(id))
 	if !ok || !b.hearsLoadOf(target) {
--- a/internal/balancer/open_requests.go
+++ b/internal/balancer/open_requests.go
@@ -16,8 +16,8 @@
 	late   bool // it can no longer keep its objective
 
 	quotaWeight       float64 // 1 within its tenant's quota, less beyond it
-	latestStart       Time    // last start that may keep the latency objective
-	latestWaitedStart Time    // last start that is waited for: later than latestStart where a late answer earns something
+	latestStart       Time    // last start that may keep the latency objective, which grows by the run itself
+	latestWaitedStart Time    // last start that is waited for: see Balancer.latestWaitedStart
 	deadline          Time    // of the final answer
 
 	attemptLimit int // attempts that it may have, the first one included
--- a/internal/balancer/operations.go
+++ b/internal/balancer/operations.go
@@ -27,7 +27,7 @@
 	dedupWindow      Duration
 	retryAfter       Duration // advice to rejected clients, 0 for none
 	value            float64  // of an answer in time
-	slack            float64  // the objective grows by this many times the size
+	slack            float64  // beyond the run itself, the objective grows by this many times the size
 	idempotency      Idempotency
 	dedupScope       DedupScope
 	kind             KindID // the kind of worker that runs it, or AnyKind
@@ -73,7 +73,7 @@
 
 // assign returns the number of an operation with the same terms, or adds one. Numbers are never used again: a request
 // may be open under an old one, and the same calls give each shard the same numbers. An operation whose terms have
-// changed continues with the statistics of its name. The late share is no term: it may change under the same number.
+// changed continues with the statistics of its name. The late share is no term: one that changes alone is not taken.
 func (t *operationTable) assign(added operation) OperationID {
 	latest := -1
 	for n := range t.byID {
--- a/internal/balancer/outlier/outlier.go
+++ b/internal/balancer/outlier/outlier.go
@@ -8,15 +8,16 @@
 import "canvasroute/internal/balancer/tick"
 
 const (
-	// firstEjection is how long the first ejection lasts. Each further failure doubles it.
+	// firstEjection is how long an ejection lasts after a single failure that counts. Each further one doubles it, whether
+	// it ejects or not: a worker that is ejected by its second failure is so for two seconds.
 	firstEjection        = tick.Duration(tick.Second)
 	maxEjectionDoublings = 3
 
 	// ZoneThreshold is the number of consecutive failures after which a zone is ejected.
 	ZoneThreshold = 3
 
-	// nonIdempotentProbeDelay is how long after a probe is due a request that is not idempotent may be that probe, if no
-	// other one has been.
+	// nonIdempotentProbeDelay is how long a due probe waits for a request that may run again, before one that must not may
+	// be the probe.
 	nonIdempotentProbeDelay = tick.Duration(8 * tick.Second)
 )
 
@@ -64,7 +65,7 @@
 // BackOff keeps attempts from a worker that was overloaded until a moment.
 func (w *Worker) BackOff(until tick.Time) { w.ProbeAfter = until }
 
-// Ejected reports whether failures keep attempts from the worker now.
+// Ejected reports whether the worker has failed and gets nothing now, by an ejection or by a backoff.
 func (w *Worker) Ejected(now tick.Time) bool { return w.Suspect() && now < w.ProbeAfter }
 
 // Suspect reports whether the worker has failed since its last success. It gets one attempt at a time.
@@ -84,7 +85,7 @@
 }
 
 // RecordFailure counts an attempt that was cut off or found nobody in the zone, and reports whether the zone is ejected
-// for it. A lost zone stays in the endpoint list for seconds, and a request has not attempts enough to find out worker by
+// for it. Failures within an ejection count: they are of attempts to other workers, and show that the zone is still lost. A lost zone stays in the endpoint list for seconds, and a request has not attempts enough to find out worker by
 // worker. The last zone with a healthy worker is never ejected: hasOther reports whether there is another one.
 func (z *Zone) RecordFailure(now tick.Time, hasOther func() bool) (ejected bool) {
 	z.Failures++
--- a/internal/balancer/pending_queue.go
+++ b/internal/balancer/pending_queue.go
@@ -3,7 +3,8 @@
 import "slices"
 
 // pendingQueue owns the order of the requests that wait for a worker, highest priority first. The order itself is
-// policy: comparisons come from the caller.
+// policy: comparisons come from the caller. Priorities follow running means, so between sorts the order may be slightly
+// out of date.
 type pendingQueue struct{ ids []RequestID }
 
 type compareRequests func(a, b RequestID) int
--- a/internal/balancer/picker.go
+++ b/internal/balancer/picker.go
@@ -95,7 +95,7 @@
 	p.balancer.RunDueRules()
 }
 
-// read makes a call under the lock that changes nothing.
+// read makes a call that changes nothing, under the lock and at the current time.
 func (p *Picker) read(call func(*Balancer)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -240,8 +240,8 @@
 	p.update(func(b *Balancer) { b.UpdateEndpoints(entries, extent, source) })
 }
 
-// ReportWatchEnded notes that the endpoint list could not be had, or is no longer watched. It answers a poll that was
-// due before, which would otherwise follow without a wait.
+// ReportWatchEnded notes that the endpoint list could not be had, or is no longer watched. It drops a signal to
+// poll that has not been taken, or the list would be polled again without a wait.
 func (p *Picker) ReportWatchEnded(end WatchEnd) {
 	p.update(func(b *Balancer) {
 		b.polling.RecordWatchEnd(end)
@@ -284,7 +284,8 @@
 
 // sendBy returns when the dedup window closes for the latest attempt of a request, zero for no bound. Without it an
 // attempt that is decided on within the window could be sent after it, as its connection came up late.
-func (p *Picker) sendBy(id RequestID) (noBound time.Time) {
+func (p *Picker) sendBy(id RequestID) time.Time {
+	var noBound time.Time
 	b := p.balancer
 	req := b.requests.get(id)
 	op := &b.operations.byID[req.operation]
@@ -292,8 +293,8 @@
 		return noBound
 	}
 	for n := range len(req.attempts) - 1 { // the first one was sent first
-		if earlier := &req.attempts[n]; earlier.mayExecute() {
-			left := b.lastSafeRepeat(op, earlier).Sub(b.now)
+		if earlier := &req.attempts[n]; earlier.mayRun() {
+			left := b.repeatUnsafeFrom(op, earlier).Sub(b.now)
 			return time.Now().Add(left.Standard())
 		}
 	}
--- a/internal/balancer/polling/polling.go
+++ b/internal/balancer/polling/polling.go
@@ -13,7 +13,7 @@
 	// maxSpreadShare bounds the span over which one poll of each dispatcher is spread, as a share of MaxInterval.
 	maxSpreadShare = 0.6
 
-	// firstBackoff is the wait after the first failed poll. Each further failure doubles it.
+	// firstBackoff is doubled with each consecutive failure, the first one included.
 	firstBackoff        = tick.Duration(tick.Second / 2)
 	maxBackoffDoublings = 4
 
@@ -26,11 +26,11 @@
 )
 
 var (
-	// longestWait is the longest wait after a failed poll, as a share of MaxInterval.
+	// longestWait is the longest bound of a wait after a failed poll, as a share of MaxInterval.
 	longestWait = tick.Ratio{Numerator: 4, Denominator: 5}
-	// shortestJitter and jitterRange divide a wait: its first part is certain, and the rest is drawn at random.
-	shortestJitter = tick.Ratio{Numerator: 1, Denominator: 4}
-	jitterRange    = tick.Ratio{Numerator: 3, Denominator: 4}
+	// certainShare and randomShare divide a wait: its first part is certain, and the rest is drawn at random.
+	certainShare = tick.Ratio{Numerator: 1, Denominator: 4}
+	randomShare  = tick.Ratio{Numerator: 3, Denominator: 4}
 	// firstPollShare and retryShare divide the time in which a change has to be known: between the first polls after a
 	// start, and the wait after a failed poll.
 	firstPollShare = tick.Ratio{Numerator: 1, Denominator: 3}
@@ -42,10 +42,11 @@
 	Dispatchers int // that poll the same service, from 1
 	Position    int // of this dispatcher among them, from 0
 
-	// MaxInterval is the longest time without a poll that the platform allows.
+	// MaxInterval is the longest time without a poll that the platform allows. Waits exceed it only while the service
+	// rejects polls for having too many callers.
 	MaxInterval tick.Duration
-	// ChangeDeadline is how long after a change each dispatcher counts as notified, whatever became of its polls; 0
-	// where there is no such deadline.
+	// ChangeDeadline is how long after a change every dispatcher is expected to know it, even if its polls failed; 0 where
+	// there is no such deadline.
 	ChangeDeadline tick.Duration
 	// AwaitFirstPoll forbids attempts by a list from before the start until the first poll has ended.
 	AwaitFirstPoll bool
@@ -65,7 +66,7 @@
 	return c.spread()
 }
 
-// longestRetry returns the longest wait after a failed poll, unless the service has rejected polls.
+// longestRetry returns the longest bound of a wait after a failed poll, unless the service has rejected polls.
 func (c *Config) longestRetry() tick.Duration {
 	longest := longestWait.Of(c.MaxInterval)
 	if c.ChangeDeadline > 0 {
@@ -175,10 +176,11 @@
 	s.watching = false
 	s.endpointsStale = false
 	wait := s.retryWait()
-	s.nextPoll = now.Add(shortestJitter.Of(wait) + tick.Duration(random()%uint64(jitterRange.Of(wait)+1)))
+	s.nextPoll = now.Add(certainShare.Of(wait) + tick.Duration(random()%uint64(randomShare.Of(wait)+1)))
 }
 
-// retryWait returns the longest wait after the failures so far.
+// retryWait returns the bound of the next wait, by the failures so far. The wait itself is drawn between a quarter of the
+// bound and all of it.
 func (s *Schedule) retryWait() tick.Duration {
 	backoff := firstBackoff << min(s.failures, maxBackoffDoublings)
 	spread := s.config.spread() << min(s.failures-1, maxBackoffDoublings)
--- a/internal/balancer/process_exit.go
+++ b/internal/balancer/process_exit.go
@@ -37,7 +37,7 @@
 }
 
 // mayHaveRestarted reports whether a worker's process may be newer than the list says. A list that is watched names a
-// start within its longest interval.
+// start within the poll interval.
 func (b *Balancer) mayHaveRestarted(w *workerWarmup) bool {
 	return w.exitedAt != noExit && !b.polling.WatchedFor(b.config.maxPollInterval, w.exitedAt, b.now)
 }
--- a/internal/balancer/quota/quota.go
+++ b/internal/balancer/quota/quota.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	// sampleRequests is how many requests within the quota tell a tenant's rate from chance. Usage is averaged over the
-	// time in which as many are due.
+	// sampleRequests is how many requests are enough to tell a tenant's rate from chance. Usage is averaged over the time
+	// in which the quota allows as many.
 	sampleRequests = 16
 	// minWindowSeconds is the shortest time over which usage is averaged.
 	minWindowSeconds = 2
@@ -56,8 +56,8 @@
 	return len(t.tenants) - 1
 }
 
-// Weigh counts a request of a tenant that arrives now, and returns its weight: 1 within the quota, overQuotaWeight far
-// beyond it. In between it is the mean over the tenant's recent requests, as nobody can say which of them are beyond.
+// Weigh counts a request of a tenant that arrives now, and returns its weight: 1 within the quota and its tolerance,
+// overQuotaWeight far beyond it. In between it is the mean over the tenant's recent requests, as nobody can say which of them are beyond.
 func (t *Tenants) Weigh(number int, now tick.Time, overQuotaWeight float64) float64 {
 	user := &t.tenants[number]
 	window := max(minWindowSeconds, sampleRequests/user.quota)
--- a/internal/balancer/request_handle.go
+++ b/internal/balancer/request_handle.go
@@ -17,7 +17,7 @@
 	reported  []bool // by number of the attempt: its outcome is known
 	sent      []bool // by number of the attempt: it was sent to its last byte
 	inFlight  int    // attempts that have not been reported
-	closed    bool
+	closed    bool   // it has its final answer, or its client has left; Balancer closes its request in the same call
 }
 
 func (p *Picker) newHandle(deadline time.Time) *RequestHandle {
--- a/internal/balancer/retry.go
+++ b/internal/balancer/retry.go
@@ -26,7 +26,7 @@
 		if earlier.inFlight && earlier.worker == id {
 			return sameWorker
 		}
-		if earlier.mayExecute() && !b.repeatIsSafe(op, earlier, id) {
+		if earlier.mayRun() && !b.repeatIsSafe(op, earlier, id) {
 			return repeatNotSafe
 		}
 	}
@@ -39,14 +39,14 @@
 	case Idempotent:
 		return true
 	case IdempotentByKey:
-		inTime := b.now < b.lastSafeRepeat(op, earlier)
-		return inTime && op.dedupScope.joins(&b.workers[earlier.worker], &b.workers[id])
+		remembered := b.now < b.repeatUnsafeFrom(op, earlier)
+		return remembered && op.dedupScope.joins(&b.workers[earlier.worker], &b.workers[id])
 	}
 	return false
 }
 
-// lastSafeRepeat returns when workers may begin to forget the key of an attempt, with a margin.
-func (b *Balancer) lastSafeRepeat(op *operation, earlier *attempt) Time {
+// repeatUnsafeFrom returns the moment from which workers may have forgotten the key of an attempt, with a margin.
+func (b *Balancer) repeatUnsafeFrom(op *operation, earlier *attempt) Time {
 	return earlier.sentAt.Add(op.dedupWindow - b.config.margin)
 }
 
--- a/internal/balancer/review.go
+++ b/internal/balancer/review.go
@@ -1,6 +1,6 @@
 package balancer
 
-// reviewOpenRequests goes through the open requests, the latest first. A request that is out of time gets its answer. An
+// reviewOpenRequests goes through the open requests, the latest first, as those have the most time to gain. A request that is out of time gets its answer. An
 // attempt that waits in a worker's queue is migrated, and one that runs for very long is hedged.
 func (b *Balancer) reviewOpenRequests() {
 	b.due.reviewAt = b.now.Add(b.config.patience)
@@ -30,7 +30,7 @@
 	switch {
 	case b.outOfTime(req), b.clogsQueue(req, waiting):
 		b.rejectOrFail(id)
-	case len(b.pending.ids) > 0:
+	case len(b.pending.ids) > 0: // nothing: slots are short
 	case waiting != nil:
 		if b.shouldMigrate(req, waiting) {
 			b.migrateUnstarted(id, waiting)
--- a/internal/balancer/shards.go
+++ b/internal/balancer/shards.go
@@ -7,7 +7,7 @@
 	"sync/atomic"
 )
 
-// Shards are the pickers of one process, one a core and each with a lock of its own. To the rules each shard is a
+// Shards are the pickers of one process, one per core and each with a lock of its own. To the rules each shard is a
 // dispatcher like any other, with its position among all shards of all processes. So budgets, quotas, subsets and
 // staggered polls hold over all of them. Shards of a process exchange loads in memory, as other peers do by datagram. All
 // processes must have as many shards. What changes for the dispatcher goes to all shards; requests go to them in turn.
@@ -198,8 +198,8 @@
 	s.updateAllOf(process, func(b *Balancer, peer PeerID) { b.gossip.recordPeer(peer) })
 }
 
-// Isolated reports whether all dispatchers may have lost power, as far as this process can see: no poll has been
-// answered since its start, and no peer has been heard that has run for longer.
+// Isolated reports whether all dispatchers may have lost power, as far as this process can see. No poll has been answered
+// since its start then, and no peer has been heard that has run for longer.
 func (s *Shards) Isolated() (isolated bool) {
 	s.first().read(func(b *Balancer) { isolated = !b.polling.Answered() && !b.gossip.hearsSenior() })
 	return isolated
--- a/internal/balancer/sizeinterval/sizeinterval.go
+++ b/internal/balancer/sizeinterval/sizeinterval.go
@@ -72,7 +72,7 @@
 	if len(s.cutPoints) == 0 {
 		return Undivided
 	}
-	interval, _ := slices.BinarySearch(s.cutPoints, size+1)
+	interval, _ := slices.BinarySearch(s.cutPoints, size+1) // a size equal to a cut point is in the upper interval
 	return interval
 }
 
--- a/internal/balancer/slotestimate/slotestimate.go
+++ b/internal/balancer/slotestimate/slotestimate.go
@@ -28,7 +28,7 @@
 // methods alone.
 type Kind struct {
 	Estimate    float64 // slots of a worker
-	MaxObserved float64 // most attempts seen running at once, 1 before any
+	MaxObserved float64 // most attempts that votes or reports prove to run at once, 1 before any
 	Votes       []int   // by load: starts at once less waits
 }
 
@@ -44,12 +44,12 @@
 	} else {
 		k.Votes[load]--
 	}
-	return k.count()
+	return k.recount()
 }
 
-// count returns the estimate that agrees with most votes, and raises or lowers MaxObserved. A number of slots agrees
+// recount returns the estimate that agrees with most votes, and raises or lowers MaxObserved. A number of slots agrees
 // with each start at once up to that load, and with each wait beyond it.
-func (k *Kind) count() (estimate float64) {
+func (k *Kind) recount() (estimate float64) {
 	agreeing, most := 0, 0
 	estimate = k.Estimate
 	for slots, votes := range k.Votes {
--- a/internal/balancer/slow_start.go
+++ b/internal/balancer/slow_start.go
@@ -1,7 +1,8 @@
 package balancer
 
 // gossipReserve is the share of a warming worker's budget that is not used where its dispatchers share their load. It
-// covers what they have not yet reported to each other.
+// covers what they have not yet reported to each other. It is smaller than warmupReserve, as a run that is longer than
+// its hint stays in flight and keeps its slot.
 const gossipReserve = 0.1
 
 // slowStart limits what all dispatchers together send to a worker that warms up. A worker breaks down that gets more
@@ -11,7 +12,7 @@
 	window              Duration // over which the work sent to it is added up
 	dispatchers         int      // that may send to the same worker
 	gossip              bool     // dispatchers share their load
-	smallestUsefulShare float64  // of the budget that is worth dividing among dispatchers, in ticks of work
+	smallestUsefulShare float64  // of the budget, in ticks of work: a smaller one holds no request
 }
 
 // slowStart returns the rule under the configuration in force.
@@ -21,14 +22,14 @@
 		window:              c.warmupWindow,
 		dispatchers:         c.dispatchers,
 		gossip:              c.gossip,
-		smallestUsefulShare: c.meanObjective,
+		smallestUsefulShare: c.meanObjective, // a request runs for no longer than its objective
 	}
 }
 
 // warmingWorker is what the rule goes by.
 type warmingWorker struct {
 	warmupFactor float64 // share of its capacity that it has, below 1
-	slots        float64 // attempts that a warm worker of its kind was seen to run at once
+	slots        float64 // attempts that a warm worker of its kind certainly runs at once
 	recentWork   Work    // sent to it from here within the window
 	load         int     // attempts in flight there
 	loadShared   bool    // load includes the attempts of all dispatchers that use the worker
@@ -84,7 +85,8 @@
 	return s.budget(w) * (1 - warmupReserve) / float64(s.dispatchers)
 }
 
-// slowStartExclusion returns the limit that forbids to send a worker one more attempt as it warms up, or eligible.
+// slowStartExclusion returns the limit that forbids to send a worker one more attempt as it warms up, or eligible. It
+// brings what it goes by up to date: sends before the window are forgotten, and credit is earned.
 func (b *Balancer) slowStartExclusion(id WorkerID, size Work) exclusion {
 	factor := b.confirmedWarmup(id, size)
 	if factor == 1 {
--- a/internal/balancer/subsetting.go
+++ b/internal/balancer/subsetting.go
@@ -25,8 +25,8 @@
 
 // subset is an ordered set of workers with a round-robin position. Its index finds workers that may have a free slot
 // without going through all of them. A bit of maybeFree is cleared once the worker at that position is known to have
-// no free slot until something changes about it. Any such change sets the bit again. Time alone, which warms a worker up
-// or ends its ejection, never needs a bit that is cleared.
+// no free slot until something changes about it. Any such change sets the bit again. Passing time, which
+// warms a worker up or ends its ejection, never frees a worker whose bit is cleared.
 type subset struct {
 	workers    []WorkerID
 	roundRobin int      // position at which the next pick begins, modulo the number of workers
@@ -149,15 +149,15 @@
 	first := size * b.config.position / dispatchers
 	subsetSize := min(size, divideUp(size*b.config.dispatchersPerWorker, dispatchers))
 	own.workers = own.workers[:0]
-	for place, id := range block {
+	for index, id := range block {
 		// The subset of the dispatcher at position p begins at size*p/dispatchers. So these are the first dispatcher
-		// whose subset reaches this place, and the first one whose subset begins behind it.
+		// whose subset reaches this worker, and the first one whose subset begins behind it.
 		b.workers[id].gossip.peers = peerRange{
-			from: divideUp((place-subsetSize+1+size)*dispatchers, size),
-			to:   divideUp((place+1+size)*dispatchers, size),
+			from: divideUp((index-subsetSize+1+size)*dispatchers, size),
+			to:   divideUp((index+1+size)*dispatchers, size),
 		}
-		if place < subsetSize {
-			own.workers = append(own.workers, block[(first+place)%size])
+		if index < subsetSize {
+			own.workers = append(own.workers, block[(first+index)%size])
 		}
 	}
 }
--- a/internal/balancer/unstarted_attempts.go
+++ b/internal/balancer/unstarted_attempts.go
@@ -8,7 +8,8 @@
 // deliveryMargin is the multiple of the mean delivery time after which an attempt should have reached its worker.
 const deliveryMargin = 3
 
-// maxDeliveryShare bounds the mean delivery time, as a share of the warm-up window.
+// maxDeliveryShare bounds the mean delivery time, as a share of the warm-up window. A zone that is cut off must not
+// make every attempt there count as on its way.
 var maxDeliveryShare = tick.Ratio{Numerator: 1, Denominator: 8}
 
 // unstartedAttempt returns the only attempt in flight, if its worker would have reported its start and has not, else nil.
@@ -41,7 +42,8 @@
 }
 
 // migrateUnstarted moves an attempt that waits in the queue of its worker, which is full after all, to a worker with a
-// free slot.
+// free slot. The wait is a vote on the slots of the first worker, whether another one is found or not. The new attempt is
+// sent before the first one is cancelled, so it needs a platform that allows a second attempt.
 func (b *Balancer) migrateUnstarted(id RequestID, waiting *attempt) {
 	req := b.requests.get(id)
 	if waiting.deliveredAt != notYet || !b.config.deliveryNotices {
@@ -64,7 +66,7 @@
 }
 
 // clogsQueue reports whether the only attempt of a request waits at its worker without a chance to be in time, and may
-// be taken out of that queue.
+// be taken out of that queue. One that has waited for less than the margin may have been started meanwhile.
 func (b *Balancer) clogsQueue(req *request, waiting *attempt) bool {
 	if waiting == nil || !b.config.cancellation {
 		return false
--- a/internal/balancer/warm_up.go
+++ b/internal/balancer/warm_up.go
@@ -4,7 +4,7 @@
 type workerWarmup struct {
 	startedAt    Time // by the endpoint list, or LongAgo
 	exitedAt     Time // when its process was seen to end: see process_exit.go
-	respondedAt  Time // first response of the process after that one, never before it
+	respondedAt  Time // first response of the process after that one; the value never until then
 	verifiedSize Work // largest work that was done at the pace of a warm worker
 
 	sends  []send // within the warm-up window, the oldest first
@@ -54,8 +54,9 @@
 	return b.config.warmupFactorAt(b.now.Sub(startedAt))
 }
 
-// noneWarming reports whether no worker has a warm-up factor below 1. It costs the same for any number of workers.
-func (b *Balancer) noneWarming() bool {
+// certainlyNoneWarming reports that no worker has a warm-up factor below 1. It may report false though all are warm: it
+// costs the same for any number of workers, and does not follow each of them.
+func (b *Balancer) certainlyNoneWarming() bool {
 	if b.warmup.exitSeen {
 		return false
 	}
@@ -74,8 +75,8 @@
 }
 
 // restartSuspected reports whether a worker may have started since the list last named its start, though nobody saw it.
-// Work done at a pace that no cold worker has ends the suspicion for work that is not much larger. Hints are rough, and
-// the largest requests would all go to the first worker that seems warm. A later start in the list ends it too.
+// Work done at a pace that no cold worker has ends the suspicion for work up to overloadFactor times as large. Beyond
+// that hints are too rough: the largest requests would all go to the first worker that seems warm. A later start in the list ends it too.
 func (b *Balancer) restartSuspected(w *workerWarmup, size Work) bool {
 	if b.config.warmupDuration == 0 || float64(size) <= b.config.overloadFactor*float64(w.verifiedSize) {
 		return false
--- a/internal/balancer/worker_table.go
+++ b/internal/balancer/worker_table.go
@@ -2,7 +2,8 @@
 
 import "canvasroute/internal/balancer/outlier"
 
-// worker is all that is known of one worker, by WorkerID. Each part is changed by the file that it is named after.
+// worker is all that is known of one worker, by WorkerID. health is changed by ejection.go and overload.go, gossip by
+// gossip.go, and warmup by warm_up.go, warmup_credit.go and process_exit.go.
 type worker struct {
 	hash  uint64 // of its ID: its place on the ring
 	zone  ZoneID
