--- a/internal/daemon/recovery_test.go
+++ b/internal/daemon/recovery_test.go
@@ -104,7 +104,7 @@
 	s, _ := store.Open(folder, "n3")
 	_, err = s.Begin(store.Start{MinNumber: 7, Nonce: 9, At: time.Now().UnixMilli()})
 	assert.NoError(t, err)
-	assert.NoError(t, s.SetDrained(true))
+	assert.NoError(t, s.MarkDrained())
 	assert.NoError(t, s.AppendKeys([]store.Key{{Sum: 1}}, time.Now().UnixMilli()))
 	assert.NoError(t, s.SaveState(store.State{
 		WrittenAt: time.Now().UnixMilli(), SettingsHash: "abc",
--- a/internal/fleet/incarnation.go
+++ b/internal/fleet/incarnation.go
@@ -79,9 +79,11 @@
 	s := n.owned.store
 	recovered := n.recovered
 	n.mu.Unlock()
+	if n.settings.State.UnreliableDisk {
+		recovered.SuspectUnreliableDisk()
+	}
 	nonce := rand.Uint64()
-	suspect := recovered.KeysMayBeMissing(n.settings.State.UnreliableDisk)
-	number, err := n.persistIncarnation(s, recovered, nonce, suspect)
+	number, err := n.persistIncarnation(s, recovered, nonce)
 	if err != nil {
 		n.log.Error().Err(err).Msg("incarnation not persisted")
 	}
@@ -94,7 +96,7 @@
 		n.machine.IncarnationRaised(n.uptime(), number)
 		n.machine.TakeOver(n.uptime(), number, nonce)
 	} else {
-		n.machine.IdentityStored(n.uptime(), number, nonce, recovery.PreviousIncarnationOf(recovered, suspect))
+		n.machine.IdentityStored(n.uptime(), number, nonce, recovery.PreviousIncarnationOf(recovered))
 	}
 	n.mu.Unlock()
 	n.carryOut()
@@ -102,7 +104,7 @@
 
 // persistIncarnation returns the number of the next incarnation once it is durable. The goroutine that writes it ends with
 // the write: nothing can interrupt that, so a disk that hangs holds it until the process ends.
-func (n *Node) persistIncarnation(s *store.Store, recovered store.Recovered, nonce uint64, suspect bool) (uint64, error) {
+func (n *Node) persistIncarnation(s *store.Store, recovered store.Recovered, nonce uint64) (uint64, error) {
 	if s == nil {
 		return 0, errNoFolder
 	}
@@ -114,7 +116,7 @@
 	go func() {
 		incarnation, err := s.Begin(store.Start{
 			Previous: recovered.Incarnation, MinNumber: recovered.MinNextIncarnation(), Nonce: nonce,
-			KeysSuspect: suspect, At: time.Now().UnixMilli(),
+			KeysSuspect: recovered.KeysSuspect, At: time.Now().UnixMilli(),
 		})
 		written <- result{incarnation, err}
 	}()
@@ -137,10 +139,17 @@
 	n.mu.Unlock()
 }
 
-// setKeysSuspect persists whether keys of previous incarnations may be missing.
-func (n *Node) setKeysSuspect(suspect bool) {
-	if s := n.resources().store; s != nil {
-		n.reportUpdate(s.SetKeysSuspect(suspect))
+// persistKeysMark persists a change of the mark that keys of previous incarnations may be missing.
+func (n *Node) persistKeysMark(mark recovery.KeysMark) {
+	s := n.resources().store
+	if s == nil {
+		return
+	}
+	switch mark {
+	case recovery.MarkKeysSuspect:
+		n.reportUpdate(s.MarkKeysSuspect())
+	case recovery.ClearKeysSuspect:
+		n.reportUpdate(s.ClearKeysSuspect())
 	}
 }
 
--- a/internal/fleet/peers.go
+++ b/internal/fleet/peers.go
@@ -146,7 +146,7 @@
 		return capacity
 	}
 	age := recovery.RecordAgeOf(state.WrittenAt, time.Now().UnixMilli())
-	if trusted, _ := recovery.IsTrusted(recovery.FactCapacity, age, recovery.FleetWide); !trusted {
+	if recovery.CheckTrust(recovery.FactCapacity, age, recovery.FleetWide) != nil {
 		return capacity
 	}
 	for kind, observed := range n.storedCapacity() {
--- a/internal/fleet/phases.go
+++ b/internal/fleet/phases.go
@@ -87,9 +87,7 @@
 	replies, restoreNow := n.takeReplies(actions.Replies)
 	socket := n.owned.socket
 	n.mu.Unlock()
-	if actions.SetKeysSuspect != nil {
-		n.setKeysSuspect(*actions.SetKeysSuspect)
-	}
+	n.persistKeysMark(actions.KeysMark)
 	if actions.RaiseIncarnation > 0 {
 		n.raiseIncarnation(actions.RaiseIncarnation)
 	}
@@ -194,10 +192,10 @@
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	admitted, retryAfter := n.machine.Admit(n.uptime(), balancer.Duration(size).Standard())
-	if !admitted {
+	admission := n.machine.Admit(n.uptime(), balancer.Duration(size).Standard())
+	if !admission.Admitted {
 		n.counters.requestsRejected++
-		return proxy.RecoveryAdmission{RetryAfter: retryAfter}
+		return proxy.RecoveryAdmission{RetryAfter: admission.RetryAfter}
 	}
 	return proxy.RecoveryAdmission{Admitted: true, Done: n.requestEnded}
 }
@@ -205,7 +203,11 @@
 // requestEnded passes the end of an admitted request to the state machine.
 func (n *Node) requestEnded(succeeded bool) {
 	n.mu.Lock()
-	n.machine.RequestEnded(n.uptime(), succeeded)
+	if succeeded {
+		n.machine.RequestSucceeded(n.uptime())
+	} else {
+		n.machine.RequestFailed(n.uptime())
+	}
 	n.mu.Unlock()
 	n.notify()
 }
--- a/internal/fleet/recovery/heartbeats.go
+++ b/internal/fleet/recovery/heartbeats.go
@@ -14,7 +14,7 @@
 // sendHeartbeats sends the incarnation and the number of its persisted keys to the next members in the ring. A disk that
 // was reset to an earlier state cannot show that by itself; those members can.
 func (s *StateMachine) sendHeartbeats() {
-	if !s.identity.established || s.now < s.nextHeartbeatAt || !s.phase.Admits() {
+	if !s.phase.rule().sendsHeartbeats || s.now < s.nextHeartbeatAt {
 		return
 	}
 	s.nextHeartbeatAt = s.now + heartbeatInterval
@@ -26,7 +26,7 @@
 }
 
 // keysConfirmed reports whether each receiver of this dispatcher's heartbeats has answered, or the dedup window is over.
-// Before that its disk may have been reset to an earlier state without anybody having noticed.
+// Before that its disk may have been reset to an earlier state, and only the receivers could tell.
 func (s *StateMachine) keysConfirmed() bool {
 	if s.dedupWindowPassed() {
 		return true
--- a/internal/fleet/recovery/identity.go
+++ b/internal/fleet/recovery/identity.go
@@ -10,10 +10,10 @@
 
 // identity is what this dispatcher is, and what its disk held of its previous incarnation.
 type identity struct {
-	established   bool // the fields below are known
-	incarnation   uint64
+	established   bool          // the fields below are known
+	incarnation   uint64        // number of this one
 	nonce         uint64        // drawn for this process, so that two with one incarnation differ
-	establishedAt time.Duration // the dedup window of previous keys is counted from here
+	establishedAt time.Duration // since the process started; the dedup window of previous keys is counted from here
 	previous      PreviousIncarnation
 	keysSuspect   bool   // keys of previous incarnations may be missing on this disk
 	persistedKeys uint64 // in this incarnation
@@ -21,17 +21,28 @@
 
 // PreviousIncarnation is what the disk held of the incarnation before this one.
 type PreviousIncarnation struct {
-	Incarnation   uint64
-	PersistedKeys uint64                  // of that incarnation, as far as they were read
+	Incarnation   uint64                  // 0 for none
+	PersistedKeys uint64                  // in that incarnation, as far as they were read
 	KeysSuspect   bool                    // keys that were persisted may be missing
-	Peers         map[string]PeerProgress // what it knew of peers, by name
+	Peers         map[string]PeerProgress // what was known of peers, by name
 }
 
-// PreviousIncarnationOf returns the previous incarnation of what a store recovered. keysSuspect reports whether keys may be
-// missing, which depends on the operators' settings too.
-func PreviousIncarnationOf(recovered store.Recovered, keysSuspect bool) PreviousIncarnation {
+// KeysMark is a change of the durable mark that keys of previous incarnations may be missing.
+type KeysMark uint8
+
+// The values of KeysMark.
+const (
+	KeepKeysMark KeysMark = iota
+	MarkKeysSuspect
+	ClearKeysSuspect
+)
+
+// PreviousIncarnationOf returns the previous incarnation of what a store recovered.
+func PreviousIncarnationOf(recovered store.Recovered) PreviousIncarnation {
 	previous := PreviousIncarnation{
-		Incarnation: recovered.Incarnation.Number, PersistedKeys: recovered.PersistedKeys, KeysSuspect: keysSuspect,
+		Incarnation:   recovered.Incarnation.Number,
+		PersistedKeys: recovered.PersistedKeys,
+		KeysSuspect:   recovered.KeysSuspect,
 	}
 	if recovered.State != nil {
 		previous.Peers = recovered.State.Peers
@@ -39,7 +50,7 @@
 	return previous
 }
 
-// IdentityStored takes which incarnation this is. The store has persisted it, or has failed to within IdentityTimeout.
+// IdentityStored records which incarnation this is. The store has persisted it, or has failed to within IdentityTimeout.
 // Calls after the first one change nothing.
 func (s *StateMachine) IdentityStored(now time.Duration, incarnation, nonce uint64, previous PreviousIncarnation) {
 	s.now = now
@@ -60,25 +71,26 @@
 	s.advance()
 }
 
-// SetPersistedKeys takes how many keys are durable in this incarnation. Heartbeats carry the number.
+// SetPersistedKeys records how many keys are durable in this incarnation. Heartbeats carry the number.
 func (s *StateMachine) SetPersistedKeys(keys uint64) { s.identity.persistedKeys = keys }
 
-// IncarnationRaised takes that a higher incarnation is durable, and announces it to the peers that are due a query.
+// IncarnationRaised records that a higher incarnation is durable, and announces it to the peers that are due a query.
 func (s *StateMachine) IncarnationRaised(now time.Duration, incarnation uint64) {
 	s.now = now
 	s.identity.incarnation = max(s.identity.incarnation, incarnation)
 	s.sendQueries()
 }
 
-// checkOwnName compares what a peer has received under this dispatcher's name with this process. An incarnation that was last
-// received before this process started is a previous one of this dispatcher. One received since is another process under
-// the same name, of which the lower one gives way.
+// checkOwnName compares what a peer has received under this dispatcher's name with this process. What was last received
+// before this process started is of a previous incarnation, whose number this one has to exceed. What was received since
+// is of another process under the same name, of which the lower one gives way.
 func (s *StateMachine) checkOwnName(reply *messaging.Message) {
-	if reply.YourNonce == s.identity.nonce || reply.YourIncarnation == 0 {
+	nothingReceived := reply.YourIncarnation == 0
+	if nothingReceived || reply.YourNonce == s.identity.nonce {
 		return
 	}
 	if s.identity.previous.isOlderThan(reply) {
-		s.setKeysSuspect(true) // the disk was reset to an earlier state, which lacks the keys sent since
+		s.markKeysSuspect() // the disk was reset to an earlier state, which lacks the keys sent since
 	}
 	if reply.YourIncarnation < s.identity.incarnation {
 		return
@@ -93,7 +105,7 @@
 	}
 }
 
-// isOlderThan reports whether a peer knows a later incarnation, or of more keys of the same one, than the disk held.
+// isOlderThan reports whether a peer knows a later incarnation than the disk held, or more keys of the same one.
 func (p *PreviousIncarnation) isOlderThan(reply *messaging.Message) bool {
 	if reply.YourIncarnation == p.Incarnation {
 		return reply.YourPersistedKeys > p.PersistedKeys
@@ -101,14 +113,21 @@
 	return reply.YourIncarnation > p.Incarnation
 }
 
-// setKeysSuspect sets whether previous keys may be missing. The mark is persisted, so that later incarnations have it too
-// until one has run for a whole dedup window: the wall clock cannot tell that the window is over.
-func (s *StateMachine) setKeysSuspect(suspect bool) {
-	if s.identity.keysSuspect == suspect {
-		return
+// markKeysSuspect records that previous keys may be missing. The mark is durable, so that later incarnations have it too.
+func (s *StateMachine) markKeysSuspect() {
+	if !s.identity.keysSuspect {
+		s.identity.keysSuspect = true
+		s.actions.KeysMark = MarkKeysSuspect
+	}
+}
+
+// clearKeysSuspect ends the mark once an incarnation has run for a whole dedup window. The wall clock could not tell that
+// the window is over.
+func (s *StateMachine) clearKeysSuspect() {
+	if s.identity.established && s.identity.keysSuspect && s.dedupWindowPassed() {
+		s.identity.keysSuspect = false
+		s.actions.KeysMark = ClearKeysSuspect
 	}
-	s.identity.keysSuspect = suspect
-	s.actions.SetKeysSuspect = &suspect
 }
 
 // dedupWindowPassed reports whether every key of a previous incarnation has expired.
@@ -116,8 +135,8 @@
 	return s.now >= s.identity.establishedAt+s.config.DedupWindow
 }
 
-// PeerKeysPending reports whether requests may have run under keys that are unknown here: a peer that may know of them has
-// not answered for good or has lost keys, or this dispatcher has, and the dedup window is not over.
+// PeerKeysPending reports whether requests may have run under keys that are unknown here. That ends one dedup window after
+// the start. Before, it is so if this dispatcher or a peer may have lost keys, or a peer has not given its final answer.
 func (s *StateMachine) PeerKeysPending(now time.Duration) bool {
 	if s.identity.established && now >= s.identity.establishedAt+s.config.DedupWindow {
 		return false
--- a/internal/fleet/recovery/identity_test.go
+++ b/internal/fleet/recovery/identity_test.go
@@ -17,14 +17,14 @@
 	s.Receive(10*ms, 1, reply)
 	actions := s.TakeActions()
 	assert.EqualValues(t, 8, actions.RaiseIncarnation)
-	assert.True(t, *actions.SetKeysSuspect, "the disk is older than that")
+	assert.Equal(t, MarkKeysSuspect, actions.KeysMark, "the disk is older than that")
 	assert.True(t, s.PeerKeysPending(20*ms))
 	s.IncarnationRaised(20*ms, 8)
 	assert.EqualValues(t, 8, s.Incarnation())
 	s.Tick(39 * time.Second)
-	assert.Nil(t, s.TakeActions().SetKeysSuspect)
+	assert.Equal(t, KeepKeysMark, s.TakeActions().KeysMark)
 	s.Tick(40 * time.Second)
-	assert.False(t, *s.TakeActions().SetKeysSuspect, "a dedup window has passed")
+	assert.Equal(t, ClearKeysSuspect, s.TakeActions().KeysMark, "a dedup window has passed")
 	assert.False(t, s.PeerKeysPending(40*time.Second))
 }
 
@@ -32,10 +32,10 @@
 	for _, c := range []struct {
 		name  string
 		known uint64 // to the peer: keys of the previous incarnation, of which the disk holds 5
-		want  bool
+		want  KeysMark
 	}{
-		{"as many keys as on disk", 5, false},
-		{"more keys than on disk", 6, true},
+		{"as many keys as on disk", 5, KeepKeysMark},
+		{"more keys than on disk", 6, MarkKeysSuspect},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := newTestMachine(3, PreviousIncarnation{Incarnation: 2, PersistedKeys: 5})
@@ -44,7 +44,7 @@
 			reply.YourIncarnation, reply.YourNonce, reply.ReceivedAgoMillis = 2, 55, receivedBeforeStartMillis
 			reply.YourPersistedKeys = c.known
 			s.Receive(10*ms, 1, reply)
-			assert.Equal(t, c.want, s.TakeActions().SetKeysSuspect != nil)
+			assert.Equal(t, c.want, s.TakeActions().KeysMark)
 		})
 	}
 }
@@ -70,8 +70,9 @@
 	}
 }
 
-// A peer that has replaced what it knew of a dispatcher by that one's query could no longer tell it that its disk was reset.
-func TestReplyReportsThePreviousIncarnationOfTheOneThatAsks(t *testing.T) {
+// A query begins a new incarnation at the peer that receives it. That peer still has to report the one before, or a reset
+// disk would not be detected.
+func TestReplyReportsThePreviousIncarnationOfItsReceiver(t *testing.T) {
 	s := newTestMachine(1, PreviousIncarnation{})
 	s.Receive(ms, 1, &messaging.Message{Kind: messaging.Heartbeat, From: "d1", Incarnation: 4, Nonce: 44, PersistedKeys: 17})
 	s.Receive(2*ms, 1, &messaging.Message{Kind: messaging.Query, From: "d1", Incarnation: 5, Nonce: 55, Number: 1})
@@ -84,7 +85,7 @@
 	}, s.Peers()["d1"], "also after a restart of this one")
 }
 
-// A dispatcher that serves before the receivers of its heartbeats are back cannot know that its disk was reset.
+// A dispatcher that serves before the receivers of its heartbeats are back cannot know whether its disk was reset.
 func TestKeysAreConfirmedByTheReceiversOfHeartbeats(t *testing.T) {
 	s := newTestMachine(2, PreviousIncarnation{Incarnation: 1})
 	s.TakeActions()
@@ -102,18 +103,19 @@
 // A peer may answer before it knows whether its own disk was reset, and then lack keys that it has sent.
 func TestKeysArePendingUntilPeersAreSureOfTheirOwnDisks(t *testing.T) {
 	s := newTestMachine(2, PreviousIncarnation{Incarnation: 1})
-	for n := range 3 {
-		s.Receive(ms, n+1, replyOf(s, n+1, QueryingPeers))
+	peers := []int{1, 2, 3}
+	for _, peer := range peers {
+		s.Receive(ms, peer, replyOf(s, peer, QueryingPeers))
 	}
 	assert.True(t, s.PeerKeysPending(2*ms))
-	for n := range 3 {
-		reply := replyOf(s, n+1, Probing)
+	for _, peer := range peers {
+		reply := replyOf(s, peer, Probing)
 		reply.KeysUnconfirmed = true
-		s.Receive(3*ms, n+1, reply)
+		s.Receive(3*ms, peer, reply)
 	}
 	assert.True(t, s.PeerKeysPending(4*ms), "nor while they cannot tell")
-	for n := range 3 {
-		s.Receive(5*ms, n+1, replyOf(s, n+1, Probing))
+	for _, peer := range peers {
+		s.Receive(5*ms, peer, replyOf(s, peer, Probing))
 	}
 	assert.False(t, s.PeerKeysPending(6*ms))
 }
--- a/internal/fleet/recovery/keys.go
+++ b/internal/fleet/recovery/keys.go
@@ -13,10 +13,13 @@
 	dedupWindow time.Duration
 	previous    map[uint64]messaging.Key // by checksum, of all dispatchers
 	restored    map[uint64]messaging.Key // of previous, those of this dispatcher's own disk
-	sent        map[uint64]messaging.Key // in this incarnation
+	sent        map[uint64]messaging.Key // by checksum, in this incarnation
 }
 
-// NewKeys returns an empty set of keys. dedupWindow is the longest in which workers drop the repeats of a key.
+// noSingleWorker is the worker of a key that was sent to several dedup groups, so that nobody knows where it ran.
+const noSingleWorker = ""
+
+// NewKeys returns an empty set of keys. dedupWindow is the longest time in which workers drop the repeats of a key.
 func NewKeys(dedupWindow time.Duration) *Keys {
 	return &Keys{
 		dedupWindow: dedupWindow,
@@ -39,7 +42,7 @@
 	switch {
 	case !known:
 	case previous.Zone != key.Zone || previous.Cell != key.Cell:
-		key.Worker = ""
+		key.Worker = noSingleWorker
 		key.ExpiresAt = max(key.ExpiresAt, previous.ExpiresAt)
 	case previous.ExpiresAt > key.ExpiresAt:
 		return
@@ -54,8 +57,10 @@
 func (k *Keys) Count() int { return len(k.previous) }
 
 // ForPeers returns the keys of this dispatcher's own disk and incarnation that may not have expired, and forgets the
-// others. Keys from peers are left out: one that asks, asks all members. now is Unix time in ms and uptime the time
-// since the process started: until a whole dedup window has passed the wall clock, which may have jumped, expires no key.
+// others. Keys from peers are left out: a dispatcher that recovers asks all members.
+//
+// now is Unix time in ms, and uptime the time since the process started. The wall clock may have jumped, so it expires no
+// key before the process has run for a whole dedup window.
 func (k *Keys) ForPeers(now int64, uptime time.Duration) (keys []messaging.Key) {
 	for _, own := range []map[uint64]messaging.Key{k.restored, k.sent} {
 		for sum, key := range own {
@@ -85,9 +90,9 @@
 	Uptime       time.Duration // since the process started
 }
 
-// Find returns where a request under a key may have run in a previous incarnation, nil for nowhere. It fails with
-// ErrKeysPending, ErrClockImplausible or ErrSeveralGroups where the request may have run and nobody can tell where, or
-// whether the key has expired.
+// Find returns where a request under a key may have run in a previous incarnation, nil for nowhere. It fails where the
+// request may have run and nobody can tell where, or whether the key has expired: with ErrKeysPending, ErrClockImplausible
+// or ErrSeveralGroups.
 func (k *Keys) Find(lookup KeyLookup) (*messaging.Key, error) {
 	key, known := k.previous[lookup.Sum]
 	if !known {
@@ -96,14 +101,15 @@
 		}
 		return nil, nil
 	}
+	window := key.ExpiresAt - key.SentAt
 	remaining := key.ExpiresAt - lookup.Now
 	switch {
 	case remaining <= 0 && lookup.Uptime > k.dedupWindow:
 		delete(k.previous, lookup.Sum)
 		return nil, nil
-	case key.Worker == "":
+	case key.Worker == noSingleWorker:
 		return nil, ErrSeveralGroups
-	case remaining <= 0, remaining > key.ExpiresAt-key.SentAt:
+	case remaining <= 0, remaining > window:
 		return nil, ErrClockImplausible
 	}
 	return &key, nil
--- a/internal/fleet/recovery/peers.go
+++ b/internal/fleet/recovery/peers.go
@@ -10,62 +10,69 @@
 
 // peer is what is known of one other dispatcher. What of it survives a restart is a PeerProgress.
 type peer struct {
-	incarnation    uint64 // 0 while nothing is known of it
-	nonce          uint64
-	persistedKeys  uint64        // in that incarnation, by its heartbeats
-	previous       PeerProgress  // its incarnation before that one, which it may ask about
-	lastReceivedAt time.Duration // never while this process runs: neverReceived
-	phase          Phase
+	incarnation   uint64       // the highest known, 0 while nothing is known
+	nonce         uint64       // of that incarnation
+	persistedKeys uint64       // in that incarnation, by its heartbeats
+	previous      PeerProgress // the incarnation before that one, about which it may ask
+
+	received       bool          // a message has come since this process started
+	lastReceivedAt time.Duration // since this process started; without meaning unless received
+	phase          Phase         // the highest that a message of that incarnation has named
 
 	query       queryState
-	answered    bool // a whole reply has been received
+	answered    bool // a complete reply has come
 	answerFinal bool // one has come since the peer knows whether its own disk has lost keys
 	keysSuspect bool // keys that the peer should know may be missing
 }
 
-// neverReceived is the value of peer.lastReceivedAt before the first message.
-const neverReceived time.Duration = -1
-
-// restore takes what the disk held of a peer.
+// restore sets what the disk held of a peer.
 func (p *peer) restore(progress PeerProgress) {
 	p.incarnation = progress.Incarnation
 	p.nonce = progress.Nonce
 	p.persistedKeys = progress.PersistedKeys
 	p.previous = PeerProgress{
-		Incarnation: progress.PreviousIncarnation, Nonce: progress.PreviousNonce,
+		Incarnation:   progress.PreviousIncarnation,
+		Nonce:         progress.PreviousNonce,
 		PersistedKeys: progress.PreviousPersistedKeys,
 	}
 }
 
 // progress returns what is stored of a peer.
 func (p *peer) progress() PeerProgress {
-	return PeerProgress{
-		Incarnation: p.incarnation, Nonce: p.nonce, PersistedKeys: p.persistedKeys,
-		PreviousIncarnation: p.previous.Incarnation, PreviousNonce: p.previous.Nonce,
-		PreviousPersistedKeys: p.previous.PersistedKeys,
-	}
+	progress := p.currentProgress()
+	progress.PreviousIncarnation = p.previous.Incarnation
+	progress.PreviousNonce = p.previous.Nonce
+	progress.PreviousPersistedKeys = p.previous.PersistedKeys
+	return progress
+}
+
+// currentProgress returns what is known of the highest incarnation alone.
+func (p *peer) currentProgress() PeerProgress {
+	return PeerProgress{Incarnation: p.incarnation, Nonce: p.nonce, PersistedKeys: p.persistedKeys}
 }
 
-// observe takes the sender's incarnation and phase from a message. It returns false for a message of an incarnation that
-// has ended: the highest one known of a name counts.
+// observe records the sender's incarnation and phase, and reports whether the message counts. One of an incarnation that
+// has ended does not: the highest one known counts, and of two processes with the same number the higher nonce.
 func (p *peer) observe(msg *messaging.Message, now time.Duration) bool {
-	same := msg.Incarnation == p.incarnation && msg.Nonce == p.nonce
-	newer := msg.Incarnation > p.incarnation || msg.Incarnation == p.incarnation && msg.Nonce > p.nonce
+	sameIncarnation := msg.Incarnation == p.incarnation
+	same := sameIncarnation && msg.Nonce == p.nonce
+	newer := msg.Incarnation > p.incarnation || sameIncarnation && msg.Nonce > p.nonce
 	if p.incarnation > 0 && !newer && !same {
 		return false
 	}
 	if newer {
 		p.startIncarnation(msg)
 	}
+	p.received = true
 	p.lastReceivedAt = now
 	p.phase = max(p.phase, Phase(msg.Phase))
 	return true
 }
 
-// startIncarnation takes that a peer has restarted. What it answered before still counts.
+// startIncarnation records that a peer has restarted. What it answered before still counts.
 func (p *peer) startIncarnation(msg *messaging.Message) {
 	if p.incarnation > 0 {
-		p.previous = PeerProgress{Incarnation: p.incarnation, Nonce: p.nonce, PersistedKeys: p.persistedKeys}
+		p.previous = p.currentProgress()
 	}
 	p.incarnation = msg.Incarnation
 	p.nonce = msg.Nonce
@@ -73,7 +80,7 @@
 	p.persistedKeys = 0
 }
 
-// receivePart takes one part of a reply, and returns whether all of its parts have come.
+// receivePart records one part of a reply, and reports whether all of its parts have come.
 func (p *peer) receivePart(reply *messaging.Message) bool {
 	if len(p.query.receivedParts) != int(reply.Parts) {
 		p.query.receivedParts = make([]bool, reply.Parts)
@@ -88,21 +95,22 @@
 	members []peer // the entry of this dispatcher itself is not used
 	self    int
 
-	lastQueryNumber       uint32
-	servingWorkerQueryees int // serving peers that were asked about workers beside the successors
+	lastQueryNumber     uint32 // of all queries of this process, so that a reply names the one it answers
+	servingPeersQueried int    // serving peers that were queried about workers beside the successors
 }
 
 func newPeerTable(members, self int) peerTable {
-	t := peerTable{members: make([]peer, members), self: self}
-	for n := range t.members {
-		t.members[n].lastReceivedAt = neverReceived
-	}
-	return t
+	return peerTable{members: make([]peer, members), self: self}
 }
 
 // count returns how many peers there may be.
 func (t *peerTable) count() int { return len(t.members) - 1 }
 
+// isPeer reports whether a position is that of another member.
+func (t *peerTable) isPeer(position int) bool {
+	return position >= 0 && position < len(t.members) && position != t.self
+}
+
 // others yields every member but this one, by position.
 func (t *peerTable) others() iter.Seq2[int, *peer] {
 	return func(yield func(int, *peer) bool) {
@@ -114,10 +122,10 @@
 	}
 }
 
-// successor returns the position of the member so many steps further in the ring.
+// successor returns the position of the member that many steps further in the ring.
 func (t *peerTable) successor(steps int) int { return (t.self + steps) % len(t.members) }
 
-// successors yields the next members in the ring, at most so many.
+// successors yields the next members in the ring and their positions, at most the given number of them.
 func (t *peerTable) successors(most int) iter.Seq2[int, *peer] {
 	return func(yield func(int, *peer) bool) {
 		for step := 1; step <= min(most, t.count()); step++ {
@@ -128,7 +136,7 @@
 	}
 }
 
-// Peers returns what is known of peers' incarnations and keys, by name, to be stored.
+// Peers returns what is known of peers' incarnations and keys, by name. The caller stores it.
 func (s *StateMachine) Peers() map[string]PeerProgress {
 	progress := map[string]PeerProgress{}
 	for position, p := range s.peers.others() {
@@ -139,7 +147,7 @@
 	return progress
 }
 
-// PeersAnswered returns how many peers have sent a whole reply, and how many there may be.
+// PeersAnswered returns how many peers have sent a complete reply, and how many there may be.
 func (s *StateMachine) PeersAnswered() (answered, total int) {
 	for _, p := range s.peers.others() {
 		if p.answered {
@@ -149,22 +157,22 @@
 	return answered, s.peers.count()
 }
 
-// activeDispatchers returns how many dispatchers share the workers, this one too: those of which a message has come since
-// this process started, and all that may exist as long as peers have the time to answer.
+// activeDispatchers returns how many dispatchers share the workers, this one included. While peers have the time to answer
+// these are all that may exist, and later those of which a message has come since this process started.
 func (s *StateMachine) activeDispatchers() int {
 	if s.phase <= QueryingPeers {
 		return len(s.peers.members)
 	}
 	active := 1
 	for _, p := range s.peers.others() {
-		if p.lastReceivedAt != neverReceived {
+		if p.received {
 			active++
 		}
 	}
 	return active
 }
 
-// Receive takes a message from the member at a position. A message of an incarnation that has ended, or a reply to no
+// Receive handles a message from the member at a position. A message of an incarnation that has ended, or a reply to no
 // query of this process, changes nothing.
 func (s *StateMachine) Receive(now time.Duration, from int, msg *messaging.Message) {
 	s.now = now
@@ -185,8 +193,13 @@
 	}
 }
 
-// acceptsFrom reports whether a message can be of the member that it came from.
+// acceptsFrom reports whether a message can be of the member at a position. Before the incarnation is durable none is
+// accepted, since none may be answered.
 func (s *StateMachine) acceptsFrom(from int, msg *messaging.Message) bool {
-	return s.identity.established && from >= 0 && from < len(s.peers.members) && from != s.config.Self &&
-		msg.From == s.config.Members[from] && msg.Phase <= uint8(Superseded)
+	if !s.identity.established || !s.peers.isPeer(from) {
+		return false
+	}
+	isSender := msg.From == s.config.Members[from]
+	knownPhase := msg.Phase <= uint8(Superseded)
+	return isSender && knownPhase
 }
--- a/internal/fleet/recovery/queries.go
+++ b/internal/fleet/recovery/queries.go
@@ -8,10 +8,10 @@
 
 // Query is a query of a peer, to be answered by Reply.
 type Query struct {
-	From        int // the position of the peer
-	Number      uint32
-	WantWorkers bool // the reply is to name workers too
-	Nonce       uint64
+	From        int    // the position of the peer
+	Number      uint32 // by which the peer finds the reply
+	WantWorkers bool   // the reply is to name workers too
+	Nonce       uint64 // of the process that asks
 }
 
 // PeerReply is one part of a reply, and the position of the peer that sent it.
@@ -24,24 +24,26 @@
 type queryState struct {
 	number        uint32 // of the last query, which a reply has to carry
 	receivedParts []bool // of the reply to it
-	wantWorkers   bool   // the peer is asked about workers too
+	wantWorkers   bool   // the peer is queried about workers too
 	sent          int    // queries in a row, which lengthen the wait for the next one
-	lastAt        time.Duration
-	nextAt        time.Duration
+
+	// Since this process started.
+	lastAt time.Duration // when the last query was sent, 0 before the first
+	nextAt time.Duration // when the next one is due
 }
 
 const (
 	// maxBackoffDoublings bounds the wait between two queries of a peer: sixteen times QueryInterval.
 	maxBackoffDoublings = 4
-	// finalAnswerDoublings sets the wait, eight times QueryInterval, after a reply that was not final.
-	finalAnswerDoublings = 3
-	// workerQueryPeers is how many peers are asked about workers: what all know of them is much the same, and much to send.
+	// minFinalAnswerDoublings sets the shortest wait after a reply that was not final: eight times QueryInterval.
+	minFinalAnswerDoublings = 3
+	// workerQueryPeers is how many peers are queried about workers: what all know of them is much the same, and much to send.
 	workerQueryPeers = 3
 )
 
 // sendQueries queries each peer that is due and whose answer is not final. The wait doubles with each query.
 func (s *StateMachine) sendQueries() {
-	if !s.identity.established || s.phase == Superseded {
+	if !s.phase.rule().sendsQueries {
 		return
 	}
 	for position, p := range s.peers.others() {
@@ -51,7 +53,7 @@
 		s.peers.lastQueryNumber++
 		p.query.number = s.peers.lastQueryNumber
 		p.query.receivedParts = nil
-		p.query.wantWorkers = p.query.wantWorkers || s.isAskedAboutWorkers(position)
+		p.query.wantWorkers = p.query.wantWorkers || s.isQueriedAboutWorkers(position)
 		p.query.nextAt = s.now + s.jittered(s.queryBackoff(p))
 		p.query.sent++
 		p.query.lastAt = s.now
@@ -63,7 +65,7 @@
 
 // queryBackoff returns the longest wait until a peer is queried again.
 func (s *StateMachine) queryBackoff(p *peer) time.Duration {
-	if p.answered { // it only has to find out whether its keys are complete, which takes some time
+	if p.answered { // its answer is final once it knows whether its keys are complete, which takes some time
 		return s.config.QueryInterval << maxBackoffDoublings
 	}
 	return s.config.QueryInterval << min(p.query.sent, maxBackoffDoublings)
@@ -74,24 +76,24 @@
 	return wait/2 + time.Duration(s.rng.Int64N(int64(wait/2)+1))
 }
 
-// isAskedAboutWorkers reports whether a peer is one of the next few in the ring that answer. If every dispatcher asked every
-// other one, a large fleet would send all that it knows once for each pair.
-func (s *StateMachine) isAskedAboutWorkers(position int) bool {
-	most := workerQueryPeers
-	for step := 1; step <= most && step < len(s.peers.members); step++ {
+// isQueriedAboutWorkers reports whether a peer is one of the next few in the ring that answer. If every dispatcher queried
+// every other one about workers, a large fleet would send all that it knows once for each pair.
+func (s *StateMachine) isQueriedAboutWorkers(position int) bool {
+	lastStep := workerQueryPeers
+	for step := 1; step <= lastStep && step < len(s.peers.members); step++ {
 		successor := s.peers.successor(step)
 		if successor == position {
 			return true
 		}
 		if p := &s.peers.members[successor]; p.query.sent > 1 && !p.answered {
-			most++ // it is silent: another one takes its place
+			lastStep++ // it is silent: another one takes its place
 		}
 	}
 	return false
 }
 
-// receiveQuery takes a query. The peer is up, so it is queried again soon even if the wait had grown long, but not at
-// once: two that answer a query by a query would never stop.
+// receiveQuery handles a query. It shows that the peer is up, so that peer is queried again soon even after a long backoff.
+// It is not queried at once: two that answer a query by a query would never stop.
 func (s *StateMachine) receiveQuery(from int, p *peer, query *messaging.Message) {
 	s.actions.Queries = append(s.actions.Queries, Query{
 		From: from, Number: query.Number, WantWorkers: query.WantWorkers, Nonce: query.Nonce,
@@ -102,7 +104,7 @@
 	}
 }
 
-// receiveReply takes one part of a reply to the last query of a peer.
+// receiveReply handles one part of a reply to the last query of a peer.
 func (s *StateMachine) receiveReply(from int, p *peer, reply *messaging.Message) {
 	if reply.Number != p.query.number || p.answerFinal {
 		return
@@ -112,20 +114,21 @@
 	if p.receivePart(reply) {
 		p.answered = true
 		p.answerFinal = Phase(reply.Phase) > QueryingPeers && !reply.KeysUnconfirmed
-		p.query.nextAt = max(p.query.nextAt, s.now+s.config.QueryInterval<<finalAnswerDoublings)
+		p.query.nextAt = max(p.query.nextAt, s.now+s.config.QueryInterval<<minFinalAnswerDoublings)
 		s.queryServingPeerAboutWorkers(p)
 	}
 	s.advance()
 }
 
-// queryServingPeerAboutWorkers queries a peer again that turns out to serve: it knows more of workers than the successors
-// in the ring that were down.
+// queryServingPeerAboutWorkers queries a peer again that turns out to serve: it knows more of workers than successors in
+// the ring that were down. Once this dispatcher admits requests it has seen the workers itself.
 func (s *StateMachine) queryServingPeerAboutWorkers(p *peer) {
-	if p.query.wantWorkers || p.phase != Serving || s.phase > QueryingPeers ||
-		s.peers.servingWorkerQueryees >= workerQueryPeers {
+	mayKnowMore := p.phase == Serving && !p.query.wantWorkers
+	enoughQueried := s.peers.servingPeersQueried >= workerQueryPeers
+	if !mayKnowMore || enoughQueried || s.phase > QueryingPeers {
 		return
 	}
-	s.peers.servingWorkerQueryees++
+	s.peers.servingPeersQueried++
 	p.query.wantWorkers = true
 	p.answered = false
 	p.answerFinal = false
--- a/internal/fleet/recovery/reply.go
+++ b/internal/fleet/recovery/reply.go
@@ -2,14 +2,15 @@
 
 import "canvasroute/internal/fleet/messaging"
 
-// LocalKnowledge is what a dispatcher tells its peers.
+// LocalKnowledge is what a dispatcher knows that its peers may not.
 type LocalKnowledge struct {
 	MaxObserved map[string]float64 // by kind of worker: the most requests seen at work at once
-	Workers     []messaging.Worker
-	Keys        []messaging.Key
+	Workers     []messaging.Worker // sent to peers that ask for workers
+	Keys        []messaging.Key    // sent to every peer that asks
 }
 
-// receivedBeforeStartMillis stands in a reply for the time since a message that came before this process started.
+// receivedBeforeStartMillis stands in a reply for the time since a message that came before this process started: it is
+// longer than any process runs.
 const receivedBeforeStartMillis = 1 << 40
 
 // Reply returns the messages that answer a query with what is known here.
@@ -25,25 +26,23 @@
 	return messaging.Split(first, known.Workers, known.Keys)
 }
 
-// reportPeer writes into a reply what was received under the name of the one that asks, other than from its present process:
-// by its query that one has already replaced its previous incarnation here.
+// reportPeer writes into a reply what was received under the name of the peer that asks, from an earlier process of that
+// name. The peer's query has itself begun a new incarnation here, so the one before that is reported then.
 func (s *StateMachine) reportPeer(reply *messaging.Message, query Query) {
 	p := &s.peers.members[query.From]
 	if p.incarnation == 0 {
 		return
 	}
-	if p.nonce == query.Nonce {
-		reply.YourIncarnation = p.previous.Incarnation
-		reply.YourNonce = p.previous.Nonce
-		reply.YourPersistedKeys = p.previous.PersistedKeys
-		reply.ReceivedAgoMillis = receivedBeforeStartMillis
-		return
-	}
-	reply.YourIncarnation = p.incarnation
-	reply.YourNonce = p.nonce
-	reply.YourPersistedKeys = p.persistedKeys
-	reply.ReceivedAgoMillis = receivedBeforeStartMillis
-	if p.lastReceivedAt != neverReceived {
-		reply.ReceivedAgoMillis = (s.now - p.lastReceivedAt).Milliseconds()
+	progress := p.currentProgress()
+	receivedAgoMillis := int64(receivedBeforeStartMillis)
+	switch {
+	case p.nonce == query.Nonce:
+		progress = p.previous
+	case p.received:
+		receivedAgoMillis = (s.now - p.lastReceivedAt).Milliseconds()
 	}
+	reply.YourIncarnation = progress.Incarnation
+	reply.YourNonce = progress.Nonce
+	reply.YourPersistedKeys = progress.PersistedKeys
+	reply.ReceivedAgoMillis = receivedAgoMillis
 }
--- a/internal/fleet/recovery/statemachine.go
+++ b/internal/fleet/recovery/statemachine.go
@@ -1,8 +1,12 @@
-// Package recovery decides how a dispatcher returns to service after it was down: which incarnation it is, how much of
-// its stored state is trusted, what its peers know, and in which order of phases it serves again.
+// Package recovery decides how a dispatcher returns to service after it was down. It decides which incarnation that is, how
+// much of the stored state is trusted, what the peers are queried for, and in which phases requests are admitted again.
 //
-// It does no I/O, has no clock and starts no goroutine: events go in with the time, and actions come out. Package fleet
-// carries them out. A StateMachine and a Keys must not be used by several goroutines at once.
+// It does no I/O, has no clock and starts no goroutine: events go in with the time, and actions come out. Times are since
+// the start of the process, unless they are said to be Unix times. Package fleet carries the actions out. A StateMachine
+// and a Keys must not be used by several goroutines at once.
+//
+// phase.go says what a dispatcher may do in each phase, and what ends it. trust.go says which facts survive a loss of power,
+// and when each is trusted.
 package recovery
 
 import (
@@ -23,26 +27,26 @@
 	ProbeTimeout      time.Duration // for the first request to succeed
 	SlowStartDuration time.Duration // for workers to warm up
 	QueryInterval     time.Duration // between queries to a silent peer at first; grows to sixteen times as much
-	DedupWindow       time.Duration // the longest in which workers drop the repeats of a key
+	DedupWindow       time.Duration // the longest time in which workers drop the repeats of a key
 	MaxRetryAfter     time.Duration // the most that a client is advised to wait, 0 to give no advice
 	Seed              uint64        // of the draws that spread queries and advice over time
 }
 
-// Addressed is a message and the position of the member that it is for.
+// Addressed is a message and its receiver.
 type Addressed struct {
-	To int
+	To int // the position of the member
 	*messaging.Message
 }
 
-// Actions are what the caller has to do, in the order of the fields: nothing may be sent before the incarnation and the
-// mark of suspect keys are durable.
+// Actions are what the caller has to do, in the order of the fields. Nothing may be sent before the mark of suspect keys
+// and the incarnation are durable.
 type Actions struct {
-	Transitions      []Transition
-	SetKeysSuspect   *bool       // whether previous keys may be missing, to be persisted; nil for no change
-	RaiseIncarnation uint64      // an incarnation to be persisted, 0 for none
-	Replies          []PeerReply // parts of replies, to be merged into what is known here
-	Messages         []Addressed // to be sent
-	Queries          []Query     // to be answered by Reply
+	Transitions      []Transition // to be reported
+	KeysMark         KeysMark     // to be persisted
+	RaiseIncarnation uint64       // an incarnation to be persisted, 0 for none
+	Replies          []PeerReply  // parts of replies, to be merged into what is known here
+	Messages         []Addressed  // to be sent
+	Queries          []Query      // to be answered by Reply
 }
 
 // StateMachine is the recovery of one dispatcher.
@@ -64,11 +68,11 @@
 	nextHeartbeatAt time.Duration
 }
 
-// endpointStatus is what is known of the list of workers.
+// endpointStatus is what is known of the endpoint list, which names the workers.
 type endpointStatus struct {
 	known              bool // there is a list, perhaps a stored one
-	fresh              bool // the list service has sent one since this process started
-	serviceUnavailable bool // the list service did not answer
+	current            bool // the discovery service has sent one since this process started
+	serviceUnavailable bool // the discovery service did not answer
 }
 
 // New returns a state machine in its first phase, in which it admits nothing.
@@ -101,29 +105,29 @@
 	return actions
 }
 
-// EndpointsReceived takes that the list service has sent a list of workers to this process.
+// EndpointsReceived records that the discovery service has sent an endpoint list to this process.
 func (s *StateMachine) EndpointsReceived(now time.Duration) {
 	s.now = now
 	s.endpoints.known = true
-	s.endpoints.fresh = true
+	s.endpoints.current = true
 	s.advance()
 }
 
-// StoredEndpointsLoaded takes that a list of workers is known which may be old: from the configuration or from disk.
+// StoredEndpointsLoaded records that an endpoint list from the configuration or the disk is known, which may be old.
 func (s *StateMachine) StoredEndpointsLoaded(now time.Duration) {
 	s.now = now
 	s.endpoints.known = true
 	s.advance()
 }
 
-// EndpointsUnavailable takes that the list service did not answer.
+// EndpointsUnavailable records that the discovery service did not answer.
 func (s *StateMachine) EndpointsUnavailable(now time.Duration) {
 	s.now = now
 	s.endpoints.serviceUnavailable = true
 	s.advance()
 }
 
-// TakeOver enters Serving at once: the successor in an upgrade continues where its predecessor serves.
+// TakeOver enters Serving at once: the successor in a hot restart continues where its predecessor serves.
 func (s *StateMachine) TakeOver(now time.Duration, incarnation, nonce uint64) {
 	s.now = now
 	s.endpoints.known = true
@@ -135,18 +139,17 @@
 	s.enter(Serving, "takes over from its predecessor")
 }
 
-// Tick does what is due by time alone, and returns when it has to be called again at the latest.
+// Tick does what is due by time alone, and returns when it has to be called again at the latest. Both times are since the
+// process started.
 func (s *StateMachine) Tick(now time.Duration) (next time.Duration) {
 	s.now = now
 	s.advance()
 	s.sendQueries()
 	s.sendHeartbeats()
-	if s.identity.established && s.identity.keysSuspect && s.dedupWindowPassed() {
-		s.setKeysSuspect(false)
-	}
+	s.clearKeysSuspect()
 	next = now + s.config.QueryInterval
-	if timeout, bounded := s.phaseTimeout(); bounded {
-		next = min(next, max(s.phaseStartedAt+timeout, now+minTickInterval))
+	if deadline, bounded := s.phaseDeadline(); bounded {
+		next = min(next, max(deadline, now+minTickInterval))
 	}
 	for _, p := range s.peers.others() {
 		if !p.answerFinal {
@@ -162,9 +165,13 @@
 // message returns a message of this dispatcher with the fields that all kinds have.
 func (s *StateMachine) message(kind messaging.Kind, number uint32) *messaging.Message {
 	return &messaging.Message{
-		Kind: kind, From: s.config.Members[s.config.Self],
-		Incarnation: s.identity.incarnation, Nonce: s.identity.nonce,
-		Number: number, Phase: uint8(s.phase), UptimeMillis: s.now.Milliseconds(),
+		Kind:         kind,
+		From:         s.config.Members[s.config.Self],
+		Incarnation:  s.identity.incarnation,
+		Nonce:        s.identity.nonce,
+		Number:       number,
+		Phase:        uint8(s.phase),
+		UptimeMillis: s.now.Milliseconds(),
 	}
 }
 
--- a/internal/fleet/recovery/statemachine_test.go
+++ b/internal/fleet/recovery/statemachine_test.go
@@ -60,8 +60,9 @@
 			s.EndpointsReceived(ms)
 			s.TakeActions()
 			for n, phase := range c.phases {
+				peer := n + 1
 				for range 3 { // a peer that serves is queried again, about workers
-					s.Receive(2*ms, n+1, replyOf(s, n+1, phase))
+					s.Receive(2*ms, peer, replyOf(s, peer, phase))
 				}
 			}
 			if len(c.phases) < 3 {
--- a/internal/fleet/recovery/trust.go
+++ b/internal/fleet/recovery/trust.go
@@ -1,11 +1,12 @@
 package recovery
 
 import (
+	"errors"
 	"fmt"
 	"time"
 )
 
-// Fact is a kind of fact that a dispatcher may know from its previous incarnation.
+// Fact is a kind of fact that a dispatcher may know from its previous incarnation. TrustRules has the rule for each.
 type Fact uint8
 
 // The values of Fact.
@@ -26,13 +27,14 @@
 	factCount
 )
 
-// TrustRule says how far facts of one kind are trusted.
+// TrustRule says whether facts of one kind survive a loss of power, and when a stored one is trusted. CheckTrust applies
+// it; the texts are for readers.
 type TrustRule struct {
 	Fact                Fact
-	Name                string
-	Stored              string        // where, and when it is durable
+	Name                string        // that operators read
+	Stored              string        // where, and when it is durable; neverStored for facts that no disk holds
 	MaxAge              time.Duration // up to which it is trusted, 0 for any
-	NeedsClock          bool          // the wall clock tells its age: not trusted if that has jumped
+	NeedsClock          bool          // its age is by the wall clock: it is not trusted if that has jumped
 	SurvivesFleetOutage bool          // it still holds when all dispatchers and workers were down
 	CheckedWith         string        // who may know better
 	Default             string        // what is assumed where it is not trusted
@@ -42,7 +44,7 @@
 // neverStored is the Stored text of facts that no disk holds.
 const neverStored = "not at all"
 
-// TrustRules has one row for each kind of fact. docs/recovery.md shows the same table.
+// TrustRules has one row for each kind of fact, by its number. docs/recovery.md shows the same table.
 var TrustRules = [factCount]TrustRule{
 	{
 		Fact: FactIdentity, Name: "name and incarnation", Stored: "life.a and life.b in turn, synced before the first message",
@@ -141,10 +143,10 @@
 	ClockJumped bool          // the wall clock was set back since, so that Elapsed means nothing
 }
 
-// maxClockStepBack is by how much the wall clock may have gone back since a record was written and still be trusted.
+// maxClockStepBack is how far the wall clock may have been set back since a record was written and still be trusted.
 const maxClockStepBack = 2 * time.Second
 
-// RecordAgeOf returns the age of a record by the wall clock. Both times are Unix times in ms.
+// RecordAgeOf returns the age of a record that was written at a time. Both times are Unix times in ms by the wall clock.
 func RecordAgeOf(written, now int64) RecordAge {
 	elapsed := time.Duration(now-written) * time.Millisecond
 	if elapsed < -maxClockStepBack {
@@ -153,18 +155,37 @@
 	return RecordAge{Elapsed: max(elapsed, 0)}
 }
 
-// IsTrusted reports whether a fact of an age is trusted after an outage, and if not, why.
-func IsTrusted(fact Fact, age RecordAge, outage Outage) (trusted bool, reason string) {
+// The reasons for which a stored fact is not trusted, beside TooOldError.
+var (
+	ErrClockJumped     = errors.New("the wall clock has jumped back since it was written")
+	ErrFleetWasDown    = errors.New("the whole fleet was down")
+	ErrFactNeverStored = errors.New("never stored")
+)
+
+// TooOldError means that a stored fact is older than its kind is trusted.
+type TooOldError struct {
+	Age    time.Duration
+	MaxAge time.Duration
+}
+
+// Error names both ages.
+func (e *TooOldError) Error() string {
+	return fmt.Sprintf("%v old, at most %v", e.Age.Round(time.Second), e.MaxAge)
+}
+
+// CheckTrust returns nil if a fact of an age is trusted after an outage. Otherwise it returns why not: ErrClockJumped, a
+// TooOldError, ErrFleetWasDown or ErrFactNeverStored.
+func CheckTrust(fact Fact, age RecordAge, outage Outage) error {
 	rule := &TrustRules[fact]
 	switch {
 	case rule.NeedsClock && age.ClockJumped:
-		return false, "the wall clock has jumped back since it was written"
+		return ErrClockJumped
 	case rule.MaxAge > 0 && age.Elapsed > rule.MaxAge:
-		return false, fmt.Sprintf("%v old, at most %v", age.Elapsed.Round(time.Second), rule.MaxAge)
+		return &TooOldError{Age: age.Elapsed, MaxAge: rule.MaxAge}
 	case !rule.SurvivesFleetOutage && outage == FleetWide:
-		return false, "the whole fleet was down"
+		return ErrFleetWasDown
 	case rule.Stored == neverStored:
-		return false, "never stored"
+		return ErrFactNeverStored
 	}
-	return true, ""
+	return nil
 }
--- a/internal/fleet/recovery/trust_test.go
+++ b/internal/fleet/recovery/trust_test.go
@@ -29,16 +29,18 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			age := RecordAgeOf(10_000_000, 10_000_000+c.age.Milliseconds())
-			trusted, reason := IsTrusted(c.fact, age, c.outage)
-			assert.Equal(t, c.want, trusted, reason)
-			assert.Equal(t, trusted, reason == "")
+			err := CheckTrust(c.fact, age, c.outage)
+			assert.Equal(t, c.want, err == nil, "%v", err)
+			if err != nil {
+				assert.NotEmpty(t, err.Error())
+			}
 		})
 	}
 }
 
 func TestTrustRulesAreCompleteAndInOrder(t *testing.T) {
-	for f, rule := range TrustRules {
-		assert.Equal(t, Fact(f), rule.Fact)
+	for position, rule := range TrustRules {
+		assert.Equal(t, Fact(position), rule.Fact)
 		for _, text := range []string{rule.Name, rule.Stored, rule.CheckedWith, rule.Default, rule.IfWrong} {
 			assert.NotEmpty(t, text, rule.Name)
 		}
--- a/internal/fleet/restore.go
+++ b/internal/fleet/restore.go
@@ -110,15 +110,15 @@
 
 // trusts reports whether a stored fact is trusted, and counts it.
 func (n *Node) trusts(fact recovery.Fact, age recovery.RecordAge, outage recovery.Outage) bool {
-	trusted, reason := recovery.IsTrusted(fact, age, outage)
+	distrust := recovery.CheckTrust(fact, age, outage)
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if trusted {
+	if distrust == nil {
 		n.counters.factsTrusted++
 		return true
 	}
 	n.counters.factsDropped++
-	n.log.Info().Str("fact", recovery.TrustRules[fact].Name).Str("why", reason).Msg("stored fact not trusted")
+	n.log.Info().Str("fact", recovery.TrustRules[fact].Name).Str("why", distrust.Error()).Msg("stored fact not trusted")
 	return false
 }
 
--- a/internal/fleet/simulate/clients.go
+++ b/internal/fleet/simulate/clients.go
@@ -41,16 +41,21 @@
 
 // admitRequest admits a request if the phase allows it, and ends it a while later.
 func (n *node) admitRequest() {
-	if admitted, _ := n.machine.Admit(n.uptime(), requestSize); !admitted {
+	if !n.machine.Admit(n.uptime(), requestSize).Admitted {
 		return
 	}
 	run := n.run
 	succeeds := n.world.workers.up
 	n.world.after(n.world.between(50*time.Millisecond, 400*time.Millisecond), func() {
-		if n.running(run) {
-			n.machine.RequestEnded(n.uptime(), succeeds)
-			n.carryOut()
+		if !n.running(run) {
+			return
 		}
+		if succeeds {
+			n.machine.RequestSucceeded(n.uptime())
+		} else {
+			n.machine.RequestFailed(n.uptime())
+		}
+		n.carryOut()
 	})
 }
 
--- a/internal/fleet/simulate/node.go
+++ b/internal/fleet/simulate/node.go
@@ -92,15 +92,17 @@
 	for _, k := range recovered.Keys {
 		n.keys.Restore(messaging.Key(k))
 	}
+	if n.unreliableDisk {
+		recovered.SuspectUnreliableDisk()
+	}
 	nonce := n.world.rng.Uint64()
-	suspect := recovered.KeysMayBeMissing(n.unreliableDisk)
 	incarnation, err := s.Begin(store.Start{
 		Previous: recovered.Incarnation, MinNumber: recovered.MinNextIncarnation(), Nonce: nonce,
-		KeysSuspect: suspect, At: n.wallClock(),
+		KeysSuspect: recovered.KeysSuspect, At: n.wallClock(),
 	})
 	n.diskFailed = err != nil
 	n.incarnation = incarnation.Number
-	n.machine.IdentityStored(n.uptime(), incarnation.Number, nonce, recovery.PreviousIncarnationOf(recovered, suspect))
+	n.machine.IdentityStored(n.uptime(), incarnation.Number, nonce, recovery.PreviousIncarnationOf(recovered))
 }
 
 // losePower ends the process.
@@ -166,10 +168,7 @@
 	for _, transition := range actions.Transitions {
 		n.checkTransition(transition)
 	}
-	if actions.SetKeysSuspect != nil {
-		//nolint:errcheck // diskFailed stands for an incarnation that could not be raised; setting it here would weaken the check
-		n.store.SetKeysSuspect(*actions.SetKeysSuspect)
-	}
+	n.persistKeysMark(actions.KeysMark)
 	if actions.RaiseIncarnation > 0 {
 		n.raiseIncarnation(actions.RaiseIncarnation)
 	}
@@ -187,6 +186,17 @@
 	}
 }
 
+// persistKeysMark persists a change of the mark. Its error is a drawn fault: diskFailed stands for an incarnation that could
+// not be raised, and setting it here would weaken the check.
+func (n *node) persistKeysMark(mark recovery.KeysMark) {
+	switch mark {
+	case recovery.MarkKeysSuspect:
+		_ = n.store.MarkKeysSuspect()
+	case recovery.ClearKeysSuspect:
+		_ = n.store.ClearKeysSuspect()
+	}
+}
+
 func (n *node) raiseIncarnation(incarnation uint64) {
 	if err := n.store.RaiseIncarnation(incarnation); err != nil {
 		n.diskFailed = true
--- a/internal/fleet/state.go
+++ b/internal/fleet/state.go
@@ -63,17 +63,18 @@
 }
 
 // PersistDrain persists that an operator has drained this dispatcher.
-func (n *Node) PersistDrain() error { return n.persistDrained(true) }
+func (n *Node) PersistDrain() error { return n.updateDrain((*store.Store).MarkDrained) }
 
 // PersistRejoin persists that an operator has ended the drain.
-func (n *Node) PersistRejoin() error { return n.persistDrained(false) }
+func (n *Node) PersistRejoin() error { return n.updateDrain((*store.Store).ClearDrained) }
 
-func (n *Node) persistDrained(drained bool) error {
+// updateDrain persists a change of the drain by an operator.
+func (n *Node) updateDrain(change func(*store.Store) error) error {
 	s := n.resources().store
 	if s == nil {
 		return errNoFolder
 	}
-	if err := s.SetDrained(drained); err != nil {
+	if err := change(s); err != nil {
 		return fmt.Errorf("drain not persisted: %w", err)
 	}
 	return nil
--- a/internal/fleet/store/recovered.go
+++ b/internal/fleet/store/recovered.go
@@ -103,8 +103,10 @@
 	return r.State.Incarnation + 1
 }
 
-// KeysMayBeMissing reports whether keys that were sent may be missing. After a crash every key is suspect on a disk that is
-// unreliable, which is one that may lose what it has synced.
-func (r *Recovered) KeysMayBeMissing(unreliableDisk bool) bool {
-	return r.KeysSuspect || unreliableDisk && r.Known && !r.Incarnation.CleanShutdown
+// SuspectUnreliableDisk marks keys as suspect after a crash, since the disk may have lost what it had synced.
+func (r *Recovered) SuspectUnreliableDisk() {
+	crashed := r.Known && !r.Incarnation.CleanShutdown
+	if crashed {
+		r.KeysSuspect = true
+	}
 }
--- a/internal/fleet/store/store.go
+++ b/internal/fleet/store/store.go
@@ -93,14 +93,24 @@
 	return s.update(func(i *Incarnation) { i.Number = max(i.Number, number) })
 }
 
-// SetKeysSuspect persists whether keys of previous incarnations may be missing.
-func (s *Store) SetKeysSuspect(suspect bool) error {
-	return s.update(func(i *Incarnation) { i.KeysSuspect = suspect })
+// MarkKeysSuspect persists that keys of previous incarnations may be missing.
+func (s *Store) MarkKeysSuspect() error {
+	return s.update(func(i *Incarnation) { i.KeysSuspect = true })
 }
 
-// SetDrained persists whether an operator has drained this dispatcher.
-func (s *Store) SetDrained(drained bool) error {
-	return s.update(func(i *Incarnation) { i.Drained = drained })
+// ClearKeysSuspect persists that no key of a previous incarnation is missing that could still count.
+func (s *Store) ClearKeysSuspect() error {
+	return s.update(func(i *Incarnation) { i.KeysSuspect = false })
+}
+
+// MarkDrained persists that an operator has drained this dispatcher.
+func (s *Store) MarkDrained() error {
+	return s.update(func(i *Incarnation) { i.Drained = true })
+}
+
+// ClearDrained persists that an operator has ended the drain.
+func (s *Store) ClearDrained() error {
+	return s.update(func(i *Incarnation) { i.Drained = false })
 }
 
 // MarkCleanShutdown persists that this incarnation ends in order, and how many keys it has persisted.
--- a/internal/fleet/store/store_test.go
+++ b/internal/fleet/store/store_test.go
@@ -31,7 +31,7 @@
 		}
 		acknowledged = append(acknowledged, learned)
 	}
-	if err := s.SetDrained(true); err != nil {
+	if err := s.MarkDrained(); err != nil {
 		return acknowledged, err
 	}
 	acknowledged = append(acknowledged, "drained")
@@ -182,7 +182,7 @@
 	disk.WriteError = errFull
 	assert.ErrorIs(t, s.AppendKeys([]Key{{Sum: 2}}, 1001), errFull)
 	assert.ErrorIs(t, s.SaveState(State{}), errFull)
-	assert.ErrorIs(t, s.SetDrained(true), errFull)
+	assert.ErrorIs(t, s.MarkDrained(), errFull)
 	disk.WriteError = nil
 	assert.NoError(t, s.AppendKeys([]Key{{Sum: 3}}, 1002), "it continues once there is space")
 	_, recovered = Open(disk.Restart(0), "d0")
@@ -244,7 +244,7 @@
 	assert.NoError(t, err)
 	_, recovered = Open(disk.Restart(0), "d0")
 	assert.True(t, recovered.KeysSuspect)
-	assert.NoError(t, s.SetKeysSuspect(false), "a dedup window has passed")
+	assert.NoError(t, s.ClearKeysSuspect(), "a dedup window has passed")
 	_, recovered = Open(disk.Restart(0), "d0")
 	assert.False(t, recovered.KeysSuspect)
 }
@@ -270,7 +270,10 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			assert.Equal(t, c.wantMin, c.recovered.MinNextIncarnation())
-			assert.Equal(t, c.wantMissing, c.recovered.KeysMayBeMissing(c.unreliableDisk))
+			if c.unreliableDisk {
+				c.recovered.SuspectUnreliableDisk()
+			}
+			assert.Equal(t, c.wantMissing, c.recovered.KeysSuspect)
 		})
 	}
 }
--- a/internal/testbed/experiment/clock.go
+++ b/internal/testbed/experiment/clock.go
@@ -54,5 +54,8 @@
 			return err
 		}
 	}
-	return s.SetDrained(incarnation.Drained)
+	if !incarnation.Drained {
+		return nil
+	}
+	return s.MarkDrained()
 }
--- a/internal/testbed/experiment/clock_test.go
+++ b/internal/testbed/experiment/clock_test.go
@@ -23,7 +23,7 @@
 	assert.NoError(t, err)
 	assert.NoError(t, s.AppendKeys([]store.Key{{Sum: 9, Worker: "w3", SentAt: now, ExpiresAt: now + 1000}}, now))
 	assert.NoError(t, s.SaveState(store.State{WrittenAt: now, SettingsHash: "abc"}))
-	assert.NoError(t, s.SetDrained(true))
+	assert.NoError(t, s.MarkDrained())
 	assert.NoError(t, disk.Close())
 	assert.NoError(t, shiftClock(path, "d1", time.Hour))
 	disk = write()
