--- /dev/null
+++ b/internal/fleet/admission.go
@@ -0,0 +1,67 @@
+package fleet
+
+import (
+	"fmt"
+
+	"canvasroute/internal/balancer"
+	"canvasroute/internal/fleet/recovery"
+	"canvasroute/internal/proxy"
+)
+
+// NotReadyError means that no request may come yet.
+type NotReadyError struct {
+	Phase  recovery.Phase
+	Reason string // why the phase began
+}
+
+// Error is what operators read in the answer to HEALTH.
+func (e *NotReadyError) Error() string { return fmt.Sprintf("returning, %v: %s", e.Phase, e.Reason) }
+
+// Ready returns nil once requests may come, and a NotReadyError before.
+func (n *Node) Ready() error {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	if phase := n.machine.Phase(); !n.admitting || phase == recovery.Superseded {
+		return &NotReadyError{Phase: phase, Reason: n.phaseReason}
+	}
+	return nil
+}
+
+// Admit decides whether a request may come in. Before the recovered state is restored none may. After that the state machine
+// decides by its phase and the expected size, which is the median size where the client gives no hint.
+func (n *Node) Admit(arrival balancer.Arrival) proxy.RecoveryAdmission {
+	n.mu.Lock()
+	serving := n.machine.Phase() == recovery.Serving
+	admitting := n.admitting
+	n.mu.Unlock()
+	if !admitting {
+		return proxy.RecoveryAdmission{RetryAfter: n.config.MaxRetryAfter}
+	}
+	if serving {
+		return proxy.RecoveryAdmission{Admitted: true, Done: func(bool) {}}
+	}
+	size := arrival.SizeHint
+	if size == 0 {
+		size = n.balancer.MedianSize()
+	}
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	admission := n.machine.Admit(n.uptime(), balancer.Duration(size).Standard())
+	if !admission.Admitted {
+		n.counters.requestsRejected++
+		return proxy.RecoveryAdmission{RetryAfter: admission.RetryAfter}
+	}
+	return proxy.RecoveryAdmission{Admitted: true, Done: n.requestEnded}
+}
+
+// requestEnded reports the end of an admitted request to the state machine.
+func (n *Node) requestEnded(succeeded bool) {
+	n.mu.Lock()
+	if succeeded {
+		n.machine.RequestSucceeded(n.uptime())
+	} else {
+		n.machine.RequestFailed(n.uptime())
+	}
+	n.mu.Unlock()
+	n.notify()
+}
--- a/internal/fleet/incarnation.go
+++ b/internal/fleet/incarnation.go
@@ -10,7 +10,7 @@
 	"canvasroute/internal/fleet/store"
 )
 
-// Reasons for which nothing is persisted.
+// The reasons for which nothing is persisted.
 var (
 	errNoFolder       = errors.New("no state folder")
 	errFolderReadOnly = errors.New("the state folder cannot be written to")
@@ -25,7 +25,7 @@
 }
 
 // acquire locks the folder, listens at the address, and reads what the folder holds. It fails if another process has one of
-// them. A folder that cannot be used is no error: the node works without.
+// them. A folder that cannot be used is no error: the node works without it.
 func (n *Node) acquire() error {
 	folder, folderErr := store.OpenFolder(n.settings.State.Folder)
 	if errors.Is(folderErr, store.ErrLocked) {
@@ -53,7 +53,7 @@
 	return nil
 }
 
-// takeRecovered takes what the folder held, and reports what is lost of it.
+// takeRecovered keeps what the folder held, and reports what is lost of it.
 func (n *Node) takeRecovered(owned ownedResources, recovered store.Recovered) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -67,13 +67,13 @@
 		n.log.Warn().Str("folder", n.settings.State.Folder).Str("of", recovered.Incarnation.Name).
 			Msg("state folder of another dispatcher: only its keys used")
 	}
-	for _, k := range recovered.Keys {
-		n.keys.Restore(messaging.Key(k))
+	for _, key := range recovered.Keys {
+		n.keys.Restore(messaging.Key(key))
 	}
 }
 
-// beginIncarnation persists the next incarnation, and tells the state machine. It continues without if the disk does not
-// answer in time.
+// beginIncarnation persists the next incarnation, and reports it to the state machine. If the disk does not answer in time,
+// the process continues with an incarnation that is not durable.
 func (n *Node) beginIncarnation() {
 	n.mu.Lock()
 	s := n.owned.store
@@ -102,8 +102,8 @@
 	n.carryOut()
 }
 
-// persistIncarnation returns the number of the next incarnation once it is durable. The goroutine that writes it ends with
-// the write: nothing can interrupt that, so a disk that hangs holds it until the process ends.
+// persistIncarnation returns the number of the next incarnation once it is durable. Nothing can interrupt the write, so the
+// goroutine that does it lasts as long as the disk hangs.
 func (n *Node) persistIncarnation(s *store.Store, recovered store.Recovered, nonce uint64) (uint64, error) {
 	if s == nil {
 		return 0, errNoFolder
@@ -115,14 +115,17 @@
 	written := make(chan result, 1)
 	go func() {
 		incarnation, err := s.Begin(store.Start{
-			Previous: recovered.Incarnation, MinNumber: recovered.MinNextIncarnation(), Nonce: nonce,
-			KeysSuspect: recovered.KeysSuspect, At: time.Now().UnixMilli(),
+			Previous:    recovered.Incarnation,
+			MinNumber:   recovered.MinNextIncarnation(),
+			Nonce:       nonce,
+			KeysSuspect: recovered.KeysSuspect,
+			At:          time.Now().UnixMilli(),
 		})
 		written <- result{incarnation, err}
 	}()
 	select {
-	case r := <-written:
-		return r.incarnation.Number, r.err
+	case outcome := <-written:
+		return outcome.incarnation.Number, outcome.err
 	case <-time.After(n.settings.Recovery.IdentityTimeout.Std()):
 		return 0, errDiskTimeout
 	}
@@ -160,9 +163,9 @@
 	}
 }
 
-// release persists the last state and that the incarnation ends in order, and gives up the folder and the address.
+// release persists the last state and a clean shutdown, and releases the folder and the address.
 func (n *Node) release() {
-	_ = n.resources().socket.Close() // its Run closes it too, and the second of the two fails
+	_ = n.resources().socket.Close() // its Run closes it too, and the second call fails
 	n.saveState()
 	n.mu.Lock()
 	owned := n.owned
--- a/internal/fleet/keys.go
+++ b/internal/fleet/keys.go
@@ -14,11 +14,12 @@
 
 var _ proxy.Recovery = (*Node)(nil)
 
-// keyChecksum returns what stands for a key on disk and in messages.
+// keyChecksum returns the number that stands for an operation and a key on disk and in messages. The length of the operation
+// is part of it, so that no two pairs are written alike.
 func keyChecksum(operation, key string) uint64 {
-	h := fnv.New64a()
-	fmt.Fprintf(h, "%d %s %s", len(operation), operation, key)
-	return h.Sum64()
+	hash := fnv.New64a()
+	fmt.Fprintf(hash, "%d %s %s", len(operation), operation, key)
+	return hash.Sum64()
 }
 
 // PriorExecution returns where a request under the same key may have run in a previous incarnation of any dispatcher, nil for
@@ -27,8 +28,11 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	found, err := n.keys.Find(recovery.KeyLookup{
-		Sum: keyChecksum(request.Operation, request.Key), MarkedRepeat: request.MarkedRepeat, KeysPending: n.machine.PeerKeysPending(n.uptime()),
-		Now: time.Now().UnixMilli(), Uptime: n.uptime(),
+		Sum:          keyChecksum(request.Operation, request.Key),
+		MarkedRepeat: request.MarkedRepeat,
+		KeysPending:  n.machine.PeerKeysPending(n.uptime()),
+		Now:          time.Now().UnixMilli(),
+		Uptime:       n.uptime(),
 	})
 	switch {
 	case err != nil:
@@ -46,9 +50,12 @@
 func (n *Node) PersistKey(ctx context.Context, record proxy.KeyRecord) error {
 	now := time.Now().UnixMilli()
 	return n.keyWriter.persist(ctx, store.Key{
-		Sum:    keyChecksum(record.Operation, record.Key),
-		Worker: record.Worker, Zone: record.Zone, Cell: record.Cell,
-		SentAt: now, ExpiresAt: now + record.DedupWindow.Milliseconds(),
+		Sum:       keyChecksum(record.Operation, record.Key),
+		Worker:    record.Worker,
+		Zone:      record.Zone,
+		Cell:      record.Cell,
+		SentAt:    now,
+		ExpiresAt: now + record.DedupWindow.Milliseconds(),
 	})
 }
 
@@ -69,8 +76,8 @@
 		return err
 	}
 	n.counters.keysPersisted += int64(len(keys))
-	for _, k := range keys { // for peers that recover; repeats of this incarnation do not need them
-		n.keys.AddSent(messaging.Key(k))
+	for _, key := range keys { // for peers that recover; repeats within this incarnation do not need them
+		n.keys.AddSent(messaging.Key(key))
 	}
 	return nil
 }
--- a/internal/fleet/keywriter.go
+++ b/internal/fleet/keywriter.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	// keyQueueLength is how many keys may wait for the disk. Those that find the queue full wait to enter it.
+	// keyQueueLength is how many keys may wait for the disk. A request whose key finds the queue full waits to enter it.
 	keyQueueLength = 1024
 	// maxKeyBatch bounds the keys that become durable by one sync.
 	maxKeyBatch = 512
@@ -21,7 +21,7 @@
 // Error names the timeout.
 func (e *KeyTimeoutError) Error() string { return fmt.Sprintf("key: not on disk within %v", e.Timeout) }
 
-// keyWriter persists keys in batches, so that requests that come at the same time share a sync. It owns the queue of keys.
+// keyWriter persists keys in batches, so that requests that come at the same time share a sync.
 type keyWriter struct {
 	timeout time.Duration // for a key to become durable
 	queue   chan pendingKey
@@ -30,14 +30,15 @@
 // pendingKey is a key on its way to the disk.
 type pendingKey struct {
 	key       store.Key
-	persisted chan error // receives one value, which may find nobody waiting
+	persisted chan error // receives the result of the write; its request may have stopped waiting
 }
 
 func newKeyWriter(timeout time.Duration) *keyWriter {
 	return &keyWriter{timeout: timeout, queue: make(chan pendingKey, keyQueueLength)}
 }
 
-// persist returns once a key is durable. After a timeout the key may become durable later, which does no harm.
+// persist returns once a key is durable, or with a KeyTimeoutError. After a timeout the key may become durable later, which
+// does no harm.
 func (w *keyWriter) persist(ctx context.Context, key store.Key) error {
 	pending := pendingKey{key: key, persisted: make(chan error, 1)}
 	ctx, cancel := context.WithTimeoutCause(ctx, w.timeout, &KeyTimeoutError{Timeout: w.timeout})
@@ -55,7 +56,7 @@
 	}
 }
 
-// run passes the keys to write until ctx ends. Those that come during one write go together with the next.
+// run passes the keys to write until ctx ends. Keys that come during one write are in the next batch.
 func (w *keyWriter) run(ctx context.Context, write func([]store.Key) error) {
 	for {
 		batch := w.nextBatch(ctx)
@@ -73,7 +74,7 @@
 	}
 }
 
-// nextBatch waits for a key, and returns it with those that wait behind it; none if ctx ends.
+// nextBatch waits for a key, and returns it with those that are queued behind it. It returns none if ctx ends.
 func (w *keyWriter) nextBatch(ctx context.Context) (batch []pendingKey) {
 	select {
 	case pending := <-w.queue:
--- a/internal/fleet/metrics.go
+++ b/internal/fleet/metrics.go
@@ -7,12 +7,16 @@
 
 // counters are what the metrics count since the process started. Node.mu guards them.
 type counters struct {
-	factsTrusted, factsDropped    int64
-	stateWrites, stateFailures    int64
-	stateFailing                  bool // the last write of the state failed
-	keysPersisted, keysLost       int64
-	repeatsToGroup, repeatsFailed int64
-	requestsRejected              int64
+	factsTrusted     int64 // stored facts that were restored
+	factsDropped     int64 // stored facts that were damaged or not trusted
+	stateWrites      int64
+	stateFailures    int64 // writes of the state or the incarnation that failed
+	stateFailing     bool  // the last write of the state failed
+	keysPersisted    int64
+	keysLost         int64 // keys that could not be persisted
+	repeatsToGroup   int64 // requests that went to the dedup group of an earlier attempt
+	repeatsFailed    int64 // requests that failed since nobody could tell where an earlier attempt may have run
+	requestsRejected int64 // by the recovery
 }
 
 // Metrics returns what operators read in the answer to DUMP. Names and order are their interface.
--- a/internal/fleet/node.go
+++ b/internal/fleet/node.go
@@ -1,6 +1,8 @@
 // Package fleet lets the dispatchers of a fleet return to service after an outage, where operators have written a fleet
-// file. It reads that file; its Node persists what a dispatcher needs after a restart, asks the peers, and carries out what
-// package recovery decides on the proxy and the balancer. Without the file none of it runs.
+// file. Without that file none of it runs.
+//
+// The package reads the file. Its Node persists what a dispatcher needs after a restart, queries the peers, and applies
+// the decisions of package recovery to the proxy and the balancer.
 //
 // It does not decide which phase comes when (package recovery), what a record looks like (package store) or a message
 // (package messaging), and it routes no request.
@@ -26,15 +28,15 @@
 
 // Config is what a node has to know of the dispatcher that it is part of.
 type Config struct {
-	Name           string
-	Position       int           // among the members
-	SettingsHash   string        // of the settings in use, for operators who look at the stored state
-	Kinds          []string      // of workers, by balancer.KindID
-	DedupWindow    time.Duration // the longest in which workers drop the repeats of a key
-	WarmupDuration time.Duration // until a worker is warm
-	MaxRetryAfter  time.Duration // the most that a client is advised to wait
-	IsSuccessor    bool          // it is the successor in an upgrade: the predecessor leaves it the folder and the address
-	Now            func() balancer.Time
+	Name           string               // of the dispatcher
+	Position       int                  // among the members
+	SettingsHash   string               // of the settings in use, for operators who look at the stored state
+	Kinds          []string             // names of the kinds of workers, by balancer.KindID
+	DedupWindow    time.Duration        // the longest time in which workers drop the repeats of a key
+	WarmupDuration time.Duration        // from a worker's start until it is warm
+	MaxRetryAfter  time.Duration        // the most that a client is advised to wait, 0 to give no advice
+	IsSuccessor    bool                 // in a hot restart: the predecessor yields the folder and the address
+	Now            func() balancer.Time // the clock of the balancer
 	Log            zerolog.Logger
 }
 
@@ -44,14 +46,14 @@
 	settings  *Settings
 	config    Config
 	log       zerolog.Logger
-	startedAt time.Time
+	startedAt time.Time // of the process
 
 	proxy    *proxy.Proxy     // from Attach
 	balancer *balancer.Shards // from Attach
 
 	keyWriter      *keyWriter
 	stateChanged   chan struct{}             // the state machine is to be called
-	yields         chan bool                 // true from YieldSocket, false from ReclaimSocket
+	ownerChanges   chan socketOwner          // from YieldSocket and ReclaimSocket
 	storedCapacity func() map[string]float64 // by kind of worker, from the recovered state; decoded once
 
 	mu          sync.Mutex // guards the fields below; never held during a write to disk
@@ -59,15 +61,15 @@
 	keys        *recovery.Keys
 	owned       ownedResources
 	recovered   store.Recovered
-	successor   bool                 // it takes over from another process
+	successor   bool                 // this process takes over from another one
 	replies     []recovery.PeerReply // not merged yet
-	applied     bool                 // the recovered state is or was being restored
+	restoring   bool                 // the recovered state is being restored, or has been
 	admitting   bool                 // it has been restored: requests may come
-	phaseReason string               // why the phase began
+	phaseReason string               // why the phase began, as operators read it
 	counters    counters
 }
 
-// ownedResources are what only one process of a name may have. All are nil while another process has them.
+// ownedResources are what only one process of a name has. All are nil while another process has them.
 type ownedResources struct {
 	folder *store.Folder // also nil if the folder cannot be used
 	store  *store.Store  // nil with folder
@@ -88,14 +90,14 @@
 // Unwrap returns what is taken.
 func (e *NameConflictError) Unwrap() error { return e.Err }
 
-// Open returns a node that has locked and read the folder and listens at its address; a successor waits for both until it
-// runs. It fails with a NameConflictError if another process has not left them within the identity timeout.
+// Open returns a node that has locked and read the folder, and listens at its address. A successor does both later, when it
+// runs. Open fails with a NameConflictError if another process has not left them within the identity timeout.
 func Open(ctx context.Context, settings *Settings, config Config) (*Node, error) {
 	n := &Node{
 		settings: settings, config: config, log: config.Log, startedAt: time.Now(),
 		keyWriter:    newKeyWriter(settings.Recovery.KeyTimeout.Std()),
 		stateChanged: make(chan struct{}, 1),
-		yields:       make(chan bool, 4), // more than an upgrade needs
+		ownerChanges: make(chan socketOwner, maxOwnerChanges),
 		machine:      newStateMachine(settings, &config),
 		keys:         recovery.NewKeys(config.DedupWindow),
 		successor:    config.IsSuccessor,
@@ -119,18 +121,19 @@
 // newStateMachine returns the state machine for the settings.
 func newStateMachine(settings *Settings, config *Config) *recovery.StateMachine {
 	var members []string
-	for _, m := range settings.Members {
-		members = append(members, m.Name)
+	for _, member := range settings.Members {
+		members = append(members, member.Name)
 	}
-	r := &settings.Recovery
+	limits := &settings.Recovery
 	return recovery.New(recovery.Config{
-		Members: members, Self: config.Position,
-		IdentityTimeout:   r.IdentityTimeout.Std(),
-		EndpointsTimeout:  r.EndpointsTimeout.Std(),
-		PeersTimeout:      r.PeersTimeout.Std(),
-		ProbeTimeout:      r.ProbeTimeout.Std(),
+		Members:           members,
+		Self:              config.Position,
+		IdentityTimeout:   limits.IdentityTimeout.Std(),
+		EndpointsTimeout:  limits.EndpointsTimeout.Std(),
+		PeersTimeout:      limits.PeersTimeout.Std(),
+		ProbeTimeout:      limits.ProbeTimeout.Std(),
 		SlowStartDuration: config.WarmupDuration + slowStartMargin,
-		QueryInterval:     r.QueryInterval.Std(),
+		QueryInterval:     limits.QueryInterval.Std(),
 		DedupWindow:       config.DedupWindow,
 		MaxRetryAfter:     config.MaxRetryAfter,
 		Seed:              rand.Uint64(),
@@ -153,8 +156,8 @@
 var errShutdownTimeout = errors.New("the disk does not answer")
 
 // Run recovers the dispatcher and persists its state until ctx ends. If the disk hangs then, Run returns after the identity
-// timeout, and leaves the goroutine that waits for the disk to the end of the process: operators would kill a process that
-// does not end, and either way the next incarnation treats this one as crashed.
+// timeout, and the goroutine that waits for the disk ends with the process. Operators would kill a process that does not
+// end; either way the next incarnation treats this one as crashed.
 func (n *Node) Run(ctx context.Context) error {
 	ended := make(chan error, 1)
 	go func() { ended <- n.run(ctx) }()
@@ -172,113 +175,30 @@
 	}
 }
 
-// run serves in turn with other processes of this name: until it yields to a successor, and again if that one fails.
-func (n *Node) run(ctx context.Context) error {
-	for {
-		if n.isSuccessor() && !n.waitForPredecessor(ctx) {
-			return nil
-		}
-		n.beginIncarnation()
-		err := n.runIncarnation(ctx)
-		if err != nil || ctx.Err() != nil {
-			return err
-		}
-		if !n.waitForSuccessorEnd(ctx) {
-			return nil
-		}
-		n.mu.Lock()
-		n.successor = true
-		n.mu.Unlock()
-	}
-}
-
-func (n *Node) isSuccessor() bool {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	return n.successor
-}
-
-// waitForPredecessor serves at once, and waits until the predecessor has left the folder and the address. It returns false
-// if ctx ends before.
-func (n *Node) waitForPredecessor(ctx context.Context) bool {
-	n.mu.Lock()
-	n.machine.TakeOver(n.uptime(), 0, 0) // the incarnation is not known before the folder is read
-	n.admitting = true
-	n.mu.Unlock()
-	n.carryOut()
-	for n.acquire() != nil {
-		if !sleep(ctx, n.settings.Recovery.QueryInterval.Std()) {
-			return false
-		}
-	}
-	return true
-}
-
-// waitForSuccessorEnd waits until a successor has ended before this process. It returns false if ctx ends before.
-func (n *Node) waitForSuccessorEnd(ctx context.Context) bool {
-	for {
-		select {
-		case yielded := <-n.yields:
-			if !yielded {
-				return true
-			}
-		case <-ctx.Done():
-			return false
-		}
-	}
-}
-
-// runIncarnation runs the goroutines of this node until ctx ends or the folder and the address are to be yielded, and then
-// gives both up.
+// runIncarnation runs the goroutines of this node until ctx ends, or until the folder and the address are to be yielded.
+// Then it releases both.
 func (n *Node) runIncarnation(ctx context.Context) error {
 	running, cancel := context.WithCancel(ctx)
 	defer cancel()
-	g, ctx := errgroup.WithContext(running)
-	g.Go(func() error {
+	goroutines, ctx := errgroup.WithContext(running)
+	goroutines.Go(func() error {
 		n.waitForYield(ctx)
 		cancel()
 		return nil
 	})
 	socket := n.resources().socket
-	g.Go(func() error { return socket.Run(ctx, n.receive) })
+	goroutines.Go(func() error { return socket.Run(ctx, n.receive) })
 	for _, loop := range []func(context.Context){n.writeKeys, n.saveStates, n.tick} {
-		g.Go(func() error {
+		goroutines.Go(func() error {
 			loop(ctx)
 			return nil
 		})
 	}
-	err := g.Wait()
+	err := goroutines.Wait()
 	n.release()
 	return err
 }
 
-// waitForYield returns when a successor is to have the folder and the address, or ctx ends.
-func (n *Node) waitForYield(ctx context.Context) {
-	for {
-		select {
-		case yielded := <-n.yields:
-			if yielded {
-				return
-			}
-		case <-ctx.Done():
-			return
-		}
-	}
-}
-
-// YieldSocket leaves the folder and the address to a successor. It does not wait.
-func (n *Node) YieldSocket() { n.requestYield(true) }
-
-// ReclaimSocket takes the folder and the address back once the successor has ended. It does not wait.
-func (n *Node) ReclaimSocket() { n.requestYield(false) }
-
-func (n *Node) requestYield(yield bool) {
-	select {
-	case n.yields <- yield:
-	default: // as many are waiting already
-	}
-}
-
 // sleep waits, and returns false if ctx ends before.
 func sleep(ctx context.Context, d time.Duration) bool {
 	select {
--- a/internal/fleet/node_test.go
+++ b/internal/fleet/node_test.go
@@ -83,18 +83,19 @@
 	return n, disk
 }
 
-// assertDoesNotWait fails the test if something takes longer than anybody should wait.
-func assertDoesNotWait(t *testing.T, what string, f func()) {
+// assertDoesNotWait fails the test if an operation takes longer than anybody should wait.
+func assertDoesNotWait(t *testing.T, name string, operation func()) {
 	t.Helper()
+	const limit = 5 * time.Second
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		f()
+		operation()
 	}()
 	select {
 	case <-done:
-	case <-time.After(5 * time.Second):
-		t.Fatalf("%s waits for the disk", what)
+	case <-time.After(limit):
+		t.Fatalf("%s waits for the disk", name)
 	}
 }
 
--- a/internal/fleet/peers.go
+++ b/internal/fleet/peers.go
@@ -10,8 +10,8 @@
 	"canvasroute/internal/protocol"
 )
 
-// mergeReplies takes what peers know, and in doubt the more cautious value: the latest start of a worker, a drain that any of
-// them knows, each key. Requests in flight are taken from those peers alone that serve.
+// mergeReplies merges what peers know into what is known here. In doubt the more cautious value counts: the latest start of
+// a worker, a drain that any of them knows, each key. Only of peers that serve do requests in flight count.
 func (n *Node) mergeReplies(replies []recovery.PeerReply) {
 	_, endpoints := n.proxy.Endpoints()
 	merged := newEndpointMerge(endpoints)
@@ -27,8 +27,8 @@
 			}
 		}
 		n.mu.Lock()
-		for _, k := range reply.Keys {
-			n.keys.AddFromPeer(k)
+		for _, key := range reply.Keys {
+			n.keys.AddFromPeer(key)
 		}
 		n.mu.Unlock()
 	}
@@ -38,7 +38,8 @@
 	}
 }
 
-// mergeCapacity takes what a peer has seen workers process at once. It may be from that peer's disk: this one's may be lost.
+// mergeCapacity passes on how many requests a peer has seen workers process at once. The peer may have it from its disk,
+// which helps where this dispatcher's disk is lost.
 func (n *Node) mergeCapacity(maxObserved map[string]float64) {
 	for name, observed := range maxObserved {
 		if kind := slices.Index(n.config.Kinds, name); kind >= 0 {
@@ -47,11 +48,11 @@
 	}
 }
 
-// endpointMerge collects what peers know later of the workers that are listed here.
+// endpointMerge collects what peers know of the listed workers that is later than the list.
 type endpointMerge struct {
-	endpoints []protocol.Endpoint
-	positions map[string]int // of endpoints, by worker
-	changed   []bool         // by position
+	endpoints []protocol.Endpoint // with what was merged
+	positions map[string]int      // of endpoints, by worker
+	changed   []bool              // by position
 }
 
 func newEndpointMerge(endpoints []protocol.Endpoint) *endpointMerge {
@@ -62,25 +63,25 @@
 	return m
 }
 
-// merge takes what a peer knows of a worker. It returns false for a worker that is not listed.
-func (m *endpointMerge) merge(w messaging.Worker) bool {
+// merge adds what a peer knows of a worker, and reports whether the worker is listed.
+func (m *endpointMerge) merge(w messaging.Worker) (listed bool) {
 	position, listed := m.positions[w.ID]
 	if !listed {
 		return false
 	}
-	e := &m.endpoints[position]
-	if startedAt := float64(w.StartedAt); startedAt > e.StartedAtMillis {
-		e.StartedAtMillis = startedAt
+	endpoint := &m.endpoints[position]
+	if startedAt := float64(w.StartedAt); startedAt > endpoint.StartedAtMillis {
+		endpoint.StartedAtMillis = startedAt
 		m.changed[position] = true
 	}
-	if w.State == protocol.Terminating && e.State == protocol.Ready {
-		e.State = w.State
+	if w.State == protocol.Terminating && endpoint.State == protocol.Ready {
+		endpoint.State = w.State
 		m.changed[position] = true
 	}
 	return true
 }
 
-// changedEndpoints returns the endpoints that a peer knew later, in the order of the list.
+// changedEndpoints returns the endpoints of which a peer knew something later, in the order of the list.
 func (m *endpointMerge) changedEndpoints() (changed []protocol.Endpoint) {
 	for position, e := range m.endpoints {
 		if m.changed[position] {
@@ -90,7 +91,7 @@
 	return changed
 }
 
-// answerQueries sends what is known here to the peers that ask.
+// answerQueries sends what is known here to the peers that have sent queries.
 func (n *Node) answerQueries(socket *messaging.Socket, queries []recovery.Query) {
 	known := recovery.LocalKnowledge{MaxObserved: n.knownCapacity(), Workers: n.knownWorkers()}
 	var messages []recovery.Addressed
@@ -107,7 +108,8 @@
 	}
 }
 
-// knownWorkers returns the listed workers of which a peer may not know all.
+// knownWorkers returns the listed workers of which something is known that a peer may lack: a start, a state other than
+// ready, or requests in flight from here.
 func (n *Node) knownWorkers() (workers []messaging.Worker) {
 	_, endpoints := n.proxy.Endpoints()
 	inFlight := n.proxy.InFlightByWorker()
@@ -126,11 +128,11 @@
 	return workers
 }
 
-// minObservedCapacity is the capacity up to which nothing was observed: one request at a time is what any worker has.
+// minObservedCapacity is a worker's capacity, in requests at once, that needs no observation: any worker processes one.
 const minObservedCapacity = 1
 
-// knownCapacity returns the most requests at once that workers of each kind have been seen to process: by this process and,
-// before it has restored its state, by the stored one.
+// knownCapacity returns the most requests at once that workers of each kind have been seen to process. Before the stored
+// state is restored, what it says counts beside what this process has seen.
 func (n *Node) knownCapacity() map[string]float64 {
 	capacity := map[string]float64{}
 	for kind, observed := range n.balancer.MaxObserved() {
--- a/internal/fleet/phases.go
+++ b/internal/fleet/phases.go
@@ -2,13 +2,10 @@
 
 import (
 	"context"
-	"fmt"
 	"time"
 
-	"canvasroute/internal/balancer"
 	"canvasroute/internal/fleet/messaging"
 	"canvasroute/internal/fleet/recovery"
-	"canvasroute/internal/proxy"
 )
 
 const (
@@ -29,7 +26,7 @@
 		case <-ctx.Done():
 			return
 		}
-		needsCapacity := n.updateCapacity()
+		dependsOnCapacity := n.updateCapacity()
 		n.mu.Lock()
 		if n.owned.store != nil {
 			n.machine.SetPersistedKeys(n.owned.store.PersistedKeys())
@@ -38,14 +35,14 @@
 		n.mu.Unlock()
 		n.carryOut()
 		wait := max(next-n.uptime(), minTickWait)
-		if needsCapacity {
+		if dependsOnCapacity {
 			wait = min(wait, capacityInterval)
 		}
 		timer.Reset(wait)
 	}
 }
 
-// updateCapacity passes the workers' capacity to the state machine, and returns whether the phase depends on it.
+// updateCapacity passes the workers' capacity to the state machine, and reports whether the phase depends on it.
 func (n *Node) updateCapacity() bool {
 	n.mu.Lock()
 	phase := n.machine.Phase()
@@ -66,7 +63,7 @@
 func (n *Node) notify() {
 	select {
 	case n.stateChanged <- struct{}{}:
-	default: // it is about to
+	default: // tick is about to run
 	}
 }
 
@@ -78,8 +75,8 @@
 	n.carryOut()
 }
 
-// carryOut carries out the actions of the state machine: first what has to be durable, then what is restored or merged, and
-// last what is sent.
+// carryOut carries out the actions of the state machine. What has to be durable comes first, then what is restored or
+// merged, and last what is sent.
 func (n *Node) carryOut() {
 	n.mu.Lock()
 	actions := n.machine.TakeActions()
@@ -111,28 +108,28 @@
 func (n *Node) reportTransitions(transitions []recovery.Transition) {
 	for _, t := range transitions {
 		n.phaseReason = t.Reason
-		// The lab and operators look for this message and its fields.
+		// The testbed and operators look for this message and its fields.
 		n.log.Info().Stringer("phase", t.Phase).Str("why", t.Reason).Dur("at_ms", t.At).
 			Stringer("case", n.machine.Outage()).Msg("returning")
 	}
 }
 
-// takeReplies adds replies to those that wait, and returns all of them once the phase admits requests; restoreNow is true
-// the first time, unless the balancer has its state from a predecessor. The caller holds mu.
+// takeReplies adds replies to those that wait. Once the phase admits requests it returns all of them, to be merged. The
+// first time restoreNow is true, unless the balancer has its state from a predecessor. The caller holds mu.
 func (n *Node) takeReplies(received []recovery.PeerReply) (replies []recovery.PeerReply, restoreNow bool) {
 	n.replies = append(n.replies, received...)
 	if n.machine.Phase().Admits() {
-		restoreNow = !n.applied && !n.successor
-		n.applied = true
+		restoreNow = !n.restoring && !n.successor
+		n.restoring = true
 	}
-	if n.applied {
+	if n.restoring {
 		replies = n.replies
 		n.replies = nil
 	}
 	return replies, restoreNow
 }
 
-// EndpointsReceived takes that the list service has sent its list.
+// EndpointsReceived records that the discovery service has sent its endpoint list.
 func (n *Node) EndpointsReceived() {
 	n.mu.Lock()
 	n.machine.EndpointsReceived(n.uptime())
@@ -140,7 +137,7 @@
 	n.notify()
 }
 
-// EndpointsUnavailable takes that the list service did not answer, or no longer answers.
+// EndpointsUnavailable records that the discovery service did not answer, or no longer answers.
 func (n *Node) EndpointsUnavailable() {
 	n.mu.Lock()
 	n.machine.EndpointsUnavailable(n.uptime())
@@ -148,66 +145,9 @@
 	n.notify()
 }
 
-// StoredEndpointsLoaded takes that the proxy has a list of workers to start with, perhaps an old one.
+// StoredEndpointsLoaded records that the proxy has an endpoint list to start with, perhaps an old one.
 func (n *Node) StoredEndpointsLoaded() {
 	n.mu.Lock()
 	n.machine.StoredEndpointsLoaded(n.uptime())
 	n.mu.Unlock()
 }
-
-// NotReadyError means that no request may come yet.
-type NotReadyError struct {
-	Phase  recovery.Phase
-	Reason string // why the phase began
-}
-
-// Error is what operators read in the answer to HEALTH.
-func (e *NotReadyError) Error() string { return fmt.Sprintf("returning, %v: %s", e.Phase, e.Reason) }
-
-// Ready returns nil once requests may come, and a NotReadyError before.
-func (n *Node) Ready() error {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	if phase := n.machine.Phase(); !n.admitting || phase == recovery.Superseded {
-		return &NotReadyError{Phase: phase, Reason: n.phaseReason}
-	}
-	return nil
-}
-
-// Admit decides whether a request may come in.
-func (n *Node) Admit(arrival balancer.Arrival) proxy.RecoveryAdmission {
-	n.mu.Lock()
-	serving := n.machine.Phase() == recovery.Serving
-	admitting := n.admitting
-	n.mu.Unlock()
-	if !admitting { // no request may be sent before the state is restored
-		return proxy.RecoveryAdmission{RetryAfter: n.config.MaxRetryAfter}
-	}
-	if serving {
-		return proxy.RecoveryAdmission{Admitted: true, Done: func(bool) {}}
-	}
-	size := arrival.SizeHint
-	if size == 0 {
-		size = n.balancer.MedianSize()
-	}
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	admission := n.machine.Admit(n.uptime(), balancer.Duration(size).Standard())
-	if !admission.Admitted {
-		n.counters.requestsRejected++
-		return proxy.RecoveryAdmission{RetryAfter: admission.RetryAfter}
-	}
-	return proxy.RecoveryAdmission{Admitted: true, Done: n.requestEnded}
-}
-
-// requestEnded passes the end of an admitted request to the state machine.
-func (n *Node) requestEnded(succeeded bool) {
-	n.mu.Lock()
-	if succeeded {
-		n.machine.RequestSucceeded(n.uptime())
-	} else {
-		n.machine.RequestFailed(n.uptime())
-	}
-	n.mu.Unlock()
-	n.notify()
-}
--- a/internal/fleet/restore.go
+++ b/internal/fleet/restore.go
@@ -11,10 +11,11 @@
 	"canvasroute/internal/proxy"
 )
 
-// InitialEndpoints returns the newer one of the configured list and the stored one.
+// InitialEndpoints returns the newer one of the configured endpoint list and the stored one. Either may be nil.
 func (n *Node) InitialEndpoints(configured *protocol.EndpointList) *protocol.EndpointList {
-	snapshot, ok := n.storedSnapshot()
-	if !ok || configured != nil && configured.Version >= snapshot.Version {
+	snapshot, found := n.storedSnapshot()
+	configuredIsNewer := configured != nil && configured.Version >= snapshot.Version
+	if !found || configuredIsNewer {
 		return configured
 	}
 	stored := &protocol.EndpointList{Version: snapshot.Version, Complete: true}
@@ -28,9 +29,9 @@
 	return stored
 }
 
-// storedSnapshot decodes what the stored state has learned; ok is false if there is none. A state that cannot be decoded is
-// dropped.
-func (n *Node) storedSnapshot() (snapshot proxy.Snapshot, ok bool) {
+// storedSnapshot decodes what the dispatcher had learned when it last wrote its state. found is false if there is no state.
+// One that cannot be decoded is dropped.
+func (n *Node) storedSnapshot() (snapshot proxy.Snapshot, found bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.recovered.State == nil {
@@ -45,7 +46,8 @@
 	return snapshot, true
 }
 
-// restore gives the balancer what is trusted of the stored state and what peers know, before the first request is sent.
+// restore passes to the balancer and the proxy what is trusted of the stored state and what peers know. It is called once,
+// before the first request is sent.
 func (n *Node) restore(replies []recovery.PeerReply) {
 	n.mu.Lock()
 	outage := n.machine.Outage()
@@ -53,7 +55,7 @@
 	n.mu.Unlock()
 	processStart := n.config.Now().Add(-balancer.DurationOf(n.uptime()))
 	if state != nil {
-		if snapshot, ok := n.storedSnapshot(); ok {
+		if snapshot, found := n.storedSnapshot(); found {
 			age := recovery.RecordAgeOf(state.WrittenAt, time.Now().UnixMilli())
 			n.dropUntrusted(&snapshot, age, outage)
 			n.proxy.RestoreFromDisk(snapshot)
@@ -71,8 +73,8 @@
 		Int64("dropped", n.counters.factsDropped).Int("keys", n.keys.Count()).Msg("stored state restored")
 }
 
-// dropUntrusted removes from a stored snapshot what recovery.TrustRules do not trust at its age and after such an outage,
-// and what is of the moment of writing alone.
+// dropUntrusted removes from a stored snapshot the facts that recovery.CheckTrust does not trust, and what described only
+// the moment of writing.
 func (n *Node) dropUntrusted(snapshot *proxy.Snapshot, age recovery.RecordAge, outage recovery.Outage) {
 	trustsCapacity := n.trusts(recovery.FactCapacity, age, outage)
 	trustsSizes := n.trusts(recovery.FactSizes, age, outage)
@@ -102,13 +104,13 @@
 			if !trustsBackoffs {
 				*worker = balancer.WorkerStats{}
 			}
-			worker.PeerLoads = nil // those requests have ended
-			worker.Sends = nil     // and these are too long ago
+			worker.PeerLoads = nil // requests of peers that have ended since
+			worker.Sends = nil     // too long ago to count
 		}
 	}
 }
 
-// trusts reports whether a stored fact is trusted, and counts it.
+// trusts reports whether a stored fact is trusted. It counts the fact, and logs why it is not trusted.
 func (n *Node) trusts(fact recovery.Fact, age recovery.RecordAge, outage recovery.Outage) bool {
 	distrust := recovery.CheckTrust(fact, age, outage)
 	n.mu.Lock()
@@ -122,7 +124,7 @@
 	return false
 }
 
-// restoreDrains takes the drains of the stored list that the present one lacks, unless that is newer.
+// restoreDrains restores the drains of the stored endpoint list that the present one lacks, unless the present one is newer.
 func (n *Node) restoreDrains(snapshot proxy.Snapshot) {
 	version, endpoints := n.proxy.Endpoints()
 	if version > snapshot.Version {
@@ -140,14 +142,15 @@
 	}
 }
 
-// readStoredCapacity returns the most requests at once that workers of each kind had been seen to process, by the stored state.
+// readStoredCapacity returns the most requests at once that workers of each kind had been seen to process when the stored
+// state was written.
 func (n *Node) readStoredCapacity() map[string]float64 {
 	capacity := map[string]float64{}
-	snapshot, ok := n.storedSnapshot()
-	if !ok || len(snapshot.Learned) == 0 {
+	snapshot, found := n.storedSnapshot()
+	if !found || len(snapshot.Learned) == 0 {
 		return capacity
 	}
-	for kind, stats := range snapshot.Learned[0].Kinds {
+	for kind, stats := range snapshot.Learned[0].Kinds { // one shard stands for all
 		if kind < len(snapshot.Kinds) && stats.MaxObserved > minObservedCapacity {
 			capacity[snapshot.Kinds[kind]] = stats.MaxObserved
 		}
--- a/internal/fleet/settings.go
+++ b/internal/fleet/settings.go
@@ -31,36 +31,36 @@
 type Settings struct {
 	State struct {
 		Folder         string   `toml:"folder"`
-		Interval       Duration `toml:"every"`      // between writes of the state
+		Interval       Duration `toml:"every"`      // from one write of the state to the next
 		UnreliableDisk bool     `toml:"doubt-disk"` // the disk may lose what it has synced
 	} `toml:"state"`
 	Link struct {
-		Listen string `toml:"listen"`
+		Listen string `toml:"listen"` // the UDP address for messages of the other members
 	} `toml:"link"`
 	Members  []Member `toml:"member"` // all dispatchers that may exist, by position
 	Recovery struct {
-		IdentityTimeout  Duration `toml:"identity-within"`
-		EndpointsTimeout Duration `toml:"list-within"`
-		PeersTimeout     Duration `toml:"others-within"`
-		ProbeTimeout     Duration `toml:"trickle-within"`
-		QueryInterval    Duration `toml:"ask-every"`
-		KeyTimeout       Duration `toml:"keep-within"` // for a key to be persisted before its request is given up
+		IdentityTimeout  Duration `toml:"identity-within"` // for the incarnation to be persisted
+		EndpointsTimeout Duration `toml:"list-within"`     // for the discovery service to answer
+		PeersTimeout     Duration `toml:"others-within"`   // for the peers to reply
+		ProbeTimeout     Duration `toml:"trickle-within"`  // for the first request to succeed
+		QueryInterval    Duration `toml:"ask-every"`       // from one query of a silent peer to the next, at first
+		KeyTimeout       Duration `toml:"keep-within"`     // for a key to be persisted before its request is rejected
 	} `toml:"recovery"`
 
-	ownAddress      netip.AddrPort
-	memberAddresses []netip.AddrPort
+	ownAddress      netip.AddrPort   // parsed from Link.Listen
+	memberAddresses []netip.AddrPort // parsed from Members, by position
 }
 
 // Member is one dispatcher of the fleet.
 type Member struct {
 	Name    string `toml:"name"`
-	Address string `toml:"address"` // from which its messages come, and to which they are sent
+	Address string `toml:"address"` // the UDP address from which its messages come, and to which messages are sent
 }
 
-// SettingError is a key of the fleet file with a value that cannot be used.
+// SettingError means that a key of the fleet file has a value that cannot be used.
 type SettingError struct {
 	Key     string // such as member[1].name
-	Problem string
+	Problem string // what is wrong with the value
 }
 
 // Error names the key and the problem.
@@ -71,27 +71,40 @@
 	return &SettingError{Key: key, Problem: fmt.Sprintf(format, args...)}
 }
 
+// The limits of values in the fleet file. The messages of checkTimes name the first two.
 const (
 	minSettingTime = time.Millisecond
 	maxSettingTime = time.Hour
 	maxMemberName  = 128 // bytes
 )
 
-// defaultSettings returns the values of keys that the file leaves out.
+// The values of keys that the fleet file leaves out. deploy/fleet.toml states the same.
+const (
+	defaultStateInterval    = Duration(time.Second)
+	defaultIdentityTimeout  = Duration(2 * time.Second)
+	defaultEndpointsTimeout = Duration(3 * time.Second)
+	defaultPeersTimeout     = Duration(time.Second)
+	defaultProbeTimeout     = Duration(2 * time.Second)
+	defaultQueryInterval    = Duration(100 * time.Millisecond)
+	defaultKeyTimeout       = Duration(500 * time.Millisecond)
+)
+
+// defaultSettings returns settings with the values of keys that the file leaves out.
 func defaultSettings() *Settings {
 	s := &Settings{}
-	s.State.Interval = Duration(time.Second)
-	s.Recovery.IdentityTimeout = Duration(2 * time.Second)
-	s.Recovery.EndpointsTimeout = Duration(3 * time.Second)
-	s.Recovery.PeersTimeout = Duration(time.Second)
-	s.Recovery.ProbeTimeout = Duration(2 * time.Second)
-	s.Recovery.QueryInterval = Duration(100 * time.Millisecond)
-	s.Recovery.KeyTimeout = Duration(500 * time.Millisecond)
+	s.State.Interval = defaultStateInterval
+	s.Recovery.IdentityTimeout = defaultIdentityTimeout
+	s.Recovery.EndpointsTimeout = defaultEndpointsTimeout
+	s.Recovery.PeersTimeout = defaultPeersTimeout
+	s.Recovery.ProbeTimeout = defaultProbeTimeout
+	s.Recovery.QueryInterval = defaultQueryInterval
+	s.Recovery.KeyTimeout = defaultKeyTimeout
 	return s
 }
 
-// Read reads and checks the fleet file for the dispatcher of a name, at its position among so many. An error names the
-// file, and the line or the key: of a value that cannot be used it is a SettingError.
+// Read reads and checks the fleet file. name and position are those of this dispatcher, dispatchers the number of members
+// that the settings expect. An error names the file, and the line or the key: for a value that cannot be used it is a
+// SettingError.
 func Read(path, name string, position, dispatchers int) (*Settings, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -132,6 +145,7 @@
 	return nil
 }
 
+// checkTimes checks that each time is within its limits.
 func (s *Settings) checkTimes() error {
 	for _, setting := range []struct {
 		key   string
@@ -154,26 +168,26 @@
 
 // checkMembers checks that each member has a name and an address of its own.
 func (s *Settings) checkMembers() error {
-	names := map[string]int{}
-	addresses := map[netip.AddrPort]int{}
-	for n, m := range s.Members {
-		nameKey := fmt.Sprintf("member[%d].name", n)
-		addressKey := fmt.Sprintf("member[%d].address", n)
-		address, err := netip.ParseAddrPort(m.Address)
+	names := map[string]int{}             // positions, by name
+	addresses := map[netip.AddrPort]int{} // positions, by address
+	for position, member := range s.Members {
+		nameKey := fmt.Sprintf("member[%d].name", position)
+		addressKey := fmt.Sprintf("member[%d].address", position)
+		address, err := netip.ParseAddrPort(member.Address)
 		if err != nil {
-			return settingError(addressKey, "%q is not an address with a port", m.Address)
+			return settingError(addressKey, "%q is not an address with a port", member.Address)
 		}
-		if m.Name == "" || len(m.Name) > maxMemberName {
+		if member.Name == "" || len(member.Name) > maxMemberName {
 			return settingError(nameKey, "must be a text of up to %d bytes", maxMemberName)
 		}
-		if other, taken := names[m.Name]; taken {
-			return settingError(nameKey, "%q is that of member[%d] too", m.Name, other)
+		if other, taken := names[member.Name]; taken {
+			return settingError(nameKey, "%q is that of member[%d] too", member.Name, other)
 		}
 		if other, taken := addresses[address]; taken {
 			return settingError(addressKey, "%v is that of member[%d] too", address, other)
 		}
-		names[m.Name] = n
-		addresses[address] = n
+		names[member.Name] = position
+		addresses[address] = position
 		s.memberAddresses = append(s.memberAddresses, address)
 	}
 	return nil
--- a/internal/fleet/state.go
+++ b/internal/fleet/state.go
@@ -23,21 +23,24 @@
 	}
 }
 
-// saveState persists what is known now. Before the previous state is restored nothing is written: it would replace more by
-// less.
+// saveState persists what is known now. Before the previous state is restored it writes nothing, since that would replace
+// more by less.
 func (n *Node) saveState() {
 	n.mu.Lock()
 	s := n.owned.store
-	applied := n.applied
+	restoring := n.restoring
 	peers := n.machine.Peers()
 	n.mu.Unlock()
-	if s == nil || !applied {
+	if s == nil || !restoring {
 		return
 	}
 	learned, err := json.Marshal(n.proxy.SnapshotForDisk())
 	if err == nil {
 		err = s.SaveState(store.State{
-			WrittenAt: time.Now().UnixMilli(), SettingsHash: n.config.SettingsHash, Learned: learned, Peers: peers,
+			WrittenAt:    time.Now().UnixMilli(),
+			SettingsHash: n.config.SettingsHash,
+			Learned:      learned,
+			Peers:        peers,
 		})
 	}
 	n.reportSave(err)
