--- a/internal/fleet/store/abslot.go
+++ b/internal/fleet/store/abslot.go
@@ -8,15 +8,18 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// abSlot holds one document in two files, A and B, that are written in turn. A write that fails or that the disk loses
-// after its sync leaves the document before it in the other file.
+// slotFiles is the number of files of an abSlot: document n is in file n modulo slotFiles.
+const slotFiles = 2
+
+// abSlot holds one document in two files, A and B, that are written in turn. A write that fails, or that the disk loses
+// after its sync, leaves the previous document in the other file.
 type abSlot struct {
 	disk    Disk
 	name    string // of the files, without ".a" and ".b"
 	kind    recordKind
-	inPlace bool   // files are overwritten in place, since the document is written often and may be lost for once
-	number  uint64 // of the newest document that was read or written
-	exists  [2]bool
+	inPlace bool            // files are overwritten in place: the document is written often, and one write of it may be lost
+	number  uint64          // of the newest document that was read or written, 0 for none
+	exists  [slotFiles]bool // by file, for those that are overwritten in place
 }
 
 // numberedDocument is a document and its place among all that were written to a slot.
@@ -26,20 +29,20 @@
 }
 
 // file returns the name of the file that holds the document of a number.
-func (s *abSlot) file(number uint64) string { return s.name + "." + string('a'+byte(number%2)) }
+func (s *abSlot) file(number uint64) string { return s.name + "." + string('a'+byte(number%slotFiles)) }
 
-// read decodes the newer document of the two that is complete. The error names what is lost, and may come with a document
-// that was found.
+// read decodes the newest document that is complete. found is false if there is none. The error names the files that are
+// lost, also where another one was found.
 func (s *abSlot) read(v any) (found bool, lost error) {
 	var newest numberedDocument
-	for n := range uint64(2) {
-		document, err := s.readFile(n)
+	for file := range uint64(slotFiles) {
+		document, err := s.readFile(file)
 		if errors.Is(err, fs.ErrNotExist) {
 			continue
 		}
-		s.exists[n] = true
+		s.exists[file] = true
 		if err != nil {
-			lost = errors.Join(lost, fmt.Errorf("%s: %w", s.file(n), err))
+			lost = errors.Join(lost, fmt.Errorf("%s: %w", s.file(file), err))
 			continue
 		}
 		if document.Number > newest.Number {
@@ -56,16 +59,17 @@
 	return true, lost
 }
 
-func (s *abSlot) readFile(n uint64) (document numberedDocument, err error) {
-	b, err := s.disk.Read(s.file(n))
+// readFile reads the document in the file of a number.
+func (s *abSlot) readFile(number uint64) (document numberedDocument, err error) {
+	record, err := s.disk.Read(s.file(number))
 	if err != nil {
 		return document, err
 	}
-	_, err = decodeRecord(b, s.kind, &document)
+	_, err = decodeRecord(record, s.kind, &document)
 	return document, err
 }
 
-// write replaces the older document of the two, and returns once the new one is durable.
+// write replaces the older one of the two documents, and returns once the new one is durable.
 func (s *abSlot) write(v any) error {
 	body, err := cbor.Marshal(v)
 	if err != nil {
@@ -87,7 +91,7 @@
 	return nil
 }
 
-// replace writes a record to a new file and renames that to the older of the two.
+// replace writes a record to a new file, and renames that to the older one of the two.
 func (s *abSlot) replace(record []byte) error {
 	fresh := s.name + ".new"
 	if err := s.disk.Write(fresh, record); err != nil {
@@ -102,10 +106,10 @@
 	return s.disk.SyncNames()
 }
 
-// overwrite writes a record over the older of the two files. Replacing a file would free blocks: some file systems pass each
-// of these on to the device at once, which holds up all syncs, also those of the keys.
+// overwrite writes a record over the older one of the two files. Replacing the file would free blocks. Some file systems
+// pass each of them on to the device at once, which holds up all syncs, also those of the keys.
 func (s *abSlot) overwrite(record []byte) error {
-	next := (s.number + 1) % 2
+	next := (s.number + 1) % slotFiles
 	file := s.file(next)
 	if err := s.disk.Overwrite(file, record); err != nil {
 		return err
--- a/internal/fleet/store/disk.go
+++ b/internal/fleet/store/disk.go
@@ -11,17 +11,23 @@
 
 // Disk is a folder of files without subfolders. The contents of a file are durable after Sync, its name after SyncNames.
 type Disk interface {
-	Read(name string) ([]byte, error) // fails with fs.ErrNotExist if there is no such file
-	Write(name string, b []byte) error
+	Read(name string) ([]byte, error)      // fails with fs.ErrNotExist if there is no such file
+	Write(name string, b []byte) error     // creates or replaces the file
 	Overwrite(name string, b []byte) error // in place: the rest of a longer file stays, and no block is freed
-	Append(name string, b []byte) error
-	Sync(name string) error
-	Rename(from, to string) error
+	Append(name string, b []byte) error    // creates the file if there is none
+	Sync(name string) error                // makes the contents of the file durable
+	Rename(from, to string) error          // replaces a file that has the new name
 	Remove(name string) error
-	Names() ([]string, error)
-	SyncNames() error
+	Names() ([]string, error) // in order
+	SyncNames() error         // makes the names of all files durable, and that others were removed
 }
 
+// The permissions of the folder and its files: the dispatcher's user alone.
+const (
+	folderMode fs.FileMode = 0o700
+	fileMode   fs.FileMode = 0o600
+)
+
 // Folder is a Disk in the file system, which one process locks at a time.
 type Folder struct {
 	path string
@@ -34,14 +40,14 @@
 // lockName is the file that is locked. It is never removed: earlier releases lock the same one.
 const lockName = "lock"
 
-// OpenFolder locks a folder for this process, and creates it if there is none. It fails with ErrLocked at once if another
-// process has locked it. A folder that cannot be written to can still be read: ReadOnly reports that.
+// OpenFolder locks a folder for this process, and creates it if there is none. It fails at once with ErrLocked if another
+// process has locked it. A folder that cannot be written to is opened for reading: ReadOnly reports that.
 func OpenFolder(path string) (*Folder, error) {
-	if err := os.MkdirAll(path, 0o700); err != nil {
+	if err := os.MkdirAll(path, folderMode); err != nil {
 		return nil, fmt.Errorf("state folder: %w", err)
 	}
 	f := &Folder{path: path}
-	lock, err := os.OpenFile(filepath.Join(path, lockName), os.O_CREATE|os.O_RDWR, 0o600)
+	lock, err := os.OpenFile(filepath.Join(path, lockName), os.O_CREATE|os.O_RDWR, fileMode)
 	if errors.Is(err, syscall.EROFS) || errors.Is(err, fs.ErrPermission) {
 		return f, nil
 	}
@@ -88,7 +94,7 @@
 func (f *Folder) Read(name string) ([]byte, error) { return os.ReadFile(f.pathOf(name)) }
 
 // Write creates or replaces a file.
-func (f *Folder) Write(name string, b []byte) error { return os.WriteFile(f.pathOf(name), b, 0o600) }
+func (f *Folder) Write(name string, b []byte) error { return os.WriteFile(f.pathOf(name), b, fileMode) }
 
 // Overwrite writes over the beginning of a file, in place.
 func (f *Folder) Overwrite(name string, b []byte) error { return f.writeWith(0, name, b) }
@@ -98,7 +104,7 @@
 
 // writeWith writes to a file that is opened with an additional flag.
 func (f *Folder) writeWith(flag int, name string, b []byte) error {
-	file, err := os.OpenFile(f.pathOf(name), os.O_CREATE|os.O_WRONLY|flag, 0o600)
+	file, err := os.OpenFile(f.pathOf(name), os.O_CREATE|os.O_WRONLY|flag, fileMode)
 	if err != nil {
 		return err
 	}
@@ -120,7 +126,7 @@
 	return errors.Join(file.Sync(), file.Close())
 }
 
-// Rename moves a file in place of another one.
+// Rename renames a file, and replaces one that has the new name.
 func (f *Folder) Rename(from, to string) error { return os.Rename(f.pathOf(from), f.pathOf(to)) }
 
 // Remove removes a file.
--- a/internal/fleet/store/journal.go
+++ b/internal/fleet/store/journal.go
@@ -9,13 +9,13 @@
 	"strings"
 )
 
-// Key tells that a request under an idempotency key may have run in a dedup group of workers. It is durable before the
-// first byte is sent to the worker: after a loss of power nobody else knows of it.
+// Key records that a request under an idempotency key may have run in a dedup group of workers. It is durable before the
+// first byte is sent to the worker, since after a loss of power nobody else knows that.
 type Key struct {
 	Sum       uint64 `cbor:"1,keyasint"` // checksum of the operation and the key
-	Worker    string `cbor:"2,keyasint"` // that the request was sent to
-	Zone      string `cbor:"3,keyasint"`
-	Cell      int    `cbor:"4,keyasint"`
+	Worker    string `cbor:"2,keyasint"` // to which the request was sent
+	Zone      string `cbor:"3,keyasint"` // of that worker
+	Cell      int    `cbor:"4,keyasint"` // of that worker
 	SentAt    int64  `cbor:"5,keyasint"` // Unix time in ms
 	ExpiresAt int64  `cbor:"6,keyasint"` // Unix time in ms from which workers no longer drop repeats
 }
@@ -25,19 +25,19 @@
 	segmentPrefix = "keys."
 	// segmentMillis is how long keys are appended to one segment.
 	segmentMillis = 30_000
-	// clockSlackMillis is how much longer than its keys a segment is kept, since the wall clock may have been off.
+	// clockSlackMillis is how long a segment is kept after its last key has expired, since the wall clock may have been off.
 	clockSlackMillis = 60_000
 )
 
 // keyBatch is the keys that became durable by one sync.
 type keyBatch struct {
-	Incarnation uint64 `cbor:"1,keyasint"`
-	First       uint64 `cbor:"2,keyasint"` // keys persisted before in that incarnation
+	Incarnation uint64 `cbor:"1,keyasint"` // that wrote it
+	First       uint64 `cbor:"2,keyasint"` // number of keys that the incarnation had persisted before
 	Keys        []Key  `cbor:"3,keyasint"`
 }
 
-// keyJournal holds keys in segments to which batches are appended. A batch that is cut off at the end of a segment was never
-// acknowledged; a damaged one before the end means that the disk has lost something.
+// keyJournal holds keys in segments to which batches are appended. A batch that is cut off at the end of a segment may never
+// have been acknowledged. A damaged one before the end means that the disk has lost something.
 type keyJournal struct {
 	disk             Disk
 	segment          int           // to which the next batch goes
@@ -61,13 +61,13 @@
 	return j.count
 }
 
-func segmentName(n int) string { return segmentPrefix + strconv.Itoa(n) }
+func segmentName(number int) string { return segmentPrefix + strconv.Itoa(number) }
 
-// segmentNumber returns the number of the segment in a file; ok is false for any other file.
-func segmentNumber(file string) (n int, ok bool) {
+// segmentNumber returns the number of the segment in a file. isSegment is false for any other file.
+func segmentNumber(file string) (number int, isSegment bool) {
 	digits, found := strings.CutPrefix(file, segmentPrefix)
-	n, err := strconv.Atoi(digits)
-	return n, found && err == nil && n > 0
+	number, err := strconv.Atoi(digits)
+	return number, found && err == nil && number > 0
 }
 
 // read returns all keys that are complete. The error names what is lost.
@@ -78,15 +78,15 @@
 	}
 	var segments []int
 	for _, file := range files {
-		if n, ok := segmentNumber(file); ok {
-			segments = append(segments, n)
+		if segment, isSegment := segmentNumber(file); isSegment {
+			segments = append(segments, segment)
 		}
 	}
 	slices.Sort(segments)
 	j.expiry = map[int]int64{}
-	for _, n := range segments {
-		j.segment = max(j.segment, n)
-		found, err := j.readSegment(n)
+	for _, segment := range segments {
+		j.segment = max(j.segment, segment)
+		found, err := j.readSegment(segment)
 		keys = append(keys, found...)
 		lost = errors.Join(lost, err)
 	}
@@ -95,32 +95,32 @@
 }
 
 // readSegment returns the keys of one segment up to the first damaged batch.
-func (j *keyJournal) readSegment(n int) (keys []Key, lost error) {
-	b, err := j.disk.Read(segmentName(n))
+func (j *keyJournal) readSegment(segment int) (keys []Key, lost error) {
+	remaining, err := j.disk.Read(segmentName(segment))
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil, nil
 	}
-	for err == nil && len(b) > 0 {
+	for err == nil && len(remaining) > 0 {
 		var batch keyBatch
-		if b, err = decodeRecord(b, kindKeys, &batch); err != nil {
+		if remaining, err = decodeRecord(remaining, kindKeys, &batch); err != nil {
 			break
 		}
 		if batch.Incarnation == j.incarnation && batch.First > j.count {
-			lost = errors.Join(lost, fmt.Errorf("%s: %w", segmentName(n), ErrKeysMissing))
+			lost = errors.Join(lost, fmt.Errorf("%s: %w", segmentName(segment), ErrKeysMissing))
 		}
 		j.incarnation = batch.Incarnation
 		j.count = batch.First + uint64(len(batch.Keys))
 		keys = append(keys, batch.Keys...)
-		j.extendExpiry(n, batch.Keys)
+		j.extendExpiry(segment, batch.Keys)
 	}
 	if err != nil {
-		lost = errors.Join(lost, fmt.Errorf("%s: %w", segmentName(n), err))
+		lost = errors.Join(lost, fmt.Errorf("%s: %w", segmentName(segment), err))
 	}
 	return keys, lost
 }
 
-// append persists a batch of keys. After a failure the next batch goes to a new segment: what was appended since the last
-// sync may be on disk in part.
+// append persists a batch of keys. now is Unix time in ms. After a failure the next batch goes to a new segment: what was
+// appended since the last sync may be on disk in part.
 func (j *keyJournal) append(keys []Key, now int64) error {
 	if j.segmentStartedAt > 0 && now-j.segmentStartedAt > segmentMillis {
 		j.removeExpired(now)
@@ -164,21 +164,21 @@
 	j.segmentStartedAt = 0
 }
 
-// removeExpired removes the segments of which no key counts any more.
+// removeExpired removes the segments whose keys have all expired.
 func (j *keyJournal) removeExpired(now int64) {
-	for n, expiry := range j.expiry {
+	for segment, expiry := range j.expiry {
 		if expiry >= now-clockSlackMillis {
 			continue
 		}
-		if err := j.disk.Remove(segmentName(n)); err == nil || errors.Is(err, fs.ErrNotExist) {
-			delete(j.expiry, n) // else it is tried again with the next segment
+		if err := j.disk.Remove(segmentName(segment)); err == nil || errors.Is(err, fs.ErrNotExist) {
+			delete(j.expiry, segment) // after another error it is removed with the next segment
 		}
 	}
 }
 
-// extendExpiry takes that a segment holds keys.
+// extendExpiry records that a segment holds keys.
 func (j *keyJournal) extendExpiry(segment int, keys []Key) {
-	for _, k := range keys {
-		j.expiry[segment] = max(j.expiry[segment], k.ExpiresAt)
+	for _, key := range keys {
+		j.expiry[segment] = max(j.expiry[segment], key.ExpiresAt)
 	}
 }
--- a/internal/fleet/store/memory.go
+++ b/internal/fleet/store/memory.go
@@ -8,11 +8,11 @@
 	"sync"
 )
 
-// Memory is a Disk in memory with fault injection, for tests and simulations: it knows what is durable, can lose power
-// before any operation, and can fail or ignore what it is asked.
+// Memory is a Disk in memory with fault injection, for tests and simulations. It knows what is durable, can lose power
+// before any operation, and can fail operations or ignore syncs.
 type Memory struct {
 	// Faults. They must not change while another goroutine uses the disk.
-	PowerLossAfter int   // power is lost before the operation of this number; 0 for never
+	PowerLossAfter int   // power is lost before the operation of this number, counted from 1; 0 for never
 	WriteError     error // with which each operation but reads fails, nil for none
 	DropSyncs      bool  // Sync does nothing and reports success
 
@@ -62,8 +62,8 @@
 	})
 }
 
-// Restart returns the disk as it is after a loss of power: the files whose names were durable, with their durable contents
-// and at most tail bytes of what was written since.
+// Restart returns the disk as it is after a loss of power. It has the files whose names were durable, with their durable
+// contents and at most tail bytes of what was written since.
 func (m *Memory) Restart(tail int) *Memory {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -76,7 +76,7 @@
 	return next
 }
 
-// afterPowerLoss returns what is left of a file's contents if at most tail bytes beyond the durable ones were written.
+// afterPowerLoss returns what is left of a file's contents if at most tail bytes reached the disk after the last sync.
 func (i *inode) afterPowerLoss(tail int) []byte {
 	left := slices.Clone(i.durable)
 	appended := len(i.bytes) > len(left) && slices.Equal(i.bytes[:len(left)], left)
@@ -127,7 +127,7 @@
 	})
 }
 
-// Rename moves a file in place of another one.
+// Rename renames a file, and replaces one that has the new name.
 func (m *Memory) Rename(from, to string) error {
 	return m.step(func() error {
 		file := m.files[from]
@@ -163,6 +163,13 @@
 	})
 }
 
+const (
+	// tornByte is what Tear adds to a file.
+	tornByte = 0xff
+	// tearOffsetDivisor makes the place at which Tear cuts differ from the number of the file.
+	tearOffsetDivisor = 7
+)
+
 // Tear cuts one file off and adds a wrong byte to it. random chooses the file and the place.
 func (m *Memory) Tear(random uint64) {
 	m.mu.Lock()
@@ -173,7 +180,8 @@
 	}
 	file := m.files[names[random%uint64(len(names))]]
 	if len(file.bytes) > 0 {
-		file.bytes = append(file.bytes[:random/7%uint64(len(file.bytes))], 0xff)
+		end := random / tearOffsetDivisor % uint64(len(file.bytes))
+		file.bytes = append(file.bytes[:end], tornByte)
 		file.durable = slices.Clone(file.bytes)
 	}
 }
--- a/internal/fleet/store/record.go
+++ b/internal/fleet/store/record.go
@@ -10,19 +10,20 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// A record is a header and a body in CBOR. The header holds, in this order and with numbers in big-endian order: magic,
-// the kind, the version of the format, the length of the body, a checksum of the header up to here, and one of the body.
+// A record is a header and a body in CBOR. The header has these fields, at these offsets in bytes; numbers are big-endian.
 const (
-	magic          = "cvrt"
-	kindAt         = len(magic)
-	versionAt      = kindAt + 1
-	lengthAt       = versionAt + 1
-	headerSumAt    = lengthAt + 4
-	bodySumAt      = headerSumAt + 4
-	headerBytes    = bodySumAt + 4
-	maxRecordBytes = 64 << 20
+	magic       = "cvrt"          // what each record begins with
+	kindAt      = len(magic)      // a byte: the recordKind
+	versionAt   = kindAt + 1      // a byte: the version of the format
+	lengthAt    = versionAt + 1   // 4 bytes: the length of the body
+	headerSumAt = lengthAt + 4    // 4 bytes: a checksum of the header up to here
+	bodySumAt   = headerSumAt + 4 // 4 bytes: a checksum of the body
+	headerBytes = bodySumAt + 4
 )
 
+// maxRecordBytes bounds the length of a body. A longer one is taken for a damaged header.
+const maxRecordBytes = 64 << 20
+
 // recordKind is what the body of a record holds.
 type recordKind byte
 
@@ -35,7 +36,7 @@
 // formatVersion of all records. A record with a higher one was written by a later release.
 const formatVersion = 1
 
-// The errors of a record that does not count.
+// The errors of a record that cannot be used.
 var (
 	ErrTruncated     = errors.New("torn: the record is cut off")
 	ErrChecksum      = errors.New("damaged: the checksum does not match")
--- a/internal/fleet/store/store.go
+++ b/internal/fleet/store/store.go
@@ -1,9 +1,8 @@
-// Package store keeps on disk what a dispatcher needs after a restart: its incarnation, what it has learned, and the keys
-// under which requests may have run.
+// Package store persists what a dispatcher needs after a restart: its incarnation, what it has learned, and the keys under
+// which requests may have run.
 //
-// Incarnation and state are documents in A/B slots, keys are a journal of segments; records carry checksums. What is read
-// back is complete and unaltered, or counts as lost and is reported as such. The package does not decide how far the
-// contents are trusted: package recovery does.
+// Incarnation and state are documents in A/B slots, keys are a journal of segments, and records carry checksums. What is
+// read back is complete and unaltered, or is reported as lost. Package recovery decides how far the contents are trusted.
 package store
 
 import (
@@ -19,14 +18,14 @@
 	StartedAt     int64  `cbor:"4,keyasint"` // Unix time in ms
 	Drained       bool   `cbor:"5,keyasint"` // an operator has drained it
 	Keys          uint64 `cbor:"6,keyasint"` // persisted in this incarnation; set by a clean shutdown
-	CleanShutdown bool   `cbor:"7,keyasint"`
+	CleanShutdown bool   `cbor:"7,keyasint"` // it has ended in order; after a crash false
 	KeysSuspect   bool   `cbor:"8,keyasint"` // keys of previous incarnations may be missing, until a dedup window has passed
 }
 
 // State is what a dispatcher has learned, as of one moment.
 type State struct {
 	Name         string                  `cbor:"1,keyasint"` // of the dispatcher
-	Incarnation  uint64                  `cbor:"2,keyasint"`
+	Incarnation  uint64                  `cbor:"2,keyasint"` // that wrote it
 	WrittenAt    int64                   `cbor:"3,keyasint"` // Unix time in ms
 	SettingsHash string                  `cbor:"4,keyasint"` // of the settings in use
 	Learned      []byte                  `cbor:"5,keyasint"` // a proxy.Snapshot in JSON, as a successor in an upgrade takes it
@@ -36,13 +35,13 @@
 
 // PeerProgress is what is known of a peer's present incarnation and of the one before.
 type PeerProgress struct {
-	Incarnation   uint64 `cbor:"1,keyasint"`
-	Nonce         uint64 `cbor:"2,keyasint"`
+	Incarnation   uint64 `cbor:"1,keyasint"` // the highest known
+	Nonce         uint64 `cbor:"2,keyasint"` // of that incarnation
 	PersistedKeys uint64 `cbor:"3,keyasint"` // in that incarnation
 
-	PreviousIncarnation   uint64 `cbor:"4,keyasint,omitempty"`
-	PreviousNonce         uint64 `cbor:"5,keyasint,omitempty"`
-	PreviousPersistedKeys uint64 `cbor:"6,keyasint,omitempty"`
+	PreviousIncarnation   uint64 `cbor:"4,keyasint,omitempty"` // the one before, 0 for none known
+	PreviousNonce         uint64 `cbor:"5,keyasint,omitempty"` // of the one before
+	PreviousPersistedKeys uint64 `cbor:"6,keyasint,omitempty"` // in the one before
 }
 
 // Store holds the records of one dispatcher on a disk. All methods may be called by several goroutines.
@@ -63,10 +62,10 @@
 // Start is what an incarnation begins with.
 type Start struct {
 	Previous    Incarnation // zero for none
-	MinNumber   uint64
-	Nonce       uint64
-	KeysSuspect bool  // keys of previous incarnations may be missing, which later incarnations have to know too
-	At          int64 // Unix time in ms
+	MinNumber   uint64      // the lowest number that it may have; 0 for no limit
+	Nonce       uint64      // drawn for this process
+	KeysSuspect bool        // keys of previous incarnations may be missing; later incarnations read that too
+	At          int64       // Unix time in ms
 }
 
 // Begin persists the next incarnation of a dispatcher and returns it. Its number is at least start.MinNumber and above that
@@ -75,7 +74,10 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	next := Incarnation{
-		Name: s.name, Number: max(start.MinNumber, 1), Nonce: start.Nonce, StartedAt: start.At,
+		Name:        s.name,
+		Number:      max(start.MinNumber, 1),
+		Nonce:       start.Nonce,
+		StartedAt:   start.At,
 		KeysSuspect: start.KeysSuspect,
 	}
 	if start.Previous.Name == s.name {
@@ -113,7 +115,8 @@
 	return s.update(func(i *Incarnation) { i.Drained = false })
 }
 
-// MarkCleanShutdown persists that this incarnation ends in order, and how many keys it has persisted.
+// MarkCleanShutdown persists that this incarnation ends in order, and how many keys it has persisted. It is the last write
+// of an incarnation.
 func (s *Store) MarkCleanShutdown() error {
 	return s.update(func(i *Incarnation) {
 		i.CleanShutdown = true
@@ -137,7 +140,8 @@
 	return nil
 }
 
-// AppendKeys persists keys: all of them or, with an error, none that counts. now is Unix time in ms.
+// AppendKeys persists keys. With an error none of them counts as persisted, though some may be read back. now is Unix time
+// in ms.
 func (s *Store) AppendKeys(keys []Key, now int64) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -146,8 +150,8 @@
 	return err
 }
 
-// PersistedKeys returns how many keys were persisted in this incarnation. It does not wait for a write in progress: a disk
-// that hangs must not stop the caller.
+// PersistedKeys returns how many keys were persisted in this incarnation. It does not wait for a write in progress, since a
+// disk that hangs must not stop the caller.
 func (s *Store) PersistedKeys() uint64 { return s.persistedKeys.Load() }
 
 // SaveState persists what was learned, as of this incarnation.
--- a/internal/fleet/store/store_test.go
+++ b/internal/fleet/store/store_test.go
@@ -8,10 +8,25 @@
 	"github.com/stretchr/testify/assert"
 )
 
-const testNonce = 77
+const (
+	testNonce = 77
+	// farExpiry is an expiry, in Unix time in ms, that no test reaches.
+	farExpiry int64 = 1 << 40
+	// wholeTail is more bytes than any file of a test has.
+	wholeTail = 1 << 20
+)
 
-// writeIncarnation writes what a dispatcher writes in one incarnation. It returns what was acknowledged as durable, in the
-// words of readBack, until the first error.
+// beginIncarnation opens a disk for d0, and begins the next incarnation on it.
+func beginIncarnation(t *testing.T, disk Disk) *Store {
+	t.Helper()
+	s, recovered := Open(disk, "d0")
+	_, err := s.Begin(Start{Previous: recovered.Incarnation, Nonce: testNonce, At: 1000})
+	assert.NoError(t, err)
+	return s
+}
+
+// writeIncarnation writes what a dispatcher writes in one incarnation, until the first error. It returns what was
+// acknowledged as durable, in the words of readBack.
 func writeIncarnation(disk Disk) (acknowledged []string, err error) {
 	s, recovered := Open(disk, "d0")
 	incarnation, err := s.Begin(Start{Previous: recovered.Incarnation, Nonce: testNonce, At: 1000})
@@ -20,7 +35,7 @@
 	}
 	acknowledged = append(acknowledged, fmt.Sprint("incarnation ", incarnation.Number))
 	for n := range 3 {
-		key := Key{Sum: 100*incarnation.Number + uint64(n), Worker: "w1", Zone: "north", SentAt: 1000, ExpiresAt: 1 << 40}
+		key := Key{Sum: 100*incarnation.Number + uint64(n), Worker: "w1", Zone: "north", SentAt: 1000, ExpiresAt: farExpiry}
 		if err := s.AppendKeys([]Key{key}, int64(1000+40_000*n)); err != nil {
 			return acknowledged, err
 		}
@@ -49,7 +64,7 @@
 		}
 	}
 	for _, k := range recovered.Keys {
-		assert.Equal(t, Key{Sum: k.Sum, Worker: "w1", Zone: "north", SentAt: 1000, ExpiresAt: 1 << 40}, k, "no mixture")
+		assert.Equal(t, Key{Sum: k.Sum, Worker: "w1", Zone: "north", SentAt: 1000, ExpiresAt: farExpiry}, k, "no mixture")
 		words = append(words, fmt.Sprint("key ", k.Sum))
 	}
 	if recovered.State != nil {
@@ -58,8 +73,8 @@
 	return words, recovered
 }
 
-// Each file is the old one or the new one, and what was acknowledged is there: with power lost before each operation, and
-// with each number of bytes that came through of the last one.
+// Each file is the old one or the new one, and what was acknowledged is there. Power is lost before each operation, with each
+// number of bytes of the last write that reached the disk.
 func TestPowerLostBeforeEachOperationLeavesOldOrNew(t *testing.T) {
 	const (
 		maxTail   = 140
@@ -77,12 +92,12 @@
 				assert.ErrorIs(t, err, ErrPowerLost)
 				words, recovered := readBack(t, disk.Restart(tail))
 				lastState := ""
-				for _, a := range acknowledged {
-					if strings.HasPrefix(a, "state") {
-						lastState = a
+				for _, written := range acknowledged {
+					if strings.HasPrefix(written, "state") {
+						lastState = written
 						continue
 					}
-					assert.Contains(t, words, a, "tail %d", tail)
+					assert.Contains(t, words, written, "tail %d", tail)
 				}
 				if lastState != "" {
 					assert.NotNil(t, recovered.State, "tail %d", tail)
@@ -111,18 +126,16 @@
 	assert.Greater(t, last, uint64(10))
 }
 
-// A disk may report a sync that it has not done: keys that are missing for that are noticed.
+// A disk may report a sync that it has not done. The keys that it loses by that are detected.
 func TestDiskThatDropsASyncIsDetected(t *testing.T) {
 	disk := NewMemory()
-	s, recovered := Open(disk, "d0")
-	_, err := s.Begin(Start{Previous: recovered.Incarnation, Nonce: testNonce, At: 1000})
-	assert.NoError(t, err)
+	s := beginIncarnation(t, disk)
 	assert.NoError(t, s.AppendKeys([]Key{{Sum: 1}}, 1000))
 	disk.DropSyncs = true
 	assert.NoError(t, s.AppendKeys([]Key{{Sum: 2}}, 1000))
 	disk.DropSyncs = false
 	assert.NoError(t, s.SaveState(State{WrittenAt: 1}))
-	_, recovered = Open(disk.Restart(0), "d0")
+	_, recovered := Open(disk.Restart(0), "d0")
 	assert.Len(t, recovered.Keys, 1)
 	assert.True(t, recovered.KeysSuspect, "%v", recovered.Errors)
 	assert.Len(t, recovered.Errors, 1)
@@ -137,11 +150,11 @@
 	assert.NoError(t, err)
 	for _, name := range names {
 		t.Run(name, func(t *testing.T) {
-			b, err := complete.Read(name)
+			intact, err := complete.Read(name)
 			assert.NoError(t, err)
-			for at := range b {
-				disk := complete.Restart(1 << 20)
-				flipped := append([]byte(nil), b...)
+			for at := range intact {
+				disk := complete.Restart(wholeTail)
+				flipped := append([]byte(nil), intact...)
 				flipped[at] ^= 1 << (at % 8)
 				disk.files[name] = &inode{bytes: flipped}
 				words, recovered := readBack(t, disk)
@@ -175,9 +188,7 @@
 func TestFullDiskIsReportedAndHarmsNothingThatWasWritten(t *testing.T) {
 	errFull := fmt.Errorf("no space left")
 	disk := NewMemory()
-	s, recovered := Open(disk, "d0")
-	_, err := s.Begin(Start{Previous: recovered.Incarnation, Nonce: 5, At: 1000})
-	assert.NoError(t, err)
+	s := beginIncarnation(t, disk)
 	assert.NoError(t, s.AppendKeys([]Key{{Sum: 1}}, 1000))
 	disk.WriteError = errFull
 	assert.ErrorIs(t, s.AppendKeys([]Key{{Sum: 2}}, 1001), errFull)
@@ -185,7 +196,7 @@
 	assert.ErrorIs(t, s.MarkDrained(), errFull)
 	disk.WriteError = nil
 	assert.NoError(t, s.AppendKeys([]Key{{Sum: 3}}, 1002), "it continues once there is space")
-	_, recovered = Open(disk.Restart(0), "d0")
+	_, recovered := Open(disk.Restart(0), "d0")
 	assert.Equal(t, []uint64{1, 3}, []uint64{recovered.Keys[0].Sum, recovered.Keys[1].Sum})
 	assert.False(t, recovered.Incarnation.Drained, "what was not written is not read")
 	assert.False(t, recovered.KeysSuspect, "%v", recovered.Errors)
@@ -217,9 +228,7 @@
 
 func TestSegmentsAreRemovedOnceTheirKeysHaveExpired(t *testing.T) {
 	disk := NewMemory()
-	s, recovered := Open(disk, "d0")
-	_, err := s.Begin(Start{Previous: recovered.Incarnation, Nonce: 5})
-	assert.NoError(t, err)
+	s := beginIncarnation(t, disk)
 	for n := range int64(100) {
 		now := 1000 + n*20_000
 		assert.NoError(t, s.AppendKeys([]Key{{Sum: uint64(n), SentAt: now, ExpiresAt: now + 40_000}}, now))
@@ -227,7 +236,7 @@
 	names, err := disk.Names()
 	assert.NoError(t, err)
 	assert.Less(t, len(names), 12, "%v", names)
-	_, recovered = Open(disk, "d0")
+	_, recovered := Open(disk, "d0")
 	assert.False(t, recovered.KeysSuspect, "%v", recovered.Errors)
 }
 
@@ -240,7 +249,7 @@
 	disk = disk.Restart(0)
 	s, recovered = Open(disk, "d0")
 	assert.True(t, recovered.KeysSuspect)
-	_, err = s.Begin(Start{Previous: recovered.Incarnation, Nonce: 6, KeysSuspect: recovered.KeysSuspect, At: 1 << 40})
+	_, err = s.Begin(Start{Previous: recovered.Incarnation, Nonce: 6, KeysSuspect: recovered.KeysSuspect, At: farExpiry})
 	assert.NoError(t, err)
 	_, recovered = Open(disk.Restart(0), "d0")
 	assert.True(t, recovered.KeysSuspect)
