--- a/internal/fleet/messaging/format_test.go
+++ b/internal/fleet/messaging/format_test.go
@@ -41,8 +41,9 @@
 func fullMessage() Message {
 	return Message{
 		Kind: 2, From: "n4", Incarnation: 5, Nonce: 0x8000000000000000, Number: 0xffffffff, Phase: 5, UptimeMillis: 99_000,
-		PersistedKeys: 11, WantWorkers: true, YourIncarnation: 8, YourNonce: 0xfedcba9876543210, YourPersistedKeys: 12, ReceivedAgoMillis: 1500, KeysUnconfirmed: true,
-		KeysSuspect: true, MaxObserved: map[string]float64{"std-3c": 3.25}, Part: 1, Parts: 3,
+		PersistedKeys: 11, WantWorkers: true, YourIncarnation: 8, YourNonce: 0xfedcba9876543210, YourPersistedKeys: 12,
+		ReceivedAgoMillis: 1500, KeysUnconfirmed: true, KeysSuspect: true,
+		MaxObserved: map[string]float64{"std-3c": 3.25}, Part: 1, Parts: 3,
 		Workers: []Worker{{ID: "w1", StartedAt: 1_700_000_000_000, State: "Terminating", InFlight: 4}},
 		Keys: []Key{{
 			Sum: 0xffffffffffffffff, Worker: "w1", Zone: "north", Cell: 7, SentAt: 1_700_000_001_000,
--- a/internal/fleet/messaging/socket.go
+++ b/internal/fleet/messaging/socket.go
@@ -19,7 +19,12 @@
 	log     zerolog.Logger
 
 	// Counters since the socket was opened.
-	Sent, Bytes, Failed, Received, Malformed, UnknownSenders atomic.Int64
+	Sent           atomic.Int64 // messages
+	Bytes          atomic.Int64 // of the messages sent
+	Failed         atomic.Int64 // messages that could not be encoded or sent
+	Received       atomic.Int64 // messages of members
+	Malformed      atomic.Int64 // datagrams of members that are no message
+	UnknownSenders atomic.Int64 // datagrams of senders that are no member
 }
 
 // Listen opens the socket of one member at its address. members are the addresses of all of them by position.
@@ -33,28 +38,28 @@
 
 // Send sends a message to the member at a position. A failure is counted: to the protocol it is a lost message.
 func (s *Socket) Send(to int, msg *Message) {
-	b, err := Encode(msg)
+	datagram, err := Encode(msg)
 	if err == nil {
-		_, err = s.conn.WriteToUDPAddrPort(b, s.members[to])
+		_, err = s.conn.WriteToUDPAddrPort(datagram, s.members[to])
 	}
 	if err != nil {
 		s.Failed.Add(1)
 		return
 	}
 	s.Sent.Add(1)
-	s.Bytes.Add(int64(len(b)))
+	s.Bytes.Add(int64(len(datagram)))
 }
 
 // Run passes what members send to receive, with the sender's position, until ctx ends. It closes the socket.
 func (s *Socket) Run(ctx context.Context, receive func(from int, msg *Message)) error {
 	defer context.AfterFunc(ctx, func() { s.conn.Close() })()
-	datagram := make([]byte, MaxDatagramBytes+1) // a longer one is seen to be so
+	datagram := make([]byte, MaxDatagramBytes+1) // one byte more, so that one that is too long is not cut to a valid length
 	for ctx.Err() == nil {
 		size, from, err := s.conn.ReadFromUDPAddrPort(datagram)
 		if errors.Is(err, net.ErrClosed) {
 			return nil
 		}
-		if err != nil { // such as the refusal by a member's machine of a message sent before
+		if err != nil { // such as an ICMP answer that a member's port is closed
 			continue
 		}
 		s.receive(datagram[:size], from, receive)
@@ -62,7 +67,8 @@
 	return nil
 }
 
-// receive counts a datagram, and passes its message on if it comes from a member.
+// receive counts a datagram, and passes its message to a function if it comes from a member. IPv4 senders count by their
+// IPv4 address, also on a socket for both families.
 func (s *Socket) receive(datagram []byte, from netip.AddrPort, receive func(from int, msg *Message)) {
 	from = netip.AddrPortFrom(from.Addr().Unmap(), from.Port())
 	position := slices.Index(s.members, from)
--- a/internal/tomlconfig/tomlconfig.go
+++ b/internal/tomlconfig/tomlconfig.go
@@ -1,5 +1,5 @@
 // Package tomlconfig decodes TOML files that people write. A key that is not known is an error, and each error names its
-// place in the file. It checks no values: the packages that own the files do.
+// place in the file. The packages that own the files check the values.
 package tomlconfig
 
 import (
@@ -14,8 +14,8 @@
 // ErrUnknownKey is returned for a key that the decoded type does not have.
 var ErrUnknownKey = errors.New("unknown key")
 
-// Decode decodes a text into the value that v points to. path is the file's, for errors: each begins with the path, the
-// line, and the column if it is known. They wrap ErrUnknownKey, or a *toml.DecodeError for other faults.
+// Decode decodes a text into the value that v points to. path is that of the file, for errors: each begins with the path,
+// the line and, if known, the column. Errors wrap ErrUnknownKey, or a *toml.DecodeError for other faults.
 func Decode(path string, text []byte, v any) error {
 	err := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields().Decode(v)
 	var unknown *toml.StrictMissingError
@@ -34,4 +34,5 @@
 	return fmt.Errorf("%s: %w", path, err)
 }
 
+// dotted returns a key as it is written in a file, such as limit.requests.
 func dotted(key toml.Key) string { return strings.Join(key, ".") }
