--- a/internal/fleet/simulate/clients.go
+++ b/internal/fleet/simulate/clients.go
@@ -9,19 +9,23 @@
 )
 
 const (
-	requestInterval = 60 * time.Millisecond // on average, of a fleet of six or fewer
+	requestInterval = 60 * time.Millisecond // on average, of a fleet of smallFleet dispatchers or fewer
+	smallFleet      = 6                     // dispatchers; a larger fleet receives more requests in proportion
 	requestSize     = 200 * time.Millisecond
-	// Shares of the requests.
-	repeatShare = 0.3
-	keyedShare  = 0.3
-	// repeatRange is how many of the last keys are repeated.
-	repeatRange = 120
+	minRequestTime  = 50 * time.Millisecond // until a request ends
+	maxRequestTime  = 400 * time.Millisecond
+	repeatShare     = 0.3 // of the requests
+	keyedShare      = 0.3 // of the requests
+	repeatRange     = 120 // how many of the last keys are repeated
+	zoneCount       = 3
 )
 
 // sendRequests sends a request to one dispatcher, again and again: some under a new key, some as a repeat.
 func (w *world) sendRequests() {
-	interval := requestInterval * 6 / time.Duration(max(w.plan.Dispatchers, 6))
-	w.after(w.between(interval/2, interval*3/2), w.sendRequests)
+	interval := requestInterval * smallFleet / time.Duration(max(w.plan.Dispatchers, smallFleet))
+	shortest := interval / 2
+	longest := interval + interval/2
+	w.after(w.between(shortest, longest), w.sendRequests)
 	n := w.nodes[w.rng.IntN(len(w.nodes))]
 	if !n.up || !n.machine.Phase().Admits() {
 		return
@@ -30,7 +34,7 @@
 	case draw < repeatShare && len(w.keys) > 0:
 		n.sendRepeat(w.keys[max(0, len(w.keys)-1-w.rng.IntN(repeatRange))])
 	case draw < repeatShare+keyedShare:
-		zone := string(rune('a' + w.rng.IntN(3)))
+		zone := string(rune('a' + w.rng.IntN(zoneCount)))
 		key := sentKey{sum: uint64(len(w.keys) + 1), zone: zone, at: w.now, sender: n.position}
 		if n.persistKey(key) {
 			w.keys = append(w.keys, key)
@@ -46,7 +50,7 @@
 	}
 	run := n.run
 	succeeds := n.world.workers.up
-	n.world.after(n.world.between(50*time.Millisecond, 400*time.Millisecond), func() {
+	n.world.after(n.world.between(minRequestTime, maxRequestTime), func() {
 		if !n.running(run) {
 			return
 		}
@@ -59,16 +63,19 @@
 	})
 }
 
-// persistKey writes a key to disk, and returns whether the request may be sent.
+// persistKey writes a key to disk, and reports whether the request may be sent.
 func (n *node) persistKey(key sentKey) bool {
-	k := store.Key{
-		Sum: key.sum, Worker: "w", Zone: key.zone,
-		SentAt: n.wallClock(), ExpiresAt: n.wallClock() + dedupWindow.Milliseconds(),
+	record := store.Key{
+		Sum:       key.sum,
+		Worker:    "w",
+		Zone:      key.zone,
+		SentAt:    n.wallClock(),
+		ExpiresAt: n.wallClock() + dedupWindow.Milliseconds(),
 	}
-	if n.store.AppendKeys([]store.Key{k}, n.wallClock()) != nil {
+	if n.store.AppendKeys([]store.Key{record}, n.wallClock()) != nil {
 		return false
 	}
-	n.keys.AddSent(messaging.Key(k))
+	n.keys.AddSent(messaging.Key(record))
 	return true
 }
 
@@ -79,12 +86,15 @@
 	repeatToGroup  = "group"
 )
 
-// sendRepeat sends a marked repeat of a request, and checks where it goes: if the request was sent before this dispatcher
-// started, the repeat has to go to the same dedup group or fail for as long as the dedup window lasts.
+// sendRepeat sends a marked repeat of a request, and checks where it goes. If the request was sent before this dispatcher
+// started, its repeat has to go to the same dedup group or fail, for one dedup window.
 func (n *node) sendRepeat(key sentKey) {
 	found, err := n.keys.Find(recovery.KeyLookup{
-		Sum: key.sum, MarkedRepeat: true, KeysPending: n.machine.PeerKeysPending(n.uptime()),
-		Now: n.wallClock(), Uptime: n.uptime(),
+		Sum:          key.sum,
+		MarkedRepeat: true,
+		KeysPending:  n.machine.PeerKeysPending(n.uptime()),
+		Now:          n.wallClock(),
+		Uptime:       n.uptime(),
 	})
 	outcome := repeatAnywhere
 	switch {
@@ -93,12 +103,14 @@
 	case found != nil:
 		outcome = repeatToGroup
 	}
-	fromBefore := key.at < n.startedAt && n.world.now < key.at+dedupWindow && !key.unknownToPeers
-	if fromBefore {
+	sentBeforeStart := key.at < n.startedAt
+	inDedupWindow := n.world.now < key.at+dedupWindow
+	isProtected := sentBeforeStart && inDedupWindow && !key.unknownToPeers
+	if isProtected {
 		n.world.result.Repeats[outcome]++
 	}
 	switch {
-	case fromBefore && outcome == repeatAnywhere:
+	case isProtected && outcome == repeatAnywhere:
 		n.world.violation("%d: a repeat of key %d, sent at %v, goes anywhere", n.position, key.sum, key.at)
 	case found != nil && found.Zone != key.zone:
 		n.world.violation("%d: a repeat of key %d goes to %s, the request went to %s", n.position, key.sum, found.Zone, key.zone)
--- a/internal/fleet/simulate/invariants.go
+++ b/internal/fleet/simulate/invariants.go
@@ -7,11 +7,8 @@
 	"canvasroute/internal/fleet/recovery"
 )
 
-// peersTimeout is how long dispatchers wait for the replies of their peers.
-const peersTimeout = time.Second
-
-// checkTransition checks that phases only grow, that nobody admits requests before its peers have answered or had the time
-// to, and that an outage of one dispatcher alone was one.
+// checkTransition checks that phases only rise, and that an outage that is classified as that of one dispatcher was one.
+// It also checks that no dispatcher admits requests before its peers have answered or have had the time to.
 func (n *node) checkTransition(transition recovery.Transition) {
 	if transition.Phase < n.phase {
 		n.world.violation("%d: %v after %v", n.position, transition.Phase, n.phase)
--- a/internal/fleet/simulate/network.go
+++ b/internal/fleet/simulate/network.go
@@ -6,46 +6,68 @@
 	"canvasroute/internal/fleet/messaging"
 )
 
-// link is a direction between two dispatchers.
-type link struct{ from, to int }
+// link is a direction between two dispatchers, by their positions.
+type link struct {
+	from int
+	to   int
+}
 
 // network is how messages are carried.
 type network struct {
-	loss, duplication float64 // probabilities of each message
-	delay, maxJitter  time.Duration
-	cut               map[link]bool
+	loss        float64       // probability that a message is lost
+	duplication float64       // probability that a message is sent twice
+	delay       time.Duration // of each message
+	maxJitter   time.Duration // the most that is added to the delay
+	cut         map[link]bool // links that carry nothing
 }
 
+const networkDelay = 2 * time.Millisecond
+
+// The faults of the network: the probability of each in a history, and how large it is at most.
+const (
+	lossProbability        = 0.4
+	maxLoss                = 0.4
+	duplicationProbability = 0.4
+	maxDuplication         = 0.3
+	jitterProbability      = 0.5
+	maxDrawnJitter         = 300 * time.Millisecond
+	cutLinksProbability    = 0.4
+	partitionProbability   = 0.2
+	// All faults of the network end together, at a time in this range after the first dedup window.
+	minNetworkFaultTime = 5 * time.Second
+	maxNetworkFaultTime = 25 * time.Second
+)
+
 // newNetwork returns a network without faults.
 func newNetwork() network {
-	return network{delay: 2 * time.Millisecond, cut: map[link]bool{}}
+	return network{delay: networkDelay, cut: map[link]bool{}}
 }
 
 // send carries a message, encoded, to another dispatcher.
 func (w *world) send(from, to int, msg *messaging.Message) {
-	b, err := messaging.Encode(msg)
+	datagram, err := messaging.Encode(msg)
 	if err != nil {
 		w.violation("%d: %v", from, err)
 		return
 	}
 	w.nodes[from].messages++
 	w.result.Messages++
-	w.result.Bytes += len(b)
+	w.result.Bytes += len(datagram)
 	copies := 1
 	if w.happens(w.network.duplication) {
 		copies = 2
 	}
 	for range copies {
-		if w.happens(w.network.loss) || w.network.cut[link{from, to}] {
+		if w.happens(w.network.loss) || w.network.cut[link{from: from, to: to}] {
 			continue
 		}
-		w.after(w.network.delay+w.between(0, w.network.maxJitter), func() { w.deliver(from, to, b) })
+		w.after(w.network.delay+w.between(0, w.network.maxJitter), func() { w.deliver(from, to, datagram) })
 	}
 }
 
 // deliver hands a message to a dispatcher that is up.
-func (w *world) deliver(from, to int, b []byte) {
-	msg, err := messaging.Decode(b)
+func (w *world) deliver(from, to int, datagram []byte) {
+	msg, err := messaging.Decode(datagram)
 	if err != nil {
 		w.violation("%d: %v", to, err)
 		return
@@ -57,24 +79,24 @@
 
 // drawNetworkFaults draws faults of the network, and schedules their end.
 func (w *world) drawNetworkFaults() {
-	if w.happens(0.4) {
-		w.network.loss = 0.4 * w.rng.Float64()
+	if w.happens(lossProbability) {
+		w.network.loss = maxLoss * w.rng.Float64()
 	}
-	if w.happens(0.4) {
-		w.network.duplication = 0.3 * w.rng.Float64()
+	if w.happens(duplicationProbability) {
+		w.network.duplication = maxDuplication * w.rng.Float64()
 	}
-	if w.happens(0.5) {
-		w.network.maxJitter = w.between(0, 300*time.Millisecond)
+	if w.happens(jitterProbability) {
+		w.network.maxJitter = w.between(0, maxDrawnJitter)
 	}
-	if w.happens(0.4) {
+	if w.happens(cutLinksProbability) {
 		w.cutLinks()
 	}
-	if w.happens(0.2) {
+	if w.happens(partitionProbability) {
 		w.partition()
 	}
-	heal := dedupWindow + w.between(5*time.Second, 25*time.Second)
-	w.at(heal, func() { w.network = newNetwork() })
-	w.lastFaultAt = max(w.lastFaultAt, heal)
+	healedAt := dedupWindow + w.between(minNetworkFaultTime, maxNetworkFaultTime)
+	w.at(healedAt, func() { w.network = newNetwork() })
+	w.lastFaultAt = max(w.lastFaultAt, healedAt)
 }
 
 // cutLinks cuts some links in one direction.
@@ -82,17 +104,18 @@
 	for range 1 + w.rng.IntN(len(w.nodes)) {
 		from := w.rng.IntN(len(w.nodes))
 		to := w.rng.IntN(len(w.nodes))
-		w.network.cut[link{from, to}] = true
+		w.network.cut[link{from: from, to: to}] = true
 	}
 }
 
-// partition cuts the fleet into two parts.
+// partition cuts every link between the first dispatchers, as many as it draws, and the others.
 func (w *world) partition() {
 	size := w.rng.IntN(len(w.nodes)) + 1
 	for from := range w.nodes {
 		for to := range w.nodes {
-			if from < size != (to < size) {
-				w.network.cut[link{from, to}] = true
+			crosses := (from < size) != (to < size)
+			if crosses {
+				w.network.cut[link{from: from, to: to}] = true
 			}
 		}
 	}
--- a/internal/fleet/simulate/node.go
+++ b/internal/fleet/simulate/node.go
@@ -14,41 +14,64 @@
 // messages, in the order in which fleet.Node does.
 type node struct {
 	world          *world
-	position       int
+	position       int // among the members
 	disk           *store.Memory
-	unreliableDisk bool          // it may drop syncs, and the settings say so
-	clockOffset    time.Duration // of its wall clock
-	messages       int           // sent
-	powerLosses    []time.Duration
+	unreliableDisk bool            // it may drop syncs, and the settings say so
+	clockOffset    time.Duration   // of its wall clock
+	messages       int             // sent
+	powerLosses    []time.Duration // when it has lost power
 
 	up        bool
-	run       int // number of starts and stops, so that events of a process that has ended do nothing
-	startedAt time.Duration
+	run       int           // number of starts and stops, so that events of a process that has ended do nothing
+	startedAt time.Duration // the last time
 
 	// Of the process that runs.
 	machine     *recovery.StateMachine
 	keys        *recovery.Keys
 	store       *store.Store
-	incarnation uint64 // that is on disk
-	diskFailed  bool   // no incarnation could be written
-	applied     bool   // what is known from before has been taken up
-	replies     []recovery.PeerReply
-	phase       recovery.Phase
-	servingAt   time.Duration // 0 before it serves
+	incarnation uint64               // that is on disk
+	diskFailed  bool                 // no incarnation could be written
+	restored    bool                 // the phase admits requests, so the state may be written
+	replies     []recovery.PeerReply // not merged yet
+	phase       recovery.Phase       // the last that has begun
+	servingAt   time.Duration        // 0 before it serves
 }
 
+// The settings of each dispatcher.
 const (
-	queryInterval = 100 * time.Millisecond
-	stateInterval = time.Second
-	maxTick       = 100 * time.Millisecond
+	identityTimeout  = 2 * time.Second
+	endpointsTimeout = 3 * time.Second
+	peersTimeout     = time.Second
+	probeTimeout     = 2 * time.Second
+	slowStartMargin  = time.Second // how much longer than a warm-up the slow start may last
+	queryInterval    = 100 * time.Millisecond
+	stateInterval    = time.Second // from one write of the state to the next
+	maxRetryAfter    = 2 * time.Second
+)
+
+const (
+	minTick = time.Millisecond
+	maxTick = 100 * time.Millisecond
+	// A dispatcher polls the discovery service again after a time in this range.
+	minPollInterval = 100 * time.Millisecond
+	maxPollInterval = time.Second
 	// wallClockStart is the Unix time in ms at which histories begin.
 	wallClockStart = 1_700_000_000_000
+	// workerStart is the Unix time in ms at which the workers of replies have started.
+	workerStart = 1 << 40
+	// observedSlots is how many requests at once a worker of replies has been seen to process.
+	observedSlots = 3
 )
 
+// letters is the number of letters from which names are made.
+const letters = 'z' - 'a' + 1
+
 // memberNames returns the names of all dispatchers by position.
 func (w *world) memberNames() (names []string) {
-	for n := range w.nodes {
-		names = append(names, string(rune('A'+n%26))+string(rune('a'+n/26)))
+	for position := range w.nodes {
+		first := rune('A' + position%letters)
+		second := rune('a' + position/letters)
+		names = append(names, string(first)+string(second))
 	}
 	return names
 }
@@ -68,20 +91,27 @@
 	n.startedAt = n.world.now
 	n.servingAt = 0
 	n.phase = 0
-	n.applied = false
+	n.restored = false
 	n.replies = nil
 	n.machine = recovery.New(recovery.Config{
-		Members: n.world.memberNames(), Self: n.position, IdentityTimeout: 2 * time.Second,
-		EndpointsTimeout: 3 * time.Second, PeersTimeout: peersTimeout, ProbeTimeout: 2 * time.Second,
-		SlowStartDuration: warmupTime + time.Second, QueryInterval: queryInterval, DedupWindow: dedupWindow,
-		MaxRetryAfter: 2 * time.Second, Seed: n.world.rng.Uint64(),
+		Members:           n.world.memberNames(),
+		Self:              n.position,
+		IdentityTimeout:   identityTimeout,
+		EndpointsTimeout:  endpointsTimeout,
+		PeersTimeout:      peersTimeout,
+		ProbeTimeout:      probeTimeout,
+		SlowStartDuration: warmupDuration + slowStartMargin,
+		QueryInterval:     queryInterval,
+		DedupWindow:       dedupWindow,
+		MaxRetryAfter:     maxRetryAfter,
+		Seed:              n.world.rng.Uint64(),
 	})
 	n.openStore()
 	n.machine.StoredEndpointsLoaded(n.uptime())
 	n.carryOut()
 	n.tick(n.run)
 	n.saveState(n.run)
-	n.pollListService(n.run)
+	n.pollDiscovery(n.run)
 }
 
 // openStore reads the disk and begins an incarnation.
@@ -89,16 +119,19 @@
 	s, recovered := store.Open(n.disk, n.world.memberNames()[n.position])
 	n.store = s
 	n.keys = recovery.NewKeys(dedupWindow)
-	for _, k := range recovered.Keys {
-		n.keys.Restore(messaging.Key(k))
+	for _, key := range recovered.Keys {
+		n.keys.Restore(messaging.Key(key))
 	}
 	if n.unreliableDisk {
 		recovered.SuspectUnreliableDisk()
 	}
 	nonce := n.world.rng.Uint64()
 	incarnation, err := s.Begin(store.Start{
-		Previous: recovered.Incarnation, MinNumber: recovered.MinNextIncarnation(), Nonce: nonce,
-		KeysSuspect: recovered.KeysSuspect, At: n.wallClock(),
+		Previous:    recovered.Incarnation,
+		MinNumber:   recovered.MinNextIncarnation(),
+		Nonce:       nonce,
+		KeysSuspect: recovered.KeysSuspect,
+		At:          n.wallClock(),
 	})
 	n.diskFailed = err != nil
 	n.incarnation = incarnation.Number
@@ -120,29 +153,29 @@
 	if !n.running(run) {
 		return
 	}
-	if p := n.machine.Phase(); p == recovery.Probing || p == recovery.SlowStart {
+	if phase := n.machine.Phase(); phase == recovery.Probing || phase == recovery.SlowStart {
 		n.machine.SetCapacity(n.uptime(), n.world.capacity())
 	}
 	n.machine.SetPersistedKeys(n.store.PersistedKeys())
 	next := n.machine.Tick(n.uptime())
 	n.carryOut()
-	wait := min(max(next-n.uptime(), time.Millisecond), maxTick)
+	wait := min(max(next-n.uptime(), minTick), maxTick)
 	n.world.after(wait, func() { n.tick(run) })
 }
 
-// pollListService asks the list service until it answers.
-func (n *node) pollListService(run int) {
+// pollDiscovery polls the discovery service until it answers.
+func (n *node) pollDiscovery(run int) {
 	if !n.running(run) {
 		return
 	}
-	if n.world.listServiceUp {
+	if n.world.discoveryUp {
 		n.machine.EndpointsReceived(n.uptime())
 		n.carryOut()
 		return
 	}
 	n.machine.EndpointsUnavailable(n.uptime())
 	n.carryOut()
-	n.world.after(n.world.between(100*time.Millisecond, time.Second), func() { n.pollListService(run) })
+	n.world.after(n.world.between(minPollInterval, maxPollInterval), func() { n.pollDiscovery(run) })
 }
 
 // saveState writes the state, again and again.
@@ -150,13 +183,14 @@
 	if !n.running(run) {
 		return
 	}
-	if n.applied {
+	if n.restored {
 		//nolint:errcheck // a disk that fails here is a drawn fault; lost state violates no invariant
 		n.store.SaveState(store.State{WrittenAt: n.wallClock(), Learned: []byte("{}"), Peers: n.machine.Peers()})
 	}
 	n.world.after(stateInterval, func() { n.saveState(run) })
 }
 
+// receive passes a message of a member to the state machine.
 func (n *node) receive(from int, msg *messaging.Message) {
 	n.machine.Receive(n.uptime(), from, msg)
 	n.carryOut()
@@ -174,7 +208,7 @@
 	}
 	n.replies = append(n.replies, actions.Replies...)
 	if n.machine.Phase().Admits() {
-		n.applied = true
+		n.restored = true
 		n.mergeReplies()
 	}
 	for _, msg := range actions.Messages {
@@ -197,6 +231,7 @@
 	}
 }
 
+// raiseIncarnation persists a higher incarnation before another message is sent.
 func (n *node) raiseIncarnation(incarnation uint64) {
 	if err := n.store.RaiseIncarnation(incarnation); err != nil {
 		n.diskFailed = true
@@ -205,25 +240,28 @@
 	n.machine.IncarnationRaised(n.uptime(), incarnation)
 }
 
+// mergeReplies adds the keys that peers know.
 func (n *node) mergeReplies() {
 	for _, reply := range n.replies {
-		for _, k := range reply.Keys {
-			n.keys.AddFromPeer(k)
+		for _, key := range reply.Keys {
+			n.keys.AddFromPeer(key)
 		}
 	}
 	n.replies = nil
 }
 
+// reply sends what is known here to a peer that has sent a query.
 func (n *node) reply(query recovery.Query) {
 	known := recovery.LocalKnowledge{
-		Keys: n.keys.ForPeers(n.wallClock(), n.uptime()), MaxObserved: map[string]float64{"std": 3},
+		Keys:        n.keys.ForPeers(n.wallClock(), n.uptime()),
+		MaxObserved: map[string]float64{"std": observedSlots},
 	}
-	// In one order: which keys a lost part of the reply holds must follow from the seed.
+	// Sorted, since which keys a lost part of the reply holds must follow from the seed.
 	slices.SortFunc(known.Keys, func(a, b messaging.Key) int { return cmp.Compare(a.Sum, b.Sum) })
 	if query.WantWorkers {
 		for worker := range n.world.plan.Workers {
-			id := string(rune('a'+worker%26)) + "-worker"
-			known.Workers = append(known.Workers, messaging.Worker{ID: id, StartedAt: 1 << 40})
+			id := string(rune('a'+worker%letters)) + "-worker"
+			known.Workers = append(known.Workers, messaging.Worker{ID: id, StartedAt: workerStart})
 		}
 	}
 	for _, msg := range n.machine.Reply(query, known) {
--- a/internal/fleet/simulate/schedule.go
+++ b/internal/fleet/simulate/schedule.go
@@ -8,22 +8,24 @@
 // schedule holds the events to come. Those of one time are handled in the order in which they were added.
 type schedule struct {
 	queue eventQueue
-	added int
+	added int // events so far
 }
 
+// event is something that happens at a time.
 type event struct {
-	at     time.Duration
-	number int // by the order of adding
+	at     time.Duration // since the start of the history
+	number int           // by the order of adding
 	handle func()
 }
 
+// add adds an event.
 func (s *schedule) add(at time.Duration, handle func()) {
 	s.added++
 	heap.Push(&s.queue, event{at: at, number: s.added, handle: handle})
 }
 
-// next removes the first event; ok is false if there is none.
-func (s *schedule) next() (e event, ok bool) {
+// next removes the first event. found is false if there is none.
+func (s *schedule) next() (first event, found bool) {
 	if len(s.queue) == 0 {
 		return event{}, false
 	}
--- a/internal/fleet/simulate/simulate_test.go
+++ b/internal/fleet/simulate/simulate_test.go
@@ -12,22 +12,23 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// historyCount returns how many histories are run; CANVASROUTE_HISTORIES asks for another number.
-func historyCount(t *testing.T, byDefault int) int {
+// historyCount returns how many histories are run: the number in CANVASROUTE_HISTORIES, if that is set.
+func historyCount(t *testing.T, defaultCount int) int {
 	t.Helper()
-	if s := os.Getenv("CANVASROUTE_HISTORIES"); s != "" {
-		n, err := strconv.Atoi(s)
-		assert.NoError(t, err)
-		return n
+	setting := os.Getenv("CANVASROUTE_HISTORIES")
+	if setting == "" {
+		return defaultCount
 	}
-	return byDefault
+	count, err := strconv.Atoi(setting)
+	assert.NoError(t, err)
+	return count
 }
 
 func TestNoHistoryViolatesAnInvariant(t *testing.T) {
-	var g errgroup.Group
-	g.SetLimit(max(1, runtime.NumCPU()/2)) // tests of other packages, which run beside it, depend on times
+	var histories errgroup.Group
+	histories.SetLimit(max(1, runtime.NumCPU()/2)) // tests of other packages, which run beside it, depend on times
 	for seed := range historyCount(t, 600) {
-		g.Go(func() error {
+		histories.Go(func() error {
 			plan := Plan{Dispatchers: 3 + seed%4, Workers: 15, Seed: uint64(seed)}
 			if result := Run(plan); len(result.Violations) > 0 {
 				t.Errorf("seed %d, %d dispatchers: %v", seed, plan.Dispatchers, result.Violations)
@@ -35,7 +36,7 @@
 			return nil
 		})
 	}
-	assert.NoError(t, g.Wait())
+	assert.NoError(t, histories.Wait())
 }
 
 func TestOneSeedGivesOneHistory(t *testing.T) {
@@ -44,7 +45,7 @@
 		plan Plan
 	}{
 		{"seed 42", Plan{Dispatchers: 5, Workers: 15, Seed: 42}},
-		// Parts of replies are lost: its result followed from the order of a map once.
+		// Parts of replies are lost: the result must not follow from the order of a map.
 		{"seed 170", Plan{Dispatchers: 5, Workers: 15, Seed: 170}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -59,10 +60,10 @@
 func TestLargeFleetRecovers(t *testing.T) {
 	for _, size := range []int{30, 100} {
 		t.Run(fmt.Sprint(size, " dispatchers"), func(t *testing.T) {
-			r := Run(Plan{Dispatchers: size, Workers: 200, Seed: 1, FleetOutageOnly: true})
-			assert.Empty(t, r.Violations)
+			result := Run(Plan{Dispatchers: size, Workers: 200, Seed: 1, FleetOutageOnly: true})
+			assert.Empty(t, result.Violations)
 			t.Logf("%d messages and %d bytes each, most %d, all serve after %v, %d events",
-				r.Messages/size, r.Bytes/size, r.MaxMessages, r.RecoveryTime, r.Events)
+				result.Messages/size, result.Bytes/size, result.MaxMessages, result.RecoveryTime, result.Events)
 		})
 	}
 }
