--- a/internal/fleet/recovery/peers.go
+++ b/internal/fleet/recovery/peers.go
@@ -20,8 +20,8 @@
 	phase          Phase         // the highest that a message of that incarnation has named
 
 	query       queryState
-	answered    bool // a complete reply has come
-	answerFinal bool // one has come since the peer knows whether its own disk has lost keys
+	answered    bool // a complete reply has come, and no further one is wanted about workers
+	answerFinal bool // that reply was final, so the peer is no longer queried
 	keysSuspect bool // keys that the peer should know may be missing
 }
 
@@ -90,6 +90,9 @@
 	return !slices.Contains(p.query.receivedParts, false)
 }
 
+// isSilent reports whether the peer has not answered although it has been queried more than once.
+func (p *peer) isSilent() bool { return p.query.sent > 1 && !p.answered }
+
 // peerTable holds all members by position. The positions form a ring: the successors of a member are those that follow.
 type peerTable struct {
 	members []peer // the entry of this dispatcher itself is not used
@@ -114,8 +117,8 @@
 // others yields every member but this one, by position.
 func (t *peerTable) others() iter.Seq2[int, *peer] {
 	return func(yield func(int, *peer) bool) {
-		for n := range t.members {
-			if n != t.self && !yield(n, &t.members[n]) {
+		for position := range t.members {
+			if position != t.self && !yield(position, &t.members[position]) {
 				return
 			}
 		}
@@ -129,7 +132,8 @@
 func (t *peerTable) successors(most int) iter.Seq2[int, *peer] {
 	return func(yield func(int, *peer) bool) {
 		for step := 1; step <= min(most, t.count()); step++ {
-			if n := t.successor(step); !yield(n, &t.members[n]) {
+			position := t.successor(step)
+			if !yield(position, &t.members[position]) {
 				return
 			}
 		}
@@ -171,35 +175,3 @@
 	}
 	return active
 }
-
-// Receive handles a message from the member at a position. A message of an incarnation that has ended, or a reply to no
-// query of this process, changes nothing.
-func (s *StateMachine) Receive(now time.Duration, from int, msg *messaging.Message) {
-	s.now = now
-	if !s.acceptsFrom(from, msg) {
-		return
-	}
-	p := &s.peers.members[from]
-	if !p.observe(msg, now) {
-		return
-	}
-	switch msg.Kind {
-	case messaging.Heartbeat:
-		p.persistedKeys = max(p.persistedKeys, msg.PersistedKeys)
-	case messaging.Query:
-		s.receiveQuery(from, p, msg)
-	default:
-		s.receiveReply(from, p, msg)
-	}
-}
-
-// acceptsFrom reports whether a message can be of the member at a position. Before the incarnation is durable none is
-// accepted, since none may be answered.
-func (s *StateMachine) acceptsFrom(from int, msg *messaging.Message) bool {
-	if !s.identity.established || !s.peers.isPeer(from) {
-		return false
-	}
-	isSender := msg.From == s.config.Members[from]
-	knownPhase := msg.Phase <= uint8(Superseded)
-	return isSender && knownPhase
-}
--- a/internal/fleet/recovery/queries.go
+++ b/internal/fleet/recovery/queries.go
@@ -6,20 +6,6 @@
 	"canvasroute/internal/fleet/messaging"
 )
 
-// Query is a query of a peer, to be answered by Reply.
-type Query struct {
-	From        int    // the position of the peer
-	Number      uint32 // by which the peer finds the reply
-	WantWorkers bool   // the reply is to name workers too
-	Nonce       uint64 // of the process that asks
-}
-
-// PeerReply is one part of a reply, and the position of the peer that sent it.
-type PeerReply struct {
-	Member int
-	*messaging.Message
-}
-
 // queryState is how a peer is queried.
 type queryState struct {
 	number        uint32 // of the last query, which a reply has to carry
@@ -85,41 +71,13 @@
 		if successor == position {
 			return true
 		}
-		if p := &s.peers.members[successor]; p.query.sent > 1 && !p.answered {
-			lastStep++ // it is silent: another one takes its place
+		if s.peers.members[successor].isSilent() {
+			lastStep++ // another one takes its place
 		}
 	}
 	return false
 }
 
-// receiveQuery handles a query. It shows that the peer is up, so that peer is queried again soon even after a long backoff.
-// It is not queried at once: two that answer a query by a query would never stop.
-func (s *StateMachine) receiveQuery(from int, p *peer, query *messaging.Message) {
-	s.actions.Queries = append(s.actions.Queries, Query{
-		From: from, Number: query.Number, WantWorkers: query.WantWorkers, Nonce: query.Nonce,
-	})
-	if !p.answered {
-		p.query.nextAt = min(p.query.nextAt, p.query.lastAt+s.config.QueryInterval)
-		p.query.sent = min(p.query.sent, 1)
-	}
-}
-
-// receiveReply handles one part of a reply to the last query of a peer.
-func (s *StateMachine) receiveReply(from int, p *peer, reply *messaging.Message) {
-	if reply.Number != p.query.number || p.answerFinal {
-		return
-	}
-	s.checkOwnName(reply)
-	s.actions.Replies = append(s.actions.Replies, PeerReply{Member: from, Message: reply})
-	if p.receivePart(reply) {
-		p.answered = true
-		p.answerFinal = Phase(reply.Phase) > QueryingPeers && !reply.KeysUnconfirmed
-		p.query.nextAt = max(p.query.nextAt, s.now+s.config.QueryInterval<<minFinalAnswerDoublings)
-		s.queryServingPeerAboutWorkers(p)
-	}
-	s.advance()
-}
-
 // queryServingPeerAboutWorkers queries a peer again that turns out to serve: it knows more of workers than successors in
 // the ring that were down. Once this dispatcher admits requests it has seen the workers itself.
 func (s *StateMachine) queryServingPeerAboutWorkers(p *peer) {
--- a/internal/fleet/recovery/trust.go
+++ b/internal/fleet/recovery/trust.go
@@ -27,8 +27,8 @@
 	factCount
 )
 
-// TrustRule says whether facts of one kind survive a loss of power, and when a stored one is trusted. CheckTrust applies
-// it; the texts are for readers.
+// TrustRule says whether facts of one kind survive a loss of power, and when a stored one is trusted. The texts are for
+// readers.
 type TrustRule struct {
 	Fact                Fact
 	Name                string        // that operators read
@@ -44,7 +44,14 @@
 // neverStored is the Stored text of facts that no disk holds.
 const neverStored = "not at all"
 
-// TrustRules has one row for each kind of fact, by its number. docs/recovery.md shows the same table.
+// survivesPowerLoss reports whether a disk holds facts of this kind.
+func (r *TrustRule) survivesPowerLoss() bool { return r.Stored != neverStored }
+
+// TrustRules has one row for each kind of fact, by its number: whether it survives a loss of power, and when it is trusted.
+// docs/recovery.md shows the same table.
+//
+// fleet.Node applies CheckTrust to the facts that it restores into the balancer: capacity, sizes, backoffs and quotas. Other
+// rules are applied where the fact is read: for the identity by checkOwnName, for keys by Keys.Find.
 var TrustRules = [factCount]TrustRule{
 	{
 		Fact: FactIdentity, Name: "name and incarnation", Stored: "life.a and life.b in turn, synced before the first message",
@@ -184,7 +191,7 @@
 		return &TooOldError{Age: age.Elapsed, MaxAge: rule.MaxAge}
 	case !rule.SurvivesFleetOutage && outage == FleetWide:
 		return ErrFleetWasDown
-	case rule.Stored == neverStored:
+	case !rule.survivesPowerLoss():
 		return ErrFactNeverStored
 	}
 	return nil
--- a/internal/fleet/recovery/trust_test.go
+++ b/internal/fleet/recovery/trust_test.go
@@ -1,6 +1,8 @@
 package recovery
 
 import (
+	"os"
+	"strings"
 	"testing"
 	"time"
 
@@ -38,6 +40,28 @@
 	}
 }
 
+// TestRecoveryPageShowsTheTables keeps docs/recovery.md and the code together: the page has one row for each fact and each
+// phase, in the same order.
+func TestRecoveryPageShowsTheTables(t *testing.T) {
+	page, err := os.ReadFile("../../../docs/recovery.md")
+	assert.NoError(t, err)
+	var rows []string
+	for _, rule := range TrustRules {
+		rows = append(rows, "\n| "+rule.Name+" | ")
+	}
+	for phase := range phaseRules {
+		rows = append(rows, "\n| `"+Phase(phase).String()+"` | ")
+	}
+	rest := string(page)
+	for _, row := range rows {
+		_, after, found := strings.Cut(rest, row)
+		assert.True(t, found, "%q, in this order", row)
+		if found {
+			rest = after
+		}
+	}
+}
+
 func TestTrustRulesAreCompleteAndInOrder(t *testing.T) {
 	for position, rule := range TrustRules {
 		assert.Equal(t, Fact(position), rule.Fact)
