--- a/internal/fleet/node.go
+++ b/internal/fleet/node.go
@@ -60,7 +60,7 @@
 	machine     *recovery.StateMachine
 	keys        *recovery.Keys
 	owned       ownedResources
-	recovered   store.Recovered
+	recovered   store.Recovered      // what the folder held when this process acquired it
 	successor   bool                 // this process takes over from another one
 	replies     []recovery.PeerReply // not merged yet
 	restoring   bool                 // the recovered state is being restored, or has been
@@ -78,8 +78,8 @@
 
 // NameConflictError means that another process, which is no predecessor, has the folder or the address of this dispatcher.
 type NameConflictError struct {
-	Name string
-	Err  error // store.ErrLocked, or the error of the socket
+	Name string // of the dispatcher
+	Err  error  // store.ErrLocked, or the error of the socket
 }
 
 // Error names the dispatcher and what is taken.
--- a/internal/fleet/recovery/statemachine.go
+++ b/internal/fleet/recovery/statemachine.go
@@ -22,7 +22,7 @@
 	Members           []string      // the names of all dispatchers that may exist, by position
 	Self              int           // the position of this one
 	IdentityTimeout   time.Duration // for the store to persist the incarnation
-	EndpointsTimeout  time.Duration // for the list service, before a stored list is used
+	EndpointsTimeout  time.Duration // for the discovery service to answer, before a stored list is used
 	PeersTimeout      time.Duration // for the replies of the peers
 	ProbeTimeout      time.Duration // for the first request to succeed
 	SlowStartDuration time.Duration // for workers to warm up
@@ -58,14 +58,14 @@
 
 	phase          Phase
 	phaseStartedAt time.Duration
-	outage         Outage
+	outage         Outage // Undecided before Probing
 
 	identity  identity
 	endpoints endpointStatus
 	peers     peerTable
 	admission admission
 
-	nextHeartbeatAt time.Duration
+	nextHeartbeatAt time.Duration // 0 before the first heartbeat
 }
 
 // endpointStatus is what is known of the endpoint list, which names the workers.
--- a/internal/fleet/recovery/statemachine_test.go
+++ b/internal/fleet/recovery/statemachine_test.go
@@ -76,8 +76,8 @@
 	}
 }
 
-// The list service may be the last to come back: dispatchers that have a stored list continue with it.
-func TestStoredListIsUsedOnceTheListServiceDidNotAnswer(t *testing.T) {
+// The discovery service may be the last to come back: dispatchers that have a stored endpoint list continue with it.
+func TestStoredListIsUsedOnceDiscoveryDoesNotAnswer(t *testing.T) {
 	s := newTestMachine(1, PreviousIncarnation{})
 	s.Tick(2 * time.Second)
 	assert.Equal(t, AwaitingEndpoints, s.Phase())
--- a/internal/fleet/store/store.go
+++ b/internal/fleet/store/store.go
@@ -28,7 +28,7 @@
 	Incarnation  uint64                  `cbor:"2,keyasint"` // that wrote it
 	WrittenAt    int64                   `cbor:"3,keyasint"` // Unix time in ms
 	SettingsHash string                  `cbor:"4,keyasint"` // of the settings in use
-	Learned      []byte                  `cbor:"5,keyasint"` // a proxy.Snapshot in JSON, as a successor in an upgrade takes it
+	Learned      []byte                  `cbor:"5,keyasint"` // a proxy.Snapshot in JSON, as a successor in a hot restart takes it
 	Peers        map[string]PeerProgress `cbor:"6,keyasint"` // what is known of peers, by name
 	Keys         uint64                  `cbor:"7,keyasint"` // persisted in this incarnation up to then
 }
