--- a/internal/fleet/admission.go
+++ b/internal/fleet/admission.go
@@ -56,12 +56,10 @@
 
 // requestEnded reports the end of an admitted request to the state machine.
 func (n *Node) requestEnded(succeeded bool) {
-	n.mu.Lock()
 	if succeeded {
-		n.machine.RequestSucceeded(n.uptime())
+		n.update((*recovery.StateMachine).RequestSucceeded)
 	} else {
-		n.machine.RequestFailed(n.uptime())
+		n.update((*recovery.StateMachine).RequestFailed)
 	}
-	n.mu.Unlock()
 	n.notify()
 }
--- a/internal/fleet/incarnation.go
+++ b/internal/fleet/incarnation.go
@@ -137,9 +137,7 @@
 	if s := n.resources().store; s != nil {
 		n.reportUpdate(s.RaiseIncarnation(number))
 	}
-	n.mu.Lock()
-	n.machine.IncarnationRaised(n.uptime(), number)
-	n.mu.Unlock()
+	n.update(func(machine *recovery.StateMachine, uptime time.Duration) { machine.IncarnationRaised(uptime, number) })
 }
 
 // persistKeysMark persists a change of the mark that keys of previous incarnations may be missing.
--- a/internal/fleet/phases.go
+++ b/internal/fleet/phases.go
@@ -47,18 +47,27 @@
 	n.mu.Lock()
 	phase := n.machine.Phase()
 	n.mu.Unlock()
-	if phase != recovery.Probing && phase != recovery.SlowStart {
+	if !phase.UsesCapacity() {
 		return false
 	}
 	capacity := n.balancer.Capacity()
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	n.machine.SetCapacity(n.uptime(), recovery.Capacity{
-		Workers: capacity.Workers, Warm: capacity.WarmSlots, Now: capacity.CurrentSlots,
+	n.update(func(machine *recovery.StateMachine, uptime time.Duration) {
+		machine.SetCapacity(uptime, recovery.Capacity{
+			Workers: capacity.Workers,
+			Warm:    capacity.WarmSlots,
+			Now:     capacity.CurrentSlots,
+		})
 	})
 	return true
 }
 
+// update passes an event to the state machine, with the time since the process started.
+func (n *Node) update(event func(machine *recovery.StateMachine, uptime time.Duration)) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	event(n.machine, n.uptime())
+}
+
 // notify makes tick call the state machine.
 func (n *Node) notify() {
 	select {
@@ -69,9 +78,7 @@
 
 // receive passes a message of a member to the state machine.
 func (n *Node) receive(from int, msg *messaging.Message) {
-	n.mu.Lock()
-	n.machine.Receive(n.uptime(), from, msg)
-	n.mu.Unlock()
+	n.update(func(machine *recovery.StateMachine, uptime time.Duration) { machine.Receive(uptime, from, msg) })
 	n.carryOut()
 }
 
@@ -131,23 +138,17 @@
 
 // EndpointsReceived records that the discovery service has sent its endpoint list.
 func (n *Node) EndpointsReceived() {
-	n.mu.Lock()
-	n.machine.EndpointsReceived(n.uptime())
-	n.mu.Unlock()
+	n.update((*recovery.StateMachine).EndpointsReceived)
 	n.notify()
 }
 
 // EndpointsUnavailable records that the discovery service did not answer, or no longer answers.
 func (n *Node) EndpointsUnavailable() {
-	n.mu.Lock()
-	n.machine.EndpointsUnavailable(n.uptime())
-	n.mu.Unlock()
+	n.update((*recovery.StateMachine).EndpointsUnavailable)
 	n.notify()
 }
 
 // StoredEndpointsLoaded records that the proxy has an endpoint list to start with, perhaps an old one.
 func (n *Node) StoredEndpointsLoaded() {
-	n.mu.Lock()
-	n.machine.StoredEndpointsLoaded(n.uptime())
-	n.mu.Unlock()
+	n.update((*recovery.StateMachine).StoredEndpointsLoaded)
 }
--- a/internal/fleet/recovery/identity_test.go
+++ b/internal/fleet/recovery/identity_test.go
@@ -70,6 +70,22 @@
 	}
 }
 
+// Two processes that both sent messages under one name would make peers drop the messages of the other one.
+func TestSupersededProcessSendsAndAdmitsNothing(t *testing.T) {
+	s := newTestMachine(4, PreviousIncarnation{Incarnation: 3})
+	s.EndpointsReceived(ms)
+	reply := replyOf(s, 1, Serving)
+	reply.YourIncarnation, reply.YourNonce, reply.ReceivedAgoMillis = 5, 101, 3
+	s.Receive(10*ms, 1, reply)
+	s.TakeActions()
+	for now := time.Second; now < time.Minute; now += time.Second {
+		s.Tick(now)
+		assert.False(t, s.Admit(now, 100*ms).Admitted)
+	}
+	assert.Equal(t, Superseded, s.Phase())
+	assert.Empty(t, s.TakeActions().Messages)
+}
+
 // A query begins a new incarnation at the peer that receives it. That peer still has to report the one before, or a reset
 // disk would not be detected.
 func TestReplyReportsThePreviousIncarnationOfItsReceiver(t *testing.T) {
--- a/internal/fleet/recovery/phase.go
+++ b/internal/fleet/recovery/phase.go
@@ -26,6 +26,7 @@
 	name            string // that operators read in logs and answers
 	sendsQueries    bool   // to the peers whose answer is not final
 	sendsHeartbeats bool   // to the next members in the ring
+	usesCapacity    bool   // its end or its admission depends on the workers' capacity
 	admission       admissionRule
 }
 
@@ -43,10 +44,14 @@
 	EstablishingIdentity: {name: "identity"},
 	AwaitingEndpoints:    {name: "list", sendsQueries: true},
 	QueryingPeers:        {name: "others", sendsQueries: true},
-	Probing:              {name: "trickle", sendsQueries: true, sendsHeartbeats: true, admission: admitProbes},
-	SlowStart:            {name: "ramp", sendsQueries: true, sendsHeartbeats: true, admission: admitAll},
-	Serving:              {name: "full", sendsQueries: true, sendsHeartbeats: true, admission: admitAll},
-	Superseded:           {name: "superseded"},
+	Probing: {
+		name: "trickle", sendsQueries: true, sendsHeartbeats: true, usesCapacity: true, admission: admitProbes,
+	},
+	SlowStart: {
+		name: "ramp", sendsQueries: true, sendsHeartbeats: true, usesCapacity: true, admission: admitAll,
+	},
+	Serving:    {name: "full", sendsQueries: true, sendsHeartbeats: true, admission: admitAll},
+	Superseded: {name: "superseded"},
 }
 
 func (p Phase) rule() phaseRule { return phaseRules[p] }
@@ -57,6 +62,9 @@
 // Admits reports whether a dispatcher in this phase may admit requests.
 func (p Phase) Admits() bool { return p.rule().admission != admitNone }
 
+// UsesCapacity reports whether SetCapacity has to be called in this phase.
+func (p Phase) UsesCapacity() bool { return p.rule().usesCapacity }
+
 // Transition is the beginning of a phase.
 type Transition struct {
 	Phase  Phase
--- a/internal/fleet/simulate/node.go
+++ b/internal/fleet/simulate/node.go
@@ -153,7 +153,7 @@
 	if !n.running(run) {
 		return
 	}
-	if phase := n.machine.Phase(); phase == recovery.Probing || phase == recovery.SlowStart {
+	if n.machine.Phase().UsesCapacity() {
 		n.machine.SetCapacity(n.uptime(), n.world.capacity())
 	}
 	n.machine.SetPersistedKeys(n.store.PersistedKeys())
