--- a/internal/fleet/node.go
+++ b/internal/fleet/node.go
@@ -94,7 +94,10 @@
 // runs. Open fails with a NameConflictError if another process has not left them within the identity timeout.
 func Open(ctx context.Context, settings *Settings, config Config) (*Node, error) {
 	n := &Node{
-		settings: settings, config: config, log: config.Log, startedAt: time.Now(),
+		settings:     settings,
+		config:       config,
+		log:          config.Log,
+		startedAt:    time.Now(),
 		keyWriter:    newKeyWriter(settings.Recovery.KeyTimeout.Std()),
 		stateChanged: make(chan struct{}, 1),
 		ownerChanges: make(chan socketOwner, maxOwnerChanges),
--- a/internal/fleet/recovery/keys.go
+++ b/internal/fleet/recovery/keys.go
@@ -8,7 +8,7 @@
 )
 
 // Keys are the idempotency keys under which requests may have run. Those of previous incarnations, from this dispatcher's
-// disk and from peers, decide where a repeat goes. Those that this incarnation sends are reported to peers alone.
+// disk and from peers, decide where a repeat goes. Keys that this incarnation sends are only reported to peers.
 type Keys struct {
 	dedupWindow time.Duration
 	previous    map[uint64]messaging.Key // by checksum, of all dispatchers
--- a/internal/fleet/recovery/peers.go
+++ b/internal/fleet/recovery/peers.go
@@ -161,8 +161,8 @@
 	return answered, s.peers.count()
 }
 
-// activeDispatchers returns how many dispatchers share the workers, this one included. While peers have the time to answer
-// these are all that may exist, and later those of which a message has come since this process started.
+// activeDispatchers returns how many dispatchers share the workers, this one included. While peers still have the time to
+// answer, all members count. Later a peer counts if a message of it has come since this process started.
 func (s *StateMachine) activeDispatchers() int {
 	if s.phase <= QueryingPeers {
 		return len(s.peers.members)
--- a/internal/fleet/recovery/trust.go
+++ b/internal/fleet/recovery/trust.go
@@ -9,7 +9,7 @@
 // Fact is a kind of fact that a dispatcher may know from its previous incarnation. TrustRules has the rule for each.
 type Fact uint8
 
-// The values of Fact.
+// The values of Fact, in the order of TrustRules.
 const (
 	FactIdentity Fact = iota
 	FactEndpoints
--- a/internal/fleet/restore.go
+++ b/internal/fleet/restore.go
@@ -55,12 +55,7 @@
 	n.mu.Unlock()
 	processStart := n.config.Now().Add(-balancer.DurationOf(n.uptime()))
 	if state != nil {
-		if snapshot, found := n.storedSnapshot(); found {
-			age := recovery.RecordAgeOf(state.WrittenAt, time.Now().UnixMilli())
-			n.dropUntrusted(&snapshot, age, outage)
-			n.proxy.RestoreFromDisk(snapshot)
-			n.restoreDrains(snapshot)
-		}
+		n.restoreState(state.WrittenAt, outage)
 	}
 	n.balancer.DelayWarmingWorkers(processStart)
 	if outage == recovery.FleetWide {
@@ -73,6 +68,18 @@
 		Int64("dropped", n.counters.factsDropped).Int("keys", n.keys.Count()).Msg("stored state restored")
 }
 
+// restoreState restores what is trusted of the stored state. writtenAt is Unix time in ms.
+func (n *Node) restoreState(writtenAt int64, outage recovery.Outage) {
+	snapshot, found := n.storedSnapshot()
+	if !found {
+		return
+	}
+	age := recovery.RecordAgeOf(writtenAt, time.Now().UnixMilli())
+	n.dropUntrusted(&snapshot, age, outage)
+	n.proxy.RestoreFromDisk(snapshot)
+	n.restoreDrains(snapshot)
+}
+
 // dropUntrusted removes from a stored snapshot the facts that recovery.CheckTrust does not trust, and what described only
 // the moment of writing.
 func (n *Node) dropUntrusted(snapshot *proxy.Snapshot, age recovery.RecordAge, outage recovery.Outage) {
