--- a/internal/daemon/recovery_test.go
+++ b/internal/daemon/recovery_test.go
@@ -101,7 +101,7 @@
 	opened, _ := store.Open(folder, "n3")
 	_, err = opened.Begin(store.Start{MinNumber: 7, Nonce: 9, At: time.Now().UnixMilli()})
 	assert.NoError(t, err)
-	assert.NoError(t, opened.SetDrained(true))
+	assert.NoError(t, opened.MarkDrained())
 	assert.NoError(t, opened.AppendKeys([]store.Key{{Sum: 1}}, time.Now().UnixMilli()))
 	assert.NoError(t, opened.SaveState(store.State{
 		WrittenAt: time.Now().UnixMilli(), SettingsHash: "abc",
--- a/internal/fleet/recovery/trust_test.go
+++ b/internal/fleet/recovery/trust_test.go
@@ -1,6 +1,8 @@
 package recovery
 
 import (
+	"os"
+	"strings"
 	"testing"
 	"time"
 
@@ -29,16 +31,40 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			age := RecordAgeOf(10_000_000, 10_000_000+c.age.Milliseconds())
-			trusted, reason := IsTrusted(c.fact, age, c.outage)
-			assert.Equal(t, c.want, trusted, reason)
-			assert.Equal(t, trusted, reason == "")
+			err := CheckTrust(c.fact, age, c.outage)
+			assert.Equal(t, c.want, err == nil, "%v", err)
+			if err != nil {
+				assert.NotEmpty(t, err.Error())
+			}
 		})
 	}
 }
 
+// TestRecoveryPageShowsTheTables keeps docs/recovery.md and the code together: the page has one row for each fact and each
+// phase, in the same order.
+func TestRecoveryPageShowsTheTables(t *testing.T) {
+	page, err := os.ReadFile("../../../docs/recovery.md")
+	assert.NoError(t, err)
+	var rows []string
+	for _, rule := range TrustRules {
+		rows = append(rows, "\n| "+rule.Name+" | ")
+	}
+	for phase := range phaseRules {
+		rows = append(rows, "\n| `"+Phase(phase).String()+"` | ")
+	}
+	rest := string(page)
+	for _, row := range rows {
+		_, after, found := strings.Cut(rest, row)
+		assert.True(t, found, "%q, in this order", row)
+		if found {
+			rest = after
+		}
+	}
+}
+
 func TestTrustRulesAreCompleteAndInOrder(t *testing.T) {
-	for f, rule := range TrustRules {
-		assert.Equal(t, Fact(f), rule.Fact)
+	for position, rule := range TrustRules {
+		assert.Equal(t, Fact(position), rule.Fact)
 		for _, text := range []string{rule.Name, rule.Stored, rule.CheckedWith, rule.Default, rule.IfWrong} {
 			assert.NotEmpty(t, text, rule.Name)
 		}
--- a/internal/fleet/state.go
+++ b/internal/fleet/state.go
@@ -23,21 +23,24 @@
 	}
 }
 
-// saveState persists what is known now. Before the previous state is restored nothing is written: it would replace more by
-// less.
+// saveState persists what is known now. Before the previous state is restored it writes nothing, since that would replace
+// more by less.
 func (n *Node) saveState() {
 	n.mu.Lock()
 	s := n.owned.store
-	applied := n.applied
+	restoring := n.restoring
 	peers := n.machine.Peers()
 	n.mu.Unlock()
-	if s == nil || !applied {
+	if s == nil || !restoring {
 		return
 	}
 	learned, err := json.Marshal(n.proxy.SnapshotForDisk())
 	if err == nil {
 		err = s.SaveState(store.State{
-			WrittenAt: time.Now().UnixMilli(), SettingsHash: n.config.SettingsHash, Learned: learned, Peers: peers,
+			WrittenAt:    time.Now().UnixMilli(),
+			SettingsHash: n.config.SettingsHash,
+			Learned:      learned,
+			Peers:        peers,
 		})
 	}
 	n.reportSave(err)
@@ -63,17 +66,18 @@
 }
 
 // PersistDrain persists that an operator has drained this dispatcher.
-func (n *Node) PersistDrain() error { return n.persistDrained(true) }
+func (n *Node) PersistDrain() error { return n.updateDrain((*store.Store).MarkDrained) }
 
 // PersistRejoin persists that an operator has ended the drain.
-func (n *Node) PersistRejoin() error { return n.persistDrained(false) }
+func (n *Node) PersistRejoin() error { return n.updateDrain((*store.Store).ClearDrained) }
 
-func (n *Node) persistDrained(drained bool) error {
+// updateDrain persists a change of the drain by an operator.
+func (n *Node) updateDrain(change func(*store.Store) error) error {
 	s := n.resources().store
 	if s == nil {
 		return errNoFolder
 	}
-	if err := s.SetDrained(drained); err != nil {
+	if err := change(s); err != nil {
 		return fmt.Errorf("drain not persisted: %w", err)
 	}
 	return nil
