--- a/internal/discovery/table.go
+++ b/internal/discovery/table.go
@@ -15,21 +15,22 @@
 // this process lives, also after it is gone. All methods may be called concurrently.
 type Table struct {
 	fromUnix func(ms float64) balancer.Time
+	kinds    map[string]int // numbers by the names in the settings
 	log      zerolog.Logger
 
+	// mu guards the fields below. fromUnix, log and the function that Find is given are called under it.
 	mu      sync.Mutex
-	zones   map[string]int // the zones of the settings first, then others in the order in which they were seen
-	kinds   map[string]int
-	numbers map[string]balancer.WorkerID
-	workers []worker // by their numbers
-	tagged  map[uint16]balancer.WorkerID
-	version int64
+	zones   map[string]int               // numbers by name: the zones of the settings first, then others as they were seen
+	numbers map[string]balancer.WorkerID // by the worker's ID
+	workers []worker                     // by their numbers
+	tagged  map[uint16]balancer.WorkerID // by tag; of several workers with one tag the first
+	version int64                        // of the last list
 }
 
 // worker is a row of the table.
 type worker struct {
-	tag       uint16
-	startedAt balancer.Time
+	tag       uint16            // by which dispatchers name it to each other
+	startedAt balancer.Time     // the latest start that was listed, 0 for long ago
 	endpoint  protocol.Endpoint // as last listed; its address is the last one known
 }
 
@@ -37,25 +38,29 @@
 
 // OutdatedAddress is an address whose idle connections must not be used any more.
 type OutdatedAddress struct {
-	Address string
-	// StartedAt is when the process that now listens there started. Connections opened before, also those in use, lead to
-	// its predecessor. It is zero where the process is the same.
+	Address string // host and port
+	// StartedAt is when the process that now listens there started. Connections opened before lead to its predecessor,
+	// also those in use. It is zero where the process is the same.
 	StartedAt time.Time
 }
 
 // Contents is what a table holds.
 type Contents struct {
-	Version   int64
+	Version   int64               // of the last list
 	Endpoints []protocol.Endpoint // by the workers' numbers, with those that are gone
-	Zones     []string            // by the zones' numbers
+	Zones     []string            // names by the zones' numbers
 }
 
-// NewTable returns an empty table. Zones and kinds that the settings name have the numbers of their positions. fromUnix
-// converts Unix milliseconds to the balancer's time.
+// NewTable returns an empty table. zones and kinds are the names in the settings, whose positions are their numbers.
+// fromUnix converts Unix time in milliseconds to the balancer's time.
 func NewTable(zones, kinds []string, fromUnix func(ms float64) balancer.Time, log zerolog.Logger) *Table {
 	return &Table{
-		fromUnix: fromUnix, log: log, zones: positions(zones), kinds: positions(kinds),
-		numbers: map[string]balancer.WorkerID{}, tagged: map[uint16]balancer.WorkerID{},
+		fromUnix: fromUnix,
+		kinds:    positions(kinds),
+		log:      log,
+		zones:    positions(zones),
+		numbers:  map[string]balancer.WorkerID{},
+		tagged:   map[uint16]balancer.WorkerID{},
 	}
 }
 
@@ -67,13 +72,15 @@
 	return byName
 }
 
+// workerStates are the balancer's terms for the states in an endpoint list.
 var workerStates = map[string]balancer.WorkerState{
-	protocol.Ready: balancer.Healthy, protocol.Terminating: balancer.Draining,
-	protocol.Gone: balancer.Gone,
+	protocol.Ready:       balancer.Healthy,
+	protocol.Terminating: balancer.Draining,
+	protocol.Gone:        balancer.Gone,
 }
 
-// Update applies a list, or a change to it. It returns the listed workers as the balancer takes them, in the order of
-// the list, and the addresses that it makes outdated. Workers that a complete list leaves out are gone.
+// Update applies a list, or a change to it. It returns the listed workers in the balancer's terms, in the order of the
+// list, and the addresses that it makes outdated. Workers that a complete list leaves out are gone.
 func (t *Table) Update(list *protocol.EndpointList) ([]balancer.Endpoint, []OutdatedAddress) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -89,17 +96,24 @@
 		}
 		endpoints = append(endpoints, t.balancerEndpoint(number))
 	}
-	if !list.Complete {
-		return endpoints, outdated
+	if list.Complete {
+		outdated = append(outdated, t.markUnlistedGone(listed)...)
 	}
+	return endpoints, outdated
+}
+
+// markUnlistedGone marks the workers as gone that are not listed, and returns their addresses.
+func (t *Table) markUnlistedGone(listed map[balancer.WorkerID]bool) []OutdatedAddress {
+	var outdated []OutdatedAddress
 	for number := range t.workers {
 		w := &t.workers[number]
-		if !listed[balancer.WorkerID(number)] && !w.isGone() {
-			outdated = append(outdated, OutdatedAddress{Address: w.endpoint.Address})
-			w.endpoint.State = protocol.Gone
+		if listed[balancer.WorkerID(number)] || w.isGone() {
+			continue
 		}
+		outdated = append(outdated, OutdatedAddress{Address: w.endpoint.Address})
+		w.endpoint.State = protocol.Gone
 	}
-	return endpoints, outdated
+	return outdated
 }
 
 // register returns the number of a worker, a new one for an ID that was never listed.
@@ -119,8 +133,8 @@
 	return number
 }
 
-// updateWorker replaces a worker's endpoint, and returns the previous address where connections to it are outdated. An
-// endpoint without an address keeps the previous one.
+// updateWorker replaces a worker's endpoint. It returns the worker's previous address, and whether connections to it are
+// outdated: the worker has restarted, is not ready, or has moved. An endpoint without an address keeps the previous one.
 func (t *Table) updateWorker(number balancer.WorkerID, endpoint protocol.Endpoint) (OutdatedAddress, bool) {
 	w := &t.workers[number]
 	previous := *w
@@ -131,49 +145,58 @@
 	if endpoint.StartedAtMillis > 0 {
 		w.startedAt = max(w.startedAt, t.fromUnix(endpoint.StartedAtMillis))
 	}
-	if _, known := t.zones[endpoint.Zone]; !known { // each unconfigured zone is a zone of its own
-		t.zones[endpoint.Zone] = len(t.zones)
-	}
+	t.registerZone(endpoint.Zone)
 	address := previous.endpoint.Address
 	switch {
 	case address == "":
 		return OutdatedAddress{}, false
 	case w.startedAt > previous.startedAt:
-		return OutdatedAddress{address, time.UnixMilli(int64(endpoint.StartedAtMillis))}, true
+		startedAt := time.UnixMilli(int64(endpoint.StartedAtMillis))
+		return OutdatedAddress{Address: address, StartedAt: startedAt}, true
 	case workerStates[endpoint.State] != balancer.Healthy || endpoint.Address != address:
 		return OutdatedAddress{Address: address}, true
 	}
 	return OutdatedAddress{}, false
 }
 
+// registerZone gives a number to a zone that has none yet. Each zone that the settings do not name is a zone of its own.
+func (t *Table) registerZone(name string) {
+	if _, known := t.zones[name]; !known {
+		t.zones[name] = len(t.zones)
+	}
+}
+
+// balancerEndpoint returns a worker in the balancer's terms.
 func (t *Table) balancerEndpoint(number balancer.WorkerID) balancer.Endpoint {
 	w := &t.workers[number]
-	e := &w.endpoint
 	return balancer.Endpoint{
-		Worker: number, ID: e.ID, Zone: balancer.ZoneID(t.zones[e.Zone]), Kind: balancer.KindID(t.kinds[e.Kind]),
-		Cell: balancer.CellID(e.Cell), State: workerStates[e.State], StartedAt: w.startedAt,
+		Worker:    number,
+		ID:        w.endpoint.ID,
+		Zone:      balancer.ZoneID(t.zones[w.endpoint.Zone]),
+		Kind:      balancer.KindID(t.kinds[w.endpoint.Kind]),
+		Cell:      balancer.CellID(w.endpoint.Cell),
+		State:     workerStates[w.endpoint.State],
+		StartedAt: w.startedAt,
 	}
 }
 
-// addZones gives numbers to zones that the settings do not name.
+// addZones gives numbers to zones that have none yet, in their order.
 func (t *Table) addZones(names []string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, name := range names {
-		if _, known := t.zones[name]; !known {
-			t.zones[name] = len(t.zones)
-		}
+		t.registerZone(name)
 	}
 }
 
-// Endpoint returns a worker as it was last listed.
+// Endpoint returns a worker as it was last listed. Its number must be one of the table's.
 func (t *Table) Endpoint(number balancer.WorkerID) protocol.Endpoint {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.workers[number].endpoint
 }
 
-// Accepts reports whether a worker may be sent a new attempt at an address: it is ready and still listens there.
+// Accepts reports whether a worker may be sent a new attempt at an address: it is ready and is still listed there.
 func (t *Table) Accepts(number balancer.WorkerID, address string) bool {
 	endpoint := t.Endpoint(number)
 	return endpoint.State == protocol.Ready && endpoint.Address == address
@@ -186,7 +209,8 @@
 	return t.workers[number].tag
 }
 
-// ByTag finds the worker with a tag. Of several workers with the same tag it is the one that was listed first.
+// ByTag returns the worker with a tag, and whether there is one. Of several workers with the same tag it is the one that
+// was listed first.
 func (t *Table) ByTag(tag uint16) (balancer.WorkerID, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -194,7 +218,7 @@
 	return number, known
 }
 
-// ByID finds a worker by its ID.
+// ByID returns the worker with an ID, and whether it was ever listed.
 func (t *Table) ByID(id string) (balancer.WorkerID, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -202,7 +226,7 @@
 	return number, known
 }
 
-// Find returns the worker with the lowest number whose endpoint matches.
+// Find returns the worker with the lowest number whose endpoint matches, and whether there is one.
 func (t *Table) Find(matches func(*protocol.Endpoint) bool) (balancer.WorkerID, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -210,7 +234,7 @@
 	return balancer.WorkerID(number), number >= 0
 }
 
-// ZoneByName finds the number of a zone.
+// ZoneByName returns the number of a zone, and whether it has one.
 func (t *Table) ZoneByName(name string) (int, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/discovery/table_test.go
+++ b/internal/discovery/table_test.go
@@ -27,8 +27,8 @@
 	update := func(complete bool, endpoints ...protocol.Endpoint) []string {
 		_, outdated := table.Update(&protocol.EndpointList{Version: 8, Complete: complete, Endpoints: endpoints})
 		addresses := []string{}
-		for _, o := range outdated {
-			addresses = append(addresses, o.Address)
+		for _, previous := range outdated {
+			addresses = append(addresses, previous.Address)
 		}
 		return addresses
 	}
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -2,76 +2,57 @@
 
 import (
 	"context"
-	"errors"
 	"fmt"
+	"net/http"
 	"time"
 
 	"canvasroute/internal/protocol"
 	"canvasroute/internal/transport"
 )
 
-// A watch brings a line every two seconds. Six seconds after the service has listed a change, dispatchers are expected
-// to go by it, whether the line reached them or not: a silent watch has to be given up while there is time to poll again.
-const (
-	lineTimeout       = 2700 * time.Millisecond // between two lines
-	overloadedAfter   = time.Second             // a 503 later than that has waited in the service's queue, and cost it an answer
-	headTimeout       = 2500 * time.Millisecond // to dial and for the head of the response; the service answers 503 before
-	firstLineTimeout  = 3500 * time.Millisecond // from the poll to its first line
-	dialTimeoutFactor = 4                       // times the dial timeout of workers, up to headTimeout
-	maxLineBytes      = 8 << 20
-)
-
-// watch polls once and applies the lines of the watch until it ends, which is always an error. opened reports whether
-// the service had accepted the watch.
+// watch polls the service once, and applies the lines of the watch until it ends. opened reports whether the service
+// accepted the watch. The error is nil only where ctx ended an open watch. stop ends ctx.
 func (w *Watcher) watch(ctx context.Context, stop context.CancelCauseFunc) (opened bool, err error) {
-	w.mu.Lock()
-	w.stop = stop
-	address := w.address
-	w.mu.Unlock()
-	dialing, cancel := context.WithTimeout(ctx, min(w.config.DialTimeout()*dialTimeoutFactor, headTimeout))
-	defer cancel()
-	conn, err := transport.Dial(dialing, address, transport.Discovery, w.log)
+	address := w.beginWatch(stop)
+	conn, err := w.dial(ctx, address)
 	if err != nil {
-		return false, err
+		return false, fmt.Errorf("poll of %s: %w", address, err)
 	}
 	defer context.AfterFunc(ctx, conn.Interrupt)()
 	body, err := w.open(conn)
 	if err != nil {
 		conn.CloseFor(openCloseReason(err), err)
-		return false, err
+		return false, fmt.Errorf("poll of %s: %w", address, err)
 	}
-	reason, err := w.follow(ctx, conn, body)
-	conn.CloseFor(reason, err)
-	return true, err
-}
-
-// statusError is the error of a poll that was answered with another status than 200.
-type statusError struct {
-	status     int
-	overloaded bool // the poll has waited in the service's queue
+	ended := w.follow(ctx, conn, body)
+	conn.CloseFor(ended.closeReason, ended.err)
+	if ended.err != nil {
+		return true, fmt.Errorf("watch of %s: %w", address, ended.err)
+	}
+	return true, nil
 }
 
-func (e *statusError) Error() string {
-	if e.overloaded {
-		return fmt.Sprintf("discovery: service overloaded: status %d", e.status)
-	}
-	return fmt.Sprintf("discovery: status %d", e.status)
+// beginWatch returns the address to poll. From then on SetAddress calls stop.
+func (w *Watcher) beginWatch(stop context.CancelCauseFunc) (address string) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.stop = stop
+	return w.address
 }
 
-// openCloseReason classifies an error of open.
-func openCloseReason(err error) transport.CloseReason {
-	var refused *statusError
-	if errors.As(err, &refused) {
-		return transport.UnexpectedResponse
-	}
-	return transport.CloseReasonOf(err)
+// dial opens a connection to the service.
+func (w *Watcher) dial(ctx context.Context, address string) (*transport.Conn, error) {
+	ctx, cancel := context.WithTimeout(ctx, min(w.config.DialTimeout()*dialTimeoutFactor, headTimeout))
+	defer cancel()
+	return transport.Dial(ctx, address, transport.Discovery, w.log)
 }
 
-// open requests a watch and returns the body that brings its lines.
+// open requests a watch from the version of the table on, and returns the body that brings its lines. The error is a
+// statusError where the service answers with another status than 200.
 func (w *Watcher) open(conn *transport.Conn) (protocol.Body, error) {
 	began := time.Now()
-	request := protocol.AppendGet(nil, protocol.WatchTarget(w.table.Version()))
-	if err := conn.Send(headTimeout, request); err != nil {
+	poll := protocol.AppendGet(nil, protocol.WatchTarget(w.table.Version()))
+	if err := conn.Send(headTimeout, poll); err != nil {
 		return protocol.Body{}, err
 	}
 	conn.SetReadTimeout(headTimeout)
@@ -83,46 +64,33 @@
 	if err != nil {
 		return protocol.Body{}, err
 	}
-	if head.Status != 200 {
-		overloaded := head.Status == 503 && time.Since(began) >= overloadedAfter
-		return protocol.Body{}, &statusError{head.Status, overloaded}
+	if head.Status != http.StatusOK {
+		return protocol.Body{}, newStatusError(head.Status, time.Since(began))
 	}
 	conn.SetReadTimeout(firstLineTimeout - time.Since(began))
 	return body, nil
 }
 
-// follow applies the lines of a watch until it ends, and returns why to close its connection.
-func (w *Watcher) follow(ctx context.Context, conn *transport.Conn, body protocol.Body) (transport.CloseReason, error) {
+// follow applies the lines of a watch until it ends.
+func (w *Watcher) follow(ctx context.Context, conn *transport.Conn, body protocol.Body) endedWatch {
 	var reader protocol.LineReader
-	var malformed error
-	err := conn.ReadChunks(&body, func(data []byte) bool {
+	var applyErr error
+	readErr := conn.ReadChunks(&body, func(data []byte) (more bool) {
 		reader.Write(data)
-		malformed = w.applyLines(&reader, conn)
+		applyErr = w.applyLines(&reader, conn)
 		if len(reader.Remainder()) > maxLineBytes {
-			malformed = protocol.ErrTooLarge
+			applyErr = protocol.ErrTooLarge
 		}
-		return malformed == nil
+		return applyErr == nil
 	})
-	if line := reader.Remainder(); err != nil && malformed == nil && len(line) > 0 {
+	if line := reader.Remainder(); readErr != nil && applyErr == nil && len(line) > 0 {
 		w.applyTruncated(line)
 	}
-	switch {
-	case errors.Is(context.Cause(ctx), errMoved):
-		return transport.Stale, nil
-	case ctx.Err() != nil:
-		return transport.Stopping, nil
-	case malformed != nil:
-		return transport.Malformed, malformed
-	case err == nil:
-		return transport.CloseRequested, errWatchEnded
-	case transport.CloseReasonOf(err) == transport.TooSlow:
-		return transport.WatchTimeout, err
-	}
-	return transport.CloseReasonOf(err), err
+	return endOfWatch(ctx, readErr, applyErr)
 }
 
-// applyLines applies the complete lines that have come, up to the first malformed one. Only a complete line shows that
-// the service is alive: single bytes may come without end.
+// applyLines applies the complete lines that have come, up to the first malformed one. Only a complete line extends the
+// read timeout: single bytes, which may come without end, don't show that the service is alive.
 func (w *Watcher) applyLines(reader *protocol.LineReader, conn *transport.Conn) error {
 	for line, complete := reader.Next(); complete; line, complete = reader.Next() {
 		conn.SetReadTimeout(lineTimeout)
@@ -136,6 +104,7 @@
 	return nil
 }
 
+// applyLine applies a list, or a change to it. The error is protocol.ErrMalformed.
 func (w *Watcher) applyLine(line []byte) error {
 	list, err := protocol.ParseEndpointList(line)
 	if err != nil {
@@ -145,9 +114,9 @@
 	return nil
 }
 
-// applyTruncated applies the workers that stand complete in a line within which the connection ended. Otherwise a
-// service whose watches are cut again and again would bring a drain too late. The version stays, so that the next watch
-// brings the whole list again, and no worker counts as gone.
+// applyTruncated applies the workers that are complete in a line within which the connection ended. Otherwise a drain
+// would be learned too late from a service whose watches are cut again and again. The version stays, so that the next
+// watch brings the whole list again, and no worker counts as gone.
 func (w *Watcher) applyTruncated(line []byte) {
 	list, _ := protocol.ParseEndpointList(line)
 	w.log.Warn().Int("bytes", len(line)).Int("workers", len(list.Endpoints)).Msg("endpoint watch cut within a line")
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -13,20 +13,17 @@
 	"github.com/stretchr/testify/assert"
 
 	"canvasroute/internal/balancer"
+	"canvasroute/internal/peertest"
 	"canvasroute/internal/protocol"
 )
 
-// watchOnce polls a discovery service that responds with text and then closes the connection, if it is to. It returns the
-// error that the watch ended with.
-func watchOnce(t *testing.T, text string, closes bool) (*Watcher, error) {
+// watchOnce polls a discovery service once, and returns the error that the watch ended with.
+func watchOnce(t *testing.T, respond peertest.Responder) (*Watcher, error) {
 	t.Helper()
 	targets := make(chan string, 1)
-	w := newWatcher(startServer(t, func(c net.Conn, r *http.Request) {
-		targets <- r.URL.String()
-		io.WriteString(c, text)
-		if closes {
-			c.Close()
-		}
+	w := newWatcher(peertest.StartServer(t, func(conn net.Conn, request *http.Request) {
+		targets <- request.URL.String()
+		respond(conn, request)
 	}))
 	_, err := w.watch(context.Background(), nil)
 	assert.Equal(t, "/catalog/members?stream=1&index=7", <-targets)
@@ -34,8 +31,8 @@
 }
 
 func TestWatchAppliesLinesUntilItEnds(t *testing.T) {
-	lines := chunked(`{"seq":9,"whole":false,"hosts":[{"host":"v","dial":"127.0.0.1:2","health":"Ready"}]}`, "")
-	w, err := watchOnce(t, lines+lastChunk, false)
+	lines := peertest.Chunked(`{"seq":9,"whole":false,"hosts":[{"host":"v","dial":"127.0.0.1:2","health":"Ready"}]}`, "")
+	w, err := watchOnce(t, peertest.RespondWith(lines+peertest.LastChunk))
 	assert.ErrorIs(t, err, errWatchEnded)
 	assert.Equal(t, int64(9), w.table.Version())
 	assert.Equal(t, "127.0.0.1:2", w.table.Endpoint(1).Address)
@@ -43,9 +40,9 @@
 }
 
 func TestWatchAppliesIndentedLists(t *testing.T) {
-	w, err := watchOnce(t, chunked("{\n  \"seq\": 9,\n  \"whole\": false,\n  \"hosts\": [\n\n    {\n"+
+	w, err := watchOnce(t, peertest.RespondWith(peertest.Chunked("{\n  \"seq\": 9,\n  \"whole\": false,\n  \"hosts\": [\n\n    {\n"+
 		"      \"host\": \"v\",\n      \"dial\": \"127.0.0.1:2\",\n      \"health\": \"Ready\"\n    }\n  ]\n}", "",
-		`{"seq":10,"whole":false,"hosts":[{"host":"v","health":"Terminating"}]}`)+lastChunk, false)
+		`{"seq":10,"whole":false,"hosts":[{"host":"v","health":"Terminating"}]}`)+peertest.LastChunk))
 	assert.ErrorIs(t, err, errWatchEnded)
 	assert.Equal(t, int64(10), w.table.Version())
 	assert.Equal(t, protocol.Terminating, w.table.Endpoint(1).State)
@@ -62,7 +59,8 @@
 		}
 		return fmt.Sprintf(`{"seq":%d,"whole":%t,"hosts":[%s]}`, version, complete, strings.Join(hosts, ","))
 	}
-	w, err := watchOnce(t, chunked(line(8, true, "Ready"), line(9, false, "Terminating"))+lastChunk, false)
+	text := peertest.Chunked(line(8, true, "Ready"), line(9, false, "Terminating")) + peertest.LastChunk
+	w, err := watchOnce(t, peertest.RespondWith(text))
 	assert.ErrorIs(t, err, errWatchEnded)
 	contents := w.table.Contents()
 	assert.Equal(t, int64(9), contents.Version)
@@ -76,37 +74,37 @@
 
 // A service that is overloaded must not be polled again as soon as one that is down.
 func TestSlow503MeansOverloaded(t *testing.T) {
-	for name, c := range map[string]struct {
+	for name, test := range map[string]struct {
 		wait time.Duration
 		want balancer.WatchEnd
 	}{
 		"at once":      {0, balancer.WatchFailed},
-		"after a wait": {overloadedAfter + 50*time.Millisecond, balancer.WatchRejected},
+		"after a wait": {minOverloadedWait + 50*time.Millisecond, balancer.WatchRejected},
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := newWatcher(startServer(t, func(conn net.Conn, _ *http.Request) {
-				time.Sleep(c.wait)
+			w := newWatcher(peertest.StartServer(t, func(conn net.Conn, _ *http.Request) {
+				time.Sleep(test.wait)
 				io.WriteString(conn, unavailable)
 			}))
 			opened, err := w.watch(context.Background(), nil)
 			assert.False(t, opened)
 			assert.ErrorContains(t, err, "status 503")
-			assert.Equal(t, c.want, watchEnd(opened, err))
+			assert.Equal(t, test.want, watchEnd(opened, err))
 		})
 	}
 }
 
 func TestFailedWatchKeepsVersion(t *testing.T) {
-	for name, c := range map[string]struct{ text, want string }{
+	for name, test := range map[string]struct{ text, want string }{
 		"503":                  {unavailable, "status 503"},
-		"malformed list":       {chunked(`{"seq":x}`), "malformed"},
-		"end within a list":    {chunked(`{"seq":`), "within a message"}, // it may be indented: the rest is still to come
+		"malformed list":       {peertest.Chunked(`{"seq":x}`), "malformed"},
+		"end within a list":    {peertest.Chunked(`{"seq":`), "within a message"}, // it may be indented: the rest is still to come
 		"end without response": {"", "EOF"},
-		"end within a chunk":   {chunked("") + "1", "within a message"},
+		"end within a chunk":   {peertest.Chunked("") + "1", "within a message"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			w, err := watchOnce(t, c.text, true)
-			assert.ErrorContains(t, err, c.want)
+			w, err := watchOnce(t, peertest.RespondAndClose(test.text))
+			assert.ErrorContains(t, err, test.want)
 			assert.Equal(t, int64(7), w.table.Version())
 		})
 	}
@@ -114,20 +112,25 @@
 
 // A drain must not be learned too late because the watch that brought it was cut.
 func TestTruncatedLineAppliesItsCompleteWorkers(t *testing.T) {
-	for name, c := range map[string]struct {
-		line   string
-		closes bool
-		want   string
+	const chunkStart = peertest.ChunkedHead + "400\r\n"
+	for name, test := range map[string]struct {
+		respond peertest.Responder
+		want    string
 	}{
 		"cut": {
-			`{"seq":9,"whole":true,"hosts":[{"host":"w","health":"Terminating"},{"host":"v","dial":"127.0.0.1:2","hea`,
-			true, "within a message",
+			respond: peertest.RespondAndClose(chunkStart +
+				`{"seq":9,"whole":true,"hosts":[{"host":"w","health":"Terminating"},{"host":"v","dial":"127.0.0.1:2","hea`),
+			want: "within a message",
+		},
+		"stalled": {
+			respond: peertest.RespondWith(chunkStart +
+				`{"seq":9,"whole":true,"hosts":[{"host":"w","health":"Terminating"},{"ho`),
+			want: "timeout",
 		},
-		"stalled": {`{"seq":9,"whole":true,"hosts":[{"host":"w","health":"Terminating"},{"ho`, false, "timeout"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			w, err := watchOnce(t, chunkedHead+"400\r\n"+c.line, c.closes)
-			assert.ErrorContains(t, err, c.want)
+			w, err := watchOnce(t, test.respond)
+			assert.ErrorContains(t, err, test.want)
 			assert.Equal(t, int64(7), w.table.Version(), "the next watch brings the whole list again")
 			assert.Equal(t, protocol.Terminating, w.table.Endpoint(0).State)
 			assert.Len(t, w.table.Contents().Endpoints, 1, "an incomplete worker is left out")
@@ -137,7 +140,7 @@
 
 func TestSilentWatchTimesOut(t *testing.T) {
 	began := time.Now()
-	_, err := watchOnce(t, chunked(emptyList(9)), false)
+	_, err := watchOnce(t, peertest.RespondWith(peertest.Chunked(emptyList(9))))
 	assert.ErrorContains(t, err, "timeout")
 	assert.InDelta(t, lineTimeout.Seconds(), time.Since(began).Seconds(), 1)
 }
@@ -145,15 +148,15 @@
 // Bytes that never make a line are no sign of life: the service counts a change as known six seconds after it.
 func TestWatchThatBringsBytesButNoLinesTimesOut(t *testing.T) {
 	for name, first := range map[string]string{
-		"from the start": chunkedHead,
-		"after a line":   chunked(emptyList(9)),
+		"from the start": peertest.ChunkedHead,
+		"after a line":   peertest.Chunked(emptyList(9)),
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			w := newWatcher(startServer(t, func(c net.Conn, _ *http.Request) {
-				io.WriteString(c, first)
+			w := newWatcher(peertest.StartServer(t, func(conn net.Conn, _ *http.Request) {
+				io.WriteString(conn, first)
 				for range 100 {
-					if _, err := io.WriteString(c, "1\r\n \r\n"); err != nil {
+					if _, err := io.WriteString(conn, "1\r\n \r\n"); err != nil {
 						return
 					}
 					time.Sleep(100 * time.Millisecond)
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -1,8 +1,8 @@
 // Package discovery follows the discovery service, which lists the workers.
 //
-// A Watcher holds one watch on the service open, parses its lines into the endpoint Table, and reports each change to
-// the balancer, to the pool of connections to workers and to an Observer. When to poll again after a watch has ended is
-// up to the balancer. The package sends nothing to workers and chooses none.
+// A Watcher holds one watch on the service open and applies each of its lines to the endpoint Table. It reports each
+// change to the balancer, to the pool of connections to workers and to an Observer. The balancer decides when to poll
+// again after a watch has ended. The package sends nothing to workers and chooses none.
 package discovery
 
 import (
@@ -19,14 +19,6 @@
 	"canvasroute/internal/transport"
 )
 
-// slowAfter is how long the first poll may take before a process that has a list of workers serves by that one.
-const slowAfter = 700 * time.Millisecond
-
-var (
-	errMoved      = errors.New("discovery: address changed")
-	errWatchEnded = errors.New("discovery: watch has ended")
-)
-
 // Observer is notified of the state of discovery.
 type Observer interface {
 	// EndpointsReceived is called after each list or change to it.
@@ -38,8 +30,8 @@
 // Config configures a Watcher.
 type Config struct {
 	Address     string               // host and port of the discovery service
-	DialTimeout func() time.Duration // the dial timeout in force, of connections to workers
-	Observer    Observer             // may be nil
+	DialTimeout func() time.Duration // returns the timeout in force for dialing a worker
+	Observer    Observer             // nil where nobody is to be notified
 }
 
 // Counters count what happened since the start.
@@ -48,7 +40,8 @@
 	WatchesLost atomic.Int64 // polls and watches that failed
 }
 
-// Watcher watches the discovery service.
+// Watcher watches the discovery service. Run polls and follows watches on one goroutine; the other methods may be called
+// from any.
 type Watcher struct {
 	Counters Counters
 
@@ -59,9 +52,11 @@
 	log      zerolog.Logger
 	answered atomic.Bool // the first poll was answered, has failed, or is not waited for
 
-	mu      sync.Mutex // held while the end of a watch is reported, so that no change of the address is lost
-	address string
-	stop    context.CancelCauseFunc // ends the watch; nil while there is none
+	// mu guards address and stop. It is also held while the end of a watch or a change of the address is reported to the
+	// balancer, so that neither report overtakes the other.
+	mu      sync.Mutex
+	address string                  // of the discovery service
+	stop    context.CancelCauseFunc // ends the poll or watch under way; nil while there is none
 
 	hooks testHooks
 }
@@ -77,8 +72,8 @@
 	return &Watcher{config: c, table: table, balancer: b, pool: pool, log: log, address: c.Address}
 }
 
-// SetAddress changes the address of the discovery service. A watch at the previous address ends and the new one is
-// polled at once; the workers that are known stay.
+// SetAddress changes the address of the discovery service. A watch at the previous address ends, and the new one is
+// polled at once. The table keeps its workers.
 func (w *Watcher) SetAddress(address string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -87,27 +82,28 @@
 	}
 	w.address = address
 	if w.stop != nil {
-		w.stop(errMoved)
+		w.stop(errAddressChanged)
 		return
 	}
 	w.balancer.ReportDiscoveryMoved()
 }
 
-// Answered reports whether the first poll is over: it was answered, or failed, or was too slow in a process that
-// already had a list.
+// Answered reports whether the first poll is over: it was answered, has failed, or has taken longer than maxFirstPollWait
+// in a process that already has a list.
 func (w *Watcher) Answered() bool { return w.answered.Load() }
 
-// Seed applies a complete list that is known before the first poll. It may name zones by their numbers.
+// Seed applies a complete list that is known before the first poll. zones are the names of its zones by their numbers,
+// nil where the numbers may be new.
 func (w *Watcher) Seed(list *protocol.EndpointList, zones []string) {
 	w.table.addZones(zones)
 	endpoints, _ := w.table.Update(list)
 	w.balancer.UpdateEndpoints(endpoints, balancer.AllEndpoints, balancer.FromBeforeStart)
 }
 
-// SkipFirstPoll counts the first poll as answered if any worker is listed.
+// SkipFirstPoll makes Answered report whether any worker is listed, without a poll.
 func (w *Watcher) SkipFirstPoll() { w.answered.Store(w.table.HasWorkers()) }
 
-// Merge applies what peers know of workers: later starts, and drains. The version of the list stays.
+// Merge applies later starts and drains of workers that peers have learned. The version of the list stays.
 func (w *Watcher) Merge(endpoints []protocol.Endpoint) {
 	list := protocol.EndpointList{Version: w.table.Version(), Endpoints: endpoints}
 	updated, outdated := w.table.Update(&list)
@@ -115,20 +111,11 @@
 	w.closeOutdated(outdated)
 }
 
-// extentOf is whether a list names all workers or only those that have changed.
-func extentOf(list protocol.EndpointList) balancer.ListExtent {
-	if list.Complete {
-		return balancer.AllEndpoints
-	}
-	return balancer.ChangedEndpoints
-}
-
-// Apply applies a list, or a change to it, from the discovery service.
+// Apply applies a list, or a change to it, from the discovery service. The pool is updated before the balancer: the
+// balancer sends to newly listed workers at once, which must not use a connection to the process before.
 func (w *Watcher) Apply(list protocol.EndpointList) {
 	w.Counters.Lists.Add(1)
 	endpoints, outdated := w.table.Update(&list)
-	// Before the balancer, which sends to newly listed workers at once: that must not use a connection to the process
-	// before.
 	w.closeOutdated(outdated)
 	if w.hooks.beforeUpdate != nil {
 		w.hooks.beforeUpdate()
@@ -140,11 +127,21 @@
 	}
 }
 
+// extentOf returns whether a list names all workers or only those that have changed.
+func extentOf(list protocol.EndpointList) balancer.ListExtent {
+	if list.Complete {
+		return balancer.AllEndpoints
+	}
+	return balancer.ChangedEndpoints
+}
+
+// closeOutdated closes the idle connections to outdated addresses. Where another process listens there now, it also
+// closes those in use that were opened to the previous one.
 func (w *Watcher) closeOutdated(outdated []OutdatedAddress) {
-	for _, o := range outdated {
-		w.pool.CloseIdle(o.Address)
-		if !o.StartedAt.IsZero() {
-			w.pool.CloseOpenedBefore(o.Address, o.StartedAt)
+	for _, previous := range outdated {
+		w.pool.CloseIdle(previous.Address)
+		if !previous.StartedAt.IsZero() {
+			w.pool.CloseOpenedBefore(previous.Address, previous.StartedAt)
 		}
 	}
 }
@@ -160,25 +157,18 @@
 	return nil
 }
 
-// poll opens a watch, follows it to its end and reports that.
+// poll opens a watch, follows it to its end, and reports the end to the balancer and the observer.
 func (w *Watcher) poll(ctx context.Context) {
 	watching, stop := context.WithCancelCause(ctx)
 	defer stop(nil)
-	// A service that is down or overloaded answers the first poll late or never: a process that has a list from before
-	// must not wait for that.
-	slow := time.AfterFunc(slowAfter, func() {
-		if !w.answered.Load() && w.table.HasWorkers() {
-			w.balancer.ReportFirstPollSlow()
-			w.answered.Store(true)
-		}
-	})
+	slowPoll := time.AfterFunc(maxFirstPollWait, w.giveUpFirstPoll)
 	opened, err := w.watch(watching, stop)
-	slow.Stop()
-	moved := w.reportEnd(watching, watchEnd(opened, err))
+	slowPoll.Stop()
+	addressChanged := w.reportEnd(watching, watchEnd(opened, err))
 	switch {
 	case ctx.Err() != nil:
 		return
-	case moved:
+	case addressChanged:
 		w.log.Info().Msg("endpoint watch moved")
 		return
 	}
@@ -190,34 +180,30 @@
 	}
 }
 
-// watchEnd classifies the end of a watch for the balancer, which polls again by it.
-func watchEnd(opened bool, err error) balancer.WatchEnd {
-	var refused *statusError
-	switch {
-	case errors.As(err, &refused) && refused.overloaded:
-		return balancer.WatchRejected
-	case !opened:
-		return balancer.WatchFailed
-	case transport.CloseReasonOf(err) == transport.TooSlow:
-		return balancer.WatchSilent
+// giveUpFirstPoll ends the wait for the first poll in a process that has a list from before its start. A service that is
+// down or overloaded may answer late or never. Later polls are not affected.
+func (w *Watcher) giveUpFirstPoll() {
+	if !w.answered.Load() && w.table.HasWorkers() {
+		w.balancer.ReportFirstPollSlow()
+		w.answered.Store(true)
 	}
-	return balancer.WatchCut
 }
 
-// reportEnd reports the end of a watch to the balancer. Under the lock it also tests whether the address has changed: a
-// change between the two would wait for as long as another poll of the previous address.
-func (w *Watcher) reportEnd(watching context.Context, end balancer.WatchEnd) (moved bool) {
+// reportEnd reports the end of a watch to the balancer, or that the address has changed, which it returns. Both the test
+// and the report are done under mu. A change between the two would otherwise wait until another poll of the previous
+// address has ended.
+func (w *Watcher) reportEnd(watching context.Context, end balancer.WatchEnd) (addressChanged bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.stop = nil
 	if w.hooks.beforeReport != nil {
 		w.hooks.beforeReport()
 	}
-	moved = errors.Is(context.Cause(watching), errMoved)
-	if moved {
+	addressChanged = errors.Is(context.Cause(watching), errAddressChanged)
+	if addressChanged {
 		w.balancer.ReportDiscoveryMoved()
 	} else {
 		w.balancer.ReportWatchEnded(end)
 	}
-	return moved
+	return addressChanged
 }
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -10,6 +10,7 @@
 
 	"github.com/stretchr/testify/assert"
 
+	"canvasroute/internal/peertest"
 	"canvasroute/internal/transport"
 )
 
@@ -18,8 +19,8 @@
 // The balancer sends to a restarted worker as soon as it knows of the restart. By then no connection to the process
 // before may be left.
 func TestConnectionsToPreviousProcessAreClosedBeforeBalancerIsUpdated(t *testing.T) {
-	address := startServer(t, func(net.Conn, *http.Request) {})
-	w := newWatcherOf(closedAddress, address)
+	address := peertest.StartServer(t, func(net.Conn, *http.Request) {})
+	w := newWatcherOf(peertest.ClosedAddress, address)
 	conn, err := w.pool.Get(context.Background(), address, transport.AnyConnection)
 	assert.NoError(t, err)
 	w.pool.Put(conn)
@@ -36,30 +37,27 @@
 }
 
 // SIGHUP changes the address between the end of a watch and its report, twice, there and back: the new address is polled
-// at once, and no watch goes on at the previous one.
+// at once, and no watch continues at the previous one.
 func TestAddressChangeWhileWatchIsLostTakesEffectAtOnce(t *testing.T) {
-	next, polled := startService(t, chunked(emptyList(9)))
-	w := newWatcher(startServer(t, func(c net.Conn, _ *http.Request) {
-		_, _ = c.Write([]byte(unavailable))
-		c.Close()
-	}))
-	moved := make(chan bool)
+	next, polled := startService(t, peertest.Chunked(emptyList(9)))
+	w := newWatcher(peertest.StartServer(t, peertest.RespondAndClose(unavailable)))
+	changed := make(chan bool)
 	w.hooks.beforeReport = func() {
 		w.hooks.beforeReport = nil
 		go func() {
 			w.SetAddress(next)
-			w.SetAddress(closedAddress)
+			w.SetAddress(peertest.ClosedAddress)
 			w.SetAddress(next)
-			close(moved)
+			close(changed)
 		}()
 		select {
-		case <-moved: // it must wait for the report
+		case <-changed: // it must wait for the report
 		case <-time.After(50 * time.Millisecond):
 		}
 	}
 	runWatcher(t, w)
-	receive(t, moved)
-	receive(t, polled)
+	peertest.Receive(t, changed)
+	peertest.Receive(t, polled)
 	awaitVersion(t, w, 9)
 }
 
@@ -67,28 +65,28 @@
 func TestAddressChangeTakesEffectDuringPollAndUpdate(t *testing.T) {
 	t.Run("during a poll", func(t *testing.T) {
 		previous, _ := startService(t, "HTTP/1.1 200 OK\r\nTransfer-")
-		next, polled := startService(t, chunked(emptyList(9)))
+		next, polled := startService(t, peertest.Chunked(emptyList(9)))
 		w := newWatcher(previous)
 		runWatcher(t, w)
 		assert.Eventually(t, func() bool {
 			w.mu.Lock()
 			defer w.mu.Unlock()
 			return w.stop != nil
-		}, eventTimeout, pollInterval)
+		}, peertest.EventTimeout, peertest.PollInterval)
 		w.SetAddress(next)
-		receive(t, polled)
+		peertest.Receive(t, polled)
 		awaitVersion(t, w, 9)
 	})
 	t.Run("during an update", func(t *testing.T) {
-		previous, _ := startService(t, chunked(emptyList(8)))
-		next, polled := startService(t, chunked(emptyList(9)))
+		previous, _ := startService(t, peertest.Chunked(emptyList(8)))
+		next, polled := startService(t, peertest.Chunked(emptyList(9)))
 		w := newWatcher(previous)
 		w.hooks.beforeUpdate = func() {
 			w.hooks.beforeUpdate = nil
 			w.SetAddress(next)
 		}
 		runWatcher(t, w)
-		receive(t, polled)
+		peertest.Receive(t, polled)
 		awaitVersion(t, w, 9)
 	})
 }
