--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -1,8 +1,10 @@
 // Package gossip exchanges load between dispatchers over datagrams: how many attempts each has in flight at a worker.
 //
 // A datagram without loads is a hello: its sender has just started. Datagrams may get lost, and one that a later one
-// has overtaken is dropped by its timestamp. Whom to send what is up to the balancer, which also receives what peers
-// send. The package knows workers only by their tags.
+// has overtaken is dropped by its timestamp. The balancer decides which loads to send to which peer, and receives those
+// of the peers. The package knows workers only by their tags.
+//
+// A peer is a shard of a process; a process with one shard is one peer.
 package gossip
 
 import (
@@ -20,8 +22,8 @@
 )
 
 const (
-	// maxReorderMillis is how much older a datagram may be than the last one and count as reordered. One
-	// that is older still comes from a sender that has restarted or was silent: timestamps have 16 bits.
+	// maxReorderMillis is the age, relative to the latest datagram, from which a datagram no longer counts as reordered.
+	// It then comes from a sender that has restarted or was silent, as timestamps have 16 bits.
 	maxReorderMillis = 4000
 	// helloReplyInterval is the least time between two replies to hellos of one peer.
 	helloReplyInterval = time.Second
@@ -29,7 +31,9 @@
 
 // Endpoints translates between the numbers of workers here and their tags in datagrams.
 type Endpoints interface {
+	// Tag returns the tag of a worker.
 	Tag(worker balancer.WorkerID) uint16
+	// ByTag returns the worker with a tag, and whether there is one.
 	ByTag(tag uint16) (worker balancer.WorkerID, known bool)
 }
 
@@ -42,17 +46,18 @@
 
 // Counters count datagrams since the start.
 type Counters struct {
-	Sent, Failed atomic.Int64
-	Received     atomic.Int64 // and taken
-	Malformed    atomic.Int64
-	Strangers    atomic.Int64 // from addresses that are no peer's
-	Reordered    atomic.Int64 // dropped, as a later one had come
+	Sent      atomic.Int64
+	Failed    atomic.Int64 // could not be sent
+	Received  atomic.Int64 // and applied
+	Malformed atomic.Int64 // dropped
+	Strangers atomic.Int64 // dropped, as they came from no peer's address
+	Reordered atomic.Int64 // dropped, as a later one had come
 }
 
-// timestamp is that of the latest datagram from a shard of a peer, in milliseconds modulo 2^16.
+// timestamp is that of the latest datagram from a peer.
 type timestamp struct {
-	millis uint16
-	known  bool
+	millis uint16 // Unix time in milliseconds, modulo 2^16
+	known  bool   // false before the first datagram
 }
 
 // Exchange sends and receives load.
@@ -62,22 +67,26 @@
 	config    Config
 	balancer  *balancer.Shards
 	endpoints Endpoints
-	datagrams *transport.Datagrams // nil where dispatchers do not talk to each other
+	datagrams *transport.Datagrams // nil where only the shards of this process exchange load
 
-	// These belong to the goroutine that receives.
-	latest       []timestamp // by peer and shard
-	helloReplies []time.Time // by peer: the last reply to a hello
+	// The goroutine that receives owns these.
+	latest       []timestamp // by balancer.PeerID
+	helloReplies []time.Time // the last reply to a hello, by process
 }
 
 // New returns an Exchange. datagrams is nil where only the shards of this process exchange load.
 func New(c Config, b *balancer.Shards, endpoints Endpoints, datagrams *transport.Datagrams) *Exchange {
 	return &Exchange{
-		config: c, balancer: b, endpoints: endpoints, datagrams: datagrams,
-		latest: make([]timestamp, len(c.Peers)*b.Count()), helloReplies: make([]time.Time, len(c.Peers)),
+		config:       c,
+		balancer:     b,
+		endpoints:    endpoints,
+		datagrams:    datagrams,
+		latest:       make([]timestamp, len(c.Peers)*b.Count()),
+		helloReplies: make([]time.Time, len(c.Peers)),
 	}
 }
 
-// Run sends and receives until ctx ends. It returns at once where there is nobody to exchange load with.
+// Run sends and receives until ctx ends. It returns at once where there is no peer to exchange load with.
 func (e *Exchange) Run(ctx context.Context) error {
 	g, ctx := errgroup.WithContext(ctx)
 	if e.datagrams != nil || e.balancer.Count() > 1 {
@@ -108,16 +117,16 @@
 	}
 }
 
-// sendUpdates sends what the balancer has for the peers of one shard until ctx ends.
+// sendUpdates sends the load updates of one shard to its peers until ctx ends. The first shard sends the hellos before.
 func (e *Exchange) sendUpdates(ctx context.Context, shard int) {
 	if shard == 0 {
 		e.sendHellos()
 	}
-	from := protocol.NoInstance
+	sender := protocol.NoInstance
 	if e.balancer.Count() > 1 {
-		from = shard
+		sender = shard
 	}
-	var datagram []byte
+	var datagram []byte // reused
 	for {
 		updates, err := e.balancer.NextLoadUpdates(ctx, shard)
 		if err != nil { // ctx has ended
@@ -126,20 +135,20 @@
 		millis := millisOf(time.Now())
 		for process, all := range e.byProcess(updates) {
 			for loads := range slices.Chunk(all, protocol.MaxLoads) {
-				datagram = protocol.AppendLoads(datagram[:0], millis, from, loads)
+				datagram = protocol.AppendLoads(datagram[:0], millis, sender, loads)
 				e.send(process, datagram)
 			}
 		}
 	}
 }
 
-// sendHellos notifies peers that this process has just started. Only those that share workers with it are notified: in
-// a fleet that restarts as one, all would otherwise send to all.
+// sendHellos notifies peers that this process has just started. Only those that share workers with it are notified.
+// Otherwise all processes of a fleet that restarts at once would send to all.
 func (e *Exchange) sendHellos() {
 	if e.datagrams == nil || e.config.Successor {
 		return
 	}
-	hello := protocol.AppendLoads(nil, millisOf(time.Now()), protocol.NoInstance, nil)
+	hello := helloAt(time.Now())
 	for _, process := range e.balancer.GossipPeers() {
 		if process < len(e.config.Peers) {
 			e.send(process, hello)
@@ -147,25 +156,30 @@
 	}
 }
 
-// replyToHello sends a hello back as long as this process has met no peer that is older than itself and has no list.
-// Otherwise the peer would take load from here for that of a dispatcher that knows what was before.
+// helloAt returns the datagram of a hello.
+func helloAt(now time.Time) []byte {
+	return protocol.AppendLoads(nil, millisOf(now), protocol.NoInstance, nil)
+}
+
+// replyToHello sends a hello back while this process is isolated: it has heard from no older peer, and no poll of the
+// endpoint list was answered. Otherwise the peer would take this process for an older one, whose load covers the time before both started.
 func (e *Exchange) replyToHello(process int) {
 	now := time.Now()
 	if e.datagrams == nil || !e.balancer.Isolated() || now.Sub(e.helloReplies[process]) < helloReplyInterval {
 		return
 	}
 	e.helloReplies[process] = now
-	e.send(process, protocol.AppendLoads(nil, millisOf(now), protocol.NoInstance, nil))
+	e.send(process, helloAt(now))
 }
 
-// byProcess groups updates for shards by the process of the shard, each worker once: all shards of a process receive
-// each datagram.
+// byProcess groups the loads of updates, which are for shards, by the process of the shard. A datagram reaches all shards
+// of a process, so a load that is for several of them stands in the group once.
 func (e *Exchange) byProcess(updates []balancer.LoadUpdate) map[int][]protocol.Load {
 	grouped := map[int][]protocol.Load{}
 	for _, update := range updates {
-		process := int(update.To) / e.balancer.Count()
-		for _, l := range update.Loads {
-			load := protocol.Load{Tag: e.endpoints.Tag(l.Worker), InFlight: l.InFlight}
+		process := e.processOf(update.To)
+		for _, workerLoad := range update.Loads {
+			load := protocol.Load{Tag: e.endpoints.Tag(workerLoad.Worker), InFlight: workerLoad.InFlight}
 			if e.balancer.Count() == 1 || !slices.Contains(grouped[process], load) {
 				grouped[process] = append(grouped[process], load)
 			}
@@ -174,6 +188,15 @@
 	return grouped
 }
 
+// processOf returns the position of the process that a peer is a shard of.
+func (e *Exchange) processOf(peer balancer.PeerID) int { return int(peer) / e.balancer.Count() }
+
+// peerOf returns the peer that is a shard of a process. All processes have the same number of shards.
+func (e *Exchange) peerOf(process, shard int) balancer.PeerID {
+	return balancer.PeerID(process*e.balancer.Count() + shard)
+}
+
+// send sends a datagram to a process and counts it. A failure is not retried, as the next update replaces this one.
 func (e *Exchange) send(process int, datagram []byte) {
 	if err := e.datagrams.Send(e.config.Peers[process], datagram); err != nil {
 		e.Counters.Failed.Add(1)
@@ -182,7 +205,7 @@
 	e.Counters.Sent.Add(1)
 }
 
-// receive takes a datagram. One that is malformed, reordered or from a stranger is counted and dropped.
+// receive applies a datagram. One that is malformed, reordered or from a stranger is counted and dropped.
 func (e *Exchange) receive(from netip.AddrPort, datagram []byte) {
 	process := slices.Index(e.config.Peers, from)
 	message, err := protocol.ParseLoads(datagram)
@@ -190,32 +213,40 @@
 	case process < 0 || process == e.config.Position:
 		e.Counters.Strangers.Add(1)
 		return
-	case err != nil, message.Instance >= e.balancer.Count(): // peers have as many shards as this process
+	case err != nil, message.Instance >= e.balancer.Count():
 		e.Counters.Malformed.Add(1)
 		return
 	}
-	peer := process*e.balancer.Count() + message.Instance
-	if len(message.Loads) > 0 && e.latest[peer].overtook(message.Timestamp) {
+	peer := e.peerOf(process, message.Instance)
+	isHello := len(message.Loads) == 0
+	if !isHello && e.latest[peer].overtook(message.Timestamp) {
 		e.Counters.Reordered.Add(1)
 		return
 	}
 	e.latest[peer] = timestamp{millis: message.Timestamp, known: true}
 	e.Counters.Received.Add(1)
-	if len(message.Loads) == 0 {
+	if isHello {
 		e.balancer.ReceivePeerStarted(process)
 		e.replyToHello(process)
+		return
 	}
-	for _, load := range message.Loads {
+	e.applyLoads(peer, message.Loads)
+}
+
+// applyLoads passes a peer's loads on to the balancer, except those of workers that are not listed here.
+func (e *Exchange) applyLoads(peer balancer.PeerID, loads []protocol.Load) {
+	for _, load := range loads {
 		if worker, known := e.endpoints.ByTag(load.Tag); known {
-			e.balancer.ReceiveLoad(balancer.PeerID(peer), balancer.WorkerLoad{Worker: worker, InFlight: load.InFlight})
+			e.balancer.ReceiveLoad(peer, balancer.WorkerLoad{Worker: worker, InFlight: load.InFlight})
 		}
 	}
 }
 
-// overtook reports whether a datagram sent at millis is older than the latest one, by no more than reordering explains.
+// overtook reports whether a datagram sent at millis is older than the latest one t, by less than maxReorderMillis.
 func (t timestamp) overtook(millis uint16) bool {
 	age := t.millis - millis // modulo 2^16
 	return t.known && age > 0 && age < maxReorderMillis
 }
 
+// millisOf returns the timestamp of a datagram that is sent at t: Unix time in milliseconds, modulo 2^16.
 func millisOf(t time.Time) uint16 { return uint16(t.UnixMilli()) }
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -10,12 +10,11 @@
 	"github.com/stretchr/testify/assert"
 
 	"canvasroute/internal/balancer"
+	"canvasroute/internal/peertest"
 	"canvasroute/internal/protocol"
 	"canvasroute/internal/transport"
 )
 
-const receiveTimeout = 5 * time.Second
-
 // singleWorker is an endpoint table with one worker.
 type singleWorker struct{ id string }
 
@@ -31,14 +30,15 @@
 	clock := func() balancer.Time {
 		return balancer.Time(balancer.Second).Add(balancer.DurationOf(time.Since(began)))
 	}
-	b := balancer.NewShards(balancer.Config{
+	shards := balancer.NewShards(balancer.Config{
 		Dispatchers: 2, Kinds: 1, MaxAttempts: 1, Cancellation: true, Granularity: 20,
 		ReportInFlight: -1, ReportQueue: -1, ReportFree: -1,
 		Tenants:    []balancer.TenantConfig{{Quota: 1e9}},
 		Operations: []balancer.OperationConfig{{LatencyObjective: balancer.Second, Value: 1, Kind: balancer.AnyKind}},
 	}, 1, 1, clock, func(balancer.Event) {})
-	b.UpdateEndpoints([]balancer.Endpoint{{Worker: 0, ID: "w", State: balancer.Healthy}}, balancer.AllEndpoints, balancer.FromBeforeStart)
-	return b
+	worker := balancer.Endpoint{Worker: 0, ID: "w", State: balancer.Healthy}
+	shards.UpdateEndpoints([]balancer.Endpoint{worker}, balancer.AllEndpoints, balancer.FromBeforeStart)
+	return shards
 }
 
 // newExchange returns the exchange of dispatcher 0, without datagrams, and the address of dispatcher 1.
@@ -73,18 +73,18 @@
 	e.receive(peer, []byte("abc"))
 	e.receive(netip.MustParseAddrPort("127.0.0.9:7001"), load(7))
 	e.receive(e.config.Peers[0], load(7)) // our own address
-	c := &e.Counters
+	counters := &e.Counters
 	assert.Equal(t, []int64{3, 1, 1, 2}, []int64{
-		c.Received.Load(), c.Reordered.Load(), c.Malformed.Load(), c.Strangers.Load(),
+		counters.Received.Load(), counters.Reordered.Load(), counters.Malformed.Load(), counters.Strangers.Load(),
 	})
 }
 
-// isSentWithin reports whether the balancer sends a request that arrives now to the worker.
-func isSentWithin(t *testing.T, timeout time.Duration, b *balancer.Shards) bool {
+// isSentWithin reports whether the balancer sends a request that arrives now to the worker, before the timeout.
+func isSentWithin(t *testing.T, timeout time.Duration, shards *balancer.Shards) bool {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
-	decision, err := b.Submit(balancer.Arrival{Timeout: 2 * balancer.Second}).Pick(ctx)
+	decision, err := shards.Submit(balancer.Arrival{Timeout: 2 * balancer.Second}).Pick(ctx)
 	return err == nil && decision.Action == balancer.SendAttempt
 }
 
@@ -95,10 +95,10 @@
 	stopped := make(chan error, 1)
 	go func() { stopped <- e.Run(ctx) }()
 	datagram := make([]byte, 256)
-	assert.NoError(t, peer.SetReadDeadline(time.Now().Add(receiveTimeout)))
-	n, err := peer.Read(datagram)
+	assert.NoError(t, peer.SetReadDeadline(time.Now().Add(peertest.EventTimeout)))
+	length, err := peer.Read(datagram)
 	assert.NoError(t, err)
-	hello, err := protocol.ParseLoads(datagram[:n])
+	hello, err := protocol.ParseLoads(datagram[:length])
 	assert.NoError(t, err)
 	assert.Empty(t, hello.Loads)
 	cancel()
@@ -106,18 +106,18 @@
 
 	e.balancer.ReceiveLoad(1, balancer.WorkerLoad{Worker: 0, InFlight: 8})
 	assert.False(t, isSentWithin(t, 50*time.Millisecond, e.balancer), "the peer's load fills the worker")
-	e.receive(e.config.Peers[1], datagram[:n])
-	assert.True(t, isSentWithin(t, receiveTimeout, e.balancer), "a peer that has just started has nothing in flight")
+	e.receive(e.config.Peers[1], datagram[:length])
+	assert.True(t, isSentWithin(t, peertest.EventTimeout, e.balancer), "a peer that has just started has nothing in flight")
 }
 
-// Two dispatchers that restart at once must not take each other for one that has lived on.
+// Two dispatchers that restart at once must not take each other for one that has run for longer.
 func TestHelloIsAnsweredUntilAnOlderPeerIsMet(t *testing.T) {
 	e, _ := newExchange()
 	connectPeer(t, e)
 	peer := e.config.Peers[1]
 	timestampIn := func(millis int64) uint16 { return uint16(time.Now().UnixMilli() + millis) }
-	for n := range int64(3) {
-		e.receive(peer, hello(timestampIn(n)))
+	for millis := range int64(3) {
+		e.receive(peer, hello(timestampIn(millis)))
 	}
 	assert.EqualValues(t, 1, e.Counters.Sent.Load(), "once, so that two do not answer each other for ever")
 	e.helloReplies[1] = time.Time{}
@@ -127,7 +127,7 @@
 }
 
 func TestOnlyRecentDatagramsAreReordered(t *testing.T) {
-	for name, c := range map[string]struct {
+	for name, test := range map[string]struct {
 		latest timestamp
 		millis uint16
 		want   bool
@@ -140,6 +140,6 @@
 		"as old as may be":       {timestamp{5000, true}, 5000 - maxReorderMillis + 1, true},
 		"older: a restart":       {timestamp{5000, true}, 5000 - maxReorderMillis, false},
 	} {
-		t.Run(name, func(t *testing.T) { assert.Equal(t, c.want, c.latest.overtook(c.millis)) })
+		t.Run(name, func(t *testing.T) { assert.Equal(t, test.want, test.latest.overtook(test.millis)) })
 	}
 }
