--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -40,9 +40,9 @@
 }
 
 func TestWatchAppliesIndentedLists(t *testing.T) {
-	w, err := watchOnce(t, peertest.RespondWith(peertest.Chunked("{\n  \"seq\": 9,\n  \"whole\": false,\n  \"hosts\": [\n\n    {\n"+
+	w, err := watchOnce(t, peertest.RespondWith(peertest.Complete("{\n  \"seq\": 9,\n  \"whole\": false,\n  \"hosts\": [\n\n    {\n"+
 		"      \"host\": \"v\",\n      \"dial\": \"127.0.0.1:2\",\n      \"health\": \"Ready\"\n    }\n  ]\n}", "",
-		`{"seq":10,"whole":false,"hosts":[{"host":"v","health":"Terminating"}]}`)+peertest.LastChunk))
+		`{"seq":10,"whole":false,"hosts":[{"host":"v","health":"Terminating"}]}`)))
 	assert.ErrorIs(t, err, errWatchEnded)
 	assert.Equal(t, int64(10), w.table.Version())
 	assert.Equal(t, protocol.Terminating, w.table.Endpoint(1).State)
@@ -59,7 +59,7 @@
 		}
 		return fmt.Sprintf(`{"seq":%d,"whole":%t,"hosts":[%s]}`, version, complete, strings.Join(hosts, ","))
 	}
-	text := peertest.Chunked(line(8, true, "Ready"), line(9, false, "Terminating")) + peertest.LastChunk
+	text := peertest.Complete(line(8, true, "Ready"), line(9, false, "Terminating"))
 	w, err := watchOnce(t, peertest.RespondWith(text))
 	assert.ErrorIs(t, err, errWatchEnded)
 	contents := w.table.Contents()
--- a/internal/peertest/peertest.go
+++ b/internal/peertest/peertest.go
@@ -39,6 +39,9 @@
 	return text
 }
 
+// Complete returns a complete response: its head, and a body of the lines.
+func Complete(lines ...string) string { return Chunked(lines...) + LastChunk }
+
 // A Responder answers a request once its body has ended. It writes to the connection what it likes, and may close it.
 type Responder func(conn net.Conn, request *http.Request)
 
--- a/internal/proxy/check_test.go
+++ b/internal/proxy/answer_by_head_test.go
@@ -7,11 +7,12 @@
 	"github.com/stretchr/testify/assert"
 
 	"canvasroute/internal/admission"
+	"canvasroute/internal/peertest"
 	"canvasroute/internal/protocol"
 )
 
 func TestUnknownPathsAndMethodsAreRefused(t *testing.T) {
-	p := newProxy(closedAddress)
+	p := newProxy(peertest.ClosedAddress)
 	for target, want := range map[string]int{"/": 404, "/api/x": 404, "/_health?x": 405} {
 		t.Run(target, func(t *testing.T) {
 			assert.Equal(t, want, p.AnswerByHead(&protocol.Head{Method: "POST", Target: target}).Status)
@@ -23,7 +24,7 @@
 }
 
 func TestHealthRequiresWorkersAndServingPhase(t *testing.T) {
-	p := newProxy(closedAddress)
+	p := newProxy(peertest.ClosedAddress)
 	health := &protocol.Head{Method: "GET", Target: "/_health"}
 	assert.Equal(t, 503, p.AnswerByHead(health).Status, "the list is from before the start, and no poll has ended")
 	p.discovery.SkipFirstPoll()
@@ -37,7 +38,7 @@
 }
 
 func TestOverloadRejectsByHeadWithRetryAfter(t *testing.T) {
-	p := newProxy(closedAddress)
+	p := newProxy(peertest.ClosedAddress)
 	p.settings.Load().maxRetryAfter = 2 * time.Second
 	p.discovery.SkipFirstPoll()
 	for at := time.Duration(0); at < time.Second; at += admission.SampleInterval {
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -2,8 +2,6 @@
 
 import (
 	"context"
-	"errors"
-	"syscall"
 	"time"
 
 	"canvasroute/internal/balancer"
@@ -14,13 +12,13 @@
 // trailerTimeout bounds the wait for the end of a response after its last line has come.
 const trailerTimeout = 250 * time.Millisecond
 
-// attempt is one attempt of a request at a worker.
+// attempt is one attempt of a request at a worker. The goroutine that runs it owns it, except for pause.
 type attempt struct {
 	proxy       *Proxy
 	request     *protocol.Request
-	settings    *settings
-	number      int
-	deadline    time.Time // of the client
+	settings    *settings // those of the request
+	number      int       // among the request's attempts
+	deadline    time.Time // the client gives up then
 	retryBefore time.Time // end of the retry window, zero where there is none
 	freshness   transport.Freshness
 	reused      bool // its connection has been used before
@@ -31,23 +29,24 @@
 
 // attemptEvents report the progress of an attempt to the balancer.
 type attemptEvents struct {
-	sent      func() // its last byte was sent
-	delivered func() // the worker has it
+	sent      func() // its last byte was written
+	delivered func() // the worker has received it
 	started   func() // the worker executes it
-	giveUp    func() // the request cannot be sent at all
+	giveUp    func() // the request cannot be sent to any worker
 }
 
 // attemptResult is how an attempt ended.
 type attemptResult struct {
 	outcome balancer.Outcome
 	result  string // of a succeeded attempt
-	// finish closes the connection or returns it to the pool, after the outcome has been reported. It may be nil.
+	// finish closes the connection or returns it to the pool. It is called once the outcome has been reported, as it may
+	// have to wait for the end of the response. It is nil where there is no connection any more.
 	finish func()
 }
 
 // requiredFreshness is how sure an attempt must be that its connection is still open, by the operation. An operation
-// that may not be executed twice needs the most. One that may be repeated in a group of workers alone must not take the
-// end of an old connection for an answer.
+// that may not be executed twice needs the most. One that only a group of workers may repeat must not take the end of an
+// old connection for an answer.
 var requiredFreshness = map[balancer.Idempotency]transport.Freshness{
 	balancer.Idempotent:      transport.AnyConnection,
 	balancer.IdempotentByKey: transport.Settled,
@@ -57,8 +56,14 @@
 func (p *Proxy) newAttempt(r *inFlightRequest, decision balancer.Decision) *attempt {
 	number := decision.Attempt
 	return &attempt{
-		proxy: p, request: r.request, settings: r.settings, number: number, deadline: r.deadline,
-		retryBefore: decision.SendBy, freshness: requiredFreshness[decision.Idempotency], pause: newReadPause(),
+		proxy:       p,
+		request:     r.request,
+		settings:    r.settings,
+		number:      number,
+		deadline:    r.deadline,
+		retryBefore: decision.SendBy,
+		freshness:   requiredFreshness[decision.Idempotency],
+		pause:       newReadPause(),
 		events: attemptEvents{
 			sent:      func() { r.handle.ReportSent(number) },
 			delivered: func() { r.handle.ReportDelivered(number) },
@@ -68,25 +73,49 @@
 	}
 }
 
+// startAttempt starts the attempt that the balancer has decided on.
+func (p *Proxy) startAttempt(r *inFlightRequest, decision balancer.Decision) {
+	a := p.newAttempt(r, decision)
+	p.runInBackground(r, a, func() attemptResult { return a.run(decision.Ctx, decision.Worker) })
+}
+
+// runInBackground runs an attempt on a goroutine of its own, for which Run waits. The attempt may outlast its request:
+// one that has lost against a hedged one is still read to its end.
+func (p *Proxy) runInBackground(r *inFlightRequest, a *attempt, run func() attemptResult) {
+	p.background.Go(func() error {
+		p.runAttempt(r, a, run)
+		return nil
+	})
+}
+
 // runAttempt runs an attempt and reports its outcome once, unless the sibling process continues it.
-func (p *Proxy) runAttempt(r *inFlightRequest, a *attempt, results chan<- string, run func() attemptResult) {
-	r.addAttempt(a.number, a)
+func (p *Proxy) runAttempt(r *inFlightRequest, a *attempt, run func() attemptResult) {
+	r.addAttempt(a)
 	ended := run()
-	r.removeAttempt(a.number)
+	r.removeAttempt(a)
 	if a.migrated {
 		ended.finish()
 		return
 	}
 	p.counters.countOutcome(ended.outcome)
-	if r.handle.Report(a.number, ended.outcome) {
-		results <- ended.result
+	if answersClient := r.handle.Report(a.number, ended.outcome); answersClient {
+		r.result <- ended.result
 	}
 	if ended.finish != nil {
 		ended.finish()
 	}
 }
 
-// run sends the attempt to a worker and waits for its response. ctx ends when the attempt is canceled or timed out.
+// run sends the attempt to a worker and waits for its response. ctx ends when the balancer cancels the attempt, or when
+// the client's deadline passes.
+//
+// A worker cannot have executed an attempt whose last byte was not written. Up to that byte, three events end the attempt
+// without a trace (mayStillBeSent): ctx ends, the retry window ends, or the worker is no longer ready. The balancer
+// cancels ctx whenever the request is answered or its client leaves, also where the settings allow no cancellation.
+//
+// After the last byte only the worker and ctx end the attempt, and its outcome says whether it may have been executed
+// (lostOutcome). Once the balancer knows of that byte (events.sent), it cancels ctx only by decisions that the settings
+// allow, or as the process ends. In between, a client that leaves still cancels the attempt, for which nobody waits then.
 func (a *attempt) run(ctx context.Context, worker balancer.WorkerID) attemptResult {
 	notSent := attemptResult{outcome: balancer.NotSent}
 	conn, err := a.connect(ctx, worker)
@@ -108,9 +137,7 @@
 		a.proxy.hooks.beforeSend()
 	}
 	stop := context.AfterFunc(ctx, conn.Interrupt)
-	// While the connection was opened or the key written, the client may have left, the retry window may have ended, and
-	// the worker may drain or be replaced. None of that is a failure of the worker.
-	if ctx.Err() != nil || a.retryWindowEnded() || !a.proxy.endpoints.Accepts(worker, conn.Addr()) {
+	if !a.mayStillBeSent(ctx, worker, conn.Addr()) {
 		if !stop() { // the interrupt has come or is about to: the pool must not keep the connection
 			conn.Interrupt()
 		}
@@ -139,22 +166,11 @@
 	return a.proxy.pool.Get(ctx, a.proxy.endpoints.Endpoint(worker).Address, a.freshness)
 }
 
-// connectOutcome is the outcome of an attempt that got no connection.
-func (a *attempt) connectOutcome(ctx context.Context, worker balancer.WorkerID, err error) balancer.Outcome {
-	if ctx.Err() != nil || a.retryWindowEnded() {
-		return balancer.NotSent
-	}
-	if errors.Is(err, transport.ErrPoolExhausted) { // no failure of the worker
-		a.proxy.log.Warn().Msg("connection limit reached")
-		return balancer.NotSent
-	}
-	address := a.proxy.endpoints.Endpoint(worker).Address
-	a.proxy.log.Info().Str("side", "worker").Str("addr", address).Str("reason", "not_up").Err(err).
-		Msg("connection failed")
-	if errors.Is(err, syscall.ECONNREFUSED) {
-		return balancer.ConnectionRefused
-	}
-	return balancer.NoConnection
+// mayStillBeSent reports whether what the balancer has decided still holds. Since then the connection was opened and the
+// key persisted, which may have taken long. Meanwhile the client may have left, the retry window may have ended, and the
+// worker may drain or have another address. None of that is a failure of the worker.
+func (a *attempt) mayStillBeSent(ctx context.Context, worker balancer.WorkerID, address string) bool {
+	return ctx.Err() == nil && !a.retryWindowEnded() && a.proxy.endpoints.Accepts(worker, address)
 }
 
 // retryWindowEnded reports whether the worker might execute the attempt a second time if it were sent now.
@@ -170,19 +186,6 @@
 	return conn.Send(a.settings.dialTimeout, message)
 }
 
-// sendOutcome closes the connection of an attempt that could not be sent, and returns the outcome.
-func (a *attempt) sendOutcome(ctx context.Context, conn *transport.Conn, err error) balancer.Outcome {
-	conn.CloseFor(closeReason(err, ctx.Err() != nil), err)
-	if ctx.Err() != nil {
-		return balancer.NotSent
-	}
-	if conn.Reused() { // the end of a connection that was kept is no failure of the worker
-		a.proxy.pool.MarkSuspect(conn.Addr())
-		return balancer.NotSent
-	}
-	return balancer.NoConnection
-}
-
 // resume continues an attempt that the sibling process had sent.
 func (a *attempt) resume(ctx context.Context, conn *transport.Conn) attemptResult {
 	return a.await(ctx, conn, context.AfterFunc(ctx, conn.Interrupt))
@@ -193,41 +196,34 @@
 	if a.proxy.config.MigratesRequests {
 		conn.StartRecording()
 	}
-	r := a.receive(ctx, conn)
+	answer := a.receive(ctx, conn)
 	interrupted := !stop()
 	conn.StopRecording()
-	a.migrated = r.migrated
+	a.migrated = answer.migrated
 	if a.migrated {
 		return attemptResult{finish: func() { conn.CloseFor(transport.Migrated, nil) }}
 	}
-	return attemptResult{r.outcome, r.result, func() {
-		err := r.err
-		if err == nil { // without its last chunk, the connection cannot be used again
-			conn.SetReadTimeout(trailerTimeout)
-			err = conn.ReadChunks(&r.body, func([]byte) bool { return true })
-		}
-		switch {
-		case err != nil:
-			conn.CloseFor(closeReason(err, interrupted), err)
-		case interrupted:
-			conn.CloseFor(transport.AttemptCanceled, nil)
-		default:
-			a.proxy.pool.Put(conn)
-		}
-	}}
+	return attemptResult{
+		outcome: answer.outcome,
+		result:  answer.result,
+		finish:  func() { a.release(conn, answer, interrupted) },
+	}
 }
 
-// closeReason classifies the error that ends a connection.
-func closeReason(err error, interrupted bool) transport.CloseReason {
+// release returns a connection to the pool, or closes it where it cannot be used again: the response did not end in time,
+// or an interrupt has come. A connection can be used again only once the response was read to its end.
+func (a *attempt) release(conn *transport.Conn, answer workerResponse, interrupted bool) {
+	err := answer.err
+	if err == nil {
+		conn.SetReadTimeout(trailerTimeout)
+		err = conn.ReadChunks(&answer.body, func([]byte) bool { return true })
+	}
 	switch {
+	case err != nil:
+		conn.CloseFor(closeReason(err, interrupted), err)
 	case interrupted:
-		return transport.AttemptCanceled
-	case errors.Is(err, errMalformedResponse):
-		return transport.Malformed
-	case errors.Is(err, errCloseRequested):
-		return transport.CloseRequested
-	case errors.Is(err, errTruncatedResponse):
-		return transport.PeerAborted
-	}
-	return transport.CloseReasonOf(err)
+		conn.CloseFor(transport.AttemptCanceled, nil)
+	default:
+		a.proxy.pool.Put(conn)
+	}
 }
--- a/internal/proxy/attempt_test.go
+++ b/internal/proxy/attempt_test.go
@@ -13,6 +13,7 @@
 	"github.com/stretchr/testify/assert"
 
 	"canvasroute/internal/balancer"
+	"canvasroute/internal/peertest"
 	"canvasroute/internal/protocol"
 	"canvasroute/internal/transport"
 )
@@ -42,56 +43,55 @@
 	a := newTestAttempt(t, newProxy(address), requestHead("idem"))
 	var ended endedAttempt
 	a.events.started = func() { ended.starts++ }
-	r := a.run(ctx, 0)
-	if r.finish != nil {
-		r.finish()
+	result := a.run(ctx, 0)
+	if result.finish != nil {
+		result.finish()
 	}
-	ended.outcome = r.outcome
-	ended.result = r.result
+	ended.outcome = result.outcome
+	ended.result = result.result
 	return ended
 }
 
 func TestResponseDecidesOutcome(t *testing.T) {
 	line := func(state string) string { return `{"id":"a1","state":"` + state + `"}` }
-	for name, c := range map[string]struct {
-		text   string
-		closes bool
-		want   balancer.Outcome
+	for name, test := range map[string]struct {
+		respond peertest.Responder
+		want    balancer.Outcome
 	}{
-		"done":                  {chunked(startedLine, doneLine) + lastChunk, false, balancer.Succeeded},
-		"done, then broken":     {chunked(startedLine, doneLine), true, balancer.Succeeded},
-		"done without line end": {"HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\n" + doneLine, false, balancer.Succeeded},
-		"done until the end":    {"HTTP/1.0 200 OK\r\n\r\n" + startedLine + "\n" + doneLine + "\n", true, balancer.Succeeded},
-		"failed":                {chunked(startedLine, line("failed")) + lastChunk, false, balancer.WorkerError},
-		"500":                   {"HTTP/1.1 500 No\r\nContent-Length: 2\r\n\r\nno", false, balancer.WorkerError},
-		"returned":              {chunked(line("returned")) + lastChunk, false, balancer.Overloaded},
-		"declined":              {declinedText, false, balancer.Overloaded},
+		"done":                  {peertest.RespondWith(peertest.Complete(startedLine, doneLine)), balancer.Succeeded},
+		"done, then broken":     {peertest.RespondAndClose(peertest.Chunked(startedLine, doneLine)), balancer.Succeeded},
+		"done without line end": {peertest.RespondWith("HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\n" + doneLine), balancer.Succeeded},
+		"done until the end":    {peertest.RespondAndClose("HTTP/1.0 200 OK\r\n\r\n" + startedLine + "\n" + doneLine + "\n"), balancer.Succeeded},
+		"failed":                {peertest.RespondWith(peertest.Complete(startedLine, line("failed"))), balancer.WorkerError},
+		"500":                   {peertest.RespondWith("HTTP/1.1 500 No\r\nContent-Length: 2\r\n\r\nno"), balancer.WorkerError},
+		"returned":              {peertest.RespondWith(peertest.Complete(line("returned"))), balancer.Overloaded},
+		"declined":              {peertest.RespondWith(declinedText), balancer.Overloaded},
 		"declined and closed": {
-			"HTTP/1.1 504 No\r\nSrv-Declined: 1\r\nConnection: close\r\n\r\n", true, balancer.Overloaded,
+			peertest.RespondAndClose("HTTP/1.1 504 No\r\nSrv-Declined: 1\r\nConnection: close\r\n\r\n"), balancer.Overloaded,
 		},
-		"503 of another sort":  {"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", false, balancer.WorkerError},
-		"lost":                 {chunked(startedLine, line("lost")) + lastChunk, false, balancer.ConnectionReset},
-		"broken before a head": {"", true, balancer.ConnectionReset},
-		"broken in the head":   {"HTTP/1.1 200", true, balancer.ConnectionReset},
-		"broken after a start": {chunked(startedLine), true, balancer.ConnectionReset},
-		"ended without a last": {chunked(startedLine, line("running")) + lastChunk, false, balancer.ConnectionReset},
-		"no HTTP":              {"SSH-2.0-x\r\n\r\n", false, balancer.WorkerError},
-		"bad chunk":            {chunkedHead + "zz\r\n", false, balancer.WorkerError},
-		"no JSON":              {chunked("<html>") + lastChunk, false, balancer.WorkerError},
-		"of another request":   {chunked(strings.Replace(doneLine, "a1", "b2", 1)) + lastChunk, false, balancer.WorkerError},
-		"endless head":         {"HTTP/1.1 200 OK\r\nA: " + strings.Repeat("a", 20000), false, balancer.WorkerError},
-		"endless line":         {chunked(strings.Repeat("a", protocol.MaxLineBytes)), false, balancer.WorkerError},
+		"503 of another sort":  {peertest.RespondWith("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"), balancer.WorkerError},
+		"lost":                 {peertest.RespondWith(peertest.Complete(startedLine, line("lost"))), balancer.ConnectionReset},
+		"broken before a head": {peertest.RespondAndClose(""), balancer.ConnectionReset},
+		"broken in the head":   {peertest.RespondAndClose("HTTP/1.1 200"), balancer.ConnectionReset},
+		"broken after a start": {peertest.RespondAndClose(peertest.Chunked(startedLine)), balancer.ConnectionReset},
+		"ended without a last": {peertest.RespondWith(peertest.Complete(startedLine, line("running"))), balancer.ConnectionReset},
+		"no HTTP":              {peertest.RespondWith("SSH-2.0-x\r\n\r\n"), balancer.WorkerError},
+		"bad chunk":            {peertest.RespondWith(peertest.ChunkedHead + "zz\r\n"), balancer.WorkerError},
+		"no JSON":              {peertest.RespondWith(peertest.Complete("<html>")), balancer.WorkerError},
+		"of another request":   {peertest.RespondWith(peertest.Complete(strings.Replace(doneLine, "a1", "b2", 1))), balancer.WorkerError},
+		"endless head":         {peertest.RespondWith("HTTP/1.1 200 OK\r\nA: " + strings.Repeat("a", 20000)), balancer.WorkerError},
+		"endless line":         {peertest.RespondWith(peertest.Chunked(strings.Repeat("a", protocol.MaxLineBytes))), balancer.WorkerError},
 	} {
 		t.Run(name, func(t *testing.T) {
-			ended := runTestAttempt(context.Background(), t, startWorker(t, respondWith(c.text, c.closes)))
-			assert.Equal(t, c.want, ended.outcome)
-			assert.Equal(t, c.want == balancer.Succeeded, ended.result == "r")
+			ended := runTestAttempt(context.Background(), t, peertest.StartServer(t, test.respond))
+			assert.Equal(t, test.want, ended.outcome)
+			assert.Equal(t, test.want == balancer.Succeeded, ended.result == "r")
 		})
 	}
 }
 
 func TestStartIsReported(t *testing.T) {
-	worker := startWorker(t, respondWith(chunked(startedLine, doneLine)+lastChunk, false))
+	worker := peertest.StartServer(t, peertest.RespondWith(peertest.Complete(startedLine, doneLine)))
 	assert.Equal(t, 1, runTestAttempt(context.Background(), t, worker).starts)
 }
 
@@ -106,7 +106,7 @@
 	t.Run("canceled before it was sent", func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		cancel()
-		ended := runTestAttempt(ctx, t, startWorker(t, respondWith("", true)))
+		ended := runTestAttempt(ctx, t, peertest.StartServer(t, peertest.RespondAndClose("")))
 		assert.Equal(t, balancer.NotSent, ended.outcome)
 	})
 }
@@ -114,9 +114,9 @@
 func TestCanceledAttemptClosesItsConnection(t *testing.T) {
 	closed := make(chan error, 1)
 	ctx, cancel := context.WithCancelCause(context.Background())
-	address := startWorker(t, func(c net.Conn, _ *http.Request) {
+	address := peertest.StartServer(t, func(conn net.Conn, _ *http.Request) {
 		cancel(balancer.ErrAttemptCanceled)
-		_, err := c.Read(make([]byte, 1))
+		_, err := conn.Read(make([]byte, 1))
 		closed <- err
 	})
 	assert.Equal(t, balancer.Canceled, runTestAttempt(ctx, t, address).outcome)
@@ -132,9 +132,9 @@
 
 func TestConnectionIsReusedAfterCompleteResponse(t *testing.T) {
 	clients := make(chan string, 2)
-	p := newProxy(startWorker(t, func(c net.Conn, _ *http.Request) {
-		clients <- c.RemoteAddr().String()
-		io.WriteString(c, chunked(doneLine)+lastChunk)
+	p := newProxy(peertest.StartServer(t, func(conn net.Conn, _ *http.Request) {
+		clients <- conn.RemoteAddr().String()
+		io.WriteString(conn, succeededText())
 	}))
 	for range 2 {
 		assert.Equal(t, &protocol.Response{Status: 200, Body: []byte("r")}, serve(p, requestHead("idem")))
@@ -146,12 +146,12 @@
 // A worker that ends an idle connection must not be ejected for it.
 func TestEndOfReusedConnectionIsNoFailureOfTheWorker(t *testing.T) {
 	var attempts atomic.Int32
-	p := newProxy(startWorker(t, func(c net.Conn, _ *http.Request) {
+	p := newProxy(peertest.StartServer(t, func(conn net.Conn, _ *http.Request) {
 		if attempts.Add(1) == 2 {
-			c.Close()
+			conn.Close()
 			return
 		}
-		io.WriteString(c, chunked(doneLine)+lastChunk)
+		io.WriteString(conn, succeededText())
 	}))
 	status := func(operation string) int {
 		defer func() { assert.NoError(t, p.background.Wait()) }()
@@ -176,10 +176,10 @@
 			p := newProxy(address)
 			p.config.MigratesRequests = migrates
 			answers := startServe(context.Background(), p, requestHead("once"))
-			receive(t, received)
+			peertest.Receive(t, received)
 			began := time.Now()
 			updateWorker(t, p, restartedAt(began.Add(time.Second)))
-			assert.Equal(t, 502, receive(t, answers).Status)
+			assert.Equal(t, 502, peertest.Receive(t, answers).Status)
 			assert.Less(t, time.Since(began), time.Second, "not by the client's timeout")
 			assert.EqualValues(t, 1, outcomeCount(p, balancer.ConnectionReset))
 		})
@@ -194,7 +194,7 @@
 	a := newTestAttempt(t, p, keyedHead())
 	outcomes := make(chan balancer.Outcome, 1)
 	go func() { outcomes <- a.run(context.Background(), 0).outcome }()
-	assert.Equal(t, balancer.NoConnection, receive(t, outcomes))
+	assert.Equal(t, balancer.NoConnection, peertest.Receive(t, outcomes))
 	assert.Zero(t, p.pool.OpenConnections(), "it counts against the limit no more")
 }
 
@@ -205,7 +205,7 @@
 	a.retryBefore = time.Now().Add(50 * time.Millisecond)
 	outcomes := make(chan balancer.Outcome, 1)
 	go func() { outcomes <- a.run(context.Background(), 0).outcome }()
-	assert.Equal(t, balancer.NotSent, receive(t, outcomes), "it is no failure of the worker")
+	assert.Equal(t, balancer.NotSent, peertest.Receive(t, outcomes), "it is no failure of the worker")
 	assert.Zero(t, p.pool.OpenConnections())
 }
 
@@ -213,13 +213,13 @@
 func TestWorkerTimeoutIsAtMostWhatIsLeftToTheClient(t *testing.T) {
 	timeouts, left := make(chan string, 4), make(chan time.Duration, 4)
 	arrivedAt := time.Now().Add(-500 * time.Millisecond)
-	p := newProxyWith(startWorker(t, func(c net.Conn, r *http.Request) {
-		timeouts <- r.Header.Get("Req-Deadline")
+	p := newProxyWith(peertest.StartServer(t, func(conn net.Conn, request *http.Request) {
+		timeouts <- request.Header.Get("Req-Deadline")
 		text := failedText
 		if len(timeouts) > 1 {
-			text = chunked(doneLine) + lastChunk
+			text = succeededText()
 		}
-		io.WriteString(c, text)
+		io.WriteString(conn, text)
 	}), func(balancing *balancer.Config, _ *Config) { balancing.MaxAttempts = 4 })
 	p.hooks.beforeSend = func() {
 		time.Sleep(50 * time.Millisecond)
@@ -227,10 +227,10 @@
 	}
 	answers := make(chan *protocol.Response, 1)
 	go func() { answers <- p.Serve(context.Background(), requestHead("idem"), nil, arrivedAt) }()
-	assert.Equal(t, 200, receive(t, answers).Status)
+	assert.Equal(t, 200, peertest.Receive(t, answers).Status)
 	awaitAttempts(t, p)
 	assert.Len(t, timeouts, 2)
 	for range 2 {
-		assertTimeoutWithin(t, receive(t, timeouts), receive(t, left))
+		assertTimeoutWithin(t, peertest.Receive(t, timeouts), peertest.Receive(t, left))
 	}
 }
--- a/internal/proxy/helpers_test.go
+++ b/internal/proxy/helpers_test.go
@@ -1,9 +1,7 @@
 package proxy
 
 import (
-	"bufio"
 	"context"
-	"fmt"
 	"io"
 	"net"
 	"net/http"
@@ -18,90 +16,43 @@
 
 	"canvasroute/internal/balancer"
 	"canvasroute/internal/lifecycle"
+	"canvasroute/internal/peertest"
 	"canvasroute/internal/protocol"
 	"canvasroute/internal/transport"
 )
 
-const (
-	eventTimeout = 5 * time.Second // bounds the wait for an event that is sure to come
-	pollInterval = time.Millisecond
-
-	// closedAddress is an address at which nobody listens.
-	closedAddress = "127.0.0.1:1"
-)
-
 // Lines and parts of a worker's response to the request with ID a1.
 const (
 	startedLine  = `{"id":"a1","from":"w","state":"started"}`
 	doneLine     = `{"id":"a1","from":"w","state":"done","result":"r"}`
-	chunkedHead  = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-	lastChunk    = "0\r\n\r\n"
 	failedText   = "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"
 	declinedText = "HTTP/1.1 503 No\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n"
 )
 
-// startWorker is a worker that calls respond for each attempt, once it was received completely. It returns its address.
-func startWorker(t *testing.T, respond func(c net.Conn, r *http.Request)) string {
-	t.Helper()
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
-	assert.NoError(t, err)
-	t.Cleanup(func() { listener.Close() })
-	go func() {
-		for {
-			c, err := listener.Accept()
-			if err != nil {
-				return
-			}
-			go serveAttempts(c, respond)
-		}
-	}()
-	return listener.Addr().String()
-}
+// succeededText returns the response of an attempt that succeeds at once.
+func succeededText() string { return peertest.Complete(doneLine) }
 
-func serveAttempts(c net.Conn, respond func(c net.Conn, r *http.Request)) {
-	defer c.Close()
-	reader := bufio.NewReader(c)
-	for {
-		request, err := http.ReadRequest(reader)
-		if err != nil {
-			return
-		}
-		io.Copy(io.Discard, request.Body)
-		respond(c, request)
-	}
-}
-
-// respondWith responds to each attempt with the same text, and then closes the connection if it is to.
-func respondWith(text string, closes bool) func(net.Conn, *http.Request) {
-	return func(c net.Conn, _ *http.Request) {
-		io.WriteString(c, text)
-		if closes {
-			c.Close()
-		}
-	}
-}
-
-// startCountingWorker is a worker where attempts succeed, and the number of those received completely.
+// startCountingWorker starts a worker where attempts succeed, and counts those that it has received completely.
 func startCountingWorker(t *testing.T) (address string, attempts *atomic.Int32) {
 	t.Helper()
 	attempts = &atomic.Int32{}
-	return startWorker(t, func(c net.Conn, _ *http.Request) {
+	return peertest.StartServer(t, func(conn net.Conn, _ *http.Request) {
 		attempts.Add(1)
-		io.WriteString(c, chunked(doneLine)+lastChunk)
+		io.WriteString(conn, succeededText())
 	}), attempts
 }
 
-// startHangingWorker is a worker that never responds. received gets a value for each attempt.
+// startHangingWorker starts a worker that never responds. received gets a value for each attempt.
 func startHangingWorker(t *testing.T) (address string, received <-chan bool) {
 	t.Helper()
 	attempts := make(chan bool, 1)
-	return startWorker(t, func(c net.Conn, _ *http.Request) {
+	return peertest.StartServer(t, func(conn net.Conn, _ *http.Request) {
 		attempts <- true
-		c.Read(make([]byte, 1))
+		_, _ = conn.Read(make([]byte, 1))
 	}), attempts
 }
 
-// unresponsiveAddress is an address at which connections are never accepted: its queue is full.
+// unresponsiveAddress returns an address at which connections are never accepted: its queue is full.
 func unresponsiveAddress(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -112,27 +63,16 @@
 	assert.NoError(t, raw.Control(func(fd uintptr) { err = syscall.Listen(int(fd), 0) }))
 	assert.NoError(t, err)
 	for range 4 {
-		c, err := net.DialTimeout("tcp", listener.Addr().String(), 20*time.Millisecond)
+		conn, err := net.DialTimeout("tcp", listener.Addr().String(), 20*time.Millisecond)
 		if err != nil {
 			return listener.Addr().String()
 		}
-		t.Cleanup(func() { c.Close() })
+		t.Cleanup(func() { conn.Close() })
 	}
 	t.Fatal("the listener's queue does not fill")
 	return ""
 }
 
-// chunked is a response whose body has the lines as its first chunks.
-func chunked(lines ...string) string {
-	text := chunkedHead
-	for _, line := range lines {
-		text += chunk(line)
-	}
-	return text
-}
-
-func chunk(line string) string { return fmt.Sprintf("%x\r\n%s\n\r\n", len(line)+1, line) }
-
 // newProxy returns a proxy with one worker of ID w at an address, and three operations: idem is idempotent, once is not,
 // and keyed is idempotent by key.
 func newProxy(address string) *Proxy {
@@ -164,7 +104,7 @@
 			netip.MustParseAddrPort("127.0.0.1:7001"),
 			netip.MustParseAddrPort("127.0.0.2:7001"),
 		},
-		FromUnix:         func(ms float64) balancer.Time { return balancer.Time(ms * 10) },
+		FromUnix:         func(millis float64) balancer.Time { return balancer.Time(millis * balancer.Second / 1000) },
 		InitialEndpoints: &protocol.EndpointList{Version: 7, Complete: true, Endpoints: []protocol.Endpoint{worker}},
 	}
 	change(&balancing, &config)
@@ -202,19 +142,19 @@
 
 // parseHead parses the head of a request with the header fields.
 func parseHead(fields string) *protocol.Head {
-	h, err := protocol.ParseRequestHead([]byte("POST /api HTTP/1.1\r\n" + fields + "\r\n"))
+	parsed, err := protocol.ParseRequestHead([]byte("POST /api HTTP/1.1\r\n" + fields + "\r\n"))
 	if err != nil {
 		panic(err)
 	}
-	return &h.Head
+	return &parsed.Head
 }
 
-// requestHead is the head of the request a1 for an operation.
+// requestHead returns the head of the request a1 for an operation.
 func requestHead(operation string) *protocol.Head {
 	return parseHead("Req-Id: a1\r\nReq-Deadline: 2\r\nReq-Kind: " + operation + "\r\n")
 }
 
-// keyedHead is the head of the request a1 for the operation keyed.
+// keyedHead returns the head of the request a1 for the operation keyed.
 func keyedHead() *protocol.Head {
 	return parseHead("Req-Id: a1\r\nReq-Kind: keyed\r\nIdempotency-Key: k\r\n")
 }
@@ -232,26 +172,15 @@
 	return answers
 }
 
-// receive returns the next value of a channel.
-func receive[T any](t *testing.T, values <-chan T) (value T) {
-	t.Helper()
-	select {
-	case value = <-values:
-	case <-time.After(eventTimeout):
-		t.Fatal("no value within the timeout")
-	}
-	return value
-}
-
 // awaitAttempts waits until no attempt is in flight.
 func awaitAttempts(t *testing.T, p *Proxy) {
 	t.Helper()
 	ended := make(chan error, 1)
 	go func() { ended <- p.background.Wait() }()
-	assert.NoError(t, receive(t, ended))
+	assert.NoError(t, peertest.Receive(t, ended))
 }
 
-// outcomeCount is the number of attempts with an outcome.
+// outcomeCount returns the number of attempts with an outcome.
 func outcomeCount(p *Proxy, outcome balancer.Outcome) int64 {
 	return p.counters.outcomes[outcome].Load()
 }
@@ -264,7 +193,7 @@
 	p.discovery.Apply(list)
 }
 
-// fakeRecovery admits all requests. Its functions are called by the methods of these names.
+// fakeRecovery admits all requests. Its methods PriorExecution and PersistKey call the functions of these names.
 type fakeRecovery struct {
 	priorExecution func()
 	persistKey     func() error
--- a/internal/proxy/interleaving_test.go
+++ b/internal/proxy/interleaving_test.go
@@ -15,6 +15,7 @@
 	"github.com/stretchr/testify/assert"
 
 	"canvasroute/internal/balancer"
+	"canvasroute/internal/peertest"
 	"canvasroute/internal/protocol"
 	"canvasroute/internal/transport"
 )
@@ -32,12 +33,12 @@
 			p.hooks.beforeSend = func() { // the connection is up
 				<-serving
 				leave()
-				assert.Nil(t, receive(t, answers))
+				assert.Nil(t, peertest.Receive(t, answers))
 				close(left)
 			}
 			answers = startServe(ctx, p, requestHead(operation))
 			close(serving)
-			receive(t, left)
+			peertest.Receive(t, left)
 			awaitAttempts(t, p)
 			assert.Zero(t, attempts.Load())
 			assert.Equal(t, []int64{0, 1}, []int64{p.counters.sent.Load(), outcomeCount(p, balancer.NotSent)})
@@ -59,9 +60,9 @@
 		t.Helper()
 		ctx, leave := context.WithCancel(context.Background())
 		answers := startServe(ctx, p, requestHead("idem"))
-		assert.Eventually(t, waiting, eventTimeout, pollInterval)
+		assert.Eventually(t, waiting, peertest.EventTimeout, peertest.PollInterval)
 		leave()
-		assert.Nil(t, receive(t, answers))
+		assert.Nil(t, peertest.Receive(t, answers))
 		awaitAttempts(t, p)
 		assert.Zero(t, p.counters.sent.Load())
 	}
@@ -79,10 +80,10 @@
 			_, err := p.pool.Get(ctx, other, transport.AnyConnection)
 			ended <- err
 		}()
-		assert.Eventually(t, func() bool { return isDialing(p) }, eventTimeout, pollInterval)
+		assert.Eventually(t, func() bool { return isDialing(p) }, peertest.EventTimeout, peertest.PollInterval)
 		leaveWhile(t, p, func() bool { return p.balancer.OpenRequests() == 1 })
 		cancel()
-		assert.Error(t, receive(t, ended))
+		assert.Error(t, peertest.Receive(t, ended))
 	})
 }
 
@@ -92,13 +93,13 @@
 	answers, left := make(chan *protocol.Response, 1), make(chan bool)
 	recovery := &fakeRecovery{priorExecution: func() {}, persistKey: func() error {
 		leave()
-		assert.Nil(t, receive(t, answers))
+		assert.Nil(t, peertest.Receive(t, answers))
 		close(left)
 		return nil // the key is on disk, and the client has left
 	}}
 	p := newProxyWith(address, withPersistedKeys(recovery))
 	go func() { answers <- p.Serve(ctx, keyedHead(), nil, time.Now()) }()
-	receive(t, left)
+	peertest.Receive(t, left)
 	awaitAttempts(t, p)
 	assert.Zero(t, attempts.Load())
 	assert.EqualValues(t, 1, recovery.persisted.Load())
@@ -118,7 +119,7 @@
 			assert.Equal(t, 200, serve(p, requestHead("idem")).Status)
 			awaitAttempts(t, p) // its connection is idle now
 			p.hooks.beforeSend = func() { updateWorker(t, p, fields) }
-			assert.NotEqual(t, 200, receive(t, startServe(context.Background(), p, requestHead("idem"))).Status)
+			assert.NotEqual(t, 200, peertest.Receive(t, startServe(context.Background(), p, requestHead("idem"))).Status)
 			awaitAttempts(t, p)
 			assert.EqualValues(t, 1, attempts.Load())
 			assert.Zero(t, p.pool.OpenConnections(), "the connection must not be used any more")
@@ -145,9 +146,9 @@
 func TestNothingIsSentAfterRetryWindow(t *testing.T) {
 	var received atomic.Int32
 	const window = time.Second
-	address := startWorker(t, func(c net.Conn, _ *http.Request) {
+	address := peertest.StartServer(t, func(conn net.Conn, _ *http.Request) {
 		received.Add(1)
-		io.WriteString(c, failedText) // it may have been executed
+		io.WriteString(conn, failedText) // it may have been executed
 	})
 	p := newProxyWith(address, withRetryWindow(balancer.DurationOf(window)))
 	attempts := 0
@@ -157,7 +158,7 @@
 			time.Sleep(window)
 		}
 	}
-	assert.Equal(t, 502, receive(t, startServe(context.Background(), p, keyedHead())).Status)
+	assert.Equal(t, 502, peertest.Receive(t, startServe(context.Background(), p, keyedHead())).Status)
 	awaitAttempts(t, p)
 	assert.EqualValues(t, 1, received.Load(), "the worker would execute the second one again")
 	assert.Greater(t, attempts, 1, "there was a retry")
@@ -260,42 +261,42 @@
 	go func() { stopped <- p.Run(ctx) }()
 	client, leave := context.WithCancel(context.Background())
 	answers := startServe(client, p, parseHead("Req-Id: a1\r\nReq-Kind: idem\r\nReq-Deadline: 600\r\n"))
-	receive(t, received)
+	peertest.Receive(t, received)
 	isSent := func() bool { return p.counters.sent.Load() == 1 } // until then it would not be sent at all
-	assert.Eventually(t, isSent, eventTimeout, pollInterval)
+	assert.Eventually(t, isSent, peertest.EventTimeout, peertest.PollInterval)
 	leave()
-	assert.Nil(t, receive(t, answers))
+	assert.Nil(t, peertest.Receive(t, answers))
 	assert.Equal(t, 1, p.balancer.OpenRequests(), "the attempt goes on")
 	stop()
-	assert.NoError(t, receive(t, stopped))
+	assert.NoError(t, peertest.Receive(t, stopped))
 }
 
 func TestEndlessResponseHoldsNothingAfterItsDeadline(t *testing.T) {
-	for name, c := range map[string]struct {
+	for name, test := range map[string]struct {
 		first, repeated string
 		succeeds        bool
 	}{
 		"interim heads":         {"", "HTTP/1.1 103 Early\r\n\r\n", false},
-		"empty lines":           {chunked(), "1\r\n\n\r\n", false},
-		"running":               {chunked(), chunk(`{"id":"a1","state":"running"}`), false},
-		"bytes":                 {chunked(), "1\r\n \r\n", false},
-		"trailers after done":   {chunked(doneLine) + "0\r\n", "A: b\r\n", true},
-		"chunks after done":     {chunked(doneLine), "1\r\n\n\r\n", true},
+		"empty lines":           {peertest.Chunked(), "1\r\n\n\r\n", false},
+		"running":               {peertest.Chunked(), peertest.Chunk(`{"id":"a1","state":"running"}`), false},
+		"bytes":                 {peertest.Chunked(), "1\r\n \r\n", false},
+		"trailers after done":   {peertest.Chunked(doneLine) + "0\r\n", "A: b\r\n", true},
+		"chunks after done":     {peertest.Chunked(doneLine), "1\r\n\n\r\n", true},
 		"a body after a 500":    {"HTTP/1.1 500 No\r\nContent-Length: 9999999\r\n\r\n", "b", false},
 		"a body after declined": {"HTTP/1.1 503 No\r\nSrv-Declined: 1\r\nTransfer-Encoding: chunked\r\n\r\n", "1\r\nb\r\n", false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			p := newProxy(startWorker(t, func(conn net.Conn, _ *http.Request) {
-				_, err := io.WriteString(conn, c.first)
+			p := newProxy(peertest.StartServer(t, func(conn net.Conn, _ *http.Request) {
+				_, err := io.WriteString(conn, test.first)
 				for err == nil {
 					time.Sleep(time.Millisecond)
-					_, err = io.WriteString(conn, c.repeated)
+					_, err = io.WriteString(conn, test.repeated)
 				}
 			}))
 			began := time.Now()
 			response := serve(p, parseHead("Req-Id: a1\r\nReq-Kind: once\r\nReq-Deadline: 0.3\r\n"))
-			assert.Equal(t, c.succeeds, response.Status == 200)
+			assert.Equal(t, test.succeeds, response.Status == 200)
 			assert.Less(t, time.Since(began), 800*time.Millisecond)
 			awaitAttempts(t, p)
 			assert.Zero(t, p.pool.OpenConnections())
--- /dev/null
+++ b/internal/proxy/migration_import.go
@@ -0,0 +1,75 @@
+package proxy
+
+import (
+	"context"
+	"encoding/json"
+	"fmt"
+	"net"
+
+	"canvasroute/internal/balancer"
+	"canvasroute/internal/protocol"
+)
+
+// ImportedRequest is a request of the sibling process that continues here.
+type ImportedRequest struct {
+	*MigratedRequest // nil where it could not be parsed
+
+	// Finish waits for the answer to the client and returns it. It is to be called once, and is nil with an error of Import.
+	Finish func(context.Context) *protocol.Response
+}
+
+// Import prepares to continue a request that the sibling process passes on as JSON. attempts are the connections of the
+// request's attempts, by their numbers. With an error the request is returned as far as it could be parsed.
+func (p *Proxy) Import(text json.RawMessage, attempts map[int]net.Conn) (ImportedRequest, error) {
+	migrated := &MigratedRequest{}
+	if err := json.Unmarshal(text, migrated); err != nil {
+		return ImportedRequest{}, fmt.Errorf("migrated request: %w", err)
+	}
+	if err := p.renumberWorkers(migrated); err != nil {
+		return ImportedRequest{MigratedRequest: migrated}, fmt.Errorf("migrated request: %w", err)
+	}
+	operation := migrated.Request.Operation
+	p.operations.add(operation)
+	finish := func(ctx context.Context) *protocol.Response {
+		return p.counted(operation, func() *protocol.Response { return p.continueRequest(ctx, migrated, attempts) })
+	}
+	return ImportedRequest{MigratedRequest: migrated, Finish: finish}, nil
+}
+
+// renumberWorkers replaces the sibling's numbers of the attempts' workers by those here.
+func (p *Proxy) renumberWorkers(migrated *MigratedRequest) error {
+	for number := range migrated.Balancing.Attempts {
+		id := migrated.Workers[number]
+		worker, known := p.endpoints.ByID(id)
+		if !known {
+			return fmt.Errorf("worker %q is not known here", id)
+		}
+		migrated.Balancing.Attempts[number].Worker = worker
+	}
+	return nil
+}
+
+// continueRequest answers a migrated request.
+func (p *Proxy) continueRequest(ctx context.Context, migrated *MigratedRequest, attempts map[int]net.Conn,
+) *protocol.Response {
+	p.requestIDs.openMigrated(migrated.Request.ID)
+	defer p.requestIDs.close(migrated.Request.ID)
+	handle, contexts := p.balancer.Import(migrated.Balancing)
+	r := &inFlightRequest{
+		request:        migrated.Request,
+		settings:       p.settings.Load(),
+		handle:         handle,
+		deadline:       migrated.Balancing.Deadline,
+		closeRequested: migrated.CloseRequested,
+		acceptsInterim: migrated.AcceptsInterim,
+		result:         newResultChannel(),
+	}
+	for number, netConn := range attempts {
+		worker := migrated.Balancing.Attempts[number].Worker
+		conn := p.pool.Import(netConn, p.endpoints.Endpoint(worker).Address, migrated.Received[number])
+		a := p.newAttempt(r, balancer.Decision{Attempt: number})
+		a.reused = migrated.Reused[number]
+		p.runInBackground(r, a, func() attemptResult { return a.resume(contexts[number], conn) })
+	}
+	return p.execute(ctx, r)
+}
--- a/internal/proxy/migration_test.go
+++ b/internal/proxy/migration_test.go
@@ -12,6 +12,7 @@
 	"github.com/rs/zerolog"
 	"github.com/stretchr/testify/assert"
 
+	"canvasroute/internal/peertest"
 	"canvasroute/internal/transport"
 )
 
@@ -20,11 +21,11 @@
 
 // What arrives while a request is paused is read as if there had been no pause, in whatever pieces it comes.
 func TestPausedRequestGoesOnAndGetsItsAnswer(t *testing.T) {
-	text := chunked(startedLine, doneLine) + lastChunk
-	p := newProxy(startWorker(t, func(c net.Conn, _ *http.Request) {
+	text := peertest.Complete(startedLine, doneLine)
+	p := newProxy(peertest.StartServer(t, func(conn net.Conn, _ *http.Request) {
 		for _, b := range []byte(text) {
 			time.Sleep(time.Millisecond)
-			c.Write([]byte{b})
+			_, _ = conn.Write([]byte{b})
 		}
 	}))
 	p.config.MigratesRequests = true
@@ -57,10 +58,10 @@
 
 // Its client must not wait for ever, and its worker's connection must not be used for another request.
 func TestRequestFailsWhenMigrationFails(t *testing.T) {
-	p := newProxy(startWorker(t, respondWith(chunked(startedLine), false)))
+	p := newProxy(peertest.StartServer(t, peertest.RespondWith(peertest.Chunked(startedLine))))
 	p.config.MigratesRequests = true
 	answers := startServe(context.Background(), p, requestHead("once"))
-	assert.Eventually(t, func() bool { return p.counters.sent.Load() == 1 }, eventTimeout, pollInterval)
+	assert.Eventually(t, func() bool { return p.counters.sent.Load() == 1 }, peertest.EventTimeout, peertest.PollInterval)
 	refuse := func(*MigratedRequest, syscall.Conn, map[int]syscall.Conn) error { return errors.New("refused") }
 	for {
 		p.ExportAll(refuse)
@@ -76,7 +77,7 @@
 }
 
 func TestImportRefusesUnknownWorkerAndMalformedRequest(t *testing.T) {
-	p := newProxy(closedAddress)
+	p := newProxy(peertest.ClosedAddress)
 	_, err := p.Import([]byte(`{"Decided":{"Forwards":[{"Tgt":0}]},"Hosts":["nobody"]}`), nil)
 	assert.ErrorContains(t, err, `"nobody"`)
 	_, err = p.Import([]byte(`{`), nil)
@@ -96,7 +97,7 @@
 		defer pause.mu.Unlock()
 		return pause.requested
 	}
-	assert.Eventually(t, isRequested, eventTimeout, pollInterval)
+	assert.Eventually(t, isRequested, peertest.EventTimeout, peertest.PollInterval)
 	pause.mu.Lock() // as wait does, while the request times out
 	time.Sleep(2 * pauseTimeout)
 	pause.requested = false
--- a/internal/proxy/operators_test.go
+++ b/internal/proxy/operators_test.go
@@ -10,13 +10,14 @@
 	"github.com/stretchr/testify/assert"
 
 	"canvasroute/internal/balancer"
+	"canvasroute/internal/peertest"
 	"canvasroute/internal/protocol"
 )
 
 // TestCounterNamesOfDump pins the names that operators read in the answer to DUMP, in their order, and the counter of
 // each.
 func TestCounterNamesOfDump(t *testing.T) {
-	p := newProxy(closedAddress)
+	p := newProxy(peertest.ClosedAddress)
 	idem := p.operations.of("idem")
 	idem.succeeded.Store(1)
 	idem.declined.Store(2)
@@ -43,7 +44,7 @@
 // TestCountersLogLine pins the keys of the log line that SIGUSR1 asks for, and the counter of each. Each outcome of an
 // attempt is pinned with its number.
 func TestCountersLogLine(t *testing.T) {
-	p, log := newProxy(closedAddress), &bytes.Buffer{}
+	p, log := newProxy(peertest.ClosedAddress), &bytes.Buffer{}
 	p.log = zerolog.New(log)
 	c := &p.counters
 	c.admitted.Store(11)
@@ -94,9 +95,9 @@
 
 // TestAnswersByPathAndMethod pins the answers that follow from the head alone.
 func TestAnswersByPathAndMethod(t *testing.T) {
-	p := newProxy(closedAddress)
+	p := newProxy(peertest.ClosedAddress)
 	p.discovery.SkipFirstPoll()
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name, method, target string
 		want                 *protocol.Response
 	}{
@@ -107,15 +108,15 @@
 		{"unknown path", "GET", "/metrics", &protocol.Response{Status: 404}},
 		{"a request", "POST", "/api?q=1", nil},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			assert.Equal(t, c.want, p.AnswerByHead(&protocol.Head{Method: c.method, Target: c.target}))
+		t.Run(test.name, func(t *testing.T) {
+			assert.Equal(t, test.want, p.AnswerByHead(&protocol.Head{Method: test.method, Target: test.target}))
 		})
 	}
 }
 
 // TestReasonsOfNotBeingReady pins what operators read in the answer to HEALTH.
 func TestReasonsOfNotBeingReady(t *testing.T) {
-	p := newProxy(closedAddress)
+	p := newProxy(peertest.ClosedAddress)
 	assert.EqualError(t, p.Ready(), "takes no clients: no list of workers yet")
 	p.discovery.SkipFirstPoll()
 	assert.NoError(t, p.Ready())
--- a/internal/proxy/pause.go
+++ b/internal/proxy/pause.go
@@ -11,12 +11,17 @@
 // pauseTimeout bounds the wait for an attempt's goroutine to stop reading.
 const pauseTimeout = 100 * time.Millisecond
 
-// readPause lets another goroutine stop the reading of a response, and then either resume it or take the connection
-// over. Reading starts again from the first byte of the response, so that a pause loses nothing.
+// readPause lets another goroutine, the exporter, stop the reading of a response. The exporter then either resumes the
+// reader or takes the connection over. Reading starts again from the first byte of the response, so that a pause loses
+// nothing.
+//
+// The exporter calls request and, after true, either resume or end once. The reader calls begin, wait and finish.
 type readPause struct {
+	// mu guards conn and requested. A reader sends to paused under it, so that a request that times out sees either both
+	// or none.
 	mu        sync.Mutex
-	conn      *transport.Conn // while the attempt waits for its worker
-	requested bool
+	conn      *transport.Conn // while the attempt waits for its worker, nil otherwise
+	requested bool            // the exporter waits for the reader to stop
 
 	paused   chan struct{} // the reader has stopped and waits for takeOver
 	takeOver chan bool     // true: the sibling process reads on; false: the reader does
@@ -27,7 +32,8 @@
 	return &readPause{paused: make(chan struct{}, 1), takeOver: make(chan bool, 1), ended: make(chan struct{})}
 }
 
-// request stops the reading. It returns false where the attempt does not wait for its worker, or does not stop in time.
+// request stops the reading, and reports whether the reader has stopped. It has not where the attempt does not wait for
+// its worker, or does not stop within pauseTimeout.
 func (p *readPause) request() bool {
 	p.mu.Lock()
 	if p.conn == nil {
@@ -55,7 +61,7 @@
 	}
 }
 
-// resume lets the paused reader go on.
+// resume lets the paused reader continue.
 func (p *readPause) resume() { p.takeOver <- false }
 
 // end lets the paused reader end without an outcome: the connection is the sibling process's, or is given up.
@@ -68,43 +74,49 @@
 	p.conn = conn
 }
 
-// finish allows no pause any more.
+// finish allows no further pause.
 func (p *readPause) finish() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.conn = nil
 }
 
-// wait is called by a reader that was stopped. It returns true where the sibling process takes over.
+// wait is called by a reader that was stopped. It returns once the exporter has decided, and reports whether the sibling
+// process takes over.
 func (p *readPause) wait() (takenOver bool) {
 	p.mu.Lock()
-	if !p.requested { // request has given up waiting
+	if !p.requested { // the request has timed out
 		p.mu.Unlock()
 		return false
 	}
 	p.requested = false
-	p.paused <- struct{}{} // under the lock: request must not miss it and leave the reader waiting
+	p.paused <- struct{}{} // has room
 	p.mu.Unlock()
 	return <-p.takeOver
 }
 
 // receive reads a worker's response, and lets itself be paused meanwhile.
-func (a *attempt) receive(ctx context.Context, conn *transport.Conn) response {
+func (a *attempt) receive(ctx context.Context, conn *transport.Conn) workerResponse {
 	a.pause.begin(conn)
 	defer close(a.pause.ended)
 	for {
-		r := a.readResponse(ctx, conn)
-		paused := r.err != nil && transport.CloseReasonOf(r.err) == transport.TooSlow && ctx.Err() == nil &&
-			!conn.Interrupted()
-		if !paused {
+		answer := a.readResponse(ctx, conn)
+		if !stoppedByPause(ctx, conn, answer.err) {
 			a.pause.finish()
-			return r
+			return answer
 		}
-		if a.pause.wait() {
-			return response{migrated: true}
+		if takenOver := a.pause.wait(); takenOver {
+			return workerResponse{migrated: true}
 		}
 		if err := conn.Rewind(); err != nil {
-			return response{outcome: a.lostOutcome(ctx, err), err: err}
+			return workerResponse{outcome: a.lostOutcome(ctx, err), err: err}
 		}
 	}
 }
+
+// stoppedByPause reports whether a pause has ended the reading. A pause makes reads time out; so do the end of ctx and an
+// interrupt of the connection, which take precedence. Reading has no other timeout.
+func stoppedByPause(ctx context.Context, conn *transport.Conn, readErr error) bool {
+	timedOut := readErr != nil && transport.CloseReasonOf(readErr) == transport.TooSlow
+	return timedOut && ctx.Err() == nil && !conn.Interrupted()
+}
--- a/internal/proxy/probe.go
+++ b/internal/proxy/probe.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"net/http"
 
 	"canvasroute/internal/balancer"
 	"canvasroute/internal/protocol"
@@ -10,11 +11,11 @@
 
 // loadReport is a worker's answer to a probe.
 type loadReport struct {
-	values          []float64 // by the fields in Config.Report
-	closeConnection bool
+	values          []float64 // by Config.ReportFields; empty where the worker gives no report
+	closeConnection bool      // it cannot be used again
 }
 
-// probeWorkers requests load reports from the workers that the balancer wants probed, until ctx ends.
+// probeWorkers requests load reports from the workers that the balancer selects, until ctx ends.
 func (p *Proxy) probeWorkers(ctx context.Context) error {
 	for {
 		worker, err := p.balancer.NextProbe(ctx)
@@ -28,6 +29,8 @@
 	}
 }
 
+// probe requests one load report and passes it on to the balancer. The dial timeout bounds all of its steps together. A
+// failure is not reported: the balancer judges workers by their attempts.
 func (p *Proxy) probe(ctx context.Context, worker balancer.WorkerID) {
 	ctx, cancel := context.WithTimeout(ctx, p.settings.Load().dialTimeout)
 	defer cancel()
@@ -67,9 +70,9 @@
 		return loadReport{}, err
 	}
 	body, err := conn.ReadBody(frame, protocol.MaxBodyBytes)
-	if err != nil || head.Status != 200 {
+	if err != nil || head.Status != http.StatusOK {
 		return loadReport{closeConnection: true}, err
 	}
 	values, err := protocol.ParseLoad(body, p.config.ReportFields)
-	return loadReport{values, head.CloseRequested() || frame.EndsWithConnection()}, err
+	return loadReport{values: values, closeConnection: head.CloseRequested() || frame.EndsWithConnection()}, err
 }
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -1,9 +1,11 @@
 // Package proxy carries a request from its client to workers and back.
 //
-// A Proxy admits requests, sends the attempts that the balancer decides on, reads the workers' responses, and migrates
-// requests in flight to a sibling process during a hot restart. It chooses no worker and decides on no retry,
-// rejection or cancellation: it asks the balancer, and reports to it what happens. It does not parse the endpoint list
-// (package discovery), exchange load with peers (package gossip) or accept connections (package transport).
+// A Proxy admits requests, sends the attempts that the balancer decides on, and reads the workers' responses. During a hot
+// restart it migrates requests in flight to a sibling process. It chooses no worker and decides on no retry, rejection or
+// cancellation: it asks the balancer, and reports to it what happens. It does not parse the endpoint list (package
+// discovery), exchange load with peers (package gossip) or accept connections (package transport).
+//
+// The life of a request stands in request.go, that of an attempt in attempt.go, and the answers in responses.go.
 package proxy
 
 import (
@@ -30,7 +32,7 @@
 type Operation struct {
 	Name           string
 	DefaultTimeout time.Duration       // of a request that gives none
-	RequiresKey    bool                // workers drop repeats by an idempotency key: requests without one are malformed
+	RequiresKey    bool                // workers drop repeats by an idempotency key; requests without one are malformed
 	DedupScope     balancer.DedupScope // the group of workers that drops repeats
 	DedupWindow    time.Duration       // how long the group remembers a key
 }
@@ -38,21 +40,24 @@
 // Config configures a Proxy. Operations, Tenants, DialTimeout and MaxRetryAfter may change later (Reconfigure).
 type Config struct {
 	Operations          []Operation
-	Tenants, Zones      []string
-	Kinds, ReportFields []string // kinds of workers; fields of their load reports
-	DialTimeout         time.Duration
-	MaxRetryAfter       time.Duration // 0 where clients are not told when to retry
-	DiscoveryAddress    string        // address of the discovery service
+	Tenants             []string      // names by their numbers at the start; without any, all requests are of one tenant
+	Zones               []string      // names by their numbers
+	Kinds               []string      // kinds of workers, by their numbers
+	ReportFields        []string      // the fields of workers' load reports that the balancer reads
+	DialTimeout         time.Duration // of a connection to a worker
+	MaxRetryAfter       time.Duration // advice to clients that are rejected before the balancer has their requests, 0 for none
+	DiscoveryAddress    string        // host and port of the discovery service
 	Peers               []netip.AddrPort
-	Position            int // of this dispatcher in Peers
-	InitialEndpoints    *protocol.EndpointList
-	PredecessorSnapshot json.RawMessage // a Snapshot, nil without a predecessor
-	MigratesRequests    bool            // requests in flight may be exported to a sibling process
+	Position            int                    // of this dispatcher in Peers
+	InitialEndpoints    *protocol.EndpointList // known at the start, nil for none
+	PredecessorSnapshot json.RawMessage        // a Snapshot, nil without a predecessor
+	MigratesRequests    bool                   // requests in flight may be exported to a sibling process
 	FromUnix            func(ms float64) balancer.Time
 	Recovery            Recovery // nil where it is disabled
 }
 
-// Proxy answers requests by sending attempts to workers.
+// Proxy answers requests by sending attempts to workers. Its methods may be called concurrently, except SiblingUpdate and
+// Snapshot.
 type Proxy struct {
 	config    Config
 	balancer  *balancer.Shards
@@ -64,33 +69,38 @@
 	lifecycle *lifecycle.State
 	log       zerolog.Logger
 
-	settings   atomic.Pointer[settings]
+	settings   atomic.Pointer[settings] // replaced as a whole
 	counters   counters
 	operations operationCounters
 	requestIDs requestIDs
-	inFlight   sync.Map       // set of *inFlightRequest, where requests may be migrated
+	inFlight   sync.Map       // set of *inFlightRequest; empty where requests are not migrated
 	background errgroup.Group // attempts and probes; each reports its errors itself
 
-	sendsReportedAt balancer.Time // the sibling process knows the work that was sent up to then
+	// sendsReportedAt is the time up to which the sibling process knows the work that was sent.
+	sendsReportedAt balancer.Time
 
 	hooks testHooks
 }
 
 // testHooks are set by tests to run between two steps.
 type testHooks struct {
-	beforeSettings func() // the balancer goes by new settings, the names of requests do not
+	beforeSettings func() // the balancer has new settings, and the names of requests have the previous ones
 	beforeSend     func() // an attempt has its connection and is not sent
 }
 
-// New returns a Proxy, and gives the balancer the endpoints that are known at the start: those of the predecessor or
-// else the initial ones. datagrams is nil where dispatchers do not exchange load.
+// New returns a Proxy. It gives the balancer the endpoints that are known at the start: those of the predecessor or else
+// the initial ones. datagrams is nil where dispatchers do not exchange load.
 func New(c Config, shards *balancer.Shards, pool *transport.Pool, datagrams *transport.Datagrams,
 	state *lifecycle.State, log zerolog.Logger,
 ) *Proxy {
 	p := &Proxy{
-		config: c, balancer: shards, pool: pool, lifecycle: state, log: log,
+		config:    c,
+		balancer:  shards,
+		pool:      pool,
 		endpoints: discovery.NewTable(c.Zones, c.Kinds, c.FromUnix, log),
 		admission: admission.New(float64(shards.Count())),
+		lifecycle: state,
+		log:       log,
 	}
 	p.discovery = discovery.NewWatcher(p.watcherConfig(), p.endpoints, shards, pool, log)
 	p.applySettings(c, initialIDs(c))
@@ -135,8 +145,8 @@
 	return ids
 }
 
-// Run runs discovery, gossip, probes and the balancer until ctx ends, when all clients have their answers. Then it
-// cancels the attempts that are still in flight and waits for them.
+// Run runs discovery, gossip, probes and the balancer until ctx ends, which must be after all clients have their answers.
+// It then cancels the attempts that are still in flight and waits for them.
 func (p *Proxy) Run(ctx context.Context) error {
 	g, ctx := errgroup.WithContext(ctx)
 	for shard := range p.balancer.Count() {
@@ -152,9 +162,9 @@
 	return err
 }
 
-// StopWithin bounds the time for answers, as this process stops: requests that would not be done by then are rejected,
-// since a request that is cut off after it was begun cannot always be sent again. Their clients should retry late:
-// connections still arrive here for a while, and dispatchers may be restarted in turn.
+// StopWithin bounds the time for answers, as this process stops. Requests that would not be done by then are rejected:
+// one that is cut off after it was begun cannot always be sent again. Their clients should retry late, as connections
+// still arrive here for a while, and dispatchers may be restarted in turn.
 func (p *Proxy) StopWithin(within time.Duration) { p.balancer.StopAfter(balancer.DurationOf(within)) }
 
 // SetDiscoveryAddress changes the address of the discovery service. The new one is polled at once.
--- a/internal/proxy/queueing.go
+++ b/internal/proxy/queueing.go
@@ -9,12 +9,12 @@
 	"canvasroute/internal/admission"
 )
 
-// sampleQueueingDelay measures how long arriving data waits before a goroutine reads it, and reports it to the admission
-// controller, until ctx ends.
+// sampleQueueingDelay measures how long arriving data waits before a goroutine reads it. It reports the delay to the
+// admission controller until ctx ends.
 //
-// Neither a timer nor the run queue shows that delay: while goroutines have work, readable sockets wait in the kernel's
+// Neither a timer nor the run queue shows that delay. While goroutines have work, readable sockets wait in the kernel's
 // list for the next poll, in the order in which they became readable. So a byte is sent through that list, by a pipe to
-// this process, while there is much to read.
+// this process, while the admission controller wants samples.
 func (p *Proxy) sampleQueueingDelay(ctx context.Context) error {
 	reader, writer, err := os.Pipe()
 	if err != nil {
--- a/internal/proxy/queueing_test.go
+++ b/internal/proxy/queueing_test.go
@@ -6,11 +6,13 @@
 	"time"
 
 	"github.com/stretchr/testify/assert"
+
+	"canvasroute/internal/peertest"
 )
 
 // Samples that stop, or that show a delay where there is none, would reject requests for nothing.
 func TestIdleProcessHasNoQueueingDelay(t *testing.T) {
-	p := newProxy(closedAddress)
+	p := newProxy(peertest.ClosedAddress)
 	ctx, cancel := context.WithTimeout(context.Background(), 300*time.Millisecond)
 	defer cancel()
 	heads := time.NewTicker(time.Millisecond)
--- a/internal/proxy/request_ids.go
+++ b/internal/proxy/request_ids.go
@@ -5,15 +5,15 @@
 // requestIDs are the IDs of the requests that are open in this process and, during a hot restart, in its sibling.
 // Workers know a request by its ID alone: of two clients that send the same one, the second is refused.
 type requestIDs struct {
-	mu        sync.Mutex
+	mu        sync.Mutex // guards the fields below; nothing is called under it
 	here      map[string]struct{}
 	atSibling map[string]struct{}
-	tracking  bool // opened and closed are recorded for the sibling
-	opened    []string
-	closed    []string
+	tracking  bool     // opened and closed are recorded for the sibling
+	opened    []string // since the last call of changes
+	closed    []string // since the last call of changes
 }
 
-// open adds an ID, and returns false where it is open already.
+// open adds an ID, and reports whether it was free.
 func (i *requestIDs) open(id string) bool {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -40,6 +40,7 @@
 	i.open(id)
 }
 
+// close frees the ID of a request that has its answer.
 func (i *requestIDs) close(id string) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -61,8 +62,8 @@
 	}
 }
 
-// changes returns the changes since the last call. Those opened are to be applied before those closed: an ID that was
-// opened and closed again ends closed.
+// changes returns the IDs that were opened and closed since the last call. The opened ones are to be applied first: an ID
+// that was opened and closed again ends closed.
 func (i *requestIDs) changes() (opened, closed []string) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -86,7 +87,7 @@
 	}
 }
 
-// forgetSibling removes the IDs of a sibling that has ended, and records no changes any more.
+// forgetSibling removes the IDs of a sibling that has ended, and stops recording changes.
 func (i *requestIDs) forgetSibling() {
 	i.mu.Lock()
 	defer i.mu.Unlock()
--- a/internal/proxy/request_test.go
+++ b/internal/proxy/request_test.go
@@ -16,12 +16,13 @@
 	"github.com/stretchr/testify/assert"
 
 	"canvasroute/internal/balancer"
+	"canvasroute/internal/peertest"
 	"canvasroute/internal/protocol"
 )
 
 func TestMalformedRequestsAreRefused(t *testing.T) {
 	withTenant := func(p *Proxy) { p.settings.Load().tenants["o"] = 0 }
-	for name, c := range map[string]struct {
+	for name, test := range map[string]struct {
 		head   *protocol.Head
 		change func(*Proxy)
 	}{
@@ -31,9 +32,9 @@
 		"no tenant":         {requestHead("idem"), withTenant},
 	} {
 		t.Run(name, func(t *testing.T) {
-			p := newProxy(closedAddress)
-			c.change(p)
-			assert.Equal(t, 400, serve(p, c.head).Status)
+			p := newProxy(peertest.ClosedAddress)
+			test.change(p)
+			assert.Equal(t, 400, serve(p, test.head).Status)
 			assert.Equal(t, int64(0), p.counters.admitted.Load())
 			assert.Equal(t, int64(1), p.counters.invalid.Load())
 		})
@@ -44,9 +45,9 @@
 func TestOpenRequestIDIsRefused(t *testing.T) {
 	var p *Proxy
 	second := 0
-	p = newProxy(startWorker(t, func(c net.Conn, _ *http.Request) {
+	p = newProxy(peertest.StartServer(t, func(conn net.Conn, _ *http.Request) {
 		second = serve(p, requestHead("idem")).Status
-		io.WriteString(c, chunked(doneLine)+lastChunk)
+		io.WriteString(conn, succeededText())
 	}))
 	for range 2 { // an ID that is not open any more may be used again
 		response := serve(p, requestHead("idem"))
@@ -58,7 +59,7 @@
 // A request that is cut off when the process ends cannot always be rejected. But clients should not be rejected as long
 // as there is time for their requests.
 func TestStoppingProcessServesWhatItCanFinish(t *testing.T) {
-	p := newProxy(startWorker(t, respondWith(chunked(doneLine)+lastChunk, false)))
+	p := newProxy(peertest.StartServer(t, peertest.RespondWith(succeededText())))
 	p.settings.Load().maxRetryAfter = 2 * time.Second
 	p.lifecycle.Stop(time.Now())
 	p.StopWithin(2 * time.Second)
@@ -71,9 +72,9 @@
 	for _, operation := range []string{"idem", "once"} {
 		t.Run(operation, func(t *testing.T) {
 			ctx, leave := context.WithCancel(context.Background())
-			p := newProxy(startWorker(t, func(c net.Conn, _ *http.Request) {
+			p := newProxy(peertest.StartServer(t, func(conn net.Conn, _ *http.Request) {
 				leave()
-				c.Read(make([]byte, 1))
+				_, _ = conn.Read(make([]byte, 1))
 			}))
 			assert.Nil(t, p.Serve(ctx, requestHead(operation), nil, time.Now()))
 			assert.NoError(t, p.background.Wait())
@@ -84,12 +85,12 @@
 }
 
 func TestNonIdempotentRequestFailsAfterReset(t *testing.T) {
-	p := newProxy(startWorker(t, respondWith("", true)))
+	p := newProxy(peertest.StartServer(t, peertest.RespondAndClose("")))
 	assert.Equal(t, 502, serve(p, requestHead("once")).Status)
 }
 
 func TestNonIdempotentRequestIsRejectedAfterDecline(t *testing.T) {
-	p := newProxy(startWorker(t, respondWith(declinedText, false)))
+	p := newProxy(peertest.StartServer(t, peertest.RespondWith(declinedText)))
 	assert.Equal(t, 429, serve(p, requestHead("once")).Status)
 }
 
@@ -111,15 +112,15 @@
 	rng := rand.New(rand.NewPCG(3, 4))
 	var mu sync.Mutex
 	texts := []string{
-		chunked(`{"id":"a100","state":"done","result":"r"}`) + lastChunk, "", chunked(startedLine), failedText, declinedText,
+		peertest.Complete(`{"id":"a100","state":"done","result":"r"}`), "", peertest.Chunked(startedLine), failedText, declinedText,
 	}
-	p := newProxy(startWorker(t, func(c net.Conn, r *http.Request) {
+	p := newProxy(peertest.StartServer(t, func(conn net.Conn, request *http.Request) {
 		mu.Lock()
-		text := strings.ReplaceAll(texts[max(0, rng.IntN(40)-35)], "a100", r.Header.Get("Req-Id"))
+		text := strings.ReplaceAll(texts[max(0, rng.IntN(40)-35)], "a100", request.Header.Get("Req-Id"))
 		mu.Unlock()
-		io.WriteString(c, text)
+		io.WriteString(conn, text)
 		if text == "" {
-			c.Close()
+			conn.Close()
 		}
 	}))
 	var wg sync.WaitGroup
@@ -158,21 +159,21 @@
 // slowWorker responds after a latency. The first attempt is then queued before it starts. attempts counts those received.
 func slowWorker(latency, queueing time.Duration) (respond func(net.Conn, *http.Request), attempts *atomic.Int64) {
 	attempts = &atomic.Int64{}
-	return func(c net.Conn, _ *http.Request) {
+	return func(conn net.Conn, _ *http.Request) {
 		first := attempts.Add(1) == 1
 		time.Sleep(latency)
-		io.WriteString(c, chunkedHead)
+		io.WriteString(conn, peertest.ChunkedHead)
 		if first {
 			time.Sleep(queueing)
 		}
-		io.WriteString(c, chunk(startedLine)+chunk(doneLine)+lastChunk)
+		io.WriteString(conn, peertest.Chunk(startedLine)+peertest.Chunk(doneLine)+peertest.LastChunk)
 	}, attempts
 }
 
 // An objective that is short beside the network latency to a worker must not move each attempt before the worker could
 // have reported its start, until no attempt is left.
 func TestAttemptAtDistantWorkerIsNotHedgedBeforeDelivery(t *testing.T) {
-	for name, c := range map[string]struct {
+	for name, test := range map[string]struct {
 		latency, queueing time.Duration // up to the head of the response, and from there to the start
 		attempts          int64
 	}{
@@ -180,9 +181,9 @@
 		"in a local queue": {0, 150 * time.Millisecond, 2},
 	} {
 		t.Run(name, func(t *testing.T) {
-			worker, attempts := slowWorker(c.latency, c.queueing)
-			other := startWorker(t, worker)
-			p := newProxyWith(startWorker(t, worker), func(balancing *balancer.Config, config *Config) {
+			worker, attempts := slowWorker(test.latency, test.queueing)
+			other := peertest.StartServer(t, worker)
+			p := newProxyWith(peertest.StartServer(t, worker), func(balancing *balancer.Config, config *Config) {
 				balancing.DeliveryNotices = true
 				balancing.StartNotices = true
 				balancing.MaxAttempts = 4
@@ -197,8 +198,8 @@
 			ctx, cancel := context.WithCancel(context.Background())
 			defer cancel()
 			go func() { _ = p.balancer.Run(ctx, 0) }()
-			assert.Equal(t, 200, receive(t, startServe(ctx, p, requestHead("idem"))).Status)
-			assert.Equal(t, c.attempts, attempts.Load())
+			assert.Equal(t, 200, peertest.Receive(t, startServe(ctx, p, requestHead("idem"))).Status)
+			assert.Equal(t, test.attempts, attempts.Load())
 		})
 	}
 }
--- a/internal/proxy/sibling.go
+++ b/internal/proxy/sibling.go
@@ -1,10 +1,8 @@
 package proxy
 
-import (
-	"canvasroute/internal/balancer"
-)
+import "canvasroute/internal/balancer"
 
-// SiblingUpdate is what the two processes of a dispatcher send each other again and again during a hot restart. To
+// SiblingUpdate is what the two processes of a dispatcher send each other at short intervals during a hot restart. To
 // workers, peers and clients they are one dispatcher.
 type SiblingUpdate struct {
 	InFlight          map[string]int           `json:"Loads,omitempty"`  // attempts in flight, by the worker's ID
@@ -12,16 +10,13 @@
 	Opened            []string                 `json:"Opened,omitempty"` // request IDs opened since the last update
 	Closed            []string                 `json:"Closed,omitempty"` // request IDs closed since the last update
 	ClientConnections int                      `json:"Clients"`          // that it has, or may still have
-	WorkerConnections int                      `json:"Workers"`
+	WorkerConnections int                      `json:"Workers"`          // that it has, or may still have
 }
 
-// SiblingUpdate returns what the sibling process is to be sent now, without the numbers of connections. Each call
-// continues where the last one ended.
+// SiblingUpdate returns what is to be sent to the sibling process now, without the numbers of connections. Each call
+// continues where the last one ended; calls must not overlap.
 func (p *Proxy) SiblingUpdate(to balancer.SiblingRole) SiblingUpdate {
-	u := SiblingUpdate{InFlight: map[string]int{}, RecentSends: map[string]balancer.Work{}}
-	for _, load := range p.balancer.InFlightFor(to) {
-		u.InFlight[p.endpoints.Endpoint(load.Worker).ID] = load.InFlight
-	}
+	u := SiblingUpdate{InFlight: p.inFlightFor(to), RecentSends: map[string]balancer.Work{}}
 	now := p.balancer.Now()
 	for _, send := range p.balancer.RecentSendsSince(p.sendsReportedAt) {
 		u.RecentSends[p.endpoints.Endpoint(send.Worker).ID] += send.Work
@@ -33,23 +28,33 @@
 
 // ReceiveSiblingUpdate applies an update of the sibling process. Workers that are not listed here are left out.
 func (p *Proxy) ReceiveSiblingUpdate(from balancer.SiblingRole, u SiblingUpdate) {
+	p.balancer.UpdateSibling(from, p.workerLoads(u.InFlight))
+	if sends := p.recentSends(u.RecentSends); len(sends) > 0 {
+		p.balancer.AddRecentSends(sends)
+	}
+	p.requestIDs.applySibling(u.Opened, u.Closed)
+}
+
+// workerLoads returns attempts in flight by worker ID in the balancer's terms, without those at unknown workers.
+func (p *Proxy) workerLoads(inFlight map[string]int) []balancer.WorkerLoad {
 	var loads []balancer.WorkerLoad
-	for id, inFlight := range u.InFlight {
+	for id, count := range inFlight {
 		if worker, known := p.endpoints.ByID(id); known {
-			loads = append(loads, balancer.WorkerLoad{Worker: worker, InFlight: inFlight})
+			loads = append(loads, balancer.WorkerLoad{Worker: worker, InFlight: count})
 		}
 	}
-	p.balancer.UpdateSibling(from, loads)
+	return loads
+}
+
+// recentSends returns the work sent by worker ID in the balancer's terms, without that sent to unknown workers.
+func (p *Proxy) recentSends(sent map[string]balancer.Work) []balancer.RecentSend {
 	var sends []balancer.RecentSend
-	for id, work := range u.RecentSends {
+	for id, work := range sent {
 		if worker, known := p.endpoints.ByID(id); known {
 			sends = append(sends, balancer.RecentSend{Worker: worker, Work: work})
 		}
 	}
-	if len(sends) > 0 {
-		p.balancer.AddRecentSends(sends)
-	}
-	p.requestIDs.applySibling(u.Opened, u.Closed)
+	return sends
 }
 
 // ForgetSibling forgets what the sibling process had in flight, as it has ended.
--- a/internal/proxy/snapshot.go
+++ b/internal/proxy/snapshot.go
@@ -10,8 +10,8 @@
 	"canvasroute/internal/protocol"
 )
 
-// Snapshot is what a process knows and passes to the one that continues it: a successor, or the next process after it
-// was started from disk. Names come with it, since the numbers of a process with other settings differ.
+// Snapshot is the state that a process passes to the one that continues it: a successor, or a later process that reads it
+// from disk. It holds names beside numbers, as the numbers of a process with other settings differ.
 type Snapshot struct {
 	Version   int64               `json:"Version"` // of the endpoint list
 	Endpoints []protocol.Endpoint `json:"Workers"` // by their numbers, with those that are gone
@@ -23,7 +23,7 @@
 	Drained   bool                `json:"Left"` // operators drained this dispatcher, which holds for a successor too
 }
 
-// Snapshot returns what is known now, for a successor. From then on SiblingUpdate returns which request IDs change.
+// Snapshot returns the state for a successor. From then on SiblingUpdate returns which request IDs change.
 func (p *Proxy) Snapshot() Snapshot {
 	s := p.SnapshotForDisk()
 	p.requestIDs.startTracking()
@@ -31,7 +31,7 @@
 	return s
 }
 
-// SnapshotForDisk returns what is known now except the requests in flight, for the disk.
+// SnapshotForDisk returns the state for the disk, which has no requests in flight.
 func (p *Proxy) SnapshotForDisk() Snapshot {
 	s := Snapshot{Kinds: p.config.Kinds, Tenants: p.settings.Load().tenantNames, Learned: p.balancer.Snapshot()}
 	contents := p.endpoints.Contents()
@@ -43,7 +43,8 @@
 	return s
 }
 
-// restoreFromPredecessor applies the Snapshot of a predecessor, if there is one that had workers.
+// restoreFromPredecessor applies the Snapshot of a predecessor. It reports whether there is one that had workers, and
+// does nothing otherwise.
 func (p *Proxy) restoreFromPredecessor(text json.RawMessage) (restored bool, err error) {
 	if text == nil {
 		return false, nil
@@ -69,12 +70,12 @@
 	return true, nil
 }
 
-// RestoreFromDisk applies a Snapshot of an earlier process, whose workers and zones had other numbers, and reports
-// whether the balancer took it. The endpoint list has to be known, and no request may have arrived yet.
+// RestoreFromDisk applies a Snapshot of an earlier process, whose workers and zones had other numbers. It reports whether
+// the balancer accepted it. The endpoint list has to be known, and no request may have arrived yet.
 func (p *Proxy) RestoreFromDisk(s Snapshot) bool {
 	p.alignNames(s)
-	for n := range s.Learned {
-		learned := &s.Learned[n]
+	for shard := range s.Learned {
+		learned := &s.Learned[shard]
 		learned.Workers = renumber(learned.Workers, func(previous int) (int, bool) {
 			if previous >= len(s.Endpoints) {
 				return 0, false
@@ -92,17 +93,17 @@
 	return p.balancer.RestoreFromDisk(s.Learned)
 }
 
-// alignNames puts what a Snapshot knows by tenant and kind into the order of the settings here.
+// alignNames puts the values of a Snapshot by tenant and by kind into the order of the settings here.
 func (p *Proxy) alignNames(s Snapshot) {
-	for n := range s.Learned {
-		learned := &s.Learned[n]
+	for shard := range s.Learned {
+		learned := &s.Learned[shard]
 		learned.Tenants = align(learned.Tenants, s.Tenants, p.settings.Load().tenantNames)
 		learned.Kinds = align(learned.Kinds, s.Kinds, p.config.Kinds)
 	}
 }
 
-// align puts values that are in the order of the previous names into that of the current ones. Without any names there
-// is one value of its sort.
+// align puts values that are in the order of the previous names into that of the current ones. Values of other names are
+// dropped, and a name that is new gets the zero value. Without any names there is one value, which stays.
 func align[T any](values []T, previous, current []string) []T {
 	if len(previous) == 0 && len(current) == 0 {
 		return values
@@ -112,16 +113,17 @@
 		positions[name] = position
 	}
 	aligned := make([]T, len(current))
-	for n, name := range current {
+	for number, name := range current {
 		position, found := positions[name]
 		if found && position < len(values) {
-			aligned[n] = values[position]
+			aligned[number] = values[position]
 		}
 	}
 	return aligned
 }
 
-// renumber moves each value to the number that current returns for its previous one, and drops the others.
+// renumber moves each value to the number that current returns for its previous number. Values for which current finds
+// none are dropped.
 func renumber[T any](values []T, current func(previous int) (int, bool)) []T {
 	var renumbered []T
 	for previous, value := range values {
--- a/internal/proxy/snapshot_test.go
+++ b/internal/proxy/snapshot_test.go
@@ -7,29 +7,30 @@
 	"github.com/stretchr/testify/assert"
 
 	"canvasroute/internal/balancer"
+	"canvasroute/internal/peertest"
 	"canvasroute/internal/protocol"
 )
 
 func TestSuccessorContinuesWithSnapshot(t *testing.T) {
-	predecessor := newProxy(closedAddress)
-	drained := protocol.Endpoint{ID: "v", Address: closedAddress, Zone: "z", State: protocol.Terminating}
+	predecessor := newProxy(peertest.ClosedAddress)
+	drained := protocol.Endpoint{ID: "v", Address: peertest.ClosedAddress, Zone: "z", State: protocol.Terminating}
 	predecessor.MergeEndpoints([]protocol.Endpoint{drained})
 	predecessor.requestIDs.open("a1")
 	text, err := json.Marshal(predecessor.Snapshot())
 	assert.NoError(t, err)
-	successor := newProxyWith(closedAddress, func(_ *balancer.Config, config *Config) { config.PredecessorSnapshot = text })
+	successor := newProxyWith(peertest.ClosedAddress, func(_ *balancer.Config, config *Config) { config.PredecessorSnapshot = text })
 	assert.Equal(t, predecessor.endpoints.Contents(), successor.endpoints.Contents())
 	assert.NoError(t, successor.Ready(), "it does not wait for its own first poll")
 	assert.Equal(t, 409, serve(successor, requestHead("idem")).Status, "the predecessor has this ID open")
 }
 
 func TestMalformedSnapshotIsNotRestored(t *testing.T) {
-	p := newProxyWith(closedAddress, func(_ *balancer.Config, config *Config) { config.PredecessorSnapshot = []byte("{") })
+	p := newProxyWith(peertest.ClosedAddress, func(_ *balancer.Config, config *Config) { config.PredecessorSnapshot = []byte("{") })
 	assert.Equal(t, int64(7), p.endpoints.Version(), "it starts with the initial endpoints")
 }
 
 func TestAlignPutsValuesIntoTheOrderOfNames(t *testing.T) {
-	for name, c := range map[string]struct {
+	for name, test := range map[string]struct {
 		values            []int
 		previous, current []string
 		want              []int
@@ -42,7 +43,7 @@
 		"names at last":       {[]int{1}, nil, []string{"a"}, []int{0}},
 		"names at first only": {[]int{1}, []string{"a"}, nil, []int{}},
 	} {
-		t.Run(name, func(t *testing.T) { assert.Equal(t, c.want, align(c.values, c.previous, c.current)) })
+		t.Run(name, func(t *testing.T) { assert.Equal(t, test.want, align(test.values, test.previous, test.current)) })
 	}
 }
 
--- a/internal/proxy/response.go
+++ b/internal/proxy/worker_response.go
@@ -5,6 +5,7 @@
 	"context"
 	"errors"
 	"fmt"
+	"net/http"
 
 	"canvasroute/internal/balancer"
 	"canvasroute/internal/protocol"
@@ -17,91 +18,83 @@
 	errCloseRequested    = errors.New("worker closes the connection")
 )
 
-// response is a worker's response, as far as it decides the attempt.
-type response struct {
+// workerResponse is a worker's response, as far as it decides the attempt.
+type workerResponse struct {
 	outcome  balancer.Outcome
 	result   string        // of a succeeded attempt
 	body     protocol.Body // its rest is still to be read, unless there is an error
-	err      error         // the connection cannot be used any more
+	err      error         // nil where the connection can be used again after the rest of the body
 	migrated bool          // the sibling process reads on; the other fields are not set
 }
 
-// readResponse reads a worker's response up to the line that decides the attempt.
-func (a *attempt) readResponse(ctx context.Context, conn *transport.Conn) response {
+// readResponse reads a worker's response up to the line that decides the attempt. ctx is that of the attempt, which
+// interrupts conn when it ends.
+func (a *attempt) readResponse(ctx context.Context, conn *transport.Conn) workerResponse {
 	head, err := conn.ReadResponseHead()
 	if err != nil {
-		outcome := a.lostOutcome(ctx, err)
-		if outcome == balancer.ConnectionReset && a.reused && conn.NothingReceived() {
-			// The connection may have ended before the attempt was sent on it.
-			a.proxy.pool.MarkSuspect(conn.Addr())
-			outcome = balancer.ConnectionStale
-		}
-		return response{outcome: outcome, err: err}
+		return workerResponse{outcome: a.lostHeadOutcome(ctx, conn, err), err: err}
 	}
 	body, err := protocol.ResponseBody(&head)
 	if err != nil {
-		return response{outcome: a.lostOutcome(ctx, err), body: body, err: err}
+		return workerResponse{outcome: a.lostOutcome(ctx, err), body: body, err: err}
 	}
-	if head.Status != 200 {
-		return unsuccessful(&head, body)
+	if head.Status != http.StatusOK {
+		return unsuccessfulResponse(&head, body)
 	}
 	a.events.delivered()
+	return a.readLines(ctx, conn, &head, body)
+}
+
+// unsuccessfulResponse returns a response with another status than 200.
+func unsuccessfulResponse(head *protocol.Head, body protocol.Body) workerResponse {
+	answer := workerResponse{outcome: balancer.WorkerError, body: body}
+	if protocol.Declined(head) {
+		answer.outcome = balancer.Overloaded
+	}
+	if head.CloseRequested() || body.EndsWithConnection() {
+		answer.err = errCloseRequested
+	}
+	return answer
+}
+
+// readLines reads the lines of a successful response up to the one that decides the attempt.
+func (a *attempt) readLines(ctx context.Context, conn *transport.Conn, head *protocol.Head, body protocol.Body,
+) workerResponse {
 	lines := lineParser{attempt: a}
-	err = conn.ReadChunks(&body, lines.write)
+	err := conn.ReadChunks(&body, lines.write)
 	if err == nil {
 		lines.end()
 	}
+	answer := workerResponse{outcome: lines.outcome, result: lines.result, body: body}
 	switch {
 	case lines.err != nil:
-		return response{outcome: balancer.WorkerError, body: body, err: lines.err}
+		return workerResponse{outcome: balancer.WorkerError, body: body, err: lines.err}
 	case lines.decided() && head.CloseRequested():
-		return response{outcome: lines.outcome, result: lines.result, body: body, err: errCloseRequested}
+		answer.err = errCloseRequested
+		return answer
 	case lines.decided():
-		return response{outcome: lines.outcome, result: lines.result, body: body}
+		return answer
 	case err == nil:
 		err = errTruncatedResponse
 	}
-	return response{outcome: a.lostOutcome(ctx, err), body: body, err: err}
+	return workerResponse{outcome: a.lostOutcome(ctx, err), body: body, err: err}
 }
 
-// unsuccessful is a response with another status than 200.
-func unsuccessful(head *protocol.Head, body protocol.Body) response {
-	r := response{outcome: balancer.WorkerError, body: body}
-	if protocol.Declined(head) {
-		r.outcome = balancer.Overloaded
-	}
-	if head.CloseRequested() || body.EndsWithConnection() {
-		r.err = errCloseRequested
-	}
-	return r
-}
-
-// lostOutcome is the outcome of an attempt that was sent and whose connection brings nothing more.
-func (a *attempt) lostOutcome(ctx context.Context, err error) balancer.Outcome {
-	switch {
-	case errors.Is(context.Cause(ctx), balancer.ErrAttemptCanceled):
-		return balancer.Canceled
-	case ctx.Err() != nil:
-		return balancer.TimedOut
-	case errors.Is(err, protocol.ErrMalformed), errors.Is(err, protocol.ErrTooLarge),
-		errors.Is(err, protocol.ErrHeadTooLarge), errors.Is(err, errMalformedResponse):
-		return balancer.WorkerError
-	}
-	return balancer.ConnectionReset
-}
+// undecided is the outcome of an attempt whose response has not decided it yet.
+const undecided balancer.Outcome = 0
 
 // lineParser parses the lines of a response as their bytes come, up to the one that decides the attempt.
 type lineParser struct {
 	attempt *attempt
 	pending []byte           // a line that is not complete
-	outcome balancer.Outcome // 0 while the attempt is not decided
-	result  string
-	err     error
+	outcome balancer.Outcome // undecided up to the line that decides
+	result  string           // of a succeeded attempt
+	err     error            // errMalformedResponse, which ends the parsing
 }
 
-func (p *lineParser) decided() bool { return p.outcome != 0 }
+func (p *lineParser) decided() bool { return p.outcome != undecided }
 
-// write takes the next bytes, and reports whether more are needed.
+// write parses the lines that are complete with the next bytes, and reports whether more bytes are needed.
 func (p *lineParser) write(data []byte) (more bool) {
 	p.pending = append(p.pending, data...)
 	for !p.decided() && p.err == nil {
@@ -118,7 +111,7 @@
 	return !p.decided() && p.err == nil
 }
 
-// end parses what the body ended with, if that line had no line end.
+// end parses the last line of a body that ended without a line end.
 func (p *lineParser) end() {
 	last := bytes.TrimSpace(p.pending)
 	if !p.decided() && p.err == nil && len(last) > 0 {
@@ -126,6 +119,7 @@
 	}
 }
 
+// parse applies one line. Lines about other states than those below decide nothing.
 func (p *lineParser) parse(text []byte) {
 	if len(text) == 0 {
 		return
