--- a/internal/proxy/migration_export.go
+++ b/internal/proxy/migration_export.go
@@ -109,7 +109,7 @@
 	r.migration.attempts = nil
 }
 
-// migrate passes on a request that export has prepared. Where that fails the request fails: it may have been executed.
+// migrate passes on a request that export has prepared, and ends it here. Where that fails the outcome of the request is unknown.
 func (p *Proxy) migrate(ctx context.Context, r *inFlightRequest) *protocol.Response {
 	r.mu.Lock()
 	m := *r.migration
--- a/internal/proxy/migration_import.go
+++ b/internal/proxy/migration_import.go
@@ -28,10 +28,10 @@
 	if err := p.renumberWorkers(migrated); err != nil {
 		return ImportedRequest{MigratedRequest: migrated}, fmt.Errorf("migrated request: %w", err)
 	}
-	operation := migrated.Request.Operation
-	p.operations.add(operation)
+	operationName := migrated.Request.Operation
+	p.operations.add(operationName)
 	finish := func(ctx context.Context) *protocol.Response {
-		return p.counted(operation, func() *protocol.Response { return p.continueRequest(ctx, migrated, attempts) })
+		return p.counted(operationName, func() *protocol.Response { return p.continueRequest(ctx, migrated, attempts) })
 	}
 	return ImportedRequest{MigratedRequest: migrated, Finish: finish}, nil
 }
--- a/internal/proxy/operation_counters.go
+++ b/internal/proxy/operation_counters.go
@@ -42,9 +42,9 @@
 
 // counted returns the answer of serve to an admitted request. It counts the request as outstanding until then, and by
 // its answer after.
-func (p *Proxy) counted(operation string, serve func() *protocol.Response) *protocol.Response {
+func (p *Proxy) counted(operationName string, serve func() *protocol.Response) *protocol.Response {
 	p.counters.admitted.Add(1)
-	counts := p.operations.of(operation)
+	counts := p.operations.of(operationName)
 	counts.outstanding.Add(1)
 	defer counts.outstanding.Add(-1)
 	answer := serve()
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -42,7 +42,8 @@
 	return p.counted(request.Operation, func() *protocol.Response { return p.admit(ctx, r, arrival) })
 }
 
-// admit answers a valid request: it rejects the request, or submits it to the balancer and follows that.
+// admit answers a valid request. It rejects the request while the process stops or recovers, and submits it otherwise.
+// Overload is decided on before, by the head alone (AnswerByHead), and afterwards by the balancer.
 func (p *Proxy) admit(ctx context.Context, r *inFlightRequest, arrival balancer.Arrival) *protocol.Response {
 	if !p.canFinish(arrival) {
 		return p.respondUnavailable(r.settings.maxRetryAfter)
@@ -66,13 +67,13 @@
 	if !phase.AdmitsRequests() {
 		return false
 	}
-	// A successor continues what this process has not finished.
+	// With a successor, requests in flight are migrated at the end.
 	endsWithProcess := phase.IsStopping() && phase != lifecycle.StoppingHandedOff
 	return !endsWithProcess || !p.balancer.WouldMissStop(arrival)
 }
 
-// submit passes a request to the balancer, with where it may have been executed before, and answers it. Where that place
-// is not known the request fails: it may have been executed.
+// submit passes a request to the balancer, with where it may have been executed before, and answers it. Where it may have
+// been executed at an unknown worker, the request fails.
 func (p *Proxy) submit(ctx context.Context, r *inFlightRequest, arrival balancer.Arrival) *protocol.Response {
 	prior, err := p.priorAttempt(r)
 	switch {
--- a/internal/proxy/responses.go
+++ b/internal/proxy/responses.go
@@ -7,16 +7,18 @@
 	"canvasroute/internal/protocol"
 )
 
-// The answers to clients. Each function below counts the answer that it returns.
+// The answers to clients, by the decision that leads to each. Each function below counts the answer that it returns.
 //
-//	200  an attempt succeeded; or a health check finds workers and a process that serves
-//	400  the request is malformed, or names an unknown operation or tenant (408, 413 and 431: protocol.RejectionOf)
-//	404  the path is unknown
-//	405  the path does not have the method
-//	409  a request with the same ID is open
-//	429  the balancer has rejected the request, which was not executed
-//	502  the request has failed: it may have been executed
-//	503  the request was rejected before the balancer had it; or a health check finds no workers or a process that stops
+//   - 200: an attempt has succeeded. To a health check: there are workers, and the process serves.
+//   - 400: the request is malformed, or its operation or tenant is unknown. (408, 413 and 431: protocol.RejectionOf.)
+//   - 404: the path is unknown.
+//   - 405: the path does not have the method.
+//   - 409: another request with the same ID is open.
+//   - 429: the balancer has rejected the request, which may be sent again: it was not executed, or its operation is
+//     idempotent in the whole fleet.
+//   - 502: the request has failed, and its outcome is unknown.
+//   - 503: the request was rejected before the balancer had it. The process is drained, stops too soon, recovers, is
+//     overloaded, or has too many connections. To a health check: there are no workers, or the process drains or stops.
 //
 // A client that has left gets no answer, nor does one whose request the sibling process continues.
 
@@ -26,7 +28,8 @@
 	return &protocol.Response{Status: http.StatusOK, Body: []byte(result)}
 }
 
-// respondRejected answers a request that the balancer has rejected. retryAfter is its advice to the client, 0 for none.
+// respondRejected answers a request that the balancer has rejected, and that may be sent again. retryAfter is the advice
+// to the client, 0 for none.
 func (p *Proxy) respondRejected(retryAfter time.Duration) *protocol.Response {
 	p.counters.rejected.Add(1)
 	return &protocol.Response{Status: http.StatusTooManyRequests, RetryAfter: retryAfter}
@@ -39,7 +42,7 @@
 	return &protocol.Response{Status: http.StatusServiceUnavailable, RetryAfter: retryAfter}
 }
 
-// respondFailed answers a request that may have been executed. A rejection would say that it was not.
+// respondFailed answers a request whose outcome is unknown. A rejection would say that it may be sent again.
 func (p *Proxy) respondFailed() *protocol.Response {
 	p.counters.failed.Add(1)
 	return &protocol.Response{Status: http.StatusBadGateway}
