--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -12,7 +12,8 @@
 // trailerTimeout bounds the wait for the end of a response after its last line has come.
 const trailerTimeout = 250 * time.Millisecond
 
-// attempt is one attempt of a request at a worker. The goroutine that runs it owns it, except for pause.
+// attempt is one attempt of a request at a worker. The goroutine that runs it owns it, except for pause. While it is
+// paused, the goroutine that migrates its request may read it.
 type attempt struct {
 	proxy       *Proxy
 	request     *protocol.Request
--- a/internal/proxy/format_test.go
+++ b/internal/proxy/format_test.go
@@ -42,11 +42,11 @@
 
 // TestReadsDocumentsOfEarlierRelease checks that each field of a document of an earlier release arrives.
 func TestReadsDocumentsOfEarlierRelease(t *testing.T) {
-	for _, f := range formats(t) {
-		t.Run(f.name, func(t *testing.T) {
-			read := reflect.New(reflect.TypeOf(f.value).Elem()).Interface()
-			assert.NoError(t, json.Unmarshal(goldenFile(t, f.golden), read))
-			assert.Equal(t, f.value, read)
+	for _, document := range formats(t) {
+		t.Run(document.name, func(t *testing.T) {
+			read := reflect.New(reflect.TypeOf(document.value).Elem()).Interface()
+			assert.NoError(t, json.Unmarshal(goldenFile(t, document.golden), read))
+			assert.Equal(t, document.value, read)
 		})
 	}
 }
@@ -54,11 +54,11 @@
 // TestWritesDocumentsThatEarlierReleaseReads checks that documents are written byte for byte as an earlier release
 // wrote them.
 func TestWritesDocumentsThatEarlierReleaseReads(t *testing.T) {
-	for _, f := range formats(t) {
-		t.Run(f.name, func(t *testing.T) {
-			written, err := json.Marshal(f.value)
+	for _, document := range formats(t) {
+		t.Run(document.name, func(t *testing.T) {
+			written, err := json.Marshal(document.value)
 			assert.NoError(t, err)
-			assert.Equal(t, string(goldenFile(t, f.golden)), string(written))
+			assert.Equal(t, string(goldenFile(t, document.golden)), string(written))
 		})
 	}
 }
@@ -67,17 +67,17 @@
 // needs a value in the fixture. The golden file of the earlier release does not hold it, so that the new field also
 // needs a decision about how an earlier release reads it.
 func TestDocumentFixturesSetEachField(t *testing.T) {
-	for _, f := range formats(t) {
-		if f.filled {
-			assert.Empty(t, unsetFields(reflect.ValueOf(f.value), f.name))
+	for _, document := range formats(t) {
+		if document.filled {
+			assert.Empty(t, unsetFields(reflect.ValueOf(document.value), document.name))
 		}
 	}
 }
 
 // TestDocumentFieldsNameTheirKeys checks that no key follows from the name of a Go field, which a rename would change.
 func TestDocumentFieldsNameTheirKeys(t *testing.T) {
-	for _, f := range formats(t) {
-		assert.Empty(t, untaggedFields(reflect.TypeOf(f.value), f.name))
+	for _, document := range formats(t) {
+		assert.Empty(t, untaggedFields(reflect.TypeOf(document.value), document.name))
 	}
 }
 
@@ -106,49 +106,50 @@
 	return bytes.TrimSuffix(text, []byte("\n"))
 }
 
-// unsetFields returns the paths of all fields, also unexported ones, that are zero or empty in v or in what it holds.
-func unsetFields(v reflect.Value, path string) (unset []string) {
-	isStruct := v.Kind() == reflect.Struct && v.Type() != reflect.TypeFor[time.Time]()
-	if v.IsZero() && !isStruct {
+// unsetFields returns the paths of all fields, also unexported ones, that are zero or empty in value or in what it holds.
+func unsetFields(value reflect.Value, path string) (unset []string) {
+	isStruct := value.Kind() == reflect.Struct && value.Type() != reflect.TypeFor[time.Time]()
+	if value.IsZero() && !isStruct {
 		return []string{path}
 	}
 	switch {
-	case v.Kind() == reflect.Pointer:
-		return unsetFields(v.Elem(), path)
+	case value.Kind() == reflect.Pointer:
+		return unsetFields(value.Elem(), path)
 	case isStruct:
-		for n := range v.NumField() {
-			unset = append(unset, unsetFields(v.Field(n), path+"."+v.Type().Field(n).Name)...)
+		for position := range value.NumField() {
+			field := value.Type().Field(position)
+			unset = append(unset, unsetFields(value.Field(position), path+"."+field.Name)...)
 		}
-	case v.Kind() == reflect.Map && v.Len() == 0, v.Kind() == reflect.Slice && v.Len() == 0:
+	case value.Kind() == reflect.Map && value.Len() == 0, value.Kind() == reflect.Slice && value.Len() == 0:
 		return []string{path}
-	case v.Kind() == reflect.Slice && v.Type().Elem().Kind() != reflect.Uint8:
-		for n := range v.Len() {
-			unset = append(unset, unsetFields(v.Index(n), fmt.Sprintf("%s[%d]", path, n))...)
+	case value.Kind() == reflect.Slice && value.Type().Elem().Kind() != reflect.Uint8:
+		for position := range value.Len() {
+			unset = append(unset, unsetFields(value.Index(position), fmt.Sprintf("%s[%d]", path, position))...)
 		}
 	}
 	return unset
 }
 
-// untaggedFields returns the paths of all exported fields below t that have no key in a json tag. A type that
-// encodes itself is passed over: the golden files hold its form.
-func untaggedFields(t reflect.Type, path string) (untagged []string) {
-	switch t.Kind() {
+// untaggedFields returns the paths of all exported fields of a type that have no key in a json tag. A type that encodes
+// itself is skipped: the golden files hold its form.
+func untaggedFields(documentType reflect.Type, path string) (untagged []string) {
+	switch documentType.Kind() {
 	case reflect.Pointer, reflect.Slice, reflect.Map:
-		return untaggedFields(t.Elem(), path)
+		return untaggedFields(documentType.Elem(), path)
 	case reflect.Struct:
 	default:
 		return nil
 	}
-	if reflect.PointerTo(t).Implements(reflect.TypeFor[json.Marshaler]()) {
+	if reflect.PointerTo(documentType).Implements(reflect.TypeFor[json.Marshaler]()) {
 		return nil
 	}
-	for n := range t.NumField() {
-		f := t.Field(n)
-		key, _, _ := bytes.Cut([]byte(f.Tag.Get("json")), []byte(","))
+	for position := range documentType.NumField() {
+		field := documentType.Field(position)
+		key, _, _ := bytes.Cut([]byte(field.Tag.Get("json")), []byte(","))
 		if len(key) == 0 {
-			untagged = append(untagged, path+"."+f.Name)
+			untagged = append(untagged, path+"."+field.Name)
 		}
-		untagged = append(untagged, untaggedFields(f.Type, path+"."+f.Name)...)
+		untagged = append(untagged, untaggedFields(field.Type, path+"."+field.Name)...)
 	}
 	return untagged
 }
@@ -176,7 +177,7 @@
 	}
 }
 
-// fullLearned is what one instance has learnt, with each field set.
+// fullLearned is what one shard has learned, with each field set.
 func fullLearned() balancer.Snapshot {
 	return balancer.Snapshot{
 		Operations: []balancer.OperationStats{{
@@ -236,14 +237,14 @@
 	}
 }
 
-// fullRequest is a request as a client hands it in, with each field set.
+// fullRequest is a request as a client sends it, with each field set.
 func fullRequest(t *testing.T) *protocol.Request {
 	t.Helper()
-	h, err := protocol.ParseRequestHead([]byte("POST /api?q=1 HTTP/1.1\r\nReq-Id: request-1\r\nReq-Kind: render\r\n" +
+	parsed, err := protocol.ParseRequestHead([]byte("POST /api?q=1 HTTP/1.1\r\nReq-Id: request-1\r\nReq-Kind: render\r\n" +
 		"Req-Owner: acme\r\nReq-Deadline: 2.5\r\nReq-Cost: 1500\r\nReq-Extra: slots=1.5\r\n" +
 		"Idempotency-Key: key-1\r\nContent-Type: text/plain\r\n\r\n"))
 	assert.NoError(t, err)
-	request, err := protocol.ParseRequest(&h.Head)
+	request, err := protocol.ParseRequest(&parsed.Head)
 	assert.NoError(t, err)
 	request.Body = []byte("body \x00\xff")
 	return request
--- a/internal/proxy/migration_test.go
+++ b/internal/proxy/migration_test.go
@@ -23,9 +23,9 @@
 func TestPausedRequestGoesOnAndGetsItsAnswer(t *testing.T) {
 	text := peertest.Complete(startedLine, doneLine)
 	p := newProxy(peertest.StartServer(t, func(conn net.Conn, _ *http.Request) {
-		for _, b := range []byte(text) {
+		for _, next := range []byte(text) {
 			time.Sleep(time.Millisecond)
-			_, _ = conn.Write([]byte{b})
+			_, _ = conn.Write([]byte{next})
 		}
 	}))
 	p.config.MigratesRequests = true
--- a/internal/proxy/operators_test.go
+++ b/internal/proxy/operators_test.go
@@ -46,29 +46,29 @@
 func TestCountersLogLine(t *testing.T) {
 	p, log := newProxy(peertest.ClosedAddress), &bytes.Buffer{}
 	p.log = zerolog.New(log)
-	c := &p.counters
-	c.admitted.Store(11)
-	c.succeeded.Store(12)
-	c.rejected.Store(13)
-	c.failed.Store(14)
-	c.clientLeft.Store(15)
-	c.invalid.Store(16)
-	c.overBudget.Store(17)
-	c.shed.Store(18)
-	c.migrated.Store(19)
-	c.sent.Store(20)
-	c.probes.Store(21)
+	counts := &p.counters
+	counts.admitted.Store(11)
+	counts.succeeded.Store(12)
+	counts.rejected.Store(13)
+	counts.failed.Store(14)
+	counts.clientLeft.Store(15)
+	counts.invalid.Store(16)
+	counts.overBudget.Store(17)
+	counts.shed.Store(18)
+	counts.migrated.Store(19)
+	counts.sent.Store(20)
+	counts.probes.Store(21)
 	p.discovery.Counters.Lists.Store(22)
 	p.discovery.Counters.WatchesLost.Store(23)
-	g := &p.gossip.Counters
-	g.Sent.Store(24)
-	g.Failed.Store(25)
-	g.Received.Store(26)
-	g.Malformed.Store(27)
-	g.Strangers.Store(28)
-	g.Reordered.Store(29)
+	datagrams := &p.gossip.Counters
+	datagrams.Sent.Store(24)
+	datagrams.Failed.Store(25)
+	datagrams.Received.Store(26)
+	datagrams.Malformed.Store(27)
+	datagrams.Strangers.Store(28)
+	datagrams.Reordered.Store(29)
 	for outcome := range balancer.Outcome(11) {
-		c.outcomes[outcome].Store(100 + int64(outcome))
+		counts.outcomes[outcome].Store(100 + int64(outcome))
 	}
 	p.LogCounters("asked")
 	var line map[string]any
--- a/internal/proxy/request_test.go
+++ b/internal/proxy/request_test.go
@@ -116,7 +116,8 @@
 	}
 	p := newProxy(peertest.StartServer(t, func(conn net.Conn, request *http.Request) {
 		mu.Lock()
-		text := strings.ReplaceAll(texts[max(0, rng.IntN(40)-35)], "a100", request.Header.Get("Req-Id"))
+		position := max(0, rng.IntN(40)-35) // nine in ten succeed
+		text := strings.ReplaceAll(texts[position], "a100", request.Header.Get("Req-Id"))
 		mu.Unlock()
 		io.WriteString(conn, text)
 		if text == "" {
