--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -146,7 +146,7 @@
 	}
 }
 
-// Run polls whenever the balancer asks for it, and reports the end of each watch, until ctx ends.
+// Run polls whenever the balancer decides so, and reports the end of each watch, until ctx ends.
 func (w *Watcher) Run(ctx context.Context) error {
 	for w.balancer.AwaitPoll(ctx) == nil {
 		w.poll(ctx)
--- a/internal/peertest/peertest.go
+++ b/internal/peertest/peertest.go
@@ -15,7 +15,7 @@
 const (
 	// EventTimeout bounds the wait for an event that is sure to come.
 	EventTimeout = 5 * time.Second
-	// PollInterval is the time between two looks at a condition that is to become true.
+	// PollInterval is the time between two checks of a condition that is to become true.
 	PollInterval = time.Millisecond
 	// ClosedAddress is an address at which nobody listens.
 	ClosedAddress = "127.0.0.1:1"
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -80,8 +80,8 @@
 	p.runInBackground(r, a, func() attemptResult { return a.run(decision.Ctx, decision.Worker) })
 }
 
-// runInBackground runs an attempt on a goroutine of its own, for which Run waits. The attempt may outlast its request:
-// one that has lost against a hedged one is still read to its end.
+// runInBackground runs an attempt on a goroutine of its own, for which Proxy.Run waits. The attempt may outlast its
+// request, as the settings may not allow cancellation.
 func (p *Proxy) runInBackground(r *inFlightRequest, a *attempt, run func() attemptResult) {
 	p.background.Go(func() error {
 		p.runAttempt(r, a, run)
@@ -114,9 +114,11 @@
 // without a trace (mayStillBeSent): ctx ends, the retry window ends, or the worker is no longer ready. The balancer
 // cancels ctx whenever the request is answered or its client leaves, also where the settings allow no cancellation.
 //
-// After the last byte only the worker and ctx end the attempt, and its outcome says whether it may have been executed
-// (lostOutcome). Once the balancer knows of that byte (events.sent), it cancels ctx only by decisions that the settings
-// allow, or as the process ends. In between, a client that leaves still cancels the attempt, for which nobody waits then.
+// After the last byte three events end the attempt: the worker responds or closes the connection, ctx ends, or the
+// endpoint list shows that the worker has restarted (the pool then interrupts the connection). The outcome says whether
+// the attempt may have been executed (lostOutcome). Once the balancer knows of the last byte (events.sent), it cancels ctx
+// only by decisions that the settings allow, or as the process ends. In between, a client that leaves still cancels the
+// attempt, which is harmless, as nobody waits for it then.
 func (a *attempt) run(ctx context.Context, worker balancer.WorkerID) attemptResult {
 	notSent := attemptResult{outcome: balancer.NotSent}
 	conn, err := a.connect(ctx, worker)
--- a/internal/proxy/interleaving_test.go
+++ b/internal/proxy/interleaving_test.go
@@ -22,7 +22,7 @@
 
 // Each test here forces one order of two events that seldom come in it (docs/crossings.md).
 
-func TestClientThatLeavesDuringConnectIsNotSentOn(t *testing.T) {
+func TestClientThatLeavesDuringConnectGetsNoAttempt(t *testing.T) {
 	for _, operation := range []string{"idem", "once"} {
 		t.Run(operation, func(t *testing.T) {
 			address, attempts := startCountingWorker(t)
@@ -87,7 +87,7 @@
 	})
 }
 
-func TestClientThatLeavesWhileKeyIsPersistedIsNotSentOn(t *testing.T) {
+func TestClientThatLeavesWhileKeyIsPersistedGetsNoAttempt(t *testing.T) {
 	address, attempts := startCountingWorker(t)
 	ctx, leave := context.WithCancel(context.Background())
 	answers, left := make(chan *protocol.Response, 1), make(chan bool)
@@ -266,7 +266,7 @@
 	assert.Eventually(t, isSent, peertest.EventTimeout, peertest.PollInterval)
 	leave()
 	assert.Nil(t, peertest.Receive(t, answers))
-	assert.Equal(t, 1, p.balancer.OpenRequests(), "the attempt goes on")
+	assert.Equal(t, 1, p.balancer.OpenRequests(), "the attempt continues")
 	stop()
 	assert.NoError(t, peertest.Receive(t, stopped))
 }
--- a/internal/proxy/migration_test.go
+++ b/internal/proxy/migration_test.go
@@ -20,7 +20,7 @@
 const retryInterval = 5 * time.Millisecond
 
 // What arrives while a request is paused is read as if there had been no pause, in whatever pieces it comes.
-func TestPausedRequestGoesOnAndGetsItsAnswer(t *testing.T) {
+func TestPausedRequestContinuesAndGetsItsAnswer(t *testing.T) {
 	text := peertest.Complete(startedLine, doneLine)
 	p := newProxy(peertest.StartServer(t, func(conn net.Conn, _ *http.Request) {
 		for _, next := range []byte(text) {
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -2,8 +2,8 @@
 //
 // A Proxy admits requests, sends the attempts that the balancer decides on, and reads the workers' responses. During a hot
 // restart it migrates requests in flight to a sibling process. It chooses no worker and decides on no retry, rejection or
-// cancellation: it asks the balancer, and reports to it what happens. It does not parse the endpoint list (package
-// discovery), exchange load with peers (package gossip) or accept connections (package transport).
+// cancellation: it follows the balancer's decisions, and reports events to the balancer. It does not parse the endpoint
+// list (package discovery), exchange load with peers (package gossip) or accept connections (package transport).
 //
 // The life of a request stands in request.go, that of an attempt in attempt.go, and the answers in responses.go.
 package proxy
