--- a/internal/discovery/helpers_test.go
+++ b/internal/discovery/helpers_test.go
@@ -38,8 +38,8 @@
 }
 
 // newWatcher returns a Watcher of the service at an address. Its list of version 7 has worker 0 with ID "w" at
-// peertest.ClosedAddress. Its balancer polls again late after a failure, as there is another dispatcher: only a change of
-// the address is followed at once.
+// peertest.ClosedAddress. Its balancer polls again late after a failure, as there is another dispatcher: only a change
+// of the address is followed at once.
 func newWatcher(address string) *Watcher { return newWatcherOf(address, peertest.ClosedAddress) }
 
 // newWatcherOf is newWatcher with the worker's address.
--- a/internal/discovery/table.go
+++ b/internal/discovery/table.go
@@ -11,8 +11,8 @@
 	"canvasroute/internal/protocol"
 )
 
-// Table is the endpoint table: all workers that were ever listed, by number, ID and tag. A worker keeps its number while
-// this process lives, also after it is gone. All methods may be called concurrently.
+// Table is the endpoint table: all workers that were ever listed, by number, ID and tag. A worker keeps its number
+// while this process lives, also after it is gone. All methods may be called concurrently.
 type Table struct {
 	fromUnix func(ms float64) balancer.Time
 	kinds    map[string]int // numbers by the names in the settings
@@ -133,8 +133,9 @@
 	return number
 }
 
-// updateWorker replaces a worker's endpoint. It returns the worker's previous address, and whether connections to it are
-// outdated: the worker has restarted, is not ready, or has moved. An endpoint without an address keeps the previous one.
+// updateWorker replaces a worker's endpoint. It returns the worker's previous address, and whether connections to it
+// are outdated: the worker has restarted, is not ready, or has moved. An endpoint without an address keeps the previous
+// one.
 func (t *Table) updateWorker(number balancer.WorkerID, endpoint protocol.Endpoint) (OutdatedAddress, bool) {
 	w := &t.workers[number]
 	previous := *w
@@ -159,7 +160,8 @@
 	return OutdatedAddress{}, false
 }
 
-// registerZone gives a number to a zone that has none yet. Each zone that the settings do not name is a zone of its own.
+// registerZone gives a number to a zone that has none yet. Each zone that the settings do not name is a zone of its
+// own.
 func (t *Table) registerZone(name string) {
 	if _, known := t.zones[name]; !known {
 		t.zones[name] = len(t.zones)
@@ -209,8 +211,8 @@
 	return t.workers[number].tag
 }
 
-// ByTag returns the worker with a tag, and whether there is one. Of several workers with the same tag it is the one that
-// was listed first.
+// ByTag returns the worker with a tag, and whether there is one. Of several workers with the same tag it is the one
+// that was listed first.
 func (t *Table) ByTag(tag uint16) (balancer.WorkerID, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/discovery/watch_end.go
+++ b/internal/discovery/watch_end.go
@@ -11,8 +11,8 @@
 	"canvasroute/internal/transport"
 )
 
-// The limits of a poll and of the watch that it opens. The service counts a change as known to all dispatchers 6 s after
-// it has listed the change. A silent watch is given up while there is still time to poll again.
+// The limits of a poll and of the watch that it opens. The service counts a change as known to all dispatchers 6 s
+// after it has listed the change. A silent watch is given up while there is still time to poll again.
 const (
 	// maxFirstPollWait is how long a process that has a list from before its start waits for its first poll. It then
 	// serves by that list.
@@ -22,8 +22,8 @@
 	// headTimeout bounds each step up to the head of the response: dialing, sending, and receiving the head. A service
 	// that works through its queue answers 503 before that.
 	headTimeout = 2500 * time.Millisecond
-	// minOverloadedWait is how long the service takes at least for a 503 that shows overload: the poll has waited in its
-	// queue. A faster 503 is one of a service that is down.
+	// minOverloadedWait is how long the service takes at least for a 503 that shows overload: the poll has waited in
+	// its queue. A faster 503 is one of a service that is down.
 	minOverloadedWait = time.Second
 	// firstLineTimeout is counted from the poll to the end of its first line, which is the list.
 	firstLineTimeout = 3500 * time.Millisecond
@@ -60,7 +60,8 @@
 	return fmt.Sprintf("discovery: status %d", e.status)
 }
 
-// watchEnd classifies the end of a poll, or of the watch that it opened. The balancer derives from it when to poll again.
+// watchEnd classifies the end of a poll, or of the watch that it opened. The balancer derives from it when to poll
+// again.
 //
 //   - WatchRejected: 503 after at least minOverloadedWait. The service has too many callers.
 //   - WatchFailed: no watch was opened. Dialing, sending or the response failed, or the status was another one.
@@ -94,8 +95,8 @@
 	err         error                 // nil where this process has ended it
 }
 
-// endOfWatch classifies the end of an open watch, whose context is ctx. readErr is the error of its connection, nil after
-// a complete response; applyErr is that of the list, nil unless a line was malformed or too long.
+// endOfWatch classifies the end of an open watch, whose context is ctx. readErr is the error of its connection, nil
+// after a complete response; applyErr is that of the list, nil unless a line was malformed or too long.
 func endOfWatch(ctx context.Context, readErr, applyErr error) endedWatch {
 	switch {
 	case errors.Is(context.Cause(ctx), errAddressChanged):
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -40,8 +40,8 @@
 	WatchesLost atomic.Int64 // polls and watches that failed
 }
 
-// Watcher watches the discovery service. Run polls and follows watches on one goroutine; the other methods may be called
-// from any.
+// Watcher watches the discovery service. Run polls and follows watches on one goroutine; the other methods may be
+// called from any.
 type Watcher struct {
 	Counters Counters
 
@@ -52,8 +52,8 @@
 	log      zerolog.Logger
 	answered atomic.Bool // the first poll was answered, has failed, or is not waited for
 
-	// mu guards address and stop. It is also held while the end of a watch or a change of the address is reported to the
-	// balancer, so that neither report overtakes the other.
+	// mu guards address and stop. It is also held while the end of a watch or a change of the address is reported to
+	// the balancer, so that neither report overtakes the other.
 	mu      sync.Mutex
 	address string                  // of the discovery service
 	stop    context.CancelCauseFunc // ends the poll or watch under way; nil while there is none
@@ -88,8 +88,8 @@
 	w.balancer.ReportDiscoveryMoved()
 }
 
-// Answered reports whether the first poll is over: it was answered, has failed, or has taken longer than maxFirstPollWait
-// in a process that already has a list.
+// Answered reports whether the first poll is over: it was answered, has failed, or has taken longer than
+// maxFirstPollWait in a process that already has a list.
 func (w *Watcher) Answered() bool { return w.answered.Load() }
 
 // Seed applies a complete list that is known before the first poll. zones are the names of its zones by their numbers,
@@ -180,8 +180,8 @@
 	}
 }
 
-// giveUpFirstPoll ends the wait for the first poll in a process that has a list from before its start. A service that is
-// down or overloaded may answer late or never. Later polls are not affected.
+// giveUpFirstPoll ends the wait for the first poll in a process that has a list from before its start. A service that
+// is down or overloaded may answer late or never. Later polls are not affected.
 func (w *Watcher) giveUpFirstPoll() {
 	if !w.answered.Load() && w.table.HasWorkers() {
 		w.balancer.ReportFirstPollSlow()
@@ -189,9 +189,9 @@
 	}
 }
 
-// reportEnd reports the end of a watch to the balancer, or that the address has changed, which it returns. Both the test
-// and the report are done under mu. A change between the two would otherwise wait until another poll of the previous
-// address has ended.
+// reportEnd reports the end of a watch to the balancer, or that the address has changed, which it returns. Both the
+// test and the report are done under mu. A change between the two would otherwise wait until another poll of the
+// previous address has ended.
 func (w *Watcher) reportEnd(watching context.Context, end balancer.WatchEnd) (addressChanged bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -36,8 +36,8 @@
 	assert.True(t, called)
 }
 
-// SIGHUP changes the address between the end of a watch and its report, twice, there and back: the new address is polled
-// at once, and no watch continues at the previous one.
+// SIGHUP changes the address between the end of a watch and its report, twice, there and back: the new address is
+// polled at once, and no watch continues at the previous one.
 func TestAddressChangeWhileWatchIsLostTakesEffectAtOnce(t *testing.T) {
 	next, polled := startService(t, peertest.Chunked(emptyList(9)))
 	w := newWatcher(peertest.StartServer(t, peertest.RespondAndClose(unavailable)))
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -22,8 +22,8 @@
 )
 
 const (
-	// maxReorderMillis is the age, relative to the latest datagram, from which a datagram no longer counts as reordered.
-	// It then comes from a sender that has restarted or was silent, as timestamps have 16 bits.
+	// maxReorderMillis is the age, relative to the latest datagram, from which a datagram no longer counts as
+	// reordered. It then comes from a sender that has restarted or was silent, as timestamps have 16 bits.
 	maxReorderMillis = 4000
 	// helloReplyInterval is the least time between two replies to hellos of one peer.
 	helloReplyInterval = time.Second
@@ -162,7 +162,8 @@
 }
 
 // replyToHello sends a hello back while this process is isolated: it has heard from no older peer, and no poll of the
-// endpoint list was answered. Otherwise the peer would take this process for an older one, whose load covers the time before both started.
+// endpoint list was answered. Otherwise the peer would take this process for an older one, whose load covers the time
+// before both started.
 func (e *Exchange) replyToHello(process int) {
 	now := time.Now()
 	if e.datagrams == nil || !e.balancer.Isolated() || now.Sub(e.helloReplies[process]) < helloReplyInterval {
@@ -172,8 +173,8 @@
 	e.send(process, helloAt(now))
 }
 
-// byProcess groups the loads of updates, which are for shards, by the process of the shard. A datagram reaches all shards
-// of a process, so a load that is for several of them stands in the group once.
+// byProcess groups the loads of updates, which are for shards, by the process of the shard. A datagram reaches all
+// shards of a process, so a load that is for several of them stands in the group once.
 func (e *Exchange) byProcess(updates []balancer.LoadUpdate) map[int][]protocol.Load {
 	grouped := map[int][]protocol.Load{}
 	for _, update := range updates {
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -40,14 +40,14 @@
 type attemptResult struct {
 	outcome balancer.Outcome
 	result  string // of a succeeded attempt
-	// finish closes the connection or returns it to the pool. It is called once the outcome has been reported, as it may
-	// have to wait for the end of the response. It is nil where there is no connection any more.
+	// finish closes the connection or returns it to the pool. It is called once the outcome has been reported, as it
+	// may have to wait for the end of the response. It is nil where there is no connection any more.
 	finish func()
 }
 
 // requiredFreshness is how sure an attempt must be that its connection is still open, by the operation. An operation
-// that may not be executed twice needs the most. One that only a group of workers may repeat must not take the end of an
-// old connection for an answer.
+// that may not be executed twice needs the most. One that only a group of workers may repeat must not take the end of
+// an old connection for an answer.
 var requiredFreshness = map[balancer.Idempotency]transport.Freshness{
 	balancer.Idempotent:      transport.AnyConnection,
 	balancer.IdempotentByKey: transport.Settled,
@@ -110,15 +110,16 @@
 // run sends the attempt to a worker and waits for its response. ctx ends when the balancer cancels the attempt, or when
 // the client's deadline passes.
 //
-// A worker cannot have executed an attempt whose last byte was not written. Up to that byte, three events end the attempt
-// without a trace (mayStillBeSent): ctx ends, the retry window ends, or the worker is no longer ready. The balancer
-// cancels ctx whenever the request is answered or its client leaves, also where the settings allow no cancellation.
+// A worker cannot have executed an attempt whose last byte was not written. Up to that byte, three events end the
+// attempt without a trace (mayStillBeSent): ctx ends, the retry window ends, or the worker is no longer ready. The
+// balancer cancels ctx whenever the request is answered or its client leaves, also where the settings allow no
+// cancellation.
 //
 // After the last byte three events end the attempt: the worker responds or closes the connection, ctx ends, or the
 // endpoint list shows that the worker has restarted (the pool then interrupts the connection). The outcome says whether
-// the attempt may have been executed (lostOutcome). Once the balancer knows of the last byte (events.sent), it cancels ctx
-// only by decisions that the settings allow, or as the process ends. In between, a client that leaves still cancels the
-// attempt, which is harmless, as nobody waits for it then.
+// the attempt may have been executed (lostOutcome). Once the balancer knows of the last byte (events.sent), it cancels
+// ctx only by decisions that the settings allow, or as the process ends. In between, a client that leaves still cancels
+// the attempt, which is harmless, as nobody waits for it then.
 func (a *attempt) run(ctx context.Context, worker balancer.WorkerID) attemptResult {
 	notSent := attemptResult{outcome: balancer.NotSent}
 	conn, err := a.connect(ctx, worker)
@@ -169,9 +170,9 @@
 	return a.proxy.pool.Get(ctx, a.proxy.endpoints.Endpoint(worker).Address, a.freshness)
 }
 
-// mayStillBeSent reports whether what the balancer has decided still holds. Since then the connection was opened and the
-// key persisted, which may have taken long. Meanwhile the client may have left, the retry window may have ended, and the
-// worker may drain or have another address. None of that is a failure of the worker.
+// mayStillBeSent reports whether what the balancer has decided still holds. Since then the connection was opened and
+// the key persisted, which may have taken long. Meanwhile the client may have left, the retry window may have ended,
+// and the worker may drain or have another address. None of that is a failure of the worker.
 func (a *attempt) mayStillBeSent(ctx context.Context, worker balancer.WorkerID, address string) bool {
 	return ctx.Err() == nil && !a.retryWindowEnded() && a.proxy.endpoints.Accepts(worker, address)
 }
@@ -213,8 +214,8 @@
 	}
 }
 
-// release returns a connection to the pool, or closes it where it cannot be used again: the response did not end in time,
-// or an interrupt has come. A connection can be used again only once the response was read to its end.
+// release returns a connection to the pool, or closes it where it cannot be used again: the response did not end in
+// time, or an interrupt has come. A connection can be used again only once the response was read to its end.
 func (a *attempt) release(conn *transport.Conn, answer workerResponse, interrupted bool) {
 	err := answer.err
 	if err == nil {
--- a/internal/proxy/attempt_outcome.go
+++ b/internal/proxy/attempt_outcome.go
@@ -11,8 +11,8 @@
 )
 
 // The outcome of an attempt that failed, by how far it got: connectOutcome without a connection, sendOutcome before its
-// last byte, lostOutcome after it. The balancer derives from the outcome whether the attempt may have been executed, and
-// whether the worker is at fault.
+// last byte, lostOutcome after it. The balancer derives from the outcome whether the attempt may have been executed,
+// and whether the worker is at fault.
 
 // connectOutcome returns the outcome of an attempt that got no connection, and logs it where the worker is at fault.
 func (a *attempt) connectOutcome(ctx context.Context, worker balancer.WorkerID, err error) balancer.Outcome {
@@ -45,8 +45,8 @@
 	return balancer.NoConnection
 }
 
-// lostOutcome returns the outcome of an attempt that was sent and whose connection brings nothing more. err is the error
-// of reading from it.
+// lostOutcome returns the outcome of an attempt that was sent and whose connection brings nothing more. err is the
+// error of reading from it.
 func (a *attempt) lostOutcome(ctx context.Context, err error) balancer.Outcome {
 	switch {
 	case errors.Is(context.Cause(ctx), balancer.ErrAttemptCanceled):
@@ -60,8 +60,8 @@
 	return balancer.ConnectionReset
 }
 
-// lostHeadOutcome returns the outcome of an attempt of whose response no head could be read. A reused connection that has
-// brought nothing may have ended before the attempt was sent on it.
+// lostHeadOutcome returns the outcome of an attempt of whose response no head could be read. A reused connection that
+// has brought nothing may have ended before the attempt was sent on it.
 func (a *attempt) lostHeadOutcome(ctx context.Context, conn *transport.Conn, err error) balancer.Outcome {
 	outcome := a.lostOutcome(ctx, err)
 	if outcome != balancer.ConnectionReset || !a.reused || !conn.NothingReceived() {
@@ -71,8 +71,8 @@
 	return balancer.ConnectionStale
 }
 
-// closeReason returns why a connection ends that an error has made useless. An interrupt is the reason before all others:
-// it causes the error.
+// closeReason returns why a connection ends that an error has made useless. An interrupt is the reason before all
+// others: it causes the error.
 func closeReason(err error, interrupted bool) transport.CloseReason {
 	switch {
 	case interrupted:
--- a/internal/proxy/format_test.go
+++ b/internal/proxy/format_test.go
@@ -106,7 +106,8 @@
 	return bytes.TrimSuffix(text, []byte("\n"))
 }
 
-// unsetFields returns the paths of all fields, also unexported ones, that are zero or empty in value or in what it holds.
+// unsetFields returns the paths of all fields, also unexported ones, that are zero or empty in value or in what it
+// holds.
 func unsetFields(value reflect.Value, path string) (unset []string) {
 	isStruct := value.Kind() == reflect.Struct && value.Type() != reflect.TypeFor[time.Time]()
 	if value.IsZero() && !isStruct {
--- a/internal/proxy/helpers_test.go
+++ b/internal/proxy/helpers_test.go
@@ -73,8 +73,8 @@
 	return ""
 }
 
-// newProxy returns a proxy with one worker of ID w at an address, and three operations: idem is idempotent, once is not,
-// and keyed is idempotent by key.
+// newProxy returns a proxy with one worker of ID w at an address, and three operations: idem is idempotent, once is
+// not, and keyed is idempotent by key.
 func newProxy(address string) *Proxy {
 	return newProxyWith(address, func(*balancer.Config, *Config) {})
 }
--- a/internal/proxy/idempotency_keys.go
+++ b/internal/proxy/idempotency_keys.go
@@ -7,8 +7,8 @@
 	"canvasroute/internal/protocol"
 )
 
-// persistsKeys reports whether only a part of the fleet drops repeats of an operation. It then has to be known where the
-// first attempt went, also after a loss of power.
+// persistsKeys reports whether only a part of the fleet drops repeats of an operation. It then has to be known where
+// the first attempt went, also after a loss of power.
 func (o *Operation) persistsKeys() bool { return o.RequiresKey && o.DedupScope != balancer.ScopeAll }
 
 // dropsRepeatsWith reports whether a worker belongs to the group that drops repeats of a request which may have been
@@ -47,8 +47,8 @@
 	return &balancer.PriorAttempt{Worker: worker, SentAt: p.config.FromUnix(float64(prior.SentAtMillis))}, nil
 }
 
-// persistKey returns once it is on disk which worker an attempt goes to, where that has to be known after a loss of power.
-// ctx bounds the wait.
+// persistKey returns once it is on disk which worker an attempt goes to, where that has to be known after a loss of
+// power. ctx bounds the wait.
 func (p *Proxy) persistKey(ctx context.Context, current *settings, request *protocol.Request, worker balancer.WorkerID,
 ) error {
 	configured := current.operations[request.Operation]
--- a/internal/proxy/in_flight_request.go
+++ b/internal/proxy/in_flight_request.go
@@ -24,8 +24,8 @@
 	// attempt's goroutine never waits.
 	result chan string
 
-	// mu guards the fields below, which the attempts' goroutines and that of ExportAll use too. The balancer, the endpoint
-	// table and the attempts' pauses are called under it, and call nothing here.
+	// mu guards the fields below, which the attempts' goroutines and that of ExportAll use too. The balancer, the
+	// endpoint table and the attempts' pauses are called under it, and call nothing here.
 	mu        sync.Mutex
 	attempts  map[int]*attempt // in flight, by their numbers
 	migration *migration       // nil unless exported; set before Pick returns RespondElsewhere
--- a/internal/proxy/interleaving_test.go
+++ b/internal/proxy/interleaving_test.go
@@ -105,8 +105,8 @@
 	assert.EqualValues(t, 1, recovery.persisted.Load())
 }
 
-// A list arrives while the connection is opened, or an idle one is taken: the worker drains, or has moved and its address
-// is another worker's now.
+// A list arrives while the connection is opened, or an idle one is taken: the worker drains, or has moved and its
+// address is another worker's now.
 func TestListReceivedDuringConnectPreventsSending(t *testing.T) {
 	for name, fields := range map[string]string{
 		"worker drains":    `"health":"Terminating"`,
--- a/internal/proxy/migration_export.go
+++ b/internal/proxy/migration_export.go
@@ -69,9 +69,9 @@
 	return paused, true
 }
 
-// takeFromBalancer takes a request from the balancer, and reports whether the balancer gave it. It refuses a request that
-// is answered, or has other attempts than the paused ones. Both steps are done under mu: the balancer wakes the request's
-// goroutine, which must find the migration.
+// takeFromBalancer takes a request from the balancer, and reports whether the balancer gave it. It refuses a request
+// that is answered, or has other attempts than the paused ones. Both steps are done under mu: the balancer wakes the
+// request's goroutine, which must find the migration.
 func (p *Proxy) takeFromBalancer(r *inFlightRequest, paused map[int]*attempt, to Migrator) (taken bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -109,7 +109,8 @@
 	r.migration.attempts = nil
 }
 
-// migrate passes on a request that export has prepared, and ends it here. Where that fails the outcome of the request is unknown.
+// migrate passes on a request that export has prepared, and ends it here. Where that fails the outcome of the request
+// is unknown.
 func (p *Proxy) migrate(ctx context.Context, r *inFlightRequest) *protocol.Response {
 	r.mu.Lock()
 	m := *r.migration
@@ -149,8 +150,8 @@
 	}
 }
 
-// collectSockets returns the sockets of the paused attempts by their numbers, and adds to the request what was read from
-// them. Its errors are transport.ErrNotRecorded and transport.ErrNoSocket.
+// collectSockets returns the sockets of the paused attempts by their numbers, and adds to the request what was read
+// from them. Its errors are transport.ErrNotRecorded and transport.ErrNoSocket.
 func (m *migration) collectSockets() (map[int]syscall.Conn, error) {
 	sockets := map[int]syscall.Conn{}
 	m.request.Received = make([][]byte, len(m.request.Balancing.Attempts))
--- a/internal/proxy/migration_import.go
+++ b/internal/proxy/migration_import.go
@@ -14,7 +14,8 @@
 type ImportedRequest struct {
 	*MigratedRequest // nil where it could not be parsed
 
-	// Finish waits for the answer to the client and returns it. It is to be called once, and is nil with an error of Import.
+	// Finish waits for the answer to the client and returns it. It is to be called once, and is nil with an error of
+	// Import.
 	Finish func(context.Context) *protocol.Response
 }
 
--- a/internal/proxy/pause.go
+++ b/internal/proxy/pause.go
@@ -17,8 +17,8 @@
 //
 // The exporter calls request and, after true, either resume or end once. The reader calls begin, wait and finish.
 type readPause struct {
-	// mu guards conn and requested. A reader sends to paused under it, so that a request that times out sees either both
-	// or none.
+	// mu guards conn and requested. A reader sends to paused under it, so that a request that times out sees either
+	// both or none.
 	mu        sync.Mutex
 	conn      *transport.Conn // while the attempt waits for its worker, nil otherwise
 	requested bool            // the exporter waits for the reader to stop
@@ -81,8 +81,8 @@
 	p.conn = nil
 }
 
-// wait is called by a reader that was stopped. It returns once the exporter has decided, and reports whether the sibling
-// process takes over.
+// wait is called by a reader that was stopped. It returns once the exporter has decided, and reports whether the
+// sibling process takes over.
 func (p *readPause) wait() (takenOver bool) {
 	p.mu.Lock()
 	if !p.requested { // the request has timed out
@@ -114,8 +114,8 @@
 	}
 }
 
-// stoppedByPause reports whether a pause has ended the reading. A pause makes reads time out; so do the end of ctx and an
-// interrupt of the connection, which take precedence. Reading has no other timeout.
+// stoppedByPause reports whether a pause has ended the reading. A pause makes reads time out; so do the end of ctx and
+// an interrupt of the connection, which take precedence. Reading has no other timeout.
 func stoppedByPause(ctx context.Context, conn *transport.Conn, readErr error) bool {
 	timedOut := readErr != nil && transport.CloseReasonOf(readErr) == transport.TooSlow
 	return timedOut && ctx.Err() == nil && !conn.Interrupted()
--- a/internal/proxy/peers.go
+++ b/internal/proxy/peers.go
@@ -5,7 +5,8 @@
 	"canvasroute/internal/protocol"
 )
 
-// What dispatchers report to each other while one of them recovers. Workers are named by their IDs, as their numbers differ.
+// What dispatchers report to each other while one of them recovers. Workers are named by their IDs, as their numbers
+// differ.
 
 // Endpoints returns the version of the endpoint list and the workers by their numbers, with those that are gone.
 func (p *Proxy) Endpoints() (version int64, endpoints []protocol.Endpoint) {
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -1,9 +1,10 @@
 // Package proxy carries a request from its client to workers and back.
 //
-// A Proxy admits requests, sends the attempts that the balancer decides on, and reads the workers' responses. During a hot
-// restart it migrates requests in flight to a sibling process. It chooses no worker and decides on no retry, rejection or
-// cancellation: it follows the balancer's decisions, and reports events to the balancer. It does not parse the endpoint
-// list (package discovery), exchange load with peers (package gossip) or accept connections (package transport).
+// A Proxy admits requests, sends the attempts that the balancer decides on, and reads the workers' responses. During a
+// hot restart it migrates requests in flight to a sibling process. It chooses no worker and decides on no retry,
+// rejection or cancellation: it follows the balancer's decisions, and reports events to the balancer. It does not parse
+// the endpoint list (package discovery), exchange load with peers (package gossip) or accept connections (package
+// transport).
 //
 // The life of a request stands in request.go, that of an attempt in attempt.go, and the answers in responses.go.
 package proxy
@@ -56,8 +57,8 @@
 	Recovery            Recovery // nil where it is disabled
 }
 
-// Proxy answers requests by sending attempts to workers. Its methods may be called concurrently, except SiblingUpdate and
-// Snapshot.
+// Proxy answers requests by sending attempts to workers. Its methods may be called concurrently, except SiblingUpdate
+// and Snapshot.
 type Proxy struct {
 	config    Config
 	balancer  *balancer.Shards
@@ -88,8 +89,8 @@
 	beforeSend     func() // an attempt has its connection and is not sent
 }
 
-// New returns a Proxy. It gives the balancer the endpoints that are known at the start: those of the predecessor or else
-// the initial ones. datagrams is nil where dispatchers do not exchange load.
+// New returns a Proxy. It gives the balancer the endpoints that are known at the start: those of the predecessor or
+// else the initial ones. datagrams is nil where dispatchers do not exchange load.
 func New(c Config, shards *balancer.Shards, pool *transport.Pool, datagrams *transport.Datagrams,
 	state *lifecycle.State, log zerolog.Logger,
 ) *Proxy {
@@ -145,8 +146,8 @@
 	return ids
 }
 
-// Run runs discovery, gossip, probes and the balancer until ctx ends, which must be after all clients have their answers.
-// It then cancels the attempts that are still in flight and waits for them.
+// Run runs discovery, gossip, probes and the balancer until ctx ends, which must be after all clients have their
+// answers. It then cancels the attempts that are still in flight and waits for them.
 func (p *Proxy) Run(ctx context.Context) error {
 	g, ctx := errgroup.WithContext(ctx)
 	for shard := range p.balancer.Count() {
--- a/internal/proxy/queueing.go
+++ b/internal/proxy/queueing.go
@@ -81,8 +81,8 @@
 	}
 }
 
-// timestampReads sends the time of each byte that it reads, until the writer is closed. sendByte sends the next byte only
-// after it has received that time.
+// timestampReads sends the time of each byte that it reads, until the writer is closed. sendByte sends the next byte
+// only after it has received that time.
 func (d *delayPipe) timestampReads() {
 	defer close(d.ended)
 	buffer := make([]byte, 1)
--- a/internal/proxy/recovery.go
+++ b/internal/proxy/recovery.go
@@ -8,8 +8,8 @@
 	"canvasroute/internal/balancer"
 )
 
-// Recovery restores a dispatcher's state after it has ended, from disk and with the help of its peers. A Proxy without one
-// serves at once and knows nothing of earlier requests.
+// Recovery restores a dispatcher's state after it has ended, from disk and with the help of its peers. A Proxy without
+// one serves at once and knows nothing of earlier requests.
 type Recovery interface {
 	// Ready returns nil once clients may come.
 	Ready() error
@@ -19,8 +19,8 @@
 	EndpointsUnavailable()
 	// Admit decides whether a request may be admitted yet.
 	Admit(arrival balancer.Arrival) RecoveryAdmission
-	// PriorExecution returns where a request with the same key may have been executed before, nil for nowhere. The error
-	// is ErrOutcomeUnknown where that cannot be known.
+	// PriorExecution returns where a request with the same key may have been executed before, nil for nowhere. The
+	// error is ErrOutcomeUnknown where that cannot be known.
 	PriorExecution(request KeyedRequest) (*PriorExecution, error)
 	// PersistKey returns once it is on disk that a request may be executed at a worker.
 	PersistKey(ctx context.Context, k KeyRecord) error
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -13,8 +13,8 @@
 // The life of a request: Serve checks it, admit rejects it or submits it to the balancer, and execute follows the
 // balancer's decisions up to its answer. Each attempt runs beside that (attempt.go).
 
-// Serve answers one request that arrived at a time. It returns nil where the client left before its answer or ctx ended,
-// and protocol.Migrated where the sibling process will answer.
+// Serve answers one request that arrived at a time. It returns nil where the client left before its answer or ctx
+// ended, and protocol.Migrated where the sibling process will answer.
 func (p *Proxy) Serve(ctx context.Context, h *protocol.Head, body []byte, arrivedAt time.Time) *protocol.Response {
 	request, err := protocol.ParseRequest(h)
 	if err != nil {
@@ -72,8 +72,8 @@
 	return !endsWithProcess || !p.balancer.WouldMissStop(arrival)
 }
 
-// submit passes a request to the balancer, with where it may have been executed before, and answers it. Where it may have
-// been executed at an unknown worker, the request fails.
+// submit passes a request to the balancer, with where it may have been executed before, and answers it. Where it may
+// have been executed at an unknown worker, the request fails.
 func (p *Proxy) submit(ctx context.Context, r *inFlightRequest, arrival balancer.Arrival) *protocol.Response {
 	prior, err := p.priorAttempt(r)
 	switch {
--- a/internal/proxy/request_ids.go
+++ b/internal/proxy/request_ids.go
@@ -62,8 +62,8 @@
 	}
 }
 
-// changes returns the IDs that were opened and closed since the last call. The opened ones are to be applied first: an ID
-// that was opened and closed again ends closed.
+// changes returns the IDs that were opened and closed since the last call. The opened ones are to be applied first: an
+// ID that was opened and closed again ends closed.
 func (i *requestIDs) changes() (opened, closed []string) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
--- a/internal/proxy/request_test.go
+++ b/internal/proxy/request_test.go
@@ -157,7 +157,8 @@
 	assert.Equal(t, p.counters.sent.Load(), sum["forwards"])
 }
 
-// slowWorker responds after a latency. The first attempt is then queued before it starts. attempts counts those received.
+// slowWorker responds after a latency. The first attempt is then queued before it starts. attempts counts those
+// received.
 func slowWorker(latency, queueing time.Duration) (respond func(net.Conn, *http.Request), attempts *atomic.Int64) {
 	attempts = &atomic.Int64{}
 	return func(conn net.Conn, _ *http.Request) {
--- a/internal/proxy/responses.go
+++ b/internal/proxy/responses.go
@@ -28,15 +28,15 @@
 	return &protocol.Response{Status: http.StatusOK, Body: []byte(result)}
 }
 
-// respondRejected answers a request that the balancer has rejected, and that may be sent again. retryAfter is the advice
-// to the client, 0 for none.
+// respondRejected answers a request that the balancer has rejected, and that may be sent again. retryAfter is the
+// advice to the client, 0 for none.
 func (p *Proxy) respondRejected(retryAfter time.Duration) *protocol.Response {
 	p.counters.rejected.Add(1)
 	return &protocol.Response{Status: http.StatusTooManyRequests, RetryAfter: retryAfter}
 }
 
-// respondUnavailable answers a valid request that is rejected before the balancer has it. retryAfter is the advice to the
-// client, 0 for none.
+// respondUnavailable answers a valid request that is rejected before the balancer has it. retryAfter is the advice to
+// the client, 0 for none.
 func (p *Proxy) respondUnavailable(retryAfter time.Duration) *protocol.Response {
 	p.counters.rejected.Add(1)
 	return &protocol.Response{Status: http.StatusServiceUnavailable, RetryAfter: retryAfter}
@@ -101,8 +101,8 @@
 	return p.rejectByHead(h)
 }
 
-// rejectByHead rejects a request before its body is read. It counts the answer for the request's operation where there is
-// a head that names a known one.
+// rejectByHead rejects a request before its body is read. It counts the answer for the request's operation where there
+// is a head that names a known one.
 func (p *Proxy) rejectByHead(h *protocol.Head) *protocol.Response {
 	answer := &protocol.Response{Status: http.StatusServiceUnavailable, RetryAfter: p.settings.Load().maxRetryAfter}
 	if h == nil {
--- a/internal/proxy/snapshot.go
+++ b/internal/proxy/snapshot.go
@@ -10,8 +10,8 @@
 	"canvasroute/internal/protocol"
 )
 
-// Snapshot is the state that a process passes to the one that continues it: a successor, or a later process that reads it
-// from disk. It holds names beside numbers, as the numbers of a process with other settings differ.
+// Snapshot is the state that a process passes to the one that continues it: a successor, or a later process that reads
+// it from disk. It holds names beside numbers, as the numbers of a process with other settings differ.
 type Snapshot struct {
 	Version   int64               `json:"Version"` // of the endpoint list
 	Endpoints []protocol.Endpoint `json:"Workers"` // by their numbers, with those that are gone
@@ -70,8 +70,8 @@
 	return true, nil
 }
 
-// RestoreFromDisk applies a Snapshot of an earlier process, whose workers and zones had other numbers. It reports whether
-// the balancer accepted it. The endpoint list has to be known, and no request may have arrived yet.
+// RestoreFromDisk applies a Snapshot of an earlier process, whose workers and zones had other numbers. It reports
+// whether the balancer accepted it. The endpoint list has to be known, and no request may have arrived yet.
 func (p *Proxy) RestoreFromDisk(s Snapshot) bool {
 	p.alignNames(s)
 	for shard := range s.Learned {
@@ -102,8 +102,8 @@
 	}
 }
 
-// align puts values that are in the order of the previous names into that of the current ones. Values of other names are
-// dropped, and a name that is new gets the zero value. Without any names there is one value, which stays.
+// align puts values that are in the order of the previous names into that of the current ones. Values of other names
+// are dropped, and a name that is new gets the zero value. Without any names there is one value, which stays.
 func align[T any](values []T, previous, current []string) []T {
 	if len(previous) == 0 && len(current) == 0 {
 		return values
