--- a/internal/proxy/answer_by_head.go
+++ b/internal/proxy/answer_by_head.go
@@ -19,11 +19,15 @@
 	return p.refusePath()
 }
 
+// answerHealthCheck answers a load balancer.
 func (p *Proxy) answerHealthCheck(h *protocol.Head) *protocol.Response {
 	if h.Method != http.MethodGet && h.Method != http.MethodHead {
 		return p.refuseMethod("GET, HEAD")
 	}
-	return respondHealth(p.healthy())
+	if !p.healthy() {
+		return respondUnhealthy()
+	}
+	return respondHealthy()
 }
 
 // shedByHead rejects a request where this process serves no more or is overloaded. It returns nil for one that is
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -115,11 +115,13 @@
 // balancer cancels ctx whenever the request is answered or its client leaves, also where the settings allow no
 // cancellation.
 //
-// After the last byte three events end the attempt: the worker responds or closes the connection, ctx ends, or the
-// endpoint list shows that the worker has restarted (the pool then interrupts the connection). The outcome says whether
-// the attempt may have been executed (lostOutcome). Once the balancer knows of the last byte (events.sent), it cancels
-// ctx only by decisions that the settings allow, or as the process ends. In between, a client that leaves still cancels
-// the attempt, which is harmless, as nobody waits for it then.
+// After the last byte, the worker ends the attempt by a response or a close, and ctx by its end. So does the pool, by an
+// interrupt, once the endpoint list shows that the worker has restarted. The outcome says whether the attempt may have
+// been executed (lostOutcome).
+//
+// The attempt counts as unsent until the balancer knows of its last byte (events.sent). From then on the balancer cancels
+// ctx only by decisions that the settings allow, or as the process ends. Before, a client that leaves cancels an attempt
+// whose last byte was just written, which is harmless, as nobody waits for it.
 func (a *attempt) run(ctx context.Context, worker balancer.WorkerID) attemptResult {
 	notSent := attemptResult{outcome: balancer.NotSent}
 	conn, err := a.connect(ctx, worker)
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -41,20 +41,20 @@
 // Config configures a Proxy. Operations, Tenants, DialTimeout and MaxRetryAfter may change later (Reconfigure).
 type Config struct {
 	Operations          []Operation
-	Tenants             []string      // names by their numbers at the start; without any, all requests are of one tenant
-	Zones               []string      // names by their numbers
-	Kinds               []string      // kinds of workers, by their numbers
-	ReportFields        []string      // the fields of workers' load reports that the balancer reads
-	DialTimeout         time.Duration // of a connection to a worker
-	MaxRetryAfter       time.Duration // advice to clients that are rejected before the balancer has their requests, 0 for none
-	DiscoveryAddress    string        // host and port of the discovery service
-	Peers               []netip.AddrPort
-	Position            int                    // of this dispatcher in Peers
-	InitialEndpoints    *protocol.EndpointList // known at the start, nil for none
-	PredecessorSnapshot json.RawMessage        // a Snapshot, nil without a predecessor
-	MigratesRequests    bool                   // requests in flight may be exported to a sibling process
-	FromUnix            func(ms float64) balancer.Time
-	Recovery            Recovery // nil where it is disabled
+	Tenants             []string                       // names by their numbers at the start; empty for a single tenant
+	Zones               []string                       // names by their numbers
+	Kinds               []string                       // kinds of workers, by their numbers
+	ReportFields        []string                       // the fields of workers' load reports that the balancer reads
+	DialTimeout         time.Duration                  // of a connection to a worker
+	MaxRetryAfter       time.Duration                  // advice with a 503, 0 for none
+	DiscoveryAddress    string                         // host and port of the discovery service
+	Peers               []netip.AddrPort               // all dispatchers by their positions, with this one
+	Position            int                            // of this dispatcher in Peers
+	InitialEndpoints    *protocol.EndpointList         // known at the start, nil for none
+	PredecessorSnapshot json.RawMessage                // a Snapshot, nil without a predecessor
+	MigratesRequests    bool                           // requests in flight may be exported to a sibling process
+	FromUnix            func(ms float64) balancer.Time // converts Unix time in milliseconds
+	Recovery            Recovery                       // nil where it is disabled
 }
 
 // Proxy answers requests by sending attempts to workers. Its methods may be called concurrently, except SiblingUpdate
--- a/internal/proxy/responses.go
+++ b/internal/proxy/responses.go
@@ -60,11 +60,11 @@
 	return protocol.Migrated
 }
 
-// respondHealth answers a health check.
-func respondHealth(healthy bool) *protocol.Response {
-	if healthy {
-		return &protocol.Response{Status: http.StatusOK}
-	}
+// respondHealthy answers a health check.
+func respondHealthy() *protocol.Response { return &protocol.Response{Status: http.StatusOK} }
+
+// respondUnhealthy answers a health check.
+func respondUnhealthy() *protocol.Response {
 	return &protocol.Response{Status: http.StatusServiceUnavailable}
 }
 
--- a/internal/proxy/worker_response.go
+++ b/internal/proxy/worker_response.go
@@ -29,6 +29,10 @@
 
 // readResponse reads a worker's response up to the line that decides the attempt. ctx is that of the attempt, which
 // interrupts conn when it ends.
+//
+// The outcome follows from the state in that line (lineParser.parse), or without status 200 from the head: Overloaded
+// where the worker declined the attempt, else WorkerError. A response that is malformed is a WorkerError too, and one
+// that ends before such a line has the outcome of a lost connection.
 func (a *attempt) readResponse(ctx context.Context, conn *transport.Conn) workerResponse {
 	head, err := conn.ReadResponseHead()
 	if err != nil {
@@ -65,19 +69,20 @@
 	if err == nil {
 		lines.end()
 	}
-	answer := workerResponse{outcome: lines.outcome, result: lines.result, body: body}
-	switch {
-	case lines.err != nil:
+	if lines.err != nil {
 		return workerResponse{outcome: balancer.WorkerError, body: body, err: lines.err}
-	case lines.decided() && head.CloseRequested():
+	}
+	if !lines.decided() {
+		if err == nil {
+			err = errTruncatedResponse
+		}
+		return workerResponse{outcome: a.lostOutcome(ctx, err), body: body, err: err}
+	}
+	answer := workerResponse{outcome: lines.outcome, result: lines.result, body: body}
+	if head.CloseRequested() {
 		answer.err = errCloseRequested
-		return answer
-	case lines.decided():
-		return answer
-	case err == nil:
-		err = errTruncatedResponse
 	}
-	return workerResponse{outcome: a.lostOutcome(ctx, err), body: body, err: err}
+	return answer
 }
 
 // undecided is the outcome of an attempt whose response has not decided it yet.
@@ -119,7 +124,7 @@
 	}
 }
 
-// parse applies one line. Lines about other states than those below decide nothing.
+// parse applies one line. A line with a state that is not listed here decides nothing.
 func (p *lineParser) parse(text []byte) {
 	if len(text) == 0 {
 		return
