--- a/internal/proxy/responses.go
+++ b/internal/proxy/responses.go
@@ -7,7 +7,8 @@
 	"canvasroute/internal/protocol"
 )
 
-// The answers to clients, by the decision that leads to each. Each function below counts the answer that it returns.
+// The answers to clients, by the decision that leads to each. The functions below count the answers that they return,
+// except to health checks.
 //
 //   - 200: an attempt has succeeded. To a health check: there are workers, and the process serves.
 //   - 400: the request is malformed, or its operation or tenant is unknown. (408, 413 and 431: protocol.RejectionOf.)
