--- a/internal/docscheck/code_test.go
+++ b/internal/docscheck/code_test.go
@@ -9,6 +9,7 @@
 	"strconv"
 	"strings"
 	"testing"
+	"unicode"
 )
 
 // root is the root of the module, from this package's directory.
@@ -18,7 +19,7 @@
 type code struct {
 	names    map[string]bool // package-level names, fields and methods: "Name", "pkg.Name", "Type.Member", "pkg.Type.Member"
 	tests    map[string]bool // test functions: "TestName", "pkg.TestName"
-	literals string          // all string literals, a line each: names on the wire, in settings and in the log
+	literals map[string]bool // words of string literals: names on the wire, in settings and in the log
 	messages []string        // constant messages of the dispatcher's log
 	files    []string        // of the repository, by their paths from its root
 }
@@ -26,8 +27,7 @@
 // readCode parses all Go code of the module.
 func readCode(t *testing.T) *code {
 	t.Helper()
-	c := &code{names: map[string]bool{}, tests: map[string]bool{}}
-	var literals strings.Builder
+	c := &code{names: map[string]bool{}, tests: map[string]bool{}, literals: map[string]bool{}}
 	err := filepath.WalkDir(root, func(path string, entry fs.DirEntry, err error) error {
 		switch {
 		case err != nil:
@@ -49,18 +49,17 @@
 		if err != nil {
 			return err
 		}
-		c.addFile(file, filepath.ToSlash(relative), &literals)
+		c.addFile(file, filepath.ToSlash(relative))
 		return nil
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.literals = literals.String()
 	return c
 }
 
 // addFile adds the declarations and literals of a file. Of test files only the test functions count.
-func (c *code) addFile(file *ast.File, path string, literals *strings.Builder) {
+func (c *code) addFile(file *ast.File, path string) {
 	if strings.HasSuffix(path, "_test.go") {
 		pkg := strings.TrimSuffix(file.Name.Name, "_test")
 		for _, declaration := range file.Decls {
@@ -79,7 +78,9 @@
 	ast.Inspect(file, func(node ast.Node) bool {
 		switch node := node.(type) {
 		case *ast.BasicLit:
-			literals.WriteString(stringOf(node) + "\n")
+			for _, word := range strings.FieldsFunc(stringOf(node), endsWord) {
+				c.literals[word] = true
+			}
 		case *ast.CallExpr:
 			if message := logMessage(node); isDispatcher && message != "" {
 				c.messages = append(c.messages, message)
@@ -166,6 +167,11 @@
 	return stringOf(literal)
 }
 
+// endsWord reports whether a character is none of a name.
+func endsWord(character rune) bool {
+	return character != '_' && !unicode.IsLetter(character) && !unicode.IsDigit(character)
+}
+
 // stringOf returns the value of a string literal, "" of other literals.
 func stringOf(literal *ast.BasicLit) string {
 	if literal.Kind != token.STRING {
--- a/internal/docscheck/docscheck_test.go
+++ b/internal/docscheck/docscheck_test.go
@@ -111,7 +111,7 @@
 // settings key, each element has to.
 func (c *code) isInLiterals(name string) bool {
 	for element := range strings.SplitSeq(name, ".") {
-		if !regexp.MustCompile(`\b` + element + `\b`).MatchString(c.literals) {
+		if !c.literals[element] {
 			return false
 		}
 	}
