--- a/internal/testbed/experiment/power.go
+++ b/internal/testbed/experiment/power.go
@@ -77,10 +77,10 @@
 			if slices.Contains(action.Targets, other) {
 				continue
 			}
-			if action.Mode != "heard" {
+			if action.Mode != fault.DirectionSend {
 				env.links.SetPartition(other, n, cut)
 			}
-			if action.Mode != "hear" {
+			if action.Mode != fault.DirectionReceive {
 				env.links.SetPartition(n, other, cut)
 			}
 		}
--- a/internal/testbed/experiment/renamed_keys_test.go
+++ b/internal/testbed/experiment/renamed_keys_test.go
@@ -117,7 +117,8 @@
 	assert.Equal(t, 900, plan.Load.MaxOpen)
 	loss := plan.Faults[0]
 	assert.Equal(t, []any{time.Second, 1200 * time.Millisecond, 1300 * time.Millisecond, 1400 * time.Millisecond, 1}, []any{
-		loss.Back.Std(), loss.ListBack.Std(), loss.PeersBack.Std(), loss.WorkersBack.Std(), loss.Never,
+		loss.RestoreAfter.Std(), loss.ListRestoreAfter.Std(), loss.PeersRestoreAfter.Std(), loss.WorkersRestoreAfter.Std(),
+		loss.NeverRestored,
 	})
 	assert.Equal(t, "uni", plan.Faults[1].Tenant)
 	assert.Equal(t, 9, plan.Faults[2].MaxAttempts)
--- a/internal/testbed/fault/planner.go
+++ b/internal/testbed/fault/planner.go
@@ -15,18 +15,20 @@
 // planner adds the actions of one fault to the timeline.
 type planner struct {
 	topology Topology
-	rng      *rand.Rand
+	rng      *rand.Rand // of this fault
 	spec     Spec
-	index    int
+	index    int // of the spec, among all faults
 	timeline *Timeline
 }
 
-// kinds are the faults by name: the keys that each requires, and the function that plans it and describes it for
-// reports.
-var kinds = map[string]struct {
+// faultKind is a kind of fault that experiment files can name.
+type faultKind struct {
 	requiredKeys []string
-	plan         func(*planner) string
-}{
+	plan         func(*planner) (description string) // adds the actions, and describes the fault for reports
+}
+
+// kinds are the kinds of faults by name.
+var kinds = map[string]faultKind{
 	"crash":       {[]string{"workers"}, (*planner).crash},
 	"slow":        {[]string{"workers", "factor", "for"}, (*planner).slow},
 	"pause":       {[]string{"workers", "for"}, workersDuring("%d workers paused", WorkerPause, WorkerResume)},
@@ -67,21 +69,35 @@
 func (p *planner) start() time.Duration { return p.spec.At.Std() }
 func (p *planner) end() time.Duration   { return p.spec.At.Std() + p.spec.For.Std() }
 
+// add adds an action. The value's meaning depends on the kind; 0 means that the kind has none.
 func (p *planner) add(at time.Duration, kind ActionKind, targets []int, value float64) {
 	p.timeline.Actions = append(p.timeline.Actions, Action{
 		At: at, Kind: kind, Targets: targets, Value: value, Fault: p.index, Duration: p.spec.Lag.Std(),
 	})
 }
 
-// pickRandom draws some of the numbers below total, and returns them in ascending order.
-func (p *planner) pickRandom(some, total int) []int {
-	picked := p.rng.Perm(total)[:some]
+// addDuring adds a state of targets that begins and ends with the fault.
+func (p *planner) addDuring(targets []int, beginKind, endKind ActionKind) {
+	p.add(p.start(), beginKind, targets, 0)
+	p.add(p.end(), endKind, targets, 0)
+}
+
+// pickRandom draws count of the numbers below total, and returns them in ascending order.
+func (p *planner) pickRandom(count, total int) []int {
+	picked := p.rng.Perm(total)[:count]
 	slices.Sort(picked)
 	return picked
 }
 
+// pickWorkers draws as many workers as the fault affects.
 func (p *planner) pickWorkers() []int { return p.pickRandom(p.spec.Workers, p.topology.Workers) }
 
+// pickDispatchers draws as many dispatchers as the fault affects.
+func (p *planner) pickDispatchers() []int {
+	return p.pickRandom(p.spec.Dispatchers, p.topology.Dispatchers)
+}
+
+// crash plans workers that crash. With a duration they restart at its end.
 func (p *planner) crash() string {
 	targets := p.pickWorkers()
 	p.add(p.start(), WorkerCrash, targets, 0)
@@ -91,6 +107,7 @@
 	return fmt.Sprintf("%d workers crash", p.spec.Workers)
 }
 
+// slow plans workers that take the fault's factor longer for their work.
 func (p *planner) slow() string {
 	targets := p.pickWorkers()
 	p.add(p.start(), WorkerSpeed, targets, 1/p.spec.Factor)
@@ -98,7 +115,7 @@
 	return fmt.Sprintf("%d workers %v times slower", p.spec.Workers, p.spec.Factor)
 }
 
-// neighbour plans workers whose machines run other programs periodically.
+// neighbour plans workers whose machines run other programs periodically, each time for the fault's width.
 func (p *planner) neighbour() string {
 	targets := p.pickWorkers()
 	for at := p.start(); at < p.end(); at += p.spec.Every.Std() {
@@ -108,58 +125,61 @@
 	return fmt.Sprintf("%d workers share their machines", p.spec.Workers)
 }
 
+// zoneCut plans a network partition of all workers of a zone.
 func (p *planner) zoneCut() string {
 	var targets []int
-	cut := slices.Index(p.topology.Zones, p.spec.Zone)
+	partitioned := slices.Index(p.topology.Zones, p.spec.Zone)
 	for worker, zone := range p.topology.WorkerZones {
-		if zone == cut {
+		if zone == partitioned {
 			targets = append(targets, worker)
 		}
 	}
-	p.add(p.start(), WorkerCut, targets, 0)
-	p.add(p.end(), WorkerHeal, targets, 0)
+	p.addDuring(targets, WorkerCut, WorkerHeal)
 	return "zone " + p.spec.Zone + " cut off"
 }
 
+// drain plans workers that drain and stop. With a gap they restart that much later.
 func (p *planner) drain() string {
 	targets := p.pickWorkers()
-	p.add(p.start(), WorkerDrain, targets, 0)
-	p.add(p.end(), WorkerStop, targets, 0)
+	p.addDuring(targets, WorkerDrain, WorkerStop)
 	if p.spec.Gap > 0 {
 		p.add(p.end()+p.spec.Gap.Std(), WorkerRestart, targets, 0)
 	}
 	return fmt.Sprintf("%d workers drain", p.spec.Workers)
 }
 
+// grow plans additional workers.
 func (p *planner) grow() string {
 	p.add(p.start(), WorkerAdd, nil, float64(p.spec.Workers))
 	return fmt.Sprintf("%d workers added", p.spec.Workers)
 }
 
+// burst plans extra load of all tenants.
 func (p *planner) burst() string {
-	p.addLoad(-1)
+	p.addLoad(workload.AllTenants)
 	return fmt.Sprintf("burst: %v times the load", p.spec.Factor)
 }
 
+// flood plans extra load of one tenant.
 func (p *planner) flood() string {
 	p.addLoad(slices.Index(p.topology.Tenants, p.spec.Tenant))
 	return fmt.Sprintf("%s sends %v times its share", p.spec.Tenant, p.spec.Factor)
 }
 
-// addLoad multiplies the load of a tenant, or of all for -1, by the fault's factor.
+// addLoad multiplies the load of a tenant, or of workload.AllTenants, by the fault's factor.
 func (p *planner) addLoad(tenant int) {
 	p.timeline.ExtraLoads = append(p.timeline.ExtraLoads, workload.ExtraLoad{
 		From: p.start(), To: p.end(), Factor: p.spec.Factor - 1, Tenant: tenant,
 	})
 }
 
+// lag plans a list that shows what was true some time ago.
 func (p *planner) lag() string {
-	p.add(p.start(), ListLag, nil, 0)
-	p.add(p.end(), ListLagEnd, nil, 0)
+	p.addDuring(nil, ListLag, ListLagEnd)
 	return fmt.Sprintf("list %v behind", p.spec.Lag.Std())
 }
 
-// reconfigure plans new settings at all dispatchers. With a duration the experiment's own come back at its end.
+// reconfigure plans new settings at all dispatchers. With a duration the experiment's own settings apply again at its end.
 func (p *planner) reconfigure() string {
 	targets := p.pickRandom(p.topology.Dispatchers, p.topology.Dispatchers)
 	p.add(p.start(), DispatcherReconfigure, targets, float64(p.spec.MaxAttempts))
@@ -171,8 +191,8 @@
 
 // linkCut plans a cut of the link between some dispatchers and the others, in one direction or both.
 func (p *planner) linkCut() string {
-	targets := p.pickRandom(p.spec.Dispatchers, p.topology.Dispatchers)
-	cut := Action{At: p.start(), Kind: LinkCut, Targets: targets, Mode: p.spec.Way, Fault: p.index}
+	targets := p.pickDispatchers()
+	cut := Action{At: p.start(), Kind: LinkCut, Targets: targets, Mode: p.spec.Direction, Fault: p.index}
 	heal := cut
 	heal.At = p.end()
 	heal.Kind = LinkHeal
@@ -187,8 +207,8 @@
 		if gap <= 0 {
 			gap = defaultGap
 		}
-		for d := range p.topology.Dispatchers {
-			p.add(p.start()+time.Duration(d)*gap, kind, []int{d}, 0)
+		for dispatcher := range p.topology.Dispatchers {
+			p.add(p.start()+time.Duration(dispatcher)*gap, kind, []int{dispatcher}, 0)
 		}
 		return description
 	}
@@ -207,9 +227,7 @@
 // workersDuring returns a plan of a state of some workers that begins and ends.
 func workersDuring(description string, beginKind, endKind ActionKind) func(*planner) string {
 	return func(p *planner) string {
-		targets := p.pickWorkers()
-		p.add(p.start(), beginKind, targets, 0)
-		p.add(p.end(), endKind, targets, 0)
+		p.addDuring(p.pickWorkers(), beginKind, endKind)
 		return fmt.Sprintf(description, p.spec.Workers)
 	}
 }
@@ -217,7 +235,7 @@
 // dispatchersDuring returns a plan of a state of some dispatchers. Without a duration it lasts to the end.
 func dispatchersDuring(description string, beginKind, endKind ActionKind) func(*planner) string {
 	return func(p *planner) string {
-		targets := p.pickRandom(p.spec.Dispatchers, p.topology.Dispatchers)
+		targets := p.pickDispatchers()
 		p.add(p.start(), beginKind, targets, 0)
 		if p.spec.For > 0 {
 			p.add(p.end(), endKind, targets, 0)
--- a/internal/testbed/fault/power.go
+++ b/internal/testbed/fault/power.go
@@ -22,36 +22,42 @@
 // DiskStates are the states that DiskRandom draws from.
 var DiskStates = []string{DiskIntact, DiskMissing, DiskLostSync, DiskTorn, DiskOld, DiskSwapped, DiskFull, DiskReadOnly}
 
-// powerLoss plans one or several losses of power of everything, a zone, or randomly picked dispatchers and workers,
-// each of which comes back at a time of its own.
+// powerLoss plans one or several losses of power. They affect everything, a zone, or dispatchers and workers drawn at
+// random. Power is restored to each of them at a time of its own.
 func (p *planner) powerLoss() string {
 	dispatchers, workers := p.powerLossTargets()
-	never := p.rng.Perm(len(dispatchers))[:min(p.spec.Never, len(dispatchers))]
-	clockTarget := -1
+	neverRestored := p.rng.Perm(len(dispatchers))[:min(p.spec.NeverRestored, len(dispatchers))]
+	clockJumps := make([]bool, len(dispatchers))
 	if p.spec.Clock != 0 && len(dispatchers) > 0 {
-		clockTarget = p.rng.IntN(len(dispatchers))
+		clockJumps[p.rng.IntN(len(dispatchers))] = true
 	}
 	for n := range max(p.spec.Times, 1) {
-		at := p.start() + time.Duration(n)*p.spec.Every.Std()
-		p.add(at, PowerLoss, dispatchers, 0)
-		p.addOutage(at, p.spec.ListBack.Std(), ListDown, ListRecover)
-		p.addOutage(at, p.spec.PeersBack.Std(), PeersCut, PeersRecover)
-		for d, dispatcher := range dispatchers {
-			if !slices.Contains(never, d) {
-				p.addReturn(at, dispatcher, d == clockTarget)
+		lostAt := p.start() + time.Duration(n)*p.spec.Every.Std()
+		p.add(lostAt, PowerLoss, dispatchers, 0)
+		p.addOutage(lostAt, p.spec.ListRestoreAfter.Std(), ListDown, ListRecover)
+		p.addOutage(lostAt, p.spec.PeersRestoreAfter.Std(), PeersCut, PeersRecover)
+		for index, dispatcher := range dispatchers {
+			if !slices.Contains(neverRestored, index) {
+				p.addReturn(lostAt, dispatcher, clockJumps[index])
 			}
 		}
-		if p.spec.WorkersBack <= 0 {
-			continue
-		}
-		p.add(at, WorkerCrash, workers, 0)
-		for _, w := range workers {
-			p.add(at+p.spec.WorkersBack.Std()+p.randomSpread(), WorkerRestart, []int{w}, 0)
-		}
+		p.addWorkerOutage(lostAt, workers)
 	}
 	return fmt.Sprintf("power lost: %d dispatchers, %d workers", len(dispatchers), len(workers))
 }
 
+// addWorkerOutage plans the outage of workers that lose power at a time, unless workers keep their power.
+func (p *planner) addWorkerOutage(lostAt time.Duration, workers []int) {
+	if p.spec.WorkersRestoreAfter <= 0 {
+		return
+	}
+	p.add(lostAt, WorkerCrash, workers, 0)
+	for _, worker := range workers {
+		restartAt := lostAt + p.spec.WorkersRestoreAfter.Std() + p.randomSpread()
+		p.add(restartAt, WorkerRestart, []int{worker}, 0)
+	}
+}
+
 // addReturn plans the return of one dispatcher after a loss of power at a time.
 func (p *planner) addReturn(lostAt time.Duration, dispatcher int, clockJumps bool) {
 	disk := p.spec.Disk
@@ -62,8 +68,11 @@
 		disk = DiskStates[p.rng.IntN(len(DiskStates))]
 	}
 	action := Action{
-		At: lostAt + p.spec.Back.Std() + p.randomSpread(), Kind: PowerReturn, Targets: []int{dispatcher},
-		Mode: disk, Fault: p.index,
+		At:      lostAt + p.spec.RestoreAfter.Std() + p.randomSpread(),
+		Kind:    PowerReturn,
+		Targets: []int{dispatcher},
+		Mode:    disk,
+		Fault:   p.index,
 	}
 	if clockJumps {
 		action.Duration = p.spec.Clock.Std()
@@ -71,35 +80,38 @@
 	p.timeline.Actions = append(p.timeline.Actions, action)
 }
 
-// addOutage plans an outage of a service that loses power; 0 means that it keeps its power.
-func (p *planner) addOutage(at, back time.Duration, beginKind, endKind ActionKind) {
-	if back > 0 {
-		p.add(at, beginKind, nil, 0)
-		p.add(at+back, endKind, nil, 0)
+// addOutage plans an outage of a service that loses power at a time. A duration of 0 means that it keeps its power.
+func (p *planner) addOutage(lostAt, duration time.Duration, beginKind, endKind ActionKind) {
+	if duration > 0 {
+		p.add(lostAt, beginKind, nil, 0)
+		p.add(lostAt+duration, endKind, nil, 0)
 	}
 }
 
+// randomSpread draws a delay of up to the fault's spread.
 func (p *planner) randomSpread() time.Duration {
 	return time.Duration(p.rng.Float64() * float64(p.spec.Spread.Std()))
 }
 
-// powerLossTargets are those that lose power: all, or those of the named zone, and of these as many as are named.
+// powerLossTargets returns the dispatchers and workers that lose power: all, or those of the fault's zone. If the fault gives
+// a number of them, only as many, drawn at random.
 func (p *planner) powerLossTargets() (dispatchers, workers []int) {
 	zone := slices.Index(p.topology.Zones, p.spec.Zone)
-	for d := range p.topology.Dispatchers {
-		if zone < 0 || d%len(p.topology.Zones) == zone {
-			dispatchers = append(dispatchers, d)
+	everywhere := zone < 0
+	for dispatcher := range p.topology.Dispatchers {
+		if everywhere || dispatcher%len(p.topology.Zones) == zone {
+			dispatchers = append(dispatchers, dispatcher)
 		}
 	}
-	for w, z := range p.topology.WorkerZones {
-		if zone < 0 || z == zone {
-			workers = append(workers, w)
+	for worker, workerZone := range p.topology.WorkerZones {
+		if everywhere || workerZone == zone {
+			workers = append(workers, worker)
 		}
 	}
 	return p.pickAmong(dispatchers, p.spec.Dispatchers), p.pickAmong(workers, p.spec.Workers)
 }
 
-// pickAmong draws up to limit of the numbers given; 0 means all.
+// pickAmong draws up to limit of the numbers, and returns them in ascending order. A limit of 0 means all.
 func (p *planner) pickAmong(all []int, limit int) []int {
 	if limit <= 0 || limit >= len(all) {
 		return all
--- a/internal/testbed/fault/spec.go
+++ b/internal/testbed/fault/spec.go
@@ -8,10 +8,10 @@
 	"canvasroute/internal/testbed/unit"
 )
 
-// Spec is one [[fault]] of an experiment file. The keys are the operators' interface.
+// Spec is one [[fault]] of an experiment file. The keys are the operators' interface. Each kind of fault uses some of them.
 type Spec struct {
 	Kind        string        `toml:"kind"`
-	At          unit.Duration `toml:"at"`
+	At          unit.Duration `toml:"at"`          // since the start of the experiment
 	For         unit.Duration `toml:"for"`         // how long it lasts
 	Workers     int           `toml:"workers"`     // how many are affected
 	Dispatchers int           `toml:"dispatchers"` // how many are affected
@@ -26,30 +26,38 @@
 	MaxAttempts int           `toml:"max-attempts"` // new-settings: attempts per request
 	Connections int           `toml:"connections"`  // silent-clients, piecemeal-clients
 
-	// power-loss: the earliest time after the loss at which something is back. Each dispatcher and worker draws its
-	// own delay of up to Spread on top.
-	Back        unit.Duration       `toml:"restore-after"`         // dispatchers
-	WorkersBack unit.Duration       `toml:"workers-restore-after"` // 0: workers keep their power
-	ListBack    unit.Duration       `toml:"list-restore-after"`    // 0: the list service keeps its power
-	PeersBack   unit.Duration       `toml:"peers-restore-after"`   // 0: the network between dispatchers keeps its power
-	Spread      unit.Duration       `toml:"spread"`
-	Never       int                 `toml:"never-restored"` // number of dispatchers that never come back
-	Times       int                 `toml:"times"`          // number of losses, Every apart
-	Disk        string              `toml:"disk"`           // state of the dispatchers' disks afterwards, see DiskStates
-	Clock       unit.SignedDuration `toml:"clock"`          // jump of the clock of one dispatcher, drawn at random
+	// power-loss: the time from the loss until power is restored. Each dispatcher and worker starts after a delay of its own
+	// of up to Spread on top, drawn at random.
+	RestoreAfter        unit.Duration       `toml:"restore-after"`         // of dispatchers
+	WorkersRestoreAfter unit.Duration       `toml:"workers-restore-after"` // 0: workers keep their power
+	ListRestoreAfter    unit.Duration       `toml:"list-restore-after"`    // 0: the discovery service keeps its power
+	PeersRestoreAfter   unit.Duration       `toml:"peers-restore-after"`   // 0: the network between dispatchers keeps its power
+	Spread              unit.Duration       `toml:"spread"`
+	NeverRestored       int                 `toml:"never-restored"` // number of dispatchers that stay without power
+	Times               int                 `toml:"times"`          // number of losses, Every apart; 0 means 1
+	Disk                string              `toml:"disk"`           // state of the dispatchers' disks afterwards, see DiskStates; "" means DiskIntact
+	Clock               unit.SignedDuration `toml:"clock"`          // jump of the clock of one dispatcher, drawn at random; 0: none
 
-	Way string `toml:"way"` // link-cut: what is cut at the dispatchers affected: hear (receiving), heard (sending) or both
+	// link-cut: what is cut at the dispatchers affected: receiving ("hear"), sending ("heard"), or both if empty.
+	Direction string `toml:"way"`
 }
 
 // Topology is what faults can affect.
 type Topology struct {
-	Workers     int
-	Zones       []string
-	WorkerZones []int // index into Zones, by worker
-	Dispatchers int
-	Tenants     []string
+	Workers     int      // number at the start of the experiment
+	Zones       []string // names
+	WorkerZones []int    // index into Zones, by worker
+	Dispatchers int      // number
+	Tenants     []string // names
 }
 
+// The values of Spec.Direction, and of Action.Mode of a LinkCut.
+const (
+	DirectionReceive = "hear"
+	DirectionSend    = "heard"
+	DirectionBoth    = "both"
+)
+
 // maxCount bounds the number of attempts or connections of a fault.
 const maxCount = 10_000
 
@@ -66,7 +74,7 @@
 	case "dispatchers":
 		return inRange(key, s.Dispatchers, 1, t.Dispatchers)
 	case "never-restored":
-		return inRange(key, s.Never, 0, t.Dispatchers-1)
+		return inRange(key, s.NeverRestored, 0, t.Dispatchers-1)
 	case "max-attempts":
 		return inRange(key, s.MaxAttempts, 1, maxCount)
 	case "connections":
@@ -78,7 +86,7 @@
 	case "disk":
 		return oneOf(key, s.Disk, append([]string{"", DiskRandom}, DiskStates...))
 	case "way":
-		return oneOf(key, s.Way, []string{"", "hear", "heard", "both"})
+		return oneOf(key, s.Direction, []string{"", DirectionReceive, DirectionSend, DirectionBoth})
 	case "zone":
 		return oneOf(key, s.Zone, t.Zones)
 	case "tenant":
@@ -87,17 +95,18 @@
 	return nil
 }
 
+// validateDuration checks that a kind's required duration is given.
 func (s Spec) validateDuration(key string) error {
-	value := map[string]unit.Duration{"for": s.For, "every": s.Every, "width": s.Width, "lag": s.Lag, "restore-after": s.Back}[key]
+	value := map[string]unit.Duration{"for": s.For, "every": s.Every, "width": s.Width, "lag": s.Lag, "restore-after": s.RestoreAfter}[key]
 	if value <= 0 {
 		return fmt.Errorf("%s: must be greater than 0 for %s", key, s.Kind)
 	}
 	return require(key != "every" || value > s.Width, "%s: must be longer than width", key)
 }
 
-// require returns an error of the format unless ok.
-func require(ok bool, format string, args ...any) error {
-	if ok {
+// require returns nil if a condition holds, and otherwise an error of the format.
+func require(holds bool, format string, args ...any) error {
+	if holds {
 		return nil
 	}
 	return fmt.Errorf(format, args...)
--- a/internal/testbed/fault/timeline.go
+++ b/internal/testbed/fault/timeline.go
@@ -1,5 +1,5 @@
-// Package fault turns the faults of an experiment file into a timeline of single actions. It does no I/O: the
-// workers and dispatchers that a fault affects are drawn from the seed, and package experiment applies the actions.
+// Package fault turns the faults of an experiment file into a timeline of single actions. It does no I/O: it draws the
+// workers and dispatchers that a fault affects from the seed, and package experiment applies the actions.
 package fault
 
 import (
@@ -50,7 +50,7 @@
 	PeersCut
 	PeersLoss // Value is the share of datagrams lost
 	PeersRecover
-	LinkCut // between the targets and all other dispatchers, in the direction Mode
+	LinkCut // between the targets and all other dispatchers, in the direction Mode, "" for both
 	LinkHeal
 	LinkLoss // Value is the share of messages lost
 	LinkRecover
@@ -58,18 +58,18 @@
 	PowerReturn // of one dispatcher: Mode is the state of its disk, Duration the jump of its clock
 )
 
-// Action is one step of a fault.
+// Action is one step of a fault. The meaning of Value, Duration and Mode is that of the kind.
 type Action struct {
-	At       time.Duration
+	At       time.Duration // since the start of the experiment
 	Kind     ActionKind
-	Targets  []int // workers or dispatchers
+	Targets  []int // indexes of workers or dispatchers; nil if the kind affects something else
 	Value    float64
 	Duration time.Duration
 	Mode     string
 	Fault    int // index of the fault's Spec
 }
 
-// Mark is the time of a fault as reports show it.
+// Mark is the time of a fault as reports show it, since the start of the experiment.
 type Mark struct {
 	From        time.Duration `json:"from_ns"`
 	To          time.Duration `json:"to_ns"`
@@ -83,7 +83,8 @@
 	Marks      []Mark
 }
 
-// Plan makes the timeline. The error names the fault and the key.
+// Plan returns the timeline of all faults. The same specs, topology and seed give the same timeline. The error names the
+// fault and the key.
 func Plan(specs []Spec, topology Topology, seed uint64) (*Timeline, error) {
 	timeline := &Timeline{}
 	for n, spec := range specs {
@@ -98,15 +99,15 @@
 			}
 		}
 		p := &planner{topology: topology, rng: randomStream(seed, n), spec: spec, index: n, timeline: timeline}
-		description := kind.plan(p)
-		timeline.Marks = append(timeline.Marks, Mark{p.start(), p.end(), description})
+		mark := Mark{From: p.start(), To: p.end(), Description: kind.plan(p)}
+		timeline.Marks = append(timeline.Marks, mark)
 	}
 	slices.SortStableFunc(timeline.Actions, func(a, b Action) int { return int(a.At - b.At) })
 	return timeline, nil
 }
 
-// randomStream is the stream of a fault. Its name keeps the key of the experiment file: another name would draw
-// other targets for the same seed.
+// randomStream returns the random stream of the fault with index n. The stream's name is the former key of faults: with
+// another name the same seed would draw other targets.
 func randomStream(seed uint64, n int) *rand.Rand {
 	return unit.RandomStream(seed, fmt.Sprint("trouble ", n))
 }
--- a/internal/testbed/fault/timeline_test.go
+++ b/internal/testbed/fault/timeline_test.go
@@ -15,13 +15,13 @@
 	Tenants:     []string{"uni", "polit"},
 }
 
-const sec = unit.Duration(time.Second)
+const second = unit.Duration(time.Second)
 
 func TestTimelineIsDeterministicForASeed(t *testing.T) {
 	specs := []Spec{
-		{Kind: "crash", At: 2 * sec, For: 3 * sec, Workers: 2},
-		{Kind: "neighbour", At: sec, For: 4 * sec, Every: 2 * sec, Width: sec, Workers: 1, Share: 0.25},
-		{Kind: "rolling-restart", At: 3 * sec},
+		{Kind: "crash", At: 2 * second, For: 3 * second, Workers: 2},
+		{Kind: "neighbour", At: second, For: 4 * second, Every: 2 * second, Width: second, Workers: 1, Share: 0.25},
+		{Kind: "rolling-restart", At: 3 * second},
 	}
 	one, err := Plan(specs, topology, 4)
 	assert.NoError(t, err)
@@ -49,23 +49,24 @@
 	assert.Len(t, restarts, 3)
 }
 
-func find(t *Timeline, kind ActionKind) (out []Action) {
-	for _, a := range t.Actions {
-		if a.Kind == kind {
-			out = append(out, a)
+// find returns the timeline's actions of a kind.
+func find(timeline *Timeline, kind ActionKind) (found []Action) {
+	for _, action := range timeline.Actions {
+		if action.Kind == kind {
+			found = append(found, action)
 		}
 	}
-	return out
+	return found
 }
 
 func TestZoneCutAffectsItsWorkers(t *testing.T) {
-	timeline, err := Plan([]Spec{{Kind: "zone-cut", Zone: "south", For: sec}}, topology, 1)
+	timeline, err := Plan([]Spec{{Kind: "zone-cut", Zone: "south", For: second}}, topology, 1)
 	assert.NoError(t, err)
 	assert.Equal(t, []int{1, 3, 5}, timeline.Actions[0].Targets)
 }
 
 func TestFloodIsExtraLoadOfOneTenant(t *testing.T) {
-	timeline, err := Plan([]Spec{{Kind: "flood", At: sec, For: sec, Tenant: "polit", Factor: 10}}, topology, 1)
+	timeline, err := Plan([]Spec{{Kind: "flood", At: second, For: second, Tenant: "polit", Factor: 10}}, topology, 1)
 	assert.NoError(t, err)
 	assert.Equal(t, 1, timeline.ExtraLoads[0].Tenant)
 	assert.Equal(t, 9.0, timeline.ExtraLoads[0].Factor)
@@ -73,21 +74,21 @@
 }
 
 func TestInvalidFaultsAreRejectedByKey(t *testing.T) {
-	for want, s := range map[string]Spec{
+	for want, spec := range map[string]Spec{
 		`fault[1].kind: "flu"`:    {Kind: "flu"},
 		"fault[1].workers: 7":     {Kind: "crash", Workers: 7},
 		"fault[1].for:":           {Kind: "pause", Workers: 1},
-		"fault[1].factor:":        {Kind: "slow", Workers: 1, Factor: 1, For: sec},
-		`fault[1].zone: "west"`:   {Kind: "zone-cut", Zone: "west", For: sec},
+		"fault[1].factor:":        {Kind: "slow", Workers: 1, Factor: 1, For: second},
+		`fault[1].zone: "west"`:   {Kind: "zone-cut", Zone: "west", For: second},
 		"fault[1].dispatchers: 4": {Kind: "dispatcher-kill", Dispatchers: 4},
-		`fault[1].tenant: "none"`: {Kind: "flood", Tenant: "none", Factor: 2, For: sec},
+		`fault[1].tenant: "none"`: {Kind: "flood", Tenant: "none", Factor: 2, For: second},
 		"fault[1].every:": {
-			Kind: "neighbour", Workers: 1, Share: 0.5, Every: sec, Width: sec,
-			For: sec,
+			Kind: "neighbour", Workers: 1, Share: 0.5, Every: second, Width: second,
+			For: second,
 		},
 	} {
 		t.Run(want, func(t *testing.T) {
-			_, err := Plan([]Spec{{Kind: "list-outage", For: sec}, s}, topology, 1)
+			_, err := Plan([]Spec{{Kind: "list-outage", For: second}, spec}, topology, 1)
 			assert.ErrorContains(t, err, want)
 		})
 	}
@@ -95,10 +96,10 @@
 
 func TestOperatorActionsAffectDispatchersAndClients(t *testing.T) {
 	timeline, err := Plan([]Spec{
-		{Kind: "upgrade", At: sec},
-		{Kind: "leave", At: sec, For: sec, Dispatchers: 2},
-		{Kind: "new-settings", At: sec, For: sec, MaxAttempts: 1},
-		{Kind: "silent-clients", For: sec, Connections: 7},
+		{Kind: "upgrade", At: second},
+		{Kind: "leave", At: second, For: second, Dispatchers: 2},
+		{Kind: "new-settings", At: second, For: second, MaxAttempts: 1},
+		{Kind: "silent-clients", For: second, Connections: 7},
 	}, topology, 1)
 	assert.NoError(t, err)
 	assert.Len(t, find(timeline, DispatcherUpgrade), 3, "in turn")
@@ -107,6 +108,6 @@
 	assert.Equal(t, []any{1.0, 0.0, 3}, []any{settings[0].Value, settings[1].Value, len(settings[0].Targets)})
 	silent := find(timeline, ClientsIdle)[0]
 	assert.Equal(t, []any{7.0, time.Second}, []any{silent.Value, silent.Duration})
-	_, err = Plan([]Spec{{Kind: "silent-clients", For: sec}}, topology, 1)
+	_, err = Plan([]Spec{{Kind: "silent-clients", For: second}}, topology, 1)
 	assert.ErrorContains(t, err, "fault[0].connections: 0, must be from 1")
 }
--- a/internal/testbed/workload/schedule.go
+++ b/internal/testbed/workload/schedule.go
@@ -29,9 +29,12 @@
 type ExtraLoad struct {
 	From, To time.Duration
 	Factor   float64 // of the base rate at that time, added to it
-	Tenant   int     // the tenant that sends it, or -1 for all
+	Tenant   int     // index of the tenant that sends it, or AllTenants
 }
 
+// AllTenants stands for all tenants together, each with its share.
+const AllTenants = -1
+
 // Schedule draws the arrivals for a seed, ordered by time.
 func (p *Plan) Schedule(seed uint64) []Arrival {
 	out := p.drawArrivals(p.Segments, seed, "load", -1)
