--- a/internal/testbed/workload/mix.go
+++ b/internal/testbed/workload/mix.go
@@ -7,6 +7,7 @@
 	"fmt"
 	"math"
 	"math/rand/v2"
+	"slices"
 	"time"
 
 	"canvasroute/internal/testbed/unit"
@@ -30,7 +31,7 @@
 	HintError        float64       `toml:"hint-error"`   // sigma of the logarithm of hint over work; below 0: no hint
 }
 
-// Tenant is one [[tenants]] of an experiment file.
+// Tenant is one of the [[tenants]] of an experiment file.
 type Tenant struct {
 	Name  string  `toml:"name"`
 	Share float64 `toml:"share"` // relative to the other shares
@@ -44,8 +45,29 @@
 	NonIdempotent   = "non-idempotent"
 )
 
-// maxWorkMeans caps a draw from a heavy tail, in multiples of the mean: an uncapped one could outlast the experiment.
-const maxWorkMeans = 200
+// The values of Operation.DedupScope.
+const (
+	ScopeAll  = "all"
+	ScopeZone = "zone"
+	ScopeCell = "cell"
+)
+
+// The values of Operation.Tail: the distribution of the work of requests.
+const (
+	TailConstant    = "constant"
+	TailExponential = "exponential"
+	TailLognormal   = "lognormal"
+	TailPareto      = "pareto"
+)
+
+// Bounds of one draw of work, in multiples of the mean. A draw from a heavy tail without a cap could outlast the experiment.
+const (
+	minWorkMeans = 1e-3
+	maxWorkMeans = 200
+)
+
+// maxLognormalSpread bounds the sigma of a lognormal tail.
+const maxLognormalSpread = 4
 
 // Validate returns the first invalid key of an operation. The error text begins with the key.
 func (o *Operation) Validate() error {
@@ -74,9 +96,9 @@
 
 func (o *Operation) validateIdempotency() error {
 	switch {
-	case o.Idempotency != Idempotent && o.Idempotency != IdempotentByKey && o.Idempotency != NonIdempotent:
+	case !slices.Contains([]string{Idempotent, IdempotentByKey, NonIdempotent}, o.Idempotency):
 		return fmt.Errorf("idempotency: %q, must be %s, %s or %s", o.Idempotency, Idempotent, IdempotentByKey, NonIdempotent)
-	case o.DedupScope != "" && o.DedupScope != "all" && o.DedupScope != "zone" && o.DedupScope != "cell":
+	case !slices.Contains([]string{"", ScopeAll, ScopeZone, ScopeCell}, o.DedupScope):
 		return fmt.Errorf("dedup-scope: %q, must be all, zone or cell", o.DedupScope)
 	case o.Idempotency == IdempotentByKey && o.DedupWindow <= 0:
 		return errors.New("dedup-window: must be greater than 0 for a deduplicated operation")
@@ -86,14 +108,14 @@
 
 func (o *Operation) validateTail() error {
 	switch o.Tail {
-	case "constant", "exponential":
-	case "pareto":
+	case TailConstant, TailExponential:
+	case TailPareto:
 		if !(o.Spread > 1) {
 			return fmt.Errorf("spread: %v, must be greater than 1 for a pareto tail, which has no mean below", o.Spread)
 		}
-	case "lognormal":
-		if !(o.Spread > 0 && o.Spread <= 4) {
-			return fmt.Errorf("spread: %v, must be greater than 0 and at most 4 for a lognormal tail", o.Spread)
+	case TailLognormal:
+		if !(o.Spread > 0 && o.Spread <= maxLognormalSpread) {
+			return fmt.Errorf("spread: %v, must be greater than 0 and at most %d for a lognormal tail", o.Spread, maxLognormalSpread)
 		}
 	default:
 		return fmt.Errorf("tail: %q, must be constant, exponential, lognormal or pareto", o.Tail)
@@ -101,18 +123,18 @@
 	return nil
 }
 
-// drawWork draws the work of one request from the operation's distribution.
+// drawWork draws the work of one request from the operation's distribution, in whole microseconds and at least one.
 func (o *Operation) drawWork(rng *rand.Rand) time.Duration {
-	mean, times := o.Work.Std().Seconds(), 1.0
+	means := 1.0 // multiple of the mean
 	switch o.Tail {
-	case "exponential":
-		times = rng.ExpFloat64()
-	case "lognormal":
-		times = math.Exp(rng.NormFloat64()*o.Spread - o.Spread*o.Spread/2)
-	case "pareto":
-		times = (o.Spread - 1) / o.Spread / math.Pow(1-rng.Float64(), 1/o.Spread)
+	case TailExponential:
+		means = rng.ExpFloat64()
+	case TailLognormal:
+		means = math.Exp(rng.NormFloat64()*o.Spread - o.Spread*o.Spread/2)
+	case TailPareto:
+		means = (o.Spread - 1) / o.Spread / math.Pow(1-rng.Float64(), 1/o.Spread)
 	}
-	work := mean * min(max(times, 1e-3), maxWorkMeans)
+	work := o.Work.Std().Seconds() * min(max(means, minWorkMeans), maxWorkMeans)
 	return max(time.Duration(work*float64(time.Second)).Round(time.Microsecond), time.Microsecond)
 }
 
@@ -127,26 +149,30 @@
 }
 
 // weightedChoice draws an index with probability proportional to its share.
-type weightedChoice struct{ cumulative []float64 }
+type weightedChoice struct {
+	cumulative []float64 // by index, the sum of the shares up to and including this one
+}
 
-func newWeightedChoice[T any](of []T, share func(T) float64) weightedChoice {
-	p, sum := weightedChoice{}, 0.0
-	for _, x := range of {
-		sum += share(x)
-		p.cumulative = append(p.cumulative, sum)
+func newWeightedChoice[T any](items []T, share func(T) float64) weightedChoice {
+	choice, sum := weightedChoice{}, 0.0
+	for _, item := range items {
+		sum += share(item)
+		choice.cumulative = append(choice.cumulative, sum)
 	}
-	return p
+	return choice
 }
 
-func (p weightedChoice) draw(rng *rand.Rand) int {
-	if len(p.cumulative) == 0 {
+// draw returns an index, or 0 if there is nothing to choose from.
+func (c weightedChoice) draw(rng *rand.Rand) int {
+	if len(c.cumulative) == 0 {
 		return 0
 	}
-	at := rng.Float64() * p.cumulative[len(p.cumulative)-1]
-	for n, up := range p.cumulative {
-		if at < up {
-			return n
+	last := len(c.cumulative) - 1
+	drawn := rng.Float64() * c.cumulative[last]
+	for index, upperBound := range c.cumulative {
+		if drawn < upperBound {
+			return index
 		}
 	}
-	return len(p.cumulative) - 1
+	return last
 }
--- a/internal/testbed/workload/schedule.go
+++ b/internal/testbed/workload/schedule.go
@@ -10,74 +10,80 @@
 
 // Arrival is one request that a client is due to send.
 type Arrival struct {
-	At                time.Duration // since the start of the experiment
-	Operation, Tenant int
-	Work, Hint        time.Duration // Hint 0: the client sends none
-	Key               uint64        // idempotency key, for operations that use one
-	Retry             bool          // the trace marks it as a client's retry
+	At        time.Duration // since the start of the experiment
+	Operation int           // index into Plan.Operations
+	Tenant    int           // index into Plan.Tenants, 0 if there are none
+	Work      time.Duration // core time on a worker of standard speed
+	Hint      time.Duration // the client's estimate of Work; 0: the client sends none
+	Key       uint64        // idempotency key, for operations that use one
+	Retry     bool          // the trace marks it as a client's retry
 }
 
 // Plan is everything that determines a schedule except the seed.
 type Plan struct {
-	Segments   []Segment
+	Segments   []Segment // the base load, one after the other
 	Operations []Operation
 	Tenants    []Tenant
-	ExtraLoads []ExtraLoad
+	ExtraLoads []ExtraLoad // added to the base load
 }
 
 // ExtraLoad adds arrivals for a while: a burst over all tenants, or one tenant far above its share.
 type ExtraLoad struct {
-	From, To time.Duration
-	Factor   float64 // of the base rate at that time, added to it
-	Tenant   int     // index of the tenant that sends it, or AllTenants
+	From   time.Duration // since the start of the experiment
+	To     time.Duration // since the start of the experiment
+	Factor float64       // of the base rate at that time, added to it
+	Tenant int           // index of the tenant that sends it, or AllTenants
 }
 
 // AllTenants stands for all tenants together, each with its share.
 const AllTenants = -1
 
-// Schedule draws the arrivals for a seed, ordered by time.
+// Schedule returns the arrivals for a seed, ordered by time.
 func (p *Plan) Schedule(seed uint64) []Arrival {
-	out := p.drawArrivals(p.Segments, seed, "load", -1)
-	for n, e := range p.ExtraLoads {
-		factor := e.Factor
-		if e.Tenant >= 0 {
-			factor *= p.tenantShare(e.Tenant)
+	schedule := p.drawArrivals(p.Segments, seed, "load", AllTenants)
+	for n, load := range p.ExtraLoads {
+		factor := load.Factor
+		if load.Tenant != AllTenants {
+			factor *= p.tenantShare(load.Tenant)
 		}
-		extra := ScaleWithin(p.Segments, e.From, e.To, factor)
-		out = append(out, p.drawArrivals(extra, seed, "extra "+string(rune('a'+n)), e.Tenant)...)
+		extra := ScaleWithin(p.Segments, load.From, load.To, factor)
+		stream := "extra " + string(rune('a'+n))
+		schedule = append(schedule, p.drawArrivals(extra, seed, stream, load.Tenant)...)
 	}
-	slices.SortStableFunc(out, func(a, b Arrival) int { return int(a.At - b.At) })
-	return out
+	slices.SortStableFunc(schedule, func(a, b Arrival) int { return int(a.At - b.At) })
+	return schedule
 }
 
-func (p *Plan) tenantShare(c int) float64 {
+// tenantShare returns the fraction of the base load that a tenant sends.
+func (p *Plan) tenantShare(tenant int) float64 {
 	sum := 0.0
 	for _, other := range p.Tenants {
 		sum += other.Share
 	}
-	return p.Tenants[c].Share / sum
+	return p.Tenants[tenant].Share / sum
 }
 
-func (p *Plan) drawArrivals(segments []Segment, seed uint64, stream string, tenant int) []Arrival {
+// drawArrivals draws arrivals for the rates of the segments, from streams whose names begin with the one given. All are of one
+// tenant, or of AllTenants. As the tenant is drawn in either case, the other draws do not depend on it.
+func (p *Plan) drawArrivals(segments []Segment, seed uint64, stream string, tenant int) (arrivals []Arrival) {
 	operations := newWeightedChoice(p.Operations, func(o Operation) float64 { return o.Share })
-	tenants := newWeightedChoice(p.Tenants, func(c Tenant) float64 { return c.Share })
+	tenants := newWeightedChoice(p.Tenants, func(t Tenant) float64 { return t.Share })
 	mix := unit.RandomStream(seed, stream+" mix")
-	var out []Arrival
 	for _, at := range drawTimes(segments, unit.RandomStream(seed, stream+" times")) {
-		a := Arrival{At: at, Operation: operations.draw(mix), Tenant: tenants.draw(mix)}
-		if tenant >= 0 {
-			a.Tenant = tenant
+		arrival := Arrival{At: at, Operation: operations.draw(mix), Tenant: tenants.draw(mix)}
+		if tenant != AllTenants {
+			arrival.Tenant = tenant
 		}
-		o := &p.Operations[a.Operation]
-		a.Work = o.drawWork(mix)
-		a.Hint = o.drawHint(a.Work, mix)
-		a.Key = mix.Uint64()
-		out = append(out, a)
+		operation := &p.Operations[arrival.Operation]
+		arrival.Work = operation.drawWork(mix)
+		arrival.Hint = operation.drawHint(arrival.Work, mix)
+		arrival.Key = mix.Uint64()
+		arrivals = append(arrivals, arrival)
 	}
-	return out
+	return arrivals
 }
 
-// Encode writes a schedule in a canonical binary form, for comparing and hashing.
+// Encode returns a schedule in a canonical binary form, for comparing and hashing.
 func Encode(schedule []Arrival) (b []byte) {
 	for _, a := range schedule {
 		b = binary.BigEndian.AppendUint64(b, uint64(a.At))
--- a/internal/testbed/workload/trace.go
+++ b/internal/testbed/workload/trace.go
@@ -21,46 +21,63 @@
 
 // traceRow is one row of a trace. Times are in seconds.
 type traceRow struct {
-	Time      *float64 `json:"time"`
+	Time      *float64 `json:"time"` // since the start of the experiment; required
 	Operation string   `json:"operation"`
-	Hint      float64  `json:"hint"`
-	Work      float64  `json:"work"` // 0: derived from the hint, or the operation's mean
-	Tenant    string   `json:"customer"`
-	Key       string   `json:"key"`
+	Hint      float64  `json:"hint"`     // 0: the client sends none
+	Work      float64  `json:"work"`     // 0: derived from the hint, or the operation's mean
+	Tenant    string   `json:"customer"` // empty if the experiment has no tenants
+	Key       string   `json:"key"`      // empty: a random one
 	Retry     bool     `json:"retry"`
 }
 
-// traceColumns are the allowed names in the header of a CSV trace, in any order. The first two are required.
-var traceColumns = []string{"time", "operation", "hint", "work", "customer", "key", "retry"}
+// Names of the columns of a CSV trace. They are also the keys of a trace of JSON objects.
+const (
+	columnTime      = "time"
+	columnOperation = "operation"
+	columnHint      = "hint"
+	columnWork      = "work"
+	columnTenant    = "customer"
+	columnKey       = "key"
+	columnRetry     = "retry"
+)
 
-// maxTraceSeconds is the latest time allowed in a trace, in seconds.
-const maxTraceSeconds = 7 * 24 * 3600
+// traceColumns are the columns that the header of a CSV trace may have, in any order.
+var traceColumns = []string{
+	columnTime, columnOperation, columnHint, columnWork, columnTenant, columnKey, columnRetry,
+}
 
-// maxWorkSeconds bounds the work and the hint of a row, in seconds.
-const maxWorkSeconds = 1_000_000
+// requiredColumns are the columns that the header of a CSV trace must have.
+var requiredColumns = []string{columnTime, columnOperation}
+
+// Limits of a trace.
+const (
+	maxTraceSeconds = 7 * 24 * 3600 // latest time
+	maxWorkSeconds  = 1_000_000     // of the work and the hint of a row
+	maxLineBytes    = 1 << 20       // of one JSON object
+)
 
 // ReadTrace reads recorded arrivals: CSV with a header if the name ends in .csv, else one JSON object per line. It
 // fails on the first invalid row; the error names the file, the line and the column.
 func (p *Plan) ReadTrace(name string, in io.Reader, seed uint64) ([]Arrival, error) {
-	t := &traceReader{plan: p, rng: unit.RandomStream(seed, "trace"), lastTime: math.Inf(-1)}
-	read := t.readJSONLines
+	reader := &traceReader{plan: p, rng: unit.RandomStream(seed, "trace"), lastTime: math.Inf(-1)}
+	read := reader.readJSONLines
 	if strings.HasSuffix(strings.ToLower(name), ".csv") {
-		read = t.readCSV
+		read = reader.readCSV
 	}
 	if line, err := read(in); err != nil {
 		return nil, fmt.Errorf("%s:%d: %w", name, line, err)
 	}
-	if len(t.arrivals) == 0 {
+	if len(reader.arrivals) == 0 {
 		return nil, fmt.Errorf("%s: holds no arrival", name)
 	}
-	return t.arrivals, nil
+	return reader.arrivals, nil
 }
 
 // traceReader collects the arrivals of a trace.
 type traceReader struct {
 	plan     *Plan
-	rng      *rand.Rand
-	lastTime float64 // of the row before, in seconds
+	rng      *rand.Rand // of missing work and keys
+	lastTime float64    // of the row before, in seconds
 	arrivals []Arrival
 }
 
@@ -73,35 +90,55 @@
 		return fmt.Errorf("time: %v comes after %v: rows must be in the order of time", *r.Time, t.lastTime)
 	}
 	t.lastTime = *r.Time
-	o, tenant, err := t.lookUp(r)
+	operation, err := t.operationIndex(r.Operation)
 	if err != nil {
 		return err
 	}
-	if !(r.Hint >= 0 && r.Hint <= maxWorkSeconds) || !(r.Work >= 0 && r.Work <= maxWorkSeconds) {
+	tenant, err := t.tenantIndex(r.Tenant)
+	if err != nil {
+		return err
+	}
+	if !isWork(r.Hint) || !isWork(r.Work) {
 		return fmt.Errorf("hint, work: must be seconds, from 0 to %d", maxWorkSeconds)
 	}
 	t.arrivals = append(t.arrivals, Arrival{
-		At: seconds(*r.Time), Operation: o, Tenant: tenant, Hint: seconds(r.Hint),
-		Work: t.work(r, &t.plan.Operations[o]), Retry: r.Retry, Key: t.key(r),
+		At:        seconds(*r.Time),
+		Operation: operation,
+		Tenant:    tenant,
+		Hint:      seconds(r.Hint),
+		Work:      t.work(r, &t.plan.Operations[operation]),
+		Retry:     r.Retry,
+		Key:       t.key(r),
 	})
 	return nil
 }
 
-// lookUp returns the indexes of a row's operation and tenant.
-func (t *traceReader) lookUp(r traceRow) (operation, tenant int, err error) {
-	operation = slices.IndexFunc(t.plan.Operations, func(o Operation) bool { return o.Name == r.Operation })
-	if operation < 0 {
-		return 0, 0, fmt.Errorf("operation: %q is not defined in the experiment", r.Operation)
+// isWork reports whether a number of seconds is allowed as work or hint.
+func isWork(seconds float64) bool { return seconds >= 0 && seconds <= maxWorkSeconds }
+
+// operationIndex returns the index of a named operation.
+func (t *traceReader) operationIndex(name string) (int, error) {
+	index := slices.IndexFunc(t.plan.Operations, func(o Operation) bool { return o.Name == name })
+	if index < 0 {
+		return 0, fmt.Errorf("%s: %q is not defined in the experiment", columnOperation, name)
+	}
+	return index, nil
+}
+
+// tenantIndex returns the index of a named tenant. Without tenants in the experiment it is 0 for the empty name.
+func (t *traceReader) tenantIndex(name string) (int, error) {
+	if name == "" && len(t.plan.Tenants) == 0 {
+		return 0, nil
 	}
-	tenant = slices.IndexFunc(t.plan.Tenants, func(c Tenant) bool { return c.Name == r.Tenant })
-	if tenant < 0 && (r.Tenant != "" || len(t.plan.Tenants) > 0) {
-		return 0, 0, fmt.Errorf("customer: %q is not defined in the experiment", r.Tenant)
+	index := slices.IndexFunc(t.plan.Tenants, func(c Tenant) bool { return c.Name == name })
+	if index < 0 {
+		return 0, fmt.Errorf("%s: %q is not defined in the experiment", columnTenant, name)
 	}
-	return operation, max(tenant, 0), nil
+	return index, nil
 }
 
-// work is a row's work. Without one it follows from the hint, to which the hint's error is applied in reverse, or it
-// is the operation's mean.
+// work returns a row's work. Without one it follows from the hint, to which the hint's error is applied in reverse.
+// Without either it is the operation's mean.
 func (t *traceReader) work(r traceRow, o *Operation) time.Duration {
 	switch {
 	case r.Work > 0:
@@ -112,16 +149,16 @@
 	return o.Work.Std()
 }
 
-// key is the hash of a row's key. A random one is drawn for each row, so that the draws of other rows do not depend
-// on which ones have a key.
+// key returns the hash of a row's key, or a random one. One is drawn for each row, so that the draws of other rows do not
+// depend on which rows have a key.
 func (t *traceReader) key(r traceRow) uint64 {
 	random := t.rng.Uint64()
 	if r.Key == "" {
 		return random
 	}
-	h := fnv.New64a()
-	_, _ = io.WriteString(h, r.Key)
-	return h.Sum64()
+	hash := fnv.New64a()
+	_, _ = io.WriteString(hash, r.Key) // a hash returns no error
+	return hash.Sum64()
 }
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
@@ -129,29 +166,37 @@
 // readJSONLines reads one JSON object per line. With an error it returns the number of the invalid line.
 func (t *traceReader) readJSONLines(in io.Reader) (line int, err error) {
 	scanner := bufio.NewScanner(in)
-	scanner.Buffer(nil, 1<<20)
+	scanner.Buffer(nil, maxLineBytes)
 	for scanner.Scan() {
 		line++
-		b := bytes.TrimSpace(scanner.Bytes())
-		if len(b) == 0 {
+		text := bytes.TrimSpace(scanner.Bytes())
+		if len(text) == 0 {
 			continue
 		}
-		var r traceRow
-		d := json.NewDecoder(bytes.NewReader(b))
-		d.DisallowUnknownFields()
-		if err := d.Decode(&r); err != nil {
-			return line, fmt.Errorf("not an arrival: %w", err)
-		}
-		if d.More() {
-			return line, errors.New("more than one object")
+		row, err := parseObject(text)
+		if err == nil {
+			err = t.addRow(row)
 		}
-		if err := t.addRow(r); err != nil {
+		if err != nil {
 			return line, err
 		}
 	}
 	return line + 1, scanner.Err()
 }
 
+// parseObject parses the JSON object of a row.
+func parseObject(text []byte) (row traceRow, err error) {
+	decoder := json.NewDecoder(bytes.NewReader(text))
+	decoder.DisallowUnknownFields()
+	if err := decoder.Decode(&row); err != nil {
+		return row, fmt.Errorf("not an arrival: %w", err)
+	}
+	if decoder.More() {
+		return row, errors.New("more than one object")
+	}
+	return row, nil
+}
+
 // readCSV reads CSV with a header. With an error it returns the number of the invalid line.
 func (t *traceReader) readCSV(in io.Reader) (line int, err error) {
 	rows := csv.NewReader(in)
@@ -175,9 +220,9 @@
 			return 0, err
 		}
 		line, _ := rows.FieldPos(0)
-		r, err := parseCells(names, cells)
+		row, err := parseCells(names, cells)
 		if err == nil {
-			err = t.addRow(r)
+			err = t.addRow(row)
 		}
 		if err != nil {
 			return line, err
@@ -185,8 +230,8 @@
 	}
 }
 
-// validateHeader trims the names of the columns and checks that each is known, none is double and no required one
-// is missing.
+// validateHeader trims the names of the columns. It checks that each is known, that none is double and that no required
+// one is missing.
 func validateHeader(names []string) error {
 	for n, name := range names {
 		names[n] = strings.TrimSpace(name)
@@ -194,7 +239,7 @@
 			return fmt.Errorf("column %q, must be one of %s, each at most once", name, strings.Join(traceColumns, ", "))
 		}
 	}
-	for _, required := range traceColumns[:2] {
+	for _, required := range requiredColumns {
 		if !slices.Contains(names, required) {
 			return fmt.Errorf("missing column %q", required)
 		}
@@ -203,37 +248,38 @@
 }
 
 // parseCells converts the cells of a CSV row. The error names the column.
-func parseCells(names, cells []string) (r traceRow, err error) {
+func parseCells(names, cells []string) (row traceRow, err error) {
 	for n, name := range names {
 		cell := strings.TrimSpace(cells[n])
 		if cell == "" {
 			continue
 		}
-		if err := r.setCell(name, cell); err != nil {
-			return r, err
+		if err := row.setCell(name, cell); err != nil {
+			return row, err
 		}
 	}
-	return r, nil
+	return row, nil
 }
 
+// setCell parses one cell. The error names the column.
 func (r *traceRow) setCell(name, cell string) (err error) {
 	switch name {
-	case "time":
-		var v float64
-		if v, err = strconv.ParseFloat(cell, 64); err == nil {
-			r.Time = &v
+	case columnTime:
+		var seconds float64
+		if seconds, err = strconv.ParseFloat(cell, 64); err == nil {
+			r.Time = &seconds
 		}
-	case "operation":
+	case columnOperation:
 		r.Operation = cell
-	case "hint":
+	case columnHint:
 		r.Hint, err = strconv.ParseFloat(cell, 64)
-	case "work":
+	case columnWork:
 		r.Work, err = strconv.ParseFloat(cell, 64)
-	case "customer":
+	case columnTenant:
 		r.Tenant = cell
-	case "key":
+	case columnKey:
 		r.Key = cell
-	case "retry":
+	case columnRetry:
 		if r.Retry, err = strconv.ParseBool(cell); err != nil {
 			return fmt.Errorf("retry: %q is neither true nor false", cell)
 		}
--- a/internal/testbed/workload/workload_test.go
+++ b/internal/testbed/workload/workload_test.go
@@ -10,76 +10,77 @@
 	"canvasroute/internal/testbed/unit"
 )
 
-const sec = time.Second
+const second = time.Second
 
 func duration(d time.Duration) unit.Duration { return unit.Duration(d) }
 
-func somePlan(t *testing.T, phases ...Phase) *Plan {
+// newTestPlan returns a plan with two operations, two tenants and the phases.
+func newTestPlan(t *testing.T, phases ...Phase) *Plan {
 	t.Helper()
 	segments, err := Segments(phases)
 	assert.NoError(t, err)
 	return &Plan{Segments: segments, Operations: []Operation{
-		{Name: "status", Work: duration(sec / 10), Tail: "exponential", Share: 3, HintError: 0.5},
-		{Name: "choices", Work: duration(sec / 5), Tail: "pareto", Spread: 1.5, Share: 1, HintError: -1},
+		{Name: "status", Work: duration(second / 10), Tail: "exponential", Share: 3, HintError: 0.5},
+		{Name: "choices", Work: duration(second / 5), Tail: "pareto", Spread: 1.5, Share: 1, HintError: -1},
 	}, Tenants: []Tenant{{Name: "uni", Share: 1}, {Name: "polit", Share: 3}}}
 }
 
 func TestScheduleIsDeterministicForASeed(t *testing.T) {
-	p := somePlan(t, Phase{Shape: "poisson", Rate: 200, For: duration(5 * sec)})
-	assert.Equal(t, Encode(p.Schedule(7)), Encode(p.Schedule(7)))
-	assert.NotEqual(t, Encode(p.Schedule(7)), Encode(p.Schedule(8)))
+	plan := newTestPlan(t, Phase{Shape: "poisson", Rate: 200, For: duration(5 * second)})
+	assert.Equal(t, Encode(plan.Schedule(7)), Encode(plan.Schedule(7)))
+	assert.NotEqual(t, Encode(plan.Schedule(7)), Encode(plan.Schedule(8)))
 }
 
 // Two plans can be compared only if extra load does not change the draws of the other arrivals.
 func TestExtraLoadDoesNotChangeOtherArrivals(t *testing.T) {
-	p := somePlan(t, Phase{Shape: "poisson", Rate: 200, For: duration(5 * sec)})
-	plain := p.Schedule(7)
-	p.ExtraLoads = []ExtraLoad{{From: 2 * sec, To: 3 * sec, Factor: 4, Tenant: 1}}
-	with, n, extra := p.Schedule(7), 0, 0
-	for _, a := range with {
-		if n < len(plain) && a == plain[n] {
-			n++
+	plan := newTestPlan(t, Phase{Shape: "poisson", Rate: 200, For: duration(5 * second)})
+	plain := plan.Schedule(7)
+	plan.ExtraLoads = []ExtraLoad{{From: 2 * second, To: 3 * second, Factor: 4, Tenant: 1}}
+	unchanged, extra := 0, 0
+	for _, arrival := range plan.Schedule(7) {
+		if unchanged < len(plain) && arrival == plain[unchanged] {
+			unchanged++
 			continue
 		}
 		extra++
-		assert.True(t, a.At >= 2*sec && a.At < 3*sec && a.Tenant == 1, a)
+		assert.True(t, arrival.At >= 2*second && arrival.At < 3*second && arrival.Tenant == 1, arrival)
 	}
-	assert.Len(t, plain, n)
+	assert.Len(t, plain, unchanged)
 	assert.InDelta(t, 200*4*0.75, extra, 100, "four times the tenant's three quarters of 200")
 }
 
 func TestShapesHaveTheirRates(t *testing.T) {
-	count := func(p Phase, from, to time.Duration) (n int) {
-		p.Even = true
-		for _, a := range somePlan(t, p).Schedule(1) {
-			if a.At >= from && a.At < to {
-				n++
+	count := func(phase Phase, from, to time.Duration) (arrivals int) {
+		phase.Even = true
+		for _, arrival := range newTestPlan(t, phase).Schedule(1) {
+			if arrival.At >= from && arrival.At < to {
+				arrivals++
 			}
 		}
-		return n
+		return arrivals
 	}
-	ramp := Phase{Shape: "ramp", Rate: 0, To: 100, For: duration(10 * sec)}
-	assert.InDelta(t, 125, count(ramp, 0, 5*sec), 1, "a quarter of the area under the line")
-	assert.InDelta(t, 500, count(ramp, 0, 10*sec), 1)
-	step := Phase{Shape: "step", Rate: 10, To: 30, Steps: 3, For: duration(9 * sec)}
-	assert.InDelta(t, 60, count(step, 3*sec, 6*sec), 1)
-	burst := Phase{Shape: "burst", Rate: 10, To: 200, Every: duration(4 * sec), Width: duration(sec), For: duration(8 * sec)}
-	assert.InDelta(t, 200, count(burst, 3*sec, 4*sec), 1)
-	assert.InDelta(t, 30, count(burst, 4*sec, 7*sec), 1)
-	even := somePlan(t, Phase{Shape: "constant", Rate: 100, For: duration(sec)}).Schedule(1)
+	ramp := Phase{Shape: "ramp", Rate: 0, To: 100, For: duration(10 * second)}
+	assert.InDelta(t, 125, count(ramp, 0, 5*second), 1, "a quarter of the area under the line")
+	assert.InDelta(t, 500, count(ramp, 0, 10*second), 1)
+	step := Phase{Shape: "step", Rate: 10, To: 30, Steps: 3, For: duration(9 * second)}
+	assert.InDelta(t, 60, count(step, 3*second, 6*second), 1)
+	burst := Phase{Shape: "burst", Rate: 10, To: 200, Every: duration(4 * second), Width: duration(second), For: duration(8 * second)}
+	assert.InDelta(t, 200, count(burst, 3*second, 4*second), 1)
+	assert.InDelta(t, 30, count(burst, 4*second, 7*second), 1)
+	even := newTestPlan(t, Phase{Shape: "constant", Rate: 100, For: duration(second)}).Schedule(1)
 	assert.Equal(t, []time.Duration{5 * time.Millisecond, 15 * time.Millisecond},
 		[]time.Duration{even[0].At, even[1].At})
 }
 
 func TestPoissonArrivalsHaveExponentialGaps(t *testing.T) {
-	at := somePlan(t, Phase{Shape: "poisson", Rate: 1000, For: duration(20 * sec)}).Schedule(3)
-	assert.InDelta(t, 20000, len(at), 500)
+	schedule := newTestPlan(t, Phase{Shape: "poisson", Rate: 1000, For: duration(20 * second)}).Schedule(3)
+	assert.InDelta(t, 20000, len(schedule), 500)
 	mean, square := 0.0, 0.0
-	for n := 1; n < len(at); n++ {
-		gap := (at[n].At - at[n-1].At).Seconds()
+	for n := 1; n < len(schedule); n++ {
+		gap := (schedule[n].At - schedule[n-1].At).Seconds()
 		mean, square = mean+gap, square+gap*gap
 	}
-	mean, square = mean/float64(len(at)), square/float64(len(at))
+	mean, square = mean/float64(len(schedule)), square/float64(len(schedule))
 	assert.InDelta(t, 2, square/(mean*mean), 0.1, "of exponential gaps, twice the mean squared")
 }
 
@@ -91,19 +92,20 @@
 		{Tail: "lognormal", Spread: 1},
 		{Tail: "pareto", Spread: 2.5},
 	} {
-		o.Work = duration(sec)
-		sum := 0.0
-		for range 50000 {
-			sum += o.drawWork(rng).Seconds() / 50000
+		o.Work = duration(second)
+		const draws = 50000
+		mean := 0.0
+		for range draws {
+			mean += o.drawWork(rng).Seconds() / draws
 		}
-		assert.InDelta(t, 1, sum, 0.05, o.Tail)
+		assert.InDelta(t, 1, mean, 0.05, o.Tail)
 	}
-	assert.Zero(t, (&Operation{HintError: -1}).drawHint(sec, rng))
-	assert.Equal(t, sec, (&Operation{}).drawHint(sec, rng))
+	assert.Zero(t, (&Operation{HintError: -1}).drawHint(second, rng))
+	assert.Equal(t, second, (&Operation{}).drawHint(second, rng))
 }
 
 func TestInvalidPhasesAndOperationsAreRejectedByKey(t *testing.T) {
-	for want, p := range map[string]Phase{
+	for want, phase := range map[string]Phase{
 		"load.phase[0].shape": {Shape: "square", For: 1},
 		"load.phase[0].for":   {Shape: "poisson"},
 		"load.phase[0].rate":  {Shape: "poisson", For: 1, Rate: -1},
@@ -111,7 +113,7 @@
 		"load.phase[0].every": {Shape: "burst", For: 9, Every: 1, Width: 1},
 	} {
 		t.Run(want, func(t *testing.T) {
-			_, err := Segments([]Phase{p})
+			_, err := Segments([]Phase{phase})
 			assert.ErrorContains(t, err, want)
 		})
 	}
@@ -127,45 +129,46 @@
 		"tail:":         func(o *Operation) { o.Tail = "long" }, "share:": func(o *Operation) { o.Share = 0 },
 	} {
 		t.Run(want, func(t *testing.T) {
-			o := good
-			change(&o)
-			assert.ErrorContains(t, o.Validate(), want)
+			operation := good
+			change(&operation)
+			assert.ErrorContains(t, operation.Validate(), want)
 		})
 	}
 }
 
+// readTrace reads a trace for the operations and tenants of newTestPlan.
 func readTrace(t *testing.T, name, text string) ([]Arrival, error) {
 	t.Helper()
-	return somePlan(t).ReadTrace(name, strings.NewReader(text), 1)
+	return newTestPlan(t).ReadTrace(name, strings.NewReader(text), 1)
 }
 
 func TestCSVAndJSONTracesReadTheSame(t *testing.T) {
-	table, err := readTrace(t, "t.CSV", "operation,time,key,customer,hint,retry\nstatus,0.5,k,uni,0.25,\n"+
+	fromCSV, err := readTrace(t, "t.CSV", "operation,time,key,customer,hint,retry\nstatus,0.5,k,uni,0.25,\n"+
 		"choices,0.75,k,polit,,true\n")
 	assert.NoError(t, err)
-	lines, err := readTrace(t, "t.jsonl", `{"time":0.5,"operation":"status","key":"k","customer":"uni","hint":0.25}`+
+	fromJSON, err := readTrace(t, "t.jsonl", `{"time":0.5,"operation":"status","key":"k","customer":"uni","hint":0.25}`+
 		"\n\n"+`{"time":0.75,"operation":"choices","key":"k","customer":"polit","retry":true}`+"\n")
 	assert.NoError(t, err)
-	assert.Equal(t, Encode(table), Encode(lines))
-	assert.Equal(t, []any{sec / 2, 250 * time.Millisecond, table[1].Key, true, 200 * time.Millisecond},
-		[]any{table[0].At, table[0].Hint, table[0].Key, table[1].Retry, table[1].Work})
+	assert.Equal(t, Encode(fromCSV), Encode(fromJSON))
+	assert.Equal(t, []any{second / 2, 250 * time.Millisecond, fromCSV[1].Key, true, 200 * time.Millisecond},
+		[]any{fromCSV[0].At, fromCSV[0].Hint, fromCSV[0].Key, fromCSV[1].Retry, fromCSV[1].Work})
 }
 
 func TestInvalidTracesAreRejectedWithFileAndLine(t *testing.T) {
-	head := "time,operation,customer\n0.1,status,uni\n"
+	header := "time,operation,customer\n0.1,status,uni\n"
 	for text, want := range map[string]string{
-		head + "0.05,status,uni\n":   "t.csv:3: time: 0.05 comes after 0.1",
-		head + "0.2,dance,uni\n":     `t.csv:3: operation: "dance" is not defined`,
-		head + "0.2,status,nobody\n": `t.csv:3: customer: "nobody" is not defined`,
-		head + "0.2,status\n":        "t.csv:3: wrong number of fields",
-		head + "soon,status,uni\n":   `t.csv:3: time: "soon" is not a number`,
-		head + ",status,uni\n":       "t.csv:3: time: must be seconds",
-		head + "NaN,status,uni\n":    "t.csv:3: time: must be seconds",
-		head + "\"0.2,status,uni\n":  "t.csv:",
-		"time,colour\n":              `t.csv:1: column "colour"`,
-		"time\n":                     `t.csv:1: missing column "operation"`,
-		"":                           "t.csv:1: no header",
-		"time,operation\n":           "t.csv: holds no arrival",
+		header + "0.05,status,uni\n":   "t.csv:3: time: 0.05 comes after 0.1",
+		header + "0.2,dance,uni\n":     `t.csv:3: operation: "dance" is not defined`,
+		header + "0.2,status,nobody\n": `t.csv:3: customer: "nobody" is not defined`,
+		header + "0.2,status\n":        "t.csv:3: wrong number of fields",
+		header + "soon,status,uni\n":   `t.csv:3: time: "soon" is not a number`,
+		header + ",status,uni\n":       "t.csv:3: time: must be seconds",
+		header + "NaN,status,uni\n":    "t.csv:3: time: must be seconds",
+		header + "\"0.2,status,uni\n":  "t.csv:",
+		"time,colour\n":                `t.csv:1: column "colour"`,
+		"time\n":                       `t.csv:1: missing column "operation"`,
+		"":                             "t.csv:1: no header",
+		"time,operation\n":             "t.csv: holds no arrival",
 		"time,operation,customer,hint\n1,status,uni,-3\n": "t.csv:2: hint, work",
 		"time,operation,retry\n1,status,yes\n":            `t.csv:2: retry: "yes"`,
 	} {
