--- a/internal/testbed/experiment/run.go
+++ b/internal/testbed/experiment/run.go
@@ -132,11 +132,11 @@
 func (p *Plan) ruleConfig(env *environment) history.RuleConfig {
 	t := history.RuleConfig{DrainGrace: p.Dispatchers.DrainGrace.Std(), Slack: p.Slack.Std(), KeysPersisted: p.Dispatchers.Recovery}
 	for _, o := range p.Operations {
-		scope := dedupScope(o)
 		t.Operations = append(t.Operations, history.Operation{
-			Name: o.Name, Idempotent: o.Idempotency == workload.Idempotent,
-			NonIdempotent: o.Idempotency == workload.NonIdempotent, ScopeAll: scope == "all", ScopeZone: scope == "zone",
-			ScopeCell: scope == "cell", DedupWindow: o.DedupWindow.Std(),
+			Name:        o.Name,
+			Idempotency: o.Idempotency,
+			DedupScope:  dedupScope(o),
+			DedupWindow: o.DedupWindow.Std(),
 		})
 	}
 	for _, s := range env.servers {
--- a/internal/testbed/history/check_keys.go
+++ b/internal/testbed/history/check_keys.go
@@ -5,10 +5,12 @@
 	"fmt"
 	"slices"
 	"time"
+
+	"canvasroute/internal/testbed/workload"
 )
 
-// RuleKeysPersisted is a rule for dispatchers that persist state: a marked retry under a key that was sent to a worker
-// before the dispatcher's outage goes to that worker's dedup group or nowhere.
+// RuleKeysPersisted is a rule for dispatchers that persist state. It concerns a marked retry under a key that was sent to a
+// worker before the dispatcher's outage. The retry goes to that worker's dedup group or nowhere.
 const RuleKeysPersisted Rule = "keys kept through an end"
 
 // checkKeys checks RuleKeysPersisted over all requests under one key. It does not apply to a dispatcher that had no
@@ -16,7 +18,7 @@
 func (l *Log) checkKeys(config RuleConfig) (violations []Violation) {
 	byKey := map[uint64][]*Request{}
 	for _, request := range l.requests {
-		if operation := &config.Operations[request.Operation]; request.HasKey && (operation.ScopeZone || operation.ScopeCell) {
+		if request.HasKey && config.Operations[request.Operation].hasSeveralDedupGroups() {
 			byKey[request.Key] = append(byKey[request.Key], request)
 		}
 	}
@@ -31,6 +33,11 @@
 	return violations
 }
 
+// hasSeveralDedupGroups reports whether not all workers deduplicate the operation together.
+func (o *Operation) hasSeveralDedupGroups() bool {
+	return o.DedupScope == workload.ScopeZone || o.DedupScope == workload.ScopeCell
+}
+
 // checkRepeat checks the attempts of a retry against those of an earlier request under the same key.
 func (l *Log) checkRepeat(config RuleConfig, earlier, later *Request) (violations []Violation) {
 	if !later.MarkedRetry {
@@ -44,11 +51,8 @@
 				continue
 			}
 			if reason := config.forbiddenRepeat(operation, first, attempt); reason != "" {
-				violations = append(violations, Violation{
-					Rule: RuleKeysPersisted, ID: later.ID, Dispatcher: attempt.Dispatcher,
-					Worker: attempt.Worker, At: attempt.FirstByteAt,
-					Description: fmt.Sprintf("%s, under the key of %s", reason, earlier.ID),
-				})
+				description := fmt.Sprintf("%s, under the key of %s", reason, earlier.ID)
+				violations = append(violations, attempt.violation(RuleKeysPersisted, later.ID, attempt.FirstByteAt, description))
 			}
 		}
 	}
@@ -58,7 +62,8 @@
 // outageBetween reports whether the dispatcher of the later attempt had an outage after the earlier one.
 func (l *Log) outageBetween(earlier, later *Attempt) bool {
 	return slices.ContainsFunc(l.outages, func(o Outage) bool {
-		return o.Dispatcher == later.Dispatcher && earlier.ReceivedAt < o.From && o.To-outageEndSlack <= later.FirstByteAt
+		isBetween := earlier.ReceivedAt < o.From && o.To-outageEndSlack <= later.FirstByteAt
+		return o.Dispatcher == later.Dispatcher && isBetween
 	})
 }
 
--- a/internal/testbed/history/check_keys_test.go
+++ b/internal/testbed/history/check_keys_test.go
@@ -5,6 +5,8 @@
 	"time"
 
 	"github.com/stretchr/testify/assert"
+
+	"canvasroute/internal/testbed/workload"
 )
 
 func TestMarkedRetryAfterAnOutageGoesToTheFirstDedupGroup(t *testing.T) {
@@ -24,21 +26,26 @@
 		{"at a dispatcher without an outage", true, 0, 2, 4 * second, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			l := New()
-			first := l.RequestOpened("a0", 0, 0, 9*second)
-			l.SetKey(first, 7, false)
-			l.AttemptReceived("a0", Attempt{Worker: 0, Dispatcher: 0, FirstByteAt: second, ReceivedAt: second})
-			l.AddOutage(Outage{Dispatcher: 1, From: 2 * second, To: 3 * second})
-			retry := l.RequestOpened("a1", 0, c.dispatcher, 20*second)
-			l.SetKey(retry, 7, c.marked)
-			l.AttemptReceived("a1", Attempt{Worker: c.worker, Dispatcher: c.dispatcher, FirstByteAt: c.at, ReceivedAt: c.at})
+			log := New()
+			first := log.RequestOpened("a0", 0, 0, 9*second)
+			log.SetKey(first, 7)
+			log.AttemptReceived("a0", Attempt{Worker: 0, Dispatcher: 0, FirstByteAt: second, ReceivedAt: second})
+			log.AddOutage(Outage{Dispatcher: 1, From: 2 * second, To: 3 * second})
+			retry := log.RequestOpened("a1", 0, c.dispatcher, 20*second)
+			log.SetKey(retry, 7)
+			if c.marked {
+				log.MarkRetry(retry)
+			}
+			log.AttemptReceived("a1", Attempt{Worker: c.worker, Dispatcher: c.dispatcher, FirstByteAt: c.at, ReceivedAt: c.at})
 			config := RuleConfig{
-				Operations: []Operation{{Name: "choices", ScopeZone: true, DedupWindow: 10 * second}},
-				Workers:    []Location{{Zone: 0}, {Zone: 0}, {Zone: 1}}, KeysPersisted: true,
+				Operations: []Operation{{
+					Name: "choices", Idempotency: workload.IdempotentByKey, DedupScope: workload.ScopeZone, DedupWindow: 10 * second,
+				}},
+				Workers: []Location{{Zone: 0}, {Zone: 0}, {Zone: 1}}, KeysPersisted: true,
 			}
 			violated := false
-			for _, b := range l.Check(config) {
-				violated = violated || b.Rule == RuleKeysPersisted
+			for _, violation := range log.Check(config) {
+				violated = violated || violation.Rule == RuleKeysPersisted
 			}
 			assert.Equal(t, c.violated, violated)
 		})
--- a/internal/testbed/history/history.go
+++ b/internal/testbed/history/history.go
@@ -11,7 +11,7 @@
 // Outcome is how a client's request ended.
 type Outcome uint8
 
-// The values of Kind.
+// The values of Outcome.
 const (
 	Pending Outcome = iota
 	Succeeded
@@ -34,7 +34,7 @@
 // AttemptEnd is how an attempt ended at its worker.
 type AttemptEnd uint8
 
-// The values of End.
+// The values of AttemptEnd.
 const (
 	Running       AttemptEnd = iota // queued or running
 	Done                            // the worker wrote its result
@@ -46,54 +46,66 @@
 	Deduplicated                    // not run: the worker answered with the result of an earlier attempt under the same key
 )
 
-// Attempt is one message of a dispatcher that a worker received completely.
+// Attempt is one message of a dispatcher that a worker received completely. Times are since the start of the experiment.
 type Attempt struct {
-	Dispatcher, Worker      int
-	Incarnation             int           // of the worker's process, from 0
-	FirstByteAt, ReceivedAt time.Duration // arrival of its first and last byte
-	StartedAt, EndedAt      time.Duration // 0 if it has not
-	End                     AttemptEnd
-	Result                  string
-}
-
-// provenUnstarted reports whether by then the dispatcher had proof that the attempt did not run.
-func (f *Attempt) provenUnstarted(by time.Duration) bool { return f.End == Returned && f.EndedAt <= by }
-
-// Request is one message of a client. A retry is another request, with an ID of its own.
+	Dispatcher  int           // index
+	Worker      int           // index
+	Incarnation int           // of the worker's process, from 0
+	FirstByteAt time.Duration // arrival of its first byte
+	ReceivedAt  time.Duration // arrival of its last byte
+	StartedAt   time.Duration // 0 if it has not started
+	EndedAt     time.Duration // 0 while Running
+	End         AttemptEnd
+	Result      string // "" unless the worker produced one
+}
+
+// provenUnstarted reports whether the dispatcher had proof at a time that the attempt did not run.
+func (a *Attempt) provenUnstarted(at time.Duration) bool { return a.End == Returned && a.EndedAt <= at }
+
+// Request is one message of a client. A retry is another request, with an ID of its own. Times are since the start of the
+// experiment.
 type Request struct {
-	Key                       uint64 // valid if HasKey
-	HasKey, MarkedRetry       bool
-	ID                        string
-	Operation, Dispatcher     int
-	SentAt, Deadline, EndedAt time.Duration // SentAt: its last byte; 0 if it was never sent
-	Outcome                   Outcome
-	Status                    int
-	Result                    string
-	Attempts                  []*Attempt
-	ResentAt                  time.Duration // when it was sent again because an idle connection had ended; 0 if never
-}
-
-// Notification is a worker's state as the list service wrote it to one dispatcher.
+	ID          string
+	Operation   int    // index
+	Dispatcher  int    // index
+	HasKey      bool   // it has an idempotency key
+	Key         uint64 // idempotency key, valid if HasKey
+	MarkedRetry bool   // the client marks it as a retry
+	Deadline    time.Duration
+	SentAt      time.Duration // when its last byte was sent; 0 if it never was
+	ResentAt    time.Duration // when it was sent again because an idle connection had ended; 0 if never
+	EndedAt     time.Duration // 0 while Pending
+	Outcome     Outcome
+	Status      int    // of the answer; 0 if there was none
+	Result      string // body of a successful answer
+	Attempts    []*Attempt
+}
+
+// Notification is a worker's state as the discovery service wrote it to one dispatcher.
 type Notification struct {
-	Dispatcher, Worker int
-	Ready              bool
-	At                 time.Duration
+	Dispatcher int           // index
+	Worker     int           // index
+	Ready      bool          // false: the worker drains or is gone
+	At         time.Duration // since the start of the experiment
 }
 
 // Overload is the crash of a warming-up worker that was sent more work than its budget.
 type Overload struct {
-	Worker, Dispatcher int
-	ID                 string
-	At                 time.Duration
-	SentWork, Budget   time.Duration // core time sent within the span, and allowed within it
-	RecentJobs         string        // the largest recent jobs, for reports
+	Worker     int           // index
+	Dispatcher int           // index of the one that sent the last job
+	ID         string        // of the last job's request
+	At         time.Duration // since the start of the experiment
+	SentWork   time.Duration // core time sent within the span
+	Budget     time.Duration // core time allowed within the span
+	RecentJobs string        // the largest recent jobs, for reports
 }
 
 // Outage is a time in which a dispatcher's process was down or paused.
 type Outage struct {
-	Dispatcher int
-	Planned    bool // it was asked to end and drains first, so the requests that it had accepted must be answered
-	From, To   time.Duration
+	Dispatcher int           // index
+	Planned    bool          // it was asked to end and drains first, so the requests that it had accepted must be answered
+	From       time.Duration // since the start of the experiment
+	To         time.Duration // since the start of the experiment
 }
 
 // Log is the record of an experiment. It is safe for concurrent use.
@@ -101,7 +113,7 @@
 	mu            sync.Mutex
 	requests      []*Request
 	byID          map[string]*Request
-	unknown       []Violation
+	unknown       []Violation // by attempts whose ID no client has used
 	notifications []Notification
 	overloads     []Overload
 	outages       []Outage
@@ -120,13 +132,19 @@
 	return request
 }
 
-// SetKey records a request's idempotency key, and whether the client marks the request as a retry.
-func (l *Log) SetKey(request *Request, key uint64, markedRetry bool) {
+// SetKey records a request's idempotency key.
+func (l *Log) SetKey(request *Request, key uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	request.Key = key
 	request.HasKey = true
-	request.MarkedRetry = markedRetry
+}
+
+// MarkRetry records that the client marks a request as a retry.
+func (l *Log) MarkRetry(request *Request) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	request.MarkedRetry = true
 }
 
 // RequestSent records that a request's last byte has been written.
@@ -136,7 +154,7 @@
 	request.SentAt = at
 }
 
-// RequestResent records that a request is sent again because its idle connection ended before any answer: from the
+// RequestResent records that a request is sent again because its idle connection ended before any answer. From the
 // client's view the end of the connection crossed the request, and nobody has read it.
 func (l *Log) RequestResent(request *Request, at time.Duration) {
 	l.mu.Lock()
@@ -145,7 +163,7 @@
 	request.ResentAt = at
 }
 
-// RequestEnded records a request's outcome.
+// RequestEnded records a request's outcome, with the status and the body of its answer.
 func (l *Log) RequestEnded(request *Request, outcome Outcome, status int, result string, at time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -162,10 +180,8 @@
 	defer l.mu.Unlock()
 	request := l.byID[id]
 	if request == nil {
-		l.unknown = append(l.unknown, Violation{
-			Rule: RuleNoRequestLost, ID: id, Dispatcher: attempt.Dispatcher,
-			Worker: attempt.Worker, At: attempt.ReceivedAt, Description: "attempt with an ID that no client sent",
-		})
+		const reason = "attempt with an ID that no client sent"
+		l.unknown = append(l.unknown, attempt.violation(RuleNoRequestLost, id, attempt.ReceivedAt, reason))
 		return &attempt
 	}
 	request.Attempts = append(request.Attempts, &attempt)
@@ -191,24 +207,24 @@
 }
 
 // WorkerListed records a worker's state as written to a dispatcher.
-func (l *Log) WorkerListed(n Notification) {
+func (l *Log) WorkerListed(notification Notification) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.notifications = append(l.notifications, n)
+	l.notifications = append(l.notifications, notification)
 }
 
 // WorkerOverloaded records the crash of a warming-up worker.
-func (l *Log) WorkerOverloaded(f Overload) {
+func (l *Log) WorkerOverloaded(overload Overload) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.overloads = append(l.overloads, f)
+	l.overloads = append(l.overloads, overload)
 }
 
 // AddOutage records an outage that is over, or that lasts to the end of the experiment.
-func (l *Log) AddOutage(o Outage) {
+func (l *Log) AddOutage(outage Outage) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.outages = append(l.outages, o)
+	l.outages = append(l.outages, outage)
 }
 
 // Requests returns all requests, for reports. It may be called only once nothing is recorded any more.
@@ -222,9 +238,9 @@
 func (l *Log) AttemptEnds(id string) (ends []AttemptEnd) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if t := l.byID[id]; t != nil {
-		for _, f := range t.Attempts {
-			ends = append(ends, f.End)
+	if request := l.byID[id]; request != nil {
+		for _, attempt := range request.Attempts {
+			ends = append(ends, attempt.End)
 		}
 	}
 	return ends
--- a/internal/testbed/loadgen/loadgen.go
+++ b/internal/testbed/loadgen/loadgen.go
@@ -139,7 +139,10 @@
 	dispatcher := g.FrontTier.choose()
 	request := g.History.RequestOpened(id, arrival.Operation, dispatcher, deadline)
 	if o.Idempotency == workload.IdempotentByKey {
-		g.History.SetKey(request, arrival.Key, try > 0 || arrival.Retry)
+		g.History.SetKey(request, arrival.Key)
+	}
+	if try > 0 || arrival.Retry {
+		g.History.MarkRetry(request)
 	}
 	ctx, cancel := context.WithTimeout(ctx, o.Timeout.Std())
 	defer cancel()
