--- a/internal/testbed/command/command.go
+++ b/internal/testbed/command/command.go
@@ -158,7 +158,7 @@
 
 // run runs a plan with each seed. With several seeds each result gets a folder of its own.
 func (f *runFlags) run(ctx context.Context, p *experiment.Plan, out, status io.Writer) error {
-	dispatcher, self, err := experiment.Find(f.dispatcher)
+	programs, err := experiment.FindPrograms(f.dispatcher)
 	if err != nil {
 		return usageError{err}
 	}
@@ -176,7 +176,7 @@
 		if len(seeds) > 1 {
 			into = filepath.Join(folder, fmt.Sprint("seed-", seed))
 		}
-		o := experiment.Options{Folder: into, Dispatcher: dispatcher, Self: self}
+		o := experiment.Options{Folder: into, Programs: programs}
 		finish := func() {}
 		if !f.quiet {
 			o.Progress, finish = progress(status, p.Duration())
@@ -209,8 +209,8 @@
 		progressbar.OptionSetWidth(24), progressbar.OptionThrottle(200*time.Millisecond),
 		progressbar.OptionSetPredictTime(true), progressbar.OptionClearOnFinish())
 	update := func(g experiment.Progress) {
-		bar.Describe(fmt.Sprintf("%d calls: %d succeeded, %d throttled, %d other, %d open", g.Calls, g.Succeeded,
-			g.Throttled, g.Other, g.Open))
+		bar.Describe(fmt.Sprintf("%d calls: %d succeeded, %d throttled, %d other, %d open", g.Calls.Total,
+			g.Calls.Succeeded, g.Calls.Throttled, g.Calls.Other, g.Open))
 		_ = bar.Set64(min(g.At, g.Of).Milliseconds())
 	}
 	return update, func() { _ = bar.Finish() }
@@ -300,7 +300,7 @@
 func (f *runFlags) saturate(ctx context.Context, s experiment.Saturation, policies []string,
 	out, status io.Writer,
 ) error {
-	dispatcher, self, err := experiment.Find(f.dispatcher)
+	programs, err := experiment.FindPrograms(f.dispatcher)
 	if err != nil {
 		return usageError{err}
 	}
@@ -312,7 +312,7 @@
 	best := map[string]experiment.Trial{}
 	for _, policy := range policies {
 		s.Policy = policy
-		o := experiment.Options{Folder: folder, Dispatcher: dispatcher, Self: self}
+		o := experiment.Options{Folder: folder, Programs: programs}
 		best[policy], err = experiment.Saturate(ctx, s, o, func(t experiment.Trial) {
 			verdict := "holds"
 			if !t.Holds {
--- a/internal/testbed/command/command_test.go
+++ b/internal/testbed/command/command_test.go
@@ -114,7 +114,9 @@
 	assert.NoError(t, err)
 	self, err := os.Executable()
 	assert.NoError(t, err)
-	r, err := p.Run(context.Background(), 3, experiment.Options{Folder: scratch(t), Dispatcher: self, Self: self})
+	r, err := p.Run(context.Background(), 3, experiment.Options{
+		Folder: scratch(t), Programs: experiment.Programs{Dispatcher: self, Self: self},
+	})
 	assert.NoError(t, err)
 	if r == nil {
 		t.FailNow()
--- a/internal/testbed/experiment/actions.go
+++ b/internal/testbed/experiment/actions.go
@@ -6,10 +6,11 @@
 
 	"canvasroute/internal/testbed/discoveryserver"
 	"canvasroute/internal/testbed/fault"
+	"canvasroute/internal/testbed/worker"
 )
 
-// play applies the actions of the timeline, each at its time, until ctx ends.
-func (env *environment) play(ctx context.Context, actions []fault.Action) {
+// applyTimeline applies the actions of a timeline, each at its time, until ctx ends.
+func (env *environment) applyTimeline(ctx context.Context, actions []fault.Action) {
 	for _, action := range actions {
 		select {
 		case <-time.After(max(action.At-env.clock(), 0)):
@@ -20,6 +21,7 @@
 	}
 }
 
+// apply applies one action. It does not wait for what takes long.
 func (env *environment) apply(ctx context.Context, action fault.Action) {
 	switch action.Kind {
 	case fault.ListLag, fault.ListLagEnd, fault.ListDown, fault.ListUnavailable, fault.ListRecover:
@@ -49,6 +51,7 @@
 	}
 }
 
+// applyToDiscovery changes the discovery service's lag or outage.
 func (env *environment) applyToDiscovery(action fault.Action) {
 	switch action.Kind {
 	case fault.ListLag:
@@ -64,6 +67,7 @@
 	}
 }
 
+// applyToPeers changes the conditions of the network between dispatchers.
 func (env *environment) applyToPeers(action fault.Action) {
 	if env.peers == nil {
 		return
@@ -84,47 +88,59 @@
 		env.mu.Lock()
 		n := len(env.servers)
 		env.mu.Unlock()
-		zone, cell := env.plan.placement(n)
-		env.recordFailure(env.addWorker(env.plan.Fleet.Kinds[0], zone, cell, false))
+		env.recordFailure(env.addWorker(env.plan.place(n, 0), (*worker.Server).Start))
 	}
 }
 
+// applyToWorker applies an action to worker n.
 func (env *environment) applyToWorker(action fault.Action, n int) {
 	server := env.server(n)
 	switch action.Kind {
 	case fault.WorkerCrash, fault.WorkerStop:
 		if server.Running() {
 			server.Crash()
-			env.publish(n, discoveryserver.Gone, false)
+			env.publish(n, discoveryserver.Gone)
 		}
 	case fault.WorkerRestart:
 		if !server.Running() {
-			env.recordFailure(server.Start(false))
-			env.publish(n, discoveryserver.Ready, false)
+			env.recordFailure(server.Start())
+			env.publish(n, discoveryserver.Ready)
 		}
 	case fault.WorkerSpeed:
-		env.mu.Lock()
-		env.speedFactors[n][action.Fault] = action.Value
-		speed := 1.0
-		for _, factor := range env.speedFactors[n] {
-			speed *= factor
-		}
-		env.mu.Unlock()
-		server.SetSpeed(speed)
-	case fault.WorkerPause, fault.WorkerResume:
-		server.Pause(action.Kind == fault.WorkerPause)
-	case fault.WorkerMute, fault.WorkerUnmute:
-		server.Mute(action.Kind == fault.WorkerMute)
-	case fault.WorkerCut, fault.WorkerHeal:
-		server.Partition(action.Kind == fault.WorkerCut)
+		server.SetSpeed(env.combinedSpeed(n, action))
+	case fault.WorkerPause:
+		server.Pause()
+	case fault.WorkerResume:
+		server.Resume()
+	case fault.WorkerMute:
+		server.Mute()
+	case fault.WorkerUnmute:
+		server.Unmute()
+	case fault.WorkerCut:
+		server.Partition()
+	case fault.WorkerHeal:
+		server.Heal()
 	case fault.WorkerDrain:
 		if server.Running() {
 			server.Drain()
-			env.publish(n, discoveryserver.Terminating, server.StartedAt() <= 0)
+			env.publish(n, discoveryserver.Terminating)
 		}
 	}
 }
 
+// combinedSpeed sets the factor of one fault for worker n's speed, and returns the product of all faults' factors.
+func (env *environment) combinedSpeed(n int, action fault.Action) float64 {
+	env.mu.Lock()
+	defer env.mu.Unlock()
+	env.speedFactors[n][action.Fault] = action.Value
+	speed := 1.0
+	for _, factor := range env.speedFactors[n] {
+		speed *= factor
+	}
+	return speed
+}
+
+// applyToDispatcher applies an action to the process of dispatcher n.
 func (env *environment) applyToDispatcher(ctx context.Context, kind fault.ActionKind, n int) {
 	p := env.process(n)
 	switch kind {
@@ -133,9 +149,9 @@
 		p.kill()
 	case fault.DispatcherPause:
 		env.dispatcherDown(n)
-		p.pause(true)
+		p.pause()
 	case fault.DispatcherResume:
-		p.pause(false)
+		p.resume()
 		env.dispatcherUp(n)
 	case fault.DispatcherStart:
 		if !p.running() {
--- a/internal/testbed/experiment/clock.go
+++ b/internal/testbed/experiment/clock.go
@@ -6,8 +6,6 @@
 	"canvasroute/internal/fleet/store"
 )
 
-// What a dispatcher that persists state must keep through a loss of power, also if its clock jumps meanwhile.
-
 // shiftClock simulates a jump of a dispatcher's clock while it has no power. As a process' clock cannot be changed, it
 // moves all times on the dispatcher's disk in the opposite direction.
 func shiftClock(folder, name string, by time.Duration) error {
@@ -29,30 +27,30 @@
 			return err
 		}
 	}
-	ms := by.Milliseconds()
-	s, _ := store.Open(disk, name)
+	shiftMillis := by.Milliseconds()
+	state, _ := store.Open(disk, name)
 	incarnation := found.Incarnation
 	start := store.Start{
 		MinNumber:   incarnation.Number,
 		Nonce:       incarnation.Nonce,
 		KeysSuspect: found.KeysSuspect,
-		At:          incarnation.StartedAt - ms,
+		At:          incarnation.StartedAt - shiftMillis,
 	}
-	if _, err := s.Begin(start); err != nil {
+	if _, err := state.Begin(start); err != nil {
 		return err
 	}
 	for n := range found.Keys {
-		found.Keys[n].SentAt -= ms
-		found.Keys[n].ExpiresAt -= ms
+		found.Keys[n].SentAt -= shiftMillis
+		found.Keys[n].ExpiresAt -= shiftMillis
 	}
-	if err := s.AppendKeys(found.Keys, time.Now().UnixMilli()); err != nil {
+	if err := state.AppendKeys(found.Keys, time.Now().UnixMilli()); err != nil {
 		return err
 	}
 	if found.State != nil {
-		found.State.WrittenAt -= ms
-		if err := s.SaveState(*found.State); err != nil {
+		found.State.WrittenAt -= shiftMillis
+		if err := state.SaveState(*found.State); err != nil {
 			return err
 		}
 	}
-	return s.SetDrained(incarnation.Drained)
+	return state.SetDrained(incarnation.Drained)
 }
--- a/internal/testbed/experiment/clock_test.go
+++ b/internal/testbed/experiment/clock_test.go
@@ -12,21 +12,21 @@
 // A shift that changed anything but times would make experiments with a clock jump fail for another cause.
 func TestShiftClockMovesTimesAndNothingElse(t *testing.T) {
 	path, now := t.TempDir(), time.Now().UnixMilli()
-	write := func() *store.Folder {
-		disk, err := store.OpenFolder(path)
+	open := func() *store.Folder {
+		folder, err := store.OpenFolder(path)
 		assert.NoError(t, err)
-		return disk
+		return folder
 	}
-	disk := write()
-	s, _ := store.Open(disk, "d1")
-	incarnation, err := s.Begin(store.Start{MinNumber: 4, Nonce: 77, At: now})
+	disk := open()
+	state, _ := store.Open(disk, "d1")
+	incarnation, err := state.Begin(store.Start{MinNumber: 4, Nonce: 77, At: now})
 	assert.NoError(t, err)
-	assert.NoError(t, s.AppendKeys([]store.Key{{Sum: 9, Worker: "w3", SentAt: now, ExpiresAt: now + 1000}}, now))
-	assert.NoError(t, s.SaveState(store.State{WrittenAt: now, SettingsHash: "abc"}))
-	assert.NoError(t, s.SetDrained(true))
+	assert.NoError(t, state.AppendKeys([]store.Key{{Sum: 9, Worker: "w3", SentAt: now, ExpiresAt: now + 1000}}, now))
+	assert.NoError(t, state.SaveState(store.State{WrittenAt: now, SettingsHash: "abc"}))
+	assert.NoError(t, state.SetDrained(true))
 	assert.NoError(t, disk.Close())
 	assert.NoError(t, shiftClock(path, "d1", time.Hour))
-	disk = write()
+	disk = open()
 	defer func() { assert.NoError(t, disk.Close()) }()
 	_, found := store.Open(disk, "d1")
 	assert.Empty(t, found.Errors)
--- /dev/null
+++ b/internal/testbed/experiment/counters.go
@@ -0,0 +1,83 @@
+package experiment
+
+import (
+	"fmt"
+	"strconv"
+	"strings"
+
+	"canvasroute/internal/testbed/history"
+)
+
+// Tolerances between a dispatcher's own counters and the recorded history. The larger one applies.
+const (
+	counterTolerance    = 0.01 // share of the requests with an outcome
+	minCounterTolerance = 3    // requests
+)
+
+// comparedCounters are a dispatcher's counters, and the names of the outcomes that they count.
+var comparedCounters = []struct {
+	counter string
+	outcome string
+}{
+	{"succeeded", history.OutcomeNames[history.Succeeded]},
+	{"declined", history.OutcomeNames[history.Throttled]},
+	{"aborted", history.OutcomeNames[history.Errored]},
+}
+
+// uncertainOutcomes are those of requests that a dispatcher may have counted or not, as their clients got no answer.
+var uncertainOutcomes = []history.Outcome{history.Unanswered, history.Broken, history.Unreachable, history.Interrupted}
+
+// compareCounters compares the counters of each dispatcher that has had only one process with the outcomes of its
+// requests. Requests whose client left without an answer may be counted or not.
+func (env *environment) compareCounters() {
+	for n := range env.listenAddrs {
+		p := env.process(n)
+		if env.plan.Dispatchers.Policy != Canvasroute || p.incarnations != 1 || !p.running() {
+			continue
+		}
+		dump, err := callAdmin(p.adminAddr, commandCounters)
+		if err != nil {
+			env.recordFailure(fmt.Errorf("%s: %w", dispatcherName(n), err))
+			continue
+		}
+		env.compareCountersOf(n, parseCounters(dump))
+	}
+}
+
+// compareCountersOf compares reported counters of dispatcher n with the outcomes of its requests, and records a failure for
+// each one that differs by more than the tolerance.
+func (env *environment) compareCountersOf(n int, reported map[string]int) {
+	observed := map[string]int{}
+	for _, request := range env.history.Requests() {
+		if request.Dispatcher == n {
+			observed[history.OutcomeNames[request.Outcome]]++
+		}
+	}
+	uncertain := 0
+	for _, outcome := range uncertainOutcomes {
+		uncertain += observed[history.OutcomeNames[outcome]]
+	}
+	for _, pair := range comparedCounters {
+		counter, outcomes := reported[pair.counter], observed[pair.outcome]
+		tolerance := uncertain + max(minCounterTolerance, int(counterTolerance*float64(outcomes)))
+		if counter < outcomes-tolerance || counter > outcomes+tolerance {
+			env.recordFailure(fmt.Errorf("%s: svc.%s says %d, clients saw %d", dispatcherName(n), pair.counter, counter,
+				outcomes))
+		}
+	}
+}
+
+// parseCounters returns the counters of a dump by name, each summed over operations.
+func parseCounters(dump string) map[string]int {
+	sums := map[string]int{}
+	for line := range strings.Lines(dump) {
+		key, text, found := strings.Cut(strings.TrimSpace(strings.TrimPrefix(line, "svc.")), "=")
+		value, err := strconv.Atoi(text)
+		if !found || err != nil {
+			continue
+		}
+		name, _, _ := strings.Cut(key, ".")
+		sums[name] += value
+	}
+	return sums
+}
--- a/internal/testbed/experiment/dispatchers.go
+++ b/internal/testbed/experiment/dispatchers.go
@@ -31,12 +31,12 @@
 // startDispatchers starts all dispatchers on free ports, and waits until all are ready.
 func (env *environment) startDispatchers(ctx, running context.Context) error {
 	settings := &env.plan.Dispatchers
-	peerAddrs, linkAddrs, err := env.newProcesses()
+	addrs, err := env.newProcesses()
 	if err != nil {
 		return err
 	}
 	if settings.Peers && settings.Count > 1 {
-		peers, err := network.New(peerAddrs, env.peerConditions(), network.PlatformDatagramBytes, env.seed)
+		peers, err := network.New(network.Peers, addrs.peers, env.peerConditions(), network.PlatformDatagramBytes, env.seed)
 		if err != nil {
 			return err
 		}
@@ -44,7 +44,7 @@
 		env.background.Go(func() error { return peers.Run(running) })
 	}
 	if settings.Recovery {
-		if err := env.startLink(running, linkAddrs); err != nil {
+		if err := env.startLink(running, addrs.link); err != nil {
 			return err
 		}
 	}
@@ -61,57 +61,65 @@
 	return env.awaitReady(ctx)
 }
 
-// newProcesses assigns ports to all dispatchers, and returns those for datagrams and for the link.
-func (env *environment) newProcesses() (peerAddrs, linkAddrs []netip.AddrPort, err error) {
+// datagramAddrs are the addresses at which dispatchers receive datagrams, by dispatcher.
+type datagramAddrs struct {
+	peers []netip.AddrPort // from peers
+	link  []netip.AddrPort // from other members of a fleet that persists state
+}
+
+// newProcesses assigns ports to all dispatchers, and returns those for datagrams.
+func (env *environment) newProcesses() (addrs datagramAddrs, err error) {
 	env.listenAddrs = nil
 	env.processes = nil
 	for n := range env.plan.Dispatchers.Count {
-		var ports [4]netip.AddrPort
-		for k := range ports {
-			if ports[k], err = freePort(); err != nil {
-				return nil, nil, err
+		var listen, peers, link, admin netip.AddrPort
+		for _, addr := range []*netip.AddrPort{&listen, &peers, &link, &admin} {
+			if *addr, err = freePort(); err != nil {
+				return datagramAddrs{}, err
 			}
 		}
 		p, err := newProcess(dispatcherName(n), env.folder, env.dispatcherCommand)
 		if err != nil {
-			return nil, nil, err
+			return datagramAddrs{}, err
 		}
-		p.operatorsAddr = ports[3].String()
+		p.adminAddr = admin.String()
 		env.processes = append(env.processes, p)
-		env.listenAddrs = append(env.listenAddrs, ports[0])
-		peerAddrs = append(peerAddrs, ports[1])
-		linkAddrs = append(linkAddrs, ports[2])
+		env.listenAddrs = append(env.listenAddrs, listen)
+		addrs.peers = append(addrs.peers, peers)
+		addrs.link = append(addrs.link, link)
 	}
-	return peerAddrs, linkAddrs, nil
+	return addrs, nil
 }
 
-// peerConditions are those of the plan, without any fault.
+// peerConditions returns those of the plan, without any fault.
 func (env *environment) peerConditions() network.Conditions {
 	d := &env.plan.Dispatchers
 	return network.Conditions{Loss: d.PeerLoss, Delay: d.PeerDelay.Std(), Jitter: d.PeerJitter.Std()}
 }
 
-// launchDispatcher starts one dispatcher's process. All workers count as listed to it as ready, until the list service
-// writes otherwise: drains that the process before it was notified of do not bind it.
+// launchDispatcher starts one dispatcher's process. All workers count as listed to it as ready until the discovery service
+// writes otherwise, as drains that the process before was notified of do not bind it.
 func (env *environment) launchDispatcher(n int) error {
 	p := env.process(n)
-	config, err := env.dispatcherConfig(n, p.operatorsAddr, env.plan.Dispatchers.MaxAttempts)
+	config, err := env.dispatcherConfig(n, p.adminAddr, env.plan.Dispatchers.MaxAttempts)
 	if err != nil {
 		return err
 	}
 	env.mu.Lock()
 	workers := len(env.servers)
 	env.mu.Unlock()
-	for k := range workers {
-		env.history.WorkerListed(history.Notification{Dispatcher: n, Worker: k, Ready: true, At: env.clock()})
+	for worker := range workers {
+		env.history.WorkerListed(history.Notification{Dispatcher: n, Worker: worker, Ready: true, At: env.clock()})
 	}
 	return p.start(config)
 }
 
 // dispatcherConfig returns the configuration for a dispatcher's start or reload.
-func (env *environment) dispatcherConfig(n int, operatorsAddr string, maxAttempts int) ([]byte, error) {
+func (env *environment) dispatcherConfig(n int, adminAddr string, maxAttempts int) ([]byte, error) {
 	addrs := dispatcherAddrs{
-		listen: env.listenAddrs[n].String(), operators: operatorsAddr, discovery: env.discovery.Address(n),
+		listen:    env.listenAddrs[n].String(),
+		admin:     adminAddr,
+		discovery: env.discovery.Address(n),
 	}
 	if env.peers != nil {
 		addrs.peers = env.peers.View(n)
--- a/internal/testbed/experiment/environment.go
+++ b/internal/testbed/experiment/environment.go
@@ -29,7 +29,7 @@
 	seed              uint64
 	folder            string
 	dispatcherCommand []string
-	startedAtNanos    atomic.Int64 // Unix time of the start of the experiment
+	startedAtNanos    atomic.Int64 // Unix time of the start of the experiment, in nanoseconds
 
 	history   *history.Log
 	discovery *discoveryserver.Server
@@ -62,8 +62,14 @@
 // openEnvironment starts the stand-ins and the dispatchers. The environment has to be closed, also after an error.
 func openEnvironment(ctx context.Context, p *Plan, seed uint64, folder string, command []string) (*environment, error) {
 	env := &environment{
-		plan: p, seed: seed, folder: folder, dispatcherCommand: command, history: history.New(),
-		downSince: map[int]time.Duration{}, endpointsAtPowerLoss: map[int][]byte{}, drainedByOperator: map[int]bool{},
+		plan:                 p,
+		seed:                 seed,
+		folder:               folder,
+		dispatcherCommand:    command,
+		history:              history.New(),
+		downSince:            map[int]time.Duration{},
+		endpointsAtPowerLoss: map[int][]byte{},
+		drainedByOperator:    map[int]bool{},
 	}
 	env.startedAtNanos.Store(time.Now().UnixNano())
 	running, cancel := context.WithCancel(context.Background())
@@ -88,24 +94,17 @@
 	return env, err
 }
 
-// startStandIns starts the list service and the workers, all of which are warm.
+// startStandIns starts the discovery service and the workers, all of which are warm.
 func (env *environment) startStandIns(ctx context.Context) (err error) {
 	fleet := &env.plan.Fleet
-	env.fleet = worker.NewFleet(worker.Config{
-		IdleTimeout: fleet.Idle.Std(), StartNotes: fleet.StartNotes, Progress: fleet.Progress,
-		Probes: fleet.Probes, Instant: fleet.Instant, Warmup: worker.Warmup{
-			InitialShare: fleet.InitialShare, Duration: fleet.WarmupDuration.Std(),
-			OverloadMultiple: fleet.OverloadMultiple, OverloadSpan: fleet.OverloadSpan.Std(),
-		},
-	}, env.plan.deduplications(), env.history, env.clock, env.workerOverloaded)
+	env.fleet = worker.NewFleet(env.plan.workerConfig(), env.plan.deduplications(), env.history, env.clock, env.workerOverloaded)
 	env.catalog = discoveryserver.NewCatalog(fleet.ListLag.Std())
 	env.discovery, err = discoveryserver.New(env.catalog, env.plan.Dispatchers.Count, env.clock, env.endpointNotified)
 	if err != nil {
 		return err
 	}
-	kinds, zones, cells := env.plan.placeWorkers()
-	for n := range kinds {
-		if err := env.addWorker(fleet.Kinds[kinds[n]], zones[n], cells[n], true); err != nil {
+	for _, place := range env.plan.placeWorkers() {
+		if err := env.addWorker(place, (*worker.Server).StartWarm); err != nil {
 			return err
 		}
 	}
@@ -114,47 +113,78 @@
 	return nil
 }
 
-// deduplications are how workers deduplicate each operation.
+// workerConfig returns what all workers have in common.
+func (p *Plan) workerConfig() worker.Config {
+	fleet := &p.Fleet
+	return worker.Config{
+		Warmup:      p.warmup(),
+		IdleTimeout: fleet.Idle.Std(),
+		StartNotes:  fleet.StartNotes,
+		Progress:    fleet.Progress,
+		Probes:      fleet.Probes,
+		Instant:     fleet.Instant,
+	}
+}
+
+// warmup returns how workers behave after their start.
+func (p *Plan) warmup() worker.Warmup {
+	fleet := &p.Fleet
+	return worker.Warmup{
+		InitialShare:     fleet.InitialShare,
+		Duration:         fleet.WarmupDuration.Std(),
+		OverloadMultiple: fleet.OverloadMultiple,
+		OverloadSpan:     fleet.OverloadSpan.Std(),
+	}
+}
+
+// deduplications returns how workers deduplicate each operation.
 func (p *Plan) deduplications() (all []worker.Deduplication) {
-	for _, o := range p.Operations {
-		d := worker.Deduplication{Window: o.DedupWindow.Std()}
-		if o.Idempotency == workload.IdempotentByKey {
-			d.Scope = dedupScope(o)
+	for _, operation := range p.Operations {
+		deduplication := worker.Deduplication{Window: operation.DedupWindow.Std()}
+		if operation.Idempotency == workload.IdempotentByKey {
+			deduplication.Scope = dedupScope(operation)
 		}
-		all = append(all, d)
+		all = append(all, deduplication)
 	}
 	return all
 }
 
-// addWorker adds a worker, starts it and lists it.
-func (env *environment) addWorker(kind worker.Kind, zone, cell int, warm bool) error {
+// addWorker adds a worker, starts it with the method given and lists it.
+func (env *environment) addWorker(place workerPlace, start func(*worker.Server) error) error {
 	env.mu.Lock()
 	n := len(env.servers)
-	server := env.fleet.Add(fmt.Sprintf("w%02d", n), kind, zone, cell, env.plan.Dispatchers.Count)
+	kind := env.plan.Fleet.Kinds[place.kind]
+	server := env.fleet.Add(fmt.Sprintf("w%02d", n), kind, place.zone, place.cell, env.plan.Dispatchers.Count)
 	env.servers = append(env.servers, server)
 	env.speedFactors = append(env.speedFactors, map[int]float64{})
 	env.mu.Unlock()
-	if err := server.Start(warm); err != nil {
+	if err := start(server); err != nil {
 		return err
 	}
-	env.publish(n, discoveryserver.Ready, warm)
+	env.publish(n, discoveryserver.Ready)
 	return nil
 }
 
-// publish updates a worker in the list. One that started long ago is listed without a start time.
-func (env *environment) publish(n int, state discoveryserver.State, longAgo bool) {
+// publish updates a worker in the list. One that started warm is listed without a start time.
+func (env *environment) publish(n int, state discoveryserver.State) {
 	server := env.server(n)
-	name, kind, zone, cell := server.Location()
+	identity := server.Identity()
 	entry := discoveryserver.Entry{
-		Worker: n, Name: name, Zone: env.plan.Fleet.Zones[zone], Kind: kind, Cell: cell,
-		Addresses: server.Addresses(), State: state,
+		Worker:    n,
+		Name:      identity.Name,
+		Zone:      env.plan.Fleet.Zones[identity.Zone],
+		Kind:      identity.Kind,
+		Cell:      identity.Cell,
+		Addresses: server.Addresses(),
+		State:     state,
 	}
-	if startedAt := server.StartedAt(); !longAgo && startedAt > 0 {
+	if startedAt := server.StartedAt(); startedAt > 0 {
 		entry.StartedAt = time.Unix(0, env.startedAtNanos.Load()).Add(startedAt)
 	}
 	env.discovery.Update(entry)
 }
 
+// server returns worker n.
 func (env *environment) server(n int) *worker.Server {
 	env.mu.Lock()
 	defer env.mu.Unlock()
@@ -164,13 +194,15 @@
 // endpointNotified records that an entry of the list has been written to a dispatcher.
 func (env *environment) endpointNotified(dispatcher int, entry discoveryserver.Entry) {
 	env.history.WorkerListed(history.Notification{
-		Dispatcher: dispatcher, Worker: entry.Worker, Ready: entry.State == discoveryserver.Ready,
-		At: env.clock(),
+		Dispatcher: dispatcher,
+		Worker:     entry.Worker,
+		Ready:      entry.State == discoveryserver.Ready,
+		At:         env.clock(),
 	})
 }
 
 // workerOverloaded lists an overloaded worker as gone. It stays down.
-func (env *environment) workerOverloaded(n int) { env.publish(n, discoveryserver.Gone, false) }
+func (env *environment) workerOverloaded(n int) { env.publish(n, discoveryserver.Gone) }
 
 // recordFailure records an error of a process or a stand-in for the result; nil is none.
 func (env *environment) recordFailure(err error) {
--- a/internal/testbed/experiment/experiment_test.go
+++ b/internal/testbed/experiment/experiment_test.go
@@ -13,7 +13,8 @@
 	"canvasroute/internal/daemon"
 )
 
-const smallest = `[[fleet.kind]]
+// minimalFile is an experiment file with what every experiment needs but a load.
+const minimalFile = `[[fleet.kind]]
 name = "std"
 cores = 1
 count = 3
@@ -27,24 +28,28 @@
 share = 1
 `
 
-func parsed(t *testing.T, more string) *Plan {
+// onePhase is a load for minimalFile.
+const onePhase = "[[load.phase]]\nshape=\"poisson\"\nrate=1\nfor=\"1s\"\n"
+
+// parseMinimal parses minimalFile with additional text.
+func parseMinimal(t *testing.T, additional string) *Plan {
 	t.Helper()
-	p, err := Parse("x.toml", []byte(smallest+more), failOnRenamedKey(t))
+	plan, err := Parse("x.toml", []byte(minimalFile+additional), failOnRenamedKey(t))
 	assert.NoError(t, err)
-	return p
+	return plan
 }
 
 func TestFailedStartIsReportedWithTheLog(t *testing.T) {
-	p, folder := parsed(t, "[[load.phase]]\nshape=\"poisson\"\nrate=1\nfor=\"1s\"\n"), t.TempDir()
-	_, err := p.Run(context.Background(), 1, Options{Folder: folder, Dispatcher: "/bin/false"})
+	plan, folder := parseMinimal(t, onePhase), t.TempDir()
+	_, err := plan.Run(context.Background(), 1, Options{Folder: folder, Programs: Programs{Dispatcher: "/bin/false"}})
 	assert.ErrorContains(t, err, "d0 did not become ready: see its log "+filepath.Join(folder, "d0.log"))
 	assert.NoFileExists(t, filepath.Join(folder, resultName))
 }
 
 func TestFolderWithAResultIsNotOverwritten(t *testing.T) {
-	p, folder := parsed(t, "[[load.phase]]\nshape=\"poisson\"\nrate=1\nfor=\"1s\"\n"), t.TempDir()
+	plan, folder := parseMinimal(t, onePhase), t.TempDir()
 	assert.NoError(t, os.WriteFile(filepath.Join(folder, resultName), []byte("{}"), 0o600))
-	_, err := p.Run(context.Background(), 1, Options{Folder: folder})
+	_, err := plan.Run(context.Background(), 1, Options{Folder: folder})
 	assert.ErrorContains(t, err, "holds a result already")
 	_, err = ReadResult(folder)
 	assert.ErrorContains(t, err, "format 0, this program reads 1")
@@ -61,12 +66,12 @@
 		}
 		defer ln.Close()
 		portsTaken.Add(^uint32(0)) // so that it is the next to be assigned again
-		at, err := freePort()
+		assigned, err := freePort()
 		assert.NoError(t, err)
-		assert.NotEqual(t, reserved, at)
+		assert.NotEqual(t, reserved, assigned)
 		next, err := freePort()
 		assert.NoError(t, err)
-		assert.NotEqual(t, at, next, "no port is assigned twice in a row")
+		assert.NotEqual(t, assigned, next, "no port is assigned twice in a row")
 		return
 	}
 	t.Fatal("no port could be opened")
@@ -74,7 +79,7 @@
 
 // The dispatcher must read the configuration that the testbed writes, or an experiment would test the defaults.
 func TestConfigurationIsReadByTheDispatcher(t *testing.T) {
-	p := parsed(t, `[[operation]]
+	plan := parseMinimal(t, `[[operation]]
 name = "keyed"
 idempotency = "deduplicated"
 dedup-scope = "zone"
@@ -107,47 +112,47 @@
 for = "1s"
 `)
 	path := filepath.Join(t.TempDir(), "c.json")
-	addrs := dispatcherAddrs{listen: "127.0.0.1:8080", operators: "127.0.0.1:9", discovery: "127.0.0.1:8500"}
-	config, err := p.dispatcherConfig(1, dispatcherSeed(1, 1, 0), addrs,
+	addrs := dispatcherAddrs{listen: "127.0.0.1:8080", admin: "127.0.0.1:9", discovery: "127.0.0.1:8500"}
+	config, err := plan.dispatcherConfig(1, dispatcherSeed(1, 1, 0), addrs,
 		[]byte(`{"seq":1,"hosts":[]}`))
 	assert.NoError(t, err)
-	p.Dispatchers.Peers = false
-	bare, err := p.dispatcherConfig(1, dispatcherSeed(1, 1, 0), addrs,
+	plan.Dispatchers.Peers = false
+	withoutPeers, err := plan.dispatcherConfig(1, dispatcherSeed(1, 1, 0), addrs,
 		[]byte(`{"seq":1,"hosts":[]}`))
 	assert.NoError(t, err)
-	assert.NotEqual(t, config, bare)
-	assert.NoError(t, os.WriteFile(path, bare, 0o600))
-	got, err := daemon.ReadConfig(func(v string) string {
-		return map[string]string{"LB_CONFIG": path}[v]
+	assert.NotEqual(t, config, withoutPeers)
+	assert.NoError(t, os.WriteFile(path, withoutPeers, 0o600))
+	got, err := daemon.ReadConfig(func(variable string) string {
+		return map[string]string{"LB_CONFIG": path}[variable]
 	})
 	assert.NoError(t, err)
-	d := got.Balancer
+	balancer := got.Balancer
 	assert.Equal(t, []any{3, 1, 0.12, 4, 0.5, 64, 384, true, true}, []any{
-		d.Dispatchers, d.Position, d.InitialWarmup,
-		d.MaxAttempts, got.Cores, got.MemoryMB, got.Sockets, d.StartNotices, d.Cancellation,
+		balancer.Dispatchers, balancer.Position, balancer.InitialWarmup,
+		balancer.MaxAttempts, got.Cores, got.MemoryMB, got.Sockets, balancer.StartNotices, balancer.Cancellation,
 	})
-	keyed := d.Operations[1]
+	keyed := balancer.Operations[1]
 	assert.Equal(t, []any{40 * time.Second, 3 * time.Second, 5.0, 0.25, 1.5}, []any{
 		keyed.DedupWindow.Standard(),
 		keyed.LatencyObjective.Standard(), keyed.Value, keyed.LateShare, keyed.Stretch,
 	})
 	assert.Equal(t, []string{"a", "b"}, got.Proxy.Zones)
-	assert.Equal(t, 7.0, d.Tenants[0].Quota)
-	assert.Equal(t, 24*time.Second, d.WarmupDuration.Standard())
+	assert.Equal(t, 7.0, balancer.Tenants[0].Quota)
+	assert.Equal(t, 24*time.Second, balancer.WarmupDuration.Standard())
 }
 
 func TestTraceIsReadRelativeToTheFileAndRejectedWithItsLine(t *testing.T) {
 	folder := t.TempDir()
 	file, trace := filepath.Join(folder, "x.toml"), filepath.Join(folder, "t.csv")
-	assert.NoError(t, os.WriteFile(file, []byte(smallest+"[load]\ntrace=\"t.csv\"\n"), 0o600))
+	assert.NoError(t, os.WriteFile(file, []byte(minimalFile+"[load]\ntrace=\"t.csv\"\n"), 0o600))
 	_, err := Read(file, failOnRenamedKey(t))
 	assert.ErrorContains(t, err, "load.trace: open "+trace)
 	assert.NoError(t, os.WriteFile(trace, []byte("time,operation\n1,safe\n0.5,safe\n"), 0o600))
 	_, err = Read(file, failOnRenamedKey(t))
 	assert.ErrorContains(t, err, trace+":3: time: 0.5 comes after 1")
 	assert.NoError(t, os.WriteFile(trace, []byte("time,operation\n1,safe\n1.5,safe\n"), 0o600))
-	p, err := Read(file, failOnRenamedKey(t))
+	plan, err := Read(file, failOnRenamedKey(t))
 	assert.NoError(t, err)
-	assert.Len(t, p.Schedule(1), 2)
-	assert.Equal(t, 1501*time.Millisecond, p.Duration())
+	assert.Len(t, plan.Schedule(1), 2)
+	assert.Equal(t, 1501*time.Millisecond, plan.Duration())
 }
--- a/internal/testbed/experiment/process.go
+++ b/internal/testbed/experiment/process.go
@@ -4,45 +4,49 @@
 	"context"
 	"errors"
 	"fmt"
-	"math/rand/v2"
-	"net"
-	"net/netip"
 	"os"
 	"os/exec"
 	"path/filepath"
 	"sync"
-	"sync/atomic"
 	"syscall"
 	"time"
 )
 
 // process is a dispatcher's process over all its incarnations. Signals go only to the process started last.
 type process struct {
-	name, folder  string
-	command       []string // the program and its arguments
-	directory     string   // for temporary files, shared by both processes of an upgrade
-	operatorsAddr string   // address of the admin server
-	fleet         string   // path of the fleet's configuration file, "" for none
-	disk          string   // state folder
-	log           *os.File
+	name      string
+	folder    string   // of the result, for the log and the configuration
+	command   []string // the program and its arguments
+	directory string   // for temporary files, shared by both processes of an upgrade
+	adminAddr string   // address of the admin server
+	fleet     string   // path of the fleet's configuration file, "" for none
+	disk      string   // state folder, "" for none
+	log       *os.File
 
 	mu              sync.Mutex
-	cmd             *exec.Cmd
+	cmd             *exec.Cmd     // of the process started last, nil before the first start
 	exited          chan struct{} // closed when the process of cmd has ended
 	stopping        bool          // it was asked to end, or killed
-	incarnations    int
-	unexpectedExits []string // descriptions of exits without stopping
-	cpu             time.Duration
+	incarnations    int           // started so far
+	unexpectedExits []string      // descriptions of exits without stopping
+	cpu             time.Duration // of all incarnations that have ended
 	paused          bool
 }
 
+// Modes of files and folders that only the testbed and its dispatchers use.
+const (
+	fileMode   = 0o600
+	folderMode = 0o700
+)
+
+// newProcess returns a process that is not started yet, and opens its log.
 func newProcess(name, folder string, command []string) (*process, error) {
 	log, err := os.Create(filepath.Join(folder, name+".log"))
 	if err != nil {
 		return nil, err
 	}
 	directory := filepath.Join(folder, name+".tmp")
-	if err := os.MkdirAll(directory, 0o700); err != nil {
+	if err := os.MkdirAll(directory, folderMode); err != nil {
 		return nil, err
 	}
 	return &process{name: name, folder: folder, command: command, log: log, directory: directory}, nil
@@ -50,13 +54,16 @@
 
 // writeConfig replaces the configuration file atomically.
 func (p *process) writeConfig(config []byte) error {
-	path := filepath.Join(p.folder, p.name+".json")
-	if err := os.WriteFile(path+".new", config, 0o600); err != nil {
+	path := p.configPath()
+	if err := os.WriteFile(path+".new", config, fileMode); err != nil {
 		return err
 	}
 	return os.Rename(path+".new", path)
 }
 
+// configPath returns the path of the configuration file.
+func (p *process) configPath() string { return filepath.Join(p.folder, p.name+".json") }
+
 // absorb adds the CPU time and unexpected exits of another process of the same dispatcher, which has ended.
 func (p *process) absorb(old *process) {
 	old.mu.Lock()
@@ -74,9 +81,8 @@
 	if err := p.writeConfig(config); err != nil {
 		return err
 	}
-	path := filepath.Join(p.folder, p.name+".json")
 	cmd := exec.Command(p.command[0], p.command[1:]...)
-	cmd.Env = append(os.Environ(), "LB_CONFIG="+path, "TMPDIR="+p.directory)
+	cmd.Env = append(os.Environ(), "LB_CONFIG="+p.configPath(), "TMPDIR="+p.directory)
 	if p.fleet != "" {
 		cmd.Env = append(cmd.Env, "LB_FLEET="+p.fleet)
 	}
@@ -86,25 +92,27 @@
 	if err := cmd.Start(); err != nil {
 		return fmt.Errorf("dispatcher %s: %w", p.name, err)
 	}
-	gone := make(chan struct{})
 	p.cmd = cmd
-	p.exited = gone
+	p.exited = make(chan struct{})
 	p.stopping = false
 	p.paused = false
 	p.incarnations++
-	go func() {
-		err := cmd.Wait()
-		p.mu.Lock()
-		defer p.mu.Unlock()
-		p.cpu += cmd.ProcessState.UserTime() + cmd.ProcessState.SystemTime()
-		if !p.stopping {
-			p.unexpectedExits = append(p.unexpectedExits, fmt.Sprintf("%s ended by itself: %v", p.name, err))
-		}
-		close(gone)
-	}()
+	go p.recordExit(cmd, p.exited)
 	return nil
 }
 
+// recordExit waits for the end of a process, records its CPU time and whether it was unexpected, and closes exited.
+func (p *process) recordExit(cmd *exec.Cmd, exited chan<- struct{}) {
+	err := cmd.Wait()
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.cpu += cmd.ProcessState.UserTime() + cmd.ProcessState.SystemTime()
+	if !p.stopping {
+		p.unexpectedExits = append(p.unexpectedExits, fmt.Sprintf("%s ended by itself: %v", p.name, err))
+	}
+	close(exited)
+}
+
 // running reports whether the process runs.
 func (p *process) running() bool {
 	p.mu.Lock()
@@ -120,30 +128,46 @@
 	}
 }
 
-func (p *process) signal(s syscall.Signal, ends bool) {
+// signal sends a signal after which the process continues.
+func (p *process) signal(sig syscall.Signal) {
 	if !p.running() {
 		return
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.stopping = p.stopping || ends
-	_ = p.cmd.Process.Signal(s) // fails only if it has just ended, which Wait reports
+	_ = p.cmd.Process.Signal(sig) // fails only if it has just ended, which Wait reports
 }
 
-func (p *process) pause(still bool) {
-	if still {
-		p.signal(syscall.SIGSTOP, false)
-	} else {
-		p.signal(syscall.SIGCONT, false)
+// signalToEnd sends a signal that ends the process, so that its end is not unexpected.
+func (p *process) signalToEnd(sig syscall.Signal) {
+	if !p.running() {
+		return
 	}
 	p.mu.Lock()
-	p.paused = still
+	defer p.mu.Unlock()
+	p.stopping = true
+	_ = p.cmd.Process.Signal(sig) // fails only if it has just ended, which Wait reports
+}
+
+// pause stops the process until resume.
+func (p *process) pause() {
+	p.signal(syscall.SIGSTOP)
+	p.mu.Lock()
+	p.paused = true
+	p.mu.Unlock()
+}
+
+// resume ends a pause.
+func (p *process) resume() {
+	p.signal(syscall.SIGCONT)
+	p.mu.Lock()
+	p.paused = false
 	p.mu.Unlock()
 }
 
 // kill kills the process and waits for its end.
 func (p *process) kill() {
-	p.signal(syscall.SIGKILL, true)
+	p.signalToEnd(syscall.SIGKILL)
 	p.wait(context.Background())
 }
 
@@ -153,12 +177,12 @@
 // stop asks the process to end, and kills it after the timeout.
 func (p *process) stop(within time.Duration) error {
 	p.mu.Lock()
-	stalled := p.paused
+	paused := p.paused
 	p.mu.Unlock()
-	if stalled {
-		p.pause(false)
+	if paused {
+		p.resume()
 	}
-	p.signal(syscall.SIGTERM, true)
+	p.signalToEnd(syscall.SIGTERM)
 	ctx, cancel := context.WithTimeout(context.Background(), within)
 	defer cancel()
 	if p.wait(ctx) {
@@ -168,53 +192,18 @@
 	return fmt.Errorf("dispatcher %s: %w", p.name, errStopTimeout)
 }
 
-// wait waits for the end of the process, and reports whether it came before that of ctx.
+// wait waits for the end of the process or of ctx, and reports whether the process has ended. One that was never started has.
 func (p *process) wait(ctx context.Context) bool {
 	p.mu.Lock()
-	gone := p.exited
+	exited := p.exited
 	p.mu.Unlock()
-	if gone == nil {
+	if exited == nil {
 		return true
 	}
 	select {
-	case <-gone:
+	case <-exited:
 		return true
 	case <-ctx.Done():
 		return false
 	}
 }
-
-// Ports for dispatchers are below the kernel's range for outgoing connections, which could otherwise take a port while
-// its dispatcher restarts.
-const (
-	minPort         = 10240
-	maxPort         = 32767
-	maxPortAttempts = 200
-)
-
-// firstPort is the random offset from which this process assigns ports, portsTaken how many it has assigned. Ports are
-// assigned in a ring, so that one whose dispatcher has no power at the moment is not assigned to another experiment.
-var (
-	firstPort  = rand.Uint32N(maxPort - minPort)
-	portsTaken atomic.Uint32
-)
-
-// freePort returns an address on loopback whose port is free for TCP and UDP.
-func freePort() (netip.AddrPort, error) {
-	home := netip.AddrFrom4([4]byte{127, 0, 0, 1})
-	for range maxPortAttempts {
-		at := netip.AddrPortFrom(home, uint16(minPort+(firstPort+portsTaken.Add(1))%(maxPort-minPort)))
-		ln, err := net.Listen("tcp", at.String())
-		if err != nil {
-			continue
-		}
-		ln.Close()
-		pc, err := net.ListenPacket("udp", at.String())
-		if err != nil {
-			continue
-		}
-		pc.Close()
-		return at, nil
-	}
-	return netip.AddrPort{}, fmt.Errorf("no free port found on 127.0.0.1 from %d to %d", minPort, maxPort)
-}
--- a/internal/testbed/experiment/process_other.go
+++ b/internal/testbed/experiment/process_other.go
@@ -4,5 +4,6 @@
 
 import "syscall"
 
-// processGroup starts a process in a group of its own, so that an interrupt at the terminal reaches only the testbed.
-func apart() *syscall.SysProcAttr { return &syscall.SysProcAttr{Setpgid: true} }
+// processGroup returns attributes that start a process in a group of its own, so that an interrupt at the terminal reaches
+// only the testbed.
+func processGroup() *syscall.SysProcAttr { return &syscall.SysProcAttr{Setpgid: true} }
--- a/internal/testbed/experiment/result.go
+++ b/internal/testbed/experiment/result.go
@@ -25,6 +25,12 @@
 // formatVersion is the version of the format of result.json.
 const formatVersion = 1
 
+// Modes of results, which other users may read.
+const (
+	resultMode       = 0o644
+	resultFolderMode = 0o755
+)
+
 // Result is the result of a run. Its JSON keys are those of result.json.
 type Result struct {
 	Format          int                 `json:"format"`
@@ -58,7 +64,7 @@
 	Kind          string    `json:"kind"`
 	Attempts      int64     `json:"forwards"`
 	Done          int64     `json:"done"`
-	BySlot        []float64 `json:"done_by_slot"` // per second
+	BySlot        []float64 `json:"done_by_slot"` // jobs done per second, by time slot
 	MaxWarmupLoad float64   `json:"cold_nearest"` // see worker.Server.MaxWarmupLoad
 }
 
@@ -66,56 +72,49 @@
 type ProcessResult struct {
 	Name         string          `json:"name"`
 	Incarnations int             `json:"lives"`
-	CPU          float64         `json:"cpu_s"`
-	Tries        int64           `json:"tries"`
+	CPU          float64         `json:"cpu_s"`              // seconds
+	Tries        int64           `json:"tries"`              // requests that clients sent to it
 	Counters     json.RawMessage `json:"counters,omitempty"` // the counters that it logged last
 }
 
 // endNames are the names of attempt ends in results.
 var endNames = [...]string{
-	history.Running: "running", history.Done: "done", history.Failed: "failed",
-	history.Returned: "returned", history.Abandoned: "abandoned", history.Crashed: "crashed",
-	history.NeverReported: "swallowed", history.Deduplicated: "repeat_dropped",
+	history.Running:       "running",
+	history.Done:          "done",
+	history.Failed:        "failed",
+	history.Returned:      "returned",
+	history.Abandoned:     "abandoned",
+	history.Crashed:       "crashed",
+	history.NeverReported: "swallowed",
+	history.Deduplicated:  "repeat_dropped",
 }
 
 // maxViolations is how many violations a result lists.
 const maxViolations = 200
 
 // result collects the result of a run from a closed environment.
-func (p *Plan) result(env *environment, recorder *metrics.Recorder, t *fault.Timeline, schedule []workload.Arrival,
-	seed uint64,
-) *Result {
+func (p *Plan) result(env *environment, recorder *metrics.Recorder, timeline *fault.Timeline, schedule []workload.Arrival) *Result {
 	result := &Result{
-		Format: formatVersion, Name: p.Name, Seed: seed, Policy: p.Dispatchers.Policy,
-		Fault: p.Dispatchers.Fault, DurationSeconds: p.Duration().Seconds(), Cores: runtime.NumCPU(),
-		Schedule: fingerprint(schedule), Planned: len(schedule),
-		Calls: recorder.Summary(p.operationNames(), p.tenantNames()),
-		Rules: map[string]int{}, Violations: []history.Violation{}, Faults: t.Marks,
-		Failures: append([]string{}, env.failures...), Attempts: map[string]int64{},
-	}
-	violations := env.history.Check(p.ruleConfig(env))
-	for _, rule := range history.Rules {
-		result.Rules[string(rule)] = 0
-	}
-	if p.Dispatchers.Recovery {
-		result.Rules[string(history.RuleKeysPersisted)] = 0
+		Format:          formatVersion,
+		Name:            p.Name,
+		Seed:            env.seed,
+		Policy:          p.Dispatchers.Policy,
+		Fault:           p.Dispatchers.Fault,
+		DurationSeconds: p.Duration().Seconds(),
+		Cores:           runtime.NumCPU(),
+		Schedule:        fingerprint(schedule),
+		Planned:         len(schedule),
+		Calls:           recorder.Summary(p.operationNames(), p.tenantNames()),
+		Rules:           map[string]int{},
+		Violations:      []history.Violation{},
+		Faults:          timeline.Marks,
+		Failures:        append([]string{}, env.failures...),
+		Attempts:        map[string]int64{},
 	}
-	for _, v := range violations {
-		result.Rules[string(v.Rule)]++
-	}
-	result.Violations = append(result.Violations, violations[:min(len(violations), maxViolations)]...)
+	result.addViolations(env.history.Check(p.ruleConfig(env)), p.Dispatchers.Recovery)
 	result.addWorkers(p, env)
-	for _, process := range env.processes {
-		result.Failures = append(result.Failures, process.unexpectedExits...)
-		result.Dispatchers = append(result.Dispatchers, ProcessResult{
-			Name: process.name, Incarnations: process.incarnations,
-			CPU: process.cpu.Seconds(), Counters: lastCounters(process.log.Name()),
-		})
-	}
-	for _, request := range env.history.Requests() {
-		result.Dispatchers[request.Dispatcher].Tries++
-	}
-	result.Recoveries = p.recoveries(result, t, schedule)
+	result.addDispatchers(env)
+	result.Recoveries = p.recoveries(result, timeline, schedule)
 	result.Phases = readPhases(env)
 	if env.peers != nil {
 		result.Peers = map[string]int{"carried": env.peers.Carried, "discarded": env.peers.Discarded}
@@ -123,57 +122,101 @@
 	return result
 }
 
+// addViolations adds the number of violations of each rule that was checked, and the first violations.
+func (r *Result) addViolations(violations []history.Violation, keysPersisted bool) {
+	for _, rule := range history.Rules {
+		r.Rules[string(rule)] = 0
+	}
+	if keysPersisted {
+		r.Rules[string(history.RuleKeysPersisted)] = 0
+	}
+	for _, violation := range violations {
+		r.Rules[string(violation.Rule)]++
+	}
+	r.Violations = append(r.Violations, violations[:min(len(violations), maxViolations)]...)
+}
+
 // addWorkers adds the results of the workers, and the number of attempts by end.
 func (r *Result) addWorkers(p *Plan, env *environment) {
-	for _, s := range env.servers {
-		name, kind, zone, _ := s.Location()
+	for _, server := range env.servers {
+		identity := server.Identity()
 		r.Workers = append(r.Workers, WorkerResult{
-			Name: name, Kind: kind, Zone: p.Fleet.Zones[zone],
-			BySlot: make([]float64, len(r.Calls.Slots)), MaxWarmupLoad: s.MaxWarmupLoad(),
+			Name:          identity.Name,
+			Kind:          identity.Kind,
+			Zone:          p.Fleet.Zones[identity.Zone],
+			BySlot:        make([]float64, len(r.Calls.Slots)),
+			MaxWarmupLoad: server.MaxWarmupLoad(),
 		})
 	}
-	every := time.Duration(r.Calls.SlotSeconds * float64(time.Second))
+	slotLength := time.Duration(r.Calls.SlotSeconds * float64(time.Second))
 	for _, request := range env.history.Requests() {
-		for _, f := range request.Attempts {
-			out := &r.Workers[f.Worker]
-			out.Attempts++
-			r.Attempts[endNames[f.End]]++
-			if f.End != history.Done {
+		for _, attempt := range request.Attempts {
+			r.Attempts[endNames[attempt.End]]++
+			worker := &r.Workers[attempt.Worker]
+			worker.Attempts++
+			if attempt.End != history.Done {
 				continue
 			}
-			out.Done++
-			if at := int(f.EndedAt / every); at < len(out.BySlot) {
-				out.BySlot[at] += 1 / r.Calls.SlotSeconds
+			worker.Done++
+			if slot := int(attempt.EndedAt / slotLength); slot < len(worker.BySlot) {
+				worker.BySlot[slot] += 1 / r.Calls.SlotSeconds
 			}
 		}
 	}
 }
 
+// addDispatchers adds the results of the dispatchers, and the failures of their processes.
+func (r *Result) addDispatchers(env *environment) {
+	for _, dispatcher := range env.processes {
+		r.Failures = append(r.Failures, dispatcher.unexpectedExits...)
+		r.Dispatchers = append(r.Dispatchers, ProcessResult{
+			Name:         dispatcher.name,
+			Incarnations: dispatcher.incarnations,
+			CPU:          dispatcher.cpu.Seconds(),
+			Counters:     lastCounters(dispatcher.log.Name()),
+		})
+	}
+	for _, request := range env.history.Requests() {
+		r.Dispatchers[request.Dispatcher].Tries++
+	}
+}
+
 // lastCounters returns the last counters in a dispatcher's log.
 func lastCounters(path string) (last json.RawMessage) {
+	scanLog(path, func(line []byte) {
+		if bytes.Contains(line, []byte(`"message":"counters"`)) && json.Valid(line) {
+			last = slices.Clone(line)
+		}
+	})
+	return last
+}
+
+// maxLogLineBytes bounds a line of a dispatcher's log.
+const maxLogLineBytes = 1 << 20
+
+// scanLog passes each line of a dispatcher's log to a function, up to the first one that is too long. A log that cannot be
+// read has no lines.
+func scanLog(path string, handle func(line []byte)) {
 	file, err := os.Open(path)
 	if err != nil {
-		return nil
+		return
 	}
 	defer file.Close()
 	lines := bufio.NewScanner(file)
-	lines.Buffer(nil, 1<<20)
+	lines.Buffer(nil, maxLogLineBytes)
 	for lines.Scan() {
-		if line := lines.Bytes(); bytes.Contains(line, []byte(`"message":"counters"`)) && json.Valid(line) {
-			last = slices.Clone(line)
-		}
+		handle(lines.Bytes())
 	}
-	return last
 }
 
 // write writes the result to a folder atomically.
 func (r *Result) write(folder string) error {
-	b, err := json.MarshalIndent(r, "", " ")
+	text, err := json.MarshalIndent(r, "", " ")
 	if err != nil {
 		return err
 	}
 	path := filepath.Join(folder, resultName)
-	if err := os.WriteFile(path+".part", b, 0o644); err != nil {
+	if err := os.WriteFile(path+".part", text, resultMode); err != nil {
 		return err
 	}
 	return os.Rename(path+".part", path)
@@ -182,24 +225,24 @@
 // ReadResult reads a result from its folder.
 func ReadResult(folder string) (*Result, error) {
 	path := filepath.Join(folder, resultName)
-	b, err := os.ReadFile(path)
+	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
 	}
-	r := &Result{}
-	if err := json.Unmarshal(b, r); err != nil {
+	result := &Result{}
+	if err := json.Unmarshal(text, result); err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	if r.Format != formatVersion {
-		return nil, fmt.Errorf("%s: format %d, this program reads %d", path, r.Format, formatVersion)
+	if result.Format != formatVersion {
+		return nil, fmt.Errorf("%s: format %d, this program reads %d", path, result.Format, formatVersion)
 	}
-	return r, nil
+	return result, nil
 }
 
 // ReadResults reads the result in a folder, or those in its subfolders, one for each seed.
 func ReadResults(folder string) (results []*Result, err error) {
-	if r, err := ReadResult(folder); err == nil {
-		return []*Result{r}, nil
+	if result, err := ReadResult(folder); err == nil {
+		return []*Result{result}, nil
 	} else if !errors.Is(err, os.ErrNotExist) {
 		return nil, err
 	}
@@ -209,11 +252,11 @@
 	}
 	sort.Strings(paths)
 	for _, path := range paths {
-		r, err := ReadResult(filepath.Dir(path))
+		result, err := ReadResult(filepath.Dir(path))
 		if err != nil {
 			return nil, err
 		}
-		results = append(results, r)
+		results = append(results, result)
 	}
 	if len(results) == 0 {
 		return nil, fmt.Errorf("%s: holds no result", folder)
@@ -221,12 +264,12 @@
 	return results, nil
 }
 
-// CPU is the CPU time of all dispatchers, in seconds.
-func (r *Result) CPU() (s float64) {
-	for _, d := range r.Dispatchers {
-		s += d.CPU
+// CPU returns the CPU time of all dispatchers, in seconds.
+func (r *Result) CPU() (seconds float64) {
+	for _, dispatcher := range r.Dispatchers {
+		seconds += dispatcher.CPU
 	}
-	return s
+	return seconds
 }
 
 // Failed reports whether a rule was violated or a process failed.
--- a/internal/testbed/experiment/saturate.go
+++ b/internal/testbed/experiment/saturate.go
@@ -16,21 +16,21 @@
 
 // Saturation configures the search for the highest sustainable rate.
 type Saturation struct {
-	Policy        string
+	Policy        string        // of the dispatcher
 	Objective     time.Duration // limit of p99, counted from the intended time of sending
-	TrialDuration time.Duration // length of each trial
-	Cores         float64
-	Workers       int
-	FirstRate     float64 // first rate, per second
-	MaxRate       float64 // highest rate that is tried
-	Steps         int     // number of bisections
+	TrialDuration time.Duration // length of the load of each trial
+	Cores         float64       // of the dispatcher
+	Workers       int           // number of workers
+	FirstRate     float64       // first rate, per second
+	MaxRate       float64       // highest rate that is tried
+	Steps         int           // number of bisections
 	Seed          uint64
 }
 
 // Trial is the result for one rate.
 type Trial struct {
-	Rate          float64 `json:"rate"`
-	Holds         bool    `json:"holds"`
+	Rate          float64 `json:"rate"`          // calls per second
+	Holds         bool    `json:"holds"`         // the objective was reached, and the calls succeeded
 	Reason        string  `json:"why,omitempty"` // why it does not hold
 	GeneratorLate bool    `json:"generator_late"`
 	P50           float64 `json:"p50_ms"`
@@ -47,18 +47,18 @@
 const rateGrowth = 1.5
 
 // Saturate searches for the highest rate that holds. Each trial runs new processes, with workers that take no time.
-func Saturate(ctx context.Context, s Saturation, o Options, report func(Trial)) (best Trial, err error) {
-	low, high := 0.0, math.Inf(1)
+func Saturate(ctx context.Context, s Saturation, options Options, report func(Trial)) (best Trial, err error) {
+	low, high := 0.0, math.Inf(1) // the highest rate that holds, and the lowest that does not
 	step := 0
 	for rate := s.FirstRate; step <= s.Steps && rate <= s.MaxRate; {
-		t, err := s.trial(ctx, rate, o)
+		trial, err := s.runTrial(ctx, rate, options)
 		if err != nil {
 			return best, err
 		}
-		report(t)
-		if t.Holds {
+		report(trial)
+		if trial.Holds {
 			low = rate
-			best = t
+			best = trial
 		} else {
 			high = rate
 		}
@@ -75,48 +75,75 @@
 	return best, ctx.Err()
 }
 
-// planAt is an experiment at a rate whose workers take no time, so that only the dispatcher is measured.
+// Sizes of everything but the dispatcher's cores in a trial, so that nothing else limits the rate.
+const (
+	trialMemoryMB    = 1024
+	trialSockets     = 8192
+	trialWorkerCores = 64
+	trialWorkerQueue = 4096
+	trialTimeout     = 2 * time.Second        // of clients
+	trialWork        = 100 * time.Microsecond // that a call stands for, which takes no time
+)
+
+// planAt returns an experiment at a rate whose workers take no time, so that only the dispatcher limits it.
 func (s Saturation) planAt(rate float64) (*Plan, error) {
-	p := defaults()
-	p.Name = "saturate"
-	p.Seed = s.Seed
-	p.Fleet.Instant = true
-	d := &p.Dispatchers
-	d.Policy = s.Policy
-	d.Cores = s.Cores
-	d.MemoryMB = 1024
-	d.Sockets = 8192
-	d.Peers = false
-	p.Fleet.Kinds = []worker.Kind{{Name: "null", Cores: 64, Queue: 4096, Count: s.Workers}}
-	p.Fleet.StartNotes = false
-	p.Fleet.AnnounceStartNotes = false
-	p.Fleet.OverloadMultiple = 0
-	p.Operations = []workload.Operation{{
-		Name: "null", Idempotency: workload.Idempotent, LatencyObjective: unit.Duration(s.Objective),
-		Timeout: unit.Duration(2 * time.Second), Work: unit.Duration(100 * time.Microsecond), Tail: "constant", Share: 1,
-		Value: 1,
+	plan := defaults()
+	plan.Name = "saturate"
+	plan.Seed = s.Seed
+
+	dispatchers := &plan.Dispatchers
+	dispatchers.Policy = s.Policy
+	dispatchers.Cores = s.Cores
+	dispatchers.MemoryMB = trialMemoryMB
+	dispatchers.Sockets = trialSockets
+	dispatchers.Peers = false
+
+	plan.Fleet.Instant = true
+	plan.Fleet.Kinds = []worker.Kind{{Name: "null", Cores: trialWorkerCores, Queue: trialWorkerQueue, Count: s.Workers}}
+	plan.Fleet.StartNotes = false
+	plan.Fleet.AnnounceStartNotes = false
+	plan.Fleet.OverloadMultiple = 0
+
+	plan.Operations = []workload.Operation{{
+		Name:             "null",
+		Idempotency:      workload.Idempotent,
+		LatencyObjective: unit.Duration(s.Objective),
+		Timeout:          unit.Duration(trialTimeout),
+		Work:             unit.Duration(trialWork),
+		Tail:             workload.TailConstant,
+		Share:            1,
+		Value:            1,
 	}}
-	p.Load.Phases = []workload.Phase{{Shape: "poisson", Rate: rate, For: unit.Duration(s.TrialDuration)}}
-	p.Load.Retries = 0
-	return &p, p.validate()
+	plan.Load.Phases = []workload.Phase{{Shape: workload.ShapePoisson, Rate: rate, For: unit.Duration(s.TrialDuration)}}
+	plan.Load.Retries = 0
+	return &plan, plan.validate()
 }
 
-func (s Saturation) trial(ctx context.Context, rate float64, o Options) (Trial, error) {
+// runTrial runs one rate with new processes.
+func (s Saturation) runTrial(ctx context.Context, rate float64, options Options) (Trial, error) {
 	plan, err := s.planAt(rate)
 	if err != nil {
 		return Trial{}, err
 	}
-	if o.Folder, err = os.MkdirTemp(o.Folder, fmt.Sprintf("%s-%.0f-", s.Policy, rate)); err != nil {
+	if options.Folder, err = os.MkdirTemp(options.Folder, fmt.Sprintf("%s-%.0f-", s.Policy, rate)); err != nil {
 		return Trial{}, err
 	}
-	result, err := plan.Run(ctx, s.Seed, o)
+	result, err := plan.Run(ctx, s.Seed, options)
 	if err != nil {
 		return Trial{}, err
 	}
-	calls, c := float64(max(result.Calls.Total.Calls, 1)), &result.Calls
+	return s.judge(rate, result), os.RemoveAll(filepath.Clean(options.Folder))
+}
+
+// judge returns the trial of a rate, and decides from its result whether the rate holds.
+func (s Saturation) judge(rate float64, result *Result) Trial {
+	calls := float64(max(result.Calls.Total.Calls, 1))
 	trial := Trial{
-		Rate: rate, P50: c.All.P50, P99: c.All.P99, CPU: 1e6 * result.CPU() / calls,
-		GeneratorLate: !c.Generator.Trusted,
+		Rate:          rate,
+		P50:           result.Calls.All.P50,
+		P99:           result.Calls.All.P99,
+		CPU:           float64(time.Second/time.Microsecond) * result.CPU() / calls,
+		GeneratorLate: !result.Calls.Generator.Trusted,
 	}
 	var counters struct {
 		Mallocs uint64 `json:"mallocs"`
@@ -126,10 +153,10 @@
 		trial.Mallocs = float64(counters.Mallocs) / calls
 		trial.Bytes = float64(counters.Bytes) / calls
 	}
-	succeeded := float64(c.Total.Answers["succeeded"]) / calls
+	succeeded := float64(result.Calls.Total.Answers["succeeded"]) / calls
 	switch {
 	case trial.GeneratorLate:
-		trial.Reason = "generator: " + c.Generator.Reason
+		trial.Reason = "generator: " + result.Calls.Generator.Reason
 	case succeeded < minSuccessShare:
 		trial.Reason = fmt.Sprintf("%.2f%% succeeded", 100*succeeded)
 	case time.Duration(trial.P99*float64(time.Millisecond)) > s.Objective:
@@ -137,5 +164,5 @@
 	default:
 		trial.Holds = true
 	}
-	return trial, os.RemoveAll(filepath.Clean(o.Folder))
+	return trial
 }
--- a/internal/testbed/experiment/settings.go
+++ b/internal/testbed/experiment/settings.go
@@ -14,28 +14,31 @@
 
 // idempotencyNames are the values of Operation.Idempotency in the platform's settings.
 var idempotencyNames = map[string]string{
-	workload.Idempotent: "idempotent", workload.IdempotentByKey: "deduplicated",
-	workload.NonIdempotent: "at_most_once",
+	workload.Idempotent:      "idempotent",
+	workload.IdempotentByKey: "deduplicated",
+	workload.NonIdempotent:   "at_most_once",
 }
 
-// settings are the settings that the platform gives to the dispatcher at a position.
+// Weights of the platform's goal. The testbed does not apply them.
+const (
+	goalTotal       = 0.8 // of the value of all requests
+	goalWorstWindow = 0.1 // of the worst window of time
+	goalWorstClass  = 0.1 // of the worst class of requests
+)
+
+// settings returns the settings that the platform gives to the dispatcher at a position.
 func (p *Plan) settings(position int) jsonObject {
 	dispatchers, fleet := &p.Dispatchers, &p.Fleet
 	var operations, tenants []jsonObject
-	for _, o := range p.Operations {
-		operations = append(operations, jsonObject{
-			"name": o.Name, "repeat": idempotencyNames[o.Idempotency],
-			"dedupScope": dedupScope(o), "dedupWindowS": o.DedupWindow.Std().Seconds(),
-			"latencyObjectiveS": o.LatencyObjective.Std().Seconds(), "clientTimeoutS": o.Timeout.Std().Seconds(),
-			"billedValue": o.Value, "tardyBilledValue": o.LateShare, "aimStretch": o.Stretch,
-		})
+	for _, operation := range p.Operations {
+		operations = append(operations, operationSettings(operation))
 	}
-	for _, c := range p.Tenants {
-		tenants = append(tenants, jsonObject{"name": c.Name, "quotaPerS": c.Quota})
+	for _, tenant := range p.Tenants {
+		tenants = append(tenants, jsonObject{"name": tenant.Name, "quotaPerS": tenant.Quota})
 	}
 	var kinds []string
-	for _, k := range fleet.Kinds {
-		kinds = append(kinds, k.Name)
+	for _, kind := range fleet.Kinds {
+		kinds = append(kinds, kind.Name)
 	}
 	basis := "work"
 	if dispatchers.ValueByCount {
@@ -48,61 +51,106 @@
 		info["reportX0"] = "free slots"
 	}
 	return jsonObject{
-		"balancers": dispatchers.Count, "position": position, "zone": position % len(fleet.Zones), "zones": fleet.Zones,
-		"shapes": kinds, "granularityS": dispatchers.Granularity.Std().Seconds(), "operations": operations, "orgs": tenants,
-		"familyInfo": info, "report": report, "registryMode": "subscribe", "billedValueBasis": basis,
-		"surplusBilledValue": dispatchers.OverQuotaValue, "prices": jsonObject{"peer": 0, "crossZone": 0},
-		"goal": jsonObject{"whole": 0.8, "worstWindow": 0.1, "worstClass": 0.1},
-		"policyLimits": jsonObject{
-			"maxForwards": dispatchers.MaxAttempts, "mayCancel": dispatchers.Cancellation,
-			"secondCopies": dispatchers.Hedging, "probes": fleet.Probes, "peers": dispatchers.Peers && dispatchers.Count > 1,
-			"retryAfter": dispatchers.MaxRetryAfter > 0, "maxRetryAfterS": dispatchers.MaxRetryAfter.Std().Seconds(),
-			"connIdleS": fleet.Idle.Std().Seconds(), "dialTimeoutS": dispatchers.DialTimeout.Std().Seconds(),
-		},
+		"balancers":          dispatchers.Count,
+		"position":           position,
+		"zone":               position % len(fleet.Zones),
+		"zones":              fleet.Zones,
+		"shapes":             kinds,
+		"granularityS":       dispatchers.Granularity.Std().Seconds(),
+		"operations":         operations,
+		"orgs":               tenants,
+		"familyInfo":         info,
+		"report":             report,
+		"registryMode":       "subscribe",
+		"billedValueBasis":   basis,
+		"surplusBilledValue": dispatchers.OverQuotaValue,
+		"prices":             jsonObject{"peer": 0, "crossZone": 0},
+		"goal":               jsonObject{"whole": goalTotal, "worstWindow": goalWorstWindow, "worstClass": goalWorstClass},
+		"policyLimits":       p.limitSettings(),
 		"rules": jsonObject{
-			"askWithinS": dispatchers.PollInterval.Std().Seconds(), "rampTimeS": fleet.WarmupDuration.Std().Seconds(),
-			"drainGraceS": dispatchers.DrainGrace.Std().Seconds(), "fallS": fleet.OverloadSpan.Std().Seconds(), "coldFrom": fleet.InitialShare,
+			"askWithinS":     dispatchers.PollInterval.Std().Seconds(),
+			"rampTimeS":      fleet.WarmupDuration.Std().Seconds(),
+			"drainGraceS":    dispatchers.DrainGrace.Std().Seconds(),
+			"fallS":          fleet.OverloadSpan.Std().Seconds(),
+			"coldFrom":       fleet.InitialShare,
 			"overloadFactor": fleet.OverloadMultiple,
 		},
 	}
 }
 
-// dedupScope is the scope in which workers deduplicate an operation, by default all of them.
-func dedupScope(o workload.Operation) string {
-	if o.Idempotency == workload.IdempotentByKey && o.DedupScope == "" {
-		return "all"
+// operationSettings returns the settings of one operation.
+func operationSettings(operation workload.Operation) jsonObject {
+	return jsonObject{
+		"name":              operation.Name,
+		"repeat":            idempotencyNames[operation.Idempotency],
+		"dedupScope":        dedupScope(operation),
+		"dedupWindowS":      operation.DedupWindow.Std().Seconds(),
+		"latencyObjectiveS": operation.LatencyObjective.Std().Seconds(),
+		"clientTimeoutS":    operation.Timeout.Std().Seconds(),
+		"billedValue":       operation.Value,
+		"tardyBilledValue":  operation.LateShare,
+		"aimStretch":        operation.Stretch,
+	}
+}
+
+// limitSettings returns the settings of what a dispatcher is allowed to do.
+func (p *Plan) limitSettings() jsonObject {
+	dispatchers, fleet := &p.Dispatchers, &p.Fleet
+	return jsonObject{
+		"maxForwards":    dispatchers.MaxAttempts,
+		"mayCancel":      dispatchers.Cancellation,
+		"secondCopies":   dispatchers.Hedging,
+		"probes":         fleet.Probes,
+		"peers":          dispatchers.Peers && dispatchers.Count > 1,
+		"retryAfter":     dispatchers.MaxRetryAfter > 0,
+		"maxRetryAfterS": dispatchers.MaxRetryAfter.Std().Seconds(),
+		"connIdleS":      fleet.Idle.Std().Seconds(),
+		"dialTimeoutS":   dispatchers.DialTimeout.Std().Seconds(),
+	}
+}
+
+// dedupScope returns the scope in which workers deduplicate an operation, by default all of them.
+func dedupScope(operation workload.Operation) string {
+	if operation.Idempotency == workload.IdempotentByKey && operation.DedupScope == "" {
+		return workload.ScopeAll
 	}
-	return o.DedupScope
+	return operation.DedupScope
 }
 
 // dispatcherConfigFile is a dispatcher's configuration file, in the platform's format.
 type dispatcherConfigFile struct {
-	Name          string           `json:"name"`
-	Listen        string           `json:"listen"`
-	Discovery     string           `json:"discovery"`
-	Seed          string           `json:"seed"`
-	Limits        jsonObject       `json:"limits"`
-	OperatorsAddr string           `json:"mgmt"`
-	PeerListen    string           `json:"peer_listen,omitempty"`
-	Peers         []netip.AddrPort `json:"peers,omitempty"`
-	Known         json.RawMessage  `json:"known,omitempty"`
-	Settings      jsonObject       `json:"settings"`
+	Name       string           `json:"name"`
+	Listen     string           `json:"listen"`
+	Discovery  string           `json:"discovery"`
+	Seed       string           `json:"seed"`
+	Limits     jsonObject       `json:"limits"`
+	AdminAddr  string           `json:"mgmt"`
+	PeerListen string           `json:"peer_listen,omitempty"`
+	Peers      []netip.AddrPort `json:"peers,omitempty"`
+	Known      json.RawMessage  `json:"known,omitempty"` // endpoint list
+	Settings   jsonObject       `json:"settings"`
 }
 
 // dispatcherAddrs are the addresses in a dispatcher's configuration.
 type dispatcherAddrs struct {
-	listen, operators, discovery string
-	peers                        []netip.AddrPort // of all dispatchers as this one sees them, nil if peers are off
+	listen    string           // for clients
+	admin     string           // of the admin server
+	discovery string           // of the discovery service
+	peers     []netip.AddrPort // of all dispatchers as this one sees them, nil if peers are off
 }
 
 // dispatcherConfig returns the configuration of dispatcher n as JSON. endpoints is the list that it starts with.
 func (p *Plan) dispatcherConfig(n int, seed uint64, addrs dispatcherAddrs, endpoints []byte) ([]byte, error) {
 	d := &p.Dispatchers
 	file := dispatcherConfigFile{
-		Name: dispatcherName(n), Listen: addrs.listen, OperatorsAddr: addrs.operators, Discovery: addrs.discovery,
-		Seed:   fmt.Sprintf("%016x", seed),
-		Limits: jsonObject{"cores": d.Cores, "memory_mb": d.MemoryMB, "sockets": d.Sockets},
-		Known:  endpoints, Settings: p.settings(n),
+		Name:      dispatcherName(n),
+		Listen:    addrs.listen,
+		AdminAddr: addrs.admin,
+		Discovery: addrs.discovery,
+		Seed:      fmt.Sprintf("%016x", seed),
+		Limits:    jsonObject{"cores": d.Cores, "memory_mb": d.MemoryMB, "sockets": d.Sockets},
+		Known:     endpoints,
+		Settings:  p.settings(n),
 	}
 	if addrs.peers != nil {
 		file.PeerListen = addrs.peers[n].String()
@@ -111,9 +159,10 @@
 	return json.MarshalIndent(file, "", " ")
 }
 
-// dispatcherSeed is the seed of one incarnation of a dispatcher.
+// dispatcherSeed returns the seed of one incarnation of a dispatcher.
 func dispatcherSeed(seed uint64, n, incarnation int) uint64 {
 	return unit.RandomStream(seed, fmt.Sprint("dispatcher ", n, " ", incarnation)).Uint64()
 }
 
+// dispatcherName returns the name of dispatcher n.
 func dispatcherName(n int) string { return fmt.Sprintf("d%d", n) }
--- a/internal/testbed/metrics/recorder.go
+++ b/internal/testbed/metrics/recorder.go
@@ -143,11 +143,24 @@
 	}
 }
 
-// Snapshot returns the number of calls by outcome so far, for progress.
-func (r *Recorder) Snapshot() (calls, succeeded, throttled, other int64) {
+// CallCounts are numbers of calls by outcome.
+type CallCounts struct {
+	Total     int64
+	Succeeded int64
+	Throttled int64
+	Other     int64 // any other outcome
+}
+
+// Counts returns the numbers of calls so far.
+func (r *Recorder) Counts() CallCounts {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	k := r.total.outcomes
-	return r.total.calls, k[history.Succeeded], k[history.Throttled],
-		r.total.calls - k[history.Succeeded] - k[history.Throttled]
+	outcomes := r.total.outcomes
+	counts := CallCounts{
+		Total:     r.total.calls,
+		Succeeded: outcomes[history.Succeeded],
+		Throttled: outcomes[history.Throttled],
+	}
+	counts.Other = counts.Total - counts.Succeeded - counts.Throttled
+	return counts
 }
--- a/internal/testbed/metrics/recovery.go
+++ b/internal/testbed/metrics/recovery.go
@@ -9,9 +9,12 @@
 // ReturningWorker is a worker that may have lost power.
 type ReturningWorker struct {
 	Cores  int
-	BackAt time.Duration // when it is back, negative if it kept its power
+	BackAt time.Duration // when it starts again, or KeptPower
 }
 
+// KeptPower is the ReturningWorker.BackAt of a worker that did not lose power.
+const KeptPower time.Duration = -1
+
 // OfferedCall is a planned call and what it can earn.
 type OfferedCall struct {
 	At, Work, Objective time.Duration
@@ -51,7 +54,7 @@
 // warmupFactor is the share of its capacity that a worker has at a time.
 func (w ReturningWorker) warmupFactor(warmup worker.Warmup, at time.Duration) float64 {
 	switch {
-	case w.BackAt < 0 || warmup.Duration <= 0:
+	case w.BackAt == KeptPower || warmup.Duration <= 0:
 		return 1
 	case at < w.BackAt:
 		return 0
--- a/internal/testbed/network/network.go
+++ b/internal/testbed/network/network.go
@@ -1,5 +1,5 @@
-// Package network is a stand-in for the network between dispatchers. It relays datagrams, for each pair of dispatchers
-// over addresses of its own, and loses, delays, duplicates or blocks them as configured.
+// Package network is a stand-in for the network between dispatchers. It relays datagrams, and loses, delays, duplicates or
+// blocks them as configured. Each pair of dispatchers has addresses of its own.
 package network
 
 import (
@@ -23,7 +23,16 @@
 	Delay          time.Duration // one way
 	Jitter         time.Duration // up to this much more, uniformly distributed
 	Partitioned    bool          // nothing is delivered
-	DuplicateShare float64       // share delivered twice, the second time with up to ten times the delay
+	DuplicateShare float64       // share delivered twice, the second time after up to maxDuplicateDelay times the delay
+}
+
+// maxDuplicateDelay bounds the delay of a duplicate, in multiples of that of the datagram.
+const maxDuplicateDelay = 10
+
+// direction is the way from one dispatcher to another, by their indexes.
+type direction struct {
+	from int
+	to   int
 }
 
 // Network relays datagrams between dispatchers.
@@ -32,28 +41,37 @@
 	sockets     [][]*net.UDPConn   // [of][by]: the socket that represents dispatcher of to dispatcher by
 	views       [][]netip.AddrPort // [by][of]: the address of dispatcher of as dispatcher by sees it
 
-	maxBytes int // largest datagram that is relayed
+	maxBytes int // size of the largest datagram that is relayed
 
-	mu                 sync.Mutex
-	partitions         map[[2]int]int // by sender and receiver: number of faults that cut this direction
-	rng                *rand.Rand
-	conditions         Conditions
-	Carried, Discarded int // datagrams; to be read once Run has returned
+	mu         sync.Mutex
+	partitions map[direction]int // number of faults that cut a direction
+	rng        *rand.Rand
+	conditions Conditions
+	Carried    int // number of datagrams; to be read once Run has returned
+	Discarded  int // number of datagrams; to be read once Run has returned
 }
 
-// PlatformDatagramBytes is the largest datagram that the platform's network delivers.
+// Kind is what a network connects dispatchers for. It names the network's random stream.
+type Kind string
+
+// The values of Kind. Another text would draw other losses for the same seed.
+const (
+	Peers Kind = "peers" // datagrams of the platform's network
+	Link  Kind = "link"  // messages between the members of a fleet that persists state
+)
+
+// PlatformDatagramBytes is the size of the largest datagram that the platform's network delivers.
 const PlatformDatagramBytes = 256
 
 // New opens the sockets of a network between dispatchers that listen at these addresses, for datagrams of up to
 // maxBytes.
-func New(listenAddrs []netip.AddrPort, conditions Conditions, maxBytes int, seed uint64) (*Network, error) {
-	stream := "peers"
-	if maxBytes != PlatformDatagramBytes {
-		stream = "link"
-	}
+func New(kind Kind, listenAddrs []netip.AddrPort, conditions Conditions, maxBytes int, seed uint64) (*Network, error) {
 	n := &Network{
-		listenAddrs: listenAddrs, conditions: conditions, maxBytes: maxBytes, partitions: map[[2]int]int{},
-		rng: unit.RandomStream(seed, stream),
+		listenAddrs: listenAddrs,
+		conditions:  conditions,
+		maxBytes:    maxBytes,
+		partitions:  map[direction]int{},
+		rng:         unit.RandomStream(seed, string(kind)),
 	}
 	if err := n.openSockets(); err != nil {
 		n.close()
@@ -91,89 +109,101 @@
 func (n *Network) View(by int) []netip.AddrPort { return n.views[by] }
 
 // SetConditions changes the conditions for datagrams that arrive from now on.
-func (n *Network) SetConditions(m Conditions) {
+func (n *Network) SetConditions(conditions Conditions) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.conditions = m
+	n.conditions = conditions
 }
 
-// SetPartition cuts the direction from one dispatcher to another, or heals it. Cuts count: a direction that was cut
-// twice has to be healed twice.
-func (n *Network) SetPartition(from, to int, cut bool) {
+// Cut cuts the direction from one dispatcher to another. A direction that was cut twice has to be healed twice.
+func (n *Network) Cut(from, to int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if cut {
-		n.partitions[[2]int{from, to}]++
-	} else {
-		n.partitions[[2]int{from, to}]--
-	}
+	n.partitions[direction{from, to}]++
+}
+
+// Heal takes back one Cut of the direction from one dispatcher to another.
+func (n *Network) Heal(from, to int) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.partitions[direction{from, to}]--
 }
 
 // Run relays datagrams until ctx ends.
 func (n *Network) Run(ctx context.Context) error {
-	g, ctx := errgroup.WithContext(ctx)
+	relays, ctx := errgroup.WithContext(ctx)
 	defer context.AfterFunc(ctx, n.close)()
 	for to := range n.listenAddrs {
 		for from := range n.listenAddrs {
 			if to != from {
-				g.Go(func() error { return n.relay(ctx, from, to) })
+				relays.Go(func() error { return n.relay(ctx, from, to) })
 			}
 		}
 	}
-	return g.Wait()
+	return relays.Wait()
 }
 
-// relay receives what dispatcher from sends to the address that represents dispatcher to, and sends it on from the
+// relay receives what dispatcher from sends to the address that represents dispatcher to. It forwards that from the
 // address that represents the sender to the receiver.
 func (n *Network) relay(ctx context.Context, from, to int) error {
-	b := make([]byte, n.maxBytes+1)
+	b := make([]byte, n.maxBytes+1) // one more, to recognize datagrams that are too long
 	for {
-		got, err := n.sockets[to][from].Read(b)
+		size, err := n.sockets[to][from].Read(b)
 		if ctx.Err() != nil {
 			return nil
 		}
 		if err != nil { // an ICMP refusal by a dispatcher that is down
 			continue
 		}
-		delay, duplicateDelay, ok := n.draw(got, from, to)
-		if !ok {
+		drawn := n.draw(size, from, to)
+		if !drawn.arrives {
 			continue
 		}
-		text := append([]byte(nil), b[:got]...)
-		send := func() { _, _ = n.sockets[from][to].WriteToUDPAddrPort(text, n.listenAddrs[to]) }
-		if duplicateDelay > 0 {
-			time.AfterFunc(duplicateDelay, send)
+		datagram := append([]byte(nil), b[:size]...)
+		send := func() { _, _ = n.sockets[from][to].WriteToUDPAddrPort(datagram, n.listenAddrs[to]) }
+		if drawn.duplicateDelay > 0 {
+			time.AfterFunc(drawn.duplicateDelay, send)
 		}
-		if delay == 0 {
+		if drawn.delay == 0 {
 			send()
 			continue
 		}
-		time.AfterFunc(delay, send)
+		time.AfterFunc(drawn.delay, send)
 	}
 }
 
-// draw decides what happens to a datagram: its delay, and that of a duplicate or 0 for none.
-func (n *Network) draw(size, from, to int) (delay, duplicateDelay time.Duration, arrives bool) {
+// fate is what happens to a datagram.
+type fate struct {
+	arrives        bool
+	delay          time.Duration
+	duplicateDelay time.Duration // 0: there is no duplicate
+}
+
+// draw draws what happens to a datagram from one dispatcher to another, and counts it.
+func (n *Network) draw(size, from, to int) fate {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	lost, jitter := n.rng.Float64(), n.rng.Float64()
-	if n.conditions.Partitioned || n.partitions[[2]int{from, to}] > 0 || lost < n.conditions.Loss || size > n.maxBytes {
+	lossDraw, jitterDraw := n.rng.Float64(), n.rng.Float64()
+	isCut := n.conditions.Partitioned || n.partitions[direction{from, to}] > 0
+	if isCut || lossDraw < n.conditions.Loss || size > n.maxBytes {
 		n.Discarded++
-		return 0, 0, false
+		return fate{}
 	}
 	n.Carried++
-	delay = n.conditions.Delay + time.Duration(jitter*float64(n.conditions.Jitter))
+	delay := n.conditions.Delay + time.Duration(jitterDraw*float64(n.conditions.Jitter))
+	duplicateDelay := time.Duration(0)
 	if n.conditions.DuplicateShare > 0 && n.rng.Float64() < n.conditions.DuplicateShare {
-		duplicateDelay = 1 + time.Duration(n.rng.Float64()*10*float64(delay))
+		duplicateDelay = time.Nanosecond + time.Duration(n.rng.Float64()*maxDuplicateDelay*float64(delay))
 	}
-	return delay, duplicateDelay, true
+	return fate{arrives: true, delay: delay, duplicateDelay: duplicateDelay}
 }
 
+// close closes all sockets.
 func (n *Network) close() {
 	for _, row := range n.sockets {
-		for _, pc := range row {
-			if pc != nil {
-				pc.Close()
+		for _, socket := range row {
+			if socket != nil {
+				socket.Close()
 			}
 		}
 	}
--- a/internal/testbed/network/network_test.go
+++ b/internal/testbed/network/network_test.go
@@ -10,38 +10,40 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// sockets opens UDP sockets on the loopback interface, which the end of the test closes.
-func sockets(t *testing.T, count int) (socks []*net.UDPConn, listenAddrs []netip.AddrPort) {
+// openSockets opens UDP sockets on the loopback interface, which the end of the test closes.
+func openSockets(t *testing.T, count int) (sockets []*net.UDPConn, listenAddrs []netip.AddrPort) {
+	t.Helper()
 	for range count {
-		pc, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
+		socket, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 		assert.NoError(t, err)
-		t.Cleanup(func() { pc.Close() })
-		socks, listenAddrs = append(socks, pc), append(listenAddrs, pc.LocalAddr().(*net.UDPAddr).AddrPort())
+		t.Cleanup(func() { socket.Close() })
+		sockets = append(sockets, socket)
+		listenAddrs = append(listenAddrs, socket.LocalAddr().(*net.UDPAddr).AddrPort())
 	}
-	return socks, listenAddrs
+	return sockets, listenAddrs
 }
 
 func TestDatagramsComeFromTheAddressOfTheirSender(t *testing.T) {
-	socks, listenAddrs := sockets(t, 2)
-	n, err := New(listenAddrs, Conditions{Delay: 20 * time.Millisecond}, PlatformDatagramBytes, 1)
+	sockets, listenAddrs := openSockets(t, 2)
+	n, err := New(Peers, listenAddrs, Conditions{Delay: 20 * time.Millisecond}, PlatformDatagramBytes, 1)
 	assert.NoError(t, err)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error)
 	go func() { done <- n.Run(ctx) }()
 	assert.Equal(t, listenAddrs[0], n.View(0)[0])
 	send := func(text string) time.Time {
-		_, err := socks[0].WriteToUDPAddrPort([]byte(text), n.View(0)[1])
+		_, err := sockets[0].WriteToUDPAddrPort([]byte(text), n.View(0)[1])
 		assert.NoError(t, err)
 		return time.Now()
 	}
 	receive := func(within time.Duration) (string, netip.AddrPort) {
 		b := make([]byte, 512)
-		socks[1].SetReadDeadline(time.Now().Add(within))
-		got, from, err := socks[1].ReadFromUDPAddrPort(b)
+		sockets[1].SetReadDeadline(time.Now().Add(within))
+		size, from, err := sockets[1].ReadFromUDPAddrPort(b)
 		if err != nil {
 			return "", from
 		}
-		return string(b[:got]), netip.AddrPortFrom(from.Addr().Unmap(), from.Port())
+		return string(b[:size]), netip.AddrPortFrom(from.Addr().Unmap(), from.Port())
 	}
 	sent := send("hello")
 	text, from := receive(2 * time.Second)
@@ -62,14 +64,13 @@
 }
 
 func TestLossIsDeterministicForASeed(t *testing.T) {
-	draws := func(seed uint64) (out []bool) {
-		n, err := New(nil, Conditions{Loss: 0.5}, PlatformDatagramBytes, seed)
+	draws := func(seed uint64) (arrivals []bool) {
+		n, err := New(Peers, nil, Conditions{Loss: 0.5}, PlatformDatagramBytes, seed)
 		assert.NoError(t, err)
 		for range 64 {
-			_, _, arrives := n.draw(10, 0, 1)
-			out = append(out, arrives)
+			arrivals = append(arrivals, n.draw(10, 0, 1).arrives)
 		}
-		return out
+		return arrivals
 	}
 	assert.Equal(t, draws(3), draws(3))
 	assert.NotEqual(t, draws(3), draws(4))
--- a/internal/testbed/worker/dedup.go
+++ b/internal/testbed/worker/dedup.go
@@ -5,29 +5,31 @@
 	"time"
 )
 
-// DedupGroup deduplicates jobs among the workers that share it: within the window from the start of the first job under
-// a key, others under that key do not run. It is safe for concurrent use.
+// DedupGroup deduplicates jobs among the workers that share it. Within the window from the start of the first job under a
+// key, other jobs under that key do not run. It is safe for concurrent use.
 type DedupGroup struct {
 	window time.Duration
 
 	mu        sync.Mutex
-	firsts    map[string]*firstRun
-	expiredAt time.Duration
+	firsts    map[string]*firstRun // by key
+	expiredAt time.Duration        // when expired keys were last removed
 }
 
+// firstRun is the first job under a key.
 type firstRun struct {
-	id        string
-	startedAt time.Duration
+	id        string        // of the job
+	startedAt time.Duration // since the start of the experiment
 	done      bool
-	result    string
+	result    string // once it is done
 }
 
+// keyState is what a dedup group knows of a key.
 type keyState uint8
 
 const (
-	keyUnused keyState = iota
-	keyRunning
-	keyDone
+	keyUnused  keyState = iota // no job has run within the window
+	keyRunning                 // the first job runs
+	keyDone                    // the first job is done
 )
 
 // NewDedupGroup returns a group with a dedup window.
@@ -40,23 +42,29 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.expire(now)
-	f := g.firsts[key]
+	first := g.firsts[key]
 	switch {
-	case f == nil || now >= f.startedAt+g.window && f.done:
+	case first == nil || g.expired(first, now):
 		g.firsts[key] = &firstRun{id: id, startedAt: now}
 		return "", keyUnused
-	case f.done:
-		return f.result, keyDone
+	case first.done:
+		return first.result, keyDone
 	}
 	return "", keyRunning
 }
 
+// expired reports whether the window of a job that is done has passed. The caller holds the lock.
+func (g *DedupGroup) expired(first *firstRun, now time.Duration) bool {
+	return first.done && now >= first.startedAt+g.window
+}
+
+// complete records that the job with an ID, if it is the first under its key, is done.
 func (g *DedupGroup) complete(key, id, result string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if f := g.firsts[key]; f != nil && f.id == id {
-		f.done = true
-		f.result = result
+	if first := g.firsts[key]; first != nil && first.id == id {
+		first.done = true
+		first.result = result
 	}
 }
 
@@ -64,19 +72,19 @@
 func (g *DedupGroup) release(key, id string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if f := g.firsts[key]; f != nil && f.id == id && !f.done {
+	if first := g.firsts[key]; first != nil && first.id == id && !first.done {
 		delete(g.firsts, key)
 	}
 }
 
-// expire removes keys whose window has passed, once per window, to bound the memory.
+// expire removes keys whose window has passed, once per window, to bound the memory. The caller holds the lock.
 func (g *DedupGroup) expire(now time.Duration) {
 	if now < g.expiredAt+g.window {
 		return
 	}
 	g.expiredAt = now
-	for key, f := range g.firsts {
-		if f.done && now >= f.startedAt+g.window {
+	for key, first := range g.firsts {
+		if g.expired(first, now) {
 			delete(g.firsts, key)
 		}
 	}
--- a/internal/testbed/worker/machine.go
+++ b/internal/testbed/worker/machine.go
@@ -21,18 +21,23 @@
 
 // Warmup is how a worker behaves after its start, with the parameters that dispatchers get in their settings.
 type Warmup struct {
-	InitialShare     float64       // share of its capacity at the start
-	Duration         time.Duration // until it has its full capacity
-	OverloadMultiple float64       // of its current capacity over the span: a worker that is sent more work within the span crashes
-	OverloadSpan     time.Duration
+	InitialShare     float64       // share of its capacity at the start, above 0
+	Duration         time.Duration // until it has its full capacity; 0: at once
+	OverloadMultiple float64       // of its current capacity: a worker that is sent more work within the span crashes; 0: none does
+	OverloadSpan     time.Duration // over which sent work is summed
 }
 
-// Factor is the share of its capacity that a worker has at an age. It grows linearly.
-func (c Warmup) Factor(age time.Duration) float64 {
-	if c.Duration <= 0 || age >= c.Duration {
+// Factor returns the share of its capacity that a worker has at an age. It grows linearly.
+func (w Warmup) Factor(age time.Duration) float64 {
+	if w.Duration <= 0 || age >= w.Duration {
 		return 1
 	}
-	return c.InitialShare + (1-c.InitialShare)*age.Seconds()/c.Duration.Seconds()
+	return w.InitialShare + (1-w.InitialShare)*age.Seconds()/w.Duration.Seconds()
+}
+
+// budget returns the work that a worker with a number of cores may be sent within the span, at a warm-up factor.
+func (w Warmup) budget(factor float64, cores int) time.Duration {
+	return time.Duration(w.OverloadMultiple * factor * float64(cores) * float64(w.OverloadSpan))
 }
 
 // Job is an attempt at a worker.
@@ -71,27 +76,30 @@
 	Result string
 }
 
-type job struct {
+// runningJob is a job that waits or runs.
+type runningJob struct {
 	Job
 	remaining    time.Duration // work left
 	halfReported bool          // Halfway has been reported
 }
 
-// Machine is one incarnation of a worker's process: cores that run jobs, and a FIFO queue before them.
+// Machine is one incarnation of a worker's process: cores that run jobs, and a FIFO queue before them. Times are since the
+// start of the experiment.
 type Machine struct {
 	kind            Kind
 	warmup          Warmup
-	now             time.Duration
+	now             time.Duration // up to which it is simulated
 	startedAt       time.Duration // so long ago that it is warm, for a worker that starts warm
 	speed           float64       // factor of the normal speed; 0 while paused
 	draining        bool
-	running         []*job
-	queue           []*job
-	waitingForFirst []*job // for a job under the same key that runs elsewhere
-	recent          []recentJob
-	result          func(id string) string
+	running         []*runningJob // at most one a core
+	queue           []*runningJob
+	waitingForFirst []*runningJob          // for a job under the same key that runs elsewhere
+	recent          []recentJob            // sent within the overload span, while warming up
+	result          func(id string) string // returns the result of a job
 }
 
+// recentJob is a job that a warming-up worker was sent.
 type recentJob struct {
 	at   time.Duration
 	work time.Duration
@@ -103,28 +111,31 @@
 	all := slices.Clone(m.recent)
 	slices.SortStableFunc(all, func(a, b recentJob) int { return cmp.Compare(b.work, a.work) })
 	var words []string
-	for _, l := range all[:min(limit, len(all))] {
-		words = append(words, fmt.Sprintf("%s %v", l.id, l.work.Round(time.Millisecond)))
+	for _, recent := range all[:min(limit, len(all))] {
+		words = append(words, fmt.Sprintf("%s %v", recent.id, recent.work.Round(time.Millisecond)))
 	}
 	return fmt.Sprintf("%d sent: %s", len(all), strings.Join(words, ", "))
 }
 
-// NewMachine starts a process; a warm one has full capacity at once. result returns the result of a job.
-func NewMachine(kind Kind, warmup Warmup, now time.Duration, warm bool, result func(id string) string) *Machine {
-	m := &Machine{kind: kind, warmup: warmup, now: now, startedAt: now, speed: 1, result: result}
-	if warm {
-		m.startedAt = now - warmup.Duration
-	}
-	return m
+// NewMachine starts a process that warms up. result returns the result of a job.
+func NewMachine(kind Kind, warmup Warmup, now time.Duration, result func(id string) string) *Machine {
+	return &Machine{kind: kind, warmup: warmup, now: now, startedAt: now, speed: 1, result: result}
+}
+
+// NewWarmMachine starts a process that has its full capacity at once.
+func NewWarmMachine(kind Kind, warmup Warmup, now time.Duration, result func(id string) string) *Machine {
+	machine := NewMachine(kind, warmup, now, result)
+	machine.startedAt = now - warmup.Duration
+	return machine
 }
 
-// WarmupFactor is the share of its capacity that the machine has at a time.
+// WarmupFactor returns the share of its capacity that the machine has at a time.
 func (m *Machine) WarmupFactor(now time.Duration) float64 {
 	return m.warmup.Factor(now - m.startedAt)
 }
 
-// workByAge is the work that one core at normal speed does from the start to an age, in seconds: the integral of the
-// warm-up factor.
+// workByAge returns the work that one core at normal speed does from the start to an age: the integral of the warm-up
+// factor. Both are in seconds.
 func (m *Machine) workByAge(age float64) float64 {
 	ramp := m.warmup.Duration.Seconds()
 	within := min(age, ramp)
@@ -135,7 +146,7 @@
 	return done
 }
 
-// ageAfterWork is the inverse of workByAge.
+// ageAfterWork returns the age at which one core at normal speed has done some work. It is the inverse of workByAge.
 func (m *Machine) ageAfterWork(done float64) float64 {
 	ramp, from := m.warmup.Duration.Seconds(), m.warmup.InitialShare
 	rampWork := m.workByAge(ramp)
@@ -149,45 +160,50 @@
 	return 2 * done / (from + math.Sqrt(from*from+2*slope*done))
 }
 
-// workBetween is the work that a core does between two times at the current speed, in seconds.
+// workBetween returns the work that a core does between two times at the current speed, in seconds.
 func (m *Machine) workBetween(from, to time.Duration) float64 {
 	return m.speed * (m.workByAge((to - m.startedAt).Seconds()) - m.workByAge((from - m.startedAt).Seconds()))
 }
 
-// finishTime is when work that runs from now on will be done, MaxInt64 for never.
+// never is a time after all others.
+const never = time.Duration(math.MaxInt64)
+
+// maxAge is the age in seconds beyond which work counts as never done, as its time would overflow.
+const maxAge = 1e9
+
+// finishTime returns when work that runs from now on will be done, or never.
 func (m *Machine) finishTime(left time.Duration) time.Duration {
 	if m.speed <= 0 {
-		return math.MaxInt64
+		return never
 	}
 	age := m.ageAfterWork(m.workByAge((m.now - m.startedAt).Seconds()) + left.Seconds()/m.speed)
-	if age > 1e9 {
-		return math.MaxInt64
+	if age > maxAge {
+		return never
 	}
-	return m.startedAt + time.Duration(math.Ceil(age*1e9))
+	return m.startedAt + time.Duration(math.Ceil(age*float64(time.Second)))
 }
 
-// SetSpeed sets the factor of the normal speed from now on: less than 1 for a slow or shared machine, 0 for a paused
-// one.
+// SetSpeed sets the factor of the normal speed from now on. It is less than 1 for a slow or shared machine, and 0 for a
+// paused one.
 func (m *Machine) SetSpeed(now time.Duration, speed float64) []Event {
 	events := m.Advance(now)
 	m.speed = speed
 	return events
 }
 
-// Drain makes the machine decline new jobs. Running jobs go on; the IDs of waiting ones are returned, and those never
-// run.
+// Drain makes the machine decline new jobs. Running jobs continue. It returns the IDs of the waiting jobs, which never run.
 func (m *Machine) Drain(now time.Duration) (events []Event, unstarted []string) {
 	events = m.Advance(now)
 	m.draining = true
-	for _, j := range append(m.queue, m.waitingForFirst...) {
-		unstarted = append(unstarted, j.ID)
+	for _, waiting := range append(m.queue, m.waitingForFirst...) {
+		unstarted = append(unstarted, waiting.ID)
 	}
 	m.queue = nil
 	m.waitingForFirst = nil
 	return events, unstarted
 }
 
-// OfferResult is the outcome of an offer. SentWork and Budget are set only for a worker that warms up.
+// OfferResult is the outcome of an offer. SentWork and Budget are 0 for a worker that does not warm up.
 type OfferResult struct {
 	Verdict  Verdict
 	Events   []Event
@@ -195,106 +211,124 @@
 	Budget   time.Duration // core time allowed within the span
 }
 
-// Offer hands the machine a job. A declined job counts against the warm-up budget as well.
-func (m *Machine) Offer(now time.Duration, j Job) OfferResult {
+// Offer decides on a job that a dispatcher sends, and queues or starts an accepted one. A declined job counts against the
+// warm-up budget as well.
+func (m *Machine) Offer(now time.Duration, job Job) OfferResult {
 	result := OfferResult{Events: m.Advance(now)}
 	if factor := m.WarmupFactor(now); factor < 1 && m.warmup.OverloadMultiple > 0 {
-		m.recent = slices.DeleteFunc(m.recent, func(r recentJob) bool { return r.at <= now-m.warmup.OverloadSpan })
-		m.recent = append(m.recent, recentJob{now, j.Work, j.ID})
-		for _, r := range m.recent {
-			result.SentWork += r.work
-		}
-		budget := m.warmup.OverloadMultiple * factor * float64(m.kind.Cores) * float64(m.warmup.OverloadSpan)
-		result.Budget = time.Duration(budget)
+		result.SentWork = m.countRecent(now, job)
+		result.Budget = m.warmup.budget(factor, m.kind.Cores)
 		if result.SentWork > result.Budget {
 			result.Verdict = Overloaded
 			return result
 		}
 	}
-	if m.draining || len(m.running) >= m.kind.Cores && len(m.queue) >= m.kind.Queue {
+	full := len(m.running) >= m.kind.Cores && len(m.queue) >= m.kind.Queue
+	if m.draining || full {
 		result.Verdict = Declined
 		return result
 	}
-	m.queue = append(m.queue, &job{Job: j, remaining: j.Work})
+	m.queue = append(m.queue, &runningJob{Job: job, remaining: job.Work})
 	result.Verdict = Accepted
 	result.Events = m.startQueued(result.Events)
 	return result
 }
 
+// countRecent adds a job to those sent within the overload span, and returns their work.
+func (m *Machine) countRecent(now time.Duration, job Job) (sentWork time.Duration) {
+	expired := func(r recentJob) bool { return r.at <= now-m.warmup.OverloadSpan }
+	m.recent = append(slices.DeleteFunc(m.recent, expired), recentJob{at: now, work: job.Work, id: job.ID})
+	for _, recent := range m.recent {
+		sentWork += recent.work
+	}
+	return sentWork
+}
+
 // Cancel removes a job. Its work is lost, and another job under its key may run.
 func (m *Machine) Cancel(now time.Duration, id string) []Event {
 	events := m.Advance(now)
-	same := func(j *job) bool { return j.ID == id }
-	for _, j := range m.running {
-		if same(j) && j.Group != nil {
-			j.Group.release(j.Key, id)
+	isCancelled := func(job *runningJob) bool { return job.ID == id }
+	for _, job := range m.running {
+		if isCancelled(job) {
+			job.releaseKey()
 		}
 	}
-	m.running = slices.DeleteFunc(m.running, same)
-	m.queue = slices.DeleteFunc(m.queue, same)
-	m.waitingForFirst = slices.DeleteFunc(m.waitingForFirst, same)
+	m.running = slices.DeleteFunc(m.running, isCancelled)
+	m.queue = slices.DeleteFunc(m.queue, isCancelled)
+	m.waitingForFirst = slices.DeleteFunc(m.waitingForFirst, isCancelled)
 	return m.startQueued(events)
 }
 
 // Stop ends the process. Other jobs under the keys of running ones may run elsewhere.
 func (m *Machine) Stop() {
-	for _, j := range m.running {
-		if j.Group != nil {
-			j.Group.release(j.Key, j.ID)
-		}
+	for _, job := range m.running {
+		job.releaseKey()
 	}
 	m.running = nil
 	m.queue = nil
 	m.waitingForFirst = nil
 }
 
+// releaseKey lets another job under the same key run, if the job has one.
+func (j *runningJob) releaseKey() {
+	if j.Group != nil {
+		j.Group.release(j.Key, j.ID)
+	}
+}
+
 // Load returns the number of running and queued jobs.
 func (m *Machine) Load() (running, queued int) { return len(m.running), len(m.queue) }
 
 // Advance simulates up to a time, and returns the events until then.
 func (m *Machine) Advance(now time.Duration) (events []Event) {
 	for {
-		at, due := now, false
-		for _, j := range m.running {
-			if d := m.finishTime(m.workUntilEvent(j)); d <= at {
-				at = d
+		next, due := now, false
+		for _, job := range m.running {
+			if eventAt := m.finishTime(job.workUntilEvent()); eventAt <= next {
+				next = eventAt
 				due = true
 			}
 		}
-		events = m.step(max(at, m.now), events)
+		events = m.step(max(next, m.now), events)
 		if !due {
 			return m.startQueued(events)
 		}
 	}
 }
 
-// workUntilEvent is the work left until a job's next event.
-func (m *Machine) workUntilEvent(j *job) time.Duration {
+// workUntilEvent returns the work left until the job's next event.
+func (j *runningJob) workUntilEvent() time.Duration {
 	if half := j.remaining - j.Work/2; !j.halfReported && half > 0 {
 		return half
 	}
 	return j.remaining
 }
 
+// roundingError bounds the error of times and work that are rounded. Work below it counts as done.
+const roundingError = time.Microsecond
+
+// finished reports whether the job's work is done.
+func (j *runningJob) finished() bool { return j.remaining <= roundingError }
+
 // step does the work up to a time that is not after the next event.
 func (m *Machine) step(at time.Duration, events []Event) []Event {
-	workDone := time.Duration(math.Round(m.workBetween(m.now, at) * 1e9))
+	workDone := time.Duration(math.Round(m.workBetween(m.now, at) * float64(time.Second)))
 	m.now = at
-	for _, j := range m.running {
-		j.remaining -= workDone
-		if !j.halfReported && j.remaining <= j.Work/2+time.Microsecond {
-			j.halfReported = true
-			events = append(events, Event{ID: j.ID, Kind: Halfway})
+	for _, job := range m.running {
+		job.remaining -= workDone
+		if !job.halfReported && job.remaining <= job.Work/2+roundingError {
+			job.halfReported = true
+			events = append(events, Event{ID: job.ID, Kind: Halfway})
 		}
-		if j.remaining <= time.Microsecond { // below the rounding of times
-			result := m.result(j.ID)
-			if j.Group != nil {
-				j.Group.complete(j.Key, j.ID, result)
+		if job.finished() {
+			result := m.result(job.ID)
+			if job.Group != nil {
+				job.Group.complete(job.Key, job.ID, result)
 			}
-			events = append(events, Event{ID: j.ID, Kind: Finished, Result: result})
+			events = append(events, Event{ID: job.ID, Kind: Finished, Result: result})
 		}
 	}
-	m.running = slices.DeleteFunc(m.running, func(j *job) bool { return j.remaining <= time.Microsecond })
+	m.running = slices.DeleteFunc(m.running, (*runningJob).finished)
 	return m.startQueued(events)
 }
 
@@ -305,30 +339,30 @@
 	}
 	waiting := m.waitingForFirst
 	m.waitingForFirst = nil
-	for _, j := range waiting {
-		events = m.start(j, events)
+	for _, job := range waiting {
+		events = m.start(job, events)
 	}
 	for len(m.queue) > 0 && len(m.running) < m.kind.Cores {
-		j := m.queue[0]
+		first := m.queue[0]
 		m.queue = m.queue[1:]
-		events = m.start(j, events)
+		events = m.start(first, events)
 	}
 	return events
 }
 
 // start starts a job on a core, unless another job under its key runs or has run.
-func (m *Machine) start(j *job, events []Event) []Event {
-	if j.Group != nil {
-		switch result, state := j.Group.start(j.Key, j.ID, m.now); state {
+func (m *Machine) start(job *runningJob, events []Event) []Event {
+	if job.Group != nil {
+		switch result, state := job.Group.start(job.Key, job.ID, m.now); state {
 		case keyRunning:
-			m.waitingForFirst = append(m.waitingForFirst, j)
+			m.waitingForFirst = append(m.waitingForFirst, job)
 			return events
 		case keyDone:
-			return append(events, Event{ID: j.ID, Kind: Deduplicated, Result: result})
+			return append(events, Event{ID: job.ID, Kind: Deduplicated, Result: result})
 		}
 	}
-	m.running = append(m.running, j)
-	return append(events, Event{ID: j.ID, Kind: Started})
+	m.running = append(m.running, job)
+	return append(events, Event{ID: job.ID, Kind: Started})
 }
 
 // duplicateCheckInterval is how often a job checks whether another one under its key has ended.
@@ -336,12 +370,12 @@
 
 // NextEvent returns the time of the next event without further calls. found is false if there is none.
 func (m *Machine) NextEvent() (at time.Duration, found bool) {
-	at = math.MaxInt64
-	for _, j := range m.running {
-		at = min(at, m.finishTime(m.workUntilEvent(j)))
+	at = never
+	for _, job := range m.running {
+		at = min(at, m.finishTime(job.workUntilEvent()))
 	}
 	if len(m.waitingForFirst) > 0 && m.speed > 0 {
 		at = min(at, m.now+duplicateCheckInterval)
 	}
-	return at, at < math.MaxInt64
+	return at, at < never
 }
--- a/internal/testbed/worker/machine_test.go
+++ b/internal/testbed/worker/machine_test.go
@@ -7,115 +7,118 @@
 	"github.com/stretchr/testify/assert"
 )
 
-const sec = time.Second
+const second = time.Second
 
 var (
 	twoCores   = Kind{Cores: 2, Queue: 1}
-	slowWarmup = Warmup{InitialShare: 0.2, Duration: 10 * sec, OverloadMultiple: 4, OverloadSpan: 2 * sec}
+	slowWarmup = Warmup{InitialShare: 0.2, Duration: 10 * second, OverloadMultiple: 4, OverloadSpan: 2 * second}
 	resultOf   = func(id string) string { return "made " + id }
 )
 
-func warm() *Machine { return NewMachine(twoCores, slowWarmup, 0, true, resultOf) }
+// warmTwoCoreMachine returns a machine of two cores with its full capacity.
+func warmTwoCoreMachine() *Machine { return NewWarmMachine(twoCores, slowWarmup, 0, resultOf) }
 
+// finished returns the IDs of the jobs that events report as finished.
 func finished(events []Event) (ids []string) {
-	for _, e := range events {
-		if e.Kind == Finished {
-			ids = append(ids, e.ID)
+	for _, event := range events {
+		if event.Kind == Finished {
+			ids = append(ids, event.ID)
 		}
 	}
 	return ids
 }
 
-func offer(m *Machine, now time.Duration, id string, work time.Duration) Verdict {
-	return m.Offer(now, Job{ID: id, Work: work}).Verdict
+// offer offers a job without a key.
+func offer(machine *Machine, now time.Duration, id string, work time.Duration) Verdict {
+	return machine.Offer(now, Job{ID: id, Work: work}).Verdict
 }
 
 func TestJobsRunThenQueueThenAreDeclined(t *testing.T) {
-	m := warm()
+	machine := warmTwoCoreMachine()
 	assert.Equal(t, []Verdict{Accepted, Accepted, Accepted, Declined}, []Verdict{
-		offer(m, 0, "a", sec), offer(m, 0, "b", 2*sec), offer(m, 0, "c", sec), offer(m, 0, "d", sec),
+		offer(machine, 0, "a", second), offer(machine, 0, "b", 2*second), offer(machine, 0, "c", second), offer(machine, 0, "d", second),
 	})
-	running, queued := m.Load()
+	running, queued := machine.Load()
 	assert.Equal(t, []int{2, 1}, []int{running, queued})
-	assert.Equal(t, []string{"a"}, finished(m.Advance(sec+time.Millisecond)))
-	// Both others end at two seconds: b of its own length, and c that began when a ended.
-	assert.Equal(t, []string{"b", "c"}, finished(m.Advance(2*sec+time.Millisecond)))
+	assert.Equal(t, []string{"a"}, finished(machine.Advance(second+time.Millisecond)))
+	// Both others end at two seconds: b of its own length, and c that started when a ended.
+	assert.Equal(t, []string{"b", "c"}, finished(machine.Advance(2*second+time.Millisecond)))
 }
 
 func TestWorkIsDoneByTheWarmupFactor(t *testing.T) {
-	m := NewMachine(twoCores, slowWarmup, 0, false, resultOf)
-	offer(m, 0, "a", sec)
+	machine := NewMachine(twoCores, slowWarmup, 0, resultOf)
+	offer(machine, 0, "a", second)
 	// The integral of 0.2 + 0.08t is 1 where 0.04t^2 + 0.2t = 1, at t = 3.09.
-	at, _ := m.NextEvent()
-	assert.Equal(t, Event{ID: "a", Kind: Halfway}, m.Advance(at)[0])
-	at, _ = m.NextEvent()
-	assert.InDelta(t, 3.0902, at.Seconds(), 1e-3)
-	assert.Equal(t, []string{"a"}, finished(m.Advance(at)))
-	assert.InDelta(t, 0.2+0.08*at.Seconds(), m.WarmupFactor(at), 1e-9)
-	assert.Equal(t, 1.0, m.WarmupFactor(11*sec))
+	nextAt, _ := machine.NextEvent()
+	assert.Equal(t, Event{ID: "a", Kind: Halfway}, machine.Advance(nextAt)[0])
+	nextAt, _ = machine.NextEvent()
+	assert.InDelta(t, 3.0902, nextAt.Seconds(), 1e-3)
+	assert.Equal(t, []string{"a"}, finished(machine.Advance(nextAt)))
+	assert.InDelta(t, 0.2+0.08*nextAt.Seconds(), machine.WarmupFactor(nextAt), 1e-9)
+	assert.Equal(t, 1.0, machine.WarmupFactor(11*second))
 }
 
 func TestSpeedChangesWhileAJobRuns(t *testing.T) {
-	m := warm()
-	offer(m, 0, "a", sec)
-	m.SetSpeed(500*time.Millisecond, 0.25)
-	m.SetSpeed(700*time.Millisecond, 0) // paused with 0.45 s left
-	_, found := m.NextEvent()
+	machine := warmTwoCoreMachine()
+	offer(machine, 0, "a", second)
+	machine.SetSpeed(500*time.Millisecond, 0.25)
+	machine.SetSpeed(700*time.Millisecond, 0) // paused with 0.45 s left
+	_, found := machine.NextEvent()
 	assert.False(t, found)
-	m.SetSpeed(5*sec, 1)
-	assert.Empty(t, finished(m.Advance(5440*time.Millisecond)))
-	assert.Equal(t, []string{"a"}, finished(m.Advance(5451*time.Millisecond)))
+	machine.SetSpeed(5*second, 1)
+	assert.Empty(t, finished(machine.Advance(5440*time.Millisecond)))
+	assert.Equal(t, []string{"a"}, finished(machine.Advance(5451*time.Millisecond)))
 }
 
 func TestWarmingUpMachineOverItsBudgetIsOverloaded(t *testing.T) {
-	m := NewMachine(Kind{Cores: 2, Queue: 99}, slowWarmup, 0, false, resultOf)
+	machine := NewMachine(Kind{Cores: 2, Queue: 99}, slowWarmup, 0, resultOf)
 	// Its budget is 4 * 0.2 * 2 * 2 s = 3.2 s of work at its start.
-	assert.Equal(t, Accepted, offer(m, 0, "a", 3*sec))
-	assert.Equal(t, Overloaded, offer(m, 0, "b", 300*time.Millisecond))
-	assert.Equal(t, Accepted, offer(warm(), 0, "c", 300*sec), "a warm one has no budget")
-	m = NewMachine(twoCores, slowWarmup, 0, false, resultOf)
-	assert.Equal(t, Accepted, offer(m, 0, "a", 3*sec))
-	assert.Equal(t, Accepted, offer(m, 2*sec, "b", 3*sec), "work sent before the span does not count")
+	assert.Equal(t, Accepted, offer(machine, 0, "a", 3*second))
+	assert.Equal(t, Overloaded, offer(machine, 0, "b", 300*time.Millisecond))
+	assert.Equal(t, Accepted, offer(warmTwoCoreMachine(), 0, "c", 300*second), "a warm worker has no budget")
+	machine = NewMachine(twoCores, slowWarmup, 0, resultOf)
+	assert.Equal(t, Accepted, offer(machine, 0, "a", 3*second))
+	assert.Equal(t, Accepted, offer(machine, 2*second, "b", 3*second), "work sent before the span does not count")
 }
 
 func TestCancelledJobFreesItsCoreAndItsKey(t *testing.T) {
-	g, m := NewDedupGroup(10*sec), warm()
-	m.Offer(0, Job{ID: "a", Work: sec, Key: "k", Group: g})
-	events := m.Offer(0, Job{ID: "b", Work: sec, Key: "k", Group: g}).Events
+	group, machine := NewDedupGroup(10*second), warmTwoCoreMachine()
+	machine.Offer(0, Job{ID: "a", Work: second, Key: "k", Group: group})
+	events := machine.Offer(0, Job{ID: "b", Work: second, Key: "k", Group: group}).Events
 	assert.Empty(t, events, "a job waits for the first one under its key")
-	events = m.Cancel(sec/4, "a")
+	events = machine.Cancel(second/4, "a")
 	assert.Equal(t, []Event{{ID: "b", Kind: Started}}, events)
-	assert.Equal(t, []string{"b"}, finished(m.Advance(2*sec)))
+	assert.Equal(t, []string{"b"}, finished(machine.Advance(2*second)))
 }
 
 func TestJobsAreDeduplicatedWithinTheGroupAndTheWindow(t *testing.T) {
-	g, one, two := NewDedupGroup(10*sec), warm(), warm()
-	one.Offer(0, Job{ID: "a", Work: sec, Key: "k", Group: g})
-	two.Offer(0, Job{ID: "b", Work: sec, Key: "k", Group: g})
-	one.Advance(2 * sec)
-	assert.Equal(t, []Event{{ID: "b", Kind: Deduplicated, Result: "made a"}}, two.Advance(2*sec))
-	events := two.Offer(9*sec, Job{ID: "c", Work: sec, Key: "k", Group: g}).Events
+	group, one, two := NewDedupGroup(10*second), warmTwoCoreMachine(), warmTwoCoreMachine()
+	one.Offer(0, Job{ID: "a", Work: second, Key: "k", Group: group})
+	two.Offer(0, Job{ID: "b", Work: second, Key: "k", Group: group})
+	one.Advance(2 * second)
+	assert.Equal(t, []Event{{ID: "b", Kind: Deduplicated, Result: "made a"}}, two.Advance(2*second))
+	events := two.Offer(9*second, Job{ID: "c", Work: second, Key: "k", Group: group}).Events
 	assert.Equal(t, Deduplicated, events[0].Kind)
-	events = two.Offer(11*sec, Job{ID: "d", Work: sec, Key: "k", Group: g}).Events
+	events = two.Offer(11*second, Job{ID: "d", Work: second, Key: "k", Group: group}).Events
 	assert.Equal(t, Started, events[0].Kind, "the window has passed")
-	assert.Len(t, g.firsts, 1)
+	assert.Len(t, group.firsts, 1)
 }
 
 func TestKeyOfAJobLostWithItsProcessIsFree(t *testing.T) {
-	g, one, two := NewDedupGroup(10*sec), warm(), warm()
-	one.Offer(0, Job{ID: "a", Work: sec, Key: "k", Group: g})
-	two.Offer(0, Job{ID: "b", Work: sec, Key: "k", Group: g})
+	group, one, two := NewDedupGroup(10*second), warmTwoCoreMachine(), warmTwoCoreMachine()
+	one.Offer(0, Job{ID: "a", Work: second, Key: "k", Group: group})
+	two.Offer(0, Job{ID: "b", Work: second, Key: "k", Group: group})
 	one.Stop()
 	assert.Equal(t, Started, two.Advance(duplicateCheckInterval)[0].Kind)
 }
 
 func TestDrainReturnsWaitingJobs(t *testing.T) {
-	m := warm()
+	machine := warmTwoCoreMachine()
 	for _, id := range []string{"a", "b", "c"} {
-		offer(m, 0, id, sec)
+		offer(machine, 0, id, second)
 	}
-	_, unstarted := m.Drain(0)
+	_, unstarted := machine.Drain(0)
 	assert.Equal(t, []string{"c"}, unstarted)
-	assert.Equal(t, Declined, offer(m, 0, "d", sec))
-	assert.Equal(t, []string{"a", "b"}, finished(m.Advance(2*sec)))
+	assert.Equal(t, Declined, offer(machine, 0, "d", second))
+	assert.Equal(t, []string{"a", "b"}, finished(machine.Advance(2*second)))
 }
--- a/internal/testbed/worker/server_faults.go
+++ b/internal/testbed/worker/server_faults.go
@@ -10,13 +10,14 @@
 
 // What the faults of an experiment do to a worker.
 
-// Crash ends the process at once: connections are reset, new ones are refused.
+// Crash ends the process at once. Its connections are reset, and new ones are refused.
 func (s *Server) Crash() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.crash()
 }
 
+// crash does what Crash does. The caller holds the lock.
 func (s *Server) crash() {
 	process := s.current
 	if process == nil {
@@ -24,8 +25,8 @@
 	}
 	s.current = nil
 	process.machine.Stop()
-	for _, e := range process.exchanges {
-		s.fleet.history.AttemptEnded(e.attempt, history.Crashed, "", s.fleet.clock())
+	for _, accepted := range process.exchanges {
+		s.fleet.history.AttemptEnded(accepted.attempt, history.Crashed, "", s.fleet.clock())
 	}
 	process.close()
 }
@@ -41,9 +42,9 @@
 	events, unstarted := process.machine.Drain(s.fleet.clock())
 	s.deliver(process, events)
 	for _, id := range unstarted {
-		if e := process.exchanges[id]; e != nil {
+		if accepted := process.exchanges[id]; accepted != nil {
 			delete(process.exchanges, id)
-			e.lines <- line{state: "returned", last: true}
+			accepted.lines <- line{state: stateReturned, last: true}
 		}
 	}
 	process.wakeUp()
@@ -60,40 +61,55 @@
 	}
 }
 
-// Pause pauses or resumes the process: while paused it neither works nor reads nor writes.
-func (s *Server) Pause(paused bool) {
+// Pause pauses the process, if one runs: it neither works nor reads nor writes until Resume.
+func (s *Server) Pause() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if process := s.current; process != nil {
+		s.deliver(process, process.machine.SetSpeed(s.fleet.clock(), 0))
+		process.pause()
+		process.wakeUp()
+	}
+}
+
+// Resume ends a pause.
+func (s *Server) Resume() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if process := s.current; process != nil {
+		s.deliver(process, process.machine.SetSpeed(s.fleet.clock(), s.speed))
+		process.resume()
+		process.wakeUp()
+	}
+}
+
+// Partition cuts the process, if one runs, off the network until Heal. It works, but open connections carry nothing and new
+// ones are not established.
+func (s *Server) Partition() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	process := s.current
 	if process == nil {
 		return
 	}
-	speed := s.speed
-	if paused {
-		speed = 0
+	process.pause()
+	for _, ln := range process.listeners {
+		setBacklog(ln, 0)
+		s.fleet.running.Go(func() { process.fillBacklog(ln) })
 	}
-	s.deliver(process, process.machine.SetSpeed(s.fleet.clock(), speed))
-	process.setPaused(paused)
-	process.wakeUp()
 }
 
-// Partition cuts the worker off the network or heals that: it works, but open connections carry nothing and new ones are
-// not established.
-func (s *Server) Partition(partitioned bool) {
+// Heal ends a partition.
+func (s *Server) Heal() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	process := s.current
 	if process == nil {
 		return
 	}
-	process.setPaused(partitioned)
+	process.resume()
 	for _, ln := range process.listeners {
-		if !partitioned {
-			setBacklog(ln, syscall.SOMAXCONN)
-			continue
-		}
-		setBacklog(ln, 0)
-		s.fleet.running.Go(func() { process.fillBacklog(ln) })
+		setBacklog(ln, syscall.SOMAXCONN)
 	}
 }
 
@@ -104,22 +120,32 @@
 	}
 }
 
-// backlogFillers connections fill a backlog of 0, which holds one, and the accepting goroutine, which holds another.
+// backlogFillers is the number of connections that fill a backlog of 0. It holds one, and the accepting goroutine another.
 const backlogFillers = 2
 
+// fillTimeout bounds how long the establishment of a connection that fills the backlog may take.
+const fillTimeout = 100 * time.Millisecond
+
 // fillBacklog occupies the backlog, so that no connection is established until the partition heals.
-func (l *incarnation) fillBacklog(ln net.Listener) {
+func (p *incarnation) fillBacklog(ln net.Listener) {
 	for range backlogFillers {
-		if c, err := net.DialTimeout("tcp", ln.Addr().String(), 100*time.Millisecond); err == nil {
-			defer c.Close()
+		if conn, err := net.DialTimeout("tcp", ln.Addr().String(), fillTimeout); err == nil {
+			defer conn.Close()
 		}
 	}
-	l.waitWhilePaused()
+	p.waitWhilePaused()
+}
+
+// Mute makes the worker report nothing about jobs that start from now on, until Unmute.
+func (s *Server) Mute() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.muted = true
 }
 
-// Mute makes the worker report nothing about jobs that start from now on, or ends that.
-func (s *Server) Mute(muted bool) {
+// Unmute makes the worker report about jobs that start from now on.
+func (s *Server) Unmute() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.muted = muted
+	s.muted = false
 }
--- a/internal/testbed/worker/server_test.go
+++ b/internal/testbed/worker/server_test.go
@@ -20,75 +20,78 @@
 // startWorker starts a worker of two cores and a queue of one, for one dispatcher.
 func startWorker(t *testing.T, config Config) (*Server, *history.Log) {
 	t.Helper()
-	startedAt, l := time.Now(), history.New()
+	startedAt, log := time.Now(), history.New()
 	config.IdleTimeout = 5 * time.Second
-	f := NewFleet(config, []Deduplication{{}, {Scope: "zone", Window: 10 * sec}}, l,
+	fleet := NewFleet(config, []Deduplication{{}, {Scope: "zone", Window: 10 * second}}, log,
 		func() time.Duration { return time.Since(startedAt) }, nil)
-	s := f.Add("w0", twoCores, 0, 0, 1)
-	assert.NoError(t, s.Start(true))
-	t.Cleanup(f.Close)
-	return s, l
+	server := fleet.Add("w0", twoCores, 0, 0, 1)
+	assert.NoError(t, server.StartWarm())
+	t.Cleanup(fleet.Close)
+	return server, log
 }
 
 // client is one connection of a dispatcher.
 type client struct {
 	net.Conn
-	in *bufio.Reader
-	t  *testing.T
+	reader *bufio.Reader
+	t      *testing.T
 }
 
-func connect(t *testing.T, s *Server) *client {
+// connect opens a connection to a worker, which the end of the test closes.
+func connect(t *testing.T, server *Server) *client {
 	t.Helper()
-	c, err := net.Dial("tcp", s.Addresses()[0])
+	conn, err := net.Dial("tcp", server.Addresses()[0])
 	assert.NoError(t, err)
-	c.SetDeadline(time.Now().Add(10 * time.Second))
-	t.Cleanup(func() { c.Close() })
-	return &client{c, bufio.NewReader(c), t}
+	conn.SetDeadline(time.Now().Add(10 * time.Second))
+	t.Cleanup(func() { conn.Close() })
+	return &client{conn, bufio.NewReader(conn), t}
 }
 
-func (c *client) send(l *history.Log, id string, work time.Duration) {
-	if l != nil {
-		l.RequestOpened(id, 0, 0, 0)
-	}
+// send sends an attempt of a request that it records as opened.
+func (c *client) send(log *history.Log, id string, work time.Duration) {
+	log.RequestOpened(id, 0, 0, 0)
 	body := fmt.Sprintf(`{"operation":0,"work_us":%d}`, work.Microseconds())
 	_, err := fmt.Fprintf(c, "POST /api HTTP/1.1\r\nHost: x\r\nReq-Id: %s\r\nContent-Length: %d\r\n\r\n%s",
 		id, len(body), body)
 	assert.NoError(c.t, err)
 }
 
-func (c *client) read() (status int, text string, err error) {
-	r, err := http.ReadResponse(c.in, nil)
+// read reads a whole answer.
+func (c *client) read() (status int, body string, err error) {
+	response, err := http.ReadResponse(c.reader, nil)
 	if err != nil {
 		return 0, "", err
 	}
-	defer r.Body.Close()
-	b, err := io.ReadAll(r.Body)
-	return r.StatusCode, string(b), err
+	defer response.Body.Close()
+	b, err := io.ReadAll(response.Body)
+	return response.StatusCode, string(b), err
 }
 
-func ended(l *history.Log, id string, how history.AttemptEnd) func() bool {
-	return func() bool { return assert.ObjectsAreEqual([]history.AttemptEnd{how}, l.AttemptEnds(id)) }
+// endedWith returns a condition: the request has one attempt, which ended in a way.
+func endedWith(log *history.Log, id string, end history.AttemptEnd) func() bool {
+	return func() bool { return assert.ObjectsAreEqual([]history.AttemptEnd{end}, log.AttemptEnds(id)) }
 }
 
 // jobs returns the number of running and queued jobs.
-func jobs(s *Server) int {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	running, queued := s.current.machine.Load()
+func jobs(server *Server) int {
+	server.mu.Lock()
+	defer server.mu.Unlock()
+	running, queued := server.current.machine.Load()
 	return running + queued
 }
 
+// eventually waits until a condition holds.
 func eventually(t *testing.T, condition func() bool) {
 	t.Helper()
 	assert.Eventually(t, condition, 5*time.Second, time.Millisecond)
 }
 
 func TestWorkerWritesStartProgressAndResultOnAReusableConnection(t *testing.T) {
-	s, l := startWorker(t, Config{StartNotes: true, Progress: true})
-	c := connect(t, s)
+	server, log := startWorker(t, Config{StartNotes: true, Progress: true})
+	c := connect(t, server)
 	for n := range 2 {
 		id := fmt.Sprint("a", n)
-		c.send(l, id, 20*time.Millisecond)
+		c.send(log, id, 20*time.Millisecond)
 		status, text, err := c.read()
 		assert.NoError(t, err)
 		assert.Equal(t, 200, status)
@@ -100,23 +103,23 @@
 		assert.Equal(t, []string{"started", "running", "done"}, states)
 		assert.Contains(t, text, `"result":"`+id+` by w0.0"`)
 	}
-	f := l.Requests()[1].Attempts[0]
-	assert.Equal(t, history.Done, f.End)
-	assert.GreaterOrEqual(t, f.EndedAt-f.StartedAt, 20*time.Millisecond)
+	attempt := log.Requests()[1].Attempts[0]
+	assert.Equal(t, history.Done, attempt.End)
+	assert.GreaterOrEqual(t, attempt.EndedAt-attempt.StartedAt, 20*time.Millisecond)
 }
 
 func TestFullWorkerDeclinesAndDrainReturnsWaitingJobs(t *testing.T) {
-	s, l := startWorker(t, Config{})
-	conns := []*client{connect(t, s), connect(t, s), connect(t, s), connect(t, s)}
+	server, log := startWorker(t, Config{})
+	conns := []*client{connect(t, server), connect(t, server), connect(t, server), connect(t, server)}
 	for n, c := range conns[:3] {
-		c.send(l, fmt.Sprint("a", n), 300*time.Millisecond)
+		c.send(log, fmt.Sprint("a", n), 300*time.Millisecond)
 	}
-	eventually(t, func() bool { return jobs(s) == 3 })
-	conns[3].send(l, "a3", time.Second)
+	eventually(t, func() bool { return jobs(server) == 3 })
+	conns[3].send(log, "a3", time.Second)
 	status, _, err := conns[3].read()
 	assert.NoError(t, err)
 	assert.Equal(t, 503, status)
-	s.Drain()
+	server.Drain()
 	returned, done := 0, 0
 	for _, c := range conns[:3] {
 		_, text, err := c.read()
@@ -128,21 +131,21 @@
 }
 
 func TestCrashResetsConnectionsAndRefusesNewOnesUntilTheRestart(t *testing.T) {
-	s, l := startWorker(t, Config{StartNotes: true})
-	c, address := connect(t, s), s.Addresses()[0]
-	c.send(l, "a", time.Minute)
-	_, err := c.in.Peek(1)
+	server, log := startWorker(t, Config{StartNotes: true})
+	c, address := connect(t, server), server.Addresses()[0]
+	c.send(log, "a", time.Minute)
+	_, err := c.reader.Peek(1)
 	assert.NoError(t, err, "the start note")
-	s.Crash()
+	server.Crash()
 	_, _, err = c.read()
 	assert.True(t, errors.Is(err, syscall.ECONNRESET), err)
 	_, err = net.Dial("tcp", address)
 	assert.True(t, errors.Is(err, syscall.ECONNREFUSED), err)
-	assert.Equal(t, []history.AttemptEnd{history.Crashed}, l.AttemptEnds("a"))
-	assert.NoError(t, s.Start(false))
-	assert.Equal(t, address, s.Addresses()[0])
-	c = connect(t, s)
-	c.send(l, "b", time.Millisecond)
+	assert.Equal(t, []history.AttemptEnd{history.Crashed}, log.AttemptEnds("a"))
+	assert.NoError(t, server.Start())
+	assert.Equal(t, address, server.Addresses()[0])
+	c = connect(t, server)
+	c.send(log, "b", time.Millisecond)
 	_, text, err := c.read()
 	assert.NoError(t, err)
 	assert.Contains(t, text, "b by w0.1", "the second incarnation")
@@ -150,33 +153,33 @@
 
 // Another program may take the port while the worker is down.
 func TestRestartUsesAnotherPortIfItsOwnIsTaken(t *testing.T) {
-	s, _ := startWorker(t, Config{})
-	address := s.Addresses()[0]
-	s.Crash()
+	server, _ := startWorker(t, Config{})
+	address := server.Addresses()[0]
+	server.Crash()
 	ln, err := net.Listen("tcp", address)
 	assert.NoError(t, err)
 	defer ln.Close()
-	assert.NoError(t, s.Start(false))
-	assert.NotEqual(t, address, s.Addresses()[0])
+	assert.NoError(t, server.Start())
+	assert.NotEqual(t, address, server.Addresses()[0])
 }
 
 func TestCancelledAttemptStopsItsJob(t *testing.T) {
-	s, l := startWorker(t, Config{})
-	c := connect(t, s)
-	c.send(l, "a", time.Minute)
-	_, err := c.in.Peek(1)
+	server, log := startWorker(t, Config{})
+	c := connect(t, server)
+	c.send(log, "a", time.Minute)
+	_, err := c.reader.Peek(1)
 	assert.NoError(t, err)
 	c.Close()
-	eventually(t, ended(l, "a", history.Abandoned))
-	eventually(t, func() bool { return jobs(s) == 0 })
+	eventually(t, endedWith(log, "a", history.Abandoned))
+	eventually(t, func() bool { return jobs(server) == 0 })
 }
 
 func TestMutedWorkerRunsJobsWithoutReporting(t *testing.T) {
-	s, l := startWorker(t, Config{StartNotes: true})
-	s.Mute(true)
-	c := connect(t, s)
-	c.send(l, "a", 5*time.Millisecond)
-	eventually(t, ended(l, "a", history.NeverReported))
+	server, log := startWorker(t, Config{StartNotes: true})
+	server.Mute()
+	c := connect(t, server)
+	c.send(log, "a", 5*time.Millisecond)
+	eventually(t, endedWith(log, "a", history.NeverReported))
 	c.SetDeadline(time.Now().Add(50 * time.Millisecond))
 	_, text, err := c.read()
 	assert.Error(t, err)
@@ -184,37 +187,37 @@
 }
 
 func TestPartitionedWorkerIsSilentAndAcceptsNoConnection(t *testing.T) {
-	s, l := startWorker(t, Config{})
-	c := connect(t, s)
-	c.send(l, "a", time.Millisecond)
+	server, log := startWorker(t, Config{})
+	c := connect(t, server)
+	c.send(log, "a", time.Millisecond)
 	_, _, err := c.read()
 	assert.NoError(t, err)
-	s.Partition(true)
+	server.Partition()
 	eventually(t, func() bool {
-		late, err := net.DialTimeout("tcp", s.Addresses()[0], 50*time.Millisecond)
+		late, err := net.DialTimeout("tcp", server.Addresses()[0], 50*time.Millisecond)
 		if err == nil {
 			late.Close()
 		}
 		return err != nil
 	})
-	c.send(l, "b", time.Millisecond)
+	c.send(log, "b", time.Millisecond)
 	c.SetDeadline(time.Now().Add(50 * time.Millisecond))
-	_, err = c.in.Peek(1)
+	_, err = c.reader.Peek(1)
 	assert.Error(t, err)
-	s.Partition(false)
+	server.Heal()
 	c.SetDeadline(time.Now().Add(5 * time.Second))
 	_, text, err := c.read()
 	assert.NoError(t, err)
 	assert.Contains(t, text, "b by w0.0")
-	c = connect(t, s)
-	c.send(l, "c", time.Millisecond)
+	c = connect(t, server)
+	c.send(log, "c", time.Millisecond)
 	_, _, err = c.read()
 	assert.NoError(t, err)
 }
 
 func TestInvalidMessagesAreRejected(t *testing.T) {
-	s, l := startWorker(t, Config{})
-	c := connect(t, s)
+	server, log := startWorker(t, Config{})
+	c := connect(t, server)
 	for text, want := range map[string]int{
 		"GET /_load HTTP/1.1\r\nHost: x\r\n\r\n":                                    404,
 		"POST /api HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n":                404,
@@ -226,7 +229,7 @@
 		assert.NoError(t, err)
 		assert.Equal(t, want, status, text)
 	}
-	violations := l.Check(history.RuleConfig{})
+	violations := log.Check(history.RuleConfig{})
 	assert.Len(t, violations, 1, "an id that no client sent")
 	assert.Equal(t, "z", violations[0].ID)
 }
