--- a/internal/testbed/loadgen/front_tier.go
+++ b/internal/testbed/loadgen/front_tier.go
@@ -8,6 +8,7 @@
 	"fmt"
 	"net"
 	"net/http"
+	"slices"
 	"sync"
 	"time"
 )
@@ -15,17 +16,21 @@
 // FrontTier distributes calls over dispatchers as the platform's front tier does: round-robin over those whose health
 // check succeeded. A dispatcher that does not answer is removed only after a timeout.
 type FrontTier struct {
-	addresses      []string
-	failureTimeout time.Duration
+	addresses      []string      // by dispatcher
+	failureTimeout time.Duration // since the last successful health check
+	healthClient   *http.Client
 
 	mu          sync.Mutex
-	inRotation  []bool
-	healthyAt   []time.Time // time of the last successful health check
-	next        int
-	idle        [][]*conn
-	generations []int // incremented when a dispatcher fails: connections of earlier generations are closed, not reused
+	dispatchers []dispatcherState
+	last        int // index of the dispatcher chosen last
+}
 
-	healthClient *http.Client
+// dispatcherState is what the front tier knows of a dispatcher.
+type dispatcherState struct {
+	inRotation bool
+	healthyAt  time.Time // time of the last successful health check; zero: none counts
+	idle       []*conn
+	generation int // incremented when the dispatcher fails: connections of earlier generations are closed, not reused
 }
 
 // Timing of health checks.
@@ -36,11 +41,11 @@
 
 // NewFrontTier returns a front tier for dispatchers at these addresses. A dispatcher is added once it is healthy.
 func NewFrontTier(addresses []string, failureTimeout time.Duration) *FrontTier {
-	n := len(addresses)
 	return &FrontTier{
-		addresses: addresses, failureTimeout: failureTimeout, healthClient: &http.Client{Transport: &http.Transport{}},
-		inRotation: make([]bool, n), healthyAt: make([]time.Time, n),
-		idle: make([][]*conn, n), generations: make([]int, n),
+		addresses:      addresses,
+		failureTimeout: failureTimeout,
+		healthClient:   &http.Client{Transport: &http.Transport{}},
+		dispatchers:    make([]dispatcherState, len(addresses)),
 	}
 }
 
@@ -48,18 +53,21 @@
 type conn struct {
 	net.Conn
 	reader     *bufio.Reader
-	generation int
-	used       bool
+	generation int  // of the dispatcher when it was opened
+	used       bool // a request was answered on it
+	reusable   bool // the last answer is complete, and leaves the connection open
 }
 
+// readBufferBytes is the size of a connection's read buffer.
+const readBufferBytes = 2048
+
 // Run checks the dispatchers' health until ctx ends.
 func (f *FrontTier) Run(ctx context.Context) error {
 	var checks sync.WaitGroup
 	for n := range f.addresses {
 		checks.Go(func() {
 			for ctx.Err() == nil {
-				healthy, refused := f.checkHealth(ctx, n)
-				f.updateHealth(n, healthy, refused)
+				f.updateHealth(n, f.checkHealth(ctx, n))
 				select {
 				case <-time.After(healthCheckInterval):
 				case <-ctx.Done():
@@ -71,40 +79,55 @@
 	f.healthClient.CloseIdleConnections()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for n := range f.idle {
-		f.closeIdle(n)
+	for n := range f.dispatchers {
+		f.dispatchers[n].closeIdle()
 	}
 	return nil
 }
 
-// checkHealth reports whether a dispatcher answered that it is healthy, or answered that it is not.
-func (f *FrontTier) checkHealth(ctx context.Context, n int) (healthy, refused bool) {
+// health is the result of a health check.
+type health uint8
+
+const (
+	noAnswer  health = iota // the dispatcher has failed or is unresponsive
+	healthy                 // it accepts clients
+	unhealthy               // it answers that it does not, as while it drains
+)
+
+// checkHealth checks the health of dispatcher n.
+func (f *FrontTier) checkHealth(ctx context.Context, n int) health {
 	ctx, cancel := context.WithTimeout(ctx, healthCheckTimeout)
 	defer cancel()
-	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+f.addresses[n]+"/_health", nil)
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+f.addresses[n]+"/_health", nil)
 	if err != nil {
-		return false, false
+		return noAnswer
 	}
-	arrival, err := f.healthClient.Do(r)
+	response, err := f.healthClient.Do(request)
 	if err != nil {
-		return false, false
+		return noAnswer
+	}
+	response.Body.Close()
+	if response.StatusCode != http.StatusOK {
+		return unhealthy
 	}
-	arrival.Body.Close()
-	return arrival.StatusCode == http.StatusOK, arrival.StatusCode != http.StatusOK
+	return healthy
 }
 
-func (f *FrontTier) updateHealth(n int, healthy, refused bool) {
+// updateHealth applies the result of a health check of dispatcher n. Clients of an unhealthy one continue to use their open
+// connections. One that does not answer is removed, with its connections, once the timeout has passed.
+func (f *FrontTier) updateHealth(n int, result health) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
+	dispatcher := &f.dispatchers[n]
 	switch {
-	case healthy:
-		f.inRotation[n] = true
-		f.healthyAt[n] = time.Now()
-	case refused: // it drains: clients go on using their open connections
-		f.inRotation[n] = false
-	case f.inRotation[n] && time.Since(f.healthyAt[n]) > f.failureTimeout:
-		f.inRotation[n] = false
-		f.closeIdle(n)
+	case result == healthy:
+		dispatcher.inRotation = true
+		dispatcher.healthyAt = time.Now()
+	case result == unhealthy:
+		dispatcher.inRotation = false
+	case dispatcher.inRotation && time.Since(dispatcher.healthyAt) > f.failureTimeout:
+		dispatcher.inRotation = false
+		dispatcher.closeIdle()
 	}
 }
 
@@ -112,71 +135,84 @@
 func (f *FrontTier) Ready() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, in := range f.inRotation {
-		if !in {
-			return false
-		}
-	}
-	return true
+	return !slices.ContainsFunc(f.dispatchers, func(d dispatcherState) bool { return !d.inRotation })
 }
 
-// Remove takes a dispatcher out of rotation at once, for a planned restart. Clients go on using their open connections.
+// Remove takes a dispatcher out of rotation at once, for a planned restart. Clients continue to use their open connections.
 func (f *FrontTier) Remove(n int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.inRotation[n] = false
-	f.healthyAt[n] = time.Time{}
+	f.dispatchers[n].inRotation = false
+	f.dispatchers[n].healthyAt = time.Time{}
 }
 
-// closeIdle closes a dispatcher's idle connections. The caller holds the lock.
-func (f *FrontTier) closeIdle(n int) {
-	for _, c := range f.idle[n] {
+// closeIdle closes idle connections, and has open ones closed when they are released. The caller holds the lock.
+func (d *dispatcherState) closeIdle() {
+	for _, c := range d.idle {
 		c.Close()
 	}
-	f.idle[n] = nil
-	f.generations[n]++
+	d.idle = nil
+	d.generation++
 }
 
-// choose returns the next dispatcher in rotation; if there is none, the next of all.
+// choose returns the next dispatcher in rotation. If there is none, it returns the next of all.
 func (f *FrontTier) choose() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for range f.addresses {
-		f.next = (f.next + 1) % len(f.addresses)
-		if f.inRotation[f.next] {
-			return f.next
+	for range f.dispatchers {
+		f.last = (f.last + 1) % len(f.dispatchers)
+		if f.dispatchers[f.last].inRotation {
+			return f.last
 		}
 	}
-	f.next = (f.next + 1) % len(f.addresses)
-	return f.next
+	f.last = (f.last + 1) % len(f.dispatchers)
+	return f.last
 }
 
-// connect returns an idle connection, or opens one. With newConn it always opens one.
-func (f *FrontTier) connect(ctx context.Context, n int, newConn bool) (*conn, error) {
-	f.mu.Lock()
-	if k := len(f.idle[n]); k > 0 && !newConn {
-		c := f.idle[n][k-1]
-		f.idle[n] = f.idle[n][:k-1]
-		f.mu.Unlock()
+// idleConn returns an idle connection to dispatcher n, or opens one if there is none.
+func (f *FrontTier) idleConn(ctx context.Context, n int) (*conn, error) {
+	if c := f.takeIdle(n); c != nil {
 		return c, nil
 	}
-	gen := f.generations[n]
+	return f.newConn(ctx, n)
+}
+
+// takeIdle returns the idle connection to dispatcher n that was released last, or nil.
+func (f *FrontTier) takeIdle(n int) *conn {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	dispatcher := &f.dispatchers[n]
+	last := len(dispatcher.idle) - 1
+	if last < 0 {
+		return nil
+	}
+	c := dispatcher.idle[last]
+	dispatcher.idle = dispatcher.idle[:last]
+	return c
+}
+
+// newConn opens a connection to dispatcher n.
+func (f *FrontTier) newConn(ctx context.Context, n int) (*conn, error) {
+	f.mu.Lock()
+	generation := f.dispatchers[n].generation
 	f.mu.Unlock()
-	var dispatcher net.Dialer
-	nc, err := dispatcher.DialContext(ctx, "tcp", f.addresses[n])
+	var dialer net.Dialer
+	opened, err := dialer.DialContext(ctx, "tcp", f.addresses[n])
 	if err != nil {
 		return nil, fmt.Errorf("connecting to dispatcher %d: %w", n, err)
 	}
-	return &conn{Conn: nc, reader: bufio.NewReaderSize(nc, 2048), generation: gen}, nil
+	return &conn{Conn: opened, reader: bufio.NewReaderSize(opened, readBufferBytes), generation: generation}, nil
 }
 
+// release makes a connection to dispatcher n idle, or closes it if the dispatcher has failed since it was opened.
 func (f *FrontTier) release(n int, c *conn) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if c.generation != f.generations[n] {
+	dispatcher := &f.dispatchers[n]
+	if c.generation != dispatcher.generation {
 		c.Close()
 		return
 	}
 	c.used = true
-	f.idle[n] = append(f.idle[n], c)
+	dispatcher.idle = append(dispatcher.idle, c)
 }
--- a/internal/testbed/loadgen/loadgen.go
+++ b/internal/testbed/loadgen/loadgen.go
@@ -1,6 +1,7 @@
 package loadgen
 
 import (
+	"bufio"
 	"context"
 	"errors"
 	"fmt"
@@ -39,90 +40,119 @@
 func (g *Generator) Run(ctx context.Context, schedule []workload.Arrival) {
 	var calls sync.WaitGroup
 	defer calls.Wait()
-	timer := time.NewTimer(time.Hour)
+	timer := time.NewTimer(time.Hour) // waitUntil resets it
 	defer timer.Stop()
 	for n, arrival := range schedule {
-		if wait := arrival.At - g.Clock(); wait > 0 {
-			timer.Reset(wait)
-			select {
-			case <-timer.C:
-			case <-ctx.Done():
-				return
-			}
-		} else if ctx.Err() != nil {
+		if !g.waitUntil(ctx, arrival.At, timer) {
 			return
 		}
-		c := metrics.Call{Operation: arrival.Operation, Tenant: arrival.Tenant, Intended: arrival.At, Work: arrival.Work}
 		if g.open.Add(1) > int64(g.MaxOpen) {
 			g.open.Add(-1)
-			c.Outcome = history.Unsent
-			c.Sent = arrival.At
-			c.Ended = arrival.At
-			c.ValueOffered = g.Operations[arrival.Operation].Value * arrival.Work.Seconds()
-			g.Recorder.Record(c)
+			g.recordUnsent(arrival)
 			continue
 		}
 		calls.Go(func() {
 			defer g.open.Add(-1)
-			g.call(ctx, n, arrival, c)
+			g.call(ctx, n, arrival)
 		})
 	}
 }
 
+// waitUntil waits until a time since the start of the experiment. It reports false if ctx has ended.
+func (g *Generator) waitUntil(ctx context.Context, at time.Duration, timer *time.Timer) bool {
+	wait := at - g.Clock()
+	if wait <= 0 {
+		return ctx.Err() == nil
+	}
+	timer.Reset(wait)
+	select {
+	case <-timer.C:
+		return true
+	case <-ctx.Done():
+		return false
+	}
+}
+
+// recordUnsent records a call that is not sent, as too many are open.
+func (g *Generator) recordUnsent(arrival workload.Arrival) {
+	g.Recorder.Record(metrics.Call{
+		Operation:    arrival.Operation,
+		Tenant:       arrival.Tenant,
+		Intended:     arrival.At,
+		Sent:         arrival.At,
+		Ended:        arrival.At,
+		Work:         arrival.Work,
+		Outcome:      history.Unsent,
+		ValueOffered: g.valueOf(arrival),
+	})
+}
+
+// valueOf returns the billed value of a call that succeeds in time.
+func (g *Generator) valueOf(arrival workload.Arrival) float64 {
+	return g.Operations[arrival.Operation].Value * arrival.Work.Seconds()
+}
+
 // Open returns the number of open calls.
 func (g *Generator) Open() int { return int(g.open.Load()) }
 
 // answer is how one request ended.
 type answer struct {
 	outcome    history.Outcome
-	status     int
-	result     string
-	retryAfter time.Duration
+	status     int           // 0 if there was no answer
+	result     string        // body of a successful answer
+	retryAfter time.Duration // 0: the answer has no Retry-After
 }
 
-// call sends a request and its retries, and records the call.
-func (g *Generator) call(ctx context.Context, n int, arrival workload.Arrival, c metrics.Call) {
-	o := &g.Operations[arrival.Operation]
-	c.Sent = g.Clock()
+// call sends a request and its retries, and records the call. Its number is n.
+func (g *Generator) call(ctx context.Context, n int, arrival workload.Arrival) {
+	operation := &g.Operations[arrival.Operation]
+	call := metrics.Call{
+		Operation:    arrival.Operation,
+		Tenant:       arrival.Tenant,
+		Intended:     arrival.At,
+		Sent:         g.Clock(),
+		Work:         arrival.Work,
+		ValueOffered: g.valueOf(arrival),
+	}
 	for try := 0; ; try++ {
-		got := g.sendRequest(ctx, n, try, arrival, o)
-		c.Outcome = got.outcome
-		c.Tries = try + 1
-		if !mayRetry(got.outcome, o) || try >= g.Retries || !g.waitBeforeRetry(ctx, n, try, got.retryAfter) {
+		last := g.sendRequest(ctx, n, try, arrival, operation)
+		call.Outcome = last.outcome
+		call.Tries = try + 1
+		if !mayRetry(last.outcome, operation) || try >= g.Retries || !g.waitBeforeRetry(ctx, n, try, last.retryAfter) {
 			break
 		}
 	}
-	c.Ended = g.Clock()
-	c.ValueOffered = o.Value * arrival.Work.Seconds()
-	if c.Outcome == history.Succeeded {
-		allowed := o.LatencyObjective.Std() + time.Duration(o.Stretch*float64(arrival.Work))
-		if c.InTime = c.Ended-arrival.At <= allowed; c.InTime {
-			c.ValueEarned = c.ValueOffered
-		} else {
-			c.ValueEarned = c.ValueOffered * o.LateShare
+	call.Ended = g.Clock()
+	if call.Outcome == history.Succeeded {
+		objective := operation.LatencyObjective.Std() + time.Duration(operation.Stretch*float64(arrival.Work))
+		call.InTime = call.Ended-arrival.At <= objective
+		call.ValueEarned = call.ValueOffered
+		if !call.InTime {
+			call.ValueEarned *= operation.LateShare
 		}
 	}
-	g.Recorder.Record(c)
+	g.Recorder.Record(call)
 }
 
-// mayRetry reports whether a client retries: always if the request was rejected, else only if the operation may run
-// again.
-func mayRetry(k history.Outcome, o *workload.Operation) bool {
-	switch k {
+// mayRetry reports whether a client retries: always if the request was rejected or not received, else only if the
+// operation may run again.
+func mayRetry(outcome history.Outcome, operation *workload.Operation) bool {
+	switch outcome {
 	case history.Throttled, history.Unreachable:
 		return true
 	case history.Errored, history.Unanswered, history.Broken:
-		return o.Idempotency != workload.NonIdempotent
+		return operation.Idempotency != workload.NonIdempotent
 	}
 	return false
 }
 
-// waitBeforeRetry waits for the answer's Retry-After, or for between once and twice RetryWait: the jitter keeps clients
-// from retrying all at once. It reports false if ctx ends first.
+// waitBeforeRetry waits for the answer's Retry-After. Without one it waits for once to twice RetryWait, as jitter keeps
+// clients from retrying all at once. It reports false if ctx ends first.
 func (g *Generator) waitBeforeRetry(ctx context.Context, n, try int, retryAfter time.Duration) bool {
 	wait := retryAfter
-	if more := unit.RandomStream(g.Seed, fmt.Sprint("retry ", n, " ", try)).Float64(); wait == 0 {
-		wait = time.Duration((1 + more) * float64(g.RetryWait))
+	if wait == 0 {
+		jitter := unit.RandomStream(g.Seed, fmt.Sprint("retry ", n, " ", try)).Float64()
+		wait = time.Duration((1 + jitter) * float64(g.RetryWait))
 	}
 	select {
 	case <-time.After(wait):
@@ -132,25 +162,27 @@
 	}
 }
 
-// sendRequest sends one request of a call, under an ID of its own.
-func (g *Generator) sendRequest(ctx context.Context, n, try int, arrival workload.Arrival, o *workload.Operation) answer {
+// sendRequest sends request number try of call n, under an ID of its own.
+func (g *Generator) sendRequest(ctx context.Context, n, try int, arrival workload.Arrival, operation *workload.Operation) answer {
 	id := RequestID(g.Seed, n, try)
-	deadline := g.Clock() + o.Timeout.Std()
+	timeout := operation.Timeout.Std()
+	deadline := g.Clock() + timeout
 	dispatcher := g.FrontTier.choose()
 	request := g.History.RequestOpened(id, arrival.Operation, dispatcher, deadline)
-	if o.Idempotency == workload.IdempotentByKey {
+	if operation.Idempotency == workload.IdempotentByKey {
 		g.History.SetKey(request, arrival.Key)
 	}
-	if try > 0 || arrival.Retry {
+	markedRetry := try > 0 || arrival.Retry
+	if markedRetry {
 		g.History.MarkRetry(request)
 	}
-	ctx, cancel := context.WithTimeout(ctx, o.Timeout.Std())
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	message := g.encodeRequest(id, arrival, o, try > 0)
-	got, connectionClosed := g.exchange(ctx, request, dispatcher, message, false)
-	if connectionClosed { // the dispatcher closed the connection between two messages
+	message := g.encodeRequest(id, arrival, operation, markedRetry)
+	got, err := g.exchange(ctx, request, dispatcher, message, g.FrontTier.idleConn)
+	if errors.Is(err, errIdleConnEnded) {
 		g.History.RequestResent(request, g.Clock())
-		got, _ = g.exchange(ctx, request, dispatcher, message, true)
+		got, _ = g.exchange(ctx, request, dispatcher, message, g.FrontTier.newConn)
 	}
 	g.History.RequestEnded(request, got.outcome, got.status, got.result, g.Clock())
 	return got
@@ -161,97 +193,120 @@
 	return fmt.Sprintf("%04x%08x%04x", uint16(seed), uint32(n), uint16(try))
 }
 
+// usualRequestBytes is the size of a usual request.
+const usualRequestBytes = 512
+
 // encodeRequest returns the request as sent. The body is a worker.Task.
-func (g *Generator) encodeRequest(id string, arrival workload.Arrival, o *workload.Operation, retry bool) []byte {
+func (g *Generator) encodeRequest(id string, arrival workload.Arrival, operation *workload.Operation, markedRetry bool) []byte {
 	body := fmt.Appendf(nil, `{"operation":%d,"work_us":%d}`, arrival.Operation, arrival.Work.Microseconds())
-	b := make([]byte, 0, 512)
+	b := make([]byte, 0, usualRequestBytes)
 	b = append(b, "POST /api HTTP/1.1\r\nHost: origin.svc\r\nReq-Id: "...)
-	b = append(append(append(b, id...), "\r\nReq-Kind: "...), o.Name...)
+	b = append(append(append(b, id...), "\r\nReq-Kind: "...), operation.Name...)
 	b = append(b, "\r\nReq-Deadline: "...)
-	b = strconv.AppendFloat(b, o.Timeout.Std().Seconds(), 'f', 3, 64)
+	b = strconv.AppendFloat(b, operation.Timeout.Std().Seconds(), 'f', 3, 64)
 	if len(g.Tenants) > 0 {
 		b = append(append(b, "\r\nReq-Owner: "...), g.Tenants[arrival.Tenant].Name...)
 	}
 	if arrival.Hint > 0 {
 		b = strconv.AppendInt(append(b, "\r\nReq-Cost: "...), arrival.Hint.Microseconds(), 10)
 	}
-	if retry || arrival.Retry {
+	if markedRetry {
 		b = append(b, "\r\nReq-Retry: 1"...)
 	}
-	if o.Idempotency == workload.IdempotentByKey {
+	if operation.Idempotency == workload.IdempotentByKey {
 		b = fmt.Appendf(b, "\r\nIdempotency-Key: %016x", arrival.Key)
 	}
 	b = strconv.AppendInt(append(b, "\r\nContent-Length: "...), int64(len(body)), 10)
 	return append(append(b, "\r\n\r\n"...), body...)
 }
 
-// exchange sends a message and reads its answer. connectionClosed reports that a reused connection ended before any
-// answer.
-func (g *Generator) exchange(ctx context.Context, request *history.Request, dispatcher int, message []byte,
-	newConn bool,
-) (got answer, connectionClosed bool) {
-	c, err := g.FrontTier.connect(ctx, dispatcher, newConn)
+// errIdleConnEnded means that a connection that had been idle ended before any byte of the answer. From the client's view the
+// dispatcher closed it between two messages.
+var errIdleConnEnded = errors.New("idle connection has ended")
+
+// connector returns a connection to a dispatcher: FrontTier.idleConn or newConn.
+type connector func(ctx context.Context, dispatcher int) (*conn, error)
+
+// exchange sends a message on a connection and returns its answer. The error is errIdleConnEnded or nil.
+func (g *Generator) exchange(ctx context.Context, request *history.Request, dispatcher int, message []byte, connect connector) (answer, error) {
+	c, err := connect(ctx, dispatcher)
 	if err != nil {
 		if ctx.Err() != nil {
-			return answer{outcome: g.outcomeOfEnd(ctx)}, false
+			return answer{outcome: outcomeOfEnd(ctx)}, nil
 		}
-		return answer{outcome: history.Unreachable}, false
+		return answer{outcome: history.Unreachable}, nil
 	}
-	stop := context.AfterFunc(ctx, func() { c.SetDeadline(time.Unix(1, 0)) })
-	got, connectionClosed, keep := g.roundTrip(ctx, request, c, message)
-	if stop() && keep {
+	stopInterrupt := context.AfterFunc(ctx, func() { c.SetDeadline(time.Unix(1, 0)) }) // ends the reading and writing
+	got, err := g.roundTrip(ctx, request, c, message)
+	if stopInterrupt() && c.reusable {
 		g.FrontTier.release(dispatcher, c)
 	} else {
 		c.Close()
 	}
-	return got, connectionClosed
+	return got, err
 }
 
-func (g *Generator) roundTrip(ctx context.Context, request *history.Request, c *conn, message []byte) (got answer,
-	connectionClosed, keep bool,
-) {
+// roundTrip does what exchange does on an open connection. It sets whether the connection is reusable.
+func (g *Generator) roundTrip(ctx context.Context, request *history.Request, c *conn, message []byte) (answer, error) {
+	c.reusable = false
 	_, err := c.Write(message)
 	if err == nil {
 		g.History.RequestSent(request, g.Clock())
 		_, err = c.reader.Peek(1)
 	}
-	if err != nil {
-		if ctx.Err() != nil || errors.Is(err, os.ErrDeadlineExceeded) {
-			return answer{outcome: g.outcomeOfEnd(ctx)}, false, false
-		}
-		return answer{outcome: history.Broken}, c.used, false
+	switch {
+	case err == nil:
+	case ctx.Err() != nil, errors.Is(err, os.ErrDeadlineExceeded):
+		return answer{outcome: outcomeOfEnd(ctx)}, nil
+	case c.used:
+		return answer{outcome: history.Broken}, errIdleConnEnded
+	default:
+		return answer{outcome: history.Broken}, nil
 	}
-	r, err := http.ReadResponse(c.reader, nil)
-	if err == nil {
-		defer r.Body.Close()
-		var body []byte
-		if body, err = io.ReadAll(r.Body); err == nil {
-			return parseAnswer(r, body), false, !r.Close
-		}
+	response, body, err := readResponse(c.reader)
+	switch {
+	case err == nil:
+		c.reusable = !response.Close
+		return parseAnswer(response, body), nil
+	case ctx.Err() != nil:
+		return answer{outcome: outcomeOfEnd(ctx)}, nil
 	}
-	if ctx.Err() != nil {
-		return answer{outcome: g.outcomeOfEnd(ctx)}, false, false
+	return answer{outcome: history.Broken}, nil
+}
+
+// readResponse reads a whole response.
+func readResponse(reader *bufio.Reader) (*http.Response, []byte, error) {
+	response, err := http.ReadResponse(reader, nil)
+	if err != nil {
+		return nil, nil, err
 	}
-	return answer{outcome: history.Broken}, false, false
+	defer response.Body.Close()
+	body, err := io.ReadAll(response.Body)
+	return response, body, err
 }
 
-func (g *Generator) outcomeOfEnd(ctx context.Context) history.Outcome {
+// outcomeOfEnd returns the outcome of a request whose context has ended: by its timeout, or with the experiment.
+func outcomeOfEnd(ctx context.Context) history.Outcome {
 	if errors.Is(ctx.Err(), context.Canceled) {
 		return history.Interrupted
 	}
 	return history.Unanswered
 }
 
-func parseAnswer(r *http.Response, body []byte) answer {
-	got := answer{outcome: history.Errored, status: r.StatusCode}
-	switch r.StatusCode {
+// maxRetryAfterSeconds bounds the Retry-After that clients respect.
+const maxRetryAfterSeconds = 3600
+
+// parseAnswer returns what a response says.
+func parseAnswer(response *http.Response, body []byte) answer {
+	got := answer{outcome: history.Errored, status: response.StatusCode}
+	switch response.StatusCode {
 	case http.StatusOK:
 		got.outcome = history.Succeeded
 		got.result = string(body)
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
 		got.outcome = history.Throttled
-		if after, err := strconv.ParseFloat(r.Header.Get("Retry-After"), 64); err == nil && after > 0 {
-			got.retryAfter = time.Duration(min(after, 3600) * float64(time.Second))
+		if seconds, err := strconv.ParseFloat(response.Header.Get("Retry-After"), 64); err == nil && seconds > 0 {
+			got.retryAfter = time.Duration(min(seconds, maxRetryAfterSeconds) * float64(time.Second))
 		}
 	}
 	return got
--- a/internal/testbed/loadgen/loadgen_test.go
+++ b/internal/testbed/loadgen/loadgen_test.go
@@ -21,8 +21,8 @@
 
 const ms = time.Millisecond
 
-// generatorFor returns a generator that sends to one address.
-func generatorFor(address string, operations ...workload.Operation) *Generator {
+// newTestGenerator returns a generator that sends to one address.
+func newTestGenerator(address string, operations ...workload.Operation) *Generator {
 	startedAt := time.Now()
 	if len(operations) == 0 {
 		operations = []workload.Operation{{
@@ -31,22 +31,29 @@
 		}}
 	}
 	return &Generator{
-		Operations: operations, Seed: 1, MaxOpen: 10000, RetryWait: 5 * ms, History: history.New(),
-		FrontTier: NewFrontTier([]string{address}, time.Second), Recorder: metrics.NewRecorder(time.Second, len(operations), 0),
-		Clock: func() time.Duration { return time.Since(startedAt) },
+		Operations: operations,
+		Seed:       1,
+		MaxOpen:    10000,
+		RetryWait:  5 * ms,
+		History:    history.New(),
+		FrontTier:  NewFrontTier([]string{address}, time.Second),
+		Recorder:   metrics.NewRecorder(time.Second, len(operations), 0),
+		Clock:      func() time.Duration { return time.Since(startedAt) },
 	}
 }
 
+// summary returns what the generator has recorded.
 func (g *Generator) summary() metrics.Summary {
 	names := []string{}
-	for _, o := range g.Operations {
-		names = append(names, o.Name)
+	for _, operation := range g.Operations {
+		names = append(names, operation.Name)
 	}
 	return g.Recorder.Summary(names, nil)
 }
 
-func every(gap, long time.Duration) (schedule []workload.Arrival) {
-	for at := time.Duration(0); at < long; at += gap {
+// arrivalsEvery returns a schedule with a gap between arrivals.
+func arrivalsEvery(gap, duration time.Duration) (schedule []workload.Arrival) {
+	for at := time.Duration(0); at < duration; at += gap {
 		schedule = append(schedule, workload.Arrival{At: at, Work: ms})
 	}
 	return schedule
@@ -65,10 +72,10 @@
 		}
 	}))
 	defer server.Close()
-	g := generatorFor(strings.TrimPrefix(server.URL, "http://"))
-	g.Clock = func() time.Duration { return time.Since(startedAt) }
-	g.Run(context.Background(), every(5*ms, 2*time.Second))
-	got := g.summary()
+	generator := newTestGenerator(strings.TrimPrefix(server.URL, "http://"))
+	generator.Clock = func() time.Duration { return time.Since(startedAt) }
+	generator.Run(context.Background(), arrivalsEvery(5*ms, 2*time.Second))
+	got := generator.summary()
 	assert.EqualValues(t, 400, got.All.Count)
 	assert.InDelta(t, 980, got.All.P99, 100)
 	assert.InDelta(t, 800, got.All.P90, 100)
@@ -82,36 +89,32 @@
 	ln, err := net.Listen("tcp", "127.0.0.1:0") // never accepted from: the kernel completes connections
 	assert.NoError(t, err)
 	defer ln.Close()
-	g := generatorFor(ln.Addr().String(), workload.Operation{
+	generator := newTestGenerator(ln.Addr().String(), workload.Operation{
 		Name: "status", LatencyObjective: 1,
 		Timeout: unit.Duration(300 * ms),
 	})
-	g.Run(context.Background(), every(2*ms, 400*ms))
-	got := g.summary()
+	generator.Run(context.Background(), arrivalsEvery(2*ms, 400*ms))
+	got := generator.summary()
 	assert.EqualValues(t, 200, got.Total.Answers["unanswered"])
 	assert.Zero(t, got.Generator.Unsent)
 	assert.GreaterOrEqual(t, got.All.P50, 299.0, "none is abandoned before its timeout")
-	assert.Len(t, g.History.Check(history.RuleConfig{Operations: []history.Operation{{}}}), 200, "each one is lost")
+	assert.Len(t, generator.History.Check(history.RuleConfig{Operations: []history.Operation{{}}}), 200, "each one is lost")
 }
 
 func TestOverloadedGeneratorIsReported(t *testing.T) {
-	server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter,
-		*http.Request,
-	) {
-		time.Sleep(50 * ms)
-	}))
+	server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { time.Sleep(50 * ms) }))
 	defer server.Close()
-	g := generatorFor(strings.TrimPrefix(server.URL, "http://"))
-	g.MaxOpen = 2
-	g.Run(context.Background(), every(ms, 100*ms))
-	got := g.summary()
+	generator := newTestGenerator(strings.TrimPrefix(server.URL, "http://"))
+	generator.MaxOpen = 2
+	generator.Run(context.Background(), arrivalsEvery(ms, 100*ms))
+	got := generator.summary()
 	assert.False(t, got.Generator.Trusted)
 	assert.Positive(t, got.Generator.Unsent)
 	assert.EqualValues(t, 100, got.Total.Calls, "every call is counted")
-	late := metrics.NewRecorder(time.Second, 1, 0)
-	late.Record(metrics.Call{Outcome: history.Succeeded, Sent: 20 * ms, Ended: 21 * ms})
-	sum := late.Summary([]string{"status"}, nil)
-	assert.Equal(t, "1 of 1 calls were sent more than 10ms late", sum.Generator.Reason)
+	recorder := metrics.NewRecorder(time.Second, 1, 0)
+	recorder.Record(metrics.Call{Outcome: history.Succeeded, Sent: 20 * ms, Ended: 21 * ms})
+	late := recorder.Summary([]string{"status"}, nil)
+	assert.Equal(t, "1 of 1 calls were sent more than 10ms late", late.Generator.Reason)
 }
 
 func TestClientsRetryWhatTheOperationAllows(t *testing.T) {
@@ -122,33 +125,35 @@
 	}
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		name := r.Header.Get("Req-Kind")
-		n := int(received[name].Add(1)) - 1
-		assert.Equal(t, n > 0, r.Header.Get("Req-Retry") == "1")
-		if keys <- r.Header.Get("Idempotency-Key"); answers[name][n] == 503 {
+		retry := int(received[name].Add(1)) - 1
+		assert.Equal(t, retry > 0, r.Header.Get("Req-Retry") == "1")
+		if keys <- r.Header.Get("Idempotency-Key"); answers[name][retry] == 503 {
 			w.Header().Set("Retry-After", "0.05")
 		}
-		w.WriteHeader(answers[name][n])
+		w.WriteHeader(answers[name][retry])
 	}))
 	defer server.Close()
 	var operations []workload.Operation
-	for _, o := range []workload.Operation{{Name: "safe", Idempotency: workload.Idempotent}, {
-		Name:        "once",
-		Idempotency: workload.NonIdempotent,
-	}, {Name: "rejected", Idempotency: workload.IdempotentByKey}} {
-		o.LatencyObjective, o.Timeout = unit.Duration(time.Second), unit.Duration(time.Second)
-		operations = append(operations, o)
+	for _, operation := range []workload.Operation{
+		{Name: "safe", Idempotency: workload.Idempotent},
+		{Name: "once", Idempotency: workload.NonIdempotent},
+		{Name: "rejected", Idempotency: workload.IdempotentByKey},
+	} {
+		operation.LatencyObjective = unit.Duration(time.Second)
+		operation.Timeout = unit.Duration(time.Second)
+		operations = append(operations, operation)
 	}
-	g := generatorFor(strings.TrimPrefix(server.URL, "http://"), operations...)
-	g.Retries = 2
-	g.Run(context.Background(), []workload.Arrival{{Operation: 0}, {Operation: 1}, {Operation: 2, Key: 9}})
-	got := g.summary()
+	generator := newTestGenerator(strings.TrimPrefix(server.URL, "http://"), operations...)
+	generator.Retries = 2
+	generator.Run(context.Background(), []workload.Arrival{{Operation: 0}, {Operation: 1}, {Operation: 2, Key: 9}})
+	got := generator.summary()
 	assert.Equal(t, map[string]int64{"succeeded": 2, "errored": 1}, got.Total.Answers)
 	assert.EqualValues(t, 1, received["once"].Load(), "a request that may have run is not retried")
 	assert.GreaterOrEqual(t, got.Operations[2].Latency.Max, 100.0, "both retries waited for Retry-After")
 	close(keys)
 	seen := map[string]int{}
-	for k := range keys {
-		seen[k]++
+	for key := range keys {
+		seen[key]++
 	}
 	assert.Equal(t, map[string]int{"": 3, "0000000000000009": 3}, seen, "retries carry the key of the first request")
 }
@@ -171,11 +176,11 @@
 			c.Close()
 		}
 	}()
-	g := generatorFor(ln.Addr().String())
+	generator := newTestGenerator(ln.Addr().String())
 	for range 4 { // one after the other: on a busy machine the second could otherwise start before the first has ended
-		g.Run(context.Background(), []workload.Arrival{{}})
+		generator.Run(context.Background(), []workload.Arrival{{}})
 	}
-	assert.Equal(t, map[string]int64{"succeeded": 2, "broken": 2}, g.summary().Total.Answers,
+	assert.Equal(t, map[string]int64{"succeeded": 2, "broken": 2}, generator.summary().Total.Answers,
 		"first; second on a new connection; third on a new one that ends; fourth on another that ends")
 }
 
@@ -183,45 +188,45 @@
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NoError(t, err)
 	defer ln.Close()
-	g := generatorFor(ln.Addr().String())
+	generator := newTestGenerator(ln.Addr().String())
 	ctx, cancel := context.WithCancel(context.Background())
 	time.AfterFunc(100*ms, cancel)
 	startedAt := time.Now()
-	g.Run(ctx, every(10*ms, time.Minute))
+	generator.Run(ctx, arrivalsEvery(10*ms, time.Minute))
 	assert.Less(t, time.Since(startedAt), 2*time.Second)
-	got := g.summary()
+	got := generator.summary()
 	assert.Equal(t, got.Total.Calls, got.Total.Answers["interrupted"])
 	assert.Positive(t, got.Total.Calls)
-	assert.Empty(t, g.History.Check(history.RuleConfig{Operations: []history.Operation{{}}}), "an interrupted call violates no rule")
+	assert.Empty(t, generator.History.Check(history.RuleConfig{Operations: []history.Operation{{}}}), "an interrupted call violates no rule")
 }
 
 func TestFrontTierDetectsAFailureLateAndARecoveryAtOnce(t *testing.T) {
-	var good, refused atomic.Bool
-	good.Store(true)
+	var answers, unhealthy atomic.Bool
+	answers.Store(true)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		switch {
-		case refused.Load():
+		case unhealthy.Load():
 			w.WriteHeader(503)
-		case !good.Load():
+		case !answers.Load():
 			panic(http.ErrAbortHandler)
 		}
 	}))
 	defer server.Close()
-	f := NewFrontTier([]string{strings.TrimPrefix(server.URL, "http://")}, 400*ms)
+	frontTier := NewFrontTier([]string{strings.TrimPrefix(server.URL, "http://")}, 400*ms)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error)
-	go func() { done <- f.Run(ctx) }()
-	assert.Eventually(t, f.Ready, 5*time.Second, ms)
-	died := time.Now()
-	good.Store(false)
-	assert.Eventually(t, func() bool { return !f.Ready() }, 5*time.Second, ms)
-	assert.GreaterOrEqual(t, time.Since(died), 300*ms)
-	good.Store(true)
-	assert.Eventually(t, f.Ready, 5*time.Second, ms)
-	refused.Store(true)
-	died = time.Now()
-	assert.Eventually(t, func() bool { return !f.Ready() }, 5*time.Second, ms)
-	assert.Less(t, time.Since(died), 300*ms, "a dispatcher that answers 503 is removed at once")
+	go func() { done <- frontTier.Run(ctx) }()
+	assert.Eventually(t, frontTier.Ready, 5*time.Second, ms)
+	failedAt := time.Now()
+	answers.Store(false)
+	assert.Eventually(t, func() bool { return !frontTier.Ready() }, 5*time.Second, ms)
+	assert.GreaterOrEqual(t, time.Since(failedAt), 300*ms)
+	answers.Store(true)
+	assert.Eventually(t, frontTier.Ready, 5*time.Second, ms)
+	unhealthy.Store(true)
+	failedAt = time.Now()
+	assert.Eventually(t, func() bool { return !frontTier.Ready() }, 5*time.Second, ms)
+	assert.Less(t, time.Since(failedAt), 300*ms, "a dispatcher that answers 503 is removed at once")
 	cancel()
 	assert.NoError(t, <-done)
 }
--- a/internal/testbed/metrics/recorder.go
+++ b/internal/testbed/metrics/recorder.go
@@ -1,6 +1,6 @@
 // Package metrics aggregates the calls of an experiment. A call is a client's request with its retries. Latency counts
-// from the intended time of sending, not from the actual one: a generator that waits for a slow dispatcher would
-// otherwise hide the very delay that is to be measured (coordinated omission).
+// from the intended time of sending, not from the actual one. A generator that waits for a slow dispatcher would otherwise
+// hide the delay that it causes (coordinated omission).
 package metrics
 
 import (
@@ -12,29 +12,33 @@
 	"canvasroute/internal/testbed/history"
 )
 
-// Range and precision of the histograms, in microseconds.
+// Range of the histograms, in microseconds, and their precision in decimal digits.
 const (
-	minMicros         = 1
-	maxMicros         = int64(10 * time.Minute / time.Microsecond)
-	significantDigits = 3
+	minMicros             = 1
+	maxMicros             = int64(10 * time.Minute / time.Microsecond)
+	significantDigits     = 3
+	slotSignificantDigits = 2 // of the histogram of a slot
 )
 
 // Limits of the generator's own lateness, beyond which its results are not trusted.
 const (
-	LateAfter    = 10 * time.Millisecond
-	maxLateShare = 0.01
+	LateAfter    = 10 * time.Millisecond // a call that is sent later than this is late
+	maxLateShare = 0.01                  // of the calls
 )
 
-// Call is a call that is over.
+// Call is a call that is over. Times are since the start of the experiment.
 type Call struct {
-	Operation, Tenant         int
-	Intended, Sent            time.Duration // Sent: start of the first request
-	Ended                     time.Duration
-	Work                      time.Duration
-	Outcome                   history.Outcome // of the last request
-	Tries                     int
-	InTime                    bool    // succeeded within the latency objective
-	ValueOffered, ValueEarned float64 // billed value
+	Operation    int             // index
+	Tenant       int             // index
+	Intended     time.Duration   // when it was due
+	Sent         time.Duration   // start of its first request
+	Ended        time.Duration   // end of its last request
+	Work         time.Duration   // core time that it stands for
+	Outcome      history.Outcome // of the last request
+	Tries        int             // number of requests
+	InTime       bool            // succeeded within the latency objective
+	ValueOffered float64         // billed value of a success in time
+	ValueEarned  float64         // billed value
 }
 
 // Recorder aggregates calls. It is safe for concurrent use.
@@ -45,41 +49,54 @@
 	succeeded  *hdrhistogram.Histogram // latency of successful calls
 	all        *hdrhistogram.Histogram // latency of all calls; one without an answer counts with the time waited
 	lateness   *hdrhistogram.Histogram // from the intended to the actual time of sending
-	operations []*tally
-	tenants    []*tally
-	slots      []*slot
-	total      tally
-	lateCalls  int64
+	operations []*groupTally           // by index
+	tenants    []*groupTally           // by index
+	slots      []*slotTally            // by time
+	total      groupTally
+	lateCalls  int64 // calls that were sent more than LateAfter late
 }
 
-type tally struct {
-	outcomes                  [history.Unsent + 1]int64
-	calls, inTime             int64
-	tries                     int64
-	valueOffered, valueEarned float64
-	latency                   *hdrhistogram.Histogram
+// outcomeCounts are numbers of calls by history.Outcome.
+type outcomeCounts [history.Unsent + 1]int64
+
+// groupTally aggregates the calls of a group.
+type groupTally struct {
+	outcomes     outcomeCounts
+	calls        int64
+	inTime       int64 // calls that succeeded within their latency objective
+	tries        int64 // requests
+	valueOffered float64
+	valueEarned  float64
+	latency      *hdrhistogram.Histogram // of successful calls; nil: not recorded
 }
 
-type slot struct {
-	arrivals int64
-	outcomes [history.Unsent + 1]int64
-	latency  *hdrhistogram.Histogram // of successful calls, by intended time
-
-	valueOffered, valueEarned float64 // billed value
+// slotTally aggregates the calls that were due in a time slot.
+type slotTally struct {
+	arrivals     int64
+	outcomes     outcomeCounts
+	valueOffered float64
+	valueEarned  float64
+	latency      *hdrhistogram.Histogram // of successful calls
 }
 
+// newHistogram returns a histogram of microseconds.
 func newHistogram() *hdrhistogram.Histogram {
 	return hdrhistogram.New(minMicros, maxMicros, significantDigits)
 }
 
 // NewRecorder returns a recorder that also aggregates by time slots of a length.
 func NewRecorder(slotLength time.Duration, operations, tenants int) *Recorder {
-	r := &Recorder{slotLength: slotLength, succeeded: newHistogram(), all: newHistogram(), lateness: newHistogram()}
+	r := &Recorder{
+		slotLength: slotLength,
+		succeeded:  newHistogram(),
+		all:        newHistogram(),
+		lateness:   newHistogram(),
+	}
 	for range operations {
-		r.operations = append(r.operations, &tally{latency: newHistogram()})
+		r.operations = append(r.operations, &groupTally{latency: newHistogram()})
 	}
 	for range tenants {
-		r.tenants = append(r.tenants, &tally{latency: newHistogram()})
+		r.tenants = append(r.tenants, &groupTally{latency: newHistogram()})
 	}
 	return r
 }
@@ -95,51 +112,62 @@
 }
 
 // Record adds a call that is over.
-func (r *Recorder) Record(c Call) {
+func (r *Recorder) Record(call Call) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	took := clampMicros(c.Ended - c.Intended)
-	at := int(c.Intended / r.slotLength)
-	for len(r.slots) <= at {
-		r.slots = append(r.slots, &slot{latency: hdrhistogram.New(minMicros, maxMicros, 2)})
-	}
-	s := r.slots[at]
-	s.arrivals++
-	s.outcomes[c.Outcome]++
-	s.valueOffered += c.ValueOffered
-	s.valueEarned += c.ValueEarned
-	tallies := []*tally{&r.total, r.operations[c.Operation]}
-	if c.Tenant < len(r.tenants) {
-		tallies = append(tallies, r.tenants[c.Tenant])
-	}
-	for _, t := range tallies {
-		t.add(c, took)
+	latency := clampMicros(call.Ended - call.Intended)
+	r.total.add(call, latency)
+	r.operations[call.Operation].add(call, latency)
+	if call.Tenant < len(r.tenants) {
+		r.tenants[call.Tenant].add(call, latency)
 	}
-	if c.Outcome == history.Unsent {
+	r.slotAt(call.Intended).add(call, latency)
+	if call.Outcome == history.Unsent {
 		return
 	}
-	recordValue(r.all, took)
-	recordValue(r.lateness, clampMicros(c.Sent-c.Intended))
-	if c.Sent-c.Intended > LateAfter {
+	recordValue(r.all, latency)
+	if call.Outcome == history.Succeeded {
+		recordValue(r.succeeded, latency)
+	}
+	lateness := call.Sent - call.Intended
+	recordValue(r.lateness, clampMicros(lateness))
+	if lateness > LateAfter {
 		r.lateCalls++
 	}
-	if c.Outcome == history.Succeeded {
-		recordValue(r.succeeded, took)
-		recordValue(s.latency, took)
+}
+
+// slotAt returns the slot of a time, and adds those up to it that are missing. The caller holds the lock.
+func (r *Recorder) slotAt(at time.Duration) *slotTally {
+	index := int(at / r.slotLength)
+	for len(r.slots) <= index {
+		r.slots = append(r.slots, &slotTally{latency: hdrhistogram.New(minMicros, maxMicros, slotSignificantDigits)})
+	}
+	return r.slots[index]
+}
+
+// add adds a call. Its latency is in microseconds.
+func (s *slotTally) add(call Call, latency int64) {
+	s.arrivals++
+	s.outcomes[call.Outcome]++
+	s.valueOffered += call.ValueOffered
+	s.valueEarned += call.ValueEarned
+	if call.Outcome == history.Succeeded {
+		recordValue(s.latency, latency)
 	}
 }
 
-func (t *tally) add(c Call, took int64) {
-	t.outcomes[c.Outcome]++
+// add adds a call. Its latency is in microseconds.
+func (t *groupTally) add(call Call, latency int64) {
+	t.outcomes[call.Outcome]++
 	t.calls++
-	t.tries += int64(c.Tries)
-	t.valueOffered += c.ValueOffered
-	t.valueEarned += c.ValueEarned
-	if c.InTime {
+	t.tries += int64(call.Tries)
+	t.valueOffered += call.ValueOffered
+	t.valueEarned += call.ValueEarned
+	if call.InTime {
 		t.inTime++
 	}
-	if t.latency != nil && c.Outcome == history.Succeeded {
-		recordValue(t.latency, took)
+	if t.latency != nil && call.Outcome == history.Succeeded {
+		recordValue(t.latency, latency)
 	}
 }
 
--- a/internal/testbed/metrics/recovery.go
+++ b/internal/testbed/metrics/recovery.go
@@ -17,17 +17,20 @@
 
 // OfferedCall is a planned call and what it can earn.
 type OfferedCall struct {
-	At, Work, Objective time.Duration
-	Stretch             float64
-	Value, LateShare    float64 // per second of work, and the share of it that a late answer earns
+	At        time.Duration // since the start of the experiment
+	Work      time.Duration // core time
+	Objective time.Duration // fixed part of the latency objective
+	Stretch   float64       // added to the objective: this many times Work
+	Value     float64       // billed value per second of work
+	LateShare float64       // share of the value that a late answer earns
 }
 
 // PowerLoss is a loss of power and what is known about the time around it.
 type PowerLoss struct {
-	At         time.Duration
-	Slots      []Slot // measured, by intended time of the calls
+	At         time.Duration // since the start of the experiment
+	Slots      []Slot        // of the run, by intended time of the calls
 	SlotLength time.Duration
-	Calls      []OfferedCall
+	Calls      []OfferedCall // of the whole schedule
 	Workers    []ReturningWorker
 	Warmup     worker.Warmup
 }
@@ -37,11 +40,14 @@
 	LostAt               float64 `json:"lost_s"`
 	LastWorkerBackAt     float64 `json:"last_worker_back_s"`
 	ShareBefore          float64 `json:"share_before"`  // earned of the offered value before the loss
-	UntilRecovered       float64 `json:"until_90_s"`    // from the last worker's return until 90% of ShareBefore is earned again, -1: never
-	UntilRecoveredAtBest float64 `json:"until_best_s"`  // the same for BestValueShare
+	UntilRecovered       float64 `json:"until_90_s"`    // from the last worker's return until recoveredShare of ShareBefore is earned again, or neverRecovered
+	UntilRecoveredAtBest float64 `json:"until_best_s"`  // the same for bestValueShare
 	RatioToBest          float64 `json:"until_to_best"` // UntilRecovered to UntilRecoveredAtBest, each plus one slot; 0 if either is never
 }
 
+// neverRecovered is the Recovery.UntilRecovered of a fleet that did not recover within the run.
+const neverRecovered = -1
+
 // recoveredShare is the part of the earned share before a loss at which the fleet counts as recovered.
 const recoveredShare = 0.9
 
@@ -51,7 +57,7 @@
 	minWork    = 1e-9
 )
 
-// warmupFactor is the share of its capacity that a worker has at a time.
+// warmupFactor returns the share of its capacity that a worker has at a time.
 func (w ReturningWorker) warmupFactor(warmup worker.Warmup, at time.Duration) float64 {
 	switch {
 	case w.BackAt == KeptPower || warmup.Duration <= 0:
@@ -64,34 +70,38 @@
 
 // Recovery compares the time that the fleet needed to recover with the shortest that any dispatcher could reach.
 func (l *PowerLoss) Recovery() Recovery {
-	lastBack := l.At
+	lastBackAt := l.At
 	for _, w := range l.Workers {
-		lastBack = max(lastBack, w.BackAt)
+		lastBackAt = max(lastBackAt, w.BackAt)
 	}
 	recovery := Recovery{
-		LostAt: l.At.Seconds(), LastWorkerBackAt: lastBack.Seconds(), UntilRecovered: -1, UntilRecoveredAtBest: -1,
+		LostAt:               l.At.Seconds(),
+		LastWorkerBackAt:     lastBackAt.Seconds(),
+		UntilRecovered:       neverRecovered,
+		UntilRecoveredAtBest: neverRecovered,
 	}
 	before, known := l.shareBefore()
 	if !known {
 		return recovery
 	}
 	recovery.ShareBefore = before
-	measured := make([]float64, len(l.Slots))
+	actual := make([]float64, len(l.Slots))
 	best := make([]float64, len(l.Slots))
 	for n, slot := range l.Slots {
-		measured[n] = slot.ValueEarned / max(slot.ValueOffered, minOffered)
+		actual[n] = slot.ValueEarned / max(slot.ValueOffered, minOffered)
 		best[n] = l.bestValueShare(time.Duration(n) * l.SlotLength)
 	}
-	recovery.UntilRecovered = l.timeToRecovery(lastBack, before, measured)
-	recovery.UntilRecoveredAtBest = l.timeToRecovery(lastBack, before, best)
+	recovery.UntilRecovered = l.timeToRecovery(lastBackAt, before, actual)
+	recovery.UntilRecoveredAtBest = l.timeToRecovery(lastBackAt, before, best)
 	if recovery.UntilRecovered >= 0 && recovery.UntilRecoveredAtBest >= 0 {
-		slot := l.SlotLength.Seconds() // times are no finer than a slot
-		recovery.RatioToBest = (recovery.UntilRecovered + slot) / (recovery.UntilRecoveredAtBest + slot)
+		resolution := l.SlotLength.Seconds() // times are no finer than a slot
+		recovery.RatioToBest = (recovery.UntilRecovered + resolution) / (recovery.UntilRecoveredAtBest + resolution)
 	}
 	return recovery
 }
 
-// shareBefore is the earned share of the offered value in the slots before the loss, unknown if nothing was offered.
+// shareBefore returns the earned share of the offered value in the slots before the loss. It is unknown if nothing was
+// offered.
 func (l *PowerLoss) shareBefore() (share float64, known bool) {
 	offered, earned := 0.0, 0.0
 	for _, slot := range l.Slots {
@@ -106,25 +116,26 @@
 	return earned / offered, true
 }
 
-// timeToRecovery is the time from the last return to the first of two consecutive slots whose share counts as
-// recovered, -1 if there are none.
-func (l *PowerLoss) timeToRecovery(lastBack time.Duration, before float64, shares []float64) float64 {
+// timeToRecovery returns the time in seconds from the last return to the first of two consecutive slots whose share counts as
+// recovered, or neverRecovered. The last slot needs no second one.
+func (l *PowerLoss) timeToRecovery(lastBackAt time.Duration, before float64, shares []float64) float64 {
 	const rounding = 1e-9
+	recovered := func(n int) bool { return n >= len(shares) || shares[n] >= recoveredShare*before }
 	for n, slot := range l.Slots {
-		if slot.From+rounding < lastBack.Seconds() {
+		if slot.From+rounding < lastBackAt.Seconds() {
 			continue
 		}
-		if shares[n] >= recoveredShare*before && (n+1 >= len(shares) || shares[n+1] >= recoveredShare*before) {
-			return slot.From - lastBack.Seconds()
+		if recovered(n) && recovered(n+1) {
+			return slot.From - lastBackAt.Seconds()
 		}
 	}
-	return -1
+	return neverRecovered
 }
 
-// bestValueShare is an upper bound of the value share of the slot that begins at from. Each call starts at its intended
-// time at a worker of the mean warm-up factor in the middle of the slot: it takes its work divided by that factor, and
-// earns its full value within its objective and LateShare of it later. All calls together do no more work than the
-// cores can in the slot. No dispatcher does better by more than the spread of warm-up factors between workers.
+// bestValueShare returns an upper bound of the value share of the slot that begins at a time. Each call starts at its intended
+// time, at a worker of the mean warm-up factor in the middle of the slot. It takes its work divided by that factor. It earns
+// its full value within its objective, and LateShare of it later. All calls together do no more work than the cores can in
+// the slot. No dispatcher does better by more than the spread of warm-up factors between workers.
 func (l *PowerLoss) bestValueShare(from time.Duration) float64 {
 	cores, capacity := 0.0, 0.0
 	for _, w := range l.Workers {
--- a/internal/testbed/metrics/recovery_test.go
+++ b/internal/testbed/metrics/recovery_test.go
@@ -22,23 +22,25 @@
 	}
 	var slots []Slot
 	for n := range 20 {
-		s := Slot{From: float64(n), ValueOffered: 1, ValueEarned: 1}
+		slot := Slot{From: float64(n), ValueOffered: 1, ValueEarned: 1}
 		if n >= 2 && n < 13 {
-			s.ValueEarned = 0.3
+			slot.ValueEarned = 0.3
 		}
-		slots = append(slots, s)
+		slots = append(slots, slot)
 	}
 	workers := []ReturningWorker{{1, 3 * second}, {1, 4 * second}}
 	loss := PowerLoss{
 		At: 2 * second, Slots: slots, SlotLength: second, Calls: calls, Workers: workers,
 		Warmup: worker.Warmup{InitialShare: 0.1, Duration: 9 * second},
 	}
-	b := loss.Recovery()
-	assert.Equal(t, []float64{2, 4, 1, 9}, []float64{b.LostAt, b.LastWorkerBackAt, b.ShareBefore, b.UntilRecovered})
+	recovery := loss.Recovery()
+	assert.Equal(t, []float64{2, 4, 1, 9}, []float64{
+		recovery.LostAt, recovery.LastWorkerBackAt, recovery.ShareBefore, recovery.UntilRecovered,
+	})
 	// By hand: a call takes 200 ms at a factor of one half, which the mean of the two reaches at 7.5 s, the middle of
 	// the slot from 7 s. A second offers the work of one core, which both together can do by then.
-	assert.Equal(t, 3.0, b.UntilRecoveredAtBest)
-	assert.InDelta(t, 10.0/4, b.RatioToBest, 1e-9)
+	assert.Equal(t, 3.0, recovery.UntilRecoveredAtBest)
+	assert.InDelta(t, 10.0/4, recovery.RatioToBest, 1e-9)
 
 	loss.Slots = slots[:10]
 	never := loss.Recovery()
--- a/internal/testbed/metrics/summary.go
+++ b/internal/testbed/metrics/summary.go
@@ -25,14 +25,14 @@
 	Calls      int64            `json:"calls"`
 	Answers    map[string]int64 `json:"answers"` // by outcome
 	InTime     int64            `json:"in_time"`
-	Tries      int64            `json:"tries"`
+	Tries      int64            `json:"tries"`       // requests
 	ValueShare float64          `json:"value_share"` // earned of the offered value
 	Latency    *Latency         `json:"latency,omitempty"`
 }
 
 // Slot aggregates the calls that were due in one time slot.
 type Slot struct {
-	From         float64          `json:"from_s"`
+	From         float64          `json:"from_s"` // seconds since the start of the experiment
 	Arrivals     int64            `json:"arrivals"`
 	Answers      map[string]int64 `json:"answers"`
 	ValueOffered float64          `json:"asked_value"`
@@ -46,9 +46,9 @@
 type Generator struct {
 	Late      Latency `json:"late"` // from the intended to the actual time of sending
 	LateCalls int64   `json:"late_calls"`
-	Unsent    int64   `json:"unsent"`
-	Trusted   bool    `json:"trusted"`
-	Reason    string  `json:"why,omitempty"`
+	Unsent    int64   `json:"unsent"`        // calls
+	Trusted   bool    `json:"trusted"`       // latencies are those of the dispatchers
+	Reason    string  `json:"why,omitempty"` // why they are not
 }
 
 // Summary is everything that a recorder has aggregated.
@@ -68,73 +68,102 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	summary := Summary{
-		Total: r.total.export(""), Succeeded: percentiles(r.succeeded), All: percentiles(r.all),
+		Total:       r.total.export(""),
+		Succeeded:   percentiles(r.succeeded),
+		All:         percentiles(r.all),
 		SlotSeconds: r.slotLength.Seconds(),
 	}
-	for n, t := range r.operations {
-		summary.Operations = append(summary.Operations, t.export(operations[n]))
+	for n, operation := range r.operations {
+		summary.Operations = append(summary.Operations, operation.export(operations[n]))
 	}
-	for n, t := range r.tenants {
-		summary.Tenants = append(summary.Tenants, t.export(tenants[n]))
+	for n, tenant := range r.tenants {
+		summary.Tenants = append(summary.Tenants, tenant.export(tenants[n]))
 	}
 	for n, slot := range r.slots {
-		summary.Slots = append(summary.Slots, Slot{
-			From: float64(n) * summary.SlotSeconds, Arrivals: slot.arrivals, ValueOffered: slot.valueOffered,
-			ValueEarned: slot.valueEarned,
-			Answers:     countByName(slot.outcomes[:]), P50: millis(slot.latency.ValueAtQuantile(50)),
-			P95: millis(slot.latency.ValueAtQuantile(95)), P99: millis(slot.latency.ValueAtQuantile(99)),
-		})
+		summary.Slots = append(summary.Slots, slot.export(float64(n)*summary.SlotSeconds))
 	}
-	summary.Generator = Generator{
-		Late: percentiles(r.lateness), LateCalls: r.lateCalls,
-		Unsent: r.total.outcomes[history.Unsent], Trusted: true,
+	summary.Generator = r.generator()
+	return summary
+}
+
+// generator judges whether the load generator kept to its schedule. The caller holds the lock.
+func (r *Recorder) generator() Generator {
+	generator := Generator{
+		Late:      percentiles(r.lateness),
+		LateCalls: r.lateCalls,
+		Unsent:    r.total.outcomes[history.Unsent],
 	}
-	switch g := &summary.Generator; {
-	case g.Unsent > 0:
-		g.Trusted = false
-		g.Reason = fmt.Sprintf("%d calls were never sent: too many were open", g.Unsent)
-	case float64(g.LateCalls) > maxLateShare*float64(g.Late.Count):
-		g.Trusted = false
-		g.Reason = fmt.Sprintf("%d of %d calls were sent more than %v late", g.LateCalls,
-			g.Late.Count, LateAfter)
+	switch {
+	case generator.Unsent > 0:
+		generator.Reason = fmt.Sprintf("%d calls were never sent: too many were open", generator.Unsent)
+	case float64(generator.LateCalls) > maxLateShare*float64(generator.Late.Count):
+		generator.Reason = fmt.Sprintf("%d of %d calls were sent more than %v late", generator.LateCalls,
+			generator.Late.Count, LateAfter)
+	default:
+		generator.Trusted = true
+	}
+	return generator
+}
+
+// export returns the slot as it stands in results. from is its start in seconds.
+func (s *slotTally) export(from float64) Slot {
+	return Slot{
+		From:         from,
+		Arrivals:     s.arrivals,
+		Answers:      s.outcomes.byName(),
+		ValueOffered: s.valueOffered,
+		ValueEarned:  s.valueEarned,
+		P50:          percentile(s.latency, 50),
+		P95:          percentile(s.latency, 95),
+		P99:          percentile(s.latency, 99),
 	}
-	return summary
 }
 
-func (t *tally) export(name string) Tally {
-	out := Tally{Name: name, Calls: t.calls, Answers: countByName(t.outcomes[:]), InTime: t.inTime, Tries: t.tries}
+// export returns the tally as it stands in results.
+func (t *groupTally) export(name string) Tally {
+	exported := Tally{Name: name, Calls: t.calls, Answers: t.outcomes.byName(), InTime: t.inTime, Tries: t.tries}
 	if t.valueOffered > 0 {
-		out.ValueShare = t.valueEarned / t.valueOffered
+		exported.ValueShare = t.valueEarned / t.valueOffered
 	}
 	if t.latency != nil {
-		l := percentiles(t.latency)
-		out.Latency = &l
+		latency := percentiles(t.latency)
+		exported.Latency = &latency
 	}
-	return out
+	return exported
 }
 
-func countByName(kinds []int64) map[string]int64 {
-	m := map[string]int64{}
-	for k, n := range kinds {
-		if n > 0 {
-			m[history.OutcomeNames[k]] = n
+// byName returns the counts above 0 by the name of the outcome.
+func (c outcomeCounts) byName() map[string]int64 {
+	counts := map[string]int64{}
+	for outcome, count := range c {
+		if count > 0 {
+			counts[history.OutcomeNames[outcome]] = count
 		}
 	}
-	return m
+	return counts
 }
 
-func millis(us int64) float64 { return float64(us) / 1000 }
+// microsPerMilli converts the unit of the histograms to that of results.
+const microsPerMilli = 1000
 
-func percentiles(h *hdrhistogram.Histogram) Latency {
-	l := Latency{Count: h.TotalCount()}
-	if l.Count == 0 {
-		return l
+// percentile returns a percentile of a histogram in milliseconds.
+func percentile(histogram *hdrhistogram.Histogram, percent float64) float64 {
+	return float64(histogram.ValueAtQuantile(percent)) / microsPerMilli
+}
+
+// percentiles returns the percentiles of a histogram that stand in results.
+func percentiles(histogram *hdrhistogram.Histogram) Latency {
+	count := histogram.TotalCount()
+	if count == 0 {
+		return Latency{}
+	}
+	return Latency{
+		Count: count,
+		Mean:  histogram.Mean() / microsPerMilli,
+		P50:   percentile(histogram, 50),
+		P90:   percentile(histogram, 90),
+		P99:   percentile(histogram, 99),
+		P999:  percentile(histogram, 99.9),
+		Max:   float64(histogram.Max()) / microsPerMilli,
 	}
-	l.Mean = h.Mean() / 1000
-	l.Max = millis(h.Max())
-	l.P50 = millis(h.ValueAtQuantile(50))
-	l.P90 = millis(h.ValueAtQuantile(90))
-	l.P99 = millis(h.ValueAtQuantile(99))
-	l.P999 = millis(h.ValueAtQuantile(99.9))
-	return l
 }
