--- a/internal/testbed/loadgen/loadgen.go
+++ b/internal/testbed/loadgen/loadgen.go
@@ -1,7 +1,6 @@
 package loadgen
 
 import (
-	"bufio"
 	"context"
 	"errors"
 	"fmt"
@@ -193,8 +192,10 @@
 	return fmt.Sprintf("%04x%08x%04x", uint16(seed), uint32(n), uint16(try))
 }
 
-// usualRequestBytes is the size of a usual request.
-const usualRequestBytes = 512
+const (
+	usualRequestBytes = 512 // size of a usual request
+	deadlineDecimals  = 3   // of the seconds in Req-Deadline
+)
 
 // encodeRequest returns the request as sent. The body is a worker.Task.
 func (g *Generator) encodeRequest(id string, arrival workload.Arrival, operation *workload.Operation, markedRetry bool) []byte {
@@ -203,7 +204,7 @@
 	b = append(b, "POST /api HTTP/1.1\r\nHost: origin.svc\r\nReq-Id: "...)
 	b = append(append(append(b, id...), "\r\nReq-Kind: "...), operation.Name...)
 	b = append(b, "\r\nReq-Deadline: "...)
-	b = strconv.AppendFloat(b, operation.Timeout.Std().Seconds(), 'f', 3, 64)
+	b = strconv.AppendFloat(b, operation.Timeout.Std().Seconds(), 'f', deadlineDecimals, 64)
 	if len(g.Tenants) > 0 {
 		b = append(append(b, "\r\nReq-Owner: "...), g.Tenants[arrival.Tenant].Name...)
 	}
@@ -263,26 +264,29 @@
 	default:
 		return answer{outcome: history.Broken}, nil
 	}
-	response, body, err := readResponse(c.reader)
+	got, err := c.readAnswer()
 	switch {
 	case err == nil:
-		c.reusable = !response.Close
-		return parseAnswer(response, body), nil
+		return got, nil
 	case ctx.Err() != nil:
 		return answer{outcome: outcomeOfEnd(ctx)}, nil
 	}
 	return answer{outcome: history.Broken}, nil
 }
 
-// readResponse reads a whole response.
-func readResponse(reader *bufio.Reader) (*http.Response, []byte, error) {
-	response, err := http.ReadResponse(reader, nil)
+// readAnswer reads a whole answer, and sets whether the connection is reusable.
+func (c *conn) readAnswer() (answer, error) {
+	response, err := http.ReadResponse(c.reader, nil)
 	if err != nil {
-		return nil, nil, err
+		return answer{}, err
 	}
 	defer response.Body.Close()
 	body, err := io.ReadAll(response.Body)
-	return response, body, err
+	if err != nil {
+		return answer{}, err
+	}
+	c.reusable = !response.Close
+	return parseAnswer(response, body), nil
 }
 
 // outcomeOfEnd returns the outcome of a request whose context has ended: by its timeout, or with the experiment.
--- a/internal/testbed/report/page.go
+++ b/internal/testbed/report/page.go
@@ -9,46 +9,44 @@
 	"strings"
 	"time"
 
+	"gonum.org/v1/plot"
+
 	"canvasroute/internal/testbed/experiment"
 	"canvasroute/internal/testbed/history"
+	"canvasroute/internal/testbed/metrics"
 )
 
 // pageFile is the name of the page in a result's folder.
 const pageFile = "report.html"
 
+// pageData is what the page's template shows.
+type pageData struct {
+	*experiment.Result
+	Charts []template.HTML
+	Table  []Row
+	Rules  []Row
+}
+
 // Write writes the page with charts to a folder, and returns its path.
 func Write(r *experiment.Result, folder string) (string, error) {
-	data := struct {
-		*experiment.Result
-		Charts []template.HTML
-		Table  []Row
-		Rules  []Row
-	}{Result: r, Table: Figures(r), Rules: ruleRows(r)}
-	for _, p := range []func() (template.HTML, error){
-		func() (template.HTML, error) { return renderSVG(answersChart(r)) },
-		func() (template.HTML, error) { return renderSVG(latencyChart(r)) },
-		func() (template.HTML, error) { return renderSVG(workChart(r)) },
-		func() (template.HTML, error) { return renderSVG(sharesChart(r)) },
-	} {
-		chart, err := p()
-		if err != nil {
-			return "", err
-		}
-		data.Charts = append(data.Charts, chart)
+	data := pageData{Result: r, Table: Figures(r), Rules: ruleRows(r)}
+	charts := []*plot.Plot{answersChart(r), latencyChart(r), workChart(r), sharesChart(r)}
+	if phases := phasesChart(r); phases != nil {
+		charts = append(charts, phases)
 	}
-	if p := phasesChart(r); p != nil {
-		chart, err := renderSVG(p)
+	for _, chart := range charts {
+		rendered, err := renderSVG(chart)
 		if err != nil {
 			return "", err
 		}
-		data.Charts = append(data.Charts, chart)
+		data.Charts = append(data.Charts, rendered)
 	}
 	path := filepath.Join(folder, pageFile)
 	file, err := os.Create(path)
 	if err != nil {
 		return "", err
 	}
-	if err := page.Execute(file, data); err != nil {
+	if err := pageTemplate.Execute(file, data); err != nil {
 		file.Close()
 		return "", fmt.Errorf("writing the report: %w", err)
 	}
@@ -59,7 +57,7 @@
 type Row struct {
 	Name  string
 	Value string
-	Bad   bool
+	Bad   bool // emphasized
 }
 
 // ruleRows returns the number of violations of each rule that was checked.
@@ -69,8 +67,8 @@
 			continue
 		}
 		row := Row{Name: string(rule), Value: "kept"}
-		if n := r.Rules[string(rule)]; n > 0 {
-			row.Value = fmt.Sprintf("broken %d times", n)
+		if violations := r.Rules[string(rule)]; violations > 0 {
+			row.Value = fmt.Sprintf("broken %d times", violations)
 			row.Bad = true
 		}
 		rows = append(rows, row)
@@ -81,44 +79,64 @@
 // Figures returns the main figures of a run as a table.
 func Figures(r *experiment.Result) []Row {
 	calls := &r.Calls
-	share := func(n int64) string {
-		return fmt.Sprintf("%d (%.1f%%)", n, 100*float64(n)/float64(max(calls.Total.Calls, 1)))
-	}
 	rows := []Row{{Name: "calls", Value: fmt.Sprintf("%d of %d planned", calls.Total.Calls, r.Planned)}}
-	for _, kind := range history.OutcomeNames {
-		if n := calls.Total.Answers[kind]; n > 0 {
-			rows = append(rows, Row{Name: kind, Value: share(n), Bad: kind == "broken" || kind == "unsent"})
+	for outcome, name := range history.OutcomeNames {
+		isBad := outcome == int(history.Broken) || outcome == int(history.Unsent)
+		if count := calls.Total.Answers[name]; count > 0 {
+			rows = append(rows, Row{Name: name, Value: formatShare(r, count), Bad: isBad})
 		}
 	}
+	latency := fmt.Sprintf("%s / %s / %s", formatMillis(calls.Succeeded.P50), formatMillis(calls.Succeeded.P99),
+		formatMillis(calls.Succeeded.Max))
 	rows = append(rows,
-		Row{Name: "in time", Value: share(calls.Total.InTime)},
-		Row{Name: "billed value", Value: fmt.Sprintf("%.1f%% of the value offered", 100*calls.Total.ValueShare)},
-		Row{Name: "latency p50 / p99 / max", Value: fmt.Sprintf("%s / %s / %s", formatMillis(calls.Succeeded.P50),
-			formatMillis(calls.Succeeded.P99), formatMillis(calls.Succeeded.Max))},
-		Row{Name: "requests per call", Value: fmt.Sprintf("%.2f", float64(calls.Total.Tries)/float64(max(calls.Total.Calls,
-			1)))},
+		Row{Name: "in time", Value: formatShare(r, calls.Total.InTime)},
+		Row{Name: "billed value", Value: fmt.Sprintf("%.1f%% of the value offered", percent*calls.Total.ValueShare)},
+		Row{Name: "latency p50 / p99 / max", Value: latency},
+		Row{Name: "requests per call", Value: fmt.Sprintf("%.2f", requestsPerCall(r))},
 		Row{Name: "dispatchers' CPU", Value: fmt.Sprintf("%.2f s", r.CPU())},
 	)
-	for _, b := range r.Recoveries {
-		row := Row{Name: "recovery after power loss", Value: fmt.Sprintf("%.0f s after the last worker, at best %.0f s (%.2f)",
-			b.UntilRecovered, b.UntilRecoveredAtBest, b.RatioToBest)}
-		if b.UntilRecovered < 0 {
-			row.Value = fmt.Sprintf("not within the run, at best %.0f s", b.UntilRecoveredAtBest)
-		}
-		rows = append(rows, row)
+	for _, recovery := range r.Recoveries {
+		rows = append(rows, recoveryRow(recovery))
 	}
-	g := Row{Name: "generator", Value: "kept to its schedule"}
-	if !calls.Generator.Trusted {
-		g.Value = "NOT TO BE TRUSTED: " + calls.Generator.Reason
-		g.Bad = true
+	return append(rows, generatorRow(calls.Generator))
+}
+
+// recoveryRow returns how fast the fleet recovered from a loss of power.
+func recoveryRow(recovery metrics.Recovery) Row {
+	row := Row{Name: "recovery after power loss"}
+	if recovery.UntilRecovered < 0 {
+		row.Value = fmt.Sprintf("not within the run, at best %.0f s", recovery.UntilRecoveredAtBest)
+		return row
+	}
+	row.Value = fmt.Sprintf("%.0f s after the last worker, at best %.0f s (%.2f)", recovery.UntilRecovered,
+		recovery.UntilRecoveredAtBest, recovery.RatioToBest)
+	return row
+}
+
+// generatorRow returns whether the load generator kept to its schedule.
+func generatorRow(generator metrics.Generator) Row {
+	if !generator.Trusted {
+		return Row{Name: "generator", Value: "NOT TO BE TRUSTED: " + generator.Reason, Bad: true}
 	}
-	return append(rows, g)
+	return Row{Name: "generator", Value: "kept to its schedule"}
 }
 
-func formatMillis(v float64) string {
-	return time.Duration(v * float64(time.Millisecond)).Round(10 * time.Microsecond).String()
+// formatShare returns a number of calls, and how many percent of all calls it is.
+func formatShare(r *experiment.Result, count int64) string {
+	return fmt.Sprintf("%d (%.1f%%)", count, percentOfCalls(r, count))
 }
 
+// latencyRounding is the unit to which latencies are rounded.
+const latencyRounding = 10 * time.Microsecond
+
+// formatMillis returns a number of milliseconds as a duration with its unit.
+func formatMillis(millis float64) string {
+	return time.Duration(millis * float64(time.Millisecond)).Round(latencyRounding).String()
+}
+
+// maxTextViolations is how many violations Text lists.
+const maxTextViolations = 5
+
 // Text returns the table of a run for a terminal.
 func Text(r *experiment.Result) string {
 	var b strings.Builder
@@ -129,24 +147,25 @@
 		}
 		fmt.Fprintf(&b, "  %-28s %s%s\n", row.Name, row.Value, flag)
 	}
-	for n, br := range r.Violations {
-		if n == 5 {
+	for n, violation := range r.Violations {
+		if n == maxTextViolations {
 			fmt.Fprintf(&b, "  ... %d more in %s\n", len(r.Violations)-n, "result.json")
 			break
 		}
-		fmt.Fprintf(&b, "  broken: %s: request %s (%s), dispatcher %d, worker %d, at %.3f s: %s\n", br.Rule,
-			br.ID,
-			br.Operation, br.Dispatcher, br.Worker, br.At.Seconds(), br.Description)
+		fmt.Fprintf(&b, "  broken: %s: request %s (%s), dispatcher %d, worker %d, at %.3f s: %s\n", violation.Rule,
+			violation.ID, violation.Operation, violation.Dispatcher, violation.Worker, violation.At.Seconds(),
+			violation.Description)
 	}
-	for _, f := range r.Failures {
-		fmt.Fprintf(&b, "  failure: %s\n", f)
+	for _, failure := range r.Failures {
+		fmt.Fprintf(&b, "  failure: %s\n", failure)
 	}
 	return b.String()
 }
 
-var page = template.Must(template.New("page").Funcs(template.FuncMap{
+// pageTemplate is the page, of a pageData.
+var pageTemplate = template.Must(template.New("page").Funcs(template.FuncMap{
 	"s":   func(d time.Duration) string { return fmt.Sprintf("%.1f s", d.Seconds()) },
-	"pct": func(f float64) string { return fmt.Sprintf("%.1f%%", 100*f) },
+	"pct": func(share float64) string { return fmt.Sprintf("%.1f%%", percent*share) },
 	"ms":  formatMillis, "inc": func(n int) int { return n + 1 },
 }).Parse(`<!doctype html>
 <html lang="en"><head><meta charset="utf-8"><title>{{.Name}}, seed {{.Seed}}</title>
--- a/internal/testbed/report/phases.go
+++ b/internal/testbed/report/phases.go
@@ -5,29 +5,34 @@
 	"image/color"
 
 	"gonum.org/v1/plot"
-	"gonum.org/v1/plot/plotter"
 
 	"canvasroute/internal/testbed/experiment"
 )
 
-// phaseColours are the colours of the phases of a recovery, in their order.
-var phaseColours = []struct {
-	name   string
-	colour color.Color
-}{
-	{"identity", color.RGBA{90, 90, 90, 255}},
-	{"list", color.RGBA{200, 60, 60, 255}},
-	{"others", color.RGBA{225, 130, 40, 255}},
-	{"trickle", color.RGBA{235, 200, 60, 255}},
-	{"ramp", color.RGBA{150, 200, 110, 255}},
-	{"full", color.RGBA{60, 150, 90, 255}},
-	{"superseded", color.RGBA{0, 0, 0, 255}},
+// phaseColours are the colours of the phases of a recovery, by the names that dispatchers log.
+var phaseColours = map[string]color.Color{
+	"identity":   color.RGBA{90, 90, 90, 255},
+	"list":       color.RGBA{200, 60, 60, 255},
+	"others":     color.RGBA{225, 130, 40, 255},
+	"trickle":    color.RGBA{235, 200, 60, 255},
+	"ramp":       color.RGBA{150, 200, 110, 255},
+	"full":       color.RGBA{60, 150, 90, 255},
+	"superseded": color.RGBA{0, 0, 0, 255},
 }
 
-// bandShare is how much of its row a band fills.
+// bandShare is how much of its row a band fills, to each side of the middle.
 const bandShare = 0.35
 
-// phasesChart shows the recovery phases of each dispatcher as bands over time. It is nil if no phase was logged.
+// phaseEnd returns the end of phase n in seconds: the start of the same dispatcher's next phase, or the end of the run.
+func phaseEnd(r *experiment.Result, n int) float64 {
+	next := n + 1
+	if next < len(r.Phases) && r.Phases[next].Dispatcher == r.Phases[n].Dispatcher {
+		return r.Phases[next].From
+	}
+	return r.DurationSeconds
+}
+
+// phasesChart shows the recovery phases of each dispatcher as bands over time. It returns nil if no phase was logged.
 func phasesChart(r *experiment.Result) *plot.Plot {
 	if len(r.Phases) == 0 {
 		return nil
@@ -35,36 +40,22 @@
 	chart := newChart(r, "Phases of return", "dispatcher")
 	chart.Y.Min = -1
 	chart.Y.Max = float64(len(r.Dispatchers))
-	shadeFaults(chart, r, -1, float64(len(r.Dispatchers)))
-	drawn := map[string]bool{}
+	shadeFaults(chart, r, chart.Y.Min, chart.Y.Max)
+	inLegend := map[string]bool{}
 	for n, phase := range r.Phases {
-		to := r.DurationSeconds
-		if n+1 < len(r.Phases) && r.Phases[n+1].Dispatcher == phase.Dispatcher {
-			to = r.Phases[n+1].From
-		}
-		from := max(phase.From, 0)
+		from, to := max(phase.From, 0), phaseEnd(r, n)
 		if to <= from {
 			continue
 		}
-		y := float64(phase.Dispatcher)
-		band, err := plotter.NewPolygon(plotter.XYs{
-			{X: from, Y: y - bandShare},
-			{X: to, Y: y - bandShare},
-			{X: to, Y: y + bandShare},
-			{X: from, Y: y + bandShare},
-		})
+		row := float64(phase.Dispatcher)
+		band, err := newBand(from, to, row-bandShare, row+bandShare)
 		if err != nil {
 			continue
 		}
-		band.Width = 0
-		for _, c := range phaseColours {
-			if c.name == phase.Phase {
-				band.Color = c.colour
-			}
-		}
+		band.Color = phaseColours[phase.Phase]
 		chart.Add(band)
-		if !drawn[phase.Phase] {
-			drawn[phase.Phase] = true
+		if !inLegend[phase.Phase] {
+			inLegend[phase.Phase] = true
 			chart.Legend.Add(phase.Phase, band)
 		}
 	}
--- a/internal/testbed/report/report_test.go
+++ b/internal/testbed/report/report_test.go
@@ -14,55 +14,73 @@
 	"canvasroute/internal/testbed/metrics"
 )
 
-// run returns a result of 100 calls, inTime of which succeeded within their objective.
-func run(seed uint64, inTime int) *experiment.Result {
-	rec := metrics.NewRecorder(time.Second, 1, 0)
+// newTestResult returns a result of 100 calls, inTime of which succeeded within their objective.
+func newTestResult(seed uint64, inTime int) *experiment.Result {
+	recorder := metrics.NewRecorder(time.Second, 1, 0)
 	for n := range 100 {
-		rec.Record(metrics.Call{
+		recorder.Record(metrics.Call{
 			Intended: time.Duration(n) * 30 * time.Millisecond, Outcome: history.Succeeded,
 			Ended: time.Duration(n+1) * 30 * time.Millisecond, InTime: n < inTime, Tries: 1, ValueOffered: 1,
 		})
 	}
 	return &experiment.Result{
-		Name: "test <b>", Seed: seed, Policy: "canvasroute", DurationSeconds: 3, Schedule: "s",
-		Calls: rec.Summary([]string{"safe"}, nil), Rules: map[string]int{},
-		Workers:     []experiment.WorkerResult{{Name: "w0", BySlot: []float64{1, 2, 3}}, {Name: "w1", BySlot: []float64{0, 0, 1}, Done: 1}},
+		Name:            "test <b>",
+		Seed:            seed,
+		Policy:          "canvasroute",
+		DurationSeconds: 3,
+		Schedule:        "s",
+		Calls:           recorder.Summary([]string{"safe"}, nil),
+		Rules:           map[string]int{},
+		Workers: []experiment.WorkerResult{
+			{Name: "w0", BySlot: []float64{1, 2, 3}},
+			{Name: "w1", BySlot: []float64{0, 0, 1}, Done: 1},
+		},
 		Dispatchers: []experiment.ProcessResult{{Name: "d0", CPU: 0.5}},
 		Faults:      []fault.Mark{{From: time.Second, To: 2 * time.Second, Description: "1 workers crash"}},
 	}
 }
 
-func TestPageShowsFiguresFaultsAndViolations(t *testing.T) {
-	r := run(7, 90)
-	r.Rules[string(history.RuleNoRequestLost)] = 1
-	r.Violations = []history.Violation{{Rule: history.RuleNoRequestLost, ID: "deadbeef", Description: "no answer"}}
-	path, err := Write(r, t.TempDir())
+// writePage writes the page of a result, and returns it.
+func writePage(t *testing.T, result *experiment.Result) string {
+	t.Helper()
+	path, err := Write(result, t.TempDir())
 	assert.NoError(t, err)
-	b, err := os.ReadFile(path)
+	page, err := os.ReadFile(path)
 	assert.NoError(t, err)
-	page := string(b)
+	return string(page)
+}
+
+// results returns results of the seeds 1, 2 and so on, with the numbers of calls in time given.
+func results(inTime ...int) (all []*experiment.Result) {
+	for n, calls := range inTime {
+		all = append(all, newTestResult(uint64(n+1), calls))
+	}
+	return all
+}
+
+func TestPageShowsFiguresFaultsAndViolations(t *testing.T) {
+	result := newTestResult(7, 90)
+	result.Rules[string(history.RuleNoRequestLost)] = 1
+	result.Violations = []history.Violation{{Rule: history.RuleNoRequestLost, ID: "deadbeef", Description: "no answer"}}
+	page := writePage(t, result)
 	for _, want := range []string{"test &lt;b&gt;", "90 (90.0%)", "1 workers crash", "deadbeef", "broken 1 times", "0.50 s"} {
 		assert.Contains(t, page, want)
 	}
 	assert.Equal(t, 4, strings.Count(page, "<svg"))
 	assert.Equal(t, 4, strings.Count(page, "</svg>"))
-	assert.Contains(t, Text(r), "request deadbeef")
+	assert.Contains(t, Text(result), "request deadbeef")
 }
 
 // The page binds fields by name, which the compiler does not check.
 func TestPageShowsTenantsRecoveriesAndPhases(t *testing.T) {
-	r := run(7, 90)
+	result := newTestResult(7, 90)
 	recorder := metrics.NewRecorder(time.Second, 1, 1)
 	recorder.Record(metrics.Call{Outcome: history.Succeeded, Ended: time.Millisecond, InTime: true, Tries: 1, ValueOffered: 1})
-	r.Calls = recorder.Summary([]string{"safe"}, []string{"uni"})
-	r.Recoveries = []metrics.Recovery{{UntilRecovered: 3, UntilRecoveredAtBest: 2, RatioToBest: 4.0 / 3}}
-	r.Phases = []experiment.PhaseResult{{Phase: "identity", From: 1}, {Phase: "full", From: 2}}
-	r.Failures = []string{"d0 ended by itself"}
-	path, err := Write(r, t.TempDir())
-	assert.NoError(t, err)
-	b, err := os.ReadFile(path)
-	assert.NoError(t, err)
-	page := string(b)
+	result.Calls = recorder.Summary([]string{"safe"}, []string{"uni"})
+	result.Recoveries = []metrics.Recovery{{UntilRecovered: 3, UntilRecoveredAtBest: 2, RatioToBest: 4.0 / 3}}
+	result.Phases = []experiment.PhaseResult{{Phase: "identity", From: 1}, {Phase: "full", From: 2}}
+	result.Failures = []string{"d0 ended by itself"}
+	page := writePage(t, result)
 	for _, want := range []string{"<h2>Tenants</h2>", "<td>uni</td>", "3 s after the last worker", "d0 ended by itself"} {
 		assert.Contains(t, page, want)
 	}
@@ -70,21 +88,21 @@
 }
 
 func TestCompareGivesAVerdictOnlyBeyondTheSpread(t *testing.T) {
-	sure := Compare("a", "b", []*experiment.Result{run(1, 50), run(2, 52)}, []*experiment.Result{run(1, 90), run(2, 92)})
-	line := func(text, name string) string {
-		for l := range strings.Lines(text) {
-			if strings.HasPrefix(l, name) {
-				return l
+	different := Compare("a", "b", results(50, 52), results(90, 92))
+	lineOf := func(table, name string) string {
+		for line := range strings.Lines(table) {
+			if strings.HasPrefix(line, name) {
+				return line
 			}
 		}
 		return ""
 	}
-	assert.Contains(t, line(sure, "in time %"), "B better")
-	assert.Contains(t, line(sure, "in time %"), "+40.000")
-	assert.NotContains(t, line(sure, "succeeded %"), "B ")
-	wide := Compare("a", "b", []*experiment.Result{run(1, 10), run(2, 90)}, []*experiment.Result{run(1, 50), run(2, 70)})
-	assert.NotContains(t, line(wide, "in time %"), "B better")
-	alone := Compare("a", "b", []*experiment.Result{run(1, 10)}, []*experiment.Result{run(1, 90)})
-	assert.Contains(t, alone, "a single run on a side has no spread")
-	assert.NotContains(t, line(alone, "in time %"), "B better")
+	assert.Contains(t, lineOf(different, "in time %"), "B better")
+	assert.Contains(t, lineOf(different, "in time %"), "+40.000")
+	assert.NotContains(t, lineOf(different, "succeeded %"), "B ")
+	overlapping := Compare("a", "b", results(10, 90), results(50, 70))
+	assert.NotContains(t, lineOf(overlapping, "in time %"), "B better")
+	single := Compare("a", "b", results(10), results(90))
+	assert.Contains(t, single, "a single run on a side has no spread")
+	assert.NotContains(t, lineOf(single, "in time %"), "B better")
 }
--- a/internal/testbed/worker/exchange.go
+++ b/internal/testbed/worker/exchange.go
@@ -105,13 +105,13 @@
 			Incarnation: process.number,
 			FirstByteAt: s.fleet.clock(),
 		}
-		request, body, err := readMessage(c.reader)
+		received, err := readMessage(c.reader)
 		if err != nil {
 			return
 		}
 		c.SetReadDeadline(time.Time{})
 		attempt.ReceivedAt = s.fleet.clock()
-		if reusable := s.handle(c, request, body, attempt, process); !reusable || request.Close {
+		if reusable := s.handle(c, received, attempt, process); !reusable || received.Close {
 			return
 		}
 	}
@@ -120,21 +120,27 @@
 // errTaskTooLong means that the body of a request is longer than maxTaskBytes.
 var errTaskTooLong = errors.New("task is too long")
 
+// message is a request of a dispatcher with its body.
+type message struct {
+	*http.Request
+	body []byte
+}
+
 // readMessage reads a request and its body.
-func readMessage(reader *bufio.Reader) (*http.Request, []byte, error) {
+func readMessage(reader *bufio.Reader) (message, error) {
 	request, err := http.ReadRequest(reader)
 	if err != nil {
-		return nil, nil, err
+		return message{}, err
 	}
 	body, err := io.ReadAll(io.LimitReader(request.Body, maxTaskBytes+1))
 	if err == nil && len(body) > maxTaskBytes {
 		err = errTaskTooLong
 	}
-	return request, body, err
+	return message{Request: request, body: body}, err
 }
 
 // handle answers one message. It reports whether the connection can be used for the next.
-func (s *Server) handle(c *dispatcherConn, request *http.Request, body []byte, attempt history.Attempt, process *incarnation) bool {
+func (s *Server) handle(c *dispatcherConn, request message, attempt history.Attempt, process *incarnation) bool {
 	id := request.Header.Get("Req-Id")
 	isProbe := request.Method == http.MethodGet && s.fleet.config.Probes
 	switch path := request.URL.Path; {
@@ -146,7 +152,7 @@
 		return s.writeSimple(c, process, http.StatusNotFound, "", nil)
 	}
 	record := s.fleet.history.AttemptReceived(id, attempt)
-	task, ok := s.parseTask(body)
+	task, ok := s.parseTask(request.body)
 	if !ok {
 		s.fleet.history.AttemptEnded(record, history.Failed, "", s.fleet.clock())
 		return s.writeSimple(c, process, http.StatusBadRequest, "", nil)
