--- a/internal/testbed/discoveryserver/server.go
+++ b/internal/testbed/discoveryserver/server.go
@@ -14,7 +14,7 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// Outage is a failure mode of the list service.
+// Outage is a failure mode of the discovery service.
 type Outage uint8
 
 // The values of Outage.
@@ -24,41 +24,41 @@
 	Unavailable        // watches end, calls are answered with 503
 )
 
-// pollInterval is how often a watch looks for changes, keepAliveInterval how often it writes an empty line without any.
+// Timing of the service.
 const (
-	pollInterval      = 20 * time.Millisecond
-	keepAliveInterval = 2 * time.Second
+	pollInterval      = 20 * time.Millisecond // from one look of a watch for changes to the next
+	keepAliveInterval = 2 * time.Second       // after which a watch writes an empty line if nothing has changed
+	readHeaderTimeout = 5 * time.Second
 )
 
-// Server is the list service.
+// Server is the discovery service.
 type Server struct {
-	clock    func() time.Duration
-	notified func(dispatcher int, e Entry)
+	clock     func() time.Duration              // returns the time since the start of the experiment
+	notified  func(dispatcher int, entry Entry) // called for each entry that is written to a dispatcher
+	servers   []*http.Server                    // by dispatcher
+	listeners []net.Listener                    // by dispatcher
 
 	mu         sync.Mutex
 	catalog    *Catalog
 	outage     Outage
-	endWatches context.CancelFunc // ends the watches
-	watches    context.Context
-
-	servers   []*http.Server
-	listeners []net.Listener
+	watches    context.Context // of all watches
+	endWatches context.CancelFunc
 }
 
 // New opens a listener for each dispatcher. notified is called for each entry that is written to a dispatcher.
-func New(c *Catalog, dispatchers int, clock func() time.Duration, notified func(int, Entry)) (*Server, error) {
-	s := &Server{catalog: c, clock: clock, notified: notified}
+func New(catalog *Catalog, dispatchers int, clock func() time.Duration, notified func(int, Entry)) (*Server, error) {
+	s := &Server{catalog: catalog, clock: clock, notified: notified}
 	s.watches, s.endWatches = context.WithCancel(context.Background())
-	for d := range dispatchers {
+	for dispatcher := range dispatchers {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			s.close()
 			return nil, fmt.Errorf("list service: %w", err)
 		}
 		mux := http.NewServeMux()
-		mux.HandleFunc("GET /catalog/members", func(w http.ResponseWriter, r *http.Request) { s.serve(w, r, d) })
+		mux.HandleFunc("GET /catalog/members", func(w http.ResponseWriter, r *http.Request) { s.serve(w, r, dispatcher) })
 		s.listeners = append(s.listeners, ln)
-		s.servers = append(s.servers, &http.Server{Handler: mux, ReadHeaderTimeout: 5 * time.Second})
+		s.servers = append(s.servers, &http.Server{Handler: mux, ReadHeaderTimeout: readHeaderTimeout})
 	}
 	return s, nil
 }
@@ -68,23 +68,24 @@
 
 // Run serves until ctx ends.
 func (s *Server) Run(ctx context.Context) error {
-	g, ctx := errgroup.WithContext(ctx)
-	for n, server := range s.servers {
-		g.Go(func() error {
-			if err := server.Serve(s.listeners[n]); !errors.Is(err, http.ErrServerClosed) {
+	running, ctx := errgroup.WithContext(ctx)
+	for dispatcher, server := range s.servers {
+		running.Go(func() error {
+			if err := server.Serve(s.listeners[dispatcher]); !errors.Is(err, http.ErrServerClosed) {
 				return fmt.Errorf("list service: %w", err)
 			}
 			return nil
 		})
 	}
-	g.Go(func() error {
+	running.Go(func() error {
 		<-ctx.Done()
 		s.close()
 		return nil
 	})
-	return g.Wait()
+	return running.Wait()
 }
 
+// close ends all watches and connections, and listens no longer.
 func (s *Server) close() {
 	s.endWatches()
 	for _, server := range s.servers {
@@ -96,10 +97,10 @@
 }
 
 // Update adds or changes an entry.
-func (s *Server) Update(e Entry) {
+func (s *Server) Update(entry Entry) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.catalog.Update(s.clock(), e)
+	s.catalog.Update(s.clock(), entry)
 }
 
 // SetLag sets the lag for changes that are not visible yet.
@@ -110,23 +111,34 @@
 }
 
 // SetOutage changes the failure mode, and ends all watches.
-func (s *Server) SetOutage(t Outage) {
+func (s *Server) SetOutage(outage Outage) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.outage = t
+	s.outage = outage
 	s.endWatches()
 	s.watches, s.endWatches = context.WithCancel(context.Background())
 }
 
 // CompleteList returns the visible list as a dispatcher sees it, as JSON.
 func (s *Server) CompleteList(dispatcher int) []byte {
+	return encode(s.complete(), dispatcher)
+}
+
+// complete returns the visible list.
+func (s *Server) complete() List {
 	s.mu.Lock()
-	version, entries := s.catalog.Complete(s.clock())
-	s.mu.Unlock()
-	return encode(version, true, entries, dispatcher)
+	defer s.mu.Unlock()
+	return s.catalog.Complete(s.clock())
 }
 
-// serve answers a call for the list, or a watch of it.
+// changesSince returns what has changed after a version, see Catalog.ChangesSince.
+func (s *Server) changesSince(version int) List {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.catalog.ChangesSince(s.clock(), version)
+}
+
+// serve answers a poll of the list, or a watch of it.
 func (s *Server) serve(w http.ResponseWriter, r *http.Request, dispatcher int) {
 	s.mu.Lock()
 	outage, watches := s.outage, s.watches
@@ -150,42 +162,56 @@
 	s.watch(w, r, dispatcher, version, watches)
 }
 
+// serveList answers a poll of the list.
 func (s *Server) serveList(w http.ResponseWriter, dispatcher int) {
-	s.mu.Lock()
-	version, entries := s.catalog.Complete(s.clock())
-	s.mu.Unlock()
-	s.notify(dispatcher, entries, true)
-	_, _ = w.Write(append(encode(version, true, entries, dispatcher), '\n'))
-	s.notify(dispatcher, entries, false)
+	list := s.complete()
+	s.notifyReady(dispatcher, list.Entries)
+	_, _ = w.Write(append(encode(list, dispatcher), '\n')) // fails only if the client has left
+	s.notifyNotReady(dispatcher, list.Entries)
+}
+
+// notifyReady reports the ready ones of the entries that are about to be written to a dispatcher. If they were reported
+// afterwards, a dispatcher that reacts before that would seem to violate a drain.
+func (s *Server) notifyReady(dispatcher int, entries []Entry) {
+	for _, entry := range entries {
+		if entry.State == Ready {
+			s.notified(dispatcher, entry)
+		}
+	}
+}
+
+// notifyNotReady reports the other ones of the entries that have been written to a dispatcher.
+func (s *Server) notifyNotReady(dispatcher int, entries []Entry) {
+	for _, entry := range entries {
+		if entry.State != Ready {
+			s.notified(dispatcher, entry)
+		}
+	}
 }
 
 // watch writes a line at its start and for each change, until the client leaves or the watches end.
-func (s *Server) watch(w http.ResponseWriter, r *http.Request, dispatcher, version int,
-	watches context.Context,
-) {
+func (s *Server) watch(w http.ResponseWriter, r *http.Request, dispatcher, version int, watches context.Context) {
 	out := http.NewResponseController(w)
 	wroteAt := time.Time{} // never: the first line is due at once, also where nothing has changed
 	poll := time.NewTicker(pollInterval)
 	defer poll.Stop()
 	for {
-		s.mu.Lock()
-		newest, complete, entries := s.catalog.ChangesSince(s.clock(), version)
-		s.mu.Unlock()
+		list := s.changesSince(version)
 		var line []byte
-		changed := wroteAt.IsZero() || newest != version
+		changed := wroteAt.IsZero() || list.Version != version
 		if changed {
-			line = encode(newest, complete, entries, dispatcher)
+			line = encode(list, dispatcher)
 		}
 		if changed || time.Since(wroteAt) >= keepAliveInterval {
-			s.notify(dispatcher, entries, true)
+			s.notifyReady(dispatcher, list.Entries)
 			if _, err := w.Write(append(line, '\n')); err != nil {
 				return
 			}
 			if out.Flush() != nil {
 				return
 			}
-			s.notify(dispatcher, entries, false)
-			version = newest
+			s.notifyNotReady(dispatcher, list.Entries)
+			version = list.Version
 			wroteAt = time.Now()
 		}
 		select {
@@ -198,17 +224,7 @@
 	}
 }
 
-// notify reports the entries written to a dispatcher: ready ones before they are written (ready), others afterwards. A
-// dispatcher that reacts before its notification is recorded would otherwise seem to violate a drain.
-func (s *Server) notify(dispatcher int, entries []Entry, ready bool) {
-	for _, e := range entries {
-		if ready == (e.State == Ready) {
-			s.notified(dispatcher, e)
-		}
-	}
-}
-
-// wireEndpoint is a worker in the protocol of the list service.
+// wireEndpoint is a worker in the protocol of the discovery service.
 type wireEndpoint struct {
 	Name            string  `json:"host"`
 	Address         string  `json:"dial"`
@@ -220,28 +236,39 @@
 	StartedAtMillis int64   `json:"born_ms"`
 }
 
-// encode writes entries in the protocol of the list service, as one dispatcher sees them. A complete list leaves out
+// wireList is a list in the protocol of the discovery service.
+type wireList struct {
+	Version  int            `json:"seq"`
+	Complete bool           `json:"whole"`
+	Workers  []wireEndpoint `json:"hosts"`
+}
+
+// fullShare is the share of the load that a listed worker takes, relative to the others: all take the same.
+const fullShare = 1
+
+// encode returns a list in the protocol of the discovery service, as one dispatcher sees it. A complete list leaves out
 // workers that are gone.
-func encode(version int, complete bool, entries []Entry, dispatcher int) []byte {
-	list := struct {
-		Version  int            `json:"seq"`
-		Complete bool           `json:"whole"`
-		Workers  []wireEndpoint `json:"hosts"`
-	}{version, complete, []wireEndpoint{}}
-	for _, entry := range entries {
-		if complete && entry.State == Gone {
+func encode(list List, dispatcher int) []byte {
+	encoded := wireList{Version: list.Version, Complete: list.Complete, Workers: []wireEndpoint{}}
+	for _, entry := range list.Entries {
+		if list.Complete && entry.State == Gone {
 			continue
 		}
 		endpoint := wireEndpoint{
-			Name: entry.Name, Address: entry.Addresses[dispatcher], Zone: entry.Zone, Kind: entry.Kind, Cell: entry.Cell,
-			State: entry.State, Share: 1,
+			Name:    entry.Name,
+			Address: entry.Addresses[dispatcher],
+			Zone:    entry.Zone,
+			Kind:    entry.Kind,
+			Cell:    entry.Cell,
+			State:   entry.State,
+			Share:   fullShare,
 		}
 		if !entry.StartedAt.IsZero() {
 			endpoint.StartedAtMillis = entry.StartedAt.UnixMilli()
 		}
-		list.Workers = append(list.Workers, endpoint)
+		encoded.Workers = append(encoded.Workers, endpoint)
 	}
-	b, err := json.Marshal(list)
+	b, err := json.Marshal(encoded)
 	if err != nil { // the fields are text and numbers, which can always be encoded
 		panic(err)
 	}
