--- a/internal/testbed/baseline/dispatch.go
+++ b/internal/testbed/baseline/dispatch.go
@@ -3,6 +3,7 @@
 import (
 	"bufio"
 	"bytes"
+	"cmp"
 	"context"
 	"errors"
 	"io"
@@ -22,52 +23,57 @@
 const (
 	maxAttempts        = 4
 	answerMargin       = 30 * time.Millisecond // an answer is sent this long before the client's timeout
-	lostAnswerInterval = 20                    // the fault lost-answer loses one in this many
+	lostAnswerInterval = 20                    // FaultLostAnswer loses one in this many
 	retryAfterSeconds  = "0.5"
 )
 
-// pick returns an eligible worker that has not been tried, chosen by the policy, and counts it as in flight. It returns
-// nil if there is none.
+// pick returns an eligible worker that has not been tried, chosen by the policy, and counts an attempt in flight to it. It
+// returns nil if there is none. The attempt's end is release.
 func (d *dispatcher) pick(tried []*backend) *backend {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	var eligible []*backend
-	for _, b := range d.backends {
-		if d.eligible(b) && !slices.Contains(tried, b) {
-			eligible = append(eligible, b)
+	for _, worker := range d.backends {
+		if d.eligible(worker) && !slices.Contains(tried, worker) {
+			eligible = append(eligible, worker)
 		}
 	}
 	if len(eligible) == 0 {
 		return nil
 	}
-	picked := eligible[0]
+	picked := d.pickAmong(eligible)
+	picked.inFlight++
+	return picked
+}
+
+// pickAmong applies the policy, or the fault, to eligible workers. The caller holds the lock.
+func (d *dispatcher) pickAmong(eligible []*backend) *backend {
 	switch {
-	case d.config.Fault == "cold-push": // everything to the worker that started last
-		for _, b := range eligible {
-			if b.startedAt.After(picked.startedAt) {
-				picked = b
-			}
-		}
-	case d.config.Policy == "random":
-		picked = eligible[rand.IntN(len(eligible))]
-	case d.config.Policy == "least-outstanding":
+	case d.config.Fault == FaultOverloadedWarmup:
+		return slices.MaxFunc(eligible, func(a, b *backend) int { return a.startedAt.Compare(b.startedAt) })
+	case d.config.Policy == Random:
+		return eligible[rand.IntN(len(eligible))]
+	case d.config.Policy == LeastOutstanding:
 		d.roundRobin++ // so that ties are broken in turn
-		for k := range eligible {
-			if b := eligible[(d.roundRobin+k)%len(eligible)]; b.inFlight < picked.inFlight || k == 0 {
-				picked = b
-			}
-		}
-	default:
-		d.roundRobin++
-		picked = eligible[d.roundRobin%len(eligible)]
+		first := d.roundRobin % len(eligible)
+		inTurn := slices.Concat(eligible[first:], eligible[:first])
+		return slices.MinFunc(inTurn, func(a, b *backend) int { return cmp.Compare(a.inFlight, b.inFlight) })
 	}
-	picked.inFlight++
-	return picked
+	d.roundRobin++
+	return eligible[d.roundRobin%len(eligible)]
 }
 
-// eligible reports whether a worker may be picked. The fault drain-ignored also admits draining ones.
-func (d *dispatcher) eligible(b *backend) bool {
-	return b.state == protocol.Ready || d.config.Fault == "drain-ignored" && b.state != ""
+// release ends the attempt in flight that pick has counted.
+func (d *dispatcher) release(worker *backend) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	worker.inFlight--
+}
+
+// eligible reports whether a worker may be picked. FaultIgnoredDrain also admits draining ones.
+func (d *dispatcher) eligible(worker *backend) bool {
+	ignoresDrain := d.config.Fault == FaultIgnoredDrain && worker.state != ""
+	return worker.state == protocol.Ready || ignoresDrain
 }
 
 // serve handles one request. Its retries are conservative, so that without a fault the four rules are kept.
@@ -89,9 +95,9 @@
 	ctx, cancel := context.WithTimeout(request.Context(), time.Duration(timeout*float64(time.Second))-answerMargin)
 	defer cancel()
 	idempotency := d.settings.Balancer.Operations[operation].Idempotency
-	status, result := d.dispatch(ctx, request, body, idempotency)
-	n := d.answered.Add(1)
-	if d.config.Fault == "lost-answer" && n%lostAnswerInterval == 0 {
+	status, result := d.dispatch(ctx, clientRequest{header: request.Header, body: body, idempotency: idempotency})
+	answered := d.answered.Add(1)
+	if d.config.Fault == FaultLostAnswer && answered%lostAnswerInterval == 0 {
 		panic(http.ErrAbortHandler)
 	}
 	if status == http.StatusTooManyRequests {
@@ -105,22 +111,27 @@
 	_, _ = io.WriteString(w, result)
 }
 
+// clientRequest is a client's request as it is sent to workers.
+type clientRequest struct {
+	header      http.Header
+	body        []byte
+	idempotency balancer.Idempotency
+}
+
 // dispatch makes attempts until one succeeds or no further one is safe, and returns the status and body of the answer.
-func (d *dispatcher) dispatch(ctx context.Context, request *http.Request, body []byte, idempotency balancer.Idempotency) (status int,
-	result string,
-) {
+func (d *dispatcher) dispatch(ctx context.Context, request clientRequest) (status int, result string) {
 	var tried []*backend
 	possiblyExecuted := false
 	for range maxAttempts {
-		b := d.pick(tried)
-		if b == nil {
+		worker := d.pick(tried)
+		if worker == nil {
 			break
 		}
-		tried = append(tried, b)
-		outcome, result := d.attempt(ctx, b, request, body)
-		if d.config.Fault == "double-forward" && idempotency == balancer.NonIdempotent {
+		tried = append(tried, worker)
+		outcome, result := d.attempt(ctx, worker, request)
+		if d.config.Fault == FaultRepeatedAttempt && request.idempotency == balancer.NonIdempotent {
 			if other := d.pick(tried); other != nil {
-				d.attempt(ctx, other, request, body)
+				d.attempt(ctx, other, request)
 			}
 		}
 		switch outcome {
@@ -130,42 +141,39 @@
 			continue
 		}
 		possiblyExecuted = true
-		if idempotency != balancer.Idempotent || ctx.Err() != nil {
+		if request.idempotency != balancer.Idempotent || ctx.Err() != nil {
 			break
 		}
 	}
-	if possiblyExecuted && idempotency != balancer.Idempotent {
+	if possiblyExecuted && request.idempotency != balancer.Idempotent {
 		return http.StatusBadGateway, ""
 	}
 	return http.StatusTooManyRequests, ""
 }
 
-// attempt sends the request to a worker and reads its result.
-func (d *dispatcher) attempt(ctx context.Context, b *backend, request *http.Request, body []byte) (outcome balancer.Outcome,
-	result string,
-) {
-	defer func() {
-		d.mu.Lock()
-		b.inFlight--
-		d.mu.Unlock()
-	}()
+// forwardedFields are the header fields of a client's request that workers get.
+var forwardedFields = []string{"Req-Id", "Req-Deadline", "Idempotency-Key", "Content-Type"}
+
+// attempt sends the request to a worker that was picked, and returns the outcome, and the result if it succeeded.
+func (d *dispatcher) attempt(ctx context.Context, worker *backend, request clientRequest) (outcome balancer.Outcome, result string) {
+	defer d.release(worker)
 	d.mu.Lock()
-	target := "http://" + b.address + "/api"
+	target := "http://" + worker.address + "/api"
 	d.mu.Unlock()
-	outbound, err := http.NewRequestWithContext(ctx, http.MethodPost, target, bytes.NewReader(body))
+	outbound, err := http.NewRequestWithContext(ctx, http.MethodPost, target, bytes.NewReader(request.body))
 	if err != nil {
 		return balancer.NoConnection, ""
 	}
 	outbound.GetBody = nil // the transport must not retry by itself
-	for _, name := range []string{"Req-Id", "Req-Deadline", "Idempotency-Key", "Content-Type"} {
-		if v := request.Header.Get(name); v != "" {
-			outbound.Header.Set(name, v)
+	for _, name := range forwardedFields {
+		if value := request.header.Get(name); value != "" {
+			outbound.Header.Set(name, value)
 		}
 	}
 	response, err := d.client.Do(outbound)
-	var dial *net.OpError
+	var connecting *net.OpError
 	switch {
-	case errors.As(err, &dial) && dial.Op == "dial":
+	case errors.As(err, &connecting) && connecting.Op == "dial":
 		return balancer.NoConnection, ""
 	case err != nil:
 		return balancer.ConnectionReset, ""
@@ -174,11 +182,16 @@
 	if response.StatusCode == http.StatusServiceUnavailable && response.Header.Get("Srv-Declined") == "1" {
 		return balancer.Overloaded, ""
 	}
-	lines := bufio.NewScanner(response.Body)
+	return readOutcome(response.Body, request.header.Get("Req-Id"))
+}
+
+// readOutcome reads a worker's lines about the request with an ID up to the one that ends it.
+func readOutcome(body io.Reader, id string) (outcome balancer.Outcome, result string) {
+	lines := bufio.NewScanner(body)
 	lines.Buffer(nil, protocol.MaxLineBytes)
 	for lines.Scan() {
 		line, err := protocol.ParseLine(lines.Bytes())
-		if err != nil || line.ID != request.Header.Get("Req-Id") {
+		if err != nil || line.ID != id {
 			return balancer.WorkerError, ""
 		}
 		switch line.State {
--- a/internal/testbed/baseline/endpoints.go
+++ b/internal/testbed/baseline/endpoints.go
@@ -14,8 +14,8 @@
 
 // Bounds of the endpoint watch.
 const (
-	watchRetryDelay = 500 * time.Millisecond
-	maxListBytes    = 8 << 20
+	watchRetryDelay = 500 * time.Millisecond // from the end of a watch to the next
+	maxListBytes    = 8 << 20                // of one line
 )
 
 // health answers 200 once a worker is ready.
@@ -77,26 +77,32 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.version = list.Version
-	seen := map[string]bool{}
-	for _, e := range list.Endpoints {
-		seen[e.ID] = true
-		n := slices.IndexFunc(d.backends, func(b *backend) bool { return b.name == e.ID })
-		if n < 0 {
-			n = len(d.backends)
-			d.backends = append(d.backends, &backend{name: e.ID})
+	listed := map[string]bool{}
+	for _, endpoint := range list.Endpoints {
+		listed[endpoint.ID] = true
+		worker := d.backendNamed(endpoint.ID)
+		worker.state = endpoint.State
+		if endpoint.Address != "" {
+			worker.address = endpoint.Address
 		}
-		b := d.backends[n]
-		if e.Address != "" {
-			b.address = e.Address
-		}
-		b.state = e.State
-		if e.StartedAtMillis > 0 {
-			b.startedAt = time.UnixMilli(int64(e.StartedAtMillis))
+		if endpoint.StartedAtMillis > 0 {
+			worker.startedAt = time.UnixMilli(int64(endpoint.StartedAtMillis))
 		}
 	}
-	for _, b := range d.backends {
-		if list.Complete && !seen[b.name] {
-			b.state = protocol.Gone
+	for _, worker := range d.backends {
+		if list.Complete && !listed[worker.name] {
+			worker.state = protocol.Gone
 		}
 	}
 }
+
+// backendNamed returns the worker with a name, which it adds if it is new. The caller holds the lock.
+func (d *dispatcher) backendNamed(name string) *backend {
+	index := slices.IndexFunc(d.backends, func(b *backend) bool { return b.name == name })
+	if index >= 0 {
+		return d.backends[index]
+	}
+	added := &backend{name: name}
+	d.backends = append(d.backends, added)
+	return added
+}
--- a/internal/testbed/baseline/reverse_proxy.go
+++ b/internal/testbed/baseline/reverse_proxy.go
@@ -6,18 +6,18 @@
 	"net/url"
 )
 
-// reverseProxy is the standard library's reverse proxy over the listed workers in turn. It does not retry and passes the
-// workers' lines through unchanged: it serves to compare cost only.
+// reverseProxy returns the standard library's reverse proxy over the listed workers in turn. It does not retry, and passes the
+// workers' lines through unchanged, as it serves to compare cost only.
 func (d *dispatcher) reverseProxy() http.Handler {
-	return &httputil.ReverseProxy{Transport: d.transport, Rewrite: func(config *httputil.ProxyRequest) {
-		b := d.pick(nil)
-		if b == nil {
+	return &httputil.ReverseProxy{Transport: d.transport, Rewrite: func(request *httputil.ProxyRequest) {
+		worker := d.pick(nil)
+		if worker == nil {
 			return
 		}
+		d.release(worker) // nothing in flight is counted
 		d.mu.Lock()
-		b.inFlight--
-		target := &url.URL{Scheme: "http", Host: b.address}
+		target := &url.URL{Scheme: "http", Host: worker.address}
 		d.mu.Unlock()
-		config.SetURL(target)
+		request.SetURL(target)
 	}}
 }
