--- a/internal/testbed/command/command_test.go
+++ b/internal/testbed/command/command_test.go
@@ -20,6 +20,7 @@
 	"github.com/stretchr/testify/assert"
 
 	"canvasroute/internal/daemon"
+	"canvasroute/internal/testbed/baseline"
 	"canvasroute/internal/testbed/experiment"
 	"canvasroute/internal/testbed/history"
 )
@@ -38,8 +39,9 @@
 	os.Exit(m.Run())
 }
 
-// shortExperiment takes three seconds, in which a worker drains and another one starts and warms up.
-const shortExperiment = `name = "short"
+// shortExperiment takes three seconds, in which a worker drains and another one starts and warms up. Its policy and the
+// baseline's fault are to be filled in.
+var shortExperiment = `name = "short"
 [dispatchers]
 count = 2
 policy = %q
@@ -54,27 +56,7 @@
 cores = 2
 queue = 4
 count = 6
-[[operation]]
-name = "safe"
-idempotency = "idempotent"
-objective = "500ms"
-stretch = 2
-timeout = "3s"
-work = "50ms"
-tail = "exponential"
-share = 1
-value = 1
-[[operation]]
-name = "once"
-idempotency = "non-idempotent"
-objective = "500ms"
-stretch = 2
-timeout = "3s"
-work = "50ms"
-tail = "exponential"
-share = 1
-value = 1
-[load]
+` + operationTable("safe", "idempotent", "50ms", "") + operationTable("once", "non-idempotent", "50ms", "") + `[load]
 retries = 1
 [[load.phase]]
 shape = "poisson"
@@ -91,45 +73,63 @@
 workers = 1
 `
 
-func playPolicy(t *testing.T, policy, fault string) *experiment.Result {
+// operationTable returns an operation of an experiment file, with additional keys.
+func operationTable(name, idempotency, work, keys string) string {
+	return fmt.Sprintf(`[[operation]]
+name = %q
+idempotency = %q
+work = %q
+objective = "500ms"
+stretch = 2
+timeout = "3s"
+tail = "exponential"
+share = 1
+value = 1
+%s`, name, idempotency, work, keys)
+}
+
+// runShortExperiment runs shortExperiment. The fault may be "".
+func runShortExperiment(t *testing.T, policy, fault string) *experiment.Result {
 	t.Helper()
-	return playFile(t, fmt.Sprintf(shortExperiment, policy, fault))
+	return runExperiment(t, fmt.Sprintf(shortExperiment, policy, fault))
 }
 
-// scratch returns a folder in memory if possible: the latency of a disk that a dozen parallel experiments write to, up to
-// seconds, is not what they test. Experiments simulate faults of disks themselves.
-func scratch(t *testing.T) string {
+// memoryFolder returns a folder in memory if possible. A disk that a dozen parallel experiments write to may take seconds, which
+// is not what they test: experiments simulate faults of disks themselves.
+func memoryFolder(t *testing.T) string {
 	t.Helper()
-	dir, err := os.MkdirTemp("/dev/shm", "testbed-")
+	folder, err := os.MkdirTemp("/dev/shm", "testbed-")
 	if err != nil {
 		return t.TempDir()
 	}
-	t.Cleanup(func() { _ = os.RemoveAll(dir) })
-	return dir
+	t.Cleanup(func() { _ = os.RemoveAll(folder) })
+	return folder
 }
 
-func playFile(t *testing.T, text string) *experiment.Result {
+// runExperiment runs the text of an experiment file. All of its calls must be over, and no process may have failed.
+func runExperiment(t *testing.T, text string) *experiment.Result {
 	t.Helper()
-	p, err := experiment.Parse("short.toml", []byte(text), func(key experiment.RenamedKey) { t.Error(key) })
+	plan, err := experiment.Parse("short.toml", []byte(text), func(key experiment.RenamedKey) { t.Error(key) })
 	assert.NoError(t, err)
 	self, err := os.Executable()
 	assert.NoError(t, err)
-	r, err := p.Run(context.Background(), 3, experiment.Options{
-		Folder: scratch(t), Programs: experiment.Programs{Dispatcher: self, Self: self},
+	result, err := plan.Run(context.Background(), 3, experiment.Options{
+		Folder:   memoryFolder(t),
+		Programs: experiment.Programs{Dispatcher: self, Self: self},
 	})
 	assert.NoError(t, err)
-	if r == nil {
+	if result == nil {
 		t.FailNow()
 	}
-	assert.Empty(t, r.Failures)
-	assert.EqualValues(t, r.Planned, r.Calls.Total.Calls)
-	return r
+	assert.Empty(t, result.Failures)
+	assert.EqualValues(t, result.Planned, result.Calls.Total.Calls)
+	return result
 }
 
 // violatedRules returns the rules that were violated.
-func violatedRules(r *experiment.Result) (rules []history.Rule) {
+func violatedRules(result *experiment.Result) (rules []history.Rule) {
 	for _, rule := range history.Rules {
-		if r.Rules[string(rule)] > 0 {
+		if result.Rules[string(rule)] > 0 {
 			rules = append(rules, rule)
 		}
 	}
@@ -138,18 +138,19 @@
 
 func TestFaultyBaselinesViolateTheirRule(t *testing.T) {
 	for fault, rule := range map[string]history.Rule{
-		"double-forward": history.RuleNoDoubleEffect,
-		"lost-answer":    history.RuleNoRequestLost, "drain-ignored": history.RuleDrainsRespected,
-		"cold-push": history.RuleWarmupBudget,
+		baseline.FaultRepeatedAttempt:  history.RuleNoDoubleEffect,
+		baseline.FaultLostAnswer:       history.RuleNoRequestLost,
+		baseline.FaultIgnoredDrain:     history.RuleDrainsRespected,
+		baseline.FaultOverloadedWarmup: history.RuleWarmupBudget,
 	} {
 		t.Run(fault, func(t *testing.T) {
 			t.Parallel()
-			r := playPolicy(t, "round-robin", fault)
-			assert.Equal(t, []history.Rule{rule}, violatedRules(r), r.Violations)
-			for _, b := range r.Violations {
-				assert.NotEmpty(t, b.ID, "the request is named")
-				if fault == "double-forward" {
-					assert.Equal(t, "once", b.Operation)
+			result := runShortExperiment(t, baseline.RoundRobin, fault)
+			assert.Equal(t, []history.Rule{rule}, violatedRules(result), result.Violations)
+			for _, violation := range result.Violations {
+				assert.NotEmpty(t, violation.ID, "the request is named")
+				if fault == baseline.FaultRepeatedAttempt {
+					assert.Equal(t, "once", violation.Operation)
 				}
 			}
 		})
@@ -158,12 +159,14 @@
 
 // A sound dispatcher must not be reported.
 func TestSoundDispatchersViolateNoRule(t *testing.T) {
-	for _, policy := range []string{experiment.Canvasroute, "round-robin", "least-outstanding", "random"} {
+	for _, policy := range []string{
+		experiment.Canvasroute, baseline.RoundRobin, baseline.LeastOutstanding, baseline.Random,
+	} {
 		t.Run(policy, func(t *testing.T) {
 			t.Parallel()
-			r := playPolicy(t, policy, "")
-			assert.Empty(t, r.Violations)
-			assert.Greater(t, r.Calls.Total.Answers["succeeded"], r.Calls.Total.Calls*8/10)
+			result := runShortExperiment(t, policy, "")
+			assert.Empty(t, result.Violations)
+			assert.Greater(t, result.Calls.Total.Answers["succeeded"], result.Calls.Total.Calls*8/10)
 		})
 	}
 }
@@ -175,24 +178,25 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			text := fmt.Sprintf(shortExperiment, experiment.Canvasroute, "")
-			r := playFile(t, strings.Replace(text, "count = 2\n", "count = 2\ncores = 3\n"+peers, 1))
-			assert.Empty(t, r.Violations)
-			assert.Greater(t, r.Calls.Total.Answers["succeeded"], r.Calls.Total.Calls*8/10)
+			result := runExperiment(t, strings.Replace(text, "count = 2\n", "count = 2\ncores = 3\n"+peers, 1))
+			assert.Empty(t, result.Violations)
+			assert.Greater(t, result.Calls.Total.Answers["succeeded"], result.Calls.Total.Calls*8/10)
 		})
 	}
 }
 
-// testbed returns a command that runs the program as a process of its own.
-func testbed(t *testing.T, args ...string) (*exec.Cmd, *bytes.Buffer) {
+// testbedCommand returns a command that runs the program as a process of its own, and the buffer for its output.
+func testbedCommand(t *testing.T, args ...string) (cmd *exec.Cmd, output *bytes.Buffer) {
 	t.Helper()
 	self, err := os.Executable()
 	assert.NoError(t, err)
-	out := &bytes.Buffer{}
-	cmd := exec.Command(self, append([]string{"testbed"}, args...)...)
-	cmd.Stdout, cmd.Stderr = out, out
-	return cmd, out
+	output = &bytes.Buffer{}
+	cmd = exec.Command(self, append([]string{"testbed"}, args...)...)
+	cmd.Stdout, cmd.Stderr = output, output
+	return cmd, output
 }
 
+// exitStatus returns the exit code of a process, from the error of its end.
 func exitStatus(t *testing.T, err error) int {
 	t.Helper()
 	var ended *exec.ExitError
@@ -206,73 +210,79 @@
 func TestInterruptLeavesNoProcessAndAReadablePartialResult(t *testing.T) {
 	t.Parallel()
 	folder, self := filepath.Join(t.TempDir(), "out"), os.Args[0]
-	cmd, out := testbed(t, "demo", "-q", "-o", folder, "--dispatcher", self)
+	cmd, output := testbedCommand(t, "demo", "-q", "-o", folder, "--dispatcher", self)
 	assert.NoError(t, cmd.Start())
 	var listen string
 	assert.Eventually(t, func() bool {
 		var config struct{ Listen string }
-		b, err := os.ReadFile(filepath.Join(folder, "d0.json"))
-		if err != nil || json.Unmarshal(b, &config) != nil {
+		text, err := os.ReadFile(filepath.Join(folder, "d0.json"))
+		if err != nil || json.Unmarshal(text, &config) != nil {
 			return false
 		}
-		c, err := net.Dial("tcp", config.Listen)
+		conn, err := net.Dial("tcp", config.Listen)
 		if err == nil {
-			c.Close()
+			conn.Close()
 		}
 		listen = config.Listen
 		return err == nil
 	}, 10*time.Second, 10*time.Millisecond)
 	time.Sleep(1500 * time.Millisecond)
 	assert.NoError(t, cmd.Process.Signal(syscall.SIGINT))
-	assert.Equal(t, exitSignal, exitStatus(t, cmd.Wait()), out)
+	assert.Equal(t, exitSignal, exitStatus(t, cmd.Wait()), output)
 	_, err := net.Dial("tcp", listen)
 	assert.ErrorIs(t, err, syscall.ECONNREFUSED)
-	r, err := experiment.ReadResult(folder)
+	result, err := experiment.ReadResult(folder)
 	assert.NoError(t, err)
-	assert.True(t, r.Partial)
-	assert.Positive(t, r.Calls.Total.Answers["succeeded"])
-	assert.Empty(t, r.Violations)
+	assert.True(t, result.Partial)
+	assert.Positive(t, result.Calls.Total.Answers["succeeded"])
+	assert.Empty(t, result.Violations)
 	assert.FileExists(t, filepath.Join(folder, "report.html"))
 }
 
 func TestExitCodesAndMessages(t *testing.T) {
 	t.Parallel()
 	file := filepath.Join(t.TempDir(), "x.toml")
-	write := func(text string) { assert.NoError(t, os.WriteFile(file, []byte(text), 0o600)) }
 	good := fmt.Sprintf(shortExperiment, experiment.Canvasroute, "")
+	check, run := []string{"check", file}, []string{"run", file}
 	for _, c := range []struct {
-		text, want string
-		args       []string
-		code       int
+		name string
+		text string // of the file
+		args []string
+		want string // in the output
+		code int
 	}{
-		{good, "x.toml: good; ", []string{"check", file}, 0},
-		{strings.Replace(good, "queue", "cue", 1), "x.toml:14: unknown key fleet.kind.cue", []string{"check", file}, 2},
-		{strings.Replace(good, `"500ms"`, `"soon"`, 1), `"soon" is not a time`, []string{"run", file}, 2},
-		{strings.Replace(good, "cores = 2", "cores = 0", 1), "x.toml: fleet.kind[0]", []string{"run", file}, 2},
-		{strings.Replace(good, "workers = 1", "workers = 9", 1), "x.toml: fault[0].workers: 9", []string{"run", file}, 2},
-		{good, "no dispatcher to start", []string{"run", file, "--dispatcher", "/nowhere"}, 2},
-		{good, "unknown flag: --fast", []string{"run", file, "--fast"}, 2},
-		{good, `dispatchers.policy: "best"`, []string{"run", file, "--policy", "best"}, 2},
-		{good, "holds no result", []string{"compare", filepath.Dir(file), filepath.Dir(file)}, 2},
-		{"", "no such file", []string{"check", file + "x"}, 2},
+		{"valid file", good, check, "x.toml: good; ", 0},
+		{"unknown key", strings.Replace(good, "queue", "cue", 1), check, "x.toml:14: unknown key fleet.kind.cue", 2},
+		{"not a duration", strings.Replace(good, `"500ms"`, `"soon"`, 1), run, `"soon" is not a time`, 2},
+		{"worker without a core", strings.Replace(good, "cores = 2", "cores = 0", 1), run, "x.toml: fleet.kind[0]", 2},
+		{"too many workers", strings.Replace(good, "workers = 1", "workers = 9", 1), run, "x.toml: fault[0].workers: 9", 2},
+		{"no dispatcher", good, append(run, "--dispatcher", "/nowhere"), "no dispatcher to start", 2},
+		{"unknown flag", good, append(run, "--fast"), "unknown flag: --fast", 2},
+		{"unknown policy", good, append(run, "--policy", "best"), `dispatchers.policy: "best"`, 2},
+		{"no result", good, []string{"compare", filepath.Dir(file), filepath.Dir(file)}, "holds no result", 2},
+		{"no file", "", []string{"check", file + "x"}, "no such file", 2},
+		{
+			"former key", strings.ReplaceAll(good, "[[fault]]", "[[trouble]]"), check,
+			"testbed: warning: " + file + ":42: key trouble is now called fault: please rename it\n" + file + ": good; ", 0,
+		},
 		{
-			strings.ReplaceAll(good, "[[fault]]", "[[trouble]]"),
-			"testbed: warning: " + file + ":42: key trouble is now called fault: please rename it\n" + file + ": good; ",
-			[]string{"check", file}, 0,
+			"both names of a key", strings.Replace(good, "[[fault]]", "[[trouble]]", 1), run,
+			"trouble, and fault in line 47", 2,
 		},
-		{strings.Replace(good, "[[fault]]", "[[trouble]]", 1), "trouble, and fault in line 47", []string{"run", file}, 2},
 	} {
-		write(c.text)
-		cmd, out := testbed(t, c.args...)
-		assert.Equal(t, c.code, exitStatus(t, cmd.Run()), c.want)
-		assert.Contains(t, out.String(), c.want)
+		t.Run(c.name, func(t *testing.T) {
+			assert.NoError(t, os.WriteFile(file, []byte(c.text), 0o600))
+			cmd, output := testbedCommand(t, c.args...)
+			assert.Equal(t, c.code, exitStatus(t, cmd.Run()), c.want)
+			assert.Contains(t, output.String(), c.want)
+		})
 	}
 }
 
 // The two processes of an upgrade count as one dispatcher. Without an upgrade the testbed also compares the dispatcher's
 // counters with what clients observed.
 func TestOperatorActionsUnderLoadViolateNoRule(t *testing.T) {
-	r := playFile(t, fmt.Sprintf(shortExperiment, "canvasroute", "")+`[[fault]]
+	result := runExperiment(t, fmt.Sprintf(shortExperiment, experiment.Canvasroute, "")+`[[fault]]
 kind = "upgrade"
 at = "500ms"
 gap = "700ms"
@@ -291,57 +301,52 @@
 for = "2s"
 connections = 40
 `)
-	assert.Empty(t, r.Violations)
-	assert.Equal(t, 2, r.Dispatchers[0].Incarnations)
-	assert.Greater(t, float64(r.Calls.Total.Answers["succeeded"]), 0.95*float64(r.Planned))
+	assert.Empty(t, result.Violations)
+	assert.Equal(t, 2, result.Dispatchers[0].Incarnations)
+	assert.Greater(t, float64(result.Calls.Total.Answers["succeeded"]), 0.95*float64(result.Planned))
 }
 
-// If the old process of an upgrade is killed, the new one has the listener and goes on alone.
+// awaitHealth waits until the answer to HEALTH at an admin server begins with a text.
+func awaitHealth(t *testing.T, adminAddr, want string) {
+	t.Helper()
+	assert.Eventually(t, func() bool {
+		conn, err := net.Dial("tcp", adminAddr)
+		if err != nil {
+			return false
+		}
+		defer conn.Close()
+		fmt.Fprintln(conn, "HEALTH")
+		answer, _ := io.ReadAll(conn)
+		return strings.HasPrefix(string(answer), want)
+	}, 5*time.Second, 5*time.Millisecond, want)
+}
+
+// If the old process of an upgrade is killed, the new one has the listener and continues without it.
 func TestNewProcessOfAnUpgradeSurvivesAKilledOldOne(t *testing.T) {
-	dir, self := t.TempDir(), os.Args[0]
-	listen, path := freeAddress(t), filepath.Join(dir, "c.json")
-	assert.NoError(t, os.WriteFile(path, fmt.Appendf(nil, `{"name":"n","listen":%q,"discovery":"127.0.0.1:9",
-"seed":"1",
-"known":{"seq":1,"whole":true,"hosts":[{"host":"w","dial":"127.0.0.1:9","health":"Ready"}]},
-"settings":{"balancers":1,"policyLimits":{"maxForwards":1},
-"operations":[{"name":"a","repeat":"idempotent"}]}}`, listen),
-		0o600))
-	says := func(mgmt, want string) {
-		assert.Eventually(t, func() bool {
-			c, err := net.Dial("tcp", mgmt)
-			if err != nil {
-				return false
-			}
-			defer c.Close()
-			fmt.Fprintln(c, "HEALTH")
-			b, _ := io.ReadAll(c)
-			return strings.HasPrefix(string(b), want)
-		}, 5*time.Second, 5*time.Millisecond, want)
-	}
-	start := func() (cmd *exec.Cmd, mgmt string) {
-		mgmt = freeAddress(t)
-		cmd = exec.Command(self)
-		cmd.Env = append(os.Environ(), "LB_CONFIG="+path, "LB_MGMT="+mgmt, "TMPDIR="+dir)
-		assert.NoError(t, cmd.Start())
-		t.Cleanup(func() { _ = cmd.Process.Kill() })
-		says(mgmt, "done")
-		return cmd, mgmt
+	const sockets = 512
+	dispatcher := newTestDispatcher(t, sockets)
+	start := func() (cmd *exec.Cmd, adminAddr string) {
+		adminAddr = freeAddress(t)
+		dispatcher.start(t, sockets, "LB_MGMT="+adminAddr)
+		awaitHealth(t, adminAddr, "done")
+		return dispatcher.cmd, adminAddr
 	}
-	old, first := start()
-	next, second := start()
-	says(first, "error takes no clients: relieved")
-	assert.NoError(t, old.Process.Kill())
-	_ = old.Wait() // reports that it was killed
+	const relieved = "error takes no clients: relieved"
+	first, firstAdmin := start()
+	second, secondAdmin := start()
+	awaitHealth(t, firstAdmin, relieved)
+	assert.NoError(t, first.Process.Kill())
+	_ = first.Wait() // reports that it was killed
 	for range 20 {
-		a, err := http.Get("http://" + listen + "/_health")
+		answer, err := http.Get("http://" + dispatcher.listen + "/_health")
 		if assert.NoError(t, err) {
-			a.Body.Close()
-			assert.Equal(t, 200, a.StatusCode)
+			answer.Body.Close()
+			assert.Equal(t, 200, answer.StatusCode)
 		}
 	}
 	third, _ := start()
-	says(second, "error takes no clients: relieved")
-	for _, cmd := range []*exec.Cmd{next, third} {
+	awaitHealth(t, secondAdmin, relieved)
+	for _, cmd := range []*exec.Cmd{second, third} {
 		assert.NoError(t, cmd.Process.Signal(syscall.SIGTERM))
 		assert.NoError(t, cmd.Wait())
 	}
