--- a/internal/testbed/experiment/admin_client.go
+++ b/internal/testbed/experiment/admin_client.go
@@ -24,7 +24,7 @@
 // answerDone is the admin server's answer to a successful command, and to HEALTH while clients are accepted.
 const answerDone = "done\n"
 
-// callAdmin sends one command to an admin server and returns the whole answer.
+// callAdmin sends one command to an admin server and returns the complete answer.
 func callAdmin(addr string, command adminCommand) (string, error) {
 	conn, err := net.DialTimeout("tcp", addr, adminTimeout)
 	if err != nil {
--- a/internal/testbed/experiment/recovery.go
+++ b/internal/testbed/experiment/recovery.go
@@ -88,7 +88,7 @@
 // returningWorkers returns the workers, with the time at which the last restart of each by a fault is due.
 func (p *Plan) returningWorkers(timeline *fault.Timeline, index int) (workers []metrics.ReturningWorker) {
 	for n, place := range p.placeWorkers() {
-		returning := metrics.ReturningWorker{Cores: p.Fleet.Kinds[place.kind].Cores, BackAt: metrics.KeptPower}
+		returning := metrics.ReturningWorker{Cores: p.Fleet.Kinds[place.kind].Cores, BackAt: metrics.NoPowerLoss}
 		for _, action := range timeline.Actions {
 			restarts := action.Fault == index && action.Kind == fault.WorkerRestart
 			if restarts && slices.Contains(action.Targets, n) {
--- a/internal/testbed/experiment/result.go
+++ b/internal/testbed/experiment/result.go
@@ -117,7 +117,7 @@
 	result.Recoveries = p.recoveries(result, timeline, schedule)
 	result.Phases = readPhases(env)
 	if env.peers != nil {
-		result.Peers = map[string]int{"carried": env.peers.Carried, "discarded": env.peers.Discarded}
+		result.Peers = map[string]int{"carried": env.peers.Forwarded, "discarded": env.peers.Discarded}
 	}
 	return result
 }
--- a/internal/testbed/history/history.go
+++ b/internal/testbed/history/history.go
@@ -122,7 +122,7 @@
 // New returns an empty record.
 func New() *Log { return &Log{byID: map[string]*Request{}} }
 
-// RequestOpened records a client's request before its first byte is sent. The client gives up at the deadline.
+// RequestOpened records a client's request before its first byte is sent. The client's timeout expires at the deadline.
 func (l *Log) RequestOpened(id string, operation, dispatcher int, deadline time.Duration) *Request {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/testbed/loadgen/loadgen.go
+++ b/internal/testbed/loadgen/loadgen.go
@@ -193,14 +193,14 @@
 }
 
 const (
-	usualRequestBytes = 512 // size of a usual request
-	deadlineDecimals  = 3   // of the seconds in Req-Deadline
+	typicalRequestBytes = 512 // size of a typical request
+	deadlineDecimals    = 3   // of the seconds in Req-Deadline
 )
 
 // encodeRequest returns the request as sent. The body is a worker.Task.
 func (g *Generator) encodeRequest(id string, arrival workload.Arrival, operation *workload.Operation, markedRetry bool) []byte {
 	body := fmt.Appendf(nil, `{"operation":%d,"work_us":%d}`, arrival.Operation, arrival.Work.Microseconds())
-	b := make([]byte, 0, usualRequestBytes)
+	b := make([]byte, 0, typicalRequestBytes)
 	b = append(b, "POST /api HTTP/1.1\r\nHost: origin.svc\r\nReq-Id: "...)
 	b = append(append(append(b, id...), "\r\nReq-Kind: "...), operation.Name...)
 	b = append(b, "\r\nReq-Deadline: "...)
@@ -274,7 +274,7 @@
 	return answer{outcome: history.Broken}, nil
 }
 
-// readAnswer reads a whole answer, and sets whether the connection is reusable.
+// readAnswer reads a complete answer, and sets whether the connection is reusable.
 func (c *conn) readAnswer() (answer, error) {
 	response, err := http.ReadResponse(c.reader, nil)
 	if err != nil {
--- a/internal/testbed/metrics/recovery.go
+++ b/internal/testbed/metrics/recovery.go
@@ -9,11 +9,11 @@
 // ReturningWorker is a worker that may have lost power.
 type ReturningWorker struct {
 	Cores  int
-	BackAt time.Duration // when it starts again, or KeptPower
+	BackAt time.Duration // when it starts again, or NoPowerLoss
 }
 
-// KeptPower is the ReturningWorker.BackAt of a worker that did not lose power.
-const KeptPower time.Duration = -1
+// NoPowerLoss is the ReturningWorker.BackAt of a worker that did not lose power.
+const NoPowerLoss time.Duration = -1
 
 // OfferedCall is a planned call and what it can earn.
 type OfferedCall struct {
@@ -60,7 +60,7 @@
 // warmupFactor returns the share of its capacity that a worker has at a time.
 func (w ReturningWorker) warmupFactor(warmup worker.Warmup, at time.Duration) float64 {
 	switch {
-	case w.BackAt == KeptPower || warmup.Duration <= 0:
+	case w.BackAt == NoPowerLoss || warmup.Duration <= 0:
 		return 1
 	case at < w.BackAt:
 		return 0
--- a/internal/testbed/network/network.go
+++ b/internal/testbed/network/network.go
@@ -47,7 +47,7 @@
 	partitions map[direction]int // number of faults that cut a direction
 	rng        *rand.Rand
 	conditions Conditions
-	Carried    int // number of datagrams; to be read once Run has returned
+	Forwarded  int // number of datagrams; to be read once Run has returned
 	Discarded  int // number of datagrams; to be read once Run has returned
 }
 
@@ -189,7 +189,7 @@
 		n.Discarded++
 		return fate{}
 	}
-	n.Carried++
+	n.Forwarded++
 	delay := n.conditions.Delay + time.Duration(jitterDraw*float64(n.conditions.Jitter))
 	duplicateDelay := time.Duration(0)
 	if n.conditions.DuplicateShare > 0 && n.rng.Float64() < n.conditions.DuplicateShare {
--- a/internal/testbed/network/network_test.go
+++ b/internal/testbed/network/network_test.go
@@ -60,7 +60,7 @@
 	assert.Equal(t, "healed", text)
 	cancel()
 	assert.NoError(t, <-done)
-	assert.Equal(t, []int{2, 2}, []int{n.Carried, n.Discarded})
+	assert.Equal(t, []int{2, 2}, []int{n.Forwarded, n.Discarded})
 }
 
 func TestLossIsDeterministicForASeed(t *testing.T) {
--- a/internal/testbed/unit/unit.go
+++ b/internal/testbed/unit/unit.go
@@ -12,44 +12,44 @@
 type Duration time.Duration
 
 // UnmarshalText parses a duration. The error quotes the text.
-func (s *Duration) UnmarshalText(b []byte) error {
-	d, err := time.ParseDuration(string(b))
-	if err != nil || d < 0 {
-		return fmt.Errorf("%q is not a time such as \"250ms\" or \"1m30s\"", b)
+func (d *Duration) UnmarshalText(text []byte) error {
+	parsed, err := time.ParseDuration(string(text))
+	if err != nil || parsed < 0 {
+		return fmt.Errorf("%q is not a time such as \"250ms\" or \"1m30s\"", text)
 	}
-	*s = Duration(d)
+	*d = Duration(parsed)
 	return nil
 }
 
 // MarshalText writes the duration in the form that UnmarshalText reads.
-func (s Duration) MarshalText() ([]byte, error) { return []byte(time.Duration(s).String()), nil }
+func (d Duration) MarshalText() ([]byte, error) { return []byte(time.Duration(d).String()), nil }
 
 // Std returns the duration as a time.Duration.
-func (s Duration) Std() time.Duration { return time.Duration(s) }
+func (d Duration) Std() time.Duration { return time.Duration(d) }
 
 // SignedDuration is a time.Duration that may be negative, written like a Duration with an optional sign.
 type SignedDuration time.Duration
 
 // UnmarshalText parses a signed duration. The error quotes the text.
-func (s *SignedDuration) UnmarshalText(b []byte) error {
-	d, err := time.ParseDuration(string(b))
+func (d *SignedDuration) UnmarshalText(text []byte) error {
+	parsed, err := time.ParseDuration(string(text))
 	if err != nil {
-		return fmt.Errorf("%q is not a time such as \"-1h\" or \"90s\"", b)
+		return fmt.Errorf("%q is not a time such as \"-1h\" or \"90s\"", text)
 	}
-	*s = SignedDuration(d)
+	*d = SignedDuration(parsed)
 	return nil
 }
 
 // MarshalText writes the signed duration in the form that UnmarshalText reads.
-func (s SignedDuration) MarshalText() ([]byte, error) { return []byte(time.Duration(s).String()), nil }
+func (d SignedDuration) MarshalText() ([]byte, error) { return []byte(time.Duration(d).String()), nil }
 
 // Std returns the signed duration as a time.Duration.
-func (s SignedDuration) Std() time.Duration { return time.Duration(s) }
+func (d SignedDuration) Std() time.Duration { return time.Duration(d) }
 
 // RandomStream returns a random number generator (PCG) seeded by a seed and a stream name. Each use has a stream of
 // its own, so that more draws from one do not change the values of another.
 func RandomStream(seed uint64, stream string) *rand.Rand {
-	h := fnv.New64a()
-	h.Write([]byte(stream))
-	return rand.New(rand.NewPCG(seed, h.Sum64()))
+	hash := fnv.New64a()
+	hash.Write([]byte(stream))
+	return rand.New(rand.NewPCG(seed, hash.Sum64()))
 }
--- a/internal/testbed/worker/exchange.go
+++ b/internal/testbed/worker/exchange.go
@@ -22,9 +22,9 @@
 
 // Sizes of messages, in bytes.
 const (
-	maxTaskBytes     = 64 << 10 // of the body of a request
-	usualAnswerBytes = 512      // of an answer in chunks
-	hexadecimal      = 16       // base of the length of a chunk
+	maxTaskBytes       = 64 << 10 // of the body of a request
+	typicalAnswerBytes = 512      // of an answer in chunks
+	hexadecimal        = 16       // base of the length of a chunk
 )
 
 // Paths of the workers' protocol.
@@ -215,7 +215,7 @@
 	}()
 	c.watch()
 	next := c.next
-	out := append(make([]byte, 0, usualAnswerBytes), responseHead...)
+	out := append(make([]byte, 0, typicalAnswerBytes), responseHead...)
 	for {
 		select {
 		case l := <-accepted.lines: // lines that are ready are written together
--- a/internal/testbed/worker/server_faults.go
+++ b/internal/testbed/worker/server_faults.go
@@ -83,7 +83,7 @@
 	}
 }
 
-// Partition cuts the process, if one runs, off the network until Heal. It works, but open connections carry nothing and new
+// Partition cuts the process, if one runs, off the network until Heal. It works, but nothing passes on open connections and new
 // ones are not established.
 func (s *Server) Partition() {
 	s.mu.Lock()
--- a/internal/testbed/worker/server_test.go
+++ b/internal/testbed/worker/server_test.go
@@ -56,7 +56,7 @@
 	assert.NoError(c.t, err)
 }
 
-// read reads a whole answer.
+// read reads a complete answer.
 func (c *client) read() (status int, body string, err error) {
 	response, err := http.ReadResponse(c.reader, nil)
 	if err != nil {
