--- a/internal/testbed/experiment/recovery.go
+++ b/internal/testbed/experiment/recovery.go
@@ -53,7 +53,7 @@
 func (p *Plan) recoveries(r *Result, timeline *fault.Timeline, schedule []workload.Arrival) (all []metrics.Recovery) {
 	calls := p.offeredCalls(schedule)
 	for index, mark := range timeline.Marks {
-		if p.Faults[index].Kind != "power-loss" {
+		if p.Faults[index].Kind != fault.KindPowerLoss {
 			continue
 		}
 		loss := metrics.PowerLoss{
--- a/internal/testbed/fault/planner.go
+++ b/internal/testbed/fault/planner.go
@@ -27,6 +27,9 @@
 	plan         func(*planner) (description string) // adds the actions, and describes the fault for reports
 }
 
+// KindPowerLoss is the kind of a fault for which experiments measure the recovery.
+const KindPowerLoss = "power-loss"
+
 // kinds are the kinds of faults by name.
 var kinds = map[string]faultKind{
 	"crash":       {[]string{"workers"}, (*planner).crash},
@@ -63,7 +66,7 @@
 	"piecemeal-clients": {[]string{"connections", "for"}, misbehavingClients("%d slow clients", ClientsTrickle)},
 	"link-cut":          {[]string{"dispatchers", "for", "way"}, (*planner).linkCut},
 	"link-loss":         {[]string{"share", "for"}, serviceDuring("link loses messages", LinkLoss, LinkRecover)},
-	"power-loss":        {[]string{"restore-after", "disk", "never-restored"}, (*planner).powerLoss},
+	KindPowerLoss:       {[]string{"restore-after", "disk", "never-restored"}, (*planner).powerLoss},
 }
 
 func (p *planner) start() time.Duration { return p.spec.At.Std() }
@@ -72,7 +75,12 @@
 // add adds an action. The value's meaning depends on the kind; 0 means that the kind has none.
 func (p *planner) add(at time.Duration, kind ActionKind, targets []int, value float64) {
 	p.timeline.Actions = append(p.timeline.Actions, Action{
-		At: at, Kind: kind, Targets: targets, Value: value, Fault: p.index, Duration: p.spec.Lag.Std(),
+		At:       at,
+		Kind:     kind,
+		Targets:  targets,
+		Value:    value,
+		Duration: p.spec.Lag.Std(), // of a ListLag; other kinds that are added here have none
+		Fault:    p.index,
 	})
 }
 
--- a/internal/testbed/fault/spec.go
+++ b/internal/testbed/fault/spec.go
@@ -35,7 +35,7 @@
 	Spread              unit.Duration       `toml:"spread"`
 	NeverRestored       int                 `toml:"never-restored"` // number of dispatchers that stay without power
 	Times               int                 `toml:"times"`          // number of losses, Every apart; 0 means 1
-	Disk                string              `toml:"disk"`           // state of the dispatchers' disks afterwards, see DiskStates; "" means DiskIntact
+	Disk                string              `toml:"disk"`           // of the dispatchers afterwards, see DiskStates; "" means DiskIntact
 	Clock               unit.SignedDuration `toml:"clock"`          // jump of the clock of one dispatcher, drawn at random; 0: none
 
 	// link-cut: what is cut at the dispatchers affected: receiving ("hear"), sending ("heard"), or both if empty.
@@ -97,7 +97,14 @@
 
 // validateDuration checks that a kind's required duration is given.
 func (s Spec) validateDuration(key string) error {
-	value := map[string]unit.Duration{"for": s.For, "every": s.Every, "width": s.Width, "lag": s.Lag, "restore-after": s.RestoreAfter}[key]
+	durations := map[string]unit.Duration{
+		"for":           s.For,
+		"every":         s.Every,
+		"width":         s.Width,
+		"lag":           s.Lag,
+		"restore-after": s.RestoreAfter,
+	}
+	value := durations[key]
 	if value <= 0 {
 		return fmt.Errorf("%s: must be greater than 0 for %s", key, s.Kind)
 	}
--- a/internal/testbed/loadgen/loadgen.go
+++ b/internal/testbed/loadgen/loadgen.go
@@ -229,7 +229,9 @@
 type connector func(ctx context.Context, dispatcher int) (*conn, error)
 
 // exchange sends a message on a connection and returns its answer. The error is errIdleConnEnded or nil.
-func (g *Generator) exchange(ctx context.Context, request *history.Request, dispatcher int, message []byte, connect connector) (answer, error) {
+func (g *Generator) exchange(ctx context.Context, request *history.Request, dispatcher int, message []byte,
+	connect connector,
+) (answer, error) {
 	c, err := connect(ctx, dispatcher)
 	if err != nil {
 		if ctx.Err() != nil {
--- a/internal/testbed/metrics/recovery.go
+++ b/internal/testbed/metrics/recovery.go
@@ -37,12 +37,17 @@
 
 // Recovery is how a fleet recovered from a loss of power. Times are in seconds.
 type Recovery struct {
-	LostAt               float64 `json:"lost_s"`
-	LastWorkerBackAt     float64 `json:"last_worker_back_s"`
-	ShareBefore          float64 `json:"share_before"`  // earned of the offered value before the loss
-	UntilRecovered       float64 `json:"until_90_s"`    // from the last worker's return until recoveredShare of ShareBefore is earned again, or neverRecovered
-	UntilRecoveredAtBest float64 `json:"until_best_s"`  // the same for bestValueShare
-	RatioToBest          float64 `json:"until_to_best"` // UntilRecovered to UntilRecoveredAtBest, each plus one slot; 0 if either is never
+	LostAt           float64 `json:"lost_s"`
+	LastWorkerBackAt float64 `json:"last_worker_back_s"`
+	ShareBefore      float64 `json:"share_before"` // earned of the offered value before the loss
+
+	// UntilRecovered is the time from the last worker's return until recoveredShare of ShareBefore is earned again, or
+	// neverRecovered. UntilRecoveredAtBest is the same for bestValueShare.
+	UntilRecovered       float64 `json:"until_90_s"`
+	UntilRecoveredAtBest float64 `json:"until_best_s"`
+
+	// RatioToBest is UntilRecovered to UntilRecoveredAtBest, each plus one slot. It is 0 if either is neverRecovered.
+	RatioToBest float64 `json:"until_to_best"`
 }
 
 // neverRecovered is the Recovery.UntilRecovered of a fleet that did not recover within the run.
--- a/internal/testbed/worker/machine.go
+++ b/internal/testbed/worker/machine.go
@@ -76,8 +76,8 @@
 	Result string
 }
 
-// runningJob is a job that waits or runs.
-type runningJob struct {
+// acceptedJob is a job that waits or runs, and its progress.
+type acceptedJob struct {
 	Job
 	remaining    time.Duration // work left
 	halfReported bool          // Halfway has been reported
@@ -92,9 +92,9 @@
 	startedAt       time.Duration // so long ago that it is warm, for a worker that starts warm
 	speed           float64       // factor of the normal speed; 0 while paused
 	draining        bool
-	running         []*runningJob // at most one a core
-	queue           []*runningJob
-	waitingForFirst []*runningJob          // for a job under the same key that runs elsewhere
+	running         []*acceptedJob // at most one a core
+	queue           []*acceptedJob
+	waitingForFirst []*acceptedJob          // for a job under the same key that runs elsewhere
 	recent          []recentJob            // sent within the overload span, while warming up
 	result          func(id string) string // returns the result of a job
 }
@@ -228,7 +228,7 @@
 		result.Verdict = Declined
 		return result
 	}
-	m.queue = append(m.queue, &runningJob{Job: job, remaining: job.Work})
+	m.queue = append(m.queue, &acceptedJob{Job: job, remaining: job.Work})
 	result.Verdict = Accepted
 	result.Events = m.startQueued(result.Events)
 	return result
@@ -247,7 +247,7 @@
 // Cancel removes a job. Its work is lost, and another job under its key may run.
 func (m *Machine) Cancel(now time.Duration, id string) []Event {
 	events := m.Advance(now)
-	isCancelled := func(job *runningJob) bool { return job.ID == id }
+	isCancelled := func(job *acceptedJob) bool { return job.ID == id }
 	for _, job := range m.running {
 		if isCancelled(job) {
 			job.releaseKey()
@@ -270,7 +270,7 @@
 }
 
 // releaseKey lets another job under the same key run, if the job has one.
-func (j *runningJob) releaseKey() {
+func (j *acceptedJob) releaseKey() {
 	if j.Group != nil {
 		j.Group.release(j.Key, j.ID)
 	}
@@ -297,7 +297,7 @@
 }
 
 // workUntilEvent returns the work left until the job's next event.
-func (j *runningJob) workUntilEvent() time.Duration {
+func (j *acceptedJob) workUntilEvent() time.Duration {
 	if half := j.remaining - j.Work/2; !j.halfReported && half > 0 {
 		return half
 	}
@@ -308,7 +308,7 @@
 const roundingError = time.Microsecond
 
 // finished reports whether the job's work is done.
-func (j *runningJob) finished() bool { return j.remaining <= roundingError }
+func (j *acceptedJob) finished() bool { return j.remaining <= roundingError }
 
 // step does the work up to a time that is not after the next event.
 func (m *Machine) step(at time.Duration, events []Event) []Event {
@@ -328,7 +328,7 @@
 			events = append(events, Event{ID: job.ID, Kind: Finished, Result: result})
 		}
 	}
-	m.running = slices.DeleteFunc(m.running, (*runningJob).finished)
+	m.running = slices.DeleteFunc(m.running, (*acceptedJob).finished)
 	return m.startQueued(events)
 }
 
@@ -351,7 +351,7 @@
 }
 
 // start starts a job on a core, unless another job under its key runs or has run.
-func (m *Machine) start(job *runningJob, events []Event) []Event {
+func (m *Machine) start(job *acceptedJob, events []Event) []Event {
 	if job.Group != nil {
 		switch result, state := job.Group.start(job.Key, job.ID, m.now); state {
 		case keyRunning:
