--- a/internal/testbed/worker/machine.go
+++ b/internal/testbed/worker/machine.go
@@ -94,7 +94,7 @@
 	draining        bool
 	running         []*acceptedJob // at most one a core
 	queue           []*acceptedJob
-	waitingForFirst []*acceptedJob          // for a job under the same key that runs elsewhere
+	waitingForFirst []*acceptedJob         // for a job under the same key that runs elsewhere
 	recent          []recentJob            // sent within the overload span, while warming up
 	result          func(id string) string // returns the result of a job
 }
