--- /dev/null
+++ b/internal/settings/check.go
@@ -0,0 +1,57 @@
+package settings
+
+import (
+	"fmt"
+	"strings"
+
+	"github.com/valyala/fastjson"
+)
+
+// nonNegativeSettings are the paths of the numbers that must not be negative.
+var nonNegativeSettings = [][]string{
+	{keyGranularity},
+	{keyPolicyLimits, keyMaxRetryAfter},
+	{keyRules, keyMaxPollInterval},
+	{keyRules, keyWarmupDuration},
+	{keyRules, keyDrainGrace},
+	{keyRules, keyWarmupWindow},
+	{keyRules, keyInitialWarmup},
+}
+
+// nonNegativeOperationSettings are the keys of an operation whose numbers must not be negative.
+var nonNegativeOperationSettings = []string{keyLatencyObjective, keyClientTimeout, keyDedupWindow}
+
+// check returns a *KeyError for the first value that no dispatcher can work with, nil where there is none.
+func check(v *fastjson.Value) error {
+	if len(v.GetArray(keyOperations)) == 0 {
+		return reject(keyOperations, "there must be at least one")
+	}
+	dispatchers := v.GetInt(keyDispatchers)
+	if dispatchers < 1 {
+		return reject(keyDispatchers, fmt.Sprintf("%d, must be at least 1", dispatchers))
+	}
+	if position := v.GetInt(keyPosition); position < 0 || position >= dispatchers {
+		return reject(keyPosition, fmt.Sprintf("%d, must be from 0 to %d, as there are %d balancers", position,
+			dispatchers-1, dispatchers))
+	}
+	for _, path := range nonNegativeSettings {
+		if err := checkNotNegative(v.GetFloat64(path...), strings.Join(path, ".")); err != nil {
+			return err
+		}
+	}
+	for n, operation := range v.GetArray(keyOperations) {
+		for _, key := range nonNegativeOperationSettings {
+			if err := checkNotNegative(operation.GetFloat64(key), operationPath(n, key)); err != nil {
+				return err
+			}
+		}
+	}
+	return nil
+}
+
+func checkNotNegative(value float64, path string) error {
+	if value < 0 {
+		return reject(path, fmt.Sprintf("%v, must not be negative", value))
+	}
+	return nil
+}
--- a/internal/settings/operations.go
+++ b/internal/settings/operations.go
@@ -2,34 +2,36 @@
 
 import (
 	"fmt"
+	"slices"
+	"strings"
 
 	"github.com/valyala/fastjson"
 
 	"canvasroute/internal/balancer"
 )
 
-// idempotencies are the values of an operation's repeat.
 var idempotencies = map[string]balancer.Idempotency{
-	"idempotent":   balancer.Idempotent,
-	"deduplicated": balancer.IdempotentByKey,
-	"at_most_once": balancer.NonIdempotent,
+	wordIdempotent:      balancer.Idempotent,
+	wordIdempotentByKey: balancer.IdempotentByKey,
+	wordNonIdempotent:   balancer.NonIdempotent,
 }
 
-// dedupScopes are the values of an operation's dedupScope, which may be left out.
+// dedupScopes has "" for an operation whose scope is left out.
 var dedupScopes = map[string]balancer.DedupScope{
-	"":     balancer.ScopeAll,
-	"all":  balancer.ScopeAll,
-	"zone": balancer.ScopeZone,
-	"cell": balancer.ScopeCell,
+	"":            balancer.ScopeAll,
+	wordScopeAll:  balancer.ScopeAll,
+	wordScopeZone: balancer.ScopeZone,
+	wordScopeCell: balancer.ScopeCell,
 }
 
-func operationKey(n int, key string) string { return fmt.Sprintf("operations[%d].%s", n, key) }
+// operationPath returns the path of a key of the n-th operation, as it stands in errors.
+func operationPath(n int, key string) string { return fmt.Sprintf("%s[%d].%s", keyOperations, n, key) }
 
-// parseOperations reads the operations. info has what is known of them besides, in lists in the same order.
-func parseOperations(list []*fastjson.Value, info *fastjson.Value) ([]balancer.OperationConfig, error) {
+// parseOperations reads the operations. workload, which may be nil, has lists of further values in the same order.
+func parseOperations(list []*fastjson.Value, workload *fastjson.Value) ([]balancer.OperationConfig, error) {
 	var operations []balancer.OperationConfig
 	for n, v := range list {
-		operation, err := parseOperation(n, v, info)
+		operation, err := parseOperation(n, v, workload)
 		if err != nil {
 			return nil, err
 		}
@@ -38,37 +40,58 @@
 	return operations, nil
 }
 
-func parseOperation(n int, v, info *fastjson.Value) (balancer.OperationConfig, error) {
-	repeat := string(v.GetStringBytes("repeat"))
-	idempotency, known := idempotencies[repeat]
-	if !known {
-		return balancer.OperationConfig{}, reject(operationKey(n, "repeat"),
-			fmt.Sprintf("%q, must be one of %s", repeat, words(idempotencies)))
+// parseOperation reads the n-th operation. Its own stretch of the latency objective precedes that of the workload; its
+// attempts may go to any kind of worker where the workload names none.
+func parseOperation(n int, v, workload *fastjson.Value) (balancer.OperationConfig, error) {
+	idempotency, err := parseChoice(n, v, keyIdempotency, idempotencies)
+	if err != nil {
+		return balancer.OperationConfig{}, err
 	}
-	scopeWord := string(v.GetStringBytes("dedupScope"))
-	scope, known := dedupScopes[scopeWord]
-	if !known {
-		return balancer.OperationConfig{}, reject(operationKey(n, "dedupScope"),
-			fmt.Sprintf("%q, must be one of %s", scopeWord, words(dedupScopes)))
+	scope, err := parseChoice(n, v, keyDedupScope, dedupScopes)
+	if err != nil {
+		return balancer.OperationConfig{}, err
 	}
 	operation := balancer.OperationConfig{
-		Name:             string(v.GetStringBytes("name")),
-		LatencyObjective: DurationOf(v.GetFloat64("latencyObjectiveS")),
-		DedupWindow:      DurationOf(v.GetFloat64("dedupWindowS")),
-		Value:            v.GetFloat64("billedValue"),
-		LateShare:        v.GetFloat64("tardyBilledValue"),
+		Name:             string(v.GetStringBytes(keyName)),
+		LatencyObjective: DurationOf(v.GetFloat64(keyLatencyObjective)),
+		DedupWindow:      DurationOf(v.GetFloat64(keyDedupWindow)),
+		Value:            v.GetFloat64(keyValue),
+		LateShare:        v.GetFloat64(keyLateShare),
 		Idempotency:      idempotency,
 		DedupScope:       scope,
 		Kind:             balancer.AnyKind,
 	}
-	if stretches := info.GetArray("classStretch"); n < len(stretches) {
+	if stretches := workload.GetArray(keyOperationStretch); n < len(stretches) {
 		operation.Stretch = stretches[n].GetFloat64()
 	}
-	if v.Exists("aimStretch") {
-		operation.Stretch = v.GetFloat64("aimStretch")
+	if v.Exists(keyStretch) {
+		operation.Stretch = v.GetFloat64(keyStretch)
 	}
-	if kinds := info.GetArray("classKind"); n < len(kinds) {
+	if kinds := workload.GetArray(keyOperationKind); n < len(kinds) {
 		operation.Kind = balancer.KindID(kinds[n].GetInt())
 	}
 	return operation, nil
 }
+
+// parseChoice reads a key of the n-th operation whose value is one of several words. The error is a *KeyError that names
+// them.
+func parseChoice[T any](n int, operation *fastjson.Value, key string, choices map[string]T) (T, error) {
+	word := string(operation.GetStringBytes(key))
+	choice, known := choices[word]
+	if !known {
+		return choice, reject(operationPath(n, key), fmt.Sprintf("%q, must be one of %s", word, listWords(choices)))
+	}
+	return choice, nil
+}
+
+// listWords returns the words of the choices in alphabetical order, without "", which stands for a key that is left out.
+func listWords[T any](choices map[string]T) string {
+	var words []string
+	for word := range choices {
+		if word != "" {
+			words = append(words, word)
+		}
+	}
+	slices.Sort(words)
+	return strings.Join(words, ", ")
+}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,193 +1,152 @@
-// Package settings reads the platform's settings, which every dispatcher is given at its start, as the balancer's
-// configuration. The simulator's adapter and the dispatcher on sockets both read them here. It checks and defaults what
-// the balancer uses, and nothing else: keys that it does not know are ignored, and what only the dispatcher on sockets
-// needs is read by package daemon.
+// Package settings reads the platform's settings, which every dispatcher gets at its start, as the balancer's
+// configuration. Both the dispatcher on sockets and the simulator's adapter use it. It checks the values that the
+// balancer needs and sets their defaults. Unknown keys are ignored; package daemon reads the keys that only the
+// dispatcher on sockets needs.
+//
+// wire_names.go maps the platform's keys and words to the terms of this code.
 package settings
 
 import (
-	"fmt"
 	"math"
-	"slices"
-	"strings"
 
 	"github.com/valyala/fastjson"
 
 	"canvasroute/internal/balancer"
 )
 
-// Sizes of messages between dispatchers, in bytes.
+// Sizes of gossip messages, in bytes.
 const (
-	MinPricedMessage = 16  // a message of up to so many has the same price, as measured
-	MaxMessageBytes  = 256 // the longest message
+	MaxMessageBytes       = 256 // of the longest message; the platform's price is that of one
+	minPricedMessageBytes = 16  // a shorter message has the price of one of this size
 )
 
-// roundingSlack makes up for a product of floats that falls just short of a whole number of ticks.
+// roundingSlack, in ticks of the balancer's clock, makes up for a product of floats that falls just short of a whole
+// number of ticks.
 const roundingSlack = 1e-6
 
-// TimeOf is a moment in seconds as the balancer's time, rounded to the nearest tick.
+// minObjectiveWeight keeps the relative weight of the worst operation finite where the other weights of the objective
+// function are 0 or left out.
+const minObjectiveWeight = 0.01
+
+// TimeOf returns a moment in seconds as the balancer's time, rounded to the nearest tick.
 func TimeOf(seconds float64) balancer.Time {
 	return balancer.Time(math.Round(seconds * balancer.Second))
 }
 
-// DurationOf is a duration in seconds as the balancer's time. It is rounded down, so that nothing is taken to last longer
-// than it does.
+// DurationOf returns a span in seconds as the balancer's. It is rounded down, as a timeout must not be taken for a longer
+// one.
 func DurationOf(seconds float64) balancer.Duration {
 	return balancer.Duration(math.Floor(seconds*balancer.Second + roundingSlack))
 }
 
-// Parse reads the settings. It fails with ErrNotObject, or with a *KeyError for settings that no dispatcher can work
-// with.
+// Parse returns the balancer's configuration for the platform's settings. The error is ErrNotObject, or a *KeyError for
+// the first value that no dispatcher can work with.
 func Parse(v *fastjson.Value) (balancer.Config, error) {
 	if v == nil || v.Type() != fastjson.TypeObject {
 		return balancer.Config{}, ErrNotObject
 	}
-	operations, err := parseOperations(v.GetArray("operations"), v.Get("familyInfo"))
+	operations, err := parseOperations(v.GetArray(keyOperations), v.Get(keyWorkload))
 	if err != nil {
 		return balancer.Config{}, err
 	}
 	if err := check(v); err != nil {
 		return balancer.Config{}, err
 	}
-	c := balancer.Config{Operations: operations, Tenants: parseTenants(v.GetArray("orgs"))}
+	c := balancer.Config{Operations: operations, Tenants: parseTenants(v.GetArray(keyTenants))}
 	parseTopology(&c, v)
-	parseValue(&c, v)
-	parsePolicyLimits(&c, v.Get("policyLimits"))
-	parseRules(&c, v.Get("rules"))
-	parseLoadReports(&c, v.Get("report"), v.Get("familyInfo"))
+	parseObjective(&c, v)
+	parsePolicyLimits(&c, v.Get(keyPolicyLimits))
+	parseRules(&c, v.Get(keyRules))
+	parseLoadReports(&c, v.Get(keyLoadReport), v.Get(keyWorkload))
 	return c, nil
 }
 
-// parseTopology reads who there is, and how the worker list comes.
+// parseTopology reads the number of dispatchers and this one's place among them, the kinds of workers, and how endpoint
+// lists come. Settings that name no kinds have one.
 func parseTopology(c *balancer.Config, v *fastjson.Value) {
-	c.Dispatchers = v.GetInt("balancers")
-	c.Position = v.GetInt("position")
-	c.Zone = balancer.ZoneID(v.GetInt("zone"))
-	c.Kinds = max(len(v.GetArray("shapes")), 1)
-	c.Granularity = DurationOf(v.GetFloat64("granularityS"))
-	c.PollEndpoints = string(v.GetStringBytes("registryMode")) == "subscribe"
+	c.Dispatchers = v.GetInt(keyDispatchers)
+	c.Position = v.GetInt(keyPosition)
+	c.Zone = balancer.ZoneID(v.GetInt(keyZone))
+	c.Kinds = max(len(v.GetArray(keyKinds)), 1)
+	c.Granularity = DurationOf(v.GetFloat64(keyGranularity))
+	c.PollEndpoints = string(v.GetStringBytes(keyDiscoveryMode)) == wordPolledDiscovery
 }
 
-// parseValue reads what requests are worth and what messages cost.
-func parseValue(c *balancer.Config, v *fastjson.Value) {
-	const minGoal = 0.01 // keeps the weight finite where the settings have no goal
-	goal := v.GetFloat64("goal", "whole") + v.GetFloat64("goal", "worstWindow")
-	c.WorstOperationWeight = v.GetFloat64("goal", "worstClass") / max(goal, minGoal)
-	c.OverQuotaShare = v.GetFloat64("surplusBilledValue")
-	c.GossipCost = v.GetFloat64("prices", "peer") * MinPricedMessage / MaxMessageBytes
-	c.CrossZoneCost = v.GetFloat64("prices", "crossZone")
-	if string(v.GetStringBytes("billedValueBasis")) != "work" {
+// parseObjective reads the value of requests and the prices of messages. Value is counted by request unless the settings
+// say that it is counted by work.
+func parseObjective(c *balancer.Config, v *fastjson.Value) {
+	otherWeights := v.GetFloat64(keyGoal, keyGoalWholeRun) + v.GetFloat64(keyGoal, keyGoalWorstWindow)
+	c.WorstOperationWeight = v.GetFloat64(keyGoal, keyGoalWorstOperation) / max(otherWeights, minObjectiveWeight)
+	c.OverQuotaShare = v.GetFloat64(keyOverQuotaValue)
+	c.GossipCost = v.GetFloat64(keyPrices, keyGossipPrice) * minPricedMessageBytes / MaxMessageBytes
+	c.CrossZoneCost = v.GetFloat64(keyPrices, keyCrossZonePrice)
+	if string(v.GetStringBytes(keyValueBasis)) != wordValueByWork {
 		c.ValuePerRequest = 1
 	}
 }
 
 // parsePolicyLimits reads what a dispatcher may do.
 func parsePolicyLimits(c *balancer.Config, limits *fastjson.Value) {
-	c.MaxAttempts = limits.GetInt("maxForwards")
-	c.MaxRetryAfter = DurationOf(limits.GetFloat64("maxRetryAfterS"))
-	c.Cancellation = limits.GetBool("mayCancel")
-	c.Hedging = limits.GetBool("secondCopies")
-	c.Probes = limits.GetBool("probes")
-	c.Gossip = limits.GetBool("peers")
-	c.RetryAfter = limits.GetBool("retryAfter")
+	c.MaxAttempts = limits.GetInt(keyMaxAttempts)
+	c.MaxRetryAfter = DurationOf(limits.GetFloat64(keyMaxRetryAfter))
+	c.Cancellation = limits.GetBool(keyCancellation)
+	c.Hedging = limits.GetBool(keyHedging)
+	c.Probes = limits.GetBool(keyHealthChecks)
+	c.Gossip = limits.GetBool(keyGossip)
+	c.RetryAfter = limits.GetBool(keyRetryAfter)
 }
 
-// parseRules reads what workers and the list service expect of a dispatcher.
+// parseRules reads what workers and the discovery service expect of a dispatcher.
 func parseRules(c *balancer.Config, rules *fastjson.Value) {
-	c.MaxPollInterval = DurationOf(rules.GetFloat64("askWithinS"))
-	c.WarmupDuration = DurationOf(rules.GetFloat64("rampTimeS"))
-	c.WarmupWindow = DurationOf(rules.GetFloat64("fallS"))
-	c.InitialWarmup = rules.GetFloat64("coldFrom")
-	c.OverloadFactor = rules.GetFloat64("overloadFactor")
+	c.MaxPollInterval = DurationOf(rules.GetFloat64(keyMaxPollInterval))
+	c.WarmupDuration = DurationOf(rules.GetFloat64(keyWarmupDuration))
+	c.WarmupWindow = DurationOf(rules.GetFloat64(keyWarmupWindow))
+	c.InitialWarmup = rules.GetFloat64(keyInitialWarmup)
+	c.OverloadFactor = rules.GetFloat64(keyOverloadFactor)
 }
 
-// parseLoadReports reads what workers report, and the place of each value in a report.
-func parseLoadReports(c *balancer.Config, report, info *fastjson.Value) {
-	c.StartNotices = info.GetBool("tellsStart")
-	c.ReportsOnProbe = string(report.GetStringBytes("how")) == "on_probe"
+// parseLoadReports reads what workers report, and the index of each value that the balancer uses in a load report.
+// The value that is particular to the workload is used where it counts free slots.
+func parseLoadReports(c *balancer.Config, report, workload *fastjson.Value) {
+	c.StartNotices = workload.GetBool(keyStartNotices)
+	c.ReportsOnProbe = string(report.GetStringBytes(keyLoadReportSource)) == wordReportsOnProbe
 	c.ReportInFlight = balancer.NotReported
 	c.ReportQueue = balancer.NotReported
 	c.ReportFree = balancer.NotReported
-	for n, name := range report.GetArray("names") {
+	reportsFreeSlots := string(workload.GetStringBytes(keyWorkloadValue)) == wordFreeSlots
+	for n, name := range report.GetArray(keyLoadReportNames) {
+		index := balancer.ReportIndex(n)
 		switch string(name.GetStringBytes()) {
-		case "rif":
-			c.ReportInFlight = balancer.ReportIndex(n)
-		case "q":
-			c.ReportQueue = balancer.ReportIndex(n)
-		case "x0":
-			if string(info.GetStringBytes("reportX0")) == "free slots" {
-				c.ReportFree = balancer.ReportIndex(n)
+		case nameRequestsInFlight:
+			c.ReportInFlight = index
+		case nameQueuedRequests:
+			c.ReportQueue = index
+		case nameWorkloadValue:
+			if reportsFreeSlots {
+				c.ReportFree = index
 			}
 		}
 	}
 }
 
-// parseTenants reads the tenants, or a single one without a quota where the settings name none.
+// LoadReportLength returns how many values a worker's load report has by the settings.
+func LoadReportLength(v *fastjson.Value) int {
+	return len(v.GetArray(keyLoadReport, keyLoadReportNames))
+}
+
+// parseTenants reads the tenants, or a single one without a quota where the settings name none. The balancer takes an
+// infinite quota for none.
 func parseTenants(list []*fastjson.Value) []balancer.TenantConfig {
+	if len(list) == 0 {
+		return []balancer.TenantConfig{{Quota: math.Inf(1)}}
+	}
 	var tenants []balancer.TenantConfig
 	for _, v := range list {
-		quota := v.GetFloat64("quotaPerS")
+		quota := v.GetFloat64(keyQuota)
 		if quota <= 0 {
 			quota = math.Inf(1)
 		}
-		tenants = append(tenants, balancer.TenantConfig{Quota: quota, Name: string(v.GetStringBytes("name"))})
-	}
-	if len(tenants) == 0 {
-		return []balancer.TenantConfig{{Quota: math.Inf(1)}}
+		tenants = append(tenants, balancer.TenantConfig{Quota: quota, Name: string(v.GetStringBytes(keyName))})
 	}
 	return tenants
 }
-
-// check rejects settings that no dispatcher can work with.
-func check(v *fastjson.Value) error {
-	if len(v.GetArray("operations")) == 0 {
-		return reject("operations", "there must be at least one")
-	}
-	dispatchers := v.GetInt("balancers")
-	if dispatchers < 1 {
-		return reject("balancers", fmt.Sprintf("%d, must be at least 1", dispatchers))
-	}
-	if position := v.GetInt("position"); position < 0 || position >= dispatchers {
-		return reject("position", fmt.Sprintf("%d, must be from 0 to %d, as there are %d balancers", position,
-			dispatchers-1, dispatchers))
-	}
-	for _, path := range [][]string{
-		{"granularityS"},
-		{"policyLimits", "maxRetryAfterS"},
-		{"rules", "askWithinS"},
-		{"rules", "rampTimeS"},
-		{"rules", "drainGraceS"},
-		{"rules", "fallS"},
-		{"rules", "coldFrom"},
-	} {
-		if err := checkNotNegative(v.GetFloat64(path...), strings.Join(path, ".")); err != nil {
-			return err
-		}
-	}
-	for n, operation := range v.GetArray("operations") {
-		for _, key := range []string{"latencyObjectiveS", "clientTimeoutS", "dedupWindowS"} {
-			if err := checkNotNegative(operation.GetFloat64(key), operationKey(n, key)); err != nil {
-				return err
-			}
-		}
-	}
-	return nil
-}
-
-func checkNotNegative(n float64, key string) error {
-	if n < 0 {
-		return reject(key, fmt.Sprintf("%v, must not be negative", n))
-	}
-	return nil
-}
-
-// words are the values that a setting chooses from, in alphabetical order.
-func words[T any](choices map[string]T) string {
-	var list []string
-	for word := range choices {
-		if word != "" { // the setting is left out
-			list = append(list, word)
-		}
-	}
-	slices.Sort(list)
-	return strings.Join(list, ", ")
-}
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -35,22 +35,59 @@
 // wantConfig is what allSettings says.
 func wantConfig() balancer.Config {
 	return balancer.Config{
-		Dispatchers: 5, Kinds: 2, Position: 2, GossipCost: 0.03125, Zone: 3,
+		Dispatchers: 5,
+		Kinds:       2,
+		Position:    2,
+		GossipCost:  0.03125,
+		Zone:        3,
 		Operations: []balancer.OperationConfig{
 			{
-				Name: "render", LatencyObjective: 12_500, DedupWindow: 6_000_000, Value: 4, LateShare: 0.5, Stretch: 0.75, Idempotency: 1,
-				DedupScope: 2, Kind: 1,
+				Name:             "render",
+				LatencyObjective: 12_500,
+				DedupWindow:      6_000_000,
+				Value:            4,
+				LateShare:        0.5,
+				Stretch:          0.75,
+				Idempotency:      1,
+				DedupScope:       2,
+				Kind:             1,
 			},
 			{
-				Name: "pay", LatencyObjective: 5_000, DedupWindow: 10_000, Value: 2, LateShare: 0.25, Stretch: 0.5, Idempotency: 2, DedupScope: 1,
-				Kind: 0,
+				Name:             "pay",
+				LatencyObjective: 5_000,
+				DedupWindow:      10_000,
+				Value:            2,
+				LateShare:        0.25,
+				Stretch:          0.5,
+				Idempotency:      2,
+				DedupScope:       1,
+				Kind:             0,
 			},
 		},
-		Tenants:     []balancer.TenantConfig{{Quota: 7.5, Name: "acme"}, {Quota: math.Inf(1), Name: "globex"}},
-		Granularity: 20, MaxPollInterval: 60_000, MaxRetryAfter: 25_000, WarmupDuration: 300_000, WarmupWindow: 20_000, InitialWarmup: 0.4,
-		OverloadFactor: 1.5, OverQuotaShare: 0.125, CrossZoneCost: 0.25, PollEndpoints: true, Cancellation: true, Hedging: true,
-		RetryAfter: true, Probes: true, Gossip: true, StartNotices: true, ReportsOnProbe: true, WorstOperationWeight: 1.5,
-		ValuePerRequest: 1, MaxAttempts: 3, ReportInFlight: 1, ReportQueue: 2, ReportFree: 3,
+		Tenants:              []balancer.TenantConfig{{Quota: 7.5, Name: "acme"}, {Quota: math.Inf(1), Name: "globex"}},
+		Granularity:          20,
+		MaxPollInterval:      60_000,
+		MaxRetryAfter:        25_000,
+		WarmupDuration:       300_000,
+		WarmupWindow:         20_000,
+		InitialWarmup:        0.4,
+		OverloadFactor:       1.5,
+		OverQuotaShare:       0.125,
+		CrossZoneCost:        0.25,
+		PollEndpoints:        true,
+		Cancellation:         true,
+		Hedging:              true,
+		RetryAfter:           true,
+		Probes:               true,
+		Gossip:               true,
+		StartNotices:         true,
+		ReportsOnProbe:       true,
+		WorstOperationWeight: 1.5,
+		ValuePerRequest:      1,
+		MaxAttempts:          3,
+		ReportInFlight:       1,
+		ReportQueue:          2,
+		ReportFree:           3,
 	}
 }
 
@@ -62,34 +99,35 @@
 	read, err := Parse(fastjson.MustParse(allSettings))
 	assert.NoError(t, err)
 	assert.Equal(t, wantConfig(), read)
-	v := reflect.ValueOf(wantConfig())
-	for n := range v.NumField() {
-		name := v.Type().Field(n).Name
-		assert.Equal(t, slices.Contains(notInSettings, name), v.Field(n).IsZero(), "%s: a field without a setting in this test", name)
+	config := reflect.ValueOf(wantConfig())
+	for n := range config.NumField() {
+		name := config.Type().Field(n).Name
+		assert.Equal(t, slices.Contains(notInSettings, name), config.Field(n).IsZero(),
+			"%s: a field without a setting in this test", name)
 	}
 }
 
 // TestWordsOfSettings pins the words that settings choose from, with the numbers that they stand for in stored data.
 func TestWordsOfSettings(t *testing.T) {
-	for _, c := range []struct {
+	for _, tt := range []struct {
 		word string
 		want balancer.Idempotency
 	}{{"idempotent", 0}, {"deduplicated", 1}, {"at_most_once", 2}} {
-		t.Run("repeat "+c.word, func(t *testing.T) {
-			read, err := Parse(fastjson.MustParse(fmt.Sprintf(`{"balancers":1,"operations":[{"repeat":%q}]}`, c.word)))
+		t.Run("repeat "+tt.word, func(t *testing.T) {
+			read, err := Parse(fastjson.MustParse(fmt.Sprintf(`{"balancers":1,"operations":[{"repeat":%q}]}`, tt.word)))
 			assert.NoError(t, err)
-			assert.Equal(t, c.want, read.Operations[0].Idempotency)
+			assert.Equal(t, tt.want, read.Operations[0].Idempotency)
 		})
 	}
-	for _, c := range []struct {
+	for _, tt := range []struct {
 		word string
 		want balancer.DedupScope
 	}{{"", 0}, {"all", 0}, {"zone", 1}, {"cell", 2}} {
-		t.Run("dedupScope "+c.word, func(t *testing.T) {
+		t.Run("dedupScope "+tt.word, func(t *testing.T) {
 			read, err := Parse(fastjson.MustParse(
-				fmt.Sprintf(`{"balancers":1,"operations":[{"repeat":"idempotent","dedupScope":%q}]}`, c.word)))
+				fmt.Sprintf(`{"balancers":1,"operations":[{"repeat":"idempotent","dedupScope":%q}]}`, tt.word)))
 			assert.NoError(t, err)
-			assert.Equal(t, c.want, read.Operations[0].DedupScope)
+			assert.Equal(t, tt.want, read.Operations[0].DedupScope)
 		})
 	}
 }
@@ -99,17 +137,22 @@
 	read, err := Parse(fastjson.MustParse(
 		`{"balancers":1,"billedValueBasis":"work","operations":[{"repeat":"idempotent"}]}`))
 	assert.NoError(t, err)
-	assert.Equal(t, balancer.Config{
-		Dispatchers: 1, Kinds: 1, Operations: []balancer.OperationConfig{{Kind: -1}},
-		Tenants: []balancer.TenantConfig{{Quota: math.Inf(1)}}, ReportInFlight: balancer.NotReported, ReportQueue: balancer.NotReported, ReportFree: balancer.NotReported,
-	},
-		read)
+	want := balancer.Config{
+		Dispatchers:    1,
+		Kinds:          1,
+		Operations:     []balancer.OperationConfig{{Kind: -1}},
+		Tenants:        []balancer.TenantConfig{{Quota: math.Inf(1)}},
+		ReportInFlight: balancer.NotReported,
+		ReportQueue:    balancer.NotReported,
+		ReportFree:     balancer.NotReported,
+	}
+	assert.Equal(t, want, read)
 }
 
 // TestInvalidSettingsAreRejectedByKey pins the keys in the errors of settings that no dispatcher can work with.
 func TestInvalidSettingsAreRejectedByKey(t *testing.T) {
 	const idempotent = `"operations":[{"repeat":"idempotent"}]`
-	for _, c := range []struct{ name, settings, key, problem string }{
+	for _, tt := range []struct{ name, settings, key, problem string }{
 		{"no operation", `{"balancers":1}`, "operations", "there must be at least one"},
 		{"no dispatcher", `{"balancers":0,` + idempotent + `}`, "balancers", "0, must be at least 1"},
 		{
@@ -141,12 +184,12 @@
 			"policyLimits.maxRetryAfterS", "-2, must not be negative",
 		},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			_, err := Parse(fastjson.MustParse(c.settings))
+		t.Run(tt.name, func(t *testing.T) {
+			_, err := Parse(fastjson.MustParse(tt.settings))
 			var keyError *KeyError
 			assert.ErrorAs(t, err, &keyError)
-			assert.Equal(t, &KeyError{Key: c.key, Problem: c.problem}, keyError)
-			assert.EqualError(t, err, c.key+": "+c.problem)
+			assert.Equal(t, &KeyError{Key: tt.key, Problem: tt.problem}, keyError)
+			assert.EqualError(t, err, tt.key+": "+tt.problem)
 		})
 	}
 	_, err := Parse(fastjson.MustParse("[]"))
--- /dev/null
+++ b/internal/settings/wire_names_test.go
@@ -0,0 +1,144 @@
+package settings
+
+import (
+	"go/ast"
+	"go/parser"
+	"go/token"
+	"os"
+	"path/filepath"
+	"strconv"
+	"strings"
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+)
+
+const (
+	glossaryPath    = "../../docs/glossary.md"
+	glossaryHeading = "## Wire names"
+	wireNamesFile   = "wire_names.go"
+)
+
+// edgePackages are the packages that map names on the wire to terms.
+var edgePackages = []string{"settings"}
+
+// wireName is a row of the table of wire names.
+type wireName struct {
+	name string // on the wire
+	term string
+	unit string // "" for what is not a number, or needs no unit
+}
+
+// TestWireNamesAreInTheGlossary checks that the page and the code have the same wire names, terms and units.
+func TestWireNamesAreInTheGlossary(t *testing.T) {
+	onPage := readGlossary(t)
+	for _, name := range edgePackages {
+		t.Run(name, func(t *testing.T) {
+			inCode := parseWireNames(t, name)
+			assert.NotEmpty(t, inCode)
+			assert.Equal(t, inCode, onPage[name])
+		})
+	}
+	for name := range onPage {
+		assert.Contains(t, edgePackages, name, "the glossary has wire names of another package")
+	}
+}
+
+// TestWireNamesStandInOneFile checks that the other files of a package have no wire name as a literal of its own.
+func TestWireNamesStandInOneFile(t *testing.T) {
+	for _, name := range edgePackages {
+		t.Run(name, func(t *testing.T) {
+			inCode := map[string]bool{}
+			for _, row := range parseWireNames(t, name) {
+				inCode[row.name] = true
+			}
+			paths, err := filepath.Glob(filepath.Join("..", name, "*.go"))
+			require.NoError(t, err)
+			for _, path := range paths {
+				if strings.HasSuffix(path, "_test.go") || filepath.Base(path) == wireNamesFile {
+					continue
+				}
+				for _, literal := range stringLiterals(t, path) {
+					assert.False(t, inCode[literal], "%s has %q as a literal", path, literal)
+				}
+			}
+		})
+	}
+}
+
+// parseWireNames reads the constants of a package's file of wire names. The comment of each is its term, and after a
+// semicolon its unit.
+func parseWireNames(t *testing.T, packageName string) []wireName {
+	t.Helper()
+	var rows []wireName
+	ast.Inspect(parseFile(t, filepath.Join("..", packageName, wireNamesFile)), func(node ast.Node) bool {
+		constant, ok := node.(*ast.ValueSpec)
+		if !ok {
+			return true
+		}
+		require.Len(t, constant.Values, 1, "%s: one name a line", constant.Names[0])
+		literal, ok := constant.Values[0].(*ast.BasicLit)
+		require.True(t, ok, "%s is not a literal", constant.Names[0])
+		name, err := strconv.Unquote(literal.Value)
+		require.NoError(t, err)
+		term, unit, _ := strings.Cut(constant.Comment.Text(), ";")
+		require.NotEmpty(t, strings.TrimSpace(term), "%s has no term", constant.Names[0])
+		rows = append(rows, wireName{name: name, term: strings.TrimSpace(term), unit: strings.TrimSpace(unit)})
+		return true
+	})
+	return rows
+}
+
+// stringLiterals returns the values of a file's string literals, without struct tags and the paths of imports.
+func stringLiterals(t *testing.T, path string) []string {
+	t.Helper()
+	var literals []string
+	ast.Inspect(parseFile(t, path), func(node ast.Node) bool {
+		switch node := node.(type) {
+		case *ast.ImportSpec:
+			return false
+		case *ast.Field:
+			return node.Tag == nil
+		case *ast.BasicLit:
+			if node.Kind == token.STRING {
+				literal, err := strconv.Unquote(node.Value)
+				require.NoError(t, err)
+				literals = append(literals, literal)
+			}
+		}
+		return true
+	})
+	return literals
+}
+
+func parseFile(t *testing.T, path string) *ast.File {
+	t.Helper()
+	file, err := parser.ParseFile(token.NewFileSet(), path, nil, parser.ParseComments)
+	require.NoError(t, err)
+	return file
+}
+
+// readGlossary reads the glossary's table of wire names, by package.
+func readGlossary(t *testing.T) map[string][]wireName {
+	t.Helper()
+	page, err := os.ReadFile(glossaryPath)
+	require.NoError(t, err)
+	_, section, found := strings.Cut(string(page), glossaryHeading+"\n")
+	require.True(t, found, "the glossary has no section %q", glossaryHeading)
+	section, _, _ = strings.Cut(section, "\n## ")
+	rows := map[string][]wireName{}
+	for line := range strings.SplitSeq(section, "\n") {
+		if !strings.HasPrefix(line, "| `") {
+			continue
+		}
+		cells := strings.Split(strings.Trim(line, "|"), "|")
+		require.Len(t, cells, 4, "a row has wire name, term, unit and package: %s", line)
+		for n := range cells {
+			cells[n] = strings.Trim(strings.TrimSpace(cells[n]), "`")
+		}
+		packageName := cells[3]
+		rows[packageName] = append(rows[packageName], wireName{name: cells[0], term: cells[1], unit: cells[2]})
+	}
+	return rows
+}
