--- a/internal/protocol/admin_command.go
+++ b/internal/protocol/admin_command.go
@@ -9,22 +9,14 @@
 // Command is an operator's command, one line of text.
 type Command string
 
-// The commands.
-const (
-	CommandHealth Command = "HEALTH"
-	CommandDump   Command = "DUMP"
-	CommandLeave  Command = "LEAVE"
-	CommandJoin   Command = "JOIN"
-)
-
-// MaxCommandBytes is the longest line of a command, with its end.
+// MaxCommandBytes is the length of the longest line of a command, with its end.
 const MaxCommandBytes = 256
 
 // ErrIncompleteCommand reports a line of a command that has no end yet.
 var ErrIncompleteCommand = errors.New("incomplete command")
 
-// ParseCommand parses the command in the first line of b; what follows that line is ignored. The error is
-// ErrIncompleteCommand while the line has no end, or ErrMalformed, whose text is sent to the operator.
+// ParseCommand parses the command in the first line of b and ignores later lines. The error is ErrIncompleteCommand while
+// the line has no end, or ErrMalformed, whose text is sent to the operator.
 func ParseCommand(b []byte) (Command, error) {
 	line, _, complete := bytes.Cut(b, []byte("\n"))
 	switch {
@@ -47,18 +39,11 @@
 
 // Metric is one number of a dump.
 type Metric struct {
-	Name, Operation string // Operation is "" for a metric of the whole dispatcher
-	Value           int64
+	Name      string
+	Operation string // "" for a metric of the whole dispatcher
+	Value     int64
 }
 
-// The text of responses to commands.
-const (
-	resultDone   = "done"
-	resultError  = "error"
-	dumpEnd      = "end"
-	metricPrefix = "svc."
-)
-
 // AppendDump appends the response to CommandDump: a line for each metric, between a first and a last line.
 func AppendDump(b []byte, metrics []Metric) []byte {
 	b = append(b, resultDone+"\n"...)
@@ -74,8 +59,8 @@
 	return append(b, dumpEnd+"\n"...)
 }
 
-// AppendCommandResult appends the response to any other command, or to a line that is none. err is why the command
-// could not be carried out.
+// AppendCommandResult appends the response to any other command, or to a malformed one. err says why the command failed;
+// it is nil after success.
 func AppendCommandResult(b []byte, err error) []byte {
 	if err != nil {
 		return fmt.Appendf(b, "%s %v\n", resultError, err)
--- a/internal/protocol/body.go
+++ b/internal/protocol/body.go
@@ -9,14 +9,20 @@
 
 // Body takes a message's body out of its framing, piece by piece (RFC 9112, 6 and 7.1).
 type Body struct {
-	remaining   int64 // bytes of the body, or of the present chunk
+	remaining   int64 // bytes that are still to come of the body, or of the present chunk
 	chunked     bool
-	untilClose  bool // the close of the connection ends it
-	strictLines bool // chunk lines have to end in CRLF
-	state       chunkState
+	untilClose  bool       // the body ends with the connection
+	strictLines bool       // chunk lines must end in CRLF
+	state       chunkState // of a chunked body
 }
 
-// chunkState is what comes next in a chunked body.
+// BodyPiece is the next piece of a body's input.
+type BodyPiece struct {
+	Data []byte // of the body, without framing; it may be empty
+	Used int    // bytes of the input that the piece takes, with its framing; 0 asks for more input
+}
+
+// chunkState says what comes next in a chunked body.
 type chunkState uint8
 
 const (
@@ -27,12 +33,20 @@
 	chunksDone
 )
 
-// maxChunkLineBytes is the longest line with a chunk's size, and the longest trailer field.
+// maxChunkLineBytes is the length of the longest line with a chunk's size, and of the longest trailer field.
 const maxChunkLineBytes = 1 << 10
 
-// RequestBody returns the body that a request's head announces. One without a length is empty. A length that is given
-// twice, or together with a transfer coding, could be understood in two ways and is ErrMalformed (RFC 9112, 6.3), as
-// is a transfer coding in HTTP/1.0 (RFC 9112, 6.1).
+// The numbers in a body's framing.
+const (
+	contentLengthBase = 10
+	chunkSizeBase     = 16
+	lengthBits        = 62 // of the largest length or chunk size, so that it fits an int64
+)
+
+// RequestBody returns the body that a request's head announces. One without a length is empty.
+//
+// The error is ErrMalformed for framing that parsers read in different ways. That is two lengths, a length beside a
+// transfer coding (RFC 9112, 6.3), or a transfer coding in HTTP/1.0 (RFC 9112, 6.1).
 func RequestBody(h *Head) (Body, error) {
 	if len(h.values(fieldTransferEncoding)) > 0 && h.minorVersion == 0 {
 		return Body{}, fmt.Errorf("%w: transfer-encoding in HTTP/1.0", ErrMalformed)
@@ -42,10 +56,10 @@
 	return body, err
 }
 
-// ResponseBody returns the body that a response's head announces. One without a length lasts until the connection is
-// closed, unless its status allows no body (RFC 9112, 6.3).
+// ResponseBody returns the body that a response's head announces. One without a length ends with the connection, unless
+// the status allows no body (RFC 9112, 6.3). The error is ErrMalformed.
 func ResponseBody(h *Head) (Body, error) {
-	if h.Status < 200 || h.Status == 204 || h.Status == 304 {
+	if allowsNoBody(h.Status) {
 		return Body{}, nil
 	}
 	body, err := parseFraming(h)
@@ -53,7 +67,12 @@
 	return body, err
 }
 
-// parseFraming returns the body by the fields of its framing, an empty one without them.
+// allowsNoBody reports whether a response with a status has no body, whatever its fields say (RFC 9112, 6.3).
+func allowsNoBody(status int) bool {
+	return IsInterim(status) || status == StatusNoContent || status == StatusNotModified
+}
+
+// parseFraming returns the body that the fields of the framing announce, an empty one where there are none.
 func parseFraming(h *Head) (Body, error) {
 	lengths, codings := h.values(fieldContentLength), h.values(fieldTransferEncoding)
 	switch {
@@ -63,7 +82,7 @@
 		}
 		return Body{chunked: true}, nil
 	case len(lengths) > 0:
-		length, err := strconv.ParseUint(lengths[0], 10, 62)
+		length, err := strconv.ParseUint(lengths[0], contentLengthBase, lengthBits)
 		if err != nil || len(lengths) > 1 {
 			return Body{}, fmt.Errorf("%w: content-length %.40q", ErrMalformed, lengths)
 		}
@@ -72,7 +91,7 @@
 	return Body{}, nil
 }
 
-// Length is the announced length in bytes before anything was taken, 0 where it isn't known.
+// Length returns the announced length in bytes before the first call of Next, 0 where it isn't known.
 func (b *Body) Length() int64 {
 	if b.chunked {
 		return 0
@@ -80,7 +99,7 @@
 	return b.remaining
 }
 
-// MaxRead is how many bytes the body has at most, if it is within MaxBodyBytes.
+// MaxRead returns how many bytes of memory the body takes at most, if it is no longer than MaxBodyBytes.
 func (b *Body) MaxRead() int64 {
 	if b.chunked {
 		return MaxBodyBytes
@@ -96,40 +115,39 @@
 	return !b.untilClose && b.remaining == 0
 }
 
-// EndsWithConnection reports whether the body is complete when the connection is closed, and not before.
+// EndsWithConnection reports whether the body is complete only when the connection is closed.
 func (b *Body) EndsWithConnection() bool { return b.untilClose }
 
-// Next takes the next piece from the start of in. data is a part of the body, and used the number of bytes that were
-// taken with the framing; 0 asks for more input. The error is ErrMalformed.
-func (b *Body) Next(in []byte) (data []byte, used int, err error) {
+// Next takes the next piece from the start of the input. The error is ErrMalformed.
+func (b *Body) Next(input []byte) (BodyPiece, error) {
 	switch {
 	case b.untilClose:
-		return in, len(in), nil
+		return BodyPiece{Data: input, Used: len(input)}, nil
 	case !b.chunked || b.state == chunkData:
-		n := int(min(int64(len(in)), b.remaining))
+		n := int(min(int64(len(input)), b.remaining))
 		b.remaining -= int64(n)
 		if b.remaining == 0 {
 			b.state = chunkDataEnd
 		}
-		return in[:n], n, nil
+		return BodyPiece{Data: input[:n], Used: n}, nil
 	case b.state == chunksDone:
-		return nil, 0, nil
+		return BodyPiece{}, nil
 	}
-	used, err = b.takeChunkLine(in)
-	return nil, used, err
+	lineBytes, err := b.takeChunkLine(input)
+	return BodyPiece{Used: lineBytes}, err
 }
 
-// takeChunkLine takes one line of the framing between the chunks' data. It returns the line's length, 0 while the line
-// is incomplete.
-func (b *Body) takeChunkLine(in []byte) (used int, err error) {
-	end := bytes.IndexByte(in, '\n')
-	if end < 0 && len(in) > maxChunkLineBytes || end > maxChunkLineBytes {
+// takeChunkLine takes one line of the framing between the chunks' data. It returns the line's length in bytes, 0 while
+// the line is incomplete.
+func (b *Body) takeChunkLine(input []byte) (int, error) {
+	end := bytes.IndexByte(input, '\n')
+	if end < 0 && len(input) > maxChunkLineBytes || end > maxChunkLineBytes {
 		return 0, fmt.Errorf("%w: chunk line of more than %d bytes", ErrMalformed, maxChunkLineBytes)
 	}
 	if end < 0 {
 		return 0, nil
 	}
-	line, hasCR := strings.CutSuffix(string(in[:end]), "\r")
+	line, hasCR := strings.CutSuffix(string(input[:end]), "\r")
 	if b.strictLines && !hasCR {
 		return 0, fmt.Errorf("%w: chunk line that ends in a bare LF", ErrMalformed)
 	}
@@ -154,7 +172,7 @@
 		}
 	case chunkSize:
 		digits, _, _ := strings.Cut(line, ";") // extensions are ignored
-		size, err := strconv.ParseUint(strings.TrimSpace(digits), 16, 62)
+		size, err := strconv.ParseUint(strings.TrimSpace(digits), chunkSizeBase, lengthBits)
 		if err != nil {
 			return fmt.Errorf("%w: chunk size %.40q", ErrMalformed, line)
 		}
--- a/internal/protocol/body_test.go
+++ b/internal/protocol/body_test.go
@@ -20,13 +20,13 @@
 		buffered += text[:n]
 		text = text[n:]
 		for {
-			data, used, err := b.Next([]byte(buffered))
+			piece, err := b.Next([]byte(buffered))
 			if err != nil {
 				return "", err
 			}
-			content = append(content, data...)
-			buffered = buffered[used:]
-			if used == 0 {
+			content = append(content, piece.Data...)
+			buffered = buffered[piece.Used:]
+			if piece.Used == 0 {
 				break
 			}
 		}
--- a/internal/protocol/endpoint_list.go
+++ b/internal/protocol/endpoint_list.go
@@ -8,46 +8,39 @@
 // EndpointList is the discovery service's list of workers, or a change to it.
 type EndpointList struct {
 	Version   int64
-	Complete  bool // it replaces what was known before
+	Complete  bool // it replaces the list; otherwise it has the endpoints that have changed
 	Endpoints []Endpoint
 }
 
-// Endpoint is one worker in a list.
+// Endpoint is one worker in a list. Its JSON form is that of stored data, not of the discovery service.
 type Endpoint struct {
 	ID              string  `json:"ID"`
-	Address         string  `json:"Address"`
+	Address         string  `json:"Address"` // IP address and port
 	Zone            string  `json:"Zone"`
 	Kind            string  `json:"Kind"`
 	Cell            int     `json:"Cell"`
-	State           string  `json:"State"`
-	StartedAtMillis float64 `json:"BornMs"` // Unix time; 0 for long ago
+	State           string  `json:"State"`  // Ready, Terminating or Gone
+	StartedAtMillis float64 `json:"BornMs"` // start of the worker's process in Unix milliseconds; 0 for long ago
 }
 
-// The values of Endpoint.State.
-const (
-	Ready       = "Ready"
-	Terminating = "Terminating"
-	Gone        = "Gone"
-)
-
-// WatchTarget is the request target of the changes after a version.
+// WatchTarget returns the request target of a watch of the changes after a version.
 func WatchTarget(version int64) string {
-	return PathEndpoints + "?stream=1&index=" + strconv.FormatInt(version, 10)
+	return PathEndpoints + "?" + queryWatch + "=1&" + queryVersion + "=" + strconv.FormatInt(version, 10)
 }
 
-// ParseEndpointList parses a list, or one line of a watch: a JSON object, of which unknown keys are skipped. With an
-// error, which is ErrMalformed, the endpoints before it are returned.
+// ParseEndpointList parses a list, or one line of a watch: a JSON object. Unknown keys are skipped. The error is
+// ErrMalformed; the list then has the endpoints that precede the fault.
 func ParseEndpointList(b []byte) (list EndpointList, err error) {
 	s := scanner{input: b}
 	hasVersion := false
 	s.object(func(key string) {
 		switch key {
-		case "seq":
+		case keyListVersion:
 			hasVersion = true
 			list.Version = int64(s.number())
-		case "whole":
+		case keyListComplete:
 			list.Complete = s.bool()
-		case "hosts":
+		case keyEndpoints:
 			s.array(func() {
 				endpoint := s.endpoint()
 				if s.err == nil {
@@ -62,35 +55,35 @@
 		return list, err
 	}
 	if !hasVersion {
-		return list, fmt.Errorf("%w: endpoint list without seq", ErrMalformed)
+		return list, fmt.Errorf("%w: endpoint list without %s", ErrMalformed, keyListVersion)
 	}
 	return list, nil
 }
 
-// endpoint reads one worker. One without a name or a known state is an error.
+// endpoint reads one worker. Its ID and a known state are required.
 func (s *scanner) endpoint() (e Endpoint) {
 	s.object(func(key string) {
 		switch key {
-		case "host":
+		case keyEndpointID:
 			e.ID = s.string()
-		case "dial":
+		case keyEndpointAddr:
 			e.Address = s.string()
-		case "site":
+		case keyEndpointZone:
 			e.Zone = s.string()
-		case "class":
+		case keyEndpointKind:
 			e.Kind = s.string()
-		case "block":
+		case keyEndpointCell:
 			e.Cell = int(s.number())
-		case "health":
+		case keyEndpointState:
 			e.State = s.string()
-		case "born_ms":
+		case keyEndpointStart:
 			e.StartedAtMillis = s.number()
 		default:
 			s.skip()
 		}
 	})
-	known := e.State == Ready || e.State == Terminating || e.State == Gone
-	if s.err == nil && (e.ID == "" || !known) {
+	knownState := e.State == Ready || e.State == Terminating || e.State == Gone
+	if s.err == nil && (e.ID == "" || !knownState) {
 		s.fail("endpoint without name or known state")
 	}
 	return e
--- a/internal/protocol/head_parser.go
+++ b/internal/protocol/head_parser.go
@@ -11,14 +11,16 @@
 type ParsedHead struct {
 	Head
 
-	// Length is that of the head in bytes, with the empty line that ends it; 0 while the head is incomplete. It is set
+	// Length of the head in bytes, with the empty line that ends it. It is 0 while the head is incomplete, and is set
 	// for a malformed head too.
 	Length int
 }
 
-// ParseRequestHead parses a request's head at the start of b. It is strict: what another parser might understand in
-// another way, such as a bare LF or a control byte, is ErrMalformed, as it could smuggle a request past one of the two
-// (RFC 9112, 11.2). A head over MaxHeadBytes is ErrHeadTooLarge.
+// ParseRequestHead parses a request's head at the start of b. The error is ErrMalformed, or ErrHeadTooLarge for a head
+// of more than MaxHeadBytes.
+//
+// Bare LFs and control bytes are malformed. Parsers differ in how they read them, which allows request smuggling
+// (RFC 9112, 11.2).
 func ParseRequestHead(b []byte) (h ParsedHead, err error) {
 	text, err := cutHead(b)
 	h.Length = text.length
@@ -29,18 +31,21 @@
 	if bytes.Count(head, []byte("\n")) != bytes.Count(head, []byte("\r\n")) {
 		return h, fmt.Errorf("%w: line that ends in a bare LF", ErrMalformed)
 	}
-	parts := strings.Split(text.startLine, " ")
-	if len(parts) != 3 || !isToken(parts[0]) || !strings.HasPrefix(parts[1], "/") || !isPrintable(parts[1]) {
+	words := strings.Split(text.startLine, " ")
+	if len(words) != requestLineWords || !isToken(words[0]) || !isTarget(words[1]) {
 		return h, fmt.Errorf("%w: request line %.80q", ErrMalformed, text.startLine)
 	}
-	h.Method = parts[0]
-	h.Target = parts[1]
-	err = h.parseVersionAndFields(parts[2], text.fieldLines)
+	h.Method = words[0]
+	h.Target = words[1]
+	err = h.parseVersionAndFields(words[2], text.fieldLines)
 	return h, err
 }
 
-// ParseResponseHead parses a response's head at the start of b, as ParseRequestHead does, but accepts lines that end in
-// a bare LF (RFC 9112, 2.2).
+// isTarget reports whether s is a request target in origin form (RFC 9112, 3.2.1). Other forms are not supported.
+func isTarget(s string) bool { return strings.HasPrefix(s, "/") && isPrintable(s) }
+
+// ParseResponseHead parses a response's head at the start of b. Its errors are those of ParseRequestHead, but lines may
+// end in a bare LF (RFC 9112, 2.2).
 func ParseResponseHead(b []byte) (h ParsedHead, err error) {
 	text, err := cutHead(b)
 	h.Length = text.length
@@ -50,13 +55,14 @@
 	version, statusAndReason, _ := strings.Cut(text.startLine, " ")
 	status, _, _ := strings.Cut(statusAndReason, " ")
 	h.Status, err = strconv.Atoi(status)
-	if err != nil || len(status) != 3 || h.Status < 100 {
+	if err != nil || len(status) != statusDigits || h.Status < StatusContinue {
 		return h, fmt.Errorf("%w: status line %.80q", ErrMalformed, text.startLine)
 	}
 	err = h.parseVersionAndFields(version, text.fieldLines)
 	return h, err
 }
 
+// parseVersionAndFields parses what follows in a request as in a response.
 func (h *Head) parseVersionAndFields(version, fieldLines string) (err error) {
 	h.minorVersion, err = parseVersion(version)
 	if err != nil {
@@ -66,15 +72,21 @@
 	return err
 }
 
+// Parts of start lines (RFC 9112, 3 and 4).
+const (
+	requestLineWords = 3 // method, target and version
+	statusDigits     = 3
+)
+
 // headText is the text of a head.
 type headText struct {
 	startLine  string
-	fieldLines string
-	length     int // in bytes, with the empty line that ends it; 0 while that has not come
+	fieldLines string // without the empty line that ends the head
+	length     int    // in bytes, with that empty line; 0 while the head is incomplete
 }
 
-// cutHead finds the parts of a head. Empty lines before the head are skipped, as some senders end a body with one
-// (RFC 9112, 2.2).
+// cutHead finds the head at the start of b. Empty lines before it are skipped, as some senders end a body with one
+// (RFC 9112, 2.2). The error is ErrHeadTooLarge.
 func cutHead(b []byte) (headText, error) {
 	skipped := len(b) - len(bytes.TrimLeft(b, "\r\n"))
 	end, terminator := bytes.Index(b[skipped:], []byte("\n\r\n")), len("\n\r\n")
@@ -110,6 +122,7 @@
 	return 0, fmt.Errorf("%w: version %.20q", ErrMalformed, version)
 }
 
+// parseFields parses the lines of header fields. The error is ErrMalformed with the first line that is none.
 func parseFields(text string) (fields []field, err error) {
 	fields = make([]field, 0, strings.Count(text, "\n")+1)
 	for line := range strings.SplitSeq(text, "\n") {
@@ -117,9 +130,9 @@
 		if line == "" {
 			continue
 		}
-		name, value, ok := strings.Cut(line, ":")
+		name, value, hasColon := strings.Cut(line, ":")
 		value = strings.Trim(value, " \t")
-		if !ok || !isToken(name) || strings.ContainsFunc(value, isForbiddenInValue) {
+		if !hasColon || !isToken(name) || strings.ContainsFunc(value, isForbiddenInValue) {
 			return nil, fmt.Errorf("%w: field %.80q", ErrMalformed, line)
 		}
 		fields = append(fields, field{lowerCase(name), value})
@@ -127,38 +140,21 @@
 	return fields, nil
 }
 
-// lowerCaseNames maps field names as they are usually sent to lower case, which saves an allocation for each.
-var lowerCaseNames = func() map[string]string {
-	m := map[string]string{}
-	for _, name := range []string{
-		"Host", "Req-Id", "Req-Kind", "Req-Owner", "Req-Key", "Req-Deadline", "Req-Cost",
-		"Req-Retry", "Req-Extra", "Idempotency-Key", "Content-Length", "Content-Type", "Transfer-Encoding",
-		"Connection", "Srv-Declined", "Date", "Accept", "User-Agent",
-	} {
-		m[name] = strings.ToLower(name)
-	}
-	return m
-}()
-
-func lowerCase(name string) string {
-	if lower, known := lowerCaseNames[name]; known {
-		return lower
-	}
-	return strings.ToLower(name)
-}
+// asciiDelete is the last character of ASCII, a control character.
+const asciiDelete = 0x7f
 
 // isForbiddenInValue reports whether r is a control character that a field value may not hold (RFC 9110, 5.5).
-func isForbiddenInValue(r rune) bool { return r < ' ' && r != '\t' || r == 0x7f }
+func isForbiddenInValue(r rune) bool { return r < ' ' && r != '\t' || r == asciiDelete }
 
-// isPrintable reports whether s is not empty and of printing ASCII characters alone, without spaces.
+// isPrintable reports whether s is not empty and has printable ASCII characters only, without spaces.
 func isPrintable(s string) bool {
-	return s != "" && !strings.ContainsFunc(s, func(r rune) bool { return r <= ' ' || r >= 0x7f })
+	return s != "" && !strings.ContainsFunc(s, func(r rune) bool { return r <= ' ' || r >= asciiDelete })
 }
 
 // isToken reports whether s is a token, as methods and field names are (RFC 9110, 5.6.2).
 func isToken(s string) bool {
 	for _, c := range []byte(s) {
-		if c <= ' ' || c >= 0x7f || strings.IndexByte(`"(),/:;<=>?@[\]{}`, c) >= 0 {
+		if c <= ' ' || c >= asciiDelete || strings.IndexByte(`"(),/:;<=>?@[\]{}`, c) >= 0 {
 			return false
 		}
 	}
--- a/internal/protocol/json_scanner.go
+++ b/internal/protocol/json_scanner.go
@@ -7,18 +7,28 @@
 	"unicode/utf8"
 )
 
-// scanner reads JSON from left to right and keeps none of it: callers take the values they need as they come. After the
+// scanner reads JSON from left to right. It keeps no values: callers take those that they need as they come. After the
 // first error it behaves as at the end of the input, so that callers check err once.
 type scanner struct {
 	input    []byte
-	position int
-	depth    int // of nested objects and arrays
-	err      error
+	position int   // of the next byte in input
+	depth    int   // of nested objects and arrays
+	err      error // the first one, ErrMalformed
 }
 
 // maxDepth limits the nesting of values, as they are read by recursion.
 const maxDepth = 32
 
+// unicodeEscapeStart precedes the digits of an escaped character.
+const unicodeEscapeStart = `\u`
+
+// The digits of an escaped character, as in "\u00e9" (RFC 8259, 7).
+const (
+	escapeDigits    = 4
+	hexadecimal     = 16
+	escapeValueBits = 16
+)
+
 // fail records the first error.
 func (s *scanner) fail(problem string) {
 	if s.err == nil {
@@ -30,14 +40,23 @@
 // peek skips white space and returns the next byte, 0 at the end.
 func (s *scanner) peek() byte {
 	for ; s.position < len(s.input); s.position++ {
-		if c := s.input[s.position]; c != ' ' && c != '\t' && c != '\n' && c != '\r' {
+		if c := s.input[s.position]; !isSpace(c) {
 			return c
 		}
 	}
 	return 0
 }
 
-// consume skips white space, and c if that comes next.
+// isSpace reports whether c is white space of JSON (RFC 8259, 2).
+func isSpace(c byte) bool {
+	switch c {
+	case ' ', '\t', '\n', '\r':
+		return true
+	}
+	return false
+}
+
+// consume skips white space, and then c. It reports whether c came next.
 func (s *scanner) consume(c byte) bool {
 	if s.peek() != c {
 		return false
@@ -46,16 +65,22 @@
 	return true
 }
 
-// consumeWord skips white space, and word if that comes next.
+// consumeWord skips white space, and then word. It reports whether word came next.
 func (s *scanner) consumeWord(word string) bool {
 	s.peek()
-	if len(s.input)-s.position < len(word) || string(s.input[s.position:s.position+len(word)]) != word {
+	if !s.hasNext(word) {
 		return false
 	}
 	s.position += len(word)
 	return true
 }
 
+// hasNext reports whether text comes next.
+func (s *scanner) hasNext(text string) bool {
+	end := s.position + len(text)
+	return end <= len(s.input) && string(s.input[s.position:end]) == text
+}
+
 // finish checks that nothing but white space is left, and returns the first error.
 func (s *scanner) finish() error {
 	if s.err == nil && s.peek() != 0 {
@@ -64,7 +89,7 @@
 	return s.err
 }
 
-// object reads an object. It calls member with each key, which has to read the value.
+// object reads an object. It calls member with each key; member reads the value.
 func (s *scanner) object(member func(key string)) {
 	s.items('{', '}', func() {
 		key := s.string()
@@ -76,9 +101,10 @@
 	})
 }
 
-// array reads an array. It calls item for each element, which has to read it.
+// array reads an array. It calls item for each element; item reads it.
 func (s *scanner) array(item func()) { s.items('[', ']', item) }
 
+// items reads a list between brackets, separated by commas. item reads one entry.
 func (s *scanner) items(opening, closing byte, item func()) {
 	s.depth++
 	if s.depth > maxDepth || !s.consume(opening) {
@@ -100,13 +126,14 @@
 	}
 }
 
+// string reads a string. Most have no escapes, and are copied at once.
 func (s *scanner) string() string {
 	if !s.consume('"') {
 		s.fail("expected a string")
 		return ""
 	}
 	start := s.position
-	for n, c := range s.input[start:] { // most strings have no escapes, and are copied at once
+	for n, c := range s.input[start:] {
 		if c == '"' {
 			s.position = start + n + 1
 			return string(s.input[start : start+n])
@@ -166,17 +193,15 @@
 	return out
 }
 
-// unicodeEscape reads an escaped rune after its "\u", which may be a surrogate pair. Half of a pair is left as it is,
-// and becomes utf8.RuneError.
+// unicodeEscape reads an escaped rune after its "\u", which may be a surrogate pair. Half of a pair is returned as it is;
+// utf8.AppendRune replaces it by utf8.RuneError.
 func (s *scanner) unicodeEscape() rune {
 	r := s.hexDigits()
-	pairFollows := utf16.IsSurrogate(r) && s.position+1 < len(s.input) &&
-		s.input[s.position] == '\\' && s.input[s.position+1] == 'u'
-	if !pairFollows {
+	if !utf16.IsSurrogate(r) || !s.hasNext(unicodeEscapeStart) {
 		return r
 	}
 	next := s.position
-	s.position += 2
+	s.position += len(unicodeEscapeStart)
 	if pair := utf16.DecodeRune(r, s.hexDigits()); pair != utf8.RuneError {
 		return pair
 	}
@@ -186,19 +211,21 @@
 
 // hexDigits reads the four digits of an escape.
 func (s *scanner) hexDigits() rune {
-	if s.position+4 > len(s.input) {
+	end := s.position + escapeDigits
+	if end > len(s.input) {
 		s.fail("short escape")
 		return utf8.RuneError
 	}
-	n, err := strconv.ParseUint(string(s.input[s.position:s.position+4]), 16, 16)
+	value, err := strconv.ParseUint(string(s.input[s.position:end]), hexadecimal, escapeValueBits)
 	if err != nil {
 		s.fail("escape without digits")
 		return utf8.RuneError
 	}
-	s.position += 4
-	return rune(n)
+	s.position = end
+	return rune(value)
 }
 
+// number reads a number in any form that strconv.ParseFloat accepts, which is a superset of JSON's.
 func (s *scanner) number() float64 {
 	s.peek()
 	start := s.position
@@ -212,10 +239,16 @@
 	return value
 }
 
+// isNumberByte reports whether c may be part of a number.
 func isNumberByte(c byte) bool {
-	return c >= '0' && c <= '9' || c == '-' || c == '+' || c == '.' || c == 'e' || c == 'E'
+	switch c {
+	case '-', '+', '.', 'e', 'E':
+		return true
+	}
+	return c >= '0' && c <= '9'
 }
 
+// bool reads true or false.
 func (s *scanner) bool() bool {
 	if s.consumeWord("true") {
 		return true
--- a/internal/protocol/line_reader.go
+++ b/internal/protocol/line_reader.go
@@ -2,13 +2,13 @@
 
 import "bytes"
 
-// LineReader cuts a stream into lines that hold one JSON value each. A value may be indented: its line lasts as long as
+// LineReader cuts a stream into lines that hold one JSON value each. A value may be indented: its line does not end while
 // brackets are open. The zero value is ready for use.
 type LineReader struct {
-	pending []byte
-	scanned int // of pending
+	pending []byte // received, without the lines that were taken out
+	scanned int    // bytes of pending that were scanned
 
-	// The state after the bytes that were scanned.
+	// The state after the scanned bytes.
 	depth    int // of open brackets
 	inString bool
 	escaped  bool // the next byte follows a backslash
@@ -17,8 +17,9 @@
 // Write appends data that was received.
 func (l *LineReader) Write(data []byte) { l.pending = append(l.pending, data...) }
 
-// Next takes out the next complete line, without white space around it. The line is valid until the next Write. A
-// newline within a string ends the line too, as JSON allows none there: the value is malformed.
+// Next takes out the next complete line, without white space around it. The line is valid until the next Write.
+//
+// A newline within a string ends the line too. JSON allows none there, so that the value is malformed anyway.
 func (l *LineReader) Next() (line []byte, complete bool) {
 	for ; l.scanned < len(l.pending); l.scanned++ {
 		c := l.pending[l.scanned]
@@ -32,6 +33,7 @@
 	return nil, false
 }
 
+// scan updates the state by one more byte.
 func (l *LineReader) scan(c byte) {
 	switch {
 	case l.escaped:
@@ -48,5 +50,5 @@
 	}
 }
 
-// Remainder is what was received of an incomplete line, without white space around it.
+// Remainder returns what was received of an incomplete line, without white space around it.
 func (l *LineReader) Remainder() []byte { return bytes.TrimSpace(l.pending) }
--- a/internal/protocol/load_datagram.go
+++ b/internal/protocol/load_datagram.go
@@ -12,19 +12,20 @@
 // NoInstance stands for the only instance of a process, which its datagrams need not name.
 const NoInstance = -1
 
-// A datagram holds the low bits of the time of sending in Unix milliseconds, then the sender's instance if its process
-// has several, and for each worker the tag of its name and the number of its attempts in flight. One without workers
-// says that its sender has just started. All numbers are big-endian.
+// The parts of a datagram, in bytes. All numbers are big-endian. A datagram without loads says that its sender has just
+// started.
 const (
-	timestampBytes = 2
-	instanceBytes  = 1
-	loadBytes      = 3
+	timestampBytes = 2                        // time of sending: the low bits of Unix milliseconds
+	instanceBytes  = 1                        // the sender's instance, where its process has several
+	tagBytes       = 2                        // the tag of a worker's name
+	inFlightBytes  = 1                        // attempts in flight at that worker
+	loadBytes      = tagBytes + inFlightBytes // of one worker
 )
 
-// maxInFlight is the largest number in a datagram; it stands for all beyond.
+// maxInFlight is the largest number of attempts in a datagram. It stands for any larger one.
 const maxInFlight = math.MaxUint8
 
-// MaxLoads is how many loads one datagram holds.
+// MaxLoads is the number of loads that a datagram holds at most.
 const MaxLoads = (settings.MaxMessageBytes - timestampBytes - instanceBytes) / loadBytes
 
 // ErrMalformedDatagram reports a datagram that is not of this protocol.
@@ -36,14 +37,19 @@
 	InFlight int
 }
 
-// WorkerTag shortens a worker's name. Of two workers with the same tag the receiver means the one it knew first.
+// tagBits is the size of a tag.
+const tagBits = 16
+
+// WorkerTag returns the short form of a worker's name in datagrams. Two names may have the same tag: the receiver then
+// counts the load for the worker that it knew first.
 func WorkerTag(name string) uint16 {
-	h := fnv.New32a()
-	h.Write([]byte(name))
-	return uint16(h.Sum32() ^ h.Sum32()>>16)
+	hash := fnv.New32a()
+	hash.Write([]byte(name))
+	return uint16(hash.Sum32() ^ hash.Sum32()>>tagBits)
 }
 
-// AppendLoads appends a datagram of an instance, or NoInstance, with the first MaxLoads loads.
+// AppendLoads appends a datagram with the first MaxLoads loads. timestamp is in Unix milliseconds modulo 2^16. instance is
+// the sender's number in its process, or NoInstance.
 func AppendLoads(b []byte, timestamp uint16, instance int, loads []Load) []byte {
 	b = binary.BigEndian.AppendUint16(b, timestamp)
 	if instance != NoInstance {
@@ -56,10 +62,10 @@
 	return b
 }
 
-// LoadDatagram is what a datagram between dispatchers says.
+// LoadDatagram is the content of a datagram between dispatchers.
 type LoadDatagram struct {
-	Timestamp uint16 // when it was sent, in Unix milliseconds modulo 2^16
-	Instance  int    // of its process that sent it, 0 where none is named
+	Timestamp uint16 // of sending, in Unix milliseconds modulo 2^16
+	Instance  int    // the sender's number in its process, 0 where none is named
 	Loads     []Load // none for a process that has just started
 }
 
@@ -71,7 +77,7 @@
 	datagram := LoadDatagram{Timestamp: binary.BigEndian.Uint16(b)}
 	b = b[timestampBytes:]
 	switch len(b) % loadBytes {
-	case 0:
+	case 0: // no instance is named
 	case instanceBytes:
 		datagram.Instance = int(b[0])
 		b = b[instanceBytes:]
@@ -79,7 +85,7 @@
 		return LoadDatagram{}, ErrMalformedDatagram
 	}
 	for ; len(b) > 0; b = b[loadBytes:] {
-		datagram.Loads = append(datagram.Loads, Load{Tag: binary.BigEndian.Uint16(b), InFlight: int(b[2])})
+		datagram.Loads = append(datagram.Loads, Load{Tag: binary.BigEndian.Uint16(b), InFlight: int(b[tagBytes])})
 	}
 	return datagram, nil
 }
--- a/internal/protocol/request.go
+++ b/internal/protocol/request.go
@@ -10,30 +10,32 @@
 
 // Request is a client's request.
 type Request struct {
-	Method, Target    string
-	ID                string
-	Operation, Tenant string        // names, "" where there is none
-	Timeout           time.Duration // from arrival until the client gives up, 0 where it names none
-	SizeHint          time.Duration // the client's estimate of the work, 0 where it gives none
-	Slots             float64       // of a worker that it takes, 0 where the client doesn't say
-	IdempotencyKey    string        // by which workers recognize a repeated request, "" where there is none
-	Body              []byte
+	Method         string
+	Target         string
+	ID             string
+	Operation      string        // name of the operation, "" where the client names none
+	Tenant         string        // name of the tenant, "" where the client names none
+	Timeout        time.Duration // from arrival until the client gives up, 0 where it names none
+	SizeHint       time.Duration // the client's estimate of the work, 0 where it gives none
+	Slots          float64       // of a worker that the request takes, 0 where the client gives none
+	IdempotencyKey string        // by which workers recognize a repeated request, "" where there is none
+	Body           []byte
 
 	forwarded []field // sent to workers unchanged
 }
 
-// forwardedFields are the fields, beside those of Request, that workers may make use of.
+// forwardedFields are the fields that workers get unchanged.
 var forwardedFields = []struct{ name, sentAs string }{
 	{fieldIdempotencyKey, "Idempotency-Key"},
 	{fieldContentType, "Content-Type"},
 }
 
-// singleFields may come at most once: workers or the dispatcher read them, and could read different ones of two.
+// singleFields may come at most once. Of two, a worker and the dispatcher could read different ones.
 var singleFields = []string{
 	fieldID, fieldOperation, fieldTenant, fieldTimeout, fieldSizeHint, fieldExtra, fieldIdempotencyKey, fieldContentType,
 }
 
-// Limits of a request's fields. Those of numbers keep sums over requests, and durations, from overflowing.
+// Limits of a request's fields. Those of numbers keep durations, and sums over requests, from overflowing.
 const (
 	maxIDBytes        = 256
 	maxTimeoutSeconds = math.MaxInt32
@@ -41,10 +43,8 @@
 	maxSlots          = 1e6
 )
 
-// extraSlots is the name in fieldExtra, a list of name=value, that is read.
-const extraSlots = "slots"
-
-// ParseRequest parses a request's head. The error is ErrMalformed with the field that is wrong.
+// ParseRequest returns the request that a head announces, without its body. The error is ErrMalformed with the field that
+// is wrong.
 func ParseRequest(h *Head) (*Request, error) {
 	request := &Request{
 		Method:         h.Method,
@@ -55,7 +55,7 @@
 		IdempotencyKey: h.Field(fieldIdempotencyKey),
 	}
 	if !isPrintable(request.ID) || len(request.ID) > maxIDBytes {
-		return nil, fmt.Errorf("%w: Req-Id missing, not printable or longer than %d bytes", ErrMalformed, maxIDBytes)
+		return nil, fmt.Errorf("%w: %s missing, not printable or longer than %d bytes", ErrMalformed, sentID, maxIDBytes)
 	}
 	for _, name := range singleFields {
 		if h.count(name) > 1 {
@@ -76,38 +76,44 @@
 	return request, nil
 }
 
-// parseNumbers parses the fields that are numbers: the timeout, the size hint and the slots.
+// parseNumbers parses the fields that are numbers: the timeout, the size hint and the slots. A timeout of 0 is malformed,
+// as the client would not wait for any response.
 func (r *Request) parseNumbers(h *Head) error {
 	if h.has(fieldTimeout) {
-		seconds, ok := parseDecimal(h.Field(fieldTimeout), maxTimeoutSeconds)
-		if !ok || seconds == 0 {
-			return fmt.Errorf("%w: Req-Deadline %.40q", ErrMalformed, h.Field(fieldTimeout))
+		seconds, valid := parseDecimal(h.Field(fieldTimeout), maxTimeoutSeconds)
+		if !valid || seconds == 0 {
+			return fmt.Errorf("%w: %s %.40q", ErrMalformed, sentTimeout, h.Field(fieldTimeout))
 		}
 		r.Timeout = time.Duration(seconds * float64(time.Second))
 	}
 	if h.has(fieldSizeHint) {
-		micros, ok := parseDecimal(h.Field(fieldSizeHint), maxSizeHintMicros)
-		if !ok {
-			return fmt.Errorf("%w: Req-Cost %.40q", ErrMalformed, h.Field(fieldSizeHint))
+		micros, valid := parseDecimal(h.Field(fieldSizeHint), maxSizeHintMicros)
+		if !valid {
+			return fmt.Errorf("%w: %s %.40q", ErrMalformed, sentSizeHint, h.Field(fieldSizeHint))
 		}
 		r.SizeHint = time.Duration(micros * float64(time.Microsecond))
 	}
-	for pair := range strings.SplitSeq(h.Field(fieldExtra), ",") {
+	return r.parseExtra(h.Field(fieldExtra))
+}
+
+// parseExtra parses a list of name=value, of which it reads the slots and skips other names.
+func (r *Request) parseExtra(list string) error {
+	for pair := range strings.SplitSeq(list, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(pair), "=")
 		if name != extraSlots {
 			continue
 		}
-		slots, ok := parseDecimal(value, maxSlots)
-		if !ok {
-			return fmt.Errorf("%w: Req-Extra %.40q", ErrMalformed, pair)
+		slots, valid := parseDecimal(value, maxSlots)
+		if !valid {
+			return fmt.Errorf("%w: %s %.40q", ErrMalformed, sentExtra, pair)
 		}
 		r.Slots = slots
 	}
 	return nil
 }
 
-// parseDecimal parses a plain decimal number from 0 to limit: no sign, exponent, infinity or other base.
-func parseDecimal(s string, limit float64) (value float64, ok bool) {
+// parseDecimal parses a number from 0 to limit in plain decimals: without sign, exponent, infinity or another base.
+func parseDecimal(s string, limit float64) (value float64, valid bool) {
 	if strings.Trim(s, "0123456789.") != "" {
 		return 0, false
 	}
--- a/internal/protocol/request_json.go
+++ b/internal/protocol/request_json.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// migratedRequest is a request as a process passes it to its successor. The keys are what other versions read.
+// migratedRequest is the JSON form of a request that a process passes to its successor. Other versions read these keys.
 type migratedRequest struct {
 	Method         string        `json:"Method"`
 	Target         string        `json:"Target"`
--- a/internal/protocol/response.go
+++ b/internal/protocol/response.go
@@ -6,14 +6,51 @@
 	"time"
 )
 
+// Status codes (RFC 9110, 15) of responses to clients and from workers.
+const (
+	StatusContinue             = 100
+	StatusOK                   = 200
+	StatusNoContent            = 204
+	StatusNotModified          = 304
+	StatusBadRequest           = 400
+	StatusNotFound             = 404
+	StatusMethodNotAllowed     = 405
+	StatusRequestTimeout       = 408
+	StatusConflict             = 409
+	StatusContentTooLarge      = 413
+	StatusTooManyRequests      = 429
+	StatusHeaderFieldsTooLarge = 431
+	StatusBadGateway           = 502
+	StatusServiceUnavailable   = 503
+	StatusGatewayTimeout       = 504
+)
+
+// The first status codes of classes (RFC 9110, 15).
+const (
+	firstFinalStatus       = 200
+	firstClientErrorStatus = 400
+)
+
+// IsInterim reports whether a status is that of an interim response, which a final one follows (RFC 9110, 15.2).
+func IsInterim(status int) bool { return status < firstFinalStatus }
+
 // Response is the response to a client.
 type Response struct {
 	Status     int
-	RetryAfter time.Duration // how long the client should wait before it retries, 0 for no advice
-	Allow      string        // of a 405: the methods that are allowed
+	RetryAfter time.Duration // until the client should retry; 0 for no advice
+	Allow      string        // methods that are allowed, for StatusMethodNotAllowed
 	Body       []byte
 }
 
+// Persistence says whether a connection is kept for further requests after a response (RFC 9112, 9.3).
+type Persistence uint8
+
+// The values of Persistence.
+const (
+	KeepAlive Persistence = iota
+	CloseAfterResponse
+)
+
 // Migrated stands for the response to a request that another process of this dispatcher continues with. It is compared
 // by its address, and never sent.
 var Migrated = &Response{}
@@ -22,25 +59,27 @@
 const Continue = "HTTP/1.1 100 Continue\r\n\r\n"
 
 // IsClientError reports whether the request was rejected as the client's own fault, rather than throttled or failed.
-func (r *Response) IsClientError() bool { return r.Status >= 400 && r.Status < 429 }
+func (r *Response) IsClientError() bool {
+	return r.Status >= firstClientErrorStatus && r.Status < StatusTooManyRequests
+}
 
 var reasonPhrases = map[int]string{
-	200: "OK",
-	400: "Bad Request",
-	404: "Not Found",
-	405: "Method Not Allowed",
-	408: "Request Timeout",
-	409: "Conflict",
-	413: "Content Too Large",
-	429: "Too Many Requests",
-	431: "Request Header Fields Too Large",
-	502: "Bad Gateway",
-	503: "Service Unavailable",
+	StatusOK:                   "OK",
+	StatusBadRequest:           "Bad Request",
+	StatusNotFound:             "Not Found",
+	StatusMethodNotAllowed:     "Method Not Allowed",
+	StatusRequestTimeout:       "Request Timeout",
+	StatusConflict:             "Conflict",
+	StatusContentTooLarge:      "Content Too Large",
+	StatusTooManyRequests:      "Too Many Requests",
+	StatusHeaderFieldsTooLarge: "Request Header Fields Too Large",
+	StatusBadGateway:           "Bad Gateway",
+	StatusServiceUnavailable:   "Service Unavailable",
 }
 
-// AppendResponseHead appends a response's head. closes announces that the connection is closed after it (RFC 9112,
-// 9.6). Unlike in RFC 9110, 10.2.3, Retry-After may be a fraction of a second, as the platform's clients expect.
-func AppendResponseHead(b []byte, r *Response, closes bool) []byte {
+// AppendResponseHead appends a response's head, which announces the close of the connection (RFC 9112, 9.6). Retry-After
+// may be a fraction of a second, unlike in RFC 9110, 10.2.3, as the platform's clients expect.
+func AppendResponseHead(b []byte, r *Response, persistence Persistence) []byte {
 	b = append(b, "HTTP/1.1 "...)
 	b = strconv.AppendInt(b, int64(r.Status), 10)
 	b = append(b, ' ')
@@ -55,22 +94,22 @@
 		b = append(b, "\r\nAllow: "...)
 		b = append(b, r.Allow...)
 	}
-	if closes {
+	if persistence == CloseAfterResponse {
 		b = append(b, "\r\nConnection: close"...)
 	}
 	return append(b, "\r\n\r\n"...)
 }
 
-// RejectionOf returns the response to a request on which reading failed: 413, 431 and 400 for the errors of this
-// package, 408 for all others, as the request was not read in time.
+// RejectionOf returns the response to a request that could not be read: 413, 431 and 400 for the errors of this package.
+// Any other error means that the request was not read in time, and is answered with 408.
 func RejectionOf(err error) *Response {
 	switch {
 	case errors.Is(err, ErrTooLarge):
-		return &Response{Status: 413}
+		return &Response{Status: StatusContentTooLarge}
 	case errors.Is(err, ErrHeadTooLarge):
-		return &Response{Status: 431}
+		return &Response{Status: StatusHeaderFieldsTooLarge}
 	case errors.Is(err, ErrMalformed):
-		return &Response{Status: 400}
+		return &Response{Status: StatusBadRequest}
 	}
-	return &Response{Status: 408}
+	return &Response{Status: StatusRequestTimeout}
 }
--- a/internal/protocol/response_test.go
+++ b/internal/protocol/response_test.go
@@ -11,9 +11,9 @@
 func TestResponseHeadText(t *testing.T) {
 	assert.Equal(t,
 		"HTTP/1.1 429 Too Many Requests\r\nContent-Length: 0\r\nRetry-After: 0.25\r\nConnection: close\r\n\r\n",
-		string(AppendResponseHead(nil, &Response{Status: 429, RetryAfter: 250 * time.Millisecond}, true)))
+		string(AppendResponseHead(nil, &Response{Status: 429, RetryAfter: 250 * time.Millisecond}, CloseAfterResponse)))
 	assert.Equal(t, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n",
-		string(AppendResponseHead(nil, &Response{Status: 200, Body: []byte("ab")}, false)))
+		string(AppendResponseHead(nil, &Response{Status: 200, Body: []byte("ab")}, KeepAlive)))
 }
 
 func TestRejectionOfErrors(t *testing.T) {
--- a/internal/protocol/wire_test.go
+++ b/internal/protocol/wire_test.go
@@ -8,13 +8,13 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// The tests of this file pin bytes and words on the wire by literals, as commit b8e4a37 had them. Other programs hold
-// the same ones: a test that fails here shows a change that they would notice.
+// The tests of this file pin bytes and words on the wire by literals. Other programs have the same ones: a test that fails
+// here shows a change that would break them.
 
 // TestLoadDatagramBytes checks what dispatchers send to each other about workers' load.
 func TestLoadDatagramBytes(t *testing.T) {
 	loads := []Load{{Tag: 0x0102, InFlight: 3}, {Tag: 0xfffe, InFlight: 300}}
-	for _, c := range []struct {
+	for _, tt := range []struct {
 		name     string
 		instance int
 		loads    []Load
@@ -25,12 +25,12 @@
 		{"first of several instances", 0, loads, "abcd" + "00" + "010203" + "fffeff"},
 		{"last of several instances", 63, loads[:1], "abcd" + "3f" + "010203"},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			b := AppendLoads(nil, 0xabcd, c.instance, c.loads)
-			assert.Equal(t, c.want, hex.EncodeToString(b))
+		t.Run(tt.name, func(t *testing.T) {
+			b := AppendLoads(nil, 0xabcd, tt.instance, tt.loads)
+			assert.Equal(t, tt.want, hex.EncodeToString(b))
 			datagram, err := ParseLoads(b)
 			assert.NoError(t, err)
-			assert.Equal(t, []any{uint16(0xabcd), max(c.instance, 0), len(c.loads)}, []any{datagram.Timestamp, datagram.Instance, len(datagram.Loads)})
+			assert.Equal(t, []any{uint16(0xabcd), max(tt.instance, 0), len(tt.loads)}, []any{datagram.Timestamp, datagram.Instance, len(datagram.Loads)})
 		})
 	}
 	assert.Len(t, AppendLoads(nil, 0, 5, make([]Load, 1000)), 255, "84 loads at the most")
@@ -48,7 +48,7 @@
 	all := requestHead(t, "Req-Id: 9b\r\nReq-Kind: render\r\nReq-Owner: acme\r\nReq-Deadline: 9\r\nReq-Cost: 1500\r\n"+
 		"Req-Extra: slots=2\r\nReq-Retry: 1\r\nIdempotency-Key: k1\r\nContent-Type: text/plain\r\nX-Other: y")
 	assert.Equal(t, []any{"render", true}, []any{all.Operation(), all.IsRetry()})
-	for _, c := range []struct {
+	for _, tt := range []struct {
 		name    string
 		head    *Head
 		body    string
@@ -66,18 +66,18 @@
 				"Content-Length: 0\r\n\r\n",
 		},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			request, err := ParseRequest(c.head)
+		t.Run(tt.name, func(t *testing.T) {
+			request, err := ParseRequest(tt.head)
 			assert.NoError(t, err)
-			request.Body = []byte(c.body)
-			assert.Equal(t, c.want, string(AppendWorkerRequest(nil, request, c.timeout)))
+			request.Body = []byte(tt.body)
+			assert.Equal(t, tt.want, string(AppendWorkerRequest(nil, request, tt.timeout)))
 		})
 	}
 }
 
 // TestGetRequestBytes checks the requests for the list of workers, and for a worker's load and health.
 func TestGetRequestBytes(t *testing.T) {
-	for _, c := range []struct{ name, target, want string }{
+	for _, tt := range []struct{ name, target, want string }{
 		{
 			"watch of the list", WatchTarget(9007199254740993),
 			"GET /catalog/members?stream=1&index=9007199254740993 HTTP/1.1\r\nHost: origin.svc\r\n\r\n",
@@ -86,55 +86,55 @@
 		{"load", PathLoad, "GET /_load HTTP/1.1\r\nHost: origin.svc\r\n\r\n"},
 		{"health", PathHealth, "GET /_health HTTP/1.1\r\nHost: origin.svc\r\n\r\n"},
 	} {
-		assert.Equal(t, c.want, string(AppendGet(nil, c.target)), c.name)
+		assert.Equal(t, tt.want, string(AppendGet(nil, tt.target)), tt.name)
 	}
 	assert.Equal(t, "/api", PathRequest)
 }
 
 // TestResponseHeadBytes checks the head of each response that a client can get.
 func TestResponseHeadBytes(t *testing.T) {
-	for _, c := range []struct {
-		name     string
-		response Response
-		closes   bool
-		want     string
+	for _, tt := range []struct {
+		name        string
+		response    Response
+		persistence Persistence
+		want        string
 	}{
-		{"success", Response{Status: 200, Body: []byte("made")}, false, "200 OK\r\nContent-Length: 4"},
-		{"malformed", Response{Status: 400}, true, "400 Bad Request\r\nContent-Length: 0\r\nConnection: close"},
-		{"unknown path", Response{Status: 404}, false, "404 Not Found\r\nContent-Length: 0"},
+		{"success", Response{Status: 200, Body: []byte("made")}, KeepAlive, "200 OK\r\nContent-Length: 4"},
+		{"malformed", Response{Status: 400}, CloseAfterResponse, "400 Bad Request\r\nContent-Length: 0\r\nConnection: close"},
+		{"unknown path", Response{Status: 404}, KeepAlive, "404 Not Found\r\nContent-Length: 0"},
 		{
 			"wrong method",
 			Response{Status: 405, Allow: "GET, HEAD"},
-			false,
+			KeepAlive,
 			"405 Method Not Allowed\r\nContent-Length: 0\r\nAllow: GET, HEAD",
 		},
-		{"too slow", Response{Status: 408}, true, "408 Request Timeout\r\nContent-Length: 0\r\nConnection: close"},
-		{"id in use", Response{Status: 409}, false, "409 Conflict\r\nContent-Length: 0"},
-		{"large body", Response{Status: 413}, false, "413 Content Too Large\r\nContent-Length: 0"},
+		{"too slow", Response{Status: 408}, CloseAfterResponse, "408 Request Timeout\r\nContent-Length: 0\r\nConnection: close"},
+		{"id in use", Response{Status: 409}, KeepAlive, "409 Conflict\r\nContent-Length: 0"},
+		{"large body", Response{Status: 413}, KeepAlive, "413 Content Too Large\r\nContent-Length: 0"},
 		{
 			"throttled",
 			Response{Status: 429, RetryAfter: 1500 * time.Millisecond},
-			false,
+			KeepAlive,
 			"429 Too Many Requests\r\nContent-Length: 0\r\nRetry-After: 1.5",
 		},
-		{"throttled without advice", Response{Status: 429}, false, "429 Too Many Requests\r\nContent-Length: 0"},
-		{"large head", Response{Status: 431}, false, "431 Request Header Fields Too Large\r\nContent-Length: 0"},
-		{"error", Response{Status: 502}, false, "502 Bad Gateway\r\nContent-Length: 0"},
+		{"throttled without advice", Response{Status: 429}, KeepAlive, "429 Too Many Requests\r\nContent-Length: 0"},
+		{"large head", Response{Status: 431}, KeepAlive, "431 Request Header Fields Too Large\r\nContent-Length: 0"},
+		{"error", Response{Status: 502}, KeepAlive, "502 Bad Gateway\r\nContent-Length: 0"},
 		{
 			"not ready",
 			Response{Status: 503, RetryAfter: 2 * time.Second},
-			true,
+			CloseAfterResponse,
 			"503 Service Unavailable\r\nContent-Length: 0\r\nRetry-After: 2\r\nConnection: close",
 		},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			assert.Equal(t, "HTTP/1.1 "+c.want+"\r\n\r\n", string(AppendResponseHead(nil, &c.response, c.closes)))
+		t.Run(tt.name, func(t *testing.T) {
+			assert.Equal(t, "HTTP/1.1 "+tt.want+"\r\n\r\n", string(AppendResponseHead(nil, &tt.response, tt.persistence)))
 		})
 	}
 	assert.Equal(t, "HTTP/1.1 100 Continue\r\n\r\n", Continue)
 }
 
-// TestAttemptStates checks the words by which a worker tells the state of an attempt, and their numbers.
+// TestAttemptStates checks the words by which a worker reports the state of an attempt, and their numbers.
 func TestAttemptStates(t *testing.T) {
 	for word, want := range map[string]AttemptState{
 		"started": 1, "running": 2, "done": 3, "failed": 4, "returned": 5, "lost": 6,
--- a/internal/protocol/worker_line.go
+++ b/internal/protocol/worker_line.go
@@ -7,32 +7,32 @@
 
 // The values of AttemptState.
 const (
-	Unknown AttemptState = iota // not known to this version; it has no effect
+	Unknown AttemptState = iota // a word that this version does not know; it has no effect
 	Started
 	Running
 	Done
 	Failed
-	ReturnedUnstarted
-	Lost
+	ReturnedUnstarted // the worker gave the attempt back before its start
+	Lost              // the worker does not know the outcome
 )
 
 var attemptStates = map[string]AttemptState{
-	"started":  Started,
-	"running":  Running,
-	"done":     Done,
-	"failed":   Failed,
-	"returned": ReturnedUnstarted,
-	"lost":     Lost,
+	wordStarted:           Started,
+	wordRunning:           Running,
+	wordDone:              Done,
+	wordFailed:            Failed,
+	wordReturnedUnstarted: ReturnedUnstarted,
+	wordLost:              Lost,
 }
 
 // Line is one line of a worker's response.
 type Line struct {
-	ID     string
+	ID     string // of the request
 	State  AttemptState
-	Result string // of a line that is Done
+	Result string // of an attempt that is Done
 }
 
-// ParseLine parses one line, a JSON object; unknown keys are skipped. A line without a state, or one that is Done
+// ParseLine parses one line: a JSON object. Unknown keys are skipped. A line without a state, or one that is Done
 // without a result, is ErrMalformed.
 func ParseLine(b []byte) (line Line, err error) {
 	s := scanner{input: b}
@@ -40,11 +40,11 @@
 	hasResult := false
 	s.object(func(key string) {
 		switch key {
-		case "id":
+		case keyLineID:
 			line.ID = s.string()
-		case "state":
+		case keyLineState:
 			state = s.string()
-		case "result":
+		case keyLineResult:
 			hasResult = true
 			line.Result = s.string()
 		default:
--- a/internal/protocol/worker_request.go
+++ b/internal/protocol/worker_request.go
@@ -6,10 +6,14 @@
 	"time"
 )
 
-// fixedRequestBytes is more than what AppendWorkerRequest writes beside the request's own text.
+// fixedRequestBytes is at least the length of what AppendWorkerRequest writes beside the request's own text.
 const fixedRequestBytes = 160
 
-// AppendWorkerRequest appends a request as it is sent to a worker that has timeout left for it.
+// timeoutDecimals is the number of decimals of the timeout in seconds that a worker gets.
+const timeoutDecimals = 3
+
+// AppendWorkerRequest appends a request as it is sent to a worker. timeout is what is left until the client gives up; a
+// negative one is sent as 0.
 func AppendWorkerRequest(b []byte, r *Request, timeout time.Duration) []byte {
 	size := fixedRequestBytes + len(r.Method) + len(r.Target) + len(r.ID) + len(r.Body)
 	for _, f := range r.forwarded {
@@ -17,10 +21,10 @@
 	}
 	b = slices.Grow(b, size)
 	b = appendRequestLine(b, r.Method, r.Target)
-	b = append(b, "\r\nReq-Id: "...)
+	b = append(b, "\r\n"+sentID+": "...)
 	b = append(b, r.ID...)
-	b = append(b, "\r\nReq-Deadline: "...)
-	b = strconv.AppendFloat(b, max(timeout, 0).Seconds(), 'f', 3, 64)
+	b = append(b, "\r\n"+sentTimeout+": "...)
+	b = strconv.AppendFloat(b, max(timeout, 0).Seconds(), 'f', timeoutDecimals, 64)
 	for _, f := range r.forwarded {
 		b = append(b, "\r\n"...)
 		b = append(b, f.name...)
@@ -39,7 +43,7 @@
 	return append(b, "\r\n\r\n"...)
 }
 
-// appendRequestLine appends the request line and the Host field, without the end of that line.
+// appendRequestLine appends the request line and the Host field, without the end of that field's line.
 func appendRequestLine(b []byte, method, target string) []byte {
 	b = append(b, method...)
 	b = append(b, ' ')
--- a/internal/settings/wire_names_test.go
+++ b/internal/settings/wire_names_test.go
@@ -21,7 +21,7 @@
 )
 
 // edgePackages are the packages that map names on the wire to terms.
-var edgePackages = []string{"settings"}
+var edgePackages = []string{"settings", "protocol"}
 
 // wireName is a row of the table of wire names.
 type wireName struct {
@@ -37,7 +37,7 @@
 		t.Run(name, func(t *testing.T) {
 			inCode := parseWireNames(t, name)
 			assert.NotEmpty(t, inCode)
-			assert.Equal(t, inCode, onPage[name])
+			assert.Equal(t, formatRows(inCode), formatRows(onPage[name]))
 		})
 	}
 	for name := range onPage {
@@ -67,6 +67,15 @@
 	}
 }
 
+// formatRows returns one line for each row, for a short difference.
+func formatRows(rows []wireName) string {
+	var lines []string
+	for _, row := range rows {
+		lines = append(lines, row.name+" | "+row.term+" | "+row.unit)
+	}
+	return strings.Join(lines, "\n")
+}
+
 // parseWireNames reads the constants of a package's file of wire names. The comment of each is its term, and after a
 // semicolon its unit.
 func parseWireNames(t *testing.T, packageName string) []wireName {
--- a/internal/transport/exchange.go
+++ b/internal/transport/exchange.go
@@ -127,7 +127,11 @@
 	phase := s.lifecycle.PhaseAt(time.Now())
 	pipelined := phase.IsStopping() && c.readBuf.Len() > 0
 	closes = closes || phase.ClosesAfterResponse() && !pipelined
-	head := protocol.AppendResponseHead(nil, response, closes)
+	persistence := protocol.KeepAlive
+	if closes {
+		persistence = protocol.CloseAfterResponse
+	}
+	head := protocol.AppendResponseHead(nil, response, persistence)
 	if err := c.Send(responseWriteTimeout, head, response.Body); err != nil {
 		return CloseReasonOf(err), err
 	}
--- a/internal/transport/read.go
+++ b/internal/transport/read.go
@@ -29,7 +29,7 @@
 // ReadResponseHead reads the head of a final response and skips interim ones (RFC 9110, 15.2). Its errors are those of
 // ReadRequestHead.
 func (c *Conn) ReadResponseHead() (head protocol.Head, err error) {
-	for head.Status < 200 && err == nil {
+	for protocol.IsInterim(head.Status) && err == nil {
 		head, err = c.readHead(protocol.ParseResponseHead, nil)
 	}
 	return head, err
@@ -62,16 +62,16 @@
 // is closed before the body is complete is ErrTruncated.
 func (c *Conn) ReadChunks(body *protocol.Body, consume func([]byte) bool) error {
 	for !body.Done() {
-		data, used, err := body.Next(c.readBuf.Bytes())
+		piece, err := body.Next(c.readBuf.Bytes())
 		if err != nil {
 			return err
 		}
-		goOn := len(data) == 0 || consume(data)
-		c.readBuf.Discard(used)
-		if !goOn {
+		wantsMore := len(piece.Data) == 0 || consume(piece.Data)
+		c.readBuf.Discard(piece.Used)
+		if !wantsMore {
 			return nil
 		}
-		if used > 0 || body.Done() {
+		if piece.Used > 0 || body.Done() {
 			continue
 		}
 		err = c.fill()
