--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,4 +1,5 @@
-// Command simadapter speaks the simulator's protocol for the balancer, from standard input to standard output.
+// Command simadapter runs dispatchers in the simulator. It reads batches of events from standard input and writes the
+// replies to standard output. It exits with 1 after an error, which it writes to standard error.
 package main
 
 import (
--- a/internal/settings/wire_names_test.go
+++ b/internal/settings/wire_names_test.go
@@ -21,7 +21,7 @@
 )
 
 // edgePackages are the packages that map names on the wire to terms.
-var edgePackages = []string{"settings", "protocol"}
+var edgePackages = []string{"settings", "protocol", "simadapter"}
 
 // wireName is a row of the table of wire names.
 type wireName struct {
--- a/internal/simadapter/discovery.go
+++ b/internal/simadapter/discovery.go
@@ -11,11 +11,11 @@
 	"canvasroute/internal/settings"
 )
 
-// workerTable gives workers numbers, which they keep.
+// workerTable numbers the workers of one instance. A worker keeps its number.
 type workerTable struct {
-	ids    map[string]balancer.WorkerID
-	quoted []string // names as JSON, by number
-	tags   []uint16 // names in messages to peers, by number
+	ids    map[string]balancer.WorkerID // by name on the wire
+	quoted []string                     // names as JSON, by number
+	tags   []uint16                     // short forms of the names in gossip messages, by number
 	byTag  map[uint16]balancer.WorkerID
 }
 
@@ -23,9 +23,9 @@
 	return workerTable{ids: map[string]balancer.WorkerID{}, byTag: map[uint16]balancer.WorkerID{}}
 }
 
-// find reads which worker an event is about.
+// find returns the worker that an event names. The error is errUnknownWorker.
 func (t *workerTable) find(fields *fastjson.Value) (balancer.WorkerID, error) {
-	name := string(fields.GetStringBytes("worker"))
+	name := string(fields.GetStringBytes(keyWorker))
 	id, known := t.ids[name]
 	if !known {
 		return 0, fmt.Errorf("%w %q", errUnknownWorker, name)
@@ -33,8 +33,8 @@
 	return id, nil
 }
 
-// findOrAdd returns a worker's number, a new one where it has none yet. Of workers with the same tag, the first one has
-// it.
+// findOrAdd returns a worker's number, a new one where it has none yet. Where workers have the same tag, it stands for the
+// first of them.
 func (t *workerTable) findOrAdd(name string) balancer.WorkerID {
 	if id, known := t.ids[name]; known {
 		return id
@@ -50,64 +50,59 @@
 	return id
 }
 
-// listedWorker is a line of a list. Its endpoint has no number, as each instance has its own.
+// listedWorker is an entry of an endpoint list.
 type listedWorker struct {
 	name     string
-	endpoint balancer.Endpoint
+	endpoint balancer.Endpoint // without its number, which differs between instances
 }
 
 var workerStates = map[string]balancer.WorkerState{
-	"healthy":      balancer.Healthy,
-	"cordoned":     balancer.Draining,
-	"deregistered": balancer.Gone,
+	wordHealthy:  balancer.Healthy,
+	wordDraining: balancer.Draining,
+	wordRemoved:  balancer.Gone,
 }
 
-// storeList keeps a worker list by its number, in place of an earlier one with the same number.
+// storeList stores an endpoint list by its number. It replaces an earlier one with the same number.
 func (s *simulation) storeList(fields *fastjson.Value) error {
-	if !fields.Exists("rosterId") {
-		return errors.New("no rosterId")
+	if !fields.Exists(keyListNumber) {
+		return errors.New("no " + keyListNumber)
 	}
 	var list []listedWorker
-	for _, v := range fields.GetArray("hosts") {
-		name := string(v.GetStringBytes("worker"))
+	for _, v := range fields.GetArray(keyEndpoints) {
+		name := string(v.GetStringBytes(keyWorker))
 		if name == "" {
 			return errors.New("a worker without a name")
 		}
-		state, known := workerStates[string(v.GetStringBytes("readiness"))]
+		state, known := workerStates[string(v.GetStringBytes(keyWorkerState))]
 		if !known {
-			return fmt.Errorf("worker %q: unknown readiness %q", name, v.GetStringBytes("readiness"))
+			return fmt.Errorf("worker %q: unknown %s %q", name, keyWorkerState, v.GetStringBytes(keyWorkerState))
 		}
 		list = append(list, listedWorker{name: name, endpoint: balancer.Endpoint{
 			ID:        name,
-			Zone:      balancer.ZoneID(v.GetInt("dc")),
-			Kind:      balancer.KindID(v.GetInt("shape")),
-			Cell:      balancer.CellID(v.GetInt("pod")),
+			Zone:      balancer.ZoneID(v.GetInt(keyWorkerZone)),
+			Kind:      balancer.KindID(v.GetInt(keyWorkerKind)),
+			Cell:      balancer.CellID(v.GetInt(keyWorkerCell)),
 			State:     state,
-			StartedAt: settings.TimeOf(v.GetFloat64("bornS")),
+			StartedAt: settings.TimeOf(v.GetFloat64(keyWorkerStart)),
 		}})
 	}
-	s.lists[fields.GetInt("rosterId")] = list
+	s.lists[fields.GetInt(keyListNumber)] = list
 	return nil
 }
 
-// updateEndpoints gives an instance a list, or the news that there is none.
+// updateEndpoints passes an endpoint list to an instance, or that the discovery service did not answer. A stale list is
+// one from before the instance's start, and answers no poll.
 func (s *simulation) updateEndpoints(in *instance, fields *fastjson.Value) error {
-	const (
-		modeBroken    = "broken"     // the list service does not answer
-		modePatch     = "patch"      // the list has what has changed
-		modeWhole     = "whole"      // the list has all workers
-		modeStaleCopy = "stale_copy" // the list has all workers as of some time ago, and answers no poll
-	)
-	mode := string(fields.GetStringBytes("mode"))
+	mode := string(fields.GetStringBytes(keyUpdateMode))
 	switch mode {
-	case modeBroken:
+	case wordUnavailable:
 		in.balancer.EndpointsUnavailable()
 		return nil
-	case modePatch, modeWhole, modeStaleCopy:
+	case wordChanges, wordAll, wordStale:
 	default:
 		return fmt.Errorf("unknown mode %q", mode)
 	}
-	number := fields.GetInt("rosterId")
+	number := fields.GetInt(keyListNumber)
 	list, known := s.lists[number]
 	if !known {
 		return fmt.Errorf("%w %d", errUnknownList, number)
@@ -119,11 +114,11 @@
 		endpoints = append(endpoints, endpoint)
 	}
 	extent := balancer.AllEndpoints
-	if mode == modePatch {
+	if mode == wordChanges {
 		extent = balancer.ChangedEndpoints
 	}
 	source := balancer.FromDiscovery
-	if mode == modeStaleCopy {
+	if mode == wordStale {
 		source = balancer.FromBeforeStart
 	}
 	in.balancer.UpdateEndpoints(endpoints, extent, source)
--- a/internal/simadapter/effects.go
+++ b/internal/simadapter/effects.go
@@ -2,36 +2,36 @@
 
 import "canvasroute/internal/balancer"
 
-// The methods here implement balancer.Effects: each one writes a command of the reply.
+// Each method here implements one of balancer.Effects, by a command in the reply.
 
 // SendAttempt implements balancer.Effects.
 func (in *instance) SendAttempt(id balancer.RequestID, worker balancer.WorkerID, within balancer.Duration) {
 	request := in.requests.get(id)
 	request.attempts++
 	request.inFlight++
-	in.reply.open("Issue", in.number)
-	in.reply.writeRaw("rid", request.quoted)
-	in.reply.writeRaw("worker", in.workers.quoted[worker])
+	in.reply.open(commandSendAttempt, in.number)
+	in.reply.writeRaw(keyRequestID, request.quoted)
+	in.reply.writeRaw(keyWorker, in.workers.quoted[worker])
 	if within > 0 {
-		in.reply.writeSeconds("withinS", within)
+		in.reply.writeSeconds(keyAttemptLimit, within)
 	}
 	in.reply.close()
 }
 
 // CancelAttempt implements balancer.Effects.
 func (in *instance) CancelAttempt(id balancer.RequestID, attempt int) {
-	in.reply.open("AbortAttempt", in.number)
-	in.reply.writeRaw("rid", in.requests.get(id).quoted)
-	in.reply.writeInt("hop", int64(attempt))
+	in.reply.open(commandCancelAttempt, in.number)
+	in.reply.writeRaw(keyRequestID, in.requests.get(id).quoted)
+	in.reply.writeInt(keyAttempt, int64(attempt))
 	in.reply.close()
 }
 
 // Reject implements balancer.Effects.
 func (in *instance) Reject(id balancer.RequestID, retryAfter balancer.Duration) {
-	in.reply.open("Bounce", in.number)
-	in.reply.writeRaw("rid", in.requests.get(id).quoted)
+	in.reply.open(commandReject, in.number)
+	in.reply.writeRaw(keyRequestID, in.requests.get(id).quoted)
 	if retryAfter > 0 {
-		in.reply.writeSeconds("comeBackS", retryAfter)
+		in.reply.writeSeconds(keyRetryAfter, retryAfter)
 	}
 	in.reply.close()
 	in.requests.end(id)
@@ -39,35 +39,35 @@
 
 // Fail implements balancer.Effects.
 func (in *instance) Fail(id balancer.RequestID) {
-	in.reply.open("DropRequest", in.number)
-	in.reply.writeRaw("rid", in.requests.get(id).quoted)
+	in.reply.open(commandFail, in.number)
+	in.reply.writeRaw(keyRequestID, in.requests.get(id).quoted)
 	in.reply.close()
 	in.requests.end(id)
 }
 
 // Wake implements balancer.Effects.
 func (in *instance) Wake(key uint64, after balancer.Duration) {
-	in.reply.open("WakeMe", in.number)
-	in.reply.writeInt("keyBack", int64(key))
-	in.reply.writeSeconds("offsetS", after)
+	in.reply.open(commandSetTimer, in.number)
+	in.reply.writeInt(keyTimer, int64(key))
+	in.reply.writeSeconds(keyTimerDelay, after)
 	in.reply.close()
 }
 
 // PollEndpoints implements balancer.Effects.
 func (in *instance) PollEndpoints() {
-	in.reply.open("Subscribe", in.number)
-	in.reply.writeRaw("want", "true")
+	in.reply.open(commandPoll, in.number)
+	in.reply.writeRaw(keySubscription, "true")
 	in.reply.close()
 }
 
 // Probe implements balancer.Effects.
 func (in *instance) Probe(worker balancer.WorkerID) {
-	in.reply.open("HealthCheck", in.number)
-	in.reply.writeRaw("worker", in.workers.quoted[worker])
+	in.reply.open(commandProbe, in.number)
+	in.reply.writeRaw(keyWorker, in.workers.quoted[worker])
 	in.reply.close()
 }
 
 // Log implements balancer.Effects.
 func (in *instance) Log(event balancer.Event) {
-	in.reply.writeText("Remark", in.number, event.String())
+	in.reply.writeText(commandLog, in.number, event.String())
 }
--- a/internal/simadapter/reply.go
+++ b/internal/simadapter/reply.go
@@ -7,35 +7,40 @@
 	"canvasroute/internal/balancer"
 )
 
-// reply is the line that answers a batch: an object with the batch's frame, and commands in their order. It is written
-// straight into a buffer that is used again for the next one.
+// decimal is the base of the numbers in a reply.
+const decimal = 10
+
+// reply is the line that answers a batch: a JSON object with the batch's number, and the commands in their order. It is
+// written into a buffer that is used again for the next reply.
 type reply struct {
 	line     []byte
-	commands int
+	commands int // written so far
 }
 
-// start begins the reply to a batch.
+// start begins the reply to the batch of a number.
 func (r *reply) start(frame uint64) {
-	r.line = append(r.line[:0], `{"frame":`...)
-	r.line = strconv.AppendUint(r.line, frame, 10)
-	r.line = append(r.line, `,"cmds":[`...)
+	r.line = append(r.line[:0], `{"`+keyFrame+`":`...)
+	r.line = strconv.AppendUint(r.line, frame, decimal)
+	r.line = append(r.line, `,"`+keyCommands+`":[`...)
 	r.commands = 0
 }
 
+// end completes the reply.
 func (r *reply) end() { r.line = append(r.line, "]}\n"...) }
 
-// open begins a command of a dispatcher. Its fields are written next, and then close.
-func (r *reply) open(name string, dispatcher int) {
+// open begins a command of a dispatcher. Its fields follow, and then close.
+func (r *reply) open(command string, dispatcher int) {
 	if r.commands > 0 {
 		r.line = append(r.line, ',')
 	}
 	r.commands++
 	r.line = append(r.line, `{"`...)
-	r.line = append(r.line, name...)
-	r.line = append(r.line, `":{"dispatcher":`...)
-	r.line = strconv.AppendInt(r.line, int64(dispatcher), 10)
+	r.line = append(r.line, command...)
+	r.line = append(r.line, `":{"`+keyDispatcher+`":`...)
+	r.line = strconv.AppendInt(r.line, int64(dispatcher), decimal)
 }
 
+// close completes a command.
 func (r *reply) close() { r.line = append(r.line, "}}"...) }
 
 // writeRaw writes a field whose value is JSON already.
@@ -46,28 +51,30 @@
 	r.line = append(r.line, value...)
 }
 
+// writeInt writes a field that is a number.
 func (r *reply) writeInt(key string, n int64) {
 	r.writeRaw(key, "")
-	r.line = strconv.AppendInt(r.line, n, 10)
+	r.line = strconv.AppendInt(r.line, n, decimal)
 }
 
+// writeSeconds writes a field that is a span in seconds.
 func (r *reply) writeSeconds(key string, d balancer.Duration) {
 	r.writeRaw(key, "")
 	r.line = strconv.AppendFloat(r.line, float64(d)/balancer.Second, 'f', -1, 64)
 }
 
-// writeText writes a whole command that has a text.
-func (r *reply) writeText(name string, dispatcher int, text string) {
-	r.open(name, dispatcher)
-	r.writeRaw("text", quoted(text))
+// writeText writes a command whose only field is a text.
+func (r *reply) writeText(command string, dispatcher int, text string) {
+	r.open(command, dispatcher)
+	r.writeRaw(keyText, quoted(text))
 	r.close()
 }
 
-// quoted is a string as JSON.
+// quoted returns a string as JSON.
 func quoted(s string) string {
 	b, err := json.Marshal(s)
 	if err != nil {
-		panic(err) // each string has a JSON form
+		panic(err) // cannot happen: each string has a JSON form
 	}
 	return string(b)
 }
--- a/internal/simadapter/requests.go
+++ b/internal/simadapter/requests.go
@@ -10,31 +10,37 @@
 	"canvasroute/internal/settings"
 )
 
-// progressStarted is the progress by which a worker reports that it has started an attempt.
+// progressStarted is the kind of progress that reports the start of an attempt.
 const progressStarted = 1
 
-// trackedRequest follows a request until the last outcome of its attempts. Then its number is used again.
+// trackedRequest is a request until the last of its attempts has ended. Then its number is free for another one.
 type trackedRequest struct {
-	name     string // on the wire, "" once the number is free
+	name     string // on the wire; "" while the number is free
 	quoted   string // the name as JSON
 	attempts int    // sent so far
-	inFlight int    // attempts without an outcome
-	ended    bool   // answered, or left by its client
+	inFlight int    // attempts that have not ended
+	ended    bool   // it was answered, or its client has left
 }
 
-// requestTable gives requests numbers.
+// requestTable numbers the requests of one instance.
 type requestTable struct {
-	ids     map[string]balancer.RequestID
-	tracked []trackedRequest // by number
-	free    []balancer.RequestID
-	ending  []balancer.RequestID // may be free after the event at hand
+	ids     map[string]balancer.RequestID // by name on the wire
+	tracked []trackedRequest              // by number
+	free    []balancer.RequestID          // numbers without a request
+	ending  []balancer.RequestID          // numbers to check after the event at hand, perhaps twice
+}
+
+// attemptRef names an attempt.
+type attemptRef struct {
+	request balancer.RequestID
+	number  int // among the request's attempts, from 0
 }
 
 func newRequestTable() requestTable { return requestTable{ids: map[string]balancer.RequestID{}} }
 
 func (t *requestTable) get(id balancer.RequestID) *trackedRequest { return &t.tracked[id] }
 
-// add gives a request a number.
+// add numbers a request.
 func (t *requestTable) add(name string) balancer.RequestID {
 	id := balancer.RequestID(len(t.tracked))
 	if last := len(t.free) - 1; last >= 0 {
@@ -48,13 +54,14 @@
 	return id
 }
 
-// end marks a request as ended. Its number is not free while the balancer may still be at work on it.
+// end marks a request as ended. Its number is not freed before the event at hand was handled, as the balancer may still
+// use it.
 func (t *requestTable) end(id balancer.RequestID) {
 	t.tracked[id].ended = true
 	t.ending = append(t.ending, id)
 }
 
-// releaseEnded frees the numbers of requests that have ended and have no attempt in flight.
+// releaseEnded frees the numbers of requests that have ended and have no attempt in flight. It is called after each event.
 func (t *requestTable) releaseEnded() {
 	for _, id := range t.ending {
 		request := t.get(id)
@@ -67,30 +74,31 @@
 	t.ending = t.ending[:0]
 }
 
-// findAttempt reads which attempt an event is about.
-func (t *requestTable) findAttempt(fields *fastjson.Value) (balancer.RequestID, int, error) {
-	name := string(fields.GetStringBytes("rid"))
+// findAttempt returns the attempt that an event names. The error is errUnknownRequest or errUnknownAttempt.
+func (t *requestTable) findAttempt(fields *fastjson.Value) (attemptRef, error) {
+	name := string(fields.GetStringBytes(keyRequestID))
 	id, known := t.ids[name]
 	if !known {
-		return 0, 0, fmt.Errorf("%w %q", errUnknownRequest, name)
+		return attemptRef{}, fmt.Errorf("%w %q", errUnknownRequest, name)
 	}
-	attempt := fields.GetInt("hop")
-	if attempt < 0 || attempt >= t.get(id).attempts {
-		return 0, 0, fmt.Errorf("request %q has no attempt %d", name, attempt)
+	number := fields.GetInt(keyAttempt)
+	if number < 0 || number >= t.get(id).attempts {
+		return attemptRef{}, fmt.Errorf("request %q %w %d", name, errUnknownAttempt, number)
 	}
-	return id, attempt, nil
+	return attemptRef{request: id, number: number}, nil
 }
 
+// requestArrived passes on that a client has sent a request.
 func (in *instance) requestArrived(fields *fastjson.Value) error {
-	name := string(fields.GetStringBytes("rid"))
+	name := string(fields.GetStringBytes(keyRequestID))
 	if name == "" {
-		return errors.New("no rid")
+		return errors.New("no " + keyRequestID)
 	}
-	operation := fields.GetInt("band")
+	operation := fields.GetInt(keyOperation)
 	if operation < 0 || operation >= in.operations {
 		return fmt.Errorf("unknown operation %d, there are %d", operation, in.operations)
 	}
-	tenant := fields.GetInt("project")
+	tenant := fields.GetInt(keyTenant)
 	if tenant < 0 || tenant >= in.tenants {
 		return fmt.Errorf("unknown tenant %d, there are %d", tenant, in.tenants)
 	}
@@ -100,31 +108,33 @@
 	in.balancer.RequestArrived(in.requests.add(name), balancer.Arrival{
 		Operation: balancer.OperationID(operation),
 		Tenant:    balancer.TenantID(tenant),
-		Timeout:   settings.DurationOf(fields.GetFloat64("graceS")),
-		SizeHint:  balancer.Work(settings.DurationOf(fields.GetFloat64("costGuessS"))),
-		Slots:     fields.GetFloat64("coresNeeded"),
+		Timeout:   settings.DurationOf(fields.GetFloat64(keyTimeout)),
+		SizeHint:  balancer.Work(settings.DurationOf(fields.GetFloat64(keySizeHint))),
+		Slots:     fields.GetFloat64(keySlots),
 	})
 	return nil
 }
 
-// attemptProgressed passes on that a worker has started an attempt. Other progress does not concern the balancer.
+// attemptProgressed passes on that a worker has started an attempt. The balancer uses no other kind of progress.
 func (in *instance) attemptProgressed(fields *fastjson.Value) error {
-	id, attempt, err := in.requests.findAttempt(fields)
+	attempt, err := in.requests.findAttempt(fields)
 	if err != nil {
 		return err
 	}
-	if fields.GetInt("what") == progressStarted {
-		in.balancer.AttemptStarted(id, attempt)
+	if fields.GetInt(keyProgress) == progressStarted {
+		in.balancer.AttemptStarted(attempt.request, attempt.number)
 	}
 	return nil
 }
 
+// attemptEnded passes on the outcome of an attempt, and the load report that came with it. The outcomes have the same
+// numbers on the wire as in the balancer.
 func (in *instance) attemptEnded(fields *fastjson.Value) error {
-	id, attempt, err := in.requests.findAttempt(fields)
+	attempt, err := in.requests.findAttempt(fields)
 	if err != nil {
 		return err
 	}
-	outcome := fields.GetInt("reason")
+	outcome := fields.GetInt(keyOutcome)
 	if outcome < int(balancer.Succeeded) || outcome > int(balancer.NotSent) {
 		return fmt.Errorf("unknown outcome %d", outcome)
 	}
@@ -132,35 +142,35 @@
 	if err != nil {
 		return err
 	}
-	closed := fields.GetBool("closed") // the request ends with this attempt
-	request := in.requests.get(id)
-	request.inFlight--
-	request.ended = request.ended || closed
-	in.requests.ending = append(in.requests.ending, id)
 	answer := balancer.NoAnswer
-	if closed {
+	request := in.requests.get(attempt.request)
+	request.inFlight--
+	if fields.GetBool(keyRequestEnded) {
 		answer = balancer.FinalAnswer
+		request.ended = true
 	}
-	in.balancer.AttemptEnded(id, attempt, balancer.Outcome(outcome), answer)
+	in.requests.ending = append(in.requests.ending, attempt.request)
+	in.balancer.AttemptEnded(attempt.request, attempt.number, balancer.Outcome(outcome), answer)
 	in.balancer.ReceiveLoadReport(worker, in.parseLoadReport(fields))
 	return nil
 }
 
-// responseStarted passes on that an attempt's response flows to the client: nothing else of the request is wanted.
+// responseStarted passes on that an attempt's response is being streamed to the client. For the balancer the client has
+// left but for this attempt: no other one is of use any more.
 func (in *instance) responseStarted(fields *fastjson.Value) error {
-	id, attempt, err := in.requests.findAttempt(fields)
+	attempt, err := in.requests.findAttempt(fields)
 	if err != nil {
 		return err
 	}
-	in.requests.get(id).ended = true
-	in.balancer.ClientLeft(id, attempt)
+	in.requests.get(attempt.request).ended = true
+	in.balancer.ClientLeft(attempt.request, attempt.number)
 	return nil
 }
 
-// clientTimedOut passes on that a client is gone. A request that has ended earlier in this batch may be named, and is
-// unknown by now.
-func (in *instance) clientTimedOut(fields *fastjson.Value) {
-	id, known := in.requests.ids[string(fields.GetStringBytes("rid"))]
+// clientLeft passes on that a client has left. The simulator may name a request that has ended earlier in the batch; such
+// an event is ignored.
+func (in *instance) clientLeft(fields *fastjson.Value) {
+	id, known := in.requests.ids[string(fields.GetStringBytes(keyRequestID))]
 	if !known {
 		return
 	}
--- a/internal/simadapter/simadapter.go
+++ b/internal/simadapter/simadapter.go
@@ -1,6 +1,7 @@
-// Package simadapter runs dispatchers in the simulator: it turns each event on the simulator's wire into a call of a
-// balancer, and each of the balancer's effects into a command of the reply. It decides nothing, keeps no time and does
-// nothing by itself.
+// Package simadapter runs dispatchers in the simulator. Each event on the simulator's wire becomes a call of a balancer, and
+// each of the balancer's effects a command in the reply. The package makes no decisions and has no clock of its own.
+//
+// wire_names.go maps the names on the wire to the terms of this code.
 package simadapter
 
 import (
@@ -21,24 +22,26 @@
 	outputBufferBytes = 1 << 16
 )
 
-// Errors of batches that cannot be trusted. They end the run.
+// Errors that end the run, as the batch contradicts what came before.
 var (
 	errMalformedBatch    = errors.New("malformed")
 	errUnknownDispatcher = errors.New("unknown dispatcher")
 	errUnknownEvent      = errors.New("unknown message")
 	errUnknownRequest    = errors.New("unknown request")
+	errUnknownAttempt    = errors.New("has no attempt")
 	errUnknownWorker     = errors.New("unknown worker")
 	errUnknownList       = errors.New("unknown list")
 )
 
-// simulation holds the dispatchers of one process, and the worker lists that the simulator has sent, by their numbers.
+// simulation is the state of one process.
 type simulation struct {
-	instances map[int]*instance
-	lists     map[int][]listedWorker
-	reply     reply
+	instances map[int]*instance      // dispatchers by number
+	lists     map[int][]listedWorker // endpoint lists by number, which all dispatchers share
+	reply     reply                  // to the batch at hand
 }
 
-// Run reads batches, one a line, until the input ends, and answers each with one line. An error names the line.
+// Run reads batches, one a line, until the input ends, and answers each with one line. The error names the line, counted
+// from 1, and what is wrong with it.
 func Run(in io.Reader, out io.Writer) error {
 	input := bufio.NewReaderSize(in, inputBufferBytes)
 	output := bufio.NewWriterSize(out, outputBufferBytes)
@@ -54,11 +57,11 @@
 		if err != nil && !errors.Is(err, io.EOF) {
 			return fmt.Errorf("line %d: %w", n, err)
 		}
-		batch, err := parser.ParseBytes(line)
+		parsed, err := parser.ParseBytes(line)
 		if err != nil {
 			return fmt.Errorf("line %d: %w: %w", n, errMalformedBatch, err)
 		}
-		if err := s.runBatch(batch); err != nil {
+		if err := s.runBatch(parsed); err != nil {
 			return fmt.Errorf("line %d: %w", n, err)
 		}
 		if _, err := output.Write(s.reply.line); err != nil {
@@ -70,7 +73,7 @@
 	}
 }
 
-// readLine appends a line, which may be longer than the reader's buffer.
+// readLine appends a line with its end to a buffer. The line may be longer than the reader's buffer.
 func readLine(r *bufio.Reader, line []byte) ([]byte, error) {
 	for {
 		fragment, err := r.ReadSlice('\n')
@@ -81,15 +84,15 @@
 	}
 }
 
-// runBatch handles the events of a batch, which all happen at one time, and writes the reply.
+// runBatch handles the events of a batch, which all happen at the same time, and writes the reply.
 func (s *simulation) runBatch(v *fastjson.Value) error {
-	header, err := parseHeader(v)
+	received, err := parseBatch(v)
 	if err != nil {
 		return err
 	}
-	s.reply.start(header.frame)
-	for n, event := range header.events {
-		if err := s.runEvent(n, event, header.now); err != nil {
+	s.reply.start(received.frame)
+	for n, event := range received.events {
+		if err := s.runEvent(n, event, received.now); err != nil {
 			return err
 		}
 	}
@@ -97,92 +100,94 @@
 	return nil
 }
 
-// batchHeader is what a batch consists of.
-type batchHeader struct {
-	frame  uint64 // the batch's number, which the reply repeats
+// batch is one line of the simulator's.
+type batch struct {
+	frame  uint64 // its number, which the reply repeats
 	now    balancer.Time
 	events []*fastjson.Value
 }
 
-func parseHeader(v *fastjson.Value) (batchHeader, error) {
-	frame, wall, happened := v.Get("frame"), v.Get("wallS"), v.Get("happened")
-	if frame == nil || wall == nil || happened == nil {
-		return batchHeader{}, errors.New("a batch needs frame, wallS and happened")
+// parseBatch reads the parts of a batch, which all are required.
+func parseBatch(v *fastjson.Value) (batch, error) {
+	frame, now, events := v.Get(keyFrame), v.Get(keyNow), v.Get(keyEvents)
+	if frame == nil || now == nil || events == nil {
+		return batch{}, fmt.Errorf("a batch needs %s, %s and %s", keyFrame, keyNow, keyEvents)
 	}
 	number, err := frame.Uint64()
 	if err != nil {
-		return batchHeader{}, fmt.Errorf("frame: %w", err)
+		return batch{}, fmt.Errorf("%s: %w", keyFrame, err)
 	}
-	seconds, err := wall.Float64()
+	seconds, err := now.Float64()
 	if err != nil {
-		return batchHeader{}, fmt.Errorf("wallS: %w", err)
+		return batch{}, fmt.Errorf("%s: %w", keyNow, err)
 	}
-	events, err := happened.Array()
+	list, err := events.Array()
 	if err != nil {
-		return batchHeader{}, fmt.Errorf("happened: %w", err)
+		return batch{}, fmt.Errorf("%s: %w", keyEvents, err)
 	}
-	return batchHeader{frame: number, now: settings.TimeOf(seconds), events: events}, nil
+	return batch{frame: number, now: settings.TimeOf(seconds), events: list}, nil
 }
 
-// runEvent handles the n-th event of a batch: an object whose only key is its kind.
+// runEvent handles the n-th event of a batch, counted from 0: an object whose only key is the event's name.
 func (s *simulation) runEvent(n int, v *fastjson.Value, now balancer.Time) error {
 	object, err := v.Object()
 	if err != nil || object.Len() != 1 {
 		return fmt.Errorf("event %d: not an object of one key", n)
 	}
-	object.Visit(func(kind []byte, fields *fastjson.Value) {
-		if err = s.dispatchEvent(string(kind), fields, now); err != nil {
-			err = fmt.Errorf("event %d, %s: %w", n, kind, err)
+	object.Visit(func(name []byte, fields *fastjson.Value) {
+		if err = s.dispatchEvent(string(name), fields, now); err != nil {
+			err = fmt.Errorf("event %d, %s: %w", n, name, err)
 		}
 	})
 	return err
 }
 
-// dispatchEvent handles the events about lists and instances, and leaves the others to their instance.
-func (s *simulation) dispatchEvent(kind string, fields *fastjson.Value, now balancer.Time) error {
+// dispatchEvent handles the events about endpoint lists and dispatchers, and passes the others to their dispatcher. Events
+// for one that has failed are ignored.
+func (s *simulation) dispatchEvent(event string, fields *fastjson.Value, now balancer.Time) error {
 	if fields.Type() != fastjson.TypeObject {
 		return errors.New("fields are not an object")
 	}
-	if kind == "Inventory" {
+	if event == eventEndpointList {
 		return s.storeList(fields)
 	}
-	if !fields.Exists("dispatcher") {
-		return errors.New("no dispatcher")
+	if !fields.Exists(keyDispatcher) {
+		return errors.New("no " + keyDispatcher)
 	}
-	number := fields.GetInt("dispatcher")
-	if kind == "NewInstance" {
+	number := fields.GetInt(keyDispatcher)
+	if event == eventDispatcherStarted {
 		return s.startInstance(number, fields, now)
 	}
 	in := s.instances[number]
 	if in == nil {
 		return fmt.Errorf("%w %d", errUnknownDispatcher, number)
 	}
-	if kind == "Destroy" {
+	if event == eventDispatcherKilled {
 		delete(s.instances, number)
 		return nil
 	}
 	if in.failed {
 		return nil
 	}
-	if kind == "Discovery" {
+	if event == eventEndpointUpdate {
 		return in.run(now, func() error { return s.updateEndpoints(in, fields) })
 	}
-	return in.run(now, func() error { return in.handle(kind, fields) })
+	return in.run(now, func() error { return in.handle(event, fields) })
 }
 
-// startInstance starts a dispatcher. One with the same number that runs already is replaced.
+// startInstance starts a dispatcher. It replaces a running one with the same number.
 func (s *simulation) startInstance(number int, fields *fastjson.Value, now balancer.Time) error {
 	in := newInstance(number, &s.reply)
 	s.instances[number] = in
 	return in.reportPanic(func() error {
-		config, err := settings.Parse(fields.Get("setup"))
+		config, err := settings.Parse(fields.Get(keySettings))
 		if err != nil {
-			return fmt.Errorf("setup: %w", err)
+			return fmt.Errorf("%s: %w", keySettings, err)
 		}
 		in.operations = len(config.Operations)
 		in.tenants = len(config.Tenants)
-		in.reportValues = len(fields.GetArray("setup", "report", "names"))
-		in.balancer = balancer.New(config, fields.GetUint64("nonce64"), in)
+		in.reportValues = settings.LoadReportLength(fields.Get(keySettings))
+		in.balancer = balancer.New(config, fields.GetUint64(keySeed), in)
 		in.balancer.SetTime(now)
 		return nil
 	})
--- a/internal/simadapter/simadapter_test.go
+++ b/internal/simadapter/simadapter_test.go
@@ -9,23 +9,23 @@
 )
 
 const (
-	start = `{"NewInstance":{"dispatcher":4,"nonce64":18446744073709551615,"setup":{"balancers":1,` +
+	startEvent = `{"NewInstance":{"dispatcher":4,"nonce64":18446744073709551615,"setup":{"balancers":1,` +
 		`"shapes":["m"],"fresh_key":7,` +
 		`"operations":[{"repeat":"idempotent","latencyObjectiveS":1,"billedValue":1}],` +
 		`"policyLimits":{"maxForwards":3,"mayCancel":true}}}}`
-	list = `{"Inventory":{"rosterId":2,"hosts":[{"worker":"a:1","readiness":"healthy"}]}},` +
+	listEvents = `{"Inventory":{"rosterId":2,"hosts":[{"worker":"a:1","readiness":"healthy"}]}},` +
 		`{"Discovery":{"dispatcher":4,"mode":"stale_copy","epoch":1,"rosterId":2}}`
-	arrival = `{"Arrival":{"dispatcher":4,"rid":"q\"1","band":0,"graceS":3,"costGuessS":0.1,"coresNeeded":1}}`
-	verdict = `{"Verdict":{"dispatcher":4,"rid":"q\"1","worker":"a:1","reason":1,"hop":0,"closed":true}}`
-	gone    = `{"TimedOutClient":{"dispatcher":4,"rid":"q\"1"}}`
+	arrivalEvent    = `{"Arrival":{"dispatcher":4,"rid":"q\"1","band":0,"graceS":3,"costGuessS":0.1,"coresNeeded":1}}`
+	endedEvent      = `{"Verdict":{"dispatcher":4,"rid":"q\"1","worker":"a:1","reason":1,"hop":0,"closed":true}}`
+	clientLeftEvent = `{"TimedOutClient":{"dispatcher":4,"rid":"q\"1"}}`
 )
 
-// batch is a line of the simulator's.
-func batch(events ...string) string {
+// batchLine returns a batch of events as the simulator sends it.
+func batchLine(events ...string) string {
 	return `{"wallS":5.5,"frame":9,"happened":[` + strings.Join(events, ",") + "]}\n"
 }
 
-// run returns the replies to lines.
+// run returns the replies to lines of input.
 func run(lines ...string) (string, error) {
 	var out bytes.Buffer
 	err := Run(strings.NewReader(strings.Join(lines, "")), &out)
@@ -33,7 +33,7 @@
 }
 
 func TestAttemptKeepsNamesAsGiven(t *testing.T) {
-	out, err := run(batch(), batch(start, list, arrival), batch(verdict, gone))
+	out, err := run(batchLine(), batchLine(startEvent, listEvents, arrivalEvent), batchLine(endedEvent, clientLeftEvent))
 	assert.NoError(t, err)
 	lines := strings.Split(out, "\n")
 	assert.Equal(t, `{"frame":9,"cmds":[]}`, lines[0])
@@ -42,52 +42,55 @@
 }
 
 func TestDispatcherIsKilledAndRestartedInOneBatch(t *testing.T) {
-	out, err := run(batch(start, list, arrival, `{"Destroy":{"dispatcher":4}}`, start, list, arrival))
+	out, err := run(batchLine(startEvent, listEvents, arrivalEvent, `{"Destroy":{"dispatcher":4}}`,
+		startEvent, listEvents, arrivalEvent))
 	assert.NoError(t, err)
 	assert.Equal(t, 2, strings.Count(out, "Issue"), "the new instance knows no request of the old one")
 }
 
 func TestInvalidBatchEndsTheRun(t *testing.T) {
-	for _, c := range []struct {
-		name, line string
-		is         error  // nil where the text alone is held
-		want       string // in the error
+	for _, tt := range []struct {
+		name      string
+		line      string
+		wantError error  // nil where only the text is checked
+		wantText  string // in the error
 	}{
 		{"malformed", "{\n", errMalformedBatch, "line 1: malformed"},
 		{"no frame", "{}\n", nil, "a batch needs frame, wallS and happened"},
-		{"unknown dispatcher", batch(`{"Nonsense":{"dispatcher":4}}`), errUnknownDispatcher, "unknown dispatcher 4"},
-		{"unknown event", batch(start, `{"Nonsense":{"dispatcher":4}}`), errUnknownEvent, "event 1, Nonsense: unknown message"},
-		{"unknown request", batch(start, verdict), errUnknownRequest, `unknown request "q\"1"`},
+		{"unknown dispatcher", batchLine(`{"Nonsense":{"dispatcher":4}}`), errUnknownDispatcher, "unknown dispatcher 4"},
+		{"unknown event", batchLine(startEvent, `{"Nonsense":{"dispatcher":4}}`), errUnknownEvent, "event 1, Nonsense: unknown message"},
+		{"unknown request", batchLine(startEvent, endedEvent), errUnknownRequest, `unknown request "q\"1"`},
 		{
-			"unknown attempt", batch(start, list, arrival, strings.Replace(verdict, `"hop":0`, `"hop":1`, 1)),
-			nil, "has no attempt 1",
+			"unknown attempt",
+			batchLine(startEvent, listEvents, arrivalEvent, strings.Replace(endedEvent, `"hop":0`, `"hop":1`, 1)),
+			errUnknownAttempt, "has no attempt 1",
 		},
 		{
-			"unknown worker", batch(start, list, arrival, strings.Replace(verdict, "a:1", "b:1", 1)),
+			"unknown worker", batchLine(startEvent, listEvents, arrivalEvent, strings.Replace(endedEvent, "a:1", "b:1", 1)),
 			errUnknownWorker, `unknown worker "b:1"`,
 		},
 		{
-			"unknown list", batch(start, `{"Discovery":{"dispatcher":4,"mode":"patch","rosterId":3}}`),
+			"unknown list", batchLine(startEvent, `{"Discovery":{"dispatcher":4,"mode":"patch","rosterId":3}}`),
 			errUnknownList, "unknown list 3",
 		},
-		{"invalid settings", batch(strings.Replace(start, `"balancers":1`, `"balancers":0`, 1)), nil, "balancers: 0"},
+		{"invalid settings", batchLine(strings.Replace(startEvent, `"balancers":1`, `"balancers":0`, 1)), nil, "balancers: 0"},
 		{
-			"invalid operation", batch(strings.Replace(start, `ObjectiveS":1`, `ObjectiveS":-1`, 1)),
+			"invalid operation", batchLine(strings.Replace(startEvent, `ObjectiveS":1`, `ObjectiveS":-1`, 1)),
 			nil, "operations[0].latency",
 		},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			_, err := run(c.line)
-			assert.ErrorContains(t, err, c.want)
-			if c.is != nil {
-				assert.ErrorIs(t, err, c.is)
+		t.Run(tt.name, func(t *testing.T) {
+			_, err := run(tt.line)
+			assert.ErrorContains(t, err, tt.wantText)
+			if tt.wantError != nil {
+				assert.ErrorIs(t, err, tt.wantError)
 			}
 		})
 	}
 }
 
 func TestLateTimeoutAndUnknownTimerAreIgnored(t *testing.T) {
-	out, err := run(batch(start, list, gone, `{"Bell":{"dispatcher":4,"keyBack":3}}`))
+	out, err := run(batchLine(startEvent, listEvents, clientLeftEvent, `{"Bell":{"dispatcher":4,"keyBack":3}}`))
 	assert.NoError(t, err)
 	assert.NotContains(t, out, "Die")
 }
@@ -101,10 +104,10 @@
 func TestMessagesFromUnknownPeersAreHarmless(t *testing.T) {
 	for _, octets := range []string{"", "ff", "ffff05", "0000ff0000ff00"} {
 		event := `{"Heard":{"dispatcher":4,"sender":99999,"octets":"` + octets + `"}}`
-		out, err := run(batch(start, list, event, arrival))
+		out, err := run(batchLine(startEvent, listEvents, event, arrivalEvent))
 		assert.NoError(t, err)
 		assert.Contains(t, out, "Issue")
 	}
-	_, err := run(batch(start, `{"Heard":{"dispatcher":4,"sender":0,"octets":"xy"}}`))
+	_, err := run(batchLine(startEvent, `{"Heard":{"dispatcher":4,"sender":0,"octets":"xy"}}`))
 	assert.ErrorContains(t, err, "octets")
 }
--- a/internal/simadapter/wire_test.go
+++ b/internal/simadapter/wire_test.go
@@ -8,7 +8,7 @@
 	"canvasroute/internal/balancer"
 )
 
-// commandCases are one effect each, and the text that the simulator reads.
+// commandCases have one effect each, and the command that the simulator reads.
 var commandCases = []struct {
 	name    string
 	command func(in *instance, id balancer.RequestID, worker balancer.WorkerID)
@@ -66,13 +66,13 @@
 
 // TestCommandBytes pins the text of each command that the simulator reads: its name, its fields and their order.
 func TestCommandBytes(t *testing.T) {
-	for _, c := range commandCases {
-		t.Run(c.name, func(t *testing.T) {
+	for _, tt := range commandCases {
+		t.Run(tt.name, func(t *testing.T) {
 			in := newInstance(4, &reply{})
 			id := in.requests.add(`q"1`)
 			worker := in.workers.findOrAdd("a:1")
-			c.command(in, id, worker)
-			assert.Equal(t, c.want, string(in.reply.line))
+			tt.command(in, id, worker)
+			assert.Equal(t, tt.want, string(in.reply.line))
 		})
 	}
 }
