--- a/internal/transport/byte_budget_test.go
+++ b/internal/transport/byte_budget_test.go
@@ -12,33 +12,33 @@
 )
 
 // assertAvailable waits until the byte budget has that many bytes left.
-func assertAvailable(t *testing.T, s *Server, want int64) {
+func assertAvailable(t *testing.T, server *Server, want int64) {
 	t.Helper()
-	assert.Eventually(t, func() bool { return s.bodyBudget.available.Load() == want }, testTimeout, time.Millisecond)
+	assert.Eventually(t, func() bool { return server.bodyBudget.available.Load() == want }, testTimeout, time.Millisecond)
 }
 
 // Bodies that are announced on many connections could together exceed the memory limit.
 func TestBodiesInMemoryStayWithinTheByteBudget(t *testing.T) {
-	s, _, _ := startServer(t, 8)
-	s.bodyBudget.available.Store(protocol.MaxBodyBytes)
-	large, largeReader := connect(t, s)
+	server, _, _ := startServer(t, 8)
+	server.bodyBudget.available.Store(protocol.MaxBodyBytes)
+	large, largeReader := connect(t, server)
 	io.WriteString(large, "POST /api HTTP/1.1\r\nContent-Length: 65536\r\n\r\n")
-	assertAvailable(t, s, 0)
-	c, r := connect(t, s)
-	assert.Equal(t, clientResponse{503, "", true}, roundTrip(t, c, r, echoRequest))
+	assertAvailable(t, server, 0)
+	client, reader := connect(t, server)
+	assert.Equal(t, clientResponse{503, "", true}, roundTrip(t, client, reader, echoRequest))
 	body := strings.Repeat("a", protocol.MaxBodyBytes)
 	assert.Equal(t, clientResponse{200, body, false}, roundTrip(t, large, largeReader, body))
-	assertAvailable(t, s, protocol.MaxBodyBytes)
+	assertAvailable(t, server, protocol.MaxBodyBytes)
 }
 
 // A chunked body reserves the largest length while it is read; that must not keep others out while it is served.
 func TestChunkedBodyIsBudgetedByItsLengthOnceComplete(t *testing.T) {
-	s, handler, _ := startServer(t, 8)
-	s.bodyBudget.available.Store(protocol.MaxBodyBytes + 2)
-	c, _ := connect(t, s)
-	io.WriteString(c, "POST /wait HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\n\r\n")
-	assertAvailable(t, s, protocol.MaxBodyBytes)
-	c.Close()
+	server, handler, _ := startServer(t, 8)
+	server.bodyBudget.available.Store(protocol.MaxBodyBytes + 2)
+	client, _ := connect(t, server)
+	io.WriteString(client, "POST /wait HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\n\r\n")
+	assertAvailable(t, server, protocol.MaxBodyBytes)
+	client.Close()
 	<-handler.canceled //nolint:errcheck // only its end is waited for
-	assertAvailable(t, s, protocol.MaxBodyBytes+2)
+	assertAvailable(t, server, protocol.MaxBodyBytes+2)
 }
--- a/internal/transport/byte_stream.go
+++ b/internal/transport/byte_stream.go
@@ -5,15 +5,16 @@
 	"sync/atomic"
 )
 
-// byteStream reads and writes a connection, counts the bytes, and can record what it reads and read it again.
+// byteStream reads and writes a connection and counts the bytes. It can record what it reads, and replay it.
 type byteStream struct {
-	conn                    net.Conn
-	bytesRead, bytesWritten atomic.Int64
-	replay                  []byte    // is read before anything else from conn
-	recorder                *recorder // nil where nothing is recorded
+	conn         net.Conn
+	bytesRead    atomic.Int64
+	bytesWritten atomic.Int64
+	replay       []byte        // is read before anything else from conn
+	recording    *readRecorder // nil where nothing is recorded
 }
 
-// Read reads what is to be replayed, then the connection.
+// Read reads from the bytes to be replayed, and after them from the connection.
 func (s *byteStream) Read(p []byte) (n int, err error) {
 	if len(s.replay) > 0 {
 		n = copy(p, s.replay)
@@ -22,8 +23,8 @@
 		n, err = s.conn.Read(p)
 	}
 	s.bytesRead.Add(int64(n))
-	if s.recorder != nil {
-		s.recorder.record(p[:n])
+	if s.recording != nil {
+		s.recording.record(p[:n])
 	}
 	return n, err
 }
--- a/internal/transport/client_eviction_test.go
+++ b/internal/transport/client_eviction_test.go
@@ -9,12 +9,12 @@
 )
 
 // waitForState waits until the server's only connection is in a state.
-func waitForState(t *testing.T, s *Server, want clientState) {
+func waitForState(t *testing.T, server *Server, want clientState) {
 	t.Helper()
 	assert.Eventually(t, func() bool {
-		s.clients.mu.Lock()
-		defer s.clients.mu.Unlock()
-		for _, slot := range s.clients.slots {
+		server.clients.mu.Lock()
+		defer server.clients.mu.Unlock()
+		for _, slot := range server.clients.slots {
 			return slot.state == want
 		}
 		return false
@@ -22,47 +22,47 @@
 }
 
 func TestConnectionOverTheLimitIsRejected(t *testing.T) {
-	s, handler, _ := startServer(t, 1)
-	busy, _ := connect(t, s)
+	server, handler, _ := startServer(t, 1)
+	busy, _ := connect(t, server)
 	io.WriteString(busy, "POST /wait HTTP/1.1\r\n\r\n")
-	waitForState(t, s, stateServing)
-	c, r := connect(t, s)
-	assert.Equal(t, clientResponse{503, "", true}, roundTrip(t, c, r, echoRequest))
+	waitForState(t, server, stateServing)
+	client, reader := connect(t, server)
+	assert.Equal(t, clientResponse{503, "", true}, roundTrip(t, client, reader, echoRequest))
 	busy.Close()
 	<-handler.canceled //nolint:errcheck // only its end is waited for
 }
 
 func TestIdleConnectionIsEvicted(t *testing.T) {
-	s, _, _ := startServer(t, 1)
-	idle, idleReader := connect(t, s)
+	server, _, _ := startServer(t, 1)
+	idle, idleReader := connect(t, server)
 	roundTrip(t, idle, idleReader, echoRequest)
-	c, r := connect(t, s)
-	assert.Equal(t, 200, roundTrip(t, c, r, echoRequest).status)
+	client, reader := connect(t, server)
+	assert.Equal(t, 200, roundTrip(t, client, reader, echoRequest).status)
 	_, err := idleReader.ReadByte()
 	assert.ErrorIs(t, err, io.EOF)
 }
 
 func TestConnectionWithAPartialRequestIsEvicted(t *testing.T) {
-	s, _, _ := startServer(t, 1)
-	slow, slowReader := connect(t, s)
+	server, _, _ := startServer(t, 1)
+	slow, slowReader := connect(t, server)
 	io.WriteString(slow, "POST /a")
-	waitForState(t, s, stateReading)
-	c, r := connect(t, s)
-	assert.Equal(t, 200, roundTrip(t, c, r, echoRequest).status)
+	waitForState(t, server, stateReading)
+	client, reader := connect(t, server)
+	assert.Equal(t, 200, roundTrip(t, client, reader, echoRequest).status)
 	assert.Equal(t, clientResponse{503, "", true}, readResponse(t, slowReader))
 }
 
 // Connections that were useful stay in a flood of silent ones, and a new client gets in.
 func TestFloodOfSilentConnectionsKeepsNoClientOut(t *testing.T) {
-	s, _, _ := startServer(t, 8)
-	useful, usefulReader := connect(t, s)
+	server, _, _ := startServer(t, 8)
+	useful, usefulReader := connect(t, server)
 	roundTrip(t, useful, usefulReader, echoRequest)
 	for range 60 {
-		connect(t, s)
+		connect(t, server)
 	}
 	began := time.Now()
-	c, r := connect(t, s)
-	assert.Equal(t, 200, roundTrip(t, c, r, echoRequest).status)
+	client, reader := connect(t, server)
+	assert.Equal(t, 200, roundTrip(t, client, reader, echoRequest).status)
 	assert.Less(t, time.Since(began), firstRequestTimeout/2)
 	assert.Equal(t, 200, roundTrip(t, useful, usefulReader, echoRequest).status)
 }
--- a/internal/transport/client_limits.go
+++ b/internal/transport/client_limits.go
@@ -9,36 +9,49 @@
 	"canvasroute/internal/lifecycle"
 )
 
-// spareDivisor of the limit is the share of connections beyond it that may be open for a moment.
+// spareDivisor divides the limit into the number of connections beyond it that may be open for a moment.
 const spareDivisor = 16
 
-// clientLimiter limits how many client connections are open, knows the state of each, sets their read deadlines by it,
-// and evicts the least useful ones where a new one needs a slot.
+// clientLimiter limits how many client connections are open. It has the state of each, which decides its read deadline.
+// Where a new connection needs a slot, it evicts the least useful one, see evictionRank.
 type clientLimiter struct {
-	limit     int
-	spare     int // slots beyond limit, for connections that are rejected or are being closed
-	freed     chan struct{}
+	limit     int           // slots for connections that are served
+	spare     int           // slots beyond limit, for connections that are rejected or are being closed
+	freed     chan struct{} // has an element after a slot was released
 	lifecycle *lifecycle.State
 
 	mu        sync.Mutex
 	slots     map[*Conn]*clientSlot
-	counted   int                       // slots that count toward limit: neither beyond it nor evicted
+	counted   int                       // slots that count toward limit
 	evictable [evictionRanks]*list.List // *Conn by eviction rank, the one longest in its state first
 }
 
 // clientSlot is the state of a client's connection.
 type clientSlot struct {
 	state         clientState
-	since         time.Time // of state
+	since         time.Time // when it got into state
 	awaitingFirst bool      // the first request hasn't been answered
 	useful        bool      // a request on it was accepted, rather than rejected as the client's fault
-	overLimit     bool      // it was accepted beyond the limit, and is closed after one response
-	evicted       bool      // it is being closed to make room
+	admission     admissionResult
+	evicted       bool // it is being closed to make room
 
 	queue   *list.List // of clientLimiter.evictable that it is in, nil if it may not be evicted
 	element *list.Element
 }
 
+// countsTowardLimit reports whether a connection keeps another one out. One that is rejected or evicted is in a spare
+// slot.
+func (s *clientSlot) countsTowardLimit() bool { return !s.evicted && s.admission == admitted }
+
+// admissionResult says whether a new connection was within the limit.
+type admissionResult uint8
+
+const (
+	admitted  admissionResult = iota
+	overLimit                 // it gets one response that says so, and is closed
+)
+
+// clientState says what the server waits for on a client's connection.
 type clientState uint8
 
 const (
@@ -47,6 +60,7 @@
 	stateServing                    // a complete request was read, and is owed a response
 )
 
+// newClientLimiter returns a limiter of limit connections. state says whether connections may be idle.
 func newClientLimiter(limit int, state *lifecycle.State) *clientLimiter {
 	l := &clientLimiter{
 		limit:     limit,
@@ -61,10 +75,11 @@
 	return l
 }
 
+// spareSlots returns how many connections beyond a limit may be open.
 func spareSlots(limit int) int { return max(limit/spareDivisor, 1) }
 
-// waitForCapacity blocks until there is a slot for one more connection, a spare one too, or ctx ends. It evicts
-// connections meanwhile; those in the spare slots are on their way out.
+// waitForCapacity waits until there is a slot for one more connection, which may be a spare one, or until ctx ends.
+// Meanwhile it evicts connections; those in the spare slots are being closed.
 func (l *clientLimiter) waitForCapacity(ctx context.Context) {
 	for {
 		l.mu.Lock()
@@ -85,7 +100,7 @@
 	}
 }
 
-// setLimit changes the limit. Idle connections beyond it are evicted now, others as new ones come.
+// setLimit changes the limit. Idle connections beyond it are evicted now, others when new ones come.
 func (l *clientLimiter) setLimit(limit int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -95,35 +110,38 @@
 	}
 }
 
-// open is the number of open connections.
+// open returns the number of open connections, with those in spare slots.
 func (l *clientLimiter) open() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.slots)
 }
 
-// acquire gives a new connection a slot, evicting another one if need be. overLimit is true where none could be
-// evicted: the connection only gets a response that says so.
-func (l *clientLimiter) acquire(c *Conn) (overLimit bool) {
+// acquire gives a new connection a slot and sets the timeout of its first request. At the limit it evicts another one; the
+// result is overLimit where none may be evicted.
+func (l *clientLimiter) acquire(c *Conn) admissionResult {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	overLimit = l.counted >= l.limit && !l.evictOne()
-	slot := &clientSlot{since: time.Now(), awaitingFirst: true, overLimit: overLimit}
+	admission := admitted
+	if l.counted >= l.limit && !l.evictOne() {
+		admission = overLimit
+	}
+	slot := &clientSlot{since: time.Now(), awaitingFirst: true, admission: admission}
 	l.slots[c] = slot
-	l.addToCount(slot, 1)
+	l.count(slot)
 	l.enqueue(c, slot)
 	c.SetReadTimeout(firstRequestTimeout)
 	if l.closesIdle() {
 		c.SetReadTimeout(finalRequestTimeout)
 	}
-	return overLimit
+	return admission
 }
 
-// release gives a closed connection's slot back.
+// release gives back the slot of a closed connection.
 func (l *clientLimiter) release(c *Conn) {
 	l.mu.Lock()
 	if slot := l.slots[c]; slot != nil {
-		l.addToCount(slot, -1)
+		l.uncount(slot)
 		slot.removeFromQueue()
 	}
 	delete(l.slots, c)
@@ -134,25 +152,32 @@
 	}
 }
 
-// addToCount keeps counted right. It is called with -1 before and 1 after a change of what counts; under the lock.
-func (l *clientLimiter) addToCount(slot *clientSlot, by int) {
-	if !slot.evicted && !slot.overLimit {
-		l.counted += by
+// count adds a slot to counted if it counts toward the limit. It is called under the lock, after a change of the slot.
+func (l *clientLimiter) count(slot *clientSlot) {
+	if slot.countsTowardLimit() {
+		l.counted++
+	}
+}
+
+// uncount undoes count. It is called under the lock, before a change of the slot.
+func (l *clientLimiter) uncount(slot *clientSlot) {
+	if slot.countsTowardLimit() {
+		l.counted--
 	}
 }
 
-// markIdle records that a response was sent, and sets the idle timeout. Both and the check whether idle connections
-// are closed are one step under the lock: closeIdle either sees the connection idle, or is seen here.
+// markIdle records that a response was sent, and sets the idle timeout. It does so under one lock with the check whether
+// idle connections are closed: either closeIdle finds the connection idle, or markIdle finds the later phase.
 func (l *clientLimiter) markIdle(c *Conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	slot := l.slots[c]
-	l.addToCount(slot, -1)
+	l.uncount(slot)
 	slot.state = stateIdle
 	slot.since = time.Now()
 	slot.awaitingFirst = false
 	slot.evicted = false
-	l.addToCount(slot, 1)
+	l.count(slot)
 	l.enqueue(c, slot)
 	switch {
 	case l.closesIdle():
@@ -164,17 +189,17 @@
 	}
 }
 
-// markReading records that a request's first byte has come, and sets the deadline for the rest. An evicted connection
-// gets no more time, nor does a first request: its timeout counts from accept, however late it begins.
+// markReading records that a request's first byte has come, and sets the deadline for the rest. An evicted connection gets
+// no more time. Nor does a first request, whose timeout counts from accept.
 func (l *clientLimiter) markReading(c *Conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	slot := l.setState(c, stateReading)
 	switch {
-	case slot.evicted:
+	case slot.evicted: // its deadline stays
 	case l.closesIdle():
 		c.SetReadTimeout(finalRequestTimeout)
-	case slot.awaitingFirst:
+	case slot.awaitingFirst: // its deadline stays
 	case slot.useful:
 		c.SetReadTimeout(requestReadTimeout)
 	default:
@@ -182,13 +207,14 @@
 	}
 }
 
-// markServing records that a complete request was read: the connection isn't evicted before its response.
+// markServing records that a complete request was read. The connection isn't evicted before its response.
 func (l *clientLimiter) markServing(c *Conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.setState(c, stateServing)
 }
 
+// setState records a change of a connection's state. It is called under the lock.
 func (l *clientLimiter) setState(c *Conn, state clientState) *clientSlot {
 	slot := l.slots[c]
 	slot.state = state
@@ -206,7 +232,7 @@
 	l.enqueue(c, slot)
 }
 
-// isReading reports whether part of a request has come.
+// isReading reports whether a part of a request has come.
 func (l *clientLimiter) isReading(c *Conn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -218,7 +244,7 @@
 	return !l.lifecycle.PhaseAt(time.Now()).KeepsIdleConnections()
 }
 
-// interruptAll ends all connections at once, whatever their state.
+// interruptAll interrupts all connections, whatever their state; their owners close them.
 func (l *clientLimiter) interruptAll() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -227,7 +253,8 @@
 	}
 }
 
-// closeIdle ends the idle connections after a grace, and those that are reading a request soon.
+// closeIdle sets short read deadlines for the connections that are idle or reading a request; their owners close them then.
+// Those that are owed a response are closed after it.
 func (l *clientLimiter) closeIdle() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/transport/client_limits_test.go
+++ b/internal/transport/client_limits_test.go
@@ -16,38 +16,38 @@
 // although it is owed a response.
 func TestLimiterStaysConsistentUnderRandomOperations(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
-	l := newClientLimiter(20, &lifecycle.State{})
+	limiter := newClientLimiter(20, &lifecycle.State{})
 	var conns []*Conn
 	for range 4000 {
 		if len(conns) == 0 || rng.IntN(6) == 0 {
 			pipe, peer := net.Pipe()
 			defer peer.Close()
-			c := newConn(pipe, Client, "", zerolog.Nop(), nil)
-			l.acquire(c)
-			conns = append(conns, c)
+			conn := newConn(pipe, Client, "", zerolog.Nop(), nil)
+			limiter.acquire(conn)
+			conns = append(conns, conn)
 			continue
 		}
 		n := rng.IntN(len(conns))
-		c := conns[n]
+		conn := conns[n]
 		switch rng.IntN(6) {
 		case 0:
-			l.markIdle(c)
+			limiter.markIdle(conn)
 		case 1:
-			l.markReading(c)
+			limiter.markReading(conn)
 		case 2:
-			l.markServing(c)
+			limiter.markServing(conn)
 		case 3: // as before the response to an accepted request
-			l.markServing(c)
-			l.markUseful(c)
+			limiter.markServing(conn)
+			limiter.markUseful(conn)
 		case 4:
-			l.release(c)
+			limiter.release(conn)
 			conns = append(conns[:n], conns[n+1:]...)
 		case 5:
-			l.mu.Lock()
-			l.evictOne()
-			l.mu.Unlock()
+			limiter.mu.Lock()
+			limiter.evictOne()
+			limiter.mu.Unlock()
 		}
-		assertLimiterConsistent(t, l)
+		assertLimiterConsistent(t, limiter)
 		if t.Failed() {
 			return
 		}
@@ -56,44 +56,44 @@
 
 // assertLimiterConsistent checks that the count and the queues are as the slots' states say, and that each queue is
 // in the order of since.
-func assertLimiterConsistent(t *testing.T, l *clientLimiter) {
+func assertLimiterConsistent(t *testing.T, limiter *clientLimiter) {
 	t.Helper()
 	counted, queued := 0, 0
-	for c, slot := range l.slots {
-		if !slot.evicted && !slot.overLimit {
+	for conn, slot := range limiter.slots {
+		if !slot.evicted && slot.admission == admitted {
 			counted++
 		}
 		rank, ok := slot.evictionRank()
 		assert.Equal(t, ok, slot.queue != nil)
 		if ok {
 			queued++
-			assert.Same(t, l.evictable[rank], slot.queue)
-			assert.Same(t, c, slot.element.Value)
+			assert.Same(t, limiter.evictable[rank], slot.queue)
+			assert.Same(t, conn, slot.element.Value)
 		}
 	}
-	for _, queue := range l.evictable {
+	for _, queue := range limiter.evictable {
 		queued -= queue.Len()
 		for e := queue.Front(); e != nil && e.Next() != nil; e = e.Next() {
-			assert.False(t, l.slots[e.Next().Value.(*Conn)].since.Before(l.slots[e.Value.(*Conn)].since))
+			assert.False(t, limiter.slots[e.Next().Value.(*Conn)].since.Before(limiter.slots[e.Value.(*Conn)].since))
 		}
 	}
 	assert.Zero(t, queued)
-	assert.Equal(t, counted, l.counted)
+	assert.Equal(t, counted, limiter.counted)
 }
 
 // BenchmarkAcquireAtTheLimit is the cost of a connection in a flood: it must not grow with the number of slots.
 func BenchmarkAcquireAtTheLimit(b *testing.B) {
-	l := newClientLimiter(5000, &lifecycle.State{})
+	limiter := newClientLimiter(5000, &lifecycle.State{})
 	pipe, peer := net.Pipe()
 	defer peer.Close()
 	for range 5000 {
-		l.acquire(newConn(pipe, Client, "", zerolog.Nop(), nil))
+		limiter.acquire(newConn(pipe, Client, "", zerolog.Nop(), nil))
 	}
 	began := time.Now()
 	for b.Loop() {
-		c := newConn(pipe, Client, "", zerolog.Nop(), nil)
-		l.acquire(c)
-		l.release(c)
+		conn := newConn(pipe, Client, "", zerolog.Nop(), nil)
+		limiter.acquire(conn)
+		limiter.release(conn)
 	}
 	b.ReportMetric(float64(time.Since(began).Nanoseconds())/float64(b.N), "ns/connection")
 }
--- a/internal/transport/close_watch.go
+++ b/internal/transport/close_watch.go
@@ -10,23 +10,16 @@
 	"canvasroute/internal/protocol"
 )
 
-// How a client is watched of which nothing more can be read. Together these times keep the detection of a closed
-// connection below half of the 0.1 s after which nothing may be sent to a worker for its client.
-const (
-	closePollInterval = 10 * time.Millisecond // between inspections of the socket
-	pollsPerProbe     = 3                     // inspections from one interim response to the next
-	maxUnreadBytes    = 32 << 10              // beyond it the peer may have more to send than the kernel accepts
-	probeWriteTimeout = closePollInterval     // for an interim response
-	queuedAtLeast     = 50 * time.Millisecond // a request that has waited longer may be of a client long gone
-	resetTimeout      = 50 * time.Millisecond // from an interim response to the reset by a client that has closed
-)
+// maxUnreadBytes is how many received bytes the kernel holds at least before a client has to wait with more. Beyond it the
+// kernel may hold back the end of the stream too.
+const maxUnreadBytes = 32 << 10
 
 // errClosedBehindUnread reports a client that sent more than is buffered and then closed the connection.
 var errClosedBehindUnread = errors.New("connection closed after more data than is buffered")
 
-// WatchForClose watches in the background for the peer closing the connection, and then calls onClose once with the
-// cause. Data that comes meanwhile is buffered. stop ends the watch and waits for its goroutine; nothing else may read
-// before it has returned.
+// WatchForClose starts a goroutine that watches for the peer closing the connection, and then calls onClose once with the
+// cause. Data that comes meanwhile is buffered. stop ends the watch and waits for its goroutine. The caller must not read
+// before stop has returned.
 func (c *Conn) WatchForClose(onClose func(error)) (stop func()) {
 	c.setReadDeadline(time.Time{})
 	done, stopped := make(chan struct{}), make(chan struct{})
@@ -44,7 +37,7 @@
 	})
 }
 
-// awaitClose returns why the peer has closed the connection, nil where it was stopped before.
+// awaitClose waits until the peer has closed the connection and returns the cause, nil where it was stopped before.
 func (c *Conn) awaitClose(stopped <-chan struct{}) error {
 	for !c.readBuf.Full() {
 		_, err := c.readBuf.Fill(&c.stream)
@@ -61,11 +54,12 @@
 	return c.probeForClose(stopped, errClosedBehindUnread)
 }
 
-// probeForClose watches a client of which nothing more can be read: it has half-closed the connection and may still
-// wait for its response, or it has sent more than is buffered, which hides the end of the stream. Whether it still
-// reads doesn't show until something is sent to it. So it gets interim responses (RFC 9110, 15.2) again and again: a
-// client that reads skips them, and the kernel of one that has closed the connection answers with a reset, however
-// long after its half-close that was. It returns cause once the client has closed, nil where it was stopped before.
+// probeForClose watches a client from which nothing more can be read. It has half-closed the connection and may still
+// wait for its response, or it has sent more than is buffered, which hides the end of the stream. It returns cause once
+// the client has closed the connection, nil where it was stopped before.
+//
+// Whether the client still reads doesn't show until something is sent to it. It therefore gets interim responses
+// (RFC 9110, 15.2) at intervals. A client that reads skips them; the kernel of one that has closed answers with a reset.
 func (c *Conn) probeForClose(stopped <-chan struct{}, cause error) error {
 	socket, ok := c.nc.(syscall.Conn)
 	if !ok {
@@ -79,12 +73,14 @@
 	for poll := 0; ; poll++ {
 		state, unread := tcpState(socket)
 		halfClosed := state == tcpCloseWait
+		endMayBeHidden := halfClosed || unread > maxUnreadBytes
+		probeDue := poll%pollsPerProbe == 0
 		switch {
 		case !halfClosed && state != tcpEstablished:
 			return cause
 		case halfClosed && !c.acceptsInterim: // nothing may be sent that would show whether it reads
 			return cause
-		case poll%pollsPerProbe == 0 && c.acceptsInterim && (halfClosed || unread > maxUnreadBytes):
+		case probeDue && c.acceptsInterim && endMayBeHidden:
 			c.setWriteDeadline(time.Now().Add(probeWriteTimeout))
 			if _, err := c.stream.Write([]byte(protocol.Continue)); err != nil {
 				return cause
@@ -98,9 +94,11 @@
 	}
 }
 
-// closedWhileQueued reports whether a client closed its connection some time before its request was read, as one that
-// gave up while the connection waited in the listener's queue: work that starts now would start too late. A client
-// whose request has just come isn't inspected. It can't have closed long ago, and WatchForClose will notice in time.
+// closedWhileQueued reports whether a client closed its connection some time before its request was read. Such a client
+// gave up while the connection waited in the listener's queue, and its request must not be sent to a worker any more.
+//
+// A client whose request has just come isn't inspected. It can't have closed long ago, and WatchForClose detects a close
+// in time.
 func (c *Conn) closedWhileQueued() bool {
 	socket, ok := c.nc.(syscall.Conn)
 	if !ok || timeSinceLastData(socket) < queuedAtLeast {
@@ -115,6 +113,6 @@
 	if c.probeForClose(stopped, io.EOF) != nil {
 		return true
 	}
-	state, _ := tcpState(socket) // the reset may have come as the wait ended
+	state, _ := tcpState(socket) // the reset may have come just as the wait ended
 	return state != tcpEstablished && state != tcpCloseWait
 }
--- a/internal/transport/close_watch_test.go
+++ b/internal/transport/close_watch_test.go
@@ -18,10 +18,10 @@
 const detectWithin = 100 * time.Millisecond
 
 // watchClose watches a connection until the test ends, and returns the channel of the close's cause.
-func watchClose(t *testing.T, c *Conn) <-chan error {
+func watchClose(t *testing.T, conn *Conn) <-chan error {
 	t.Helper()
 	closed := make(chan error, 1)
-	stop := c.WatchForClose(func(err error) { closed <- err })
+	stop := conn.WatchForClose(func(err error) { closed <- err })
 	t.Cleanup(stop)
 	return closed
 }
@@ -38,42 +38,42 @@
 }
 
 func TestCloseWatchReportsThatThePeerClosed(t *testing.T) {
-	c, peer, _ := connPair(t)
+	conn, peer, _ := connPair(t)
 	closed := make(chan error, 1)
-	stop := c.WatchForClose(func(err error) { closed <- err })
+	stop := conn.WatchForClose(func(err error) { closed <- err })
 	peer.Close()
 	assert.ErrorIs(t, <-closed, io.EOF)
 	stop()
 }
 
 func TestCloseWatchBuffersEarlyDataAndStops(t *testing.T) {
-	c, peer, _ := connPair(t)
-	stop := c.WatchForClose(func(err error) { t.Error("closed:", err) })
+	conn, peer, _ := connPair(t)
+	stop := conn.WatchForClose(func(err error) { t.Error("closed:", err) })
 	io.WriteString(peer, "GET / HTTP/1.1\r\n\r\n")
-	assert.Eventually(t, func() bool { return c.stream.bytesRead.Load() > 0 }, testTimeout, time.Millisecond)
+	assert.Eventually(t, func() bool { return conn.stream.bytesRead.Load() > 0 }, testTimeout, time.Millisecond)
 	stop()
-	head, err := c.ReadRequestHead(nil)
+	head, err := conn.ReadRequestHead(nil)
 	assert.NoError(t, err)
 	assert.Equal(t, "GET", head.Method)
 }
 
 func TestCloseBehindUnreadDataIsDetected(t *testing.T) {
-	c, peer, _ := connPair(t)
-	c.acceptsInterim = true
+	conn, peer, _ := connPair(t)
+	conn.acceptsInterim = true
 	_, err := peer.Write(make([]byte, 3*readBufferBytes))
 	assert.NoError(t, err)
-	closed := watchClose(t, c)
+	closed := watchClose(t, conn)
 	peer.Close()
 	assert.Error(t, receive(t, closed))
 }
 
 func TestCloseBehindMoreDataThanTheKernelBuffersIsDetected(t *testing.T) {
-	c, peer, _ := connPair(t)
-	c.acceptsInterim = true
+	conn, peer, _ := connPair(t)
+	conn.acceptsInterim = true
 	go func() {
 		_, _ = peer.Write(make([]byte, 8<<20)) // it blocks until the peer is closed
 	}()
-	closed := watchClose(t, c)
+	closed := watchClose(t, conn)
 	readInterims(t, peer, 2)
 	assert.Empty(t, closed, "it isn't closed as long as the peer reads")
 	peer.Close()
@@ -82,19 +82,19 @@
 
 // A client of HTTP/1.0 gets no interim responses.
 func TestCloseBehindUnreadDataOfAnHTTP10ClientIsDetected(t *testing.T) {
-	c, peer, _ := connPair(t)
+	conn, peer, _ := connPair(t)
 	_, err := peer.Write(make([]byte, 3*readBufferBytes))
 	assert.NoError(t, err)
-	closed := watchClose(t, c)
+	closed := watchClose(t, conn)
 	peer.Close()
 	assert.ErrorIs(t, receive(t, closed), errClosedBehindUnread)
 }
 
 // A client's reset may come late, or only once it closes a connection that it had half-closed before.
 func TestCloseAfterHalfCloseIsDetectedInTime(t *testing.T) {
-	c, peer, _ := connPair(t)
-	c.acceptsInterim = true
-	closed := watchClose(t, c)
+	conn, peer, _ := connPair(t)
+	conn.acceptsInterim = true
+	closed := watchClose(t, conn)
 	assert.NoError(t, peer.CloseWrite())
 	readInterims(t, peer, 3) // so it was found to read twice
 	assert.Empty(t, closed)
@@ -125,9 +125,9 @@
 			const moments = 24
 			late := 0
 			for moment := range moments {
-				c, peer, _ := connPair(t)
-				c.acceptsInterim = true
-				closed := watchClose(t, c)
+				conn, peer, _ := connPair(t)
+				conn.acceptsInterim = true
+				closed := watchClose(t, conn)
 				assert.NoError(t, tt.beforeClose(peer))
 				time.Sleep(time.Duration(moment) * pollsPerProbe * closePollInterval / moments)
 				peer.Close()
@@ -146,38 +146,38 @@
 // does. One that has only half-closed its connection gets its response.
 func TestRequestOfAClientThatClosedWhileQueuedIsNotServed(t *testing.T) {
 	handler := newGatedHandler()
-	s := newTestServer(listenLoopback(t), 4, handler)
-	closed, _ := connect(t, s)
+	server := newTestServer(listenLoopback(t), 4, handler)
+	closed, _ := connect(t, server)
 	io.WriteString(closed, gatedRequest)
-	halfClosed, r := connect(t, s)
+	halfClosed, reader := connect(t, server)
 	io.WriteString(halfClosed, gatedRequest)
 	assert.NoError(t, halfClosed.(*net.TCPConn).CloseWrite())
 	assert.NoError(t, closed.Close())
 	time.Sleep(2 * queuedAtLeast)
-	stop, ended := runServer(s)
+	stop, ended := runServer(server)
 	receive(t, handler.requested)
 	handler.release <- &protocol.Response{Status: 200}
-	assert.Equal(t, 200, readFinalResponse(t, r).status)
-	assert.Eventually(t, func() bool { return s.OpenConnections() == 0 }, testTimeout, time.Millisecond)
+	assert.Equal(t, 200, readFinalResponse(t, reader).status)
+	assert.Eventually(t, func() bool { return server.OpenConnections() == 0 }, testTimeout, time.Millisecond)
 	assert.Empty(t, handler.requested, "the closed one isn't served")
 	stop()
 	assert.NoError(t, receive(t, ended))
 }
 
 func TestDeadlineThatPassesAsARequestCompletesDoesNotEndTheCloseWatch(t *testing.T) {
-	c, peer, _ := connPair(t)
-	l := newClientLimiter(4, &lifecycle.State{})
-	l.acquire(c)
-	l.mu.Lock()
-	assert.True(t, l.evictOne())
-	l.mu.Unlock()
-	c.setReadDeadline(pastDeadline)
-	l.markServing(c)
-	l.mu.Lock()
-	assert.False(t, l.evictOne(), "a connection that is owed a response isn't evicted")
-	l.mu.Unlock()
-	l.closeIdle()
-	closed := watchClose(t, c)
+	conn, peer, _ := connPair(t)
+	limiter := newClientLimiter(4, &lifecycle.State{})
+	limiter.acquire(conn)
+	limiter.mu.Lock()
+	assert.True(t, limiter.evictOne())
+	limiter.mu.Unlock()
+	conn.setReadDeadline(pastDeadline)
+	limiter.markServing(conn)
+	limiter.mu.Lock()
+	assert.False(t, limiter.evictOne(), "a connection that is owed a response isn't evicted")
+	limiter.mu.Unlock()
+	limiter.closeIdle()
+	closed := watchClose(t, conn)
 	peer.Close()
 	assert.ErrorIs(t, receive(t, closed), io.EOF)
 }
--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -13,11 +13,10 @@
 	"canvasroute/internal/protocol"
 )
 
-// Sizes of a connection's buffers in bytes. The read buffer holds the largest head that is accepted; the write buffer
-// is flushed whenever it is full.
+// Sizes of a connection's buffers, in bytes.
 const (
-	readBufferBytes  = protocol.MaxHeadBytes
-	writeBufferBytes = readBufferBytes / 4
+	readBufferBytes  = protocol.MaxHeadBytes // a head is parsed in the buffer
+	writeBufferBytes = 2 << 10               // it is flushed whenever it is full
 )
 
 // PeerRole says who is at the other end of a connection. Its values are those of the log field "side".
@@ -30,21 +29,22 @@
 	Discovery PeerRole = "list"
 )
 
-// Conn is one connection with its buffers and deadlines. One goroutine at a time may use it; only Interrupt and
-// Interrupted may be called by others. While WatchForClose watches, nothing else may read or write.
+// Conn is one connection with its buffers and deadlines. One goroutine at a time owns it, see the package's comment. Only
+// Interrupt and Interrupted may be called by others. While WatchForClose watches, nothing else may read or write.
 type Conn struct {
-	nc                net.Conn
-	stream            byteStream
-	readBuf, writeBuf *Ring
-	role              PeerRole
-	addr              string
-	log               zerolog.Logger
-	openedAt          time.Time
-	messagesSent      int
-	readAtLastSend    int64 // bytes that had been read when the last message was sent
+	nc             net.Conn
+	stream         byteStream
+	readBuf        *Ring
+	writeBuf       *Ring
+	role           PeerRole
+	addr           string // of the peer
+	log            zerolog.Logger
+	openedAt       time.Time
+	messagesSent   int   // since it was opened
+	readAtLastSend int64 // bytes that had been read when the last message was sent
 
 	closeOnce        sync.Once
-	onClose          func()
+	onClose          func()      // nil where nobody wants to know of the close
 	peerProcessEnded atomic.Bool // the process at the other end is known to have ended: the connection is stale
 
 	deadlineMu  sync.Mutex
@@ -54,7 +54,7 @@
 	acceptsInterim bool   // the client understands interim (1xx) responses
 	stopCloseWatch func() // ends WatchForClose
 
-	idleSince time.Time // of an idle connection in a pool
+	idleSince time.Time // of an idle connection in a Pool
 
 	testHooks connTestHooks
 }
@@ -64,6 +64,7 @@
 	beforeLastByte func() // runs before SendOnReused checks the connection and sends a message's last byte
 }
 
+// newConn returns a connection that the caller owns. onClose may be nil.
 func newConn(nc net.Conn, role PeerRole, addr string, log zerolog.Logger, onClose func()) *Conn {
 	return &Conn{
 		nc:       nc,
@@ -87,6 +88,7 @@
 	return newConn(nc, role, addr, log, nil), nil
 }
 
+// dialTCP opens a TCP connection until ctx ends.
 func dialTCP(ctx context.Context, addr string) (net.Conn, error) {
 	var dialer net.Dialer
 	nc, err := dialer.DialContext(ctx, "tcp", addr)
@@ -117,7 +119,7 @@
 	})
 }
 
-// Addr is the peer's address.
+// Addr returns the peer's address.
 func (c *Conn) Addr() string { return c.addr }
 
 // Reused reports whether a message has been sent on the connection before.
--- a/internal/transport/conn_test.go
+++ b/internal/transport/conn_test.go
@@ -17,9 +17,9 @@
 )
 
 func TestConnectionLogsItsCloseOnce(t *testing.T) {
-	c, _, log := connPair(t)
-	c.CloseFor(WatchTimeout, io.EOF)
-	c.CloseFor(Stopping, nil)
+	conn, _, log := connPair(t)
+	conn.CloseFor(WatchTimeout, io.EOF)
+	conn.CloseFor(Stopping, nil)
 	assert.Equal(t, 1, strings.Count(log.String(), "\n"))
 	assert.Contains(t, log.String(), `"side":"worker","addr":"w","reason":"silent"`)
 }
@@ -27,23 +27,23 @@
 func TestConnectionThatCannotBeInspectedIsNotReused(t *testing.T) {
 	pipe, peer := net.Pipe()
 	defer peer.Close()
-	c := newConn(pipe, Client, "", zerolog.Nop(), nil)
-	assert.True(t, c.readable())
-	assert.False(t, c.hasUnreadData())
-	_, err := c.peekSocket()
+	conn := newConn(pipe, Client, "", zerolog.Nop(), nil)
+	assert.True(t, conn.readable())
+	assert.False(t, conn.hasUnreadData())
+	_, err := conn.peekSocket()
 	assert.True(t, errors.Is(err, errors.ErrUnsupported))
 }
 
 // A close that resets the connection drops small writes that the kernel still holds back.
 func TestNoDelayIsSetOnAllConnections(t *testing.T) {
-	s, handler, _, _ := startGatedServer(t)
-	client, _ := connect(t, s)
+	server, handler, _, _ := startGatedServer(t)
+	client, _ := connect(t, server)
 	io.WriteString(client, gatedRequest)
 	assert.True(t, noDelay(t, receive(t, handler.requested)), "a client's")
 	handler.release <- &protocol.Response{Status: 200}
 	addr, _ := startWorker(t)
-	p := NewPool(2, time.Minute, zerolog.Nop())
-	toWorker := mustGet(t, p, addr)
+	pool := NewPool(2, time.Minute, zerolog.Nop())
+	toWorker := mustGet(t, pool, addr)
 	assert.True(t, noDelay(t, toWorker), "a worker's")
 	toDiscovery, err := Dial(context.Background(), addr, Discovery, zerolog.Nop())
 	assert.NoError(t, err)
@@ -53,15 +53,15 @@
 	defer file.Close()
 	migrated, err := net.FileConn(file)
 	assert.NoError(t, err)
-	assert.True(t, noDelay(t, p.Import(migrated, addr, nil)), "a migrated one")
+	assert.True(t, noDelay(t, pool.Import(migrated, addr, nil)), "a migrated one")
 }
 
 // noDelay returns whether small writes are sent at once, rather than held back behind others.
-func noDelay(t *testing.T, c *Conn) bool {
+func noDelay(t *testing.T, conn *Conn) bool {
 	t.Helper()
 	value := 0
 	var optionErr error
-	err := withDescriptor(c.Socket(), func(fd int) {
+	err := withDescriptor(conn.Socket(), func(fd int) {
 		value, optionErr = unix.GetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY)
 	})
 	assert.NoError(t, err)
--- a/internal/transport/datagrams.go
+++ b/internal/transport/datagrams.go
@@ -19,8 +19,8 @@
 	ErrSocketYielded   = errors.New("socket yielded to another process")
 )
 
-// Datagrams is the UDP socket between dispatchers. During a hot restart two processes have it, and one of them at a
-// time uses it. It is safe for use by several goroutines.
+// Datagrams is the UDP socket between dispatchers. During a hot restart two processes have it, of which one at a time
+// uses it. It is safe for use by several goroutines.
 type Datagrams struct {
 	conn *net.UDPConn
 
@@ -28,10 +28,10 @@
 	resume chan struct{} // closed when another process gives the socket back; nil while this one uses it
 }
 
-// Socket is the socket as it can be passed to another process.
+// Socket returns the socket in a form that can be passed to another process.
 func (d *Datagrams) Socket() syscall.Conn { return d.conn }
 
-// Yield leaves the socket to another process. While it is yielded nothing is received or sent here.
+// Yield leaves the socket to another process. Until Reclaim nothing is received or sent here.
 func (d *Datagrams) Yield() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -41,7 +41,7 @@
 	}
 }
 
-// Reclaim takes the socket back from the process that it was yielded to.
+// Reclaim takes the socket back from the other process.
 func (d *Datagrams) Reclaim() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -52,14 +52,15 @@
 	}
 }
 
-// resumed is a channel that is closed when the socket is taken back; nil where it isn't yielded.
+// resumed returns a channel that is closed when the socket is taken back, nil while it isn't yielded.
 func (d *Datagrams) resumed() <-chan struct{} {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.resume
 }
 
-// Send sends one datagram of at most settings.MaxMessageBytes.
+// Send sends one datagram of at most settings.MaxMessageBytes. The error is ErrDatagramTooLong, ErrSocketYielded or one of
+// the socket.
 func (d *Datagrams) Send(to netip.AddrPort, payload []byte) error {
 	if len(payload) > settings.MaxMessageBytes {
 		return ErrDatagramTooLong
@@ -74,8 +75,8 @@
 }
 
 // Run passes received datagrams to receive until ctx ends, and closes the socket then. payload is valid during the call
-// only; one byte beyond settings.MaxMessageBytes shows that a datagram was longer. Errors of a read are skipped: they
-// are mostly a peer's machine that refused an earlier datagram. The error is always nil.
+// only. One of more than settings.MaxMessageBytes has exactly one byte more. Errors of a read are skipped, as most mean
+// that a peer's machine refused an earlier datagram. The error is always nil.
 func (d *Datagrams) Run(ctx context.Context, receive func(from netip.AddrPort, payload []byte)) error {
 	stop := context.AfterFunc(ctx, func() { d.conn.Close() })
 	defer stop()
--- a/internal/transport/deadline.go
+++ b/internal/transport/deadline.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// pastDeadline makes the reads, writes or accepts that it is set for fail at once with a timeout.
+// pastDeadline is a deadline that has passed: reads, writes or accepts fail at once with a timeout.
 var pastDeadline = time.Unix(1, 0)
 
 // SetReadTimeout sets the read deadline to d from now. 0 removes the deadline; a negative d is one that has passed.
@@ -20,8 +20,7 @@
 
 func (c *Conn) clearDeadlines() { c.setDeadline(c.nc.SetDeadline, time.Time{}) }
 
-// setDeadline sets a deadline by one of the connection's methods, unless the connection was interrupted: a deadline
-// that is set later must not undo that.
+// setDeadline sets a deadline by one of the connection's methods. A connection that was interrupted stays so.
 func (c *Conn) setDeadline(set func(time.Time) error, deadline time.Time) {
 	c.deadlineMu.Lock()
 	defer c.deadlineMu.Unlock()
@@ -30,8 +29,8 @@
 	}
 }
 
-// Interrupt makes all reads and writes fail at once with a timeout, now and later: an interrupt that comes just before
-// a deadline is set isn't lost. It may be called from any goroutine.
+// Interrupt makes all reads and writes fail at once with a timeout, now and later. A deadline that is set after it has no
+// effect. It may be called from any goroutine.
 func (c *Conn) Interrupt() {
 	c.deadlineMu.Lock()
 	defer c.deadlineMu.Unlock()
@@ -39,7 +38,7 @@
 	c.nc.SetDeadline(pastDeadline)
 }
 
-// Interrupted reports whether Interrupt was called; such a connection can't be used any more.
+// Interrupted reports whether Interrupt was called. The connection can't be used any more then.
 func (c *Conn) Interrupted() bool {
 	c.deadlineMu.Lock()
 	defer c.deadlineMu.Unlock()
--- a/internal/transport/deadline_test.go
+++ b/internal/transport/deadline_test.go
@@ -10,32 +10,32 @@
 
 // A deadline may have passed before it is set, as what came before took longer than the whole timeout.
 func TestNegativeTimeoutIsADeadlineThatHasPassed(t *testing.T) {
-	c, _, _ := connPair(t)
-	c.SetReadTimeout(-time.Second)
-	_, err := c.ReadResponseHead()
+	conn, _, _ := connPair(t)
+	conn.SetReadTimeout(-time.Second)
+	_, err := conn.ReadResponseHead()
 	assert.Equal(t, TooSlow, CloseReasonOf(err))
 }
 
 func TestInterruptEndsARead(t *testing.T) {
-	c, _, _ := connPair(t)
-	time.AfterFunc(10*time.Millisecond, c.Interrupt)
-	_, err := c.ReadResponseHead()
+	conn, _, _ := connPair(t)
+	time.AfterFunc(10*time.Millisecond, conn.Interrupt)
+	_, err := conn.ReadResponseHead()
 	assert.Equal(t, TooSlow, CloseReasonOf(err))
 }
 
 func TestInterruptOutlastsLaterDeadlines(t *testing.T) {
-	c, peer, _ := connPair(t)
-	c.Interrupt()
-	assert.Error(t, c.Send(time.Hour, []byte(echoRequest)))
-	assert.Error(t, c.SendOnReused(time.Hour, []byte(echoRequest)))
-	c.SetReadTimeout(time.Hour)
-	_, err := c.ReadResponseHead()
+	conn, peer, _ := connPair(t)
+	conn.Interrupt()
+	assert.Error(t, conn.Send(time.Hour, []byte(echoRequest)))
+	assert.Error(t, conn.SendOnReused(time.Hour, []byte(echoRequest)))
+	conn.SetReadTimeout(time.Hour)
+	_, err := conn.ReadResponseHead()
 	assert.Equal(t, TooSlow, CloseReasonOf(err))
-	c.StartRecording()
-	assert.NoError(t, c.Rewind())
-	_, err = c.ReadResponseHead()
+	conn.StartRecording()
+	assert.NoError(t, conn.Rewind())
+	_, err = conn.ReadResponseHead()
 	assert.Equal(t, TooSlow, CloseReasonOf(err), "a rewind doesn't undo it either")
-	c.CloseFor(AttemptCanceled, nil)
+	conn.CloseFor(AttemptCanceled, nil)
 	got, _ := io.ReadAll(peer)
 	assert.Empty(t, got, "nothing was sent after it")
 }
--- a/internal/transport/exchange_test.go
+++ b/internal/transport/exchange_test.go
@@ -11,18 +11,18 @@
 )
 
 func TestServerServesRequestsInOrder(t *testing.T) {
-	s, _, _ := startServer(t, 4)
-	c, r := connect(t, s)
+	server, _, _ := startServer(t, 4)
+	client, reader := connect(t, server)
 	for _, request := range []string{
 		echoRequest,
 		"POST /api HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\n\r\n",
 		echoRequest,
 	} {
-		assert.Equal(t, clientResponse{200, "ab", false}, roundTrip(t, c, r, request))
+		assert.Equal(t, clientResponse{200, "ab", false}, roundTrip(t, client, reader, request))
 	}
-	response := roundTrip(t, c, r, "POST /none HTTP/1.1\r\nContent-Length: 2\r\n\r\nab")
+	response := roundTrip(t, client, reader, "POST /none HTTP/1.1\r\nContent-Length: 2\r\n\r\nab")
 	assert.Equal(t, clientResponse{404, "", false}, response)
-	response = roundTrip(t, c, r, "POST /api HTTP/1.1\r\nConnection: close\r\n\r\n")
+	response = roundTrip(t, client, reader, "POST /api HTTP/1.1\r\nConnection: close\r\n\r\n")
 	assert.True(t, response.closes)
 }
 
@@ -39,58 +39,58 @@
 		{"large head", "POST /api HTTP/1.1\r\nA: " + strings.Repeat("a", 9000) + "\r\n\r\n", 431},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			s, _, _ := startServer(t, 4)
-			c, r := connect(t, s)
-			assert.Equal(t, clientResponse{tt.status, "", true}, roundTrip(t, c, r, tt.request))
+			server, _, _ := startServer(t, 4)
+			client, reader := connect(t, server)
+			assert.Equal(t, clientResponse{tt.status, "", true}, roundTrip(t, client, reader, tt.request))
 		})
 	}
 }
 
 func TestServerSendsContinue(t *testing.T) {
-	s, _, _ := startServer(t, 4)
-	c, r := connect(t, s)
-	io.WriteString(c, "POST /api HTTP/1.1\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n")
-	line, err := r.ReadString('\n')
+	server, _, _ := startServer(t, 4)
+	client, reader := connect(t, server)
+	io.WriteString(client, "POST /api HTTP/1.1\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n")
+	line, err := reader.ReadString('\n')
 	assert.NoError(t, err)
 	assert.Contains(t, line, "100 Continue")
-	_, err = r.ReadString('\n')
+	_, err = reader.ReadString('\n')
 	assert.NoError(t, err)
-	response := roundTrip(t, c, r, "ab")
+	response := roundTrip(t, client, reader, "ab")
 	assert.Equal(t, clientResponse{200, "ab", false}, response)
 }
 
 // A client that expects a 100 (Continue) doesn't send its body before: the server must not wait for it.
 func TestServerRejectsWithoutWaitingForABodyHeldBack(t *testing.T) {
-	s, _, _ := startServer(t, 4)
-	c, r := connect(t, s)
-	response := roundTrip(t, c, r, "POST /none HTTP/1.1\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n")
+	server, _, _ := startServer(t, 4)
+	client, reader := connect(t, server)
+	response := roundTrip(t, client, reader, "POST /none HTTP/1.1\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n")
 	assert.Equal(t, clientResponse{404, "", true}, response)
 }
 
 func TestClientCloseCancelsItsRequest(t *testing.T) {
-	s, handler, _ := startServer(t, 4)
-	c, _ := connect(t, s)
-	io.WriteString(c, "POST /wait HTTP/1.1\r\nContent-Length: 2\r\n\r\nab")
-	c.Close()
+	server, handler, _ := startServer(t, 4)
+	client, _ := connect(t, server)
+	io.WriteString(client, "POST /wait HTTP/1.1\r\nContent-Length: 2\r\n\r\nab")
+	client.Close()
 	assert.ErrorIs(t, <-handler.canceled, errClientClosed)
 }
 
 // A client that half-closes its connection sends nothing more, and still waits for its response.
 func TestHalfClosedClientGetsItsResponse(t *testing.T) {
-	s, handler, _ := startServer(t, 4)
+	server, handler, _ := startServer(t, 4)
 	handler.delay = 100 * time.Millisecond
-	c, r := connect(t, s)
-	io.WriteString(c, "POST /later HTTP/1.1\r\nContent-Length: 2\r\n\r\nab")
-	assert.NoError(t, c.(*net.TCPConn).CloseWrite())
-	response := readFinalResponse(t, r)
+	client, reader := connect(t, server)
+	io.WriteString(client, "POST /later HTTP/1.1\r\nContent-Length: 2\r\n\r\nab")
+	assert.NoError(t, client.(*net.TCPConn).CloseWrite())
+	response := readFinalResponse(t, reader)
 	assert.Equal(t, []any{200, "ab"}, []any{response.status, response.body})
 }
 
 // It can't be probed by interim responses, so nothing distinguishes its half-close from a close.
 func TestHalfCloseByAnHTTP10ClientCancelsItsRequest(t *testing.T) {
-	s, handler, _ := startServer(t, 4)
-	c, _ := connect(t, s)
-	io.WriteString(c, "POST /wait HTTP/1.0\r\nContent-Length: 2\r\n\r\nab")
-	assert.NoError(t, c.(*net.TCPConn).CloseWrite())
+	server, handler, _ := startServer(t, 4)
+	client, _ := connect(t, server)
+	io.WriteString(client, "POST /wait HTTP/1.0\r\nContent-Length: 2\r\n\r\nab")
+	assert.NoError(t, client.(*net.TCPConn).CloseWrite())
 	assert.ErrorIs(t, <-handler.canceled, errClientClosed)
 }
--- a/internal/transport/helpers_test.go
+++ b/internal/transport/helpers_test.go
@@ -27,14 +27,14 @@
 )
 
 // receive waits for a value from a channel.
-func receive[T any](t *testing.T, c <-chan T) (v T) {
+func receive[T any](t *testing.T, channel <-chan T) (value T) {
 	t.Helper()
 	select {
-	case v = <-c:
+	case value = <-channel:
 	case <-time.After(testTimeout):
 		t.Fatal("nothing was received in time")
 	}
-	return v
+	return value
 }
 
 // connPair makes a connection under test with its peer on loopback, and returns its log too.
@@ -48,9 +48,9 @@
 	nc, err := ln.Accept()
 	assert.NoError(t, err)
 	log := &bytes.Buffer{}
-	c := newConn(nc, Worker, "w", zerolog.New(log), nil)
-	t.Cleanup(func() { c.CloseFor(Stopping, nil); peer.Close() })
-	return c, peer.(*net.TCPConn), log
+	conn := newConn(nc, Worker, "w", zerolog.New(log), nil)
+	t.Cleanup(func() { conn.CloseFor(Stopping, nil); peer.Close() })
+	return conn, peer.(*net.TCPConn), log
 }
 
 // startWorker listens at an address until the test ends, and passes on the connections that it accepts.
@@ -73,18 +73,18 @@
 }
 
 // mustGet gets any connection to an address.
-func mustGet(t *testing.T, p *Pool, addr string) *Conn {
+func mustGet(t *testing.T, pool *Pool, addr string) *Conn {
 	t.Helper()
-	return mustGetFresh(t, p, addr, AnyConnection)
+	return mustGetFresh(t, pool, addr, AnyConnection)
 }
 
-func mustGetFresh(t *testing.T, p *Pool, addr string, need Freshness) *Conn {
+func mustGetFresh(t *testing.T, pool *Pool, addr string, need Freshness) *Conn {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
-	c, err := p.Get(ctx, addr, need)
+	conn, err := pool.Get(ctx, addr, need)
 	assert.NoError(t, err)
-	return c
+	return conn
 }
 
 // echoHandler responds with the request's body: at once, after a delay where the path is /later, and never where it is
@@ -160,11 +160,11 @@
 }
 
 // startServer runs a server with an echoHandler until the test ends or calls stop, which waits for the server's end.
-func startServer(t *testing.T, limit int) (s *Server, handler *echoHandler, stop func()) {
+func startServer(t *testing.T, limit int) (server *Server, handler *echoHandler, stop func()) {
 	t.Helper()
 	handler = newEchoHandler()
-	s = newTestServer(listenLoopback(t), limit, handler)
-	cancel, ended := runServer(s)
+	server = newTestServer(listenLoopback(t), limit, handler)
+	cancel, ended := runServer(server)
 	stop = func() {
 		cancel()
 		select {
@@ -176,42 +176,42 @@
 		}
 	}
 	t.Cleanup(stop)
-	return s, handler, stop
+	return server, handler, stop
 }
 
 // startGatedServer runs a server with a gatedHandler until stop is called, and returns the channel of Run's error.
-func startGatedServer(t *testing.T) (s *Server, handler *gatedHandler, stop context.CancelFunc, ended <-chan error) {
+func startGatedServer(t *testing.T) (server *Server, handler *gatedHandler, stop context.CancelFunc, ended <-chan error) {
 	t.Helper()
 	handler = newGatedHandler()
-	s = newTestServer(listenLoopback(t), 4, handler)
-	stop, ended = runServer(s)
+	server = newTestServer(listenLoopback(t), 4, handler)
+	stop, ended = runServer(server)
 	t.Cleanup(stop)
-	return s, handler, stop, ended
+	return server, handler, stop, ended
 }
 
-func runServer(s *Server) (stop context.CancelFunc, ended chan error) {
+func runServer(server *Server) (stop context.CancelFunc, ended chan error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	ended = make(chan error, 1)
-	go func() { ended <- s.Run(ctx) }()
+	go func() { ended <- server.Run(ctx) }()
 	return cancel, ended
 }
 
 // runStopped runs a server whose context has ended already, until it returns.
-func runStopped(t *testing.T, s *Server) {
+func runStopped(t *testing.T, server *Server) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	assert.NoError(t, s.Run(ctx))
+	assert.NoError(t, server.Run(ctx))
 }
 
 // connect opens a client's connection to a server.
-func connect(t *testing.T, s *Server) (net.Conn, *bufio.Reader) {
+func connect(t *testing.T, server *Server) (net.Conn, *bufio.Reader) {
 	t.Helper()
-	c, err := net.Dial("tcp", s.ln.Addr().String())
+	conn, err := net.Dial("tcp", server.ln.Addr().String())
 	assert.NoError(t, err)
-	t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(testTimeout))
-	return c, bufio.NewReader(c)
+	t.Cleanup(func() { conn.Close() })
+	conn.SetDeadline(time.Now().Add(testTimeout))
+	return conn, bufio.NewReader(conn)
 }
 
 // clientResponse is a response as the standard library's client reads it.
@@ -222,16 +222,16 @@
 }
 
 // roundTrip sends text, which may be empty, and reads the next response.
-func roundTrip(t *testing.T, c net.Conn, r *bufio.Reader, text string) clientResponse {
+func roundTrip(t *testing.T, client net.Conn, reader *bufio.Reader, text string) clientResponse {
 	t.Helper()
-	_, err := io.WriteString(c, text)
+	_, err := io.WriteString(client, text)
 	assert.NoError(t, err)
-	return readResponse(t, r)
+	return readResponse(t, reader)
 }
 
-func readResponse(t *testing.T, r *bufio.Reader) clientResponse {
+func readResponse(t *testing.T, reader *bufio.Reader) clientResponse {
 	t.Helper()
-	response, err := http.ReadResponse(r, nil)
+	response, err := http.ReadResponse(reader, nil)
 	if !assert.NoError(t, err) {
 		return clientResponse{closes: true}
 	}
@@ -241,10 +241,10 @@
 }
 
 // readFinalResponse is readResponse past interim responses.
-func readFinalResponse(t *testing.T, r *bufio.Reader) clientResponse {
+func readFinalResponse(t *testing.T, reader *bufio.Reader) clientResponse {
 	t.Helper()
 	for {
-		response := readResponse(t, r)
+		response := readResponse(t, reader)
 		if response.status != 100 {
 			return response
 		}
--- a/internal/transport/lingering_close.go
+++ b/internal/transport/lingering_close.go
@@ -6,12 +6,14 @@
 	"canvasroute/internal/protocol"
 )
 
-// maxDrainReads limits a drain to twice the largest body, where each read fills the buffer.
+// maxDrainReads limits the reads of a drain, so that it takes no more than two of the largest bodies.
 const maxDrainReads = 2 * protocol.MaxBodyBytes / readBufferBytes
 
-// halfCloseAndDrain is the first part of a lingering close (RFC 9112, 9.6): it closes the sending side, and reads and
-// drops what the client still sends, until the client closes too or timeout has passed. A full close would reset the
-// connection on data that comes later, and the reset could destroy the response before the client has read it.
+// halfCloseAndDrain is the first part of a lingering close (RFC 9112, 9.6). It closes the sending side, and then reads and
+// drops data until the client closes too, or timeout has passed.
+//
+// A full close would reset the connection on data that comes later. The reset could destroy the response before the
+// client has read it.
 func (c *Conn) halfCloseAndDrain(timeout time.Duration) {
 	socket, ok := c.nc.(interface{ CloseWrite() error })
 	if !ok || socket.CloseWrite() != nil {
--- a/internal/transport/lingering_close_test.go
+++ b/internal/transport/lingering_close_test.go
@@ -24,43 +24,43 @@
 		{"/none", 404},
 	} {
 		t.Run(tt.path, func(t *testing.T) {
-			s, _, _ := startServer(t, 4)
-			c, r := connect(t, s)
+			server, _, _ := startServer(t, 4)
+			client, reader := connect(t, server)
 			body := strings.Repeat("a", 100000)
-			go c.Write([]byte("POST " + tt.path + " HTTP/1.1\r\nContent-Length: 100000\r\n\r\n" + body))
+			go client.Write([]byte("POST " + tt.path + " HTTP/1.1\r\nContent-Length: 100000\r\n\r\n" + body))
 			time.Sleep(20 * time.Millisecond)
-			assert.Equal(t, tt.status, readResponse(t, r).status)
+			assert.Equal(t, tt.status, readResponse(t, reader).status)
 		})
 	}
 }
 
 func TestResponseIsNotResetByPipelinedRequests(t *testing.T) {
-	s, handler, _, _ := startGatedServer(t)
-	c, r := connect(t, s)
-	io.WriteString(c, lastRequest+strings.Repeat(echoRequest, 500))
+	server, handler, _, _ := startGatedServer(t)
+	client, reader := connect(t, server)
+	io.WriteString(client, lastRequest+strings.Repeat(echoRequest, 500))
 	served := receive(t, handler.requested)
 	assert.Eventually(t, served.hasUnreadData, testTimeout, time.Millisecond)
 	body := bytes.Repeat([]byte("r"), 256<<10)
 	handler.release <- &protocol.Response{Status: 200, Body: body}
 	assert.Eventually(t, func() bool { return served.stream.bytesWritten.Load() > int64(len(body)) }, testTimeout,
 		time.Millisecond) // all of it is on its way, and the connection about to be closed
-	assert.Len(t, readResponse(t, r).body, len(body))
+	assert.Len(t, readResponse(t, reader).body, len(body))
 }
 
 // What a client sends after the half-close is dropped: a request served then would get no response.
 func TestRequestAfterTheHalfCloseIsNotServed(t *testing.T) {
-	s, handler, _, _ := startGatedServer(t)
-	c, r := connect(t, s)
+	server, handler, _, _ := startGatedServer(t)
+	client, reader := connect(t, server)
 	text := lastRequest + gatedRequest[:1]
-	io.WriteString(c, text)
+	io.WriteString(client, text)
 	served := receive(t, handler.requested)
 	assert.Eventually(t, func() bool { return served.stream.bytesRead.Load() == int64(len(text)) }, testTimeout,
 		time.Millisecond)
 	handler.release <- &protocol.Response{Status: 200}
-	assert.Equal(t, clientResponse{200, "", true}, readResponse(t, r))
-	_, err := r.ReadByte()
+	assert.Equal(t, clientResponse{200, "", true}, readResponse(t, reader))
+	_, err := reader.ReadByte()
 	assert.ErrorIs(t, err, io.EOF, "the half-close")
-	io.WriteString(c, gatedRequest[1:])
-	assert.Eventually(t, func() bool { return s.OpenConnections() == 0 }, testTimeout, time.Millisecond)
+	io.WriteString(client, gatedRequest[1:])
+	assert.Eventually(t, func() bool { return server.OpenConnections() == 0 }, testTimeout, time.Millisecond)
 	assert.Empty(t, handler.requested)
 }
--- a/internal/transport/listen.go
+++ b/internal/transport/listen.go
@@ -15,7 +15,7 @@
 // ListenOptions say how a socket is opened where a second process of this dispatcher may serve at the same address.
 type ListenOptions struct {
 	// Inherited is the predecessor's socket, which is used instead of a new one; nil without a predecessor. Both
-	// processes then accept from one queue, and what waits in it outlives either.
+	// processes then accept from one queue, which outlives either.
 	Inherited *os.File
 	// ReusePort lets a second process listen at the same address, with a queue of its own.
 	ReusePort bool
@@ -51,7 +51,7 @@
 	return &Datagrams{conn: udp}, nil
 }
 
-// openOrInherit makes a socket of an inherited file, which it closes, or opens one where there is none.
+// openOrInherit returns a socket of the inherited file, which it closes, or opens a new one where there is none.
 func openOrInherit[T any](options ListenOptions, inherit func(*os.File) (T, error),
 	open func(net.ListenConfig) (T, error),
 ) (T, error) {
@@ -66,8 +66,8 @@
 	return open(config)
 }
 
-// shrinkBacklog lets the kernel queue but one more connection for a listener that is about to be closed; those in the
-// queue stay there. A client that finds it full gets no answer yet, and tries again once nobody listens.
+// shrinkBacklog limits the queue of a listener that is about to be closed to one connection. Connections that are queued
+// already stay. The kernel does not answer a client that finds the queue full; it tries again later.
 func shrinkBacklog(ln syscall.Conn) error {
 	var listenErr error
 	inspectErr := withDescriptor(ln, func(fd int) { listenErr = unix.Listen(fd, 0) })
--- a/internal/transport/listen_test.go
+++ b/internal/transport/listen_test.go
@@ -13,9 +13,9 @@
 	ln := listenLoopback(t)
 	defer ln.Close()
 	dial := func() error {
-		c, err := net.DialTimeout("tcp", ln.Addr().String(), 50*time.Millisecond)
+		conn, err := net.DialTimeout("tcp", ln.Addr().String(), 50*time.Millisecond)
 		if err == nil {
-			t.Cleanup(func() { c.Close() })
+			t.Cleanup(func() { conn.Close() })
 		}
 		return err
 	}
@@ -26,8 +26,8 @@
 	assert.True(t, isTimeout(dial()), "no answer, rather than a refusal")
 	ln.SetDeadline(time.Now().Add(testTimeout))
 	for range 3 {
-		c, err := ln.Accept()
+		conn, err := ln.Accept()
 		assert.NoError(t, err, "those that were queued are still there")
-		c.Close()
+		conn.Close()
 	}
 }
--- a/internal/transport/migration_test.go
+++ b/internal/transport/migration_test.go
@@ -35,12 +35,12 @@
 
 func TestDetachedConnectionGivesItsPipelinedData(t *testing.T) {
 	handler := &detachingHandler{detached: make(chan []byte, 1)}
-	s := newTestServer(listenLoopback(t), 4, handler)
-	stop, ended := runServer(s)
-	c, _ := connect(t, s)
-	io.WriteString(c, "POST /migrate HTTP/1.1\r\nContent-Length: 0\r\n\r\n"+echoRequest)
+	server := newTestServer(listenLoopback(t), 4, handler)
+	stop, ended := runServer(server)
+	client, _ := connect(t, server)
+	io.WriteString(client, "POST /migrate HTTP/1.1\r\nContent-Length: 0\r\n\r\n"+echoRequest)
 	assert.Equal(t, echoRequest, string(receive(t, handler.detached)))
-	assert.Eventually(t, func() bool { return s.OpenConnections() == 0 }, testTimeout, time.Millisecond)
+	assert.Eventually(t, func() bool { return server.OpenConnections() == 0 }, testTimeout, time.Millisecond)
 	stop()
 	assert.NoError(t, receive(t, ended))
 }
@@ -51,45 +51,45 @@
 }
 
 func TestImportedClientGetsItsResponseAndIsServedOn(t *testing.T) {
-	s, _, _ := startServer(t, 4)
-	c, peer, _ := connPair(t)
-	s.Import(MigratedClient{Conn: c.nc, Pipelined: []byte(echoRequest), AcceptsInterim: true},
+	server, _, _ := startServer(t, 4)
+	conn, peer, _ := connPair(t)
+	server.Import(MigratedClient{Conn: conn.nc, Pipelined: []byte(echoRequest), AcceptsInterim: true},
 		func(context.Context) *protocol.Response {
 			return &protocol.Response{Status: 200, Body: []byte("migrated")}
 		})
 	assert.NoError(t, peer.SetReadDeadline(time.Now().Add(testTimeout)))
-	r := bufio.NewReader(peer)
-	assert.Equal(t, clientResponse{200, "migrated", false}, readResponse(t, r))
-	assert.Equal(t, clientResponse{200, "ab", false}, readResponse(t, r))
-	assert.Equal(t, 1, s.OpenConnections())
+	reader := bufio.NewReader(peer)
+	assert.Equal(t, clientResponse{200, "migrated", false}, readResponse(t, reader))
+	assert.Equal(t, clientResponse{200, "ab", false}, readResponse(t, reader))
+	assert.Equal(t, 1, server.OpenConnections())
 }
 
 func TestImportedClientThatAnnouncedItsLastRequestIsClosed(t *testing.T) {
-	s, _, _ := startServer(t, 4)
-	c, peer, _ := connPair(t)
-	s.Import(MigratedClient{Conn: c.nc, CloseRequested: true, AcceptsInterim: true},
+	server, _, _ := startServer(t, 4)
+	conn, peer, _ := connPair(t)
+	server.Import(MigratedClient{Conn: conn.nc, CloseRequested: true, AcceptsInterim: true},
 		func(context.Context) *protocol.Response { return &protocol.Response{Status: 200} })
 	assert.NoError(t, peer.SetReadDeadline(time.Now().Add(testTimeout)))
-	r := bufio.NewReader(peer)
-	assert.Equal(t, clientResponse{200, "", true}, readResponse(t, r))
-	_, err := r.ReadByte()
+	reader := bufio.NewReader(peer)
+	assert.Equal(t, clientResponse{200, "", true}, readResponse(t, reader))
+	_, err := reader.ReadByte()
 	assert.ErrorIs(t, err, io.EOF)
-	assert.Eventually(t, func() bool { return s.OpenConnections() == 0 }, testTimeout, time.Millisecond)
+	assert.Eventually(t, func() bool { return server.OpenConnections() == 0 }, testTimeout, time.Millisecond)
 }
 
 func TestImportedConnectionTakesASlotWhereOneIsFree(t *testing.T) {
 	addr, _ := startWorker(t)
-	p := NewPool(1, time.Minute, zerolog.Nop())
+	pool := NewPool(1, time.Minute, zerolog.Nop())
 	imported := make([]*Conn, 2)
 	for n := range imported {
 		nc, err := net.Dial("tcp", addr)
 		assert.NoError(t, err)
-		imported[n] = p.Import(nc, addr, []byte("received"))
+		imported[n] = pool.Import(nc, addr, []byte("received"))
 		assert.True(t, imported[n].Reused())
-		assert.Equal(t, 1, p.OpenConnections())
+		assert.Equal(t, 1, pool.OpenConnections())
 	}
 	imported[1].CloseFor(Stopping, nil)
-	assert.Equal(t, 1, p.OpenConnections(), "it had no slot")
+	assert.Equal(t, 1, pool.OpenConnections(), "it had no slot")
 	imported[0].CloseFor(Stopping, nil)
-	assert.Equal(t, 0, p.OpenConnections())
+	assert.Equal(t, 0, pool.OpenConnections())
 }
--- a/internal/transport/pool.go
+++ b/internal/transport/pool.go
@@ -11,39 +11,26 @@
 	"github.com/rs/zerolog"
 )
 
-const (
-	// idleDivisor divides the workers' idle timeout into the time that the pool keeps an idle connection. A worker may
-	// close one sooner than configured, and whether it has processed a message that was then sent can't be known.
-	idleDivisor = 4
-
-	// SettleTime is how long after a response a second one may still come.
-	SettleTime = 50 * time.Millisecond
-
-	expiryChecksPerIdle = 16 // checks for expired connections in the time that one may be idle
-	minExpiryInterval   = 10 * time.Millisecond
-)
-
 // ErrPoolExhausted reports that no connection became free in time and none could be opened within the limit.
 var ErrPoolExhausted = errors.New("connection pool exhausted")
 
-// errDialInvalidated reports a connection that came up while CloseIdle was called for its address.
+// errDialInvalidated reports a connection for whose address CloseIdle was called while it was being opened.
 var errDialInvalidated = errors.New("address invalidated while connecting")
 
-// Freshness is what an attempt requires of the connection it is sent on.
+// Freshness is what an attempt requires of the connection on which it is sent.
 type Freshness uint8
 
 // The values of Freshness.
 const (
 	AnyConnection Freshness = iota // any idle connection or a new one
-	Settled                        // no connection that was used less than SettleTime ago: a late second response has no id
+	Settled                        // none that was used less than SettleTime ago
 	VerifiedOnly                   // as Settled, and only a new one while reused connections are suspect
 )
 
-// Pool holds the connections to workers, idle ones by address and those in use, within a limit. It is safe for use by
-// several goroutines.
+// Pool has the connections to workers, idle or in use, and limits their number. It is safe for use by several goroutines.
 type Pool struct {
 	log     zerolog.Logger
-	maxIdle time.Duration
+	maxIdle time.Duration // for which a connection is kept idle
 	slots   chan struct{} // one element for each connection, and for each withheld slot
 
 	mu           sync.Mutex
@@ -54,23 +41,23 @@
 	closeOnPut   map[*Conn]bool     // in use, and stale
 	dialing      map[*pendingDial]bool
 	waiters      []*waiter // for a slot, first come first
-	suspectUntil time.Time // until then workers may close reused connections under a message
+	suspectUntil time.Time // until then a worker may close a reused connection while a message is sent on it
 
 	testHooks poolTestHooks
 }
 
 // poolTestHooks are functions that tests set to force an order of events.
 type poolTestHooks struct {
-	afterDial func() // runs once a connection is open and before the pool knows it
+	afterDial func() // runs once a connection is open, before the pool has it
 }
 
 // pendingDial is a connection that is being opened.
 type pendingDial struct {
 	addr        string
-	invalidated bool // CloseIdle was called meanwhile: it may lead to the worker's predecessor at the address
+	invalidated bool // CloseIdle was called meanwhile: the connection may lead to another process at the address
 }
 
-// NewPool makes a pool of at most limit connections to workers that close an idle connection after workerIdleTimeout.
+// NewPool returns a pool of at most limit connections to workers that close an idle connection after workerIdleTimeout.
 func NewPool(limit int, workerIdleTimeout time.Duration, log zerolog.Logger) *Pool {
 	return &Pool{
 		log:        log,
@@ -83,8 +70,9 @@
 	}
 }
 
-// Get returns an idle connection to an address that is fresh enough, or a new one. Where all slots are taken it waits
-// for one until ctx ends, and then returns ErrPoolExhausted. The caller returns the connection by Put, or closes it.
+// Get returns an idle connection to an address that is fresh enough, or a new one. The caller then owns it, until it calls
+// Put or CloseFor. Where all slots are taken, Get waits for one until ctx ends. The error is then ErrPoolExhausted;
+// others are those of connecting.
 func (p *Pool) Get(ctx context.Context, addr string, need Freshness) (*Conn, error) {
 	for {
 		if need != VerifiedOnly || !p.reuseIsSuspect() {
@@ -103,8 +91,8 @@
 	}
 }
 
-// dial opens a connection in a slot that the caller has acquired. On errors the slot is free again; one that came up
-// while its address was invalidated is errDialInvalidated.
+// dial opens a connection in a slot that the caller has acquired. After an error the slot is free again. The error is
+// errDialInvalidated where CloseIdle was called for the address meanwhile.
 func (p *Pool) dial(ctx context.Context, addr string) (*Conn, error) {
 	pending := &pendingDial{addr: addr}
 	p.mu.Lock()
@@ -113,13 +101,13 @@
 	nc, err := dialTCP(ctx, addr)
 	if err != nil {
 		p.finishDial(pending)
-		<-p.slots
+		p.releaseSlot()
 		return nil, err
 	}
 	if p.testHooks.afterDial != nil {
 		p.testHooks.afterDial()
 	}
-	c := p.track(nc, addr, true)
+	c := p.track(nc, addr, p.releaseSlot)
 	p.finishDial(pending)
 	if pending.invalidated {
 		c.CloseFor(Stale, nil)
@@ -128,20 +116,20 @@
 	return c, nil
 }
 
-// finishDial forgets a dial; nothing changes it afterwards.
+// finishDial removes a dial; nothing changes it afterwards.
 func (p *Pool) finishDial(pending *pendingDial) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.dialing, pending)
 }
 
-// track makes the pool's connection of an open one that is in use. holdsSlot says that it gives a slot back when it is
-// closed.
-func (p *Pool) track(nc net.Conn, addr string, holdsSlot bool) (c *Conn) {
+// releaseSlot gives back a connection's slot. The first goroutine that waits for one gets it.
+func (p *Pool) releaseSlot() { <-p.slots }
+
+// track adds an open connection, which is in use. releaseSlot is called when it is closed.
+func (p *Pool) track(nc net.Conn, addr string, releaseSlot func()) (c *Conn) {
 	c = newConn(nc, Worker, addr, p.log, func() {
-		if holdsSlot {
-			<-p.slots
-		}
+		releaseSlot()
 		p.mu.Lock()
 		delete(p.inUse, c)
 		delete(p.closeOnPut, c)
@@ -153,14 +141,14 @@
 	return c
 }
 
-// Put returns a connection on which a response was read completely. The first waiter that it satisfies gets it. Where
-// it satisfies none it is closed to give its slot to the first of them; without waiters it stays idle.
+// Put gives back a connection on which a response was read completely. The first waiter that it satisfies gets it. Where
+// it satisfies none of them, it is closed for its slot. Without waiters it stays idle.
 func (p *Pool) Put(c *Conn) {
 	c.clearDeadlines()
 	p.mu.Lock()
 	reason := p.reasonToClose(c)
 	delete(p.closeOnPut, c)
-	if reason != "" {
+	if reason != staysOpen {
 		delete(p.inUse, c)
 	} else if n := slices.IndexFunc(p.waiters, c.satisfies); n >= 0 {
 		p.waiters[n].granted <- c
@@ -171,12 +159,13 @@
 		p.idle[c.addr] = append(p.idle[c.addr], c)
 	}
 	p.mu.Unlock()
-	if reason != "" {
+	if reason != staysOpen {
 		c.CloseFor(reason, nil)
 	}
 }
 
-// reasonToClose is why a connection that is put back can't be used again, "" if it can. It is called under the lock.
+// reasonToClose returns why a connection that is put back can't be used again, staysOpen if it can. It is called under the
+// lock.
 func (p *Pool) reasonToClose(c *Conn) CloseReason {
 	switch {
 	case p.closeOnPut[c]:
@@ -190,11 +179,11 @@
 	case len(p.waiters) > 0 && !slices.ContainsFunc(p.waiters, c.satisfies):
 		return Evicted
 	}
-	return ""
+	return staysOpen
 }
 
-// SetLimit changes how many connections there may be, up to the limit that the pool was made with. Connections in use
-// stay, so a lower limit may be reached only in part: it has to be set again as connections are closed.
+// SetLimit changes how many connections there may be, up to the limit of NewPool. Connections in use stay. A lower limit
+// may therefore be reached only in part; the caller sets it again as connections are closed.
 func (p *Pool) SetLimit(limit int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -208,20 +197,20 @@
 		}
 	}
 	for p.withheld > max(target, 0) {
-		<-p.slots
+		p.releaseSlot()
 		p.withheld--
 	}
 }
 
-// OpenConnections is the number of slots taken by connections, those that are being opened among them.
+// OpenConnections returns the number of connections, with those that are being opened.
 func (p *Pool) OpenConnections() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return len(p.slots) - p.withheld
 }
 
-// Run closes idle connections that have expired until ctx ends. Then it closes all idle ones, and those in use are
-// closed as they are put back. The error is always nil.
+// Run closes idle connections that have expired, until ctx ends. Then it closes all idle ones; Put closes those in use.
+// The error is always nil.
 func (p *Pool) Run(ctx context.Context) error {
 	ticker := time.NewTicker(max(p.maxIdle/expiryChecksPerIdle, minExpiryInterval))
 	defer ticker.Stop()
--- a/internal/transport/pool_idle.go
+++ b/internal/transport/pool_idle.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// takeReusable takes the latest used idle connection to an address that is fresh enough, nil if there is none. Those it
-// finds closed or expired on the way it closes.
+// takeReusable returns the latest used idle connection to an address that is fresh enough, nil if there is none. It closes
+// those that the worker has closed or that have expired.
 func (p *Pool) takeReusable(addr string, need Freshness) *Conn {
 	for {
 		c := p.takeLatestIdle(addr, need)
@@ -14,6 +14,7 @@
 	}
 }
 
+// takeLatestIdle takes out the latest used idle connection to an address that is fresh enough, nil if there is none.
 func (p *Pool) takeLatestIdle(addr string, need Freshness) *Conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -30,7 +31,7 @@
 	return c
 }
 
-// removeOldestIdle removes the connection that is idle longest, nil if there is none. It is called under the lock.
+// removeOldestIdle takes out the connection that is idle longest, nil if there is none. It is called under the lock.
 func (p *Pool) removeOldestIdle() (oldest *Conn) {
 	for _, conns := range p.idle {
 		if oldest == nil || conns[0].idleSince.Before(oldest.idleSince) {
@@ -43,7 +44,7 @@
 	return oldest
 }
 
-// removeIdle removes the n-th idle connection to an address. It is called under the lock.
+// removeIdle takes out the n-th idle connection to an address. It is called under the lock.
 func (p *Pool) removeIdle(addr string, n int) *Conn {
 	conns := p.idle[addr]
 	c := conns[n]
@@ -56,14 +57,14 @@
 	return c
 }
 
-// removeExpired removes the connections that have been idle for too long, or that the worker closed.
+// removeExpired takes out the connections that have been idle for too long, or that the worker closed.
 func (p *Pool) removeExpired() []*Conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.removeIdleWhere(func(c *Conn) bool { return time.Since(c.idleSince) >= p.maxIdle || c.readable() })
 }
 
-// removeIdleWhere removes all idle connections of which remove is true. It is called under the lock.
+// removeIdleWhere takes out all idle connections for which remove returns true. It is called under the lock.
 func (p *Pool) removeIdleWhere(remove func(*Conn) bool) (removed []*Conn) {
 	for addr, conns := range p.idle {
 		for n := len(conns) - 1; n >= 0; n-- {
@@ -75,7 +76,8 @@
 	return removed
 }
 
-// closeIdleConn closes an idle connection. One that its worker closed before it expired makes reuse suspect.
+// closeIdleConn closes an idle connection that was taken out. One that its worker closed before it expired makes reused
+// connections suspect.
 func (p *Pool) closeIdleConn(c *Conn) {
 	if !c.readable() {
 		c.CloseFor(IdleTimeout, nil)
--- a/internal/transport/pool_slots.go
+++ b/internal/transport/pool_slots.go
@@ -5,18 +5,18 @@
 	"slices"
 )
 
-// waiter waits for a slot, or for a connection that is put back instead.
+// waiter is a goroutine that waits for a slot, or for a connection that is put back.
 type waiter struct {
 	addr    string
 	need    Freshness
-	granted chan *Conn // has room for one
+	granted chan *Conn // of capacity 1, so that Put does not block
 }
 
-// satisfies reports whether a connection that has just been put back can be given to a waiter.
+// satisfies reports whether a waiter may get a connection that has just been put back.
 func (c *Conn) satisfies(w *waiter) bool { return w.need == AnyConnection && w.addr == c.addr }
 
-// acquireSlot takes a slot, for which it returns nil, or waits until one is free. The longest idle connection is closed
-// for it. A connection that is put back meanwhile and satisfies the need is returned instead.
+// acquireSlot takes a slot and returns nil. Where none is free it closes the connection that is idle longest, and waits.
+// It returns a connection instead if one is put back meanwhile that satisfies the need. The error is ErrPoolExhausted.
 func (p *Pool) acquireSlot(ctx context.Context, addr string, need Freshness) (*Conn, error) {
 	for {
 		select {
@@ -32,8 +32,8 @@
 	}
 }
 
-// waitForSlot waits for a slot, for which it returns nil, for a connection that is put back, or for the end of ctx,
-// for which it returns ErrPoolExhausted.
+// waitForSlot waits for the first of three events. It returns nil once it has a slot, a connection that was put back, or
+// ErrPoolExhausted at the end of ctx.
 func (p *Pool) waitForSlot(ctx context.Context, addr string, need Freshness) (*Conn, error) {
 	w := &waiter{addr: addr, need: need, granted: make(chan *Conn, 1)}
 	p.mu.Lock()
@@ -55,7 +55,7 @@
 	}
 }
 
-// cancelWait removes a waiter; a connection that was granted to it just now is put back.
+// cancelWait removes a waiter. A connection that was granted to it just now is put back.
 func (p *Pool) cancelWait(w *waiter) {
 	p.mu.Lock()
 	p.waiters = slices.DeleteFunc(p.waiters, func(other *waiter) bool { return other == w })
--- a/internal/transport/pool_slots_test.go
+++ b/internal/transport/pool_slots_test.go
@@ -20,25 +20,25 @@
 func TestPoolClosesIdleConnectionsToStayWithinItsLimit(t *testing.T) {
 	addr, _ := startWorker(t)
 	otherAddr, _ := startWorker(t)
-	p := NewPool(1, time.Minute, zerolog.Nop())
-	p.Put(mustGet(t, p, addr))
-	c := mustGet(t, p, otherAddr)
+	pool := NewPool(1, time.Minute, zerolog.Nop())
+	pool.Put(mustGet(t, pool, addr))
+	conn := mustGet(t, pool, otherAddr)
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Millisecond)
 	defer cancel()
-	_, err := p.Get(ctx, addr, AnyConnection)
+	_, err := pool.Get(ctx, addr, AnyConnection)
 	assert.ErrorIs(t, err, ErrPoolExhausted)
-	c.CloseFor(AttemptCanceled, nil)
-	mustGet(t, p, addr)
+	conn.CloseFor(AttemptCanceled, nil)
+	mustGet(t, pool, addr)
 }
 
 func TestFailedDialFreesItsSlot(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NoError(t, err)
 	ln.Close()
-	p := NewPool(1, time.Minute, zerolog.Nop())
-	_, err = p.Get(context.Background(), ln.Addr().String(), AnyConnection)
+	pool := NewPool(1, time.Minute, zerolog.Nop())
+	_, err = pool.Get(context.Background(), ln.Addr().String(), AnyConnection)
 	assert.Error(t, err)
-	assert.Empty(t, p.slots)
+	assert.Empty(t, pool.slots)
 }
 
 func TestPutConnectionGoesToAWaiter(t *testing.T) {
@@ -56,42 +56,42 @@
 		{"a settled one is needed", addr, Settled, false},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			p := NewPool(1, time.Minute, zerolog.Nop())
-			inUse := mustGet(t, p, addr)
+			pool := NewPool(1, time.Minute, zerolog.Nop())
+			inUse := mustGet(t, pool, addr)
 			got := make(chan *Conn, 1)
-			go func() { got <- mustGetFresh(t, p, tt.addr, tt.need) }()
-			assert.Eventually(t, p.hasWaiter, testTimeout, time.Millisecond)
-			p.Put(inUse)
+			go func() { got <- mustGetFresh(t, pool, tt.addr, tt.need) }()
+			assert.Eventually(t, pool.hasWaiter, testTimeout, time.Millisecond)
+			pool.Put(inUse)
 			next := receive(t, got)
 			assert.Equal(t, tt.reused, next == inUse)
-			assert.Equal(t, 1, p.OpenConnections())
-			p.Put(next)
-			assert.Len(t, p.idle, 1)
-			assert.Empty(t, p.waiters)
+			assert.Equal(t, 1, pool.OpenConnections())
+			pool.Put(next)
+			assert.Len(t, pool.idle, 1)
+			assert.Empty(t, pool.waiters)
 		})
 	}
 }
 
 func TestClosedConnectionThatIsPutFreesItsSlotForAWaiter(t *testing.T) {
 	addr, accepted := startWorker(t)
-	p := NewPool(1, time.Minute, zerolog.Nop())
-	inUse, got := mustGet(t, p, addr), make(chan *Conn, 1)
-	go func() { got <- mustGet(t, p, addr) }()
-	assert.Eventually(t, p.hasWaiter, testTimeout, time.Millisecond)
+	pool := NewPool(1, time.Minute, zerolog.Nop())
+	inUse, got := mustGet(t, pool, addr), make(chan *Conn, 1)
+	go func() { got <- mustGet(t, pool, addr) }()
+	assert.Eventually(t, pool.hasWaiter, testTimeout, time.Millisecond)
 	receive(t, accepted).Close()
 	assert.Eventually(t, inUse.readable, testTimeout, time.Millisecond)
-	p.Put(inUse)
+	pool.Put(inUse)
 	assert.NotSame(t, inUse, receive(t, got))
 }
 
 // The client of an attempt closes its connection just as a worker's is granted to the attempt.
 func TestConnectionGrantedToACanceledWaiterIsNotLost(t *testing.T) {
 	addr, _ := startWorker(t)
-	p := NewPool(1, time.Minute, zerolog.Nop())
-	c := mustGet(t, p, addr)
+	pool := NewPool(1, time.Minute, zerolog.Nop())
+	conn := mustGet(t, pool, addr)
 	w := &waiter{addr: addr, granted: make(chan *Conn, 1)}
-	p.waiters = append(p.waiters, w)
-	p.Put(c)
-	p.cancelWait(w)
-	assert.Same(t, c, mustGet(t, p, addr))
+	pool.waiters = append(pool.waiters, w)
+	pool.Put(conn)
+	pool.cancelWait(w)
+	assert.Same(t, conn, mustGet(t, pool, addr))
 }
--- a/internal/transport/pool_stale_test.go
+++ b/internal/transport/pool_stale_test.go
@@ -13,40 +13,40 @@
 func TestCloseIdleClosesConnectionsInUseOncePut(t *testing.T) {
 	addr, _ := startWorker(t)
 	var log bytes.Buffer
-	p := NewPool(2, time.Minute, zerolog.New(&log))
-	idle, inUse := mustGet(t, p, addr), mustGet(t, p, addr)
-	p.Put(idle)
-	p.CloseIdle(addr)
-	p.Put(inUse)
-	assert.Empty(t, p.idle)
+	pool := NewPool(2, time.Minute, zerolog.New(&log))
+	idle, inUse := mustGet(t, pool, addr), mustGet(t, pool, addr)
+	pool.Put(idle)
+	pool.CloseIdle(addr)
+	pool.Put(inUse)
+	assert.Empty(t, pool.idle)
 	assert.Equal(t, 2, bytes.Count(log.Bytes(), []byte("stale_retired")))
-	mustGet(t, p, addr)
-	mustGet(t, p, addr)
+	mustGet(t, pool, addr)
+	mustGet(t, pool, addr)
 }
 
 func TestDialIsNotUsedOnceItsAddressIsInvalidated(t *testing.T) {
 	addr, accepted := startWorker(t)
 	var log bytes.Buffer
-	p := NewPool(2, time.Minute, zerolog.New(&log))
+	pool := NewPool(2, time.Minute, zerolog.New(&log))
 	var once sync.Once
-	p.testHooks.afterDial = func() { once.Do(func() { p.CloseIdle(addr) }) }
-	c := mustGet(t, p, addr)
+	pool.testHooks.afterDial = func() { once.Do(func() { pool.CloseIdle(addr) }) }
+	conn := mustGet(t, pool, addr)
 	assert.Contains(t, log.String(), "stale_retired")
 	first := receive(t, accepted)
-	assert.NotEqual(t, first.RemoteAddr(), c.nc.LocalAddr(), "it may lead to the worker's predecessor")
-	assert.Equal(t, 1, p.OpenConnections())
-	p.Put(c)
-	assert.Same(t, c, mustGet(t, p, addr), "the next one is reused")
-	assert.Empty(t, p.dialing)
+	assert.NotEqual(t, first.RemoteAddr(), conn.nc.LocalAddr(), "it may lead to the worker's predecessor")
+	assert.Equal(t, 1, pool.OpenConnections())
+	pool.Put(conn)
+	assert.Same(t, conn, mustGet(t, pool, addr), "the next one is reused")
+	assert.Empty(t, pool.dialing)
 }
 
 func TestCloseOpenedBeforeInterruptsOlderConnections(t *testing.T) {
 	addr, _ := startWorker(t)
 	var log bytes.Buffer
-	p := NewPool(2, time.Minute, zerolog.New(&log))
-	older, newer := mustGet(t, p, addr), mustGet(t, p, addr)
+	pool := NewPool(2, time.Minute, zerolog.New(&log))
+	older, newer := mustGet(t, pool, addr), mustGet(t, pool, addr)
 	older.openedAt = time.Now().Add(-time.Minute)
-	p.CloseOpenedBefore(addr, time.Now().Add(-time.Second))
+	pool.CloseOpenedBefore(addr, time.Now().Add(-time.Second))
 	_, err := older.ReadResponseHead()
 	assert.Equal(t, TooSlow, CloseReasonOf(err), "the read ends")
 	older.CloseFor(CloseReasonOf(err), err)
@@ -59,30 +59,30 @@
 
 func TestInterruptedConnectionIsNotReused(t *testing.T) {
 	addr, _ := startWorker(t)
-	p := NewPool(2, time.Minute, zerolog.Nop())
-	c := mustGet(t, p, addr)
-	p.CloseOpenedBefore(addr, time.Now().Add(time.Hour))
-	p.Put(c)
-	assert.Empty(t, p.idle)
-	assert.NotSame(t, c, mustGet(t, p, addr))
+	pool := NewPool(2, time.Minute, zerolog.Nop())
+	conn := mustGet(t, pool, addr)
+	pool.CloseOpenedBefore(addr, time.Now().Add(time.Hour))
+	pool.Put(conn)
+	assert.Empty(t, pool.idle)
+	assert.NotSame(t, conn, mustGet(t, pool, addr))
 }
 
 // A worker may close a reused connection under a message that must not be sent twice.
 func TestSuspectConnectionsAreNotReusedWhereVerifiedOnlyIsNeeded(t *testing.T) {
 	addr, _ := startWorker(t)
-	p := NewPool(4, time.Minute, zerolog.Nop())
-	putSettled := func(c *Conn) {
-		p.Put(c)
-		c.idleSince = time.Now().Add(-SettleTime)
+	pool := NewPool(4, time.Minute, zerolog.Nop())
+	putSettled := func(conn *Conn) {
+		pool.Put(conn)
+		conn.idleSince = time.Now().Add(-SettleTime)
 	}
-	c := mustGetFresh(t, p, addr, VerifiedOnly)
-	putSettled(c)
-	assert.Same(t, c, mustGetFresh(t, p, addr, VerifiedOnly), "nothing makes it suspect")
-	putSettled(c)
-	p.MarkSuspect("127.0.0.9:1")
-	assert.NotSame(t, c, mustGetFresh(t, p, addr, VerifiedOnly))
-	assert.Same(t, c, mustGetFresh(t, p, addr, Settled))
-	putSettled(c)
-	p.MarkSuspect(addr)
-	assert.NotSame(t, c, mustGet(t, p, addr), "the other idle connections to the address were closed")
+	conn := mustGetFresh(t, pool, addr, VerifiedOnly)
+	putSettled(conn)
+	assert.Same(t, conn, mustGetFresh(t, pool, addr, VerifiedOnly), "nothing makes it suspect")
+	putSettled(conn)
+	pool.MarkSuspect("127.0.0.9:1")
+	assert.NotSame(t, conn, mustGetFresh(t, pool, addr, VerifiedOnly))
+	assert.Same(t, conn, mustGetFresh(t, pool, addr, Settled))
+	putSettled(conn)
+	pool.MarkSuspect(addr)
+	assert.NotSame(t, conn, mustGet(t, pool, addr), "the other idle connections to the address were closed")
 }
--- a/internal/transport/read.go
+++ b/internal/transport/read.go
@@ -19,15 +19,15 @@
 	return err
 }
 
-// ReadRequestHead reads the head of a client's request. onFirstByte is called once, when the first byte is there; it
-// may be nil. Errors are io.EOF before the first byte, ErrTruncated within the head, protocol.ErrMalformed,
-// protocol.ErrHeadTooLarge and those of the connection.
+// ReadRequestHead reads the head of a client's request. onFirstByte, which may be nil, is called once there is a first
+// byte. The error is io.EOF before the first byte, ErrTruncated within the head, protocol.ErrMalformed,
+// protocol.ErrHeadTooLarge or one of the connection.
 func (c *Conn) ReadRequestHead(onFirstByte func()) (protocol.Head, error) {
 	return c.readHead(protocol.ParseRequestHead, onFirstByte)
 }
 
 // ReadResponseHead reads the head of a final response and skips interim ones (RFC 9110, 15.2). Its errors are those of
-// ReadRequestHead.
+// ReadRequestHead. After an error the head is that of the last response.
 func (c *Conn) ReadResponseHead() (head protocol.Head, err error) {
 	for protocol.IsInterim(head.Status) && err == nil {
 		head, err = c.readHead(protocol.ParseResponseHead, nil)
@@ -58,8 +58,9 @@
 	}
 }
 
-// ReadChunks passes a body to consume piece by piece until it is complete or consume returns false. A connection that
-// is closed before the body is complete is ErrTruncated.
+// ReadChunks passes a body to consume piece by piece, until it is complete or consume returns false. The error is
+// ErrTruncated for a connection that is closed before the body is complete, protocol.ErrMalformed or one of the
+// connection.
 func (c *Conn) ReadChunks(body *protocol.Body, consume func([]byte) bool) error {
 	for !body.Done() {
 		piece, err := body.Next(c.readBuf.Bytes())
@@ -88,9 +89,10 @@
 	return nil
 }
 
-// ReadBody reads a body of at most limit bytes. A longer one is protocol.ErrTooLarge.
+// ReadBody reads a body of at most limit bytes. The error is protocol.ErrTooLarge for a longer one, or one of ReadChunks.
+// After the latter the content is what was read so far.
 func (c *Conn) ReadBody(body protocol.Body, limit int) ([]byte, error) {
-	content := make([]byte, 0, min(body.Length(), readBufferBytes)) // an announced length isn't trusted with memory
+	content := make([]byte, 0, min(body.Length(), readBufferBytes)) // a client can announce more than it sends
 	err := c.readLimited(body, limit, func(data []byte) { content = append(content, data...) })
 	if errors.Is(err, protocol.ErrTooLarge) {
 		return nil, err
@@ -98,7 +100,7 @@
 	return content, err
 }
 
-// DiscardBody reads and drops a body of at most limit bytes. A longer one is protocol.ErrTooLarge.
+// DiscardBody reads and drops a body of at most limit bytes. Its errors are those of ReadBody.
 func (c *Conn) DiscardBody(body protocol.Body, limit int) error {
 	return c.readLimited(body, limit, func([]byte) {})
 }
--- a/internal/transport/read_test.go
+++ b/internal/transport/read_test.go
@@ -11,7 +11,7 @@
 )
 
 func TestResponseThatArrivesByteByByteIsRead(t *testing.T) {
-	c, peer, _ := connPair(t)
+	conn, peer, _ := connPair(t)
 	go func() {
 		text := "HTTP/1.1 103 Early\r\n\r\n" +
 			"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n"
@@ -19,27 +19,27 @@
 			io.WriteString(peer, text[n:n+1])
 		}
 	}()
-	c.SetReadTimeout(testTimeout)
-	head, err := c.ReadResponseHead()
+	conn.SetReadTimeout(testTimeout)
+	head, err := conn.ReadResponseHead()
 	assert.NoError(t, err)
 	assert.Equal(t, 200, head.Status)
 	body, err := protocol.ResponseBody(&head)
 	assert.NoError(t, err)
-	content, err := c.ReadBody(body, 10)
+	content, err := conn.ReadBody(body, 10)
 	assert.NoError(t, err)
 	assert.Equal(t, "abc", string(content))
 }
 
 func TestBodyOverTheLimitIsTooLarge(t *testing.T) {
-	c, peer, _ := connPair(t)
+	conn, peer, _ := connPair(t)
 	go io.WriteString(peer,
 		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nabcd\r\n4\r\nabcd\r\n0\r\n\r\n")
-	c.SetReadTimeout(testTimeout)
-	head, err := c.ReadResponseHead()
+	conn.SetReadTimeout(testTimeout)
+	head, err := conn.ReadResponseHead()
 	assert.NoError(t, err)
 	body, err := protocol.ResponseBody(&head)
 	assert.NoError(t, err)
-	_, err = c.ReadBody(body, 6)
+	_, err = conn.ReadBody(body, 6)
 	assert.ErrorIs(t, err, protocol.ErrTooLarge)
 }
 
@@ -52,10 +52,10 @@
 		{"within a head", "HTTP/1.1 20", ErrTruncated},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			c, peer, _ := connPair(t)
+			conn, peer, _ := connPair(t)
 			io.WriteString(peer, tt.received)
 			peer.Close()
-			_, err := c.ReadResponseHead()
+			_, err := conn.ReadResponseHead()
 			assert.ErrorIs(t, err, tt.want)
 		})
 	}
--- a/internal/transport/recording.go
+++ b/internal/transport/recording.go
@@ -5,19 +5,20 @@
 	"time"
 )
 
-// maxRecordedBytes is how much of what is read on a connection can be recorded.
+// maxRecordedBytes limits the recording of one connection.
 const maxRecordedBytes = 1 << 20
 
-// ErrNotRecorded reports a connection that isn't recorded, or on which more came than can be recorded.
+// ErrNotRecorded reports a connection that isn't recorded, or on which more than maxRecordedBytes was read.
 var ErrNotRecorded = errors.New("more data than can be recorded")
 
-// recorder keeps what is read on a connection, so that this process or its successor can read it again.
-type recorder struct {
+// readRecorder keeps the bytes that are read on a connection, so that this process or its successor can read them again.
+type readRecorder struct {
 	data       []byte
-	overflowed bool // more came than maxRecordedBytes; data was dropped
+	overflowed bool // more than maxRecordedBytes was read; data was dropped
 }
 
-func (r *recorder) record(p []byte) {
+// record adds the bytes of one read.
+func (r *readRecorder) record(p []byte) {
 	if len(r.data)+len(p) > maxRecordedBytes {
 		r.overflowed = true
 	}
@@ -29,24 +30,24 @@
 }
 
 // StartRecording starts to record what is read.
-func (c *Conn) StartRecording() { c.stream.recorder = &recorder{} }
+func (c *Conn) StartRecording() { c.stream.recording = &readRecorder{} }
 
 // StopRecording ends the recording and drops it.
-func (c *Conn) StopRecording() { c.stream.recorder = nil }
+func (c *Conn) StopRecording() { c.stream.recording = nil }
 
-// Recorded returns all that has been read since StartRecording, and what is still to be replayed after it. Nobody may
-// read meanwhile. The error is ErrNotRecorded where not all of it is there.
+// Recorded returns all that was read since StartRecording, and what is still to be replayed after it. The caller owns the
+// connection. The error is ErrNotRecorded.
 func (c *Conn) Recorded() ([]byte, error) {
-	recorder := c.stream.recorder
-	if recorder == nil || recorder.overflowed {
+	recording := c.stream.recording
+	if recording == nil || recording.overflowed {
 		return nil, ErrNotRecorded
 	}
-	data := recorder.data
+	data := recording.data
 	return append(data[:len(data):len(data)], c.stream.replay...), nil
 }
 
-// Rewind makes the next read start over at the start of the recording, and removes the read deadline. The recording
-// starts anew. Its error is that of Recorded.
+// Rewind makes the next read start at the start of the recording again, and removes the read deadline. A new recording
+// begins. The error is ErrNotRecorded.
 func (c *Conn) Rewind() error {
 	recorded, err := c.Recorded()
 	if err != nil {
@@ -54,10 +55,10 @@
 	}
 	c.readBuf.Discard(c.readBuf.Len())
 	c.stream.replay = recorded
-	c.stream.recorder = &recorder{}
+	c.stream.recording = &readRecorder{}
 	c.setReadDeadline(time.Time{})
 	return nil
 }
 
-// StopReading makes a read that is under way fail with a timeout, and all others until Rewind.
+// StopReading makes the read that is under way and all later ones fail with a timeout, until Rewind.
 func (c *Conn) StopReading() { c.setReadDeadline(pastDeadline) }
--- a/internal/transport/recording_test.go
+++ b/internal/transport/recording_test.go
@@ -10,35 +10,35 @@
 
 func TestRewoundConnectionReadsItsRecordingAgain(t *testing.T) {
 	const text = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
-	c, peer, _ := connPair(t)
-	c.StartRecording()
+	conn, peer, _ := connPair(t)
+	conn.StartRecording()
 	io.WriteString(peer, text)
-	head, err := c.ReadResponseHead()
+	head, err := conn.ReadResponseHead()
 	assert.NoError(t, err)
 	assert.Equal(t, 200, head.Status)
-	recorded, err := c.Recorded()
+	recorded, err := conn.Recorded()
 	assert.NoError(t, err)
 	assert.Equal(t, text, string(recorded))
 
-	c.StopReading()
-	assert.NoError(t, c.Rewind())
-	head, err = c.ReadResponseHead()
+	conn.StopReading()
+	assert.NoError(t, conn.Rewind())
+	head, err = conn.ReadResponseHead()
 	assert.NoError(t, err)
 	assert.Equal(t, 200, head.Status)
-	recorded, err = c.Recorded()
+	recorded, err = conn.Recorded()
 	assert.NoError(t, err)
 	assert.Equal(t, text, string(recorded), "the recording starts anew")
 }
 
 func TestRecordingIncludesWhatIsStillToBeReplayed(t *testing.T) {
 	const text = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
-	c, peer, _ := connPair(t)
-	c.StartRecording()
+	conn, peer, _ := connPair(t)
+	conn.StartRecording()
 	io.WriteString(peer, text)
-	_, err := c.ReadResponseHead()
+	_, err := conn.ReadResponseHead()
 	assert.NoError(t, err)
-	assert.NoError(t, c.Rewind())
-	recorded, err := c.Recorded()
+	assert.NoError(t, conn.Rewind())
+	recorded, err := conn.Recorded()
 	assert.NoError(t, err)
 	assert.Equal(t, text, string(recorded))
 }
@@ -46,29 +46,29 @@
 func TestConnectionWithoutACompleteRecordingCannotBeRewound(t *testing.T) {
 	for _, tt := range []struct {
 		name   string
-		record func(c *Conn)
+		record func(conn *Conn)
 	}{
 		{"never started", func(*Conn) {}},
-		{"stopped", func(c *Conn) { c.StartRecording(); c.StopRecording() }},
-		{"overflowed", func(c *Conn) {
-			c.StartRecording()
-			c.stream.recorder.record(make([]byte, maxRecordedBytes+1))
-			c.stream.recorder.record([]byte("a"))
+		{"stopped", func(conn *Conn) { conn.StartRecording(); conn.StopRecording() }},
+		{"overflowed", func(conn *Conn) {
+			conn.StartRecording()
+			conn.stream.recording.record(make([]byte, maxRecordedBytes+1))
+			conn.stream.recording.record([]byte("a"))
 		}},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			c, _, _ := connPair(t)
-			tt.record(c)
-			_, err := c.Recorded()
+			conn, _, _ := connPair(t)
+			tt.record(conn)
+			_, err := conn.Recorded()
 			assert.ErrorIs(t, err, ErrNotRecorded)
-			assert.ErrorIs(t, c.Rewind(), ErrNotRecorded)
+			assert.ErrorIs(t, conn.Rewind(), ErrNotRecorded)
 		})
 	}
 }
 
 func TestStopReadingEndsARead(t *testing.T) {
-	c, _, _ := connPair(t)
-	time.AfterFunc(10*time.Millisecond, c.StopReading)
-	_, err := c.ReadResponseHead()
+	conn, _, _ := connPair(t)
+	time.AfterFunc(10*time.Millisecond, conn.StopReading)
+	_, err := conn.ReadResponseHead()
 	assert.Equal(t, TooSlow, CloseReasonOf(err))
 }
--- a/internal/transport/ring.go
+++ b/internal/transport/ring.go
@@ -2,23 +2,23 @@
 
 import "io"
 
-// Ring is a byte buffer of fixed size: what is read from its front makes room at its back.
+// Ring is a byte buffer of fixed size. Bytes that are discarded from its front make room at its back.
 type Ring struct {
 	buf    []byte
-	start  int // of the bytes held, in buf
-	length int // of the bytes held
+	start  int // index in buf of the first buffered byte
+	length int // number of buffered bytes
 }
 
-// NewRing makes an empty ring of size bytes.
+// NewRing returns an empty ring of size bytes.
 func NewRing(size int) *Ring { return &Ring{buf: make([]byte, size)} }
 
-// Len is the number of bytes held.
+// Len returns the number of buffered bytes.
 func (r *Ring) Len() int { return r.length }
 
 // Full reports whether no more bytes fit.
 func (r *Ring) Full() bool { return r.length == len(r.buf) }
 
-// space is the free part after the back that is contiguous.
+// space returns the free bytes after the back, as far as they are contiguous.
 func (r *Ring) space() []byte {
 	if r.length == 0 {
 		r.start = 0
@@ -37,7 +37,7 @@
 	return n, err
 }
 
-// Bytes is all that is held, contiguous; bytes that wrap round the end are moved for that. It is valid until the next
+// Bytes returns all buffered bytes. Where they wrap round the end they are copied first. The result is valid until the next
 // call of another method.
 func (r *Ring) Bytes() []byte {
 	if r.start+r.length > len(r.buf) {
@@ -50,13 +50,13 @@
 	return r.buf[r.start : r.start+r.length]
 }
 
-// Discard drops n bytes from the front; n is at most Len.
+// Discard drops n bytes from the front, at most Len.
 func (r *Ring) Discard(n int) {
 	r.start = (r.start + n) % len(r.buf)
 	r.length -= n
 }
 
-// Write appends as much of p as fits, and returns how much that is.
+// Write appends as much of p as fits, and returns the number of bytes.
 func (r *Ring) Write(p []byte) (written int) {
 	for len(p) > 0 && !r.Full() {
 		n := copy(r.space(), p)
@@ -67,7 +67,7 @@
 	return written
 }
 
-// Drain writes all that is held to a writer, and stops at its first error.
+// Drain writes all buffered bytes to a writer. It stops at the first error and returns that.
 func (r *Ring) Drain(to io.Writer) error {
 	for r.length > 0 {
 		n, err := to.Write(r.buf[r.start:min(r.start+r.length, len(r.buf))])
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -15,15 +15,17 @@
 
 // Handler responds to clients' requests. Its methods are called by several goroutines at once.
 type Handler interface {
-	// Serve responds to a complete request, which was received at a time. ctx ends when the client closes the
-	// connection; then Serve returns nil. protocol.Migrated says that another process sends the response.
+	// Serve returns the response to a complete request, whose last byte was read at the time received. ctx ends when the
+	// client closes the connection; Serve then returns nil. protocol.Migrated says that another process sends the
+	// response.
 	Serve(ctx context.Context, head *protocol.Head, body []byte, received time.Time) *protocol.Response
-	// Check returns the response to a request that needs no body or is rejected by its head; nil to read the body.
+	// AnswerByHead returns the response to a request that needs no body, or that is rejected by its head; nil to read
+	// the body.
 	AnswerByHead(head *protocol.Head) *protocol.Response
-	// Evicted returns the response on a connection beyond the limit, or to a body for which no memory is left. head
-	// is nil where none was read.
+	// OverBudget returns the response on a connection that is over the limit or evicted, or to a request for whose body
+	// no memory is left. head is nil where none was read.
 	OverBudget(head *protocol.Head) *protocol.Response
-	// MalformedRequest returns the response to a request that failed with an error of reading it.
+	// MalformedRequest returns the response to a request that could not be read. err is the error of reading it.
 	MalformedRequest(err error) *protocol.Response
 }
 
@@ -39,9 +41,10 @@
 	listenerShared bool           // another process may accept from the same queue
 }
 
-// NewServer makes a server of a listener, which it closes at its end. limit is the number of connections; there may be
-// a sixteenth more for a moment. bodyBytes limits the request bodies in memory at once, over all connections. state
-// says which responses are the last of their connections, and whether connections may be idle.
+// NewServer returns a server of a listener, which Run closes. limit is the number of connections; for a moment there may
+// be a sixteenth more. bodyBytes limits the request bodies in memory at once, over all connections; it is at least
+// protocol.MaxBodyBytes. state says which responses are the last of their connections, and whether connections may be
+// idle.
 func NewServer(ln *net.TCPListener, limit int, bodyBytes int64, handler Handler, state *lifecycle.State,
 	log zerolog.Logger,
 ) *Server {
@@ -56,23 +59,23 @@
 	return s
 }
 
-// ShareListener says that the listener may be passed to another process. It is to be called before Run.
+// ShareListener says that the listener may be passed to another process. It must be called before Run.
 func (s *Server) ShareListener() { s.listenerShared = true }
 
 // SetLimit changes how many connections there may be.
 func (s *Server) SetLimit(limit int) { s.clients.setLimit(limit) }
 
-// OpenConnections is the number of open connections.
+// OpenConnections returns the number of open connections.
 func (s *Server) OpenConnections() int { return s.clients.open() }
 
-// CloseAllAfter closes the connections that are still open after a time, whatever their state, so that a client that
-// doesn't read its response, or sends request after request, can't keep the process from stopping. stop cancels that.
+// CloseAllAfter closes the connections that are still open after a time, whatever their state. A client that doesn't read
+// its response, or sends request after request, then can't keep the process from stopping. stop cancels that.
 func (s *Server) CloseAllAfter(after time.Duration) (stop func() bool) {
 	return time.AfterFunc(after, s.clients.interruptAll).Stop
 }
 
-// Run accepts connections until ctx ends. Then it serves what is left in the listener's queue, closes idle connections
-// and waits for the others, which end after the responses that they are owed. The error is always nil.
+// Run accepts connections until ctx ends, and then those that are left in the listener's queue. It closes idle connections
+// and waits for the others, which are closed after the responses that they are owed. The error is always nil.
 func (s *Server) Run(ctx context.Context) error {
 	deadlineSet := make(chan struct{})
 	stop := context.AfterFunc(ctx, func() {
@@ -82,7 +85,7 @@
 	defer s.ln.Close()
 	s.acceptUntil(ctx)
 	if !stop() {
-		<-deadlineSet // set later it would end acceptQueued
+		<-deadlineSet // a deadline that is set later would end acceptQueued
 	}
 	phase := s.lifecycle.PhaseAt(time.Now())
 	s.lifecycle.BeginClosing(time.Now())
@@ -94,8 +97,8 @@
 	return s.conns.Wait()
 }
 
-// FollowLifecycle follows the phases of the process until ctx ends: it closes idle connections where none may be idle, and
-// stops accepting where another process does that. The error is always nil.
+// FollowLifecycle follows the phases of the process until ctx ends. It closes idle connections in a phase without them, and
+// stops accepting in a phase in which another process accepts. The error is always nil.
 func (s *Server) FollowLifecycle(ctx context.Context) error {
 	for {
 		wait, changed := s.lifecycle.NextChange(time.Now())
@@ -140,11 +143,11 @@
 	}
 }
 
-// acceptQueued accepts the connections that are left in the listener's queue as the process stops. Nobody else would,
-// and the kernel would reset them with the listener: clients that came while this process was busy, or out of
-// descriptors, would get no response. It shrinks the queue first, so that most who come meanwhile wait outside.
+// acceptQueued accepts the connections that are left in the listener's queue as the process stops. Otherwise the kernel
+// would reset them with the listener: clients that came while the process was busy, or out of descriptors, would get no
+// response. It shrinks the queue first, so that most clients that come meanwhile stay out of it.
 func (s *Server) acceptQueued() {
-	if !s.listenerShared { // a successor that has just started would continue with a queue of one
+	if !s.listenerShared { // a successor that has just started would get a queue of one
 		if err := shrinkBacklog(s.ln); err != nil {
 			s.log.Warn().Err(err).Msg("listener backlog not shrunk")
 		}
@@ -163,7 +166,8 @@
 	}
 }
 
-// waitUntilAccepting waits for a phase in which this process accepts connections. It returns false when ctx ends.
+// waitUntilAccepting waits for a phase in which this process accepts connections, and reports whether there is one before
+// ctx ends.
 func (s *Server) waitUntilAccepting(ctx context.Context) bool {
 	for ctx.Err() == nil {
 		_, changed := s.lifecycle.NextChange(time.Now())
@@ -183,12 +187,12 @@
 	return false
 }
 
-// start serves a new connection in a goroutine of its own, which Run waits for.
+// start serves a new connection in a goroutine of its own, which owns it and for which Run waits.
 func (s *Server) start(nc net.Conn) {
 	c := newConn(nc, Client, nc.RemoteAddr().String(), s.log, nil)
-	overLimit := s.clients.acquire(c)
+	admission := s.clients.acquire(c)
 	s.conns.Go(func() error {
-		s.serveRequests(c, overLimit)
+		s.serveRequests(c, admission)
 		s.clients.release(c)
 		return nil
 	})
--- a/internal/transport/shutdown_test.go
+++ b/internal/transport/shutdown_test.go
@@ -15,7 +15,7 @@
 )
 
 // serverWithSuccessor makes a server that doesn't run, and the listener of a successor that shares its queue.
-func serverWithSuccessor(t *testing.T) (s *Server, successor *net.TCPListener) {
+func serverWithSuccessor(t *testing.T) (server *Server, successor *net.TCPListener) {
 	t.Helper()
 	ln := listenLoopback(t)
 	file, err := ln.File()
@@ -28,59 +28,59 @@
 
 // Clients that wait in the listener's queue as the process stops would be reset with it.
 func TestQueuedConnectionsAreServedAtShutdown(t *testing.T) {
-	s := newTestServer(listenLoopback(t), 4, newEchoHandler())
+	server := newTestServer(listenLoopback(t), 4, newEchoHandler())
 	var conns [3]net.Conn
 	for n := range conns {
-		conns[n], _ = connect(t, s)
+		conns[n], _ = connect(t, server)
 		io.WriteString(conns[n], echoRequest)
 	}
-	s.lifecycle.Stop(time.Now())
-	runStopped(t, s)
-	for _, c := range conns {
-		got, err := io.ReadAll(c)
+	server.lifecycle.Stop(time.Now())
+	runStopped(t, server)
+	for _, conn := range conns {
+		got, err := io.ReadAll(conn)
 		assert.NoError(t, err)
 		assert.Contains(t, string(got), "200 OK")
 		assert.Contains(t, string(got), "Connection: close")
 	}
-	_, err := net.Dial("tcp", s.ln.Addr().String())
+	_, err := net.Dial("tcp", server.ln.Addr().String())
 	assert.Error(t, err)
 }
 
 func TestQueuedConnectionsAreLeftToTheSuccessor(t *testing.T) {
-	s, successor := serverWithSuccessor(t)
-	connect(t, s)
-	assert.NoError(t, s.lifecycle.HandOff(time.Now()))
-	s.lifecycle.Stop(time.Now())
-	runStopped(t, s)
+	server, successor := serverWithSuccessor(t)
+	connect(t, server)
+	assert.NoError(t, server.lifecycle.HandOff(time.Now()))
+	server.lifecycle.Stop(time.Now())
+	runStopped(t, server)
 	successor.SetDeadline(time.Now().Add(testTimeout))
-	c, err := successor.Accept()
+	conn, err := successor.Accept()
 	assert.NoError(t, err)
-	c.Close()
+	conn.Close()
 }
 
 // The process is stopped while its successor has the listener already but doesn't serve yet.
 func TestSharedListenerKeepsItsBacklog(t *testing.T) {
-	s, successor := serverWithSuccessor(t)
-	s.ShareListener()
-	s.lifecycle.Stop(time.Now())
-	runStopped(t, s)
+	server, successor := serverWithSuccessor(t)
+	server.ShareListener()
+	server.lifecycle.Stop(time.Now())
+	runStopped(t, server)
 	for range 4 {
-		c, err := net.DialTimeout("tcp", successor.Addr().String(), testTimeout)
+		conn, err := net.DialTimeout("tcp", successor.Addr().String(), testTimeout)
 		assert.NoError(t, err, "its queue holds more than one")
-		t.Cleanup(func() { c.Close() })
+		t.Cleanup(func() { conn.Close() })
 	}
 }
 
 // A process that was drained before it is stopped still is the only one that accepts from its queue.
 func TestDrainedServerStillServesNewConnectionsAtShutdown(t *testing.T) {
-	s, _, _ := startServer(t, 4)
-	s.lifecycle.Drain(time.Now().Add(-lifecycle.DrainGrace))
-	s.lifecycle.Stop(time.Now())
+	server, _, _ := startServer(t, 4)
+	server.lifecycle.Drain(time.Now().Add(-lifecycle.DrainGrace))
+	server.lifecycle.Stop(time.Now())
 	applied, cancel := context.WithCancel(context.Background())
 	cancel()
-	assert.NoError(t, s.FollowLifecycle(applied)) // it applies the present phase before it looks at the context
-	c, r := connect(t, s)
-	assert.Equal(t, clientResponse{200, "ab", true}, roundTrip(t, c, r, echoRequest))
+	assert.NoError(t, server.FollowLifecycle(applied)) // it applies the present phase before it looks at the context
+	client, reader := connect(t, server)
+	assert.Equal(t, clientResponse{200, "ab", true}, roundTrip(t, client, reader, echoRequest))
 }
 
 func TestRequestThatCrossesTheIdleTimeoutIsServed(t *testing.T) {
@@ -92,20 +92,20 @@
 		{"of a stopping process", true},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			s, _, _ := startServer(t, 4)
-			c, peer, _ := connPair(t)
+			server, _, _ := startServer(t, 4)
+			conn, peer, _ := connPair(t)
 			if tt.stopping {
-				s.lifecycle.Stop(time.Now())
+				server.lifecycle.Stop(time.Now())
 			}
-			s.clients.acquire(c)
+			server.clients.acquire(conn)
 			io.WriteString(peer, echoRequest)
-			assert.Eventually(t, c.hasUnreadData, testTimeout, time.Millisecond)
-			c.setReadDeadline(pastDeadline)
+			assert.Eventually(t, conn.hasUnreadData, testTimeout, time.Millisecond)
+			conn.setReadDeadline(pastDeadline)
 			ended := make(chan struct{})
 			go func() {
 				defer close(ended)
-				s.serveRequests(c, false)
-				s.clients.release(c)
+				server.serveRequests(conn, admitted)
+				server.clients.release(conn)
 			}()
 			response := make([]byte, len("HTTP/1.1 200"))
 			peer.SetReadDeadline(time.Now().Add(testTimeout))
@@ -120,65 +120,65 @@
 
 // The process is stopped while the first of two pipelined requests is served.
 func TestPipelinedRequestsAreServedAtShutdown(t *testing.T) {
-	s, handler, stop, ended := startGatedServer(t)
-	c, r := connect(t, s)
-	io.WriteString(c, gatedRequest+echoRequest)
+	server, handler, stop, ended := startGatedServer(t)
+	client, reader := connect(t, server)
+	io.WriteString(client, gatedRequest+echoRequest)
 	served := receive(t, handler.requested)
 	assert.Eventually(t, func() bool {
 		return served.stream.bytesRead.Load() == int64(len(gatedRequest+echoRequest))
 	}, testTimeout, time.Millisecond)
-	s.lifecycle.Stop(time.Now())
+	server.lifecycle.Stop(time.Now())
 	stop()
-	assert.Eventually(t, func() bool { return s.lifecycle.PhaseAt(time.Now()) == lifecycle.Closing }, testTimeout,
+	assert.Eventually(t, func() bool { return server.lifecycle.PhaseAt(time.Now()) == lifecycle.Closing }, testTimeout,
 		time.Millisecond)
 	handler.release <- &protocol.Response{Status: 200}
-	assert.Equal(t, clientResponse{200, "", false}, readResponse(t, r))
-	assert.Equal(t, clientResponse{200, "ab", true}, readResponse(t, r))
+	assert.Equal(t, clientResponse{200, "", false}, readResponse(t, reader))
+	assert.Equal(t, clientResponse{200, "ab", true}, readResponse(t, reader))
 	assert.NoError(t, receive(t, ended))
 }
 
 func TestShutdownClosesIdleConnectionsAtOnce(t *testing.T) {
-	s, _, stop := startServer(t, 4)
-	c, r := connect(t, s)
-	roundTrip(t, c, r, echoRequest)
-	s.lifecycle.Stop(time.Now())
-	assert.True(t, roundTrip(t, c, r, echoRequest).closes)
-	connect(t, s)
-	slow, _ := connect(t, s)
+	server, _, stop := startServer(t, 4)
+	client, reader := connect(t, server)
+	roundTrip(t, client, reader, echoRequest)
+	server.lifecycle.Stop(time.Now())
+	assert.True(t, roundTrip(t, client, reader, echoRequest).closes)
+	connect(t, server)
+	slow, _ := connect(t, server)
 	io.WriteString(slow, "POST /a")
 	stop()
 }
 
 func TestServerStopsDespiteAClientThatDoesNotReadItsResponse(t *testing.T) {
-	s, handler, stop, ended := startGatedServer(t)
-	c, _ := connect(t, s)
-	io.WriteString(c, gatedRequest)
+	server, handler, stop, ended := startGatedServer(t)
+	client, _ := connect(t, server)
+	io.WriteString(client, gatedRequest)
 	served := receive(t, handler.requested)
 	handler.release <- &protocol.Response{Status: 200, Body: make([]byte, 64<<20)}
 	assert.Eventually(t, func() bool { return served.stream.bytesWritten.Load() > 0 }, testTimeout, time.Millisecond)
 	began := time.Now()
-	s.lifecycle.Stop(began)
-	s.CloseAllAfter(50 * time.Millisecond)
+	server.lifecycle.Stop(began)
+	server.CloseAllAfter(50 * time.Millisecond)
 	stop()
 	assert.NoError(t, receive(t, ended))
 	assert.Less(t, time.Since(began), responseWriteTimeout-time.Second)
 }
 
 func TestServerStopsDespiteAClientThatSendsWithoutEnd(t *testing.T) {
-	s, _, stop, ended := startGatedServer(t)
-	c, r := connect(t, s)
-	go io.Copy(io.Discard, r)
+	server, _, stop, ended := startGatedServer(t)
+	client, reader := connect(t, server)
+	go io.Copy(io.Discard, reader)
 	sending := make(chan struct{})
 	go func() {
 		defer close(sending)
 		for {
-			if _, err := io.WriteString(c, strings.Repeat(echoRequest, 100)); err != nil {
+			if _, err := io.WriteString(client, strings.Repeat(echoRequest, 100)); err != nil {
 				return
 			}
 		}
 	}()
-	s.lifecycle.Stop(time.Now())
-	s.CloseAllAfter(200 * time.Millisecond)
+	server.lifecycle.Stop(time.Now())
+	server.CloseAllAfter(200 * time.Millisecond)
 	stop()
 	assert.NoError(t, receive(t, ended))
 	receive(t, sending)
--- a/internal/transport/socket_state.go
+++ b/internal/transport/socket_state.go
@@ -15,7 +15,7 @@
 	tcpCloseWait   = unix.BPF_TCP_CLOSE_WAIT // the peer has closed its sending side
 )
 
-// withDescriptor runs use with a socket's file descriptor.
+// withDescriptor calls use with a socket's file descriptor.
 func withDescriptor(socket syscall.Conn, use func(fd int)) error {
 	raw, err := socket.SyscallConn()
 	if err != nil {
@@ -24,8 +24,8 @@
 	return raw.Control(func(fd uintptr) { use(int(fd)) })
 }
 
-// tcpState returns the state of a TCP socket and the number of received bytes that were not read. A socket that can't
-// be inspected is tcpClosed; a number that can't be had is more than maxUnreadBytes.
+// tcpState returns the state of a TCP socket, and the number of received bytes that were not read. A socket that can't be
+// inspected is tcpClosed. A number that can't be had is taken for more than maxUnreadBytes.
 func tcpState(socket syscall.Conn) (state uint8, unread int) {
 	state = tcpClosed
 	_ = withDescriptor(socket, func(fd int) {
@@ -41,8 +41,8 @@
 	return state, unread
 }
 
-// timeSinceLastData is how long ago data was last received on a TCP socket, in the kernel's milliseconds; 0 where that
-// can't be had.
+// timeSinceLastData returns how long ago data was last received on a TCP socket, to the millisecond; 0 where that can't be
+// had.
 func timeSinceLastData(socket syscall.Conn) (age time.Duration) {
 	_ = withDescriptor(socket, func(fd int) {
 		if info, err := unix.GetsockoptTCPInfo(fd, unix.IPPROTO_TCP, unix.TCP_INFO); err == nil {
@@ -52,8 +52,9 @@
 	return age
 }
 
-// peekSocket returns what a read of one byte would return now, without blocking or consuming it: syscall.EAGAIN where
-// nothing has come, 0 and no error at end of stream, errors.ErrUnsupported for a connection that isn't a socket.
+// peekSocket returns what a read of one byte would return now, without blocking or consuming it. At the end of the stream
+// that is 0 and no error. The error is syscall.EAGAIN where nothing has come, and errors.ErrUnsupported for a connection
+// that isn't a socket.
 func (c *Conn) peekSocket() (n int, err error) {
 	socket, ok := c.nc.(syscall.Conn)
 	if !ok {
@@ -66,8 +67,8 @@
 	return n, errors.Join(err, inspectErr)
 }
 
-// readable reports whether a read would return at once: with buffered or received data, end of stream or an error. An
-// idle connection that is readable can't be used again.
+// readable reports whether a read would return at once: with data, the end of the stream or an error. An idle connection
+// that is readable can't be used again.
 func (c *Conn) readable() bool {
 	_, err := c.peekSocket()
 	return c.readBuf.Len() > 0 || !errors.Is(err, syscall.EAGAIN)
--- a/internal/transport/timeouts_test.go
+++ b/internal/transport/timeouts_test.go
@@ -16,10 +16,10 @@
 // Clients that connect by hundreds, and send nothing or part of a request, are closed or rejected soon after they
 // connected.
 func TestFirstRequestTimeoutCountsFromConnecting(t *testing.T) {
-	s, _, _ := startServer(t, 4)
+	server, _, _ := startServer(t, 4)
 	began := time.Now()
-	_, silentReader := connect(t, s)
-	partial, partialReader := connect(t, s)
+	_, silentReader := connect(t, server)
+	partial, partialReader := connect(t, server)
 	for range 3 {
 		io.WriteString(partial, "POST /a")
 		time.Sleep(firstRequestTimeout / 4) // more bytes don't extend the timeout
@@ -32,11 +32,11 @@
 
 // A body is neither served before its last byte nor rejected though it came in time.
 func TestBodyThatCompletesBeforeTheTimeoutIsServed(t *testing.T) {
-	s, _, _ := startServer(t, 4)
-	inTime, inTimeReader := connect(t, s)
-	never, neverReader := connect(t, s)
-	for _, c := range []net.Conn{inTime, never} {
-		io.WriteString(c, strings.TrimSuffix(echoRequest, "b"))
+	server, _, _ := startServer(t, 4)
+	inTime, inTimeReader := connect(t, server)
+	never, neverReader := connect(t, server)
+	for _, conn := range []net.Conn{inTime, never} {
+		io.WriteString(conn, strings.TrimSuffix(echoRequest, "b"))
 	}
 	time.Sleep(firstRequestTimeout - 100*time.Millisecond)
 	response := roundTrip(t, inTime, inTimeReader, "b")
@@ -46,11 +46,11 @@
 
 // A client whose requests were all rejected doesn't hold its slot as long as others do.
 func TestConnectionWithoutAUsefulRequestHasAShortIdleTimeout(t *testing.T) {
-	s, _, _ := startServer(t, 8)
-	c, r := connect(t, s)
-	assert.Equal(t, clientResponse{404, "", false}, roundTrip(t, c, r, "POST /none HTTP/1.1\r\n\r\n"))
+	server, _, _ := startServer(t, 8)
+	client, reader := connect(t, server)
+	assert.Equal(t, clientResponse{404, "", false}, roundTrip(t, client, reader, "POST /none HTTP/1.1\r\n\r\n"))
 	began := time.Now()
-	_, err := r.ReadByte()
+	_, err := reader.ReadByte()
 	assert.ErrorIs(t, err, io.EOF)
 	assert.InDelta(t, firstRequestTimeout.Seconds(), time.Since(began).Seconds(), timeoutTolerance)
 }
--- a/internal/transport/write.go
+++ b/internal/transport/write.go
@@ -6,15 +6,15 @@
 	"time"
 )
 
-// ErrUnsolicitedData reports a reused connection that the peer closed, or on which it sent something, before the
-// message on it was complete. The message's last byte wasn't sent.
+// ErrUnsolicitedData reports a reused connection that the peer closed, or on which it sent something, before the message
+// on it was complete. The message's last byte wasn't sent, so that the peer can't have processed the message.
 var ErrUnsolicitedData = errors.New("unsolicited data or close before the message was complete")
 
-// Send writes a message, in parts that follow each other, and fails if that takes longer than timeout.
-func (c *Conn) Send(timeout time.Duration, parts ...[]byte) error {
+// Send writes a message, which is given in one or more fragments. It fails if that takes longer than timeout.
+func (c *Conn) Send(timeout time.Duration, fragments ...[]byte) error {
 	c.setWriteDeadline(time.Now().Add(timeout))
-	for _, part := range parts {
-		if err := c.write(part); err != nil {
+	for _, fragment := range fragments {
+		if err := c.write(fragment); err != nil {
 			return err
 		}
 	}
@@ -26,10 +26,11 @@
 	return nil
 }
 
-// SendOnReused is Send for a connection that has carried a message before. It holds back the last byte until it has
-// checked that the connection is still open and that nothing has come on it. A worker's late second response carries
-// no request id and would be taken for the response to this message; and of a connection that is closed meanwhile
-// nobody could say whether the message was processed. With ErrUnsolicitedData it wasn't, as it never was complete.
+// SendOnReused is Send for a connection that has carried a message before. Before it sends the last byte, it checks that
+// the connection is still open and that nothing has come on it; otherwise the error is ErrUnsolicitedData.
+//
+// A worker's late second response has no request ID, and would be taken for the response to this message. And had the
+// worker closed the connection after the last byte, nobody could say whether it has processed the message.
 func (c *Conn) SendOnReused(timeout time.Duration, message []byte) error {
 	c.setWriteDeadline(time.Now().Add(timeout))
 	last := len(message) - 1
@@ -63,6 +64,7 @@
 	return nil
 }
 
+// flush writes all that is buffered.
 func (c *Conn) flush() error {
 	if err := c.writeBuf.Drain(&c.stream); err != nil {
 		return fmt.Errorf("sending: %w", err)
--- a/internal/transport/write_test.go
+++ b/internal/transport/write_test.go
@@ -10,14 +10,14 @@
 )
 
 func TestSendOnReusedSendsTheWholeMessage(t *testing.T) {
-	c, peer, _ := connPair(t)
-	assert.NoError(t, c.SendOnReused(time.Second, []byte(echoRequest)))
+	conn, peer, _ := connPair(t)
+	assert.NoError(t, conn.SendOnReused(time.Second, []byte(echoRequest)))
 	received := make([]byte, len(echoRequest))
 	_, err := io.ReadFull(peer, received)
 	assert.NoError(t, err)
 	assert.Equal(t, echoRequest, string(received))
-	assert.True(t, c.Reused())
-	assert.True(t, c.NothingReceived())
+	assert.True(t, conn.Reused())
+	assert.True(t, conn.NothingReceived())
 }
 
 // A second response to the message before, and a close, each come just before the last byte of the next message.
@@ -33,18 +33,18 @@
 		{"half-close", (*net.TCPConn).CloseWrite},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			c, peer, _ := connPair(t)
+			conn, peer, _ := connPair(t)
 			received := make(chan error, 1)
-			c.testHooks.beforeLastByte = func() {
+			conn.testHooks.beforeLastByte = func() {
 				part := make([]byte, len(echoRequest)-1)
 				_, err := io.ReadFull(peer, part)
 				received <- err
 				assert.NoError(t, tt.act(peer))
-				assert.Eventually(t, c.readable, testTimeout, time.Millisecond)
+				assert.Eventually(t, conn.readable, testTimeout, time.Millisecond)
 			}
-			assert.ErrorIs(t, c.SendOnReused(time.Second, []byte(echoRequest)), ErrUnsolicitedData)
+			assert.ErrorIs(t, conn.SendOnReused(time.Second, []byte(echoRequest)), ErrUnsolicitedData)
 			assert.NoError(t, <-received)
-			c.CloseFor(Malformed, nil)
+			conn.CloseFor(Malformed, nil)
 			rest, _ := io.ReadAll(peer)
 			assert.Empty(t, rest, "the message was never complete")
 		})
