--- a/internal/protocol/body.go
+++ b/internal/protocol/body.go
@@ -19,7 +19,7 @@
 // BodyPiece is the next piece of a body's input.
 type BodyPiece struct {
 	Data []byte // of the body, without framing; it may be empty
-	Used int    // bytes of the input that the piece takes, with its framing; 0 asks for more input
+	Used int    // bytes of the input that the piece takes, with its framing; 0 where more input is needed
 }
 
 // chunkState says what comes next in a chunked body.
--- a/internal/transport/client_limits.go
+++ b/internal/transport/client_limits.go
@@ -15,13 +15,13 @@
 // clientLimiter limits how many client connections are open. It has the state of each, which decides its read deadline.
 // Where a new connection needs a slot, it evicts the least useful one, see evictionRank.
 type clientLimiter struct {
-	limit     int           // slots for connections that are served
-	spare     int           // slots beyond limit, for connections that are rejected or are being closed
 	freed     chan struct{} // has an element after a slot was released
 	lifecycle *lifecycle.State
 
-	mu        sync.Mutex
-	slots     map[*Conn]*clientSlot
+	mu        sync.Mutex                // guards what follows
+	limit     int                       // slots for connections that are served
+	spare     int                       // slots beyond limit, for connections that are rejected or are being closed
+	slots     map[*Conn]*clientSlot     // of the open connections
 	counted   int                       // slots that count toward limit
 	evictable [evictionRanks]*list.List // *Conn by eviction rank, the one longest in its state first
 }
@@ -35,8 +35,8 @@
 	admission     admissionResult
 	evicted       bool // it is being closed to make room
 
-	queue   *list.List // of clientLimiter.evictable that it is in, nil if it may not be evicted
-	element *list.Element
+	queue   *list.List    // the one of clientLimiter.evictable that it is in, nil if it may not be evicted
+	element *list.Element // in queue
 }
 
 // countsTowardLimit reports whether a connection keeps another one out. One that is rejected or evicted is in a spare
@@ -106,7 +106,8 @@
 	defer l.mu.Unlock()
 	l.limit = limit
 	l.spare = spareSlots(limit)
-	for l.counted > l.limit && l.hasIdle() && l.evictOne() {
+	for l.counted > l.limit && l.hasIdle() {
+		l.evictOne()
 	}
 }
 
--- a/internal/transport/doc.go
+++ b/internal/transport/doc.go
@@ -4,9 +4,9 @@
 //
 // # Who owns a connection
 //
-// One goroutine at a time owns a Conn, that is reads, writes and closes it. Only Interrupt and Interrupted are safe for
-// others. Nobody but the owner closes a connection: others interrupt it or set its read deadline, and the owner then
-// closes it with the reason that it finds.
+// One goroutine at a time owns a Conn, that is reads, writes and closes it. Others may only interrupt it or set its read
+// deadline, by Interrupt, Interrupted, SetReadTimeout and StopReading. The owner's read then fails, and the owner closes
+// the connection with the reason that it finds.
 //
 //   - A client's connection is owned by the goroutine that Server starts for it, from accept to close. While a request
 //     is being served, the goroutine of WatchForClose reads it instead; stopping the watch gives it back.
