--- a/internal/transport/lingering_close_test.go
+++ b/internal/transport/lingering_close_test.go
@@ -27,7 +27,7 @@
 			server, _, _ := startServer(t, 4)
 			client, reader := connect(t, server)
 			body := strings.Repeat("a", 100000)
-			go client.Write([]byte("POST " + tt.path + " HTTP/1.1\r\nContent-Length: 100000\r\n\r\n" + body))
+			go io.WriteString(client, "POST "+tt.path+" HTTP/1.1\r\nContent-Length: 100000\r\n\r\n"+body)
 			time.Sleep(20 * time.Millisecond)
 			assert.Equal(t, tt.status, readResponse(t, reader).status)
 		})
