--- a/internal/protocol/json_scanner.go
+++ b/internal/protocol/json_scanner.go
@@ -37,25 +37,18 @@
 	s.position = len(s.input)
 }
 
-// peek skips white space and returns the next byte, 0 at the end.
+// peek skips white space (RFC 8259, 2) and returns the next byte, 0 at the end.
 func (s *scanner) peek() byte {
 	for ; s.position < len(s.input); s.position++ {
-		if c := s.input[s.position]; !isSpace(c) {
+		switch c := s.input[s.position]; c {
+		case ' ', '\t', '\n', '\r':
+		default:
 			return c
 		}
 	}
 	return 0
 }
 
-// isSpace reports whether c is white space of JSON (RFC 8259, 2).
-func isSpace(c byte) bool {
-	switch c {
-	case ' ', '\t', '\n', '\r':
-		return true
-	}
-	return false
-}
-
 // consume skips white space, and then c. It reports whether c came next.
 func (s *scanner) consume(c byte) bool {
 	if s.peek() != c {
@@ -242,10 +235,10 @@
 // isNumberByte reports whether c may be part of a number.
 func isNumberByte(c byte) bool {
 	switch c {
-	case '-', '+', '.', 'e', 'E':
+	case '0', '1', '2', '3', '4', '5', '6', '7', '8', '9', '-', '+', '.', 'e', 'E':
 		return true
 	}
-	return c >= '0' && c <= '9'
+	return false
 }
 
 // bool reads true or false.
