--- a/internal/protocol/load_datagram.go
+++ b/internal/protocol/load_datagram.go
@@ -15,18 +15,20 @@
 // The parts of a datagram, in bytes. All numbers are big-endian. A datagram without loads says that its sender has just
 // started.
 const (
-	timestampBytes = 2                        // time of sending: the low bits of Unix milliseconds
-	instanceBytes  = 1                        // the sender's instance, where its process has several
-	tagBytes       = 2                        // the tag of a worker's name
-	inFlightBytes  = 1                        // attempts in flight at that worker
-	loadBytes      = tagBytes + inFlightBytes // of one worker
+	timestampBytes = 2 // time of sending: the low bits of Unix milliseconds
+	instanceBytes  = 1 // the sender's instance, where its process has several
+	tagBytes       = 2 // the tag of a worker's name
+	inFlightBytes  = 1 // attempts in flight at that worker
 )
 
+// LoadBytes is the length of one load in a datagram.
+const LoadBytes = tagBytes + inFlightBytes
+
 // maxInFlight is the largest number of attempts in a datagram. It stands for any larger one.
 const maxInFlight = math.MaxUint8
 
 // MaxLoads is the number of loads that a datagram holds at most.
-const MaxLoads = (settings.MaxMessageBytes - timestampBytes - instanceBytes) / loadBytes
+const MaxLoads = (settings.MaxMessageBytes - timestampBytes - instanceBytes) / LoadBytes
 
 // ErrMalformedDatagram reports a datagram that is not of this protocol.
 var ErrMalformedDatagram = errors.New("malformed datagram")
@@ -56,12 +58,22 @@
 		b = append(b, byte(instance))
 	}
 	for _, load := range loads[:min(len(loads), MaxLoads)] {
-		b = binary.BigEndian.AppendUint16(b, load.Tag)
-		b = append(b, byte(min(load.InFlight, maxInFlight)))
+		b = AppendLoad(b, load)
 	}
 	return b
 }
 
+// AppendLoad appends one load, of LoadBytes. More than 255 attempts in flight are sent as 255.
+func AppendLoad(b []byte, load Load) []byte {
+	b = binary.BigEndian.AppendUint16(b, load.Tag)
+	return append(b, byte(min(load.InFlight, maxInFlight)))
+}
+
+// DecodeLoad returns the load in the first LoadBytes of b, which has at least as many.
+func DecodeLoad(b []byte) Load {
+	return Load{Tag: binary.BigEndian.Uint16(b), InFlight: int(b[tagBytes])}
+}
+
 // LoadDatagram is the content of a datagram between dispatchers.
 type LoadDatagram struct {
 	Timestamp uint16 // of sending, in Unix milliseconds modulo 2^16
@@ -76,7 +88,7 @@
 	}
 	datagram := LoadDatagram{Timestamp: binary.BigEndian.Uint16(b)}
 	b = b[timestampBytes:]
-	switch len(b) % loadBytes {
+	switch len(b) % LoadBytes {
 	case 0: // no instance is named
 	case instanceBytes:
 		datagram.Instance = int(b[0])
@@ -84,8 +96,8 @@
 	default:
 		return LoadDatagram{}, ErrMalformedDatagram
 	}
-	for ; len(b) > 0; b = b[loadBytes:] {
-		datagram.Loads = append(datagram.Loads, Load{Tag: binary.BigEndian.Uint16(b), InFlight: int(b[tagBytes])})
+	for ; len(b) > 0; b = b[LoadBytes:] {
+		datagram.Loads = append(datagram.Loads, DecodeLoad(b))
 	}
 	return datagram, nil
 }
--- a/internal/protocol/wire_test.go
+++ b/internal/protocol/wire_test.go
@@ -30,7 +30,8 @@
 			assert.Equal(t, tt.want, hex.EncodeToString(b))
 			datagram, err := ParseLoads(b)
 			assert.NoError(t, err)
-			assert.Equal(t, []any{uint16(0xabcd), max(tt.instance, 0), len(tt.loads)}, []any{datagram.Timestamp, datagram.Instance, len(datagram.Loads)})
+			assert.Equal(t, []any{uint16(0xabcd), max(tt.instance, 0), len(tt.loads)},
+				[]any{datagram.Timestamp, datagram.Instance, len(datagram.Loads)})
 		})
 	}
 	assert.Len(t, AppendLoads(nil, 0, 5, make([]Load, 1000)), 255, "84 loads at the most")
--- a/internal/settings/wire_names.go
+++ b/internal/settings/wire_names.go
@@ -61,7 +61,7 @@
 	keyClientTimeout    = "clientTimeoutS"    // client timeout over all tries; seconds
 	keyValue            = "billedValue"       // value of a response within the latency objective
 	keyLateShare        = "tardyBilledValue"  // value of a late response; share of the value in time
-	keyStretch          = "aimStretch"        // growth of the latency objective with a request's size; multiple of the size
+	keyStretch          = "aimStretch"        // growth of the objective with a request's size; multiple of the size
 	keyIdempotency      = "repeat"            // idempotency
 	wordIdempotent      = "idempotent"        // idempotent
 	wordIdempotentByKey = "deduplicated"      // idempotent with an idempotency key
@@ -86,6 +86,6 @@
 	keyStartNotices      = "tellsStart"   // workers report the start of an attempt
 	keyWorkloadValue     = "reportX0"     // meaning of the value that is particular to the workload
 	wordFreeSlots        = "free slots"   // free slots of a worker; slots
-	keyOperationStretch  = "classStretch" // growth of the latency objective with a request's size, by operation; multiple of the size
+	keyOperationStretch  = "classStretch" // growth of the objective with the size, by operation; multiple of the size
 	keyOperationKind     = "classKind"    // kind of workers that run an operation, by operation; index, from 0, or -1 for any
 )
--- a/internal/simadapter/gossip.go
+++ b/internal/simadapter/gossip.go
@@ -1,28 +1,17 @@
 package simadapter
 
 import (
-	"encoding/binary"
 	"encoding/hex"
 	"fmt"
-	"math"
 
 	"canvasroute/internal/balancer"
+	"canvasroute/internal/protocol"
 )
 
-// The parts of a gossip message, in bytes. Numbers are big-endian.
-const (
-	tagBytes      = 2                        // the tag of a worker's name
-	inFlightBytes = 1                        // attempts in flight at that worker
-	loadBytes     = tagBytes + inFlightBytes // of one worker
-)
-
-// maxInFlight is the largest number of attempts in a message. It stands for any larger one.
-const maxInFlight = math.MaxUint8
-
-// SendLoad implements balancer.Effects.
+// SendLoad implements balancer.Effects. A gossip message in the simulator has loads as a datagram between processes has
+// them, but neither time nor instance.
 func (in *instance) SendLoad(to balancer.PeerID, l balancer.WorkerLoad) {
-	message := binary.BigEndian.AppendUint16(nil, in.workers.tags[l.Worker])
-	message = append(message, byte(min(l.InFlight, maxInFlight)))
+	message := protocol.AppendLoad(nil, protocol.Load{Tag: in.workers.tags[l.Worker], InFlight: l.InFlight})
 	in.reply.open(commandGossip, in.number)
 	in.reply.writeInt(keyPeerTo, int64(to))
 	in.reply.writeRaw(keyGossipContent, `"`+hex.EncodeToString(message)+`"`)
@@ -36,9 +25,10 @@
 	if _, err := hex.Decode(message, digits); err != nil {
 		return fmt.Errorf("%s: %w", keyGossipContent, err)
 	}
-	for ; len(message) >= loadBytes; message = message[loadBytes:] {
-		if worker, known := in.workers.byTag[binary.BigEndian.Uint16(message)]; known {
-			in.balancer.ReceiveLoad(from, balancer.WorkerLoad{Worker: worker, InFlight: int(message[tagBytes])})
+	for ; len(message) >= protocol.LoadBytes; message = message[protocol.LoadBytes:] {
+		load := protocol.DecodeLoad(message)
+		if worker, known := in.workers.byTag[load.Tag]; known {
+			in.balancer.ReceiveLoad(from, balancer.WorkerLoad{Worker: worker, InFlight: load.InFlight})
 		}
 	}
 	return nil
--- a/internal/simadapter/simadapter.go
+++ b/internal/simadapter/simadapter.go
@@ -1,5 +1,5 @@
-// Package simadapter runs dispatchers in the simulator. Each event on the simulator's wire becomes a call of a balancer, and
-// each of the balancer's effects a command in the reply. The package makes no decisions and has no clock of its own.
+// Package simadapter runs dispatchers in the simulator. Each event on the simulator's wire becomes a call of a balancer,
+// and each of the balancer's effects a command in the reply. The package makes no decisions and has no clock of its own.
 //
 // wire_names.go maps the names on the wire to the terms of this code.
 package simadapter
--- a/internal/simadapter/simadapter_test.go
+++ b/internal/simadapter/simadapter_test.go
@@ -58,7 +58,10 @@
 		{"malformed", "{\n", errMalformedBatch, "line 1: malformed"},
 		{"no frame", "{}\n", nil, "a batch needs frame, wallS and happened"},
 		{"unknown dispatcher", batchLine(`{"Nonsense":{"dispatcher":4}}`), errUnknownDispatcher, "unknown dispatcher 4"},
-		{"unknown event", batchLine(startEvent, `{"Nonsense":{"dispatcher":4}}`), errUnknownEvent, "event 1, Nonsense: unknown message"},
+		{
+			"unknown event", batchLine(startEvent, `{"Nonsense":{"dispatcher":4}}`),
+			errUnknownEvent, "event 1, Nonsense: unknown message",
+		},
 		{"unknown request", batchLine(startEvent, endedEvent), errUnknownRequest, `unknown request "q\"1"`},
 		{
 			"unknown attempt",
