--- a/internal/protocol/body_test.go
+++ b/internal/protocol/body_test.go
@@ -12,7 +12,7 @@
 var errIncomplete = errors.New("body incomplete")
 
 // readBody puts a body together from input that arrives in pieces of the given size.
-func readBody(b Body, text string, pieceBytes int) (string, error) {
+func readBody(body Body, text string, pieceBytes int) (string, error) {
 	var content []byte
 	buffered := ""
 	for len(text) > 0 || len(buffered) > 0 {
@@ -20,7 +20,7 @@
 		buffered += text[:n]
 		text = text[n:]
 		for {
-			piece, err := b.Next([]byte(buffered))
+			piece, err := body.Next([]byte(buffered))
 			if err != nil {
 				return "", err
 			}
@@ -30,11 +30,11 @@
 				break
 			}
 		}
-		if b.Done() || n == 0 {
+		if body.Done() || n == 0 {
 			break
 		}
 	}
-	if !b.Done() {
+	if !body.Done() {
 		return "", errIncomplete
 	}
 	return string(content), nil
@@ -51,9 +51,9 @@
 		{"chunks in HTTP/1.0", "HTTP/1.0", "Transfer-Encoding: chunked"},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			h, err := ParseRequestHead([]byte("POST /api " + tt.version + "\r\n" + tt.fieldLines + "\r\n\r\n"))
+			head, err := ParseRequestHead([]byte("POST /api " + tt.version + "\r\n" + tt.fieldLines + "\r\n\r\n"))
 			assert.NoError(t, err)
-			_, err = RequestBody(&h.Head)
+			_, err = RequestBody(&head.Head)
 			assert.ErrorIs(t, err, ErrMalformed)
 		})
 	}
--- a/internal/protocol/fuzz_test.go
+++ b/internal/protocol/fuzz_test.go
@@ -10,17 +10,17 @@
 	f.Add([]byte(`{"id":"a\ud83d","state":"done","result":"\\"}`))
 	f.Add([]byte(`{"seq":1,"whole":true,"hosts":[{"host":"a","health":"Ready"}]}`))
 	f.Add([]byte("HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n"))
-	f.Fuzz(func(t *testing.T, b []byte) {
-		if _, err := ParseLine(b); err == nil {
-			assert.Contains(t, string(b), "{")
+	f.Fuzz(func(t *testing.T, input []byte) {
+		if _, err := ParseLine(input); err == nil {
+			assert.Contains(t, string(input), "{")
 		}
-		_, _ = ParseEndpointList(b)
-		_, _ = ParseLoad(b, []string{"rif"})
-		_, _ = ParseLoads(b)
-		if head, _ := ParseRequestHead(b); head.Length > len(b) {
+		_, _ = ParseEndpointList(input)
+		_, _ = ParseLoad(input, []string{"rif"})
+		_, _ = ParseLoads(input)
+		if head, _ := ParseRequestHead(input); head.Length > len(input) {
 			t.Fatal("more used than there is")
 		}
-		if head, _ := ParseResponseHead(b); head.Length > len(b) {
+		if head, _ := ParseResponseHead(input); head.Length > len(input) {
 			t.Fatal("more used than there is")
 		}
 	})
--- a/internal/protocol/head_test.go
+++ b/internal/protocol/head_test.go
@@ -10,21 +10,21 @@
 func TestHeadIsParsedOnceComplete(t *testing.T) {
 	const text = "\r\nPOST /api?x=1 HTTP/1.1\r\nReq-Id: a\r\nX:  b \r\n\r\nrest"
 	for n := range strings.Index(text, "rest") {
-		h, err := ParseRequestHead([]byte(text[:n]))
+		head, err := ParseRequestHead([]byte(text[:n]))
 		assert.NoError(t, err)
-		assert.Zero(t, h.Length)
+		assert.Zero(t, head.Length)
 	}
-	h, err := ParseRequestHead([]byte(text))
+	head, err := ParseRequestHead([]byte(text))
 	assert.NoError(t, err)
-	assert.Equal(t, "rest", text[h.Length:])
+	assert.Equal(t, "rest", text[head.Length:])
 	assert.Equal(t, []string{"POST", "/api?x=1", "/api", "a", "b"},
-		[]string{h.Method, h.Target, h.Path(), h.Field("req-id"), h.Field("x")})
+		[]string{head.Method, head.Target, head.Path(), head.Field("req-id"), head.Field("x")})
 }
 
 func TestResponseHeadMayHaveBareLineFeeds(t *testing.T) {
-	h, err := ParseResponseHead([]byte("HTTP/1.1 200 OK\nA: b\n\n"))
+	head, err := ParseResponseHead([]byte("HTTP/1.1 200 OK\nA: b\n\n"))
 	assert.NoError(t, err)
-	assert.NotZero(t, h.Length)
+	assert.NotZero(t, head.Length)
 }
 
 func TestMalformedRequestHeads(t *testing.T) {
--- a/internal/protocol/helpers_test.go
+++ b/internal/protocol/helpers_test.go
@@ -9,15 +9,15 @@
 // requestHead parses the head of a POST request with the given field lines.
 func requestHead(t *testing.T, fieldLines string) *Head {
 	t.Helper()
-	h, err := ParseRequestHead([]byte("POST /api?q=1 HTTP/1.1\r\n" + fieldLines + "\r\n\r\n"))
+	head, err := ParseRequestHead([]byte("POST /api?q=1 HTTP/1.1\r\n" + fieldLines + "\r\n\r\n"))
 	assert.NoError(t, err)
-	return &h.Head
+	return &head.Head
 }
 
 // responseHead parses the head of a response, from its status line on.
 func responseHead(t *testing.T, text string) *Head {
 	t.Helper()
-	h, err := ParseResponseHead([]byte(text + "\r\n\r\n"))
+	head, err := ParseResponseHead([]byte(text + "\r\n\r\n"))
 	assert.NoError(t, err)
-	return &h.Head
+	return &head.Head
 }
--- a/internal/protocol/load_datagram_test.go
+++ b/internal/protocol/load_datagram_test.go
@@ -17,8 +17,8 @@
 		{"one of several instances", 3, 3},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			b := AppendLoads(nil, 0xfffe, tt.instance, []Load{{WorkerTag("s-1"), 3}, {WorkerTag("s-2"), 300}})
-			datagram, err := ParseLoads(b)
+			encoded := AppendLoads(nil, 0xfffe, tt.instance, []Load{{WorkerTag("s-1"), 3}, {WorkerTag("s-2"), 300}})
+			datagram, err := ParseLoads(encoded)
 			assert.NoError(t, err)
 			assert.Equal(t, uint16(0xfffe), datagram.Timestamp)
 			assert.Equal(t, tt.wantInstance, datagram.Instance)
--- a/internal/protocol/wire_test.go
+++ b/internal/protocol/wire_test.go
@@ -26,9 +26,9 @@
 		{"last of several instances", 63, loads[:1], "abcd" + "3f" + "010203"},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			b := AppendLoads(nil, 0xabcd, tt.instance, tt.loads)
-			assert.Equal(t, tt.want, hex.EncodeToString(b))
-			datagram, err := ParseLoads(b)
+			encoded := AppendLoads(nil, 0xabcd, tt.instance, tt.loads)
+			assert.Equal(t, tt.want, hex.EncodeToString(encoded))
+			datagram, err := ParseLoads(encoded)
 			assert.NoError(t, err)
 			assert.Equal(t, []any{uint16(0xabcd), max(tt.instance, 0), len(tt.loads)},
 				[]any{datagram.Timestamp, datagram.Instance, len(datagram.Loads)})
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -22,24 +22,24 @@
 var nonNegativeOperationSettings = []string{keyLatencyObjective, keyClientTimeout, keyDedupWindow}
 
 // check returns a *KeyError for the first value that no dispatcher can work with, nil where there is none.
-func check(v *fastjson.Value) error {
-	if len(v.GetArray(keyOperations)) == 0 {
+func check(root *fastjson.Value) error {
+	if len(root.GetArray(keyOperations)) == 0 {
 		return reject(keyOperations, "there must be at least one")
 	}
-	dispatchers := v.GetInt(keyDispatchers)
+	dispatchers := root.GetInt(keyDispatchers)
 	if dispatchers < 1 {
 		return reject(keyDispatchers, fmt.Sprintf("%d, must be at least 1", dispatchers))
 	}
-	if position := v.GetInt(keyPosition); position < 0 || position >= dispatchers {
+	if position := root.GetInt(keyPosition); position < 0 || position >= dispatchers {
 		return reject(keyPosition, fmt.Sprintf("%d, must be from 0 to %d, as there are %d balancers", position,
 			dispatchers-1, dispatchers))
 	}
 	for _, path := range nonNegativeSettings {
-		if err := checkNotNegative(v.GetFloat64(path...), strings.Join(path, ".")); err != nil {
+		if err := checkNotNegative(root.GetFloat64(path...), strings.Join(path, ".")); err != nil {
 			return err
 		}
 	}
-	for n, operation := range v.GetArray(keyOperations) {
+	for n, operation := range root.GetArray(keyOperations) {
 		for _, key := range nonNegativeOperationSettings {
 			if err := checkNotNegative(operation.GetFloat64(key), operationPath(n, key)); err != nil {
 				return err
--- a/internal/settings/operations.go
+++ b/internal/settings/operations.go
@@ -30,8 +30,8 @@
 // parseOperations reads the operations. workload, which may be nil, has lists of further values in the same order.
 func parseOperations(list []*fastjson.Value, workload *fastjson.Value) ([]balancer.OperationConfig, error) {
 	var operations []balancer.OperationConfig
-	for n, v := range list {
-		operation, err := parseOperation(n, v, workload)
+	for n, fields := range list {
+		operation, err := parseOperation(n, fields, workload)
 		if err != nil {
 			return nil, err
 		}
@@ -42,21 +42,21 @@
 
 // parseOperation reads the n-th operation. Its own stretch of the latency objective precedes that of the workload; its
 // attempts may go to any kind of worker where the workload names none.
-func parseOperation(n int, v, workload *fastjson.Value) (balancer.OperationConfig, error) {
-	idempotency, err := parseChoice(n, v, keyIdempotency, idempotencies)
+func parseOperation(n int, fields, workload *fastjson.Value) (balancer.OperationConfig, error) {
+	idempotency, err := parseChoice(n, fields, keyIdempotency, idempotencies)
 	if err != nil {
 		return balancer.OperationConfig{}, err
 	}
-	scope, err := parseChoice(n, v, keyDedupScope, dedupScopes)
+	scope, err := parseChoice(n, fields, keyDedupScope, dedupScopes)
 	if err != nil {
 		return balancer.OperationConfig{}, err
 	}
 	operation := balancer.OperationConfig{
-		Name:             string(v.GetStringBytes(keyName)),
-		LatencyObjective: DurationOf(v.GetFloat64(keyLatencyObjective)),
-		DedupWindow:      DurationOf(v.GetFloat64(keyDedupWindow)),
-		Value:            v.GetFloat64(keyValue),
-		LateShare:        v.GetFloat64(keyLateShare),
+		Name:             string(fields.GetStringBytes(keyName)),
+		LatencyObjective: DurationOf(fields.GetFloat64(keyLatencyObjective)),
+		DedupWindow:      DurationOf(fields.GetFloat64(keyDedupWindow)),
+		Value:            fields.GetFloat64(keyValue),
+		LateShare:        fields.GetFloat64(keyLateShare),
 		Idempotency:      idempotency,
 		DedupScope:       scope,
 		Kind:             balancer.AnyKind,
@@ -64,8 +64,8 @@
 	if stretches := workload.GetArray(keyOperationStretch); n < len(stretches) {
 		operation.Stretch = stretches[n].GetFloat64()
 	}
-	if v.Exists(keyStretch) {
-		operation.Stretch = v.GetFloat64(keyStretch)
+	if fields.Exists(keyStretch) {
+		operation.Stretch = fields.GetFloat64(keyStretch)
 	}
 	if kinds := workload.GetArray(keyOperationKind); n < len(kinds) {
 		operation.Kind = balancer.KindID(kinds[n].GetInt())
@@ -75,8 +75,8 @@
 
 // parseChoice reads a key of the n-th operation whose value is one of several words. The error is a *KeyError that names
 // them.
-func parseChoice[T any](n int, operation *fastjson.Value, key string, choices map[string]T) (T, error) {
-	word := string(operation.GetStringBytes(key))
+func parseChoice[T any](n int, fields *fastjson.Value, key string, choices map[string]T) (T, error) {
+	word := string(fields.GetStringBytes(key))
 	choice, known := choices[word]
 	if !known {
 		return choice, reject(operationPath(n, key), fmt.Sprintf("%q, must be one of %s", word, listWords(choices)))
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -41,97 +41,97 @@
 
 // Parse returns the balancer's configuration for the platform's settings. The error is ErrNotObject, or a *KeyError for
 // the first value that no dispatcher can work with.
-func Parse(v *fastjson.Value) (balancer.Config, error) {
-	if v == nil || v.Type() != fastjson.TypeObject {
+func Parse(root *fastjson.Value) (balancer.Config, error) {
+	if root == nil || root.Type() != fastjson.TypeObject {
 		return balancer.Config{}, ErrNotObject
 	}
-	operations, err := parseOperations(v.GetArray(keyOperations), v.Get(keyWorkload))
+	operations, err := parseOperations(root.GetArray(keyOperations), root.Get(keyWorkload))
 	if err != nil {
 		return balancer.Config{}, err
 	}
-	if err := check(v); err != nil {
+	if err := check(root); err != nil {
 		return balancer.Config{}, err
 	}
-	c := balancer.Config{Operations: operations, Tenants: parseTenants(v.GetArray(keyTenants))}
-	parseTopology(&c, v)
-	parseObjective(&c, v)
-	parsePolicyLimits(&c, v.Get(keyPolicyLimits))
-	parseRules(&c, v.Get(keyRules))
-	parseLoadReports(&c, v.Get(keyLoadReport), v.Get(keyWorkload))
-	return c, nil
+	config := balancer.Config{Operations: operations, Tenants: parseTenants(root.GetArray(keyTenants))}
+	parseTopology(&config, root)
+	parseObjective(&config, root)
+	parsePolicyLimits(&config, root.Get(keyPolicyLimits))
+	parseRules(&config, root.Get(keyRules))
+	parseLoadReports(&config, root.Get(keyLoadReport), root.Get(keyWorkload))
+	return config, nil
 }
 
 // parseTopology reads the number of dispatchers and this one's place among them, the kinds of workers, and how endpoint
 // lists come. Settings that name no kinds have one.
-func parseTopology(c *balancer.Config, v *fastjson.Value) {
-	c.Dispatchers = v.GetInt(keyDispatchers)
-	c.Position = v.GetInt(keyPosition)
-	c.Zone = balancer.ZoneID(v.GetInt(keyZone))
-	c.Kinds = max(len(v.GetArray(keyKinds)), 1)
-	c.Granularity = DurationOf(v.GetFloat64(keyGranularity))
-	c.PollEndpoints = string(v.GetStringBytes(keyDiscoveryMode)) == wordPolledDiscovery
+func parseTopology(config *balancer.Config, root *fastjson.Value) {
+	config.Dispatchers = root.GetInt(keyDispatchers)
+	config.Position = root.GetInt(keyPosition)
+	config.Zone = balancer.ZoneID(root.GetInt(keyZone))
+	config.Kinds = max(len(root.GetArray(keyKinds)), 1)
+	config.Granularity = DurationOf(root.GetFloat64(keyGranularity))
+	config.PollEndpoints = string(root.GetStringBytes(keyDiscoveryMode)) == wordPolledDiscovery
 }
 
 // parseObjective reads the value of requests and the prices of messages. Value is counted by request unless the settings
 // say that it is counted by work.
-func parseObjective(c *balancer.Config, v *fastjson.Value) {
-	otherWeights := v.GetFloat64(keyGoal, keyGoalWholeRun) + v.GetFloat64(keyGoal, keyGoalWorstWindow)
-	c.WorstOperationWeight = v.GetFloat64(keyGoal, keyGoalWorstOperation) / max(otherWeights, minObjectiveWeight)
-	c.OverQuotaShare = v.GetFloat64(keyOverQuotaValue)
-	c.GossipCost = v.GetFloat64(keyPrices, keyGossipPrice) * minPricedMessageBytes / MaxMessageBytes
-	c.CrossZoneCost = v.GetFloat64(keyPrices, keyCrossZonePrice)
-	if string(v.GetStringBytes(keyValueBasis)) != wordValueByWork {
-		c.ValuePerRequest = 1
+func parseObjective(config *balancer.Config, root *fastjson.Value) {
+	otherWeights := root.GetFloat64(keyGoal, keyGoalWholeRun) + root.GetFloat64(keyGoal, keyGoalWorstWindow)
+	config.WorstOperationWeight = root.GetFloat64(keyGoal, keyGoalWorstOperation) / max(otherWeights, minObjectiveWeight)
+	config.OverQuotaShare = root.GetFloat64(keyOverQuotaValue)
+	config.GossipCost = root.GetFloat64(keyPrices, keyGossipPrice) * minPricedMessageBytes / MaxMessageBytes
+	config.CrossZoneCost = root.GetFloat64(keyPrices, keyCrossZonePrice)
+	if string(root.GetStringBytes(keyValueBasis)) != wordValueByWork {
+		config.ValuePerRequest = 1
 	}
 }
 
 // parsePolicyLimits reads what a dispatcher may do.
-func parsePolicyLimits(c *balancer.Config, limits *fastjson.Value) {
-	c.MaxAttempts = limits.GetInt(keyMaxAttempts)
-	c.MaxRetryAfter = DurationOf(limits.GetFloat64(keyMaxRetryAfter))
-	c.Cancellation = limits.GetBool(keyCancellation)
-	c.Hedging = limits.GetBool(keyHedging)
-	c.Probes = limits.GetBool(keyHealthChecks)
-	c.Gossip = limits.GetBool(keyGossip)
-	c.RetryAfter = limits.GetBool(keyRetryAfter)
+func parsePolicyLimits(config *balancer.Config, limits *fastjson.Value) {
+	config.MaxAttempts = limits.GetInt(keyMaxAttempts)
+	config.MaxRetryAfter = DurationOf(limits.GetFloat64(keyMaxRetryAfter))
+	config.Cancellation = limits.GetBool(keyCancellation)
+	config.Hedging = limits.GetBool(keyHedging)
+	config.Probes = limits.GetBool(keyHealthChecks)
+	config.Gossip = limits.GetBool(keyGossip)
+	config.RetryAfter = limits.GetBool(keyRetryAfter)
 }
 
 // parseRules reads what workers and the discovery service expect of a dispatcher.
-func parseRules(c *balancer.Config, rules *fastjson.Value) {
-	c.MaxPollInterval = DurationOf(rules.GetFloat64(keyMaxPollInterval))
-	c.WarmupDuration = DurationOf(rules.GetFloat64(keyWarmupDuration))
-	c.WarmupWindow = DurationOf(rules.GetFloat64(keyWarmupWindow))
-	c.InitialWarmup = rules.GetFloat64(keyInitialWarmup)
-	c.OverloadFactor = rules.GetFloat64(keyOverloadFactor)
+func parseRules(config *balancer.Config, rules *fastjson.Value) {
+	config.MaxPollInterval = DurationOf(rules.GetFloat64(keyMaxPollInterval))
+	config.WarmupDuration = DurationOf(rules.GetFloat64(keyWarmupDuration))
+	config.WarmupWindow = DurationOf(rules.GetFloat64(keyWarmupWindow))
+	config.InitialWarmup = rules.GetFloat64(keyInitialWarmup)
+	config.OverloadFactor = rules.GetFloat64(keyOverloadFactor)
 }
 
 // parseLoadReports reads what workers report, and the index of each value that the balancer uses in a load report.
 // The value that is particular to the workload is used where it counts free slots.
-func parseLoadReports(c *balancer.Config, report, workload *fastjson.Value) {
-	c.StartNotices = workload.GetBool(keyStartNotices)
-	c.ReportsOnProbe = string(report.GetStringBytes(keyLoadReportSource)) == wordReportsOnProbe
-	c.ReportInFlight = balancer.NotReported
-	c.ReportQueue = balancer.NotReported
-	c.ReportFree = balancer.NotReported
+func parseLoadReports(config *balancer.Config, report, workload *fastjson.Value) {
+	config.StartNotices = workload.GetBool(keyStartNotices)
+	config.ReportsOnProbe = string(report.GetStringBytes(keyLoadReportSource)) == wordReportsOnProbe
+	config.ReportInFlight = balancer.NotReported
+	config.ReportQueue = balancer.NotReported
+	config.ReportFree = balancer.NotReported
 	reportsFreeSlots := string(workload.GetStringBytes(keyWorkloadValue)) == wordFreeSlots
 	for n, name := range report.GetArray(keyLoadReportNames) {
 		index := balancer.ReportIndex(n)
 		switch string(name.GetStringBytes()) {
 		case nameRequestsInFlight:
-			c.ReportInFlight = index
+			config.ReportInFlight = index
 		case nameQueuedRequests:
-			c.ReportQueue = index
+			config.ReportQueue = index
 		case nameWorkloadValue:
 			if reportsFreeSlots {
-				c.ReportFree = index
+				config.ReportFree = index
 			}
 		}
 	}
 }
 
 // LoadReportLength returns how many values a worker's load report has by the settings.
-func LoadReportLength(v *fastjson.Value) int {
-	return len(v.GetArray(keyLoadReport, keyLoadReportNames))
+func LoadReportLength(root *fastjson.Value) int {
+	return len(root.GetArray(keyLoadReport, keyLoadReportNames))
 }
 
 // parseTenants reads the tenants, or a single one without a quota where the settings name none. The balancer takes an
@@ -141,12 +141,12 @@
 		return []balancer.TenantConfig{{Quota: math.Inf(1)}}
 	}
 	var tenants []balancer.TenantConfig
-	for _, v := range list {
-		quota := v.GetFloat64(keyQuota)
+	for _, tenant := range list {
+		quota := tenant.GetFloat64(keyQuota)
 		if quota <= 0 {
 			quota = math.Inf(1)
 		}
-		tenants = append(tenants, balancer.TenantConfig{Quota: quota, Name: string(v.GetStringBytes(keyName))})
+		tenants = append(tenants, balancer.TenantConfig{Quota: quota, Name: string(tenant.GetStringBytes(keyName))})
 	}
 	return tenants
 }
--- a/internal/simadapter/discovery.go
+++ b/internal/simadapter/discovery.go
@@ -68,22 +68,22 @@
 		return errors.New("no " + keyListNumber)
 	}
 	var list []listedWorker
-	for _, v := range fields.GetArray(keyEndpoints) {
-		name := string(v.GetStringBytes(keyWorker))
+	for _, entry := range fields.GetArray(keyEndpoints) {
+		name := string(entry.GetStringBytes(keyWorker))
 		if name == "" {
 			return errors.New("a worker without a name")
 		}
-		state, known := workerStates[string(v.GetStringBytes(keyWorkerState))]
+		state, known := workerStates[string(entry.GetStringBytes(keyWorkerState))]
 		if !known {
-			return fmt.Errorf("worker %q: unknown %s %q", name, keyWorkerState, v.GetStringBytes(keyWorkerState))
+			return fmt.Errorf("worker %q: unknown %s %q", name, keyWorkerState, entry.GetStringBytes(keyWorkerState))
 		}
 		list = append(list, listedWorker{name: name, endpoint: balancer.Endpoint{
 			ID:        name,
-			Zone:      balancer.ZoneID(v.GetInt(keyWorkerZone)),
-			Kind:      balancer.KindID(v.GetInt(keyWorkerKind)),
-			Cell:      balancer.CellID(v.GetInt(keyWorkerCell)),
+			Zone:      balancer.ZoneID(entry.GetInt(keyWorkerZone)),
+			Kind:      balancer.KindID(entry.GetInt(keyWorkerKind)),
+			Cell:      balancer.CellID(entry.GetInt(keyWorkerCell)),
 			State:     state,
-			StartedAt: settings.TimeOf(v.GetFloat64(keyWorkerStart)),
+			StartedAt: settings.TimeOf(entry.GetFloat64(keyWorkerStart)),
 		}})
 	}
 	s.lists[fields.GetInt(keyListNumber)] = list
--- a/internal/simadapter/instance.go
+++ b/internal/simadapter/instance.go
@@ -94,8 +94,8 @@
 	if !fields.Exists(keyLoadReport) || len(values) != in.reportValues {
 		return nil
 	}
-	for _, v := range values {
-		in.loadReport = append(in.loadReport, v.GetFloat64())
+	for _, value := range values {
+		in.loadReport = append(in.loadReport, value.GetFloat64())
 	}
 	return in.loadReport
 }
--- a/internal/simadapter/simadapter.go
+++ b/internal/simadapter/simadapter.go
@@ -85,8 +85,8 @@
 }
 
 // runBatch handles the events of a batch, which all happen at the same time, and writes the reply.
-func (s *simulation) runBatch(v *fastjson.Value) error {
-	received, err := parseBatch(v)
+func (s *simulation) runBatch(parsed *fastjson.Value) error {
+	received, err := parseBatch(parsed)
 	if err != nil {
 		return err
 	}
@@ -108,8 +108,8 @@
 }
 
 // parseBatch reads the parts of a batch, which all are required.
-func parseBatch(v *fastjson.Value) (batch, error) {
-	frame, now, events := v.Get(keyFrame), v.Get(keyNow), v.Get(keyEvents)
+func parseBatch(parsed *fastjson.Value) (batch, error) {
+	frame, now, events := parsed.Get(keyFrame), parsed.Get(keyNow), parsed.Get(keyEvents)
 	if frame == nil || now == nil || events == nil {
 		return batch{}, fmt.Errorf("a batch needs %s, %s and %s", keyFrame, keyNow, keyEvents)
 	}
@@ -129,8 +129,8 @@
 }
 
 // runEvent handles the n-th event of a batch, counted from 0: an object whose only key is the event's name.
-func (s *simulation) runEvent(n int, v *fastjson.Value, now balancer.Time) error {
-	object, err := v.Object()
+func (s *simulation) runEvent(n int, event *fastjson.Value, now balancer.Time) error {
+	object, err := event.Object()
 	if err != nil || object.Len() != 1 {
 		return fmt.Errorf("event %d: not an object of one key", n)
 	}
