--- a/internal/protocol/load_datagram.go
+++ b/internal/protocol/load_datagram.go
@@ -12,20 +12,23 @@
 // NoInstance stands for the only instance of a process, which its datagrams need not name.
 const NoInstance = -1
 
-// A datagram holds the low bits of the time of sending in Unix milliseconds, then the sender's instance if its process
-// has several, and for each worker the tag of its name and the number of its attempts in flight. One without workers
-// says that its sender has just started. All numbers are big-endian.
+// The parts of a datagram, in bytes. All numbers are big-endian. A datagram without loads says that its sender has just
+// started.
 const (
-	timestampBytes = 2
-	instanceBytes  = 1
-	loadBytes      = 3
+	timestampBytes = 2 // time of sending: the low bits of Unix milliseconds
+	instanceBytes  = 1 // the sender's instance, where its process has several
+	tagBytes       = 2 // the tag of a worker's name
+	inFlightBytes  = 1 // attempts in flight at that worker
 )
 
-// maxInFlight is the largest number in a datagram; it stands for all beyond.
+// LoadBytes is the length of one load in a datagram.
+const LoadBytes = tagBytes + inFlightBytes
+
+// maxInFlight is the largest number of attempts in a datagram. It stands for any larger one.
 const maxInFlight = math.MaxUint8
 
-// MaxLoads is how many loads one datagram holds.
-const MaxLoads = (settings.MaxMessageBytes - timestampBytes - instanceBytes) / loadBytes
+// MaxLoads is the number of loads that a datagram holds at most.
+const MaxLoads = (settings.MaxMessageBytes - timestampBytes - instanceBytes) / LoadBytes
 
 // ErrMalformedDatagram reports a datagram that is not of this protocol.
 var ErrMalformedDatagram = errors.New("malformed datagram")
@@ -36,30 +39,45 @@
 	InFlight int
 }
 
-// WorkerTag shortens a worker's name. Of two workers with the same tag the receiver means the one it knew first.
+// tagBits is the size of a tag.
+const tagBits = 16
+
+// WorkerTag returns the short form of a worker's name in datagrams. Two names may have the same tag: the receiver then
+// counts the load for the worker that it knew first.
 func WorkerTag(name string) uint16 {
-	h := fnv.New32a()
-	h.Write([]byte(name))
-	return uint16(h.Sum32() ^ h.Sum32()>>16)
+	hash := fnv.New32a()
+	hash.Write([]byte(name))
+	return uint16(hash.Sum32() ^ hash.Sum32()>>tagBits)
 }
 
-// AppendLoads appends a datagram of an instance, or NoInstance, with the first MaxLoads loads.
+// AppendLoads appends a datagram with the first MaxLoads loads. timestamp is in Unix milliseconds modulo 2^16. instance is
+// the sender's number in its process, or NoInstance.
 func AppendLoads(b []byte, timestamp uint16, instance int, loads []Load) []byte {
 	b = binary.BigEndian.AppendUint16(b, timestamp)
 	if instance != NoInstance {
 		b = append(b, byte(instance))
 	}
 	for _, load := range loads[:min(len(loads), MaxLoads)] {
-		b = binary.BigEndian.AppendUint16(b, load.Tag)
-		b = append(b, byte(min(load.InFlight, maxInFlight)))
+		b = AppendLoad(b, load)
 	}
 	return b
 }
 
-// LoadDatagram is what a datagram between dispatchers says.
+// AppendLoad appends one load, of LoadBytes. More than 255 attempts in flight are sent as 255.
+func AppendLoad(b []byte, load Load) []byte {
+	b = binary.BigEndian.AppendUint16(b, load.Tag)
+	return append(b, byte(min(load.InFlight, maxInFlight)))
+}
+
+// DecodeLoad returns the load in the first LoadBytes of b, which has at least as many.
+func DecodeLoad(b []byte) Load {
+	return Load{Tag: binary.BigEndian.Uint16(b), InFlight: int(b[tagBytes])}
+}
+
+// LoadDatagram is the content of a datagram between dispatchers.
 type LoadDatagram struct {
-	Timestamp uint16 // when it was sent, in Unix milliseconds modulo 2^16
-	Instance  int    // of its process that sent it, 0 where none is named
+	Timestamp uint16 // of sending, in Unix milliseconds modulo 2^16
+	Instance  int    // the sender's number in its process, 0 where none is named
 	Loads     []Load // none for a process that has just started
 }
 
@@ -70,16 +88,16 @@
 	}
 	datagram := LoadDatagram{Timestamp: binary.BigEndian.Uint16(b)}
 	b = b[timestampBytes:]
-	switch len(b) % loadBytes {
-	case 0:
+	switch len(b) % LoadBytes {
+	case 0: // no instance is named
 	case instanceBytes:
 		datagram.Instance = int(b[0])
 		b = b[instanceBytes:]
 	default:
 		return LoadDatagram{}, ErrMalformedDatagram
 	}
-	for ; len(b) > 0; b = b[loadBytes:] {
-		datagram.Loads = append(datagram.Loads, Load{Tag: binary.BigEndian.Uint16(b), InFlight: int(b[2])})
+	for ; len(b) > 0; b = b[LoadBytes:] {
+		datagram.Loads = append(datagram.Loads, DecodeLoad(b))
 	}
 	return datagram, nil
 }
