--- a/internal/testbed/experiment/run.go
+++ b/internal/testbed/experiment/run.go
@@ -73,6 +73,9 @@
 	return result, result.write(options.Folder)
 }
 
+// errLoadOver is why the context of the timeline ends, unless the experiment is interrupted.
+var errLoadOver = errors.New("all calls are over")
+
 // applyLoad sends the schedule and applies the timeline meanwhile. It returns when all calls are over. Actions that are still
 // running end with the environment.
 func (p *Plan) applyLoad(ctx context.Context, env *environment, recorder *metrics.Recorder, timeline *fault.Timeline,
@@ -90,8 +93,8 @@
 		Recorder:   recorder,
 		Clock:      env.clock,
 	}
-	loading, stop := context.WithCancel(ctx)
-	defer stop()
+	loading, stop := context.WithCancelCause(ctx)
+	defer stop(errLoadOver)
 	env.actions.Go(func() { env.applyTimeline(loading, timeline.Actions) })
 	env.actions.Go(func() { p.reportProgress(loading, generator, recorder, progress) })
 	generator.Run(ctx, schedule)
--- a/internal/testbed/experiment/upgrade.go
+++ b/internal/testbed/experiment/upgrade.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"strings"
 	"time"
@@ -57,7 +58,8 @@
 	return next, next.start(config)
 }
 
-// awaitSuccessor waits until the second process of an upgrade accepts clients, or has taken over a LEAVE.
+// awaitSuccessor waits until the second process of an upgrade accepts clients, or has taken over a LEAVE. It waits for as
+// long as upgradeTimeout though all calls may be over before, and ends early only if the experiment is interrupted.
 func (env *environment) awaitSuccessor(ctx context.Context, n int, next *process) error {
 	for limit := time.Now().Add(upgradeTimeout); ; {
 		answer, err := callAdmin(next.adminAddr, commandHealth)
@@ -65,7 +67,10 @@
 		if err == nil && (answer == answerDone || takesOverDrain) {
 			return nil
 		}
-		if time.Now().After(limit) || ctx.Err() != nil {
+		if err := ctx.Err(); err != nil && !errors.Is(context.Cause(ctx), errLoadOver) {
+			return fmt.Errorf("%s: waiting for its second process: %w", dispatcherName(n), err)
+		}
+		if time.Now().After(limit) {
 			return fmt.Errorf("%s: its second process does not accept clients within %v", dispatcherName(n), upgradeTimeout)
 		}
 		time.Sleep(healthPollInterval)
