--- a/internal/testbed/command/command.go
+++ b/internal/testbed/command/command.go
@@ -44,7 +44,7 @@
 	root := New(os.Stdout, os.Stderr)
 	root.SetArgs(args)
 	err := root.ExecuteContext(ctx)
-	var baselineCode baselineExitCode
+	var baselineCode baselineExitError
 	switch {
 	case err == nil:
 		return exitOK
@@ -67,10 +67,10 @@
 	return exitFailed
 }
 
-// baselineExitCode is the exit code of a baseline other than 0. The baseline has logged its error.
-type baselineExitCode int
+// baselineExitError is the exit code of a baseline, other than 0. The baseline has logged its error.
+type baselineExitError int
 
-func (c baselineExitCode) Error() string { return fmt.Sprintf("exit code %d", int(c)) }
+func (c baselineExitError) Error() string { return fmt.Sprintf("exit code %d", int(c)) }
 
 // New returns the root command. Tables are written to out, progress and warnings to status.
 func New(out, status io.Writer) *cobra.Command {
@@ -145,7 +145,7 @@
 		Short:  "Serve as a baseline dispatcher, as LB_CONFIG says",
 		RunE: func(*cobra.Command, []string) error {
 			if code := baseline.Main(config); code != 0 {
-				return baselineExitCode(code)
+				return baselineExitError(code)
 			}
 			return nil
 		},
