--- a/internal/daemon/shutdown.go
+++ b/internal/daemon/shutdown.go
@@ -6,9 +6,9 @@
 )
 
 // Bounds on the end of the process, counted from SIGTERM or SIGINT. The platform sends SIGKILL 700 ms after the longest
-// client timeout, of which it counts at most 3 s.
+// client timeout or 3 s, whichever is shorter. A hung state folder may delay the end beyond these bounds (fleet.Node.Run).
 const (
-	acceptAfterStop  = 500 * time.Millisecond // connections are accepted so long: clients learn late that the process ends
+	acceptAfterStop  = 500 * time.Millisecond // connections are accepted for this long: clients learn late that the process ends
 	maxClientTimeout = 3 * time.Second        // of the longest client timeout that is waited for
 	responseMargin   = 450 * time.Millisecond // for responses, beyond the longest client timeout
 	closeMargin      = 100 * time.Millisecond // for clients to read the last responses
@@ -16,7 +16,7 @@
 
 // shutDown begins the graceful shutdown, and returns when accepting has to end. Its steps:
 //
-//  1. At once the phase is lifecycle.Stopping: health checks fail, and each response closes its connection.
+//  1. At once the phase is lifecycle.Stopping (StoppingHandedOff beside a successor, Closing if it was drained): health checks fail, and each response closes its connection.
 //  2. Requests in flight get their responses within responseTime: the longest client timeout, at most maxClientTimeout,
 //     and responseMargin. The proxy rejects at once what would miss that bound.
 //  3. Where a successor serves, requests in flight are handed over to it instead. The bound is set after acceptAfterStop,
--- a/internal/discovery/watch_end.go
+++ b/internal/discovery/watch_end.go
@@ -11,8 +11,8 @@
 	"canvasroute/internal/transport"
 )
 
-// The limits of a poll and of the watch that it opens. The service counts a change as known to all dispatchers 6 s
-// after it has listed the change. A silent watch is given up while there is still time to poll again.
+// The limits of a poll and of the watch that it opens. Every dispatcher has to know a change 6 s after the
+// service has listed it. A silent watch is given up while there is still time to poll again.
 const (
 	// maxFirstPollWait is how long a process that has a list from before its start waits for its first poll. It then
 	// serves by that list.
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -36,7 +36,7 @@
 	assert.ErrorIs(t, err, errWatchEnded)
 	assert.Equal(t, int64(9), w.table.Version())
 	assert.Equal(t, "127.0.0.1:2", w.table.Endpoint(1).Address)
-	assert.True(t, w.Answered())
+	assert.True(t, w.FirstPollOver())
 }
 
 func TestWatchAppliesIndentedLists(t *testing.T) {
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -90,7 +90,7 @@
 
 // Answered reports whether the first poll is over: it was answered, has failed, or has taken longer than
 // maxFirstPollWait in a process that already has a list.
-func (w *Watcher) Answered() bool { return w.answered.Load() }
+func (w *Watcher) FirstPollOver() bool { return w.answered.Load() }
 
 // Seed applies a complete list that is known before the first poll. zones are the names of its zones by their numbers,
 // nil where the numbers may be new.
@@ -100,8 +100,8 @@
 	w.balancer.UpdateEndpoints(endpoints, balancer.AllEndpoints, balancer.FromBeforeStart)
 }
 
-// SkipFirstPoll makes Answered report whether any worker is listed, without a poll.
-func (w *Watcher) SkipFirstPoll() { w.answered.Store(w.table.HasWorkers()) }
+// DontAwaitFirstPoll makes FirstPollOver report whether any worker is listed. The first poll is made all the same.
+func (w *Watcher) DontAwaitFirstPoll() { w.answered.Store(w.table.HasWorkers()) }
 
 // Merge applies later starts and drains of workers that peers have learned. The version of the list stays.
 func (w *Watcher) Merge(endpoints []protocol.Endpoint) {
--- a/internal/fleet/hot_restart.go
+++ b/internal/fleet/hot_restart.go
@@ -19,7 +19,7 @@
 // run runs one incarnation until it yields to a successor, and another one if the successor fails.
 func (n *Node) run(ctx context.Context) error {
 	for {
-		if n.isSuccessor() && !n.waitForPredecessor(ctx) {
+		if n.isSuccessor() && !n.serveUntilAcquired(ctx) {
 			return nil
 		}
 		n.beginIncarnation()
@@ -42,9 +42,9 @@
 	return n.successor
 }
 
-// waitForPredecessor serves at once, and waits until the predecessor has yielded the folder and the address. It returns
+// serveUntilAcquired serves without the folder and the address until the predecessor has yielded them. It returns
 // false if ctx ends before.
-func (n *Node) waitForPredecessor(ctx context.Context) bool {
+func (n *Node) serveUntilAcquired(ctx context.Context) bool {
 	n.mu.Lock()
 	n.machine.TakeOver(n.uptime(), 0, 0) // the incarnation is not known before the folder is read
 	n.admitting = true
--- a/internal/fleet/node.go
+++ b/internal/fleet/node.go
@@ -69,7 +69,8 @@
 	counters    counters
 }
 
-// ownedResources are what only one process of a name has. All are nil while another process has them.
+// ownedResources are what only one process of a name has. folder and store are nil while another process has them; socket
+// is closed then.
 type ownedResources struct {
 	folder *store.Folder // also nil if the folder cannot be used
 	store  *store.Store  // nil with folder
--- a/internal/fleet/recovery/admission.go
+++ b/internal/fleet/recovery/admission.go
@@ -9,7 +9,7 @@
 type Capacity struct {
 	Workers int     // that take requests
 	Warm    float64 // requests at once of all workers together, once they are warm; 0 while unknown
-	Now     float64 // the same at their present warm-up, which is also their processing time in seconds per second
+	Now     float64 // the same at their present warm-up; n slots process n seconds of work per second
 }
 
 // isWarm reports whether the workers have nearly the capacity of warm ones.
@@ -28,9 +28,9 @@
 	succeeded      int           // admitted requests
 	lastRejectedAt time.Duration // since the process started; 0 before the first rejection
 
-	demand       time.Duration // processing time of the requests that came, decaying over demandWindow
-	demandAt     time.Duration // when demand was last brought up to date
-	overloadedAt time.Duration // when demand was last above what may be served in full
+	demand     time.Duration // processing time of the requests that came, decaying over demandWindow
+	demandAt   time.Duration // when demand was last brought up to date
+	lastBusyAt time.Duration // when a request was last rejected, or demand above what may be served in full
 }
 
 const (
@@ -132,8 +132,8 @@
 	overloaded := a.capacity.Now <= 0 || a.demandRate(s.now) > limit
 	rejectedLately := s.now-a.lastRejectedAt < lowDemandDuration
 	if overloaded || rejectedLately {
-		a.overloadedAt = s.now
+		a.lastBusyAt = s.now
 		return false
 	}
-	return s.now-max(a.overloadedAt, s.phaseStartedAt) >= lowDemandDuration
+	return s.now-max(a.lastBusyAt, s.phaseStartedAt) >= lowDemandDuration
 }
--- a/internal/fleet/recovery/phase.go
+++ b/internal/fleet/recovery/phase.go
@@ -10,15 +10,16 @@
 type Phase uint8
 
 // The values of Phase, in the order in which a dispatcher goes through them. phaseRules says what a dispatcher may do in
-// each, the advanceFrom methods what ends each, and phaseDeadline when that is no longer waited for.
+// each, the advanceFrom methods what ends each, and phaseDeadline when that is no longer waited for. In quotes: the word
+// that operators read.
 const (
-	EstablishingIdentity Phase = iota // the store persists the incarnation
-	AwaitingEndpoints                 // the discovery service is polled for the endpoint list
-	QueryingPeers                     // the peers are queried for what they know
-	Probing                           // a few requests are admitted to find out whether workers answer
-	SlowStart                         // requests are admitted while workers warm up
-	Serving                           // every request is admitted
-	Superseded                        // another process runs under this name: this one never serves
+	EstablishingIdentity Phase = iota // "identity": the store persists the incarnation
+	AwaitingEndpoints                 // "list": the discovery service is polled for the endpoint list
+	QueryingPeers                     // "others": the peers are queried for what they know
+	Probing                           // "trickle": a few requests are admitted to find out whether workers answer
+	SlowStart                         // "ramp": requests are admitted while workers warm up
+	Serving                           // "full": every request is admitted
+	Superseded                        // "superseded": another process runs under this name: this one never serves
 )
 
 // phaseRule is what a dispatcher may do in a phase. It answers the queries of peers in each but EstablishingIdentity.
--- a/internal/fleet/recovery/trust.go
+++ b/internal/fleet/recovery/trust.go
@@ -132,7 +132,7 @@
 	{
 		Fact: FactWarmupSends, Name: "recent sends to cold workers", Stored: neverStored,
 		CheckedWith: "nobody",
-		Default:     "a cold worker's budget is used up: nothing goes there for one span",
+		Default:     "a cold worker's budget is used up: nothing goes there for one warm-up window",
 		IfWrong:     "nothing: it is the most that it can have been",
 	},
 	{
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -1,6 +1,7 @@
 // Package gossip exchanges load between dispatchers over datagrams: how many attempts each has in flight at a worker.
 //
-// A datagram without loads is a hello: its sender has just started. Datagrams may get lost, and one that a later one
+// A datagram without loads is a hello: its sender has just started, or still knows nothing
+// of the time before. Datagrams may get lost, and one that a later one
 // has overtaken is dropped by its timestamp. The balancer decides which loads to send to which peer, and receives those
 // of the peers. The package knows workers only by their tags.
 //
--- a/internal/lifecycle/phase.go
+++ b/internal/lifecycle/phase.go
@@ -13,15 +13,15 @@
 // In a phase that is not named there, a method changes nothing. A process that stops never serves again.
 type Phase uint8
 
-// The values of Phase. Their order is that of phaseWords.
+// The values of Phase, in the order of phaseWords. In quotes: the word that operators read.
 const (
-	Serving           Phase = iota
-	Draining                // health checks fail; requests on open connections are still served
-	Drained                 // new requests are rejected; admitted ones run to their end
-	HandedOff               // a successor accepts connections; requests on open ones are still served here
-	Stopping                // the process ends; it still accepts connections and serves requests
-	StoppingHandedOff       // the process ends; a successor accepts connections
-	Closing                 // the process ends; idle connections are closed, and the last requests answered
+	Serving           Phase = iota // "serving"
+	Draining                       // "leaving": health checks fail; requests on open connections are still served
+	Drained                        // "away": new requests are rejected; admitted ones run to their end
+	HandedOff                      // "relieved": a successor accepts connections; requests on open ones are still served here
+	Stopping                       // "ending": the process ends; it still accepts connections and serves requests
+	StoppingHandedOff              // "yielding": the process ends; a successor accepts connections
+	Closing                        // "closing": the process ends; idle connections are closed, and the last requests answered
 )
 
 // phaseWords are what operators read in answers to HEALTH and in the log. They keep older words than the constants.
@@ -37,14 +37,14 @@
 // on the address for clients answers it.
 func (p Phase) Healthy() bool { return p == Serving || p == HandedOff || p == StoppingHandedOff }
 
-// AcceptsConnections reports whether this process accepts connections. Only a successor accepts them instead. A drained
+// AcceptsConnections reports whether this process accepts connections. Where it is false, a successor accepts them. A drained
 // process accepts them to reject their requests, as connections that nobody accepts would wait in the queue.
 func (p Phase) AcceptsConnections() bool { return p != HandedOff && p != StoppingHandedOff }
 
 // ClosesAfterResponse reports whether each response closes its connection, so that the client connects elsewhere.
 func (p Phase) ClosesAfterResponse() bool { return p != Serving }
 
-// AdmitsRequests reports whether new requests on open connections are served.
+// AdmitsRequests reports whether new requests are served, rather than rejected.
 func (p Phase) AdmitsRequests() bool { return p != Drained }
 
 // KeepsIdleConnections reports whether connections without a request in flight stay open.
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -9,31 +9,31 @@
 	"canvasroute/internal/transport"
 )
 
-// trailerTimeout bounds the wait for the end of a response after its last line has come.
-const trailerTimeout = 250 * time.Millisecond
+// responseEndTimeout bounds the wait for the end of a response after the line with the result has come.
+const responseEndTimeout = 250 * time.Millisecond
 
 // attempt is one attempt of a request at a worker. The goroutine that runs it owns it, except for pause. While it is
 // paused, the goroutine that migrates its request may read it.
 type attempt struct {
-	proxy       *Proxy
-	request     *protocol.Request
-	settings    *settings // those of the request
-	number      int       // among the request's attempts
-	deadline    time.Time // the client gives up then
-	retryBefore time.Time // end of the retry window, zero where there is none
-	freshness   transport.Freshness
-	reused      bool // its connection has been used before
-	migrated    bool // the sibling process continues it
-	events      attemptEvents
-	pause       *readPause
+	proxy     *Proxy
+	request   *protocol.Request
+	settings  *settings // those of the request
+	number    int       // among the request's attempts
+	deadline  time.Time // the client gives up then
+	sendBy    time.Time // when the dedup window of an earlier attempt closes, zero for no bound
+	freshness transport.Freshness
+	reused    bool // its connection has been used before
+	migrated  bool // the sibling process continues it
+	events    attemptEvents
+	pause     *readPause
 }
 
 // attemptEvents report the progress of an attempt to the balancer.
 type attemptEvents struct {
-	sent      func() // its last byte was written
-	delivered func() // the worker has received it
-	started   func() // the worker executes it
-	giveUp    func() // the request cannot be sent to any worker
+	sent         func() // its last byte was written
+	delivered    func() // the worker has received it
+	started      func() // the worker executes it
+	rejectOrFail func() // the whole request is to be rejected or failed, as it cannot be sent to any worker
 }
 
 // attemptResult is how an attempt ended.
@@ -57,19 +57,19 @@
 func (p *Proxy) newAttempt(r *inFlightRequest, decision balancer.Decision) *attempt {
 	number := decision.Attempt
 	return &attempt{
-		proxy:       p,
-		request:     r.request,
-		settings:    r.settings,
-		number:      number,
-		deadline:    r.deadline,
-		retryBefore: decision.SendBy,
-		freshness:   requiredFreshness[decision.Idempotency],
-		pause:       newReadPause(),
+		proxy:     p,
+		request:   r.request,
+		settings:  r.settings,
+		number:    number,
+		deadline:  r.deadline,
+		sendBy:    decision.SendBy,
+		freshness: requiredFreshness[decision.Idempotency],
+		pause:     newReadPause(),
 		events: attemptEvents{
-			sent:      func() { r.handle.ReportSent(number) },
-			delivered: func() { r.handle.ReportDelivered(number) },
-			started:   func() { r.handle.ReportStarted(number) },
-			giveUp:    r.handle.RejectOrFail,
+			sent:         func() { r.handle.ReportSent(number) },
+			delivered:    func() { r.handle.ReportDelivered(number) },
+			started:      func() { r.handle.ReportStarted(number) },
+			rejectOrFail: r.handle.RejectOrFail,
 		},
 	}
 }
@@ -111,7 +111,7 @@
 // the client's deadline passes.
 //
 // A worker cannot have executed an attempt whose last byte was not written. Up to that byte, three events end the
-// attempt without a trace (mayStillBeSent): ctx ends, the retry window ends, or the worker is no longer ready. The
+// attempt without a trace (mayStillBeSent): ctx ends, the dedup window closes, or the worker is no longer ready. The
 // balancer cancels ctx whenever the request is answered or its client leaves, also where the settings allow no
 // cancellation.
 //
@@ -136,7 +136,7 @@
 	if err := a.proxy.persistKey(ctx, a.settings, a.request, worker); err != nil {
 		a.proxy.pool.Put(conn)
 		a.proxy.log.Warn().Err(err).Msg("attempt not sent: key not persisted")
-		a.events.giveUp()
+		a.events.rejectOrFail()
 		return notSent
 	}
 	if a.proxy.hooks.beforeSend != nil {
@@ -160,28 +160,28 @@
 	return a.await(ctx, conn, stop)
 }
 
-// connect returns a connection to a worker. It waits up to the dial timeout and the end of the retry window.
+// connect returns a connection to a worker. It waits up to the dial timeout and the close of the dedup window.
 func (a *attempt) connect(ctx context.Context, worker balancer.WorkerID) (*transport.Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, a.settings.dialTimeout)
 	defer cancel()
-	if !a.retryBefore.IsZero() {
+	if !a.sendBy.IsZero() {
 		var cancelDeadline context.CancelFunc
-		ctx, cancelDeadline = context.WithDeadline(ctx, a.retryBefore)
+		ctx, cancelDeadline = context.WithDeadline(ctx, a.sendBy)
 		defer cancelDeadline()
 	}
 	return a.proxy.pool.Get(ctx, a.proxy.endpoints.Endpoint(worker).Address, a.freshness)
 }
 
 // mayStillBeSent reports whether what the balancer has decided still holds. Since then the connection was opened and
-// the key persisted, which may have taken long. Meanwhile the client may have left, the retry window may have ended,
+// the key persisted, which may have taken long. Meanwhile the client may have left, the dedup window may have closed,
 // and the worker may drain or have another address. None of that is a failure of the worker.
 func (a *attempt) mayStillBeSent(ctx context.Context, worker balancer.WorkerID, address string) bool {
-	return ctx.Err() == nil && !a.retryWindowEnded() && a.proxy.endpoints.Accepts(worker, address)
+	return ctx.Err() == nil && !a.dedupWindowClosed() && a.proxy.endpoints.Accepts(worker, address)
 }
 
-// retryWindowEnded reports whether the worker might execute the attempt a second time if it were sent now.
-func (a *attempt) retryWindowEnded() bool {
-	return !a.retryBefore.IsZero() && !time.Now().Before(a.retryBefore)
+// dedupWindowClosed reports whether the worker might execute the attempt a second time if it were sent now.
+func (a *attempt) dedupWindowClosed() bool {
+	return !a.sendBy.IsZero() && !time.Now().Before(a.sendBy)
 }
 
 // send sends the message. After an error the worker cannot have executed it: its last byte was not written.
@@ -221,7 +221,7 @@
 func (a *attempt) release(conn *transport.Conn, answer workerResponse, interrupted bool) {
 	err := answer.err
 	if err == nil {
-		conn.SetReadTimeout(trailerTimeout)
+		conn.SetReadTimeout(responseEndTimeout)
 		err = conn.ReadChunks(&answer.body, func([]byte) bool { return true })
 	}
 	switch {
--- a/internal/proxy/attempt_outcome.go
+++ b/internal/proxy/attempt_outcome.go
@@ -16,7 +16,7 @@
 
 // connectOutcome returns the outcome of an attempt that got no connection, and logs it where the worker is at fault.
 func (a *attempt) connectOutcome(ctx context.Context, worker balancer.WorkerID, err error) balancer.Outcome {
-	if ctx.Err() != nil || a.retryWindowEnded() {
+	if ctx.Err() != nil || a.dedupWindowClosed() {
 		return balancer.NotSent
 	}
 	if errors.Is(err, transport.ErrPoolExhausted) { // no failure of the worker
@@ -32,7 +32,8 @@
 	return balancer.NoConnection
 }
 
-// sendOutcome closes the connection of an attempt that could not be sent, and returns the outcome.
+// sendOutcome closes the connection of an attempt that could not be sent to its last byte, and returns the outcome. On a
+// new connection that counts as no connection: the worker could not be reached.
 func (a *attempt) sendOutcome(ctx context.Context, conn *transport.Conn, err error) balancer.Outcome {
 	conn.CloseFor(closeReason(err, ctx.Err() != nil), err)
 	if ctx.Err() != nil {
--- a/internal/proxy/attempt_test.go
+++ b/internal/proxy/attempt_test.go
@@ -33,7 +33,7 @@
 	ignore := func() {}
 	return &attempt{
 		proxy: p, request: request, settings: p.settings.Load(), deadline: time.Now().Add(time.Minute),
-		events: attemptEvents{sent: ignore, delivered: ignore, started: ignore, giveUp: ignore}, pause: newReadPause(),
+		events: attemptEvents{sent: ignore, delivered: ignore, started: ignore, rejectOrFail: ignore}, pause: newReadPause(),
 	}
 }
 
@@ -202,7 +202,7 @@
 func TestConnectEndsWithRetryWindow(t *testing.T) {
 	p := newProxyWith(unresponsiveAddress(t), withRetryWindow(balancer.Second))
 	a := newTestAttempt(t, p, keyedHead())
-	a.retryBefore = time.Now().Add(50 * time.Millisecond)
+	a.sendBy = time.Now().Add(50 * time.Millisecond)
 	outcomes := make(chan balancer.Outcome, 1)
 	go func() { outcomes <- a.run(context.Background(), 0).outcome }()
 	assert.Equal(t, balancer.NotSent, peertest.Receive(t, outcomes), "it is no failure of the worker")
--- a/internal/proxy/interleaving_test.go
+++ b/internal/proxy/interleaving_test.go
@@ -142,7 +142,7 @@
 	assert.Positive(t, seconds)
 }
 
-// The balancer decides on a retry within the retry window, which ends while the connection is opened.
+// The balancer decides on a retry within the dedup window, which closes while the connection is opened.
 func TestNothingIsSentAfterRetryWindow(t *testing.T) {
 	var received atomic.Int32
 	const window = time.Second
--- a/internal/proxy/operators_test.go
+++ b/internal/proxy/operators_test.go
@@ -96,7 +96,7 @@
 // TestAnswersByPathAndMethod pins the answers that follow from the head alone.
 func TestAnswersByPathAndMethod(t *testing.T) {
 	p := newProxy(peertest.ClosedAddress)
-	p.discovery.SkipFirstPoll()
+	p.discovery.DontAwaitFirstPoll()
 	for _, test := range []struct {
 		name, method, target string
 		want                 *protocol.Response
@@ -118,7 +118,7 @@
 func TestReasonsOfNotBeingReady(t *testing.T) {
 	p := newProxy(peertest.ClosedAddress)
 	assert.EqualError(t, p.Ready(), "takes no clients: no list of workers yet")
-	p.discovery.SkipFirstPoll()
+	p.discovery.DontAwaitFirstPoll()
 	assert.NoError(t, p.Ready())
 	p.lifecycle.Drain(time.Now())
 	assert.EqualError(t, p.Ready(), "takes no clients: leaving")
--- a/internal/proxy/recovery.go
+++ b/internal/proxy/recovery.go
@@ -47,7 +47,7 @@
 type PriorExecution struct {
 	Worker       string // its ID
 	Zone         string // empty where zones do not drop repeats
-	Cell         int    // 0 where cells do not drop repeats
+	Cell         int    // of no meaning where cells do not drop repeats
 	SentAtMillis int64  // Unix time in milliseconds
 }
 
--- a/internal/proxy/responses.go
+++ b/internal/proxy/responses.go
@@ -95,7 +95,8 @@
 	return answer
 }
 
-// OverBudget returns the answer to a request on a connection beyond the limit; h is nil where no head was read. The
+// OverBudget returns the answer to a request for which there is no connection slot or no memory for its body; h is nil
+// where no head was read. The
 // request was sent to no worker.
 func (p *Proxy) OverBudget(h *protocol.Head) *protocol.Response {
 	p.counters.overBudget.Add(1)
--- a/internal/proxy/snapshot.go
+++ b/internal/proxy/snapshot.go
@@ -66,7 +66,7 @@
 		p.lifecycle.Drain(time.Now())
 	}
 	p.ReceiveSiblingUpdate(balancer.Predecessor, s.Sibling)
-	p.discovery.SkipFirstPoll()
+	p.discovery.DontAwaitFirstPoll()
 	return true, nil
 }
 
--- a/internal/settings/wire_names.go
+++ b/internal/settings/wire_names.go
@@ -58,7 +58,7 @@
 const (
 	keyOperations       = "operations"        // operations
 	keyLatencyObjective = "latencyObjectiveS" // latency objective; seconds
-	keyClientTimeout    = "clientTimeoutS"    // client timeout over all tries; seconds
+	keyClientTimeout    = "clientTimeoutS"    // default client timeout of a request; seconds
 	keyValue            = "billedValue"       // value of a response within the latency objective
 	keyLateShare        = "tardyBilledValue"  // value of a late response; share of the value in time
 	keyStretch          = "aimStretch"        // growth of the objective with a request's size; multiple of the size
--- a/internal/transport/close_reason.go
+++ b/internal/transport/close_reason.go
@@ -27,8 +27,8 @@
 const (
 	ClientLeft         CloseReason = "client_left"   // the client closed it before its response was ready
 	IdleTimeout        CloseReason = "idle_retired"  // the idle timeout passed
-	Stale              CloseReason = "stale_retired" // its worker drains, is gone, has restarted or has moved
-	AttemptCanceled    CloseReason = "called_off"    // the attempt on it was canceled, or its client's deadline passed
+	Stale              CloseReason = "stale_retired" // its worker or the discovery service moved, drains, has gone or restarted, or it may be dead
+	AttemptCanceled    CloseReason = "called_off"    // the attempt on it was canceled, its client's deadline passed, or a probe took too long
 	CloseRequested     CloseReason = "asked"         // one of the sides announced that this message is the last
 	Evicted            CloseReason = "over_budget"   // it was evicted to make room for another one
 	WatchTimeout       CloseReason = "silent"        // no line came on an endpoint watch for too long
--- a/internal/transport/migration.go
+++ b/internal/transport/migration.go
@@ -24,13 +24,13 @@
 // ErrNoSocket reports a context that has no client's connection, or one that isn't a socket.
 var ErrNoSocket = errors.New("connection has no socket")
 
-// DetachedClient is a client's connection that has been taken out of this process.
+// DetachedClient is a client's connection that is to be handed over.
 type DetachedClient struct {
 	Socket    syscall.Conn
 	Pipelined []byte // the data that came after the request
 }
 
-// Detach takes a client's connection out of this process, and ends the watch for the client closing it. ctx is that of
+// Detach prepares a client's connection to be handed over, and ends the watch for the client closing it. ctx is that of
 // Handler.Serve for the request on it, which must return protocol.Migrated then. The error is ErrNoSocket.
 func Detach(ctx context.Context) (DetachedClient, error) {
 	c, ok := ctx.Value(clientConnKey{}).(*Conn)
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -136,7 +136,7 @@
 			if !s.waitUntilAccepting(ctx) {
 				return
 			}
-		default: // out of descriptors: some will come free
+		default: // for want of descriptors, as a rule: some will come free
 			s.log.Warn().Err(err).Msg("accept failed")
 			time.Sleep(acceptRetryDelay)
 		}
--- a/internal/transport/timeouts.go
+++ b/internal/transport/timeouts.go
@@ -27,7 +27,7 @@
 )
 
 // How a client that may have closed its connection is watched while nothing more can be read from it. Together these
-// times keep the detection of a close below half of 0.1 s, after which nothing may be sent to a worker for the client.
+// times detect a close within 50 ms: 100 ms after it nothing may be sent to a worker for the client.
 const (
 	closePollInterval = 10 * time.Millisecond // between inspections of the socket
 	pollsPerProbe     = 3                     // inspections from one interim response to the next
