--- a/internal/balancer/helper_test.go
+++ b/internal/balancer/helper_test.go
@@ -3,65 +3,128 @@
 import (
 	"fmt"
 	"math"
+	"testing"
+
+	"github.com/stretchr/testify/assert"
 
 	"canvasroute/internal/balancer/slotestimate"
 )
 
-// recorder writes down the answers of a dispatcher.
-type recorder struct{ lines []string }
-
-func (r *recorder) add(format string, args ...any) {
-	r.lines = append(r.lines, fmt.Sprintf(format, args...))
-}
-
-func (r *recorder) SendAttempt(id RequestID, target WorkerID, _ Duration) {
-	r.add("attempt %d to %d", id, target)
-}
-
-func (r *recorder) CancelAttempt(id RequestID, n int) { r.add("cancel %d.%d", id, n) }
+// testStart is the moment at which the tests set the clock first.
+const testStart = Time(100 * Second)
 
-func (r *recorder) Reject(id RequestID, back Duration) { r.add("reject %d, retry after %d", id, back) }
+// The operations of testConfig, by how often a request may be executed.
+const (
+	idempotentOp    OperationID = iota // any number of times
+	nonIdempotentOp                    // once; its answers have eight times the value of the others
+	zoneKeyedOp                        // again under its key, at the workers of a zone
+	fleetKeyedOp                       // again under its key, at all workers
+	cellKeyedOp                        // again under its key, at the workers of a cell
+)
 
-func (r *recorder) Fail(id RequestID) { r.add("fail %d", id) }
+// The tenants of testConfig, by the requests a second that count in full. Each of the two dispatchers has half of that.
+const (
+	unlimitedTenant  TenantID = iota
+	twentyRPSTenant           // 20 requests a second
+	fifthOfRPSTenant          // one request in five seconds
+)
 
-func (r *recorder) Wake(uint64, Duration) {}
+var testConfig = Config{
+	Dispatchers:     2,
+	Kinds:           1,
+	Granularity:     20,
+	MaxPollInterval: 10 * Second,
+	WarmupDuration:  20 * Second,
+	WarmupWindow:    2 * Second,
+	InitialWarmup:   0.2,
+	OverloadFactor:  4,
+	Cancellation:    true,
+	Hedging:         true,
+	MaxAttempts:     4,
+	OverQuotaShare:  0.1,
+	StartNotices:    true,
+	RetryAfter:      true,
+	MaxRetryAfter:   2 * Second,
+	ReportInFlight:  NotReported,
+	ReportQueue:     NotReported,
+	ReportFree:      0,
+	Tenants: []TenantConfig{
+		unlimitedTenant:  {Quota: math.Inf(1)},
+		twentyRPSTenant:  {Quota: 20},
+		fifthOfRPSTenant: {Quota: 0.2},
+	},
+	Operations: []OperationConfig{
+		idempotentOp: {
+			LatencyObjective: Second,
+			Value:            1,
+			LateShare:        0.2,
+			Kind:             AnyKind,
+		},
+		nonIdempotentOp: {
+			LatencyObjective: Second,
+			Value:            8,
+			Idempotency:      NonIdempotent,
+			Kind:             AnyKind,
+		},
+		zoneKeyedOp:  keyedOperation(ScopeZone),
+		fleetKeyedOp: keyedOperation(ScopeAll),
+		cellKeyedOp:  keyedOperation(ScopeCell),
+	},
+}
 
-func (r *recorder) PollEndpoints() { r.add("poll") }
+// keyedOperation returns an operation with an idempotency key, which the workers of a scope remember.
+func keyedOperation(scope DedupScope) OperationConfig {
+	return OperationConfig{
+		LatencyObjective: Second,
+		DedupWindow:      5 * Second,
+		Value:            1,
+		Idempotency:      IdempotentByKey,
+		DedupScope:       scope,
+		Kind:             AnyKind,
+	}
+}
 
-func (r *recorder) Probe(target WorkerID) { r.add("probe %d", target) }
+// testEndpoint returns a worker of zone 0 for an even number and of zone 1 for an odd one, in a cell of its own.
+func testEndpoint(id WorkerID) Endpoint {
+	return Endpoint{
+		Worker: id,
+		ID:     fmt.Sprintf("w%d", id),
+		Zone:   ZoneID(id % 2),
+		Cell:   CellID(id),
+	}
+}
 
-func (r *recorder) SendLoad(to PeerID, l WorkerLoad) {
-	r.add("load for %d: worker %d has %d", to, l.Worker, l.InFlight)
+// testEndpoints returns the workers of testEndpoint with the numbers from 0.
+func testEndpoints(count int) (endpoints []Endpoint) {
+	for id := range WorkerID(count) {
+		endpoints = append(endpoints, testEndpoint(id))
+	}
+	return endpoints
 }
 
-func (r *recorder) Log(Event) {}
+// newTestBalancer returns a Balancer that has its endpoints from the discovery service, and the record of its effects.
+func newTestBalancer(config Config, seed uint64, endpoints []Endpoint) (*Balancer, *recorder) {
+	effects := &recorder{}
+	balancer := New(config, seed, effects)
+	balancer.SetTime(testStart)
+	balancer.UpdateEndpoints(endpoints, AllEndpoints, FromDiscovery)
+	return balancer, effects
+}
 
-var testConfig = Config{
-	Dispatchers: 2, Kinds: 1, Granularity: 20, MaxPollInterval: 10 * Second, WarmupDuration: 20 * Second, WarmupWindow: 2 * Second,
-	InitialWarmup: 0.2, OverloadFactor: 4, Cancellation: true, Hedging: true, MaxAttempts: 4, OverQuotaShare: 0.1,
-	StartNotices: true, RetryAfter: true, MaxRetryAfter: 2 * Second,
-	ReportInFlight: NotReported, ReportQueue: NotReported, ReportFree: 0,
-	Tenants: []TenantConfig{{Quota: math.Inf(1)}, {Quota: 20}, {Quota: 0.2}},
-	Operations: []OperationConfig{
-		{LatencyObjective: Second, Value: 1, LateShare: 0.2, Kind: AnyKind},
-		{LatencyObjective: Second, Value: 8, Idempotency: NonIdempotent, Kind: AnyKind},
-		{LatencyObjective: Second, DedupWindow: 5 * Second, Value: 1, Idempotency: IdempotentByKey, DedupScope: ScopeZone, Kind: AnyKind},
-		{LatencyObjective: Second, DedupWindow: 5 * Second, Value: 1, Idempotency: IdempotentByKey, DedupScope: ScopeAll, Kind: AnyKind},
-		{LatencyObjective: Second, DedupWindow: 5 * Second, Value: 1, Idempotency: IdempotentByKey, DedupScope: ScopeCell, Kind: AnyKind},
-	},
+// newWarmBalancer returns a Balancer with testConfig and the warm workers of testEndpoints.
+func newWarmBalancer(workers int, seed uint64) (*Balancer, *recorder) {
+	return newTestBalancer(testConfig, seed, testEndpoints(workers))
 }
 
-// newWarmBalancer has n warm workers; even ones are in zone 0, odd ones in zone 1, each in a cell of its own.
-func newWarmBalancer(n int, seed uint64) (*Balancer, *recorder) {
-	effects := &recorder{}
-	balancer := New(testConfig, seed, effects)
-	balancer.SetTime(100 * Second)
-	var list []Endpoint
-	for w := range n {
-		list = append(list, Endpoint{Worker: WorkerID(w), ID: fmt.Sprintf("w%d", w), Zone: ZoneID(w % 2), Cell: CellID(w)})
+// newPickableRequest returns an open request within its quota that has had no attempt and no size hint. It is of the
+// idempotent operation.
+func newPickableRequest(interval int) *request {
+	return &request{
+		attemptLimit: 4,
+		interval:     interval,
+		quotaWeight:  1,
+		deadline:     never,
 	}
-	balancer.UpdateEndpoints(list, AllEndpoints, FromDiscovery)
-	return balancer, effects
 }
 
 // withinWarmupBudget reports whether slow start lets a worker have one more attempt of a size.
@@ -75,6 +138,49 @@
 	balancer.sizes.Update()
 }
 
+// setSlots sets the slots of workers of kind 0, both the estimate and the most that were seen in use.
+func setSlots(balancer *Balancer, slots float64) {
+	balancer.slots.kinds[0].MaxObserved = slots
+	balancer.slots.kinds[0].Estimate = slots
+}
+
+// assertPollDueWithin asserts that the endpoint list is polled next after a span at the latest.
+func assertPollDueWithin(t *testing.T, balancer *Balancer, span Duration, messageAndArgs ...any) {
+	t.Helper()
+	assert.LessOrEqual(t, balancer.polling.DueAt().Sub(balancer.now), span, messageAndArgs...)
+}
+
+// recorder records the effects of a Balancer, one a line. It leaves out wake-ups and events.
+type recorder struct{ lines []string }
+
+func (r *recorder) record(format string, args ...any) {
+	r.lines = append(r.lines, fmt.Sprintf(format, args...))
+}
+
+func (r *recorder) SendAttempt(id RequestID, target WorkerID, _ Duration) {
+	r.record("attempt %d to %d", id, target)
+}
+
+func (r *recorder) CancelAttempt(id RequestID, number int) { r.record("cancel %d.%d", id, number) }
+
+func (r *recorder) Reject(id RequestID, retryAfter Duration) {
+	r.record("reject %d, retry after %d", id, retryAfter)
+}
+
+func (r *recorder) Fail(id RequestID) { r.record("fail %d", id) }
+
+func (r *recorder) Wake(uint64, Duration) {}
+
+func (r *recorder) PollEndpoints() { r.record("poll") }
+
+func (r *recorder) Probe(target WorkerID) { r.record("probe %d", target) }
+
+func (r *recorder) SendLoad(to PeerID, load WorkerLoad) {
+	r.record("load for %d: worker %d has %d", to, load.Worker, load.InFlight)
+}
+
+func (r *recorder) Log(Event) {}
+
 // startOf is how an attempt starts.
 func startOf(atOnce bool) slotestimate.Start {
 	if atOnce {
