--- a/internal/balancer/arrivals_test.go
+++ b/internal/balancer/arrivals_test.go
@@ -1,22 +1,60 @@
 package balancer
 
 import (
+	"slices"
 	"testing"
 
 	"github.com/stretchr/testify/assert"
+
+	"canvasroute/internal/balancer/sizeinterval"
 )
 
 func TestQuotaWeightFollowsUsage(t *testing.T) {
-	counts := func(c TenantID, landings int, every Time) (last float64) {
+	weightOfLast := func(tenant TenantID, arrivals int, gap Duration) (weight float64) {
 		balancer, _ := newWarmBalancer(2, 1)
-		for range landings {
-			balancer.now += every
-			last = balancer.quotaWeight(c)
+		for range arrivals {
+			balancer.now = balancer.now.Add(gap)
+			weight = balancer.quotaWeight(tenant)
+		}
+		return weight
+	}
+	assert.EqualValues(t, 1, weightOfLast(unlimitedTenant, 1000, 1), "no quota")
+	assert.EqualValues(t, 1, weightOfLast(twentyRPSTenant, 200, Second/10), "ten a second are its quota at one dispatcher")
+	assert.InDelta(t, 0.1+0.9*1.5/4, weightOfLast(twentyRPSTenant, 400, Second/40), 0.02, "four times the quota")
+	assert.EqualValues(t, 1, weightOfLast(fifthOfRPSTenant, 4, Second), "beyond the quota, but so few may be chance")
+}
+
+func TestIntervalsHoldEqualWork(t *testing.T) {
+	const arrivals = 60
+	balancer, _ := newWarmBalancer(4, 1)
+	for n := range arrivals {
+		balancer.observeSize(Work(1 + n*7%arrivals))
+		if n < sizeinterval.MinSample-1 {
+			assert.Empty(t, balancer.sizes.CutPoints(), "one interval until there are enough hints")
 		}
-		return last
 	}
-	assert.EqualValues(t, 1, counts(0, 1000, 1), "no share")
-	assert.EqualValues(t, 1, counts(1, 200, Second/10), "ten a second are its share here")
-	assert.InDelta(t, 0.1+0.9*1.5/4, counts(1, 400, Second/40), 0.02)
-	assert.EqualValues(t, 1, counts(2, 4, Second), "too few to tell from chance, though beyond a share of 0.1")
+	balancer.updateCutPoints()
+	smallWork := Work(0)
+	allWork := Work(0)
+	for _, size := range balancer.sizes.Sample() {
+		allWork += size
+		if size < balancer.sizes.CutPoints()[0] {
+			smallWork += size
+		}
+	}
+	assert.Len(t, balancer.sizes.CutPoints(), sizeinterval.Count-1)
+	assert.InDelta(t, 0.5, float64(smallWork)/float64(allWork), 0.04)
+}
+
+func TestSizeSampleIsBounded(t *testing.T) {
+	const small, large = 10, 500
+	balancer, _ := newWarmBalancer(4, 1)
+	for range 3 * sizeinterval.MaxSample {
+		balancer.observeSize(small)
+	}
+	for range sizeinterval.MaxSample { // so many displace all earlier ones
+		balancer.observeSize(large)
+	}
+	assert.Len(t, balancer.sizes.Sample(), sizeinterval.MaxSample)
+	assert.EqualValues(t, large, slices.Min(balancer.sizes.Sample()))
 }
--- a/internal/balancer/load_probes_test.go
+++ b/internal/balancer/load_probes_test.go
@@ -8,6 +8,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
+// Value is paid for each request, so probes are bounded by arrivals, however long they take.
 func TestProbesFollowArrivals(t *testing.T) {
 	balancer, effects := newWarmBalancer(3, 1)
 	balancer.config.probes = true
@@ -18,6 +19,6 @@
 			balancer.now += Second / 100
 		}
 	}
-	probes := slices.DeleteFunc(effects.lines, func(l string) bool { return !strings.HasPrefix(l, "probe") })
-	assert.Len(t, probes, 3, "the price is for each request, not for time")
+	probes := slices.DeleteFunc(effects.lines, func(line string) bool { return !strings.HasPrefix(line, "probe") })
+	assert.Len(t, probes, 3, "three probes for five requests")
 }
--- a/internal/balancer/open_requests_test.go
+++ b/internal/balancer/open_requests_test.go
@@ -7,11 +7,12 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// Regression test for gaps that are never closed, and for a place that is wrong once they have been.
-func TestOpenRequestsKeepTheirOrderThroughGaps(t *testing.T) {
+// Regression test for gaps that are never removed, and for a request whose place in the order is wrong afterwards.
+func TestOpenRequestsKeepTheirOrderAsGapsAreRemoved(t *testing.T) {
+	const arrivals = 1000
 	balancer, _ := newWarmBalancer(1, 1)
-	balancer.requests.byID = make([]request, 1000)
-	for id := range RequestID(1000) {
+	balancer.requests.byID = make([]request, arrivals)
+	for id := range RequestID(arrivals) {
 		balancer.requests.addOpen(id)
 		if id >= 3 {
 			balancer.requests.removeOpen(id - 2)
--- a/internal/balancer/pending_test.go
+++ b/internal/balancer/pending_test.go
@@ -8,10 +8,10 @@
 
 func TestPendingOrderIsByValueThenLatestStart(t *testing.T) {
 	balancer, _ := newWarmBalancer(1, 1)
-	balancer.workers[0].unstarted = 1
-	for id, op := range []OperationID{0, 0, 1} {
+	balancer.workers[0].unstarted = 1 // so that all requests wait
+	for id, operation := range []OperationID{idempotentOp, idempotentOp, nonIdempotentOp} {
 		balancer.now += 10
-		balancer.RequestArrived(RequestID(id), Arrival{Operation: op, Timeout: 10 * Second, SizeHint: 100})
+		balancer.RequestArrived(RequestID(id), Arrival{Operation: operation, Timeout: 10 * Second, SizeHint: 100})
 	}
 	balancer.requests.byID[0].quotaWeight = balancer.config.overQuotaShare
 	balancer.updateCutPoints()
@@ -21,12 +21,12 @@
 func TestWorstOperationHasItsWeightInTheGoal(t *testing.T) {
 	balancer, _ := newWarmBalancer(1, 1)
 	balancer.config.worstOperationWeight = 1
-	balancer.workers[0].health.ProbeAfter = 200 * Second
-	for id, op := range []OperationID{1, 0, 1} { // worth 8 and 1 for a unit of work
+	balancer.workers[0].health.ProbeAfter = 200 * Second // so that all requests wait
+	for id, operation := range []OperationID{nonIdempotentOp, idempotentOp, nonIdempotentOp} {
 		balancer.now++
-		balancer.RequestArrived(RequestID(id), Arrival{Operation: op, Timeout: 10 * Second, SizeHint: Second})
+		balancer.RequestArrived(RequestID(id), Arrival{Operation: operation, Timeout: 10 * Second, SizeHint: Second})
 	}
-	assert.Equal(t, []RequestID{0, 2, 1}, balancer.pending.ids)
+	assert.Equal(t, []RequestID{0, 2, 1}, balancer.pending.ids, "by value")
 	balancer.RequestArrived(3, Arrival{Timeout: 10 * Second, SizeHint: Second})
 	balancer.rejectOrFail(3)
 	assert.Equal(t, []RequestID{1, 0, 2}, balancer.pending.ids, "else the operation of little value would get nothing")
--- a/internal/balancer/subsetting_test.go
+++ b/internal/balancer/subsetting_test.go
@@ -8,38 +8,107 @@
 )
 
 func TestRingIsTheSameAtEveryDispatcher(t *testing.T) {
-	a, _ := newWarmBalancer(9, 1)
-	other, _ := newWarmBalancer(9, 2)
-	var list []Endpoint
-	for w := 8; w >= 0; w-- {
-		list = append(list, Endpoint{Worker: WorkerID(w), ID: fmt.Sprintf("w%d", w)})
+	const workers = 9
+	first, _ := newWarmBalancer(workers, 1)
+	second, _ := newWarmBalancer(workers, 2)
+	var reversed []Endpoint
+	for id := WorkerID(workers - 1); id >= 0; id-- {
+		reversed = append(reversed, Endpoint{Worker: id, ID: fmt.Sprintf("w%d", id)})
 	}
-	other.UpdateEndpoints(list, AllEndpoints, FromDiscovery)
-	assert.Equal(t, a.subsetting.ring, other.subsetting.ring)
-	assert.NotEqual(t, a.subsetting.subsets[wholeRing].roundRobin, other.subsetting.subsets[wholeRing].roundRobin, "each rotation starts at a place of its own")
+	second.UpdateEndpoints(reversed, AllEndpoints, FromDiscovery)
+	assert.Equal(t, first.subsetting.ring, second.subsetting.ring)
+	firstRotation := first.subsetting.subsets[wholeRing].roundRobin
+	secondRotation := second.subsetting.subsets[wholeRing].roundRobin
+	assert.NotEqual(t, firstRotation, secondRotation, "each dispatcher begins its rotation elsewhere")
 }
 
 func TestSubsetPeersAreThoseWithTheWorkerInTheirSubset(t *testing.T) {
-	for _, size := range [][3]int{{9, 200, 21}, {85, 200, 21}, {300, 1000, 7}, {5, 3, 3}, {1, 40, 4}} {
-		told, keep := map[WorkerID][]int{}, []peerRange(nil)
-		for p := range size[1] {
-			balancer, _ := newWarmBalancer(size[0], 1)
-			balancer.config.position, balancer.config.dispatchers, balancer.config.dispatchersPerWorker = p, size[1], size[2]
+	for _, c := range []struct{ workers, dispatchers, dispatchersPerWorker int }{
+		{workers: 9, dispatchers: 200, dispatchersPerWorker: 21},
+		{workers: 85, dispatchers: 200, dispatchersPerWorker: 21},
+		{workers: 300, dispatchers: 1000, dispatchersPerWorker: 7},
+		{workers: 5, dispatchers: 3, dispatchersPerWorker: 3},
+		{workers: 1, dispatchers: 40, dispatchersPerWorker: 4},
+	} {
+		usedBy := map[WorkerID][]int{} // the dispatchers that have a worker in their subset
+		var peersOf []peerRange        // by WorkerID, as the last dispatcher has it
+		for position := range c.dispatchers {
+			balancer, _ := newWarmBalancer(c.workers, 1)
+			balancer.config.position = position
+			balancer.config.dispatchers = c.dispatchers
+			balancer.config.dispatchersPerWorker = c.dispatchersPerWorker
 			balancer.updateSubsets()
-			for _, w := range balancer.subsetting.subsets[bothIntervals].workers {
-				told[w] = append(told[w], p)
+			for _, id := range balancer.subsetting.subsets[bothIntervals].workers {
+				usedBy[id] = append(usedBy[id], position)
 			}
-			keep = nil
-			for _, w := range balancer.workers {
-				keep = append(keep, w.gossip.peers)
+			peersOf = nil
+			for _, known := range balancer.workers {
+				peersOf = append(peersOf, known.gossip.peers)
 			}
 		}
-		for w := range WorkerID(size[0]) {
+		for id := range WorkerID(c.workers) {
 			var peers []int
-			for p := keep[w].from; p < keep[w].to; p++ {
-				peers = append(peers, p%size[1])
+			for number := peersOf[id].from; number < peersOf[id].to; number++ {
+				peers = append(peers, number%c.dispatchers)
 			}
-			assert.ElementsMatch(t, told[w], peers, "worker %d of %v", w, size)
+			assert.ElementsMatch(t, usedBy[id], peers, "worker %d of %+v", id, c)
 		}
 	}
 }
+
+// Regression test for bounds on the number of dispatchers or workers. With 1,024 of each, with and without gossip, every
+// worker is listed, in some dispatcher's subset, and used.
+func TestAllWorkersOfALargeFleetAreUsed(t *testing.T) {
+	const size = 1024 // of the workers and of the dispatchers
+	var endpoints []Endpoint
+	for id := range WorkerID(size) {
+		endpoints = append(endpoints, Endpoint{
+			Worker: id,
+			ID:     fmt.Sprintf("w%d", id),
+			Zone:   ZoneID(id % 64),
+			Cell:   CellID(id / 4),
+		})
+	}
+	for _, gossip := range []bool{true, false} {
+		subsetsWith := make([]int, size) // by WorkerID
+		var last *Balancer
+		for position := range size {
+			config := testConfig
+			config.Dispatchers = size
+			config.Position = position
+			config.Gossip = gossip
+			config.GossipCost = 0.001
+			last, _ = newTestBalancer(config, uint64(position), endpoints)
+			assert.Len(t, last.subsetting.ring, size)
+			for _, id := range last.subsetting.subsets[bothIntervals].workers {
+				subsetsWith[id]++
+			}
+		}
+		for id := range RequestID(2 * size) {
+			last.RequestArrived(id, Arrival{Timeout: 20 * Second, SizeHint: 100})
+		}
+		last.RunDueRules()
+		last.SetTime(last.now.Add(last.config.margin))
+		last.RunDueRules()
+		assert.Equal(t, size, usedWorkers(last), "each worker has room for one attempt that has not started")
+		peers := 0
+		for peer := range last.subsetPeers(last.subsetting.subsets[bothIntervals].workers[0]) {
+			assert.Less(t, int(peer), size)
+			peers++
+		}
+		for id, subsets := range subsetsWith {
+			assert.Positive(t, subsets, "worker %d is in no subset", id)
+		}
+		assert.Positive(t, peers)
+	}
+}
+
+// usedWorkers returns the number of workers with an attempt in flight.
+func usedWorkers(balancer *Balancer) (used int) {
+	for _, known := range balancer.workers {
+		if known.inFlight > 0 {
+			used++
+		}
+	}
+	return used
+}
