--- a/internal/balancer/helper_test.go
+++ b/internal/balancer/helper_test.go
@@ -116,6 +116,35 @@
 	return newTestBalancer(testConfig, seed, testEndpoints(workers))
 }
 
+// arrive has a request arrive, and applies the rules that are due.
+func arrive(balancer *Balancer, id RequestID, arrival Arrival) {
+	balancer.RequestArrived(id, arrival)
+	balancer.RunDueRules()
+}
+
+// endAttempt reports the outcome of an attempt that leaves its request open, and applies the rules that are due.
+func endAttempt(balancer *Balancer, id RequestID, number int, outcome Outcome) {
+	balancer.AttemptEnded(id, number, outcome, NoAnswer)
+	balancer.RunDueRules()
+}
+
+// advance lets time pass, and applies the rules that are due then.
+func advance(balancer *Balancer, span Duration) {
+	balancer.SetTime(balancer.now.Add(span))
+	balancer.RunDueRules()
+}
+
+// reviewNow makes the review of open requests due, and applies the rules that are due.
+func reviewNow(balancer *Balancer) {
+	balancer.due.reviewAt = balancer.now
+	balancer.RunDueRules()
+}
+
+// targetOf returns the worker of an attempt.
+func targetOf(balancer *Balancer, id RequestID, number int) WorkerID {
+	return balancer.requests.get(id).attempts[number].worker
+}
+
 // newPickableRequest returns an open request within its quota that has had no attempt and no size hint. It is of the
 // idempotent operation.
 func newPickableRequest(interval int) *request {
--- /dev/null
+++ b/internal/balancer/unstarted_attempts_test.go
@@ -0,0 +1,57 @@
+package balancer
+
+import (
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+)
+
+// newDeliveryNoticesBalancer returns a Balancer whose caller reports when a worker has received an attempt.
+func newDeliveryNoticesBalancer() (*Balancer, *recorder) {
+	config := testConfig
+	config.DeliveryNotices = true
+	config.ReportFree = NotReported
+	return newTestBalancer(config, 1, []Endpoint{{Worker: 0, ID: "w0"}, {Worker: 1, ID: "w1"}})
+}
+
+func TestUnstartedAttemptIsMigrated(t *testing.T) {
+	balancer, effects := newWarmBalancer(2, 1)
+	arrive(balancer, 0, Arrival{Timeout: 10 * Second, SizeHint: 100})
+	balancer.now = balancer.now.Add(balancer.config.patience)
+	balancer.RunDueRules()
+	assert.Len(t, effects.lines, 3)
+	assert.Equal(t, "cancel 0.0", effects.lines[2])
+	assert.NotEqual(t, effects.lines[0], effects.lines[1], "the second attempt goes to the other worker")
+}
+
+// Regression test for an operation with a short objective that is hardly served: each of its attempts was canceled
+// before its worker could have reported a start.
+func TestAttemptInDeliveryIsNotMigrated(t *testing.T) {
+	balancer, effects := newDeliveryNoticesBalancer()
+	arrive(balancer, 0, Arrival{Timeout: 10 * Second, SizeHint: 100})
+	assert.Len(t, effects.lines, 1)
+	advance(balancer, balancer.config.patience)
+	assert.Len(t, effects.lines, 1, "it may not have been delivered yet")
+	balancer.AttemptDelivered(0, 0)
+	advance(balancer, balancer.config.patience-1)
+	assert.Len(t, effects.lines, 1)
+	advance(balancer, balancer.config.patience)
+	assert.Len(t, effects.lines, 3, "it waits in its worker's queue")
+	assert.Equal(t, "cancel 0.0", effects.lines[2])
+}
+
+// Regression test for workers that report nothing at all, and for a mean delivery time that no attempt could raise.
+func TestAttemptThatIsNeverDeliveredIsMigrated(t *testing.T) {
+	const nearDelivery = 100 // ticks until a worker of the zone has an attempt
+	balancer, effects := newDeliveryNoticesBalancer()
+	balancer.zones[0].deliveryTime = nearDelivery
+	arrive(balancer, 0, Arrival{Timeout: 10 * Second, SizeHint: 100})
+	advance(balancer, balancer.config.patience+deliveryMargin*nearDelivery)
+	assert.Len(t, effects.lines, 3)
+	assert.Greater(t, balancer.zones[0].deliveryTime, Duration(nearDelivery), "an attempt that was not delivered counts too")
+	for range 1000 {
+		balancer.zones[0].deliveryTime = min(balancer.zones[0].deliveryTime*2, balancer.config.warmupWindow)
+		balancer.observeDelivery(&attempt{sentAt: balancer.now - 100*Second})
+	}
+	assert.LessOrEqual(t, balancer.zones[0].deliveryTime, balancer.config.warmupWindow/8)
+}
