--- a/internal/balancer/pick_worker_test.go
+++ b/internal/balancer/pick_worker_test.go
@@ -9,42 +9,57 @@
 	"canvasroute/internal/balancer/sizeinterval"
 )
 
+// cutAt sets so many sizes that the intervals are cut at this one.
+func cutAt(t *testing.T, balancer *Balancer, size Work) {
+	t.Helper()
+	setSizes(balancer, slices.Repeat([]Work{size}, sizeinterval.MinSample)...)
+	assert.Equal(t, []Work{size}, balancer.sizes.CutPoints())
+}
+
 func TestPickGoesRoundTheSubsetOfTheInterval(t *testing.T) {
-	balancer, _ := newWarmBalancer(6, 1)
-	setSizes(balancer, slices.Repeat([]Work{100}, sizeinterval.MinSample)...)
-	assert.Equal(t, []Work{100}, balancer.sizes.CutPoints())
-	small, large := map[WorkerID]int{}, map[WorkerID]int{}
-	for range 6 {
-		w, ok := balancer.pickWorker(&request{attemptLimit: 4, interval: 0, quotaWeight: 1, deadline: 200 * Second})
+	const (
+		smallInterval = 0
+		largeInterval = 1
+		blockSize     = 3 // workers of an interval
+	)
+	balancer, _ := newWarmBalancer(2*blockSize, 1)
+	cutAt(t, balancer, 100)
+	smallPicks := map[WorkerID]int{}
+	largePicks := map[WorkerID]int{}
+	for range 2 * blockSize {
+		picked, ok := balancer.pickWorker(newPickableRequest(smallInterval))
 		assert.True(t, ok)
-		small[w]++
-		w, _ = balancer.pickWorker(&request{attemptLimit: 4, interval: 1, quotaWeight: 1, deadline: 200 * Second})
-		large[w]++
+		smallPicks[picked]++
+		picked, _ = balancer.pickWorker(newPickableRequest(largeInterval))
+		largePicks[picked]++
 	}
-	for n, w := range balancer.subsetting.ring {
-		assert.Equal(t, []int{2, 0}[n/3], small[w])
-		assert.Equal(t, []int{0, 2}[n/3], large[w])
+	for position, id := range balancer.subsetting.ring {
+		interval := position / blockSize
+		assert.Equal(t, []int{2, 0}[interval], smallPicks[id])
+		assert.Equal(t, []int{0, 2}[interval], largePicks[id])
 	}
 }
 
 func TestPickBorrowsFromOtherIntervals(t *testing.T) {
 	balancer, _ := newWarmBalancer(4, 1)
-	setSizes(balancer, slices.Repeat([]Work{100}, sizeinterval.MinSample)...)
-	assert.Equal(t, []Work{100}, balancer.sizes.CutPoints())
-	balancer.workers[balancer.subsetting.ring[0]].unstarted, balancer.workers[balancer.subsetting.ring[1]].unstarted = 1, 1
-	w, ok := balancer.pickWorker(&request{attemptLimit: 4, interval: 0, quotaWeight: 1, deadline: 200 * Second})
+	cutAt(t, balancer, 100)
+	ownBlock, otherBlock := balancer.subsetting.ring[:2], balancer.subsetting.ring[2:]
+	for _, id := range ownBlock {
+		balancer.workers[id].unstarted = 1
+	}
+	picked, ok := balancer.pickWorker(newPickableRequest(0))
 	assert.True(t, ok)
-	assert.Contains(t, balancer.subsetting.ring[2:], w)
+	assert.Contains(t, otherBlock, picked)
 }
 
-func TestPickPassesOverTwiceTheMeanLoad(t *testing.T) {
+func TestPickPassesOverWorkersAboveTwiceTheMeanLoad(t *testing.T) {
 	balancer, _ := newWarmBalancer(4, 1)
 	busy := balancer.subsetting.ring[2]
 	balancer.addInFlight(busy, 3)
 	for range 8 {
-		w, ok := balancer.pickWorker(&request{attemptLimit: 4, quotaWeight: 1, deadline: 200 * Second})
+		picked, ok := balancer.pickWorker(newPickableRequest(0))
 		assert.True(t, ok)
-		assert.NotEqual(t, busy, w)
+		assert.NotEqual(t, busy, picked)
 	}
 }
 
@@ -55,80 +70,99 @@
 	assert.True(t, balancer.isAvailable(1))
 	balancer.UpdateEndpoints([]Endpoint{{Worker: 0, ID: "w0"}}, AllEndpoints, FromDiscovery)
 	assert.True(t, balancer.isAvailable(0), "a worker may come back")
-	assert.False(t, balancer.isAvailable(1), "absent from a complete list")
+	assert.False(t, balancer.isAvailable(1), "absent from a list of all endpoints")
 }
 
-func TestWarmingWorkerGetsNothingThatItsSlownessMakesLate(t *testing.T) {
+// At two fifths of its capacity a worker runs 1.5 times the size longer, which may not exceed the objective of 1 s.
+func TestWarmingWorkerGetsNoRequestThatItsSlownessMakesLate(t *testing.T) {
 	balancer, _ := newWarmBalancer(1, 1)
-	balancer.workers[0].warmup.startedAt, balancer.slots.kinds[0].MaxObserved, balancer.slots.kinds[0].Estimate = balancer.now-5*Second, 9, 9 // at two fifths of its capacity
+	balancer.workers[0].warmup.startedAt = balancer.now - 5*Second
+	setSlots(balancer, 9)
 	balancer.config.dispatchers = 1
-	setSizes(balancer, Second) // hints come
-	for size, taken := range map[Work]bool{Second / 2: true, Second: false} {
-		_, ok := balancer.pickWorker(&request{attemptLimit: 4, interval: bothIntervals, quotaWeight: 1, size: size, deadline: 200 * Second})
-		assert.Equal(t, taken, ok, "1.5 times the size over the objective of a second: %d", size)
+	setSizes(balancer, Second) // requests have hints
+	newRequest := func(size Work) *request {
+		req := newPickableRequest(bothIntervals)
+		req.size = size
+		return req
+	}
+	for size, sent := range map[Work]bool{Second / 2: true, Second: false} {
+		_, ok := balancer.pickWorker(newRequest(size))
+		assert.Equal(t, sent, ok, "size %d", size)
 	}
-	late := &request{attemptLimit: 4, interval: bothIntervals, quotaWeight: 1, size: Second, deadline: 200 * Second, late: true}
+	late := newRequest(Second)
+	late.late = true
 	_, ok := balancer.pickWorker(late)
-	assert.True(t, ok, "what is late in any case may still earn something")
+	assert.True(t, ok, "the answer will be late in any case, and may still earn something")
 	setSizes(balancer, 0)
-	_, ok = balancer.pickWorker(&request{attemptLimit: 4, interval: bothIntervals, quotaWeight: 1, size: Second, deadline: 200 * Second})
-	assert.True(t, ok, "no hint tells that it would be late")
+	_, ok = balancer.pickWorker(newRequest(Second))
+	assert.True(t, ok, "without hints nobody knows that it would be late")
 }
 
-func TestTenantsBeyondTheirQuotaLeaveRoom(t *testing.T) {
+func TestRequestsBeyondTheirQuotaLeaveSlotsFree(t *testing.T) {
 	balancer, _ := newWarmBalancer(1, 1)
-	balancer.slots.kinds[0].Estimate, balancer.slots.kinds[0].MaxObserved = 3, 3
+	setSlots(balancer, 3)
 	balancer.config.gossip = true
 	balancer.ReceiveLoad(1, WorkerLoad{Worker: 0, InFlight: 2})
-	_, ok := balancer.pickWorker(&request{attemptLimit: 4, interval: bothIntervals, deadline: 200 * Second, quotaWeight: 0.2})
+	beyondQuota := newPickableRequest(bothIntervals)
+	beyondQuota.quotaWeight = 0.2
+	_, ok := balancer.pickWorker(beyondQuota)
 	assert.False(t, ok)
-	_, ok = balancer.pickWorker(&request{attemptLimit: 4, interval: bothIntervals, deadline: 200 * Second, quotaWeight: 1})
+	_, ok = balancer.pickWorker(newPickableRequest(bothIntervals))
 	assert.True(t, ok)
 }
 
-func TestPickGoesBeyondTheSubsetUntilAWorkerRefuses(t *testing.T) {
+func TestPickGoesBeyondTheSubsetUntilAWorkerRejects(t *testing.T) {
+	const sent = sizeinterval.Count + 2
 	balancer, effects := newWarmBalancer(9, 1)
-	balancer.config.gossip, balancer.config.dispatchers, balancer.config.dispatchersPerWorker, balancer.config.hedging = true, 9, 1, false
+	balancer.config.gossip = true
+	balancer.config.dispatchers = 9
+	balancer.config.dispatchersPerWorker = 1
+	balancer.config.hedging = false
 	balancer.updateSubsets()
 	assert.Len(t, balancer.subsetting.subsets[bothIntervals].workers, sizeinterval.Count)
-	for id := range RequestID(sizeinterval.Count + 2) {
-		balancer.RequestArrived(id, Arrival{Operation: 1, Timeout: 10 * Second, SizeHint: Second})
-		balancer.RunDueRules()
+	for id := range RequestID(sent) {
+		arrive(balancer, id, Arrival{Operation: nonIdempotentOp, Timeout: 10 * Second, SizeHint: Second})
 	}
-	assert.Len(t, effects.lines, sizeinterval.Count+2)
-	balancer.AttemptEnded(sizeinterval.Count, 0, Overloaded, NoAnswer)
-	balancer.RunDueRules()
-	assert.Len(t, effects.lines, sizeinterval.Count+2, "pending: where nothing is told, others may be full as well")
+	assert.Len(t, effects.lines, sent)
+	endAttempt(balancer, sizeinterval.Count, 0, Overloaded)
+	assert.Len(t, effects.lines, sent, "pending: other workers whose load no peer reports may be full as well")
 	balancer.now += Second + 1
 	balancer.due.capacityChanged = true
 	balancer.RunDueRules()
-	assert.Greater(t, len(effects.lines), sizeinterval.Count+2)
+	assert.Greater(t, len(effects.lines), sent)
 }
 
-// Regression test for requests that use up their attempts on a zone that is full, each finding it out for
-// itself, while others have room.
-func TestRetryLeavesTheZoneWhereNoPeersTell(t *testing.T) {
-	far := func(peers bool) (second int) {
-		for seed := range uint64(20) {
+// Regression test for requests that use up their attempts in a zone that is full, each finding it out for itself, while
+// another zone has free slots.
+func TestRetryLeavesTheZoneWithoutGossip(t *testing.T) {
+	const (
+		seeds             = 20
+		nearZone   ZoneID = 0
+		farZone    ZoneID = 1
+		gossipCost        = 0.0001
+	)
+	retriesElsewhere := func(gossip bool) (retries int) {
+		for seed := range uint64(seeds) {
 			config := testConfig
-			config.CrossZoneCost, config.Gossip, config.GossipCost = 0.05, peers, 0.0001
-			balancer := New(config, seed, &recorder{})
-			balancer.SetTime(100 * Second)
-			var list []Endpoint
-			for w := range 8 {
-				list = append(list, Endpoint{Worker: WorkerID(w), ID: string(rune('a' + w)), Zone: ZoneID(w % 2)})
+			config.CrossZoneCost = 0.05
+			config.Gossip = gossip
+			config.GossipCost = gossipCost
+			var endpoints []Endpoint
+			for id := range WorkerID(8) {
+				endpoints = append(endpoints, Endpoint{Worker: id, ID: string(rune('a' + id)), Zone: ZoneID(id % 2)})
+			}
+			balancer, _ := newTestBalancer(config, seed, endpoints)
+			arrive(balancer, 0, Arrival{Operation: idempotentOp, Timeout: 30 * Second, SizeHint: 100})
+			first := targetOf(balancer, 0, 0)
+			assert.Equal(t, nearZone, balancer.workers[first].zone, "the first attempt stays in the zone")
+			endAttempt(balancer, 0, 0, Overloaded)
+			second := targetOf(balancer, 0, 1)
+			if balancer.workers[second].zone == farZone {
+				retries++
 			}
-			balancer.UpdateEndpoints(list, AllEndpoints, FromDiscovery)
-			balancer.RequestArrived(0, Arrival{Operation: 0, Timeout: 30 * Second, SizeHint: 100})
-			balancer.RunDueRules()
-			f := balancer.requests.byID[0].attempts
-			assert.Equal(t, ZoneID(0), balancer.workers[f[0].worker].zone, "near at first")
-			balancer.AttemptEnded(0, 0, Overloaded, NoAnswer)
-			balancer.RunDueRules()
-			second += int(balancer.workers[balancer.requests.byID[0].attempts[1].worker].zone)
 		}
-		return second
+		return retries
 	}
-	assert.Zero(t, far(true), "peers tell of those that are near")
-	assert.InDelta(t, 10, far(false), 8)
+	assert.Zero(t, retriesElsewhere(true), "peers report the load of the workers of the zone")
+	assert.InDelta(t, seeds/2, retriesElsewhere(false), 8)
 }
