--- /dev/null
+++ b/internal/balancer/attempt_events_test.go
@@ -0,0 +1,37 @@
+package balancer
+
+import (
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+)
+
+// Regression test for workers that send start notices which the configuration does not announce. Each was sent one
+// attempt, and then seemed to have an unstarted one for good.
+func TestUnannouncedStartNoticesExcludeNoWorker(t *testing.T) {
+	config := testConfig
+	config.StartNotices = false
+	balancer, effects := newTestBalancer(config, 1, []Endpoint{{Worker: 0, ID: "w0"}})
+	for range 3 {
+		arrive(balancer, 0, Arrival{Timeout: 3 * Second})
+		balancer.AttemptStarted(0, 0)
+		balancer.AttemptStarted(0, 0)
+		balancer.AttemptEnded(0, 0, Succeeded, FinalAnswer)
+		balancer.RunDueRules()
+		assert.Zero(t, balancer.workers[0].unstarted)
+	}
+	assert.Equal(t, []string{"attempt 0 to 0", "attempt 0 to 0", "attempt 0 to 0"}, effects.lines[len(effects.lines)-3:])
+}
+
+// Regression test for a second start notice of one attempt: it would count another attempt, which still waits, as
+// started.
+func TestSecondStartNoticeChangesNothing(t *testing.T) {
+	balancer, _ := newWarmBalancer(1, 1)
+	for id := range RequestID(2) {
+		balancer.RequestArrived(id, Arrival{Timeout: 3 * Second})
+		balancer.startAttempt(id, 0)
+	}
+	balancer.AttemptStarted(0, 0)
+	balancer.AttemptStarted(0, 0)
+	assert.Equal(t, 1, balancer.workers[0].unstarted)
+}
--- a/internal/balancer/ejection_test.go
+++ b/internal/balancer/ejection_test.go
@@ -9,84 +9,98 @@
 	"canvasroute/internal/balancer/outlier"
 )
 
-// Regression test for a program that fails all it gets: it is always idle, and so would get more than its turn.
-func TestEjectedWorkerIsProbedByIdempotentWork(t *testing.T) {
+// canPick reports whether there is a worker for a request of an operation.
+func canPick(balancer *Balancer, operation OperationID) bool {
+	req := newPickableRequest(0)
+	req.operation = operation
+	_, ok := balancer.pickWorker(req)
+	return ok
+}
+
+// Regression test for a worker that fails all attempts: it is always idle, and so would get more than its turn.
+func TestEjectedWorkerIsProbedByIdempotentRequests(t *testing.T) {
 	balancer, _ := newWarmBalancer(1, 1)
-	fail := func(outcome Outcome) {
+	attemptEndsWith := func(outcome Outcome) {
 		balancer.RequestArrived(0, Arrival{Timeout: 90 * Second, SizeHint: 100})
 		balancer.startAttempt(0, 0)
 		balancer.AttemptEnded(0, 0, outcome, FinalAnswer)
 	}
-	once, again := &request{attemptLimit: 4, operation: 1, quotaWeight: 1, deadline: never}, &request{attemptLimit: 4, quotaWeight: 1, deadline: never}
-	takes := func(i *request) bool {
-		_, ok := balancer.pickWorker(i)
-		return ok
-	}
-	fail(ConnectionReset)
-	assert.True(t, takes(once), "a single one is chance")
-	fail(WorkerError)
-	assert.False(t, takes(again))
+	attemptEndsWith(ConnectionReset)
+	assert.True(t, canPick(balancer, nonIdempotentOp), "a single failure is chance")
+	attemptEndsWith(WorkerError)
+	assert.False(t, canPick(balancer, idempotentOp), "ejected")
 	balancer.now += 2 * Second
-	assert.True(t, takes(again), "a trial")
-	assert.False(t, takes(once), "not by this")
+	assert.True(t, canPick(balancer, idempotentOp), "a probe")
+	assert.False(t, canPick(balancer, nonIdempotentOp), "not the probe")
 	balancer.now += 8 * Second
-	assert.True(t, takes(once), "nothing else has tried")
-	fail(Succeeded)
-	fail(WorkerError)
-	assert.True(t, takes(again), "a success clears it")
+	assert.True(t, canPick(balancer, nonIdempotentOp), "no other request has probed the worker")
+	attemptEndsWith(Succeeded)
+	attemptEndsWith(WorkerError)
+	assert.True(t, canPick(balancer, idempotentOp), "the success before it ended the suspicion")
 }
 
-// Regression test for a long rest for one failure: all that is in flight at a worker ends with its process.
+// Regression test for a long ejection after one failure: all attempts in flight at a worker end with its process.
 func TestFailuresOfOneProcessExitCountOnce(t *testing.T) {
 	balancer, _ := newWarmBalancer(1, 1)
 	for id := range RequestID(3) {
 		balancer.RequestArrived(id, Arrival{Timeout: 90 * Second, SizeHint: 100})
 		balancer.startAttempt(id, 0)
 	}
+	health := &balancer.workers[0].health
 	balancer.AttemptEnded(0, 0, ConnectionStale, FinalAnswer)
-	assert.Equal(t, 0, balancer.workers[0].health.ConsecutiveFailures, "a kept connection may end and its worker be well")
+	assert.Equal(t, 0, health.ConsecutiveFailures, "an idle connection may end though its worker is well")
 	balancer.AttemptEnded(1, 0, NoConnection, FinalAnswer)
 	balancer.AttemptEnded(2, 0, NoConnection, FinalAnswer)
-	assert.Equal(t, []any{1, balancer.now + Second}, []any{balancer.workers[0].health.ConsecutiveFailures, balancer.workers[0].health.ProbeAfter})
+	assert.Equal(t, []any{1, balancer.now + Second}, []any{health.ConsecutiveFailures, health.ProbeAfter})
 }
 
 // Regression test for a lost zone that is still listed: a request would use up its attempts there one by one.
-func TestLostZoneIsEjectedAndTriedAgain(t *testing.T) {
-	balancer, effects := newWarmBalancer(40, 1) // even workers in zone 0, odd ones in zone 1
-	balancer.config.zone, balancer.config.crossZoneCost, balancer.config.startNotices = 1, 0.01, false
-	lost := 0
+func TestLostZoneIsEjectedAndProbed(t *testing.T) {
+	const (
+		otherZone ZoneID = 0
+		lostZone  ZoneID = 1 // this dispatcher's own
+	)
+	balancer, effects := newWarmBalancer(40, 1)
+	balancer.config.zone = lostZone
+	balancer.config.crossZoneCost = 0.01
+	balancer.config.startNotices = false
+	lostAttempts := 0
 	for id := range RequestID(10) {
-		balancer.RequestArrived(id, Arrival{Operation: 2, Timeout: 20 * Second, SizeHint: 100})
-		balancer.RunDueRules()
-		for i := &balancer.requests.byID[id]; !i.closed; balancer.RunDueRules() {
-			f := len(i.attempts) - 1
-			if balancer.workers[i.attempts[f].worker].zone == 1 {
-				lost++
-				balancer.AttemptEnded(id, f, NoConnection, NoAnswer)
+		arrive(balancer, id, Arrival{Operation: zoneKeyedOp, Timeout: 20 * Second, SizeHint: 100})
+		for req := &balancer.requests.byID[id]; !req.closed; balancer.RunDueRules() {
+			latest := len(req.attempts) - 1
+			if zoneOfWorker(balancer, req.attempts[latest].worker) == lostZone {
+				lostAttempts++
+				balancer.AttemptEnded(id, latest, NoConnection, NoAnswer)
 				continue
 			}
-			balancer.AttemptEnded(id, f, Succeeded, FinalAnswer)
+			balancer.AttemptEnded(id, latest, Succeeded, FinalAnswer)
 		}
 	}
-	assert.Equal(t, outlier.ZoneThreshold, lost)
+	assert.Equal(t, outlier.ZoneThreshold, lostAttempts)
 	assert.NotContains(t, fmt.Sprint(effects.lines), "reject")
 	assert.NotContains(t, fmt.Sprint(effects.lines), "fail")
 
-	takes := func() WorkerID {
-		w, ok := balancer.pickWorker(&request{attemptLimit: 4, interval: bothIntervals, quotaWeight: 1, size: 100, deadline: never})
+	pick := func() WorkerID {
+		req := newPickableRequest(bothIntervals)
+		req.size = 100
+		picked, ok := balancer.pickWorker(req)
 		assert.True(t, ok)
-		return w
+		return picked
 	}
-	assert.Zero(t, balancer.workers[takes()].zone)
+	assert.Equal(t, otherZone, zoneOfWorker(balancer, pick()), "ejected")
 	balancer.SetTime(balancer.now + Second)
-	w := takes()
-	assert.Equal(t, ZoneID(1), balancer.workers[w].zone, "tried again")
-	balancer.recordZoneFailure(w)
-	assert.Equal(t, balancer.now+2*Second, balancer.zones[1].health.EjectedUntil, "later and later")
-	balancer.recordZoneSuccess(w)
-	assert.Equal(t, ZoneID(1), balancer.workers[takes()].zone, "what begins there ends it")
+	probed := pick()
+	assert.Equal(t, lostZone, zoneOfWorker(balancer, probed), "probed")
+	balancer.recordZoneFailure(probed)
+	assert.Equal(t, balancer.now+2*Second, balancer.zones[lostZone].health.EjectedUntil, "twice as long")
+	balancer.recordZoneSuccess(probed)
+	assert.Equal(t, lostZone, zoneOfWorker(balancer, pick()), "a start there ends the ejection")
 }
 
+// zoneOfWorker returns the zone of a worker.
+func zoneOfWorker(balancer *Balancer, id WorkerID) ZoneID { return balancer.workers[id].zone }
+
 func TestLastZoneIsNeverEjected(t *testing.T) {
 	balancer, _ := newWarmBalancer(1, 1)
 	for range 2 * outlier.ZoneThreshold {
@@ -99,85 +113,51 @@
 		balancer.recordZoneFailure(1)
 	}
 	assert.Greater(t, balancer.zones[0].health.EjectedUntil, balancer.now)
-	assert.LessOrEqual(t, balancer.zones[1].health.EjectedUntil, balancer.now)
+	assert.LessOrEqual(t, balancer.zones[1].health.EjectedUntil, balancer.now, "the last zone")
 }
 
-// Regression test for work that may not run again and is kept for many seconds from all workers of a zone that was cut off:
-// where what failed there never ran, its own failure there is harmless as well.
-func TestUnreachableWorkerIsProbedByNonIdempotentWork(t *testing.T) {
-	for outcome, soon := range map[Outcome]bool{NoConnection: true, ConnectionRefused: true, ConnectionReset: false, WorkerError: false} {
+// Regression test for requests that are not idempotent and for many seconds get no worker of a zone that was cut off.
+// Where the attempts that failed never ran, one of these requests would fail there without harm too.
+func TestUnreachableWorkerIsProbedByNonIdempotentRequests(t *testing.T) {
+	for _, c := range []struct {
+		outcome Outcome // of the attempts that failed
+		probes  bool    // a request that is not idempotent is the probe
+	}{
+		{outcome: NoConnection, probes: true},
+		{outcome: ConnectionRefused, probes: true},
+		{outcome: ConnectionReset, probes: false},
+		{outcome: WorkerError, probes: false},
+	} {
 		balancer, effects := newWarmBalancer(1, 1)
 		balancer.config.warmupDuration = 0
-		for id := RequestID(0); balancer.workers[0].health.ConsecutiveFailures < 2; id++ {
-			balancer.SetTime(max(balancer.now, balancer.workers[0].health.ProbeAfter))
-			balancer.RequestArrived(id, Arrival{Timeout: 20 * Second, SizeHint: 100})
-			balancer.RunDueRules()
-			balancer.AttemptEnded(id, 0, outcome, NoAnswer)
-			balancer.ClientLeft(id, NoAttempt)
-		}
+		failTwice(balancer, c.outcome)
+		health := &balancer.workers[0].health
 		effects.lines = nil
-		balancer.SetTime(balancer.workers[0].health.ProbeAfter)
-		balancer.RequestArrived(7, Arrival{Operation: 1, Timeout: 20 * Second, SizeHint: 100})
-		balancer.RunDueRules()
-		if soon {
-			assert.Equal(t, []string{"attempt 7 to 0"}, effects.lines, "outcome %d", outcome)
+		balancer.SetTime(health.ProbeAfter)
+		arrive(balancer, 7, Arrival{Operation: nonIdempotentOp, Timeout: 20 * Second, SizeHint: 100})
+		if c.probes {
+			assert.Equal(t, []string{"attempt 7 to 0"}, effects.lines, "outcome %d", c.outcome)
 			balancer.AttemptEnded(7, 0, NoConnection, NoAnswer)
-			balancer.SetTime(balancer.workers[0].health.ProbeAfter)
-			balancer.RequestArrived(8, Arrival{Timeout: 20 * Second, SizeHint: 100})
-			balancer.RunDueRules()
+			balancer.SetTime(health.ProbeAfter)
+			arrive(balancer, 8, Arrival{Timeout: 20 * Second, SizeHint: 100})
 			balancer.AttemptEnded(8, 0, WorkerError, NoAnswer)
-			assert.True(t, balancer.workers[0].health.PossiblyExecuted)
+			assert.True(t, health.PossiblyExecuted)
 		} else {
-			assert.Empty(t, effects.lines, "outcome %d", outcome)
+			assert.Empty(t, effects.lines, "outcome %d", c.outcome)
 		}
-		balancer.UpdateEndpoints([]Endpoint{{Worker: 0, ID: "w0", StartedAt: balancer.now}}, ChangedEndpoints, FromDiscovery)
-		assert.False(t, balancer.workers[0].health.PossiblyExecuted, "another process")
+		restarted := []Endpoint{{Worker: 0, ID: "w0", StartedAt: balancer.now}}
+		balancer.UpdateEndpoints(restarted, ChangedEndpoints, FromDiscovery)
+		assert.False(t, balancer.workers[0].health.PossiblyExecuted, "not by the new process")
 	}
 }
 
-// Regression test for a full worker that is tried again at once by all that is pending, as work that brings no hint
-// seems to take no time: the attempts that are allowed are used up on workers known to be full.
-func TestOverloadedWorkerRestsForAMeanRunAlsoWithoutHints(t *testing.T) {
-	for name, hint := range map[string]Work{"none": 0, "as long as it runs": Second / 2} {
-		t.Run(name, func(t *testing.T) {
-			balancer, _ := newWarmBalancer(2, 1)
-			balancer.config.startNotices = false
-			id := RequestID(0)
-			land := func() *attempt {
-				balancer.RequestArrived(id, Arrival{Operation: 0, Timeout: 30 * Second, SizeHint: hint})
-				balancer.RunDueRules()
-				id++
-				return &balancer.requests.byID[id-1].attempts[0]
-			}
-			for range 60 {
-				land()
-				balancer.SetTime(balancer.now + Second/2)
-				balancer.AttemptEnded(id-1, 0, Succeeded, FinalAnswer)
-				balancer.RunDueRules()
-			}
-			f := land()
-			balancer.AttemptEnded(id-1, 0, Overloaded, NoAnswer)
-			balancer.RunDueRules()
-			full := f.worker
-			assert.InDelta(t, Second/2, float64(balancer.workers[full].health.ProbeAfter-balancer.now), 0.1*Second)
-			assert.Len(t, balancer.requests.byID[id-1].attempts, 2, "it goes to the other one")
-			assert.NotEqual(t, full, balancer.requests.byID[id-1].attempts[1].worker)
-			assert.NotEqual(t, full, land().worker, "nor does another one go there")
-		})
-	}
-}
-
-// Where no request has a hint and none had run as they arrived, their mean size is nothing, and the first run tells.
-func TestOverloadedWorkerRestsForTheFirstRunSeen(t *testing.T) {
-	balancer, _ := newWarmBalancer(2, 1)
-	balancer.config.startNotices = false
-	for id := range RequestID(2) {
-		balancer.RequestArrived(id, Arrival{Timeout: 30 * Second})
-		balancer.RunDueRules()
+// failTwice has attempts at worker 0 fail until two failures in a row count.
+func failTwice(balancer *Balancer, outcome Outcome) {
+	health := &balancer.workers[0].health
+	for id := RequestID(0); health.ConsecutiveFailures < 2; id++ {
+		balancer.SetTime(max(balancer.now, health.ProbeAfter))
+		arrive(balancer, id, Arrival{Timeout: 20 * Second, SizeHint: 100})
+		balancer.AttemptEnded(id, 0, outcome, NoAnswer)
+		balancer.ClientLeft(id, NoAttempt)
 	}
-	balancer.SetTime(balancer.now + Second/2)
-	balancer.AttemptEnded(0, 0, Succeeded, FinalAnswer)
-	balancer.AttemptEnded(1, 0, Overloaded, NoAnswer)
-	overloaded := balancer.requests.get(1).attempts[0].worker
-	assert.Equal(t, balancer.now+Second/2, balancer.workers[overloaded].health.ProbeAfter)
 }
--- /dev/null
+++ b/internal/balancer/overload_test.go
@@ -0,0 +1,55 @@
+package balancer
+
+import (
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+)
+
+// Regression test for a full worker that all pending requests try again at once, as a request without a hint seems to
+// take no time: they use up their attempts on workers that are known to be full.
+func TestOverloadedWorkerBacksOffForAMeanRun(t *testing.T) {
+	const (
+		runTime     = Second / 2
+		earlierRuns = 60
+	)
+	for name, hint := range map[string]Work{"without hints": 0, "with hints of the run time": runTime} {
+		t.Run(name, func(t *testing.T) {
+			balancer, _ := newWarmBalancer(2, 1)
+			balancer.config.startNotices = false
+			submit := func(id RequestID) {
+				arrive(balancer, id, Arrival{Operation: idempotentOp, Timeout: 30 * Second, SizeHint: hint})
+			}
+			for id := range RequestID(earlierRuns) {
+				submit(id)
+				balancer.SetTime(balancer.now + runTime)
+				balancer.AttemptEnded(id, 0, Succeeded, FinalAnswer)
+				balancer.RunDueRules()
+			}
+			const rejected, next = RequestID(earlierRuns), RequestID(earlierRuns + 1)
+			submit(rejected)
+			full := targetOf(balancer, rejected, 0)
+			endAttempt(balancer, rejected, 0, Overloaded)
+			assert.InDelta(t, runTime, float64(balancer.workers[full].health.ProbeAfter-balancer.now), 0.1*Second)
+			assert.Len(t, balancer.requests.byID[rejected].attempts, 2, "its retry goes to the other worker")
+			assert.NotEqual(t, full, targetOf(balancer, rejected, 1))
+			submit(next)
+			assert.NotEqual(t, full, targetOf(balancer, next, 0), "nor is another request sent there")
+		})
+	}
+}
+
+// Without hints, and where none had run as requests arrived, their mean size is 0: the first run is taken.
+func TestOverloadedWorkerBacksOffForTheFirstRunSeen(t *testing.T) {
+	const runTime = Second / 2
+	balancer, _ := newWarmBalancer(2, 1)
+	balancer.config.startNotices = false
+	for id := range RequestID(2) {
+		arrive(balancer, id, Arrival{Timeout: 30 * Second})
+	}
+	balancer.SetTime(balancer.now + runTime)
+	balancer.AttemptEnded(0, 0, Succeeded, FinalAnswer)
+	balancer.AttemptEnded(1, 0, Overloaded, NoAnswer)
+	overloaded := targetOf(balancer, 1, 0)
+	assert.Equal(t, balancer.now+runTime, balancer.workers[overloaded].health.ProbeAfter)
+}
