--- a/internal/balancer/helper_test.go
+++ b/internal/balancer/helper_test.go
@@ -6,8 +6,6 @@
 	"testing"
 
 	"github.com/stretchr/testify/assert"
-
-	"canvasroute/internal/balancer/slotestimate"
 )
 
 // testStart is the moment at which the tests set the clock first.
@@ -209,11 +207,3 @@
 }
 
 func (r *recorder) Log(Event) {}
-
-// startOf is how an attempt starts.
-func startOf(atOnce bool) slotestimate.Start {
-	if atOnce {
-		return slotestimate.AtOnce
-	}
-	return slotestimate.Waited
-}
--- a/internal/balancer/slot_estimation_test.go
+++ b/internal/balancer/slot_estimation_test.go
@@ -8,27 +8,35 @@
 	"canvasroute/internal/balancer/slotestimate"
 )
 
-func TestSlotEstimateStandsOneFalseWait(t *testing.T) {
+// newVotingBalancer returns a Balancer without load reports: it learns slots from how attempts start. It also returns
+// a function by which attempts at a load start at once, or wait first.
+func newVotingBalancer() (*Balancer, func(load, times int, start slotestimate.Start)) {
 	balancer, _ := newWarmBalancer(2, 1)
 	balancer.config.reportFree = NotReported
-	vote := func(load int, atOnce ...bool) {
-		for _, v := range atOnce {
-			balancer.observeQueueing(0, load, startOf(v))
+	return balancer, func(load, times int, start slotestimate.Start) {
+		for range times {
+			balancer.observeQueueing(0, load, start)
 		}
 	}
-	vote(1, true, true)
-	vote(2, false) // an attempt that no peer had told of yet
-	assert.EqualValues(t, slotestimate.Initial, balancer.slots.kinds[0].Estimate)
-	vote(4, false, false)
-	assert.EqualValues(t, 3, balancer.slots.kinds[0].Estimate)
-	assert.EqualValues(t, 1, balancer.slots.kinds[0].MaxObserved)
-	vote(3, true, true)
-	vote(2, true, true, true)
-	assert.EqualValues(t, 3, balancer.slots.kinds[0].Estimate)
-	assert.EqualValues(t, 3, balancer.slots.kinds[0].MaxObserved, "twice seen")
 }
 
-// Regression test for a load report out of all proportion, after which no worker elsewhere was tried for long.
+func TestSlotEstimateIsNotLoweredByOneWait(t *testing.T) {
+	balancer, vote := newVotingBalancer()
+	kind := &balancer.slots.kinds[0]
+	vote(1, 2, slotestimate.AtOnce)
+	vote(2, 1, slotestimate.Waited) // as no peer had reported another attempt yet
+	assert.EqualValues(t, slotestimate.Initial, kind.Estimate)
+	vote(4, 2, slotestimate.Waited)
+	assert.EqualValues(t, 3, kind.Estimate)
+	assert.EqualValues(t, 1, kind.MaxObserved)
+	vote(3, 2, slotestimate.AtOnce)
+	vote(2, 3, slotestimate.AtOnce)
+	assert.EqualValues(t, 3, kind.Estimate)
+	assert.EqualValues(t, 3, kind.MaxObserved, "seen twice")
+}
+
+// Regression test for a load report out of all proportion, after which no worker whose load no peer reports was tried
+// for a long time.
 func TestNegativeLoadReportCountsAsNoFreeSlot(t *testing.T) {
 	balancer, _ := newWarmBalancer(1, 1)
 	balancer.ReceiveLoadReport(0, []float64{-1e9})
@@ -38,8 +46,7 @@
 func TestStartOnDeliveryIsAVoteForAFreeSlot(t *testing.T) {
 	balancer, _ := newDeliveryNoticesBalancer()
 	for id := range RequestID(4) {
-		balancer.RequestArrived(id, Arrival{Timeout: 10 * Second, SizeHint: 100})
-		balancer.RunDueRules()
+		arrive(balancer, id, Arrival{Timeout: 10 * Second, SizeHint: 100})
 		balancer.SetTime(balancer.now.Add(3 * balancer.config.patience))
 		balancer.AttemptDelivered(id, 0)
 		balancer.AttemptStarted(id, 0)
@@ -48,26 +55,21 @@
 	assert.Positive(t, balancer.slots.kinds[0].Votes[1], "starts at once at a load of one")
 }
 
-// Regression test for a budget for more slots than a kind has: by late news some attempts start at once at loads that
-// nearly all others wait at, and the most that was ever so voted for counted for good.
+// Regression test for a budget for more slots than a kind has. As load messages are late, some attempts start at once at
+// loads at which nearly all others wait, and the highest such load counted for good.
 func TestMaxObservedIsWhatVotesAgreeOn(t *testing.T) {
-	balancer, _ := newWarmBalancer(2, 1)
-	balancer.config.reportFree = NotReported // no reports tell
-	vote := func(load, times int, atOnce bool) {
-		for range times {
-			balancer.observeQueueing(0, load, startOf(atOnce))
-		}
-	}
-	vote(1, 10, true)
-	vote(2, 10, true)
-	vote(3, 6, true)
-	assert.EqualValues(t, 3, balancer.slots.kinds[0].MaxObserved)
-	vote(4, 2, true)
-	assert.EqualValues(t, 4, balancer.slots.kinds[0].MaxObserved, "for all that is known then")
-	vote(4, 3, false)
-	vote(5, 4, false)
-	vote(5, 2, true)
-	assert.EqualValues(t, 3, balancer.slots.kinds[0].MaxObserved)
-	vote(4, 5, true)
-	assert.EqualValues(t, 4, balancer.slots.kinds[0].MaxObserved)
+	balancer, vote := newVotingBalancer()
+	kind := &balancer.slots.kinds[0]
+	vote(1, 10, slotestimate.AtOnce)
+	vote(2, 10, slotestimate.AtOnce)
+	vote(3, 6, slotestimate.AtOnce)
+	assert.EqualValues(t, 3, kind.MaxObserved)
+	vote(4, 2, slotestimate.AtOnce)
+	assert.EqualValues(t, 4, kind.MaxObserved, "no attempt has waited at this load yet")
+	vote(4, 3, slotestimate.Waited)
+	vote(5, 4, slotestimate.Waited)
+	vote(5, 2, slotestimate.AtOnce)
+	assert.EqualValues(t, 3, kind.MaxObserved)
+	vote(4, 5, slotestimate.AtOnce)
+	assert.EqualValues(t, 4, kind.MaxObserved)
 }
--- /dev/null
+++ b/internal/balancer/warm_up_test.go
@@ -0,0 +1,56 @@
+package balancer
+
+import (
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+
+	"canvasroute/internal/balancer/polling"
+)
+
+// newIsolatedBalancer returns a Balancer that has a list from before its start, and whose first poll has failed.
+func newIsolatedBalancer() *Balancer {
+	balancer, _ := newWarmBalancer(4, 1)
+	balancer.config.gossip = true
+	balancer.polling = polling.NewSchedule(balancer.config.polling)
+	balancer.EndpointsUnavailable()
+	return balancer
+}
+
+// initialBudget is what a worker bears that has just started, in ticks of work. It takes the worker's whole budget.
+func initialBudget() Work {
+	return Work(testConfig.OverloadFactor * testConfig.InitialWarmup * float64(testConfig.WarmupWindow))
+}
+
+func TestIsolatedDispatcherSuspectsRestarts(t *testing.T) {
+	balancer := newIsolatedBalancer()
+	assert.False(t, balancer.withinWarmupBudget(0, initialBudget()))
+	balancer.ReceiveLoad(1, WorkerLoad{Worker: 3, InFlight: 1})
+	assert.True(t, balancer.withinWarmupBudget(0, initialBudget()), "a peer that has run for longer shares its load")
+	balancer.gossip.recordJuniorPeer(1)
+	assert.False(t, balancer.withinWarmupBudget(0, initialBudget()), "the peer has just started too")
+	balancer.gossip.recordPeer(1)
+	assert.False(t, balancer.withinWarmupBudget(0, initialBudget()), "what it sends later is no older")
+
+	balancer, target := newIsolatedBalancerAfterRun(1.6)
+	assert.False(t, balancer.withinWarmupBudget(target, initialBudget()), "a wrong hint may make a warming worker look so fast")
+	balancer, target = newIsolatedBalancerAfterRun(1.4)
+	other := (target + 1) % 4
+	assert.True(t, balancer.withinWarmupBudget(target, initialBudget()), "no warming worker is so fast")
+	assert.False(t, balancer.withinWarmupBudget(target, 2*initialBudget()), "else it would get all the largest requests")
+	assert.False(t, balancer.withinWarmupBudget(other, initialBudget()))
+	balancer.UpdateEndpoints(nil, ChangedEndpoints, FromDiscovery)
+	assert.True(t, balancer.withinWarmupBudget(other, initialBudget()), "a list that is watched names starts")
+}
+
+// newIsolatedBalancerAfterRun returns an isolated Balancer for which a worker has run a request for some times its size
+// hint, and the worker.
+func newIsolatedBalancerAfterRun(timesHint float64) (*Balancer, WorkerID) {
+	hint := initialBudget() / Work(testConfig.OverloadFactor)
+	balancer := newIsolatedBalancer()
+	arrive(balancer, 0, Arrival{Operation: idempotentOp, Timeout: 20 * Second, SizeHint: hint})
+	balancer.AttemptStarted(0, 0)
+	balancer.SetTime(balancer.now + Time(timesHint*float64(hint)))
+	balancer.AttemptEnded(0, 0, Succeeded, FinalAnswer)
+	return balancer, targetOf(balancer, 0, 0)
+}
