--- a/internal/balancer/migration_test.go
+++ b/internal/balancer/migration_test.go
@@ -9,7 +9,7 @@
 )
 
 // passed is a value as it is read at the other process.
-func passed[T any](t *testing.T, v T) (out T) {
+func jsonRoundTrip[T any](t *testing.T, v T) (out T) {
 	encoded, err := json.Marshal(v)
 	assert.NoError(t, err)
 	assert.NoError(t, json.Unmarshal(encoded, &out))
@@ -40,7 +40,7 @@
 		_, ok = handle.Export(0)
 		assert.False(t, ok, "once")
 
-		adopted, contexts := next.Import(passed(t, a))
+		adopted, contexts := next.Import(jsonRoundTrip(t, a))
 		assert.Equal(t, []WorkerLoad{{first.Worker, 1}}, next.InFlightFor(Predecessor))
 		assert.NoError(t, contexts[0].Err())
 		adopted.Report(0, ConnectionReset)
@@ -74,7 +74,7 @@
 	a, ok := old.Submit(Arrival{Timeout: 3 * Second}).Export(0)
 	assert.True(t, ok)
 	next, _ := newTestPicker(namedConfig(), 1)
-	handle, _ := next.Import(passed(t, a))
+	handle, _ := next.Import(jsonRoundTrip(t, a))
 	next.update(func(*Balancer) {})
 	assert.Equal(t, SendAttempt, pick(t, handle).Action)
 	assert.InDelta(t, 3, time.Until(handle.deadline).Seconds(), 0.5)
--- a/internal/balancer/picker_bench_test.go
+++ b/internal/balancer/picker_bench_test.go
@@ -6,101 +6,112 @@
 	"testing"
 )
 
-// BenchmarkLandPickReport is the cost of one request's decisions without any contention: arrival, picking,
+// benchmarkFleetSize is the number of workers of the largest benchmarks.
+const benchmarkFleetSize = 4096
+
+// BenchmarkServeRequest measures the decisions of one request without contention: its arrival, the choice of a worker,
 // the start notice and the report, beside requests that stay open. Run it with
 //
-//	go test ./internal/balancer -run '^$' -bench LandPickReport -benchmem
-func BenchmarkLandPickReport(b *testing.B) {
-	for _, workers := range []int{16, 256, 4096} {
+//	go test ./internal/balancer -run '^$' -bench ServeRequest -benchmem
+func BenchmarkServeRequest(b *testing.B) {
+	for _, workers := range []int{16, 256, benchmarkFleetSize} {
 		for _, open := range []int{0, 4, 16} {
 			b.Run(fmt.Sprintf("workers=%d/open=%d", workers, open), func(b *testing.B) {
-				picker := facadeWithOpen(b, workers, open)
+				picker := newPickerWithOpenRequests(b, workers, open)
 				b.ReportAllocs()
 				for b.Loop() {
-					carry(b, picker)
+					serveRequest(b, picker)
 				}
 			})
 		}
 	}
 }
 
-// facadeWithOpen has workers that are believed to have room for all that is open, and so many open on each. None
-// of those comes to its time while the clock stands still.
-func facadeWithOpen(b *testing.B, workers, open int) *Picker {
+// newPickerWithOpenRequests returns a Picker with running attempts at each worker, whose slots are estimated as more
+// than enough for these. No request is out of time while the clock does not advance.
+func newPickerWithOpenRequests(b *testing.B, workers, openPerWorker int) *Picker {
+	b.Helper()
+	const freeSlots = 8
 	picker, _ := newTestPicker(testConfig, workers)
-	picker.balancer.slots.kinds[0].Estimate = float64(open + 8)
-	picker.balancer.slots.kinds[0].MaxObserved = picker.balancer.slots.kinds[0].Estimate
-	for range workers * open {
-		t := picker.Submit(Arrival{Timeout: 1000 * Second, SizeHint: 100})
-		c, err := t.Pick(context.Background())
-		if err != nil || c.Action != SendAttempt {
-			b.Fatal("not sent: ", c, err)
-		}
-		t.ReportStarted(c.Attempt)
+	setSlots(picker.balancer, float64(openPerWorker+freeSlots))
+	for range workers * openPerWorker {
+		handle := picker.Submit(Arrival{Timeout: 1000 * Second, SizeHint: 100})
+		handle.ReportStarted(pickAttempt(b, handle).Attempt)
 	}
 	return picker
 }
 
-func carry(b *testing.B, picker *Picker) {
-	t := picker.Submit(Arrival{Timeout: 3 * Second, SizeHint: 100})
-	c, err := t.Pick(context.Background())
-	if err != nil || c.Action != SendAttempt {
-		b.Fatal("not sent: ", c, err)
-	}
-	t.ReportStarted(c.Attempt)
-	t.Report(c.Attempt, Succeeded)
-	if c, err = t.Pick(context.Background()); err != nil || c.Action != RespondResult {
-		b.Fatal("not answered: ", c, err)
+// pickAttempt returns the decision to send an attempt of a request.
+func pickAttempt(b *testing.B, handle *RequestHandle) Decision {
+	b.Helper()
+	decision, err := handle.Pick(context.Background())
+	if err != nil || decision.Action != SendAttempt {
+		b.Fatal("no attempt: ", decision, err)
 	}
+	return decision
 }
 
-// BenchmarkListRenewedWhole is a list of 4,096 workers that comes whole while 65,536 requests are open.
-func BenchmarkListRenewedWhole(b *testing.B) {
-	picker := facadeWithOpen(b, 4096, 16)
-	list := make([]Endpoint, 4096)
-	for w := range list {
-		list[w] = Endpoint{Worker: WorkerID(w), ID: fmt.Sprintf("w%d", w), Zone: ZoneID(w % 2), Cell: CellID(w)}
+// serveRequest takes a request from its arrival to its answer.
+func serveRequest(b *testing.B, picker *Picker) {
+	handle := picker.Submit(Arrival{Timeout: 3 * Second, SizeHint: 100})
+	decision, err := handle.Pick(context.Background())
+	if err != nil || decision.Action != SendAttempt {
+		b.Fatal("no attempt: ", decision, err)
 	}
+	handle.ReportStarted(decision.Attempt)
+	handle.Report(decision.Attempt, Succeeded)
+	decision, err = handle.Pick(context.Background())
+	if err != nil || decision.Action != RespondResult {
+		b.Fatal("no answer: ", decision, err)
+	}
+}
+
+// BenchmarkUpdateAllEndpoints measures a list of all of 4,096 workers that comes while 65,536 requests are open.
+func BenchmarkUpdateAllEndpoints(b *testing.B) {
+	picker := newPickerWithOpenRequests(b, benchmarkFleetSize, 16)
+	endpoints := testEndpoints(benchmarkFleetSize)
 	for b.Loop() {
-		picker.UpdateEndpoints(list, AllEndpoints, FromDiscovery)
+		picker.UpdateEndpoints(endpoints, AllEndpoints, FromDiscovery)
 	}
 }
 
-// BenchmarkLandingBesideHeld is a arrival and its end by its client where all 256 workers are full and 10,000 are
-// pending.
-func BenchmarkLandingBesideHeld(b *testing.B) {
-	picker := facadeWithOpen(b, 256, 8)
-	picker.balancer.slots.kinds[0].Estimate = 8
+// BenchmarkArrivalBesidePendingRequests measures a request that arrives and whose client leaves, while all 256 workers
+// are full and 10,000 requests are pending.
+func BenchmarkArrivalBesidePendingRequests(b *testing.B) {
+	const slots = 8
+	picker := newPickerWithOpenRequests(b, 256, slots)
+	picker.balancer.slots.kinds[0].Estimate = slots
 	for n := range 10000 {
 		picker.Submit(Arrival{Timeout: 1000 * Second, SizeHint: Work(100 + n%50)})
 	}
-	gone, cancel := context.WithCancel(context.Background())
-	cancel()
+	clientLeft, leave := context.WithCancel(context.Background())
+	leave()
 	for b.Loop() {
-		t := picker.Submit(Arrival{Timeout: 3 * Second, SizeHint: 100})
-		if _, err := t.Pick(gone); err == nil {
-			b.Fatal("it was not pending")
+		handle := picker.Submit(Arrival{Timeout: 3 * Second, SizeHint: 100})
+		if _, err := handle.Pick(clientLeft); err == nil {
+			b.Fatal("the request was not pending")
 		}
 	}
 }
 
-// BenchmarkAllWorkersCold is one request's way where each of 4,096 workers has just started.
-func BenchmarkAllWorkersCold(b *testing.B) {
+// BenchmarkAllWorkersWarming measures one request where each of 4,096 workers has just started.
+func BenchmarkAllWorkersWarming(b *testing.B) {
 	picker, now := newTestPicker(testConfig, 0)
-	var list []Endpoint
-	for w := range 4096 {
-		list = append(list, Endpoint{Worker: WorkerID(w), ID: fmt.Sprintf("w%d", w), StartedAt: *now - Second})
+	var endpoints []Endpoint
+	for id := range WorkerID(benchmarkFleetSize) {
+		endpoints = append(endpoints, Endpoint{Worker: id, ID: fmt.Sprintf("w%d", id), StartedAt: *now - Second})
 	}
-	picker.UpdateEndpoints(list, AllEndpoints, FromDiscovery)
+	picker.UpdateEndpoints(endpoints, AllEndpoints, FromDiscovery)
 	for b.Loop() {
-		*now += 10 // what was sent counts no more after the span
-		carry(b, picker)
+		*now += 10 // so that attempts leave the warm-up window
+		serveRequest(b, picker)
 	}
 }
 
-// BenchmarkSweep goes through 65,536 open requests, as every tenth of the shortest objective.
-func BenchmarkSweep(b *testing.B) {
-	picker := facadeWithOpen(b, 4096, 16)
+// BenchmarkReviewOpenRequests measures the review of 65,536 open requests. One is due in each tenth of the shortest
+// latency objective.
+func BenchmarkReviewOpenRequests(b *testing.B) {
+	picker := newPickerWithOpenRequests(b, benchmarkFleetSize, 16)
 	for b.Loop() {
 		picker.balancer.reviewOpenRequests()
 	}
--- a/internal/balancer/reconfigure_test.go
+++ b/internal/balancer/reconfigure_test.go
@@ -8,89 +8,80 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// namedConfig are testConfig with names: o0, o1 and so on, and a tenant alone.
+// namedConfig returns testConfig with the operations named o0, o1 and so on, and one tenant named a.
 func namedConfig() Config {
-	t := testConfig
-	t.Operations, t.Tenants = slices.Clone(t.Operations), []TenantConfig{{Quota: 1e9, Name: "a"}}
-	for n := range t.Operations {
-		t.Operations[n].Name = fmt.Sprint("o", n)
+	config := testConfig
+	config.Operations = slices.Clone(config.Operations)
+	config.Tenants = []TenantConfig{{Quota: 1e9, Name: "a"}}
+	for n := range config.Operations {
+		config.Operations[n].Name = fmt.Sprint("o", n)
 	}
-	return t
+	return config
 }
 
-// newReconfigured has two warm workers and a request of the first operation, idempotent, whose first attempt is
-// out.
+// newReconfigured returns a Balancer with namedConfig, two warm workers and an idempotent request 0 whose first attempt
+// is in flight.
 func newReconfigured(t *testing.T) (*Balancer, *recorder) {
-	effects := &recorder{}
-	balancer := New(namedConfig(), 1, effects)
-	balancer.SetTime(100 * Second)
-	balancer.UpdateEndpoints([]Endpoint{{Worker: 0, ID: "a"}, {Worker: 1, ID: "b"}}, AllEndpoints, FromDiscovery)
-	balancer.RequestArrived(0, Arrival{Operation: 0, Timeout: 5 * Second, SizeHint: 100})
-	balancer.RunDueRules()
+	t.Helper()
+	balancer, effects := newTestBalancer(namedConfig(), 1, []Endpoint{{Worker: 0, ID: "a"}, {Worker: 1, ID: "b"}})
+	arrive(balancer, 0, Arrival{Operation: idempotentOp, Timeout: 5 * Second, SizeHint: 100})
 	assert.Len(t, balancer.requests.byID[0].attempts, 1)
 	return balancer, effects
 }
 
-// Regression test for work that changes its class under way: what may be repeated, and what may not, is what it
-// arrived as.
+// Regression test for a request whose idempotency changes while it is open. It keeps that with which it arrived.
 func TestOpenRequestKeepsTheConfigurationItArrivedWith(t *testing.T) {
+	const replacement OperationID = 5
 	balancer, effects := newReconfigured(t)
 	stricter := namedConfig()
-	stricter.Operations[0].Idempotency = NonIdempotent
+	stricter.Operations[idempotentOp].Idempotency = NonIdempotent
 	numbers := balancer.Reconfigure(stricter).Operations
-	assert.Equal(t, []OperationID{5, 1, 2, 3, 4}, numbers, "those that are as they were keep their numbers")
-	balancer.RequestArrived(1, Arrival{Operation: numbers[0], Timeout: 5 * Second, SizeHint: 100})
-	balancer.RunDueRules()
-	balancer.AttemptEnded(1, 0, ConnectionReset, NoAnswer)
-	balancer.RunDueRules()
+	assert.Equal(t, []OperationID{replacement, 1, 2, 3, 4}, numbers, "unchanged operations keep their numbers")
+	arrive(balancer, 1, Arrival{Operation: replacement, Timeout: 5 * Second, SizeHint: 100})
+	endAttempt(balancer, 1, 0, ConnectionReset)
 	assert.Contains(t, effects.lines, "fail 1", "it may not run again")
-	balancer.AttemptEnded(0, 0, ConnectionReset, NoAnswer)
-	balancer.RunDueRules()
-	assert.Len(t, balancer.requests.byID[0].attempts, 2, "this one may")
-	assert.Equal(t, balancer.operations.byID[0].longestTimeout, balancer.operations.byID[5].longestTimeout, "it goes on with what was learned")
-	assert.Equal(t, []OperationID{0, 1, 2, 3, 4}, balancer.Reconfigure(namedConfig()).Operations, "a class that is back as it was")
-	gone := namedConfig()
-	gone.Operations = gone.Operations[4:]
-	assert.Equal(t, []OperationID{4}, balancer.Reconfigure(gone).Operations)
+	endAttempt(balancer, 0, 0, ConnectionReset)
+	assert.Len(t, balancer.requests.byID[0].attempts, 2, "it may run again")
+	longestTimeout := func(id OperationID) Duration { return balancer.operations.byID[id].longestTimeout }
+	assert.Equal(t, longestTimeout(idempotentOp), longestTimeout(replacement), "statistics are kept")
+	restored := balancer.Reconfigure(namedConfig()).Operations
+	assert.Equal(t, []OperationID{0, 1, 2, 3, 4}, restored, "an operation that is as before has its number again")
+	onlyLast := namedConfig()
+	onlyLast.Operations = onlyLast.Operations[4:]
+	assert.Equal(t, []OperationID{4}, balancer.Reconfigure(onlyLast).Operations)
 	balancer.AttemptEnded(0, 1, Succeeded, FinalAnswer)
-	assert.True(t, balancer.requests.byID[0].closed, "its class is no longer there")
+	assert.True(t, balancer.requests.byID[0].closed, "its operation is no longer configured")
 }
 
 func TestLowerAttemptLimitBindsAtOnceAndHigherDoesNot(t *testing.T) {
 	balancer, effects := newReconfigured(t)
-	few := namedConfig()
-	few.MaxAttempts = 1
-	balancer.Reconfigure(few)
-	balancer.AttemptEnded(0, 0, Overloaded, NoAnswer)
-	balancer.RunDueRules()
+	oneAttempt := namedConfig()
+	oneAttempt.MaxAttempts = 1
+	balancer.Reconfigure(oneAttempt)
+	endAttempt(balancer, 0, 0, Overloaded)
 	assert.Contains(t, effects.lines, "reject 0, retry after 20000")
-	balancer.RequestArrived(0, Arrival{Operation: 0, Timeout: 5 * Second, SizeHint: 100})
-	balancer.RunDueRules()
+	arrive(balancer, 0, Arrival{Operation: idempotentOp, Timeout: 5 * Second, SizeHint: 100})
 	balancer.Reconfigure(namedConfig())
 	assert.Len(t, balancer.requests.byID[0].attempts, 1)
-	balancer.AttemptEnded(0, 0, Overloaded, NoAnswer)
-	balancer.RunDueRules()
-	assert.True(t, balancer.requests.byID[0].closed, "it arrived when one was allowed")
+	endAttempt(balancer, 0, 0, Overloaded)
+	assert.True(t, balancer.requests.byID[0].closed, "one attempt was allowed as it arrived")
 	balancer.SetTime(balancer.now + 2*Second)
-	balancer.RequestArrived(1, Arrival{Operation: 0, Timeout: 5 * Second, SizeHint: 100})
-	balancer.RunDueRules()
-	balancer.AttemptEnded(1, 0, Overloaded, NoAnswer)
-	balancer.RunDueRules()
+	arrive(balancer, 1, Arrival{Operation: idempotentOp, Timeout: 5 * Second, SizeHint: 100})
+	endAttempt(balancer, 1, 0, Overloaded)
 	assert.Len(t, balancer.requests.byID[1].attempts, 2)
 }
 
-// Regression test for a request that waits for a worker it may no longer be sent to.
+// Regression test for a request that waits for a worker though it may have no further attempt.
 func TestRequestWithoutAttemptsLeftIsRejectedAtOnce(t *testing.T) {
 	balancer, effects := newReconfigured(t)
-	for w := range balancer.workers { // the others are full too
-		balancer.workers[w].health.ProbeAfter = balancer.now + 4*Second
+	for id := range balancer.workers {
+		balancer.workers[id].health.ProbeAfter = balancer.now + 4*Second
 	}
-	balancer.AttemptEnded(0, 0, Overloaded, NoAnswer)
-	balancer.RunDueRules()
+	endAttempt(balancer, 0, 0, Overloaded)
 	assert.True(t, balancer.requests.byID[0].queued)
-	few := namedConfig()
-	few.MaxAttempts = 1
-	balancer.Reconfigure(few)
+	oneAttempt := namedConfig()
+	oneAttempt.MaxAttempts = 1
+	balancer.Reconfigure(oneAttempt)
 	assert.Contains(t, effects.lines, "reject 0, retry after 20000")
 }
 
@@ -101,12 +92,13 @@
 	for range 100 {
 		balancer.quotaWeight(1)
 	}
-	next := first
-	next.Tenants = []TenantConfig{{Quota: 2, Name: "b"}, {Quota: 2, Name: "c"}}
-	numbers := balancer.Reconfigure(next).Tenants
-	assert.Equal(t, []TenantID{1, 2}, numbers, "each name keeps its number for good")
-	assert.Less(t, balancer.quotaWeight(numbers[0]), 1.0, "beyond its share, also at another place")
+	second := first
+	second.Tenants = []TenantConfig{{Quota: 2, Name: "b"}, {Quota: 2, Name: "c"}}
+	numbers := balancer.Reconfigure(second).Tenants
+	assert.Equal(t, []TenantID{1, 2}, numbers, "each name keeps its number")
+	assert.Less(t, balancer.quotaWeight(numbers[0]), 1.0, "beyond its quota, though its place in the list has changed")
 	assert.Equal(t, 1.0, balancer.quotaWeight(numbers[1]))
-	assert.Equal(t, 1.0, balancer.quotaWeight(0), "what still arrives by the old names is booked on its own tenant")
-	assert.Equal(t, []TenantID{0}, balancer.Reconfigure(Config{Dispatchers: 2, Tenants: first.Tenants[:1]}).Tenants)
+	assert.Equal(t, 1.0, balancer.quotaWeight(0), "requests that arrive under the old numbers count for their own tenant")
+	onlyFirst := Config{Dispatchers: 2, Tenants: first.Tenants[:1]}
+	assert.Equal(t, []TenantID{0}, balancer.Reconfigure(onlyFirst).Tenants)
 }
--- a/internal/balancer/snapshot_test.go
+++ b/internal/balancer/snapshot_test.go
@@ -7,53 +7,72 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// Regression test for a successor that begins with nothing: eight slots believed, and every failure to be found
-// out again.
+// Regression test for a successor that begins with nothing: it would go by eight slots, and each failing worker and zone
+// would have to fail again.
 func TestSnapshotIsRestored(t *testing.T) {
 	config := namedConfig()
-	config.ReportFree, config.Gossip = -1, true
-	old, now := newTestPicker(config, 4)
-	old.update(func(balancer *Balancer) {
-		balancer.slots.kinds[0].Votes, balancer.slots.kinds[0].MaxObserved = []int{0, 2, 2, 5, -9, -9}, 3
-		balancer.setSlotEstimate(0, 3)
-		balancer.workers[2].health.ConsecutiveFailures, balancer.workers[2].health.ProbeAfter, balancer.zones[1].health.EjectedUntil, balancer.zones[1].health.Failures = 2, balancer.now+Second, balancer.now+Second, 4
-		for n := range 60 {
-			balancer.observeSize(Work(100 + n))
-		}
-		balancer.ReceiveLoad(1, WorkerLoad{3, 2})
-		balancer.quotaWeight(0)
-		balancer.operations.byID[1].requestedWork, balancer.operations.byID[1].longestTimeout = 700, 9*Second
-	})
-	next, at := newTestPicker(config, 4)
-	*at = *now
-	next.Restore(passed(t, old.Snapshot()))
-	balancer, was := next.balancer, old.balancer
-	for _, pair := range [][2]any{
-		{was.slots, balancer.slots},
-		{failures(was), failures(balancer)},
-		{was.zones, balancer.zones},
-		{was.sizes.Sample(), balancer.sizes.Sample()},
-		{was.tenants.Usage(), balancer.tenants.Usage()},
-		{was.operations.byID, balancer.operations.byID},
-		{peersInFlight(was), peersInFlight(balancer)},
+	config.ReportFree = NotReported
+	config.Gossip = true
+	predecessor, predecessorNow := newTestPicker(config, 4)
+	predecessor.update(learnSomething)
+	successor, successorNow := newTestPicker(config, 4)
+	*successorNow = *predecessorNow
+	successor.Restore(jsonRoundTrip(t, predecessor.Snapshot()))
+	before := predecessor.balancer
+	after := successor.balancer
+	for name, pair := range map[string]struct{ before, after any }{
+		"slots":          {before.slots, after.slots},
+		"failures":       {workerFailures(before), workerFailures(after)},
+		"zones":          {before.zones, after.zones},
+		"sizes":          {before.sizes.Sample(), after.sizes.Sample()},
+		"quotas":         {before.tenants.Usage(), after.tenants.Usage()},
+		"operations":     {before.operations.byID, after.operations.byID},
+		"loads of peers": {peersInFlight(before), peersInFlight(after)},
 	} {
-		assert.Equal(t, fmt.Sprint(pair[0]), fmt.Sprint(pair[1]))
+		assert.Equal(t, fmt.Sprint(pair.before), fmt.Sprint(pair.after), name)
 	}
-	_, avoided := next.WorkerCounts()
-	assert.Equal(t, 3, avoided, "one that failed, and two in a zone that is taken for lost")
+	_, ejected := successor.WorkerCounts()
+	assert.Equal(t, 3, ejected, "one worker, and two in an ejected zone")
 }
 
-// failures are the failures in a row at each worker, and when it is tried again.
-func failures(balancer *Balancer) (all [][2]int) {
-	for _, w := range balancer.workers {
-		all = append(all, [2]int{w.health.ConsecutiveFailures, int(w.health.ProbeAfter)})
+// learnSomething gives a Balancer something to keep of each kind.
+func learnSomething(balancer *Balancer) {
+	balancer.slots.kinds[0].Votes = []int{0, 2, 2, 5, -9, -9}
+	balancer.slots.kinds[0].MaxObserved = 3
+	balancer.setSlotEstimate(0, 3)
+	balancer.workers[2].health.ConsecutiveFailures = 2
+	balancer.workers[2].health.ProbeAfter = balancer.now + Second
+	balancer.zones[1].health.EjectedUntil = balancer.now + Second
+	balancer.zones[1].health.Failures = 4
+	for n := range 60 {
+		balancer.observeSize(Work(100 + n))
 	}
-	return all
+	balancer.ReceiveLoad(1, WorkerLoad{Worker: 3, InFlight: 2})
+	balancer.quotaWeight(0)
+	balancer.operations.byID[nonIdempotentOp].requestedWork = 700
+	balancer.operations.byID[nonIdempotentOp].longestTimeout = 9 * Second
 }
 
-func peersInFlight(balancer *Balancer) (all []int) {
-	for _, w := range balancer.workers {
-		all = append(all, w.gossip.peerInFlight)
+// workerFailure is what failures have shown of one worker.
+type workerFailure struct {
+	consecutive int
+	probeAfter  Time
+}
+
+func workerFailures(balancer *Balancer) (failures []workerFailure) {
+	for _, known := range balancer.workers {
+		failures = append(failures, workerFailure{
+			consecutive: known.health.ConsecutiveFailures,
+			probeAfter:  known.health.ProbeAfter,
+		})
+	}
+	return failures
+}
+
+// peersInFlight returns the attempts of peers in flight, by WorkerID.
+func peersInFlight(balancer *Balancer) (inFlight []int) {
+	for _, known := range balancer.workers {
+		inFlight = append(inFlight, known.gossip.peerInFlight)
 	}
-	return all
+	return inFlight
 }
