--- a/internal/balancer/migration_test.go
+++ b/internal/balancer/migration_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// passed is a value as it is read at the other process.
+// jsonRoundTrip returns a value as another process reads it.
 func jsonRoundTrip[T any](t *testing.T, v T) (out T) {
 	encoded, err := json.Marshal(v)
 	assert.NoError(t, err)
@@ -16,12 +16,15 @@
 	return out
 }
 
-// Regression test for an effect that happens twice, or a repeat that is not made, because another process goes on.
+// Regression test for a request that is executed twice, or not retried, because another process continues it.
 func TestMigratedRequestKeepsItsConfigurationAndAttempts(t *testing.T) {
 	for _, c := range []struct {
 		operation OperationID
-		want      Action
-	}{{0, SendAttempt}, {1, RespondFailed}} {
+		want      Action // after its attempt was cut off
+	}{
+		{operation: idempotentOp, want: SendAttempt},
+		{operation: nonIdempotentOp, want: RespondFailed},
+	} {
 		old, _ := newTestPicker(namedConfig(), 4)
 		next, _ := newTestPicker(Config{
 			Dispatchers: 2, Kinds: 1, MaxAttempts: 4, ReportInFlight: NotReported, ReportQueue: NotReported,
@@ -30,22 +33,22 @@
 		handle := old.Submit(Arrival{Operation: c.operation, Timeout: 3 * Second})
 		first := pick(t, handle)
 		_, ok := handle.Export(0)
-		assert.False(t, ok, "an attempt is in flight that does not stand still")
-		a, ok := handle.Export(1)
+		assert.False(t, ok, "an attempt is in flight that was not counted")
+		migrated, ok := handle.Export(1)
 		assert.True(t, ok)
 		assert.Equal(t, RespondElsewhere, pick(t, handle).Action)
 		assert.Equal(t, 0, old.OpenRequests())
 		assert.Empty(t, old.InFlightFor(Successor))
-		assert.False(t, handle.Report(first.Attempt, Succeeded), "the other one's to report")
+		assert.False(t, handle.Report(first.Attempt, Succeeded), "the other process reports it")
 		_, ok = handle.Export(0)
-		assert.False(t, ok, "once")
+		assert.False(t, ok, "a request is exported once")
 
-		adopted, contexts := next.Import(jsonRoundTrip(t, a))
+		adopted, contexts := next.Import(jsonRoundTrip(t, migrated))
 		assert.Equal(t, []WorkerLoad{{first.Worker, 1}}, next.InFlightFor(Predecessor))
 		assert.NoError(t, contexts[0].Err())
 		adopted.Report(0, ConnectionReset)
 		got := pick(t, adopted)
-		assert.Equal(t, c.want, got.Action, "its class is not known here")
+		assert.Equal(t, c.want, got.Action, "its operation is not configured here")
 		if got.Action == SendAttempt {
 			assert.Equal(t, 1, got.Attempt)
 			adopted.Report(1, Succeeded)
@@ -55,8 +58,8 @@
 	}
 }
 
-// Regression test for an operation that has another number at one shard than at the others, once new terms
-// come: what arrives there would be repeated, or not, as another one.
+// Regression test for an operation that has another number at one shard than at the others, once the configuration
+// changes: requests there would be treated as those of another operation.
 func TestAllShardsNumberMigratedOperationsAlike(t *testing.T) {
 	now := Time(100 * Second)
 	s := NewShards(namedConfig(), 2, 1, func() Time { return now }, func(Event) {})
@@ -71,10 +74,10 @@
 
 func TestPendingRequestIsMigrated(t *testing.T) {
 	old, _ := newTestPicker(namedConfig(), 0)
-	a, ok := old.Submit(Arrival{Timeout: 3 * Second}).Export(0)
+	migrated, ok := old.Submit(Arrival{Timeout: 3 * Second}).Export(0)
 	assert.True(t, ok)
 	next, _ := newTestPicker(namedConfig(), 1)
-	handle, _ := next.Import(jsonRoundTrip(t, a))
+	handle, _ := next.Import(jsonRoundTrip(t, migrated))
 	next.update(func(*Balancer) {})
 	assert.Equal(t, SendAttempt, pick(t, handle).Action)
 	assert.InDelta(t, 3, time.Until(handle.deadline).Seconds(), 0.5)
--- a/internal/balancer/picker_test.go
+++ b/internal/balancer/picker_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"fmt"
 	"sync"
 	"testing"
 	"time"
@@ -10,38 +9,36 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// newTestPicker has n warm workers and a clock that the test sets.
-func newTestPicker(t Config, n int) (*Picker, *Time) {
-	now := Time(100 * Second)
-	picker := NewPicker(t, 1, func() Time { return now }, func(Event) {})
-	var list []Endpoint
-	for w := range n {
-		list = append(list, Endpoint{Worker: WorkerID(w), ID: fmt.Sprintf("w%d", w), Zone: ZoneID(w % 2), Cell: CellID(w)})
-	}
-	picker.UpdateEndpoints(list, AllEndpoints, FromDiscovery)
+// newTestPicker returns a Picker with the warm workers of testEndpoints, and its clock, which the test sets.
+func newTestPicker(config Config, workers int) (*Picker, *Time) {
+	now := testStart
+	picker := NewPicker(config, 1, func() Time { return now }, func(Event) {})
+	picker.UpdateEndpoints(testEndpoints(workers), AllEndpoints, FromDiscovery)
 	return picker, &now
 }
 
+// pick returns the next decision for a request, which has to come within 5 s.
 func pick(t *testing.T, handle *RequestHandle) Decision {
+	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
-	c, err := handle.Pick(ctx)
+	decision, err := handle.Pick(ctx)
 	assert.NoError(t, err)
-	return c
+	return decision
 }
 
 func TestPickSendsAndThenRespondsWithTheAttemptThatSucceeded(t *testing.T) {
 	picker, _ := newTestPicker(testConfig, 2)
 	handle := picker.Submit(Arrival{Timeout: 3 * Second})
-	c := pick(t, handle)
-	assert.Equal(t, SendAttempt, c.Action)
-	assert.Equal(t, Idempotent, c.Idempotency)
-	assert.Equal(t, NonIdempotent, pick(t, picker.Submit(Arrival{Operation: 1, Timeout: 3 * Second})).Idempotency)
-	assert.NoError(t, c.Ctx.Err())
-	assert.True(t, handle.Report(c.Attempt, Succeeded))
-	assert.Equal(t, Decision{Action: RespondResult, Attempt: c.Attempt}, pick(t, handle))
-	assert.Equal(t, 1, picker.OpenRequests(), "the other one")
-	assert.False(t, handle.Report(c.Attempt, Succeeded), "a second report counts for nothing")
+	decision := pick(t, handle)
+	assert.Equal(t, SendAttempt, decision.Action)
+	assert.Equal(t, Idempotent, decision.Idempotency)
+	assert.Equal(t, NonIdempotent, pick(t, picker.Submit(Arrival{Operation: nonIdempotentOp, Timeout: 3 * Second})).Idempotency)
+	assert.NoError(t, decision.Ctx.Err())
+	assert.True(t, handle.Report(decision.Attempt, Succeeded))
+	assert.Equal(t, Decision{Action: RespondResult, Attempt: decision.Attempt}, pick(t, handle))
+	assert.Equal(t, 1, picker.OpenRequests(), "the other request")
+	assert.False(t, handle.Report(decision.Attempt, Succeeded), "a second report has no effect")
 }
 
 func TestPickRejectsWhereThereIsNoWorkerInTime(t *testing.T) {
@@ -55,49 +52,49 @@
 
 func TestNonIdempotentRequestThatMayHaveRunFails(t *testing.T) {
 	picker, _ := newTestPicker(testConfig, 4)
-	handle := picker.Submit(Arrival{Operation: 1, Timeout: 3 * Second})
+	handle := picker.Submit(Arrival{Operation: nonIdempotentOp, Timeout: 3 * Second})
 	handle.Report(pick(t, handle).Attempt, ConnectionReset)
 	assert.Equal(t, RespondFailed, pick(t, handle).Action)
 }
 
 func TestNonIdempotentRequestThatNeverRanIsSentAgain(t *testing.T) {
 	picker, _ := newTestPicker(testConfig, 4)
-	handle := picker.Submit(Arrival{Operation: 1, Timeout: 3 * Second})
+	handle := picker.Submit(Arrival{Operation: nonIdempotentOp, Timeout: 3 * Second})
 	handle.Report(pick(t, handle).Attempt, NoConnection)
 	assert.Equal(t, SendAttempt, pick(t, handle).Action)
 }
 
 func TestRepeatHasToBeSentBeforeTheDedupWindowCloses(t *testing.T) {
-	const zoned, step = OperationID(2), Second / 4
-	window := testConfig.Operations[zoned].DedupWindow
+	const step = Second / 4
+	window := testConfig.Operations[zoneKeyedOp].DedupWindow
 	for name, c := range map[string]struct {
-		op   OperationID
-		ends []Outcome // of the attempts before the last one, a step apart
-		left Duration  // of the window as the last one is decided on, 0 for no bound
+		operation OperationID
+		ends      []Outcome // of the attempts before the last one, a step apart
+		left      Duration  // of the dedup window as the last one is decided on, 0 for no bound
 	}{
-		"the first attempt":                     {op: zoned},
-		"after one that may have run":           {zoned, []Outcome{ConnectionReset}, window - step},
-		"after one that never ran":              {zoned, []Outcome{NoConnection}, 0},
-		"after one that never ran, and another": {zoned, []Outcome{NoConnection, ConnectionReset}, window - step},
-		"where it may run again anyway":         {0, []Outcome{ConnectionReset}, 0},
+		"the first attempt":                     {operation: zoneKeyedOp},
+		"after one that may have run":           {operation: zoneKeyedOp, ends: []Outcome{ConnectionReset}, left: window - step},
+		"after one that never ran":              {operation: zoneKeyedOp, ends: []Outcome{NoConnection}},
+		"after one that never ran, and another": {operation: zoneKeyedOp, ends: []Outcome{NoConnection, ConnectionReset}, left: window - step},
+		"where it may run again anyway":         {operation: idempotentOp, ends: []Outcome{ConnectionReset}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			picker, now := newTestPicker(testConfig, 8)
-			handle := picker.Submit(Arrival{Operation: c.op, Timeout: 30 * Second})
-			choice := pick(t, handle)
+			handle := picker.Submit(Arrival{Operation: c.operation, Timeout: 30 * Second})
+			decision := pick(t, handle)
 			var before time.Time
 			for _, outcome := range c.ends {
 				*now += step
 				before = time.Now()
-				handle.Report(choice.Attempt, outcome)
-				choice = pick(t, handle)
+				handle.Report(decision.Attempt, outcome)
+				decision = pick(t, handle)
 			}
 			if c.left == 0 {
-				assert.Zero(t, choice.SendBy)
+				assert.Zero(t, decision.SendBy)
 				return
 			}
 			left := (c.left - picker.balancer.config.margin).Standard()
-			assert.WithinRange(t, choice.SendBy, before.Add(left), time.Now().Add(left))
+			assert.WithinRange(t, decision.SendBy, before.Add(left), time.Now().Add(left))
 		})
 	}
 }
@@ -105,18 +102,18 @@
 func TestClientThatLeavesCancelsItsAttempts(t *testing.T) {
 	picker, _ := newTestPicker(testConfig, 2)
 	handle := picker.Submit(Arrival{Timeout: 3 * Second})
-	c := pick(t, handle)
-	gone, leave := context.WithCancel(context.Background())
+	decision := pick(t, handle)
+	clientLeft, leave := context.WithCancel(context.Background())
 	leave()
-	_, err := handle.Pick(gone)
+	_, err := handle.Pick(clientLeft)
 	assert.ErrorIs(t, err, context.Canceled)
-	assert.ErrorIs(t, context.Cause(c.Ctx), ErrAttemptCanceled)
+	assert.ErrorIs(t, context.Cause(decision.Ctx), ErrAttemptCanceled)
 	assert.Equal(t, 1, picker.OpenRequests(), "its number is not used again before the attempt has reported")
-	handle.Report(c.Attempt, Canceled)
+	handle.Report(decision.Attempt, Canceled)
 	assert.Equal(t, 0, picker.OpenRequests())
 }
 
-// Regression test for numbers that never come free: a choice that nobody picks has nobody to report it.
+// Regression test for numbers that are never freed: nobody reports an attempt that nobody has picked.
 func TestUnpickedAttemptIsReportedWhenTheClientLeaves(t *testing.T) {
 	picker, _ := newTestPicker(testConfig, 2)
 	handle := picker.Submit(Arrival{Timeout: 3 * Second})
@@ -125,7 +122,7 @@
 	assert.Equal(t, 0, picker.balancer.workers[0].inFlight+picker.balancer.workers[1].inFlight)
 }
 
-// Regression test for an attempt that goes out after the answer, where attempts may not be canceled.
+// Regression test for an attempt that is sent after the answer, where attempts may not be canceled.
 func TestAttemptNotPickedBeforeTheAnswerIsNeverSent(t *testing.T) {
 	config := testConfig
 	config.Cancellation = false
@@ -151,14 +148,14 @@
 func TestStopAfterAnswersOpenRequestsBeforeTheProcessEnds(t *testing.T) {
 	picker, now := newTestPicker(testConfig, 2)
 	idempotent := picker.Submit(Arrival{Timeout: 30 * Second})
-	once := picker.Submit(Arrival{Operation: 1, Timeout: 30 * Second})
+	nonIdempotent := picker.Submit(Arrival{Operation: nonIdempotentOp, Timeout: 30 * Second})
 	assert.Equal(t, SendAttempt, pick(t, idempotent).Action)
-	assert.Equal(t, SendAttempt, pick(t, once).Action)
+	assert.Equal(t, SendAttempt, pick(t, nonIdempotent).Action)
 	picker.StopAfter(3 * Second)
 	*now += 3 * Second
 	picker.update(func(*Balancer) {})
 	assert.Equal(t, RespondRejected, pick(t, idempotent).Action)
-	assert.Equal(t, RespondFailed, pick(t, once).Action)
+	assert.Equal(t, RespondFailed, pick(t, nonIdempotent).Action)
 }
 
 func TestRunAppliesRulesAsTheyComeDue(t *testing.T) {
@@ -185,13 +182,13 @@
 		clients.Go(func() {
 			handle := picker.Submit(Arrival{Operation: OperationID(n % len(testConfig.Operations)), Timeout: 3 * Second})
 			for {
-				c := pick(t, handle)
-				if c.Action != SendAttempt {
+				decision := pick(t, handle)
+				if decision.Action != SendAttempt {
 					return
 				}
-				handle.ReportStarted(c.Attempt)
-				handle.Report(c.Attempt, []Outcome{Succeeded, Overloaded, Succeeded, WorkerError}[(n+c.Attempt)%4])
-				picker.ReceiveLoad(1, WorkerLoad{Worker: c.Worker, InFlight: n % 3})
+				handle.ReportStarted(decision.Attempt)
+				handle.Report(decision.Attempt, []Outcome{Succeeded, Overloaded, Succeeded, WorkerError}[(n+decision.Attempt)%4])
+				picker.ReceiveLoad(1, WorkerLoad{Worker: decision.Worker, InFlight: n % 3})
 			}
 		})
 	}
@@ -199,57 +196,58 @@
 	cancel()
 	assert.NoError(t, <-ended)
 	assert.Equal(t, 0, picker.OpenRequests())
-	assert.Zero(t, picker.balancer.workers[0].inFlight+picker.balancer.workers[1].inFlight+picker.balancer.workers[2].inFlight+picker.balancer.workers[3].inFlight, "nothing is left out")
+	assert.Zero(t, picker.balancer.workers[0].inFlight+picker.balancer.workers[1].inFlight+picker.balancer.workers[2].inFlight+picker.balancer.workers[3].inFlight, "no attempt is in flight")
 }
 
-// Regression test for a crash: a peer may tell of a worker whose list is still on its way to the rules.
-func TestLoadOfAnUnknownWorkerIsPassedOver(t *testing.T) {
+// Regression test for a crash: a peer may send the load of a worker that no list here has named yet.
+func TestLoadOfAnUnknownWorkerIsIgnored(t *testing.T) {
 	picker, _ := newTestPicker(testConfig, 1)
 	assert.NotPanics(t, func() { picker.ReceiveLoad(1, WorkerLoad{Worker: 7, InFlight: 2}) })
 }
 
-func TestLoadsForOnePeerGoTogether(t *testing.T) {
+func TestLoadsForOnePeerAreSentTogether(t *testing.T) {
 	picker, _ := newTestPicker(testConfig, 1)
-	l := pickerEffects{picker}
-	l.SendLoad(1, WorkerLoad{0, 2})
-	l.SendLoad(0, WorkerLoad{0, 2})
-	l.SendLoad(1, WorkerLoad{1, 3})
-	news, err := picker.NextLoadUpdates(context.Background())
+	effects := pickerEffects{picker}
+	effects.SendLoad(1, WorkerLoad{0, 2})
+	effects.SendLoad(0, WorkerLoad{0, 2})
+	effects.SendLoad(1, WorkerLoad{1, 3})
+	updates, err := picker.NextLoadUpdates(context.Background())
 	assert.NoError(t, err)
-	assert.Equal(t, []LoadUpdate{{1, []WorkerLoad{{0, 2}, {1, 3}}}, {0, []WorkerLoad{{0, 2}}}}, news)
+	assert.Equal(t, []LoadUpdate{{1, []WorkerLoad{{0, 2}, {1, 3}}}, {0, []WorkerLoad{{0, 2}}}}, updates)
 }
 
-// Regression test for an endpoint service that is asked again with no wait, and one that is asked late after it moved.
+// Regression test for a discovery service that is polled again without a wait, and one that is polled late after its
+// address has changed.
 func TestPollAfterAWaitOrAtOnceWhereTheServiceMoved(t *testing.T) {
 	config := testConfig
 	config.PollEndpoints = true
 	picker, now := newTestPicker(config, 1)
-	asked := func() bool { return len(picker.pollDue) > 0 }
+	pollIsDue := func() bool { return len(picker.pollDue) > 0 }
 	picker.ReportWatchEnded(WatchFailed)
 	*now += 5 * Second
 	picker.update(func(*Balancer) {})
-	assert.True(t, asked(), "and nobody takes it up before the next word")
+	assert.True(t, pollIsDue(), "and nobody polls before the next failure")
 	picker.ReportWatchEnded(WatchFailed)
-	assert.False(t, asked())
+	assert.False(t, pollIsDue())
 	picker.update(func(balancer *Balancer) { balancer.polling.PollNow(balancer.now) })
-	assert.True(t, asked())
-	for range 5 { // it answers, and is cut: no backoff
+	assert.True(t, pollIsDue())
+	for range 5 { // a watch that had begun is cut: no backoff
 		<-picker.pollDue
 		picker.ReportWatchEnded(WatchCut)
 		*now += 1300 * Second / 1000
 		picker.update(func(*Balancer) {})
-		assert.True(t, asked())
+		assert.True(t, pollIsDue())
 	}
 }
 
-// Regression test for a peer that starts again with no view of our load, and for our view of what it had out.
-func TestPeerThatHasStartedIsToldTheLoadHere(t *testing.T) {
+// Regression test for a peer that restarts and does not know the load here, and for the load that it had before.
+func TestRestartedPeerIsSentTheLoad(t *testing.T) {
 	config := testConfig
 	config.Gossip = true
 	picker, now := newTestPicker(config, 2)
 	handle := picker.Submit(Arrival{Timeout: 90 * Second, SizeHint: Work(9 * Second)})
-	c := pick(t, handle)
-	handle.ReportStarted(c.Attempt)
+	decision := pick(t, handle)
+	handle.ReportStarted(decision.Attempt)
 	*now += Second
 	picker.update(func(*Balancer) {})
 	_, err := picker.NextLoadUpdates(context.Background())
@@ -259,7 +257,7 @@
 	assert.Equal(t, 0, picker.balancer.workers[0].gossip.peerInFlight)
 	*now += Second
 	picker.update(func(*Balancer) {})
-	news, err := picker.NextLoadUpdates(context.Background())
+	updates, err := picker.NextLoadUpdates(context.Background())
 	assert.NoError(t, err)
-	assert.Equal(t, []LoadUpdate{{1, []WorkerLoad{{c.Worker, 1}}}}, news)
+	assert.Equal(t, []LoadUpdate{{1, []WorkerLoad{{decision.Worker, 1}}}}, updates)
 }
--- a/internal/balancer/request_handle_test.go
+++ b/internal/balancer/request_handle_test.go
@@ -9,26 +9,29 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// Regression test for an attempt that goes out after its client has left, or has its answer, as its connection came
-// up late: that it may not be canceled once it is sent says nothing of before.
+// Regression test for an attempt that is sent after its client has left, or has its answer, as its connection came up
+// late. Where attempts may not be canceled, that holds only once they are sent.
 func TestUnsentAttemptIsCanceledWhateverTheConfiguration(t *testing.T) {
 	config := testConfig
 	config.Cancellation = false
-	for name, over := range map[string]func(*RequestHandle){
-		"left": func(t *RequestHandle) { t.clientLeft() }, "answered": func(t *RequestHandle) { t.RejectOrFail() },
+	for name, closeRequest := range map[string]func(*RequestHandle){
+		"left":     (*RequestHandle).clientLeft,
+		"answered": (*RequestHandle).RejectOrFail,
 	} {
 		t.Run(name, func(t *testing.T) {
 			picker, _ := newTestPicker(config, 2)
-			late, sent := picker.Submit(Arrival{Timeout: 3 * Second}), picker.Submit(Arrival{Timeout: 3 * Second})
-			c, s := pick(t, late), pick(t, sent)
-			sent.ReportSent(s.Attempt)
-			over(late)
-			over(sent)
-			assert.ErrorIs(t, context.Cause(c.Ctx), ErrAttemptCanceled)
-			assert.NoError(t, s.Ctx.Err(), "this one may not be canceled")
-			late.Report(c.Attempt, NotSent)
-			sent.Report(s.Attempt, TimedOut)
-			late.next()
+			unsent := picker.Submit(Arrival{Timeout: 3 * Second})
+			sent := picker.Submit(Arrival{Timeout: 3 * Second})
+			unsentAttempt := pick(t, unsent)
+			sentAttempt := pick(t, sent)
+			sent.ReportSent(sentAttempt.Attempt)
+			closeRequest(unsent)
+			closeRequest(sent)
+			assert.ErrorIs(t, context.Cause(unsentAttempt.Ctx), ErrAttemptCanceled)
+			assert.NoError(t, sentAttempt.Ctx.Err(), "a sent attempt may not be canceled")
+			unsent.Report(unsentAttempt.Attempt, NotSent)
+			sent.Report(sentAttempt.Attempt, TimedOut)
+			unsent.next()
 			sent.next()
 			assert.Equal(t, 0, picker.OpenRequests())
 		})
@@ -38,49 +41,51 @@
 func TestCancelAllEndsAttemptsInFlight(t *testing.T) {
 	config := testConfig
 	config.Cancellation = false
-	s := NewShards(config, 2, 1, func() Time { return 100 * Second }, func(Event) {})
-	s.UpdateEndpoints([]Endpoint{{Worker: 0, ID: "w"}, {Worker: 1, ID: "v"}}, AllEndpoints, FromDiscovery)
-	for range 2 { // one at each
-		handle := s.Submit(Arrival{Timeout: 3600 * Second})
-		c := pick(t, handle)
-		handle.ReportSent(c.Attempt)
+	shards := NewShards(config, 2, 1, func() Time { return testStart }, func(Event) {})
+	shards.UpdateEndpoints([]Endpoint{{Worker: 0, ID: "w"}, {Worker: 1, ID: "v"}}, AllEndpoints, FromDiscovery)
+	for range 2 { // one request at each shard
+		handle := shards.Submit(Arrival{Timeout: 3600 * Second})
+		decision := pick(t, handle)
+		handle.ReportSent(decision.Attempt)
 		handle.clientLeft()
-		assert.NoError(t, c.Ctx.Err())
-		defer func() { assert.ErrorIs(t, context.Cause(c.Ctx), ErrAttemptCanceled) }()
+		assert.NoError(t, decision.Ctx.Err())
+		defer func() { assert.ErrorIs(t, context.Cause(decision.Ctx), ErrAttemptCanceled) }()
 	}
-	s.CancelAll()
+	shards.CancelAll()
 }
 
 // events are what may happen to a request at its goroutines, each in any order with the others.
 var events = []struct {
 	name  byte
-	apply func(*requestPlay)
+	apply func(*requestDriver)
 }{
-	{'p', (*requestPlay).pick},
-	{'s', func(r *requestPlay) { r.withFirst(func(sent Decision) { r.handle.ReportSent(sent.Attempt) }) }},
-	{'t', func(r *requestPlay) { r.withFirst(func(started Decision) { r.handle.ReportStarted(started.Attempt) }) }},
-	{'h', (*requestPlay).export},
-	{'r', func(r *requestPlay) { r.report(Succeeded) }},
-	{'f', func(r *requestPlay) { r.report(Overloaded) }},
-	{'c', func(r *requestPlay) { r.report(Canceled) }},
-	{'l', (*requestPlay).leave},
-	{'e', func(r *requestPlay) { r.handle.RejectOrFail() }},
-	{'b', func(r *requestPlay) { r.picker.StopAfter(0) }}, // the process ends, and no answer is possible any more
+	{'p', (*requestDriver).pick},
+	{'s', func(r *requestDriver) { r.withFirst(func(sent Decision) { r.handle.ReportSent(sent.Attempt) }) }},
+	{'t', func(r *requestDriver) {
+		r.withFirst(func(started Decision) { r.handle.ReportStarted(started.Attempt) })
+	}},
+	{'h', (*requestDriver).export},
+	{'r', func(r *requestDriver) { r.report(Succeeded) }},
+	{'f', func(r *requestDriver) { r.report(Overloaded) }},
+	{'c', func(r *requestDriver) { r.report(Canceled) }},
+	{'l', (*requestDriver).leave},
+	{'e', func(r *requestDriver) { r.handle.RejectOrFail() }},
+	{'b', func(r *requestDriver) { r.picker.StopAfter(0) }}, // the process ends, and no answer is possible any more
 }
 
-// requestPlay lets a request go through events, as far as its goroutines could have them happen.
-type requestPlay struct {
+// requestDriver applies events to a request, as far as its goroutines could cause them.
+type requestDriver struct {
 	t        *testing.T
 	picker   *Picker
 	handle   *RequestHandle
 	inFlight []Decision // attempts that were picked and have not been reported
-	left     bool       // the client has
-	answers  int        // that the client got
+	left     bool       // the client has left
+	answers  int        // the client has got so many
 }
 
-func (r *requestPlay) over() bool { return r.left || r.answers > 0 }
+func (r *requestDriver) over() bool { return r.left || r.answers > 0 }
 
-func (r *requestPlay) pick() {
+func (r *requestDriver) pick() {
 	if r.over() {
 		return
 	}
@@ -93,24 +98,24 @@
 	}
 }
 
-func (r *requestPlay) withFirst(call func(Decision)) {
+func (r *requestDriver) withFirst(call func(Decision)) {
 	if len(r.inFlight) > 0 {
 		call(r.inFlight[0])
 	}
 }
 
-func (r *requestPlay) report(outcome Outcome) {
+func (r *requestDriver) report(outcome Outcome) {
 	r.t.Helper()
 	r.withFirst(func(ended Decision) {
 		r.inFlight = r.inFlight[1:]
 		r.handle.Report(ended.Attempt, outcome)
-		assert.False(r.t, r.handle.Report(ended.Attempt, Succeeded), "a second outcome of one attempt is none")
+		assert.False(r.t, r.handle.Report(ended.Attempt, Succeeded), "a second outcome of one attempt has no effect")
 		assert.Error(r.t, ended.Ctx.Err())
 	})
 }
 
-// export has another process go on with the request. Its attempts stand still then.
-func (r *requestPlay) export() {
+// export hands the request to another process. No attempt may be in flight here afterwards.
+func (r *requestDriver) export() {
 	r.t.Helper()
 	if _, ok := r.handle.Export(len(r.inFlight)); !ok {
 		return
@@ -121,15 +126,15 @@
 	r.inFlight = nil
 }
 
-func (r *requestPlay) leave() {
+func (r *requestDriver) leave() {
 	if !r.over() {
 		r.left = true
 		r.handle.clientLeft()
 	}
 }
 
-// finish plays the request to its end.
-func (r *requestPlay) finish() {
+// finish drives the request until it is over and all its attempts have been reported.
+func (r *requestDriver) finish() {
 	r.t.Helper()
 	for n := 0; len(r.inFlight) > 0 || !r.over(); n++ {
 		r.pick()
@@ -140,10 +145,10 @@
 	}
 }
 
-// play lets a request go through events in an order, and then to its end. It returns how many answers its client got.
-func play(t *testing.T, picker *Picker, order []byte) (answers int) {
+// driveRequest applies events to a request in an order, and then finishes it. It returns how many answers its client got.
+func driveRequest(t *testing.T, picker *Picker, order []byte) (answers int) {
 	t.Helper()
-	r := &requestPlay{t: t, picker: picker, handle: picker.Submit(Arrival{Timeout: 3 * Second})}
+	r := &requestDriver{t: t, picker: picker, handle: picker.Submit(Arrival{Timeout: 3 * Second})}
 	for _, name := range order {
 		for _, event := range events {
 			if event.name == name {
@@ -155,8 +160,8 @@
 	return r.answers
 }
 
-// Regression test for a number that is freed twice or never, two answers, and none: whatever comes between a
-// choice's being made and its being taken, or a result and its report.
+// Regression test for a number that is freed twice or never, and for two answers or none: events may come between a
+// decision and its Pick, or between a result and its report.
 func TestEachOrderOfEventsEndsOnce(t *testing.T) {
 	config := testConfig
 	config.StartNotices = true
@@ -167,8 +172,8 @@
 			return
 		}
 		picker, _ := newTestPicker(config, 3)
-		for range 2 { // the second time its number is used again
-			answers := play(t, picker, order)
+		for range 2 { // the second request has the number of the first
+			answers := driveRequest(t, picker, order)
 			assert.LessOrEqual(t, answers, 1)
 			assert.Equal(t, 0, picker.OpenRequests(), "after %q", order)
 			assert.Len(t, picker.freeIDs, len(picker.handles), "after %q", order)
@@ -184,11 +189,11 @@
 		}
 	}
 	all(3)
-	order = append(order, 'p') // most orders have a first attempt that was taken
+	order = append(order, 'p') // most requests have a first attempt that was picked
 	all(3)
 }
 
-// The client leaves just as a choice is made for it: it is told, and nothing is sent.
+// The client leaves just as a decision is made: Pick returns the error, and nothing is sent.
 func TestClientThatLeavesAsADecisionIsMadeGetsNoAttempt(t *testing.T) {
 	picker, _ := newTestPicker(testConfig, 2)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -197,7 +202,7 @@
 	handle := picker.Submit(Arrival{Timeout: 3 * Second})
 	_, err := handle.Pick(ctx)
 	assert.ErrorIs(t, err, context.Canceled)
-	picker.UpdateEndpoints([]Endpoint{{Worker: 0, ID: "w0"}}, AllEndpoints, FromDiscovery) // now there would be room
+	picker.UpdateEndpoints([]Endpoint{{Worker: 0, ID: "w0"}}, AllEndpoints, FromDiscovery) // now there would be a worker
 	assert.Empty(t, handle.decisions)
 	assert.Equal(t, 0, picker.OpenRequests())
 	assert.Less(t, time.Until(handle.deadline), 4*time.Second)
--- a/internal/balancer/shards_test.go
+++ b/internal/balancer/shards_test.go
@@ -10,17 +10,13 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// newTestShards has n shards in the second of two processes, and workers that all of them know.
-func newTestShards(t Config, n, workers int) *Shards {
-	now := Time(100 * Second)
-	t.Dispatchers, t.Position = 2, 1
-	s := NewShards(t, n, 1, func() Time { return now }, func(Event) {})
-	var list []Endpoint
-	for w := range workers {
-		list = append(list, Endpoint{Worker: WorkerID(w), ID: fmt.Sprintf("w%d", w), Zone: ZoneID(w % 2), Cell: CellID(w)})
-	}
-	s.UpdateEndpoints(list, AllEndpoints, FromBeforeStart)
-	return s
+// newTestShards returns the shards of the second of two processes, which all know the workers of testEndpoints.
+func newTestShards(config Config, count, workers int) *Shards {
+	config.Dispatchers = 2
+	config.Position = 1
+	shards := NewShards(config, count, 1, func() Time { return testStart }, func(Event) {})
+	shards.UpdateEndpoints(testEndpoints(workers), AllEndpoints, FromBeforeStart)
+	return shards
 }
 
 func TestShardsAreDispatchersAmongAllOfAllProcesses(t *testing.T) {
@@ -29,12 +25,12 @@
 	s := newTestShards(config, 3, 4)
 	for j, picker := range s.pickers {
 		assert.Equal(t, []int{6, 3 + j}, []int{picker.balancer.config.dispatchers, picker.balancer.config.position})
-		assert.Equal(t, 1.0/6, picker.balancer.config.dispatcherShare, "budgets and shares are cut into as many parts")
+		assert.Equal(t, 1.0/6, picker.balancer.config.dispatcherShare, "budgets and quotas are divided by all shards")
 		assert.True(t, picker.balancer.config.gossip)
 	}
 	alone := newTestShards(testConfig, 1, 4)
 	assert.Equal(t, []int{2, 1}, []int{alone.pickers[0].balancer.config.dispatchers, alone.pickers[0].balancer.config.position})
-	assert.False(t, alone.pickers[0].balancer.config.gossip, "one shard is as it was")
+	assert.False(t, alone.pickers[0].balancer.config.gossip, "a single shard has no peers in its process")
 	for range 6 {
 		s.Submit(Arrival{Timeout: 3 * Second})
 	}
@@ -45,26 +41,26 @@
 }
 
 func TestShardsGossipInMemory(t *testing.T) {
-	for _, outside := range []bool{false, true} {
+	for _, gossip := range []bool{false, true} {
 		config := testConfig
-		config.Gossip = outside
+		config.Gossip = gossip
 		s := newTestShards(config, 2, 1)
 		handle := s.pickers[0].Submit(Arrival{Timeout: 3 * Second})
 		c := pick(t, handle)
-		s.pickers[0].update(func(balancer *Balancer) { balancer.sendChangedLoads() }) // as its time comes
+		s.pickers[0].update(func(balancer *Balancer) { balancer.sendChangedLoads() }) // as if it were due
 		ctx, cancel := context.WithTimeout(context.Background(), 200*time.Millisecond)
-		news, err := s.NextLoadUpdates(ctx, 0)
+		updates, err := s.NextLoadUpdates(ctx, 0)
 		cancel()
-		assert.Equal(t, 1, s.pickers[1].balancer.workers[c.Worker].gossip.peerInFlight, "heard within the process")
-		assert.Equal(t, 0, s.pickers[0].balancer.workers[c.Worker].gossip.peerInFlight, "not by the one that told")
-		if !outside {
-			assert.Error(t, err, "nothing may leave the process")
+		assert.Equal(t, 1, s.pickers[1].balancer.workers[c.Worker].gossip.peerInFlight, "received within the process")
+		assert.Equal(t, 0, s.pickers[0].balancer.workers[c.Worker].gossip.peerInFlight, "not by the sender")
+		if !gossip {
+			assert.Error(t, err, "no message may leave the process")
 			continue
 		}
-		for _, n := range news {
+		for _, n := range updates {
 			assert.Less(t, int(n.To), 2, "a shard of the other process")
 		}
-		assert.Len(t, news, 2)
+		assert.Len(t, updates, 2)
 	}
 }
 
@@ -73,21 +69,21 @@
 	config.PollEndpoints = true
 	s := newTestShards(config, 3, 1)
 	for _, picker := range s.pickers {
-		picker.update(func(balancer *Balancer) { balancer.polling.PollNow(LongAgo) }) // their turn has come
+		picker.update(func(balancer *Balancer) { balancer.polling.PollNow(LongAgo) }) // a poll is due at each
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
 	defer cancel()
 	assert.NoError(t, s.AwaitPoll(ctx))
-	assert.Error(t, s.AwaitPoll(ctx), "the others want it by the same call")
+	assert.Error(t, s.AwaitPoll(ctx), "the same poll serves the other shards")
 	s.UpdateEndpoints([]Endpoint{{Worker: 0, ID: "w0", State: Draining}}, AllEndpoints, FromDiscovery)
 	for _, picker := range s.pickers {
 		assert.True(t, picker.balancer.polling.Watching())
-		assert.Equal(t, Draining, picker.balancer.workers[0].state, "a drain holds for all")
+		assert.Equal(t, Draining, picker.balancer.workers[0].state, "all shards see the worker drain")
 	}
 }
 
-// Regression test for two shards that tell each other at once and wait for each other's lock.
-func TestShardsThatTellEachOtherAtOnceDoNotDeadlock(t *testing.T) {
+// Regression test for two shards that send each other their load at once, and wait for each other's lock.
+func TestShardsThatGossipAtOnceDoNotDeadlock(t *testing.T) {
 	config := testConfig
 	config.Granularity = 0
 	s := newTestShards(config, 4, 8)
@@ -96,9 +92,9 @@
 	for j := range s.Count() {
 		go func() { _, _ = s.NextLoadUpdates(ctx, j) }()
 	}
-	var lives sync.WaitGroup
+	var clients sync.WaitGroup
 	for range 8 {
-		lives.Go(func() {
+		clients.Go(func() {
 			for range 300 {
 				handle := s.Submit(Arrival{Timeout: 3 * Second, SizeHint: 10})
 				c, err := handle.Pick(ctx)
@@ -113,11 +109,11 @@
 			}
 		})
 	}
-	lives.Wait()
+	clients.Wait()
 	assert.Zero(t, s.OpenRequests())
 }
 
-// Regression test for a fleet that restarts at once and greets all with all: it is charged for each message.
+// Regression test for a fleet that restarts at once and in which each sends a hello to all: each message has a cost.
 func TestGossipPeersShareWorkers(t *testing.T) {
 	config := testConfig
 	config.Dispatchers, config.Gossip, config.GossipCost = 80, true, 0.000625
@@ -125,7 +121,7 @@
 	for n := range fleet {
 		config.Position = n
 		fleet[n] = NewShards(config, 1, 1, func() Time { return 0 }, func(Event) {})
-		assert.Len(t, fleet[n].GossipPeers(), 79, "all, before there is a list")
+		assert.Len(t, fleet[n].GossipPeers(), 79, "all peers, before there is a list")
 		var list []Endpoint
 		for w := range 60 {
 			list = append(list, Endpoint{Worker: WorkerID(w), ID: fmt.Sprintf("w%d", w)})
@@ -139,12 +135,12 @@
 		for _, w := range balancer.subsetting.subsets[bothIntervals].workers {
 			for p := balancer.workers[w].gossip.peers.from; p < balancer.workers[w].gossip.peers.to; p++ {
 				if p%80 != n {
-					assert.Contains(t, near, p%80, "told of worker %d", w)
+					assert.Contains(t, near, p%80, "peer for worker %d", w)
 				}
 			}
 		}
 		for _, p := range near {
-			assert.Contains(t, fleet[p].GossipPeers(), n, "each of the other")
+			assert.Contains(t, fleet[p].GossipPeers(), n, "peers know each other")
 		}
 	}
 }
