--- a/internal/balancer/helper_test.go
+++ b/internal/balancer/helper_test.go
@@ -120,9 +120,9 @@
 	balancer.RunDueRules()
 }
 
-// endAttempt reports the outcome of an attempt that leaves its request open, and applies the rules that are due.
-func endAttempt(balancer *Balancer, id RequestID, number int, outcome Outcome) {
-	balancer.AttemptEnded(id, number, outcome, NoAnswer)
+// endFirstAttempt reports the outcome of a first attempt that leaves its request open, and applies the rules that are due.
+func endFirstAttempt(balancer *Balancer, id RequestID, outcome Outcome) {
+	balancer.AttemptEnded(id, 0, outcome, NoAnswer)
 	balancer.RunDueRules()
 }
 
--- a/internal/balancer/overload_test.go
+++ b/internal/balancer/overload_test.go
@@ -29,7 +29,7 @@
 			const rejected, next = RequestID(earlierRuns), RequestID(earlierRuns + 1)
 			submit(rejected)
 			full := targetOf(balancer, rejected, 0)
-			endAttempt(balancer, rejected, 0, Overloaded)
+			endFirstAttempt(balancer, rejected, Overloaded)
 			assert.InDelta(t, runTime, float64(balancer.workers[full].health.ProbeAfter-balancer.now), 0.1*Second)
 			assert.Len(t, balancer.requests.byID[rejected].attempts, 2, "its retry goes to the other worker")
 			assert.NotEqual(t, full, targetOf(balancer, rejected, 1))
--- a/internal/balancer/pick_worker_test.go
+++ b/internal/balancer/pick_worker_test.go
@@ -124,7 +124,7 @@
 		arrive(balancer, id, Arrival{Operation: nonIdempotentOp, Timeout: 10 * Second, SizeHint: Second})
 	}
 	assert.Len(t, effects.lines, sent)
-	endAttempt(balancer, sizeinterval.Count, 0, Overloaded)
+	endFirstAttempt(balancer, sizeinterval.Count, Overloaded)
 	assert.Len(t, effects.lines, sent, "pending: other workers whose load no peer reports may be full as well")
 	balancer.now += Second + 1
 	balancer.due.capacityChanged = true
@@ -155,7 +155,7 @@
 			arrive(balancer, 0, Arrival{Operation: idempotentOp, Timeout: 30 * Second, SizeHint: 100})
 			first := targetOf(balancer, 0, 0)
 			assert.Equal(t, nearZone, balancer.workers[first].zone, "the first attempt stays in the zone")
-			endAttempt(balancer, 0, 0, Overloaded)
+			endFirstAttempt(balancer, 0, Overloaded)
 			second := targetOf(balancer, 0, 1)
 			if balancer.workers[second].zone == farZone {
 				retries++
--- a/internal/balancer/reconfigure_test.go
+++ b/internal/balancer/reconfigure_test.go
@@ -38,9 +38,9 @@
 	numbers := balancer.Reconfigure(stricter).Operations
 	assert.Equal(t, []OperationID{replacement, 1, 2, 3, 4}, numbers, "unchanged operations keep their numbers")
 	arrive(balancer, 1, Arrival{Operation: replacement, Timeout: 5 * Second, SizeHint: 100})
-	endAttempt(balancer, 1, 0, ConnectionReset)
+	endFirstAttempt(balancer, 1, ConnectionReset)
 	assert.Contains(t, effects.lines, "fail 1", "it may not run again")
-	endAttempt(balancer, 0, 0, ConnectionReset)
+	endFirstAttempt(balancer, 0, ConnectionReset)
 	assert.Len(t, balancer.requests.byID[0].attempts, 2, "it may run again")
 	longestTimeout := func(id OperationID) Duration { return balancer.operations.byID[id].longestTimeout }
 	assert.Equal(t, longestTimeout(idempotentOp), longestTimeout(replacement), "statistics are kept")
@@ -58,16 +58,16 @@
 	oneAttempt := namedConfig()
 	oneAttempt.MaxAttempts = 1
 	balancer.Reconfigure(oneAttempt)
-	endAttempt(balancer, 0, 0, Overloaded)
+	endFirstAttempt(balancer, 0, Overloaded)
 	assert.Contains(t, effects.lines, "reject 0, retry after 20000")
 	arrive(balancer, 0, Arrival{Operation: idempotentOp, Timeout: 5 * Second, SizeHint: 100})
 	balancer.Reconfigure(namedConfig())
 	assert.Len(t, balancer.requests.byID[0].attempts, 1)
-	endAttempt(balancer, 0, 0, Overloaded)
+	endFirstAttempt(balancer, 0, Overloaded)
 	assert.True(t, balancer.requests.byID[0].closed, "one attempt was allowed as it arrived")
 	balancer.SetTime(balancer.now + 2*Second)
 	arrive(balancer, 1, Arrival{Operation: idempotentOp, Timeout: 5 * Second, SizeHint: 100})
-	endAttempt(balancer, 1, 0, Overloaded)
+	endFirstAttempt(balancer, 1, Overloaded)
 	assert.Len(t, balancer.requests.byID[1].attempts, 2)
 }
 
@@ -77,7 +77,7 @@
 	for id := range balancer.workers {
 		balancer.workers[id].health.ProbeAfter = balancer.now + 4*Second
 	}
-	endAttempt(balancer, 0, 0, Overloaded)
+	endFirstAttempt(balancer, 0, Overloaded)
 	assert.True(t, balancer.requests.byID[0].queued)
 	oneAttempt := namedConfig()
 	oneAttempt.MaxAttempts = 1
--- a/internal/balancer/slow_start_test.go
+++ b/internal/balancer/slow_start_test.go
@@ -6,76 +6,90 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// A worker of two slots at half of its capacity bears 4 * 0.5 * 2 = 4 s of work in a window of 1 s.
-func TestSlowStartLimits(t *testing.T) {
-	gossiping := slowStart{
+// The rules of TestSlowStartLimits, by how dispatchers divide the budget.
+var (
+	gossipingRule = slowStart{
 		overloadFactor: 4,
 		window:         Second,
 		dispatchers:    10,
 		gossip:         true,
 	}
-	few := slowStart{
+	fewRule = slowStart{
 		overloadFactor:      4,
 		window:              Second,
 		dispatchers:         2,
 		smallestUsefulShare: Second / 10,
 	}
-	const usable = 4 * Second * 65 / 100 // without what the worker does itself, and the reserve
-	for name, c := range map[string]struct {
-		rule   slowStart
-		worker warmingWorker
-		size   Work
-		want   exclusion
-	}{
-		"loads shared": {
-			rule:   gossiping,
-			worker: warmingWorker{load: 1, loadShared: true},
-			size:   Second,
-			want:   eligible,
-		},
-		"loads shared, slots taken": {
-			rule:   gossiping,
-			worker: warmingWorker{load: 2, loadShared: true},
-			size:   Second,
-			want:   noFreeSlot,
-		},
-		"loads shared, but not here": {
-			rule:   gossiping,
-			worker: warmingWorker{},
-			size:   Second,
-			want:   loadUnknown,
-		},
-		"loads shared, too large": {
-			rule:   gossiping,
-			worker: warmingWorker{loadShared: true},
-			size:   usable/2 + 1,
-			want:   beyondWarmupBudget,
-		},
-		"loads shared, budget spent": {
-			rule:   gossiping,
-			worker: warmingWorker{loadShared: true, recentWork: usable},
-			size:   1,
-			want:   beyondWarmupBudget,
-		},
-		"own share": {
-			rule:   few,
-			worker: warmingWorker{load: 9},
-			size:   Second / 2,
-			want:   eligible,
-		},
-		"own share, spent": {
-			rule:   few,
-			worker: warmingWorker{recentWork: Second / 2},
-			size:   Second / 5,
-			want:   beyondWarmupBudget,
-		},
-		"own share, larger than that": {
-			rule:   few,
-			worker: warmingWorker{},
-			size:   Second,
-			want:   beyondWarmupBudget,
-		},
-	} {
+	manyRule = slowStart{
+		overloadFactor:      4,
+		window:              Second,
+		dispatchers:         300,
+		smallestUsefulShare: Second / 10,
+	}
+)
+
+// usableBudget is the part of the budget that TestSlowStartLimits may send with gossip.
+const usableBudget = 4 * Second * 65 / 100 // without what the worker does itself, and the reserve
+
+var slowStartCases = map[string]struct {
+	rule   slowStart
+	worker warmingWorker
+	size   Work
+	want   exclusion
+}{
+	"loads shared": {
+		rule:   gossipingRule,
+		worker: warmingWorker{load: 1, loadShared: true},
+		size:   Second,
+		want:   eligible,
+	},
+	"loads shared, slots taken": {
+		rule:   gossipingRule,
+		worker: warmingWorker{load: 2, loadShared: true},
+		size:   Second,
+		want:   noFreeSlot,
+	},
+	"loads shared, but not here": {
+		rule:   gossipingRule,
+		worker: warmingWorker{},
+		size:   Second,
+		want:   loadUnknown,
+	},
+	"loads shared, too large": {
+		rule:   gossipingRule,
+		worker: warmingWorker{loadShared: true},
+		size:   usableBudget/2 + 1,
+		want:   beyondWarmupBudget,
+	},
+	"loads shared, budget spent": {
+		rule:   gossipingRule,
+		worker: warmingWorker{loadShared: true, recentWork: usableBudget},
+		size:   1,
+		want:   beyondWarmupBudget,
+	},
+	"own share": {
+		rule:   fewRule,
+		worker: warmingWorker{load: 9},
+		size:   Second / 2,
+		want:   eligible,
+	},
+	"own share, spent": {
+		rule:   fewRule,
+		worker: warmingWorker{recentWork: Second / 2},
+		size:   Second / 5,
+		want:   beyondWarmupBudget,
+	},
+	"own share, larger than that": {
+		rule:   fewRule,
+		worker: warmingWorker{},
+		size:   Second,
+		want:   beyondWarmupBudget,
+	},
+}
+
+// A worker of two slots at half of its capacity bears 4 * 0.5 * 2 = 4 s of work in a window of 1 s.
+func TestSlowStartLimits(t *testing.T) {
+	for name, c := range slowStartCases {
 		t.Run(name, func(t *testing.T) {
 			c.worker.warmupFactor = 0.5
 			c.worker.slots = 2
@@ -83,13 +97,7 @@
 			assert.Equal(t, c.want, c.rule.admits(c.worker, c.size))
 		})
 	}
-	many := slowStart{
-		overloadFactor:      4,
-		window:              Second,
-		dispatchers:         300,
-		smallestUsefulShare: Second / 10,
-	}
-	assert.True(t, many.dividesByCredit(warmingWorker{warmupFactor: 0.5, slots: 2}), "a share would hold no request")
+	assert.True(t, manyRule.dividesByCredit(warmingWorker{warmupFactor: 0.5, slots: 2}), "a share would hold no request")
 }
 
 func TestWarmupBudgetIsSharedAmongDispatchers(t *testing.T) {
