--- a/internal/balancer/outlier/outlier_test.go
+++ b/internal/balancer/outlier/outlier_test.go
@@ -21,51 +21,51 @@
 		"again during its ejection": {[]Failure{NeverRan, NeverRan}, []bool{true, false}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			var w Worker
+			var worker Worker
 			for n, failure := range c.failures {
-				assert.Equal(t, c.want[n], w.RecordFailure(now, failure), "failure %d", n)
+				assert.Equal(t, c.want[n], worker.RecordFailure(now, failure), "failure %d", n)
 			}
 		})
 	}
 }
 
 func TestEjectionsOfAWorkerGrowToABound(t *testing.T) {
-	var w Worker
+	var worker Worker
 	at := now
 	for _, seconds := range []tick.Duration{1, 2, 4, 8, 8} {
-		assert.True(t, w.RecordFailure(at, NeverRan))
-		assert.Equal(t, at.Add(seconds*tick.Second), w.ProbeAfter)
-		assert.True(t, w.Ejected(at))
-		at = w.ProbeAfter
-		assert.False(t, w.Ejected(at), "it is probed")
-		assert.True(t, w.Suspect())
+		assert.True(t, worker.RecordFailure(at, NeverRan))
+		assert.Equal(t, at.Add(seconds*tick.Second), worker.ProbeAfter)
+		assert.True(t, worker.Ejected(at))
+		at = worker.ProbeAfter
+		assert.False(t, worker.Ejected(at), "it is probed")
+		assert.True(t, worker.Suspect())
 	}
-	w.RecordSuccess()
-	assert.False(t, w.Suspect())
+	worker.RecordSuccess()
+	assert.False(t, worker.Suspect())
 }
 
 func TestNonIdempotentRequestProbesLastWhereAnAttemptMayHaveRun(t *testing.T) {
-	var w Worker
-	assert.True(t, w.AcceptsNonIdempotent(now))
-	w.RecordFailure(now, NeverRan)
-	assert.True(t, w.AcceptsNonIdempotent(now), "nothing has run there")
-	w.RecordFailure(w.ProbeAfter, MayHaveRun)
-	assert.False(t, w.AcceptsNonIdempotent(w.ProbeAfter))
-	assert.True(t, w.AcceptsNonIdempotent(w.ProbeAfter.Add(8*tick.Second)), "no other request has probed it")
+	var worker Worker
+	assert.True(t, worker.AcceptsNonIdempotent(now))
+	worker.RecordFailure(now, NeverRan)
+	assert.True(t, worker.AcceptsNonIdempotent(now), "nothing has run there")
+	worker.RecordFailure(worker.ProbeAfter, MayHaveRun)
+	assert.False(t, worker.AcceptsNonIdempotent(worker.ProbeAfter))
+	assert.True(t, worker.AcceptsNonIdempotent(worker.ProbeAfter.Add(8*tick.Second)), "no other request has probed it")
 }
 
 func TestZoneIsEjectedAfterConsecutiveFailuresUnlessItIsTheLast(t *testing.T) {
 	for name, hasOther := range map[string]bool{"another zone is left": true, "the last zone": false} {
 		t.Run(name, func(t *testing.T) {
-			var z Zone
+			var zone Zone
 			for range ZoneThreshold - 1 {
-				assert.False(t, z.RecordFailure(now, func() bool { return hasOther }))
+				assert.False(t, zone.RecordFailure(now, func() bool { return hasOther }))
 			}
-			assert.Equal(t, hasOther, z.RecordFailure(now, func() bool { return hasOther }))
-			assert.Equal(t, hasOther, z.Ejected(now))
-			z.RecordSuccess()
-			assert.False(t, z.Ejected(now))
-			assert.Zero(t, z.Failures)
+			assert.Equal(t, hasOther, zone.RecordFailure(now, func() bool { return hasOther }))
+			assert.Equal(t, hasOther, zone.Ejected(now))
+			zone.RecordSuccess()
+			assert.False(t, zone.Ejected(now))
+			assert.Zero(t, zone.Failures)
 		})
 	}
 }
--- a/internal/balancer/polling/polling_test.go
+++ b/internal/balancer/polling/polling_test.go
@@ -10,28 +10,33 @@
 
 const now = tick.Time(100 * tick.Second)
 
-// latest draws the longest wait, and earliest the shortest one.
+// latest draws a long wait.
 func latest() uint64 { return 1<<62 - 1 }
 
+// earliest draws the shortest wait.
 func earliest() uint64 { return 0 }
 
+// newTestSchedule returns the Schedule of the last of some dispatchers.
 func newTestSchedule(dispatchers int) Schedule {
 	return NewSchedule(Config{
-		Dispatchers: dispatchers, Position: dispatchers - 1,
-		MaxInterval: 10 * tick.Second, ChangeDeadline: 6 * tick.Second, AwaitFirstPoll: true,
+		Dispatchers:    dispatchers,
+		Position:       dispatchers - 1,
+		MaxInterval:    10 * tick.Second,
+		ChangeDeadline: 6 * tick.Second,
+		AwaitFirstPoll: true,
 	})
 }
 
 func TestFirstPollIsDueAtOnceAndInTurnWithAList(t *testing.T) {
-	s := newTestSchedule(4)
-	assert.LessOrEqual(t, s.DueAt(), now)
-	s.RecordInitialList(now)
+	schedule := newTestSchedule(4)
+	assert.LessOrEqual(t, schedule.DueAt(), now)
+	schedule.RecordInitialList(now)
 	spread := tick.Duration(10 * tick.Second * 4 / 128)
-	assert.Equal(t, now.Add(spread*3/4), s.DueAt())
-	assert.True(t, s.EndpointsStale())
-	s.RecordAnswer(now)
-	assert.Equal(t, tick.Never, s.DueAt(), "the list is watched")
-	assert.False(t, s.EndpointsStale())
+	assert.Equal(t, now.Add(spread*3/4), schedule.DueAt())
+	assert.True(t, schedule.EndpointsStale())
+	schedule.RecordAnswer(now)
+	assert.Equal(t, tick.Never, schedule.DueAt(), "the list is watched")
+	assert.False(t, schedule.EndpointsStale())
 }
 
 func TestWaitAfterAFailure(t *testing.T) {
@@ -46,13 +51,13 @@
 		"a watch that fell silent": {[]WatchEnd{WatchFailed, WatchFailed, WatchSilent}, tick.Second + 10*tick.Second/128},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := newTestSchedule(1)
+			schedule := newTestSchedule(1)
 			for _, end := range c.ends {
-				s.RecordWatchEnd(end)
-				s.RecordFailure(now, latest)
+				schedule.RecordWatchEnd(end)
+				schedule.RecordFailure(now, latest)
 			}
-			assert.LessOrEqual(t, s.DueAt(), now.Add(c.longest))
-			shortest := s
+			assert.LessOrEqual(t, schedule.DueAt(), now.Add(c.longest))
+			shortest := schedule
 			shortest.RecordWatchEnd(c.ends[len(c.ends)-1])
 			shortest.RecordFailure(now, earliest)
 			assert.Greater(t, shortest.DueAt(), now)
@@ -61,7 +66,8 @@
 }
 
 func TestSilentWatchIsRepeatedSooner(t *testing.T) {
-	cut, silent := newTestSchedule(350), newTestSchedule(350)
+	cut := newTestSchedule(350)
+	silent := newTestSchedule(350)
 	cut.RecordWatchEnd(WatchCut)
 	cut.RecordFailure(now, earliest)
 	silent.RecordWatchEnd(WatchSilent)
@@ -70,18 +76,18 @@
 }
 
 func TestPollIsRepeatedWithoutAnAnswer(t *testing.T) {
-	s := newTestSchedule(1)
-	s.RecordPoll(now)
-	assert.Equal(t, now.Add(10*tick.Second), s.DueAt())
-	s.PollNow(now)
-	assert.Equal(t, now, s.DueAt())
+	schedule := newTestSchedule(1)
+	schedule.RecordPoll(now)
+	assert.Equal(t, now.Add(10*tick.Second), schedule.DueAt())
+	schedule.PollNow(now)
+	assert.Equal(t, now, schedule.DueAt())
 }
 
 func TestWatchedForCountsFromTheWatchAndTheMoment(t *testing.T) {
-	s := newTestSchedule(1)
-	assert.False(t, s.WatchedFor(0, 0, now), "not watched")
-	s.RecordAnswer(now)
-	assert.False(t, s.WatchedFor(10, 0, now.Add(9)))
-	assert.True(t, s.WatchedFor(10, 0, now.Add(10)))
-	assert.False(t, s.WatchedFor(10, now.Add(5), now.Add(10)))
+	schedule := newTestSchedule(1)
+	assert.False(t, schedule.WatchedFor(0, 0, now), "not watched")
+	schedule.RecordAnswer(now)
+	assert.False(t, schedule.WatchedFor(10, 0, now.Add(9)))
+	assert.True(t, schedule.WatchedFor(10, 0, now.Add(10)))
+	assert.False(t, schedule.WatchedFor(10, now.Add(5), now.Add(10)))
 }
--- a/internal/balancer/sizeinterval/sizeinterval_test.go
+++ b/internal/balancer/sizeinterval/sizeinterval_test.go
@@ -9,28 +9,28 @@
 )
 
 func TestSizesAreUndividedUntilThereAreEnough(t *testing.T) {
-	var s Intervals
+	var intervals Intervals
 	for n := range MinSample {
-		assert.Equal(t, Undivided, s.Of(10))
-		due := s.Observe(tick.Work(1 + n))
+		assert.Equal(t, Undivided, intervals.Of(10))
+		due := intervals.Observe(tick.Work(1 + n))
 		if due {
-			s.Update()
+			intervals.Update()
 		}
 	}
-	assert.Len(t, s.CutPoints(), Count-1)
-	assert.Equal(t, 0, s.Of(1))
-	assert.Equal(t, 1, s.Of(MinSample))
-	assert.Equal(t, 1, s.Of(s.CutPoints()[0]), "a cut point is the lower bound of its interval")
-	assert.Equal(t, 0, s.Of(s.CutPoints()[0]-1))
+	assert.Len(t, intervals.CutPoints(), Count-1)
+	assert.Equal(t, 0, intervals.Of(1))
+	assert.Equal(t, 1, intervals.Of(MinSample))
+	assert.Equal(t, 1, intervals.Of(intervals.CutPoints()[0]), "a cut point is the lower bound of its interval")
+	assert.Equal(t, 0, intervals.Of(intervals.CutPoints()[0]-1))
 }
 
 func TestRestoredSampleCutsAsBefore(t *testing.T) {
-	var s, restored Intervals
+	var intervals, restored Intervals
 	for n := range 2 * MaxSample {
-		s.Observe(tick.Work(n * 7 % 60))
+		intervals.Observe(tick.Work(n * 7 % 60))
 	}
-	s.Update()
-	restored.Restore(s.Sample(), s.Observed())
+	intervals.Update()
+	restored.Restore(intervals.Sample(), intervals.Observed())
 	restored.Update()
-	assert.Equal(t, s, restored)
+	assert.Equal(t, intervals, restored)
 }
