--- a/internal/balancer/eligibility_test.go
+++ b/internal/balancer/eligibility_test.go
@@ -6,11 +6,9 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// excluded is the worker that is passed over in exclusionCases.
-const excluded WorkerID = 0
+const exclusionTarget WorkerID = 0
 
-// exclusionCases has a case for each reason for which a worker is passed over. Without the change of its case the worker
-// is eligible.
+// exclusionCases has, by description, a change after which a worker is passed over, and the reason.
 var exclusionCases = map[string]struct {
 	change func(b *Balancer, req *request, limits *pickLimits)
 	want   exclusion
@@ -30,57 +28,57 @@
 		limits.onlyWithCredit = true
 	}, notWarmingUp},
 	"an attempt that failed there may have run": {func(b *Balancer, req *request, _ *pickLimits) {
-		req.operation = 1
-		b.workers[excluded].health.ConsecutiveFailures = 1
-		b.workers[excluded].health.PossiblyExecuted = true
-		b.workers[excluded].health.ProbeAfter = b.now
+		req.operation = nonIdempotentOp
+		b.workers[exclusionTarget].health.ConsecutiveFailures = 1
+		b.workers[exclusionTarget].health.PossiblyExecuted = true
+		b.workers[exclusionTarget].health.ProbeAfter = b.now
 	}, awaitingIdempotentProbe},
 	"it is slow as it warms up": {func(b *Balancer, req *request, _ *pickLimits) {
 		setSizes(b, Second)
 		req.size = Second
-		b.workers[excluded].warmup.startedAt = b.now
+		b.workers[exclusionTarget].warmup.startedAt = b.now
 	}, tooSlowWhileWarmingUp},
 	"its last slots are for others": {func(b *Balancer, req *request, _ *pickLimits) {
 		req.quotaWeight = 0
 		b.slots.kinds[0].Estimate = 4
-		b.addInFlight(excluded, 2)
+		b.addInFlight(exclusionTarget, 2)
 	}, reservedWithinQuota},
 	"it drains": {func(b *Balancer, _ *request, _ *pickLimits) {
-		b.workers[excluded].state = Draining
+		b.workers[exclusionTarget].state = Draining
 	}, notHealthy},
 	"an earlier attempt has not started": {func(b *Balancer, _ *request, _ *pickLimits) {
-		b.workers[excluded].unstarted = 1
+		b.workers[exclusionTarget].unstarted = 1
 	}, unstartedAttempt},
 	"its probe is in flight": {func(b *Balancer, _ *request, _ *pickLimits) {
-		b.workers[excluded].health.ConsecutiveFailures = 1
-		b.addInFlight(excluded, 1)
+		b.workers[exclusionTarget].health.ConsecutiveFailures = 1
+		b.addInFlight(exclusionTarget, 1)
 	}, probeInFlight},
 	"its slots are taken": {func(b *Balancer, _ *request, _ *pickLimits) {
 		b.slots.kinds[0].Estimate = 1.4
-		b.addInFlight(excluded, 1)
+		b.addInFlight(exclusionTarget, 1)
 	}, noFreeSlot},
 	"it is ejected": {func(b *Balancer, _ *request, _ *pickLimits) {
-		b.workers[excluded].health.ProbeAfter = b.now + 1
+		b.workers[exclusionTarget].health.ProbeAfter = b.now + 1
 	}, backingOff},
 	"another dispatcher tries it first": {func(b *Balancer, _ *request, _ *pickLimits) {
-		b.workers[excluded].notBefore = b.now + 1
+		b.workers[exclusionTarget].notBefore = b.now + 1
 	}, backingOff},
 	"it has far more than the mean in flight": {func(b *Balancer, _ *request, _ *pickLimits) {
-		b.addInFlight(excluded, 4)
+		b.addInFlight(exclusionTarget, 4)
 	}, aboveMeanLoad},
 	"it warms up and has its budget": {func(b *Balancer, req *request, _ *pickLimits) {
 		b.config.meanObjective = 1
-		b.workers[excluded].warmup.startedAt = b.now
+		b.workers[exclusionTarget].warmup.startedAt = b.now
 		req.size = 10 * Second
 	}, beyondWarmupBudget},
 	"it warms up and this dispatcher has earned nothing": {func(b *Balancer, _ *request, _ *pickLimits) {
 		b.config.dispatchers = 1000
-		b.workers[excluded].warmup.startedAt = b.now
+		b.workers[exclusionTarget].warmup.startedAt = b.now
 	}, noWarmupCredit},
 	"it warms up and its load is unknown": {func(b *Balancer, _ *request, _ *pickLimits) {
 		b.config.gossip = true
-		b.workers[excluded].warmup.startedAt = b.now
-		b.subsetting.subsets[bothIntervals].positions[excluded] = notInSubset
+		b.workers[exclusionTarget].warmup.startedAt = b.now
+		b.subsetting.subsets[bothIntervals].positions[exclusionTarget] = notInSubset
 	}, loadUnknown},
 	"the request is closed": {func(_ *Balancer, req *request, _ *pickLimits) {
 		req.closed = true
@@ -96,23 +94,26 @@
 		req.inFlight = 1
 	}, hedgingForbidden},
 	"an attempt is in flight there": {func(_ *Balancer, req *request, _ *pickLimits) {
-		req.attempts = []attempt{{worker: excluded, inFlight: true}}
+		req.attempts = []attempt{{worker: exclusionTarget, inFlight: true}}
 	}, sameWorker},
 	"an earlier attempt may have run": {func(_ *Balancer, req *request, _ *pickLimits) {
-		req.operation = 1
+		req.operation = nonIdempotentOp
 		req.attempts = []attempt{{worker: 2, mayHaveRun: true}}
 	}, repeatNotSafe},
 }
 
+// TestExclusions has a case for each reason for which a worker is passed over. Without the change of the case the worker
+// is eligible.
 func TestExclusions(t *testing.T) {
 	for name, c := range exclusionCases {
 		t.Run(name, func(t *testing.T) {
 			balancer, _ := newWarmBalancer(4, 1)
-			req := &request{attemptLimit: 4, quotaWeight: 1, size: 1, interval: bothIntervals, deadline: never}
+			req := newPickableRequest(bothIntervals)
+			req.size = 1
 			var limits pickLimits
 			c.change(balancer, req, &limits)
 			among := &balancer.subsetting.subsets[wholeRing]
-			assert.Equal(t, c.want, balancer.exclusionOf(req, excluded, among, limits))
+			assert.Equal(t, c.want, balancer.exclusionOf(req, exclusionTarget, among, limits))
 		})
 	}
 }
