--- a/internal/balancer/attempt_events_test.go
+++ b/internal/balancer/attempt_events_test.go
@@ -10,7 +10,7 @@
 // attempt, and then seemed to have an unstarted one for good.
 func TestUnannouncedStartNoticesExcludeNoWorker(t *testing.T) {
 	config := testConfig
-	config.StartNotices = false
+	config.Attempts.StartNotices = false
 	balancer, effects := newTestBalancer(config, 1, []Endpoint{{Worker: 0, ID: "w0"}})
 	for range 3 {
 		arrive(balancer, 0, Arrival{Timeout: 3 * Second})
--- a/internal/balancer/balancer.go
+++ b/internal/balancer/balancer.go
@@ -56,7 +56,7 @@
 	}
 	b.polling = polling.NewSchedule(b.config.polling)
 	b.operations = newOperationTable(config)
-	for _, tenant := range config.Tenants {
+	for _, tenant := range config.Quotas.Tenants {
 		b.tenants.Add(tenant.Name, tenant.Quota*b.config.dispatcherShare)
 	}
 	for n := range b.subsetting.subsets { // each dispatcher begins its rotations elsewhere
--- a/internal/balancer/derived_config.go
+++ b/internal/balancer/derived_config.go
@@ -66,37 +66,37 @@
 		dispatchers:     config.Dispatchers,
 		dispatcherShare: 1 / float64(config.Dispatchers),
 
-		pollEndpoints:   config.PollEndpoints,
-		cancellation:    config.Cancellation,
-		hedging:         config.Hedging,
-		startNotices:    config.StartNotices,
-		deliveryNotices: config.DeliveryNotices,
-		gossip:          config.Gossip && config.Dispatchers > 1,
-		probes:          config.Probes && config.ReportsOnProbe,
-		reportInFlight:  config.ReportInFlight,
-		reportQueue:     config.ReportQueue,
-		reportFree:      config.ReportFree,
-
-		maxAttempts:          config.MaxAttempts,
+		pollEndpoints:   config.Discovery.Poll,
+		cancellation:    config.Attempts.Cancellation,
+		hedging:         config.Attempts.Hedging,
+		startNotices:    config.Attempts.StartNotices,
+		deliveryNotices: config.Attempts.DeliveryNotices,
+		gossip:          config.Gossip.Enabled && config.Dispatchers > 1,
+		probes:          config.LoadReports.Probes && config.LoadReports.OnProbe,
+		reportInFlight:  config.LoadReports.InFlight,
+		reportQueue:     config.LoadReports.Queue,
+		reportFree:      config.LoadReports.FreeSlots,
+
+		maxAttempts:          config.Attempts.Max,
 		patience:             forever,
 		margin:               marginGranules*config.Granularity + tick.Millisecond,
-		overQuotaShare:       config.OverQuotaShare,
-		crossZoneCost:        config.CrossZoneCost,
-		worstOperationWeight: config.WorstOperationWeight * worstOperationShare,
-		valuePerRequest:      config.ValuePerRequest,
+		overQuotaShare:       config.Quotas.OverQuotaWeight,
+		crossZoneCost:        config.Objective.CrossZoneCost,
+		worstOperationWeight: config.Objective.WorstOperationWeight * worstOperationShare,
+		valuePerRequest:      config.Objective.ValuePerRequest,
 
-		initialWarmup:  config.InitialWarmup,
-		overloadFactor: config.OverloadFactor,
-		warmupDuration: config.WarmupDuration,
-		warmupWindow:   config.WarmupWindow,
+		initialWarmup:  config.Warmup.InitialShare,
+		overloadFactor: config.Warmup.OverloadFactor,
+		warmupDuration: config.Warmup.Duration,
+		warmupWindow:   config.Warmup.Window,
 
-		maxPollInterval: config.MaxPollInterval,
+		maxPollInterval: config.Discovery.MaxPollInterval,
 		polling: polling.Config{
 			Dispatchers:    config.Dispatchers,
 			Position:       config.Position,
-			MaxInterval:    config.MaxPollInterval,
-			ChangeDeadline: config.EndpointChangeDeadline,
-			AwaitFirstPoll: config.EndpointChangeDeadline > 0,
+			MaxInterval:    config.Discovery.MaxPollInterval,
+			ChangeDeadline: config.Discovery.ChangeDeadline,
+			AwaitFirstPoll: config.Discovery.ChangeDeadline > 0,
 		},
 	}
 	derived.dispatchersPerWorker = dispatchersPerWorker(config, derived.gossip)
@@ -110,10 +110,10 @@
 // dispatchersPerWorker returns how many dispatchers use the same worker: all, unless that many messages about each
 // attempt would cost more than they are worth.
 func dispatchersPerWorker(config Config, gossiping bool) int {
-	if !gossiping || config.GossipCost <= 0 {
+	if !gossiping || config.Gossip.MessageCost <= 0 {
 		return config.Dispatchers
 	}
-	affordable := int(maxGossipShare / (messagesPerAttempt * config.GossipCost))
+	affordable := int(maxGossipShare / (messagesPerAttempt * config.Gossip.MessageCost))
 	return min(max(affordable, 1), config.Dispatchers)
 }
 
--- a/internal/balancer/doc.go
+++ b/internal/balancer/doc.go
@@ -21,7 +21,8 @@
 // # Where each rule stands
 //
 //   - order in which rules are applied: rules.go
-//   - size intervals: package sizeinterval; ring and subsets: subsetting.go; choice: pick_worker.go, mean_load.go
+//   - size intervals: package sizeinterval; ring and subsets: subsetting.go; choice: pick_worker.go, mean_load.go;
+//     the search that finds candidates and decides nothing: worker_search.go
 //   - why a worker is passed over: eligibility.go, which lists every reason (exclusion)
 //   - slow start of workers: slow_start.go (budget), warmup_credit.go (many dispatchers), warm_up.go (how warm one is),
 //     process_exit.go (restarts that the endpoint list does not name yet)
--- a/internal/balancer/helper_test.go
+++ b/internal/balancer/helper_test.go
@@ -28,28 +28,40 @@
 )
 
 var testConfig = Config{
-	Dispatchers:     2,
-	Kinds:           1,
-	Granularity:     20,
-	MaxPollInterval: 10 * Second,
-	WarmupDuration:  20 * Second,
-	WarmupWindow:    2 * Second,
-	InitialWarmup:   0.2,
-	OverloadFactor:  4,
-	Cancellation:    true,
-	Hedging:         true,
-	MaxAttempts:     4,
-	OverQuotaShare:  0.1,
-	StartNotices:    true,
-	RetryAfter:      true,
-	MaxRetryAfter:   2 * Second,
-	ReportInFlight:  NotReported,
-	ReportQueue:     NotReported,
-	ReportFree:      0,
-	Tenants: []TenantConfig{
-		unlimitedTenant:  {Quota: math.Inf(1)},
-		twentyRPSTenant:  {Quota: 20},
-		fifthOfRPSTenant: {Quota: 0.2},
+	Dispatchers: 2,
+	Kinds:       1,
+	Granularity: 20,
+	Discovery: DiscoveryConfig{
+		MaxPollInterval: 10 * Second,
+	},
+	Warmup: WarmupConfig{
+		Duration:       20 * Second,
+		Window:         2 * Second,
+		InitialShare:   0.2,
+		OverloadFactor: 4,
+	},
+	Attempts: AttemptConfig{
+		Cancellation: true,
+		Hedging:      true,
+		Max:          4,
+		StartNotices: true,
+	},
+	Quotas: QuotaConfig{
+		OverQuotaWeight: 0.1,
+		Tenants: []TenantConfig{
+			unlimitedTenant:  {Quota: math.Inf(1)},
+			twentyRPSTenant:  {Quota: 20},
+			fifthOfRPSTenant: {Quota: 0.2},
+		},
+	},
+	Rejections: RejectionConfig{
+		RetryAfter:    true,
+		MaxRetryAfter: 2 * Second,
+	},
+	LoadReports: LoadReportConfig{
+		InFlight:  NotReported,
+		Queue:     NotReported,
+		FreeSlots: 0,
 	},
 	Operations: []OperationConfig{
 		idempotentOp: {
--- a/internal/balancer/migration_test.go
+++ b/internal/balancer/migration_test.go
@@ -10,6 +10,7 @@
 
 // jsonRoundTrip returns a value as another process reads it.
 func jsonRoundTrip[T any](t *testing.T, v T) (out T) {
+	t.Helper()
 	encoded, err := json.Marshal(v)
 	assert.NoError(t, err)
 	assert.NoError(t, json.Unmarshal(encoded, &out))
@@ -27,8 +28,20 @@
 	} {
 		old, _ := newTestPicker(namedConfig(), 4)
 		next, _ := newTestPicker(Config{
-			Dispatchers: 2, Kinds: 1, MaxAttempts: 4, ReportInFlight: NotReported, ReportQueue: NotReported,
-			ReportFree: NotReported, Tenants: namedConfig().Tenants, Operations: namedConfig().Operations[3:4],
+			Dispatchers: 2,
+			Kinds:       1,
+			Attempts: AttemptConfig{
+				Max: 4,
+			},
+			LoadReports: LoadReportConfig{
+				InFlight:  NotReported,
+				Queue:     NotReported,
+				FreeSlots: NotReported,
+			},
+			Quotas: QuotaConfig{
+				Tenants: namedConfig().Quotas.Tenants,
+			},
+			Operations: namedConfig().Operations[3:4],
 		}, 4)
 		handle := old.Submit(Arrival{Operation: c.operation, Timeout: 3 * Second})
 		first := pick(t, handle)
--- a/internal/balancer/operations.go
+++ b/internal/balancer/operations.go
@@ -65,8 +65,8 @@
 		dedupScope:       from.DedupScope,
 		kind:             from.Kind,
 	}}
-	if config.RetryAfter && from.LateShare > 0 {
-		made.retryAfter = config.MaxRetryAfter
+	if config.Rejections.RetryAfter && from.LateShare > 0 {
+		made.retryAfter = config.Rejections.MaxRetryAfter
 	}
 	return made
 }
--- a/internal/balancer/pick_worker_test.go
+++ b/internal/balancer/pick_worker_test.go
@@ -144,9 +144,9 @@
 	retriesElsewhere := func(gossip bool) (retries int) {
 		for seed := range uint64(seeds) {
 			config := testConfig
-			config.CrossZoneCost = 0.05
-			config.Gossip = gossip
-			config.GossipCost = gossipCost
+			config.Objective.CrossZoneCost = 0.05
+			config.Gossip.Enabled = gossip
+			config.Gossip.MessageCost = gossipCost
 			var endpoints []Endpoint
 			for id := range WorkerID(8) {
 				endpoints = append(endpoints, Endpoint{Worker: id, ID: string(rune('a' + id)), Zone: ZoneID(id % 2)})
--- a/internal/balancer/picker_bench_test.go
+++ b/internal/balancer/picker_bench_test.go
@@ -52,6 +52,8 @@
 }
 
 // serveRequest takes a request from its arrival to its answer.
+//
+//nolint:thelper // the cost of Helper would be measured
 func serveRequest(b *testing.B, picker *Picker) {
 	handle := picker.Submit(Arrival{Timeout: 3 * Second, SizeHint: 100})
 	decision, err := handle.Pick(context.Background())
--- a/internal/balancer/picker_test.go
+++ b/internal/balancer/picker_test.go
@@ -125,7 +125,7 @@
 // Regression test for an attempt that is sent after the answer, where attempts may not be canceled.
 func TestAttemptNotPickedBeforeTheAnswerIsNeverSent(t *testing.T) {
 	config := testConfig
-	config.Cancellation = false
+	config.Attempts.Cancellation = false
 	picker, _ := newTestPicker(config, 2)
 	handle := picker.Submit(Arrival{Timeout: 3 * Second})
 	first := pick(t, handle)
@@ -220,7 +220,7 @@
 // address has changed.
 func TestPollAfterAWaitOrAtOnceWhereTheServiceMoved(t *testing.T) {
 	config := testConfig
-	config.PollEndpoints = true
+	config.Discovery.Poll = true
 	picker, now := newTestPicker(config, 1)
 	pollIsDue := func() bool { return len(picker.pollDue) > 0 }
 	picker.ReportWatchEnded(WatchFailed)
@@ -243,7 +243,7 @@
 // Regression test for a peer that restarts and does not know the load here, and for the load that it had before.
 func TestRestartedPeerIsSentTheLoad(t *testing.T) {
 	config := testConfig
-	config.Gossip = true
+	config.Gossip.Enabled = true
 	picker, now := newTestPicker(config, 2)
 	handle := picker.Submit(Arrival{Timeout: 90 * Second, SizeHint: Work(9 * Second)})
 	decision := pick(t, handle)
--- a/internal/balancer/polling_test.go
+++ b/internal/balancer/polling_test.go
@@ -197,8 +197,8 @@
 // changeDeadlineConfig returns the configuration of a platform on which a change counts as known after 6 s.
 func changeDeadlineConfig(dispatchers, position int) Config {
 	config := testConfig
-	config.PollEndpoints = true
-	config.EndpointChangeDeadline = 6 * Second
+	config.Discovery.Poll = true
+	config.Discovery.ChangeDeadline = 6 * Second
 	config.Dispatchers = dispatchers
 	config.Position = position
 	return config
@@ -289,7 +289,7 @@
 	}}
 	for position := range starting {
 		config := testConfig
-		config.PollEndpoints = true
+		config.Discovery.Poll = true
 		config.Dispatchers = dispatchers
 		config.Position = position
 		fleet.add(config, FromBeforeStart)
--- a/internal/balancer/reconfigure.go
+++ b/internal/balancer/reconfigure.go
@@ -16,11 +16,11 @@
 func (b *Balancer) Reconfigure(config Config) (assigned AssignedIDs) {
 	config.Dispatchers = b.config.dispatchers
 	config.Position = b.config.position
-	config.Gossip = b.config.gossip
+	config.Gossip.Enabled = b.config.gossip
 	for _, op := range config.Operations {
 		assigned.Operations = append(assigned.Operations, b.operations.assign(newOperation(config, op)))
 	}
-	for _, tenant := range config.Tenants {
+	for _, tenant := range config.Quotas.Tenants {
 		number := b.tenants.Assign(tenant.Name, tenant.Quota*b.config.dispatcherShare)
 		assigned.Tenants = append(assigned.Tenants, TenantID(number))
 	}
@@ -32,7 +32,7 @@
 	b.due.capacityChanged = true
 	b.due.reviewAt = b.now
 	b.limitAttempts()
-	b.effects.Log(ConfigurationApplied{Operations: len(config.Operations), MaxAttempts: config.MaxAttempts})
+	b.effects.Log(ConfigurationApplied{Operations: len(config.Operations), MaxAttempts: config.Attempts.Max})
 	return assigned
 }
 
--- a/internal/balancer/reconfigure_test.go
+++ b/internal/balancer/reconfigure_test.go
@@ -12,7 +12,7 @@
 func namedConfig() Config {
 	config := testConfig
 	config.Operations = slices.Clone(config.Operations)
-	config.Tenants = []TenantConfig{{Quota: 1e9, Name: "a"}}
+	config.Quotas.Tenants = []TenantConfig{{Quota: 1e9, Name: "a"}}
 	for n := range config.Operations {
 		config.Operations[n].Name = fmt.Sprint("o", n)
 	}
@@ -56,7 +56,7 @@
 func TestLowerAttemptLimitBindsAtOnceAndHigherDoesNot(t *testing.T) {
 	balancer, effects := newReconfigured(t)
 	oneAttempt := namedConfig()
-	oneAttempt.MaxAttempts = 1
+	oneAttempt.Attempts.Max = 1
 	balancer.Reconfigure(oneAttempt)
 	endFirstAttempt(balancer, 0, Overloaded)
 	assert.Contains(t, effects.lines, "reject 0, retry after 20000")
@@ -80,25 +80,30 @@
 	endFirstAttempt(balancer, 0, Overloaded)
 	assert.True(t, balancer.requests.byID[0].queued)
 	oneAttempt := namedConfig()
-	oneAttempt.MaxAttempts = 1
+	oneAttempt.Attempts.Max = 1
 	balancer.Reconfigure(oneAttempt)
 	assert.Contains(t, effects.lines, "reject 0, retry after 20000")
 }
 
 func TestTenantsKeepTheirNumbersByName(t *testing.T) {
 	first := namedConfig()
-	first.Tenants = []TenantConfig{{Quota: 2, Name: "a"}, {Quota: 2, Name: "b"}}
+	first.Quotas.Tenants = []TenantConfig{{Quota: 2, Name: "a"}, {Quota: 2, Name: "b"}}
 	balancer := New(first, 1, &recorder{})
 	for range 100 {
 		balancer.quotaWeight(1)
 	}
 	second := first
-	second.Tenants = []TenantConfig{{Quota: 2, Name: "b"}, {Quota: 2, Name: "c"}}
+	second.Quotas.Tenants = []TenantConfig{{Quota: 2, Name: "b"}, {Quota: 2, Name: "c"}}
 	numbers := balancer.Reconfigure(second).Tenants
 	assert.Equal(t, []TenantID{1, 2}, numbers, "each name keeps its number")
 	assert.Less(t, balancer.quotaWeight(numbers[0]), 1.0, "beyond its quota, though its place in the list has changed")
 	assert.Equal(t, 1.0, balancer.quotaWeight(numbers[1]))
 	assert.Equal(t, 1.0, balancer.quotaWeight(0), "requests that arrive under the old numbers count for their own tenant")
-	onlyFirst := Config{Dispatchers: 2, Tenants: first.Tenants[:1]}
+	onlyFirst := Config{
+		Dispatchers: 2,
+		Quotas: QuotaConfig{
+			Tenants: first.Quotas.Tenants[:1],
+		},
+	}
 	assert.Equal(t, []TenantID{0}, balancer.Reconfigure(onlyFirst).Tenants)
 }
--- a/internal/balancer/request_handle_test.go
+++ b/internal/balancer/request_handle_test.go
@@ -13,7 +13,7 @@
 // late. Where attempts may not be canceled, that holds only once they are sent.
 func TestUnsentAttemptIsCanceledWhateverTheConfiguration(t *testing.T) {
 	config := testConfig
-	config.Cancellation = false
+	config.Attempts.Cancellation = false
 	for name, closeRequest := range map[string]func(*RequestHandle){
 		"left":     (*RequestHandle).clientLeft,
 		"answered": (*RequestHandle).RejectOrFail,
@@ -40,7 +40,7 @@
 
 func TestCancelAllEndsAttemptsInFlight(t *testing.T) {
 	config := testConfig
-	config.Cancellation = false
+	config.Attempts.Cancellation = false
 	shards := NewShards(config, 2, 1, func() Time { return testStart }, func(Event) {})
 	shards.UpdateEndpoints([]Endpoint{{Worker: 0, ID: "w"}, {Worker: 1, ID: "v"}}, AllEndpoints, FromDiscovery)
 	for range 2 { // one request at each shard
@@ -164,7 +164,7 @@
 // decision and its Pick, or between a result and its report.
 func TestEachOrderOfEventsEndsOnce(t *testing.T) {
 	config := testConfig
-	config.StartNotices = true
+	config.Attempts.StartNotices = true
 	order := make([]byte, 0, 5)
 	var all func(left int)
 	all = func(left int) {
--- a/internal/balancer/shards.go
+++ b/internal/balancer/shards.go
@@ -23,10 +23,10 @@
 // NewShards returns a number of shards for a process. config.Dispatchers and config.Position count processes. clock
 // returns the current time, and log takes events.
 func NewShards(config Config, count int, seed uint64, clock func() Time, log func(Event)) *Shards {
-	s := &Shards{firstPeer: PeerID(config.Position * count), gossip: config.Gossip}
+	s := &Shards{firstPeer: PeerID(config.Position * count), gossip: config.Gossip.Enabled}
 	position := config.Position
 	config.Dispatchers *= count
-	config.Gossip = config.Gossip || count > 1
+	config.Gossip.Enabled = config.Gossip.Enabled || count > 1
 	for n := range count {
 		config.Position = position*count + n
 		picker := NewPicker(config, seed+uint64(n), clock, log)
--- a/internal/balancer/shards_test.go
+++ b/internal/balancer/shards_test.go
@@ -21,7 +21,7 @@
 
 func TestShardsAreDispatchersAmongAllOfAllProcesses(t *testing.T) {
 	config := testConfig
-	config.Gossip = true
+	config.Gossip.Enabled = true
 	s := newTestShards(config, 3, 4)
 	for j, picker := range s.pickers {
 		assert.Equal(t, []int{6, 3 + j}, []int{picker.balancer.config.dispatchers, picker.balancer.config.position})
@@ -43,7 +43,7 @@
 func TestShardsGossipInMemory(t *testing.T) {
 	for _, gossip := range []bool{false, true} {
 		config := testConfig
-		config.Gossip = gossip
+		config.Gossip.Enabled = gossip
 		s := newTestShards(config, 2, 1)
 		handle := s.pickers[0].Submit(Arrival{Timeout: 3 * Second})
 		c := pick(t, handle)
@@ -66,7 +66,7 @@
 
 func TestOnePollServesAllShards(t *testing.T) {
 	config := testConfig
-	config.PollEndpoints = true
+	config.Discovery.Poll = true
 	s := newTestShards(config, 3, 1)
 	for _, picker := range s.pickers {
 		picker.update(func(balancer *Balancer) { balancer.polling.PollNow(LongAgo) }) // a poll is due at each
@@ -116,7 +116,7 @@
 // Regression test for a fleet that restarts at once and in which each sends a hello to all: each message has a cost.
 func TestGossipPeersShareWorkers(t *testing.T) {
 	config := testConfig
-	config.Dispatchers, config.Gossip, config.GossipCost = 80, true, 0.000625
+	config.Dispatchers, config.Gossip.Enabled, config.Gossip.MessageCost = 80, true, 0.000625
 	fleet := make([]*Shards, 80)
 	for n := range fleet {
 		config.Position = n
--- a/internal/balancer/slow_start_fleet_test.go
+++ b/internal/balancer/slow_start_fleet_test.go
@@ -61,8 +61,8 @@
 	simulation := &warmingSimulation{now: testStart, startedAt: testStart}
 	config := testConfig
 	config.Dispatchers = dispatchers
-	config.Gossip = true
-	config.ReportFree = NotReported
+	config.Gossip.Enabled = true
+	config.LoadReports.FreeSlots = NotReported
 	for position := range dispatchers {
 		config.Position = position
 		effects := &warmingEffects{simulation: simulation, number: PeerID(position)}
--- a/internal/balancer/slow_start_release_test.go
+++ b/internal/balancer/slow_start_release_test.go
@@ -124,11 +124,11 @@
 	config := testConfig
 	config.Dispatchers = len(s.dispatchers)
 	config.Position = number
-	config.ReportFree = NotReported
-	config.OverloadFactor = 3
-	config.ValuePerRequest = 1
-	config.Gossip = s.gossip
-	config.GossipCost = 0.0004
+	config.LoadReports.FreeSlots = NotReported
+	config.Warmup.OverloadFactor = 3
+	config.Objective.ValuePerRequest = 1
+	config.Gossip.Enabled = s.gossip
+	config.Gossip.MessageCost = 0.0004
 	effects := &releaseEffects{simulation: s, number: PeerID(number)}
 	effects.balancer = New(config, s.seed+uint64(s.now)+uint64(number), effects)
 	effects.balancer.SetTime(s.now)
--- a/internal/balancer/slow_start_test.go
+++ b/internal/balancer/slow_start_test.go
@@ -137,7 +137,7 @@
 	balancer.config.dispatchers = dispatchers
 	balancer.config.meanObjective = 1 // requests are so small that each dispatcher has a share
 	balancer.now = 200 * Second
-	for age := Duration(0); age < testConfig.WarmupDuration; age += ageStep {
+	for age := Duration(0); age < testConfig.Warmup.Duration; age += ageStep {
 		started := []Endpoint{{Worker: 0, ID: "w0", StartedAt: balancer.now.Add(-age)}}
 		balancer.UpdateEndpoints(started, ChangedEndpoints, FromDiscovery)
 		sent := Work(0)
@@ -148,7 +148,7 @@
 				sent++
 			}
 		}
-		budget := testConfig.OverloadFactor * balancer.warmupFactor(0) * mostSlots * float64(testConfig.WarmupWindow)
+		budget := testConfig.Warmup.OverloadFactor * balancer.warmupFactor(0) * mostSlots * float64(testConfig.Warmup.Window)
 		assert.Positive(t, sent, "age %d", age)
 		assert.Less(t, float64(sent), budget, "age %d", age)
 	}
--- a/internal/balancer/snapshot_test.go
+++ b/internal/balancer/snapshot_test.go
@@ -11,8 +11,8 @@
 // would have to fail again.
 func TestSnapshotIsRestored(t *testing.T) {
 	config := namedConfig()
-	config.ReportFree = NotReported
-	config.Gossip = true
+	config.LoadReports.FreeSlots = NotReported
+	config.Gossip.Enabled = true
 	predecessor, predecessorNow := newTestPicker(config, 4)
 	predecessor.update(learnSomething)
 	successor, successorNow := newTestPicker(config, 4)
--- a/internal/balancer/subsetting_test.go
+++ b/internal/balancer/subsetting_test.go
@@ -76,8 +76,8 @@
 			config := testConfig
 			config.Dispatchers = size
 			config.Position = position
-			config.Gossip = gossip
-			config.GossipCost = 0.001
+			config.Gossip.Enabled = gossip
+			config.Gossip.MessageCost = 0.001
 			last, _ = newTestBalancer(config, uint64(position), endpoints)
 			assert.Len(t, last.subsetting.ring, size)
 			for _, id := range last.subsetting.subsets[bothIntervals].workers {
--- a/internal/balancer/unstarted_attempts_test.go
+++ b/internal/balancer/unstarted_attempts_test.go
@@ -9,8 +9,8 @@
 // newDeliveryNoticesBalancer returns a Balancer whose caller reports when a worker has received an attempt.
 func newDeliveryNoticesBalancer() (*Balancer, *recorder) {
 	config := testConfig
-	config.DeliveryNotices = true
-	config.ReportFree = NotReported
+	config.Attempts.DeliveryNotices = true
+	config.LoadReports.FreeSlots = NotReported
 	return newTestBalancer(config, 1, []Endpoint{{Worker: 0, ID: "w0"}, {Worker: 1, ID: "w1"}})
 }
 
--- a/internal/balancer/warm_up_test.go
+++ b/internal/balancer/warm_up_test.go
@@ -19,7 +19,7 @@
 
 // initialBudget is what a worker bears that has just started, in ticks of work. It takes the worker's whole budget.
 func initialBudget() Work {
-	return Work(testConfig.OverloadFactor * testConfig.InitialWarmup * float64(testConfig.WarmupWindow))
+	return Work(testConfig.Warmup.OverloadFactor * testConfig.Warmup.InitialShare * float64(testConfig.Warmup.Window))
 }
 
 func TestIsolatedDispatcherSuspectsRestarts(t *testing.T) {
@@ -46,7 +46,7 @@
 // newIsolatedBalancerAfterRun returns an isolated Balancer for which a worker has run a request for some times its size
 // hint, and the worker.
 func newIsolatedBalancerAfterRun(timesHint float64) (*Balancer, WorkerID) {
-	hint := initialBudget() / Work(testConfig.OverloadFactor)
+	hint := initialBudget() / Work(testConfig.Warmup.OverloadFactor)
 	balancer := newIsolatedBalancer()
 	arrive(balancer, 0, Arrival{Operation: idempotentOp, Timeout: 20 * Second, SizeHint: hint})
 	balancer.AttemptStarted(0, 0)
--- a/internal/balancer/warmup_credit_test.go
+++ b/internal/balancer/warmup_credit_test.go
@@ -62,7 +62,7 @@
 		warm = append(warm, Endpoint{Worker: id, ID: string(rune('a' + id))})
 	}
 	config := testConfig
-	config.ReportFree = NotReported
+	config.LoadReports.FreeSlots = NotReported
 	balancer := newWarmupCreditBalancer(config, 7, warm)
 	for rotation := range 20 {
 		balancer.RequestArrived(RequestID(rotation), Arrival{Timeout: 20 * Second, SizeHint: 100})
--- a/internal/balancer/worker_search_test.go
+++ b/internal/balancer/worker_search_test.go
@@ -21,9 +21,9 @@
 	)
 	for seed := range uint64(seeds) {
 		config := testConfig
-		config.Gossip = seed%2 == 0
-		config.ReportFree = NotReported
-		config.StartNotices = seed%startNoticeMod != 0
+		config.Gossip.Enabled = seed%2 == 0
+		config.LoadReports.FreeSlots = NotReported
+		config.Attempts.StartNotices = seed%startNoticeMod != 0
 		balancer, effects := newTestBalancer(config, seed, testEndpoints(workers))
 		balancer.slots.kinds[0].Estimate = 1 // so that starts raise it
 		driver := &randomDriver{
--- a/internal/daemon/config_parse.go
+++ b/internal/daemon/config_parse.go
@@ -74,10 +74,10 @@
 // reports when a worker has received an attempt.
 func (r *configReader) setPollingDiscovery(c *Config) {
 	interval := r.seconds(pollIntervalKey)
-	c.Balancer.PollEndpoints = true
-	c.Balancer.MaxPollInterval = settings.DurationOf(interval.Seconds())
-	c.Balancer.EndpointChangeDeadline = endpointChangeDeadline
-	c.Balancer.DeliveryNotices = true
+	c.Balancer.Discovery.Poll = true
+	c.Balancer.Discovery.MaxPollInterval = settings.DurationOf(interval.Seconds())
+	c.Balancer.Discovery.ChangeDeadline = endpointChangeDeadline
+	c.Balancer.Attempts.DeliveryNotices = true
 }
 
 // readIdentity reads who the dispatcher is and the addresses that it uses.
@@ -100,7 +100,7 @@
 
 // readPeers reads the addresses for gossip: one for each dispatcher, this one included. Without gossip there are none.
 func (r *configReader) readPeers(c *Config) {
-	if !c.Balancer.Gossip {
+	if !c.Balancer.Gossip.Enabled {
 		return
 	}
 	c.PeerListen = r.address("", "peer_listen").String()
@@ -134,8 +134,8 @@
 func (r *configReader) readProxy(c *Config) {
 	c.Proxy.Position = c.Balancer.Position
 	c.Proxy.DialTimeout = r.seconds(dialTimeoutKey)
-	if c.Balancer.RetryAfter {
-		c.Proxy.MaxRetryAfter = c.Balancer.MaxRetryAfter.Standard()
+	if c.Balancer.Rejections.RetryAfter {
+		c.Proxy.MaxRetryAfter = c.Balancer.Rejections.MaxRetryAfter.Standard()
 	}
 	for n, v := range r.root.GetArray("settings", "operations") {
 		operation := r.operation(n, v, c.Balancer.Operations)
--- a/internal/daemon/helpers_test.go
+++ b/internal/daemon/helpers_test.go
@@ -125,7 +125,7 @@
 	parsed, err := parseConfig([]byte(testConfiguration),
 		fakeEnv("LB_LISTEN", freeAddress(t), "LB_DISCOVERY", unusedAddress))
 	assert.NoError(t, err)
-	parsed.Balancer.Gossip = false
+	parsed.Balancer.Gossip.Enabled = false
 	parsed.Proxy.InitialEndpoints.Endpoints[0].Address = listener.Addr().String()
 	parsed.MaxClientTimeout = time.Second
 	return *parsed, "http://" + parsed.Listen
--- a/internal/daemon/operators_test.go
+++ b/internal/daemon/operators_test.go
@@ -64,7 +64,7 @@
 	}
 	balancing := read.Balancer
 	assert.Equal(t, []any{int64(70_000), int64(60_000), true, true},
-		[]any{int64(balancing.MaxPollInterval), int64(balancing.EndpointChangeDeadline), balancing.DeliveryNotices, balancing.PollEndpoints})
+		[]any{int64(balancing.Discovery.MaxPollInterval), int64(balancing.Discovery.ChangeDeadline), balancing.Attempts.DeliveryNotices, balancing.Discovery.Poll})
 	want.Balancer, want.keys, want.settingsHash = balancing, read.keys, read.settingsHash
 	assert.Equal(t, want, read)
 	unset := []string{}
--- a/internal/daemon/process.go
+++ b/internal/daemon/process.go
@@ -121,7 +121,7 @@
 
 // openPeerSocket opens or inherits the socket for gossip, where there is gossip.
 func (p *process) openPeerSocket() error {
-	if !p.config.Balancer.Gossip {
+	if !p.config.Balancer.Gossip.Enabled {
 		return nil
 	}
 	addr, err := netip.ParseAddrPort(p.config.PeerListen)
--- a/internal/daemon/recovery.go
+++ b/internal/daemon/recovery.go
@@ -36,7 +36,7 @@
 		Position:       c.Balancer.Position,
 		SettingsHash:   c.settingsHash,
 		Kinds:          c.Proxy.Kinds,
-		WarmupDuration: c.Balancer.WarmupDuration.Standard(),
+		WarmupDuration: c.Balancer.Warmup.Duration.Standard(),
 		MaxRetryAfter:  c.Proxy.MaxRetryAfter,
 		DedupWindow:    maxPartialDedupWindow(c.Balancer.Operations),
 		IsSuccessor:    isSuccessor,
--- a/internal/daemon/reload.go
+++ b/internal/daemon/reload.go
@@ -38,7 +38,7 @@
 		operations = append(operations, operation.Name)
 	}
 	p.log.Info().Str("discovery", next.Proxy.DiscoveryAddress).Strs("operations", operations).
-		Int("forwards", applied.Balancer.MaxAttempts).Strs("at_next_start", requiringRestart(applied, next)).
+		Int("forwards", applied.Balancer.Attempts.Max).Strs("at_next_start", requiringRestart(applied, next)).
 		Msg("configuration reloaded")
 }
 
@@ -75,13 +75,9 @@
 	merged.Balancer.Position = c.Balancer.Position
 	merged.Balancer.Zone = c.Balancer.Zone
 	merged.Balancer.Kinds = c.Balancer.Kinds
-	merged.Balancer.Gossip = c.Balancer.Gossip
-	merged.Balancer.StartNotices = c.Balancer.StartNotices
-	merged.Balancer.ReportsOnProbe = c.Balancer.ReportsOnProbe
-	merged.Balancer.Probes = c.Balancer.Probes
-	merged.Balancer.ReportInFlight = c.Balancer.ReportInFlight
-	merged.Balancer.ReportQueue = c.Balancer.ReportQueue
-	merged.Balancer.ReportFree = c.Balancer.ReportFree
+	merged.Balancer.Gossip.Enabled = c.Balancer.Gossip.Enabled
+	merged.Balancer.Attempts.StartNotices = c.Balancer.Attempts.StartNotices
+	merged.Balancer.LoadReports = c.Balancer.LoadReports
 
 	merged.Proxy.DiscoveryAddress = next.Proxy.DiscoveryAddress
 	merged.Proxy.Operations = next.Proxy.Operations
--- a/internal/daemon/signals_test.go
+++ b/internal/daemon/signals_test.go
@@ -85,7 +85,7 @@
 
 func TestHangingWorkerDoesNotDelayTheEndWithoutCancellation(t *testing.T) {
 	config, url := newTestConfig(t, time.Minute)
-	config.Balancer.Cancellation = false
+	config.Balancer.Attempts.Cancellation = false
 	config.Balancer.Operations[0].Idempotency = balancer.NonIdempotent
 	config.AdminListen = freeAddress(t)
 	received, start := preparedProcess(config, nil)
--- a/internal/discovery/helpers_test.go
+++ b/internal/discovery/helpers_test.go
@@ -49,10 +49,25 @@
 		return balancer.Time(balancer.Second).Add(balancer.DurationOf(time.Since(began)))
 	}
 	shards := balancer.NewShards(balancer.Config{
-		Dispatchers: 2, Kinds: 1, MaxAttempts: 1, Granularity: 20, ReportInFlight: -1, ReportQueue: -1, ReportFree: -1,
-		Tenants:       []balancer.TenantConfig{{Quota: 1e9}},
-		Operations:    []balancer.OperationConfig{{LatencyObjective: balancer.Second, Value: 1, Kind: balancer.AnyKind}},
-		PollEndpoints: true, MaxPollInterval: 1000 * balancer.Second,
+		Dispatchers: 2,
+		Kinds:       1,
+		Attempts: balancer.AttemptConfig{
+			Max: 1,
+		},
+		Granularity: 20,
+		LoadReports: balancer.LoadReportConfig{
+			InFlight:  -1,
+			Queue:     -1,
+			FreeSlots: -1,
+		},
+		Quotas: balancer.QuotaConfig{
+			Tenants: []balancer.TenantConfig{{Quota: 1e9}},
+		},
+		Operations: []balancer.OperationConfig{{LatencyObjective: balancer.Second, Value: 1, Kind: balancer.AnyKind}},
+		Discovery: balancer.DiscoveryConfig{
+			Poll:            true,
+			MaxPollInterval: 1000 * balancer.Second,
+		},
 	}, 1, 1, clock, func(balancer.Event) {})
 	pool := transport.NewPool(4, time.Minute, zerolog.Nop())
 	config := Config{Address: address, DialTimeout: func() time.Duration { return time.Second }}
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -88,7 +88,7 @@
 	w.balancer.ReportDiscoveryMoved()
 }
 
-// Answered reports whether the first poll is over: it was answered, has failed, or has taken longer than
+// FirstPollOver reports whether the first poll is over: it was answered, has failed, or has taken longer than
 // maxFirstPollWait in a process that already has a list.
 func (w *Watcher) FirstPollOver() bool { return w.answered.Load() }
 
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -31,9 +31,21 @@
 		return balancer.Time(balancer.Second).Add(balancer.DurationOf(time.Since(began)))
 	}
 	shards := balancer.NewShards(balancer.Config{
-		Dispatchers: 2, Kinds: 1, MaxAttempts: 1, Cancellation: true, Granularity: 20,
-		ReportInFlight: -1, ReportQueue: -1, ReportFree: -1,
-		Tenants:    []balancer.TenantConfig{{Quota: 1e9}},
+		Dispatchers: 2,
+		Kinds:       1,
+		Attempts: balancer.AttemptConfig{
+			Max:          1,
+			Cancellation: true,
+		},
+		Granularity: 20,
+		LoadReports: balancer.LoadReportConfig{
+			InFlight:  -1,
+			Queue:     -1,
+			FreeSlots: -1,
+		},
+		Quotas: balancer.QuotaConfig{
+			Tenants: []balancer.TenantConfig{{Quota: 1e9}},
+		},
 		Operations: []balancer.OperationConfig{{LatencyObjective: balancer.Second, Value: 1, Kind: balancer.AnyKind}},
 	}, 1, 1, clock, func(balancer.Event) {})
 	worker := balancer.Endpoint{Worker: 0, ID: "w", State: balancer.Healthy}
--- a/internal/proxy/attempt_test.go
+++ b/internal/proxy/attempt_test.go
@@ -220,7 +220,7 @@
 			text = succeededText()
 		}
 		io.WriteString(conn, text)
-	}), func(balancing *balancer.Config, _ *Config) { balancing.MaxAttempts = 4 })
+	}), func(balancing *balancer.Config, _ *Config) { balancing.Attempts.Max = 4 })
 	p.hooks.beforeSend = func() {
 		time.Sleep(50 * time.Millisecond)
 		left <- time.Until(arrivedAt.Add(2 * time.Second)) // its client waits for as long
--- a/internal/proxy/helpers_test.go
+++ b/internal/proxy/helpers_test.go
@@ -83,9 +83,21 @@
 func newProxyWith(address string, change func(*balancer.Config, *Config)) *Proxy {
 	began := time.Now()
 	balancing := balancer.Config{
-		Dispatchers: 2, Kinds: 1, MaxAttempts: 1, Cancellation: true, Granularity: 20,
-		ReportInFlight: -1, ReportQueue: -1, ReportFree: -1,
-		Tenants: []balancer.TenantConfig{{Quota: 1e9}},
+		Dispatchers: 2,
+		Kinds:       1,
+		Attempts: balancer.AttemptConfig{
+			Max:          1,
+			Cancellation: true,
+		},
+		Granularity: 20,
+		LoadReports: balancer.LoadReportConfig{
+			InFlight:  -1,
+			Queue:     -1,
+			FreeSlots: -1,
+		},
+		Quotas: balancer.QuotaConfig{
+			Tenants: []balancer.TenantConfig{{Quota: 1e9}},
+		},
 		Operations: []balancer.OperationConfig{
 			{LatencyObjective: balancer.Second, Value: 1, Kind: balancer.AnyKind},
 			{LatencyObjective: balancer.Second, Value: 1, Kind: balancer.AnyKind, Idempotency: balancer.NonIdempotent},
@@ -117,7 +129,9 @@
 }
 
 // withoutCancellation allows neither cancellation nor hedging.
-func withoutCancellation(balancing *balancer.Config, _ *Config) { balancing.Cancellation = false }
+func withoutCancellation(balancing *balancer.Config, _ *Config) {
+	balancing.Attempts.Cancellation = false
+}
 
 // withPersistedKeys makes zones drop the repeats of keyed, so that its keys are persisted by a Recovery.
 func withPersistedKeys(r Recovery) func(*balancer.Config, *Config) {
@@ -132,7 +146,7 @@
 // withRetryWindow allows repeats of keyed in one zone, within a window.
 func withRetryWindow(window balancer.Duration) func(*balancer.Config, *Config) {
 	return func(balancing *balancer.Config, config *Config) {
-		balancing.MaxAttempts = 4
+		balancing.Attempts.Max = 4
 		balancing.Operations[2].DedupWindow = window
 		balancing.Operations[2].DedupScope = balancer.ScopeZone
 		config.Operations[2].DedupScope = balancer.ScopeZone
--- a/internal/proxy/interleaving_test.go
+++ b/internal/proxy/interleaving_test.go
@@ -188,9 +188,9 @@
 }
 
 func setTenants(balancing *balancer.Config, config *Config, names ...string) {
-	balancing.Tenants = nil
+	balancing.Quotas.Tenants = nil
 	for _, name := range names {
-		balancing.Tenants = append(balancing.Tenants, balancer.TenantConfig{Name: name, Quota: 1e9})
+		balancing.Quotas.Tenants = append(balancing.Quotas.Tenants, balancer.TenantConfig{Name: name, Quota: 1e9})
 	}
 	config.Tenants = names
 }
--- a/internal/proxy/request_test.go
+++ b/internal/proxy/request_test.go
@@ -186,11 +186,11 @@
 			worker, attempts := slowWorker(test.latency, test.queueing)
 			other := peertest.StartServer(t, worker)
 			p := newProxyWith(peertest.StartServer(t, worker), func(balancing *balancer.Config, config *Config) {
-				balancing.DeliveryNotices = true
-				balancing.StartNotices = true
-				balancing.MaxAttempts = 4
-				balancing.Hedging = true
-				balancing.WarmupWindow = 4 * balancer.Second
+				balancing.Attempts.DeliveryNotices = true
+				balancing.Attempts.StartNotices = true
+				balancing.Attempts.Max = 4
+				balancing.Attempts.Hedging = true
+				balancing.Warmup.Window = 4 * balancer.Second
 				for n := range balancing.Operations {
 					balancing.Operations[n].LatencyObjective = balancer.Second / 5
 				}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -52,7 +52,12 @@
 	if err := check(root); err != nil {
 		return balancer.Config{}, err
 	}
-	config := balancer.Config{Operations: operations, Tenants: parseTenants(root.GetArray(keyTenants))}
+	config := balancer.Config{
+		Operations: operations,
+		Quotas: balancer.QuotaConfig{
+			Tenants: parseTenants(root.GetArray(keyTenants)),
+		},
+	}
 	parseTopology(&config, root)
 	parseObjective(&config, root)
 	parsePolicyLimits(&config, root.Get(keyPolicyLimits))
@@ -69,61 +74,61 @@
 	config.Zone = balancer.ZoneID(root.GetInt(keyZone))
 	config.Kinds = max(len(root.GetArray(keyKinds)), 1)
 	config.Granularity = DurationOf(root.GetFloat64(keyGranularity))
-	config.PollEndpoints = string(root.GetStringBytes(keyDiscoveryMode)) == wordPolledDiscovery
+	config.Discovery.Poll = string(root.GetStringBytes(keyDiscoveryMode)) == wordPolledDiscovery
 }
 
 // parseObjective reads the value of requests and the prices of messages. Value is counted by request unless the settings
 // say that it is counted by work.
 func parseObjective(config *balancer.Config, root *fastjson.Value) {
 	otherWeights := root.GetFloat64(keyGoal, keyGoalWholeRun) + root.GetFloat64(keyGoal, keyGoalWorstWindow)
-	config.WorstOperationWeight = root.GetFloat64(keyGoal, keyGoalWorstOperation) / max(otherWeights, minObjectiveWeight)
-	config.OverQuotaShare = root.GetFloat64(keyOverQuotaValue)
-	config.GossipCost = root.GetFloat64(keyPrices, keyGossipPrice) * minPricedMessageBytes / MaxMessageBytes
-	config.CrossZoneCost = root.GetFloat64(keyPrices, keyCrossZonePrice)
+	config.Objective.WorstOperationWeight = root.GetFloat64(keyGoal, keyGoalWorstOperation) / max(otherWeights, minObjectiveWeight)
+	config.Quotas.OverQuotaWeight = root.GetFloat64(keyOverQuotaValue)
+	config.Gossip.MessageCost = root.GetFloat64(keyPrices, keyGossipPrice) * minPricedMessageBytes / MaxMessageBytes
+	config.Objective.CrossZoneCost = root.GetFloat64(keyPrices, keyCrossZonePrice)
 	if string(root.GetStringBytes(keyValueBasis)) != wordValueByWork {
-		config.ValuePerRequest = 1
+		config.Objective.ValuePerRequest = 1
 	}
 }
 
 // parsePolicyLimits reads what a dispatcher may do.
 func parsePolicyLimits(config *balancer.Config, limits *fastjson.Value) {
-	config.MaxAttempts = limits.GetInt(keyMaxAttempts)
-	config.MaxRetryAfter = DurationOf(limits.GetFloat64(keyMaxRetryAfter))
-	config.Cancellation = limits.GetBool(keyCancellation)
-	config.Hedging = limits.GetBool(keyHedging)
-	config.Probes = limits.GetBool(keyHealthChecks)
-	config.Gossip = limits.GetBool(keyGossip)
-	config.RetryAfter = limits.GetBool(keyRetryAfter)
+	config.Attempts.Max = limits.GetInt(keyMaxAttempts)
+	config.Rejections.MaxRetryAfter = DurationOf(limits.GetFloat64(keyMaxRetryAfter))
+	config.Attempts.Cancellation = limits.GetBool(keyCancellation)
+	config.Attempts.Hedging = limits.GetBool(keyHedging)
+	config.LoadReports.Probes = limits.GetBool(keyHealthChecks)
+	config.Gossip.Enabled = limits.GetBool(keyGossip)
+	config.Rejections.RetryAfter = limits.GetBool(keyRetryAfter)
 }
 
 // parseRules reads what workers and the discovery service expect of a dispatcher.
 func parseRules(config *balancer.Config, rules *fastjson.Value) {
-	config.MaxPollInterval = DurationOf(rules.GetFloat64(keyMaxPollInterval))
-	config.WarmupDuration = DurationOf(rules.GetFloat64(keyWarmupDuration))
-	config.WarmupWindow = DurationOf(rules.GetFloat64(keyWarmupWindow))
-	config.InitialWarmup = rules.GetFloat64(keyInitialWarmup)
-	config.OverloadFactor = rules.GetFloat64(keyOverloadFactor)
+	config.Discovery.MaxPollInterval = DurationOf(rules.GetFloat64(keyMaxPollInterval))
+	config.Warmup.Duration = DurationOf(rules.GetFloat64(keyWarmupDuration))
+	config.Warmup.Window = DurationOf(rules.GetFloat64(keyWarmupWindow))
+	config.Warmup.InitialShare = rules.GetFloat64(keyInitialWarmup)
+	config.Warmup.OverloadFactor = rules.GetFloat64(keyOverloadFactor)
 }
 
 // parseLoadReports reads what workers report, and the index of each value that the balancer uses in a load report.
 // The value that is particular to the workload is used where it counts free slots.
 func parseLoadReports(config *balancer.Config, report, workload *fastjson.Value) {
-	config.StartNotices = workload.GetBool(keyStartNotices)
-	config.ReportsOnProbe = string(report.GetStringBytes(keyLoadReportSource)) == wordReportsOnProbe
-	config.ReportInFlight = balancer.NotReported
-	config.ReportQueue = balancer.NotReported
-	config.ReportFree = balancer.NotReported
+	config.Attempts.StartNotices = workload.GetBool(keyStartNotices)
+	config.LoadReports.OnProbe = string(report.GetStringBytes(keyLoadReportSource)) == wordReportsOnProbe
+	config.LoadReports.InFlight = balancer.NotReported
+	config.LoadReports.Queue = balancer.NotReported
+	config.LoadReports.FreeSlots = balancer.NotReported
 	reportsFreeSlots := string(workload.GetStringBytes(keyWorkloadValue)) == wordFreeSlots
 	for n, name := range report.GetArray(keyLoadReportNames) {
 		index := balancer.ReportIndex(n)
 		switch string(name.GetStringBytes()) {
 		case nameRequestsInFlight:
-			config.ReportInFlight = index
+			config.LoadReports.InFlight = index
 		case nameQueuedRequests:
-			config.ReportQueue = index
+			config.LoadReports.Queue = index
 		case nameWorkloadValue:
 			if reportsFreeSlots {
-				config.ReportFree = index
+				config.LoadReports.FreeSlots = index
 			}
 		}
 	}
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -32,62 +32,83 @@
 "orgs": [{"name": "acme", "quotaPerS": 7.5}, {"name": "globex", "quotaPerS": 0}]
 }`
 
+// wantOperations are the operations of allSettings.
+func wantOperations() []balancer.OperationConfig {
+	return []balancer.OperationConfig{
+		{
+			Name:             "render",
+			LatencyObjective: 12_500,
+			DedupWindow:      6_000_000,
+			Value:            4,
+			LateShare:        0.5,
+			Stretch:          0.75,
+			Idempotency:      1,
+			DedupScope:       2,
+			Kind:             1,
+		},
+		{
+			Name:             "pay",
+			LatencyObjective: 5_000,
+			DedupWindow:      10_000,
+			Value:            2,
+			LateShare:        0.25,
+			Stretch:          0.5,
+			Idempotency:      2,
+			DedupScope:       1,
+			Kind:             0,
+		},
+	}
+}
+
 // wantConfig is what allSettings says.
 func wantConfig() balancer.Config {
 	return balancer.Config{
 		Dispatchers: 5,
 		Kinds:       2,
 		Position:    2,
-		GossipCost:  0.03125,
-		Zone:        3,
-		Operations: []balancer.OperationConfig{
-			{
-				Name:             "render",
-				LatencyObjective: 12_500,
-				DedupWindow:      6_000_000,
-				Value:            4,
-				LateShare:        0.5,
-				Stretch:          0.75,
-				Idempotency:      1,
-				DedupScope:       2,
-				Kind:             1,
-			},
-			{
-				Name:             "pay",
-				LatencyObjective: 5_000,
-				DedupWindow:      10_000,
-				Value:            2,
-				LateShare:        0.25,
-				Stretch:          0.5,
-				Idempotency:      2,
-				DedupScope:       1,
-				Kind:             0,
-			},
-		},
-		Tenants:              []balancer.TenantConfig{{Quota: 7.5, Name: "acme"}, {Quota: math.Inf(1), Name: "globex"}},
-		Granularity:          20,
-		MaxPollInterval:      60_000,
-		MaxRetryAfter:        25_000,
-		WarmupDuration:       300_000,
-		WarmupWindow:         20_000,
-		InitialWarmup:        0.4,
-		OverloadFactor:       1.5,
-		OverQuotaShare:       0.125,
-		CrossZoneCost:        0.25,
-		PollEndpoints:        true,
-		Cancellation:         true,
-		Hedging:              true,
-		RetryAfter:           true,
-		Probes:               true,
-		Gossip:               true,
-		StartNotices:         true,
-		ReportsOnProbe:       true,
-		WorstOperationWeight: 1.5,
-		ValuePerRequest:      1,
-		MaxAttempts:          3,
-		ReportInFlight:       1,
-		ReportQueue:          2,
-		ReportFree:           3,
+		Gossip: balancer.GossipConfig{
+			MessageCost: 0.03125,
+			Enabled:     true,
+		},
+		Zone:       3,
+		Operations: wantOperations(),
+		Quotas: balancer.QuotaConfig{
+			Tenants:         []balancer.TenantConfig{{Quota: 7.5, Name: "acme"}, {Quota: math.Inf(1), Name: "globex"}},
+			OverQuotaWeight: 0.125,
+		},
+		Granularity: 20,
+		Discovery: balancer.DiscoveryConfig{
+			MaxPollInterval: 60_000,
+			Poll:            true,
+		},
+		Rejections: balancer.RejectionConfig{
+			MaxRetryAfter: 25_000,
+			RetryAfter:    true,
+		},
+		Warmup: balancer.WarmupConfig{
+			Duration:       300_000,
+			Window:         20_000,
+			InitialShare:   0.4,
+			OverloadFactor: 1.5,
+		},
+		Objective: balancer.ObjectiveConfig{
+			CrossZoneCost:        0.25,
+			WorstOperationWeight: 1.5,
+			ValuePerRequest:      1,
+		},
+		Attempts: balancer.AttemptConfig{
+			Cancellation: true,
+			Hedging:      true,
+			StartNotices: true,
+			Max:          3,
+		},
+		LoadReports: balancer.LoadReportConfig{
+			Probes:    true,
+			OnProbe:   true,
+			InFlight:  1,
+			Queue:     2,
+			FreeSlots: 3,
+		},
 	}
 }
 
@@ -138,13 +159,17 @@
 		`{"balancers":1,"billedValueBasis":"work","operations":[{"repeat":"idempotent"}]}`))
 	assert.NoError(t, err)
 	want := balancer.Config{
-		Dispatchers:    1,
-		Kinds:          1,
-		Operations:     []balancer.OperationConfig{{Kind: -1}},
-		Tenants:        []balancer.TenantConfig{{Quota: math.Inf(1)}},
-		ReportInFlight: balancer.NotReported,
-		ReportQueue:    balancer.NotReported,
-		ReportFree:     balancer.NotReported,
+		Dispatchers: 1,
+		Kinds:       1,
+		Operations:  []balancer.OperationConfig{{Kind: -1}},
+		Quotas: balancer.QuotaConfig{
+			Tenants: []balancer.TenantConfig{{Quota: math.Inf(1)}},
+		},
+		LoadReports: balancer.LoadReportConfig{
+			InFlight:  balancer.NotReported,
+			Queue:     balancer.NotReported,
+			FreeSlots: balancer.NotReported,
+		},
 	}
 	assert.Equal(t, want, read)
 }
--- a/internal/simadapter/simadapter.go
+++ b/internal/simadapter/simadapter.go
@@ -185,7 +185,7 @@
 			return fmt.Errorf("%s: %w", keySettings, err)
 		}
 		in.operations = len(config.Operations)
-		in.tenants = len(config.Tenants)
+		in.tenants = len(config.Quotas.Tenants)
 		in.reportValues = settings.LoadReportLength(fields.Get(keySettings))
 		in.balancer = balancer.New(config, fields.GetUint64(keySeed), in)
 		in.balancer.SetTime(now)
--- a/internal/testbed/experiment/experiment_test.go
+++ b/internal/testbed/experiment/experiment_test.go
@@ -128,8 +128,8 @@
 	assert.NoError(t, err)
 	balancer := got.Balancer
 	assert.Equal(t, []any{3, 1, 0.12, 4, 0.5, 64, 384, true, true}, []any{
-		balancer.Dispatchers, balancer.Position, balancer.InitialWarmup,
-		balancer.MaxAttempts, got.Cores, got.MemoryMB, got.Sockets, balancer.StartNotices, balancer.Cancellation,
+		balancer.Dispatchers, balancer.Position, balancer.Warmup.InitialShare,
+		balancer.Attempts.Max, got.Cores, got.MemoryMB, got.Sockets, balancer.Attempts.StartNotices, balancer.Attempts.Cancellation,
 	})
 	keyed := balancer.Operations[1]
 	assert.Equal(t, []any{40 * time.Second, 3 * time.Second, 5.0, 0.25, 1.5}, []any{
@@ -137,8 +137,8 @@
 		keyed.LatencyObjective.Standard(), keyed.Value, keyed.LateShare, keyed.Stretch,
 	})
 	assert.Equal(t, []string{"a", "b"}, got.Proxy.Zones)
-	assert.Equal(t, 7.0, balancer.Tenants[0].Quota)
-	assert.Equal(t, 24*time.Second, balancer.WarmupDuration.Standard())
+	assert.Equal(t, 7.0, balancer.Quotas.Tenants[0].Quota)
+	assert.Equal(t, 24*time.Second, balancer.Warmup.Duration.Standard())
 }
 
 func TestTraceIsReadRelativeToTheFileAndRejectedWithItsLine(t *testing.T) {
