--- a/internal/balancer/doc.go
+++ b/internal/balancer/doc.go
@@ -20,20 +20,20 @@
 //
 // # Where each rule stands
 //
-//   - order in which rules are applied: rules.go
+//   - order in which rules are applied: rules.go.
 //   - size intervals: package sizeinterval; ring and subsets: subsetting.go; choice: pick_worker.go, mean_load.go;
-//     the search that finds candidates and decides nothing: worker_search.go
-//   - why a worker is passed over: eligibility.go, which lists every reason (exclusion)
+//     the search that finds candidates and decides nothing: worker_search.go.
+//   - why a worker is passed over: eligibility.go, which lists every reason (exclusion).
 //   - slow start of workers: slow_start.go (budget), warmup_credit.go (many dispatchers), warm_up.go (how warm one is),
-//     process_exit.go (restarts that the endpoint list does not name yet)
-//   - outlier ejection of workers and zones: package outlier, ejection.go; backoff after an overload: overload.go
-//   - slots of a worker: package slotestimate, slot_estimation.go
-//   - order of waiting requests: priority.go, pending.go; quotas of tenants: package quota
-//   - retries: retry.go; rejection and Retry-After: rejection.go; time limits: review.go
-//   - hedged requests: hedging.go; migration of unstarted attempts: unstarted_attempts.go
-//   - polling of the endpoint list and its backoff: package polling
-//   - load between dispatchers: gossip.go; load reports of workers: load_probes.go
-//   - hot restart: snapshot.go, migration.go, sibling.go; new configuration: reconfigure.go; power loss: fleet_restart.go
+//     process_exit.go (restarts that the endpoint list does not name yet).
+//   - outlier ejection of workers and zones: package outlier, ejection.go; backoff after an overload: overload.go.
+//   - slots of a worker: package slotestimate, slot_estimation.go.
+//   - order of waiting requests: priority.go, pending.go; quotas of tenants: package quota.
+//   - retries: retry.go; rejection and Retry-After: rejection.go; time limits: review.go.
+//   - hedged requests: hedging.go; migration of unstarted attempts: unstarted_attempts.go.
+//   - polling of the endpoint list and its backoff: package polling.
+//   - load between dispatchers: gossip.go; load reports of workers: load_probes.go.
+//   - hot restart: snapshot.go, migration.go, sibling.go; new configuration: reconfigure.go; power loss: fleet_restart.go.
 //
 // Time, Duration and Work are in ticks of a tenth of a millisecond: see package tick.
 package balancer
--- a/internal/balancer/ejection_test.go
+++ b/internal/balancer/ejection_test.go
@@ -82,7 +82,7 @@
 	assert.NotContains(t, fmt.Sprint(effects.lines), "fail")
 
 	pick := func() WorkerID {
-		req := newPickableRequest(bothIntervals)
+		req := newPickableRequest(allIntervals)
 		req.size = 100
 		picked, ok := balancer.pickWorker(req)
 		assert.True(t, ok)
--- a/internal/balancer/eligibility_test.go
+++ b/internal/balancer/eligibility_test.go
@@ -78,7 +78,7 @@
 	"it warms up and its load is unknown": {func(b *Balancer, _ *request, _ *pickLimits) {
 		b.config.gossip = true
 		b.workers[exclusionTarget].warmup.startedAt = b.now
-		b.subsetting.subsets[bothIntervals].positions[exclusionTarget] = notInSubset
+		b.subsetting.subsets[allIntervals].positions[exclusionTarget] = notInSubset
 	}, loadUnknown},
 	"the request is closed": {func(_ *Balancer, req *request, _ *pickLimits) {
 		req.closed = true
@@ -108,7 +108,7 @@
 	for name, c := range exclusionCases {
 		t.Run(name, func(t *testing.T) {
 			balancer, _ := newWarmBalancer(4, 1)
-			req := newPickableRequest(bothIntervals)
+			req := newPickableRequest(allIntervals)
 			req.size = 1
 			var limits pickLimits
 			c.change(balancer, req, &limits)
--- a/internal/balancer/gossip.go
+++ b/internal/balancer/gossip.go
@@ -107,7 +107,7 @@
 
 // hearsLoadOf reports whether peers report to this dispatcher what they have in flight at a worker.
 func (b *Balancer) hearsLoadOf(id WorkerID) bool {
-	return b.config.gossip && b.subsetting.inSubset(bothIntervals, id)
+	return b.config.gossip && b.subsetting.inSubset(allIntervals, id)
 }
 
 // ReceiveLoad takes what a peer has in flight at a worker.
@@ -153,7 +153,7 @@
 // gossipPeers returns the dispatchers with which this one exchanges the load of some worker; all of them while there is
 // no endpoint list.
 func (b *Balancer) gossipPeers() (peers []PeerID) {
-	workers := b.subsetting.subsets[bothIntervals].workers
+	workers := b.subsetting.subsets[allIntervals].workers
 	shares := make([]bool, b.config.dispatchers)
 	for _, id := range workers {
 		for peer := range b.subsetPeers(id) {
--- a/internal/balancer/hedging_test.go
+++ b/internal/balancer/hedging_test.go
@@ -23,7 +23,7 @@
 	} {
 		balancer, _ := newWarmBalancer(2, 1)
 		balancer.config.gossip = true
-		both := &balancer.subsetting.subsets[bothIntervals]
+		both := &balancer.subsetting.subsets[allIntervals]
 		both.workers = balancer.subsetting.ring
 		both.reindex(balancer.workers)
 		arrive(balancer, 0, Arrival{Operation: c.operation, Timeout: timeout, SizeHint: 1000})
--- a/internal/balancer/open_requests.go
+++ b/internal/balancer/open_requests.go
@@ -9,7 +9,7 @@
 type request struct {
 	operation OperationID
 	size      Work
-	interval  int // of sizes, or bothIntervals
+	interval  int // of sizes, or allIntervals
 
 	closed bool // it has its final answer, or its client has left
 	queued bool // it waits for a worker
--- a/internal/balancer/pick_worker.go
+++ b/internal/balancer/pick_worker.go
@@ -24,7 +24,7 @@
 }
 
 func (b *Balancer) pickFromAnySubset(req *request, limits pickLimits) (WorkerID, bool) {
-	for _, number := range [...]int{req.interval, bothIntervals, wholeRing} {
+	for _, number := range [...]int{req.interval, allIntervals, wholeRing} {
 		if number == wholeRing && !b.mayUseWholeRing() {
 			continue
 		}
--- a/internal/balancer/pick_worker_test.go
+++ b/internal/balancer/pick_worker_test.go
@@ -81,7 +81,7 @@
 	balancer.config.dispatchers = 1
 	setSizes(balancer, Second) // requests have hints
 	newRequest := func(size Work) *request {
-		req := newPickableRequest(bothIntervals)
+		req := newPickableRequest(allIntervals)
 		req.size = size
 		return req
 	}
@@ -103,11 +103,11 @@
 	setSlots(balancer, 3)
 	balancer.config.gossip = true
 	balancer.ReceiveLoad(1, WorkerLoad{Worker: 0, InFlight: 2})
-	beyondQuota := newPickableRequest(bothIntervals)
+	beyondQuota := newPickableRequest(allIntervals)
 	beyondQuota.quotaWeight = 0.2
 	_, ok := balancer.pickWorker(beyondQuota)
 	assert.False(t, ok)
-	_, ok = balancer.pickWorker(newPickableRequest(bothIntervals))
+	_, ok = balancer.pickWorker(newPickableRequest(allIntervals))
 	assert.True(t, ok)
 }
 
@@ -119,7 +119,7 @@
 	balancer.config.dispatchersPerWorker = 1
 	balancer.config.hedging = false
 	balancer.updateSubsets()
-	assert.Len(t, balancer.subsetting.subsets[bothIntervals].workers, sizeinterval.Count)
+	assert.Len(t, balancer.subsetting.subsets[allIntervals].workers, sizeinterval.Count)
 	for id := range RequestID(sent) {
 		arrive(balancer, id, Arrival{Operation: nonIdempotentOp, Timeout: 10 * Second, SizeHint: Second})
 	}
--- a/internal/balancer/shards_test.go
+++ b/internal/balancer/shards_test.go
@@ -132,7 +132,7 @@
 		near := s.GossipPeers()
 		assert.Less(t, len(near), 30)
 		balancer := s.pickers[0].balancer
-		for _, w := range balancer.subsetting.subsets[bothIntervals].workers {
+		for _, w := range balancer.subsetting.subsets[allIntervals].workers {
 			for p := balancer.workers[w].gossip.peers.from; p < balancer.workers[w].gossip.peers.to; p++ {
 				if p%80 != n {
 					assert.Contains(t, near, p%80, "peer for worker %d", w)
--- a/internal/balancer/slow_start_test.go
+++ b/internal/balancer/slow_start_test.go
@@ -163,6 +163,6 @@
 	balancer.workers[0].gossip.peerInFlight = 1 // as many as were seen to run at once
 	assert.False(t, balancer.withinWarmupBudget(0, 100))
 	balancer.workers[0].gossip.peerInFlight = 0
-	balancer.subsetting.subsets[bothIntervals].positions[0] = notInSubset
+	balancer.subsetting.subsets[allIntervals].positions[0] = notInSubset
 	assert.False(t, balancer.withinWarmupBudget(0, 100))
 }
--- a/internal/balancer/subsetting.go
+++ b/internal/balancer/subsetting.go
@@ -11,8 +11,8 @@
 // The subsets of the workers over which a dispatcher goes in round-robin order: those of each interval of sizes, all of
 // these, and the whole ring.
 const (
-	bothIntervals = sizeinterval.Undivided
-	wholeRing     = bothIntervals + 1
+	allIntervals = sizeinterval.Undivided
+	wholeRing     = allIntervals + 1
 	subsetCount   = wholeRing + 1
 )
 
@@ -121,12 +121,12 @@
 // not grow with the number of dispatchers.
 func (b *Balancer) updateSubsets() {
 	subsets := &b.subsetting.subsets
-	both := &subsets[bothIntervals]
-	both.workers = both.workers[:0]
+	union := &subsets[allIntervals]
+	union.workers = union.workers[:0]
 	subsets[wholeRing].workers = b.subsetting.ring
 	for interval := range sizeinterval.Count {
 		b.updateSubsetOf(&subsets[interval], b.blockOf(interval))
-		both.workers = append(both.workers, subsets[interval].workers...)
+		union.workers = append(union.workers, subsets[interval].workers...)
 	}
 	for n := range subsets {
 		subsets[n].reindex(b.workers)
--- a/internal/balancer/subsetting_test.go
+++ b/internal/balancer/subsetting_test.go
@@ -38,7 +38,7 @@
 			balancer.config.dispatchers = c.dispatchers
 			balancer.config.dispatchersPerWorker = c.dispatchersPerWorker
 			balancer.updateSubsets()
-			for _, id := range balancer.subsetting.subsets[bothIntervals].workers {
+			for _, id := range balancer.subsetting.subsets[allIntervals].workers {
 				usedBy[id] = append(usedBy[id], position)
 			}
 			peersOf = nil
@@ -80,7 +80,7 @@
 			config.Gossip.MessageCost = 0.001
 			last, _ = newTestBalancer(config, uint64(position), endpoints)
 			assert.Len(t, last.subsetting.ring, size)
-			for _, id := range last.subsetting.subsets[bothIntervals].workers {
+			for _, id := range last.subsetting.subsets[allIntervals].workers {
 				subsetsWith[id]++
 			}
 		}
@@ -92,7 +92,7 @@
 		last.RunDueRules()
 		assert.Equal(t, size, usedWorkers(last), "each worker has room for one attempt that has not started")
 		peers := 0
-		for peer := range last.subsetPeers(last.subsetting.subsets[bothIntervals].workers[0]) {
+		for peer := range last.subsetPeers(last.subsetting.subsets[allIntervals].workers[0]) {
 			assert.Less(t, int(peer), size)
 			peers++
 		}
