--- a/internal/balancer/subsetting.go
+++ b/internal/balancer/subsetting.go
@@ -12,8 +12,8 @@
 // these, and the whole ring.
 const (
 	allIntervals = sizeinterval.Undivided
-	wholeRing     = allIntervals + 1
-	subsetCount   = wholeRing + 1
+	wholeRing    = allIntervals + 1
+	subsetCount  = wholeRing + 1
 )
 
 // subsetting owns which workers this dispatcher uses (deterministic subsetting), and in which order.
