--- a/internal/admin/command.go
+++ b/internal/admin/command.go
@@ -39,8 +39,8 @@
 	}
 }
 
-// readCommand reads a command's line until the connection's read deadline. A line that has arrived by then counts, even if
-// it is read only after the deadline. It fails with errCommandTimeout, errCommandIncomplete or the error of
+// readCommand reads a command's line until the connection's read deadline. A line that has arrived by then counts, even
+// if it is read only after the deadline. It fails with errCommandTimeout, errCommandIncomplete or the error of
 // protocol.ParseCommand.
 func readCommand(conn net.Conn) (protocol.Command, error) {
 	line := make([]byte, protocol.MaxCommandBytes)
@@ -89,8 +89,8 @@
 	return ok && half.CloseWrite() == nil
 }
 
-// discardUnread reads what the caller sends after its command: up to maxDiscarded bytes, until it closes the connection or
-// the read deadline passes.
+// discardUnread reads what the caller sends after its command: up to maxDiscarded bytes, until it closes the connection
+// or the read deadline passes.
 func discardUnread(conn net.Conn) {
 	buffer := make([]byte, protocol.MaxCommandBytes)
 	for discarded := 0; discarded < maxDiscarded; {
--- a/internal/admission/controller.go
+++ b/internal/admission/controller.go
@@ -2,13 +2,14 @@
 // whether it is admitted. It does no I/O and reads no clock. Its caller measures the queueing delay, and rejects the
 // requests that are not admitted.
 //
-// The signal is the queueing delay: the time from the arrival of data until the process reads it. It is sampled at equal
-// intervals. As in CoDel (Nichols and Jacobson, "Controlling queue delay", 2012), only the minimum over an interval counts.
-// A burst that drains, or a pause of the machine, leaves at least one sample with a short delay; a standing queue leaves
-// none.
+// The signal is the queueing delay: the time from the arrival of data until the process reads it. It is sampled at
+// equal intervals. As in CoDel (Nichols and Jacobson, "Controlling queue delay", 2012), only the minimum over an
+// interval counts. A burst that drains, or a pause of the machine, leaves at least one sample with a short delay; a
+// standing queue leaves none.
 //
-// Once an interval ObserveDelay adjusts the admitted share. It lowers the share, in proportion to the delay, if the least
-// delay exceeds Target and the process is busy. Otherwise it raises the share. Admit admits requests by that share.
+// Once an interval ObserveDelay adjusts the admitted share. It lowers the share, in proportion to the delay, if the
+// least delay exceeds Target and the process is busy. Otherwise it raises the share. Admit admits requests by that
+// share.
 package admission
 
 import (
@@ -67,8 +68,8 @@
 
 func (c *Controller) setShare(share float64) { c.share.Store(math.Float64bits(share)) }
 
-// Admit reports whether one more request is admitted. While load is shed, admitted requests are spread evenly. The n-th one
-// is admitted if the whole part of n times the share exceeds that of n-1 times the share.
+// Admit reports whether one more request is admitted. While load is shed, admitted requests are spread evenly. The n-th
+// one is admitted if the whole part of n times the share exceeds that of n-1 times the share.
 func (c *Controller) Admit() bool {
 	// A float64 has 53 bits: numbers below 1 << 40 leave 13 of them to the fraction of the product.
 	const sequenceSize = 1 << 40
@@ -81,8 +82,8 @@
 	return math.Floor(n*share) != math.Floor((n-1)*share)
 }
 
-// ShouldSample reports whether enough requests came in this interval for a sample to be worth its cost. If not, the caller
-// passes a delay of 0 to ObserveDelay instead of measuring it.
+// ShouldSample reports whether enough requests came in this interval for a sample to be worth its cost. If not, the
+// caller passes a delay of 0 to ObserveDelay instead of measuring it.
 func (c *Controller) ShouldSample() bool { return c.Examined() >= minExamined }
 
 // Examined returns how many requests came in this interval, admitted or not.
--- a/internal/admission/controller_test.go
+++ b/internal/admission/controller_test.go
@@ -14,8 +14,8 @@
 	rejectedCost = 25 * time.Microsecond
 )
 
-// simulateCore simulates a core that serves one queue, to which requests come at a rate per second until a time. It returns
-// how many requests were admitted and the longest delay, both counted from a time on.
+// simulateCore simulates a core that serves one queue, to which requests come at a rate per second until a time. It
+// returns how many requests were admitted and the longest delay, both counted from a time on.
 func simulateCore(c *Controller, rate float64, from, to time.Duration) (admitted int, longest time.Duration) {
 	idleAt := time.Duration(0)
 	gap := time.Duration(float64(time.Second) / rate)
--- a/internal/balancer/gossip.go
+++ b/internal/balancer/gossip.go
@@ -11,8 +11,8 @@
 	// messagesPerAttempt is how many messages to each peer an attempt takes: at its start and at its end.
 	messagesPerAttempt = 2
 
-	// Loads are repeated after some mean sizes of requests, as messages get lost. A peer that is silent for some intervals between
-	// repetitions has ended, or is cut off.
+	// Loads are repeated after some mean sizes of requests, as messages get lost. A peer that is silent for some
+	// intervals between repetitions has ended, or is cut off.
 	initialResendInterval = Duration(2 * Second)
 	minResendInterval     = Duration(Second / 2)
 	meanSizesPerResend    = 3
--- a/internal/balancer/helper_test.go
+++ b/internal/balancer/helper_test.go
@@ -132,7 +132,8 @@
 	balancer.RunDueRules()
 }
 
-// endFirstAttempt reports the outcome of a first attempt that leaves its request open, and applies the rules that are due.
+// endFirstAttempt reports the outcome of a first attempt that leaves its request open, and applies the rules that are
+// due.
 func endFirstAttempt(balancer *Balancer, id RequestID, outcome Outcome) {
 	balancer.AttemptEnded(id, 0, outcome, NoAnswer)
 	balancer.RunDueRules()
--- a/internal/balancer/hints.go
+++ b/internal/balancer/hints.go
@@ -1,7 +1,7 @@
 package balancer
 
-// Size hints are rough: clients estimate them, and a request may need several times its hint. Each rule that goes by a hint
-// allows for that by one of these shares.
+// Size hints are rough: clients estimate them, and a request may need several times its hint. Each rule that goes by a
+// hint allows for that by one of these shares.
 const (
 	// verifiedPace is the share of its hinted pace at which a success proves that its worker is warm.
 	verifiedPace = 0.7
--- a/internal/balancer/outlier/outlier.go
+++ b/internal/balancer/outlier/outlier.go
@@ -8,16 +8,16 @@
 import "canvasroute/internal/balancer/tick"
 
 const (
-	// firstEjection is how long an ejection lasts after a single failure that counts. Each further one doubles it, whether
-	// it ejects or not: a worker that is ejected by its second failure is so for two seconds.
+	// firstEjection is how long an ejection lasts after a single failure that counts. Each further one doubles it,
+	// whether it ejects or not: a worker that is ejected by its second failure is so for two seconds.
 	firstEjection        = tick.Duration(tick.Second)
 	maxEjectionDoublings = 3
 
 	// ZoneThreshold is the number of consecutive failures after which a zone is ejected.
 	ZoneThreshold = 3
 
-	// nonIdempotentProbeDelay is how long a due probe waits for a request that may run again, before one that must not may
-	// be the probe.
+	// nonIdempotentProbeDelay is how long a due probe waits for a request that may run again, before one that must not
+	// may be the probe.
 	nonIdempotentProbeDelay = tick.Duration(8 * tick.Second)
 )
 
@@ -85,7 +85,8 @@
 }
 
 // RecordFailure counts an attempt that was cut off or found nobody in the zone, and reports whether the zone is ejected
-// for it. Failures within an ejection count: they are of attempts to other workers, and show that the zone is still lost. A lost zone stays in the endpoint list for seconds, and a request has not attempts enough to find out worker by
+// for it. Failures within an ejection count: they are of attempts to other workers, and show that the zone is still
+// lost. A lost zone stays in the endpoint list for seconds, and a request has not attempts enough to find out worker by
 // worker. The last zone with a healthy worker is never ejected: hasOther reports whether there is another one.
 func (z *Zone) RecordFailure(now tick.Time, hasOther func() bool) (ejected bool) {
 	z.Failures++
--- a/internal/balancer/pick_worker.go
+++ b/internal/balancer/pick_worker.go
@@ -5,11 +5,13 @@
 const minFreeSlotRatio = 0.5
 
 // pickWorker finds a worker for a request: the next eligible one in the round-robin order of its interval's subset, or
-// else in those of the other subsets (STAR). Without gossip, warming workers that are owed an attempt come first. Workers of this dispatcher's zone come first. Where dispatchers do not share
-// their load, they come first for the first attempt only: later ones may as well try elsewhere.
+// else in those of the other subsets (STAR). Without gossip, warming workers that are owed an attempt come first.
+// Workers of this dispatcher's zone come first. Where dispatchers do not share their load, they come first for the
+// first attempt only: later ones may as well try elsewhere.
 func (b *Balancer) pickWorker(req *request) (WorkerID, bool) {
 	if !b.config.gossip && !b.certainlyNoneWarming() {
-		// A warming worker gets its credit as it falls due: if it were saved up, all dispatchers might send theirs at once.
+		// A warming worker gets its credit as it falls due: if it were saved up, all dispatchers might send theirs at
+		// once.
 		limits := pickLimits{onlyWithCredit: true, sameZone: true}
 		if id, ok := b.pickFromSubset(req, wholeRing, limits); ok {
 			return id, true
--- a/internal/balancer/polling/polling.go
+++ b/internal/balancer/polling/polling.go
@@ -45,8 +45,8 @@
 	// MaxInterval is the longest time without a poll that the platform allows. Waits exceed it only while the service
 	// rejects polls for having too many callers.
 	MaxInterval tick.Duration
-	// ChangeDeadline is how long after a change every dispatcher is expected to know it, even if its polls failed; 0 where
-	// there is no such deadline.
+	// ChangeDeadline is how long after a change every dispatcher is expected to know it, even if its polls failed; 0
+	// where there is no such deadline.
 	ChangeDeadline tick.Duration
 	// AwaitFirstPoll forbids attempts by a list from before the start until the first poll has ended.
 	AwaitFirstPoll bool
--- a/internal/balancer/quota/quota.go
+++ b/internal/balancer/quota/quota.go
@@ -57,7 +57,8 @@
 }
 
 // Weigh counts a request of a tenant that arrives now, and returns its weight: 1 within the quota and its tolerance,
-// overQuotaWeight far beyond it. In between it is the mean over the tenant's recent requests, as nobody can say which of them are beyond.
+// overQuotaWeight far beyond it. In between it is the mean over the tenant's recent requests, as nobody can say which
+// of them are beyond.
 func (t *Tenants) Weigh(number int, now tick.Time, overQuotaWeight float64) float64 {
 	user := &t.tenants[number]
 	window := max(minWindowSeconds, sampleRequests/user.quota)
--- a/internal/balancer/retry.go
+++ b/internal/balancer/retry.go
@@ -8,7 +8,8 @@
 }
 
 // attemptExclusion returns why a request may have no more attempts, or none at a worker, or eligible. A request that is
-// not idempotent is never executed twice: each attempt that may have run leaves only the workers that would drop a repeat.
+// not idempotent is never executed twice: each attempt that may have run leaves only the workers that would drop a
+// repeat.
 func (b *Balancer) attemptExclusion(req *request, id WorkerID) exclusion {
 	switch {
 	case req.closed:
--- a/internal/balancer/review.go
+++ b/internal/balancer/review.go
@@ -1,7 +1,8 @@
 package balancer
 
-// reviewOpenRequests goes through the open requests, the latest first, as those have the most time to gain. A request that is out of time gets its answer. An
-// attempt that waits in a worker's queue is migrated, and one that runs for very long is hedged.
+// reviewOpenRequests goes through the open requests, the latest first, as those have the most time to gain. A request
+// that is out of time gets its answer. An attempt that waits in a worker's queue is migrated, and one that runs for
+// very long is hedged.
 func (b *Balancer) reviewOpenRequests() {
 	b.due.reviewAt = b.now.Add(b.config.patience)
 	b.due.capacityChanged = true
--- a/internal/balancer/units.go
+++ b/internal/balancer/units.go
@@ -21,8 +21,8 @@
 	// Tick is the length of one tick.
 	Tick = tick.Unit
 
-	// LongAgo is the moment before all others. Fields that hold a moment have it for what happened before anybody knew, or
-	// has not happened; notYet, noExit and noFleetRestart are other names of it.
+	// LongAgo is the moment before all others. Fields that hold a moment have it for what happened before anybody knew,
+	// or has not happened; notYet, noExit and noFleetRestart are other names of it.
 	LongAgo Time = 0
 
 	never   = tick.Never
--- a/internal/balancer/warm_up.go
+++ b/internal/balancer/warm_up.go
@@ -76,7 +76,8 @@
 
 // restartSuspected reports whether a worker may have started since the list last named its start, though nobody saw it.
 // Work done at a pace that no cold worker has ends the suspicion for work up to overloadFactor times as large. Beyond
-// that hints are too rough: the largest requests would all go to the first worker that seems warm. A later start in the list ends it too.
+// that hints are too rough: the largest requests would all go to the first worker that seems warm. A later start in the
+// list ends it too.
 func (b *Balancer) restartSuspected(w *workerWarmup, size Work) bool {
 	if b.config.warmupDuration == 0 || float64(size) <= b.config.overloadFactor*float64(w.verifiedSize) {
 		return false
--- a/internal/daemon/admin_handler.go
+++ b/internal/daemon/admin_handler.go
@@ -16,8 +16,8 @@
 	commandJoin  = string(protocol.CommandJoin)
 )
 
-// adminHandler runs operators' commands, as admin.Handler describes them. LEAVE and JOIN are meant for the dispatcher as a
-// whole: where a successor serves, they are forwarded to it. HEALTH and DUMP are answered for this process.
+// adminHandler runs operators' commands, as admin.Handler describes them. LEAVE and JOIN are meant for the dispatcher
+// as a whole: where a successor serves, they are forwarded to it. HEALTH and DUMP are answered for this process.
 type adminHandler struct {
 	proxy   *proxy.Proxy
 	state   *lifecycle.State
--- a/internal/daemon/operators_test.go
+++ b/internal/daemon/operators_test.go
@@ -165,8 +165,8 @@
 	assert.Equal(t, 0, RunCommand([]string{"--help"}, &stdout, &stderr))
 }
 
-// TestStateShowOfEarlierRelease reads the folder that an earlier release wrote, snapshot included. Operators are shown what
-// that release showed.
+// TestStateShowOfEarlierRelease reads the folder that an earlier release wrote, snapshot included. Operators are shown
+// what that release showed.
 func TestStateShowOfEarlierRelease(t *testing.T) {
 	const folder = "../fleet/store/testdata/folder"
 	for golden, args := range map[string][]string{
@@ -190,7 +190,8 @@
 	assert.Contains(t, stdout.String(), "\n \"not_believed\": [\n  \"life.a: ")
 }
 
-// TestRendezvousOfHotRestart pins where the processes of one dispatcher find each other. All releases have to agree on it.
+// TestRendezvousOfHotRestart pins where the processes of one dispatcher find each other. All releases have to agree on
+// it.
 func TestRendezvousOfHotRestart(t *testing.T) {
 	dir := t.TempDir()
 	t.Setenv("TMPDIR", dir)
--- a/internal/daemon/process.go
+++ b/internal/daemon/process.go
@@ -146,7 +146,8 @@
 	}
 }
 
-// openClientListener opens or inherits the listener for clients. With it the parts that a hot restart shares are complete.
+// openClientListener opens or inherits the listener for clients. With it the parts that a hot restart shares are
+// complete.
 func (p *process) openClientListener() error {
 	listener, err := transport.ListenClients(p.config.Listen, p.listenOptions(hotrestart.ClientSocket))
 	if err != nil {
--- a/internal/daemon/recovery.go
+++ b/internal/daemon/recovery.go
@@ -12,7 +12,8 @@
 	"canvasroute/internal/proxy"
 )
 
-// openNode opens the dispatcher's node of the fleet, where LB_FLEET configures one. The proxy then waits for its recovery.
+// openNode opens the dispatcher's node of the fleet, where LB_FLEET configures one. The proxy then waits for its
+// recovery.
 func (p *process) openNode() error {
 	isSuccessor := p.restart.snapshot() != nil
 	node, err := newNode(p.config, p.clock, isSuccessor, p.log)
--- a/internal/daemon/shutdown.go
+++ b/internal/daemon/shutdown.go
@@ -6,7 +6,8 @@
 )
 
 // Bounds on the end of the process, counted from SIGTERM or SIGINT. The platform sends SIGKILL 700 ms after the longest
-// client timeout or 3 s, whichever is shorter. A hung state folder may delay the end beyond these bounds (fleet.Node.Run).
+// client timeout or 3 s, whichever is shorter. A hung state folder may delay the end beyond these bounds
+// (fleet.Node.Run).
 const (
 	acceptAfterStop  = 500 * time.Millisecond // connections are accepted for this long: clients learn late that the process ends
 	maxClientTimeout = 3 * time.Second        // of the longest client timeout that is waited for
--- a/internal/discovery/table.go
+++ b/internal/discovery/table.go
@@ -11,8 +11,8 @@
 	"canvasroute/internal/protocol"
 )
 
-// Table is the endpoint table: all workers that were ever listed, by number, ID and tag (a hash of the ID in 16 bits). A worker keeps its number
-// while this process lives, also after it is gone. All methods may be called concurrently.
+// Table is the endpoint table: all workers that were ever listed, by number, ID and tag (a hash of the ID in 16 bits).
+// A worker keeps its number while this process lives, also after it is gone. All methods may be called concurrently.
 type Table struct {
 	fromUnix func(ms float64) balancer.Time
 	kinds    map[string]int // numbers by the names in the settings
--- a/internal/fleet/admission.go
+++ b/internal/fleet/admission.go
@@ -27,8 +27,8 @@
 	return nil
 }
 
-// Admit decides whether a request may come in. Before the recovered state is restored none may. After that the state machine
-// decides by its phase and the expected size, which is the median size where the client gives no hint.
+// Admit decides whether a request may come in. Before the recovered state is restored none may. After that the state
+// machine decides by its phase and the expected size, which is the median size where the client gives no hint.
 func (n *Node) Admit(arrival balancer.Arrival) proxy.RecoveryAdmission {
 	n.mu.Lock()
 	serving := n.machine.Phase() == recovery.Serving
--- a/internal/fleet/incarnation.go
+++ b/internal/fleet/incarnation.go
@@ -24,8 +24,8 @@
 	return n.owned
 }
 
-// acquire locks the folder, listens at the address, and reads what the folder holds. It fails if another process has one of
-// them. A folder that cannot be used is no error: the node works without it.
+// acquire locks the folder, listens at the address, and reads what the folder holds. It fails if another process has
+// one of them. A folder that cannot be used is no error: the node works without it.
 func (n *Node) acquire() error {
 	folder, folderErr := store.OpenFolder(n.settings.State.Folder)
 	if errors.Is(folderErr, store.ErrLocked) {
@@ -72,8 +72,8 @@
 	}
 }
 
-// beginIncarnation persists the next incarnation, and reports it to the state machine. If the disk does not answer in time,
-// the process continues with an incarnation that is not durable.
+// beginIncarnation persists the next incarnation, and reports it to the state machine. If the disk does not answer in
+// time, the process continues with an incarnation that is not durable.
 func (n *Node) beginIncarnation() {
 	n.mu.Lock()
 	s := n.owned.store
@@ -102,8 +102,8 @@
 	n.carryOut()
 }
 
-// persistIncarnation returns the number of the next incarnation once it is durable. Nothing can interrupt the write, so the
-// goroutine that does it lasts as long as the disk hangs.
+// persistIncarnation returns the number of the next incarnation once it is durable. Nothing can interrupt the write, so
+// the goroutine that does it lasts as long as the disk hangs.
 func (n *Node) persistIncarnation(s *store.Store, recovered store.Recovered, nonce uint64) (uint64, error) {
 	if s == nil {
 		return 0, errNoFolder
--- a/internal/fleet/keys.go
+++ b/internal/fleet/keys.go
@@ -14,16 +14,16 @@
 
 var _ proxy.Recovery = (*Node)(nil)
 
-// keyChecksum returns the number that stands for an operation and a key on disk and in messages. The length of the operation
-// is part of it, so that no two pairs are written alike.
+// keyChecksum returns the number that stands for an operation and a key on disk and in messages. The length of the
+// operation is part of it, so that no two pairs are written alike.
 func keyChecksum(operation, key string) uint64 {
 	hash := fnv.New64a()
 	fmt.Fprintf(hash, "%d %s %s", len(operation), operation, key)
 	return hash.Sum64()
 }
 
-// PriorExecution returns where a request under the same key may have run in a previous incarnation of any dispatcher, nil for
-// nowhere. It fails with proxy.ErrOutcomeUnknown if nobody can tell.
+// PriorExecution returns where a request under the same key may have run in a previous incarnation of any dispatcher,
+// nil for nowhere. It fails with proxy.ErrOutcomeUnknown if nobody can tell.
 func (n *Node) PriorExecution(request proxy.KeyedRequest) (*proxy.PriorExecution, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -45,8 +45,8 @@
 	return &proxy.PriorExecution{Worker: found.Worker, Zone: found.Zone, Cell: found.Cell, SentAtMillis: found.SentAt}, nil
 }
 
-// PersistKey returns once a key is durable, so that its request may be sent. It fails with a KeyTimeoutError after the key
-// timeout.
+// PersistKey returns once a key is durable, so that its request may be sent. It fails with a KeyTimeoutError after the
+// key timeout.
 func (n *Node) PersistKey(ctx context.Context, record proxy.KeyRecord) error {
 	now := time.Now().UnixMilli()
 	return n.keyWriter.persist(ctx, store.Key{
--- a/internal/fleet/keywriter.go
+++ b/internal/fleet/keywriter.go
@@ -37,8 +37,8 @@
 	return &keyWriter{timeout: timeout, queue: make(chan pendingKey, keyQueueLength)}
 }
 
-// persist returns once a key is durable, or with a KeyTimeoutError. After a timeout the key may become durable later, which
-// does no harm.
+// persist returns once a key is durable, or with a KeyTimeoutError. After a timeout the key may become durable later,
+// which does no harm.
 func (w *keyWriter) persist(ctx context.Context, key store.Key) error {
 	pending := pendingKey{key: key, persisted: make(chan error, 1)}
 	ctx, cancel := context.WithTimeoutCause(ctx, w.timeout, &KeyTimeoutError{Timeout: w.timeout})
--- a/internal/fleet/messaging/message.go
+++ b/internal/fleet/messaging/message.go
@@ -1,8 +1,8 @@
-// Package messaging is the protocol by which the dispatchers of a fleet recover: queries, replies and heartbeats, in CBOR over
-// UDP. It is apart from the platform's own datagrams.
+// Package messaging is the protocol by which the dispatchers of a fleet recover: queries, replies and heartbeats, in
+// CBOR over UDP. It is apart from the platform's own datagrams.
 //
-// Messages may be lost, duplicated, late and out of order. Each stands for itself, and receiving one twice changes nothing.
-// The package neither repeats nor interprets them: package recovery does.
+// Messages may be lost, duplicated, late and out of order. Each stands for itself, and receiving one twice changes
+// nothing. The package neither repeats nor interprets them: package recovery does.
 package messaging
 
 import (
@@ -145,8 +145,8 @@
 	maxKindBytes   = 12  // an entry of MaxObserved
 )
 
-// Split returns a reply in as many messages as its workers and keys need. Each has the fields of first, but only the first
-// one has MaxObserved.
+// Split returns a reply in as many messages as its workers and keys need. Each has the fields of first, but only the
+// first one has MaxObserved.
 func Split(first Message, workers []Worker, keys []Key) []Message {
 	s := newSplitter(first)
 	for _, w := range workers {
--- a/internal/fleet/node.go
+++ b/internal/fleet/node.go
@@ -77,7 +77,8 @@
 	socket *messaging.Socket
 }
 
-// NameConflictError means that another process, which is no predecessor, has the folder or the address of this dispatcher.
+// NameConflictError means that another process, which is no predecessor, has the folder or the address of this
+// dispatcher.
 type NameConflictError struct {
 	Name string // of the dispatcher
 	Err  error  // store.ErrLocked, or the error of the socket
@@ -91,8 +92,8 @@
 // Unwrap returns what is taken.
 func (e *NameConflictError) Unwrap() error { return e.Err }
 
-// Open returns a node that has locked and read the folder, and listens at its address. A successor does both later, when it
-// runs. Open fails with a NameConflictError if another process has not left them within the identity timeout.
+// Open returns a node that has locked and read the folder, and listens at its address. A successor does both later,
+// when it runs. Open fails with a NameConflictError if another process has not left them within the identity timeout.
 func Open(ctx context.Context, settings *Settings, config Config) (*Node, error) {
 	n := &Node{
 		settings:     settings,
@@ -159,9 +160,9 @@
 // errShutdownTimeout means that the disk did not finish in time.
 var errShutdownTimeout = errors.New("the disk does not answer")
 
-// Run recovers the dispatcher and persists its state until ctx ends. If the disk hangs then, Run returns after the identity
-// timeout, and the goroutine that waits for the disk ends with the process. Operators would kill a process that does not
-// end; either way the next incarnation treats this one as crashed.
+// Run recovers the dispatcher and persists its state until ctx ends. If the disk hangs then, Run returns after the
+// identity timeout, and the goroutine that waits for the disk ends with the process. Operators would kill a process
+// that does not end; either way the next incarnation treats this one as crashed.
 func (n *Node) Run(ctx context.Context) error {
 	ended := make(chan error, 1)
 	go func() { ended <- n.run(ctx) }()
--- a/internal/fleet/node_test.go
+++ b/internal/fleet/node_test.go
@@ -99,7 +99,8 @@
 	}
 }
 
-// If a sync that takes seconds held the node's lock, all requests would wait for it, and clients would give up unanswered.
+// If a sync that takes seconds held the node's lock, all requests would wait for it, and clients would give up
+// unanswered.
 func TestOnlyKeysWaitForADiskThatHangs(t *testing.T) {
 	n, disk := newNodeOnHungDisk(t)
 	ctx, cancel := context.WithCancel(context.Background())
--- a/internal/fleet/peers.go
+++ b/internal/fleet/peers.go
@@ -10,8 +10,8 @@
 	"canvasroute/internal/protocol"
 )
 
-// mergeReplies merges what peers know into what is known here. In doubt the more cautious value counts: the latest start of
-// a worker, a drain that any of them knows, each key. Only of peers that serve do requests in flight count.
+// mergeReplies merges what peers know into what is known here. In doubt the more cautious value counts: the latest
+// start of a worker, a drain that any of them knows, each key. Only of peers that serve do requests in flight count.
 func (n *Node) mergeReplies(replies []recovery.PeerReply) {
 	_, endpoints := n.proxy.Endpoints()
 	merged := newEndpointMerge(endpoints)
--- a/internal/fleet/recovery/admission.go
+++ b/internal/fleet/recovery/admission.go
@@ -124,8 +124,8 @@
 	return math.Exp(-float64(elapsed) / float64(demandWindow))
 }
 
-// demandWithinCapacity reports whether for lowDemandDuration no request has been rejected, and demand has been well within
-// this dispatcher's share of the workers' present capacity.
+// demandWithinCapacity reports whether for lowDemandDuration no request has been rejected, and demand has been well
+// within this dispatcher's share of the workers' present capacity.
 func (s *StateMachine) demandWithinCapacity() bool {
 	a := &s.admission
 	limit := fullServiceDemandShare * a.capacity.Now / float64(s.activeDispatchers())
--- a/internal/fleet/recovery/identity.go
+++ b/internal/fleet/recovery/identity.go
@@ -135,8 +135,9 @@
 	return s.now >= s.identity.establishedAt+s.config.DedupWindow
 }
 
-// PeerKeysPending reports whether requests may have run under keys that are unknown here. That ends one dedup window after
-// the start. Before, it is so if this dispatcher or a peer may have lost keys, or a peer has not given its final answer.
+// PeerKeysPending reports whether requests may have run under keys that are unknown here. That ends one dedup window
+// after the start. Before, it is so if this dispatcher or a peer may have lost keys, or a peer has not given its final
+// answer.
 func (s *StateMachine) PeerKeysPending(now time.Duration) bool {
 	if s.identity.established && now >= s.identity.establishedAt+s.config.DedupWindow {
 		return false
--- a/internal/fleet/recovery/keys.go
+++ b/internal/fleet/recovery/keys.go
@@ -91,8 +91,8 @@
 }
 
 // Find returns where a request under a key may have run in a previous incarnation, nil for nowhere. It fails where the
-// request may have run and nobody can tell where, or whether the key has expired: with ErrKeysPending, ErrClockImplausible
-// or ErrSeveralGroups.
+// request may have run and nobody can tell where, or whether the key has expired: with ErrKeysPending,
+// ErrClockImplausible or ErrSeveralGroups.
 func (k *Keys) Find(lookup KeyLookup) (*messaging.Key, error) {
 	key, known := k.previous[lookup.Sum]
 	if !known {
--- a/internal/fleet/recovery/outage.go
+++ b/internal/fleet/recovery/outage.go
@@ -19,9 +19,9 @@
 // String returns the name of the outage that operators read.
 func (o Outage) String() string { return outageNames[o] }
 
-// classifyOutage returns how much of the fleet was down, and the counts that this follows from. It returns Undecided while
-// replies are missing and the phase has not timed out. After that a silent peer counts as down: what only it knows is
-// taken as unknown.
+// classifyOutage returns how much of the fleet was down, and the counts that this follows from. It returns Undecided
+// while replies are missing and the phase has not timed out. After that a silent peer counts as down: what only it
+// knows is taken as unknown.
 func (s *StateMachine) classifyOutage() (outage Outage, reason string) {
 	answered := 0
 	serving := 0
--- a/internal/fleet/recovery/phase.go
+++ b/internal/fleet/recovery/phase.go
@@ -104,8 +104,9 @@
 	return bounded && s.now >= deadline
 }
 
-// advance makes every transition that is due. A phase ends by what is observed; its timeout only bounds the wait for that.
-// Serving ends only with Superseded, which checkOwnName enters from any phase, and TakeOver enters Serving at once.
+// advance makes every transition that is due. A phase ends by what is observed; its timeout only bounds the wait for
+// that. Serving ends only with Superseded, which checkOwnName enters from any phase, and TakeOver enters Serving at
+// once.
 func (s *StateMachine) advance() {
 	for {
 		phase := s.phase
@@ -157,8 +158,8 @@
 	s.enter(Probing, reason)
 }
 
-// advanceFromProbing ends the phase once workers are known to answer: a request has succeeded here, or at the peers, which
-// all serve.
+// advanceFromProbing ends the phase once workers are known to answer: a request has succeeded here, or at the peers,
+// which all serve.
 func (s *StateMachine) advanceFromProbing() {
 	switch {
 	case s.admission.succeeded > 0:
--- a/internal/fleet/recovery/queries.go
+++ b/internal/fleet/recovery/queries.go
@@ -23,7 +23,8 @@
 	maxBackoffDoublings = 4
 	// minFinalAnswerDoublings sets the shortest wait after a reply that was not final: eight times QueryInterval.
 	minFinalAnswerDoublings = 3
-	// workerQueryPeers is how many peers are queried about workers: what all know of them is much the same, and much to send.
+	// workerQueryPeers is how many peers are queried about workers: what all know of them is much the same, and much to
+	// send.
 	workerQueryPeers = 3
 )
 
@@ -62,8 +63,8 @@
 	return wait/2 + time.Duration(s.rng.Int64N(int64(wait/2)+1))
 }
 
-// isQueriedAboutWorkers reports whether a peer is one of the next few in the ring that answer. If every dispatcher queried
-// every other one about workers, a large fleet would send all that it knows once for each pair.
+// isQueriedAboutWorkers reports whether a peer is one of the next few in the ring that answer. If every dispatcher
+// queried every other one about workers, a large fleet would send all that it knows once for each pair.
 func (s *StateMachine) isQueriedAboutWorkers(position int) bool {
 	lastStep := workerQueryPeers
 	for step := 1; step <= lastStep && step < len(s.peers.members); step++ {
--- a/internal/fleet/recovery/receive.go
+++ b/internal/fleet/recovery/receive.go
@@ -52,8 +52,8 @@
 	return isSender && knownPhase
 }
 
-// receiveQuery handles a query. It shows that the peer is up, so that peer is queried again soon even after a long backoff.
-// It is not queried at once: two that answer a query by a query would never stop.
+// receiveQuery handles a query. It shows that the peer is up, so that peer is queried again soon even after a long
+// backoff. It is not queried at once: two that answer a query by a query would never stop.
 func (s *StateMachine) receiveQuery(from int, p *peer, query *messaging.Message) {
 	s.actions.Queries = append(s.actions.Queries, Query{
 		From:        from,
@@ -67,8 +67,8 @@
 	}
 }
 
-// isFinal reports whether the sender of a reply knows whether its own disk has lost keys. It does once it no longer waits for
-// its peers, and the receivers of its heartbeats have answered or a dedup window has passed.
+// isFinal reports whether the sender of a reply knows whether its own disk has lost keys. It does once it no longer
+// waits for its peers, and the receivers of its heartbeats have answered or a dedup window has passed.
 func isFinal(reply *messaging.Message) bool {
 	return Phase(reply.Phase) > QueryingPeers && !reply.KeysUnconfirmed
 }
--- a/internal/fleet/recovery/statemachine.go
+++ b/internal/fleet/recovery/statemachine.go
@@ -1,12 +1,13 @@
-// Package recovery decides how a dispatcher returns to service after it was down. It decides which incarnation that is, how
-// much of the stored state is trusted, what the peers are queried for, and in which phases requests are admitted again.
+// Package recovery decides how a dispatcher returns to service after it was down. It decides which incarnation that is,
+// how much of the stored state is trusted, what the peers are queried for, and in which phases requests are admitted
+// again.
 //
-// It does no I/O, has no clock and starts no goroutine: events go in with the time, and actions come out. Times are since
-// the start of the process, unless they are said to be Unix times. Package fleet carries the actions out. A StateMachine
-// and a Keys must not be used by several goroutines at once.
+// It does no I/O, has no clock and starts no goroutine: events go in with the time, and actions come out. Times are
+// since the start of the process, unless they are said to be Unix times. Package fleet carries the actions out. A
+// StateMachine and a Keys must not be used by several goroutines at once.
 //
-// phase.go says what a dispatcher may do in each phase, and what ends it. trust.go says which facts survive a loss of power,
-// and when each is trusted.
+// phase.go says what a dispatcher may do in each phase, and what ends it. trust.go says which facts survive a loss of
+// power, and when each is trusted.
 package recovery
 
 import (
--- a/internal/fleet/recovery/trust.go
+++ b/internal/fleet/recovery/trust.go
@@ -47,11 +47,11 @@
 // survivesPowerLoss reports whether a disk holds facts of this kind.
 func (r *TrustRule) survivesPowerLoss() bool { return r.Stored != neverStored }
 
-// TrustRules has one row for each kind of fact, by its number: whether it survives a loss of power, and when it is trusted.
-// docs/recovery.md shows the same table.
+// TrustRules has one row for each kind of fact, by its number: whether it survives a loss of power, and when it is
+// trusted. docs/recovery.md shows the same table.
 //
-// fleet.Node applies CheckTrust to the facts that it restores into the balancer: capacity, sizes, backoffs and quotas. Other
-// rules are applied where the fact is read: for the identity by checkOwnName, for keys by Keys.Find.
+// fleet.Node applies CheckTrust to the facts that it restores into the balancer: capacity, sizes, backoffs and quotas.
+// Other rules are applied where the fact is read: for the identity by checkOwnName, for keys by Keys.Find.
 var TrustRules = [factCount]TrustRule{
 	{
 		Fact: FactIdentity, Name: "name and incarnation", Stored: "life.a and life.b in turn, synced before the first message",
--- a/internal/fleet/recovery/trust_test.go
+++ b/internal/fleet/recovery/trust_test.go
@@ -40,8 +40,8 @@
 	}
 }
 
-// TestRecoveryPageShowsTheTables keeps docs/recovery.md and the code together: the page has one row for each fact and each
-// phase, in the same order.
+// TestRecoveryPageShowsTheTables keeps docs/recovery.md and the code together: the page has one row for each fact and
+// each phase, in the same order.
 func TestRecoveryPageShowsTheTables(t *testing.T) {
 	page, err := os.ReadFile("../../../docs/recovery.md")
 	assert.NoError(t, err)
--- a/internal/fleet/restore.go
+++ b/internal/fleet/restore.go
@@ -29,8 +29,8 @@
 	return stored
 }
 
-// storedSnapshot decodes what the dispatcher had learned when it last wrote its state. found is false if there is no state.
-// One that cannot be decoded is dropped.
+// storedSnapshot decodes what the dispatcher had learned when it last wrote its state. found is false if there is no
+// state. One that cannot be decoded is dropped.
 func (n *Node) storedSnapshot() (snapshot proxy.Snapshot, found bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -46,8 +46,8 @@
 	return snapshot, true
 }
 
-// restore passes to the balancer and the proxy what is trusted of the stored state and what peers know. It is called once,
-// before the first request is sent.
+// restore passes to the balancer and the proxy what is trusted of the stored state and what peers know. It is called
+// once, before the first request is sent.
 func (n *Node) restore(replies []recovery.PeerReply) {
 	n.mu.Lock()
 	outage := n.machine.Outage()
@@ -131,7 +131,8 @@
 	return false
 }
 
-// restoreDrains restores the drains of the stored endpoint list that the present one lacks, unless the present one is newer.
+// restoreDrains restores the drains of the stored endpoint list that the present one lacks, unless the present one is
+// newer.
 func (n *Node) restoreDrains(snapshot proxy.Snapshot) {
 	version, endpoints := n.proxy.Endpoints()
 	if version > snapshot.Version {
--- a/internal/fleet/simulate/faults.go
+++ b/internal/fleet/simulate/faults.go
@@ -108,8 +108,8 @@
 	plan.clockJumps = w.happens(clockJumpProbability)
 	plan.neverBack = w.happens(neverBackProbability)
 	if slices.Contains(plan.disks, diskReset) {
-		// A reset is detected as long as one of the two receivers of heartbeats has its disk, and its reply arrives. So only
-		// some disks are reset, no other one loses anything, and all messages arrive.
+		// A reset is detected as long as one of the two receivers of heartbeats has its disk, and its reply arrives. So
+		// only some disks are reset, no other one loses anything, and all messages arrive.
 		plan.disks = []diskFault{diskIntact, diskReset, diskFull}
 	} else {
 		w.drawNetworkFaults()
@@ -123,8 +123,8 @@
 	return plan
 }
 
-// schedulePowerLoss schedules one loss of power of some dispatchers, perhaps with the workers or the discovery service. It
-// returns when the last of them is back.
+// schedulePowerLoss schedules one loss of power of some dispatchers, perhaps with the workers or the discovery service.
+// It returns when the last of them is back.
 func (w *world) schedulePowerLoss(at time.Duration, plan *faultPlan) time.Duration {
 	share := 1.0 // of the dispatchers
 	if !w.plan.FleetOutageOnly && w.happens(partialOutageProbability) {
@@ -177,8 +177,8 @@
 	return back
 }
 
-// scheduleRestart schedules the restart of a dispatcher after a loss of power, which may change its disk and its clock. It
-// returns when the dispatcher starts.
+// scheduleRestart schedules the restart of a dispatcher after a loss of power, which may change its disk and its clock.
+// It returns when the dispatcher starts.
 func (w *world) scheduleRestart(n *node, at, maxDowntime time.Duration, plan *faultPlan) time.Duration {
 	back := at + w.between(minDowntime, maxDowntime)
 	fault := diskIntact
--- a/internal/fleet/simulate/node.go
+++ b/internal/fleet/simulate/node.go
@@ -220,8 +220,8 @@
 	}
 }
 
-// persistKeysMark persists a change of the mark. Its error is a drawn fault: diskFailed stands for an incarnation that could
-// not be raised, and setting it here would weaken the check.
+// persistKeysMark persists a change of the mark. Its error is a drawn fault: diskFailed stands for an incarnation that
+// could not be raised, and setting it here would weaken the check.
 func (n *node) persistKeysMark(mark recovery.KeysMark) {
 	switch mark {
 	case recovery.MarkKeysSuspect:
--- a/internal/fleet/store/journal.go
+++ b/internal/fleet/store/journal.go
@@ -25,7 +25,8 @@
 	segmentPrefix = "keys."
 	// segmentMillis is how long keys are appended to one segment.
 	segmentMillis = 30_000
-	// clockSlackMillis is how long a segment is kept after its last key has expired, since the wall clock may have been off.
+	// clockSlackMillis is how long a segment is kept after its last key has expired, since the wall clock may have been
+	// off.
 	clockSlackMillis = 60_000
 )
 
@@ -36,8 +37,8 @@
 	Keys        []Key  `cbor:"3,keyasint"`
 }
 
-// keyJournal holds keys in segments to which batches are appended. A batch that is cut off at the end of a segment may never
-// have been acknowledged. A damaged one before the end means that the disk has lost something.
+// keyJournal holds keys in segments to which batches are appended. A batch that is cut off at the end of a segment may
+// never have been acknowledged. A damaged one before the end means that the disk has lost something.
 type keyJournal struct {
 	disk             Disk
 	segment          int           // to which the next batch goes
--- a/internal/fleet/store/record.go
+++ b/internal/fleet/store/record.go
@@ -10,7 +10,8 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// A record is a header and a body in CBOR. The header has these fields, at these offsets in bytes; numbers are big-endian.
+// A record is a header and a body in CBOR. The header has these fields, at these offsets in bytes; numbers are
+// big-endian.
 const (
 	magic       = "cvrt"          // what each record begins with
 	kindAt      = len(magic)      // a byte: the recordKind
--- a/internal/fleet/store/recovered.go
+++ b/internal/fleet/store/recovered.go
@@ -69,8 +69,8 @@
 	}
 }
 
-// takeState adds the state that was read, unless it is of another dispatcher. A state that is newer than the incarnation on
-// disk shows that the disk has lost a write that it had acknowledged, so perhaps keys too.
+// takeState adds the state that was read, unless it is of another dispatcher. A state that is newer than the
+// incarnation on disk shows that the disk has lost a write that it had acknowledged, so perhaps keys too.
 func (r *Recovered) takeState(state *State, name string) {
 	if state.Name != name {
 		r.report(fmt.Errorf("facts: %w: %q", ErrForeignState, state.Name))
@@ -101,8 +101,8 @@
 	}
 }
 
-// MinNextIncarnation returns the lowest number that the state allows for the next incarnation. The state may be newer than
-// the incarnation on disk.
+// MinNextIncarnation returns the lowest number that the state allows for the next incarnation. The state may be newer
+// than the incarnation on disk.
 func (r *Recovered) MinNextIncarnation() uint64 {
 	if r.State == nil {
 		return 1
--- a/internal/fleet/store/store.go
+++ b/internal/fleet/store/store.go
@@ -1,8 +1,9 @@
-// Package store persists what a dispatcher needs after a restart: its incarnation, what it has learned, and the keys under
-// which requests may have run.
+// Package store persists what a dispatcher needs after a restart: its incarnation, what it has learned, and the keys
+// under which requests may have run.
 //
-// Incarnation and state are documents in A/B slots, keys are a journal of segments, and records carry checksums. What is
-// read back is complete and unaltered, or is reported as lost. Package recovery decides how far the contents are trusted.
+// Incarnation and state are documents in A/B slots, keys are a journal of segments, and records carry checksums. What
+// is read back is complete and unaltered, or is reported as lost. Package recovery decides how far the contents are
+// trusted.
 package store
 
 import (
@@ -68,8 +69,8 @@
 	At          int64       // Unix time in ms
 }
 
-// Begin persists the next incarnation of a dispatcher and returns it. Its number is at least start.MinNumber and above that
-// of the previous one, if that is of the same dispatcher.
+// Begin persists the next incarnation of a dispatcher and returns it. Its number is at least start.MinNumber and above
+// that of the previous one, if that is of the same dispatcher.
 func (s *Store) Begin(start Start) (Incarnation, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -115,8 +116,8 @@
 	return s.update(func(i *Incarnation) { i.Drained = false })
 }
 
-// MarkCleanShutdown persists that this incarnation ends in order, and how many keys it has persisted. It is the last write
-// of an incarnation.
+// MarkCleanShutdown persists that this incarnation ends in order, and how many keys it has persisted. It is the last
+// write of an incarnation.
 func (s *Store) MarkCleanShutdown() error {
 	return s.update(func(i *Incarnation) {
 		i.CleanShutdown = true
@@ -140,8 +141,8 @@
 	return nil
 }
 
-// AppendKeys persists keys. With an error none of them counts as persisted, though some may be read back. now is Unix time
-// in ms.
+// AppendKeys persists keys. With an error none of them counts as persisted, though some may be read back. now is Unix
+// time in ms.
 func (s *Store) AppendKeys(keys []Key, now int64) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -150,8 +151,8 @@
 	return err
 }
 
-// PersistedKeys returns how many keys were persisted in this incarnation. It does not wait for a write in progress, since a
-// disk that hangs must not stop the caller.
+// PersistedKeys returns how many keys were persisted in this incarnation. It does not wait for a write in progress,
+// since a disk that hangs must not stop the caller.
 func (s *Store) PersistedKeys() uint64 { return s.persistedKeys.Load() }
 
 // SaveState persists what was learned, as of this incarnation.
--- a/internal/fleet/store/store_test.go
+++ b/internal/fleet/store/store_test.go
@@ -73,8 +73,8 @@
 	return words, recovered
 }
 
-// Each file is the old one or the new one, and what was acknowledged is there. Power is lost before each operation, with each
-// number of bytes of the last write that reached the disk.
+// Each file is the old one or the new one, and what was acknowledged is there. Power is lost before each operation,
+// with each number of bytes of the last write that reached the disk.
 func TestPowerLostBeforeEachOperationLeavesOldOrNew(t *testing.T) {
 	const (
 		maxTail   = 140
--- a/internal/hotrestart/link.go
+++ b/internal/hotrestart/link.go
@@ -193,8 +193,8 @@
 	SiblingUpdate func(json.RawMessage) // what the other process has in flight
 	Command       func(string)          // an operator's command that the predecessor forwards
 
-	// Request has the request in flight that the predecessor hands over, and its sockets by their names: ClientSocket, and
-	// the numbers of the attempts. It closes the files.
+	// Request has the request in flight that the predecessor hands over, and its sockets by their names: ClientSocket,
+	// and the numbers of the attempts. It closes the files.
 	Request func(json.RawMessage, map[string]*os.File)
 }
 
--- a/internal/hotrestart/rendezvous.go
+++ b/internal/hotrestart/rendezvous.go
@@ -20,8 +20,8 @@
 	file string // name of the socket in dir
 }
 
-// RendezvousFor returns the rendezvous in a directory of the dispatcher that its name and addresses identify. All releases
-// have to find the same one.
+// RendezvousFor returns the rendezvous in a directory of the dispatcher that its name and addresses identify. All
+// releases have to find the same one.
 func RendezvousFor(dir string, identity ...string) Rendezvous {
 	h := fnv.New64a()
 	fmt.Fprintf(h, "%q", identity)
--- a/internal/lifecycle/phase.go
+++ b/internal/lifecycle/phase.go
@@ -37,8 +37,8 @@
 // on the address for clients answers it.
 func (p Phase) Healthy() bool { return p == Serving || p == HandedOff || p == StoppingHandedOff }
 
-// AcceptsConnections reports whether this process accepts connections. Where it is false, a successor accepts them. A drained
-// process accepts them to reject their requests, as connections that nobody accepts would wait in the queue.
+// AcceptsConnections reports whether this process accepts connections. Where it is false, a successor accepts them. A
+// drained process accepts them to reject their requests, as connections that nobody accepts would wait in the queue.
 func (p Phase) AcceptsConnections() bool { return p != HandedOff && p != StoppingHandedOff }
 
 // ClosesAfterResponse reports whether each response closes its connection, so that the client connects elsewhere.
--- a/internal/protocol/load_datagram.go
+++ b/internal/protocol/load_datagram.go
@@ -50,8 +50,8 @@
 	return uint16(hash.Sum32() ^ hash.Sum32()>>tagBits)
 }
 
-// AppendLoads appends a datagram with the first MaxLoads loads. timestamp is in Unix milliseconds modulo 2^16. instance is
-// the sender's number in its process, or NoInstance.
+// AppendLoads appends a datagram with the first MaxLoads loads. timestamp is in Unix milliseconds modulo 2^16. instance
+// is the sender's number in its process, or NoInstance.
 func AppendLoads(b []byte, timestamp uint16, instance int, loads []Load) []byte {
 	b = binary.BigEndian.AppendUint16(b, timestamp)
 	if instance != NoInstance {
--- a/internal/protocol/wire_test.go
+++ b/internal/protocol/wire_test.go
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// The tests of this file pin bytes and words on the wire by literals. Other programs have the same ones: a test that fails
-// here shows a change that would break them.
+// The tests of this file pin bytes and words on the wire by literals. Other programs have the same ones: a test that
+// fails here shows a change that would break them.
 
 // TestLoadDatagramBytes checks what dispatchers send to each other about workers' load.
 func TestLoadDatagramBytes(t *testing.T) {
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -13,8 +13,8 @@
 // The life of a request: Serve checks it, admit rejects it or submits it to the balancer, and execute follows the
 // balancer's decisions up to its answer. Each attempt runs beside that (attempt.go).
 
-// Serve answers one request whose last byte was read at arrivedAt. It returns nil where the client left before its answer or ctx
-// ended, and protocol.Migrated where the sibling process will answer.
+// Serve answers one request whose last byte was read at arrivedAt. It returns nil where the client left before its
+// answer or ctx ended, and protocol.Migrated where the sibling process will answer.
 func (p *Proxy) Serve(ctx context.Context, h *protocol.Head, body []byte, arrivedAt time.Time) *protocol.Response {
 	request, err := protocol.ParseRequest(h)
 	if err != nil {
--- a/internal/simadapter/discovery.go
+++ b/internal/simadapter/discovery.go
@@ -33,8 +33,8 @@
 	return id, nil
 }
 
-// findOrAdd returns a worker's number, a new one where it has none yet. Where workers have the same tag, it stands for the
-// first of them.
+// findOrAdd returns a worker's number, a new one where it has none yet. Where workers have the same tag, it stands for
+// the first of them.
 func (t *workerTable) findOrAdd(name string) balancer.WorkerID {
 	if id, known := t.ids[name]; known {
 		return id
--- a/internal/simadapter/gossip.go
+++ b/internal/simadapter/gossip.go
@@ -18,8 +18,8 @@
 	in.reply.close()
 }
 
-// receiveLoads reads a peer's message, which is in hexadecimal digits. Loads of workers that this instance's endpoint lists
-// have not had so far are ignored.
+// receiveLoads reads a peer's message, which is in hexadecimal digits. Loads of workers that this instance's endpoint
+// lists have not had so far are ignored.
 func (in *instance) receiveLoads(from balancer.PeerID, digits []byte) error {
 	message := make([]byte, hex.DecodedLen(len(digits)))
 	if _, err := hex.Decode(message, digits); err != nil {
--- a/internal/simadapter/requests.go
+++ b/internal/simadapter/requests.go
@@ -61,7 +61,8 @@
 	t.ending = append(t.ending, id)
 }
 
-// releaseEnded frees the numbers of requests that have ended and have no attempt in flight. It is called after each event.
+// releaseEnded frees the numbers of requests that have ended and have no attempt in flight. It is called after each
+// event.
 func (t *requestTable) releaseEnded() {
 	for _, id := range t.ending {
 		request := t.get(id)
--- a/internal/simadapter/simadapter.go
+++ b/internal/simadapter/simadapter.go
@@ -142,8 +142,8 @@
 	return err
 }
 
-// dispatchEvent handles the events about endpoint lists and dispatchers, and passes the others to their dispatcher. Events
-// for one that has failed are ignored.
+// dispatchEvent handles the events about endpoint lists and dispatchers, and passes the others to their dispatcher.
+// Events for one that has failed are ignored.
 func (s *simulation) dispatchEvent(event string, fields *fastjson.Value, now balancer.Time) error {
 	if fields.Type() != fastjson.TypeObject {
 		return errors.New("fields are not an object")
--- a/internal/testbed/baseline/baseline.go
+++ b/internal/testbed/baseline/baseline.go
@@ -1,5 +1,5 @@
-// Package baseline has the dispatchers that the testbed compares canvasroute with: simple policies and the standard library's
-// reverse proxy. Some violate a rule on purpose, to show that the checks find it. Only the testbed uses it.
+// Package baseline has the dispatchers that the testbed compares canvasroute with: simple policies and the standard
+// library's reverse proxy. Some violate a rule on purpose, to show that the checks find it. Only the testbed uses it.
 package baseline
 
 import (
@@ -54,8 +54,8 @@
 	drainTimeout          = 3 * time.Second // for open requests, after a signal to end
 	readHeaderTimeout     = 5 * time.Second // for the head of a client's request
 	maxIdleConnsPerWorker = 512
-	// idleTimeoutDivisor keeps the idle timeout of connections well below that of the workers, so that no attempt crosses the
-	// end of its connection.
+	// idleTimeoutDivisor keeps the idle timeout of connections well below that of the workers, so that no attempt
+	// crosses the end of its connection.
 	idleTimeoutDivisor = 4
 )
 
--- a/internal/testbed/baseline/dispatch.go
+++ b/internal/testbed/baseline/dispatch.go
@@ -27,8 +27,8 @@
 	retryAfterSeconds  = "0.5"
 )
 
-// pick returns an eligible worker that has not been tried, chosen by the policy, and counts an attempt in flight to it. It
-// returns nil if there is none. The attempt's end is release.
+// pick returns an eligible worker that has not been tried, chosen by the policy, and counts an attempt in flight to it.
+// It returns nil if there is none. The attempt's end is release.
 func (d *dispatcher) pick(tried []*backend) *backend {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/testbed/command/command_test.go
+++ b/internal/testbed/command/command_test.go
@@ -94,8 +94,8 @@
 	return runExperiment(t, fmt.Sprintf(shortExperiment, policy, fault))
 }
 
-// memoryFolder returns a folder in memory if possible. A disk that a dozen parallel experiments write to may take seconds, which
-// is not what they test: experiments simulate faults of disks themselves.
+// memoryFolder returns a folder in memory if possible. A disk that a dozen parallel experiments write to may take
+// seconds, which is not what they test: experiments simulate faults of disks themselves.
 func memoryFolder(t *testing.T) string {
 	t.Helper()
 	folder, err := os.MkdirTemp("/dev/shm", "testbed-")
--- a/internal/testbed/command/dispatcher_process_test.go
+++ b/internal/testbed/command/dispatcher_process_test.go
@@ -33,8 +33,8 @@
 	cmd          *exec.Cmd
 }
 
-// addressesTaken counts the addresses assigned. Each has a loopback host of its own, so that no outgoing connection takes its
-// port.
+// addressesTaken counts the addresses assigned. Each has a loopback host of its own, so that no outgoing connection
+// takes its port.
 var addressesTaken atomic.Int64
 
 // freeAddress returns an address that nothing listens on.
@@ -53,8 +53,8 @@
 		version, d.worker, d.otherWorkers)
 }
 
-// newTestDispatcher starts a worker, and writes the configuration of a process that knows it. The discovery service is not
-// started.
+// newTestDispatcher starts a worker, and writes the configuration of a process that knows it. The discovery service is
+// not started.
 func newTestDispatcher(t *testing.T, sockets int) *testDispatcher {
 	t.Helper()
 	d := newTestDispatcherWithoutList(t, sockets)
@@ -154,8 +154,8 @@
 	}
 }
 
-// connectIdleClients keeps a number of idle clients connected until the end of the test. Each connects again as soon as its
-// connection is closed. It returns the number of connections refused or closed so far.
+// connectIdleClients keeps a number of idle clients connected until the end of the test. Each connects again as soon as
+// its connection is closed. It returns the number of connections refused or closed so far.
 func (d *testDispatcher) connectIdleClients(t *testing.T, count int) (refused *atomic.Int64) {
 	t.Helper()
 	refused = &atomic.Int64{}
@@ -214,7 +214,8 @@
 }
 
 // listen listens on an address. A process that a parallel test starts has a copy of each open listener from its fork to
-// its exec. The port of a listener that has just been closed may thus be in use for a moment, so listen tries for a second.
+// its exec. The port of a listener that has just been closed may thus be in use for a moment, so listen tries for a
+// second.
 func listen(t *testing.T, address string) net.Listener {
 	t.Helper()
 	for limit := time.Now().Add(time.Second); ; {
--- a/internal/testbed/command/endpoints_test.go
+++ b/internal/testbed/command/endpoints_test.go
@@ -57,8 +57,8 @@
 	})
 }
 
-// While idle clients use up the descriptors and the discovery service is down, there must be a descriptor left for a client
-// with a request, the poll of the list, a connection to a worker and the health check.
+// While idle clients use up the descriptors and the discovery service is down, there must be a descriptor left for a
+// client with a request, the poll of the list, a connection to a worker and the health check.
 func TestIdleClientsThatFillTheDescriptorsKeepNobodyOut(t *testing.T) {
 	const sockets, idle = 96, 300
 	dispatcher := newTestDispatcher(t, sockets)
--- a/internal/testbed/command/power_test.go
+++ b/internal/testbed/command/power_test.go
@@ -10,8 +10,8 @@
 	"canvasroute/internal/testbed/fault"
 )
 
-// powerLossExperiment is an experiment in which four dispatchers, nine workers and the discovery service lose power at once.
-// Keys of the dispatchers and of the fault are to be filled in.
+// powerLossExperiment is an experiment in which four dispatchers, nine workers and the discovery service lose power at
+// once. Keys of the dispatchers and of the fault are to be filled in.
 var powerLossExperiment = `name = "lost"
 [dispatchers]
 count = 4
--- a/internal/testbed/command/run.go
+++ b/internal/testbed/command/run.go
@@ -95,8 +95,8 @@
 	return func(key experiment.RenamedKey) { fmt.Fprintln(status, "testbed: warning:", key) }
 }
 
-// run runs a plan with each seed. With several seeds each result gets a folder of its own. It returns errExperimentFailed or
-// errInterrupted if a result says so.
+// run runs a plan with each seed. With several seeds each result gets a folder of its own. It returns
+// errExperimentFailed or errInterrupted if a result says so.
 func (f *runFlags) run(ctx context.Context, plan *experiment.Plan, out, status io.Writer) error {
 	programs, err := experiment.FindPrograms(f.dispatcher)
 	if err != nil {
--- a/internal/testbed/discoveryserver/catalog.go
+++ b/internal/testbed/discoveryserver/catalog.go
@@ -1,5 +1,6 @@
-// Package discoveryserver is a stand-in for the platform's discovery service. Catalog is the endpoint list. It does no I/O and
-// has no clock. Server serves it, on a listener for each dispatcher, as each sees the workers at addresses of its own.
+// Package discoveryserver is a stand-in for the platform's discovery service. Catalog is the endpoint list. It does no
+// I/O and has no clock. Server serves it, on a listener for each dispatcher, as each sees the workers at addresses of
+// its own.
 package discoveryserver
 
 import "time"
@@ -32,7 +33,8 @@
 	entry Entry
 }
 
-// Catalog is the list with its history. Version n is the list after n changes. Times are since the start of the experiment.
+// Catalog is the list with its history. Version n is the list after n changes. Times are since the start of the
+// experiment.
 type Catalog struct {
 	lag     time.Duration // until a change is visible
 	changes []change
--- a/internal/testbed/experiment/counters.go
+++ b/internal/testbed/experiment/counters.go
@@ -44,8 +44,8 @@
 	}
 }
 
-// compareCountersOf compares reported counters of dispatcher n with the outcomes of its requests, and records a failure for
-// each one that differs by more than the tolerance.
+// compareCountersOf compares reported counters of dispatcher n with the outcomes of its requests, and records a failure
+// for each one that differs by more than the tolerance.
 func (env *environment) compareCountersOf(n int, reported map[string]int) {
 	observed := map[string]int{}
 	for _, request := range env.history.Requests() {
--- a/internal/testbed/experiment/disk.go
+++ b/internal/testbed/experiment/disk.go
@@ -161,8 +161,8 @@
 	return errA == nil && errB == nil && infoA.ModTime().After(infoB.ModTime())
 }
 
-// blockNewFiles makes each write to a new file fail from now on. It takes the names of the next files for links to target, a
-// full device or a file that cannot be written.
+// blockNewFiles makes each write to a new file fail from now on. It takes the names of the next files for links to
+// target, a full device or a file that cannot be written.
 func blockNewFiles(disk, target string) error {
 	last, err := lastKeyFile(disk)
 	if err != nil {
--- a/internal/testbed/experiment/dispatchers.go
+++ b/internal/testbed/experiment/dispatchers.go
@@ -97,8 +97,8 @@
 	return network.Conditions{Loss: d.PeerLoss, Delay: d.PeerDelay.Std(), Jitter: d.PeerJitter.Std()}
 }
 
-// launchDispatcher starts one dispatcher's process. All workers count as listed to it as ready until the discovery service
-// writes otherwise, as drains that the process before was notified of do not bind it.
+// launchDispatcher starts one dispatcher's process. All workers count as listed to it as ready until the discovery
+// service writes otherwise, as drains that the process before was notified of do not bind it.
 func (env *environment) launchDispatcher(n int) error {
 	p := env.process(n)
 	config, err := env.dispatcherConfig(n, p.adminAddr, env.plan.Dispatchers.MaxAttempts)
--- a/internal/testbed/experiment/link.go
+++ b/internal/testbed/experiment/link.go
@@ -34,8 +34,8 @@
 	return nil
 }
 
-// fleetConfig returns the fleet's configuration file for a process: its state folder, its address and the members as it sees
-// them.
+// fleetConfig returns the fleet's configuration file for a process: its state folder, its address and the members as it
+// sees them.
 func (env *environment) fleetConfig(p *process, listen netip.AddrPort, view []netip.AddrPort) []byte {
 	b := fmt.Appendf(nil, "[state]\nfolder = %q\nevery = %q\n\n[link]\nlisten = %q\n", p.disk,
 		env.plan.Dispatchers.StateInterval.Std().String(), listen.String())
--- a/internal/testbed/experiment/misbehaving_clients.go
+++ b/internal/testbed/experiment/misbehaving_clients.go
@@ -16,8 +16,8 @@
 // incompleteRequest is the beginning of a request that slow clients send.
 const incompleteRequest = "POST /api HTTP/1.1\r\nReq-Id: never\r\nReq-Kind: never\r\n"
 
-// openMisbehavingClients keeps a number of connections open until ctx ends, on which no request is ever complete. What they
-// send is up to the behaviour. A connection that ends is opened again.
+// openMisbehavingClients keeps a number of connections open until ctx ends, on which no request is ever complete. What
+// they send is up to the behaviour. A connection that ends is opened again.
 func (env *environment) openMisbehavingClients(ctx context.Context, connections int, behaviour func(net.Conn)) {
 	for n := range connections {
 		addr := env.listenAddrs[n%len(env.listenAddrs)].String()
--- a/internal/testbed/experiment/operators.go
+++ b/internal/testbed/experiment/operators.go
@@ -64,8 +64,8 @@
 // drainCheckInterval is how often watchDrained polls a dispatcher's health.
 const drainCheckInterval = 20 * time.Millisecond
 
-// watchDrained checks that a dispatcher that restarted after an operator's LEAVE accepts no client until JOIN. It records a
-// failure otherwise.
+// watchDrained checks that a dispatcher that restarted after an operator's LEAVE accepts no client until JOIN. It
+// records a failure otherwise.
 func (env *environment) watchDrained(ctx context.Context, n int) {
 	p := env.process(n)
 	for ctx.Err() == nil && p.running() && env.drainedBefore(n) {
--- a/internal/testbed/experiment/placement.go
+++ b/internal/testbed/experiment/placement.go
@@ -19,8 +19,8 @@
 	return places
 }
 
-// place returns the place of a worker of a kind. Workers are distributed over the zones in turn, and a cell holds CellSize
-// workers of one zone.
+// place returns the place of a worker of a kind. Workers are distributed over the zones in turn, and a cell holds
+// CellSize workers of one zone.
 func (p *Plan) place(worker, kind int) workerPlace {
 	zones := len(p.Fleet.Zones)
 	zone := worker % zones
--- a/internal/testbed/experiment/plan.go
+++ b/internal/testbed/experiment/plan.go
@@ -1,5 +1,5 @@
-// Package experiment runs an experiment file. It starts real dispatcher processes with a stand-in fleet, discovery service
-// and peer network. It applies an open-loop load and a timeline of faults, and writes the result to a folder.
+// Package experiment runs an experiment file. It starts real dispatcher processes with a stand-in fleet, discovery
+// service and peer network. It applies an open-loop load and a timeline of faults, and writes the result to a folder.
 package experiment
 
 import (
@@ -33,7 +33,8 @@
 	directory string             // of the file; a trace's path is relative to it
 }
 
-// Dispatchers are the processes under test. Those of the keys that are settings of a dispatcher mean what they mean there.
+// Dispatchers are the processes under test. Those of the keys that are settings of a dispatcher mean what they mean
+// there.
 type Dispatchers struct {
 	Count          int           `toml:"count"`        // number of processes
 	Policy         string        `toml:"policy"`       // canvasroute or one of the baselines
@@ -149,8 +150,8 @@
 // Canvasroute is the policy of the dispatcher under test. The others are those of package baseline.
 const Canvasroute = "canvasroute"
 
-// Read reads and validates an experiment file. The error names the file, and the line or the key. onRenamedKey is called for
-// each former key that the file uses, also if the file turns out to be invalid.
+// Read reads and validates an experiment file. The error names the file, and the line or the key. onRenamedKey is
+// called for each former key that the file uses, also if the file turns out to be invalid.
 func Read(path string, onRenamedKey func(RenamedKey)) (*Plan, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/testbed/experiment/power.go
+++ b/internal/testbed/experiment/power.go
@@ -7,8 +7,8 @@
 	"canvasroute/internal/testbed/fault"
 )
 
-// losePower kills dispatchers, all at once. Each starts again with the endpoint list of this time, as it learns of no change
-// while it has no power.
+// losePower kills dispatchers, all at once. Each starts again with the endpoint list of this time, as it learns of no
+// change while it has no power.
 func (env *environment) losePower(targets []int) {
 	var kills sync.WaitGroup
 	for _, n := range targets {
@@ -24,8 +24,8 @@
 	kills.Wait()
 }
 
-// returnPower starts dispatchers again. Their disks are in the state of the action's mode, and their clocks have moved by its
-// duration.
+// returnPower starts dispatchers again. Their disks are in the state of the action's mode, and their clocks have moved
+// by its duration.
 func (env *environment) returnPower(ctx context.Context, action fault.Action) {
 	for _, n := range action.Targets {
 		if env.process(n).running() {
--- a/internal/testbed/experiment/process.go
+++ b/internal/testbed/experiment/process.go
@@ -192,7 +192,8 @@
 	return fmt.Errorf("dispatcher %s: %w", p.name, errStopTimeout)
 }
 
-// wait waits for the end of the process or of ctx, and reports whether the process has ended. One that was never started has.
+// wait waits for the end of the process or of ctx, and reports whether the process has ended. One that was never
+// started has.
 func (p *process) wait(ctx context.Context) bool {
 	p.mu.Lock()
 	exited := p.exited
--- a/internal/testbed/experiment/renamed_keys_test.go
+++ b/internal/testbed/experiment/renamed_keys_test.go
@@ -238,7 +238,8 @@
 	return text
 }
 
-// The ready experiment files must stay valid, as operators run them as they are, and mean what they meant with former keys.
+// The ready experiment files must stay valid, as operators run them as they are, and mean what they meant with former
+// keys.
 func TestReadyExperimentFilesAreValid(t *testing.T) {
 	paths, err := filepath.Glob("../../../deploy/testbed/*.toml")
 	assert.NoError(t, err)
--- a/internal/testbed/experiment/result.go
+++ b/internal/testbed/experiment/result.go
@@ -194,8 +194,8 @@
 // maxLogLineBytes bounds a line of a dispatcher's log.
 const maxLogLineBytes = 1 << 20
 
-// scanLog passes each line of a dispatcher's log to a function, up to the first one that is too long. A log that cannot be
-// read has no lines.
+// scanLog passes each line of a dispatcher's log to a function, up to the first one that is too long. A log that cannot
+// be read has no lines.
 func scanLog(path string, handle func(line []byte)) {
 	file, err := os.Open(path)
 	if err != nil {
--- a/internal/testbed/experiment/run.go
+++ b/internal/testbed/experiment/run.go
@@ -76,8 +76,8 @@
 // errLoadOver is why the context of the timeline ends, unless the experiment is interrupted.
 var errLoadOver = errors.New("all calls are over")
 
-// applyLoad sends the schedule and applies the timeline meanwhile. It returns when all calls are over. Actions that are still
-// running end with the environment.
+// applyLoad sends the schedule and applies the timeline meanwhile. It returns when all calls are over. Actions that are
+// still running end with the environment.
 func (p *Plan) applyLoad(ctx context.Context, env *environment, recorder *metrics.Recorder, timeline *fault.Timeline,
 	schedule []workload.Arrival, progress func(Progress),
 ) {
@@ -116,8 +116,8 @@
 // ErrNoDispatcher means that there is no dispatcher program to start.
 var ErrNoDispatcher = errors.New("no dispatcher to start")
 
-// FindPrograms returns the paths of the dispatcher program and of this program. The dispatcher is the one named, or for "" the
-// one beside this program.
+// FindPrograms returns the paths of the dispatcher program and of this program. The dispatcher is the one named, or for
+// "" the one beside this program.
 func FindPrograms(dispatcher string) (programs Programs, err error) {
 	if programs.Self, err = os.Executable(); err != nil {
 		return Programs{}, err
--- a/internal/testbed/experiment/upgrade.go
+++ b/internal/testbed/experiment/upgrade.go
@@ -77,7 +77,8 @@
 	}
 }
 
-// reportsDrain reports whether an answer to commandHealth says that the dispatcher is drained. Such a one never answers done.
+// reportsDrain reports whether an answer to commandHealth says that the dispatcher is drained. Such a one never answers
+// done.
 func reportsDrain(health string) bool {
 	return strings.Contains(health, lifecycle.Draining.String()) || strings.Contains(health, lifecycle.Drained.String())
 }
--- a/internal/testbed/fault/planner.go
+++ b/internal/testbed/fault/planner.go
@@ -187,7 +187,8 @@
 	return fmt.Sprintf("list %v behind", p.spec.Lag.Std())
 }
 
-// reconfigure plans new settings at all dispatchers. With a duration the experiment's own settings apply again at its end.
+// reconfigure plans new settings at all dispatchers. With a duration the experiment's own settings apply again at its
+// end.
 func (p *planner) reconfigure() string {
 	targets := p.pickRandom(p.topology.Dispatchers, p.topology.Dispatchers)
 	p.add(p.start(), DispatcherReconfigure, targets, float64(p.spec.MaxAttempts))
--- a/internal/testbed/fault/power.go
+++ b/internal/testbed/fault/power.go
@@ -93,8 +93,8 @@
 	return time.Duration(p.rng.Float64() * float64(p.spec.Spread.Std()))
 }
 
-// powerLossTargets returns the dispatchers and workers that lose power: all, or those of the fault's zone. If the fault gives
-// a number of them, only as many, drawn at random.
+// powerLossTargets returns the dispatchers and workers that lose power: all, or those of the fault's zone. If the fault
+// gives a number of them, only as many, drawn at random.
 func (p *planner) powerLossTargets() (dispatchers, workers []int) {
 	zone := slices.Index(p.topology.Zones, p.spec.Zone)
 	everywhere := zone < 0
--- a/internal/testbed/fault/spec.go
+++ b/internal/testbed/fault/spec.go
@@ -8,7 +8,8 @@
 	"canvasroute/internal/testbed/unit"
 )
 
-// Spec is one [[fault]] of an experiment file. The keys are the operators' interface. Each kind of fault uses some of them.
+// Spec is one [[fault]] of an experiment file. The keys are the operators' interface. Each kind of fault uses some of
+// them.
 type Spec struct {
 	Kind        string        `toml:"kind"`
 	At          unit.Duration `toml:"at"`          // since the start of the experiment
@@ -26,8 +27,8 @@
 	MaxAttempts int           `toml:"max-attempts"` // new-settings: attempts per request
 	Connections int           `toml:"connections"`  // silent-clients, piecemeal-clients
 
-	// power-loss: the time from the loss until power is restored. Each dispatcher and worker starts after a delay of its own
-	// of up to Spread on top, drawn at random.
+	// power-loss: the time from the loss until power is restored. Each dispatcher and worker starts after a delay of
+	// its own of up to Spread on top, drawn at random.
 	RestoreAfter        unit.Duration       `toml:"restore-after"`         // of dispatchers
 	WorkersRestoreAfter unit.Duration       `toml:"workers-restore-after"` // 0: workers keep their power
 	ListRestoreAfter    unit.Duration       `toml:"list-restore-after"`    // 0: the discovery service keeps its power
--- a/internal/testbed/history/check.go
+++ b/internal/testbed/history/check.go
@@ -184,8 +184,8 @@
 	return violations
 }
 
-// checkRejection checks that no attempt of a rejected request may have run. Attempts from before the client sent the request
-// again do not count: checkLost covers them, and a new process knows nothing of them.
+// checkRejection checks that no attempt of a rejected request may have run. Attempts from before the client sent the
+// request again do not count: checkLost covers them, and a new process knows nothing of them.
 func (c RuleConfig) checkRejection(request *Request, attempts []*Attempt) []Violation {
 	if request.Outcome != Throttled || c.Operations[request.Operation].mayRunAgainAnywhere() {
 		return nil
--- a/internal/testbed/history/check_keys.go
+++ b/internal/testbed/history/check_keys.go
@@ -9,8 +9,8 @@
 	"canvasroute/internal/testbed/workload"
 )
 
-// RuleKeysPersisted is a rule for dispatchers that persist state. It concerns a marked retry under a key that was sent to a
-// worker before the dispatcher's outage. The retry goes to that worker's dedup group or nowhere.
+// RuleKeysPersisted is a rule for dispatchers that persist state. It concerns a marked retry under a key that was sent
+// to a worker before the dispatcher's outage. The retry goes to that worker's dedup group or nowhere.
 const RuleKeysPersisted Rule = "keys kept through an end"
 
 // checkKeys checks RuleKeysPersisted over all requests under one key. It does not apply to a dispatcher that had no
--- a/internal/testbed/loadgen/front_tier.go
+++ b/internal/testbed/loadgen/front_tier.go
@@ -113,8 +113,8 @@
 	return healthy
 }
 
-// updateHealth applies the result of a health check of dispatcher n. Clients of an unhealthy one continue to use their open
-// connections. One that does not answer is removed, with its connections, once the timeout has passed.
+// updateHealth applies the result of a health check of dispatcher n. Clients of an unhealthy one continue to use their
+// open connections. One that does not answer is removed, with its connections, once the timeout has passed.
 func (f *FrontTier) updateHealth(n int, result health) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -138,7 +138,8 @@
 	return !slices.ContainsFunc(f.dispatchers, func(d dispatcherState) bool { return !d.inRotation })
 }
 
-// Remove takes a dispatcher out of rotation at once, for a planned restart. Clients continue to use their open connections.
+// Remove takes a dispatcher out of rotation at once, for a planned restart. Clients continue to use their open
+// connections.
 func (f *FrontTier) Remove(n int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/testbed/loadgen/loadgen.go
+++ b/internal/testbed/loadgen/loadgen.go
@@ -221,8 +221,8 @@
 	return append(append(b, "\r\n\r\n"...), body...)
 }
 
-// errIdleConnEnded means that a connection that had been idle ended before any byte of the answer. From the client's view the
-// dispatcher closed it between two messages.
+// errIdleConnEnded means that a connection that had been idle ended before any byte of the answer. From the client's
+// view the dispatcher closed it between two messages.
 var errIdleConnEnded = errors.New("idle connection has ended")
 
 // connector returns a connection to a dispatcher: FrontTier.idleConn or newConn.
--- a/internal/testbed/loadgen/loadgen_test.go
+++ b/internal/testbed/loadgen/loadgen_test.go
@@ -60,9 +60,9 @@
 }
 
 // Checks that there is no coordinated omission: a server that pauses from 0.5 s to 1.5 s delays each of the 200 calls
-// due meanwhile to the end of the pause. By hand: of 400 calls in 2 s, 5 ms apart, call k of the pause waits 1000 - 5k ms.
-// p99 is the 396th in ascending order, which leaves four above it, so 980 ms; p90 the 360th, so 800 ms; p50 the 200th,
-// the last one that did not wait.
+// due meanwhile to the end of the pause. By hand: of 400 calls in 2 s, 5 ms apart, call k of the pause waits 1000 - 5k
+// ms. p99 is the 396th in ascending order, which leaves four above it, so 980 ms; p90 the 360th, so 800 ms; p50 the
+// 200th, the last one that did not wait.
 func TestLatencyCountsFromTheIntendedTimeDuringAPause(t *testing.T) {
 	startedAt := time.Now()
 	from, to := startedAt.Add(500*ms), startedAt.Add(1500*ms)
--- a/internal/testbed/metrics/recorder.go
+++ b/internal/testbed/metrics/recorder.go
@@ -1,6 +1,6 @@
 // Package metrics aggregates the calls of an experiment. A call is a client's request with its retries. Latency counts
-// from the intended time of sending, not from the actual one. A generator that waits for a slow dispatcher would otherwise
-// hide the delay that it causes (coordinated omission).
+// from the intended time of sending, not from the actual one. A generator that waits for a slow dispatcher would
+// otherwise hide the delay that it causes (coordinated omission).
 package metrics
 
 import (
--- a/internal/testbed/metrics/recovery.go
+++ b/internal/testbed/metrics/recovery.go
@@ -121,8 +121,8 @@
 	return earned / offered, true
 }
 
-// timeToRecovery returns the time in seconds from the last return to the first of two consecutive slots whose share counts as
-// recovered, or neverRecovered. The last slot needs no second one.
+// timeToRecovery returns the time in seconds from the last return to the first of two consecutive slots whose share
+// counts as recovered, or neverRecovered. The last slot needs no second one.
 func (l *PowerLoss) timeToRecovery(lastBackAt time.Duration, before float64, shares []float64) float64 {
 	const rounding = 1e-9
 	recovered := func(n int) bool { return n >= len(shares) || shares[n] >= recoveredShare*before }
@@ -137,10 +137,10 @@
 	return neverRecovered
 }
 
-// bestValueShare returns an upper bound of the value share of the slot that begins at a time. Each call starts at its intended
-// time, at a worker of the mean warm-up factor in the middle of the slot. It takes its work divided by that factor. It earns
-// its full value within its objective, and LateShare of it later. All calls together do no more work than the cores can in
-// the slot. No dispatcher does better by more than the spread of warm-up factors between workers.
+// bestValueShare returns an upper bound of the value share of the slot that begins at a time. Each call starts at its
+// intended time, at a worker of the mean warm-up factor in the middle of the slot. It takes its work divided by that
+// factor. It earns its full value within its objective, and LateShare of it later. All calls together do no more work
+// than the cores can in the slot. No dispatcher does better by more than the spread of warm-up factors between workers.
 func (l *PowerLoss) bestValueShare(from time.Duration) float64 {
 	cores, capacity := 0.0, 0.0
 	for _, w := range l.Workers {
--- a/internal/testbed/network/network.go
+++ b/internal/testbed/network/network.go
@@ -1,5 +1,5 @@
-// Package network is a stand-in for the network between dispatchers. It relays datagrams, and loses, delays, duplicates or
-// blocks them as configured. Each pair of dispatchers has addresses of its own.
+// Package network is a stand-in for the network between dispatchers. It relays datagrams, and loses, delays, duplicates
+// or blocks them as configured. Each pair of dispatchers has addresses of its own.
 package network
 
 import (
--- a/internal/testbed/report/charts.go
+++ b/internal/testbed/report/charts.go
@@ -90,8 +90,8 @@
 	return chart
 }
 
-// shadeFaults adds a numbered band for the time of each fault, from the bottom to the top of a chart. One without a duration
-// gets a narrow band.
+// shadeFaults adds a numbered band for the time of each fault, from the bottom to the top of a chart. One without a
+// duration gets a narrow band.
 func shadeFaults(chart *plot.Plot, r *experiment.Result, bottom, top float64) {
 	for n, mark := range r.Faults {
 		from := mark.From.Seconds()
--- a/internal/testbed/worker/dedup.go
+++ b/internal/testbed/worker/dedup.go
@@ -37,7 +37,8 @@
 	return &DedupGroup{window: window, firsts: map[string]*firstRun{}}
 }
 
-// start decides whether a job under a key runs. For keyUnused it must run; for keyDone the result is that of the first job.
+// start decides whether a job under a key runs. For keyUnused it must run; for keyDone the result is that of the first
+// job.
 func (g *DedupGroup) start(key, id string, now time.Duration) (result string, state keyState) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/testbed/worker/exchange.go
+++ b/internal/testbed/worker/exchange.go
@@ -190,8 +190,8 @@
 	return task, isKnown && task.WorkUs > 0
 }
 
-// writeSimple writes an answer that is not chunked, with additional header fields. It reports whether the connection can be
-// used for the next message.
+// writeSimple writes an answer that is not chunked, with additional header fields. It reports whether the connection
+// can be used for the next message.
 func (s *Server) writeSimple(c net.Conn, process *incarnation, status int, fields string, body []byte) bool {
 	if !process.waitWhilePaused() {
 		return false
@@ -205,8 +205,8 @@
 // responseHead is the head of an answer in chunks.
 const responseHead = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n"
 
-// stream writes the lines of an exchange as chunks until the last one, or until the dispatcher cancels. It reports whether
-// the connection can be used for the next message.
+// stream writes the lines of an exchange as chunks until the last one, or until the dispatcher cancels. It reports
+// whether the connection can be used for the next message.
 func (s *Server) stream(c *dispatcherConn, id string, accepted *exchange, process *incarnation) bool {
 	defer func() { // covers a process that ended before the last line was written: only the first end counts
 		if !process.waitWhilePaused() {
@@ -254,9 +254,9 @@
 	}
 }
 
-// finish writes the last line and the end of the chunks. It reports whether the connection can be used for the next message.
-// A result is recorded before it is sent, as the client's answer could otherwise be recorded first. A return is recorded
-// once it has been sent, as only then it proves that the attempt never ran.
+// finish writes the last line and the end of the chunks. It reports whether the connection can be used for the next
+// message. A result is recorded before it is sent, as the client's answer could otherwise be recorded first. A return
+// is recorded once it has been sent, as only then it proves that the attempt never ran.
 func (s *Server) finish(c net.Conn, out []byte, accepted *exchange, l line, process *incarnation) bool {
 	if !process.waitWhilePaused() {
 		return false
--- a/internal/testbed/worker/machine.go
+++ b/internal/testbed/worker/machine.go
@@ -83,8 +83,8 @@
 	halfReported bool          // Halfway has been reported
 }
 
-// Machine is one incarnation of a worker's process: cores that run jobs, and a FIFO queue before them. Times are since the
-// start of the experiment.
+// Machine is one incarnation of a worker's process: cores that run jobs, and a FIFO queue before them. Times are since
+// the start of the experiment.
 type Machine struct {
 	kind            Kind
 	warmup          Warmup
@@ -191,7 +191,8 @@
 	return events
 }
 
-// Drain makes the machine decline new jobs. Running jobs continue. It returns the IDs of the waiting jobs, which never run.
+// Drain makes the machine decline new jobs. Running jobs continue. It returns the IDs of the waiting jobs, which never
+// run.
 func (m *Machine) Drain(now time.Duration) (events []Event, unstarted []string) {
 	events = m.Advance(now)
 	m.draining = true
--- a/internal/testbed/worker/server.go
+++ b/internal/testbed/worker/server.go
@@ -30,8 +30,8 @@
 	maxWarmupLoad float64       // see MaxWarmupLoad
 }
 
-// Start starts a process that warms up, unless one runs. It listens on the addresses of the process before, or on new ones
-// if those are taken.
+// Start starts a process that warms up, unless one runs. It listens on the addresses of the process before, or on new
+// ones if those are taken.
 func (s *Server) Start() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -292,8 +292,8 @@
 	return s.maxWarmupLoad
 }
 
-// StartedAt returns the start time of the current or last process since the start of the experiment. It is 0 for a process
-// that started warm.
+// StartedAt returns the start time of the current or last process since the start of the experiment. It is 0 for a
+// process that started warm.
 func (s *Server) StartedAt() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/testbed/worker/server_faults.go
+++ b/internal/testbed/worker/server_faults.go
@@ -83,8 +83,8 @@
 	}
 }
 
-// Partition cuts the process, if one runs, off the network until Heal. It works, but nothing passes on open connections and new
-// ones are not established.
+// Partition cuts the process, if one runs, off the network until Heal. It works, but nothing passes on open connections
+// and new ones are not established.
 func (s *Server) Partition() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -120,7 +120,8 @@
 	}
 }
 
-// backlogFillers is the number of connections that fill a backlog of 0. It holds one, and the accepting goroutine another.
+// backlogFillers is the number of connections that fill a backlog of 0. It holds one, and the accepting goroutine
+// another.
 const backlogFillers = 2
 
 // fillTimeout bounds how long the establishment of a connection that fills the backlog may take.
--- a/internal/testbed/workload/mix.go
+++ b/internal/testbed/workload/mix.go
@@ -60,7 +60,8 @@
 	TailPareto      = "pareto"
 )
 
-// Bounds of one draw of work, in multiples of the mean. A draw from a heavy tail without a cap could outlast the experiment.
+// Bounds of one draw of work, in multiples of the mean. A draw from a heavy tail without a cap could outlast the
+// experiment.
 const (
 	minWorkMeans = 1e-3
 	maxWorkMeans = 200
--- a/internal/testbed/workload/schedule.go
+++ b/internal/testbed/workload/schedule.go
@@ -63,8 +63,8 @@
 	return p.Tenants[tenant].Share / sum
 }
 
-// drawArrivals draws arrivals for the rates of the segments, from streams whose names begin with the one given. All are of one
-// tenant, or of AllTenants. As the tenant is drawn in either case, the other draws do not depend on it.
+// drawArrivals draws arrivals for the rates of the segments, from streams whose names begin with the one given. All are
+// of one tenant, or of AllTenants. As the tenant is drawn in either case, the other draws do not depend on it.
 func (p *Plan) drawArrivals(segments []Segment, seed uint64, stream string, tenant int) (arrivals []Arrival) {
 	operations := newWeightedChoice(p.Operations, func(o Operation) float64 { return o.Share })
 	tenants := newWeightedChoice(p.Tenants, func(t Tenant) float64 { return t.Share })
--- a/internal/transport/client_eviction.go
+++ b/internal/transport/client_eviction.go
@@ -15,7 +15,8 @@
 	evictionRanks // number of ranks
 )
 
-// evictionRank returns the rank of a connection. evictable is false for one that is owed a response or is evicted already.
+// evictionRank returns the rank of a connection. evictable is false for one that is owed a response or is evicted
+// already.
 func (s *clientSlot) evictionRank() (rank evictionRank, evictable bool) {
 	switch {
 	case s.useful && s.state == stateReading:
--- a/internal/transport/client_limits.go
+++ b/internal/transport/client_limits.go
@@ -118,8 +118,8 @@
 	return len(l.slots)
 }
 
-// acquire gives a new connection a slot and sets the timeout of its first request. At the limit it evicts another one; the
-// result is overLimit where none may be evicted.
+// acquire gives a new connection a slot and sets the timeout of its first request. At the limit it evicts another one;
+// the result is overLimit where none may be evicted.
 func (l *clientLimiter) acquire(c *Conn) admissionResult {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -190,8 +190,8 @@
 	}
 }
 
-// markReading records that a request's first byte has come, and sets the deadline for the rest. An evicted connection gets
-// no more time. Nor does a first request, whose timeout counts from accept.
+// markReading records that a request's first byte has come, and sets the deadline for the rest. An evicted connection
+// gets no more time. Nor does a first request, whose timeout counts from accept.
 func (l *clientLimiter) markReading(c *Conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -254,8 +254,8 @@
 	}
 }
 
-// closeIdle sets short read deadlines for the connections that are idle or reading a request; their owners close them then.
-// Those that are owed a response are closed after it.
+// closeIdle sets short read deadlines for the connections that are idle or reading a request; their owners close them
+// then. Those that are owed a response are closed after it.
 func (l *clientLimiter) closeIdle() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/transport/close_watch.go
+++ b/internal/transport/close_watch.go
@@ -10,8 +10,8 @@
 	"canvasroute/internal/protocol"
 )
 
-// maxUnreadBytes is how many received bytes the kernel holds at least before a client has to wait with more. Beyond it the
-// kernel may hold back the end of the stream too.
+// maxUnreadBytes is how many received bytes the kernel holds at least before a client has to wait with more. Beyond it
+// the kernel may hold back the end of the stream too.
 const maxUnreadBytes = 32 << 10
 
 // errClosedBehindUnread reports a client that sent more than is buffered and then closed the connection.
--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -29,8 +29,8 @@
 	Discovery PeerRole = "list"
 )
 
-// Conn is one connection with its buffers and deadlines. One goroutine at a time owns it, see the package's comment. While
-// WatchForClose watches, nothing else may read or write.
+// Conn is one connection with its buffers and deadlines. One goroutine at a time owns it, see the package's comment.
+// While WatchForClose watches, nothing else may read or write.
 type Conn struct {
 	nc             net.Conn
 	stream         byteStream
--- a/internal/transport/datagrams.go
+++ b/internal/transport/datagrams.go
@@ -59,8 +59,8 @@
 	return d.resume
 }
 
-// Send sends one datagram of at most settings.MaxMessageBytes. The error is ErrDatagramTooLong, ErrSocketYielded or one of
-// the socket.
+// Send sends one datagram of at most settings.MaxMessageBytes. The error is ErrDatagramTooLong, ErrSocketYielded or one
+// of the socket.
 func (d *Datagrams) Send(to netip.AddrPort, payload []byte) error {
 	if len(payload) > settings.MaxMessageBytes {
 		return ErrDatagramTooLong
--- a/internal/transport/pool.go
+++ b/internal/transport/pool.go
@@ -70,9 +70,9 @@
 	}
 }
 
-// Get returns an idle connection to an address that is fresh enough, or a new one. The caller then owns it, until it calls
-// Put or CloseFor. Where all slots are taken, Get waits for one until ctx ends. The error is then ErrPoolExhausted;
-// others are those of connecting.
+// Get returns an idle connection to an address that is fresh enough, or a new one. The caller then owns it, until it
+// calls Put or CloseFor. Where all slots are taken, Get waits for one until ctx ends. The error is then
+// ErrPoolExhausted; others are those of connecting.
 func (p *Pool) Get(ctx context.Context, addr string, need Freshness) (*Conn, error) {
 	for {
 		if need != VerifiedOnly || !p.reuseIsSuspect() {
@@ -164,8 +164,8 @@
 	}
 }
 
-// reasonToClose returns why a connection that is put back can't be used again, staysOpen if it can. It is called under the
-// lock.
+// reasonToClose returns why a connection that is put back can't be used again, staysOpen if it can. It is called under
+// the lock.
 func (p *Pool) reasonToClose(c *Conn) CloseReason {
 	switch {
 	case p.closeOnPut[c]:
--- a/internal/transport/pool_idle.go
+++ b/internal/transport/pool_idle.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// takeReusable returns the latest used idle connection to an address that is fresh enough, nil if there is none. It closes
-// those that the worker has closed or that have expired.
+// takeReusable returns the latest used idle connection to an address that is fresh enough, nil if there is none. It
+// closes those that the worker has closed or that have expired.
 func (p *Pool) takeReusable(addr string, need Freshness) *Conn {
 	for {
 		c := p.takeLatestIdle(addr, need)
--- a/internal/transport/ring.go
+++ b/internal/transport/ring.go
@@ -37,8 +37,8 @@
 	return n, err
 }
 
-// Bytes returns all buffered bytes. Where they wrap round the end they are copied first. The result is valid until the next
-// call of another method.
+// Bytes returns all buffered bytes. Where they wrap round the end they are copied first. The result is valid until the
+// next call of another method.
 func (r *Ring) Bytes() []byte {
 	if r.start+r.length > len(r.buf) {
 		contiguous := make([]byte, len(r.buf))
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -74,8 +74,9 @@
 	return time.AfterFunc(after, s.clients.interruptAll).Stop
 }
 
-// Run accepts connections until ctx ends, and then those that are left in the listener's queue. It closes idle connections
-// and waits for the others, which are closed after the responses that they are owed. The error is always nil.
+// Run accepts connections until ctx ends, and then those that are left in the listener's queue. It closes idle
+// connections and waits for the others, which are closed after the responses that they are owed. The error is always
+// nil.
 func (s *Server) Run(ctx context.Context) error {
 	deadlineSet := make(chan struct{})
 	stop := context.AfterFunc(ctx, func() {
@@ -97,8 +98,8 @@
 	return s.conns.Wait()
 }
 
-// FollowLifecycle follows the phases of the process until ctx ends. It closes idle connections in a phase without them, and
-// stops accepting in a phase in which another process accepts. The error is always nil.
+// FollowLifecycle follows the phases of the process until ctx ends. It closes idle connections in a phase without them,
+// and stops accepting in a phase in which another process accepts. The error is always nil.
 func (s *Server) FollowLifecycle(ctx context.Context) error {
 	for {
 		wait, changed := s.lifecycle.NextChange(time.Now())
--- a/internal/transport/socket_state.go
+++ b/internal/transport/socket_state.go
@@ -41,8 +41,8 @@
 	return state, unread
 }
 
-// timeSinceLastData returns how long ago data was last received on a TCP socket, to the millisecond; 0 where that can't be
-// had.
+// timeSinceLastData returns how long ago data was last received on a TCP socket, to the millisecond; 0 where that can't
+// be had.
 func timeSinceLastData(socket syscall.Conn) (age time.Duration) {
 	_ = withDescriptor(socket, func(fd int) {
 		if info, err := unix.GetsockoptTCPInfo(fd, unix.IPPROTO_TCP, unix.TCP_INFO); err == nil {
