--- a/internal/balancer/picker.go
+++ b/internal/balancer/picker.go
@@ -192,9 +192,8 @@
 
 // WorkerCounts returns the number of listed workers, and of those that are ejected now, alone or with their zone.
 func (p *Picker) WorkerCounts() (listed, ejected int) {
-	var counts workerCounts
-	p.read(func(b *Balancer) { counts = b.countWorkers() })
-	return counts.listed, counts.ejected
+	p.read(func(b *Balancer) { listed, ejected = b.countWorkers() })
+	return listed, ejected
 }
 
 // AwaitPoll blocks until the endpoint list should be polled, or returns the error of ctx.
--- a/internal/balancer/worker_table.go
+++ b/internal/balancer/worker_table.go
@@ -44,19 +44,14 @@
 // zoneOf returns what attempts have shown of a worker's zone.
 func (b *Balancer) zoneOf(id WorkerID) *zone { return &b.zones[b.workers[id].zone] }
 
-// workerCounts are the numbers of listed workers.
-type workerCounts struct {
-	listed  int
-	ejected int // healthy by the list, but ejected themselves or with their zone
-}
-
-func (b *Balancer) countWorkers() (counts workerCounts) {
-	counts.listed = len(b.subsetting.ring)
+// countWorkers returns the number of listed workers, and of those that are healthy by the list but ejected, themselves
+// or with their zone.
+func (b *Balancer) countWorkers() (listed, ejected int) {
 	for _, id := range b.subsetting.ring {
 		w := &b.workers[id]
 		if w.state == Healthy && (w.health.Ejected(b.now) || b.zoneOf(id).health.Ejected(b.now)) {
-			counts.ejected++
+			ejected++
 		}
 	}
-	return counts
+	return len(b.subsetting.ring), ejected
 }
--- a/internal/discovery/helpers_test.go
+++ b/internal/discovery/helpers_test.go
@@ -13,6 +13,7 @@
 	"github.com/stretchr/testify/assert"
 
 	"canvasroute/internal/balancer"
+	"canvasroute/internal/balancertest"
 	"canvasroute/internal/peertest"
 	"canvasroute/internal/protocol"
 	"canvasroute/internal/transport"
@@ -44,31 +45,9 @@
 
 // newWatcherOf is newWatcher with the worker's address.
 func newWatcherOf(address, workerAddress string) *Watcher {
-	began := time.Now()
-	clock := func() balancer.Time {
-		return balancer.Time(balancer.Second).Add(balancer.DurationOf(time.Since(began)))
-	}
-	shards := balancer.NewShards(balancer.Config{
-		Dispatchers: 2,
-		Kinds:       1,
-		Attempts: balancer.AttemptConfig{
-			Max: 1,
-		},
-		Granularity: 20,
-		LoadReports: balancer.LoadReportConfig{
-			InFlight:  -1,
-			Queue:     -1,
-			FreeSlots: -1,
-		},
-		Quotas: balancer.QuotaConfig{
-			Tenants: []balancer.TenantConfig{{Quota: 1e9}},
-		},
-		Operations: []balancer.OperationConfig{{LatencyObjective: balancer.Second, Value: 1, Kind: balancer.AnyKind}},
-		Discovery: balancer.DiscoveryConfig{
-			Poll:            true,
-			MaxPollInterval: 1000 * balancer.Second,
-		},
-	}, 1, 1, clock, func(balancer.Event) {})
+	balancing := balancertest.Config()
+	balancing.Discovery = balancer.DiscoveryConfig{Poll: true, MaxPollInterval: 1000 * balancer.Second}
+	shards := balancertest.NewShards(balancing)
 	pool := transport.NewPool(4, time.Minute, zerolog.Nop())
 	config := Config{Address: address, DialTimeout: func() time.Duration { return time.Second }}
 	w := NewWatcher(config, newTable(), shards, pool, zerolog.Nop())
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -10,6 +10,7 @@
 	"github.com/stretchr/testify/assert"
 
 	"canvasroute/internal/balancer"
+	"canvasroute/internal/balancertest"
 	"canvasroute/internal/peertest"
 	"canvasroute/internal/protocol"
 	"canvasroute/internal/transport"
@@ -26,28 +27,9 @@
 
 // newBalancer returns a balancer of two dispatchers with one worker and one operation.
 func newBalancer() *balancer.Shards {
-	began := time.Now()
-	clock := func() balancer.Time {
-		return balancer.Time(balancer.Second).Add(balancer.DurationOf(time.Since(began)))
-	}
-	shards := balancer.NewShards(balancer.Config{
-		Dispatchers: 2,
-		Kinds:       1,
-		Attempts: balancer.AttemptConfig{
-			Max:          1,
-			Cancellation: true,
-		},
-		Granularity: 20,
-		LoadReports: balancer.LoadReportConfig{
-			InFlight:  -1,
-			Queue:     -1,
-			FreeSlots: -1,
-		},
-		Quotas: balancer.QuotaConfig{
-			Tenants: []balancer.TenantConfig{{Quota: 1e9}},
-		},
-		Operations: []balancer.OperationConfig{{LatencyObjective: balancer.Second, Value: 1, Kind: balancer.AnyKind}},
-	}, 1, 1, clock, func(balancer.Event) {})
+	config := balancertest.Config()
+	config.Attempts.Cancellation = true
+	shards := balancertest.NewShards(config)
 	worker := balancer.Endpoint{Worker: 0, ID: "w", State: balancer.Healthy}
 	shards.UpdateEndpoints([]balancer.Endpoint{worker}, balancer.AllEndpoints, balancer.FromBeforeStart)
 	return shards
--- a/internal/proxy/helpers_test.go
+++ b/internal/proxy/helpers_test.go
@@ -15,6 +15,7 @@
 	"github.com/stretchr/testify/assert"
 
 	"canvasroute/internal/balancer"
+	"canvasroute/internal/balancertest"
 	"canvasroute/internal/lifecycle"
 	"canvasroute/internal/peertest"
 	"canvasroute/internal/protocol"
@@ -81,28 +82,12 @@
 
 // newProxyWith is newProxy with a changed configuration.
 func newProxyWith(address string, change func(*balancer.Config, *Config)) *Proxy {
-	began := time.Now()
-	balancing := balancer.Config{
-		Dispatchers: 2,
-		Kinds:       1,
-		Attempts: balancer.AttemptConfig{
-			Max:          1,
-			Cancellation: true,
-		},
-		Granularity: 20,
-		LoadReports: balancer.LoadReportConfig{
-			InFlight:  -1,
-			Queue:     -1,
-			FreeSlots: -1,
-		},
-		Quotas: balancer.QuotaConfig{
-			Tenants: []balancer.TenantConfig{{Quota: 1e9}},
-		},
-		Operations: []balancer.OperationConfig{
-			{LatencyObjective: balancer.Second, Value: 1, Kind: balancer.AnyKind},
-			{LatencyObjective: balancer.Second, Value: 1, Kind: balancer.AnyKind, Idempotency: balancer.NonIdempotent},
-			{LatencyObjective: balancer.Second, Value: 1, Kind: balancer.AnyKind, Idempotency: balancer.IdempotentByKey},
-		},
+	balancing := balancertest.Config()
+	balancing.Attempts.Cancellation = true
+	for _, idempotency := range []balancer.Idempotency{balancer.NonIdempotent, balancer.IdempotentByKey} {
+		operation := balancing.Operations[0]
+		operation.Idempotency = idempotency
+		balancing.Operations = append(balancing.Operations, operation)
 	}
 	worker := protocol.Endpoint{ID: "w", Address: address, State: protocol.Ready}
 	config := Config{
@@ -120,10 +105,7 @@
 		InitialEndpoints: &protocol.EndpointList{Version: 7, Complete: true, Endpoints: []protocol.Endpoint{worker}},
 	}
 	change(&balancing, &config)
-	clock := func() balancer.Time {
-		return balancer.Time(balancer.Second).Add(balancer.DurationOf(time.Since(began)))
-	}
-	shards := balancer.NewShards(balancing, 1, 1, clock, func(balancer.Event) {})
+	shards := balancertest.NewShards(balancing)
 	pool := transport.NewPool(4, time.Minute, zerolog.Nop())
 	return New(config, shards, pool, nil, &lifecycle.State{}, zerolog.Nop())
 }
--- a/internal/transport/close_watch_test.go
+++ b/internal/transport/close_watch_test.go
@@ -11,6 +11,7 @@
 	"github.com/stretchr/testify/assert"
 
 	"canvasroute/internal/lifecycle"
+	"canvasroute/internal/peertest"
 	"canvasroute/internal/protocol"
 )
 
@@ -64,7 +65,7 @@
 	assert.NoError(t, err)
 	closed := watchClose(t, conn)
 	peer.Close()
-	assert.Error(t, receive(t, closed))
+	assert.Error(t, peertest.Receive(t, closed))
 }
 
 func TestCloseBehindMoreDataThanTheKernelBuffersIsDetected(t *testing.T) {
@@ -77,7 +78,7 @@
 	readInterims(t, peer, 2)
 	assert.Empty(t, closed, "it isn't closed as long as the peer reads")
 	peer.Close()
-	assert.Error(t, receive(t, closed))
+	assert.Error(t, peertest.Receive(t, closed))
 }
 
 // A client of HTTP/1.0 gets no interim responses.
@@ -87,7 +88,7 @@
 	assert.NoError(t, err)
 	closed := watchClose(t, conn)
 	peer.Close()
-	assert.ErrorIs(t, receive(t, closed), errClosedBehindUnread)
+	assert.ErrorIs(t, peertest.Receive(t, closed), errClosedBehindUnread)
 }
 
 // A client's reset may come late, or only once it closes a connection that it had half-closed before.
@@ -100,7 +101,7 @@
 	assert.Empty(t, closed)
 	peer.Close()
 	closedAt := time.Now()
-	assert.ErrorIs(t, receive(t, closed), io.EOF)
+	assert.ErrorIs(t, peertest.Receive(t, closed), io.EOF)
 	assert.Less(t, time.Since(closedAt), detectWithin)
 }
 
@@ -132,7 +133,7 @@
 				time.Sleep(time.Duration(moment) * pollsPerProbe * closePollInterval / moments)
 				peer.Close()
 				closedAt := time.Now()
-				assert.Error(t, receive(t, closed))
+				assert.Error(t, peertest.Receive(t, closed))
 				if time.Since(closedAt) > detectWithin {
 					late++
 				}
@@ -155,13 +156,13 @@
 	assert.NoError(t, closed.Close())
 	time.Sleep(2 * queuedAtLeast)
 	stop, ended := runServer(server)
-	receive(t, handler.requested)
+	peertest.Receive(t, handler.requested)
 	handler.release <- &protocol.Response{Status: 200}
 	assert.Equal(t, 200, readFinalResponse(t, reader).status)
 	assert.Eventually(t, func() bool { return server.OpenConnections() == 0 }, testTimeout, time.Millisecond)
 	assert.Empty(t, handler.requested, "the closed one isn't served")
 	stop()
-	assert.NoError(t, receive(t, ended))
+	assert.NoError(t, peertest.Receive(t, ended))
 }
 
 func TestDeadlineThatPassesAsARequestCompletesDoesNotEndTheCloseWatch(t *testing.T) {
@@ -179,5 +180,5 @@
 	limiter.closeIdle()
 	closed := watchClose(t, conn)
 	peer.Close()
-	assert.ErrorIs(t, receive(t, closed), io.EOF)
+	assert.ErrorIs(t, peertest.Receive(t, closed), io.EOF)
 }
--- a/internal/transport/conn_test.go
+++ b/internal/transport/conn_test.go
@@ -13,6 +13,7 @@
 	"github.com/stretchr/testify/assert"
 	"golang.org/x/sys/unix"
 
+	"canvasroute/internal/peertest"
 	"canvasroute/internal/protocol"
 )
 
@@ -39,7 +40,7 @@
 	server, handler, _, _ := startGatedServer(t)
 	client, _ := connect(t, server)
 	io.WriteString(client, gatedRequest)
-	assert.True(t, noDelay(t, receive(t, handler.requested)), "a client's")
+	assert.True(t, noDelay(t, peertest.Receive(t, handler.requested)), "a client's")
 	handler.release <- &protocol.Response{Status: 200}
 	addr, _ := startWorker(t)
 	pool := NewPool(2, time.Minute, zerolog.Nop())
--- a/internal/transport/helpers_test.go
+++ b/internal/transport/helpers_test.go
@@ -26,17 +26,6 @@
 	gatedRequest = "POST /gate HTTP/1.1\r\nContent-Length: 2\r\n\r\nab"
 )
 
-// receive waits for a value from a channel.
-func receive[T any](t *testing.T, channel <-chan T) (value T) {
-	t.Helper()
-	select {
-	case value = <-channel:
-	case <-time.After(testTimeout):
-		t.Fatal("nothing was received in time")
-	}
-	return value
-}
-
 // connPair makes a connection under test with its peer on loopback, and returns its log too.
 func connPair(t *testing.T) (*Conn, *net.TCPConn, *bytes.Buffer) {
 	t.Helper()
--- a/internal/transport/lingering_close_test.go
+++ b/internal/transport/lingering_close_test.go
@@ -9,6 +9,7 @@
 
 	"github.com/stretchr/testify/assert"
 
+	"canvasroute/internal/peertest"
 	"canvasroute/internal/protocol"
 )
 
@@ -38,7 +39,7 @@
 	server, handler, _, _ := startGatedServer(t)
 	client, reader := connect(t, server)
 	io.WriteString(client, lastRequest+strings.Repeat(echoRequest, 500))
-	served := receive(t, handler.requested)
+	served := peertest.Receive(t, handler.requested)
 	assert.Eventually(t, served.hasUnreadData, testTimeout, time.Millisecond)
 	body := bytes.Repeat([]byte("r"), 256<<10)
 	handler.release <- &protocol.Response{Status: 200, Body: body}
@@ -53,7 +54,7 @@
 	client, reader := connect(t, server)
 	text := lastRequest + gatedRequest[:1]
 	io.WriteString(client, text)
-	served := receive(t, handler.requested)
+	served := peertest.Receive(t, handler.requested)
 	assert.Eventually(t, func() bool { return served.stream.bytesRead.Load() == int64(len(text)) }, testTimeout,
 		time.Millisecond)
 	handler.release <- &protocol.Response{Status: 200}
--- a/internal/transport/migration_test.go
+++ b/internal/transport/migration_test.go
@@ -11,6 +11,7 @@
 	"github.com/rs/zerolog"
 	"github.com/stretchr/testify/assert"
 
+	"canvasroute/internal/peertest"
 	"canvasroute/internal/protocol"
 )
 
@@ -39,10 +40,10 @@
 	stop, ended := runServer(server)
 	client, _ := connect(t, server)
 	io.WriteString(client, "POST /migrate HTTP/1.1\r\nContent-Length: 0\r\n\r\n"+echoRequest)
-	assert.Equal(t, echoRequest, string(receive(t, handler.detached)))
+	assert.Equal(t, echoRequest, string(peertest.Receive(t, handler.detached)))
 	assert.Eventually(t, func() bool { return server.OpenConnections() == 0 }, testTimeout, time.Millisecond)
 	stop()
-	assert.NoError(t, receive(t, ended))
+	assert.NoError(t, peertest.Receive(t, ended))
 }
 
 func TestContextOfNoRequestCannotBeDetached(t *testing.T) {
--- a/internal/transport/pool_slots_test.go
+++ b/internal/transport/pool_slots_test.go
@@ -8,6 +8,8 @@
 
 	"github.com/rs/zerolog"
 	"github.com/stretchr/testify/assert"
+
+	"canvasroute/internal/peertest"
 )
 
 // hasWaiter reports whether somebody waits for a slot.
@@ -62,7 +64,7 @@
 			go func() { got <- mustGetFresh(t, pool, tt.addr, tt.need) }()
 			assert.Eventually(t, pool.hasWaiter, testTimeout, time.Millisecond)
 			pool.Put(inUse)
-			next := receive(t, got)
+			next := peertest.Receive(t, got)
 			assert.Equal(t, tt.reused, next == inUse)
 			assert.Equal(t, 1, pool.OpenConnections())
 			pool.Put(next)
@@ -78,10 +80,10 @@
 	inUse, got := mustGet(t, pool, addr), make(chan *Conn, 1)
 	go func() { got <- mustGet(t, pool, addr) }()
 	assert.Eventually(t, pool.hasWaiter, testTimeout, time.Millisecond)
-	receive(t, accepted).Close()
+	peertest.Receive(t, accepted).Close()
 	assert.Eventually(t, inUse.readable, testTimeout, time.Millisecond)
 	pool.Put(inUse)
-	assert.NotSame(t, inUse, receive(t, got))
+	assert.NotSame(t, inUse, peertest.Receive(t, got))
 }
 
 // The client of an attempt closes its connection just as a worker's is granted to the attempt.
--- a/internal/transport/pool_stale_test.go
+++ b/internal/transport/pool_stale_test.go
@@ -8,6 +8,8 @@
 
 	"github.com/rs/zerolog"
 	"github.com/stretchr/testify/assert"
+
+	"canvasroute/internal/peertest"
 )
 
 func TestCloseIdleClosesConnectionsInUseOncePut(t *testing.T) {
@@ -32,7 +34,7 @@
 	pool.testHooks.afterDial = func() { once.Do(func() { pool.CloseIdle(addr) }) }
 	conn := mustGet(t, pool, addr)
 	assert.Contains(t, log.String(), "stale_retired")
-	first := receive(t, accepted)
+	first := peertest.Receive(t, accepted)
 	assert.NotEqual(t, first.RemoteAddr(), conn.nc.LocalAddr(), "it may lead to the worker's predecessor")
 	assert.Equal(t, 1, pool.OpenConnections())
 	pool.Put(conn)
--- a/internal/transport/pool_test.go
+++ b/internal/transport/pool_test.go
@@ -8,6 +8,8 @@
 
 	"github.com/rs/zerolog"
 	"github.com/stretchr/testify/assert"
+
+	"canvasroute/internal/peertest"
 )
 
 func TestPoolReusesAConnection(t *testing.T) {
@@ -25,7 +27,7 @@
 	pool := NewPool(2, time.Minute, zerolog.New(&log))
 	conn := mustGet(t, pool, addr)
 	pool.Put(conn)
-	receive(t, accepted).Close()
+	peertest.Receive(t, accepted).Close()
 	assert.Eventually(t, conn.readable, testTimeout, time.Millisecond)
 	assert.NotSame(t, conn, mustGet(t, pool, addr))
 	assert.Contains(t, log.String(), "peer_closed")
@@ -36,7 +38,7 @@
 	pool := NewPool(2, time.Minute, zerolog.Nop())
 	conn := mustGet(t, pool, addr)
 	pool.Put(conn)
-	receive(t, accepted).Write([]byte("HTTP/1.1 408 Late\r\n\r\n"))
+	peertest.Receive(t, accepted).Write([]byte("HTTP/1.1 408 Late\r\n\r\n"))
 	assert.Eventually(t, conn.readable, testTimeout, time.Millisecond)
 	assert.NotSame(t, conn, mustGet(t, pool, addr))
 }
--- a/internal/transport/shutdown_test.go
+++ b/internal/transport/shutdown_test.go
@@ -11,6 +11,7 @@
 	"github.com/stretchr/testify/assert"
 
 	"canvasroute/internal/lifecycle"
+	"canvasroute/internal/peertest"
 	"canvasroute/internal/protocol"
 )
 
@@ -113,7 +114,7 @@
 			assert.NoError(t, err)
 			assert.Equal(t, "HTTP/1.1 200", string(response))
 			peer.Close()
-			receive(t, ended)
+			peertest.Receive(t, ended)
 		})
 	}
 }
@@ -123,7 +124,7 @@
 	server, handler, stop, ended := startGatedServer(t)
 	client, reader := connect(t, server)
 	io.WriteString(client, gatedRequest+echoRequest)
-	served := receive(t, handler.requested)
+	served := peertest.Receive(t, handler.requested)
 	assert.Eventually(t, func() bool {
 		return served.stream.bytesRead.Load() == int64(len(gatedRequest+echoRequest))
 	}, testTimeout, time.Millisecond)
@@ -134,7 +135,7 @@
 	handler.release <- &protocol.Response{Status: 200}
 	assert.Equal(t, clientResponse{200, "", false}, readResponse(t, reader))
 	assert.Equal(t, clientResponse{200, "ab", true}, readResponse(t, reader))
-	assert.NoError(t, receive(t, ended))
+	assert.NoError(t, peertest.Receive(t, ended))
 }
 
 func TestShutdownClosesIdleConnectionsAtOnce(t *testing.T) {
@@ -153,14 +154,14 @@
 	server, handler, stop, ended := startGatedServer(t)
 	client, _ := connect(t, server)
 	io.WriteString(client, gatedRequest)
-	served := receive(t, handler.requested)
+	served := peertest.Receive(t, handler.requested)
 	handler.release <- &protocol.Response{Status: 200, Body: make([]byte, 64<<20)}
 	assert.Eventually(t, func() bool { return served.stream.bytesWritten.Load() > 0 }, testTimeout, time.Millisecond)
 	began := time.Now()
 	server.lifecycle.Stop(began)
 	server.CloseAllAfter(50 * time.Millisecond)
 	stop()
-	assert.NoError(t, receive(t, ended))
+	assert.NoError(t, peertest.Receive(t, ended))
 	assert.Less(t, time.Since(began), responseWriteTimeout-time.Second)
 }
 
@@ -180,6 +181,6 @@
 	server.lifecycle.Stop(time.Now())
 	server.CloseAllAfter(200 * time.Millisecond)
 	stop()
-	assert.NoError(t, receive(t, ended))
-	receive(t, sending)
+	assert.NoError(t, peertest.Receive(t, ended))
+	peertest.Receive(t, sending)
 }
