--- a/internal/balancer/derived_config.go
+++ b/internal/balancer/derived_config.go
@@ -55,8 +55,7 @@
 	warmupWindow   Duration // over which the work sent to a warming worker is added up
 
 	// Polling of the endpoint list.
-	maxPollInterval Duration
-	polling         polling.Config
+	polling polling.Config
 }
 
 func newDerivedConfig(config Config) derivedConfig {
@@ -90,7 +89,6 @@
 		warmupDuration: config.Warmup.Duration,
 		warmupWindow:   config.Warmup.Window,
 
-		maxPollInterval: config.Discovery.MaxPollInterval,
 		polling: polling.Config{
 			Dispatchers:    config.Dispatchers,
 			Position:       config.Position,
--- a/internal/balancer/polling/polling.go
+++ b/internal/balancer/polling/polling.go
@@ -117,9 +117,10 @@
 // Watching reports whether changes of the list come by themselves.
 func (s *Schedule) Watching() bool { return s.watching }
 
-// WatchedFor reports whether the list has been watched for a span since a moment, and since its watch began.
-func (s *Schedule) WatchedFor(span tick.Duration, since, now tick.Time) bool {
-	return s.watching && now >= max(s.watchingSince, since).Add(span)
+// WatchedSince reports whether the list has been watched for MaxInterval, and for that long after a moment. It names all
+// that happened up to then.
+func (s *Schedule) WatchedSince(moment, now tick.Time) bool {
+	return s.watching && now >= max(s.watchingSince, moment).Add(s.config.MaxInterval)
 }
 
 // Answered reports whether a poll has been answered since the start.
--- a/internal/balancer/polling/polling_test.go
+++ b/internal/balancer/polling/polling_test.go
@@ -83,11 +83,12 @@
 	assert.Equal(t, now, schedule.DueAt())
 }
 
-func TestWatchedForCountsFromTheWatchAndTheMoment(t *testing.T) {
+func TestWatchedSinceCountsFromTheWatchAndTheMoment(t *testing.T) {
 	schedule := newTestSchedule(1)
-	assert.False(t, schedule.WatchedFor(0, 0, now), "not watched")
+	interval := schedule.config.MaxInterval
+	assert.False(t, schedule.WatchedSince(0, now), "not watched")
 	schedule.RecordAnswer(now)
-	assert.False(t, schedule.WatchedFor(10, 0, now.Add(9)))
-	assert.True(t, schedule.WatchedFor(10, 0, now.Add(10)))
-	assert.False(t, schedule.WatchedFor(10, now.Add(5), now.Add(10)))
+	assert.False(t, schedule.WatchedSince(0, now.Add(interval-1)))
+	assert.True(t, schedule.WatchedSince(0, now.Add(interval)))
+	assert.False(t, schedule.WatchedSince(now.Add(5), now.Add(interval)))
 }
--- a/internal/balancer/polling_test.go
+++ b/internal/balancer/polling_test.go
@@ -21,7 +21,7 @@
 		wait := balancer.polling.DueAt().Sub(balancer.now)
 		assert.Greater(t, wait, lastWait/2)
 		lastWait = wait
-		assert.Less(t, wait, balancer.config.maxPollInterval)
+		assert.Less(t, wait, balancer.config.polling.MaxInterval)
 	}
 }
 
--- a/internal/balancer/process_exit.go
+++ b/internal/balancer/process_exit.go
@@ -39,7 +39,7 @@
 // mayHaveRestarted reports whether a worker's process may be newer than the list says. A list that is watched names a
 // start within the poll interval.
 func (b *Balancer) mayHaveRestarted(w *workerWarmup) bool {
-	return w.exitedAt != noExit && !b.polling.WatchedFor(b.config.maxPollInterval, w.exitedAt, b.now)
+	return w.exitedAt != noExit && !b.polling.WatchedSince(w.exitedAt, b.now)
 }
 
 // recordResponse notes a response to an attempt. One that was sent since the worker's process was seen to end shows that
--- a/internal/balancer/process_exit_test.go
+++ b/internal/balancer/process_exit_test.go
@@ -47,7 +47,7 @@
 func TestWatchedListEndsTheSuspicionOfARestart(t *testing.T) {
 	balancer, _ := newWarmBalancer(1, 1)
 	exited := refuseConnection(balancer)
-	balancer.SetTime(balancer.now.Add(balancer.config.maxPollInterval - 1))
+	balancer.SetTime(balancer.now.Add(balancer.config.polling.MaxInterval - 1))
 	assert.Less(t, balancer.warmupFactor(exited), 1.0)
 	balancer.SetTime(balancer.now + 1)
 	assert.Equal(t, 1.0, balancer.warmupFactor(exited), "the list would name a restart by now")
@@ -55,7 +55,7 @@
 	balancer, _ = newWarmBalancer(1, 1)
 	exited = refuseConnection(balancer)
 	balancer.EndpointsUnavailable()
-	balancer.SetTime(balancer.now.Add(2 * balancer.config.maxPollInterval))
+	balancer.SetTime(balancer.now.Add(2 * balancer.config.polling.MaxInterval))
 	assert.Less(t, balancer.warmupFactor(exited), 1.0, "no list is watched")
 	balancer.UpdateEndpoints(startedHalfWarmupAgo(balancer, exited), ChangedEndpoints, FromDiscovery)
 	assert.InDelta(t, halfWarmedUp(balancer), balancer.warmupFactor(exited), 0.01, "the start in the list is exact")
--- a/internal/balancer/warm_up.go
+++ b/internal/balancer/warm_up.go
@@ -92,7 +92,7 @@
 	if restart == noFleetRestart || w.startedAt >= restart {
 		return false
 	}
-	return !b.polling.WatchedFor(b.config.maxPollInterval, LongAgo, b.now)
+	return !b.polling.WatchedSince(LongAgo, b.now)
 }
 
 // listMayPredateStarts reports whether this dispatcher goes by a list from before its start, cannot get another one, and
