--- a/internal/balancer/capacity.go
+++ b/internal/balancer/capacity.go
@@ -1,13 +1,13 @@
 package balancer
 
-// Capacity is what the workers that take attempts can run at once.
+// Capacity is the number of attempts that the healthy workers which are not ejected can run at once.
 type Capacity struct {
-	Workers      int     // that take attempts
-	WarmSlots    float64 // of all of them, once they are warm
-	CurrentSlots float64 // the same, at their present warm-up
+	Workers      int     // healthy workers that are not ejected
+	WarmSlots    float64 // their slots once all of them are warm
+	CurrentSlots float64 // their slots at the current warm-up factors
 }
 
-// capacity adds up the capacity of the workers that take attempts.
+// capacity returns the capacity of the healthy workers that are not ejected.
 func (b *Balancer) capacity() (total Capacity) {
 	for _, id := range b.subsetting.ring {
 		w := &b.workers[id]
@@ -22,19 +22,20 @@
 	return total
 }
 
-// MaxObserved returns the most attempts that the first shard has seen running at once at a worker, by KindID.
+// MaxObserved returns the most attempts that the first shard has observed running at once at a worker, by KindID.
 func (s *Shards) MaxObserved() (slots []float64) {
 	s.first().read(func(b *Balancer) { slots = b.maxObserved() })
 	return slots
 }
 
-// Capacity returns the capacity of the workers that take attempts, as the first shard sees them.
+// Capacity returns the capacity of the healthy workers that are not ejected, by the state of the first shard.
 func (s *Shards) Capacity() (total Capacity) {
 	s.first().read(func(b *Balancer) { total = b.capacity() })
 	return total
 }
 
-// MedianSize returns the size that the first shard takes for a request without a hint, 0 before the first hints.
+// MedianSize returns the size that the first shard assumes for a request without a hint. It is 0 before the first
+// hints.
 func (s *Shards) MedianSize() (size Work) {
 	s.first().read(func(b *Balancer) { size = b.sizes.Median() })
 	return size
--- a/internal/balancer/ejection.go
+++ b/internal/balancer/ejection.go
@@ -2,14 +2,14 @@
 
 import "slices"
 
-// recordFailure counts an attempt that failed by its worker, and ejects the worker where another attempt would probably
-// fail. See package outlier for when that is.
+// recordFailure records an attempt whose failure was caused by its worker, and ejects the worker if another attempt
+// would probably fail too. See package outlier for the conditions.
 func (b *Balancer) recordFailure(failed *attempt, outcome Outcome) {
 	w := &b.workers[failed.worker]
 	if outcome == ConnectionRefused {
 		b.recordProcessExit(failed.worker)
 	}
-	if outcome != WorkerError { // a worker that answers shows that its zone can be reached
+	if outcome != WorkerError { // a response from the worker proves that its zone is reachable
 		b.recordZoneFailure(failed.worker)
 	}
 	if w.health.RecordFailure(b.now, outcome.failure()) {
@@ -17,8 +17,8 @@
 	}
 }
 
-// recordZoneFailure counts an attempt that was cut off or found nobody for its worker's zone, and ejects a zone that
-// seems lost unless no other is left.
+// recordZoneFailure records an attempt that lost its connection, or got none, as a failure of the worker's zone. It
+// ejects the zone if the zone seems unreachable and another zone is available.
 func (b *Balancer) recordZoneFailure(id WorkerID) {
 	failed := b.workers[id].zone
 	z := &b.zones[failed]
@@ -27,7 +27,7 @@
 	}
 }
 
-// hasOtherZone reports whether there is a healthy worker in a zone that is not ejected, beside one zone.
+// hasOtherZone reports whether there is a healthy worker in a zone other than the given one that is not ejected.
 func (b *Balancer) hasOtherZone(than ZoneID) bool {
 	return slices.ContainsFunc(b.subsetting.ring, func(id WorkerID) bool {
 		w := &b.workers[id]
@@ -35,5 +35,5 @@
 	})
 }
 
-// recordZoneSuccess ends the ejection of a worker's zone.
+// recordZoneSuccess ends the ejection of a worker's zone and resets its failure count.
 func (b *Balancer) recordZoneSuccess(id WorkerID) { b.zoneOf(id).health.RecordSuccess() }
--- a/internal/balancer/ejection_test.go
+++ b/internal/balancer/ejection_test.go
@@ -9,7 +9,7 @@
 	"canvasroute/internal/balancer/outlier"
 )
 
-// canPick reports whether there is a worker for a request of an operation.
+// canPick reports whether a worker can be selected for a request of the operation.
 func canPick(balancer *Balancer, operation OperationID) bool {
 	req := newPickableRequest(0)
 	req.operation = operation
@@ -17,7 +17,7 @@
 	return ok
 }
 
-// Regression test for a worker that fails all attempts: it is always idle, and so would get more than its turn.
+// Regression test: a worker that failed all attempts was always idle and therefore got more than its share of attempts.
 func TestEjectedWorkerIsProbedByIdempotentRequests(t *testing.T) {
 	balancer, _ := newWarmBalancer(1, 1)
 	attemptEndsWith := func(outcome Outcome) {
@@ -26,20 +26,21 @@
 		balancer.AttemptEnded(0, 0, outcome, FinalAnswer)
 	}
 	attemptEndsWith(ConnectionReset)
-	assert.True(t, canPick(balancer, nonIdempotentOp), "a single failure is chance")
+	assert.True(t, canPick(balancer, nonIdempotentOp), "one lost connection does not eject the worker")
 	attemptEndsWith(WorkerError)
 	assert.False(t, canPick(balancer, idempotentOp), "ejected")
 	balancer.now += 2 * Second
-	assert.True(t, canPick(balancer, idempotentOp), "a probe")
-	assert.False(t, canPick(balancer, nonIdempotentOp), "not the probe")
+	assert.True(t, canPick(balancer, idempotentOp), "may be the probe")
+	assert.False(t, canPick(balancer, nonIdempotentOp), "must not be the probe yet")
 	balancer.now += 8 * Second
 	assert.True(t, canPick(balancer, nonIdempotentOp), "no other request has probed the worker")
 	attemptEndsWith(Succeeded)
 	attemptEndsWith(WorkerError)
-	assert.True(t, canPick(balancer, idempotentOp), "the success before it ended the suspicion")
+	assert.True(t, canPick(balancer, idempotentOp), "the success cleared the earlier failures")
 }
 
-// Regression test for a long ejection after one failure: all attempts in flight at a worker end with its process.
+// Regression test: one process exit ended all attempts in flight at the worker. Each of them was counted, which caused
+// a long ejection.
 func TestFailuresOfOneProcessExitCountOnce(t *testing.T) {
 	balancer, _ := newWarmBalancer(1, 1)
 	for id := range RequestID(3) {
@@ -48,17 +49,18 @@
 	}
 	health := &balancer.workers[0].health
 	balancer.AttemptEnded(0, 0, ConnectionStale, FinalAnswer)
-	assert.Equal(t, 0, health.ConsecutiveFailures, "an idle connection may end though its worker is well")
+	assert.Equal(t, 0, health.ConsecutiveFailures, "an idle connection may be closed by a healthy worker")
 	balancer.AttemptEnded(1, 0, NoConnection, FinalAnswer)
 	balancer.AttemptEnded(2, 0, NoConnection, FinalAnswer)
 	assert.Equal(t, []any{1, balancer.now + Second}, []any{health.ConsecutiveFailures, health.ProbeAfter})
 }
 
-// Regression test for a lost zone that is still listed: a request would use up its attempts there one by one.
+// Regression test: a request used up its attempts one by one on the workers of an unreachable zone that was still in
+// the endpoint list.
 func TestLostZoneIsEjectedAndProbed(t *testing.T) {
 	const (
 		otherZone ZoneID = 0
-		lostZone  ZoneID = 1 // this dispatcher's own
+		lostZone  ZoneID = 1 // the zone of this dispatcher
 	)
 	balancer, effects := newWarmBalancer(40, 1)
 	balancer.config.zone = lostZone
@@ -93,9 +95,9 @@
 	probed := pick()
 	assert.Equal(t, lostZone, zoneOfWorker(balancer, probed), "probed")
 	balancer.recordZoneFailure(probed)
-	assert.Equal(t, balancer.now+2*Second, balancer.zones[lostZone].health.EjectedUntil, "twice as long")
+	assert.Equal(t, balancer.now+2*Second, balancer.zones[lostZone].health.EjectedUntil, "the second ejection is twice as long")
 	balancer.recordZoneSuccess(probed)
-	assert.Equal(t, lostZone, zoneOfWorker(balancer, pick()), "a start there ends the ejection")
+	assert.Equal(t, lostZone, zoneOfWorker(balancer, pick()), "a success ends the ejection")
 }
 
 // zoneOfWorker returns the zone of a worker.
@@ -116,12 +118,12 @@
 	assert.LessOrEqual(t, balancer.zones[1].health.EjectedUntil, balancer.now, "the last zone")
 }
 
-// Regression test for requests that are not idempotent and for many seconds get no worker of a zone that was cut off.
-// Where the attempts that failed never ran, one of these requests would fail there without harm too.
+// Regression test: non-idempotent requests were not sent to the workers of a zone for many seconds after it had been
+// unreachable. If the failed attempts never ran, such a request can be the probe, because its failure is harmless too.
 func TestUnreachableWorkerIsProbedByNonIdempotentRequests(t *testing.T) {
 	for _, c := range []struct {
-		outcome Outcome // of the attempts that failed
-		probes  bool    // a request that is not idempotent is the probe
+		outcome Outcome // outcome of the failed attempts
+		probes  bool    // a non-idempotent request may be the probe
 	}{
 		{outcome: NoConnection, probes: true},
 		{outcome: ConnectionRefused, probes: true},
@@ -147,11 +149,11 @@
 		}
 		restarted := []Endpoint{{Worker: 0, ID: "w0", StartedAt: balancer.now}}
 		balancer.UpdateEndpoints(restarted, ChangedEndpoints, FromDiscovery)
-		assert.False(t, balancer.workers[0].health.PossiblyExecuted, "not by the new process")
+		assert.False(t, balancer.workers[0].health.PossiblyExecuted, "reset for the new process")
 	}
 }
 
-// failTwice has attempts at worker 0 fail until two failures in a row count.
+// failTwice makes attempts at worker 0 fail until two consecutive failures have been counted.
 func failTwice(balancer *Balancer, outcome Outcome) {
 	health := &balancer.workers[0].health
 	for id := RequestID(0); health.ConsecutiveFailures < 2; id++ {
--- a/internal/balancer/fleet_restart.go
+++ b/internal/balancer/fleet_restart.go
@@ -1,19 +1,19 @@
 package balancer
 
-// PriorAttempt is an attempt under the same key that may have run before a request arrived, at a worker or at another
-// one of its dedup scope.
+// PriorAttempt is an attempt with the same idempotency key that may have run before a request arrived, at Worker or at
+// another worker in its dedup scope.
 type PriorAttempt struct {
 	Worker WorkerID
 	SentAt Time
 }
 
-// SubmitAfter takes in a request that may have run before. It goes to the dedup scope of that attempt, or gets its final
-// answer at once.
+// SubmitAfter submits a request that may have run before. The request is sent to a worker in the dedup scope of the
+// prior attempt. If that is not possible, it is rejected or fails at once.
 func (p *Picker) SubmitAfter(arrival Arrival, prior PriorAttempt) *RequestHandle {
 	return p.submit(arrival, func(b *Balancer, h *RequestHandle) {
 		req := b.requests.get(h.id)
 		req.attempts = append(req.attempts, attempt{worker: prior.Worker, sentAt: prior.SentAt, mayHaveRun: true})
-		req.attemptLimit++ // the prior attempt is not one of those that are allowed from here
+		req.attemptLimit++ // the prior attempt does not count against the limit of this dispatcher
 		h.beginAttempt(h.deadline)
 		h.markReported(0)
 		if !b.mayAttemptAnywhere(req) {
@@ -22,8 +22,9 @@
 	})
 }
 
-// delayWarmingWorkers sends nothing for a warm-up window to workers that warm up and started before a moment. An earlier
-// process of this dispatcher may have sent them work that counts against their budget.
+// delayWarmingWorkers sends nothing to workers that are warming up and started before the given time, until one
+// warm-up window after that time. An earlier process of this dispatcher may have sent them work that counts against
+// their budget.
 func (b *Balancer) delayWarmingWorkers(before Time) {
 	for n := range b.workers {
 		w := &b.workers[n]
@@ -35,24 +36,26 @@
 	}
 }
 
-// ReportFleetRestart notes that all dispatchers lost power, workers perhaps too, and since when this one is back.
+// ReportFleetRestart records that all dispatchers, and possibly the workers, lost power, and that this dispatcher has
+// been running since the given time.
 func (s *Shards) ReportFleetRestart(since Time) {
 	s.updateAll(func(b *Balancer) { b.warmup.fleetRestartAt = since })
 }
 
-// DelayWarmingWorkers sends nothing for a warm-up window to workers that warm up and started before a moment. An earlier
-// process of this dispatcher may have sent them work that counts against their budget.
+// DelayWarmingWorkers sends nothing to workers that are warming up and started before the given time, until one
+// warm-up window after that time. An earlier process of this dispatcher may have sent them work that counts against
+// their budget.
 func (s *Shards) DelayWarmingWorkers(before Time) {
 	s.updateAll(func(b *Balancer) { b.delayWarmingWorkers(before) })
 }
 
-// SeedMaxObserved takes the most attempts that others have seen running at a kind of worker, where nothing was observed
-// here.
+// SeedMaxObserved sets the most attempts that other dispatchers observed running at once at a kind of worker. It has no
+// effect if this dispatcher has its own observations.
 func (s *Shards) SeedMaxObserved(kind KindID, slots float64) {
 	s.updateAll(func(b *Balancer) { b.seedMaxObserved(kind, slots) })
 }
 
-// SubmitAfter calls Picker.SubmitAfter on the next shard in turn.
+// SubmitAfter calls Picker.SubmitAfter on the next shard in round-robin order.
 func (s *Shards) SubmitAfter(arrival Arrival, prior PriorAttempt) *RequestHandle {
 	return s.next().SubmitAfter(arrival, prior)
 }
--- a/internal/balancer/load_probes.go
+++ b/internal/balancer/load_probes.go
@@ -1,18 +1,20 @@
 package balancer
 
-// arrivalsPerProbe is how many requests arrive between two probes. A load report comes only with a probe, and each probe
-// has its price.
+// arrivalsPerProbe is the number of requests that arrive between two probes. Load reports are sent only in response to
+// probes, and each probe has a cost.
 const arrivalsPerProbe = 2
 
-// loadProbes owns when a worker is probed for its load report.
+// loadProbes schedules the probes that request a worker's load report.
 type loadProbes struct {
-	arrivals int // requests so far
-	nextAt   int // count of arrivals at which the next probe is due
+	arrivals int // requests that have arrived so far
+	nextAt   int // value of arrivals at which the next probe is due
 }
 
+// due reports whether the next probe is due.
 func (p *loadProbes) due() bool { return p.arrivals >= p.nextAt }
 
-// probeNextWorker probes the workers of the ring in turn. Dispatchers begin at different ones.
+// probeNextWorker sends a probe to the next worker of the ring in round-robin order. Each dispatcher starts at a
+// different worker.
 func (b *Balancer) probeNextWorker() {
 	b.loadProbes.nextAt = b.loadProbes.arrivals + arrivalsPerProbe
 	next := b.config.position + b.loadProbes.arrivals/arrivalsPerProbe
--- a/internal/balancer/load_probes_test.go
+++ b/internal/balancer/load_probes_test.go
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// Value is paid for each request, so probes are bounded by arrivals, however long they take.
-func TestProbesFollowArrivals(t *testing.T) {
+// Value is earned per request, so the number of probes is limited by the number of arrivals, not by elapsed time.
+func TestNumberOfProbesIsLimitedByArrivals(t *testing.T) {
 	balancer, effects := newWarmBalancer(3, 1)
 	balancer.config.probes = true
 	for id := range RequestID(5) {
@@ -20,5 +20,5 @@
 		}
 	}
 	probes := slices.DeleteFunc(effects.lines, func(line string) bool { return !strings.HasPrefix(line, "probe") })
-	assert.Len(t, probes, 3, "three probes for five requests")
+	assert.Len(t, probes, 3, "expected three probes for five requests")
 }
--- a/internal/balancer/outlier/outlier.go
+++ b/internal/balancer/outlier/outlier.go
@@ -1,45 +1,46 @@
-// Package outlier decides when a worker or a zone gets no attempts for a while, as earlier ones failed there.
+// Package outlier ejects workers and zones temporarily after attempts at them have failed.
 //
-// A worker is ejected once another attempt would probably fail too. After its ejection it gets one attempt at a time, a
-// probe, until one succeeds; each further failure doubles the time until the next probe. A zone is ejected once several
-// attempts in a row found nobody there, whichever workers they went to.
+// A worker is ejected when another attempt would probably fail too. After its ejection it gets one attempt at a time, a
+// probe, until one succeeds. Each further failure doubles the delay until the next probe. A zone is ejected after
+// several consecutive attempts at any of its workers have failed to get a connection or lost it.
 package outlier
 
 import "canvasroute/internal/balancer/tick"
 
 const (
-	// firstEjection is how long an ejection lasts after a single failure that counts. Each further one doubles it,
-	// whether it ejects or not: a worker that is ejected by its second failure is so for two seconds.
+	// firstEjection is the duration of an ejection at the first counted failure. Each further failure doubles it, and
+	// so does a first failure that causes no ejection: a worker ejected at its second failure is ejected for 2 seconds.
 	firstEjection        = tick.Duration(tick.Second)
 	maxEjectionDoublings = 3
 
 	// ZoneThreshold is the number of consecutive failures after which a zone is ejected.
 	ZoneThreshold = 3
 
-	// nonIdempotentProbeDelay is how long a due probe waits for a request that may run again, before one that must not
-	// may be the probe.
+	// nonIdempotentProbeDelay is how long a due probe is reserved for idempotent requests. After it, a non-idempotent
+	// request may be the probe.
 	nonIdempotentProbeDelay = tick.Duration(8 * tick.Second)
 )
 
-// Failure is what an attempt that failed says of its execution.
+// Failure classifies a failed attempt by whether it may have been executed.
 type Failure uint8
 
-// The kinds of failure.
+// Values of Failure.
 const (
-	NeverRan   Failure = iota // it certainly was not executed: no connection came up
-	MayHaveRun                // it was cut off, or the worker reported an error
+	NeverRan   Failure = iota // the attempt was not executed: no connection was established
+	MayHaveRun                // the connection was lost, or the worker reported an error
 )
 
-// Worker is what failures have shown of one worker. Fields are exported for snapshots; they change by the methods alone.
+// Worker holds the failure state of one worker. Its fields are exported for snapshots and modified only by its methods.
 type Worker struct {
-	ConsecutiveFailures int       // counted once for each ejection, as one failure ends all that is in flight
-	PossiblyExecuted    bool      // an attempt that failed there since the last success may have run
-	ProbeAfter          tick.Time // no attempt before: the worker is ejected, or was overloaded
+	ConsecutiveFailures int       // failures during an ejection are not counted: see RecordFailure
+	PossiblyExecuted    bool      // a failed attempt since the last success may have been executed
+	ProbeAfter          tick.Time // no attempt is sent before, because of an ejection or an overload
 }
 
-// RecordFailure counts an attempt that failed by its worker, and reports whether the worker is ejected for it. Failures
-// within an ejection do not count: what caused it also ended all else that was in flight there. A single attempt that
-// was cut off is chance; one that found nobody is not.
+// RecordFailure records an attempt whose failure was caused by the worker, and reports whether the worker is ejected
+// for it. Failures during an ejection are not counted, because one fault ends all attempts that are in flight at the
+// worker. A single attempt that may have run can fail by coincidence, so it causes no ejection. A failure to get a
+// connection does.
 func (w *Worker) RecordFailure(now tick.Time, failure Failure) (ejected bool) {
 	w.PossiblyExecuted = w.PossiblyExecuted || failure == MayHaveRun
 	if w.Ejected(now) {
@@ -53,41 +54,42 @@
 	return true
 }
 
-// RecordSuccess ends the suspicion against a worker.
+// RecordSuccess clears the recorded failures of a worker.
 func (w *Worker) RecordSuccess() {
 	w.ConsecutiveFailures = 0
 	w.PossiblyExecuted = false
 }
 
-// RecordRestart forgets what the process before has shown.
+// RecordRestart resets the state when the worker has restarted, because it describes the previous process.
 func (w *Worker) RecordRestart() { *w = Worker{} }
 
-// BackOff keeps attempts from a worker that was overloaded until a moment.
+// BackOff prevents attempts at an overloaded worker until the given time.
 func (w *Worker) BackOff(until tick.Time) { w.ProbeAfter = until }
 
-// Ejected reports whether the worker has failed and gets nothing now, by an ejection or by a backoff.
+// Ejected reports whether the worker has failed and gets no attempts now, because of an ejection or a backoff.
 func (w *Worker) Ejected(now tick.Time) bool { return w.Suspect() && now < w.ProbeAfter }
 
-// Suspect reports whether the worker has failed since its last success. It gets one attempt at a time.
+// Suspect reports whether the worker has failed since its last success. A suspect worker gets one attempt at a time.
 func (w *Worker) Suspect() bool { return w.ConsecutiveFailures > 0 }
 
-// AcceptsNonIdempotent reports whether a request that is not idempotent may be sent to the worker. Where an attempt that
-// failed may have run, the next one would often end with an unknown outcome too. Other requests probe the worker first
-// then, unless none has for a while.
+// AcceptsNonIdempotent reports whether a non-idempotent request may be sent to the worker. If a failed attempt may have
+// run, the outcome of the next one would often be unknown too. In that case idempotent requests probe the worker first.
+// If none has done so within nonIdempotentProbeDelay, a non-idempotent request is accepted.
 func (w *Worker) AcceptsNonIdempotent(now tick.Time) bool {
 	return !w.Suspect() || !w.PossiblyExecuted || now >= w.ProbeAfter.Add(nonIdempotentProbeDelay)
 }
 
-// Zone is what failures have shown of one zone. Fields are exported for snapshots; they change by the methods alone.
+// Zone holds the failure state of one zone. Its fields are exported for snapshots and modified only by its methods.
 type Zone struct {
-	Failures     int       // consecutive attempts that were cut off or found nobody there
-	EjectedUntil tick.Time // no attempt goes there before
+	Failures     int       // consecutive attempts that got no connection or lost it
+	EjectedUntil tick.Time // no attempt is sent to the zone before
 }
 
-// RecordFailure counts an attempt that was cut off or found nobody in the zone, and reports whether the zone is ejected
-// for it. Failures within an ejection count: they are of attempts to other workers, and show that the zone is still
-// lost. A lost zone stays in the endpoint list for seconds, and a request has not attempts enough to find out worker by
-// worker. The last zone with a healthy worker is never ejected: hasOther reports whether there is another one.
+// RecordFailure records an attempt in the zone that got no connection or lost it, and reports whether the zone is
+// ejected for it. Failures during an ejection are counted: they belong to attempts at other workers, and prove that the
+// zone is still unreachable. An unreachable zone stays in the endpoint list for seconds, and a request has too few
+// attempts to try its workers one by one. The last zone with a healthy worker is never ejected: hasOther reports
+// whether there is another such zone.
 func (z *Zone) RecordFailure(now tick.Time, hasOther func() bool) (ejected bool) {
 	z.Failures++
 	if z.Failures < ZoneThreshold || z.Ejected(now) || !hasOther() {
@@ -97,8 +99,8 @@
 	return true
 }
 
-// RecordSuccess ends the ejection of a zone.
+// RecordSuccess ends the ejection of a zone and resets its failure count.
 func (z *Zone) RecordSuccess() { *z = Zone{} }
 
-// Ejected reports whether failures keep attempts from the zone now.
+// Ejected reports whether the zone is ejected at the given time.
 func (z *Zone) Ejected(now tick.Time) bool { return now < z.EjectedUntil }
--- a/internal/balancer/outlier/outlier_test.go
+++ b/internal/balancer/outlier/outlier_test.go
@@ -10,10 +10,10 @@
 
 const now = tick.Time(100 * tick.Second)
 
-func TestWorkerIsEjectedOnceTheNextAttemptWouldFailToo(t *testing.T) {
+func TestWorkerIsEjectedWhenTheNextAttemptWouldProbablyFail(t *testing.T) {
 	for name, c := range map[string]struct {
 		failures []Failure
-		want     []bool // ejected by each
+		want     []bool // whether each failure ejects the worker
 	}{
 		"nobody there":              {[]Failure{NeverRan}, []bool{true}},
 		"cut off once":              {[]Failure{MayHaveRun}, []bool{false}},
@@ -29,7 +29,7 @@
 	}
 }
 
-func TestEjectionsOfAWorkerGrowToABound(t *testing.T) {
+func TestEjectionDurationDoublesUpToALimit(t *testing.T) {
 	var worker Worker
 	at := now
 	for _, seconds := range []tick.Duration{1, 2, 4, 8, 8} {
@@ -37,21 +37,21 @@
 		assert.Equal(t, at.Add(seconds*tick.Second), worker.ProbeAfter)
 		assert.True(t, worker.Ejected(at))
 		at = worker.ProbeAfter
-		assert.False(t, worker.Ejected(at), "it is probed")
+		assert.False(t, worker.Ejected(at), "the probe is due")
 		assert.True(t, worker.Suspect())
 	}
 	worker.RecordSuccess()
 	assert.False(t, worker.Suspect())
 }
 
-func TestNonIdempotentRequestProbesLastWhereAnAttemptMayHaveRun(t *testing.T) {
+func TestNonIdempotentRequestProbesLastIfAnAttemptMayHaveRun(t *testing.T) {
 	var worker Worker
 	assert.True(t, worker.AcceptsNonIdempotent(now))
 	worker.RecordFailure(now, NeverRan)
-	assert.True(t, worker.AcceptsNonIdempotent(now), "nothing has run there")
+	assert.True(t, worker.AcceptsNonIdempotent(now), "no failed attempt has run")
 	worker.RecordFailure(worker.ProbeAfter, MayHaveRun)
 	assert.False(t, worker.AcceptsNonIdempotent(worker.ProbeAfter))
-	assert.True(t, worker.AcceptsNonIdempotent(worker.ProbeAfter.Add(8*tick.Second)), "no other request has probed it")
+	assert.True(t, worker.AcceptsNonIdempotent(worker.ProbeAfter.Add(8*tick.Second)), "no idempotent probe so far")
 }
 
 func TestZoneIsEjectedAfterConsecutiveFailuresUnlessItIsTheLast(t *testing.T) {
--- a/internal/balancer/overload.go
+++ b/internal/balancer/overload.go
@@ -1,7 +1,7 @@
 package balancer
 
-// backOff sends nothing to a worker for a span. If its load from other dispatchers is not known here, it sends nothing
-// to all such workers: they may be full as well.
+// backOff sends nothing to a worker for the given duration. If peers do not report their load on the worker to this
+// dispatcher, it sends nothing to any such worker, because those may be full as well.
 func (b *Balancer) backOff(id WorkerID, span Duration) {
 	until := b.now.Add(span)
 	b.workers[id].health.BackOff(until)
@@ -10,9 +10,10 @@
 	}
 }
 
-// overloadBackoff returns how long nothing is sent to a worker that rejected an attempt as overloaded: until a slot comes
-// free, after about a mean run. A worker that warms up is left alone for as long as what it is sent counts. What it
-// rejects counts too and is in no load that peers report, so each of them would try it again.
+// overloadBackoff returns the backoff for a worker that rejected an attempt as overloaded. For a warm worker this is
+// the expected run time of the operation, after which a slot is likely to be free. For a warming worker it is the whole
+// warm-up window. Rejected attempts count against its budget as well, but are not part of the load that peers report,
+// so every peer would try the worker again.
 func (b *Balancer) overloadBackoff(id WorkerID, rejected OperationID) Duration {
 	if b.confirmedWarmup(id, b.sizes.Median()) == 1 {
 		return b.operations.byID[rejected].expectedRun()
--- a/internal/balancer/overload_test.go
+++ b/internal/balancer/overload_test.go
@@ -6,8 +6,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// Regression test for a full worker that all pending requests try again at once, as a request without a hint seems to
-// take no time: they use up their attempts on workers that are known to be full.
+// Regression test: the expected run time of a request without a hint was 0, so that all pending requests retried a full
+// worker at once and used up their attempts on workers that were known to be full.
 func TestOverloadedWorkerBacksOffForAMeanRun(t *testing.T) {
 	const (
 		runTime     = Second / 2
@@ -34,12 +34,13 @@
 			assert.Len(t, balancer.requests.byID[rejected].attempts, 2, "its retry goes to the other worker")
 			assert.NotEqual(t, full, targetOf(balancer, rejected, 1))
 			submit(next)
-			assert.NotEqual(t, full, targetOf(balancer, next, 0), "nor is another request sent there")
+			assert.NotEqual(t, full, targetOf(balancer, next, 0), "the next request goes to the other worker")
 		})
 	}
 }
 
-// Without hints, and where none had run as requests arrived, their mean size is 0: the first run is taken.
+// If requests have no hints and none had run when they arrived, their mean size is 0. The backoff is then based on the
+// first run.
 func TestOverloadedWorkerBacksOffForTheFirstRunSeen(t *testing.T) {
 	const runTime = Second / 2
 	balancer, _ := newWarmBalancer(2, 1)
--- a/internal/balancer/polling.go
+++ b/internal/balancer/polling.go
@@ -2,10 +2,10 @@
 
 import "canvasroute/internal/balancer/polling"
 
-// WatchEnd is how a poll of the endpoint list, or the watch that it began, ended.
+// WatchEnd is the way in which a poll of the endpoint list, or the watch that it started, ended.
 type WatchEnd = polling.WatchEnd
 
-// The ends of a watch; see package polling.
+// Values of WatchEnd; see package polling.
 const (
 	WatchFailed   = polling.WatchFailed
 	WatchRejected = polling.WatchRejected
@@ -13,7 +13,7 @@
 	WatchSilent   = polling.WatchSilent
 )
 
-// EndpointsUnavailable notes that a poll of the endpoint list failed, or that its watch ended, and schedules the next
+// EndpointsUnavailable records that a poll of the endpoint list failed or that the watch ended, and schedules the next
 // poll.
 func (b *Balancer) EndpointsUnavailable() {
 	b.polling.RecordFailure(b.now, b.random.next)
@@ -26,7 +26,8 @@
 	b.effects.PollEndpoints()
 }
 
-// acceptStaleEndpoints permits attempts by a list from before the start, though the first poll has not ended.
+// acceptStaleEndpoints permits attempts based on an endpoint list from before the start of this process, although the
+// first poll has not ended yet.
 func (b *Balancer) acceptStaleEndpoints() {
 	b.polling.AcceptStaleEndpoints()
 	b.due.capacityChanged = true
--- a/internal/balancer/polling/polling.go
+++ b/internal/balancer/polling/polling.go
@@ -1,64 +1,65 @@
-// Package polling decides when a dispatcher polls the endpoint list, and until when it may rely on an old one.
+// Package polling schedules the polls of the endpoint list and decides how long an old list may be used.
 //
-// Once a poll is answered the list is watched: changes come by themselves until the watch ends. The discovery service
-// serves many dispatchers, and a poll that is given up costs it as much as one that it answers. So dispatchers that
-// start together poll in turn, and after a failure all of them together poll no faster than at a start.
+// A successful poll starts a watch: the service pushes changes of the list until the watch ends. The discovery service
+// serves many dispatchers, and a poll that times out costs it as much as a poll that it answers. Therefore dispatchers
+// that start together poll one after the other, and after a failure they poll, all together, no faster than at a start.
 package polling
 
 import "canvasroute/internal/balancer/tick"
 
 const (
-	// pollsPerInterval is how many polls the discovery service takes from all dispatchers within MaxInterval.
+	// pollsPerInterval is the number of polls from all dispatchers that the discovery service can handle within
+	// MaxInterval.
 	pollsPerInterval = 128
-	// maxSpreadShare bounds the span over which one poll of each dispatcher is spread, as a share of MaxInterval.
+	// maxSpreadShare limits the period over which one poll of each dispatcher is spread, as a share of MaxInterval.
 	maxSpreadShare = 0.6
 
-	// firstBackoff is doubled with each consecutive failure, the first one included.
+	// firstBackoff is doubled with each consecutive failure, including the first one.
 	firstBackoff        = tick.Duration(tick.Second / 2)
 	maxBackoffDoublings = 4
 
-	// toleratedRejections is the number of consecutive rejected polls after which waits may exceed the usual longest one.
+	// toleratedRejections is the number of consecutive rejected polls after which waits may exceed the usual maximum.
 	toleratedRejections   = 2
 	maxRejectionDoublings = 2
 
-	// silenceSpeedup divides the longest wait after a watch that fell silent, as the silence was noticed late.
+	// silenceSpeedup divides the maximum wait after a watch that fell silent, because the silence is detected late.
 	silenceSpeedup = 2
 )
 
 var (
-	// longestWait is the longest bound of a wait after a failed poll, as a share of MaxInterval.
+	// longestWait is the maximum wait after a failed poll, as a share of MaxInterval.
 	longestWait = tick.Ratio{Numerator: 4, Denominator: 5}
-	// certainShare and randomShare divide a wait: its first part is certain, and the rest is drawn at random.
+	// certainShare and randomShare split a wait into a fixed part and a random part (jitter).
 	certainShare = tick.Ratio{Numerator: 1, Denominator: 4}
 	randomShare  = tick.Ratio{Numerator: 3, Denominator: 4}
-	// firstPollShare and retryShare divide the time in which a change has to be known: between the first polls after a
-	// start, and the wait after a failed poll.
+	// firstPollShare and retryShare are shares of ChangeDeadline: firstPollShare limits the period over which the first
+	// polls after a start are spread, and retryShare limits the wait after a failed poll.
 	firstPollShare = tick.Ratio{Numerator: 1, Denominator: 3}
 	retryShare     = tick.Ratio{Numerator: 2, Denominator: 3}
 )
 
-// Config is what a Schedule goes by.
+// Config holds the configuration of a Schedule.
 type Config struct {
-	Dispatchers int // that poll the same service, from 1
-	Position    int // of this dispatcher among them, from 0
+	Dispatchers int // number of dispatchers that poll the same service, at least 1
+	Position    int // position of this dispatcher among them, from 0
 
-	// MaxInterval is the longest time without a poll that the platform allows. Waits exceed it only while the service
-	// rejects polls for having too many callers.
+	// MaxInterval is the longest interval between polls that the platform allows. Waits exceed it only while the
+	// service rejects polls because it has too many callers.
 	MaxInterval tick.Duration
-	// ChangeDeadline is how long after a change every dispatcher is expected to know it, even if its polls failed; 0
-	// where there is no such deadline.
+	// ChangeDeadline is the maximum delay between a change and its arrival at every dispatcher, even if polls fail. 0
+	// means that there is no deadline.
 	ChangeDeadline tick.Duration
-	// AwaitFirstPoll forbids attempts by a list from before the start until the first poll has ended.
+	// AwaitFirstPoll forbids attempts based on a list from before the start until the first poll has ended.
 	AwaitFirstPoll bool
 }
 
-// spread returns the span over which one poll of each dispatcher is spread.
+// spread returns the period over which one poll of each dispatcher is spread.
 func (c *Config) spread() tick.Duration {
 	return min(c.MaxInterval*tick.Duration(c.Dispatchers)/pollsPerInterval,
 		tick.Duration(maxSpreadShare*float64(c.MaxInterval)))
 }
 
-// firstSpread is the same for the first polls after a start.
+// firstSpread returns the period over which the first polls after a start are spread.
 func (c *Config) firstSpread() tick.Duration {
 	if c.ChangeDeadline > 0 {
 		return min(c.spread(), firstPollShare.Of(c.ChangeDeadline))
@@ -66,7 +67,7 @@
 	return c.spread()
 }
 
-// longestRetry returns the longest bound of a wait after a failed poll, unless the service has rejected polls.
+// longestRetry returns the maximum wait after a failed poll, unless the service has rejected polls.
 func (c *Config) longestRetry() tick.Duration {
 	longest := longestWait.Of(c.MaxInterval)
 	if c.ChangeDeadline > 0 {
@@ -75,18 +76,19 @@
 	return longest
 }
 
-// WatchEnd is how a poll of the endpoint list, or the watch that it began, ended.
+// WatchEnd is the way in which a poll of the endpoint list, or the watch that it started, ended.
 type WatchEnd uint8
 
-// The ends of a watch.
+// Values of WatchEnd.
 const (
-	WatchFailed   WatchEnd = iota // refused, given up, or not understood
-	WatchRejected                 // rejected after it had waited: the service has too many callers
-	WatchCut                      // the watch had begun, and its connection ended
-	WatchSilent                   // the watch had begun, and fell silent some time ago
+	WatchFailed   WatchEnd = iota // the poll was refused, timed out, or got an invalid response
+	WatchRejected                 // the poll was rejected after a wait: the service has too many callers
+	WatchCut                      // the connection of the watch was lost
+	WatchSilent                   // the watch has sent nothing for too long
 )
 
-// Schedule owns when the endpoint list is polled next. Its methods take the current time; none blocks.
+// Schedule determines when the endpoint list is polled next. Its methods take the current time as an argument and never
+// block.
 type Schedule struct {
 	config Config
 
@@ -96,17 +98,17 @@
 	endpointsStale bool // the list is from before the start, and the first poll has not ended
 	failures       int  // consecutive failed polls
 	rejections     int  // consecutive polls that were rejected after a wait
-	silent         bool // the last watch fell silent
+	silent         bool // the latest watch or poll ended with WatchSilent
 	nextPoll       tick.Time
 }
 
 // NewSchedule returns a Schedule whose first poll is due at once.
 func NewSchedule(config Config) Schedule { return Schedule{config: config} }
 
-// Reconfigure replaces the configuration. Waits that were drawn stay.
+// Reconfigure replaces the configuration. A poll that is already scheduled keeps its time.
 func (s *Schedule) Reconfigure(config Config) { s.config = config }
 
-// DueAt returns when the list has to be polled, Never while it is watched.
+// DueAt returns the time of the next poll, or Never while the list is watched.
 func (s *Schedule) DueAt() tick.Time {
 	if s.watching {
 		return tick.Never
@@ -114,11 +116,11 @@
 	return s.nextPoll
 }
 
-// Watching reports whether changes of the list come by themselves.
+// Watching reports whether the list is watched.
 func (s *Schedule) Watching() bool { return s.watching }
 
-// WatchedSince reports whether the list has been watched for MaxInterval, and for that long after a moment. It names all
-// that happened up to then.
+// WatchedSince reports whether the list is watched and MaxInterval has elapsed since both the start of the watch and
+// the given time. If so, the list includes all changes up to that time.
 func (s *Schedule) WatchedSince(moment, now tick.Time) bool {
 	return s.watching && now >= max(s.watchingSince, moment).Add(s.config.MaxInterval)
 }
@@ -129,16 +131,16 @@
 // Failing reports whether the latest poll failed.
 func (s *Schedule) Failing() bool { return s.failures > 0 }
 
-// EndpointsStale reports whether no attempt may be sent, as the list is from before the start.
+// EndpointsStale reports whether attempts are forbidden because the list is from before the start.
 func (s *Schedule) EndpointsStale() bool { return s.endpointsStale }
 
-// AcceptStaleEndpoints permits attempts by a list from before the start.
+// AcceptStaleEndpoints permits attempts based on a list from before the start.
 func (s *Schedule) AcceptStaleEndpoints() { s.endpointsStale = false }
 
-// RecordPoll notes that the list is polled now. It is polled again if no answer comes within MaxInterval.
+// RecordPoll records that a poll is sent now. The next poll is due after MaxInterval if this one is not answered.
 func (s *Schedule) RecordPoll(now tick.Time) { s.nextPoll = now.Add(s.config.MaxInterval) }
 
-// RecordAnswer notes that a poll was answered. The list is watched from now on.
+// RecordAnswer records that a poll was answered. The list is watched from now on.
 func (s *Schedule) RecordAnswer(now tick.Time) {
 	s.failures = 0
 	s.answered = true
@@ -149,16 +151,16 @@
 	}
 }
 
-// RecordInitialList notes a list from before the start. Workers may have been drained or removed since. Dispatchers
-// that start together poll in the order of their positions.
+// RecordInitialList records that a list from before the start is in use, and schedules the first poll. Workers may have
+// been drained or removed since that list. Dispatchers that start together poll in the order of their positions.
 func (s *Schedule) RecordInitialList(now tick.Time) {
 	c := &s.config
 	s.nextPoll = now.Add(c.firstSpread() * tick.Duration(c.Position) / tick.Duration(c.Dispatchers))
 	s.endpointsStale = c.AwaitFirstPoll && !s.answered && s.failures == 0
 }
 
-// RecordWatchEnd notes how a poll or a watch ended; RecordFailure has to follow. A service that had answered is not
-// overloaded, so waits start over after a watch that had begun.
+// RecordWatchEnd records how a poll or a watch ended. RecordFailure has to be called next. A service that answered the
+// poll is not overloaded, so the backoff is reset if a watch was running.
 func (s *Schedule) RecordWatchEnd(end WatchEnd) {
 	s.rejections++
 	if end != WatchRejected {
@@ -170,8 +172,8 @@
 	}
 }
 
-// RecordFailure notes that a poll failed or the watch has ended, and draws the wait for the next poll. random returns
-// numbers of which all bits are random.
+// RecordFailure records that a poll failed or that the watch ended, and schedules the next poll after a randomized
+// wait. random returns uniformly distributed 64-bit numbers.
 func (s *Schedule) RecordFailure(now tick.Time, random func() uint64) {
 	s.failures++
 	s.watching = false
@@ -180,8 +182,8 @@
 	s.nextPoll = now.Add(certainShare.Of(wait) + tick.Duration(random()%uint64(randomShare.Of(wait)+1)))
 }
 
-// retryWait returns the bound of the next wait, by the failures so far. The wait itself is drawn between a quarter of the
-// bound and all of it.
+// retryWait returns the upper limit of the next wait, based on the failures so far. The actual wait is drawn at random
+// between a quarter of the limit and the limit.
 func (s *Schedule) retryWait() tick.Duration {
 	backoff := firstBackoff << min(s.failures, maxBackoffDoublings)
 	spread := s.config.spread() << min(s.failures-1, maxBackoffDoublings)
@@ -191,14 +193,15 @@
 	if s.rejections > 0 {
 		return wait
 	}
-	// The service does not say that it has too many callers: a change has to be known soon after it is back.
+	// The service has not rejected the poll for having too many callers, so it may just be down. The list has to be up
+	// to date soon after it recovers.
 	if s.silent {
 		return min(wait, s.config.longestRetry()/silenceSpeedup)
 	}
 	return min(wait, s.config.longestRetry())
 }
 
-// PollNow makes a poll due at once, however long the wait was to be: the service has another address.
+// PollNow makes a poll due at once and discards the remaining wait, because the address of the service has changed.
 func (s *Schedule) PollNow(now tick.Time) {
 	s.watching = false
 	s.failures = 0
--- a/internal/balancer/polling/polling_test.go
+++ b/internal/balancer/polling/polling_test.go
@@ -10,13 +10,13 @@
 
 const now = tick.Time(100 * tick.Second)
 
-// latest draws a long wait.
+// latest is a random source that results in a long wait.
 func latest() uint64 { return 1<<62 - 1 }
 
-// earliest draws the shortest wait.
+// earliest is a random source that results in the shortest wait.
 func earliest() uint64 { return 0 }
 
-// newTestSchedule returns the Schedule of the last of some dispatchers.
+// newTestSchedule returns the Schedule of the dispatcher with the last position.
 func newTestSchedule(dispatchers int) Schedule {
 	return NewSchedule(Config{
 		Dispatchers:    dispatchers,
@@ -27,7 +27,7 @@
 	})
 }
 
-func TestFirstPollIsDueAtOnceAndInTurnWithAList(t *testing.T) {
+func TestFirstPollIsDueAtOnceOrByPositionWithAnInitialList(t *testing.T) {
 	schedule := newTestSchedule(4)
 	assert.LessOrEqual(t, schedule.DueAt(), now)
 	schedule.RecordInitialList(now)
@@ -65,7 +65,7 @@
 	}
 }
 
-func TestSilentWatchIsRepeatedSooner(t *testing.T) {
+func TestPollAfterASilentWatchIsDueSooner(t *testing.T) {
 	cut := newTestSchedule(350)
 	silent := newTestSchedule(350)
 	cut.RecordWatchEnd(WatchCut)
@@ -75,7 +75,7 @@
 	assert.Equal(t, cut.DueAt().Sub(now), 2*silent.DueAt().Sub(now))
 }
 
-func TestPollIsRepeatedWithoutAnAnswer(t *testing.T) {
+func TestPollIsRepeatedIfItIsNotAnswered(t *testing.T) {
 	schedule := newTestSchedule(1)
 	schedule.RecordPoll(now)
 	assert.Equal(t, now.Add(10*tick.Second), schedule.DueAt())
@@ -83,10 +83,10 @@
 	assert.Equal(t, now, schedule.DueAt())
 }
 
-func TestWatchedSinceCountsFromTheWatchAndTheMoment(t *testing.T) {
+func TestWatchedSinceCountsFromTheWatchAndTheGivenTime(t *testing.T) {
 	schedule := newTestSchedule(1)
 	interval := schedule.config.MaxInterval
-	assert.False(t, schedule.WatchedSince(0, now), "not watched")
+	assert.False(t, schedule.WatchedSince(0, now), "before a watch")
 	schedule.RecordAnswer(now)
 	assert.False(t, schedule.WatchedSince(0, now.Add(interval-1)))
 	assert.True(t, schedule.WatchedSince(0, now.Add(interval)))
--- a/internal/balancer/polling_test.go
+++ b/internal/balancer/polling_test.go
@@ -14,7 +14,7 @@
 	balancer.polling.PollNow(LongAgo)
 	balancer.RunDueRules()
 	balancer.RunDueRules()
-	assert.Equal(t, []string{"poll"}, effects.lines, "one poll until an answer comes")
+	assert.Equal(t, []string{"poll"}, effects.lines, "no second poll before the first one is answered")
 	lastWait := Duration(0)
 	for range 4 {
 		balancer.EndpointsUnavailable()
@@ -25,49 +25,49 @@
 	}
 }
 
-// Regression test for a fleet whose dispatchers all start and poll at once, and whose repeated polls then keep the
-// service busy with polls that were given up.
+// Regression test: all dispatchers of a fleet started and polled at the same time. The polls timed out, and the
+// repeated polls kept the service busy with polls that had timed out already.
 func TestStartingFleetDoesNotOverloadDiscovery(t *testing.T) {
 	const dispatchers = 80
 	for _, c := range []struct {
-		name      string
-		pollTime  Duration // what a poll takes the service
-		starting  int      // of the dispatchers
-		within    Duration // all have the list
-		mostPolls int      // of each
+		name     string
+		pollTime Duration // service time of one poll
+		starting int      // number of dispatchers that start
+		within   Duration // time limit for all dispatchers to get the list
+		maxPolls int      // maximum average number of polls of a dispatcher
 	}{
-		{name: "all start", pollTime: 630, starting: dispatchers, within: 8 * Second, mostPolls: 3},
-		{name: "some start", pollTime: 800, starting: 56, within: 8 * Second, mostPolls: 3},
-		{name: "longer than polls are spread", pollTime: 800, starting: dispatchers, within: 15 * Second, mostPolls: 3},
-		{name: "twice as long", pollTime: 1250, starting: dispatchers, within: 30 * Second, mostPolls: 3},
+		{name: "all start", pollTime: 630, starting: dispatchers, within: 8 * Second, maxPolls: 3},
+		{name: "some start", pollTime: 800, starting: 56, within: 8 * Second, maxPolls: 3},
+		{name: "longer than polls are spread", pollTime: 800, starting: dispatchers, within: 15 * Second, maxPolls: 3},
+		{name: "twice as long", pollTime: 1250, starting: dispatchers, within: 30 * Second, maxPolls: 3},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			service := &slowDiscovery{pollTime: c.pollTime, patience: 2 * Second}
+			service := &slowDiscovery{pollTime: c.pollTime, pollTimeout: 2 * Second}
 			fleet := newStartingFleet(dispatchers, c.starting, service)
 			fleet.run(startingFleetEnd)
-			if assert.Len(t, fleet.listedAt, c.starting, "all have the list") {
+			if assert.Len(t, fleet.listedAt, c.starting, "not all dispatchers have the list") {
 				assert.Less(t, fleet.lastListedAt(), testStart.Add(c.within))
 			}
-			assert.Less(t, fleet.polls, c.mostPolls*c.starting)
+			assert.Less(t, fleet.polls, c.maxPolls*c.starting)
 		})
 	}
 }
 
 func TestFewDispatchersPollAtOnce(t *testing.T) {
 	const dispatchers = 2
-	fleet := newStartingFleet(dispatchers, dispatchers, &slowDiscovery{pollTime: 600, patience: 2 * Second})
+	fleet := newStartingFleet(dispatchers, dispatchers, &slowDiscovery{pollTime: 600, pollTimeout: 2 * Second})
 	fleet.run(startingFleetEnd)
 	assert.Equal(t, dispatchers, fleet.polls)
 	assert.Less(t, fleet.lastListedAt(), testStart.Add(Second/4))
 }
 
-// Regression test for attempts to a worker that has gone while this dispatcher was away. A change counts as known from
-// the first moment of a new process.
+// Regression test: attempts were sent to a worker that had been removed while this dispatcher was down. A new process
+// must not send attempts based on an outdated list at any time.
 func TestNoAttemptByAStaleListBeforeTheFirstPollEnds(t *testing.T) {
 	const removed, listed WorkerID = 0, 1
 	for name, c := range map[string]struct {
 		endPoll func(*Balancer)
-		target  func(*Balancer) WorkerID // of the first attempt
+		target  func(*Balancer) WorkerID // expected worker of the first attempt
 	}{
 		"answered": {
 			endPoll: func(balancer *Balancer) {
@@ -99,12 +99,12 @@
 			balancer.RunDueRules()
 			assert.Contains(t, effects.lines[1:], fmt.Sprint("attempt 0 to ", c.target(balancer)))
 			balancer.UpdateEndpoints([]Endpoint{{Worker: removed, ID: "w"}}, ChangedEndpoints, FromBeforeStart)
-			assert.False(t, balancer.polling.EndpointsStale(), "a list from a peer does not make the own one stale")
+			assert.False(t, balancer.polling.EndpointsStale(), "a list from a peer must not mark this one as stale")
 		})
 	}
 }
 
-// Regression test for a successor that waits for a poll of its own, though its predecessor watches the list.
+// Regression test: a successor process waited for a poll of its own although its predecessor was watching the list.
 func TestSuccessorUsesItsPredecessorsListAtOnce(t *testing.T) {
 	shards := NewShards(changeDeadlineConfig(3, 2), 1, 1, func() Time { return testStart }, func(Event) {})
 	shards.UpdateEndpoints([]Endpoint{{Worker: 0, ID: "w"}}, AllEndpoints, FromBeforeStart)
@@ -113,7 +113,7 @@
 	assert.False(t, shards.pickers[0].balancer.polling.EndpointsStale())
 }
 
-// A change counts as known after 6 s, of which 2 s at most are the wait for the answer to a poll.
+// A change has to be known after 6 s. Up to 2 s of that are the wait for the answer to a poll.
 func TestWaitBetweenPollsIsBoundedByTheChangeDeadline(t *testing.T) {
 	const failedPolls = 20
 	for _, dispatchers := range []int{1, 30, 350, 1024} {
@@ -128,29 +128,29 @@
 				assert.Greater(t, balancer.polling.DueAt(), balancer.now)
 			}
 			balancer.UpdateEndpoints(nil, ChangedEndpoints, FromDiscovery)
-			balancer.polling.RecordWatchEnd(WatchSilent) // its silence may be noticed up to 3 s late
+			balancer.polling.RecordWatchEnd(WatchSilent) // the silence may be detected up to 3 s late
 			balancer.EndpointsUnavailable()
 			assertPollDueWithin(t, balancer, 2*Second, "after a watch that fell silent")
 		}
 	}
 }
 
-// Regression test for dispatchers that learn too late of what changed during an outage of the discovery service. It can
-// answer one poll of each in 4 s.
+// Regression test: dispatchers received the changes that were made during an outage of the discovery service too late.
+// The service can answer one poll of each dispatcher within 4 s.
 func TestFleetHasItsListInTimeAfterADiscoveryOutage(t *testing.T) {
 	for _, c := range []struct {
 		dispatchers int
-		mostPolls   float64 // of each, on average
+		maxPolls    float64 // maximum average number of polls of a dispatcher
 	}{
-		{dispatchers: 3, mostPolls: 7},
-		{dispatchers: 30, mostPolls: 5},
-		{dispatchers: 350, mostPolls: 5},
+		{dispatchers: 3, maxPolls: 7},
+		{dispatchers: 30, maxPolls: 5},
+		{dispatchers: 350, maxPolls: 5},
 	} {
 		t.Run(fmt.Sprint(c.dispatchers), func(t *testing.T) {
 			service := &recoveringDiscovery{
-				downUntil: 108 * Second,
-				pollTime:  4 * Second / Duration(c.dispatchers),
-				patience:  2 * Second,
+				downUntil:   108 * Second,
+				pollTime:    4 * Second / Duration(c.dispatchers),
+				pollTimeout: 2 * Second,
 			}
 			fleet := newChangeDeadlineFleet(c.dispatchers, watchesEnded, service)
 			fleet.run(130 * Second)
@@ -158,43 +158,43 @@
 			if assert.Len(t, fleet.listedAt, c.dispatchers) {
 				assert.LessOrEqual(t, fleet.lastListedAt(), service.downUntil.Add(6*Second))
 			}
-			assert.Less(t, pollsOfEach, c.mostPolls, "polls of each")
-			t.Logf("%d dispatchers: %.1f polls of each, %d rejected, the last list %v after the outage", c.dispatchers,
+			assert.Less(t, pollsOfEach, c.maxPolls, "polls per dispatcher")
+			t.Logf("%d dispatchers: %.1f polls per dispatcher, %d rejected, last list %v after the outage", c.dispatchers,
 				pollsOfEach, service.rejected, fleet.lastListedAt().Sub(service.downUntil).Standard())
 		})
 	}
 }
 
-// Regression test for polls that are repeated so soon that an overloaded service, which also works through those that
-// were given up, never gets to those that still wait. All have their list in the end, also where one poll of each takes
-// the service 12 s.
+// Regression test: polls were repeated so soon that an overloaded service, which also handles polls that have timed
+// out, never reached the polls that were still waiting. All dispatchers have to get the list eventually, even if the
+// service takes 12 s for one poll of each.
 func TestOverloadedDiscoveryAnswersAllDispatchers(t *testing.T) {
 	for _, c := range []struct {
-		allPolls  Duration // what one poll of each dispatcher takes the service
-		within    Duration // all have the list
-		mostPolls float64  // of each, on average
+		allPolls Duration // total service time of one poll of each dispatcher
+		within   Duration // time limit for all dispatchers to get the list
+		maxPolls float64  // maximum average number of polls of a dispatcher
 	}{
-		{allPolls: 4 * Second, within: 6 * Second, mostPolls: 1.5},
-		{allPolls: 6 * Second, within: 16 * Second, mostPolls: 2},
-		{allPolls: 8 * Second, within: 50 * Second, mostPolls: 4},
-		{allPolls: 12 * Second, within: 90 * Second, mostPolls: 6},
+		{allPolls: 4 * Second, within: 6 * Second, maxPolls: 1.5},
+		{allPolls: 6 * Second, within: 16 * Second, maxPolls: 2},
+		{allPolls: 8 * Second, within: 50 * Second, maxPolls: 4},
+		{allPolls: 12 * Second, within: 90 * Second, maxPolls: 6},
 	} {
 		for _, dispatchers := range []int{30, 350} {
-			for _, begin := range []fleetBegin{listsFromBeforeStart, watchesEnded} {
-				name := fmt.Sprintf("%d polls in %v, %s", dispatchers, c.allPolls.Standard(), begin)
-				service := &slowDiscovery{pollTime: c.allPolls / Duration(dispatchers), patience: 2 * Second}
-				fleet := newChangeDeadlineFleet(dispatchers, begin, service)
+			for _, reason := range []pollReason{listsFromBeforeStart, watchesEnded} {
+				name := fmt.Sprintf("%d polls in %v, %s", dispatchers, c.allPolls.Standard(), reason)
+				service := &slowDiscovery{pollTime: c.allPolls / Duration(dispatchers), pollTimeout: 2 * Second}
+				fleet := newChangeDeadlineFleet(dispatchers, reason, service)
 				fleet.run(300 * Second)
 				if assert.Len(t, fleet.listedAt, dispatchers, name) {
 					assert.LessOrEqual(t, fleet.lastListedAt(), testStart.Add(c.within), name)
 				}
-				assert.LessOrEqual(t, float64(fleet.polls)/float64(dispatchers), c.mostPolls, name)
+				assert.LessOrEqual(t, float64(fleet.polls)/float64(dispatchers), c.maxPolls, name)
 			}
 		}
 	}
 }
 
-// changeDeadlineConfig returns the configuration of a platform on which a change counts as known after 6 s.
+// changeDeadlineConfig returns a configuration with polling and a change deadline of 6 s.
 func changeDeadlineConfig(dispatchers, position int) Config {
 	config := testConfig
 	config.Discovery.Poll = true
@@ -204,44 +204,45 @@
 	return config
 }
 
-// discoveryService simulates a service that answers polls of the endpoint list.
+// discoveryService is a simulated service that answers polls of the endpoint list.
 type discoveryService interface {
-	// poll returns the answer to a poll that comes now.
+	// poll returns the answer to a poll that arrives now.
 	poll(now Time) pollAnswer
 }
 
-// pollAnswer is the end of a poll.
+// pollAnswer is the result of a poll.
 type pollAnswer struct {
-	at   Time // never where no poll is open
-	list bool // the answer is the list; else the poll has failed
+	at      Time // time at which the poll ends; never if no poll is open
+	hasList bool // the answer contains the list; otherwise the poll failed
 }
 
+// noOpenPoll is the pollAnswer of a dispatcher without an open poll.
 var noOpenPoll = pollAnswer{at: never}
 
-// slowDiscovery answers polls one after the other. It also works through polls that were given up.
+// slowDiscovery answers polls one after the other. It also handles polls that have timed out.
 type slowDiscovery struct {
-	pollTime Duration // that one poll takes
-	patience Duration // after which a dispatcher gives up a poll
-	freeAt   Time     // when the polls so far are done
+	pollTime    Duration // service time of one poll
+	pollTimeout Duration // timeout of a poll at the dispatcher
+	idleAt      Time     // time at which all polls so far have been handled
 }
 
 func (s *slowDiscovery) poll(now Time) pollAnswer {
-	givenUpAt := now.Add(s.patience)
-	s.freeAt = max(s.freeAt, now).Add(s.pollTime)
-	if s.freeAt > givenUpAt {
+	givenUpAt := now.Add(s.pollTimeout)
+	s.idleAt = max(s.idleAt, now).Add(s.pollTime)
+	if s.idleAt > givenUpAt {
 		return pollAnswer{at: givenUpAt}
 	}
-	return pollAnswer{at: s.freeAt, list: true}
+	return pollAnswer{at: s.idleAt, hasList: true}
 }
 
-// recoveringDiscovery is down until a moment, and then answers polls one after the other. It rejects those at once that
-// it would answer too late.
+// recoveringDiscovery is down until downUntil, and then answers polls one after the other. It immediately rejects polls
+// that would time out before their answer.
 type recoveringDiscovery struct {
-	downUntil Time
-	pollTime  Duration // that one poll takes
-	patience  Duration // after which a dispatcher gives up a poll
-	freeAt    Time     // when the polls so far are done
-	rejected  int      // polls
+	downUntil   Time
+	pollTime    Duration // service time of one poll
+	pollTimeout Duration // timeout of a poll at the dispatcher
+	idleAt      Time     // time at which all accepted polls so far have been handled
+	rejected    int      // number of polls rejected because of overload
 }
 
 func (s *recoveringDiscovery) poll(now Time) pollAnswer {
@@ -250,13 +251,13 @@
 	if now < s.downUntil {
 		return rejection
 	}
-	doneAt := max(s.freeAt, now).Add(s.pollTime)
-	if doneAt > now.Add(s.patience) {
+	doneAt := max(s.idleAt, now).Add(s.pollTime)
+	if doneAt > now.Add(s.pollTimeout) {
 		s.rejected++
 		return rejection
 	}
-	s.freeAt = doneAt
-	return pollAnswer{at: doneAt, list: true}
+	s.idleAt = doneAt
+	return pollAnswer{at: doneAt, hasList: true}
 }
 
 // pollingFleet simulates dispatchers that poll a discovery service until each has its list.
@@ -264,24 +265,25 @@
 	service     discoveryService
 	dispatchers []*pollingDispatcher
 
-	clocksAdvance bool                           // the dispatchers' clocks are set in each step
-	pollFailed    func(*pollingDispatcher, Time) // reports a poll that failed to its dispatcher
+	clocksAdvance bool                           // the clocks of the dispatchers are set in each step
+	pollFailed    func(*pollingDispatcher, Time) // reports a failed poll to its dispatcher
 
-	listedAt []Time // when dispatchers got the list, in order
-	polls    int    // that the service got
+	listedAt []Time // times at which dispatchers got the list, in ascending order
+	polls    int    // number of polls sent to the service
 }
 
 // pollingDispatcher is one dispatcher of a pollingFleet.
 type pollingDispatcher struct {
 	balancer *Balancer
 	polledAt Time
-	answer   pollAnswer // to the open poll
+	answer   pollAnswer // answer to the open poll, or noOpenPoll
 }
 
 // startingFleetEnd is when the simulation of a starting fleet ends.
 const startingFleetEnd = Time(160 * Second)
 
-// newStartingFleet returns a fleet of which the first dispatchers start at once, with a list from before the start.
+// newStartingFleet returns a fleet in which the given number of dispatchers start at the same time, with a list from
+// before the start.
 func newStartingFleet(dispatchers, starting int, service discoveryService) *pollingFleet {
 	fleet := &pollingFleet{service: service, pollFailed: func(d *pollingDispatcher, now Time) {
 		d.balancer.SetTime(now)
@@ -297,23 +299,23 @@
 	return fleet
 }
 
-// fleetBegin is why the dispatchers of a fleet have to poll.
-type fleetBegin string
+// pollReason is the reason for which the dispatchers of a fleet poll at the start of a simulation.
+type pollReason string
 
 const (
-	listsFromBeforeStart fleetBegin = "all start with a list from before"
-	watchesEnded         fleetBegin = "all watches have ended"
+	listsFromBeforeStart pollReason = "all start with a list from before"
+	watchesEnded         pollReason = "all watches have ended"
 )
 
-// newChangeDeadlineFleet returns a fleet with changeDeadlineConfig.
-func newChangeDeadlineFleet(dispatchers int, begin fleetBegin, service discoveryService) *pollingFleet {
+// newChangeDeadlineFleet returns a fleet whose dispatchers use changeDeadlineConfig.
+func newChangeDeadlineFleet(dispatchers int, reason pollReason, service discoveryService) *pollingFleet {
 	fleet := &pollingFleet{service: service, clocksAdvance: true, pollFailed: func(d *pollingDispatcher, now Time) {
-		d.balancer.polling.RecordWatchEnd(endOfPollAfter(now.Sub(d.polledAt)))
+		d.balancer.polling.RecordWatchEnd(watchEndAfter(now.Sub(d.polledAt)))
 		d.balancer.EndpointsUnavailable()
 	}}
 	for position := range dispatchers {
 		config := changeDeadlineConfig(dispatchers, position)
-		if begin == listsFromBeforeStart {
+		if reason == listsFromBeforeStart {
 			fleet.add(config, FromBeforeStart)
 			continue
 		}
@@ -322,16 +324,17 @@
 	return fleet
 }
 
-// endOfPollAfter returns how a poll that failed after a span has ended: a rejection after a wait is one by a service
-// that has too many callers.
-func endOfPollAfter(span Duration) WatchEnd {
-	if span < Second {
+// watchEndAfter returns the WatchEnd of a poll that failed after the given duration. A poll that failed after a wait
+// was rejected by a service with too many callers.
+func watchEndAfter(elapsed Duration) WatchEnd {
+	if elapsed < Second {
 		return WatchFailed
 	}
 	return WatchRejected
 }
 
-// add adds a dispatcher that has a list from a source. The position is its seed.
+// add adds a dispatcher whose list comes from the given source, and returns its Balancer. The position is used as the
+// seed.
 func (f *pollingFleet) add(config Config, source ListSource) *Balancer {
 	balancer := New(config, uint64(config.Position), &recorder{})
 	balancer.SetTime(testStart)
@@ -340,7 +343,7 @@
 	return balancer
 }
 
-// run plays from testStart until all dispatchers have their list, or until a moment.
+// run simulates the fleet from testStart until all dispatchers have the list, or until the given time.
 func (f *pollingFleet) run(until Time) {
 	const step = Duration(20)
 	for now := testStart; now < until && len(f.listedAt) < len(f.dispatchers); now = now.Add(step) {
@@ -353,10 +356,10 @@
 	}
 }
 
-// step gives a dispatcher the answer to its poll, or takes its next poll.
+// step delivers the answer to the open poll of a dispatcher, or sends its next poll, if either is due.
 func (f *pollingFleet) step(d *pollingDispatcher, now Time) {
 	switch {
-	case d.answer.at <= now && d.answer.list:
+	case d.answer.at <= now && d.answer.hasList:
 		d.balancer.UpdateEndpoints([]Endpoint{{ID: "w"}}, AllEndpoints, FromDiscovery)
 		f.listedAt = append(f.listedAt, now)
 		d.answer = noOpenPoll
@@ -370,5 +373,5 @@
 	}
 }
 
-// lastListedAt returns when the last dispatcher got its list.
+// lastListedAt returns the time at which the last dispatcher got the list.
 func (f *pollingFleet) lastListedAt() Time { return slices.Max(f.listedAt) }
--- a/internal/balancer/process_exit.go
+++ b/internal/balancer/process_exit.go
@@ -1,17 +1,17 @@
 package balancer
 
-// A worker that refuses connections has no process: the next one is cold, and the endpoint list names its start late.
-// workerWarmup.exitedAt is the moment at which the process was seen to end, or one of these values.
+// A worker that refuses connections has no process. Its next process is cold, and the endpoint list reports the start
+// with a delay. workerWarmup.exitedAt is the time at which the process was observed to exit, or one of these values.
 const (
-	// noExit stands for a process that nobody has seen end.
+	// noExit means that no exit of the process was observed.
 	noExit = LongAgo
-	// suspectedExit stands for the unknown moment at which a process may have ended that nobody saw end. Any start that
-	// the list names later is newer.
+	// suspectedExit means that the process may have exited unobserved at an unknown time. Every start time in a later
+	// endpoint list is newer.
 	suspectedExit = LongAgo + 1
 )
 
-// recordProcessExit notes that the process of a worker has ended. While no list is watched, the other workers of its
-// zone may have ended with it, as in a power loss, except those where an attempt runs.
+// recordProcessExit records that the process of a worker has exited. While the endpoint list is not watched, the other
+// workers in its zone may have exited too, as in a power loss, except those that run an attempt.
 func (b *Balancer) recordProcessExit(id WorkerID) {
 	b.warmup.exitSeen = true
 	exited := &b.workers[id]
@@ -29,21 +29,21 @@
 	}
 }
 
-// recordExit notes when the worker's process ended. What proved it warm is void.
+// recordExit records when the worker's process exited, and discards the evidence that the worker was warm.
 func (w *workerWarmup) recordExit(at Time) {
 	w.exitedAt = at
 	w.respondedAt = never
 	w.verifiedSize = 0
 }
 
-// mayHaveRestarted reports whether a worker's process may be newer than the list says. A list that is watched names a
-// start within the poll interval.
+// mayHaveRestarted reports whether a worker's process may be newer than its start time in the endpoint list. A watched
+// list reports a start within the maximum poll interval.
 func (b *Balancer) mayHaveRestarted(w *workerWarmup) bool {
 	return w.exitedAt != noExit && !b.polling.WatchedSince(w.exitedAt, b.now)
 }
 
-// recordResponse notes a response to an attempt. One that was sent since the worker's process was seen to end shows that
-// the next process runs.
+// recordResponse records a response to an attempt. If the attempt was sent after the worker's process was observed to
+// exit, the response proves that the next process is running.
 func (b *Balancer) recordResponse(answered *attempt) {
 	w := &b.workers[answered.worker].warmup
 	if w.respondedAt == never && answered.sentAt >= w.exitedAt {
--- a/internal/balancer/process_exit_test.go
+++ b/internal/balancer/process_exit_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// refuseConnection has a request arrive, and the worker that gets it refuse the connection. It returns the worker.
+// refuseConnection submits a request, makes its worker refuse the connection, and returns the worker.
 func refuseConnection(balancer *Balancer) WorkerID {
 	arrive(balancer, 0, Arrival{Operation: idempotentOp, Timeout: 20 * Second, SizeHint: 100})
 	refusing := targetOf(balancer, 0, 0)
@@ -14,34 +14,35 @@
 	return refusing
 }
 
-// halfWarmedUp is the warm-up factor after half of the warm-up duration.
+// halfWarmedUp returns the warm-up factor after half of the warm-up duration.
 func halfWarmedUp(balancer *Balancer) float64 {
 	initial := balancer.config.initialWarmup
 	return initial + (1-initial)/2
 }
 
-// startedHalfWarmupAgo returns the endpoint of a worker that has started half of the warm-up duration ago.
+// startedHalfWarmupAgo returns the endpoint of a worker that started half of the warm-up duration ago.
 func startedHalfWarmupAgo(balancer *Balancer, id WorkerID) []Endpoint {
 	startedAt := balancer.now.Add(-balancer.config.warmupDuration / 2)
 	return []Endpoint{{Worker: id, ID: "w0", StartedAt: startedAt}}
 }
 
-// Regression test for a worker that lost power, is back, and is taken to be warm because no list says otherwise.
+// Regression test: a worker that restarted after a power loss was treated as warm because no endpoint list reported the
+// restart.
 func TestWorkerWarmsUpFromItsFirstResponseAfterAnExit(t *testing.T) {
 	balancer, _ := newWarmBalancer(1, 1)
 	exited := refuseConnection(balancer)
 	initial := balancer.config.initialWarmup
-	assert.Equal(t, initial, balancer.warmupFactor(exited), "until its first response")
+	assert.Equal(t, initial, balancer.warmupFactor(exited), "before its first response")
 	initialBudget := Work(4 * initial * float64(balancer.config.warmupWindow))
-	assert.False(t, balancer.withinWarmupBudget(exited, initialBudget), "so much would overload it")
+	assert.False(t, balancer.withinWarmupBudget(exited, initialBudget), "this much work would overload it")
 	balancer.EndpointsUnavailable()
 	balancer.SetTime(balancer.now + 15*Second)
-	assert.Equal(t, initial, balancer.warmupFactor(exited), "nobody knows when it has restarted")
+	assert.Equal(t, initial, balancer.warmupFactor(exited), "its restart time is unknown")
 	arrive(balancer, 1, Arrival{Operation: idempotentOp, Timeout: 20 * Second, SizeHint: 100})
 	balancer.AttemptStarted(1, 0)
 	assert.Equal(t, initial, balancer.warmupFactor(exited))
 	balancer.SetTime(balancer.now.Add(balancer.config.warmupDuration / 2))
-	assert.InDelta(t, halfWarmedUp(balancer), balancer.warmupFactor(exited), 0.01, "it warms up from its response on")
+	assert.InDelta(t, halfWarmedUp(balancer), balancer.warmupFactor(exited), 0.01, "it warms up from its first response")
 }
 
 func TestWatchedListEndsTheSuspicionOfARestart(t *testing.T) {
@@ -50,18 +51,19 @@
 	balancer.SetTime(balancer.now.Add(balancer.config.polling.MaxInterval - 1))
 	assert.Less(t, balancer.warmupFactor(exited), 1.0)
 	balancer.SetTime(balancer.now + 1)
-	assert.Equal(t, 1.0, balancer.warmupFactor(exited), "the list would name a restart by now")
+	assert.Equal(t, 1.0, balancer.warmupFactor(exited), "the list would have reported a restart")
 
 	balancer, _ = newWarmBalancer(1, 1)
 	exited = refuseConnection(balancer)
 	balancer.EndpointsUnavailable()
 	balancer.SetTime(balancer.now.Add(2 * balancer.config.polling.MaxInterval))
-	assert.Less(t, balancer.warmupFactor(exited), 1.0, "no list is watched")
+	assert.Less(t, balancer.warmupFactor(exited), 1.0, "the list is not watched")
 	balancer.UpdateEndpoints(startedHalfWarmupAgo(balancer, exited), ChangedEndpoints, FromDiscovery)
-	assert.InDelta(t, halfWarmedUp(balancer), balancer.warmupFactor(exited), 0.01, "the start in the list is exact")
+	assert.InDelta(t, halfWarmedUp(balancer), balancer.warmupFactor(exited), 0.01, "the list reports the exact start")
 }
 
-// Regression test for a list that comes late and names a start before the exit that was seen.
+// Regression test: a delayed list reported a start before the observed exit, and it was taken for the start of the next
+// process.
 func TestListedStartBeforeTheExitIsNotThatOfTheNextProcess(t *testing.T) {
 	balancer, _ := newWarmBalancer(1, 1)
 	exited := refuseConnection(balancer)
@@ -69,8 +71,8 @@
 	assert.Equal(t, balancer.config.initialWarmup, balancer.warmupFactor(exited))
 }
 
-// Regression test for a zone that has lost power while no list can be had: only some of its workers are seen to refuse
-// connections meanwhile.
+// Regression test for a zone that loses power while no endpoint list is available: this dispatcher observes refused
+// connections for only some of its workers.
 func TestOthersOfAZoneMayHaveExitedWhileNoListIsWatched(t *testing.T) {
 	for _, watched := range []bool{true, false} {
 		balancer, _ := newWarmBalancer(8, 1)
--- a/internal/balancer/slot_estimation_test.go
+++ b/internal/balancer/slot_estimation_test.go
@@ -8,8 +8,8 @@
 	"canvasroute/internal/balancer/slotestimate"
 )
 
-// newVotingBalancer returns a Balancer without load reports: it learns slots from how attempts start. It also returns
-// a function by which attempts at a load start at once, or wait first.
+// newVotingBalancer returns a Balancer without load reports, which estimates slots from the starts of attempts. It also
+// returns a function that records a number of attempts which start at once, or wait, at a given load.
 func newVotingBalancer() (*Balancer, func(load, times int, start slotestimate.Start)) {
 	balancer, _ := newWarmBalancer(2, 1)
 	balancer.config.reportFree = NotReported
@@ -24,7 +24,7 @@
 	balancer, vote := newVotingBalancer()
 	kind := &balancer.slots.kinds[0]
 	vote(1, 2, slotestimate.AtOnce)
-	vote(2, 1, slotestimate.Waited) // as no peer had reported another attempt yet
+	vote(2, 1, slotestimate.Waited) // caused by an attempt that a peer had not reported yet
 	assert.EqualValues(t, slotestimate.Initial, kind.Estimate)
 	vote(4, 2, slotestimate.Waited)
 	assert.EqualValues(t, 3, kind.Estimate)
@@ -32,18 +32,18 @@
 	vote(3, 2, slotestimate.AtOnce)
 	vote(2, 3, slotestimate.AtOnce)
 	assert.EqualValues(t, 3, kind.Estimate)
-	assert.EqualValues(t, 3, kind.MaxObserved, "seen twice")
+	assert.EqualValues(t, 3, kind.MaxObserved, "two votes confirm it")
 }
 
-// Regression test for a load report out of all proportion, after which no worker whose load no peer reports was tried
-// for a long time.
+// Regression test: after a load report with an implausible value, workers whose load was not reported by peers got no
+// attempts for a long time.
 func TestNegativeLoadReportCountsAsNoFreeSlot(t *testing.T) {
 	balancer, _ := newWarmBalancer(1, 1)
 	balancer.ReceiveLoadReport(0, []float64{-1e9})
 	assert.InDelta(t, 1-learningRate, balancer.slots.freeSlotRatio, 1e-9)
 }
 
-func TestStartOnDeliveryIsAVoteForAFreeSlot(t *testing.T) {
+func TestStartOnDeliveryCountsAsAVoteForAFreeSlot(t *testing.T) {
 	balancer, _ := newDeliveryNoticesBalancer()
 	for id := range RequestID(4) {
 		arrive(balancer, id, Arrival{Timeout: 10 * Second, SizeHint: 100})
@@ -52,12 +52,12 @@
 		balancer.AttemptStarted(id, 0)
 		balancer.AttemptEnded(id, 0, Succeeded, FinalAnswer)
 	}
-	assert.Positive(t, balancer.slots.kinds[0].Votes[1], "starts at once at a load of one")
+	assert.Positive(t, balancer.slots.kinds[0].Votes[1], "votes for a start at once at a load of one")
 }
 
-// Regression test for a budget for more slots than a kind has. As load messages are late, some attempts start at once at
-// loads at which nearly all others wait, and the highest such load counted for good.
-func TestMaxObservedIsWhatVotesAgreeOn(t *testing.T) {
+// Regression test: the warm-up budget was computed for more slots than the kind has. Because load messages are delayed,
+// some attempts start at once at a load at which nearly all others wait. The highest such load was kept permanently.
+func TestMaxObservedFollowsTheMajorityOfVotes(t *testing.T) {
 	balancer, vote := newVotingBalancer()
 	kind := &balancer.slots.kinds[0]
 	vote(1, 10, slotestimate.AtOnce)
@@ -65,7 +65,7 @@
 	vote(3, 6, slotestimate.AtOnce)
 	assert.EqualValues(t, 3, kind.MaxObserved)
 	vote(4, 2, slotestimate.AtOnce)
-	assert.EqualValues(t, 4, kind.MaxObserved, "no attempt has waited at this load yet")
+	assert.EqualValues(t, 4, kind.MaxObserved, "no attempt has waited at this load so far")
 	vote(4, 3, slotestimate.Waited)
 	vote(5, 4, slotestimate.Waited)
 	vote(5, 2, slotestimate.AtOnce)
--- a/internal/balancer/slotestimate/slotestimate.go
+++ b/internal/balancer/slotestimate/slotestimate.go
@@ -1,42 +1,42 @@
-// Package slotestimate estimates how many attempts a kind of worker runs at once, from what attempts there have shown.
+// Package slotestimate estimates how many attempts a worker of a kind runs at once.
 //
-// Workers do not say how many slots they have. An attempt that starts at once at some load is a vote for as many slots,
-// and one that waits is a vote against them. A worker whose load reports show its free slots needs no votes: see
-// Kind.Report.
+// Workers do not report their number of slots. An attempt that starts at once at a load of n is a vote for at least n
+// slots, and an attempt that waits is a vote against it. If workers send load reports with their free slots, the
+// reports are used instead of votes: see Kind.Report.
 package slotestimate
 
 import "math"
 
 const (
-	// Initial is the estimate for a kind of worker before anything was refused or queued there, in slots.
+	// Initial is the estimate for a kind of worker before any attempt was refused or queued, in slots.
 	Initial = 8.0
-	// toleratedWaits is how many waits are left out of account: single ones come from attempts that no peer has
-	// reported yet.
+	// toleratedWaits is the number of waits that are ignored: single waits are caused by attempts of peers that have
+	// not been reported yet.
 	toleratedWaits = 1
 )
 
-// Start is how an attempt started at its worker.
+// Start is the way in which an attempt started at its worker.
 type Start uint8
 
-// The ways to start.
+// Values of Start.
 const (
-	Waited Start = iota // it was queued or refused
+	Waited Start = iota // the attempt was queued or refused
 	AtOnce              // a slot was free
 )
 
-// Kind is what is known of the slots of one kind of worker. Fields are exported for snapshots; they change by the
-// methods alone.
+// Kind holds the slot estimate for one kind of worker. Its fields are exported for snapshots. Estimate is set by the
+// caller; the other fields are modified only by the methods.
 type Kind struct {
-	Estimate    float64 // slots of a worker
-	MaxObserved float64 // most attempts that votes or reports prove to run at once, 1 before any
-	Votes       []int   // by load: starts at once less waits
+	Estimate    float64 // estimated slots of a worker
+	MaxObserved float64 // most attempts that run at once according to votes or reports, initially 1
+	Votes       []int   // by load: number of starts at once minus number of waits
 }
 
-// NewKind returns a Kind of which nothing is known.
+// NewKind returns a Kind without observations.
 func NewKind() Kind { return Kind{Estimate: Initial, MaxObserved: 1} }
 
-// Vote counts how one attempt started at a worker that had a load, the attempt included. It returns the estimate that
-// agrees with most votes, and does not set it.
+// Vote records how one attempt started at a worker with the given load, which includes the attempt. It returns the
+// estimate that agrees with most votes, but does not set Estimate.
 func (k *Kind) Vote(load int, start Start) (estimate float64) {
 	k.Votes = append(k.Votes, make([]int, max(0, max(load, Initial)+1-len(k.Votes)))...)
 	if start == AtOnce {
@@ -47,8 +47,8 @@
 	return k.recount()
 }
 
-// recount returns the estimate that agrees with most votes, and raises or lowers MaxObserved. A number of slots agrees
-// with each start at once up to that load, and with each wait beyond it.
+// recount returns the estimate that agrees with most votes, and updates MaxObserved. A number of slots agrees with each
+// start at once at a load up to that number, and with each wait at a higher load.
 func (k *Kind) recount() (estimate float64) {
 	agreeing, most := 0, 0
 	estimate = k.Estimate
@@ -66,15 +66,15 @@
 	return estimate
 }
 
-// Report takes the number of slots by a load report, and returns the estimate, which it does not set. Reports may be
-// late, so the most that was ever reported counts.
+// Report records the number of slots according to a load report, and returns the estimate without setting Estimate.
+// Reports may be late, so the estimate is the highest number reported so far.
 func (k *Kind) Report(slots float64) (estimate float64) {
 	k.MaxObserved = max(k.MaxObserved, math.Round(slots))
 	return k.MaxObserved
 }
 
-// Seed takes the most attempts that others have seen running at once, and reports whether it is taken: only where
-// nothing was observed here.
+// Seed sets MaxObserved to a value observed by other dispatchers, and reports whether it was accepted. It is rejected
+// if this dispatcher has its own observations.
 func (k *Kind) Seed(maxObserved float64) (taken bool) {
 	if maxObserved <= 1 || k.MaxObserved > 1 {
 		return false
--- a/internal/balancer/slow_start.go
+++ b/internal/balancer/slow_start.go
@@ -1,42 +1,42 @@
 package balancer
 
-// gossipReserve is the share of a warming worker's budget that is not used where its dispatchers share their load. It
-// covers what they have not yet reported to each other. It is smaller than warmupReserve, as a run that is longer than
-// its hint stays in flight and keeps its slot.
+// gossipReserve is the share of a warming worker's budget that is left unused when its dispatchers share their load. It
+// covers attempts that have not been reported to peers yet. It is smaller than warmupReserve because an attempt that
+// runs for longer than its hint stays in flight and occupies its slot.
 const gossipReserve = 0.1
 
-// slowStart limits what all dispatchers together send to a worker that warms up. A worker breaks down that gets more
-// than overloadFactor times its capacity within the warm-up window; attempts that it rejects count too.
+// slowStart limits the work that all dispatchers together send to a warming worker. A worker breaks down if it receives
+// more than overloadFactor times its capacity within the warm-up window. Attempts that it rejects count as well.
 type slowStart struct {
-	overloadFactor      float64  // times its present capacity that a worker bears
-	window              Duration // over which the work sent to it is added up
-	dispatchers         int      // that may send to the same worker
+	overloadFactor      float64  // work that a worker can receive, as a multiple of its current capacity
+	window              Duration // period over which the work sent to the worker is summed
+	dispatchers         int      // number of dispatchers that may send to the same worker
 	gossip              bool     // dispatchers share their load
-	smallestUsefulShare float64  // of the budget, in ticks of work: a smaller one holds no request
+	smallestUsefulShare float64  // smallest share of the budget that has room for a request, in ticks of work
 }
 
-// slowStart returns the rule under the configuration in force.
+// slowStart returns the slow start limits of the current configuration.
 func (c *derivedConfig) slowStart() slowStart {
 	return slowStart{
 		overloadFactor:      c.overloadFactor,
 		window:              c.warmupWindow,
 		dispatchers:         c.dispatchers,
 		gossip:              c.gossip,
-		smallestUsefulShare: c.meanObjective, // a request runs for no longer than its objective
+		smallestUsefulShare: c.meanObjective, // assumes that a request runs no longer than its latency objective
 	}
 }
 
-// warmingWorker is what the rule goes by.
+// warmingWorker holds the state of a worker to which the slow start limits apply.
 type warmingWorker struct {
-	warmupFactor float64 // share of its capacity that it has, below 1
-	slots        float64 // attempts that a warm worker of its kind certainly runs at once
-	recentWork   Work    // sent to it from here within the window
-	load         int     // attempts in flight there
+	warmupFactor float64 // share of its full capacity that is available, below 1
+	slots        float64 // most attempts that a warm worker of its kind was observed to run at once
+	recentWork   Work    // work that this dispatcher sent to it within the window
+	load         int     // attempts in flight at the worker
 	loadShared   bool    // load includes the attempts of all dispatchers that use the worker
 }
 
-// admits returns the limit that forbids to send a worker one more attempt, or eligible. It must not be asked where
-// dividesByCredit holds.
+// admits returns the limit that excludes a worker from one more attempt, or eligible. It must not be called if
+// dividesByCredit returns true.
 func (s *slowStart) admits(w warmingWorker, size Work) exclusion {
 	if s.gossip {
 		return s.admitsWithGossip(w, size)
@@ -44,9 +44,9 @@
 	return s.admitsOwnShare(w, size)
 }
 
-// admitsWithGossip applies where dispatchers share their load. At worst all attempts in flight were sent within the
-// window, and the worker finished no more than its own capacity beside them. Dispatchers that do not see the load of
-// the others send nothing.
+// admitsWithGossip is admits for dispatchers that share their load. In the worst case, all attempts in flight were sent
+// within the window, and the worker has also completed as much work as its capacity allows. A dispatcher that does not
+// receive the load of its peers sends nothing.
 func (s *slowStart) admitsWithGossip(w warmingWorker, size Work) exclusion {
 	ownCapacity := 1 / s.overloadFactor // as a share of the budget
 	budget := s.budget(w)
@@ -62,7 +62,7 @@
 	return eligible
 }
 
-// admitsOwnShare applies where dispatchers know nothing of each other: each one has the same share of the budget.
+// admitsOwnShare is admits for dispatchers that do not share their load: each one has the same share of the budget.
 func (s *slowStart) admitsOwnShare(w warmingWorker, size Work) exclusion {
 	if float64(w.recentWork+size) > s.ownShare(w) {
 		return beyondWarmupBudget
@@ -70,23 +70,24 @@
 	return eligible
 }
 
-// dividesByCredit reports whether dispatchers are so many that one's share of the budget would hold no request. Each
-// then earns its attempts one by one: see warmupCredit.
+// dividesByCredit reports whether there are so many dispatchers that one dispatcher's share of the budget is too small
+// for a request. If so, each dispatcher earns its attempts one at a time: see warmupCredit.
 func (s *slowStart) dividesByCredit(w warmingWorker) bool {
 	return !s.gossip && s.ownShare(w) < s.smallestUsefulShare
 }
 
-// budget returns the work that a worker bears within the window, in ticks.
+// budget returns the most work that a worker can receive within the window without breaking down, in ticks.
 func (s *slowStart) budget(w warmingWorker) float64 {
 	return s.overloadFactor * w.warmupFactor * w.slots * float64(s.window)
 }
 
+// ownShare returns the part of the budget that one dispatcher may use, in ticks.
 func (s *slowStart) ownShare(w warmingWorker) float64 {
 	return s.budget(w) * (1 - warmupReserve) / float64(s.dispatchers)
 }
 
-// slowStartExclusion returns the limit that forbids to send a worker one more attempt as it warms up, or eligible. It
-// brings what it goes by up to date: sends before the window are forgotten, and credit is earned.
+// slowStartExclusion returns the slow start limit that excludes a worker from one more attempt, or eligible. It also
+// updates the state of the worker: it drops the sends that precede the warm-up window and adds the credit earned.
 func (b *Balancer) slowStartExclusion(id WorkerID, size Work) exclusion {
 	factor := b.confirmedWarmup(id, size)
 	if factor == 1 {
@@ -109,7 +110,7 @@
 	return eligible
 }
 
-// workSince returns the work sent to the worker after a moment, and forgets what was sent before.
+// workSince returns the work sent to the worker after windowStart, and drops the records of earlier sends.
 func (w *workerWarmup) workSince(windowStart Time) Work {
 	total := Work(0)
 	for _, sent := range w.sendsAfter(windowStart) {
--- a/internal/balancer/slow_start_fleet_test.go
+++ b/internal/balancer/slow_start_fleet_test.go
@@ -9,19 +9,19 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// Regression test for two faults at once: a worker that only one of many dispatchers may use is hardly used until it is
-// warm, and one to which all of them send whenever a slot comes free breaks down.
+// Regression test for two faults. A worker that only one of many dispatchers may use is hardly used until it is warm. A
+// worker to which all dispatchers send as soon as it has a free slot breaks down.
 func TestWarmingWorkerIsUsedByGossipingDispatchersAndNotOverloaded(t *testing.T) {
 	for _, dispatchers := range []int{2, 10, 40} {
 		simulation := newWarmingSimulation(dispatchers)
 		simulation.run()
-		assert.Less(t, simulation.worstBudgetUse, 1.0, "%d dispatchers: share of the budget that was sent", dispatchers)
+		assert.Less(t, simulation.maxBudgetUse, 1.0, "%d dispatchers: share of the budget that was sent", dispatchers)
 		assert.Greater(t, simulation.utilization(), 0.5, "%d dispatchers: share of the capacity in use", dispatchers)
 	}
 }
 
-// Regression test for hints that are wrong, and for a worker that each dispatcher finds full for itself: the attempts
-// that it rejects count as sent.
+// Regression test for wrong hints, and for dispatchers that each find out on their own that the worker is full: the
+// attempts that it rejects count as sent.
 func TestWarmingWorkerIsNotOverloadedByWrongHints(t *testing.T) {
 	const errorDeviation = 0.4 // standard deviation of the logarithm of the error
 	for _, dispatchers := range []int{2, 6, 10} {
@@ -30,7 +30,7 @@
 			rng := rand.New(rand.NewPCG(seed, 1))
 			simulation.hintError = func() float64 { return math.Exp(errorDeviation * rng.NormFloat64()) }
 			simulation.run()
-			assert.Less(t, simulation.worstBudgetUse, 1.0, "%d dispatchers, seed %d", dispatchers, seed)
+			assert.Less(t, simulation.maxBudgetUse, 1.0, "%d dispatchers, seed %d", dispatchers, seed)
 		}
 	}
 }
@@ -38,25 +38,25 @@
 // warmingSlots is the number of slots of the simulated worker.
 const warmingSlots = 3
 
-// warmingSimulation simulates a worker that has just started, and the dispatchers that send it far more than it can do.
-// Each of its slots works at the pace of the worker's warm-up factor. It rejects what finds no free slot.
+// warmingSimulation simulates a worker that has just started and dispatchers with far more requests than it can handle.
+// The speed of each slot is the worker's warm-up factor. The worker rejects attempts that find no free slot.
 type warmingSimulation struct {
 	now         Time
-	startedAt   Time // of the worker
+	startedAt   Time // start time of the worker
 	dispatchers []*Balancer
 
 	running   []*simulatedAttempt
-	rejected  []*simulatedAttempt // not yet reported
-	messages  []loadMessage       // in the order in which they are due
-	hintError func() float64      // work over its hint; nil where hints are exact
-
-	sent           []send  // all attempts that came, rejected ones too
-	worstBudgetUse float64 // the most that was sent within a window, as a share of the budget at its end
-	workDone       float64 // in ticks of a warm slot
-	capacity       float64 // work that could have been done since the start, in the same unit
+	rejected  []*simulatedAttempt // rejected attempts not yet reported
+	messages  []loadMessage       // in the order of their due times
+	hintError func() float64      // draws the ratio of the work to its hint; nil if hints are exact
+
+	sent         []send  // all attempts sent, including rejected ones
+	maxBudgetUse float64 // most work sent within a window, as a share of the budget at the end of the window
+	workDone     float64 // in ticks of a warm slot
+	capacity     float64 // work that could have been done since the start, in ticks of a warm slot
 }
 
-// newWarmingSimulation returns dispatchers that share their load and know the worker's slots.
+// newWarmingSimulation returns a simulation with dispatchers that share their load and have the right slot estimate.
 func newWarmingSimulation(dispatchers int) *warmingSimulation {
 	simulation := &warmingSimulation{now: testStart, startedAt: testStart}
 	config := testConfig
@@ -76,12 +76,12 @@
 	return simulation
 }
 
-// run has requests arrive at each dispatcher in turn until the worker is nearly warm.
+// run submits requests to the dispatchers in round-robin order until the worker is nearly warm.
 func (s *warmingSimulation) run() {
 	const (
 		duration        = 19 * Second
 		stepsPerArrival = 25
-		sizeStride      = 7 // so that the sizes at one dispatcher differ
+		sizeStride      = 7 // gives each dispatcher requests of different sizes
 	)
 	sizes := []Work{600, 1500, 4000, 9000, 20000}
 	for step := 0; s.now.Sub(s.startedAt) < duration; step++ {
@@ -92,11 +92,11 @@
 			receiver.RequestArrived(RequestID(arrival), Arrival{Timeout: 20 * Second, SizeHint: size})
 		}
 		s.step()
-		s.worstBudgetUse = max(s.worstBudgetUse, s.budgetUse())
+		s.maxBudgetUse = max(s.maxBudgetUse, s.budgetUse())
 	}
 }
 
-// step lets one step pass.
+// step advances the simulation by one step.
 func (s *warmingSimulation) step() {
 	s.now = s.now.Add(simulationStep)
 	for _, balancer := range s.dispatchers {
@@ -110,6 +110,7 @@
 	}
 }
 
+// reportRejections reports the rejected attempts to their dispatchers.
 func (s *warmingSimulation) reportRejections() {
 	for _, rejected := range s.rejected {
 		rejected.balancer.AttemptEnded(rejected.request, rejected.number, Overloaded, NoAnswer)
@@ -117,7 +118,7 @@
 	s.rejected = nil
 }
 
-// work has each slot work for a step, and reports the attempts that run or have finished.
+// work advances the running attempts by one step, and reports those that have started or finished.
 func (s *warmingSimulation) work() {
 	pace := s.dispatchers[0].warmupFactor(0)
 	s.capacity += warmingSlots * pace * float64(simulationStep)
@@ -139,7 +140,7 @@
 	}
 }
 
-// budgetUse returns the work that was sent within the warm-up window, as a share of what the worker bears now.
+// budgetUse returns the work sent within the warm-up window, as a share of the worker's current budget.
 func (s *warmingSimulation) budgetUse() float64 {
 	config := &s.dispatchers[0].config
 	window := config.warmupWindow
@@ -156,7 +157,7 @@
 // utilization returns the share of its capacity that the worker has used.
 func (s *warmingSimulation) utilization() float64 { return s.workDone / s.capacity }
 
-// warmingEffects are the effects of one dispatcher of a warmingSimulation.
+// warmingEffects implements the effects of one dispatcher in a warmingSimulation.
 type warmingEffects struct {
 	recorder
 	simulation *warmingSimulation
--- a/internal/balancer/slow_start_release_test.go
+++ b/internal/balancer/slow_start_release_test.go
@@ -10,14 +10,15 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// Regression test for two faults after a release, when most workers warm up. They are overloaded by the sum of what many
-// dispatchers send; or nearly all dispatchers leave them alone, and the few warm workers are overrun.
+// Regression test for two faults after a release, when most workers are warming up. Either the attempts of many
+// dispatchers together overloaded these workers, or nearly all dispatchers avoided them and the few warm workers were
+// overloaded.
 func TestWarmingWorkersAreUsedAndNotOverloadedAfterARelease(t *testing.T) {
 	const (
-		workers      = 20
-		traffic      = 0.55 // share of the capacity of all workers when they are warm
-		seeds        = 2
-		leastUtility = 0.4
+		workers        = 20
+		traffic        = 0.55 // as a share of the capacity of all workers when they are warm
+		seeds          = 2
+		minUtilization = 0.4
 	)
 	for name, c := range map[string]releaseCase{
 		"no messages, no hints":              {},
@@ -35,10 +36,10 @@
 					simulation := newReleaseSimulation(c, dispatchers, workers, seed)
 					simulation.run(traffic)
 					result := simulation.result()
-					t.Logf("seed %d: at worst %.2f of the attempts that are allowed; %.2f of the capacity used",
-						seed, result.worstBudgetUse, result.utilization)
-					assert.Less(t, result.worstBudgetUse, 1.0, "seed %d", seed)
-					assert.Greater(t, result.utilization, leastUtility, "seed %d", seed)
+					t.Logf("seed %d: at most %.2f of the allowed attempts sent; %.2f of the capacity used",
+						seed, result.maxBudgetUse, result.utilization)
+					assert.Less(t, result.maxBudgetUse, 1.0, "seed %d", seed)
+					assert.Greater(t, result.utilization, minUtilization, "seed %d", seed)
 				}
 			})
 		}
@@ -46,27 +47,28 @@
 }
 
 const (
-	releaseDuration = 15 * Second // of the simulation
+	releaseDuration = 15 * Second // duration of the simulation
 	releasedAt      = Time(105 * Second)
-	leaveAfter      = 4 * Second // after the release the warm workers leave
+	leaveAfter      = 4 * Second // delay after the release until the warm workers are removed
 
 	slotsPerWorker = 4
-	meanWork       = Second / 5 // of a request, in ticks of a warm slot
+	meanWork       = Second / 5 // mean work of a request, in ticks of a warm slot
 	workDeviation  = 0.8        // standard deviation of the logarithm of a request's work
-	hintDeviation  = 0.2        // the same of the error of a hint
+	hintDeviation  = 0.2        // standard deviation of the logarithm of a hint's error
 )
 
-// releaseCase says what happens in a release, and what dispatchers know.
+// releaseCase describes the events of a release and the information available to dispatchers.
 type releaseCase struct {
-	sizeHints          bool    // requests have hints of their size
+	sizeHints          bool    // requests have size hints
 	gossip             bool    // dispatchers share their load
-	messageLoss        float64 // share of their messages that is lost
+	messageLoss        float64 // share of the messages between dispatchers that is lost
 	dispatchersRestart bool    // some dispatchers restart twice a second after the release
-	warmWorkersLeave   bool    // nearly all workers that were not replaced leave some seconds after the release
+	warmWorkersLeave   bool    // all but one of the workers that were not replaced are removed some seconds after the release
 }
 
-// releaseSimulation simulates a fleet of dispatchers before workers of which six in ten are replaced at once. Each slot
-// of a new worker is slow by its age; an attempt that finds no free slot waits in the worker's queue.
+// releaseSimulation simulates a fleet of dispatchers and their workers, six in ten of which are replaced at the same
+// time. The speed of the slots of a new worker depends on its age. An attempt that finds no free slot waits in the
+// worker's queue.
 type releaseSimulation struct {
 	releaseCase
 	now         Time
@@ -74,32 +76,32 @@
 	rng         *rand.Rand
 	seed        uint64
 	dispatchers []*Balancer
-	arrivals    []RequestID // at each dispatcher since its start
+	arrivals    []RequestID // number of requests that arrived at each dispatcher since its start
 	workers     []*simulatedWorker
-	endpoints   []Endpoint // of the workers
-	canceled    []*simulatedAttempt
-	messages    []loadMessage // in the order in which they are due
+	endpoints   []Endpoint          // endpoints of the workers
+	canceled    []*simulatedAttempt // canceled attempts not yet reported
+	messages    []loadMessage       // in the order of their due times
 }
 
 // simulatedWorker is one worker of a releaseSimulation.
 type simulatedWorker struct {
-	replaced bool // by the release: it warms up from then on
+	replaced bool // replaced by the release, and warming up since then
 	running  []*simulatedAttempt
 	queued   []*simulatedAttempt
 
-	sentAt         []Time  // the attempts within the warm-up window
-	worstBudgetUse float64 // the most attempts within a window, as a share of the limit
-	workDone       float64 // since it was replaced, in ticks of a warm slot
-	capacity       float64 // work that it could have done since then, in the same unit
+	sentAt       []Time  // times of the attempts within the warm-up window
+	maxBudgetUse float64 // most attempts sent within a window, as a share of the limit
+	workDone     float64 // work done since it was replaced, in ticks of a warm slot
+	capacity     float64 // work that it could have done since then, in ticks of a warm slot
 }
 
-// releaseResult is what the replaced workers have borne and done.
+// releaseResult holds the results for the replaced workers.
 type releaseResult struct {
-	worstBudgetUse float64 // the most attempts that one got within a window, as a share of the limit
-	utilization    float64 // share of their capacity that was used
+	maxBudgetUse float64 // most attempts sent to one worker within a window, as a share of the limit
+	utilization  float64 // share of their capacity that was used
 }
 
-// newReleaseSimulation returns a fleet before the release.
+// newReleaseSimulation returns a simulation in its state before the release.
 func newReleaseSimulation(c releaseCase, dispatchers, workers int, seed uint64) *releaseSimulation {
 	s := &releaseSimulation{
 		releaseCase: c,
@@ -119,7 +121,7 @@
 	return s
 }
 
-// startDispatcher starts a dispatcher that knows the endpoints of the moment and nothing else.
+// startDispatcher starts or restarts a dispatcher with the current endpoints and no other state.
 func (s *releaseSimulation) startDispatcher(number int) {
 	config := testConfig
 	config.Dispatchers = len(s.dispatchers)
@@ -137,8 +139,8 @@
 	s.arrivals[number] = 0
 }
 
-// run has requests arrive at a rate that fills a share of the capacity of all workers when they are warm. Some
-// dispatchers get many times as many as others.
+// run submits requests at a rate that uses the given share of the capacity of all workers when they are warm. Some
+// dispatchers get many times as many requests as others.
 func (s *releaseSimulation) run(traffic float64) {
 	weights := s.drawWeights()
 	meanGap := meanWork / (traffic * float64(len(s.workers)*slotsPerWorker))
@@ -155,7 +157,7 @@
 	}
 }
 
-// drawWeights draws the share of the traffic that each dispatcher gets, in a unit of its own.
+// drawWeights draws the relative share of the traffic for each dispatcher. The shares do not add up to 1.
 func (s *releaseSimulation) drawWeights() (weights []float64) {
 	for range s.dispatchers {
 		weights = append(weights, math.Exp(s.rng.NormFloat64()))
@@ -163,7 +165,7 @@
 	return weights
 }
 
-// arrive has a request arrive at one of the dispatchers, by their weights.
+// arrive submits a request to a dispatcher drawn at random by weight.
 func (s *releaseSimulation) arrive(weights []float64) {
 	total := 0.0
 	for _, weight := range weights {
@@ -189,21 +191,21 @@
 	return meanWork * math.Exp(workDeviation*s.rng.NormFloat64()-workDeviation*workDeviation/2)
 }
 
-// update makes a call on a dispatcher at the current time, and applies the rules that are due then.
+// update makes a call on a dispatcher at the current time, and then runs the rules that are due.
 func (s *releaseSimulation) update(balancer *Balancer, call func()) {
 	balancer.SetTime(s.now)
 	call()
 	balancer.RunDueRules()
 }
 
-// updateEndpoints changes endpoints at all dispatchers at once.
+// updateEndpoints sends changed endpoints to all dispatchers at the same time.
 func (s *releaseSimulation) updateEndpoints(changed []Endpoint) {
 	for _, balancer := range s.dispatchers {
 		s.update(balancer, func() { balancer.UpdateEndpoints(changed, ChangedEndpoints, FromDiscovery) })
 	}
 }
 
-// step lets one step pass.
+// step advances the simulation by one step.
 func (s *releaseSimulation) step() {
 	s.now = s.now.Add(simulationStep)
 	s.reportCanceled()
@@ -215,6 +217,7 @@
 	s.wakeDispatchers()
 }
 
+// reportCanceled reports the canceled attempts to their dispatchers.
 func (s *releaseSimulation) reportCanceled() {
 	for _, canceled := range s.canceled {
 		balancer := canceled.balancer
@@ -236,9 +239,9 @@
 	}
 }
 
-// work has each slot of a worker work for a step, and reports the attempts that have finished.
+// work advances the running attempts of a worker by one step, and reports those that have finished.
 func (s *releaseSimulation) work(worker *simulatedWorker) {
-	for _, running := range slices.Clone(worker.running) { // a dispatcher may cancel some meanwhile
+	for _, running := range slices.Clone(worker.running) { // a dispatcher may cancel some of them during the loop
 		worker.workDone += running.advance(s.warmupFactor(worker) * float64(simulationStep))
 		if !running.finished() {
 			continue
@@ -251,7 +254,7 @@
 	worker.capacity += slotsPerWorker * s.warmupFactor(worker) * float64(simulationStep)
 }
 
-// warmupFactor returns the share of its capacity that a worker has, by its age.
+// warmupFactor returns the share of its full capacity that a worker of its age has.
 func (s *releaseSimulation) warmupFactor(worker *simulatedWorker) float64 {
 	if !worker.replaced {
 		return 1
@@ -278,7 +281,7 @@
 	}
 }
 
-// restartDispatchers kills a tenth of the dispatchers, which start again from nothing, twice a second after the release.
+// restartDispatchers restarts a tenth of the dispatchers without their state, twice a second after the release.
 func (s *releaseSimulation) restartDispatchers() {
 	const interval = Duration(Second / 2)
 	if !s.dispatchersRestart || !s.released || s.now.Sub(releasedAt)%interval/simulationStep != 0 {
@@ -289,7 +292,7 @@
 	}
 }
 
-// removeWarmWorkers has all workers leave but one that were not replaced.
+// removeWarmWorkers removes all but one of the workers that were not replaced.
 func (s *releaseSimulation) removeWarmWorkers() {
 	if !s.warmWorkersLeave || !s.released || s.now.Sub(releasedAt) != leaveAfter {
 		return
@@ -301,7 +304,7 @@
 	s.updateEndpoints(leaving)
 }
 
-// replaceWorkers makes the release when its time has come. All dispatchers learn of it at once.
+// replaceWorkers makes the release when it is due, and updates all dispatchers at the same time.
 func (s *releaseSimulation) replaceWorkers() {
 	if s.released || s.now < releasedAt {
 		return
@@ -321,30 +324,30 @@
 // replacedWorkers returns the number of workers that the release replaces.
 func (s *releaseSimulation) replacedWorkers() int { return len(s.workers) * 6 / 10 }
 
-// result sums up the replaced workers.
+// result returns the results for the replaced workers.
 func (s *releaseSimulation) result() releaseResult {
-	worst, workDone, capacity := 0.0, 0.0, 0.0
+	maxUse, workDone, capacity := 0.0, 0.0, 0.0
 	for _, worker := range s.workers {
 		if worker.replaced {
-			worst = max(worst, worker.worstBudgetUse)
+			maxUse = max(maxUse, worker.maxBudgetUse)
 			workDone += worker.workDone
 			capacity += worker.capacity
 		}
 	}
-	return releaseResult{worstBudgetUse: worst, utilization: workDone / capacity}
+	return releaseResult{maxBudgetUse: maxUse, utilization: workDone / capacity}
 }
 
-// countSend counts an attempt that was sent to a replaced worker in its budget. The limit is the number of mean requests
-// that fill the budget, and two standard deviations and two beyond it for chance.
+// countSend counts an attempt sent to a replaced worker against its budget. The limit is the number of requests of mean
+// size that fill the budget, plus two standard deviations and two requests to allow for random variation.
 func (s *releaseSimulation) countSend(worker *simulatedWorker, config *derivedConfig) {
 	windowStart := s.now.Add(-config.warmupWindow)
 	worker.sentAt = slices.DeleteFunc(worker.sentAt, func(at Time) bool { return at <= windowStart })
 	budget := config.overloadFactor * s.warmupFactor(worker) * slotsPerWorker * float64(config.warmupWindow) / meanWork
 	limit := budget + 2*math.Sqrt(budget) + 2
-	worker.worstBudgetUse = max(worker.worstBudgetUse, float64(len(worker.sentAt))/limit)
+	worker.maxBudgetUse = max(worker.maxBudgetUse, float64(len(worker.sentAt))/limit)
 }
 
-// releaseEffects are the effects of one dispatcher of a releaseSimulation.
+// releaseEffects implements the effects of one dispatcher in a releaseSimulation.
 type releaseEffects struct {
 	recorder
 	simulation *releaseSimulation
--- a/internal/balancer/warm_up.go
+++ b/internal/balancer/warm_up.go
@@ -1,38 +1,39 @@
 package balancer
 
-// workerWarmup is how warm a worker is, and what it was sent. A worker warms up by its age: see warmupFactor.
+// workerWarmup holds the warm-up state of a worker and the work recently sent to it. The warm-up factor of a worker
+// depends on its age: see warmupFactor.
 type workerWarmup struct {
-	startedAt    Time // by the endpoint list, or LongAgo
-	exitedAt     Time // when its process was seen to end: see process_exit.go
-	respondedAt  Time // first response of the process after that one; the value never until then
-	verifiedSize Work // largest work that was done at the pace of a warm worker
+	startedAt    Time // start time in the endpoint list, or LongAgo
+	exitedAt     Time // time at which its process was observed to exit: see process_exit.go
+	respondedAt  Time // first response of the next process after that exit; never until there is one
+	verifiedSize Work // size of the largest request that ran at the pace of a warm worker
 
-	sends  []send // within the warm-up window, the oldest first
+	sends  []send // sends within the warm-up window, oldest first
 	credit warmupCredit
 }
 
-// send is work sent to a worker.
+// send records work sent to a worker.
 type send struct {
 	sentAt    Time
 	work      Work
-	bySibling bool // by another process of this dispatcher
+	bySibling bool // sent by another process of this dispatcher
 }
 
-// warmup owns what the warm-up of all workers has in common.
+// warmup holds the warm-up state that all workers have in common.
 type warmup struct {
-	fleetRestartAt Time // since when this dispatcher is back, where all lost power; noFleetRestart if they did not
-	latestStart    Time // of any worker, by the endpoint list, or LongAgo
-	exitSeen       bool // the process of some worker was seen to end
+	fleetRestartAt Time // start time of this dispatcher if all dispatchers lost power, or noFleetRestart
+	latestStart    Time // latest start time of any worker in the endpoint list, or LongAgo
+	exitSeen       bool // the process of at least one worker was observed to exit
 
-	firstTries int // requests that arrived, without retries of their clients
+	firstTries int // requests that have arrived, not counting client retries
 	capacity   fleetCapacity
 }
 
-// noFleetRestart is the value of fleetRestartAt where not all dispatchers have lost power.
+// noFleetRestart is the value of fleetRestartAt unless all dispatchers have lost power.
 const noFleetRestart Time = 0
 
-// warmupFactorAt returns the share of its capacity that a worker has some time after its start: it grows linearly from
-// initialWarmup to 1 within warmupDuration.
+// warmupFactorAt returns the warm-up factor of a worker of a given age, which is the share of its full capacity that is
+// available. It grows linearly from initialWarmup to 1 within warmupDuration.
 func (c *derivedConfig) warmupFactorAt(age Duration) float64 {
 	if c.warmupDuration == 0 || age >= c.warmupDuration {
 		return 1
@@ -40,8 +41,8 @@
 	return c.initialWarmup + (1-c.initialWarmup)*float64(max(age, 0))/float64(c.warmupDuration)
 }
 
-// warmupFactor returns the share of its capacity that a worker certainly has, by its age. Where its process was seen to
-// end, the next one is no older than its first response.
+// warmupFactor returns a lower bound of a worker's warm-up factor by its age. If its process was observed to exit, the
+// next process is treated as started at its first response.
 func (b *Balancer) warmupFactor(id WorkerID) float64 {
 	w := &b.workers[id].warmup
 	startedAt := w.startedAt
@@ -54,8 +55,8 @@
 	return b.config.warmupFactorAt(b.now.Sub(startedAt))
 }
 
-// certainlyNoneWarming reports that no worker has a warm-up factor below 1. It may report false though all are warm: it
-// costs the same for any number of workers, and does not follow each of them.
+// certainlyNoneWarming reports whether every worker is known to have a warm-up factor of 1. It takes constant time
+// because it does not check each worker, so it may return false although all workers are warm.
 func (b *Balancer) certainlyNoneWarming() bool {
 	if b.warmup.exitSeen {
 		return false
@@ -64,8 +65,8 @@
 	return latest == LongAgo || b.now.Sub(latest) >= b.config.warmupDuration
 }
 
-// confirmedWarmup returns the share of its capacity that a worker certainly has for work of a size. It is that of a
-// worker that has just started where a restart is suspected.
+// confirmedWarmup returns a lower bound of a worker's warm-up factor for work of a given size. It is at most
+// initialWarmup if a restart is suspected.
 func (b *Balancer) confirmedWarmup(id WorkerID, size Work) float64 {
 	factor := b.warmupFactor(id)
 	if b.restartSuspected(&b.workers[id].warmup, size) {
@@ -74,10 +75,10 @@
 	return factor
 }
 
-// restartSuspected reports whether a worker may have started since the list last named its start, though nobody saw it.
-// Work done at a pace that no cold worker has ends the suspicion for work up to overloadFactor times as large. Beyond
-// that hints are too rough: the largest requests would all go to the first worker that seems warm. A later start in the
-// list ends it too.
+// restartSuspected reports whether a worker may have restarted unobserved since its last start in the endpoint list. A
+// request that ran faster than a cold worker can run it ends the suspicion for work up to overloadFactor times as
+// large. Hints are too inaccurate for larger work: the largest requests would all be sent to the first worker that
+// seems warm. A later start in the list also ends the suspicion.
 func (b *Balancer) restartSuspected(w *workerWarmup, size Work) bool {
 	if b.config.warmupDuration == 0 || float64(size) <= b.config.overloadFactor*float64(w.verifiedSize) {
 		return false
@@ -85,8 +86,8 @@
 	return b.startPredatesFleetRestart(w) || b.listMayPredateStarts()
 }
 
-// startPredatesFleetRestart reports whether all dispatchers lost power after the worker's last known start. Until the
-// list has been watched for as long as it may stay silent, the worker may have lost power with them.
+// startPredatesFleetRestart reports whether all dispatchers lost power after the worker's last known start and the
+// worker may have lost power with them. This is ruled out once the list has been watched for the maximum poll interval.
 func (b *Balancer) startPredatesFleetRestart(w *workerWarmup) bool {
 	restart := b.warmup.fleetRestartAt
 	if restart == noFleetRestart || w.startedAt >= restart {
@@ -95,13 +96,13 @@
 	return !b.polling.WatchedSince(LongAgo, b.now)
 }
 
-// listMayPredateStarts reports whether this dispatcher goes by a list from before its start, cannot get another one, and
-// has heard of no peer that has run for longer.
+// listMayPredateStarts reports whether this dispatcher uses an endpoint list from before its own start, its polls fail,
+// and it has received no message from a peer that has run for longer.
 func (b *Balancer) listMayPredateStarts() bool {
 	return !b.polling.Answered() && b.polling.Failing() && !b.gossip.hearsSenior()
 }
 
-// observeSuccess notes how long an attempt that succeeded took. It may prove that its worker is warm.
+// observeSuccess records the duration of a successful attempt. A short duration proves that the worker is warm.
 func (b *Balancer) observeSuccess(id WorkerID, req *request, took Duration) {
 	if float64(req.size) >= verifiedPace*float64(took) {
 		w := &b.workers[id].warmup
@@ -110,13 +111,13 @@
 	b.operations.byID[req.operation].observeRun(took)
 }
 
-// recordSend notes work sent to a worker, and forgets what was sent before the window. Sends to warm workers are kept
-// too: one may have restarted without anybody knowing it yet.
+// recordSend records work sent to a worker, and drops the records of sends before the window. Sends to warm workers are
+// recorded too, because such a worker may have restarted unnoticed.
 func (w *workerWarmup) recordSend(sent send, windowStart Time) {
 	w.sends = append(w.sendsAfter(windowStart), sent)
 }
 
-// sendsAfter returns what was sent to the worker after a moment, and forgets what was sent before.
+// sendsAfter returns the sends to the worker after windowStart, and drops the records of earlier ones.
 func (w *workerWarmup) sendsAfter(windowStart Time) []send {
 	recent := w.sends
 	for len(recent) > 0 && recent[0].sentAt <= windowStart {
@@ -126,10 +127,10 @@
 	return recent
 }
 
-// warmupWindowStart is the moment after which what was sent to a warming worker counts.
+// warmupWindowStart returns the time after which sends count against the budget of a warming worker.
 func (b *Balancer) warmupWindowStart() Time { return b.now.Add(-b.config.warmupWindow) }
 
-// recordListedStart notes that the list names a new process, which has to warm up.
+// recordListedStart records the start time of a new worker process in the endpoint list. The process has to warm up.
 func (w *workerWarmup) recordListedStart(startedAt Time) {
 	w.startedAt = startedAt
 	w.credit.earning = false
--- a/internal/balancer/warm_up_test.go
+++ b/internal/balancer/warm_up_test.go
@@ -8,7 +8,8 @@
 	"canvasroute/internal/balancer/polling"
 )
 
-// newIsolatedBalancer returns a Balancer that has a list from before its start, and whose first poll has failed.
+// newIsolatedBalancer returns a Balancer that uses an endpoint list from before its start, and whose first poll has
+// failed.
 func newIsolatedBalancer() *Balancer {
 	balancer, _ := newWarmBalancer(4, 1)
 	balancer.config.gossip = true
@@ -17,7 +18,7 @@
 	return balancer
 }
 
-// initialBudget is what a worker bears that has just started, in ticks of work. It takes the worker's whole budget.
+// initialBudget returns the whole warm-up budget of a worker that has just started, in ticks of work.
 func initialBudget() Work {
 	return Work(testConfig.Warmup.OverloadFactor * testConfig.Warmup.InitialShare * float64(testConfig.Warmup.Window))
 }
@@ -30,21 +31,21 @@
 	balancer.gossip.recordJuniorPeer(1)
 	assert.False(t, balancer.withinWarmupBudget(0, initialBudget()), "the peer has just started too")
 	balancer.gossip.recordPeer(1)
-	assert.False(t, balancer.withinWarmupBudget(0, initialBudget()), "what it sends later is no older")
+	assert.False(t, balancer.withinWarmupBudget(0, initialBudget()), "later messages of the same peer do not change that")
 
 	balancer, target := newIsolatedBalancerAfterRun(1.6)
-	assert.False(t, balancer.withinWarmupBudget(target, initialBudget()), "a wrong hint may make a warming worker look so fast")
+	assert.False(t, balancer.withinWarmupBudget(target, initialBudget()), "a warming worker with a wrong hint may seem as fast")
 	balancer, target = newIsolatedBalancerAfterRun(1.4)
 	other := (target + 1) % 4
-	assert.True(t, balancer.withinWarmupBudget(target, initialBudget()), "no warming worker is so fast")
-	assert.False(t, balancer.withinWarmupBudget(target, 2*initialBudget()), "else it would get all the largest requests")
+	assert.True(t, balancer.withinWarmupBudget(target, initialBudget()), "no warming worker is as fast")
+	assert.False(t, balancer.withinWarmupBudget(target, 2*initialBudget()), "it must not get all of the largest requests")
 	assert.False(t, balancer.withinWarmupBudget(other, initialBudget()))
 	balancer.UpdateEndpoints(nil, ChangedEndpoints, FromDiscovery)
-	assert.True(t, balancer.withinWarmupBudget(other, initialBudget()), "a list that is watched names starts")
+	assert.True(t, balancer.withinWarmupBudget(other, initialBudget()), "a watched list reports starts")
 }
 
-// newIsolatedBalancerAfterRun returns an isolated Balancer for which a worker has run a request for some times its size
-// hint, and the worker.
+// newIsolatedBalancerAfterRun returns an isolated Balancer and a worker that has completed a request. The run time was
+// timesHint times the size hint.
 func newIsolatedBalancerAfterRun(timesHint float64) (*Balancer, WorkerID) {
 	hint := initialBudget() / Work(testConfig.Warmup.OverloadFactor)
 	balancer := newIsolatedBalancer()
--- a/internal/balancer/warmup_credit.go
+++ b/internal/balancer/warmup_credit.go
@@ -1,25 +1,27 @@
 package balancer
 
-// capacityRefreshes is how many times in a warm-up window the capacity of all healthy workers is added up.
+// capacityRefreshes is how many times the fleet capacity is recomputed within a warm-up window.
 const capacityRefreshes = 8
 
-// warmupCredit is the number of attempts that a warming worker may get from this dispatcher, where dispatchers are many
-// and do not share their load. What arrives at all dispatchers together is no more than warm workers can take. Each
-// dispatcher sends a worker its share of what arrives here, by the worker's share of the fleet's capacity, and half of
-// the overload factor beyond it. So all together use half of the worker's budget, however traffic is divided.
+// warmupCredit is the number of attempts that this dispatcher may send to a warming worker if there are many
+// dispatchers and they do not share their load. Together, the dispatchers receive no more requests than warm workers
+// can handle. Each dispatcher takes the worker's share of the fleet capacity, multiplies it by half of the overload
+// factor, and sends the worker that share of its own requests. All dispatchers together therefore use half of the
+// worker's budget, however traffic is distributed among them.
 type warmupCredit struct {
-	attempts  float64 // at most one is saved up
-	countedAt int     // warmup.firstTries when attempts was last brought up to date
-	earning   bool    // for the process that runs now
+	attempts  float64 // at most 1
+	countedAt int     // value of warmup.firstTries when attempts was last updated
+	earning   bool    // the credit has been initialized for the current worker process
 }
 
-// fleetCapacity is the capacity of all healthy workers, as it was last added up.
+// fleetCapacity is the capacity of all healthy workers when it was last computed.
 type fleetCapacity struct {
-	warmWorkers float64 // in workers that are warm
+	warmWorkers float64 // in units of the capacity of one warm worker
 	addedUpAt   Time
 }
 
-// earnCredit adds what the requests that arrived since the last call have earned, and returns the credit in attempts.
+// earnCredit adds the credit earned by the requests that have arrived since the last call, and returns the credit in
+// attempts.
 func (b *Balancer) earnCredit(id WorkerID, factor float64) float64 {
 	b.refreshFleetCapacity()
 	credit := &b.workers[id].warmup.credit
@@ -35,10 +37,10 @@
 	return credit.attempts
 }
 
-// spend takes one attempt from the credit.
+// spend subtracts one attempt from the credit.
 func (c *warmupCredit) spend() { c.attempts = max(c.attempts-1, 0) }
 
-// refreshFleetCapacity adds up the capacity of all healthy workers, some times in a warm-up window.
+// refreshFleetCapacity recomputes the fleet capacity if it is older than a capacityRefreshes-th of the warm-up window.
 func (b *Balancer) refreshFleetCapacity() {
 	capacity := &b.warmup.capacity
 	validUntil := capacity.addedUpAt.Add(b.config.warmupWindow / capacityRefreshes)
@@ -54,8 +56,9 @@
 	}
 }
 
-// creditRank returns this dispatcher's place among all, another one for each worker. The credit of each dispatcher
-// begins at another figure, so that they do not all send to a new worker at once.
+// creditRank returns the rank of this dispatcher among all dispatchers, from 0. The ranks are rotated by a different
+// offset for each worker. The initial credit of a dispatcher follows from its rank, so that the dispatchers do not all
+// send to a new worker at once.
 func (b *Balancer) creditRank(id WorkerID) int {
 	first := int(b.workers[id].hash % uint64(b.config.dispatchers))
 	return (first + b.config.position) % b.config.dispatchers
--- a/internal/balancer/warmup_credit_test.go
+++ b/internal/balancer/warmup_credit_test.go
@@ -6,11 +6,12 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// manyDispatchers are so many that one's share of a warm-up budget holds no request: they divide it by credit.
+// manyDispatchers is a number of dispatchers at which a share of a warm-up budget is too small for a request, so that
+// they use warm-up credit.
 const manyDispatchers = 200
 
-// newWarmupCreditBalancer returns one of manyDispatchers before a worker 0 that started 5 s ago, at two fifths of its
-// capacity, and warm workers.
+// newWarmupCreditBalancer returns the Balancer of one of manyDispatchers. Its workers are worker 0, which started 5 s
+// ago and is at two fifths of its capacity, and the given warm workers.
 func newWarmupCreditBalancer(config Config, position int, warm []Endpoint) *Balancer {
 	config.Dispatchers = manyDispatchers
 	config.Position = position
@@ -19,8 +20,9 @@
 	return balancer
 }
 
-// Regression test for shares of the budget that are too small for any request: nearly all dispatchers would leave a
-// warming worker alone. Each sends there by its own arrivals, and their first credits are evenly spread.
+// Regression test: if the shares of the budget were too small for any request, nearly all dispatchers sent nothing to a
+// warming worker. With credit, each dispatcher sends in proportion to its own arrivals, and the initial credits are
+// evenly distributed.
 func TestWarmupCreditIsEarnedByArrivals(t *testing.T) {
 	const (
 		warming, warm WorkerID = 0, 1
@@ -32,29 +34,29 @@
 	for position := range manyDispatchers {
 		others := []Endpoint{{Worker: warm, ID: "w1"}, {Worker: 2, ID: "w2"}}
 		balancer := newWarmupCreditBalancer(testConfig, position, others)
-		assert.False(t, balancer.withinWarmupBudget(warming, 100), "nothing has arrived, so nothing may be sent")
+		assert.False(t, balancer.withinWarmupBudget(warming, 100), "no credit before the first arrival")
 		for id := range RequestID(arrivals) {
 			balancer.RequestArrived(id, Arrival{Timeout: 10 * Second, SizeHint: 100})
 			if balancer.withinWarmupBudget(warming, 100) {
 				sent++
 				balancer.startAttempt(id, warming)
-				assert.False(t, balancer.withinWarmupBudget(warming, 100), "one attempt at most is saved up")
+				assert.False(t, balancer.withinWarmupBudget(warming, 100), "the credit is at most one attempt")
 			}
 		}
-		balancer.warmup.firstTries += 1000 // none of which suited the worker
+		balancer.warmup.firstTries += 1000 // none of them was sent to the worker
 		assert.True(t, balancer.withinWarmupBudget(warming, 100))
 		balancer.RequestArrived(5, Arrival{Timeout: 10 * Second, SizeHint: 100})
 		balancer.startAttempt(5, warming)
-		assert.False(t, balancer.withinWarmupBudget(warming, 100), "one attempt at most, however many requests have arrived")
+		assert.False(t, balancer.withinWarmupBudget(warming, 100), "the credit is at most one attempt after many arrivals")
 		balancer.RequestArrived(6, Arrival{Timeout: 5 * Second, SizeHint: 100})
-		assert.Equal(t, 1006, balancer.warmup.firstTries, "the retry of a client earns nothing")
+		assert.Equal(t, 1006, balancer.warmup.firstTries, "a client retry earns no credit")
 		assert.True(t, balancer.withinWarmupBudget(warm, 1<<40))
 	}
 	assert.InDelta(t, manyDispatchers*arrivals*creditFactor*warmingShare, sent, 10)
 }
 
-// Regression test for credits that many dispatchers save up until their rotations come round, and that they all spend at
-// once when other workers are gone.
+// Regression test: many dispatchers kept their credit until the round-robin order reached the worker, and all of them
+// spent it at once when other workers were removed.
 func TestWarmupCreditIsSpentAsItFallsDue(t *testing.T) {
 	const warming WorkerID = 0
 	var warm []Endpoint
@@ -73,14 +75,14 @@
 		balancer.workers[warming].warmup.credit.attempts = 0.5
 		picked, ok := balancer.pickWorker(&balancer.requests.byID[rotation])
 		assert.True(t, ok)
-		assert.NotEqual(t, warming, picked, "its credit is not due yet")
+		assert.NotEqual(t, warming, picked, "its credit is below one attempt")
 		balancer.workers[warming].warmup.credit.attempts = 1
 		picked, _ = balancer.pickWorker(&balancer.requests.byID[rotation])
-		assert.Equal(t, warming, picked, "wherever the rotation is")
+		assert.Equal(t, warming, picked, "at any position of the round-robin order")
 	}
 	balancer.warmup.firstTries += 1000
 	assert.True(t, balancer.withinWarmupBudget(warming, 100))
 	balancer.recordProcessExit(warming)
-	balancer.workers[warming].warmup.exitedAt = noExit // as once the list names the start of the next process
-	assert.False(t, balancer.withinWarmupBudget(warming, 100), "credit for the next process begins anew, evenly spread")
+	balancer.workers[warming].warmup.exitedAt = noExit // as after the list reports the start of the next process
+	assert.False(t, balancer.withinWarmupBudget(warming, 100), "the credit is reset for the next process")
 }
