--- a/internal/balancer/arrivals.go
+++ b/internal/balancer/arrivals.go
@@ -22,7 +22,7 @@
 	arrived.latestWaitedStart = b.latestWaitedStart(op, arrived.latestStart)
 	arrived.interval = b.sizes.Of(arrived.size)
 	if !arrived.late { // a client that retries asks for nothing more than it did
-		b.warmup.firstTries++
+		b.warmup.newRequests++
 	}
 	b.loadProbes.arrivals++
 	b.operations.observeArrival(arrival.Operation, arrived.size, b.config.valuePerRequest)
--- a/internal/balancer/attempt_events.go
+++ b/internal/balancer/attempt_events.go
@@ -15,7 +15,7 @@
 	b.recordZoneSuccess(started.worker)
 	b.recordResponse(started)
 	b.subsetting.markMaybeFree(started.worker)
-	b.observeQueueing(started.worker, b.load(started.worker), b.startOf(started))
+	b.observeAttemptStart(started.worker, b.load(started.worker), b.startOf(started))
 }
 
 // startOf returns whether an attempt that starts now found a free slot.
@@ -63,7 +63,7 @@
 	case Overloaded:
 		b.recordResponse(ended)
 		loadBefore := b.load(ended.worker) + 1 // with the attempt that was rejected
-		b.observeQueueing(ended.worker, loadBefore, slotestimate.Waited)
+		b.observeAttemptStart(ended.worker, loadBefore, slotestimate.Waited)
 		b.backOff(ended.worker, b.overloadBackoff(ended.worker, req.operation))
 	case WorkerError, NoConnection, ConnectionRefused, ConnectionReset:
 		b.recordFailure(ended, outcome)
--- a/internal/balancer/capacity.go
+++ b/internal/balancer/capacity.go
@@ -17,7 +17,7 @@
 		slots := b.maxObservedSlots(id)
 		total.Workers++
 		total.WarmSlots += slots
-		total.CurrentSlots += b.confirmedWarmup(id, b.sizes.Median()) * slots
+		total.CurrentSlots += b.confirmedWarmupFactor(id, b.sizes.Median()) * slots
 	}
 	return total
 }
--- a/internal/balancer/ejection.go
+++ b/internal/balancer/ejection.go
@@ -28,10 +28,10 @@
 }
 
 // hasOtherZone reports whether there is a healthy worker in a zone other than the given one that is not ejected.
-func (b *Balancer) hasOtherZone(than ZoneID) bool {
+func (b *Balancer) hasOtherZone(excluded ZoneID) bool {
 	return slices.ContainsFunc(b.subsetting.ring, func(id WorkerID) bool {
 		w := &b.workers[id]
-		return w.zone != than && w.state == Healthy && !b.zones[w.zone].health.Ejected(b.now)
+		return w.zone != excluded && w.state == Healthy && !b.zones[w.zone].health.Ejected(b.now)
 	})
 }
 
--- a/internal/balancer/fleet_restart.go
+++ b/internal/balancer/fleet_restart.go
@@ -7,9 +7,9 @@
 	SentAt Time
 }
 
-// SubmitAfter submits a request that may have run before. The request is sent to a worker in the dedup scope of the
-// prior attempt. If that is not possible, it is rejected or fails at once.
-func (p *Picker) SubmitAfter(arrival Arrival, prior PriorAttempt) *RequestHandle {
+// SubmitWithPriorAttempt submits a request that may have run before. The request is sent to a worker in the dedup scope
+// of the prior attempt. If that is not possible, it is rejected or fails at once.
+func (p *Picker) SubmitWithPriorAttempt(arrival Arrival, prior PriorAttempt) *RequestHandle {
 	return p.submit(arrival, func(b *Balancer, h *RequestHandle) {
 		req := b.requests.get(h.id)
 		req.attempts = append(req.attempts, attempt{worker: prior.Worker, sentAt: prior.SentAt, mayHaveRun: true})
@@ -25,12 +25,12 @@
 // delayWarmingWorkers sends nothing to workers that are warming up and started before the given time, until one
 // warm-up window after that time. An earlier process of this dispatcher may have sent them work that counts against
 // their budget.
-func (b *Balancer) delayWarmingWorkers(before Time) {
+func (b *Balancer) delayWarmingWorkers(cutoff Time) {
 	for n := range b.workers {
 		w := &b.workers[n]
-		startedBefore := w.warmup.startedAt != LongAgo && w.warmup.startedAt < before
+		startedBefore := w.warmup.startedAt != LongAgo && w.warmup.startedAt < cutoff
 		if startedBefore && b.warmupFactor(WorkerID(n)) < 1 {
-			w.notBefore = max(w.notBefore, before.Add(b.config.warmupWindow))
+			w.notBefore = max(w.notBefore, cutoff.Add(b.config.warmupWindow))
 			b.due.reviewBy(w.notBefore)
 		}
 	}
@@ -45,8 +45,8 @@
 // DelayWarmingWorkers sends nothing to workers that are warming up and started before the given time, until one
 // warm-up window after that time. An earlier process of this dispatcher may have sent them work that counts against
 // their budget.
-func (s *Shards) DelayWarmingWorkers(before Time) {
-	s.updateAll(func(b *Balancer) { b.delayWarmingWorkers(before) })
+func (s *Shards) DelayWarmingWorkers(cutoff Time) {
+	s.updateAll(func(b *Balancer) { b.delayWarmingWorkers(cutoff) })
 }
 
 // SeedMaxObserved sets the most attempts that other dispatchers observed running at once at a kind of worker. It has no
@@ -55,7 +55,7 @@
 	s.updateAll(func(b *Balancer) { b.seedMaxObserved(kind, slots) })
 }
 
-// SubmitAfter calls Picker.SubmitAfter on the next shard in round-robin order.
-func (s *Shards) SubmitAfter(arrival Arrival, prior PriorAttempt) *RequestHandle {
-	return s.next().SubmitAfter(arrival, prior)
+// SubmitWithPriorAttempt calls Picker.SubmitWithPriorAttempt on the next shard in round-robin order.
+func (s *Shards) SubmitWithPriorAttempt(arrival Arrival, prior PriorAttempt) *RequestHandle {
+	return s.next().SubmitWithPriorAttempt(arrival, prior)
 }
--- a/internal/balancer/operations_test.go
+++ b/internal/balancer/operations_test.go
@@ -32,7 +32,7 @@
 // recentlySentWork returns the work sent to all workers within the warm-up window.
 func recentlySentWork(balancer *Balancer) (total Work) {
 	for id := range balancer.workers {
-		total += balancer.workers[id].warmup.workSince(balancer.warmupWindowStart())
+		total += balancer.workers[id].warmup.workSentAfter(balancer.warmupWindowStart())
 	}
 	return total
 }
--- a/internal/balancer/outlier/outlier.go
+++ b/internal/balancer/outlier/outlier.go
@@ -8,9 +8,9 @@
 import "canvasroute/internal/balancer/tick"
 
 const (
-	// firstEjection is the duration of an ejection at the first counted failure. Each further failure doubles it, and
+	// initialEjection is the duration of an ejection at the first counted failure. Each further failure doubles it, and
 	// so does a first failure that causes no ejection: a worker ejected at its second failure is ejected for 2 seconds.
-	firstEjection        = tick.Duration(tick.Second)
+	initialEjection      = tick.Duration(tick.Second)
 	maxEjectionDoublings = 3
 
 	// ZoneThreshold is the number of consecutive failures after which a zone is ejected.
@@ -50,7 +50,7 @@
 	if failure == MayHaveRun && w.ConsecutiveFailures == 1 {
 		return false
 	}
-	w.ProbeAfter = now.Add(firstEjection << min(w.ConsecutiveFailures-1, maxEjectionDoublings))
+	w.ProbeAfter = now.Add(initialEjection << min(w.ConsecutiveFailures-1, maxEjectionDoublings))
 	return true
 }
 
@@ -88,14 +88,14 @@
 // RecordFailure records an attempt in the zone that got no connection or lost it, and reports whether the zone is
 // ejected for it. Failures during an ejection are counted: they belong to attempts at other workers, and prove that the
 // zone is still unreachable. An unreachable zone stays in the endpoint list for seconds, and a request has too few
-// attempts to try its workers one by one. The last zone with a healthy worker is never ejected: hasOther reports
+// attempts to try its workers one by one. The last zone with a healthy worker is never ejected: hasOtherZone reports
 // whether there is another such zone.
-func (z *Zone) RecordFailure(now tick.Time, hasOther func() bool) (ejected bool) {
+func (z *Zone) RecordFailure(now tick.Time, hasOtherZone func() bool) (ejected bool) {
 	z.Failures++
-	if z.Failures < ZoneThreshold || z.Ejected(now) || !hasOther() {
+	if z.Failures < ZoneThreshold || z.Ejected(now) || !hasOtherZone() {
 		return false
 	}
-	z.EjectedUntil = now.Add(firstEjection << min(z.Failures-ZoneThreshold, maxEjectionDoublings))
+	z.EjectedUntil = now.Add(initialEjection << min(z.Failures-ZoneThreshold, maxEjectionDoublings))
 	return true
 }
 
--- a/internal/balancer/outlier/outlier_test.go
+++ b/internal/balancer/outlier/outlier_test.go
@@ -55,14 +55,14 @@
 }
 
 func TestZoneIsEjectedAfterConsecutiveFailuresUnlessItIsTheLast(t *testing.T) {
-	for name, hasOther := range map[string]bool{"another zone is left": true, "the last zone": false} {
+	for name, hasOtherZone := range map[string]bool{"another zone is left": true, "the last zone": false} {
 		t.Run(name, func(t *testing.T) {
 			var zone Zone
 			for range ZoneThreshold - 1 {
-				assert.False(t, zone.RecordFailure(now, func() bool { return hasOther }))
+				assert.False(t, zone.RecordFailure(now, func() bool { return hasOtherZone }))
 			}
-			assert.Equal(t, hasOther, zone.RecordFailure(now, func() bool { return hasOther }))
-			assert.Equal(t, hasOther, zone.Ejected(now))
+			assert.Equal(t, hasOtherZone, zone.RecordFailure(now, func() bool { return hasOtherZone }))
+			assert.Equal(t, hasOtherZone, zone.Ejected(now))
 			zone.RecordSuccess()
 			assert.False(t, zone.Ejected(now))
 			assert.Zero(t, zone.Failures)
--- a/internal/balancer/overload.go
+++ b/internal/balancer/overload.go
@@ -2,8 +2,8 @@
 
 // backOff sends nothing to a worker for the given duration. If peers do not report their load on the worker to this
 // dispatcher, it sends nothing to any such worker, because those may be full as well.
-func (b *Balancer) backOff(id WorkerID, span Duration) {
-	until := b.now.Add(span)
+func (b *Balancer) backOff(id WorkerID, duration Duration) {
+	until := b.now.Add(duration)
 	b.workers[id].health.BackOff(until)
 	if !b.hearsLoadOf(id) {
 		b.gossip.unheardNotBefore = until
@@ -15,7 +15,7 @@
 // warm-up window. Rejected attempts count against its budget as well, but are not part of the load that peers report,
 // so every peer would try the worker again.
 func (b *Balancer) overloadBackoff(id WorkerID, rejected OperationID) Duration {
-	if b.confirmedWarmup(id, b.sizes.Median()) == 1 {
+	if b.confirmedWarmupFactor(id, b.sizes.Median()) == 1 {
 		return b.operations.byID[rejected].expectedRun()
 	}
 	return b.config.warmupWindow
--- a/internal/balancer/pick_worker.go
+++ b/internal/balancer/pick_worker.go
@@ -9,7 +9,7 @@
 // Workers of this dispatcher's zone come first. Where dispatchers do not share their load, they come first for the
 // first attempt only: later ones may as well try elsewhere.
 func (b *Balancer) pickWorker(req *request) (WorkerID, bool) {
-	if !b.config.gossip && !b.certainlyNoneWarming() {
+	if !b.config.gossip && !b.allKnownWarm() {
 		// A warming worker gets its credit as it falls due: if it were saved up, all dispatchers might send theirs at
 		// once.
 		limits := pickLimits{onlyWithCredit: true, sameZone: true}
--- a/internal/balancer/picker_test.go
+++ b/internal/balancer/picker_test.go
@@ -233,7 +233,7 @@
 	assert.True(t, pollIsDue())
 	for range 5 { // a watch that had begun is cut: no backoff
 		<-picker.pollDue
-		picker.ReportWatchEnded(WatchCut)
+		picker.ReportWatchEnded(WatchDisconnected)
 		*now += 1300 * Second / 1000
 		picker.update(func(*Balancer) {})
 		assert.True(t, pollIsDue())
--- a/internal/balancer/polling.go
+++ b/internal/balancer/polling.go
@@ -7,10 +7,10 @@
 
 // Values of WatchEnd; see package polling.
 const (
-	WatchFailed   = polling.WatchFailed
-	WatchRejected = polling.WatchRejected
-	WatchCut      = polling.WatchCut
-	WatchSilent   = polling.WatchSilent
+	WatchFailed       = polling.WatchFailed
+	WatchRejected     = polling.WatchRejected
+	WatchDisconnected = polling.WatchDisconnected
+	WatchSilent       = polling.WatchSilent
 )
 
 // EndpointsUnavailable records that a poll of the endpoint list failed or that the watch ended, and schedules the next
--- a/internal/balancer/polling/polling.go
+++ b/internal/balancer/polling/polling.go
@@ -14,24 +14,24 @@
 	// maxSpreadShare limits the period over which one poll of each dispatcher is spread, as a share of MaxInterval.
 	maxSpreadShare = 0.6
 
-	// firstBackoff is doubled with each consecutive failure, including the first one.
-	firstBackoff        = tick.Duration(tick.Second / 2)
+	// initialBackoff is doubled with each consecutive failure, including the first one.
+	initialBackoff      = tick.Duration(tick.Second / 2)
 	maxBackoffDoublings = 4
 
 	// toleratedRejections is the number of consecutive rejected polls after which waits may exceed the usual maximum.
 	toleratedRejections   = 2
 	maxRejectionDoublings = 2
 
-	// silenceSpeedup divides the maximum wait after a watch that fell silent, because the silence is detected late.
-	silenceSpeedup = 2
+	// silentWatchDivisor divides the maximum wait after a watch that fell silent, because the silence is detected late.
+	silentWatchDivisor = 2
 )
 
 var (
-	// longestWait is the maximum wait after a failed poll, as a share of MaxInterval.
-	longestWait = tick.Ratio{Numerator: 4, Denominator: 5}
-	// certainShare and randomShare split a wait into a fixed part and a random part (jitter).
-	certainShare = tick.Ratio{Numerator: 1, Denominator: 4}
-	randomShare  = tick.Ratio{Numerator: 3, Denominator: 4}
+	// maxWaitShare is the maximum wait after a failed poll, as a share of MaxInterval.
+	maxWaitShare = tick.Ratio{Numerator: 4, Denominator: 5}
+	// fixedShare and randomShare split a wait into a fixed part and a random part (jitter).
+	fixedShare  = tick.Ratio{Numerator: 1, Denominator: 4}
+	randomShare = tick.Ratio{Numerator: 3, Denominator: 4}
 	// firstPollShare and retryShare are shares of ChangeDeadline: firstPollShare limits the period over which the first
 	// polls after a start are spread, and retryShare limits the wait after a failed poll.
 	firstPollShare = tick.Ratio{Numerator: 1, Denominator: 3}
@@ -59,17 +59,17 @@
 		tick.Duration(maxSpreadShare*float64(c.MaxInterval)))
 }
 
-// firstSpread returns the period over which the first polls after a start are spread.
-func (c *Config) firstSpread() tick.Duration {
+// initialSpread returns the period over which the first polls after a start are spread.
+func (c *Config) initialSpread() tick.Duration {
 	if c.ChangeDeadline > 0 {
 		return min(c.spread(), firstPollShare.Of(c.ChangeDeadline))
 	}
 	return c.spread()
 }
 
-// longestRetry returns the maximum wait after a failed poll, unless the service has rejected polls.
-func (c *Config) longestRetry() tick.Duration {
-	longest := longestWait.Of(c.MaxInterval)
+// maxRetryWait returns the maximum wait after a failed poll, unless the service has rejected polls.
+func (c *Config) maxRetryWait() tick.Duration {
+	longest := maxWaitShare.Of(c.MaxInterval)
 	if c.ChangeDeadline > 0 {
 		return min(longest, retryShare.Of(c.ChangeDeadline))
 	}
@@ -81,10 +81,10 @@
 
 // Values of WatchEnd.
 const (
-	WatchFailed   WatchEnd = iota // the poll was refused, timed out, or got an invalid response
-	WatchRejected                 // the poll was rejected after a wait: the service has too many callers
-	WatchCut                      // the connection of the watch was lost
-	WatchSilent                   // the watch has sent nothing for too long
+	WatchFailed       WatchEnd = iota // the poll was refused, timed out, or got an invalid response
+	WatchRejected                     // the poll was rejected after a wait: the service has too many callers
+	WatchDisconnected                 // the connection of the watch was lost
+	WatchSilent                       // the watch has sent nothing for too long
 )
 
 // Schedule determines when the endpoint list is polled next. Its methods take the current time as an argument and never
@@ -92,14 +92,14 @@
 type Schedule struct {
 	config Config
 
-	watching       bool
-	watchingSince  tick.Time
-	answered       bool // a poll has been answered since the start
-	endpointsStale bool // the list is from before the start, and the first poll has not ended
-	failures       int  // consecutive failed polls
-	rejections     int  // consecutive polls that were rejected after a wait
-	silent         bool // the latest watch or poll ended with WatchSilent
-	nextPoll       tick.Time
+	watching        bool
+	watchingSince   tick.Time
+	answered        bool // a poll has been answered since the start
+	endpointsStale  bool // the list is from before the start, and the first poll has not ended
+	failures        int  // consecutive failed polls
+	rejections      int  // consecutive polls that were rejected after a wait
+	lastWatchSilent bool // the latest watch or poll ended with WatchSilent
+	nextPoll        tick.Time
 }
 
 // NewSchedule returns a Schedule whose first poll is due at once.
@@ -121,8 +121,8 @@
 
 // WatchedSince reports whether the list is watched and MaxInterval has elapsed since both the start of the watch and
 // the given time. If so, the list includes all changes up to that time.
-func (s *Schedule) WatchedSince(moment, now tick.Time) bool {
-	return s.watching && now >= max(s.watchingSince, moment).Add(s.config.MaxInterval)
+func (s *Schedule) WatchedSince(since, now tick.Time) bool {
+	return s.watching && now >= max(s.watchingSince, since).Add(s.config.MaxInterval)
 }
 
 // Answered reports whether a poll has been answered since the start.
@@ -155,7 +155,7 @@
 // been drained or removed since that list. Dispatchers that start together poll in the order of their positions.
 func (s *Schedule) RecordInitialList(now tick.Time) {
 	c := &s.config
-	s.nextPoll = now.Add(c.firstSpread() * tick.Duration(c.Position) / tick.Duration(c.Dispatchers))
+	s.nextPoll = now.Add(c.initialSpread() * tick.Duration(c.Position) / tick.Duration(c.Dispatchers))
 	s.endpointsStale = c.AwaitFirstPoll && !s.answered && s.failures == 0
 }
 
@@ -166,8 +166,8 @@
 	if end != WatchRejected {
 		s.rejections = 0
 	}
-	s.silent = end == WatchSilent
-	if end == WatchSilent || end == WatchCut {
+	s.lastWatchSilent = end == WatchSilent
+	if end == WatchSilent || end == WatchDisconnected {
 		s.failures = 0
 	}
 }
@@ -178,16 +178,16 @@
 	s.failures++
 	s.watching = false
 	s.endpointsStale = false
-	wait := s.retryWait()
-	s.nextPoll = now.Add(certainShare.Of(wait) + tick.Duration(random()%uint64(randomShare.Of(wait)+1)))
+	wait := s.nextWaitLimit()
+	s.nextPoll = now.Add(fixedShare.Of(wait) + tick.Duration(random()%uint64(randomShare.Of(wait)+1)))
 }
 
-// retryWait returns the upper limit of the next wait, based on the failures so far. The actual wait is drawn at random
-// between a quarter of the limit and the limit.
-func (s *Schedule) retryWait() tick.Duration {
-	backoff := firstBackoff << min(s.failures, maxBackoffDoublings)
+// nextWaitLimit returns the upper limit of the next wait, based on the failures so far. The actual wait is drawn at
+// random between a quarter of the limit and the limit.
+func (s *Schedule) nextWaitLimit() tick.Duration {
+	backoff := initialBackoff << min(s.failures, maxBackoffDoublings)
 	spread := s.config.spread() << min(s.failures-1, maxBackoffDoublings)
-	longest := longestWait.Of(s.config.MaxInterval) <<
+	longest := maxWaitShare.Of(s.config.MaxInterval) <<
 		min(max(s.rejections-toleratedRejections, 0), maxRejectionDoublings)
 	wait := min(backoff+spread, longest)
 	if s.rejections > 0 {
@@ -195,10 +195,10 @@
 	}
 	// The service has not rejected the poll for having too many callers, so it may just be down. The list has to be up
 	// to date soon after it recovers.
-	if s.silent {
-		return min(wait, s.config.longestRetry()/silenceSpeedup)
+	if s.lastWatchSilent {
+		return min(wait, s.config.maxRetryWait()/silentWatchDivisor)
 	}
-	return min(wait, s.config.longestRetry())
+	return min(wait, s.config.maxRetryWait())
 }
 
 // PollNow makes a poll due at once and discards the remaining wait, because the address of the service has changed.
--- a/internal/balancer/polling/polling_test.go
+++ b/internal/balancer/polling/polling_test.go
@@ -10,11 +10,11 @@
 
 const now = tick.Time(100 * tick.Second)
 
-// latest is a random source that results in a long wait.
-func latest() uint64 { return 1<<62 - 1 }
+// longWaitRandom is a random source that results in a long wait.
+func longWaitRandom() uint64 { return 1<<62 - 1 }
 
-// earliest is a random source that results in the shortest wait.
-func earliest() uint64 { return 0 }
+// shortestWaitRandom is a random source that results in the shortest wait.
+func shortestWaitRandom() uint64 { return 0 }
 
 // newTestSchedule returns the Schedule of the dispatcher with the last position.
 func newTestSchedule(dispatchers int) Schedule {
@@ -47,32 +47,32 @@
 		"first failure":            {[]WatchEnd{WatchFailed}, tick.Second + 10*tick.Second/128},
 		"third failure":            {[]WatchEnd{WatchFailed, WatchFailed, WatchFailed}, 4 * tick.Second},
 		"rejected":                 {[]WatchEnd{WatchRejected, WatchRejected, WatchRejected, WatchRejected}, 8*tick.Second + 8*10*tick.Second/128},
-		"a watch that was cut":     {[]WatchEnd{WatchFailed, WatchFailed, WatchCut}, tick.Second + 10*tick.Second/128},
+		"a watch that was cut":     {[]WatchEnd{WatchFailed, WatchFailed, WatchDisconnected}, tick.Second + 10*tick.Second/128},
 		"a watch that fell silent": {[]WatchEnd{WatchFailed, WatchFailed, WatchSilent}, tick.Second + 10*tick.Second/128},
 	} {
 		t.Run(name, func(t *testing.T) {
 			schedule := newTestSchedule(1)
 			for _, end := range c.ends {
 				schedule.RecordWatchEnd(end)
-				schedule.RecordFailure(now, latest)
+				schedule.RecordFailure(now, longWaitRandom)
 			}
 			assert.LessOrEqual(t, schedule.DueAt(), now.Add(c.longest))
 			shortest := schedule
 			shortest.RecordWatchEnd(c.ends[len(c.ends)-1])
-			shortest.RecordFailure(now, earliest)
+			shortest.RecordFailure(now, shortestWaitRandom)
 			assert.Greater(t, shortest.DueAt(), now)
 		})
 	}
 }
 
 func TestPollAfterASilentWatchIsDueSooner(t *testing.T) {
-	cut := newTestSchedule(350)
+	disconnected := newTestSchedule(350)
 	silent := newTestSchedule(350)
-	cut.RecordWatchEnd(WatchCut)
-	cut.RecordFailure(now, earliest)
+	disconnected.RecordWatchEnd(WatchDisconnected)
+	disconnected.RecordFailure(now, shortestWaitRandom)
 	silent.RecordWatchEnd(WatchSilent)
-	silent.RecordFailure(now, earliest)
-	assert.Equal(t, cut.DueAt().Sub(now), 2*silent.DueAt().Sub(now))
+	silent.RecordFailure(now, shortestWaitRandom)
+	assert.Equal(t, disconnected.DueAt().Sub(now), 2*silent.DueAt().Sub(now))
 }
 
 func TestPollIsRepeatedIfItIsNotAnswered(t *testing.T) {
--- a/internal/balancer/process_exit.go
+++ b/internal/balancer/process_exit.go
@@ -13,10 +13,10 @@
 // recordProcessExit records that the process of a worker has exited. While the endpoint list is not watched, the other
 // workers in its zone may have exited too, as in a power loss, except those that run an attempt.
 func (b *Balancer) recordProcessExit(id WorkerID) {
-	b.warmup.exitSeen = true
+	b.warmup.exitObserved = true
 	exited := &b.workers[id]
 	exited.warmup.recordExit(b.now)
-	exited.warmup.credit.earning = false
+	exited.warmup.credit.initialized = false
 	if b.polling.Watching() {
 		return
 	}
@@ -32,7 +32,7 @@
 // recordExit records when the worker's process exited, and discards the evidence that the worker was warm.
 func (w *workerWarmup) recordExit(at Time) {
 	w.exitedAt = at
-	w.respondedAt = never
+	w.firstResponseAt = never
 	w.verifiedSize = 0
 }
 
@@ -46,7 +46,7 @@
 // exit, the response proves that the next process is running.
 func (b *Balancer) recordResponse(answered *attempt) {
 	w := &b.workers[answered.worker].warmup
-	if w.respondedAt == never && answered.sentAt >= w.exitedAt {
-		w.respondedAt = b.now
+	if w.firstResponseAt == never && answered.sentAt >= w.exitedAt {
+		w.firstResponseAt = b.now
 	}
 }
--- a/internal/balancer/slot_estimation.go
+++ b/internal/balancer/slot_estimation.go
@@ -21,10 +21,10 @@
 	return estimates
 }
 
-// observeQueueing records how an attempt started at a worker with the given load, which includes the attempt. It does
-// not count as a vote if load reports provide the slots, if the worker is warming up and may be slow for that reason,
-// or if peers do not report their load on the worker to this dispatcher.
-func (b *Balancer) observeQueueing(id WorkerID, load int, start slotestimate.Start) {
+// observeAttemptStart records how an attempt started at a worker with the given load, which includes the attempt. It
+// does not count as a vote if load reports provide the slots, if the worker is warming up and may be slow for that
+// reason, or if peers do not report their load on the worker to this dispatcher.
+func (b *Balancer) observeAttemptStart(id WorkerID, load int, start slotestimate.Start) {
 	reported := b.config.reportFree != NotReported
 	warming := b.warmupFactor(id) < 1
 	loadUnknown := b.config.gossip && !b.hearsLoadOf(id)
--- a/internal/balancer/slot_estimation_test.go
+++ b/internal/balancer/slot_estimation_test.go
@@ -15,7 +15,7 @@
 	balancer.config.reportFree = NotReported
 	return balancer, func(load, times int, start slotestimate.Start) {
 		for range times {
-			balancer.observeQueueing(0, load, start)
+			balancer.observeAttemptStart(0, load, start)
 		}
 	}
 }
--- a/internal/balancer/slow_start_test.go
+++ b/internal/balancer/slow_start_test.go
@@ -8,23 +8,23 @@
 
 // Limits used in TestSlowStartLimits, by the way in which dispatchers divide the budget.
 var (
-	gossipLimits = slowStart{
+	gossipLimits = slowStartLimits{
 		overloadFactor: 4,
 		window:         Second,
 		dispatchers:    10,
 		gossip:         true,
 	}
-	fewDispatchersLimits = slowStart{
-		overloadFactor:      4,
-		window:              Second,
-		dispatchers:         2,
-		smallestUsefulShare: Second / 10,
+	fewDispatchersLimits = slowStartLimits{
+		overloadFactor: 4,
+		window:         Second,
+		dispatchers:    2,
+		minUsefulShare: Second / 10,
 	}
-	manyDispatchersLimits = slowStart{
-		overloadFactor:      4,
-		window:              Second,
-		dispatchers:         300,
-		smallestUsefulShare: Second / 10,
+	manyDispatchersLimits = slowStartLimits{
+		overloadFactor: 4,
+		window:         Second,
+		dispatchers:    300,
+		minUsefulShare: Second / 10,
 	}
 )
 
@@ -32,7 +32,7 @@
 const usableBudget = 4 * Second * 65 / 100 // without the worker's own capacity and gossipReserve
 
 var slowStartCases = map[string]struct {
-	limits slowStart
+	limits slowStartLimits
 	worker warmingWorker
 	size   Work
 	want   exclusion
@@ -93,11 +93,11 @@
 		t.Run(name, func(t *testing.T) {
 			c.worker.warmupFactor = 0.5
 			c.worker.slots = 2
-			assert.False(t, c.limits.dividesByCredit(c.worker))
-			assert.Equal(t, c.want, c.limits.admits(c.worker, c.size))
+			assert.False(t, c.limits.usesCredit(c.worker))
+			assert.Equal(t, c.want, c.limits.exclusionFor(c.worker, c.size))
 		})
 	}
-	assert.True(t, manyDispatchersLimits.dividesByCredit(warmingWorker{warmupFactor: 0.5, slots: 2}), "a share is too small for a request")
+	assert.True(t, manyDispatchersLimits.usesCredit(warmingWorker{warmupFactor: 0.5, slots: 2}), "a share is too small for a request")
 }
 
 func TestWarmupBudgetIsSharedAmongDispatchers(t *testing.T) {
--- a/internal/balancer/snapshot.go
+++ b/internal/balancer/snapshot.go
@@ -158,7 +158,7 @@
 	b.operations.totalValue = learned.TotalValue
 	b.slots.freeSlotRatio = learned.FreeSlotRatio
 	b.gossip.unheardNotBefore = learned.UnheardNotBefore
-	b.loadProbes = loadProbes{arrivals: learned.Arrivals, nextAt: learned.Arrivals}
+	b.loadProbes = loadProbes{arrivals: learned.Arrivals, nextProbeAt: learned.Arrivals}
 	if len(learned.Sample) > 0 {
 		b.updateCutPoints()
 	}
--- a/internal/balancer/unstarted_attempts.go
+++ b/internal/balancer/unstarted_attempts.go
@@ -47,7 +47,7 @@
 func (b *Balancer) migrateUnstarted(id RequestID, waiting *attempt) {
 	req := b.requests.get(id)
 	if waiting.deliveredAt != notYet || !b.config.deliveryNotices {
-		b.observeQueueing(waiting.worker, b.load(waiting.worker), slotestimate.Waited)
+		b.observeAttemptStart(waiting.worker, b.load(waiting.worker), slotestimate.Waited)
 	} else {
 		b.observeDelivery(waiting)
 	}
--- a/internal/balancer/warm_up.go
+++ b/internal/balancer/warm_up.go
@@ -3,10 +3,10 @@
 // workerWarmup holds the warm-up state of a worker and the work recently sent to it. The warm-up factor of a worker
 // depends on its age: see warmupFactor.
 type workerWarmup struct {
-	startedAt    Time // start time in the endpoint list, or LongAgo
-	exitedAt     Time // time at which its process was observed to exit: see process_exit.go
-	respondedAt  Time // first response of the next process after that exit; never until there is one
-	verifiedSize Work // size of the largest request that ran at the pace of a warm worker
+	startedAt       Time // start time in the endpoint list, or LongAgo
+	exitedAt        Time // time at which its process was observed to exit: see process_exit.go
+	firstResponseAt Time // first response of the next process after that exit; never until there is one
+	verifiedSize    Work // size of the largest request that ran at the pace of a warm worker
 
 	sends  []send // sends within the warm-up window, oldest first
 	credit warmupCredit
@@ -23,10 +23,10 @@
 type warmup struct {
 	fleetRestartAt Time // start time of this dispatcher if all dispatchers lost power, or noFleetRestart
 	latestStart    Time // latest start time of any worker in the endpoint list, or LongAgo
-	exitSeen       bool // the process of at least one worker was observed to exit
+	exitObserved   bool // the process of at least one worker was observed to exit
 
-	firstTries int // requests that have arrived, not counting client retries
-	capacity   fleetCapacity
+	newRequests int // requests that have arrived, not counting client retries
+	capacity    fleetCapacity
 }
 
 // noFleetRestart is the value of fleetRestartAt unless all dispatchers have lost power.
@@ -47,7 +47,7 @@
 	w := &b.workers[id].warmup
 	startedAt := w.startedAt
 	if b.mayHaveRestarted(w) {
-		startedAt = max(startedAt, min(w.respondedAt, b.now))
+		startedAt = max(startedAt, min(w.firstResponseAt, b.now))
 	}
 	if startedAt == LongAgo {
 		return 1
@@ -55,19 +55,19 @@
 	return b.config.warmupFactorAt(b.now.Sub(startedAt))
 }
 
-// certainlyNoneWarming reports whether every worker is known to have a warm-up factor of 1. It takes constant time
+// allKnownWarm reports whether every worker is known to have a warm-up factor of 1. It takes constant time
 // because it does not check each worker, so it may return false although all workers are warm.
-func (b *Balancer) certainlyNoneWarming() bool {
-	if b.warmup.exitSeen {
+func (b *Balancer) allKnownWarm() bool {
+	if b.warmup.exitObserved {
 		return false
 	}
 	latest := b.warmup.latestStart
 	return latest == LongAgo || b.now.Sub(latest) >= b.config.warmupDuration
 }
 
-// confirmedWarmup returns a lower bound of a worker's warm-up factor for work of a given size. It is at most
+// confirmedWarmupFactor returns a lower bound of a worker's warm-up factor for work of a given size. It is at most
 // initialWarmup if a restart is suspected.
-func (b *Balancer) confirmedWarmup(id WorkerID, size Work) float64 {
+func (b *Balancer) confirmedWarmupFactor(id WorkerID, size Work) float64 {
 	factor := b.warmupFactor(id)
 	if b.restartSuspected(&b.workers[id].warmup, size) {
 		return min(factor, b.config.initialWarmup)
@@ -103,22 +103,22 @@
 }
 
 // observeSuccess records the duration of a successful attempt. A short duration proves that the worker is warm.
-func (b *Balancer) observeSuccess(id WorkerID, req *request, took Duration) {
-	if float64(req.size) >= verifiedPace*float64(took) {
+func (b *Balancer) observeSuccess(id WorkerID, req *request, runTime Duration) {
+	if float64(req.size) >= verifiedPace*float64(runTime) {
 		w := &b.workers[id].warmup
 		w.verifiedSize = max(w.verifiedSize, req.size)
 	}
-	b.operations.byID[req.operation].observeRun(took)
+	b.operations.byID[req.operation].observeRun(runTime)
 }
 
 // recordSend records work sent to a worker, and drops the records of sends before the window. Sends to warm workers are
 // recorded too, because such a worker may have restarted unnoticed.
 func (w *workerWarmup) recordSend(sent send, windowStart Time) {
-	w.sends = append(w.sendsAfter(windowStart), sent)
+	w.sends = append(w.pruneSends(windowStart), sent)
 }
 
-// sendsAfter returns the sends to the worker after windowStart, and drops the records of earlier ones.
-func (w *workerWarmup) sendsAfter(windowStart Time) []send {
+// pruneSends returns the sends to the worker after windowStart, and drops the records of earlier ones.
+func (w *workerWarmup) pruneSends(windowStart Time) []send {
 	recent := w.sends
 	for len(recent) > 0 && recent[0].sentAt <= windowStart {
 		recent = recent[1:]
@@ -133,7 +133,7 @@
 // recordListedStart records the start time of a new worker process in the endpoint list. The process has to warm up.
 func (w *workerWarmup) recordListedStart(startedAt Time) {
 	w.startedAt = startedAt
-	w.credit.earning = false
+	w.credit.initialized = false
 	if startedAt >= w.exitedAt {
 		w.exitedAt = noExit
 	}
--- a/internal/balancer/warmup_credit_test.go
+++ b/internal/balancer/warmup_credit_test.go
@@ -43,13 +43,13 @@
 				assert.False(t, balancer.withinWarmupBudget(warming, 100), "the credit is at most one attempt")
 			}
 		}
-		balancer.warmup.firstTries += 1000 // none of them was sent to the worker
+		balancer.warmup.newRequests += 1000 // none of them was sent to the worker
 		assert.True(t, balancer.withinWarmupBudget(warming, 100))
 		balancer.RequestArrived(5, Arrival{Timeout: 10 * Second, SizeHint: 100})
 		balancer.startAttempt(5, warming)
 		assert.False(t, balancer.withinWarmupBudget(warming, 100), "the credit is at most one attempt after many arrivals")
 		balancer.RequestArrived(6, Arrival{Timeout: 5 * Second, SizeHint: 100})
-		assert.Equal(t, 1006, balancer.warmup.firstTries, "a client retry earns no credit")
+		assert.Equal(t, 1006, balancer.warmup.newRequests, "a client retry earns no credit")
 		assert.True(t, balancer.withinWarmupBudget(warm, 1<<40))
 	}
 	assert.InDelta(t, manyDispatchers*arrivals*creditFactor*warmingShare, sent, 10)
@@ -80,7 +80,7 @@
 		picked, _ = balancer.pickWorker(&balancer.requests.byID[rotation])
 		assert.Equal(t, warming, picked, "at any position of the round-robin order")
 	}
-	balancer.warmup.firstTries += 1000
+	balancer.warmup.newRequests += 1000
 	assert.True(t, balancer.withinWarmupBudget(warming, 100))
 	balancer.recordProcessExit(warming)
 	balancer.workers[warming].warmup.exitedAt = noExit // as after the list reports the start of the next process
--- a/internal/discovery/watch_end.go
+++ b/internal/discovery/watch_end.go
@@ -66,7 +66,7 @@
 //   - WatchRejected: 503 after at least minOverloadedWait. The service has too many callers.
 //   - WatchFailed: no watch was opened. Dialing, sending or the response failed, or the status was another one.
 //   - WatchSilent: the watch was open, and firstLineTimeout or lineTimeout has passed.
-//   - WatchCut: the watch was open, and ended in any other way.
+//   - WatchDisconnected: the watch was open, and ended in any other way.
 func watchEnd(opened bool, err error) balancer.WatchEnd {
 	var refused *statusError
 	switch {
@@ -77,7 +77,7 @@
 	case transport.CloseReasonOf(err) == transport.TooSlow:
 		return balancer.WatchSilent
 	}
-	return balancer.WatchCut
+	return balancer.WatchDisconnected
 }
 
 // openCloseReason returns why to close a connection on which no watch could be opened.
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -80,7 +80,7 @@
 	case err != nil:
 		return p.respondFailed()
 	case prior != nil:
-		r.handle = p.balancer.SubmitAfter(arrival, *prior)
+		r.handle = p.balancer.SubmitWithPriorAttempt(arrival, *prior)
 	default:
 		r.handle = p.balancer.Submit(arrival)
 	}
