--- a/internal/balancer/capacity.go
+++ b/internal/balancer/capacity.go
@@ -1,6 +1,6 @@
 package balancer
 
-// Capacity is the number of attempts that the healthy workers which are not ejected can run at once.
+// Capacity describes how many attempts the healthy workers that are not ejected can run at once.
 type Capacity struct {
 	Workers      int     // healthy workers that are not ejected
 	WarmSlots    float64 // their slots once all of them are warm
--- a/internal/balancer/ejection.go
+++ b/internal/balancer/ejection.go
@@ -27,7 +27,7 @@
 	}
 }
 
-// hasOtherZone reports whether there is a healthy worker in a zone other than the given one that is not ejected.
+// hasOtherZone reports whether a zone other than the given one has a healthy worker and is not ejected.
 func (b *Balancer) hasOtherZone(excluded ZoneID) bool {
 	return slices.ContainsFunc(b.subsetting.ring, func(id WorkerID) bool {
 		w := &b.workers[id]
--- a/internal/balancer/slot_estimation_test.go
+++ b/internal/balancer/slot_estimation_test.go
@@ -52,7 +52,7 @@
 		balancer.AttemptStarted(id, 0)
 		balancer.AttemptEnded(id, 0, Succeeded, FinalAnswer)
 	}
-	assert.Positive(t, balancer.slots.kinds[0].Votes[1], "votes for a start at once at a load of one")
+	assert.Positive(t, balancer.slots.kinds[0].Votes[1], "votes for a free slot at a load of one")
 }
 
 // Regression test: the warm-up budget was computed for more slots than the kind has. Because load messages are delayed,
--- a/internal/balancer/warm_up.go
+++ b/internal/balancer/warm_up.go
@@ -55,8 +55,8 @@
 	return b.config.warmupFactorAt(b.now.Sub(startedAt))
 }
 
-// allKnownWarm reports whether every worker is known to have a warm-up factor of 1. It takes constant time
-// because it does not check each worker, so it may return false although all workers are warm.
+// allKnownWarm reports whether every worker is known to have a warm-up factor of 1. It takes constant time because it
+// does not check each worker, so it may return false although all workers are warm.
 func (b *Balancer) allKnownWarm() bool {
 	if b.warmup.exitObserved {
 		return false
--- a/internal/balancer/warmup_credit.go
+++ b/internal/balancer/warmup_credit.go
@@ -16,7 +16,7 @@
 
 // fleetCapacity is the capacity of all healthy workers when it was last computed.
 type fleetCapacity struct {
-	warmEquivalents float64 // in units of the capacity of one warm worker
+	warmEquivalents float64 // total capacity, in units of one warm worker
 	computedAt      Time
 }
 
