--- a/internal/balancer/arrivals.go
+++ b/internal/balancer/arrivals.go
@@ -2,13 +2,13 @@
 
 import "cmp"
 
-// RequestArrived takes a new request under a number that the caller chooses. It may be that of a request that is closed
-// and whose attempts have all ended.
+// RequestArrived adds a new request. The caller chooses its ID, and may reuse the ID of a request that is closed and
+// whose attempts have all ended.
 func (b *Balancer) RequestArrived(id RequestID, arrival Arrival) {
 	arrived := b.requests.reserve(id)
 	op := &b.operations.byID[arrival.Operation]
 	op.longestTimeout = max(op.longestTimeout, arrival.Timeout)
-	sinceFirstTry := op.longestTimeout - arrival.Timeout // a client that retries has less time left
+	sinceFirstTry := op.longestTimeout - arrival.Timeout // a retry has a shorter timeout than the first try
 	*arrived = request{
 		operation:    arrival.Operation,
 		deadline:     b.now.Add(arrival.Timeout - b.config.margin),
@@ -17,11 +17,11 @@
 		latestStart:  b.now.Add(op.latencyObjective - sinceFirstTry),
 		quotaWeight:  b.quotaWeight(arrival.Tenant),
 	}
-	arrived.size = cmp.Or(b.observeSize(arrival.size()), Work(op.meanRun)) // without any hints, what was seen to run
+	arrived.size = cmp.Or(b.observeSize(arrival.size()), Work(op.meanRun)) // without size hints, the mean observed run
 	arrived.late = b.now > arrived.latestStart
-	arrived.latestWaitedStart = b.latestWaitedStart(op, arrived.latestStart)
-	arrived.interval = b.sizes.Of(arrived.size)
-	if !arrived.late { // a client that retries asks for nothing more than it did
+	arrived.startWaitDeadline = b.startWaitDeadline(op, arrived.latestStart)
+	arrived.interval = b.sizes.IntervalOf(arrived.size)
+	if !arrived.late { // a retry by the client adds no new demand
 		b.warmup.firstTries++
 	}
 	b.loadProbes.arrivals++
@@ -29,13 +29,13 @@
 	b.requests.addOpen(id)
 	b.enqueue(id)
 	b.due.capacityChanged = true
-	b.due.reviewBy(min(b.now.Add(b.config.patience), arrived.deadline))
+	b.due.reviewBy(min(b.now.Add(b.config.startTimeout), arrived.deadline))
 }
 
-// latestWaitedStart returns until when a request waits for its start: as long as that may keep the latency objective.
-// Where nothing shows which workers have a free slot, that none seems to have one says little. A client that retries
-// waits as long as one that comes first then, if a late answer earns something.
-func (b *Balancer) latestWaitedStart(op *operation, latestStart Time) Time {
+// startWaitDeadline returns the latest time until which a request waits for its start, usually the latest start that
+// may keep the latency objective. If neither gossip nor load reports show free slots, a worker that appears to be full
+// may still have one. Then a client's retry waits as long as a first try does, provided that a late answer has value.
+func (b *Balancer) startWaitDeadline(op *operation, latestStart Time) Time {
 	freeSlotsKnown := b.config.gossip || b.config.reportFree != NotReported
 	if op.lateShare > 0 && !freeSlotsKnown {
 		return max(latestStart, b.now.Add(op.latencyObjective))
@@ -45,11 +45,11 @@
 
 // quotaWeight counts a request of a tenant that arrives now, and returns its weight: see package quota.
 func (b *Balancer) quotaWeight(id TenantID) float64 {
-	return b.tenants.Weigh(int(id), b.now, b.config.overQuotaShare)
+	return b.tenants.RecordRequest(int(id), b.now, b.config.overQuotaShare)
 }
 
-// observeSize takes in the hinted size of a request. It returns the size to reckon with: the median where there is no
-// hint, which is 0 before the first hints.
+// observeSize records the hinted size of a request and returns the size to assume for it. Without a hint, that is the
+// median, which is 0 before the first hints.
 func (b *Balancer) observeSize(hinted Work) Work {
 	if hinted <= 0 {
 		return b.sizes.Median()
@@ -60,7 +60,7 @@
 	return hinted
 }
 
-// updateCutPoints renews the size intervals and what depends on them.
+// updateCutPoints recomputes the size intervals and the state that depends on them.
 func (b *Balancer) updateCutPoints() {
 	b.sizes.Update()
 	b.gossip.setResendInterval(b.sizes.SampleTotal(), len(b.sizes.Sample()))
--- a/internal/balancer/arrivals_test.go
+++ b/internal/balancer/arrivals_test.go
@@ -19,9 +19,9 @@
 		return weight
 	}
 	assert.EqualValues(t, 1, weightOfLast(unlimitedTenant, 1000, 1), "no quota")
-	assert.EqualValues(t, 1, weightOfLast(twentyRPSTenant, 200, Second/10), "ten a second are its quota at one dispatcher")
+	assert.EqualValues(t, 1, weightOfLast(twentyRPSTenant, 200, Second/10), "ten RPS are the quota at one dispatcher")
 	assert.InDelta(t, 0.1+0.9*1.5/4, weightOfLast(twentyRPSTenant, 400, Second/40), 0.02, "four times the quota")
-	assert.EqualValues(t, 1, weightOfLast(fifthOfRPSTenant, 4, Second), "beyond the quota, but so few may be chance")
+	assert.EqualValues(t, 1, weightOfLast(fifthOfRPSTenant, 4, Second), "too few requests to detect overuse")
 }
 
 func TestIntervalsHoldEqualWork(t *testing.T) {
@@ -30,7 +30,7 @@
 	for n := range arrivals {
 		balancer.observeSize(Work(1 + n*7%arrivals))
 		if n < sizeinterval.MinSample-1 {
-			assert.Empty(t, balancer.sizes.CutPoints(), "one interval until there are enough hints")
+			assert.Empty(t, balancer.sizes.CutPoints(), "sizes are not divided until there are enough hints")
 		}
 	}
 	balancer.updateCutPoints()
@@ -52,7 +52,7 @@
 	for range 3 * sizeinterval.MaxSample {
 		balancer.observeSize(small)
 	}
-	for range sizeinterval.MaxSample { // so many displace all earlier ones
+	for range sizeinterval.MaxSample { // enough to displace all earlier sizes
 		balancer.observeSize(large)
 	}
 	assert.Len(t, balancer.sizes.Sample(), sizeinterval.MaxSample)
--- a/internal/balancer/attempt_events.go
+++ b/internal/balancer/attempt_events.go
@@ -2,8 +2,8 @@
 
 import "canvasroute/internal/balancer/slotestimate"
 
-// AttemptStarted notes that a worker has started an attempt. It changes nothing where workers give no such notice: the
-// attempt was never counted as unstarted, and to count it as started would exclude its worker for good.
+// AttemptStarted records that a worker has started an attempt. It has no effect if start notices are not configured:
+// the attempt was never counted as unstarted, so counting it as started would exclude its worker permanently.
 func (b *Balancer) AttemptStarted(id RequestID, number int) {
 	started := &b.requests.get(id).attempts[number]
 	if !b.config.startNotices || !started.inFlight || started.startedAt != notYet {
@@ -15,18 +15,18 @@
 	b.recordZoneSuccess(started.worker)
 	b.recordResponse(started)
 	b.subsetting.markMaybeFree(started.worker)
-	b.observeQueueing(started.worker, b.load(started.worker), b.startOf(started))
+	b.observeQueueing(started.worker, b.load(started.worker), b.classifyStart(started))
 }
 
-// startOf returns whether an attempt that starts now found a free slot.
-func (b *Balancer) startOf(started *attempt) slotestimate.Start {
-	if b.queueingTime(started) < b.config.patience {
+// classifyStart returns whether an attempt that starts now found a free slot.
+func (b *Balancer) classifyStart(started *attempt) slotestimate.Start {
+	if b.queueingTime(started) < b.config.startTimeout {
 		return slotestimate.AtOnce
 	}
 	return slotestimate.Waited
 }
 
-// AttemptEnded takes the outcome of an attempt, and whether its result is the answer of the request.
+// AttemptEnded records the outcome of an attempt. answer is FinalAnswer if the attempt's result is sent to the client.
 func (b *Balancer) AttemptEnded(id RequestID, number int, outcome Outcome, answer Answer) {
 	req := b.requests.get(id)
 	ended := &req.attempts[number]
@@ -51,18 +51,19 @@
 	}
 }
 
-// observeOutcome notes what an outcome shows of the worker. The other outcomes show nothing. A timeout or a cancellation
-// may be due to the request, and a reused connection may end while its worker is well.
+// observeOutcome updates the state of the worker from an outcome. Other outcomes are ignored because they show nothing
+// about the worker: a timeout or a cancellation may be due to the request, and a reused connection may close although
+// its worker is healthy.
 func (b *Balancer) observeOutcome(req *request, ended *attempt, outcome Outcome) {
 	switch outcome {
 	case Succeeded:
 		b.workers[ended.worker].health.RecordSuccess()
 		b.recordZoneSuccess(ended.worker)
 		b.recordResponse(ended)
-		b.observeSuccess(ended.worker, req, ended.ranFor(b.now))
+		b.observeSuccess(ended.worker, req, ended.runDuration(b.now))
 	case Overloaded:
 		b.recordResponse(ended)
-		loadBefore := b.load(ended.worker) + 1 // with the attempt that was rejected
+		loadBefore := b.load(ended.worker) + 1 // including the rejected attempt
 		b.observeQueueing(ended.worker, loadBefore, slotestimate.Waited)
 		b.backOff(ended.worker, b.overloadBackoff(ended.worker, req.operation))
 	case WorkerError, NoConnection, ConnectionRefused, ConnectionReset:
@@ -70,6 +71,6 @@
 	}
 }
 
-// ClientLeft closes a request whose client has gone. streaming is the number of an attempt whose response is being
-// streamed and which therefore stays in flight, or NoAttempt.
+// ClientLeft closes a request whose client has disconnected. streaming is the number of the attempt whose response is
+// being streamed and which therefore stays in flight, or NoAttempt.
 func (b *Balancer) ClientLeft(id RequestID, streaming int) { b.closeRequestExcept(id, streaming) }
--- a/internal/balancer/attempt_events_test.go
+++ b/internal/balancer/attempt_events_test.go
@@ -6,8 +6,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// Regression test for workers that send start notices which the configuration does not announce. Each was sent one
-// attempt, and then seemed to have an unstarted one for good.
+// Guards against start notices that the configuration does not announce. After one attempt each worker appeared to have
+// an unstarted attempt permanently, and was sent no more.
 func TestUnannouncedStartNoticesExcludeNoWorker(t *testing.T) {
 	config := testConfig
 	config.Attempts.StartNotices = false
@@ -23,8 +23,7 @@
 	assert.Equal(t, []string{"attempt 0 to 0", "attempt 0 to 0", "attempt 0 to 0"}, effects.lines[len(effects.lines)-3:])
 }
 
-// Regression test for a second start notice of one attempt: it would count another attempt, which still waits, as
-// started.
+// Guards against counting a repeated start notice: it would count another attempt that is still unstarted as started.
 func TestSecondStartNoticeChangesNothing(t *testing.T) {
 	balancer, _ := newWarmBalancer(1, 1)
 	for id := range RequestID(2) {
--- a/internal/balancer/config.go
+++ b/internal/balancer/config.go
@@ -1,13 +1,13 @@
 package balancer
 
-// Config is the configuration of one dispatcher. New derives its figures from it and keeps no reference to it.
+// Config is the configuration of one dispatcher. New copies the settings that it needs and keeps no reference to it.
 type Config struct {
-	Dispatchers int    // of the fleet, this one included; from 1
-	Position    int    // of this dispatcher among them, from 0
+	Dispatchers int    // number of dispatchers in the fleet, including this one; at least 1
+	Position    int    // index of this dispatcher, from 0
 	Zone        ZoneID // of this dispatcher
-	Kinds       int    // of workers, from 1
+	Kinds       int    // number of kinds of worker, at least 1
 
-	// Granularity is how late the platform's scheduling may make anything, in ticks.
+	// Granularity is the maximum delay that the platform's scheduling adds to any event, in ticks.
 	Granularity Duration
 
 	Operations  []OperationConfig // at least one
@@ -23,18 +23,18 @@
 
 // OperationConfig is the configuration of one operation.
 type OperationConfig struct {
-	Name             string   // by which other configurations know it
-	LatencyObjective Duration // an answer is late after it
-	DedupWindow      Duration // how long workers remember the key of a request; 0 if they do not
-	Value            float64  // of an answer in time
-	LateShare        float64  // share of the value that a late answer earns, 0 to 1
-	Stretch          float64  // the objective grows by this many times the size, the run itself included; up to 1 it does not
+	Name             string   // identifies it across configurations
+	LatencyObjective Duration // an answer that takes longer is late
+	DedupWindow      Duration // duration for which workers remember the key of a request; 0 if they do not
+	Value            float64  // of an answer that meets the objective
+	LateShare        float64  // share of the value that a late answer has, 0 to 1
+	Stretch          float64  // the objective grows by this multiple of the size, including the run; no growth up to 1
 	Idempotency      Idempotency
 	DedupScope       DedupScope
-	Kind             KindID // the one kind of worker that runs it, or AnyKind
+	Kind             KindID // the kind of worker that runs it, or AnyKind
 }
 
-// QuotaConfig is what is known of tenants and their usage.
+// QuotaConfig configures tenants and their quotas.
 type QuotaConfig struct {
 	Tenants         []TenantConfig // at least one
 	OverQuotaWeight float64        // weight of a request beyond its tenant's quota, 0 to 1
@@ -42,57 +42,57 @@
 
 // TenantConfig is the configuration of one tenant.
 type TenantConfig struct {
-	Quota float64 // requests a second, over all dispatchers, that count in full; infinite for no quota
-	Name  string  // by which other configurations know it
+	Quota float64 // requests per second over all dispatchers that have full weight; infinite for no quota
+	Name  string  // identifies it across configurations
 }
 
-// AttemptConfig is what the platform permits and reports of attempts.
+// AttemptConfig is what the platform permits and reports about attempts.
 type AttemptConfig struct {
-	Max             int  // attempts of one request, from 1; with 0 nothing is ever sent
-	Cancellation    bool // attempts that are in flight may be cancelled
+	Max             int  // attempts per request, at least 1; with 0 no attempt is ever sent
+	Cancellation    bool // attempts in flight may be canceled
 	Hedging         bool // a request may have several attempts in flight
-	StartNotices    bool // workers report that they have started an attempt
-	DeliveryNotices bool // the caller reports that a worker has received an attempt
+	StartNotices    bool // workers report the start of each attempt
+	DeliveryNotices bool // the caller reports when a worker has received an attempt
 }
 
-// RejectionConfig is what rejected clients are told.
+// RejectionConfig configures the responses to rejected clients.
 type RejectionConfig struct {
-	RetryAfter    bool     // they get advice when to retry
-	MaxRetryAfter Duration // the longest advice; 0 for none
+	RetryAfter    bool     // rejections have a Retry-After
+	MaxRetryAfter Duration // the longest Retry-After; 0 for none
 }
 
-// ObjectiveConfig is what the dispatchers are to maximize.
+// ObjectiveConfig is the objective function that the dispatchers maximize.
 type ObjectiveConfig struct {
 	ValuePerRequest      float64 // 1 if value is billed by request, 0 if by unit of work
-	WorstOperationWeight float64 // weight of the operation that loses most, against that of all; 0 for none
-	CrossZoneCost        float64 // price of an attempt in another zone; 0 if it costs nothing
+	WorstOperationWeight float64 // weight of the operation with the largest loss relative to all operations; 0 for none
+	CrossZoneCost        float64 // cost of an attempt in another zone; 0 if it is free
 }
 
-// WarmupConfig is how workers warm up, and what a warming one bears.
+// WarmupConfig describes how workers warm up, and how much load a warming worker can take.
 type WarmupConfig struct {
-	Duration       Duration // until a worker that has started is warm; 0 if workers are warm at once
-	InitialShare   float64  // of its capacity that a worker has as it starts, 0 to 1
-	Window         Duration // over which the work sent to a warming worker is added up
-	OverloadFactor float64  // a warming worker breaks down at this many times its capacity within the window
+	Duration       Duration // time from a worker's start until it is warm; 0 if workers are warm immediately
+	InitialShare   float64  // share of its capacity that a worker has when it starts, 0 to 1
+	Window         Duration // period over which the work sent to a warming worker is summed
+	OverloadFactor float64  // multiple of its capacity within the window at which a warming worker breaks down
 }
 
-// GossipConfig is whether dispatchers exchange what they have in flight.
+// GossipConfig configures the exchange of in-flight counts between dispatchers.
 type GossipConfig struct {
 	Enabled     bool
-	MessageCost float64 // price of a message to a peer, in values of a request; 0 if it costs nothing
+	MessageCost float64 // cost of a message to a peer, in units of the value of a request; 0 if it is free
 }
 
-// DiscoveryConfig is how the endpoint list comes.
+// DiscoveryConfig configures how the endpoint list is obtained.
 type DiscoveryConfig struct {
-	Poll            bool     // the list is polled; otherwise it comes by itself
-	MaxPollInterval Duration // longest time without a poll that the platform allows
-	ChangeDeadline  Duration // every dispatcher is expected to know a change so long after it; 0 for no such deadline
+	Poll            bool     // the list is polled; otherwise it is pushed
+	MaxPollInterval Duration // longest poll interval that the platform allows
+	ChangeDeadline  Duration // time within which every dispatcher is expected to learn of a change; 0 for no deadline
 }
 
-// LoadReportConfig is what workers report of their load, and when.
+// LoadReportConfig describes the load reports of workers: their contents, and when they are sent.
 type LoadReportConfig struct {
 	Probes    bool // workers may be probed
-	OnProbe   bool // a report comes as the answer to a probe
+	OnProbe   bool // a report is returned in response to a probe
 	InFlight  ReportIndex
 	Queue     ReportIndex
 	FreeSlots ReportIndex
--- a/internal/balancer/derived_config.go
+++ b/internal/balancer/derived_config.go
@@ -6,53 +6,53 @@
 )
 
 const (
-	// marginGranules is how many scheduling granules of the platform are kept before a deadline, in addition to one
-	// millisecond.
+	// marginGranules is the safety margin before a deadline in multiples of the platform's scheduling granularity, in
+	// addition to one millisecond.
 	marginGranules = 2
-	// worstOperationShare is the part of its weight in the goal that the operation with the largest loss gets. Losses
-	// come in bursts, and one burst must not decide for long.
+	// worstOperationShare is the part of its weight in the objective that the operation with the largest loss gets. Losses
+	// occur in bursts, and one burst must not dominate priorities for long.
 	worstOperationShare = 0.5
 )
 
-// patienceShare is the share of the shortest latency objective for which an attempt may stay unstarted.
-var patienceShare = tick.Ratio{Numerator: 1, Denominator: 10}
+// startTimeoutShare is the share of the shortest latency objective for which an attempt may stay unstarted.
+var startTimeoutShare = tick.Ratio{Numerator: 1, Denominator: 10}
 
-// derivedConfig are the figures that New derives from a Config. They change only in Reconfigure.
+// derivedConfig holds the settings that New derives from a Config. Only Reconfigure changes them.
 type derivedConfig struct {
-	// Which dispatcher this is, and how large the fleet is.
+	// Identity of this dispatcher, and size of the fleet.
 	zone                 ZoneID
-	position             int     // its number among the dispatchers, from 0
-	dispatchers          int     // how many there are, this one included
-	dispatcherShare      float64 // one dispatcher's share of a quota
-	dispatchersPerWorker int     // dispatchers that have the same worker in their subset
-
-	// What the platform can do.
-	pollEndpoints   bool // the endpoint list comes by polling
-	cancellation    bool // attempts may be canceled
+	position             int     // index of this dispatcher, from 0
+	dispatchers          int     // number of dispatchers, including this one
+	dispatcherShare      float64 // share of a quota that one dispatcher has
+	dispatchersPerWorker int     // number of dispatchers that have the same worker in their subset
+
+	// Capabilities of the platform.
+	pollEndpoints   bool // the endpoint list is polled
+	cancellation    bool // attempts in flight may be canceled
 	hedging         bool // a request may have several attempts in flight
 	startNotices    bool // workers report the start of an attempt
-	deliveryNotices bool // the network reports that a worker has received an attempt
-	gossip          bool // peers exchange what they have in flight
-	probes          bool // load reports come as answers to probes
+	deliveryNotices bool // the caller reports when a worker has received an attempt
+	gossip          bool // peers exchange their in-flight counts
+	probes          bool // load reports are returned in response to probes
 	reportInFlight  ReportIndex
 	reportQueue     ReportIndex
 	reportFree      ReportIndex
 
-	// Limits, prices and weights.
+	// Limits, costs and weights.
 	maxAttempts          int
-	patience             Duration // how long an attempt may stay unstarted; also the longest time between two reviews
-	margin               Duration // kept before deadlines
+	startTimeout         Duration // how long an attempt may stay unstarted; also the review interval at most
+	margin               Duration // safety margin before deadlines
 	overQuotaShare       float64  // weight of a request beyond its tenant's quota
-	crossZoneCost        float64  // price of an attempt in another zone
-	worstOperationWeight float64  // what the operation that loses most adds to its value
+	crossZoneCost        float64  // cost of an attempt in another zone
+	worstOperationWeight float64  // added to the value of the operation with the largest loss
 	valuePerRequest      float64  // 1 if value is billed by request, 0 if by unit of work
-	meanObjective        float64  // mean latency objective of the operations, in ticks: stands for the work of a request
+	meanObjective        float64  // mean latency objective of the operations, in ticks: estimates the work of a request
 
 	// Warm-up of workers.
-	initialWarmup  float64 // share of its capacity that a worker has as it starts
-	overloadFactor float64 // a worker breaks when it gets this many times its current capacity
+	initialWarmup  float64 // share of its capacity that a worker has when it starts
+	overloadFactor float64 // a worker breaks down when it is sent this multiple of its current capacity
 	warmupDuration Duration
-	warmupWindow   Duration // over which the work sent to a warming worker is added up
+	warmupWindow   Duration // period over which the work sent to a warming worker is summed
 
 	// Polling of the endpoint list.
 	polling polling.Config
@@ -77,7 +77,7 @@
 		reportFree:      config.LoadReports.FreeSlots,
 
 		maxAttempts:          config.Attempts.Max,
-		patience:             forever,
+		startTimeout:         forever,
 		margin:               marginGranules*config.Granularity + tick.Millisecond,
 		overQuotaShare:       config.Quotas.OverQuotaWeight,
 		crossZoneCost:        config.Objective.CrossZoneCost,
@@ -99,14 +99,14 @@
 	}
 	derived.dispatchersPerWorker = dispatchersPerWorker(config, derived.gossip)
 	for _, op := range config.Operations {
-		derived.patience = min(derived.patience, patienceShare.Of(op.LatencyObjective))
+		derived.startTimeout = min(derived.startTimeout, startTimeoutShare.Of(op.LatencyObjective))
 		derived.meanObjective += max(float64(op.LatencyObjective), 1) / float64(len(config.Operations))
 	}
 	return derived
 }
 
-// dispatchersPerWorker returns how many dispatchers use the same worker: all, unless that many messages about each
-// attempt would cost more than they are worth.
+// dispatchersPerWorker returns the number of dispatchers that use the same worker: all of them, unless gossip messages
+// to all of them about each attempt would cost more than they are worth.
 func dispatchersPerWorker(config Config, gossiping bool) int {
 	if !gossiping || config.Gossip.MessageCost <= 0 {
 		return config.Dispatchers
@@ -115,14 +115,14 @@
 	return min(max(affordable, 1), config.Dispatchers)
 }
 
-// initialDeliveryTime returns the time that attempts are taken to need to a zone before any was seen to.
+// initialDeliveryTime returns the assumed delivery time of attempts to a zone before any delivery has been observed.
 func (c *derivedConfig) initialDeliveryTime() Duration {
 	return Duration(c.meanObjective / deliveryMargin)
 }
 
-// keepStartupFigures copies from the configuration of the start what a later one cannot change. That is who this
-// dispatcher is, how it gets the endpoint list, and what workers and the network report.
-func (c *derivedConfig) keepStartupFigures(startup *derivedConfig) {
+// keepStartupSettings copies the settings that cannot change after the start: the identity of this dispatcher, how it
+// gets the endpoint list, and what workers and the network report.
+func (c *derivedConfig) keepStartupSettings(startup *derivedConfig) {
 	c.zone = startup.zone
 	c.polling.AwaitFirstPoll = startup.polling.AwaitFirstPoll
 	c.pollEndpoints = startup.pollEndpoints
--- a/internal/balancer/ejection.go
+++ b/internal/balancer/ejection.go
@@ -12,7 +12,7 @@
 	if outcome != WorkerError { // a worker that answers shows that its zone can be reached
 		b.recordZoneFailure(failed.worker)
 	}
-	if w.health.RecordFailure(b.now, outcome.failure()) {
+	if w.health.RecordFailure(b.now, outcome.failureKind()) {
 		b.effects.Log(WorkerEjected{Worker: failed.worker, ConsecutiveFailures: w.health.ConsecutiveFailures})
 	}
 }
--- a/internal/balancer/eligibility.go
+++ b/internal/balancer/eligibility.go
@@ -1,120 +1,121 @@
 package balancer
 
-// exclusion is why a worker may not be sent an attempt of a request now.
+// exclusion is the reason why an attempt of a request may not be sent to a worker now.
 type exclusion uint8
 
-// The reasons, grouped by what causes them. exclusionOf has the order in which they are looked at.
+// The reasons, grouped by cause. exclusionOf defines the order in which they are checked.
 const (
 	eligible exclusion = iota
 
-	// The worker does not suit the request.
-	otherZone               // only workers of this dispatcher's zone are looked for
-	zoneEjected             // attempts found nobody in its zone
-	wrongKind               // the operation runs on workers of another kind
-	notWarmingUp            // only workers that warm up are looked for
-	awaitingIdempotentProbe // it failed, and a request that may run again has to try it first
-	tooSlowWhileWarmingUp   // the request would be late there that would be in time at a warm worker
+	// The worker is not suitable for the request.
+	otherZone               // the search is limited to this dispatcher's zone
+	zoneEjected             // attempts could not connect to the workers of its zone
+	wrongKind               // the operation requires another kind of worker
+	notWarmingUp            // the search is limited to workers that are warming up
+	awaitingIdempotentProbe // it failed, and must be probed by a request that may run again
+	tooSlowWhileWarmingUp   // the request could meet its objective, but not on this worker while it is warming up
 
-	// The worker takes no attempt of any request, or none of a tenant beyond its quota.
-	notHealthy          // it is draining or gone
-	unstartedAttempt    // it has not started an earlier attempt: it is full after all
-	probeInFlight       // it failed, and one attempt that probes it is in flight
-	noFreeSlot          // as many attempts are in flight as it has slots
-	backingOff          // it is ejected, was overloaded, or it is another dispatcher's turn
-	reservedWithinQuota // its last slots are for requests within their tenant's quota
-	aboveMeanLoad       // it has more in flight than others of the subset (STAR)
-	loadUnknown         // it warms up, and its load from other dispatchers is not known here
-	beyondWarmupBudget  // it warms up, and all dispatchers together may send it no more
-	noWarmupCredit      // it warms up, and this dispatcher has earned no attempt there
+	// The worker accepts no attempt of any request, or none of a tenant beyond its quota.
+	notHealthy           // the endpoint list has it as draining or gone
+	unstartedAttempt     // an earlier attempt has not started: the worker is full despite its estimated slots
+	probeInFlight        // it failed, and an attempt that probes it is in flight
+	noFreeSlot           // as many attempts are in flight as it has slots
+	backingOff           // it is ejected, was overloaded, or another dispatcher is to try it first
+	reservedForQuota     // its remaining slots are reserved for requests within their tenant's quota
+	aboveMeanLoad        // it has too many more attempts in flight than the mean of the subset (STAR)
+	loadUnknown          // it is warming up, and its load from other dispatchers is unknown
+	warmupBudgetExceeded // it is warming up, and the budget of all dispatchers is used up
+	noWarmupCredit       // it is warming up, and this dispatcher has no credit for an attempt
 
-	// The request may have no more attempts, or none at this worker.
-	requestClosed    // it has its answer
-	deadlinePassed   // its client gives up
-	attemptLimit     // it has had all its attempts
-	hedgingForbidden // an attempt is in flight, and the platform allows no second one
-	sameWorker       // an attempt is in flight there
-	repeatNotSafe    // an earlier attempt may have run, and the worker would not drop the repeat
+	// The request may have no further attempt, or none on this worker.
+	requestClosed   // it has been answered, or its client has left
+	deadlinePassed  // its deadline has passed
+	attemptLimit    // it has reached its maximum number of attempts
+	hedgingDisabled // an attempt is in flight, and the platform allows only one at a time
+	alreadyOnWorker // an attempt of the request is in flight on the worker
+	unsafeRepeat    // an earlier attempt may have run, and the worker would not deduplicate the repeat
 )
 
-// pickLimits leave workers out of a search.
-type pickLimits struct {
-	sameZone       bool // all but those of this dispatcher's zone
-	onlyWithCredit bool // all but those that warm up and have earned an attempt
+// workerFilter restricts a search to some workers.
+type workerFilter struct {
+	sameZone       bool // only workers of this dispatcher's zone
+	onlyWithCredit bool // only workers that are warming up and for which an attempt is credited
 }
 
-// exclusionOf returns why a worker of a subset may not be sent an attempt of a request now, or eligible. Of several
-// reasons it returns the first. The order matters from slow start on, which earns credit when it is asked.
+// exclusionOf returns why an attempt of a request may not be sent to a worker of a subset now, or eligible. If there
+// are several reasons, it returns the first one. From slowStartExclusion on the order matters, because that check
+// accrues credit when it is called.
 //
-// Workers outside the subset are left out before, and those that maybeFreeWorkers knows to be full. While the endpoint
-// list is from before the start, no worker is looked for at all.
-func (b *Balancer) exclusionOf(req *request, id WorkerID, among *subset, limits pickLimits) exclusion {
-	if why := b.unsuitability(req, id, limits); why != eligible {
-		return why
+// The callers skip workers outside the subset, and those that maybeFreeWorkers has found to be full. While the endpoint
+// list dates from before the start of this process, no worker is searched for at all.
+func (b *Balancer) exclusionOf(req *request, id WorkerID, candidates *subset, filter workerFilter) exclusion {
+	if reason := b.suitabilityExclusion(req, id, filter); reason != eligible {
+		return reason
 	}
-	if why := b.unavailability(id); why != eligible {
-		return why
+	if reason := b.availabilityExclusion(id); reason != eligible {
+		return reason
 	}
-	if float64(b.load(id)) >= slotsWithinQuota(req.quotaWeight, b.estimatedSlots(id)) {
-		return reservedWithinQuota
+	if float64(b.load(id)) >= usableSlots(req.quotaWeight, b.estimatedSlots(id)) {
+		return reservedForQuota
 	}
-	if b.exceedsMeanLoad(among, id) {
+	if b.exceedsMeanLoad(candidates, id) {
 		return aboveMeanLoad
 	}
-	if why := b.slowStartExclusion(id, req.size); why != eligible {
-		return why
+	if reason := b.slowStartExclusion(id, req.size); reason != eligible {
+		return reason
 	}
-	if why := b.attemptExclusion(req, id); why != eligible {
-		return why
+	if reason := b.attemptExclusion(req, id); reason != eligible {
+		return reason
 	}
-	if limits.onlyWithCredit && b.workers[id].warmup.credit.attempts < 1 {
+	if filter.onlyWithCredit && b.workers[id].warmup.credit.attempts < 1 {
 		return noWarmupCredit
 	}
 	return eligible
 }
 
-// unsuitability returns why a worker does not suit a request, whether it takes attempts or not, or eligible.
-func (b *Balancer) unsuitability(req *request, id WorkerID, limits pickLimits) exclusion {
+// suitabilityExclusion returns why a worker is not suitable for a request, regardless of its load, or eligible.
+func (b *Balancer) suitabilityExclusion(req *request, id WorkerID, filter workerFilter) exclusion {
 	w := &b.workers[id]
 	op := &b.operations.byID[req.operation]
 	switch {
-	case limits.sameZone && w.zone != b.config.zone:
+	case filter.sameZone && w.zone != b.config.zone:
 		return otherZone
 	case b.zones[w.zone].health.Ejected(b.now):
 		return zoneEjected
 	case op.kind != AnyKind && op.kind != w.kind:
 		return wrongKind
-	case limits.onlyWithCredit && b.warmupFactor(id) >= 1:
+	case filter.onlyWithCredit && b.warmupFactor(id) >= 1:
 		return notWarmingUp
 	case op.idempotency == NonIdempotent && !w.health.AcceptsNonIdempotent(b.now):
 		return awaitingIdempotentProbe
-	case b.lateOnlyByWarmup(req, op, id):
+	case b.missesObjectiveDueToWarmup(req, op, id):
 		return tooSlowWhileWarmingUp
 	}
 	return eligible
 }
 
-// lateOnlyByWarmup reports whether a request that could be in time would be late at a worker only because that one is
-// warming up. Without size hints it reports false.
-func (b *Balancer) lateOnlyByWarmup(req *request, op *operation, id WorkerID) bool {
+// missesObjectiveDueToWarmup reports whether a request that could meet its objective would miss it on a worker only
+// because that worker is warming up. Without size hints it reports false.
+func (b *Balancer) missesObjectiveDueToWarmup(req *request, op *operation, id WorkerID) bool {
 	if req.late || b.sizes.Median() == 0 {
 		return false
 	}
-	extraShare := 1/b.warmupFactor(id) - 1 - op.slack // by which the run is longer, as a share of the size
+	extraShare := 1/b.warmupFactor(id) - 1 - op.slack // additional run time, as a share of the size
 	inTime := float64(req.size)*extraShare <= float64(op.latencyObjective)
 	return !inTime
 }
 
-// slotsWithinQuota returns the slots of a worker that a request of some weight may use: all within its tenant's quota,
-// and down to half of them beyond it.
-func slotsWithinQuota(quotaWeight, slots float64) float64 { return (1 + quotaWeight) / 2 * slots }
+// usableSlots returns how many slots of a worker a request may use, depending on its quota weight: all of them within
+// its tenant's quota, and down to half of them beyond it.
+func usableSlots(quotaWeight, slots float64) float64 { return (1 + quotaWeight) / 2 * slots }
 
-// isAvailable reports whether a worker may take an attempt now.
-func (b *Balancer) isAvailable(id WorkerID) bool { return b.unavailability(id) == eligible }
+// isAvailable reports whether a worker accepts an attempt now.
+func (b *Balancer) isAvailable(id WorkerID) bool { return b.availabilityExclusion(id) == eligible }
 
-// unavailability returns why a worker takes no attempt now, or eligible.
-func (b *Balancer) unavailability(id WorkerID) exclusion {
-	if why := b.lastingUnavailability(id); why != eligible {
-		return why
+// availabilityExclusion returns why a worker accepts no attempt now, or eligible.
+func (b *Balancer) availabilityExclusion(id WorkerID) exclusion {
+	if reason := b.persistentExclusion(id); reason != eligible {
+		return reason
 	}
 	w := &b.workers[id]
 	if b.now < max(w.health.ProbeAfter, w.notBefore) {
@@ -123,9 +124,9 @@
 	return eligible
 }
 
-// lastingUnavailability returns why a worker takes no attempt, at whatever time, until something changes about it, or
+// persistentExclusion returns why a worker accepts no attempt until its state changes, however much time passes, or
 // eligible.
-func (b *Balancer) lastingUnavailability(id WorkerID) exclusion {
+func (b *Balancer) persistentExclusion(id WorkerID) exclusion {
 	w := &b.workers[id]
 	switch {
 	case w.state != Healthy:
--- a/internal/balancer/eligibility_test.go
+++ b/internal/balancer/eligibility_test.go
@@ -8,101 +8,101 @@
 
 const exclusionTarget WorkerID = 0
 
-// exclusionCases has, by description, a change after which a worker is passed over, and the reason.
+// exclusionCases lists, by description, a change that excludes a worker, and the expected reason.
 var exclusionCases = map[string]struct {
-	change func(b *Balancer, req *request, limits *pickLimits)
+	change func(b *Balancer, req *request, limits *workerFilter)
 	want   exclusion
 }{
-	"nothing is against it": {func(*Balancer, *request, *pickLimits) {}, eligible},
-	"only workers of another zone are looked for": {func(b *Balancer, _ *request, limits *pickLimits) {
+	"nothing is against it": {func(*Balancer, *request, *workerFilter) {}, eligible},
+	"only workers of another zone are looked for": {func(b *Balancer, _ *request, limits *workerFilter) {
 		b.config.zone = 1
 		limits.sameZone = true
 	}, otherZone},
-	"its zone is ejected": {func(b *Balancer, _ *request, _ *pickLimits) {
+	"its zone is ejected": {func(b *Balancer, _ *request, _ *workerFilter) {
 		b.zones[0].health.EjectedUntil = b.now + 1
 	}, zoneEjected},
-	"the operation runs on another kind": {func(b *Balancer, req *request, _ *pickLimits) {
+	"the operation runs on another kind": {func(b *Balancer, req *request, _ *workerFilter) {
 		b.operations.byID[req.operation].kind = 1
 	}, wrongKind},
-	"only warming workers are looked for": {func(_ *Balancer, _ *request, limits *pickLimits) {
+	"only warming workers are looked for": {func(_ *Balancer, _ *request, limits *workerFilter) {
 		limits.onlyWithCredit = true
 	}, notWarmingUp},
-	"an attempt that failed there may have run": {func(b *Balancer, req *request, _ *pickLimits) {
+	"an attempt that failed there may have run": {func(b *Balancer, req *request, _ *workerFilter) {
 		req.operation = nonIdempotentOp
 		b.workers[exclusionTarget].health.ConsecutiveFailures = 1
 		b.workers[exclusionTarget].health.PossiblyExecuted = true
 		b.workers[exclusionTarget].health.ProbeAfter = b.now
 	}, awaitingIdempotentProbe},
-	"it is slow as it warms up": {func(b *Balancer, req *request, _ *pickLimits) {
+	"it is slow as it warms up": {func(b *Balancer, req *request, _ *workerFilter) {
 		setSizes(b, Second)
 		req.size = Second
 		b.workers[exclusionTarget].warmup.startedAt = b.now
 	}, tooSlowWhileWarmingUp},
-	"its last slots are for others": {func(b *Balancer, req *request, _ *pickLimits) {
+	"its last slots are for others": {func(b *Balancer, req *request, _ *workerFilter) {
 		req.quotaWeight = 0
 		b.slots.kinds[0].Estimate = 4
 		b.addInFlight(exclusionTarget, 2)
-	}, reservedWithinQuota},
-	"it drains": {func(b *Balancer, _ *request, _ *pickLimits) {
+	}, reservedForQuota},
+	"it drains": {func(b *Balancer, _ *request, _ *workerFilter) {
 		b.workers[exclusionTarget].state = Draining
 	}, notHealthy},
-	"an earlier attempt has not started": {func(b *Balancer, _ *request, _ *pickLimits) {
+	"an earlier attempt has not started": {func(b *Balancer, _ *request, _ *workerFilter) {
 		b.workers[exclusionTarget].unstarted = 1
 	}, unstartedAttempt},
-	"its probe is in flight": {func(b *Balancer, _ *request, _ *pickLimits) {
+	"its probe is in flight": {func(b *Balancer, _ *request, _ *workerFilter) {
 		b.workers[exclusionTarget].health.ConsecutiveFailures = 1
 		b.addInFlight(exclusionTarget, 1)
 	}, probeInFlight},
-	"its slots are taken": {func(b *Balancer, _ *request, _ *pickLimits) {
+	"its slots are taken": {func(b *Balancer, _ *request, _ *workerFilter) {
 		b.slots.kinds[0].Estimate = 1.4
 		b.addInFlight(exclusionTarget, 1)
 	}, noFreeSlot},
-	"it is ejected": {func(b *Balancer, _ *request, _ *pickLimits) {
+	"it is ejected": {func(b *Balancer, _ *request, _ *workerFilter) {
 		b.workers[exclusionTarget].health.ProbeAfter = b.now + 1
 	}, backingOff},
-	"another dispatcher tries it first": {func(b *Balancer, _ *request, _ *pickLimits) {
+	"another dispatcher tries it first": {func(b *Balancer, _ *request, _ *workerFilter) {
 		b.workers[exclusionTarget].notBefore = b.now + 1
 	}, backingOff},
-	"it has far more than the mean in flight": {func(b *Balancer, _ *request, _ *pickLimits) {
+	"it has far more than the mean in flight": {func(b *Balancer, _ *request, _ *workerFilter) {
 		b.addInFlight(exclusionTarget, 4)
 	}, aboveMeanLoad},
-	"it warms up and has its budget": {func(b *Balancer, req *request, _ *pickLimits) {
+	"it warms up and has its budget": {func(b *Balancer, req *request, _ *workerFilter) {
 		b.config.meanObjective = 1
 		b.workers[exclusionTarget].warmup.startedAt = b.now
 		req.size = 10 * Second
-	}, beyondWarmupBudget},
-	"it warms up and this dispatcher has earned nothing": {func(b *Balancer, _ *request, _ *pickLimits) {
+	}, warmupBudgetExceeded},
+	"it warms up and this dispatcher has earned nothing": {func(b *Balancer, _ *request, _ *workerFilter) {
 		b.config.dispatchers = 1000
 		b.workers[exclusionTarget].warmup.startedAt = b.now
 	}, noWarmupCredit},
-	"it warms up and its load is unknown": {func(b *Balancer, _ *request, _ *pickLimits) {
+	"it warms up and its load is unknown": {func(b *Balancer, _ *request, _ *workerFilter) {
 		b.config.gossip = true
 		b.workers[exclusionTarget].warmup.startedAt = b.now
 		b.subsetting.subsets[allIntervals].positions[exclusionTarget] = notInSubset
 	}, loadUnknown},
-	"the request is closed": {func(_ *Balancer, req *request, _ *pickLimits) {
+	"the request is closed": {func(_ *Balancer, req *request, _ *workerFilter) {
 		req.closed = true
 	}, requestClosed},
-	"its client gives up": {func(b *Balancer, req *request, _ *pickLimits) {
+	"its client gives up": {func(b *Balancer, req *request, _ *workerFilter) {
 		req.deadline = b.now
 	}, deadlinePassed},
-	"it has had its attempts": {func(_ *Balancer, req *request, _ *pickLimits) {
+	"it has had its attempts": {func(_ *Balancer, req *request, _ *workerFilter) {
 		req.attemptLimit = 0
 	}, attemptLimit},
-	"a second attempt is forbidden": {func(b *Balancer, req *request, _ *pickLimits) {
+	"a second attempt is forbidden": {func(b *Balancer, req *request, _ *workerFilter) {
 		b.config.hedging = false
 		req.inFlight = 1
-	}, hedgingForbidden},
-	"an attempt is in flight there": {func(_ *Balancer, req *request, _ *pickLimits) {
+	}, hedgingDisabled},
+	"an attempt is in flight there": {func(_ *Balancer, req *request, _ *workerFilter) {
 		req.attempts = []attempt{{worker: exclusionTarget, inFlight: true}}
-	}, sameWorker},
-	"an earlier attempt may have run": {func(_ *Balancer, req *request, _ *pickLimits) {
+	}, alreadyOnWorker},
+	"an earlier attempt may have run": {func(_ *Balancer, req *request, _ *workerFilter) {
 		req.operation = nonIdempotentOp
 		req.attempts = []attempt{{worker: 2, mayHaveRun: true}}
-	}, repeatNotSafe},
+	}, unsafeRepeat},
 }
 
-// TestExclusions has a case for each reason for which a worker is passed over. Without the change of the case the worker
+// TestExclusions has a case for each reason for which a worker is excluded. Without the change of the case the worker
 // is eligible.
 func TestExclusions(t *testing.T) {
 	for name, c := range exclusionCases {
@@ -110,10 +110,10 @@
 			balancer, _ := newWarmBalancer(4, 1)
 			req := newPickableRequest(allIntervals)
 			req.size = 1
-			var limits pickLimits
-			c.change(balancer, req, &limits)
-			among := &balancer.subsetting.subsets[wholeRing]
-			assert.Equal(t, c.want, balancer.exclusionOf(req, exclusionTarget, among, limits))
+			var filter workerFilter
+			c.change(balancer, req, &filter)
+			candidates := &balancer.subsetting.subsets[wholeRing]
+			assert.Equal(t, c.want, balancer.exclusionOf(req, exclusionTarget, candidates, filter))
 		})
 	}
 }
--- a/internal/balancer/fleet_restart.go
+++ b/internal/balancer/fleet_restart.go
@@ -27,7 +27,7 @@
 func (b *Balancer) delayWarmingWorkers(before Time) {
 	for n := range b.workers {
 		w := &b.workers[n]
-		startedBefore := w.warmup.startedAt != LongAgo && w.warmup.startedAt < before
+		startedBefore := w.warmup.startedAt != DistantPast && w.warmup.startedAt < before
 		if startedBefore && b.warmupFactor(WorkerID(n)) < 1 {
 			w.notBefore = max(w.notBefore, before.Add(b.config.warmupWindow))
 			b.due.reviewBy(w.notBefore)
--- a/internal/balancer/gossip.go
+++ b/internal/balancer/gossip.go
@@ -133,8 +133,8 @@
 	sharers := max(w.gossip.peers.count(), 1)
 	rotation := int(b.now / Second) // so that it is not always the same dispatcher that comes last
 	rank := (b.config.position + rotation) % sharers
-	// A peer has heard of the attempt before its own within half of the patience.
-	w.notBefore = b.now.Add(Duration(rank) * b.config.patience / 2)
+	// A peer has heard of the attempt before its own within half of the start timeout.
+	w.notBefore = b.now.Add(Duration(rank) * b.config.startTimeout / 2)
 	b.due.reviewBy(w.notBefore)
 }
 
--- a/internal/balancer/hedging.go
+++ b/internal/balancer/hedging.go
@@ -1,13 +1,13 @@
 package balancer
 
-// maxHedgeLoadShare is the share of a worker's slots that may be taken where a hedged request is sent. A second attempt
-// must not take the place of a first one.
+// maxHedgeLoadShare is the share of a worker's slots that may be in use if it is to receive a hedged attempt. A second
+// attempt must not take the slot of a first one.
 const maxHedgeLoadShare = 0.5
 
-// shouldHedge reports whether the only attempt of a request has run for longer than the time that is left to its
-// deadline. Its worker is slow then, or will not answer any more. Any earlier, hedging would mostly duplicate healthy
-// work: hints are rough, and many requests that run for four times their hint are just large. It needs workers that
-// report starts; reviewRequest asks only while no request is pending.
+// shouldHedge reports whether the only attempt of a request has run for longer than the time left until its deadline.
+// Its worker is then slow or will not respond. Hedging earlier would mostly duplicate healthy work: hints are rough,
+// and many requests that run for four times their hint are merely large. It requires workers that report starts.
+// reviewRequest calls it only if no request is pending.
 func (b *Balancer) shouldHedge(req *request) bool {
 	if req.inFlight != 1 {
 		return false
@@ -19,8 +19,8 @@
 	return b.now.Sub(latest.startedAt) > req.deadline.Sub(b.now)
 }
 
-// hedge sends a second attempt, if the next worker in turn is known to have slots to spare. Its load must be known, so
-// without gossip there is no hedging.
+// hedge sends a second attempt if the next worker in round-robin order is known to have enough free slots. That
+// worker's load must be known, so without gossip there is no hedging.
 func (b *Balancer) hedge(id RequestID) {
 	target, ok := b.pickWorker(b.requests.get(id))
 	if !ok || !b.hearsLoadOf(target) {
--- a/internal/balancer/hedging_test.go
+++ b/internal/balancer/hedging_test.go
@@ -6,14 +6,14 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// Regression test for a worker that reports a start and then nothing more, for as long as the client waits.
-func TestLongRunIsHedgedWhereAWorkerHasFreeSlots(t *testing.T) {
+// Guards against a worker that reports a start and then never responds, so that the client waits until its deadline.
+func TestLongRunIsHedgedIfAnotherWorkerHasFreeSlots(t *testing.T) {
 	const timeout = 90 * Second
 	for _, c := range []struct {
 		name      string
 		operation OperationID
 		ran       Duration
-		otherLoad int // attempts of peers at the other worker
+		otherLoad int // attempts of peers on the other worker
 		attempts  int
 	}{
 		{name: "more than half of its time", operation: idempotentOp, ran: 50 * Second, attempts: 2},
--- a/internal/balancer/hints.go
+++ b/internal/balancer/hints.go
@@ -1,28 +1,30 @@
 package balancer
 
-// Size hints are rough: clients estimate them, and a request may need several times its hint. Each rule that goes by a
-// hint allows for that by one of these shares.
+// Size hints are rough: clients estimate them, and a request may need several times its hint. Each rule that relies on
+// a hint applies one of these shares as an allowance.
 const (
-	// verifiedPace is the share of its hinted pace at which a success proves that its worker is warm.
+	// verifiedPace is the share of the pace implied by its hint that a successful attempt must reach to prove that its
+	// worker is warm.
 	verifiedPace = 0.7
 
-	// hintConfidence is the share of the wait allowed by a hint that is relied on.
+	// hintConfidence is the share of the waiting time allowed by a hint that is relied on.
 	hintConfidence = 0.5
 
-	// stopConfidence is the share of the time left to a process that ends which a hint may fill. What is cut off then
-	// may have run.
+	// stopConfidence is the share of the time left until the process exits that a request may need according to its hint.
+	// A request that is interrupted by the exit may have run.
 	stopConfidence = 0.5
 
-	// warmupReserve is the share of a warming worker's budget that is not used where dispatchers divide it. It also
-	// covers slots that are less than a core.
+	// warmupReserve is the share of a warming worker's budget that is left unused if dispatchers divide the budget. It
+	// also covers slots that are smaller than a core.
 	warmupReserve = 0.7
 )
 
 // Weights of a new sample in a running mean.
 const (
 	learningRate     = 0.2
-	slowLearningRate = learningRate / 4 // for figures by which requests are compared: they must not follow single ones
+	slowLearningRate = learningRate / 4 // for statistics that rank requests, which single samples must not change
 )
 
-// sampleWeight returns the weight of a new sample in a mean of some earlier ones: at first each counts alike.
+// sampleWeight returns the weight of a new sample in a running mean of earlier ones. The first samples are weighted
+// equally.
 func sampleWeight(earlier int) float64 { return max(slowLearningRate, 1/float64(1+earlier)) }
--- a/internal/balancer/migration.go
+++ b/internal/balancer/migration.go
@@ -115,17 +115,17 @@
 }
 
 func (b *Balancer) importRequest(id RequestID, migrated MigratedRequest) {
-	number := b.operations.assign(migrated.operation())
+	number := b.operations.findOrAdd(migrated.operation())
 	left := DurationOf(time.Until(migrated.Deadline))
 	imported := b.requests.reserve(id)
 	*imported = request{
 		operation:         number,
 		deadline:          b.now.Add(left - b.config.margin),
 		latestStart:       migrated.LatestStart,
-		latestWaitedStart: b.latestWaitedStart(&b.operations.byID[number], migrated.LatestStart),
+		startWaitDeadline: b.startWaitDeadline(&b.operations.byID[number], migrated.LatestStart),
 		late:              b.now > migrated.LatestStart,
 		size:              migrated.Size,
-		interval:          b.sizes.Of(migrated.Size),
+		interval:          b.sizes.IntervalOf(migrated.Size),
 		quotaWeight:       migrated.QuotaWeight,
 		attemptLimit:      min(migrated.MaxAttempts-migrated.SpentElsewhere, b.config.maxAttempts),
 		attempts:          imported.attempts[:0],
@@ -138,7 +138,7 @@
 		b.enqueue(id)
 	}
 	b.due.capacityChanged = true
-	b.due.reviewBy(min(b.now.Add(b.config.patience), imported.deadline))
+	b.due.reviewBy(min(b.now.Add(b.config.startTimeout), imported.deadline))
 }
 
 func (b *Balancer) importAttempt(req *request, migrated *MigratedAttempt) {
@@ -162,7 +162,7 @@
 
 // operation returns the one that the request arrived with.
 func (m *MigratedRequest) operation() operation {
-	return operation{lateShare: m.LateShare, operationTerms: operationTerms{
+	return operation{lateShare: m.LateShare, operationSettings: operationSettings{
 		name:             m.Name,
 		latencyObjective: m.LatencyObjective,
 		dedupWindow:      m.DedupWindow,
@@ -180,6 +180,6 @@
 func (s *Shards) Import(migrated MigratedRequest) (*RequestHandle, []context.Context) {
 	s.reconfiguring.Lock()
 	defer s.reconfiguring.Unlock()
-	s.updateAll(func(b *Balancer) { b.operations.assign(migrated.operation()) })
+	s.updateAll(func(b *Balancer) { b.operations.findOrAdd(migrated.operation()) })
 	return s.next().Import(migrated)
 }
--- a/internal/balancer/open_requests.go
+++ b/internal/balancer/open_requests.go
@@ -5,51 +5,51 @@
 	"slices"
 )
 
-// request is what is known of a request from its arrival to the outcome of its last attempt.
+// request is the state of a request from its arrival to the outcome of its last attempt.
 type request struct {
 	operation OperationID
 	size      Work
-	interval  int // of sizes, or allIntervals
+	interval  int // size interval, or allIntervals
 
-	closed bool // it has its final answer, or its client has left
-	queued bool // it waits for a worker
-	late   bool // it can no longer keep its objective
+	closed bool // it has been answered, or its client has disconnected
+	queued bool // it is pending: it waits for a worker
+	late   bool // it can no longer meet its objective
 
 	quotaWeight       float64 // 1 within its tenant's quota, less beyond it
-	latestStart       Time    // last start that may keep the latency objective, which grows by the run itself
-	latestWaitedStart Time    // last start that is waited for: see Balancer.latestWaitedStart
-	deadline          Time    // of the final answer
+	latestStart       Time    // latest start that may meet the latency objective, which grows by the run time
+	startWaitDeadline Time    // latest start that the request waits for: see Balancer.startWaitDeadline
+	deadline          Time    // latest time of the final answer
 
-	attemptLimit int // attempts that it may have, the first one included
+	attemptLimit int // maximum number of attempts, including the first one
 	attempts     []attempt
 	inFlight     int // attempts that have not ended
 
-	orderIndex int // its place in requestTable.order
+	orderIndex int // index in requestTable.order
 }
 
-// requestTable owns the requests, by RequestID, and the order in which the open ones arrived. One that is closed leaves
-// a gap in the order, and gaps are removed once they are more than half. So closing costs the same however many requests
-// are open.
+// requestTable holds the requests, by RequestID, and the arrival order of the open ones. Closing a request leaves a gap
+// in the order. Gaps are removed when more than half of the entries are gaps, so the cost of closing a request does not
+// depend on the number of open requests.
 type requestTable struct {
 	byID      []request
-	order     []RequestID // open requests as they arrived, with gaps
+	order     []RequestID // open requests in order of arrival, with gaps
 	openCount int
 }
 
 const (
 	closedGap = RequestID(-1)
-	minGaps   = 64 // fewer are never worth removing
+	minGaps   = 64 // removing fewer is not worth the cost
 )
 
 func (t *requestTable) get(id RequestID) *request { return &t.byID[id] }
 
-// reserve makes room for a request with a number.
+// reserve extends the table if necessary, and returns the entry of the request.
 func (t *requestTable) reserve(id RequestID) *request {
 	t.byID = append(t.byID, make([]request, max(0, int(id)+1-len(t.byID)))...)
 	return &t.byID[id]
 }
 
-// addOpen takes a request into the order, as the latest.
+// addOpen appends a request to the order of open requests.
 func (t *requestTable) addOpen(id RequestID) {
 	if len(t.order) > 2*t.openCount+minGaps {
 		t.removeGaps()
@@ -71,7 +71,7 @@
 	t.openCount--
 }
 
-// newestFirst yields the open requests, the latest arrival first. They may be closed meanwhile.
+// newestFirst yields the open requests in reverse order of arrival. Requests may be closed during the iteration.
 func (t *requestTable) newestFirst() iter.Seq[RequestID] {
 	return func(yield func(RequestID) bool) {
 		for n := len(t.order) - 1; n >= 0; n-- {
@@ -82,10 +82,10 @@
 	}
 }
 
-// closeRequest ends a request, and cancels its attempts.
+// closeRequest closes a request, and cancels its attempts.
 func (b *Balancer) closeRequest(id RequestID) { b.closeRequestExcept(id, NoAttempt) }
 
-// closeRequestExcept ends a request, and cancels its attempts but for the one with a number.
+// closeRequestExcept closes a request, and cancels its attempts except the one with the number remaining.
 func (b *Balancer) closeRequestExcept(id RequestID, remaining int) {
 	req := b.requests.get(id)
 	if req.closed {
--- a/internal/balancer/open_requests_test.go
+++ b/internal/balancer/open_requests_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// Regression test for gaps that are never removed, and for a request whose place in the order is wrong afterwards.
+// Guards against gaps that are never removed, and against wrong order indexes after their removal.
 func TestOpenRequestsKeepTheirOrderAsGapsAreRemoved(t *testing.T) {
 	const arrivals = 1000
 	balancer, _ := newWarmBalancer(1, 1)
--- a/internal/balancer/operations.go
+++ b/internal/balancer/operations.go
@@ -2,85 +2,86 @@
 
 import "math"
 
-// operationTable owns the operations, by OperationID, and what requests of each have shown.
+// operationTable holds the operations, by OperationID, with the statistics of their requests.
 type operationTable struct {
 	byID       []operation
-	worst      OperationID // the one that lost the largest share of its work, or noOperation before any loss
-	totalValue float64     // of all requests that arrived
+	worst      OperationID // the operation that lost the largest share of its work, or noOperation before any loss
+	totalValue float64     // of all requests that have arrived
 }
 
-// noOperation stands for an operation where there is none.
+// noOperation is the OperationID that refers to no operation.
 const noOperation OperationID = -1
 
-// operation is the configuration of an operation and what its requests have shown.
+// operation is the configuration of an operation with the statistics of its requests.
 type operation struct {
-	operationTerms
+	operationSettings
 	lateShare float64 // share of its value that a late answer earns
 
 	operationStatistics
 }
 
-// operationTerms are what two operations of one name must have in common to share a number.
-type operationTerms struct {
+// operationSettings are the settings that two operations of the same name must share to have the same ID.
+type operationSettings struct {
 	name             string
 	latencyObjective Duration
 	dedupWindow      Duration
-	retryAfter       Duration // advice to rejected clients, 0 for none
-	value            float64  // of an answer in time
-	slack            float64  // beyond the run itself, the objective grows by this many times the size
+	retryAfter       Duration // Retry-After for rejected clients, 0 for none
+	value            float64  // of an answer that meets the objective
+	slack            float64  // in addition to the run time, the objective grows by this multiple of the size
 	idempotency      Idempotency
 	dedupScope       DedupScope
 	kind             KindID // the kind of worker that runs it, or AnyKind
 }
 
 type operationStatistics struct {
-	longestTimeout Duration // that of a client's first try
+	longestTimeout Duration // the timeout of a client's first try
 	arrivals       int
 	meanSize       float64 // in ticks of work
 	valueDensity   float64 // value per unit of work
 	requestedWork  float64 // in ticks
-	lostWork       float64 // of requests that were rejected or failed, in ticks
-	runs           int     // attempts that succeeded
-	meanRun        float64 // how long they took, in ticks
+	lostWork       float64 // work of requests that were rejected or failed, in ticks
+	runs           int     // successful attempts
+	meanRun        float64 // mean run time of successful attempts, in ticks
 }
 
 func newOperationTable(config Config) operationTable {
 	table := operationTable{worst: noOperation}
-	for _, from := range config.Operations {
-		table.byID = append(table.byID, newOperation(config, from))
+	for _, opConfig := range config.Operations {
+		table.byID = append(table.byID, newOperation(config, opConfig))
 	}
 	return table
 }
 
-// newOperation returns an operation that has seen no request. Rejected clients get the longest advice to wait, and only
-// where a late answer still earns something: it is better to come after the overload than soon.
-func newOperation(config Config, from OperationConfig) operation {
-	made := operation{lateShare: from.LateShare, operationTerms: operationTerms{
-		name:             from.Name,
-		latencyObjective: from.LatencyObjective,
-		dedupWindow:      from.DedupWindow,
-		value:            from.Value,
-		slack:            max(from.Stretch-1, 0),
-		idempotency:      from.Idempotency,
-		dedupScope:       from.DedupScope,
-		kind:             from.Kind,
+// newOperation returns an operation without statistics. Rejected clients get the longest permitted Retry-After, but
+// only if a late answer still has value: it is better to retry after the overload than soon.
+func newOperation(config Config, opConfig OperationConfig) operation {
+	op := operation{lateShare: opConfig.LateShare, operationSettings: operationSettings{
+		name:             opConfig.Name,
+		latencyObjective: opConfig.LatencyObjective,
+		dedupWindow:      opConfig.DedupWindow,
+		value:            opConfig.Value,
+		slack:            max(opConfig.Stretch-1, 0),
+		idempotency:      opConfig.Idempotency,
+		dedupScope:       opConfig.DedupScope,
+		kind:             opConfig.Kind,
 	}}
-	if config.Rejections.RetryAfter && from.LateShare > 0 {
-		made.retryAfter = config.Rejections.MaxRetryAfter
+	if config.Rejections.RetryAfter && opConfig.LateShare > 0 {
+		op.retryAfter = config.Rejections.MaxRetryAfter
 	}
-	return made
+	return op
 }
 
-// assign returns the number of an operation with the same terms, or adds one. Numbers are never used again: a request
-// may be open under an old one, and the same calls give each shard the same numbers. An operation whose terms have
-// changed continues with the statistics of its name. The late share is no term: one that changes alone is not taken.
-func (t *operationTable) assign(added operation) OperationID {
+// findOrAdd returns the ID of an operation with the same settings, or adds the operation. IDs are never reused, because
+// a request may still be open under an old ID, and because equal calls must findOrAdd equal IDs in each shard. An
+// operation whose settings have changed inherits the statistics of its name. The late share is not one of these
+// settings: a change of the late share alone has no effect.
+func (t *operationTable) findOrAdd(added operation) OperationID {
 	latest := -1
 	for n := range t.byID {
 		if t.byID[n].name != added.name {
 			continue
 		}
-		if t.byID[n].operationTerms == added.operationTerms {
+		if t.byID[n].operationSettings == added.operationSettings {
 			return OperationID(n)
 		}
 		latest = n
@@ -92,7 +93,8 @@
 	return OperationID(len(t.byID) - 1)
 }
 
-// observeArrival counts a request of a size. valuePerRequest is 1 if value is billed by request, 0 if by unit of work.
+// observeArrival adds a request of the given size to the statistics. valuePerRequest is 1 if value is billed by
+// request, 0 if by unit of work.
 func (t *operationTable) observeArrival(id OperationID, size Work, valuePerRequest float64) {
 	op := &t.byID[id]
 	op.meanSize += sampleWeight(op.arrivals) * (float64(size) - op.meanSize)
@@ -102,7 +104,7 @@
 	t.totalValue += op.valueDensity * float64(size)
 }
 
-// observeLoss counts a request that was not served, and reports whether another operation is now the worst.
+// observeLoss records a request that was not served, and reports whether the worst operation has changed.
 func (t *operationTable) observeLoss(id OperationID, size Work) (worstChanged bool) {
 	op := &t.byID[id]
 	op.lostWork += float64(size)
@@ -113,12 +115,12 @@
 	return true
 }
 
-// lostMoreThan reports whether the operation lost a larger share of its work than another one.
+// lostMoreThan reports whether the operation lost a larger share of its work than the other one.
 func (op *operation) lostMoreThan(other *operation) bool {
 	return op.lostWork*other.requestedWork > other.lostWork*op.requestedWork
 }
 
-// observeRun counts how long an attempt that succeeded ran.
+// observeRun records the run time of a successful attempt.
 func (op *operation) observeRun(took Duration) {
 	earlier := op.runs
 	op.runs++
@@ -127,8 +129,9 @@
 	}
 }
 
-// expectedRun returns how long a request runs: by the sizes that its clients hint, or, where none do, by what has run.
-// Without it an overloaded worker would be tried again at once, as its work would seem to take no time.
+// expectedRun returns the expected run time of a request: the mean hinted size, or the mean observed run time if there
+// are no hints. Without the observed run times, an overloaded worker would be retried immediately, because its work
+// would appear to take no time.
 func (op *operation) expectedRun() Duration {
 	if op.meanSize < 1 {
 		return Duration(op.meanRun)
--- a/internal/balancer/operations_test.go
+++ b/internal/balancer/operations_test.go
@@ -6,8 +6,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// Regression test for figures that mean nothing where requests have no size hints: the work that was lost, that which
-// was requested, and that which was sent to a worker.
+// Guards against meaningless statistics of lost, requested and sent work if requests have no size hints.
 func TestSizesWithoutHintsAreMeanRuns(t *testing.T) {
 	balancer, _ := newWarmBalancer(2, 1)
 	balancer.operations.byID[idempotentOp].meanRun = 500
@@ -26,7 +25,7 @@
 		balancer.rejectOrFail(2)
 		balancer.RequestArrived(2, Arrival{Operation: idempotentOp, Timeout: 20 * Second})
 	}
-	assert.Equal(t, nonIdempotentOp, balancer.operations.worst, "three of four lost requests are less than one of one")
+	assert.Equal(t, nonIdempotentOp, balancer.operations.worst, "three lost of four are less than one of one")
 }
 
 // recentlySentWork returns the work sent to all workers within the warm-up window.
--- a/internal/balancer/outcome.go
+++ b/internal/balancer/outcome.go
@@ -2,21 +2,21 @@
 
 import "canvasroute/internal/balancer/outlier"
 
-// Outcome is how an attempt, or a probe, ended.
+// Outcome is the result of an attempt or a probe.
 type Outcome uint8
 
 // The outcomes.
 const (
 	Succeeded         Outcome = iota + 1
-	WorkerError               // the worker reported an error: it has run, perhaps in part
-	Overloaded                // the worker rejected it: it never ran
-	TimedOut                  // no response came in time
-	NoConnection              // none came up: it never ran
-	ConnectionReset           // the connection ended within the exchange: it may have run
-	Canceled                  // it was cancelled after it had been sent
-	NotSent                   // it was cancelled before
-	ConnectionStale           // a reused connection ended without a response: it may have run, and the worker may be well
-	ConnectionRefused         // nobody listens at the worker: its process has ended, and the attempt never ran
+	WorkerError               // the worker reported an error: the attempt has run, perhaps in part
+	Overloaded                // the worker rejected the attempt: it never ran
+	TimedOut                  // no response arrived in time
+	NoConnection              // no connection could be established: the attempt never ran
+	ConnectionReset           // the connection failed during the exchange: the attempt may have run
+	Canceled                  // the attempt was canceled after it had been sent
+	NotSent                   // the attempt was canceled before it was sent
+	ConnectionStale           // a reused connection closed without response: may have run, the worker may be healthy
+	ConnectionRefused         // nothing listens at the worker's address, as its process has exited: never ran
 )
 
 // neverRan reports whether an attempt with this outcome has certainly not been executed.
@@ -28,24 +28,24 @@
 	return false
 }
 
-// failure returns what an attempt that failed by its worker says of its execution.
-func (o Outcome) failure() outlier.Failure {
+// failureKind returns whether an attempt that failed because of its worker may have been executed.
+func (o Outcome) failureKind() outlier.Failure {
 	if o.neverRan() {
 		return outlier.NeverRan
 	}
 	return outlier.MayHaveRun
 }
 
-// Answer says whether the result of an attempt is the answer that the client gets.
+// Answer is whether the result of an attempt is sent to the client as the answer.
 type Answer uint8
 
 // The values of Answer.
 const (
-	NoAnswer    Answer = iota // the request stays open, or has been answered otherwise
-	FinalAnswer               // the request is closed with it
+	NoAnswer    Answer = iota // the request stays open, or has another answer
+	FinalAnswer               // the request is closed with the result of this attempt
 )
 
-// answerOf is FinalAnswer for a request that was closed with its attempt.
+// answerOf returns FinalAnswer if the request was closed by its attempt, and NoAnswer otherwise.
 func answerOf(closed bool) Answer {
 	if closed {
 		return FinalAnswer
--- a/internal/balancer/pending.go
+++ b/internal/balancer/pending.go
@@ -1,7 +1,7 @@
 package balancer
 
-// dispatchPending sends pending requests, in the order of their priority, to workers with a free slot. Requests for
-// which no worker is eligible do not hold up those behind them; at most as many are looked at as there are workers.
+// dispatchPending sends pending requests, in the order of their priority, to workers with a free slot. A request for
+// which no worker is eligible does not block those after it. At most as many of them are skipped as there are workers.
 func (b *Balancer) dispatchPending() {
 	b.due.capacityChanged = false
 	for n := 0; n < min(len(b.pending.ids), len(b.subsetting.ring)) && b.anyAvailable(); {
--- a/internal/balancer/pending_queue.go
+++ b/internal/balancer/pending_queue.go
@@ -2,9 +2,8 @@
 
 import "slices"
 
-// pendingQueue owns the order of the requests that wait for a worker, highest priority first. The order itself is
-// policy: comparisons come from the caller. Priorities follow running means, so between sorts the order may be slightly
-// out of date.
+// pendingQueue holds the requests that wait for a worker, highest priority first. Callers supply the comparison, which
+// is policy. Priorities depend on running means, so between two sorts the order may be slightly out of date.
 type pendingQueue struct{ ids []RequestID }
 
 type compareRequests func(a, b RequestID) int
@@ -18,5 +17,5 @@
 
 func (q *pendingQueue) removeAt(index int) { q.ids = slices.Delete(q.ids, index, index+1) }
 
-// sort renews the order after something has changed that priorities depend on.
+// sort restores the order after a change that affects priorities.
 func (q *pendingQueue) sort(compare compareRequests) { slices.SortFunc(q.ids, compare) }
--- a/internal/balancer/pending_test.go
+++ b/internal/balancer/pending_test.go
@@ -18,7 +18,7 @@
 	assert.Equal(t, []RequestID{2, 1, 0}, balancer.pending.ids)
 }
 
-func TestWorstOperationHasItsWeightInTheGoal(t *testing.T) {
+func TestWorstOperationGainsPriority(t *testing.T) {
 	balancer, _ := newWarmBalancer(1, 1)
 	balancer.config.worstOperationWeight = 1
 	balancer.workers[0].health.ProbeAfter = 200 * Second // so that all requests wait
@@ -26,8 +26,8 @@
 		balancer.now++
 		balancer.RequestArrived(RequestID(id), Arrival{Operation: operation, Timeout: 10 * Second, SizeHint: Second})
 	}
-	assert.Equal(t, []RequestID{0, 2, 1}, balancer.pending.ids, "by value")
+	assert.Equal(t, []RequestID{0, 2, 1}, balancer.pending.ids, "requests are ordered by value")
 	balancer.RequestArrived(3, Arrival{Timeout: 10 * Second, SizeHint: Second})
 	balancer.rejectOrFail(3)
-	assert.Equal(t, []RequestID{1, 0, 2}, balancer.pending.ids, "else the operation of little value would get nothing")
+	assert.Equal(t, []RequestID{1, 0, 2}, balancer.pending.ids, "the operation with the largest loss is first")
 }
--- a/internal/balancer/pick_worker_test.go
+++ b/internal/balancer/pick_worker_test.go
@@ -9,21 +9,21 @@
 	"canvasroute/internal/balancer/sizeinterval"
 )
 
-// cutAt sets so many sizes that the intervals are cut at this one.
-func cutAt(t *testing.T, balancer *Balancer, size Work) {
+// setCutPoint observes enough sizes to cut the intervals at the given size.
+func setCutPoint(t *testing.T, balancer *Balancer, size Work) {
 	t.Helper()
 	setSizes(balancer, slices.Repeat([]Work{size}, sizeinterval.MinSample)...)
 	assert.Equal(t, []Work{size}, balancer.sizes.CutPoints())
 }
 
-func TestPickGoesRoundTheSubsetOfTheInterval(t *testing.T) {
+func TestPickWorkerRotatesThroughIntervalSubset(t *testing.T) {
 	const (
 		smallInterval = 0
 		largeInterval = 1
-		blockSize     = 3 // workers of an interval
+		blockSize     = 3 // workers per interval
 	)
 	balancer, _ := newWarmBalancer(2*blockSize, 1)
-	cutAt(t, balancer, 100)
+	setCutPoint(t, balancer, 100)
 	smallPicks := map[WorkerID]int{}
 	largePicks := map[WorkerID]int{}
 	for range 2 * blockSize {
@@ -40,9 +40,9 @@
 	}
 }
 
-func TestPickBorrowsFromOtherIntervals(t *testing.T) {
+func TestPickWorkerUsesOtherIntervalsWhenOwnIsFull(t *testing.T) {
 	balancer, _ := newWarmBalancer(4, 1)
-	cutAt(t, balancer, 100)
+	setCutPoint(t, balancer, 100)
 	ownBlock, otherBlock := balancer.subsetting.ring[:2], balancer.subsetting.ring[2:]
 	for _, id := range ownBlock {
 		balancer.workers[id].unstarted = 1
@@ -52,7 +52,7 @@
 	assert.Contains(t, otherBlock, picked)
 }
 
-func TestPickPassesOverWorkersAboveTwiceTheMeanLoad(t *testing.T) {
+func TestPickWorkerSkipsWorkersAboveTwiceMeanLoad(t *testing.T) {
 	balancer, _ := newWarmBalancer(4, 1)
 	busy := balancer.subsetting.ring[2]
 	balancer.addInFlight(busy, 3)
@@ -69,12 +69,13 @@
 	assert.False(t, balancer.isAvailable(0))
 	assert.True(t, balancer.isAvailable(1))
 	balancer.UpdateEndpoints([]Endpoint{{Worker: 0, ID: "w0"}}, AllEndpoints, FromDiscovery)
-	assert.True(t, balancer.isAvailable(0), "a worker may come back")
-	assert.False(t, balancer.isAvailable(1), "absent from a list of all endpoints")
+	assert.True(t, balancer.isAvailable(0), "a worker that is listed again is available")
+	assert.False(t, balancer.isAvailable(1), "a worker that is absent from a list of all endpoints is gone")
 }
 
-// At two fifths of its capacity a worker runs 1.5 times the size longer, which may not exceed the objective of 1 s.
-func TestWarmingWorkerGetsNoRequestThatItsSlownessMakesLate(t *testing.T) {
+// At two fifths of its capacity a worker runs longer by 1.5 times the size, and this excess may not exceed the
+// objective of 1 s.
+func TestPickWorkerSkipsWarmingWorkerThatWouldMissObjective(t *testing.T) {
 	balancer, _ := newWarmBalancer(1, 1)
 	balancer.workers[0].warmup.startedAt = balancer.now - 5*Second
 	setSlots(balancer, 9)
@@ -92,13 +93,13 @@
 	late := newRequest(Second)
 	late.late = true
 	_, ok := balancer.pickWorker(late)
-	assert.True(t, ok, "the answer will be late in any case, and may still earn something")
+	assert.True(t, ok, "the answer will be late on any worker, and may still have value")
 	setSizes(balancer, 0)
 	_, ok = balancer.pickWorker(newRequest(Second))
-	assert.True(t, ok, "without hints nobody knows that it would be late")
+	assert.True(t, ok, "without hints the run time is unknown")
 }
 
-func TestRequestsBeyondTheirQuotaLeaveSlotsFree(t *testing.T) {
+func TestPickWorkerReservesSlotsForRequestsWithinQuota(t *testing.T) {
 	balancer, _ := newWarmBalancer(1, 1)
 	setSlots(balancer, 3)
 	balancer.config.gossip = true
@@ -111,7 +112,7 @@
 	assert.True(t, ok)
 }
 
-func TestPickGoesBeyondTheSubsetUntilAWorkerRejects(t *testing.T) {
+func TestPickWorkerUsesWholeRingUntilRejection(t *testing.T) {
 	const sent = sizeinterval.Count + 2
 	balancer, effects := newWarmBalancer(9, 1)
 	balancer.config.gossip = true
@@ -125,15 +126,15 @@
 	}
 	assert.Len(t, effects.lines, sent)
 	endFirstAttempt(balancer, sizeinterval.Count, Overloaded)
-	assert.Len(t, effects.lines, sent, "pending: other workers whose load no peer reports may be full as well")
+	assert.Len(t, effects.lines, sent, "pending: other workers with unreported load may be full as well")
 	balancer.now += Second + 1
 	balancer.due.capacityChanged = true
 	balancer.RunDueRules()
 	assert.Greater(t, len(effects.lines), sent)
 }
 
-// Regression test for requests that use up their attempts in a zone that is full, each finding it out for itself, while
-// another zone has free slots.
+// Guards against requests that use up their attempts in a full zone while another zone has free slots. Without gossip
+// each request has to find out on its own that the zone is full.
 func TestRetryLeavesTheZoneWithoutGossip(t *testing.T) {
 	const (
 		seeds             = 20
@@ -141,7 +142,7 @@
 		farZone    ZoneID = 1
 		gossipCost        = 0.0001
 	)
-	retriesElsewhere := func(gossip bool) (retries int) {
+	countCrossZoneRetries := func(gossip bool) (retries int) {
 		for seed := range uint64(seeds) {
 			config := testConfig
 			config.Objective.CrossZoneCost = 0.05
@@ -163,6 +164,6 @@
 		}
 		return retries
 	}
-	assert.Zero(t, retriesElsewhere(true), "peers report the load of the workers of the zone")
-	assert.InDelta(t, seeds/2, retriesElsewhere(false), 8)
+	assert.Zero(t, countCrossZoneRetries(true), "peers report the load of the workers of the zone")
+	assert.InDelta(t, seeds/2, countCrossZoneRetries(false), 8)
 }
--- a/internal/balancer/picker.go
+++ b/internal/balancer/picker.go
@@ -293,7 +293,7 @@
 	}
 	for n := range len(req.attempts) - 1 { // the first one was sent first
 		if earlier := &req.attempts[n]; earlier.mayRun() {
-			left := b.repeatUnsafeFrom(op, earlier).Sub(b.now)
+			left := b.dedupExpiresAt(op, earlier).Sub(b.now)
 			return time.Now().Add(left.Standard())
 		}
 	}
--- a/internal/balancer/polling_test.go
+++ b/internal/balancer/polling_test.go
@@ -11,7 +11,7 @@
 func TestPollsBackOff(t *testing.T) {
 	balancer, effects := newWarmBalancer(1, 1)
 	balancer.config.pollEndpoints = true
-	balancer.polling.PollNow(LongAgo)
+	balancer.polling.PollNow(DistantPast)
 	balancer.RunDueRules()
 	balancer.RunDueRules()
 	assert.Equal(t, []string{"poll"}, effects.lines, "one poll until an answer comes")
--- a/internal/balancer/priority.go
+++ b/internal/balancer/priority.go
@@ -2,7 +2,8 @@
 
 import "cmp"
 
-// comparePriority orders pending requests: by priority, and among equals by their latest start, the earlier one first.
+// comparePriority orders pending requests by descending priority, and those of equal priority by ascending latest
+// start.
 func (b *Balancer) comparePriority(first, second RequestID) int {
 	x := b.requests.get(first)
 	y := b.requests.get(second)
@@ -12,9 +13,9 @@
 	return cmp.Compare(x.latestStart, y.latestStart)
 }
 
-// priority returns what a unit of the request's work earns. A late answer earns a share of the value. The operation that
-// lost the largest share of its work also gets the weight that the goal gives to such a loss. A request beyond its
-// tenant's quota counts for less.
+// priority returns the value that a unit of the request's work yields. A late answer yields only a share of the value.
+// The operation that lost the largest share of its work also gets the weight that the objective assigns to that loss.
+// Requests beyond their tenant's quota weigh less.
 func (b *Balancer) priority(req *request) float64 {
 	op := &b.operations.byID[req.operation]
 	density := op.valueDensity
--- a/internal/balancer/process_exit.go
+++ b/internal/balancer/process_exit.go
@@ -4,10 +4,10 @@
 // workerWarmup.exitedAt is the moment at which the process was seen to end, or one of these values.
 const (
 	// noExit stands for a process that nobody has seen end.
-	noExit = LongAgo
+	noExit = DistantPast
 	// suspectedExit stands for the unknown moment at which a process may have ended that nobody saw end. Any start that
 	// the list names later is newer.
-	suspectedExit = LongAgo + 1
+	suspectedExit = DistantPast + 1
 )
 
 // recordProcessExit notes that the process of a worker has ended. While no list is watched, the other workers of its
--- a/internal/balancer/quota/quota.go
+++ b/internal/balancer/quota/quota.go
@@ -1,7 +1,7 @@
-// Package quota weighs the requests of tenants by how far their recent usage is beyond their quota.
+// Package quota weighs the requests of tenants by how far their recent usage exceeds their quota.
 //
-// A request beyond its tenant's quota is not refused for that: it counts for less, so that it waits behind others and
-// leaves room to them.
+// A request beyond its tenant's quota is not rejected for that reason. It has a lower weight, so that it waits behind
+// other requests and leaves slots to them.
 package quota
 
 import (
@@ -12,36 +12,37 @@
 )
 
 const (
-	// sampleRequests is how many requests are enough to tell a tenant's rate from chance. Usage is averaged over the time
-	// in which the quota allows as many.
+	// sampleRequests is the number of requests needed to distinguish a tenant's rate from random variation. Usage is
+	// averaged over the time in which the quota allows this number of requests.
 	sampleRequests = 16
 	// minWindowSeconds is the shortest time over which usage is averaged.
 	minWindowSeconds = 2
-	// tolerance is how many times its quota a tenant may use before its requests count for less.
+	// tolerance is the multiple of its quota that a tenant may use before the weight of its requests drops.
 	tolerance = 1.5
 )
 
-// Unlimited is the quota of a tenant that has none.
+// Unlimited is the quota of a tenant without a limit.
 var Unlimited = math.Inf(1)
 
-// Tenants owns the recent usage of the tenants, by number in the order in which they were added.
+// Tenants holds the recent usage of the tenants, numbered in the order in which they were added.
 type Tenants struct{ tenants []tenant }
 
 type tenant struct {
 	name    string
-	quota   float64 // requests a second that count in full, perhaps Unlimited
-	usage   float64 // requests that arrived, decaying with time
+	quota   float64 // requests per second with full weight, or Unlimited
+	usage   float64 // number of requests, decaying with time
 	usageAt tick.Time
 }
 
-// Usage is how much a tenant has used of late.
+// Usage is the recent usage of a tenant.
 type Usage struct {
-	Requests float64 // that arrived, decaying with time
+	Requests float64 // number of requests, decaying with time
 	At       tick.Time
 }
 
-// Assign sets the quota of a tenant, in requests a second, and returns its number. A tenant keeps its number for good.
-func (t *Tenants) Assign(name string, quota float64) int {
+// SetQuota sets the quota of the tenant with a name, in requests per second, and returns the tenant's number, which
+// never changes. It adds the tenant if the name is new.
+func (t *Tenants) SetQuota(name string, quota float64) int {
 	number := slices.IndexFunc(t.tenants, func(known tenant) bool { return known.name == name })
 	if number < 0 {
 		return t.Add(name, quota)
@@ -50,16 +51,16 @@
 	return number
 }
 
-// Add adds a tenant, whatever others are called, and returns its number.
+// Add adds a tenant, even if another one has the same name, and returns its number.
 func (t *Tenants) Add(name string, quota float64) int {
 	t.tenants = append(t.tenants, tenant{name: name, quota: quota})
 	return len(t.tenants) - 1
 }
 
-// Weigh counts a request of a tenant that arrives now, and returns its weight: 1 within the quota and its tolerance,
-// overQuotaWeight far beyond it. In between it is the mean over the tenant's recent requests, as nobody can say which
-// of them are beyond.
-func (t *Tenants) Weigh(number int, now tick.Time, overQuotaWeight float64) float64 {
+// RecordRequest records a request of a tenant that arrives now, and returns its weight: 1 within the quota and its
+// tolerance, close to overQuotaWeight far beyond it. In between the weight is the mean over the tenant's recent
+// requests, because it is undefined which of them exceed the quota.
+func (t *Tenants) RecordRequest(number int, now tick.Time, overQuotaWeight float64) float64 {
 	user := &t.tenants[number]
 	window := max(minWindowSeconds, sampleRequests/user.quota)
 	user.usage = user.usage*math.Exp(-float64(now.Sub(user.usageAt))/tick.Second/window) + 1
@@ -77,7 +78,7 @@
 	return all
 }
 
-// Restore replaces the recent usage of the first tenants.
+// Restore replaces the recent usage of the first len(all) tenants.
 func (t *Tenants) Restore(all []Usage) {
 	for n := range min(len(t.tenants), len(all)) {
 		t.tenants[n].usage = all[n].Requests
--- a/internal/balancer/quota/quota_test.go
+++ b/internal/balancer/quota/quota_test.go
@@ -8,19 +8,20 @@
 	"canvasroute/internal/balancer/tick"
 )
 
-// weightAfter returns the weight of the last of some requests of a new tenant, which arrive at a rate per second.
+// weightAfter returns the weight of the last of a number of requests of a new tenant, which arrive at a rate per
+// second.
 func weightAfter(requests int, rate, quota float64) (weight float64) {
 	var tenants Tenants
-	number := tenants.Assign("a", quota)
+	number := tenants.SetQuota("a", quota)
 	now := tick.Time(0)
 	for range requests {
 		now = now.Add(tick.Duration(tick.Second / rate))
-		weight = tenants.Weigh(number, now, 0.1)
+		weight = tenants.RecordRequest(number, now, 0.1)
 	}
 	return weight
 }
 
-func TestRequestsCountForLessBeyondTheQuota(t *testing.T) {
+func TestWeightDropsBeyondQuota(t *testing.T) {
 	for name, c := range map[string]struct{ rate, quota, least, most float64 }{
 		"no quota":           {1000, Unlimited, 1, 1},
 		"within the quota":   {10, 10, 1, 1},
@@ -38,10 +39,10 @@
 
 func TestTenantKeepsItsNumberAndUsage(t *testing.T) {
 	var tenants, restored Tenants
-	assert.Equal(t, 0, tenants.Assign("a", 1))
-	assert.Equal(t, 1, tenants.Assign("b", 1))
-	tenants.Weigh(0, 0, 0.1)
-	assert.Equal(t, 0, tenants.Assign("a", 2), "the same tenant with another quota")
+	assert.Equal(t, 0, tenants.SetQuota("a", 1))
+	assert.Equal(t, 1, tenants.SetQuota("b", 1))
+	tenants.RecordRequest(0, 0, 0.1)
+	assert.Equal(t, 0, tenants.SetQuota("a", 2), "the same tenant with another quota")
 	restored.Add("a", 2)
 	restored.Restore(tenants.Usage())
 	assert.Equal(t, tenants.Usage()[:1], restored.Usage())
--- a/internal/balancer/reconfigure.go
+++ b/internal/balancer/reconfigure.go
@@ -18,14 +18,14 @@
 	config.Position = b.config.position
 	config.Gossip.Enabled = b.config.gossip
 	for _, op := range config.Operations {
-		assigned.Operations = append(assigned.Operations, b.operations.assign(newOperation(config, op)))
+		assigned.Operations = append(assigned.Operations, b.operations.findOrAdd(newOperation(config, op)))
 	}
 	for _, tenant := range config.Quotas.Tenants {
-		number := b.tenants.Assign(tenant.Name, tenant.Quota*b.config.dispatcherShare)
+		number := b.tenants.SetQuota(tenant.Name, tenant.Quota*b.config.dispatcherShare)
 		assigned.Tenants = append(assigned.Tenants, TenantID(number))
 	}
 	derived := newDerivedConfig(config)
-	derived.keepStartupFigures(&b.config)
+	derived.keepStartupSettings(&b.config)
 	b.config = derived
 	b.polling.Reconfigure(derived.polling)
 	b.updateSubsets()
--- a/internal/balancer/reconfigure_test.go
+++ b/internal/balancer/reconfigure_test.go
@@ -96,9 +96,9 @@
 	second.Quotas.Tenants = []TenantConfig{{Quota: 2, Name: "b"}, {Quota: 2, Name: "c"}}
 	numbers := balancer.Reconfigure(second).Tenants
 	assert.Equal(t, []TenantID{1, 2}, numbers, "each name keeps its number")
-	assert.Less(t, balancer.quotaWeight(numbers[0]), 1.0, "beyond its quota, though its place in the list has changed")
+	assert.Less(t, balancer.quotaWeight(numbers[0]), 1.0, "beyond its quota, though its list index has changed")
 	assert.Equal(t, 1.0, balancer.quotaWeight(numbers[1]))
-	assert.Equal(t, 1.0, balancer.quotaWeight(0), "requests that arrive under the old numbers count for their own tenant")
+	assert.Equal(t, 1.0, balancer.quotaWeight(0), "requests under the old numbers count for their own tenant")
 	onlyFirst := Config{
 		Dispatchers: 2,
 		Quotas: QuotaConfig{
--- a/internal/balancer/rejection.go
+++ b/internal/balancer/rejection.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// mayReject reports whether the client may be told to retry (the proxy answers 429). It may send the request to any
-// worker then, so the request must be harmless to repeat there, or certainly not have run.
+// mayReject reports whether the request may be rejected (the proxy responds with 429). The client may then retry on any
+// worker, so a repeat must be harmless on every worker, or the request must certainly not have run.
 func (b *Balancer) mayReject(req *request) bool {
 	op := &b.operations.byID[req.operation]
 	switch {
@@ -15,8 +15,8 @@
 	return !slices.ContainsFunc(req.attempts, func(earlier attempt) bool { return earlier.mayRun() })
 }
 
-// rejectOrFail gives the final answer at once: a rejection where that is permitted, else a failure (502). The rejection
-// has a Retry-After where a late answer still earns something: see newOperation.
+// rejectOrFail sends the final answer immediately: a rejection if that is permitted, otherwise a failure (502). The
+// rejection has a Retry-After if a late answer still has value: see newOperation.
 func (b *Balancer) rejectOrFail(id RequestID) {
 	req := b.requests.get(id)
 	if worstChanged := b.operations.observeLoss(req.operation, req.size); worstChanged {
--- a/internal/balancer/retry.go
+++ b/internal/balancer/retry.go
@@ -2,14 +2,14 @@
 
 import "slices"
 
-// mayAttempt reports whether one more attempt of a request may go to a worker.
+// mayAttempt reports whether one more attempt of a request may be sent to a worker.
 func (b *Balancer) mayAttempt(req *request, id WorkerID) bool {
 	return b.attemptExclusion(req, id) == eligible
 }
 
-// attemptExclusion returns why a request may have no more attempts, or none at a worker, or eligible. A request that is
-// not idempotent is never executed twice: each attempt that may have run leaves only the workers that would drop a
-// repeat.
+// attemptExclusion returns why a request may have no more attempts, or none on a worker, or eligible. A non-idempotent
+// request is never executed twice: after an attempt that may have run, only workers that would deduplicate the repeat
+// remain eligible.
 func (b *Balancer) attemptExclusion(req *request, id WorkerID) exclusion {
 	switch {
 	case req.closed:
@@ -19,40 +19,40 @@
 	case len(req.attempts) >= req.attemptLimit:
 		return attemptLimit
 	case req.inFlight > 0 && !b.config.hedging:
-		return hedgingForbidden
+		return hedgingDisabled
 	}
 	op := &b.operations.byID[req.operation]
 	for n := range req.attempts {
 		earlier := &req.attempts[n]
 		if earlier.inFlight && earlier.worker == id {
-			return sameWorker
+			return alreadyOnWorker
 		}
-		if earlier.mayRun() && !b.repeatIsSafe(op, earlier, id) {
-			return repeatNotSafe
+		if earlier.mayRun() && !b.isRepeatSafe(op, earlier, id) {
+			return unsafeRepeat
 		}
 	}
 	return eligible
 }
 
-// repeatIsSafe reports whether an attempt at a worker has no second effect if an earlier one has run.
-func (b *Balancer) repeatIsSafe(op *operation, earlier *attempt, id WorkerID) bool {
+// isRepeatSafe reports whether an attempt on a worker has no second effect if an earlier attempt has run.
+func (b *Balancer) isRepeatSafe(op *operation, earlier *attempt, id WorkerID) bool {
 	switch op.idempotency {
 	case Idempotent:
 		return true
 	case IdempotentByKey:
-		remembered := b.now < b.repeatUnsafeFrom(op, earlier)
-		return remembered && op.dedupScope.joins(&b.workers[earlier.worker], &b.workers[id])
+		remembered := b.now < b.dedupExpiresAt(op, earlier)
+		return remembered && op.dedupScope.sharesKeys(&b.workers[earlier.worker], &b.workers[id])
 	}
 	return false
 }
 
-// repeatUnsafeFrom returns the moment from which workers may have forgotten the key of an attempt, with a margin.
-func (b *Balancer) repeatUnsafeFrom(op *operation, earlier *attempt) Time {
+// dedupExpiresAt returns the time from which workers may have forgotten the key of an attempt, less a safety margin.
+func (b *Balancer) dedupExpiresAt(op *operation, earlier *attempt) Time {
 	return earlier.sentAt.Add(op.dedupWindow - b.config.margin)
 }
 
-// joins reports whether the second worker knows the keys that the first one has executed.
-func (s DedupScope) joins(first, second *worker) bool {
+// sharesKeys reports whether the second worker has the keys of the requests that the first one has executed.
+func (s DedupScope) sharesKeys(first, second *worker) bool {
 	switch s {
 	case ScopeAll:
 		return true
@@ -64,8 +64,8 @@
 	return false
 }
 
-// mayAttemptAnywhere reports whether one more attempt may go to some healthy worker, now or as soon as it has a free
-// slot.
+// mayAttemptAnywhere reports whether one more attempt may be sent to some healthy worker, now or as soon as that worker
+// has a free slot.
 func (b *Balancer) mayAttemptAnywhere(req *request) bool {
 	return slices.ContainsFunc(b.subsetting.ring, func(id WorkerID) bool {
 		return b.workers[id].state == Healthy && b.mayAttempt(req, id)
--- a/internal/balancer/retry_test.go
+++ b/internal/balancer/retry_test.go
@@ -7,18 +7,18 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// retryRights are the ways in which a request may be treated after an attempt at worker 0.
-type retryRights struct {
-	sameZone  bool // another attempt at worker 0, which is alone in its cell
-	otherZone bool // another attempt at worker 1
-	reject    bool // a rejection: its client may retry
+// permittedRetries lists which retries are permitted after an attempt on worker 0.
+type permittedRetries struct {
+	sameZone  bool // another attempt on worker 0, which is the only one in its cell
+	otherZone bool // another attempt on worker 1
+	reject    bool // a rejection, after which the client may retry
 }
 
 func TestRetryRightsAfterEachOutcome(t *testing.T) {
-	all := retryRights{sameZone: true, otherZone: true, reject: true}
+	all := permittedRetries{sameZone: true, otherZone: true, reject: true}
 	neverRan := []Outcome{Overloaded, NoConnection, NotSent}
 	mayHaveRun := []Outcome{WorkerError, TimedOut, ConnectionReset, Canceled, ConnectionStale}
-	assertRights := func(operation OperationID, outcome Outcome, want retryRights) {
+	assertRights := func(operation OperationID, outcome Outcome, want permittedRetries) {
 		balancer, _ := newWarmBalancer(4, 1)
 		balancer.RequestArrived(0, Arrival{Operation: operation, Timeout: 10 * Second, SizeHint: 100})
 		req := &balancer.requests.byID[0]
@@ -39,10 +39,10 @@
 	}
 	for _, outcome := range mayHaveRun {
 		assertRights(idempotentOp, outcome, all)
-		assertRights(nonIdempotentOp, outcome, retryRights{})
-		assertRights(zoneKeyedOp, outcome, retryRights{sameZone: true})
+		assertRights(nonIdempotentOp, outcome, permittedRetries{})
+		assertRights(zoneKeyedOp, outcome, permittedRetries{sameZone: true})
 		assertRights(fleetKeyedOp, outcome, all)
-		assertRights(cellKeyedOp, outcome, retryRights{sameZone: true})
+		assertRights(cellKeyedOp, outcome, permittedRetries{sameZone: true})
 	}
 }
 
--- a/internal/balancer/review.go
+++ b/internal/balancer/review.go
@@ -1,10 +1,10 @@
 package balancer
 
-// reviewOpenRequests goes through the open requests, the latest first, as those have the most time to gain. A request
-// that is out of time gets its answer. An attempt that waits in a worker's queue is migrated, and one that runs for
-// very long is hedged.
+// reviewOpenRequests reviews the open requests, newest first, because those have the most time to gain. A request whose
+// time is up is rejected or fails. An attempt that waits in a worker's queue is migrated, and an attempt that has run
+// for very long is hedged.
 func (b *Balancer) reviewOpenRequests() {
-	b.due.reviewAt = b.now.Add(b.config.patience)
+	b.due.reviewAt = b.now.Add(b.config.startTimeout)
 	b.due.capacityChanged = true
 	for id := range b.requests.newestFirst() {
 		req := b.requests.get(id)
@@ -18,20 +18,21 @@
 	}
 }
 
-// demote moves a pending request that has become late behind those that may still be in time.
+// demote moves a pending request that has become late behind those that can still meet their objective.
 func (b *Balancer) demote(id RequestID) {
 	b.dequeue(id)
 	b.requests.get(id).late = true
 	b.enqueue(id)
 }
 
-// reviewRequest does what a request needs most. Pending requests come before further attempts of those in flight.
+// reviewRequest takes the most urgent action for a request. Pending requests take precedence over further attempts of
+// requests in flight.
 func (b *Balancer) reviewRequest(id RequestID, req *request) {
 	waiting := b.unstartedAttempt(req)
 	switch {
-	case b.outOfTime(req), b.clogsQueue(req, waiting):
+	case b.isFinalAnswerDue(req), b.isHopelessInQueue(req, waiting):
 		b.rejectOrFail(id)
-	case len(b.pending.ids) > 0: // nothing: slots are short
+	case len(b.pending.ids) > 0: // no action: slots are scarce
 	case waiting != nil:
 		if b.shouldMigrate(req, waiting) {
 			b.migrateUnstarted(id, waiting)
@@ -41,8 +42,8 @@
 	}
 }
 
-// outOfTime reports whether the final answer is due: at the deadline, whatever is in flight, and before it once no start
-// is waited for any more.
-func (b *Balancer) outOfTime(req *request) bool {
-	return b.now >= req.deadline || req.inFlight == 0 && b.now > req.latestWaitedStart
+// isFinalAnswerDue reports whether the request must be answered now: at its deadline in any case, and before that if no
+// attempt is in flight and the time to wait for a start has passed.
+func (b *Balancer) isFinalAnswerDue(req *request) bool {
+	return b.now >= req.deadline || req.inFlight == 0 && b.now > req.startWaitDeadline
 }
--- a/internal/balancer/review_test.go
+++ b/internal/balancer/review_test.go
@@ -6,8 +6,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
-func TestFinalAnswerComesInTimeWithoutAnOutcome(t *testing.T) {
-	const timeout = Duration(Second / 100) // the last try of a client
+func TestRequestFailsAtDeadlineWithoutOutcome(t *testing.T) {
+	const timeout = Duration(Second / 100) // the last retry of a client
 	balancer, effects := newWarmBalancer(1, 1)
 	arrive(balancer, 0, Arrival{Operation: nonIdempotentOp, Timeout: timeout, SizeHint: 100})
 	assert.Equal(t, []string{"attempt 0 to 0"}, effects.lines)
@@ -30,7 +30,7 @@
 	assert.ElementsMatch(t, []string{"reject 0, retry after 20000", "reject 1, retry after 0"}, effects.lines)
 }
 
-func TestHopelessAttemptInAQueueIsRejected(t *testing.T) {
+func TestHopelesslyQueuedAttemptIsRejected(t *testing.T) {
 	balancer, effects := newWarmBalancer(1, 1)
 	balancer.operations.byID[idempotentOp].slack = 2
 	balancer.operations.byID[nonIdempotentOp].slack = 2
@@ -38,7 +38,7 @@
 	balancer.RequestArrived(1, Arrival{Operation: nonIdempotentOp, Timeout: 10 * Second, SizeHint: Second})
 	balancer.workers[0].unstarted = 0
 	balancer.RunDueRules()
-	balancer.now += 2*Second + 1 // the objective, and half of what the hint adds to it
+	balancer.now += 2*Second + 1 // the objective plus half of the slack that the hint adds to it
 	reviewNow(balancer)
 	assert.Equal(t, []string{
 		"attempt 0 to 0",
@@ -48,15 +48,15 @@
 	}, effects.lines)
 }
 
-// Regression test for a client that retries after its objective: its attempt was canceled as soon as it was sent, so it
-// could never be served, however long it would have waited.
+// Guards against canceling the attempt of a client's retry that arrives after the objective as soon as it is sent. Such
+// a retry could never be served, however long its client would have waited.
 func TestLateRetryIsGivenTimeToBeServed(t *testing.T) {
 	const (
 		firstTimeout = 20 * Second
-		retryTimeout = 18 * Second // a second after the objective
+		retryTimeout = 18 * Second // one second after the objective
 	)
 	balancer, effects := newWarmBalancer(1, 1)
-	balancer.config.reportFree = NotReported // nothing shows which workers have free slots
+	balancer.config.reportFree = NotReported // it is unknown which workers have free slots
 	arrive(balancer, 0, Arrival{Timeout: firstTimeout, SizeHint: 100})
 	balancer.AttemptStarted(0, 0)
 	balancer.AttemptEnded(0, 0, Succeeded, FinalAnswer)
@@ -64,43 +64,44 @@
 	assert.Equal(t, "attempt 0 to 0", effects.lines[1])
 	lastStart := balancer.now.Add(balancer.operations.byID[idempotentOp].latencyObjective)
 	for balancer.now < lastStart {
-		advance(balancer, balancer.config.patience/2)
+		advance(balancer, balancer.config.startTimeout/2)
 		if balancer.now <= lastStart {
 			assert.Len(t, effects.lines, 2, "%d ticks before its last start", lastStart.Sub(balancer.now))
 		}
 	}
-	advance(balancer, balancer.config.patience)
-	assert.Equal(t, []string{"reject 0, retry after 20000", "cancel 0.0"}, effects.lines[2:], "it clogs the worker's queue")
+	advance(balancer, balancer.config.startTimeout)
+	assert.Equal(t, []string{"reject 0, retry after 20000", "cancel 0.0"}, effects.lines[2:], "it waits in a queue")
 
-	balancer.operations.byID[idempotentOp].lateShare = 0 // a late answer earns nothing: the request is not waited for
+	balancer.operations.byID[idempotentOp].lateShare = 0 // a late answer has no value: the request does not wait
 	balancer.RequestArrived(0, Arrival{Timeout: retryTimeout, SizeHint: 100})
-	advance(balancer, balancer.config.patience)
+	advance(balancer, balancer.config.startTimeout)
 	assert.Contains(t, effects.lines[4:], "reject 0, retry after 20000")
 }
 
-// Where free slots are known, a late retry need not wait in a queue. But its worker has to receive and start it first.
+// If free slots are known, a late retry need not wait in a queue. But its worker must have time to receive and start
+// it.
 func TestLateRetryIsNotCanceledBeforeItsWorkerCouldStart(t *testing.T) {
 	const reviews = 3
 	balancer, effects := newDeliveryNoticesBalancer()
 	balancer.config.reportFree = 0
 	balancer.operations.byID[idempotentOp].longestTimeout = 20 * Second
 	balancer.zones[0].deliveryTime = 100
-	balancer.due.reviewAt = balancer.now.Add(balancer.config.patience)
+	balancer.due.reviewAt = balancer.now.Add(balancer.config.startTimeout)
 	arrive(balancer, 0, Arrival{Timeout: 18 * Second, SizeHint: 100})
 	for range reviews {
 		reviewNow(balancer)
 	}
-	assert.Equal(t, 1, len(effects.lines), "it is not delivered yet")
+	assert.Equal(t, 1, len(effects.lines), "the attempt is not delivered yet")
 	balancer.SetTime(balancer.now + 90)
 	balancer.AttemptDelivered(0, 0)
 	reviewNow(balancer)
-	assert.Equal(t, 1, len(effects.lines), "the notice of its start may not have arrived yet")
+	assert.Equal(t, 1, len(effects.lines), "the start notice may not have arrived yet")
 	balancer.SetTime(balancer.now.Add(balancer.config.margin))
 	reviewNow(balancer)
-	assert.Contains(t, effects.lines, "reject 0, retry after 20000", "it waits, and clogs the worker's queue")
+	assert.Contains(t, effects.lines, "reject 0, retry after 20000", "the attempt waits in the worker's queue")
 }
 
-// Regression test for late requests that keep others from being in time.
+// Guards against late requests that delay others beyond their objective.
 func TestLateRequestGoesBehindThoseInTime(t *testing.T) {
 	const firstTimeout = 20 * Second
 	balancer, effects := newWarmBalancer(1, 1)
@@ -109,14 +110,14 @@
 	retried.lateShare = 0.2
 	retried.longestTimeout = firstTimeout
 	balancer.operations.byID[nonIdempotentOp].value = 8
-	balancer.config.reportFree = NotReported // nothing shows which workers have free slots
+	balancer.config.reportFree = NotReported // it is unknown which workers have free slots
 	balancer.workers[0].unstarted = 1
 	balancer.RequestArrived(0, Arrival{Operation: idempotentOp, Timeout: firstTimeout - Second/2, SizeHint: 100})
 	balancer.RequestArrived(1, Arrival{Operation: nonIdempotentOp, Timeout: firstTimeout, SizeHint: 100})
 	assert.Equal(t, []RequestID{0, 1}, balancer.pending.ids)
 	balancer.SetTime(balancer.now + Second/2 + 1)
 	reviewNow(balancer)
-	assert.Equal(t, []RequestID{1, 0}, balancer.pending.ids, "its answer earns a fifth now")
+	assert.Equal(t, []RequestID{1, 0}, balancer.pending.ids, "a late answer has a fifth of the value")
 	balancer.workers[0].unstarted = 0
 	balancer.subsetting.markMaybeFree(0)
 	balancer.due.capacityChanged = true
--- a/internal/balancer/rules.go
+++ b/internal/balancer/rules.go
@@ -1,13 +1,13 @@
 package balancer
 
-// rule is something that comes due by itself: by time, or as a change makes it so.
+// rule is an action that the balancer takes without a call for it: when its time is reached, or after a state change.
 type rule struct {
 	name  string
-	due   func(*Balancer) Time // never while it is not needed; it changes nothing
+	due   func(*Balancer) Time // when the rule is due, or never; has no side effects
 	apply func(*Balancer)
 }
 
-// rules stand in the order of their priority: one is applied only while none above it is due.
+// rules lists the rules by descending priority: a rule is applied only if no rule above it is due.
 var rules = [...]rule{
 	{"poll endpoints", (*Balancer).pollDueAt, (*Balancer).pollEndpoints},
 	{"review open requests", (*Balancer).reviewDueAt, (*Balancer).reviewOpenRequests},
@@ -17,7 +17,7 @@
 	{"send changed loads to peers", (*Balancer).sendDueAt, (*Balancer).sendChangedLoads},
 }
 
-// RunDueRules applies all rules that are due, until none is, and requests a wake-up for the one that is due next.
+// RunDueRules applies the due rules until none is left, and requests a wake-up for the time of the next one.
 func (b *Balancer) RunDueRules() {
 	for {
 		due, next := b.firstDueRule()
@@ -29,8 +29,8 @@
 	}
 }
 
-// firstDueRule returns the rule of the highest priority that is due now. If there is none it returns nil, and when the
-// next one is due.
+// firstDueRule returns the due rule of the highest priority. If none is due, it returns nil and the time at which the
+// next rule is due.
 func (b *Balancer) firstDueRule() (due *rule, next Time) {
 	next = never
 	for n := range rules {
@@ -43,7 +43,7 @@
 	return nil, next
 }
 
-// requestWake requests a wake-up at a moment, unless an earlier one is pending.
+// requestWake requests a wake-up at a time, unless an earlier one is already requested.
 func (b *Balancer) requestWake(at Time) {
 	if at < b.due.wakeAt {
 		b.due.wakeAt = at
@@ -52,31 +52,31 @@
 }
 
 func (b *Balancer) pollDueAt() Time {
-	return when(b.config.pollEndpoints, b.polling.DueAt())
+	return dueIf(b.config.pollEndpoints, b.polling.DueAt())
 }
 
 func (b *Balancer) reviewDueAt() Time {
-	return when(b.requests.openCount > 0, b.due.reviewAt)
+	return dueIf(b.requests.openCount > 0, b.due.reviewAt)
 }
 
 func (b *Balancer) dispatchDueAt() Time {
-	return when(b.due.capacityChanged && !b.polling.EndpointsStale() && len(b.pending.ids) > 0, b.now)
+	return dueIf(b.due.capacityChanged && !b.polling.EndpointsStale() && len(b.pending.ids) > 0, b.now)
 }
 
 func (b *Balancer) probeDueAt() Time {
-	return when(b.config.probes && len(b.subsetting.ring) > 0 && b.loadProbes.due(), b.now)
+	return dueIf(b.config.probes && len(b.subsetting.ring) > 0 && b.loadProbes.due(), b.now)
 }
 
 func (b *Balancer) resendDueAt() Time {
-	return when(b.config.gossip && b.requests.openCount > 0, b.gossip.resendAt)
+	return dueIf(b.config.gossip && b.requests.openCount > 0, b.gossip.resendAt)
 }
 
 func (b *Balancer) sendDueAt() Time {
-	return when(len(b.gossip.changedLoads) > 0, b.gossip.sendLoadsAt)
+	return dueIf(len(b.gossip.changedLoads) > 0, b.gossip.sendLoadsAt)
 }
 
-// when returns a moment if something is needed then, else never.
-func when(needed bool, at Time) Time {
+// dueIf returns at if the rule is needed, and never otherwise.
+func dueIf(needed bool, at Time) Time {
 	if needed {
 		return at
 	}
--- a/internal/balancer/shards_test.go
+++ b/internal/balancer/shards_test.go
@@ -69,7 +69,7 @@
 	config.Discovery.Poll = true
 	s := newTestShards(config, 3, 1)
 	for _, picker := range s.pickers {
-		picker.update(func(balancer *Balancer) { balancer.polling.PollNow(LongAgo) }) // a poll is due at each
+		picker.update(func(balancer *Balancer) { balancer.polling.PollNow(DistantPast) }) // a poll is due at each
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
 	defer cancel()
--- a/internal/balancer/sizeinterval/sizeinterval.go
+++ b/internal/balancer/sizeinterval/sizeinterval.go
@@ -1,7 +1,8 @@
-// Package sizeinterval cuts the sizes of requests into intervals that hold equal work.
+// Package sizeinterval divides the sizes of requests into intervals of equal work.
 //
 // It is the first half of the STAR rule (size-based task assignment by intervals with round-robin). Each interval has
-// workers of its own, so small requests do not wait behind large ones. The cut points follow a sample of recent sizes.
+// its own workers, so small requests do not wait behind large ones. The cut points are computed from a sample of recent
+// sizes.
 package sizeinterval
 
 import (
@@ -13,23 +14,23 @@
 const (
 	// Count is the number of intervals. Each has its own block of workers.
 	Count = 2
-	// Undivided is what Of returns while there are no cut points; no interval has this number.
+	// Undivided is the result of IntervalOf while there are no cut points; no interval has this number.
 	Undivided = Count
 
-	// MaxSample is the number of sizes behind the cut points; older ones drop out.
+	// MaxSample is the number of most recent sizes from which the cut points are computed.
 	MaxSample = 128
-	// MinSample is the number of sizes before there are cut points.
+	// MinSample is the number of observed sizes required for cut points.
 	MinSample = 50
-	// updatesPerSample is how many times the cut points are renewed while a full sample is replaced.
+	// updatesPerSample is how often the cut points are updated while a full sample is replaced.
 	updatesPerSample = 8
 )
 
-// Intervals owns a sample of sizes and the cut points that follow from it. The zero value has seen no size.
+// Intervals holds a sample of sizes and the cut points computed from it. The zero value has an empty sample.
 type Intervals struct {
 	sample    []tick.Work
-	observed  int // sizes since the start
+	observed  int // number of sizes since the start
 	median    tick.Work
-	total     tick.Work   // of the sample as the cut points were set
+	total     tick.Work   // total work of the sample at the last Update
 	cutPoints []tick.Work // lower bounds of all intervals but the first
 }
 
@@ -41,8 +42,8 @@
 	return s.observed%(MaxSample/updatesPerSample) == 0 || s.observed == MinSample
 }
 
-// Update sets the cut points so that each interval holds the same share of the sample's work. The sample must not be
-// empty.
+// Update computes the cut points so that each interval holds the same share of the sample's work. The sample must not
+// be empty.
 func (s *Intervals) Update() {
 	sorted := slices.Sorted(slices.Values(s.sample))
 	s.total = 0
@@ -57,7 +58,7 @@
 }
 
 func (s *Intervals) setCutPoints(sorted []tick.Work) {
-	smaller := tick.Work(0) // work of the sizes before the one at hand
+	smaller := tick.Work(0) // total work of the preceding, smaller sizes
 	for _, size := range sorted {
 		next := len(s.cutPoints) + 1
 		if next < Count && smaller*Count >= s.total*tick.Work(next) {
@@ -67,8 +68,8 @@
 	}
 }
 
-// Of returns the number of the interval that holds a size, or Undivided while there are no cut points.
-func (s *Intervals) Of(size tick.Work) int {
+// IntervalOf returns the number of the interval that contains a size, or Undivided while there are no cut points.
+func (s *Intervals) IntervalOf(size tick.Work) int {
 	if len(s.cutPoints) == 0 {
 		return Undivided
 	}
@@ -76,23 +77,23 @@
 	return interval
 }
 
-// Median returns the middle size of the sample at the last Update, 0 before the first one.
+// Median returns the median size of the sample at the last Update, or 0 before the first one.
 func (s *Intervals) Median() tick.Work { return s.median }
 
-// CutPoints returns the lower bounds of all intervals but the first; none before enough sizes were seen.
+// CutPoints returns the lower bounds of all intervals but the first, or none before MinSample sizes have been observed.
 func (s *Intervals) CutPoints() []tick.Work { return s.cutPoints }
 
-// SampleTotal returns the work of the sample at the last Update.
+// SampleTotal returns the total work of the sample at the last Update.
 func (s *Intervals) SampleTotal() tick.Work { return s.total }
 
-// Sample returns the sizes that the next Update goes by, the oldest first. The caller must not change them.
+// Sample returns the sizes that the next Update will use, oldest first. The caller must not modify them.
 func (s *Intervals) Sample() []tick.Work { return s.sample }
 
-// Observed returns how many sizes were observed since the start, those of a restored sample included.
+// Observed returns the number of sizes observed since the start, including those of a restored sample.
 func (s *Intervals) Observed() int { return s.observed }
 
-// Restore replaces the sample by an earlier one, of which a number of sizes had been observed. Update is due then
-// unless the sample is empty.
+// Restore replaces the sample by an earlier one, for which observed sizes had been recorded. Update is then due unless
+// the sample is empty.
 func (s *Intervals) Restore(sample []tick.Work, observed int) {
 	s.sample = sample
 	s.observed = observed
--- a/internal/balancer/slot_estimation_test.go
+++ b/internal/balancer/slot_estimation_test.go
@@ -47,7 +47,7 @@
 	balancer, _ := newDeliveryNoticesBalancer()
 	for id := range RequestID(4) {
 		arrive(balancer, id, Arrival{Timeout: 10 * Second, SizeHint: 100})
-		balancer.SetTime(balancer.now.Add(3 * balancer.config.patience))
+		balancer.SetTime(balancer.now.Add(3 * balancer.config.startTimeout))
 		balancer.AttemptDelivered(id, 0)
 		balancer.AttemptStarted(id, 0)
 		balancer.AttemptEnded(id, 0, Succeeded, FinalAnswer)
--- a/internal/balancer/slow_start.go
+++ b/internal/balancer/slow_start.go
@@ -57,7 +57,7 @@
 	case float64(w.load) >= w.slots:
 		return noFreeSlot
 	case float64(size) > budget/w.slots, float64(w.recentWork+size) > budget:
-		return beyondWarmupBudget
+		return warmupBudgetExceeded
 	}
 	return eligible
 }
@@ -65,7 +65,7 @@
 // admitsOwnShare applies where dispatchers know nothing of each other: each one has the same share of the budget.
 func (s *slowStart) admitsOwnShare(w warmingWorker, size Work) exclusion {
 	if float64(w.recentWork+size) > s.ownShare(w) {
-		return beyondWarmupBudget
+		return warmupBudgetExceeded
 	}
 	return eligible
 }
--- a/internal/balancer/slow_start_test.go
+++ b/internal/balancer/slow_start_test.go
@@ -59,13 +59,13 @@
 		rule:   gossipingRule,
 		worker: warmingWorker{loadShared: true},
 		size:   usableBudget/2 + 1,
-		want:   beyondWarmupBudget,
+		want:   warmupBudgetExceeded,
 	},
 	"loads shared, budget spent": {
 		rule:   gossipingRule,
 		worker: warmingWorker{loadShared: true, recentWork: usableBudget},
 		size:   1,
-		want:   beyondWarmupBudget,
+		want:   warmupBudgetExceeded,
 	},
 	"own share": {
 		rule:   fewRule,
@@ -77,13 +77,13 @@
 		rule:   fewRule,
 		worker: warmingWorker{recentWork: Second / 2},
 		size:   Second / 5,
-		want:   beyondWarmupBudget,
+		want:   warmupBudgetExceeded,
 	},
 	"own share, larger than that": {
 		rule:   fewRule,
 		worker: warmingWorker{},
 		size:   Second,
-		want:   beyondWarmupBudget,
+		want:   warmupBudgetExceeded,
 	},
 }
 
--- a/internal/balancer/subsetting.go
+++ b/internal/balancer/subsetting.go
@@ -8,43 +8,43 @@
 	"canvasroute/internal/balancer/sizeinterval"
 )
 
-// The subsets of the workers over which a dispatcher goes in round-robin order: those of each interval of sizes, all of
-// these, and the whole ring.
+// The subsets of workers that a dispatcher uses in round-robin order: one for each size interval, the union of these,
+// and the whole ring.
 const (
 	allIntervals = sizeinterval.Undivided
 	wholeRing    = allIntervals + 1
 	subsetCount  = wholeRing + 1
 )
 
-// subsetting owns which workers this dispatcher uses (deterministic subsetting), and in which order.
+// subsetting holds the workers that this dispatcher uses (deterministic subsetting), and their order.
 type subsetting struct {
-	ring    []WorkerID  // all listed workers by hash: the same order at every dispatcher
-	places  []ringPlace // of the ring: kept for the next sort
-	subsets [subsetCount]subset
+	ring        []WorkerID  // all listed workers ordered by hash, which is the same order at every dispatcher
+	ringEntries []ringEntry // buffer for sorting the ring, reused by the next update
+	subsets     [subsetCount]subset
 }
 
 // subset is an ordered set of workers with a round-robin position. Its index finds workers that may have a free slot
-// without going through all of them. A bit of maybeFree is cleared once the worker at that position is known to have
-// no free slot until something changes about it. Any such change sets the bit again. Passing time, which
-// warms a worker up or ends its ejection, never frees a worker whose bit is cleared.
+// without visiting all of them. A bit of maybeFree is cleared when the worker at that position is found to have no free
+// slot until its state changes. Each such change sets the bit again. The passage of time, which warms a worker up or
+// ends its ejection, never makes a worker available whose bit is cleared.
 type subset struct {
 	workers    []WorkerID
-	roundRobin int      // position at which the next pick begins, modulo the number of workers
-	positions  []int32  // by WorkerID: its position in workers, or notInSubset
-	maybeFree  []uint64 // bits by position
-	inFlight   int      // attempts in flight at all of them
+	roundRobin int      // position at which the next search begins, modulo the number of workers
+	positions  []int32  // position in workers by WorkerID, or notInSubset
+	maybeFree  []uint64 // one bit per position
+	inFlight   int      // sum of the attempts in flight on all workers of the subset
 }
 
 const (
 	notInSubset = -1
-	wordBits    = 64 // of maybeFree
+	wordBits    = 64 // bits per word of maybeFree
 )
 
 func (s *subset) contains(id WorkerID) bool {
 	return int(id) < len(s.positions) && s.positions[id] != notInSubset
 }
 
-// reindex renews the index after the set has changed.
+// reindex rebuilds the index after the set of workers has changed.
 func (s *subset) reindex(workers []worker) {
 	s.positions = s.positions[:0]
 	s.positions = slices.Grow(s.positions, len(workers))[:len(workers)]
@@ -62,14 +62,15 @@
 	}
 }
 
-// inSubset reports whether a worker is in the subset with a number.
+// inSubset reports whether a worker is in the subset with the given number.
 func (s *subsetting) inSubset(number int, id WorkerID) bool { return s.subsets[number].contains(id) }
 
-// addInFlight counts attempts that were sent to a worker, or have ended there.
+// addInFlight adds count, which is negative for ended attempts, to the attempts in flight of each subset with the
+// worker.
 func (s *subsetting) addInFlight(id WorkerID, count int) {
 	for n := range s.subsets {
-		if among := &s.subsets[n]; among.contains(id) {
-			among.inFlight += count
+		if set := &s.subsets[n]; set.contains(id) {
+			set.inFlight += count
 		}
 	}
 }
@@ -77,14 +78,14 @@
 // markMaybeFree sets the bits of a worker that may have a free slot after a change.
 func (s *subsetting) markMaybeFree(id WorkerID) {
 	for n := range s.subsets {
-		if among := &s.subsets[n]; among.contains(id) {
-			position := among.positions[id]
-			among.maybeFree[position/wordBits] |= 1 << (position % wordBits)
+		if set := &s.subsets[n]; set.contains(id) {
+			position := set.positions[id]
+			set.maybeFree[position/wordBits] |= 1 << (position % wordBits)
 		}
 	}
 }
 
-// markAllMaybeFree sets all bits, after a change that may free slots at any worker.
+// markAllMaybeFree sets all bits, after a change that may free slots on any worker.
 func (s *subsetting) markAllMaybeFree() {
 	for n := range s.subsets {
 		words := s.subsets[n].maybeFree
@@ -94,38 +95,38 @@
 	}
 }
 
-// ringPlace is a worker with its place on the ring.
-type ringPlace struct {
+// ringEntry is a worker with the hash that determines its position on the ring.
+type ringEntry struct {
 	hash   uint64
 	worker WorkerID
 }
 
-// updateRing renews the order of the listed workers.
+// updateRing rebuilds the order of the listed workers.
 func (b *Balancer) updateRing() {
-	places := b.subsetting.places[:0]
+	ringEntries := b.subsetting.ringEntries[:0]
 	for n := range b.workers {
 		if b.workers[n].state != Gone {
-			places = append(places, ringPlace{hash: b.workers[n].hash, worker: WorkerID(n)})
+			ringEntries = append(ringEntries, ringEntry{hash: b.workers[n].hash, worker: WorkerID(n)})
 		}
 	}
-	slices.SortFunc(places, func(x, y ringPlace) int { return cmp.Compare(x.hash, y.hash) })
-	b.subsetting.places = places
+	slices.SortFunc(ringEntries, func(x, y ringEntry) int { return cmp.Compare(x.hash, y.hash) })
+	b.subsetting.ringEntries = ringEntries
 	b.subsetting.ring = b.subsetting.ring[:0]
-	for _, place := range places {
+	for _, place := range ringEntries {
 		b.subsetting.ring = append(b.subsetting.ring, place.worker)
 	}
 }
 
-// updateSubsets renews this dispatcher's subset of each interval's block, which is all of the block where dispatchers
-// are few. It also renews which peers have a worker in theirs. They alone are sent its load, so the price of gossip does
-// not grow with the number of dispatchers.
+// updateSubsets recomputes this dispatcher's subset of each interval's block, which is the whole block if there are few
+// dispatchers. It also recomputes which peers have a worker in their subset. Only these peers are sent the worker's
+// load, so the cost of gossip does not grow with the number of dispatchers.
 func (b *Balancer) updateSubsets() {
 	subsets := &b.subsetting.subsets
 	union := &subsets[allIntervals]
 	union.workers = union.workers[:0]
 	subsets[wholeRing].workers = b.subsetting.ring
 	for interval := range sizeinterval.Count {
-		b.updateSubsetOf(&subsets[interval], b.blockOf(interval))
+		b.updateIntervalSubset(&subsets[interval], b.intervalBlock(interval))
 		union.workers = append(union.workers, subsets[interval].workers...)
 	}
 	for n := range subsets {
@@ -133,28 +134,29 @@
 	}
 }
 
-// blockOf returns the workers of an interval of sizes, the same at every dispatcher.
-func (b *Balancer) blockOf(interval int) []WorkerID {
+// intervalBlock returns the workers of a size interval, which are the same at every dispatcher.
+func (b *Balancer) intervalBlock(interval int) []WorkerID {
 	ring := b.subsetting.ring
 	first := len(ring) * interval / sizeinterval.Count
 	end := len(ring) * (interval + 1) / sizeinterval.Count
 	return ring[first:end]
 }
 
-// updateSubsetOf renews this dispatcher's subset of a block. It holds as many workers as give each worker the wanted
-// number of dispatchers. It begins at a place by this dispatcher's position, and goes round the block.
-func (b *Balancer) updateSubsetOf(own *subset, block []WorkerID) {
+// updateIntervalSubset recomputes this dispatcher's subset of a block. The subset is large enough that each worker has
+// the configured number of dispatchers. It begins at an offset given by this dispatcher's position, and wraps around
+// the block.
+func (b *Balancer) updateIntervalSubset(own *subset, block []WorkerID) {
 	dispatchers := b.config.dispatchers
 	size := len(block)
 	first := size * b.config.position / dispatchers
-	subsetSize := min(size, divideUp(size*b.config.dispatchersPerWorker, dispatchers))
+	subsetSize := min(size, ceilDiv(size*b.config.dispatchersPerWorker, dispatchers))
 	own.workers = own.workers[:0]
 	for index, id := range block {
-		// The subset of the dispatcher at position p begins at size*p/dispatchers. So these are the first dispatcher
-		// whose subset reaches this worker, and the first one whose subset begins behind it.
+		// The subset of the dispatcher at position p begins at size*p/dispatchers. So these are the first dispatcher whose
+		// subset includes this worker, and the first one whose subset begins after it.
 		b.workers[id].gossip.peers = peerRange{
-			from: divideUp((index-subsetSize+1+size)*dispatchers, size),
-			to:   divideUp((index+1+size)*dispatchers, size),
+			from: ceilDiv((index-subsetSize+1+size)*dispatchers, size),
+			to:   ceilDiv((index+1+size)*dispatchers, size),
 		}
 		if index < subsetSize {
 			own.workers = append(own.workers, block[(first+index)%size])
@@ -162,13 +164,13 @@
 	}
 }
 
-// divideUp divides numbers that are not negative, and rounds up.
-func divideUp(dividend, divisor int) int { return (dividend + divisor - 1) / divisor }
+// ceilDiv divides non-negative integers, and rounds up.
+func ceilDiv(dividend, divisor int) int { return (dividend + divisor - 1) / divisor }
 
-// peerRange is a range of dispatchers by position, modulo their number.
+// peerRange is a range of dispatchers by position, modulo the number of dispatchers.
 type peerRange struct {
 	from int
-	to   int // not in the range
+	to   int // exclusive
 }
 
 func (r peerRange) count() int { return r.to - r.from }
--- a/internal/balancer/subsetting_test.go
+++ b/internal/balancer/subsetting_test.go
@@ -19,10 +19,10 @@
 	assert.Equal(t, first.subsetting.ring, second.subsetting.ring)
 	firstRotation := first.subsetting.subsets[wholeRing].roundRobin
 	secondRotation := second.subsetting.subsets[wholeRing].roundRobin
-	assert.NotEqual(t, firstRotation, secondRotation, "each dispatcher begins its rotation elsewhere")
+	assert.NotEqual(t, firstRotation, secondRotation, "each dispatcher begins its rotation at another position")
 }
 
-func TestSubsetPeersAreThoseWithTheWorkerInTheirSubset(t *testing.T) {
+func TestSubsetPeersHaveWorkerInTheirSubset(t *testing.T) {
 	for _, c := range []struct{ workers, dispatchers, dispatchersPerWorker int }{
 		{workers: 9, dispatchers: 200, dispatchersPerWorker: 21},
 		{workers: 85, dispatchers: 200, dispatchersPerWorker: 21},
@@ -30,8 +30,8 @@
 		{workers: 5, dispatchers: 3, dispatchersPerWorker: 3},
 		{workers: 1, dispatchers: 40, dispatchersPerWorker: 4},
 	} {
-		usedBy := map[WorkerID][]int{} // the dispatchers that have a worker in their subset
-		var peersOf []peerRange        // by WorkerID, as the last dispatcher has it
+		usedBy := map[WorkerID][]int{} // dispatchers that have the worker in their subset
+		var peersOf []peerRange        // by WorkerID, as computed by the last dispatcher
 		for position := range c.dispatchers {
 			balancer, _ := newWarmBalancer(c.workers, 1)
 			balancer.config.position = position
@@ -56,10 +56,10 @@
 	}
 }
 
-// Regression test for bounds on the number of dispatchers or workers. With 1,024 of each, with and without gossip, every
+// Guards against limits on the number of dispatchers or workers. With 1,024 of each, with and without gossip, every
 // worker is listed, in some dispatcher's subset, and used.
 func TestAllWorkersOfALargeFleetAreUsed(t *testing.T) {
-	const size = 1024 // of the workers and of the dispatchers
+	const size = 1024 // number of workers, and of dispatchers
 	var endpoints []Endpoint
 	for id := range WorkerID(size) {
 		endpoints = append(endpoints, Endpoint{
@@ -90,7 +90,7 @@
 		last.RunDueRules()
 		last.SetTime(last.now.Add(last.config.margin))
 		last.RunDueRules()
-		assert.Equal(t, size, usedWorkers(last), "each worker has room for one attempt that has not started")
+		assert.Equal(t, size, usedWorkers(last), "each worker accepts one unstarted attempt")
 		peers := 0
 		for peer := range last.subsetPeers(last.subsetting.subsets[allIntervals].workers[0]) {
 			assert.Less(t, int(peer), size)
--- a/internal/balancer/tick/tick.go
+++ b/internal/balancer/tick/tick.go
@@ -1,7 +1,7 @@
-// Package tick defines the units in which the balancer counts time and work.
+// Package tick defines the units of time and work in the balancer.
 //
-// A tick is a tenth of a millisecond. Moments, spans and work have types of their own, so that the compiler tells them
-// apart. All are whole numbers, so sums do not depend on their order.
+// A tick is a tenth of a millisecond. Times, durations and work have distinct types, so that the compiler detects
+// mix-ups. All are integers, so sums do not depend on the order of addition.
 package tick
 
 import (
@@ -9,16 +9,16 @@
 	"time"
 )
 
-// Time is a moment, in ticks since an origin that the caller of the balancer chooses.
+// Time is a timestamp, in ticks since an origin that the caller of the balancer chooses.
 type Time int64
 
-// Duration is a span of time, in ticks.
+// Duration is a length of time, in ticks.
 type Duration int64
 
-// Work is the time that a core of standard speed needs for something, in ticks.
+// Work is an amount of work, measured as the time that a core of standard speed needs for it, in ticks.
 type Work int64
 
-// Second is one second as a Duration, and as a Work on a core of standard speed.
+// Second is one second as a Duration, and the work of one second on a core of standard speed as a Work.
 const Second = 10_000
 
 // Unit is the length of one tick.
@@ -28,25 +28,25 @@
 const Millisecond = Duration(time.Millisecond / Unit)
 
 const (
-	// Never is a moment that does not come.
+	// Never is a time that is never reached.
 	Never = Time(math.MaxInt64)
-	// Forever is a span that does not end.
+	// Forever is an unlimited duration.
 	Forever = Duration(math.MaxInt64)
 )
 
-// DurationOf rounds a duration of the standard library down to whole ticks.
+// DurationOf converts a standard library duration, rounded down to whole ticks.
 func DurationOf(d time.Duration) Duration { return Duration(d / Unit) }
 
-// Standard returns d as the standard library has it.
+// Standard returns d as a standard library duration.
 func (d Duration) Standard() time.Duration { return time.Duration(d) * Unit }
 
-// Add returns the moment that is d after t.
+// Add returns the time t+d.
 func (t Time) Add(d Duration) Time { return t + Time(d) }
 
-// Sub returns the span from an earlier moment to t; it is negative if t is the earlier one.
+// Sub returns the duration t-earlier, which is negative if t is before earlier.
 func (t Time) Sub(earlier Time) Duration { return Duration(t - earlier) }
 
-// Ratio is a fraction of a span.
+// Ratio is a fraction of a duration.
 type Ratio struct {
 	Numerator   Duration
 	Denominator Duration
--- a/internal/balancer/tick/tick_test.go
+++ b/internal/balancer/tick/tick_test.go
@@ -13,7 +13,7 @@
 	assert.Equal(t, time.Millisecond, Millisecond.Standard())
 }
 
-func TestMomentsAndSpans(t *testing.T) {
+func TestTimeArithmeticAndRatio(t *testing.T) {
 	assert.Equal(t, Time(7), Time(5).Add(2))
 	assert.Equal(t, Duration(-2), Time(5).Sub(7))
 	assert.Equal(t, Duration(7), Ratio{Numerator: 4, Denominator: 5}.Of(9), "rounded down")
--- a/internal/balancer/types.go
+++ b/internal/balancer/types.go
@@ -1,92 +1,92 @@
 package balancer
 
-// The kinds of number. Each counts from 0 within one dispatcher.
+// ID types. Each counts from 0 within one dispatcher.
 type (
-	// RequestID is a request. The caller assigns it, and may use it again once the request is closed and all its
+	// RequestID identifies a request. The caller assigns it, and may reuse it once the request is closed and all its
 	// attempts have ended.
 	RequestID int32
-	// WorkerID is a worker. The caller assigns it as endpoint lists name workers.
+	// WorkerID identifies a worker. The caller assigns one to each worker of the endpoint lists.
 	WorkerID int32
-	// OperationID is an operation, by its place in Config.Operations or as Reconfigure assigns it.
+	// OperationID identifies an operation, by its index in Config.Operations or as assigned by Reconfigure.
 	OperationID int32
-	// TenantID is a tenant, by its place in Config.Tenants or as Reconfigure assigns it.
+	// TenantID identifies a tenant, by its index in Config.Tenants or as assigned by Reconfigure.
 	TenantID int32
-	// ZoneID is a failure zone of workers.
+	// ZoneID identifies a failure zone of workers.
 	ZoneID int32
-	// KindID is a kind of worker, below Config.Kinds, or AnyKind.
+	// KindID identifies a kind of worker. It is less than Config.Kinds, or AnyKind.
 	KindID int32
-	// CellID is a group of workers within a zone.
+	// CellID identifies a group of workers within a zone.
 	CellID int32
-	// PeerID is another dispatcher.
+	// PeerID identifies another dispatcher.
 	PeerID int32
 )
 
-// AnyKind stands for all kinds of worker.
+// AnyKind matches workers of every kind.
 const AnyKind KindID = -1
 
-// NoAttempt stands for the number of an attempt where there is none.
+// NoAttempt is the attempt number that refers to no attempt.
 const NoAttempt = -1
 
-// ReportIndex is the place of a value in a worker's load report, from 0, or NotReported.
+// ReportIndex is the index of a value in a worker's load report, from 0, or NotReported.
 type ReportIndex int
 
-// NotReported stands for a value that load reports do not have.
+// NotReported is the index of a value that load reports do not contain.
 const NotReported ReportIndex = -1
 
-// Idempotency says whether a request may be executed again.
+// Idempotency is whether a request may be executed more than once.
 type Idempotency uint8
 
-// The degrees of idempotency.
+// The values of Idempotency.
 const (
-	Idempotent      Idempotency = iota // any number of times
-	IdempotentByKey                    // where a worker drops repeats, within the dedup window and scope
-	NonIdempotent                      // never, if it may have been executed
+	Idempotent      Idempotency = iota // may be executed any number of times
+	IdempotentByKey                    // again on workers that deduplicate by key, within the dedup window and scope
+	NonIdempotent                      // must not be repeated if it may have been executed
 )
 
-// DedupScope is the group of workers that drops repeats of a request.
+// DedupScope is the group of workers that deduplicate repeats of a request.
 type DedupScope uint8
 
-// The scopes, from all workers to those of one cell.
+// The values of DedupScope, from all workers to those of one cell.
 const (
 	ScopeAll DedupScope = iota
 	ScopeZone
 	ScopeCell
 )
 
-// WorkerState is what the endpoint list says of a worker.
+// WorkerState is the state of a worker according to the endpoint list.
 type WorkerState uint8
 
 // The states of a worker.
 const (
 	Healthy  WorkerState = iota
-	Draining             // it finishes what it has, and gets nothing more
+	Draining             // it finishes its current attempts and accepts no new ones
 	Gone
 )
 
-// Endpoint is a worker as an endpoint list names it.
+// Endpoint is a worker as described by an endpoint list.
 type Endpoint struct {
 	Worker    WorkerID
-	ID        string // the same at every dispatcher: it gives the worker its place on the ring
+	ID        string // the same at every dispatcher; determines the worker's position on the ring
 	Zone      ZoneID
 	Kind      KindID
 	Cell      CellID
 	State     WorkerState
-	StartedAt Time // when its process last started, or LongAgo
+	StartedAt Time // last start of its process, or DistantPast
 }
 
-// Arrival is a request as it arrives.
+// Arrival describes a new request.
 type Arrival struct {
 	Operation OperationID
 	Tenant    TenantID
-	Timeout   Duration // until the client gives up this try
-	SizeHint  Work     // for each of its slots; 0 for no hint
-	Slots     float64  // that it takes; less than 1 counts as 1
+	Timeout   Duration // time until the client gives up this try
+	SizeHint  Work     // work per slot; 0 for no hint
+	Slots     float64  // slots that the request occupies; less than 1 counts as 1
 }
 
-// size is the work of the whole request by its hint, 0 without one.
+// size returns the work of the whole request according to its hint, or 0 without a hint.
 func (a *Arrival) size() Work { return Work(float64(a.SizeHint) * max(a.Slots, 1)) }
 
-// WorkerLoad is what one dispatcher has in flight at a worker.
+// WorkerLoad is the number of attempts that one dispatcher has in flight on a worker.
 type WorkerLoad struct {
 	Worker   WorkerID
 	InFlight int // attempts
--- a/internal/balancer/units.go
+++ b/internal/balancer/units.go
@@ -6,13 +6,13 @@
 	"canvasroute/internal/balancer/tick"
 )
 
-// Time is a moment, in ticks since an origin that the caller chooses.
+// Time is a timestamp, in ticks since an origin that the caller chooses.
 type Time = tick.Time
 
-// Duration is a span of time, in ticks.
+// Duration is a length of time, in ticks.
 type Duration = tick.Duration
 
-// Work is the time that a core of standard speed needs for something, in ticks.
+// Work is an amount of work, measured as the time that a core of standard speed needs for it, in ticks.
 type Work = tick.Work
 
 const (
@@ -21,9 +21,9 @@
 	// Tick is the length of one tick.
 	Tick = tick.Unit
 
-	// LongAgo is the moment before all others. Fields that hold a moment have it for what happened before anybody knew,
-	// or has not happened; notYet, noExit and noFleetRestart are other names of it.
-	LongAgo Time = 0
+	// DistantPast is the earliest Time. Timestamp fields hold it for events that have not happened, or that happened
+	// before the balancer could observe them. notYet, noExit and noFleetRestart are aliases of it.
+	DistantPast Time = 0
 
 	never   = tick.Never
 	forever = tick.Forever
--- a/internal/balancer/unstarted_attempts.go
+++ b/internal/balancer/unstarted_attempts.go
@@ -8,11 +8,12 @@
 // deliveryMargin is the multiple of the mean delivery time after which an attempt should have reached its worker.
 const deliveryMargin = 3
 
-// maxDeliveryShare bounds the mean delivery time, as a share of the warm-up window. A zone that is cut off must not
-// make every attempt there count as on its way.
+// maxDeliveryShare limits the mean delivery time, as a share of the warm-up window. Otherwise, if a zone becomes
+// unreachable, every attempt sent there would count as in delivery.
 var maxDeliveryShare = tick.Ratio{Numerator: 1, Denominator: 8}
 
-// unstartedAttempt returns the only attempt in flight, if its worker would have reported its start and has not, else nil.
+// unstartedAttempt returns the only attempt in flight if its start has not been reported although its worker reports
+// starts. Otherwise it returns nil.
 func (b *Balancer) unstartedAttempt(req *request) *attempt {
 	if !b.config.startNotices || req.inFlight != 1 {
 		return nil
@@ -24,7 +25,8 @@
 	return latest
 }
 
-// queueingTime returns how long an attempt has certainly waited at its worker for its start.
+// queueingTime returns how long an attempt has been waiting at its worker for its start, at least. Until the delivery
+// is reported, a multiple of the mean delivery time is deducted.
 func (b *Balancer) queueingTime(waiting *attempt) Duration {
 	switch {
 	case waiting.deliveredAt != notYet:
@@ -35,15 +37,15 @@
 	return b.now.Sub(waiting.sentAt)
 }
 
-// shouldMigrate reports whether an attempt has waited for its start for longer than a free slot takes, while its request
-// may still be in time elsewhere.
+// shouldMigrate reports whether an attempt has waited longer than a worker with a free slot takes to start it, while
+// its request can still meet its objective on another worker.
 func (b *Balancer) shouldMigrate(req *request, waiting *attempt) bool {
-	return b.queueingTime(waiting) >= b.config.patience && b.now <= req.latestStart
+	return b.queueingTime(waiting) >= b.config.startTimeout && b.now <= req.latestStart
 }
 
-// migrateUnstarted moves an attempt that waits in the queue of its worker, which is full after all, to a worker with a
-// free slot. The wait is a vote on the slots of the first worker, whether another one is found or not. The new attempt is
-// sent before the first one is cancelled, so it needs a platform that allows a second attempt.
+// migrateUnstarted moves an attempt from the queue of its worker, which is full despite its estimated slots, to a
+// worker with a free slot. The wait counts in the slot estimate of the first worker, whether or not another worker is
+// found. The new attempt is sent before the first one is canceled, so the platform must allow a second attempt.
 func (b *Balancer) migrateUnstarted(id RequestID, waiting *attempt) {
 	req := b.requests.get(id)
 	if waiting.deliveredAt != notYet || !b.config.deliveryNotices {
@@ -51,7 +53,7 @@
 	} else {
 		b.observeDelivery(waiting)
 	}
-	if !b.hearsLoadOf(waiting.worker) { // its load from other dispatchers is not known: it is taken to be full for a run
+	if !b.hearsLoadOf(waiting.worker) { // its load from other dispatchers is unknown: assume it is full for one run
 		b.backOff(waiting.worker, b.operations.byID[req.operation].expectedRun())
 	}
 	target, ok := b.pickWorker(req)
@@ -65,21 +67,23 @@
 	}
 }
 
-// clogsQueue reports whether the only attempt of a request waits at its worker without a chance to be in time, and may
-// be taken out of that queue. One that has waited for less than the margin may have been started meanwhile.
-func (b *Balancer) clogsQueue(req *request, waiting *attempt) bool {
+// isHopelessInQueue reports whether the only attempt of a request waits at its worker with no chance to meet the
+// objective, and may be removed from that queue. If it has waited for less than the margin, a start notice may still be
+// on its way.
+func (b *Balancer) isHopelessInQueue(req *request, waiting *attempt) bool {
 	if waiting == nil || !b.config.cancellation {
 		return false
 	}
 	slack := b.operations.byID[req.operation].slack
 	certainSlack := Duration(hintConfidence * slack * float64(req.size))
-	hopelessAfter := max(req.latestStart.Add(certainSlack), req.latestWaitedStart)
+	hopelessAfter := max(req.latestStart.Add(certainSlack), req.startWaitDeadline)
 	return b.now > hopelessAfter && b.queueingTime(waiting) >= b.config.margin && b.mayReject(req)
 }
 
-// AttemptDelivered notes that a worker has received an attempt, started or not. The way to another zone, or over a
-// connection that is being set up, may take far longer than a free slot takes to start it. Without this notice each
-// attempt would be migrated as queued until none is left.
+// AttemptDelivered records that a worker has received an attempt, whether started or not. Delivery to another zone, or
+// over a connection that is being established, may take far longer than a worker with a free slot takes to start the
+// attempt. Without this notice every attempt would be migrated as if it were queued, until the request has no attempts
+// left.
 func (b *Balancer) AttemptDelivered(id RequestID, number int) {
 	delivered := &b.requests.get(id).attempts[number]
 	if delivered.inFlight && delivered.deliveredAt == notYet {
@@ -88,7 +92,7 @@
 	}
 }
 
-// observeDelivery counts how long an attempt has been on its way in the mean of its zone.
+// observeDelivery updates the mean delivery time of the worker's zone with the time since an attempt was sent.
 func (b *Balancer) observeDelivery(delivered *attempt) {
 	z := b.zoneOf(delivered.worker)
 	difference := float64(b.now.Sub(delivered.sentAt) - z.deliveryTime)
--- a/internal/balancer/unstarted_attempts_test.go
+++ b/internal/balancer/unstarted_attempts_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// newDeliveryNoticesBalancer returns a Balancer whose caller reports when a worker has received an attempt.
+// newDeliveryNoticesBalancer returns a Balancer whose caller reports when workers receive attempts.
 func newDeliveryNoticesBalancer() (*Balancer, *recorder) {
 	config := testConfig
 	config.Attempts.DeliveryNotices = true
@@ -17,38 +17,38 @@
 func TestUnstartedAttemptIsMigrated(t *testing.T) {
 	balancer, effects := newWarmBalancer(2, 1)
 	arrive(balancer, 0, Arrival{Timeout: 10 * Second, SizeHint: 100})
-	balancer.now = balancer.now.Add(balancer.config.patience)
+	balancer.now = balancer.now.Add(balancer.config.startTimeout)
 	balancer.RunDueRules()
 	assert.Len(t, effects.lines, 3)
 	assert.Equal(t, "cancel 0.0", effects.lines[2])
 	assert.NotEqual(t, effects.lines[0], effects.lines[1], "the second attempt goes to the other worker")
 }
 
-// Regression test for an operation with a short objective that is hardly served: each of its attempts was canceled
-// before its worker could have reported a start.
+// Guards against canceling attempts before their worker could have reported a start. An operation with a short
+// objective was hardly ever served.
 func TestAttemptInDeliveryIsNotMigrated(t *testing.T) {
 	balancer, effects := newDeliveryNoticesBalancer()
 	arrive(balancer, 0, Arrival{Timeout: 10 * Second, SizeHint: 100})
 	assert.Len(t, effects.lines, 1)
-	advance(balancer, balancer.config.patience)
-	assert.Len(t, effects.lines, 1, "it may not have been delivered yet")
+	advance(balancer, balancer.config.startTimeout)
+	assert.Len(t, effects.lines, 1, "the attempt may not have been delivered yet")
 	balancer.AttemptDelivered(0, 0)
-	advance(balancer, balancer.config.patience-1)
+	advance(balancer, balancer.config.startTimeout-1)
 	assert.Len(t, effects.lines, 1)
-	advance(balancer, balancer.config.patience)
-	assert.Len(t, effects.lines, 3, "it waits in its worker's queue")
+	advance(balancer, balancer.config.startTimeout)
+	assert.Len(t, effects.lines, 3, "the attempt waits in its worker's queue")
 	assert.Equal(t, "cancel 0.0", effects.lines[2])
 }
 
-// Regression test for workers that report nothing at all, and for a mean delivery time that no attempt could raise.
-func TestAttemptThatIsNeverDeliveredIsMigrated(t *testing.T) {
-	const nearDelivery = 100 // ticks until a worker of the zone has an attempt
+// Guards against workers that report nothing at all, and against a mean delivery time that no attempt could raise.
+func TestUndeliveredAttemptIsMigrated(t *testing.T) {
+	const nearDelivery = 100 // ticks until a worker in the zone receives an attempt
 	balancer, effects := newDeliveryNoticesBalancer()
 	balancer.zones[0].deliveryTime = nearDelivery
 	arrive(balancer, 0, Arrival{Timeout: 10 * Second, SizeHint: 100})
-	advance(balancer, balancer.config.patience+deliveryMargin*nearDelivery)
+	advance(balancer, balancer.config.startTimeout+deliveryMargin*nearDelivery)
 	assert.Len(t, effects.lines, 3)
-	assert.Greater(t, balancer.zones[0].deliveryTime, Duration(nearDelivery), "an attempt that was not delivered counts too")
+	assert.Greater(t, balancer.zones[0].deliveryTime, Duration(nearDelivery), "undelivered attempts count too")
 	for range 1000 {
 		balancer.zones[0].deliveryTime = min(balancer.zones[0].deliveryTime*2, balancer.config.warmupWindow)
 		balancer.observeDelivery(&attempt{sentAt: balancer.now - 100*Second})
--- a/internal/balancer/warm_up.go
+++ b/internal/balancer/warm_up.go
@@ -2,7 +2,7 @@
 
 // workerWarmup is how warm a worker is, and what it was sent. A worker warms up by its age: see warmupFactor.
 type workerWarmup struct {
-	startedAt    Time // by the endpoint list, or LongAgo
+	startedAt    Time // by the endpoint list, or DistantPast
 	exitedAt     Time // when its process was seen to end: see process_exit.go
 	respondedAt  Time // first response of the process after that one; the value never until then
 	verifiedSize Work // largest work that was done at the pace of a warm worker
@@ -21,7 +21,7 @@
 // warmup owns what the warm-up of all workers has in common.
 type warmup struct {
 	fleetRestartAt Time // since when this dispatcher is back, where all lost power; noFleetRestart if they did not
-	latestStart    Time // of any worker, by the endpoint list, or LongAgo
+	latestStart    Time // of any worker, by the endpoint list, or DistantPast
 	exitSeen       bool // the process of some worker was seen to end
 
 	firstTries int // requests that arrived, without retries of their clients
@@ -48,7 +48,7 @@
 	if b.mayHaveRestarted(w) {
 		startedAt = max(startedAt, min(w.respondedAt, b.now))
 	}
-	if startedAt == LongAgo {
+	if startedAt == DistantPast {
 		return 1
 	}
 	return b.config.warmupFactorAt(b.now.Sub(startedAt))
@@ -61,7 +61,7 @@
 		return false
 	}
 	latest := b.warmup.latestStart
-	return latest == LongAgo || b.now.Sub(latest) >= b.config.warmupDuration
+	return latest == DistantPast || b.now.Sub(latest) >= b.config.warmupDuration
 }
 
 // confirmedWarmup returns the share of its capacity that a worker certainly has for work of a size. It is that of a
@@ -92,7 +92,7 @@
 	if restart == noFleetRestart || w.startedAt >= restart {
 		return false
 	}
-	return !b.polling.WatchedSince(LongAgo, b.now)
+	return !b.polling.WatchedSince(DistantPast, b.now)
 }
 
 // listMayPredateStarts reports whether this dispatcher goes by a list from before its start, cannot get another one, and
--- a/internal/balancer/worker_search.go
+++ b/internal/balancer/worker_search.go
@@ -5,48 +5,55 @@
 	"math/bits"
 )
 
-// The searches in this file decide nothing: they find what the rules ask for without going through all workers.
+// The searches in this file make no policy decisions: they find candidates without visiting all workers.
 
-// isFull reports whether a worker cannot be available, at whatever time, until something changes about it.
-func (b *Balancer) isFull(id WorkerID) bool { return b.lastingUnavailability(id) != eligible }
+// isPersistentlyUnavailable reports whether a worker cannot become available until its state changes, however much time
+// passes.
+func (b *Balancer) isPersistentlyUnavailable(id WorkerID) bool {
+	return b.persistentExclusion(id) != eligible
+}
 
-// anyAvailable reports whether some worker is available.
+// anyAvailable reports whether at least one worker is available.
 func (b *Balancer) anyAvailable() bool {
 	ring := &b.subsetting.subsets[wholeRing]
-	noneAvailable := b.scan(ring, 0, len(b.subsetting.ring), func(_ int, id WorkerID) bool { return !b.isAvailable(id) })
+	noneAvailable := b.scanMaybeFree(ring, 0, len(b.subsetting.ring), func(_ int, id WorkerID) bool {
+		return !b.isAvailable(id)
+	})
 	return !noneAvailable
 }
 
-// maybeFreeWorkers yields the workers of a subset that may have a free slot, with their positions, in round-robin order.
-func (b *Balancer) maybeFreeWorkers(among *subset) iter.Seq2[int, WorkerID] {
+// maybeFreeWorkers yields the workers of a subset that may have a free slot, with their positions, in round-robin
+// order.
+func (b *Balancer) maybeFreeWorkers(candidates *subset) iter.Seq2[int, WorkerID] {
 	return func(yield func(int, WorkerID) bool) {
-		size := len(among.workers)
+		size := len(candidates.workers)
 		if size == 0 {
 			return
 		}
-		first := among.roundRobin % size
-		if b.scan(among, first, size, yield) {
-			b.scan(among, 0, first, yield)
+		first := candidates.roundRobin % size
+		if b.scanMaybeFree(candidates, first, size, yield) {
+			b.scanMaybeFree(candidates, 0, first, yield)
 		}
 	}
 }
 
-// scan yields the positions of a subset from one to another where a slot may be free, and clears the bits of full
-// workers. It reports whether it came to the end.
-func (b *Balancer) scan(among *subset, from, to int, yield func(int, WorkerID) bool) bool {
+// scanMaybeFree yields the workers of a subset that may have a free slot, with their positions, from position from up
+// to but not including to. It clears the bits of workers that are persistently unavailable, and reports whether it
+// reached the end.
+func (b *Balancer) scanMaybeFree(candidates *subset, from, to int, yield func(int, WorkerID) bool) bool {
 	for position := from; position < to; position++ {
-		word := &among.maybeFree[position/wordBits]
-		left := *word >> (position % wordBits)
-		if left == 0 {
+		word := &candidates.maybeFree[position/wordBits]
+		remaining := *word >> (position % wordBits)
+		if remaining == 0 {
 			position |= wordBits - 1
 			continue
 		}
-		position += bits.TrailingZeros64(left)
+		position += bits.TrailingZeros64(remaining)
 		if position >= to {
 			break
 		}
-		id := among.workers[position]
-		if b.isFull(id) {
+		id := candidates.workers[position]
+		if b.isPersistentlyUnavailable(id) {
 			*word &^= 1 << (position % wordBits)
 			continue
 		}
--- a/internal/balancer/worker_search_test.go
+++ b/internal/balancer/worker_search_test.go
@@ -9,13 +9,13 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// Regression test for an index that missed a change: a worker with a free slot would get no more attempts.
+// Guards against an index that misses a change: a worker with a free slot would get no more attempts.
 func TestIndexesMatchTheirWorkersAfterRandomSteps(t *testing.T) {
 	const (
-		workers        = 70 // more than one word of bits holds
+		workers        = 70 // more workers than bits in one word
 		steps          = 1500
 		stepsPerCheck  = 10
-		leastEffects   = 500
+		minEffects     = 500
 		seeds          = 8
 		startNoticeMod = 3 // every third seed has no start notices
 	)
@@ -38,23 +38,23 @@
 				assertIndexesMatch(t, balancer)
 			}
 		}
-		assert.Greater(t, driver.effectsSeen, leastEffects)
+		assert.Greater(t, driver.effectsSeen, minEffects)
 	}
 }
 
-// randomDriver drives a Balancer by chance: requests arrive, attempts start and end with any outcome, workers start,
-// drain and go, peers send their load, and time passes.
+// randomDriver makes random calls to a Balancer: requests arrive, attempts start and end with any outcome, workers
+// start, drain and are removed, peers send their load, and time passes.
 type randomDriver struct {
 	balancer    *Balancer
 	effects     *recorder
 	rng         *rand.Rand
 	inFlight    map[RequestID][]int // numbers of the attempts that have not ended
-	effectsSeen int                 // lines of effects that were looked at
+	effectsSeen int                 // number of effect lines already processed
 	freeIDs     []RequestID
-	nextID      RequestID // the lowest that was never used
+	nextID      RequestID // the lowest ID that was never used
 }
 
-// step lets up to 30 ms pass and makes one call, drawn at random: an arrival, a start, an end, a load message or a
+// step advances the time by up to 30 ms and makes one random call: an arrival, a start, an end, a load message or a
 // change of an endpoint.
 func (d *randomDriver) step() {
 	d.balancer.SetTime(d.balancer.now + Time(d.rng.IntN(300)))
@@ -85,7 +85,7 @@
 	})
 }
 
-// takeID returns the number for a new request, a free one if there is any.
+// takeID returns the ID for a new request, reusing a free one if possible.
 func (d *randomDriver) takeID() RequestID {
 	if last := len(d.freeIDs) - 1; last >= 0 {
 		id := d.freeIDs[last]
@@ -114,7 +114,7 @@
 	d.balancer.AttemptEnded(id, number, outcome, answerOf(answers))
 }
 
-// pickInFlight returns an attempt in flight drawn at random, and whether one was drawn.
+// pickInFlight returns a random attempt in flight, and whether one was selected.
 func (d *randomDriver) pickInFlight() (id RequestID, number int, ok bool) {
 	for id := range d.nextID {
 		numbers := d.inFlight[id]
@@ -142,7 +142,7 @@
 	d.balancer.UpdateEndpoints([]Endpoint{changed}, ChangedEndpoints, FromBeforeStart)
 }
 
-// recordAttempts notes the attempts that the last step made.
+// recordAttempts records the attempts that were sent during the last step.
 func (d *randomDriver) recordAttempts() {
 	for _, line := range d.effects.lines[d.effectsSeen:] {
 		var id, target int
@@ -154,17 +154,17 @@
 	d.effectsSeen = len(d.effects.lines)
 }
 
-// freeClosedIDs frees the numbers of the requests that are closed and whose attempts have all ended.
+// freeClosedIDs frees the IDs of requests that are closed and whose attempts have all ended.
 func (d *randomDriver) freeClosedIDs() {
 	for id := range d.nextID {
-		over := d.balancer.requests.byID[id].closed && len(d.inFlight[id]) == 0
-		if over && !slices.Contains(d.freeIDs, id) {
+		reusable := d.balancer.requests.byID[id].closed && len(d.inFlight[id]) == 0
+		if reusable && !slices.Contains(d.freeIDs, id) {
 			d.freeIDs = append(d.freeIDs, id)
 		}
 	}
 }
 
-// assertIndexesMatch compares each index with what it was derived from.
+// assertIndexesMatch compares each index with the state that it is derived from.
 func assertIndexesMatch(t *testing.T, balancer *Balancer) {
 	t.Helper()
 	for number := range balancer.subsetting.subsets {
@@ -175,28 +175,28 @@
 	assertRequestsMatch(t, balancer)
 }
 
-// assertSubsetMatches compares the positions, the bits of workers with a free slot and the sum in flight of a subset
-// with its workers.
+// assertSubsetMatches compares the positions, the maybeFree bits and the attempts in flight of a subset with its
+// workers.
 func assertSubsetMatches(t *testing.T, balancer *Balancer, number int) {
 	t.Helper()
-	among := &balancer.subsetting.subsets[number]
+	set := &balancer.subsetting.subsets[number]
 	inFlight := 0
-	for position, id := range among.workers {
+	for position, id := range set.workers {
 		inFlight += balancer.workers[id].inFlight
-		assert.EqualValues(t, position, among.positions[id])
-		maybeFree := among.maybeFree[position/wordBits]>>(position%wordBits)&1 == 1
+		assert.EqualValues(t, position, set.positions[id])
+		maybeFree := set.maybeFree[position/wordBits]>>(position%wordBits)&1 == 1
 		if !maybeFree {
-			assert.True(t, balancer.isFull(id), "a worker that may have a free slot is passed over")
+			assert.True(t, balancer.isPersistentlyUnavailable(id), "a worker that may have a free slot is skipped")
 			assert.False(t, balancer.isAvailable(id))
 		}
 	}
-	assert.Equal(t, inFlight, among.inFlight)
+	assert.Equal(t, inFlight, set.inFlight)
 	for id := range WorkerID(len(balancer.workers)) {
-		assert.Equal(t, slices.Contains(among.workers, id), balancer.subsetting.inSubset(number, id))
+		assert.Equal(t, slices.Contains(set.workers, id), balancer.subsetting.inSubset(number, id))
 	}
 }
 
-// assertRequestsMatch compares the lists of open and of pending requests with the requests.
+// assertRequestsMatch compares the lists of open and of pending requests with the request table.
 func assertRequestsMatch(t *testing.T, balancer *Balancer) {
 	t.Helper()
 	open := []RequestID{}
