--- a/internal/balancer/eligibility_test.go
+++ b/internal/balancer/eligibility_test.go
@@ -10,13 +10,13 @@
 
 // exclusionCases lists, by description, a change that excludes a worker, and the expected reason.
 var exclusionCases = map[string]struct {
-	change func(b *Balancer, req *request, limits *workerFilter)
+	change func(b *Balancer, req *request, filter *workerFilter)
 	want   exclusion
 }{
 	"nothing is against it": {func(*Balancer, *request, *workerFilter) {}, eligible},
-	"only workers of another zone are looked for": {func(b *Balancer, _ *request, limits *workerFilter) {
+	"only workers of another zone are looked for": {func(b *Balancer, _ *request, filter *workerFilter) {
 		b.config.zone = 1
-		limits.sameZone = true
+		filter.sameZone = true
 	}, otherZone},
 	"its zone is ejected": {func(b *Balancer, _ *request, _ *workerFilter) {
 		b.zones[0].health.EjectedUntil = b.now + 1
@@ -24,8 +24,8 @@
 	"the operation runs on another kind": {func(b *Balancer, req *request, _ *workerFilter) {
 		b.operations.byID[req.operation].kind = 1
 	}, wrongKind},
-	"only warming workers are looked for": {func(_ *Balancer, _ *request, limits *workerFilter) {
-		limits.onlyWithCredit = true
+	"only warming workers are looked for": {func(_ *Balancer, _ *request, filter *workerFilter) {
+		filter.onlyWithCredit = true
 	}, notWarmingUp},
 	"an attempt that failed there may have run": {func(b *Balancer, req *request, _ *workerFilter) {
 		req.operation = nonIdempotentOp
--- a/internal/balancer/operations.go
+++ b/internal/balancer/operations.go
@@ -72,7 +72,7 @@
 }
 
 // findOrAdd returns the ID of an operation with the same settings, or adds the operation. IDs are never reused, because
-// a request may still be open under an old ID, and because equal calls must findOrAdd equal IDs in each shard. An
+// a request may still be open under an old ID, and because equal calls must return equal IDs in each shard. An
 // operation whose settings have changed inherits the statistics of its name. The late share is not one of these
 // settings: a change of the late share alone has no effect.
 func (t *operationTable) findOrAdd(added operation) OperationID {
--- a/internal/balancer/review.go
+++ b/internal/balancer/review.go
@@ -1,8 +1,8 @@
 package balancer
 
-// reviewOpenRequests reviews the open requests, newest first, because those have the most time to gain. A request whose
-// time is up is rejected or fails. An attempt that waits in a worker's queue is migrated, and an attempt that has run
-// for very long is hedged.
+// reviewOpenRequests reviews the open requests, newest first, because those have the most time to gain. An expired
+// request is rejected or fails. An attempt that waits in a worker's queue is migrated, and an attempt that has run for
+// very long is hedged.
 func (b *Balancer) reviewOpenRequests() {
 	b.due.reviewAt = b.now.Add(b.config.startTimeout)
 	b.due.capacityChanged = true
--- a/internal/balancer/rules.go
+++ b/internal/balancer/rules.go
@@ -1,6 +1,6 @@
 package balancer
 
-// rule is an action that the balancer takes without a call for it: when its time is reached, or after a state change.
+// rule is an action that the balancer triggers itself, at a given time or after a state change.
 type rule struct {
 	name  string
 	due   func(*Balancer) Time // when the rule is due, or never; has no side effects
@@ -43,7 +43,7 @@
 	return nil, next
 }
 
-// requestWake requests a wake-up at a time, unless an earlier one is already requested.
+// requestWake requests a wake-up at the given time, unless an earlier one is already requested.
 func (b *Balancer) requestWake(at Time) {
 	if at < b.due.wakeAt {
 		b.due.wakeAt = at
--- a/internal/balancer/subsetting.go
+++ b/internal/balancer/subsetting.go
@@ -112,8 +112,8 @@
 	slices.SortFunc(ringEntries, func(x, y ringEntry) int { return cmp.Compare(x.hash, y.hash) })
 	b.subsetting.ringEntries = ringEntries
 	b.subsetting.ring = b.subsetting.ring[:0]
-	for _, place := range ringEntries {
-		b.subsetting.ring = append(b.subsetting.ring, place.worker)
+	for _, entry := range ringEntries {
+		b.subsetting.ring = append(b.subsetting.ring, entry.worker)
 	}
 }
 
--- a/internal/balancer/worker_search.go
+++ b/internal/balancer/worker_search.go
@@ -37,9 +37,8 @@
 	}
 }
 
-// scanMaybeFree yields the workers of a subset that may have a free slot, with their positions, from position from up
-// to but not including to. It clears the bits of workers that are persistently unavailable, and reports whether it
-// reached the end.
+// scanMaybeFree yields the workers in the position range [from, to) of a subset that may have a free slot, with their
+// positions. It clears the bits of workers that are persistently unavailable, and reports whether it reached the end.
 func (b *Balancer) scanMaybeFree(candidates *subset, from, to int, yield func(int, WorkerID) bool) bool {
 	for position := from; position < to; position++ {
 		word := &candidates.maybeFree[position/wordBits]
