--- a/internal/balancer/fleet_restart.go
+++ b/internal/balancer/fleet_restart.go
@@ -28,7 +28,7 @@
 func (b *Balancer) delayWarmingWorkers(cutoff Time) {
 	for n := range b.workers {
 		w := &b.workers[n]
-		startedBefore := w.warmup.startedAt != LongAgo && w.warmup.startedAt < cutoff
+		startedBefore := w.warmup.startedAt != DistantPast && w.warmup.startedAt < cutoff
 		if startedBefore && b.warmupFactor(WorkerID(n)) < 1 {
 			w.notBefore = max(w.notBefore, cutoff.Add(b.config.warmupWindow))
 			b.due.reviewBy(w.notBefore)
--- a/internal/balancer/process_exit.go
+++ b/internal/balancer/process_exit.go
@@ -4,10 +4,10 @@
 // with a delay. workerWarmup.exitedAt is the time at which the process was observed to exit, or one of these values.
 const (
 	// noExit means that no exit of the process was observed.
-	noExit = LongAgo
+	noExit = DistantPast
 	// suspectedExit means that the process may have exited unobserved at an unknown time. Every start time in a later
 	// endpoint list is newer.
-	suspectedExit = LongAgo + 1
+	suspectedExit = DistantPast + 1
 )
 
 // recordProcessExit records that the process of a worker has exited. While the endpoint list is not watched, the other
--- a/internal/balancer/slow_start.go
+++ b/internal/balancer/slow_start.go
@@ -58,7 +58,7 @@
 	case float64(w.load) >= w.slots:
 		return noFreeSlot
 	case float64(size) > budget/w.slots, float64(w.recentWork+size) > budget:
-		return beyondWarmupBudget
+		return warmupBudgetExceeded
 	}
 	return eligible
 }
@@ -67,7 +67,7 @@
 // budget.
 func (s *slowStartLimits) exclusionByOwnShare(w warmingWorker, size Work) exclusion {
 	if float64(w.recentWork+size) > s.ownShare(w) {
-		return beyondWarmupBudget
+		return warmupBudgetExceeded
 	}
 	return eligible
 }
--- a/internal/balancer/slow_start_test.go
+++ b/internal/balancer/slow_start_test.go
@@ -59,13 +59,13 @@
 		limits: gossipLimits,
 		worker: warmingWorker{loadShared: true},
 		size:   usableBudget/2 + 1,
-		want:   beyondWarmupBudget,
+		want:   warmupBudgetExceeded,
 	},
 	"loads shared, budget spent": {
 		limits: gossipLimits,
 		worker: warmingWorker{loadShared: true, recentWork: usableBudget},
 		size:   1,
-		want:   beyondWarmupBudget,
+		want:   warmupBudgetExceeded,
 	},
 	"own share": {
 		limits: fewDispatchersLimits,
@@ -77,13 +77,13 @@
 		limits: fewDispatchersLimits,
 		worker: warmingWorker{recentWork: Second / 2},
 		size:   Second / 5,
-		want:   beyondWarmupBudget,
+		want:   warmupBudgetExceeded,
 	},
 	"own share, larger than that": {
 		limits: fewDispatchersLimits,
 		worker: warmingWorker{},
 		size:   Second,
-		want:   beyondWarmupBudget,
+		want:   warmupBudgetExceeded,
 	},
 }
 
--- a/internal/balancer/warm_up.go
+++ b/internal/balancer/warm_up.go
@@ -3,7 +3,7 @@
 // workerWarmup holds the warm-up state of a worker and the work recently sent to it. The warm-up factor of a worker
 // depends on its age: see warmupFactor.
 type workerWarmup struct {
-	startedAt       Time // start time in the endpoint list, or LongAgo
+	startedAt       Time // by the endpoint list, or DistantPast
 	exitedAt        Time // time at which its process was observed to exit: see process_exit.go
 	firstResponseAt Time // first response of the next process after that exit; never until there is one
 	verifiedSize    Work // size of the largest request that ran at the pace of a warm worker
@@ -22,7 +22,7 @@
 // warmup holds the warm-up state that all workers have in common.
 type warmup struct {
 	fleetRestartAt Time // start time of this dispatcher if all dispatchers lost power, or noFleetRestart
-	latestStart    Time // latest start time of any worker in the endpoint list, or LongAgo
+	latestStart    Time // latest start time of any worker in the endpoint list, or DistantPast
 	exitObserved   bool // the process of at least one worker was observed to exit
 
 	newRequests int // requests that have arrived, not counting client retries
@@ -49,7 +49,7 @@
 	if b.mayHaveRestarted(w) {
 		startedAt = max(startedAt, min(w.firstResponseAt, b.now))
 	}
-	if startedAt == LongAgo {
+	if startedAt == DistantPast {
 		return 1
 	}
 	return b.config.warmupFactorAt(b.now.Sub(startedAt))
@@ -62,7 +62,7 @@
 		return false
 	}
 	latest := b.warmup.latestStart
-	return latest == LongAgo || b.now.Sub(latest) >= b.config.warmupDuration
+	return latest == DistantPast || b.now.Sub(latest) >= b.config.warmupDuration
 }
 
 // confirmedWarmupFactor returns a lower bound of a worker's warm-up factor for work of a given size. It is at most
@@ -93,7 +93,7 @@
 	if restart == noFleetRestart || w.startedAt >= restart {
 		return false
 	}
-	return !b.polling.WatchedSince(LongAgo, b.now)
+	return !b.polling.WatchedSince(DistantPast, b.now)
 }
 
 // listMayPredateStarts reports whether this dispatcher uses an endpoint list from before its own start, its polls fail,
