--- a/internal/balancer/balancer.go
+++ b/internal/balancer/balancer.go
@@ -9,12 +9,12 @@
 	"canvasroute/internal/balancer/sizeinterval"
 )
 
-// maxFirstPosition bounds the round-robin position at which a dispatcher begins. Any number far above that of the
-// workers does.
+// maxFirstPosition limits the initial round-robin position of a dispatcher. It only has to be far above the number of
+// workers.
 const maxFirstPosition = 1 << 20
 
-// Balancer holds the decisions of one dispatcher. The package comment says how it is driven, and where each rule stands.
-// It is not safe for concurrent use: a Picker guards it by its lock.
+// Balancer makes the decisions of one dispatcher. The package comment describes how to use it, and which file
+// implements each rule. It is not safe for concurrent use: a Picker guards it with its lock.
 type Balancer struct {
 	effects Effects
 	now     Time
@@ -37,14 +37,14 @@
 	due        dueTimes
 }
 
-// dueTimes say when the rules have something to do.
+// dueTimes holds the times at which rules are due.
 type dueTimes struct {
-	capacityChanged bool // something has changed that may let a pending request go
-	reviewAt        Time // when an open request may need its answer or another attempt
-	wakeAt          Time // the wake-up that was requested last, never for none
+	capacityChanged bool // a change may allow a pending request to be sent
+	reviewAt        Time // when an open request may need an answer or another attempt
+	wakeAt          Time // time of the last requested wake-up, or never if none is requested
 }
 
-// New returns a Balancer without any endpoints. Equal seeds and equal calls give equal decisions.
+// New returns a Balancer without endpoints. The same seed and the same calls result in the same decisions.
 func New(config Config, seed uint64, effects Effects) *Balancer {
 	b := &Balancer{
 		effects: effects,
@@ -59,29 +59,29 @@
 	for _, tenant := range config.Quotas.Tenants {
 		b.tenants.Add(tenant.Name, tenant.Quota*b.config.dispatcherShare)
 	}
-	for n := range b.subsetting.subsets { // each dispatcher begins its rotations elsewhere
+	for n := range b.subsetting.subsets { // each dispatcher starts its rotations at a different position
 		b.subsetting.subsets[n].roundRobin = int(b.random.next() % maxFirstPosition)
 	}
 	return b
 }
 
-// SetTime sets the current time, which holds until the next call.
+// SetTime sets the current time, which remains in effect until the next call.
 func (b *Balancer) SetTime(now Time) { b.now = now }
 
-// WakeFired ends the wait that Effects.Wake requested with the same key. Any other key changes nothing.
+// WakeFired completes the wake-up that was requested by Effects.Wake with the same key. It ignores any other key.
 func (b *Balancer) WakeFired(key uint64) {
 	if Time(key) == b.due.wakeAt {
 		b.due.wakeAt = never
 	}
 }
 
-// reviewBy has the open requests reviewed at a moment at the latest.
+// reviewBy schedules the review of open requests at the given time or earlier.
 func (t *dueTimes) reviewBy(at Time) { t.reviewAt = min(t.reviewAt, at) }
 
-// randomSource draws numbers from a seed.
+// randomSource generates pseudo-random numbers from a seed.
 type randomSource struct {
 	seed  uint64
-	draws uint64 // so far
+	draws uint64 // count of numbers generated
 }
 
 func (s *randomSource) next() uint64 {
--- a/internal/balancer/effects.go
+++ b/internal/balancer/effects.go
@@ -1,25 +1,27 @@
 package balancer
 
-// Effects carries out what a Balancer decides. Its methods are called while a method of the Balancer runs, under the
-// same lock, and must not call the Balancer. Attempts of a request are numbered 0, 1, 2... as they are sent.
+// Effects carries out the decisions of a Balancer. Its methods are called while a method of the Balancer runs, with the
+// same lock held, and must not call the Balancer. The attempts of a request are numbered 0, 1, 2... in the order in
+// which they are sent.
 type Effects interface {
-	// SendAttempt sends an attempt to a worker. The attempt ends within a span, or at the request's deadline for 0.
-	SendAttempt(id RequestID, worker WorkerID, within Duration)
-	// CancelAttempt cancels an attempt that is in flight. Its outcome still has to be reported.
+	// SendAttempt sends an attempt to a worker. The attempt times out after timeout, or at the deadline of the request
+	// if timeout is 0.
+	SendAttempt(id RequestID, worker WorkerID, timeout Duration)
+	// CancelAttempt cancels an attempt that is in flight. Its outcome must still be reported.
 	CancelAttempt(id RequestID, number int)
-	// Reject tells the client to retry after a span; 0 gives no advice. The request certainly has no effect, or may be
-	// repeated without harm.
+	// Reject tells the client to retry after retryAfter; 0 gives no advice. The request either had no effect or can
+	// safely be repeated.
 	Reject(id RequestID, retryAfter Duration)
-	// Fail tells the client that the request failed. It may have been executed.
+	// Fail tells the client that the request failed. The request may have been executed.
 	Fail(id RequestID)
-	// Wake requests a call of WakeFired with the key after a span. It replaces any earlier request.
-	Wake(key uint64, after Duration)
-	// PollEndpoints requests the endpoint list; UpdateEndpoints or EndpointsUnavailable answers.
+	// Wake requests a call of WakeFired with key after delay. It replaces any earlier request.
+	Wake(key uint64, delay Duration)
+	// PollEndpoints requests the endpoint list. The caller responds with UpdateEndpoints or EndpointsUnavailable.
 	PollEndpoints()
 	// Probe requests a load report from a worker.
 	Probe(worker WorkerID)
-	// SendLoad sends a peer what is in flight here at a worker.
+	// SendLoad sends a peer the number of attempts that this dispatcher has in flight at a worker.
 	SendLoad(to PeerID, load WorkerLoad)
-	// Log takes an event that operators should know of.
+	// Log logs an event for operators.
 	Log(event Event)
 }
--- a/internal/balancer/endpoints.go
+++ b/internal/balancer/endpoints.go
@@ -2,25 +2,25 @@
 
 import "hash/fnv"
 
-// ListExtent says which workers a list of endpoints names.
+// ListExtent specifies which workers an endpoint list contains.
 type ListExtent uint8
 
-// The extents of a list.
+// The extents of an endpoint list.
 const (
-	ChangedEndpoints ListExtent = iota // only those that have changed
-	AllEndpoints                       // all: a worker that is not named is gone
+	ChangedEndpoints ListExtent = iota // only changed workers
+	AllEndpoints                       // all workers: a worker that is not contained is gone
 )
 
-// ListSource says where a list of endpoints comes from.
+// ListSource specifies the origin of an endpoint list.
 type ListSource uint8
 
-// The sources of a list.
+// The sources of an endpoint list.
 const (
-	FromDiscovery   ListSource = iota // it answers a poll, or comes by the watch that the poll began
-	FromBeforeStart                   // it was known before the start, or comes from a peer or the predecessor
+	FromDiscovery   ListSource = iota // the response to a poll, or an update of the watch that the poll started
+	FromBeforeStart                   // known from before the start, or received from a peer or the predecessor
 )
 
-// UpdateEndpoints takes a list of endpoints.
+// UpdateEndpoints applies an endpoint list.
 func (b *Balancer) UpdateEndpoints(entries []Endpoint, extent ListExtent, source ListSource) {
 	if source == FromDiscovery {
 		b.polling.RecordAnswer(b.now)
@@ -59,15 +59,15 @@
 	w.state = entry.State
 }
 
-// ringHash returns the place of a worker on the ring.
+// ringHash returns the position of a worker on the ring.
 func ringHash(workerID string) uint64 {
 	hash := fnv.New64a()
 	hash.Write([]byte(workerID))
 	return hash.Sum64()
 }
 
-// recordRestart notes that the list names a new process of the worker. What was known of the one before is void, and the
-// new one has to warm up.
+// recordRestart records that the endpoint list contains a new process of the worker. It discards the state of the
+// previous process, and the new one has to warm up.
 func (w *worker) recordRestart(startedAt Time) {
 	w.health.RecordRestart()
 	w.warmup.recordListedStart(startedAt)
--- a/internal/balancer/events.go
+++ b/internal/balancer/events.go
@@ -2,10 +2,11 @@
 
 import "fmt"
 
-// Event is something that operators should know of. Its text is one line; the fields of each type have its parts.
+// Event is an event of interest to operators. Its text is one line; the fields of each type hold the values in the
+// text.
 type Event interface{ fmt.Stringer }
 
-// WorkerEjected says that a worker gets no attempts for a while, as earlier ones have failed there.
+// WorkerEjected is logged when a worker temporarily gets no attempts because earlier ones failed there.
 type WorkerEjected struct {
 	Worker              WorkerID
 	ConsecutiveFailures int
@@ -16,7 +17,8 @@
 	return fmt.Sprintf("worker %d ejected, consecutive failures %d", e.Worker, e.ConsecutiveFailures)
 }
 
-// ZoneEjected says that no worker of a zone gets attempts for a while, as earlier ones found nobody there.
+// ZoneEjected is logged when the workers of a zone temporarily get no attempts because earlier ones could not reach a
+// worker there.
 type ZoneEjected struct {
 	Zone                ZoneID
 	ConsecutiveFailures int
@@ -27,7 +29,7 @@
 	return fmt.Sprintf("zone %d ejected, consecutive failures %d", e.Zone, e.ConsecutiveFailures)
 }
 
-// ConfigurationApplied says that a new configuration is in force.
+// ConfigurationApplied is logged when a new configuration takes effect.
 type ConfigurationApplied struct {
 	Operations  int
 	MaxAttempts int
--- a/internal/balancer/fleet_simulation_test.go
+++ b/internal/balancer/fleet_simulation_test.go
@@ -1,22 +1,23 @@
 package balancer
 
-// What the simulations of several dispatchers and their workers have in common.
+// Helpers shared by the simulations of several dispatchers and their workers.
 
 const (
 	simulationStep = Duration(20)
-	// messageDelay is how long a load message takes from one dispatcher to another.
+	// messageDelay is the delivery time of a load message between dispatchers.
 	messageDelay = Duration(200)
 )
 
 // simulatedAttempt is an attempt at a simulated worker.
 type simulatedAttempt struct {
-	balancer *Balancer // that sent it
+	balancer *Balancer // sender
 	request  RequestID
 	number   int
 	workLeft float64 // in ticks of a warm slot
 }
 
-// advance does some work on the attempt, in ticks of a warm slot, and returns how much of it was needed.
+// advance performs up to the given amount of work on the attempt, in ticks of a warm slot, and returns the amount that
+// was performed.
 func (a *simulatedAttempt) advance(work float64) float64 {
 	done := min(a.workLeft, work)
 	a.workLeft -= done
@@ -25,7 +26,7 @@
 
 func (a *simulatedAttempt) finished() bool { return a.workLeft <= 0 }
 
-// loadMessage is a message between dispatchers on its way.
+// loadMessage is a load message in transit between dispatchers.
 type loadMessage struct {
 	dueAt Time
 	from  PeerID
--- a/internal/balancer/gossip.go
+++ b/internal/balancer/gossip.go
@@ -6,43 +6,43 @@
 )
 
 const (
-	// maxGossipShare is the share of a request's billed value that is spent on messages to peers about it.
+	// maxGossipShare is the maximum share of a request's billed value that is spent on gossip messages about it.
 	maxGossipShare = 0.0125
-	// messagesPerAttempt is how many messages to each peer an attempt takes: at its start and at its end.
+	// messagesPerAttempt is the number of messages to each peer per attempt: one at its start and one at its end.
 	messagesPerAttempt = 2
 
-	// Loads are repeated after some mean sizes of requests, as messages get lost. A peer that is silent for some
-	// intervals between repetitions has ended, or is cut off.
+	// Loads are resent at an interval of meanSizesPerResend mean request sizes, because messages can be lost. A peer
+	// that sends no message for resendsUntilForgotten intervals has exited or is disconnected.
 	initialResendInterval = Duration(2 * Second)
 	minResendInterval     = Duration(Second / 2)
 	meanSizesPerResend    = 3
 	resendsUntilForgotten = 2
 
-	// notSent is workerGossip.sentLoad where peers have to be sent the load whatever it is.
+	// notSent is the value of workerGossip.sentLoad that forces the load to be sent, whatever it is.
 	notSent = -1
 )
 
-// gossip owns what peers said of their age, and when they are sent what is in flight here. What they said of workers is
-// in workerGossip.
+// gossip holds the relative ages of peers, and the times at which they are sent the loads of this dispatcher. The loads
+// that they report are in workerGossip.
 type gossip struct {
-	seniorPeers      []bool // by PeerID: peers that have run for longer than this dispatcher
-	juniorPeers      []bool // by PeerID: peers that started after it
+	seniorPeers      []bool // by PeerID: peers that started before this dispatcher
+	juniorPeers      []bool // by PeerID: peers that started after this dispatcher
 	changedLoads     []WorkerID
 	sendLoadsAt      Time
 	resendAt         Time
-	resendInterval   Duration // between messages that repeat loads
-	unheardNotBefore Time     // no attempt before it to workers whose load no peer reports
+	resendInterval   Duration // interval at which unchanged loads are resent
+	unheardNotBefore Time     // earliest time for attempts to workers whose load no peer reports
 }
 
-// workerGossip is what peers have said of a worker, and what they have been sent.
+// workerGossip holds the loads of a worker that peers reported, and the load that was last sent to them.
 type workerGossip struct {
 	peerInFlight int // sum of peerLoads
 	peerLoads    []peerLoad
-	sentLoad     int       // in flight here as peers were last sent it, or notSent
+	sentLoad     int       // number in flight as last sent to peers, or notSent
 	peers        peerRange // dispatchers that have the worker in their subset
 }
 
-// peerLoad is what a peer last said of a worker.
+// peerLoad is the last load of a worker that a peer reported.
 type peerLoad struct {
 	from       PeerID
 	inFlight   int
@@ -53,19 +53,20 @@
 	return gossip{sendLoadsAt: never, resendInterval: initialResendInterval}
 }
 
-// setResendInterval spaces repeated messages by some mean sizes, from the total of a number of sizes.
+// setResendInterval sets the resend interval to a multiple of the mean size, given the sum and number of sizes.
 func (g *gossip) setResendInterval(total Work, count int) {
 	g.resendInterval = max(minResendInterval, meanSizesPerResend*Duration(total)/Duration(count))
 }
 
-// recordJuniorPeer notes that a peer has just started.
+// recordJuniorPeer records that a peer has just started.
 func (g *gossip) recordJuniorPeer(from PeerID) {
 	g.growTo(from)
 	g.juniorPeers[from] = true
 	g.seniorPeers[from] = false
 }
 
-// recordPeer notes any other message from a peer. It has run for longer unless it is known to have started later.
+// recordPeer records any other message from a peer. It marks the peer as senior unless the peer is known to have
+// started later than this dispatcher.
 func (g *gossip) recordPeer(from PeerID) {
 	g.growTo(from)
 	g.seniorPeers[from] = !g.juniorPeers[from]
@@ -78,10 +79,10 @@
 	}
 }
 
-// hearsSenior reports whether a peer that has run for longer than this dispatcher was heard.
+// hearsSenior reports whether a message was received from a peer that has run for longer than this dispatcher.
 func (g *gossip) hearsSenior() bool { return slices.Contains(g.seniorPeers, true) }
 
-// receive stores what a peer has in flight at the worker, and returns what it said before.
+// receive records the number of attempts that a peer has in flight at the worker, and returns its previous number.
 func (w *workerGossip) receive(from PeerID, inFlight int, now Time) (before int) {
 	n := slices.IndexFunc(w.peerLoads, func(known peerLoad) bool { return known.from == from })
 	if n < 0 {
@@ -96,7 +97,7 @@
 	return before
 }
 
-// forgetBefore drops what peers said before a moment.
+// forgetBefore removes the loads that were received before the given time.
 func (w *workerGossip) forgetBefore(oldest Time) {
 	w.peerLoads = slices.DeleteFunc(w.peerLoads, func(known peerLoad) bool { return known.receivedAt < oldest })
 	w.peerInFlight = 0
@@ -105,12 +106,12 @@
 	}
 }
 
-// hearsLoadOf reports whether peers report to this dispatcher what they have in flight at a worker.
+// hearsLoadOf reports whether peers send this dispatcher their loads at a worker.
 func (b *Balancer) hearsLoadOf(id WorkerID) bool {
 	return b.config.gossip && b.subsetting.inSubset(allIntervals, id)
 }
 
-// ReceiveLoad takes what a peer has in flight at a worker.
+// ReceiveLoad records the number of attempts that a peer has in flight at a worker.
 func (b *Balancer) ReceiveLoad(from PeerID, load WorkerLoad) {
 	b.gossip.recordPeer(from)
 	loadBefore := b.load(load.Worker)
@@ -125,15 +126,16 @@
 	b.subsetting.markMaybeFree(load.Worker)
 }
 
-// staggerAccess is called as a slot comes free at a worker that warms up and was full. The dispatchers that hear of it
-// try the worker one after the other, each once it would have heard of the one before. If all sent at once, what the
-// worker rejects would still count against its budget. The dispatcher whose attempt ended knows first, and so goes first.
+// staggerAccess is called when a slot becomes free at a full worker that is warming up. The dispatchers that are
+// informed of it try the worker one after the other, each delayed until it would have received the load of the one
+// before. If all of them sent at once, the attempts that the worker rejects would still count against its budget. The
+// dispatcher whose attempt ended is the first to know, and therefore the first to send.
 func (b *Balancer) staggerAccess(id WorkerID) {
 	w := &b.workers[id]
 	sharers := max(w.gossip.peers.count(), 1)
-	rotation := int(b.now / Second) // so that it is not always the same dispatcher that comes last
+	rotation := int(b.now / Second) // so that the last dispatcher changes over time
 	rank := (b.config.position + rotation) % sharers
-	// A peer has heard of the attempt before its own within half of the patience.
+	// A peer receives the load of the preceding dispatcher within half of the patience.
 	w.notBefore = b.now.Add(Duration(rank) * b.config.patience / 2)
 	b.due.reviewBy(w.notBefore)
 }
@@ -150,8 +152,8 @@
 	}
 }
 
-// gossipPeers returns the dispatchers with which this one exchanges the load of some worker; all of them while there is
-// no endpoint list.
+// gossipPeers returns the dispatchers with which this one exchanges the load of at least one worker. Without an
+// endpoint list, it returns all other dispatchers.
 func (b *Balancer) gossipPeers() (peers []PeerID) {
 	workers := b.subsetting.subsets[allIntervals].workers
 	shares := make([]bool, b.config.dispatchers)
@@ -168,8 +170,8 @@
 	return peers
 }
 
-// markLoadChanged schedules sending the load of a worker to its peers. It waits for the margin, in which a rejection may
-// come back and leave nothing to send.
+// markLoadChanged schedules sending the load of a worker to its peers. The delay is the margin: if a rejection arrives
+// within it, there may be no change to send.
 func (b *Balancer) markLoadChanged(id WorkerID) {
 	if b.config.gossip {
 		b.gossip.changedLoads = append(b.gossip.changedLoads, id)
@@ -192,7 +194,8 @@
 	b.gossip.sendLoadsAt = never
 }
 
-// resendLoads schedules sending all that is in flight here again, as messages get lost, and forgets silent peers.
+// resendLoads schedules resending the loads of all workers with attempts in flight, because messages can be lost, and
+// removes the loads of silent peers.
 func (b *Balancer) resendLoads() {
 	b.gossip.resendAt = b.now.Add(b.gossip.resendInterval)
 	oldest := b.now.Add(-resendsUntilForgotten * b.gossip.resendInterval)
@@ -203,7 +206,7 @@
 	}
 }
 
-// resendLoad schedules sending the load of a worker again, if anything is in flight there.
+// resendLoad schedules resending the load of a worker if it has attempts in flight.
 func (b *Balancer) resendLoad(id WorkerID) {
 	if b.workers[id].inFlight > 0 {
 		b.workers[id].gossip.sentLoad = notSent
@@ -211,8 +214,8 @@
 	}
 }
 
-// receivePeerStarted notes that a peer has just started: it has nothing in flight. It is sent what is in flight here,
-// which it would otherwise learn only as that changes.
+// receivePeerStarted records that a peer has just started and so has no attempts in flight. The peer is sent the loads
+// of this dispatcher, which it would otherwise receive only when they change.
 func (b *Balancer) receivePeerStarted(from PeerID) {
 	b.gossip.recordJuniorPeer(from)
 	for _, id := range b.subsetting.ring {
--- a/internal/balancer/helper_test.go
+++ b/internal/balancer/helper_test.go
@@ -8,23 +8,23 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// testStart is the moment at which the tests set the clock first.
+// testStart is the time to which the tests set the clock first.
 const testStart = Time(100 * Second)
 
-// The operations of testConfig, by how often a request may be executed.
+// The operations of testConfig. They differ in how often a request may be executed.
 const (
 	idempotentOp    OperationID = iota // any number of times
-	nonIdempotentOp                    // once; its answers have eight times the value of the others
-	zoneKeyedOp                        // again under its key, at the workers of a zone
-	fleetKeyedOp                       // again under its key, at all workers
-	cellKeyedOp                        // again under its key, at the workers of a cell
+	nonIdempotentOp                    // once; the value of its answers is eight times that of the others
+	zoneKeyedOp                        // again with its idempotency key, at the workers of a zone
+	fleetKeyedOp                       // again with its idempotency key, at all workers
+	cellKeyedOp                        // again with its idempotency key, at the workers of a cell
 )
 
-// The tenants of testConfig, by the requests a second that count in full. Each of the two dispatchers has half of that.
+// The tenants of testConfig, by quota. Each of the two dispatchers has half of the quota.
 const (
 	unlimitedTenant  TenantID = iota
-	twentyRPSTenant           // 20 requests a second
-	fifthOfRPSTenant          // one request in five seconds
+	twentyRPSTenant           // 20 requests per second
+	fifthOfRPSTenant          // one request per 5 s
 )
 
 var testConfig = Config{
@@ -82,7 +82,7 @@
 	},
 }
 
-// keyedOperation returns an operation with an idempotency key, which the workers of a scope remember.
+// keyedOperation returns an operation with an idempotency key and the given dedup scope.
 func keyedOperation(scope DedupScope) OperationConfig {
 	return OperationConfig{
 		LatencyObjective: Second,
@@ -94,7 +94,7 @@
 	}
 }
 
-// testEndpoint returns a worker of zone 0 for an even number and of zone 1 for an odd one, in a cell of its own.
+// testEndpoint returns a worker in zone 0 if its ID is even and in zone 1 if it is odd, and in a cell of its own.
 func testEndpoint(id WorkerID) Endpoint {
 	return Endpoint{
 		Worker: id,
@@ -104,7 +104,7 @@
 	}
 }
 
-// testEndpoints returns the workers of testEndpoint with the numbers from 0.
+// testEndpoints returns the first count workers of testEndpoint, starting with ID 0.
 func testEndpoints(count int) (endpoints []Endpoint) {
 	for id := range WorkerID(count) {
 		endpoints = append(endpoints, testEndpoint(id))
@@ -112,7 +112,7 @@
 	return endpoints
 }
 
-// newTestBalancer returns a Balancer that has its endpoints from the discovery service, and the record of its effects.
+// newTestBalancer returns a Balancer whose endpoint list is from the discovery service, and a recorder of its effects.
 func newTestBalancer(config Config, seed uint64, endpoints []Endpoint) (*Balancer, *recorder) {
 	effects := &recorder{}
 	balancer := New(config, seed, effects)
@@ -121,25 +121,25 @@
 	return balancer, effects
 }
 
-// newWarmBalancer returns a Balancer with testConfig and the warm workers of testEndpoints.
+// newWarmBalancer returns a Balancer with testConfig and the given number of warm workers from testEndpoints.
 func newWarmBalancer(workers int, seed uint64) (*Balancer, *recorder) {
 	return newTestBalancer(testConfig, seed, testEndpoints(workers))
 }
 
-// arrive has a request arrive, and applies the rules that are due.
+// arrive submits a request and applies the rules that are due.
 func arrive(balancer *Balancer, id RequestID, arrival Arrival) {
 	balancer.RequestArrived(id, arrival)
 	balancer.RunDueRules()
 }
 
-// endFirstAttempt reports the outcome of a first attempt that leaves its request open, and applies the rules that are
+// endFirstAttempt reports an outcome of the first attempt that leaves the request open, and applies the rules that are
 // due.
 func endFirstAttempt(balancer *Balancer, id RequestID, outcome Outcome) {
 	balancer.AttemptEnded(id, 0, outcome, NoAnswer)
 	balancer.RunDueRules()
 }
 
-// advance lets time pass, and applies the rules that are due then.
+// advance advances the clock and applies the rules that are due.
 func advance(balancer *Balancer, span Duration) {
 	balancer.SetTime(balancer.now.Add(span))
 	balancer.RunDueRules()
@@ -156,8 +156,8 @@
 	return balancer.requests.get(id).attempts[number].worker
 }
 
-// newPickableRequest returns an open request within its quota that has had no attempt and no size hint. It is of the
-// idempotent operation.
+// newPickableRequest returns an open request of the idempotent operation that is within its quota and has no attempts
+// and no size hint.
 func newPickableRequest(interval int) *request {
 	return &request{
 		attemptLimit: 4,
@@ -167,30 +167,30 @@
 	}
 }
 
-// withinWarmupBudget reports whether slow start lets a worker have one more attempt of a size.
+// withinWarmupBudget reports whether slow start allows a worker one more attempt of the given size.
 func (b *Balancer) withinWarmupBudget(id WorkerID, size Work) bool {
 	return b.slowStartExclusion(id, size) == eligible
 }
 
-// setSizes replaces the sample of sizes, and renews the size intervals.
+// setSizes replaces the sample of sizes and updates the size intervals.
 func setSizes(balancer *Balancer, sizes ...Work) {
 	balancer.sizes.Restore(sizes, len(sizes))
 	balancer.sizes.Update()
 }
 
-// setSlots sets the slots of workers of kind 0, both the estimate and the most that were seen in use.
+// setSlots sets the number of slots of workers of kind 0, both the estimate and the maximum observed in use.
 func setSlots(balancer *Balancer, slots float64) {
 	balancer.slots.kinds[0].MaxObserved = slots
 	balancer.slots.kinds[0].Estimate = slots
 }
 
-// assertPollDueWithin asserts that the endpoint list is polled next after a span at the latest.
+// assertPollDueWithin asserts that the next poll of the endpoint list is due within the given duration.
 func assertPollDueWithin(t *testing.T, balancer *Balancer, span Duration, messageAndArgs ...any) {
 	t.Helper()
 	assert.LessOrEqual(t, balancer.polling.DueAt().Sub(balancer.now), span, messageAndArgs...)
 }
 
-// recorder records the effects of a Balancer, one a line. It leaves out wake-ups and events.
+// recorder records the effects of a Balancer, one per line. It ignores wake-ups and events.
 type recorder struct{ lines []string }
 
 func (r *recorder) record(format string, args ...any) {
--- a/internal/balancer/migration.go
+++ b/internal/balancer/migration.go
@@ -7,7 +7,7 @@
 )
 
 // MigratedRequest is a request that one process of this dispatcher passes to another, with the configuration of its
-// operation as it arrived. The JSON names are those of earlier versions, which have to read it.
+// operation at the time of its arrival. The JSON names are those of earlier versions, which must be able to read it.
 type MigratedRequest struct {
 	Name             string      `json:"Name"`
 	LatencyObjective Duration    `json:"Objective"`
@@ -20,16 +20,16 @@
 	DedupScope       DedupScope  `json:"Scope"`
 	Kind             KindID      `json:"Kind"`
 
-	Deadline       time.Time         `json:"Until"` // the client's
+	Deadline       time.Time         `json:"Until"` // of the client
 	LatestStart    Time              `json:"Latest"`
 	Size           Work              `json:"Size"`
 	QuotaWeight    float64           `json:"Counts"`
-	SpentElsewhere int               `json:"Beyond"` // of MaxAttempts, those that are not allowed to this request
-	MaxAttempts    int               `json:"Most"`   // of the configuration
+	SpentElsewhere int               `json:"Beyond"` // number of MaxAttempts that this request may not use
+	MaxAttempts    int               `json:"Most"`   // configured limit
 	Attempts       []MigratedAttempt `json:"Forwards"`
 }
 
-// MigratedAttempt is an attempt of it, by its number.
+// MigratedAttempt is an attempt of a MigratedRequest. Its number is its index.
 type MigratedAttempt struct {
 	Worker     WorkerID `json:"Tgt"`
 	SentAt     Time     `json:"Sent"`
@@ -38,9 +38,9 @@
 	MayHaveRun bool     `json:"Ran"`
 }
 
-// Export takes a request out of the decisions, for another process to continue. It does so, and returns true, only while
-// the request is open with a number of attempts in flight and none still to be picked. Pick then returns
-// RespondElsewhere.
+// Export removes a request from this process, for another process to continue it. It does so, and returns true, only if
+// the request is open, has exactly the given number of attempts in flight and has no unpicked attempt. Pick then
+// returns RespondElsewhere.
 func (h *RequestHandle) Export(inFlight int) (migrated MigratedRequest, ok bool) {
 	h.picker.update(func(b *Balancer) {
 		unpicked := slices.ContainsFunc(h.decisions, func(decision Decision) bool { return decision.Action == SendAttempt })
@@ -95,8 +95,8 @@
 	return migrated
 }
 
-// Import continues a request that another process has exported. It returns the contexts of its attempts by their
-// numbers; those that are in flight have to be reported.
+// Import continues a request that was exported by another process. It returns the contexts of its attempts by number.
+// The caller must report the outcomes of the attempts in flight.
 func (p *Picker) Import(migrated MigratedRequest) (*RequestHandle, []context.Context) {
 	h := p.newHandle(migrated.Deadline)
 	contexts := make([]context.Context, len(migrated.Attempts))
@@ -160,7 +160,7 @@
 	b.markLoadChanged(migrated.Worker)
 }
 
-// operation returns the one that the request arrived with.
+// operation returns the operation of the request as configured when it arrived.
 func (m *MigratedRequest) operation() operation {
 	return operation{lateShare: m.LateShare, operationTerms: operationTerms{
 		name:             m.Name,
@@ -175,8 +175,9 @@
 	}}
 }
 
-// Import continues a request that another process has exported, at the next shard in turn. All shards number its
-// operation: otherwise the next configuration would get other numbers at one shard than at another.
+// Import continues a request that was exported by another process, at the next shard in round-robin order. Its
+// operation is assigned an ID at all shards: otherwise the shards would assign different IDs to the operations of the
+// next configuration.
 func (s *Shards) Import(migrated MigratedRequest) (*RequestHandle, []context.Context) {
 	s.reconfiguring.Lock()
 	defer s.reconfiguring.Unlock()
--- a/internal/balancer/migration_test.go
+++ b/internal/balancer/migration_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// jsonRoundTrip returns a value as another process reads it.
+// jsonRoundTrip returns the value that another process decodes.
 func jsonRoundTrip[T any](t *testing.T, v T) (out T) {
 	t.Helper()
 	encoded, err := json.Marshal(v)
@@ -17,11 +17,11 @@
 	return out
 }
 
-// Regression test for a request that is executed twice, or not retried, because another process continues it.
+// Regression test for a request that was executed twice, or not retried, after it was migrated to another process.
 func TestMigratedRequestKeepsItsConfigurationAndAttempts(t *testing.T) {
 	for _, c := range []struct {
 		operation OperationID
-		want      Action // after its attempt was cut off
+		want      Action // after the connection of its attempt was reset
 	}{
 		{operation: idempotentOp, want: SendAttempt},
 		{operation: nonIdempotentOp, want: RespondFailed},
@@ -46,7 +46,7 @@
 		handle := old.Submit(Arrival{Operation: c.operation, Timeout: 3 * Second})
 		first := pick(t, handle)
 		_, ok := handle.Export(0)
-		assert.False(t, ok, "an attempt is in flight that was not counted")
+		assert.False(t, ok, "one attempt is in flight, not zero")
 		migrated, ok := handle.Export(1)
 		assert.True(t, ok)
 		assert.Equal(t, RespondElsewhere, pick(t, handle).Action)
@@ -61,7 +61,7 @@
 		assert.NoError(t, contexts[0].Err())
 		adopted.Report(0, ConnectionReset)
 		got := pick(t, adopted)
-		assert.Equal(t, c.want, got.Action, "its operation is not configured here")
+		assert.Equal(t, c.want, got.Action, "its operation is not configured in this process")
 		if got.Action == SendAttempt {
 			assert.Equal(t, 1, got.Attempt)
 			adopted.Report(1, Succeeded)
@@ -71,8 +71,8 @@
 	}
 }
 
-// Regression test for an operation that has another number at one shard than at the others, once the configuration
-// changes: requests there would be treated as those of another operation.
+// Regression test for an operation that had a different ID at one shard than at the others after a configuration
+// change, so that requests there were treated as those of another operation.
 func TestAllShardsNumberMigratedOperationsAlike(t *testing.T) {
 	now := Time(100 * Second)
 	s := NewShards(namedConfig(), 2, 1, func() Time { return now }, func(Event) {})
--- a/internal/balancer/picker.go
+++ b/internal/balancer/picker.go
@@ -7,54 +7,55 @@
 	"time"
 )
 
-// Action is what the goroutine that serves a client has to do next.
+// Action is the next step for the goroutine that serves a client.
 type Action uint8
 
 // The actions.
 const (
-	SendAttempt      Action = iota + 1 // send an attempt to Worker under Ctx, and report it by its number
-	RespondResult                      // give the client the result of the attempt with the number
+	SendAttempt      Action = iota + 1 // send an attempt to Worker with Ctx, and report its outcome by its number
+	RespondResult                      // send the client the result of the attempt
 	RespondRejected                    // tell the client to retry
 	RespondFailed                      // tell the client that the request failed
-	RespondElsewhere                   // another process continues the request: no answer from here
+	RespondElsewhere                   // send no response: another process continues the request
 )
 
-// Decision is the answer to a Pick.
+// Decision is the result of a call to Pick.
 type Decision struct {
 	Action      Action
 	Worker      WorkerID        // of SendAttempt
 	Attempt     int             // number of the attempt, of SendAttempt and RespondResult
-	Ctx         context.Context // of SendAttempt: ends when the attempt is canceled or the client's time is up
-	Idempotency Idempotency     // of SendAttempt: whether it may run again, and so how sure its connection has to be
-	SendBy      time.Time       // of SendAttempt: when the dedup window closes; zero for no bound
-	RetryAfter  Duration        // of RespondRejected: how long the client should wait, 0 for no advice
+	Ctx         context.Context // of SendAttempt: done when the attempt is canceled or times out
+	Idempotency Idempotency     // of SendAttempt: whether it may run again; if not, its connection must be reliable
+	SendBy      time.Time       // of SendAttempt: when the dedup window closes; zero for no limit
+	RetryAfter  Duration        // of RespondRejected: how long the client should wait; 0 for no advice
 }
 
-// ErrAttemptCanceled is the cause of the context of an attempt that a decision has ended.
+// ErrAttemptCanceled is the cancellation cause of the context of an attempt that was canceled by a decision.
 var ErrAttemptCanceled = errors.New("attempt canceled")
 
-// LoadUpdate is what one peer has to be sent of the load here.
+// LoadUpdate holds the loads of this dispatcher to send to one peer.
 type LoadUpdate struct {
 	To    PeerID
 	Loads []WorkerLoad
 }
 
-// maxQueuedProbes is how many probes may wait. More would show nothing new.
+// maxQueuedProbes limits the number of queued probes. More probes would provide no further information.
 const maxQueuedProbes = 64
 
-// Picker lets goroutines that block use one Balancer: they submit, pick and report. It serializes their calls, assigns
-// the numbers of requests, and turns the answers of the Balancer into what a Pick returns.
+// Picker allows concurrent, blocking goroutines to share one Balancer: they submit requests, pick decisions and report
+// outcomes. It serializes their calls, assigns request IDs, and converts the effects of the Balancer into the decisions
+// that Pick returns.
 type Picker struct {
-	mu       sync.Mutex // guards all below, but for the channels
+	mu       sync.Mutex // guards the fields below, except the channels
 	balancer *Balancer
 	clock    func() Time
 	log      func(Event)
 
-	handles   []*RequestHandle // by RequestID, nil where the number is free
+	handles   []*RequestHandle // by RequestID; nil if the ID is free
 	freeIDs   []RequestID
 	openCount int
 	siblings  [siblingRoles]inFlightByWorker
-	stopAt    Time // no answer is possible later; never, but for a process that ends
+	stopAt    Time // latest time for an answer; never, unless the process is stopping
 	lifetime  context.Context
 	cancelAll context.CancelCauseFunc
 
@@ -68,8 +69,8 @@
 	loadUpdatesReady chan struct{}
 }
 
-// NewPicker returns a Picker around a new Balancer. clock returns the current time, and log takes events, under
-// the Picker's lock.
+// NewPicker returns a Picker with a new Balancer. clock returns the current time and log handles events; both are
+// called with the lock of the Picker held.
 func NewPicker(config Config, seed uint64, clock func() Time, log func(Event)) *Picker {
 	p := &Picker{
 		clock:            clock,
@@ -86,7 +87,7 @@
 	return p
 }
 
-// update makes a call under the lock at the current time, and applies the rules that are due then.
+// update sets the current time, runs call and then applies the rules that are due, with the lock held.
 func (p *Picker) update(call func(*Balancer)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -95,7 +96,7 @@
 	p.balancer.RunDueRules()
 }
 
-// read makes a call that changes nothing, under the lock and at the current time.
+// read sets the current time and runs call, which must not change the state, with the lock held.
 func (p *Picker) read(call func(*Balancer)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -103,7 +104,7 @@
 	call(p.balancer)
 }
 
-// Submit takes in a request. The caller has to call Pick until it gets an answer.
+// Submit adds a request. The caller must call Pick until it returns a final answer.
 func (p *Picker) Submit(arrival Arrival) *RequestHandle {
 	return p.submit(arrival, func(*Balancer, *RequestHandle) {})
 }
@@ -119,8 +120,8 @@
 	return h
 }
 
-// Run blocks until ctx ends, and applies the rules whenever one comes due by time alone. It applies them at once too:
-// without any endpoints nothing else would ever have the list polled.
+// Run applies the rules when they become due by time alone, and blocks until ctx is done. It also applies them at the
+// start: without endpoints, no other event would cause the endpoint list to be polled.
 func (p *Picker) Run(ctx context.Context) error {
 	p.update(func(*Balancer) {})
 	timer := time.NewTimer(0)
@@ -150,14 +151,14 @@
 	}
 }
 
-// OpenRequests is the number of requests that are not closed, or have attempts in flight.
+// OpenRequests returns the number of requests that are not closed or have attempts in flight.
 func (p *Picker) OpenRequests() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.openCount
 }
 
-// StopAfter bounds all answers: none is possible after a span from now, as the process ends then.
+// StopAfter sets a time limit for all answers: the process exits after the given duration.
 func (p *Picker) StopAfter(span Duration) {
 	p.update(func(b *Balancer) {
 		p.stopAt = min(p.stopAt, b.now.Add(span))
@@ -165,7 +166,7 @@
 	})
 }
 
-// limitDeadlines has all open requests answered by a time.
+// limitDeadlines limits the deadlines of all open requests to the given time.
 func (b *Balancer) limitDeadlines(latest Time) {
 	for id := range b.requests.newestFirst() {
 		req := b.requests.get(id)
@@ -174,11 +175,12 @@
 	}
 }
 
-// CancelAll cancels all attempts that are still in flight, as the process ends and nobody waits for them. Otherwise the
-// process would stay for as long as its clients would have waited.
+// CancelAll cancels all attempts that are still in flight because the process is exiting and their results are no
+// longer needed. Otherwise the process would keep running until the deadlines of its clients.
 func (p *Picker) CancelAll() { p.cancelAll(ErrAttemptCanceled) }
 
-// WouldMissStop reports whether a request that arrives now would, by its size hint, not be done before the process ends.
+// WouldMissStop reports whether a request that arrives now would, according to its size hint, not complete before the
+// process exits.
 func (p *Picker) WouldMissStop(arrival Arrival) (misses bool) {
 	p.read(func(b *Balancer) {
 		size := arrival.size()
@@ -190,13 +192,14 @@
 	return misses
 }
 
-// WorkerCounts returns the number of listed workers, and of those that are ejected now, alone or with their zone.
+// WorkerCounts returns the number of workers in the endpoint list, and the number of these that are currently ejected,
+// individually or with their zone.
 func (p *Picker) WorkerCounts() (listed, ejected int) {
 	p.read(func(b *Balancer) { listed, ejected = b.countWorkers() })
 	return listed, ejected
 }
 
-// AwaitPoll blocks until the endpoint list should be polled, or returns the error of ctx.
+// AwaitPoll blocks until the endpoint list is due to be polled. It returns the error of ctx if that is done first.
 func (p *Picker) AwaitPoll(ctx context.Context) error {
 	select {
 	case <-p.pollDue:
@@ -206,7 +209,7 @@
 	}
 }
 
-// NextProbe blocks until a worker should be probed, or returns the error of ctx.
+// NextProbe blocks until a worker is due to be probed. It returns the error of ctx if that is done first.
 func (p *Picker) NextProbe(ctx context.Context) (WorkerID, error) {
 	select {
 	case id := <-p.probes:
@@ -216,7 +219,7 @@
 	}
 }
 
-// NextLoadUpdates blocks until peers have to be sent something, or returns the error of ctx.
+// NextLoadUpdates blocks until there are loads to send to peers. It returns the error of ctx if that is done first.
 func (p *Picker) NextLoadUpdates(ctx context.Context) ([]LoadUpdate, error) {
 	for {
 		p.mu.Lock()
@@ -234,13 +237,13 @@
 	}
 }
 
-// UpdateEndpoints takes a list of endpoints.
+// UpdateEndpoints applies an endpoint list.
 func (p *Picker) UpdateEndpoints(entries []Endpoint, extent ListExtent, source ListSource) {
 	p.update(func(b *Balancer) { b.UpdateEndpoints(entries, extent, source) })
 }
 
-// ReportWatchEnded notes that the endpoint list could not be had, or is no longer watched. It drops a signal to
-// poll that has not been taken, or the list would be polled again without a wait.
+// ReportWatchEnded records that the endpoint list could not be fetched or is no longer watched. It clears a pending
+// poll signal, because the list would otherwise be polled again without a delay.
 func (p *Picker) ReportWatchEnded(end WatchEnd) {
 	p.update(func(b *Balancer) {
 		b.polling.RecordWatchEnd(end)
@@ -252,7 +255,8 @@
 	})
 }
 
-// ReceiveLoad takes what a peer has in flight at a worker. Workers that are not known here yet are ignored.
+// ReceiveLoad records the number of attempts that a peer has in flight at a worker. It ignores workers that have not
+// been in an endpoint list of this dispatcher.
 func (p *Picker) ReceiveLoad(from PeerID, load WorkerLoad) {
 	p.update(func(b *Balancer) {
 		if int(load.Worker) < len(b.workers) {
@@ -261,7 +265,7 @@
 	})
 }
 
-// assignID gives a request a number that no other one has.
+// assignID assigns a request an ID that is not in use.
 func (p *Picker) assignID(h *RequestHandle) {
 	if n := len(p.freeIDs); n > 0 {
 		h.id = p.freeIDs[n-1]
@@ -274,15 +278,16 @@
 	p.openCount++
 }
 
-// releaseID frees the number of a request.
+// releaseID frees the ID of a request.
 func (p *Picker) releaseID(id RequestID) {
 	p.handles[id] = nil
 	p.freeIDs = append(p.freeIDs, id)
 	p.openCount--
 }
 
-// sendBy returns when the dedup window closes for the latest attempt of a request, zero for no bound. Without it an
-// attempt that is decided on within the window could be sent after it, as its connection came up late.
+// sendBy returns the time when the dedup window closes for the latest attempt of a request, or zero for no limit.
+// Without this limit, an attempt that is decided on within the window could be sent after it if its connection is
+// established late.
 func (p *Picker) sendBy(id RequestID) time.Time {
 	var noBound time.Time
 	b := p.balancer
@@ -291,7 +296,7 @@
 	if op.idempotency != IdempotentByKey {
 		return noBound
 	}
-	for n := range len(req.attempts) - 1 { // the first one was sent first
+	for n := range len(req.attempts) - 1 { // attempts are in the order in which they were sent
 		if earlier := &req.attempts[n]; earlier.mayRun() {
 			left := b.repeatUnsafeFrom(op, earlier).Sub(b.now)
 			return time.Now().Add(left.Standard())
@@ -300,7 +305,7 @@
 	return noBound
 }
 
-// signal wakes the reader of a channel with room for one, unless it has been woken already.
+// signal wakes the reader of a channel of capacity 1, unless a signal is already pending.
 func signal(c chan struct{}) {
 	select {
 	case c <- struct{}{}:
--- a/internal/balancer/picker_bench_test.go
+++ b/internal/balancer/picker_bench_test.go
@@ -9,8 +9,8 @@
 // benchmarkFleetSize is the number of workers of the largest benchmarks.
 const benchmarkFleetSize = 4096
 
-// BenchmarkServeRequest measures the decisions of one request without contention: its arrival, the choice of a worker,
-// the start notice and the report, beside requests that stay open. Run it with
+// BenchmarkServeRequest measures the decisions for one request without contention, while other requests are open: its
+// arrival, the choice of a worker, the start notice and the report. Run it with
 //
 //	go test ./internal/balancer -run '^$' -bench ServeRequest -benchmem
 func BenchmarkServeRequest(b *testing.B) {
@@ -27,8 +27,8 @@
 	}
 }
 
-// newPickerWithOpenRequests returns a Picker with running attempts at each worker, whose slots are estimated as more
-// than enough for these. No request is out of time while the clock does not advance.
+// newPickerWithOpenRequests returns a Picker with openPerWorker attempts running at each worker, and an estimated
+// number of slots that leaves eight of them free. No request times out while the clock does not advance.
 func newPickerWithOpenRequests(b *testing.B, workers, openPerWorker int) *Picker {
 	b.Helper()
 	const freeSlots = 8
@@ -41,7 +41,7 @@
 	return picker
 }
 
-// pickAttempt returns the decision to send an attempt of a request.
+// pickAttempt returns the next decision for a request, which must be to send an attempt.
 func pickAttempt(b *testing.B, handle *RequestHandle) Decision {
 	b.Helper()
 	decision, err := handle.Pick(context.Background())
@@ -68,7 +68,7 @@
 	}
 }
 
-// BenchmarkUpdateAllEndpoints measures a list of all of 4,096 workers that comes while 65,536 requests are open.
+// BenchmarkUpdateAllEndpoints measures an update with all of 4,096 workers while 65,536 requests are open.
 func BenchmarkUpdateAllEndpoints(b *testing.B) {
 	picker := newPickerWithOpenRequests(b, benchmarkFleetSize, 16)
 	endpoints := testEndpoints(benchmarkFleetSize)
@@ -77,8 +77,8 @@
 	}
 }
 
-// BenchmarkArrivalBesidePendingRequests measures a request that arrives and whose client leaves, while all 256 workers
-// are full and 10,000 requests are pending.
+// BenchmarkArrivalBesidePendingRequests measures the arrival of a request and the departure of its client while all 256
+// workers are full and 10,000 requests are pending.
 func BenchmarkArrivalBesidePendingRequests(b *testing.B) {
 	const slots = 8
 	picker := newPickerWithOpenRequests(b, 256, slots)
@@ -96,7 +96,7 @@
 	}
 }
 
-// BenchmarkAllWorkersWarming measures one request where each of 4,096 workers has just started.
+// BenchmarkAllWorkersWarming measures one request while all of 4,096 workers are warming up.
 func BenchmarkAllWorkersWarming(b *testing.B) {
 	picker, now := newTestPicker(testConfig, 0)
 	var endpoints []Endpoint
@@ -110,8 +110,8 @@
 	}
 }
 
-// BenchmarkReviewOpenRequests measures the review of 65,536 open requests. One is due in each tenth of the shortest
-// latency objective.
+// BenchmarkReviewOpenRequests measures one review of 65,536 open requests. A review is due once per tenth of the
+// shortest latency objective.
 func BenchmarkReviewOpenRequests(b *testing.B) {
 	picker := newPickerWithOpenRequests(b, benchmarkFleetSize, 16)
 	for b.Loop() {
--- a/internal/balancer/picker_effects.go
+++ b/internal/balancer/picker_effects.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// pickerEffects turns the effects of a Balancer into decisions of request handles, and signals to the goroutines that
-// poll, probe and gossip. Its methods run under the Picker's lock.
+// pickerEffects converts the effects of a Balancer into decisions for request handles, and into signals to the
+// goroutines that poll, probe and gossip. Its methods are called with the lock of the Picker held.
 type pickerEffects struct{ picker *Picker }
 
 func (e pickerEffects) SendAttempt(id RequestID, target WorkerID, within Duration) {
@@ -19,7 +19,7 @@
 		}
 	}
 	op := &p.balancer.operations.byID[p.balancer.requests.get(id).operation]
-	ctx := h.beginAttempt(until) // before its number is read: the order of both within one expression isn't specified
+	ctx := h.beginAttempt(until) // changes len(h.cancels), and evaluation order in one expression is unspecified
 	h.push(Decision{
 		Action:      SendAttempt,
 		Worker:      target,
@@ -57,7 +57,7 @@
 func (e pickerEffects) Probe(id WorkerID) {
 	select {
 	case e.picker.probes <- id:
-	default: // as many are waiting already
+	default: // the queue is full
 	}
 }
 
@@ -73,7 +73,7 @@
 	signal(p.loadUpdatesReady)
 }
 
-// beginAttempt counts one more attempt in flight, which ends by itself at a time, and returns its context.
+// beginAttempt adds an attempt in flight that times out at the given time, and returns its context.
 func (h *RequestHandle) beginAttempt(until time.Time) context.Context {
 	timed, stop := context.WithDeadline(h.picker.lifetime, until)
 	ctx, cancel := context.WithCancelCause(timed)
--- a/internal/balancer/picker_test.go
+++ b/internal/balancer/picker_test.go
@@ -9,7 +9,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// newTestPicker returns a Picker with the warm workers of testEndpoints, and its clock, which the test sets.
+// newTestPicker returns a Picker with the given number of warm workers from testEndpoints, and its clock for the test
+// to set.
 func newTestPicker(config Config, workers int) (*Picker, *Time) {
 	now := testStart
 	picker := NewPicker(config, 1, func() Time { return now }, func(Event) {})
@@ -17,7 +18,7 @@
 	return picker, &now
 }
 
-// pick returns the next decision for a request, which has to come within 5 s.
+// pick returns the next decision for a request. It fails the test if there is none within 5 s.
 func pick(t *testing.T, handle *RequestHandle) Decision {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
@@ -69,8 +70,8 @@
 	window := testConfig.Operations[zoneKeyedOp].DedupWindow
 	for name, c := range map[string]struct {
 		operation OperationID
-		ends      []Outcome // of the attempts before the last one, a step apart
-		left      Duration  // of the dedup window as the last one is decided on, 0 for no bound
+		ends      []Outcome // of the attempts before the last one, at intervals of step
+		left      Duration  // of the dedup window when the last attempt is decided on, 0 for no limit
 	}{
 		"the first attempt":                     {operation: zoneKeyedOp},
 		"after one that may have run":           {operation: zoneKeyedOp, ends: []Outcome{ConnectionReset}, left: window - step},
@@ -108,12 +109,13 @@
 	_, err := handle.Pick(clientLeft)
 	assert.ErrorIs(t, err, context.Canceled)
 	assert.ErrorIs(t, context.Cause(decision.Ctx), ErrAttemptCanceled)
-	assert.Equal(t, 1, picker.OpenRequests(), "its number is not used again before the attempt has reported")
+	assert.Equal(t, 1, picker.OpenRequests(), "its ID is not reused before the attempt is reported")
 	handle.Report(decision.Attempt, Canceled)
 	assert.Equal(t, 0, picker.OpenRequests())
 }
 
-// Regression test for numbers that are never freed: nobody reports an attempt that nobody has picked.
+// Regression test for request IDs that were never freed because the outcome of an attempt that was not picked was not
+// reported.
 func TestUnpickedAttemptIsReportedWhenTheClientLeaves(t *testing.T) {
 	picker, _ := newTestPicker(testConfig, 2)
 	handle := picker.Submit(Arrival{Timeout: 3 * Second})
@@ -122,7 +124,7 @@
 	assert.Equal(t, 0, picker.balancer.workers[0].inFlight+picker.balancer.workers[1].inFlight)
 }
 
-// Regression test for an attempt that is sent after the answer, where attempts may not be canceled.
+// Regression test for an attempt that was sent after the answer if cancellation is disabled.
 func TestAttemptNotPickedBeforeTheAnswerIsNeverSent(t *testing.T) {
 	config := testConfig
 	config.Attempts.Cancellation = false
@@ -165,7 +167,7 @@
 	ended := make(chan error)
 	go func() { ended <- picker.Run(ctx) }()
 	handle := picker.Submit(Arrival{Timeout: Second / 10})
-	assert.Equal(t, RespondRejected, pick(t, handle).Action, "no worker is known, and no other call is made")
+	assert.Equal(t, RespondRejected, pick(t, handle).Action, "there are no workers, and no other call is made")
 	cancel()
 	assert.NoError(t, <-ended)
 }
@@ -199,7 +201,8 @@
 	assert.Zero(t, picker.balancer.workers[0].inFlight+picker.balancer.workers[1].inFlight+picker.balancer.workers[2].inFlight+picker.balancer.workers[3].inFlight, "no attempt is in flight")
 }
 
-// Regression test for a crash: a peer may send the load of a worker that no list here has named yet.
+// Regression test for a crash: a peer may send the load of a worker that has not been in an endpoint list of this
+// dispatcher yet.
 func TestLoadOfAnUnknownWorkerIsIgnored(t *testing.T) {
 	picker, _ := newTestPicker(testConfig, 1)
 	assert.NotPanics(t, func() { picker.ReceiveLoad(1, WorkerLoad{Worker: 7, InFlight: 2}) })
@@ -216,8 +219,8 @@
 	assert.Equal(t, []LoadUpdate{{1, []WorkerLoad{{0, 2}, {1, 3}}}, {0, []WorkerLoad{{0, 2}}}}, updates)
 }
 
-// Regression test for a discovery service that is polled again without a wait, and one that is polled late after its
-// address has changed.
+// Regression test for polling the discovery service again without a delay after a failure, and for polling it late
+// after its address has changed.
 func TestPollAfterAWaitOrAtOnceWhereTheServiceMoved(t *testing.T) {
 	config := testConfig
 	config.Discovery.Poll = true
@@ -226,12 +229,12 @@
 	picker.ReportWatchEnded(WatchFailed)
 	*now += 5 * Second
 	picker.update(func(*Balancer) {})
-	assert.True(t, pollIsDue(), "and nobody polls before the next failure")
+	assert.True(t, pollIsDue(), "and the signal is not received before the next failure")
 	picker.ReportWatchEnded(WatchFailed)
 	assert.False(t, pollIsDue())
 	picker.update(func(balancer *Balancer) { balancer.polling.PollNow(balancer.now) })
 	assert.True(t, pollIsDue())
-	for range 5 { // a watch that had begun is cut: no backoff
+	for range 5 { // an established watch is cut: no backoff
 		<-picker.pollDue
 		picker.ReportWatchEnded(WatchCut)
 		*now += 1300 * Second / 1000
@@ -240,7 +243,8 @@
 	}
 }
 
-// Regression test for a peer that restarts and does not know the load here, and for the load that it had before.
+// Regression test for a restarted peer that did not receive the load of this dispatcher, and for a load from before its
+// restart that was kept.
 func TestRestartedPeerIsSentTheLoad(t *testing.T) {
 	config := testConfig
 	config.Gossip.Enabled = true
--- a/internal/balancer/reconfigure.go
+++ b/internal/balancer/reconfigure.go
@@ -1,18 +1,19 @@
 package balancer
 
-// AssignedIDs are the numbers of the operations and tenants of a configuration, in their order there.
+// AssignedIDs holds the IDs of the operations and tenants of a configuration, in the order of the configuration.
 type AssignedIDs struct {
 	Operations []OperationID
 	Tenants    []TenantID
 }
 
-// Reconfigure takes a new configuration while requests are open, and returns the numbers of its operations and tenants.
+// Reconfigure applies a new configuration while requests are open, and returns the IDs of its operations and tenants.
 //
-// An operation whose configuration is as it was keeps its number; another one gets a new number and continues with the
-// statistics of its name. So requests that arrived before keep the configuration that they arrived with. A tenant keeps
-// its number for good, also while no configuration names it. So a request that was read under the old configuration and
-// arrives after the new one counts where it belongs. A lower limit of attempts binds at once, a higher one only new
-// requests. Which dispatcher this is, and what the platform reports, stay as they were at the start.
+// An operation with an unchanged configuration keeps its ID. Any other operation gets a new ID and inherits the
+// statistics of the operation with the same name, so open requests keep the configuration with which they arrived. A
+// tenant keeps its ID permanently, even while no configuration contains it, so a request that was read under the old
+// configuration but arrives after the change is counted for the right tenant. A lower attempt limit takes effect
+// immediately, a higher one only for new requests. The position of this dispatcher and the values that the platform
+// reports stay as they were at the start.
 func (b *Balancer) Reconfigure(config Config) (assigned AssignedIDs) {
 	config.Dispatchers = b.config.dispatchers
 	config.Position = b.config.position
@@ -36,7 +37,8 @@
 	return assigned
 }
 
-// limitAttempts binds open requests to the configured limit, and answers those that may not be attempted any more.
+// limitAttempts applies the configured attempt limit to open requests, and rejects or fails those that have no attempts
+// left.
 func (b *Balancer) limitAttempts() {
 	for id := range b.requests.newestFirst() {
 		req := b.requests.get(id)
@@ -48,8 +50,8 @@
 	}
 }
 
-// Reconfigure takes a new configuration at all shards, and returns the numbers of its operations and tenants, which are
-// the same at each. config counts processes, as that of the start did.
+// Reconfigure applies a new configuration to all shards, and returns the IDs of its operations and tenants, which are
+// the same at all of them. As in NewShards, config.Dispatchers and config.Position are in units of processes.
 func (s *Shards) Reconfigure(config Config) (assigned AssignedIDs) {
 	s.reconfiguring.Lock()
 	defer s.reconfiguring.Unlock()
--- a/internal/balancer/reconfigure_test.go
+++ b/internal/balancer/reconfigure_test.go
@@ -19,8 +19,8 @@
 	return config
 }
 
-// newReconfigured returns a Balancer with namedConfig, two warm workers and an idempotent request 0 whose first attempt
-// is in flight.
+// newReconfigured returns a Balancer with namedConfig, two warm workers, and request 0 of the idempotent operation with
+// its first attempt in flight.
 func newReconfigured(t *testing.T) (*Balancer, *recorder) {
 	t.Helper()
 	balancer, effects := newTestBalancer(namedConfig(), 1, []Endpoint{{Worker: 0, ID: "a"}, {Worker: 1, ID: "b"}})
@@ -29,14 +29,15 @@
 	return balancer, effects
 }
 
-// Regression test for a request whose idempotency changes while it is open. It keeps that with which it arrived.
+// Regression test for a request whose operation changes its idempotency while the request is open. The request keeps
+// the idempotency with which it arrived.
 func TestOpenRequestKeepsTheConfigurationItArrivedWith(t *testing.T) {
 	const replacement OperationID = 5
 	balancer, effects := newReconfigured(t)
 	stricter := namedConfig()
 	stricter.Operations[idempotentOp].Idempotency = NonIdempotent
 	numbers := balancer.Reconfigure(stricter).Operations
-	assert.Equal(t, []OperationID{replacement, 1, 2, 3, 4}, numbers, "unchanged operations keep their numbers")
+	assert.Equal(t, []OperationID{replacement, 1, 2, 3, 4}, numbers, "unchanged operations keep their IDs")
 	arrive(balancer, 1, Arrival{Operation: replacement, Timeout: 5 * Second, SizeHint: 100})
 	endFirstAttempt(balancer, 1, ConnectionReset)
 	assert.Contains(t, effects.lines, "fail 1", "it may not run again")
@@ -45,7 +46,7 @@
 	longestTimeout := func(id OperationID) Duration { return balancer.operations.byID[id].longestTimeout }
 	assert.Equal(t, longestTimeout(idempotentOp), longestTimeout(replacement), "statistics are kept")
 	restored := balancer.Reconfigure(namedConfig()).Operations
-	assert.Equal(t, []OperationID{0, 1, 2, 3, 4}, restored, "an operation that is as before has its number again")
+	assert.Equal(t, []OperationID{0, 1, 2, 3, 4}, restored, "an operation with its earlier configuration gets its earlier ID")
 	onlyLast := namedConfig()
 	onlyLast.Operations = onlyLast.Operations[4:]
 	assert.Equal(t, []OperationID{4}, balancer.Reconfigure(onlyLast).Operations)
@@ -64,14 +65,14 @@
 	balancer.Reconfigure(namedConfig())
 	assert.Len(t, balancer.requests.byID[0].attempts, 1)
 	endFirstAttempt(balancer, 0, Overloaded)
-	assert.True(t, balancer.requests.byID[0].closed, "one attempt was allowed as it arrived")
+	assert.True(t, balancer.requests.byID[0].closed, "one attempt was allowed when it arrived")
 	balancer.SetTime(balancer.now + 2*Second)
 	arrive(balancer, 1, Arrival{Operation: idempotentOp, Timeout: 5 * Second, SizeHint: 100})
 	endFirstAttempt(balancer, 1, Overloaded)
 	assert.Len(t, balancer.requests.byID[1].attempts, 2)
 }
 
-// Regression test for a request that waits for a worker though it may have no further attempt.
+// Regression test for a request that waited for a worker although it had no attempts left.
 func TestRequestWithoutAttemptsLeftIsRejectedAtOnce(t *testing.T) {
 	balancer, effects := newReconfigured(t)
 	for id := range balancer.workers {
@@ -95,10 +96,10 @@
 	second := first
 	second.Quotas.Tenants = []TenantConfig{{Quota: 2, Name: "b"}, {Quota: 2, Name: "c"}}
 	numbers := balancer.Reconfigure(second).Tenants
-	assert.Equal(t, []TenantID{1, 2}, numbers, "each name keeps its number")
-	assert.Less(t, balancer.quotaWeight(numbers[0]), 1.0, "beyond its quota, though its place in the list has changed")
+	assert.Equal(t, []TenantID{1, 2}, numbers, "each name keeps its ID")
+	assert.Less(t, balancer.quotaWeight(numbers[0]), 1.0, "over its quota, although its position in the list has changed")
 	assert.Equal(t, 1.0, balancer.quotaWeight(numbers[1]))
-	assert.Equal(t, 1.0, balancer.quotaWeight(0), "requests that arrive under the old numbers count for their own tenant")
+	assert.Equal(t, 1.0, balancer.quotaWeight(0), "requests with an ID of the old configuration count for their own tenant")
 	onlyFirst := Config{
 		Dispatchers: 2,
 		Quotas: QuotaConfig{
--- a/internal/balancer/request_handle.go
+++ b/internal/balancer/request_handle.go
@@ -5,27 +5,27 @@
 	"time"
 )
 
-// RequestHandle is one request that a Picker has taken in. One goroutine calls Pick; others may report attempts
-// meanwhile. The fields are guarded by the Picker's lock, except ready.
+// RequestHandle represents a request that was submitted to a Picker. One goroutine calls Pick; others may report
+// attempts concurrently. The fields are guarded by the lock of the Picker, except ready.
 type RequestHandle struct {
 	picker    *Picker
 	id        RequestID
 	deadline  time.Time // of the client
 	decisions []Decision
-	ready     chan struct{} // signaled when decisions has grown
+	ready     chan struct{} // signaled when a decision is added
 	cancels   []context.CancelCauseFunc
-	reported  []bool // by number of the attempt: its outcome is known
-	sent      []bool // by number of the attempt: it was sent to its last byte
-	inFlight  int    // attempts that have not been reported
-	closed    bool   // it has its final answer, or its client has left; Balancer closes its request in the same call
+	reported  []bool // by attempt number: its outcome was reported
+	sent      []bool // by attempt number: it was sent completely
+	inFlight  int    // number of attempts whose outcome has not been reported
+	closed    bool   // answered, or the client has left; the Balancer closes its request in the same call
 }
 
 func (p *Picker) newHandle(deadline time.Time) *RequestHandle {
 	return &RequestHandle{picker: p, ready: make(chan struct{}, 1), deadline: deadline}
 }
 
-// Pick blocks until the next decision for the request. When ctx ends first the client has left: the request is closed,
-// and Pick returns the cause of ctx.
+// Pick blocks until the next decision for the request. If ctx is done first, the client has left: Pick closes the
+// request and returns the cause of ctx.
 func (h *RequestHandle) Pick(ctx context.Context) (Decision, error) {
 	for {
 		if decision, ok := h.next(); ok {
@@ -48,7 +48,7 @@
 			b.ClientLeft(h.id, NoAttempt)
 			h.cancelUnsent()
 		}
-		for _, decision := range h.decisions { // nobody will send these attempts any more
+		for _, decision := range h.decisions { // these attempts will not be sent
 			if decision.Action == SendAttempt {
 				h.attemptEnded(decision.Attempt, NotSent)
 			}
@@ -58,8 +58,8 @@
 	})
 }
 
-// next takes the first decision that still holds. An attempt that was not picked before its request was closed is never
-// sent.
+// next returns the first decision that is still valid. An attempt that was not picked before its request was closed is
+// never sent.
 func (h *RequestHandle) next() (Decision, bool) {
 	h.picker.mu.Lock()
 	defer h.picker.mu.Unlock()
@@ -78,9 +78,9 @@
 	return Decision{}, false
 }
 
-// cancelUnsent cancels the attempts that have not been sent to their last byte, also where the platform allows no
-// cancellation: they have never run. Otherwise one could be sent after its client has left or was answered, as its
-// connection came up late or a disk was slow.
+// cancelUnsent cancels the attempts that have not been sent completely, even if cancellation is disabled: they have not
+// run. Otherwise an attempt could be sent after its client has left or was answered, because its connection was
+// established late or a disk was slow.
 func (h *RequestHandle) cancelUnsent() {
 	for number, sent := range h.sent {
 		if !sent && !h.reported[number] {
@@ -89,14 +89,14 @@
 	}
 }
 
-// ReportSent notes that the attempt with a number has been sent to its last byte. From then on it may run.
+// ReportSent records that an attempt was sent completely. From then on it may run.
 func (h *RequestHandle) ReportSent(number int) {
 	h.picker.mu.Lock()
 	defer h.picker.mu.Unlock()
 	h.sent[number] = true
 }
 
-// ReportDelivered notes that the worker has received the attempt with a number, whether it has started it or not.
+// ReportDelivered records that the worker has received an attempt, whether or not it has started it.
 func (h *RequestHandle) ReportDelivered(number int) {
 	h.picker.update(func(b *Balancer) {
 		if !h.reported[number] {
@@ -105,7 +105,7 @@
 	})
 }
 
-// ReportStarted notes that the worker has started the attempt with a number.
+// ReportStarted records that the worker has started an attempt.
 func (h *RequestHandle) ReportStarted(number int) {
 	h.picker.update(func(b *Balancer) {
 		if !h.reported[number] {
@@ -114,8 +114,8 @@
 	})
 }
 
-// Report takes the outcome of the attempt with a number; only the first report counts. It reports whether the result of
-// this attempt is the client's answer.
+// Report records the outcome of an attempt; only the first call for an attempt has an effect. It reports whether the
+// result of this attempt is the answer to the client.
 func (h *RequestHandle) Report(number int, outcome Outcome) (answers bool) {
 	h.picker.update(func(*Balancer) {
 		if h.reported[number] {
@@ -131,7 +131,7 @@
 	return answers
 }
 
-// RejectOrFail gives the final answer at once: a rejection where that is permitted, else a failure.
+// RejectOrFail answers the request at once: it rejects the request if permitted, and fails it otherwise.
 func (h *RequestHandle) RejectOrFail() {
 	h.picker.update(func(b *Balancer) {
 		if !h.closed {
@@ -145,7 +145,7 @@
 	h.picker.balancer.AttemptEnded(h.id, number, outcome, answerOf(h.closed))
 }
 
-// markReported ends an attempt here, and its context.
+// markReported marks an attempt as reported and cancels its context.
 func (h *RequestHandle) markReported(number int) {
 	h.reported[number] = true
 	h.inFlight--
@@ -163,7 +163,7 @@
 	signal(h.ready)
 }
 
-// release frees the request's number once it is closed and every attempt has been reported.
+// release frees the ID of the request if it is closed and all its attempts have been reported.
 func (h *RequestHandle) release() {
 	if h.closed && h.inFlight == 0 && h.picker.handles[h.id] == h {
 		h.picker.releaseID(h.id)
--- a/internal/balancer/request_handle_test.go
+++ b/internal/balancer/request_handle_test.go
@@ -9,8 +9,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// Regression test for an attempt that is sent after its client has left, or has its answer, as its connection came up
-// late. Where attempts may not be canceled, that holds only once they are sent.
+// Regression test for an attempt that was sent after its client had left or was answered, because its connection was
+// established late. Disabled cancellation only protects attempts that have been sent.
 func TestUnsentAttemptIsCanceledWhateverTheConfiguration(t *testing.T) {
 	config := testConfig
 	config.Attempts.Cancellation = false
@@ -43,7 +43,7 @@
 	config.Attempts.Cancellation = false
 	shards := NewShards(config, 2, 1, func() Time { return testStart }, func(Event) {})
 	shards.UpdateEndpoints([]Endpoint{{Worker: 0, ID: "w"}, {Worker: 1, ID: "v"}}, AllEndpoints, FromDiscovery)
-	for range 2 { // one request at each shard
+	for range 2 { // one request per shard
 		handle := shards.Submit(Arrival{Timeout: 3600 * Second})
 		decision := pick(t, handle)
 		handle.ReportSent(decision.Attempt)
@@ -54,7 +54,7 @@
 	shards.CancelAll()
 }
 
-// events are what may happen to a request at its goroutines, each in any order with the others.
+// events are the events that may happen to a request in its goroutines. They can occur in any order.
 var events = []struct {
 	name  byte
 	apply func(*requestDriver)
@@ -70,17 +70,17 @@
 	{'c', func(r *requestDriver) { r.report(Canceled) }},
 	{'l', (*requestDriver).leave},
 	{'e', func(r *requestDriver) { r.handle.RejectOrFail() }},
-	{'b', func(r *requestDriver) { r.picker.StopAfter(0) }}, // the process ends, and no answer is possible any more
+	{'b', func(r *requestDriver) { r.picker.StopAfter(0) }}, // the process exits, so no more answers are possible
 }
 
-// requestDriver applies events to a request, as far as its goroutines could cause them.
+// requestDriver applies events to a request if its goroutines could cause them.
 type requestDriver struct {
 	t        *testing.T
 	picker   *Picker
 	handle   *RequestHandle
-	inFlight []Decision // attempts that were picked and have not been reported
+	inFlight []Decision // picked attempts that have not been reported
 	left     bool       // the client has left
-	answers  int        // the client has got so many
+	answers  int        // number of answers to the client
 }
 
 func (r *requestDriver) over() bool { return r.left || r.answers > 0 }
@@ -109,12 +109,12 @@
 	r.withFirst(func(ended Decision) {
 		r.inFlight = r.inFlight[1:]
 		r.handle.Report(ended.Attempt, outcome)
-		assert.False(r.t, r.handle.Report(ended.Attempt, Succeeded), "a second outcome of one attempt has no effect")
+		assert.False(r.t, r.handle.Report(ended.Attempt, Succeeded), "a second report for an attempt has no effect")
 		assert.Error(r.t, ended.Ctx.Err())
 	})
 }
 
-// export hands the request to another process. No attempt may be in flight here afterwards.
+// export hands the request over to another process. Afterwards, no attempt may be in flight in this process.
 func (r *requestDriver) export() {
 	r.t.Helper()
 	if _, ok := r.handle.Export(len(r.inFlight)); !ok {
@@ -133,7 +133,7 @@
 	}
 }
 
-// finish drives the request until it is over and all its attempts have been reported.
+// finish drives the request until it is done and all its attempts have been reported.
 func (r *requestDriver) finish() {
 	r.t.Helper()
 	for n := 0; len(r.inFlight) > 0 || !r.over(); n++ {
@@ -145,7 +145,8 @@
 	}
 }
 
-// driveRequest applies events to a request in an order, and then finishes it. It returns how many answers its client got.
+// driveRequest applies events to a request in the given order, and then finishes it. It returns the number of answers
+// to its client.
 func driveRequest(t *testing.T, picker *Picker, order []byte) (answers int) {
 	t.Helper()
 	r := &requestDriver{t: t, picker: picker, handle: picker.Submit(Arrival{Timeout: 3 * Second})}
@@ -160,8 +161,8 @@
 	return r.answers
 }
 
-// Regression test for a number that is freed twice or never, and for two answers or none: events may come between a
-// decision and its Pick, or between a result and its report.
+// Regression test for a request ID that was freed twice or never, and for two answers or none: events may occur between
+// a decision and its Pick, or between a result and its report.
 func TestEachOrderOfEventsEndsOnce(t *testing.T) {
 	config := testConfig
 	config.Attempts.StartNotices = true
@@ -172,7 +173,7 @@
 			return
 		}
 		picker, _ := newTestPicker(config, 3)
-		for range 2 { // the second request has the number of the first
+		for range 2 { // the second request reuses the ID of the first
 			answers := driveRequest(t, picker, order)
 			assert.LessOrEqual(t, answers, 1)
 			assert.Equal(t, 0, picker.OpenRequests(), "after %q", order)
@@ -189,11 +190,11 @@
 		}
 	}
 	all(3)
-	order = append(order, 'p') // most requests have a first attempt that was picked
+	order = append(order, 'p') // most requests have a first attempt that is picked
 	all(3)
 }
 
-// The client leaves just as a decision is made: Pick returns the error, and nothing is sent.
+// If the client leaves while a decision is made, Pick returns the error and nothing is sent.
 func TestClientThatLeavesAsADecisionIsMadeGetsNoAttempt(t *testing.T) {
 	picker, _ := newTestPicker(testConfig, 2)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -202,7 +203,7 @@
 	handle := picker.Submit(Arrival{Timeout: 3 * Second})
 	_, err := handle.Pick(ctx)
 	assert.ErrorIs(t, err, context.Canceled)
-	picker.UpdateEndpoints([]Endpoint{{Worker: 0, ID: "w0"}}, AllEndpoints, FromDiscovery) // now there would be a worker
+	picker.UpdateEndpoints([]Endpoint{{Worker: 0, ID: "w0"}}, AllEndpoints, FromDiscovery) // now a worker is available
 	assert.Empty(t, handle.decisions)
 	assert.Equal(t, 0, picker.OpenRequests())
 	assert.Less(t, time.Until(handle.deadline), 4*time.Second)
--- a/internal/balancer/shards.go
+++ b/internal/balancer/shards.go
@@ -7,21 +7,22 @@
 	"sync/atomic"
 )
 
-// Shards are the pickers of one process, one per core and each with a lock of its own. To the rules each shard is a
-// dispatcher like any other, with its position among all shards of all processes. So budgets, quotas, subsets and
-// staggered polls hold over all of them. Shards of a process exchange loads in memory, as other peers do by datagram. All
-// processes must have as many shards. What changes for the dispatcher goes to all shards; requests go to them in turn.
+// Shards holds the pickers of one process, one per core, each with its own lock. Each shard acts as a dispatcher, with
+// its position among all shards of all processes, so budgets, quotas, subsets and staggered polls apply across all of
+// them. Shards of a process exchange loads in memory, while other peers use datagrams. All processes must have the same
+// number of shards. Changes that concern the dispatcher apply to all shards; requests are assigned to shards in
+// round-robin order.
 type Shards struct {
 	pickers    []*Picker
-	firstPeer  PeerID // of the first one here
-	gossip     bool   // loads may be sent to other processes
+	firstPeer  PeerID // of the first shard of this process
+	gossip     bool   // whether loads may be sent to other processes
 	roundRobin atomic.Uint32
 
-	reconfiguring sync.Mutex // held while operations are numbered: numbers have to be the same at all shards
+	reconfiguring sync.Mutex // held while operation IDs are assigned: they must be the same at all shards
 }
 
-// NewShards returns a number of shards for a process. config.Dispatchers and config.Position count processes. clock
-// returns the current time, and log takes events.
+// NewShards returns count shards for a process. config.Dispatchers and config.Position are in units of processes. clock
+// returns the current time, and log handles events.
 func NewShards(config Config, count int, seed uint64, clock func() Time, log func(Event)) *Shards {
 	s := &Shards{firstPeer: PeerID(config.Position * count), gossip: config.Gossip.Enabled}
 	position := config.Position
@@ -30,7 +31,7 @@
 	for n := range count {
 		config.Position = position*count + n
 		picker := NewPicker(config, seed+uint64(n), clock, log)
-		if n > 0 { // the process polls and probes, whichever shard wants it
+		if n > 0 { // polls and probes are shared by all shards of the process
 			picker.pollDue = s.pickers[0].pollDue
 			picker.probes = s.pickers[0].probes
 		}
@@ -42,13 +43,14 @@
 // Count returns the number of shards.
 func (s *Shards) Count() int { return len(s.pickers) }
 
-// PeerID returns the number of a shard among all shards of all processes.
+// PeerID returns the peer ID of a shard, which is unique among all shards of all processes.
 func (s *Shards) PeerID(shard int) PeerID { return s.firstPeer + PeerID(shard) }
 
-// Submit takes in a request at the next shard in turn. The caller has to call Pick until it gets an answer.
+// Submit adds a request at the next shard in round-robin order. The caller must call Pick until it returns a final
+// answer.
 func (s *Shards) Submit(arrival Arrival) *RequestHandle { return s.next().Submit(arrival) }
 
-// next returns the next shard in turn.
+// next returns the next shard in round-robin order.
 func (s *Shards) next() *Picker {
 	if len(s.pickers) == 1 {
 		return s.pickers[0]
@@ -56,17 +58,17 @@
 	return s.pickers[s.roundRobin.Add(1)%uint32(len(s.pickers))]
 }
 
-// first returns the shard that answers for all where each would say the same.
+// first returns the first shard, for queries with the same result at every shard.
 func (s *Shards) first() *Picker { return s.pickers[0] }
 
-// updateAll makes a call on each shard's Balancer in turn, and applies the rules that are due then.
+// updateAll runs call on the Balancer of each shard in turn, and applies the rules that are due.
 func (s *Shards) updateAll(call func(*Balancer)) {
 	for _, picker := range s.pickers {
 		picker.update(call)
 	}
 }
 
-// updateAllOf makes a call on each shard's Balancer in turn for each shard of another process.
+// updateAllOf runs call on the Balancer of each shard in turn, for each shard of another process.
 func (s *Shards) updateAllOf(process int, call func(b *Balancer, peer PeerID)) {
 	for _, picker := range s.pickers {
 		for n := range s.pickers {
@@ -76,13 +78,13 @@
 	}
 }
 
-// Run blocks until ctx ends, and applies the rules of a shard whenever one comes due by time alone.
+// Run applies the rules of a shard when they become due by time alone, and blocks until ctx is done.
 func (s *Shards) Run(ctx context.Context, shard int) error { return s.pickers[shard].Run(ctx) }
 
-// Now returns the time by which decisions are made.
+// Now returns the current time of the clock used for decisions.
 func (s *Shards) Now() Time { return s.first().clock() }
 
-// OpenRequests returns the number of requests that are not closed, or have attempts in flight.
+// OpenRequests returns the number of requests that are not closed or have attempts in flight.
 func (s *Shards) OpenRequests() (open int) {
 	for _, picker := range s.pickers {
 		open += picker.OpenRequests()
@@ -90,24 +92,26 @@
 	return open
 }
 
-// StopAfter bounds all answers: none is possible after a span from now, as the process ends then.
+// StopAfter sets a time limit for all answers: the process exits after the given duration.
 func (s *Shards) StopAfter(span Duration) {
 	for _, picker := range s.pickers {
 		picker.StopAfter(span)
 	}
 }
 
-// CancelAll cancels all attempts that are still in flight, as the process ends.
+// CancelAll cancels all attempts that are still in flight because the process is exiting.
 func (s *Shards) CancelAll() {
 	for _, picker := range s.pickers {
 		picker.CancelAll()
 	}
 }
 
-// WouldMissStop reports whether a request that arrives now would, by its size hint, not be done before the process ends.
+// WouldMissStop reports whether a request that arrives now would, according to its size hint, not complete before the
+// process exits.
 func (s *Shards) WouldMissStop(arrival Arrival) bool { return s.first().WouldMissStop(arrival) }
 
-// WorkerCounts returns the number of listed workers, and of those that are ejected now, at the shard that has the most.
+// WorkerCounts returns the number of workers in the endpoint list, and the number of these that are currently ejected,
+// each as the maximum over the shards.
 func (s *Shards) WorkerCounts() (listed, ejected int) {
 	for _, picker := range s.pickers {
 		listedHere, ejectedHere := picker.WorkerCounts()
@@ -117,15 +121,15 @@
 	return listed, ejected
 }
 
-// AwaitPoll blocks until the endpoint list should be polled, or returns the error of ctx.
+// AwaitPoll blocks until the endpoint list is due to be polled. It returns the error of ctx if that is done first.
 func (s *Shards) AwaitPoll(ctx context.Context) error { return s.first().AwaitPoll(ctx) }
 
-// NextProbe blocks until a worker should be probed, or returns the error of ctx.
+// NextProbe blocks until a worker is due to be probed. It returns the error of ctx if that is done first.
 func (s *Shards) NextProbe(ctx context.Context) (WorkerID, error) { return s.first().NextProbe(ctx) }
 
-// NextLoadUpdates blocks until a shard has something to send to other processes, or returns the error of ctx. Meanwhile
-// it passes loads to the other shards here. It holds no lock of the sending shard then, as two may send to each other at
-// once.
+// NextLoadUpdates blocks until a shard has loads to send to other processes. It returns the error of ctx if that is
+// done first. In the meantime it passes loads to the other shards of this process, without holding the lock of the
+// sending shard, because two shards may send to each other at the same time.
 func (s *Shards) NextLoadUpdates(ctx context.Context, shard int) ([]LoadUpdate, error) {
 	for {
 		updates, err := s.pickers[shard].NextLoadUpdates(ctx)
@@ -150,63 +154,64 @@
 	}
 }
 
-// UpdateEndpoints takes a list of endpoints.
+// UpdateEndpoints applies an endpoint list at all shards.
 func (s *Shards) UpdateEndpoints(entries []Endpoint, extent ListExtent, source ListSource) {
 	for _, picker := range s.pickers {
 		picker.UpdateEndpoints(entries, extent, source)
 	}
 }
 
-// ReportWatchEnded notes that the endpoint list could not be had, or is no longer watched.
+// ReportWatchEnded records that the endpoint list could not be fetched or is no longer watched.
 func (s *Shards) ReportWatchEnded(end WatchEnd) {
 	for _, picker := range s.pickers {
 		picker.ReportWatchEnded(end)
 	}
 }
 
-// ReportFirstPollSlow notes that the first poll has not been answered for a while. The endpoints from before the start
-// are used until it is.
+// ReportFirstPollSlow records that the response to the first poll is delayed. Until it arrives, the endpoints known
+// from before the start are used.
 func (s *Shards) ReportFirstPollSlow() {
 	s.updateAll((*Balancer).acceptStaleEndpoints)
 }
 
-// ReportDiscoveryMoved notes that the endpoint service has another address. It is polled at once, however long the wait
-// was to be.
+// ReportDiscoveryMoved records that the address of the endpoint service has changed. The service is polled at once,
+// regardless of the current delay.
 func (s *Shards) ReportDiscoveryMoved() {
 	s.updateAll(func(b *Balancer) { b.polling.PollNow(b.now) })
 }
 
-// ReceiveLoadReport takes the values of a worker's load report, at the places that Config names.
+// ReceiveLoadReport records the values of a load report of a worker, which are at the indexes given in Config.
 func (s *Shards) ReceiveLoadReport(id WorkerID, values []float64) {
 	s.updateAll(func(b *Balancer) { b.ReceiveLoadReport(id, values) })
 }
 
-// ReceiveLoad takes what a shard of another process has in flight at a worker.
+// ReceiveLoad records the number of attempts that a shard of another process has in flight at a worker.
 func (s *Shards) ReceiveLoad(from PeerID, load WorkerLoad) {
 	for _, picker := range s.pickers {
 		picker.ReceiveLoad(from, load)
 	}
 }
 
-// ReceivePeerStarted notes that another process has just started, by its number among the processes.
+// ReceivePeerStarted records that another process, given by its index among the processes, has just started.
 func (s *Shards) ReceivePeerStarted(process int) {
 	s.updateAllOf(process, (*Balancer).receivePeerStarted)
 }
 
-// ReportSeniorPeer notes that another process has run for longer than this one, by its number among the processes.
+// ReportSeniorPeer records that another process, given by its index among the processes, has run for longer than this
+// one.
 func (s *Shards) ReportSeniorPeer(process int) {
 	s.updateAllOf(process, func(b *Balancer, peer PeerID) { b.gossip.recordPeer(peer) })
 }
 
-// Isolated reports whether all dispatchers may have lost power, as far as this process can see. No poll has been answered
-// since its start then, and no peer has been heard that has run for longer.
+// Isolated reports whether all dispatchers may have lost power, as far as this process can determine: since its start,
+// no poll has been answered and no message was received from a peer that has run for longer.
 func (s *Shards) Isolated() (isolated bool) {
 	s.first().read(func(b *Balancer) { isolated = !b.polling.Answered() && !b.gossip.hearsSenior() })
 	return isolated
 }
 
-// GossipPeers returns the other processes with which this one exchanges load, by number and in order. It returns all of
-// them while there is no endpoint list.
+// GossipPeers returns the indexes of the other processes with which this one exchanges loads, in ascending order.
+// Without an endpoint list, it returns all of them.
 func (s *Shards) GossipPeers() (processes []int) {
 	own := int(s.firstPeer) / len(s.pickers)
 	for _, picker := range s.pickers {
--- a/internal/balancer/shards_test.go
+++ b/internal/balancer/shards_test.go
@@ -10,7 +10,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// newTestShards returns the shards of the second of two processes, which all know the workers of testEndpoints.
+// newTestShards returns the shards of the second of two processes, all with the given number of workers from
+// testEndpoints.
 func newTestShards(config Config, count, workers int) *Shards {
 	config.Dispatchers = 2
 	config.Position = 1
@@ -25,7 +26,7 @@
 	s := newTestShards(config, 3, 4)
 	for j, picker := range s.pickers {
 		assert.Equal(t, []int{6, 3 + j}, []int{picker.balancer.config.dispatchers, picker.balancer.config.position})
-		assert.Equal(t, 1.0/6, picker.balancer.config.dispatcherShare, "budgets and quotas are divided by all shards")
+		assert.Equal(t, 1.0/6, picker.balancer.config.dispatcherShare, "budgets and quotas are divided among all shards")
 		assert.True(t, picker.balancer.config.gossip)
 	}
 	alone := newTestShards(testConfig, 1, 4)
@@ -47,7 +48,7 @@
 		s := newTestShards(config, 2, 1)
 		handle := s.pickers[0].Submit(Arrival{Timeout: 3 * Second})
 		c := pick(t, handle)
-		s.pickers[0].update(func(balancer *Balancer) { balancer.sendChangedLoads() }) // as if it were due
+		s.pickers[0].update(func(balancer *Balancer) { balancer.sendChangedLoads() }) // as if they were due
 		ctx, cancel := context.WithTimeout(context.Background(), 200*time.Millisecond)
 		updates, err := s.NextLoadUpdates(ctx, 0)
 		cancel()
@@ -69,7 +70,7 @@
 	config.Discovery.Poll = true
 	s := newTestShards(config, 3, 1)
 	for _, picker := range s.pickers {
-		picker.update(func(balancer *Balancer) { balancer.polling.PollNow(LongAgo) }) // a poll is due at each
+		picker.update(func(balancer *Balancer) { balancer.polling.PollNow(LongAgo) }) // a poll is due at each shard
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
 	defer cancel()
@@ -78,11 +79,12 @@
 	s.UpdateEndpoints([]Endpoint{{Worker: 0, ID: "w0", State: Draining}}, AllEndpoints, FromDiscovery)
 	for _, picker := range s.pickers {
 		assert.True(t, picker.balancer.polling.Watching())
-		assert.Equal(t, Draining, picker.balancer.workers[0].state, "all shards see the worker drain")
+		assert.Equal(t, Draining, picker.balancer.workers[0].state, "all shards mark the worker as draining")
 	}
 }
 
-// Regression test for two shards that send each other their load at once, and wait for each other's lock.
+// Regression test for a deadlock of two shards that sent each other their loads at the same time, each waiting for the
+// lock of the other.
 func TestShardsThatGossipAtOnceDoNotDeadlock(t *testing.T) {
 	config := testConfig
 	config.Granularity = 0
@@ -113,7 +115,8 @@
 	assert.Zero(t, s.OpenRequests())
 }
 
-// Regression test for a fleet that restarts at once and in which each sends a hello to all: each message has a cost.
+// Regression test for the cost of the messages when a whole fleet restarts and each dispatcher sends a hello to all
+// others.
 func TestGossipPeersShareWorkers(t *testing.T) {
 	config := testConfig
 	config.Dispatchers, config.Gossip.Enabled, config.Gossip.MessageCost = 80, true, 0.000625
@@ -121,7 +124,7 @@
 	for n := range fleet {
 		config.Position = n
 		fleet[n] = NewShards(config, 1, 1, func() Time { return 0 }, func(Event) {})
-		assert.Len(t, fleet[n].GossipPeers(), 79, "all peers, before there is a list")
+		assert.Len(t, fleet[n].GossipPeers(), 79, "all peers, before the first endpoint list")
 		var list []Endpoint
 		for w := range 60 {
 			list = append(list, Endpoint{Worker: WorkerID(w), ID: fmt.Sprintf("w%d", w)})
@@ -140,7 +143,7 @@
 			}
 		}
 		for _, p := range near {
-			assert.Contains(t, fleet[p].GossipPeers(), n, "peers know each other")
+			assert.Contains(t, fleet[p].GossipPeers(), n, "gossip peers must be symmetric")
 		}
 	}
 }
--- a/internal/balancer/sibling.go
+++ b/internal/balancer/sibling.go
@@ -10,13 +10,13 @@
 	siblingRoles
 )
 
-// RecentSend is work that was sent to a worker.
+// RecentSend is the amount of work that was sent to a worker.
 type RecentSend struct {
 	Worker WorkerID
 	Work   Work
 }
 
-// inFlightByWorker is the number of attempts that a sibling has in flight, by WorkerID.
+// inFlightByWorker holds numbers of attempts in flight by WorkerID.
 type inFlightByWorker []int
 
 func (f inFlightByWorker) of(id WorkerID) int {
@@ -26,19 +26,19 @@
 	return 0
 }
 
-// add returns f with more in flight at a worker.
+// add returns f with the attempts in load added.
 func (f inFlightByWorker) add(load WorkerLoad) inFlightByWorker {
 	f = append(f, make(inFlightByWorker, max(0, int(load.Worker)+1-len(f)))...)
 	f[load.Worker] += load.InFlight
 	return f
 }
 
-// set returns f with what is in flight at a worker.
+// set returns f with the number of attempts at a worker set to that in load.
 func (f inFlightByWorker) set(load WorkerLoad) inFlightByWorker {
 	return f.add(WorkerLoad{Worker: load.Worker, InFlight: load.InFlight - f.of(load.Worker)})
 }
 
-// loads returns the workers with something in flight.
+// loads returns the loads of workers with attempts in flight.
 func (f inFlightByWorker) loads() (loads []WorkerLoad) {
 	for id, inFlight := range f {
 		if inFlight > 0 {
@@ -48,8 +48,8 @@
 	return loads
 }
 
-// InFlightFor returns what a sibling has to be sent: what is in flight here at each worker, without what that sibling
-// itself reported.
+// InFlightFor returns the loads to send to a sibling: the attempts in flight at each worker, except those that this
+// sibling reported itself.
 func (p *Picker) InFlightFor(to SiblingRole) []WorkerLoad {
 	var inFlight inFlightByWorker
 	p.read(func(b *Balancer) {
@@ -60,8 +60,8 @@
 	return inFlight.loads()
 }
 
-// UpdateSibling takes all that a sibling has in flight. It counts as in flight here: the processes are one dispatcher,
-// whose peers are sent the sum.
+// UpdateSibling records all attempts that a sibling has in flight. They count as attempts of this process: both
+// processes are one dispatcher, and its peers are sent the sum.
 func (p *Picker) UpdateSibling(from SiblingRole, loads []WorkerLoad) {
 	p.update(func(b *Balancer) {
 		before := p.siblings[from]
@@ -83,7 +83,8 @@
 	})
 }
 
-// addRecentSends takes what a sibling has sent to workers since its last report. It counts against their warm-up budget.
+// addRecentSends records the work that a sibling has sent to workers since its last report. It counts against their
+// warm-up budgets.
 func (b *Balancer) addRecentSends(sends []RecentSend) {
 	for _, sent := range sends {
 		if int(sent.Worker) < len(b.workers) {
@@ -93,7 +94,8 @@
 	}
 }
 
-// recentSendsSince returns what was sent from here within the warm-up window and after a moment, by worker.
+// recentSendsSince returns the work that this process has sent since the given time and within the warm-up window, by
+// worker.
 func (b *Balancer) recentSendsSince(after Time) (sends []RecentSend) {
 	for n := range b.workers {
 		sum := Work(0)
@@ -109,8 +111,8 @@
 	return sends
 }
 
-// InFlightFor returns what a sibling has to be sent: what is in flight at all shards here, without what that sibling
-// itself reported.
+// InFlightFor returns the loads to send to a sibling: the attempts in flight at each worker from all shards, except
+// those that this sibling reported itself.
 func (s *Shards) InFlightFor(to SiblingRole) []WorkerLoad {
 	var sum inFlightByWorker
 	for _, picker := range s.pickers {
@@ -121,18 +123,20 @@
 	return sum.loads()
 }
 
-// UpdateSibling takes all that a sibling has in flight. The first shard counts it, and sends it to the others with its
-// own load.
+// UpdateSibling records all attempts that a sibling has in flight. The first shard counts them, and sends them to the
+// other shards as part of its own load.
 func (s *Shards) UpdateSibling(from SiblingRole, loads []WorkerLoad) {
 	s.first().UpdateSibling(from, loads)
 }
 
-// AddRecentSends takes what a sibling has sent to workers. Each shard counts all of it against their warm-up budget.
+// AddRecentSends records the work that a sibling has sent to workers. Each shard counts all of it against their warm-up
+// budgets.
 func (s *Shards) AddRecentSends(sends []RecentSend) {
 	s.updateAll(func(b *Balancer) { b.addRecentSends(sends) })
 }
 
-// RecentSendsSince returns what all shards sent to workers within the warm-up window and after a moment.
+// RecentSendsSince returns the work that all shards have sent to workers since the given time and within the warm-up
+// window.
 func (s *Shards) RecentSendsSince(after Time) (sends []RecentSend) {
 	for _, picker := range s.pickers {
 		picker.read(func(b *Balancer) { sends = append(sends, b.recentSendsSince(after)...) })
--- a/internal/balancer/sibling_test.go
+++ b/internal/balancer/sibling_test.go
@@ -6,7 +6,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// Regression test for two processes that each take a worker to be free, and send peers only their own load.
+// Regression test for two processes of a dispatcher that both considered a worker free, and sent peers only their own
+// loads.
 func TestLoadOfTheSiblingCountsAsOwn(t *testing.T) {
 	const unknown WorkerID = 99
 	picker, _ := newTestPicker(namedConfig(), 2)
--- a/internal/balancer/snapshot.go
+++ b/internal/balancer/snapshot.go
@@ -6,9 +6,9 @@
 	"canvasroute/internal/balancer/quota"
 )
 
-// Snapshot is what a Balancer has learned, for a process that continues with it. Workers and zones keep their numbers;
-// tenants and kinds are in the order of the configuration, and operations are identified by name. The JSON names are
-// those of earlier versions and of state folders.
+// Snapshot is the learned state of a Balancer, for a process that continues with it. Workers and zones keep their
+// numbers. Tenants and kinds are in the order of the configuration, and operations are identified by name. The JSON
+// names are those of earlier versions and of state folders.
 type Snapshot struct {
 	Operations []OperationStats `json:"Operations"`
 	Tenants    []TenantStats    `json:"Customers"`
@@ -24,7 +24,7 @@
 	Arrivals         int     `json:"Landings"`
 }
 
-// OperationStats is what was learned of one operation.
+// OperationStats is the learned state of one operation.
 type OperationStats struct {
 	Name           string   `json:"Name"`
 	LongestTimeout Duration `json:"Longest"`
@@ -36,26 +36,26 @@
 	Runs           int      `json:"Runs"`
 }
 
-// TenantStats is the recent usage of one tenant, and when it was reckoned.
+// TenantStats is the recent usage of one tenant and the time at which it was calculated.
 type TenantStats struct {
 	Usage float64 `json:"Used"`
 	At    Time    `json:"At"`
 }
 
-// KindStats is what was learned of the slots of a kind of worker; Slots is 0 where nothing was.
+// KindStats is the learned state of the slots of one kind of worker. Slots is 0 if there is no estimate.
 type KindStats struct {
 	Slots       float64 `json:"Slots"`
 	MaxObserved float64 `json:"Most"`
 	Votes       []int   `json:"Votes"`
 }
 
-// ZoneStats is what failures have shown of one zone.
+// ZoneStats is the failure state of one zone.
 type ZoneStats struct {
 	Failures     int  `json:"Quiet"`
 	EjectedUntil Time `json:"At"`
 }
 
-// WorkerStats is what was learned of one worker, beside its entry in the endpoint list.
+// WorkerStats is the learned state of one worker, in addition to its entry in the endpoint list.
 type WorkerStats struct {
 	ConsecutiveFailures int                `json:"Fails"`
 	PossiblyExecuted    bool               `json:"Ruined"` // an attempt that failed there may have run
@@ -65,20 +65,20 @@
 	Sends               []SnapshotSend     `json:"Spent"`
 }
 
-// SnapshotPeerLoad is what a peer last said of a worker.
+// SnapshotPeerLoad is the last load that a peer reported for a worker.
 type SnapshotPeerLoad struct {
 	From       PeerID `json:"From"`
 	InFlight   int    `json:"InFlight"`
 	ReceivedAt Time   `json:"At"`
 }
 
-// SnapshotSend is work that was sent to a worker at a time.
+// SnapshotSend is an amount of work that was sent to a worker at a given time.
 type SnapshotSend struct {
 	At   Time `json:"At"`
 	Work Work `json:"Work"`
 }
 
-// Snapshot returns what has been learned here.
+// Snapshot returns the learned state.
 func (p *Picker) Snapshot() (learned Snapshot) {
 	p.read(func(b *Balancer) { learned = b.snapshot() })
 	return learned
@@ -147,8 +147,8 @@
 	return learned
 }
 
-// Restore takes what another Balancer has learned. It is called once the endpoints are known, and before the first
-// request.
+// Restore applies the learned state of another Balancer. It must be called after the first endpoint list and before the
+// first request.
 func (p *Picker) Restore(learned Snapshot) {
 	p.update(func(b *Balancer) { b.restore(learned) })
 }
@@ -162,7 +162,7 @@
 	if len(learned.Sample) > 0 {
 		b.updateCutPoints()
 	}
-	for _, stats := range learned.Operations { // the last one, where there were several configurations of one name
+	for _, stats := range learned.Operations { // the last one wins if several configurations have the same name
 		b.operations.restore(stats)
 	}
 	var usage []quota.Usage
@@ -216,7 +216,7 @@
 	}
 }
 
-// Snapshot returns what each shard has learned.
+// Snapshot returns the learned state of each shard.
 func (s *Shards) Snapshot() (all []Snapshot) {
 	for _, picker := range s.pickers {
 		all = append(all, picker.Snapshot())
@@ -224,8 +224,8 @@
 	return all
 }
 
-// RestoreFromDisk takes what the shards of an earlier process have learned. If that had another number of shards, each
-// shard takes what the first one had learned. It reports whether there was anything to take.
+// RestoreFromDisk applies the learned states of the shards of an earlier process. If that process had a different
+// number of shards, each shard gets the state of its first one. It reports whether there was any state.
 func (s *Shards) RestoreFromDisk(all []Snapshot) bool {
 	if len(all) == 0 {
 		return false
@@ -240,8 +240,8 @@
 	return true
 }
 
-// RestoreFromPredecessor takes what the shards of the predecessor have learned. It does nothing and returns false where
-// that process has another number of shards.
+// RestoreFromPredecessor applies the learned states of the shards of the predecessor. If that process has a different
+// number of shards, it does nothing and returns false.
 func (s *Shards) RestoreFromPredecessor(all []Snapshot) bool {
 	if len(all) != len(s.pickers) {
 		return false
--- a/internal/balancer/snapshot_test.go
+++ b/internal/balancer/snapshot_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// Regression test for a successor that begins with nothing: it would go by eight slots, and each failing worker and zone
-// would have to fail again.
+// Regression test for a successor that started without learned state: it assumed eight slots per worker, and failing
+// workers and zones had to fail again before they were ejected.
 func TestSnapshotIsRestored(t *testing.T) {
 	config := namedConfig()
 	config.LoadReports.FreeSlots = NotReported
@@ -35,7 +35,7 @@
 	assert.Equal(t, 3, ejected, "one worker, and two in an ejected zone")
 }
 
-// learnSomething gives a Balancer something to keep of each kind.
+// learnSomething sets each kind of learned state of a Balancer.
 func learnSomething(balancer *Balancer) {
 	balancer.slots.kinds[0].Votes = []int{0, 2, 2, 5, -9, -9}
 	balancer.slots.kinds[0].MaxObserved = 3
@@ -53,7 +53,7 @@
 	balancer.operations.byID[nonIdempotentOp].longestTimeout = 9 * Second
 }
 
-// workerFailure is what failures have shown of one worker.
+// workerFailure is the failure state of one worker.
 type workerFailure struct {
 	consecutive int
 	probeAfter  Time
@@ -69,7 +69,7 @@
 	return failures
 }
 
-// peersInFlight returns the attempts of peers in flight, by WorkerID.
+// peersInFlight returns the numbers of attempts that peers have in flight, by WorkerID.
 func peersInFlight(balancer *Balancer) (inFlight []int) {
 	for _, known := range balancer.workers {
 		inFlight = append(inFlight, known.gossip.peerInFlight)
--- a/internal/balancer/worker_table.go
+++ b/internal/balancer/worker_table.go
@@ -2,37 +2,37 @@
 
 import "canvasroute/internal/balancer/outlier"
 
-// worker is all that is known of one worker, by WorkerID. health is changed by ejection.go and overload.go, gossip by
+// worker is the state of one worker, indexed by WorkerID. health is changed by ejection.go and overload.go, gossip by
 // gossip.go, and warmup by warm_up.go, warmup_credit.go and process_exit.go.
 type worker struct {
-	hash  uint64 // of its ID: its place on the ring
+	hash  uint64 // hash of its ID: its position on the ring
 	zone  ZoneID
 	kind  KindID
 	cell  CellID
 	state WorkerState
 
-	inFlight  int  // attempts from here, those of a sibling process included
-	unstarted int  // of these, attempts whose start has not been reported
-	notBefore Time // no attempt before: it is another dispatcher's turn
+	inFlight  int  // attempts of this dispatcher, including those of a sibling process
+	unstarted int  // number of these whose start has not been reported
+	notBefore Time // earliest time for the next attempt: before it, another dispatcher may send
 
 	health outlier.Worker
 	gossip workerGossip
 	warmup workerWarmup
 }
 
-// zone is what attempts have shown of a failure zone, by ZoneID.
+// zone is the state of one failure zone, indexed by ZoneID.
 type zone struct {
 	health       outlier.Zone
-	deliveryTime Duration // mean time until a worker there has received an attempt
+	deliveryTime Duration // mean time until a worker of the zone has received an attempt
 }
 
-// load returns the attempts in flight at a worker, from here and from the peers that report it.
+// load returns the number of attempts in flight at a worker from this dispatcher and from the peers that report it.
 func (b *Balancer) load(id WorkerID) int {
 	w := &b.workers[id]
 	return w.inFlight + max(w.gossip.peerInFlight, 0)
 }
 
-// addInFlight counts attempts that were sent to a worker, or have ended there.
+// addInFlight adds to the number of attempts in flight at a worker. count is negative if attempts have ended.
 func (b *Balancer) addInFlight(id WorkerID, count int) {
 	b.workers[id].inFlight += count
 	b.subsetting.addInFlight(id, count)
@@ -41,11 +41,11 @@
 	}
 }
 
-// zoneOf returns what attempts have shown of a worker's zone.
+// zoneOf returns the state of the zone of a worker.
 func (b *Balancer) zoneOf(id WorkerID) *zone { return &b.zones[b.workers[id].zone] }
 
-// countWorkers returns the number of listed workers, and of those that are healthy by the list but ejected, themselves
-// or with their zone.
+// countWorkers returns the number of workers in the endpoint list, and the number of these that are listed as healthy
+// but ejected, individually or with their zone.
 func (b *Balancer) countWorkers() (listed, ejected int) {
 	for _, id := range b.subsetting.ring {
 		w := &b.workers[id]
--- a/internal/balancertest/balancertest.go
+++ b/internal/balancertest/balancertest.go
@@ -1,4 +1,4 @@
-// Package balancertest builds balancers for the tests of the packages that use one.
+// Package balancertest provides balancers for the tests of other packages.
 package balancertest
 
 import (
@@ -7,8 +7,8 @@
 	"canvasroute/internal/balancer"
 )
 
-// Config returns the configuration of the first of two dispatchers that makes one attempt a request, without load
-// reports. It has one tenant far within its quota, and one idempotent operation.
+// Config returns the configuration of the first of two dispatchers, with one attempt per request and no load reports.
+// It has one tenant with a quota that tests do not reach, and one idempotent operation.
 func Config() balancer.Config {
 	return balancer.Config{
 		Dispatchers: 2,
@@ -25,7 +25,7 @@
 	}
 }
 
-// NewShards returns the only shard of a process. Its clock runs in real time, from one second on.
+// NewShards returns a Shards with a single shard. Its clock runs in real time and starts at one second.
 func NewShards(config balancer.Config) *balancer.Shards {
 	startedAt := time.Now()
 	clock := func() balancer.Time {
