--- a/internal/balancer/arrivals.go
+++ b/internal/balancer/arrivals.go
@@ -29,7 +29,7 @@
 	b.requests.addOpen(id)
 	b.enqueue(id)
 	b.due.capacityChanged = true
-	b.due.reviewBy(min(b.now.Add(b.config.patience), arrived.deadline))
+	b.due.scheduleReview(min(b.now.Add(b.config.patience), arrived.deadline))
 }
 
 // latestWaitedStart returns until when a request waits for its start: as long as that may keep the latency objective.
--- a/internal/balancer/attempt_events_test.go
+++ b/internal/balancer/attempt_events_test.go
@@ -13,7 +13,7 @@
 	config.Attempts.StartNotices = false
 	balancer, effects := newTestBalancer(config, 1, []Endpoint{{Worker: 0, ID: "w0"}})
 	for range 3 {
-		arrive(balancer, 0, Arrival{Timeout: 3 * Second})
+		submitRequest(balancer, 0, Arrival{Timeout: 3 * Second})
 		balancer.AttemptStarted(0, 0)
 		balancer.AttemptStarted(0, 0)
 		balancer.AttemptEnded(0, 0, Succeeded, FinalAnswer)
--- a/internal/balancer/balancer.go
+++ b/internal/balancer/balancer.go
@@ -9,9 +9,9 @@
 	"canvasroute/internal/balancer/sizeinterval"
 )
 
-// maxFirstPosition limits the initial round-robin position of a dispatcher. It only has to be far above the number of
+// maxInitialPosition limits the initial round-robin position of a dispatcher. It only has to be far above the number of
 // workers.
-const maxFirstPosition = 1 << 20
+const maxInitialPosition = 1 << 20
 
 // Balancer makes the decisions of one dispatcher. The package comment describes how to use it, and which file
 // implements each rule. It is not safe for concurrent use: a Picker guards it with its lock.
@@ -60,7 +60,7 @@
 		b.tenants.Add(tenant.Name, tenant.Quota*b.config.dispatcherShare)
 	}
 	for n := range b.subsetting.subsets { // each dispatcher starts its rotations at a different position
-		b.subsetting.subsets[n].roundRobin = int(b.random.next() % maxFirstPosition)
+		b.subsetting.subsets[n].roundRobin = int(b.random.next() % maxInitialPosition)
 	}
 	return b
 }
@@ -75,8 +75,8 @@
 	}
 }
 
-// reviewBy schedules the review of open requests at the given time or earlier.
-func (t *dueTimes) reviewBy(at Time) { t.reviewAt = min(t.reviewAt, at) }
+// scheduleReview schedules the review of open requests at the given time or earlier.
+func (t *dueTimes) scheduleReview(at Time) { t.reviewAt = min(t.reviewAt, at) }
 
 // randomSource generates pseudo-random numbers from a seed.
 type randomSource struct {
--- a/internal/balancer/capacity.go
+++ b/internal/balancer/capacity.go
@@ -24,18 +24,18 @@
 
 // MaxObserved returns the most attempts that the first shard has seen running at once at a worker, by KindID.
 func (s *Shards) MaxObserved() (slots []float64) {
-	s.first().read(func(b *Balancer) { slots = b.maxObserved() })
+	s.firstPicker().read(func(b *Balancer) { slots = b.maxObserved() })
 	return slots
 }
 
 // Capacity returns the capacity of the workers that take attempts, as the first shard sees them.
 func (s *Shards) Capacity() (total Capacity) {
-	s.first().read(func(b *Balancer) { total = b.capacity() })
+	s.firstPicker().read(func(b *Balancer) { total = b.capacity() })
 	return total
 }
 
 // MedianSize returns the size that the first shard takes for a request without a hint, 0 before the first hints.
 func (s *Shards) MedianSize() (size Work) {
-	s.first().read(func(b *Balancer) { size = b.sizes.Median() })
+	s.firstPicker().read(func(b *Balancer) { size = b.sizes.Median() })
 	return size
 }
--- a/internal/balancer/ejection_test.go
+++ b/internal/balancer/ejection_test.go
@@ -11,7 +11,7 @@
 
 // canPick reports whether there is a worker for a request of an operation.
 func canPick(balancer *Balancer, operation OperationID) bool {
-	req := newPickableRequest(0)
+	req := newUnattemptedRequest(0)
 	req.operation = operation
 	_, ok := balancer.pickWorker(req)
 	return ok
@@ -66,7 +66,7 @@
 	balancer.config.startNotices = false
 	lostAttempts := 0
 	for id := range RequestID(10) {
-		arrive(balancer, id, Arrival{Operation: zoneKeyedOp, Timeout: 20 * Second, SizeHint: 100})
+		submitRequest(balancer, id, Arrival{Operation: zoneKeyedOp, Timeout: 20 * Second, SizeHint: 100})
 		for req := &balancer.requests.byID[id]; !req.closed; balancer.RunDueRules() {
 			latest := len(req.attempts) - 1
 			if zoneOfWorker(balancer, req.attempts[latest].worker) == lostZone {
@@ -82,7 +82,7 @@
 	assert.NotContains(t, fmt.Sprint(effects.lines), "fail")
 
 	pick := func() WorkerID {
-		req := newPickableRequest(allIntervals)
+		req := newUnattemptedRequest(allIntervals)
 		req.size = 100
 		picked, ok := balancer.pickWorker(req)
 		assert.True(t, ok)
@@ -134,12 +134,12 @@
 		health := &balancer.workers[0].health
 		effects.lines = nil
 		balancer.SetTime(health.ProbeAfter)
-		arrive(balancer, 7, Arrival{Operation: nonIdempotentOp, Timeout: 20 * Second, SizeHint: 100})
+		submitRequest(balancer, 7, Arrival{Operation: nonIdempotentOp, Timeout: 20 * Second, SizeHint: 100})
 		if c.probes {
 			assert.Equal(t, []string{"attempt 7 to 0"}, effects.lines, "outcome %d", c.outcome)
 			balancer.AttemptEnded(7, 0, NoConnection, NoAnswer)
 			balancer.SetTime(health.ProbeAfter)
-			arrive(balancer, 8, Arrival{Timeout: 20 * Second, SizeHint: 100})
+			submitRequest(balancer, 8, Arrival{Timeout: 20 * Second, SizeHint: 100})
 			balancer.AttemptEnded(8, 0, WorkerError, NoAnswer)
 			assert.True(t, health.PossiblyExecuted)
 		} else {
@@ -156,7 +156,7 @@
 	health := &balancer.workers[0].health
 	for id := RequestID(0); health.ConsecutiveFailures < 2; id++ {
 		balancer.SetTime(max(balancer.now, health.ProbeAfter))
-		arrive(balancer, id, Arrival{Timeout: 20 * Second, SizeHint: 100})
+		submitRequest(balancer, id, Arrival{Timeout: 20 * Second, SizeHint: 100})
 		balancer.AttemptEnded(id, 0, outcome, NoAnswer)
 		balancer.ClientLeft(id, NoAttempt)
 	}
--- a/internal/balancer/eligibility_test.go
+++ b/internal/balancer/eligibility_test.go
@@ -108,7 +108,7 @@
 	for name, c := range exclusionCases {
 		t.Run(name, func(t *testing.T) {
 			balancer, _ := newWarmBalancer(4, 1)
-			req := newPickableRequest(allIntervals)
+			req := newUnattemptedRequest(allIntervals)
 			req.size = 1
 			var limits pickLimits
 			c.change(balancer, req, &limits)
--- a/internal/balancer/endpoints.go
+++ b/internal/balancer/endpoints.go
@@ -16,8 +16,8 @@
 
 // The sources of an endpoint list.
 const (
-	FromDiscovery   ListSource = iota // the response to a poll, or an update of the watch that the poll started
-	FromBeforeStart                   // known from before the start, or received from a peer or the predecessor
+	FromDiscovery    ListSource = iota // the response to a poll, or an update of the watch that the poll started
+	NotFromDiscovery                   // known from before the start, or received from a peer or the predecessor
 )
 
 // UpdateEndpoints applies an endpoint list.
--- a/internal/balancer/fleet_restart.go
+++ b/internal/balancer/fleet_restart.go
@@ -30,7 +30,7 @@
 		startedBefore := w.warmup.startedAt != LongAgo && w.warmup.startedAt < before
 		if startedBefore && b.warmupFactor(WorkerID(n)) < 1 {
 			w.notBefore = max(w.notBefore, before.Add(b.config.warmupWindow))
-			b.due.reviewBy(w.notBefore)
+			b.due.scheduleReview(w.notBefore)
 		}
 	}
 }
@@ -54,5 +54,5 @@
 
 // SubmitAfter calls Picker.SubmitAfter on the next shard in turn.
 func (s *Shards) SubmitAfter(arrival Arrival, prior PriorAttempt) *RequestHandle {
-	return s.next().SubmitAfter(arrival, prior)
+	return s.nextPicker().SubmitAfter(arrival, prior)
 }
--- a/internal/balancer/gossip.go
+++ b/internal/balancer/gossip.go
@@ -12,33 +12,33 @@
 	messagesPerAttempt = 2
 
 	// Loads are resent at an interval of meanSizesPerResend mean request sizes, because messages can be lost. A peer
-	// that sends no message for resendsUntilForgotten intervals has exited or is disconnected.
+	// that sends no message for resendsUntilExpiry intervals has exited or is disconnected.
 	initialResendInterval = Duration(2 * Second)
 	minResendInterval     = Duration(Second / 2)
 	meanSizesPerResend    = 3
-	resendsUntilForgotten = 2
+	resendsUntilExpiry    = 2
 
-	// notSent is the value of workerGossip.sentLoad that forces the load to be sent, whatever it is.
+	// notSent is the value of workerGossip.lastSentLoad that forces the load to be sent, whatever it is.
 	notSent = -1
 )
 
 // gossip holds the relative ages of peers, and the times at which they are sent the loads of this dispatcher. The loads
 // that they report are in workerGossip.
 type gossip struct {
-	seniorPeers      []bool // by PeerID: peers that started before this dispatcher
-	juniorPeers      []bool // by PeerID: peers that started after this dispatcher
-	changedLoads     []WorkerID
-	sendLoadsAt      Time
-	resendAt         Time
-	resendInterval   Duration // interval at which unchanged loads are resent
-	unheardNotBefore Time     // earliest time for attempts to workers whose load no peer reports
+	seniorPeers         []bool // by PeerID: peers that started before this dispatcher
+	juniorPeers         []bool // by PeerID: peers that started after this dispatcher
+	changedLoads        []WorkerID
+	sendLoadsAt         Time
+	resendAt            Time
+	resendInterval      Duration // interval at which unchanged loads are resent
+	unreportedNotBefore Time     // earliest time for attempts to workers whose load no peer reports
 }
 
 // workerGossip holds the loads of a worker that peers reported, and the load that was last sent to them.
 type workerGossip struct {
 	peerInFlight int // sum of peerLoads
 	peerLoads    []peerLoad
-	sentLoad     int       // number in flight as last sent to peers, or notSent
+	lastSentLoad int       // number in flight as last sent to peers, or notSent
 	peers        peerRange // dispatchers that have the worker in their subset
 }
 
@@ -60,7 +60,7 @@
 
 // recordJuniorPeer records that a peer has just started.
 func (g *gossip) recordJuniorPeer(from PeerID) {
-	g.growTo(from)
+	g.ensurePeer(from)
 	g.juniorPeers[from] = true
 	g.seniorPeers[from] = false
 }
@@ -68,57 +68,57 @@
 // recordPeer records any other message from a peer. It marks the peer as senior unless the peer is known to have
 // started later than this dispatcher.
 func (g *gossip) recordPeer(from PeerID) {
-	g.growTo(from)
+	g.ensurePeer(from)
 	g.seniorPeers[from] = !g.juniorPeers[from]
 }
 
-func (g *gossip) growTo(from PeerID) {
+func (g *gossip) ensurePeer(from PeerID) {
 	if missing := int(from) + 1 - len(g.seniorPeers); missing > 0 {
 		g.seniorPeers = append(g.seniorPeers, make([]bool, missing)...)
 		g.juniorPeers = append(g.juniorPeers, make([]bool, missing)...)
 	}
 }
 
-// hearsSenior reports whether a message was received from a peer that has run for longer than this dispatcher.
-func (g *gossip) hearsSenior() bool { return slices.Contains(g.seniorPeers, true) }
+// hasSeniorPeer reports whether a message was received from a peer that has run for longer than this dispatcher.
+func (g *gossip) hasSeniorPeer() bool { return slices.Contains(g.seniorPeers, true) }
 
-// receive records the number of attempts that a peer has in flight at the worker, and returns its previous number.
-func (w *workerGossip) receive(from PeerID, inFlight int, now Time) (before int) {
-	n := slices.IndexFunc(w.peerLoads, func(known peerLoad) bool { return known.from == from })
+// recordLoad records the number of attempts that a peer has in flight at the worker, and returns its previous number.
+func (w *workerGossip) recordLoad(from PeerID, inFlight int, now Time) (previous int) {
+	n := slices.IndexFunc(w.peerLoads, func(entry peerLoad) bool { return entry.from == from })
 	if n < 0 {
 		n = len(w.peerLoads)
 		w.peerLoads = append(w.peerLoads, peerLoad{from: from})
 	}
-	known := &w.peerLoads[n]
-	before = known.inFlight
-	w.peerInFlight += inFlight - before
-	known.inFlight = inFlight
-	known.receivedAt = now
-	return before
+	entry := &w.peerLoads[n]
+	previous = entry.inFlight
+	w.peerInFlight += inFlight - previous
+	entry.inFlight = inFlight
+	entry.receivedAt = now
+	return previous
 }
 
-// forgetBefore removes the loads that were received before the given time.
-func (w *workerGossip) forgetBefore(oldest Time) {
-	w.peerLoads = slices.DeleteFunc(w.peerLoads, func(known peerLoad) bool { return known.receivedAt < oldest })
+// expireLoads removes the loads that were received before the given time.
+func (w *workerGossip) expireLoads(oldest Time) {
+	w.peerLoads = slices.DeleteFunc(w.peerLoads, func(entry peerLoad) bool { return entry.receivedAt < oldest })
 	w.peerInFlight = 0
-	for _, known := range w.peerLoads {
-		w.peerInFlight += known.inFlight
+	for _, entry := range w.peerLoads {
+		w.peerInFlight += entry.inFlight
 	}
 }
 
-// hearsLoadOf reports whether peers send this dispatcher their loads at a worker.
-func (b *Balancer) hearsLoadOf(id WorkerID) bool {
+// receivesLoadOf reports whether peers send this dispatcher their loads at a worker.
+func (b *Balancer) receivesLoadOf(id WorkerID) bool {
 	return b.config.gossip && b.subsetting.inSubset(allIntervals, id)
 }
 
 // ReceiveLoad records the number of attempts that a peer has in flight at a worker.
 func (b *Balancer) ReceiveLoad(from PeerID, load WorkerLoad) {
 	b.gossip.recordPeer(from)
-	loadBefore := b.load(load.Worker)
-	before := b.workers[load.Worker].gossip.receive(from, load.InFlight, b.now)
-	if load.InFlight < before {
+	previousLoad := b.load(load.Worker)
+	previous := b.workers[load.Worker].gossip.recordLoad(from, load.InFlight, b.now)
+	if load.InFlight < previous {
 		b.due.capacityChanged = true
-		wasFull := float64(loadBefore) >= b.maxObservedSlots(load.Worker)
+		wasFull := float64(previousLoad) >= b.maxObservedSlots(load.Worker)
 		if b.warmupFactor(load.Worker) < 1 && wasFull {
 			b.staggerAccess(load.Worker)
 		}
@@ -137,7 +137,7 @@
 	rank := (b.config.position + rotation) % sharers
 	// A peer receives the load of the preceding dispatcher within half of the patience.
 	w.notBefore = b.now.Add(Duration(rank) * b.config.patience / 2)
-	b.due.reviewBy(w.notBefore)
+	b.due.scheduleReview(w.notBefore)
 }
 
 // subsetPeers yields the other dispatchers that have a worker in their subset.
@@ -183,12 +183,12 @@
 func (b *Balancer) sendChangedLoads() {
 	for _, id := range b.gossip.changedLoads {
 		w := &b.workers[id]
-		if w.inFlight != w.gossip.sentLoad {
+		if w.inFlight != w.gossip.lastSentLoad {
 			for peer := range b.subsetPeers(id) {
 				b.effects.SendLoad(peer, WorkerLoad{Worker: id, InFlight: w.inFlight})
 			}
 		}
-		w.gossip.sentLoad = w.inFlight
+		w.gossip.lastSentLoad = w.inFlight
 	}
 	b.gossip.changedLoads = b.gossip.changedLoads[:0]
 	b.gossip.sendLoadsAt = never
@@ -198,9 +198,9 @@
 // removes the loads of silent peers.
 func (b *Balancer) resendLoads() {
 	b.gossip.resendAt = b.now.Add(b.gossip.resendInterval)
-	oldest := b.now.Add(-resendsUntilForgotten * b.gossip.resendInterval)
+	oldest := b.now.Add(-resendsUntilExpiry * b.gossip.resendInterval)
 	for _, id := range b.subsetting.ring {
-		b.workers[id].gossip.forgetBefore(oldest)
+		b.workers[id].gossip.expireLoads(oldest)
 		b.subsetting.markMaybeFree(id)
 		b.resendLoad(id)
 	}
@@ -209,7 +209,7 @@
 // resendLoad schedules resending the load of a worker if it has attempts in flight.
 func (b *Balancer) resendLoad(id WorkerID) {
 	if b.workers[id].inFlight > 0 {
-		b.workers[id].gossip.sentLoad = notSent
+		b.workers[id].gossip.lastSentLoad = notSent
 		b.markLoadChanged(id)
 	}
 }
--- a/internal/balancer/hedging.go
+++ b/internal/balancer/hedging.go
@@ -23,7 +23,7 @@
 // without gossip there is no hedging.
 func (b *Balancer) hedge(id RequestID) {
 	target, ok := b.pickWorker(b.requests.get(id))
-	if !ok || !b.hearsLoadOf(target) {
+	if !ok || !b.receivesLoadOf(target) {
 		return
 	}
 	if float64(b.load(target)) < b.estimatedSlots(target)*maxHedgeLoadShare {
--- a/internal/balancer/hedging_test.go
+++ b/internal/balancer/hedging_test.go
@@ -26,9 +26,9 @@
 		both := &balancer.subsetting.subsets[allIntervals]
 		both.workers = balancer.subsetting.ring
 		both.reindex(balancer.workers)
-		arrive(balancer, 0, Arrival{Operation: c.operation, Timeout: timeout, SizeHint: 1000})
+		submitRequest(balancer, 0, Arrival{Operation: c.operation, Timeout: timeout, SizeHint: 1000})
 		balancer.AttemptStarted(0, 0)
-		other := 1 - targetOf(balancer, 0, 0)
+		other := 1 - workerOfAttempt(balancer, 0, 0)
 		balancer.workers[other].gossip.peerInFlight = c.otherLoad
 		balancer.now = balancer.now.Add(c.ran)
 		balancer.reviewOpenRequests()
--- a/internal/balancer/helper_test.go
+++ b/internal/balancer/helper_test.go
@@ -126,8 +126,8 @@
 	return newTestBalancer(testConfig, seed, testEndpoints(workers))
 }
 
-// arrive submits a request and applies the rules that are due.
-func arrive(balancer *Balancer, id RequestID, arrival Arrival) {
+// submitRequest submits a request and applies the rules that are due.
+func submitRequest(balancer *Balancer, id RequestID, arrival Arrival) {
 	balancer.RequestArrived(id, arrival)
 	balancer.RunDueRules()
 }
@@ -139,9 +139,9 @@
 	balancer.RunDueRules()
 }
 
-// advance advances the clock and applies the rules that are due.
-func advance(balancer *Balancer, span Duration) {
-	balancer.SetTime(balancer.now.Add(span))
+// advance advances the clock by elapsed, and applies the rules that are due.
+func advance(balancer *Balancer, elapsed Duration) {
+	balancer.SetTime(balancer.now.Add(elapsed))
 	balancer.RunDueRules()
 }
 
@@ -151,14 +151,14 @@
 	balancer.RunDueRules()
 }
 
-// targetOf returns the worker of an attempt.
-func targetOf(balancer *Balancer, id RequestID, number int) WorkerID {
+// workerOfAttempt returns the worker of an attempt.
+func workerOfAttempt(balancer *Balancer, id RequestID, number int) WorkerID {
 	return balancer.requests.get(id).attempts[number].worker
 }
 
-// newPickableRequest returns an open request of the idempotent operation that is within its quota and has no attempts
-// and no size hint.
-func newPickableRequest(interval int) *request {
+// newUnattemptedRequest returns an open request of the idempotent operation that is within its quota and has no
+// attempts and no size hint.
+func newUnattemptedRequest(interval int) *request {
 	return &request{
 		attemptLimit: 4,
 		interval:     interval,
@@ -184,10 +184,10 @@
 	balancer.slots.kinds[0].Estimate = slots
 }
 
-// assertPollDueWithin asserts that the next poll of the endpoint list is due within the given duration.
-func assertPollDueWithin(t *testing.T, balancer *Balancer, span Duration, messageAndArgs ...any) {
+// assertPollDueWithin asserts that the next poll of the endpoint list is due within limit.
+func assertPollDueWithin(t *testing.T, balancer *Balancer, limit Duration, messageAndArgs ...any) {
 	t.Helper()
-	assert.LessOrEqual(t, balancer.polling.DueAt().Sub(balancer.now), span, messageAndArgs...)
+	assert.LessOrEqual(t, balancer.polling.DueAt().Sub(balancer.now), limit, messageAndArgs...)
 }
 
 // recorder records the effects of a Balancer, one per line. It ignores wake-ups and events.
--- a/internal/balancer/migration.go
+++ b/internal/balancer/migration.go
@@ -20,13 +20,13 @@
 	DedupScope       DedupScope  `json:"Scope"`
 	Kind             KindID      `json:"Kind"`
 
-	Deadline       time.Time         `json:"Until"` // of the client
-	LatestStart    Time              `json:"Latest"`
-	Size           Work              `json:"Size"`
-	QuotaWeight    float64           `json:"Counts"`
-	SpentElsewhere int               `json:"Beyond"` // number of MaxAttempts that this request may not use
-	MaxAttempts    int               `json:"Most"`   // configured limit
-	Attempts       []MigratedAttempt `json:"Forwards"`
+	Deadline            time.Time         `json:"Until"` // of the client
+	LatestStart         Time              `json:"Latest"`
+	Size                Work              `json:"Size"`
+	QuotaWeight         float64           `json:"Counts"`
+	UnavailableAttempts int               `json:"Beyond"` // number of MaxAttempts that this request may not use
+	MaxAttempts         int               `json:"Most"`   // configured limit
+	Attempts            []MigratedAttempt `json:"Forwards"`
 }
 
 // MigratedAttempt is an attempt of a MigratedRequest. Its number is its index.
@@ -57,7 +57,7 @@
 				h.attemptEnded(number, NotSent)
 			}
 		}
-		h.push(Decision{Action: RespondElsewhere})
+		h.addDecision(Decision{Action: RespondElsewhere})
 	})
 	return migrated, ok
 }
@@ -77,19 +77,19 @@
 		DedupScope:       op.dedupScope,
 		Kind:             op.kind,
 
-		LatestStart:    req.latestStart,
-		Size:           req.size,
-		QuotaWeight:    req.quotaWeight,
-		SpentElsewhere: b.config.maxAttempts - req.attemptLimit,
-		MaxAttempts:    b.config.maxAttempts,
+		LatestStart:         req.latestStart,
+		Size:                req.size,
+		QuotaWeight:         req.quotaWeight,
+		UnavailableAttempts: b.config.maxAttempts - req.attemptLimit,
+		MaxAttempts:         b.config.maxAttempts,
 	}
-	for _, made := range req.attempts {
+	for _, exported := range req.attempts {
 		migrated.Attempts = append(migrated.Attempts, MigratedAttempt{
-			Worker:     made.worker,
-			SentAt:     made.sentAt,
-			StartedAt:  made.startedAt,
-			InFlight:   made.inFlight,
-			MayHaveRun: made.mayHaveRun,
+			Worker:     exported.worker,
+			SentAt:     exported.sentAt,
+			StartedAt:  exported.startedAt,
+			InFlight:   exported.inFlight,
+			MayHaveRun: exported.mayHaveRun,
 		})
 	}
 	return migrated
@@ -127,7 +127,7 @@
 		size:              migrated.Size,
 		interval:          b.sizes.Of(migrated.Size),
 		quotaWeight:       migrated.QuotaWeight,
-		attemptLimit:      min(migrated.MaxAttempts-migrated.SpentElsewhere, b.config.maxAttempts),
+		attemptLimit:      min(migrated.MaxAttempts-migrated.UnavailableAttempts, b.config.maxAttempts),
 		attempts:          imported.attempts[:0],
 	}
 	b.requests.addOpen(id)
@@ -138,7 +138,7 @@
 		b.enqueue(id)
 	}
 	b.due.capacityChanged = true
-	b.due.reviewBy(min(b.now.Add(b.config.patience), imported.deadline))
+	b.due.scheduleReview(min(b.now.Add(b.config.patience), imported.deadline))
 }
 
 func (b *Balancer) importAttempt(req *request, migrated *MigratedAttempt) {
@@ -182,5 +182,5 @@
 	s.reconfiguring.Lock()
 	defer s.reconfiguring.Unlock()
 	s.updateAll(func(b *Balancer) { b.operations.assign(migrated.operation()) })
-	return s.next().Import(migrated)
+	return s.nextPicker().Import(migrated)
 }
--- a/internal/balancer/migration_test.go
+++ b/internal/balancer/migration_test.go
@@ -73,7 +73,7 @@
 
 // Regression test for an operation that had a different ID at one shard than at the others after a configuration
 // change, so that requests there were treated as those of another operation.
-func TestAllShardsNumberMigratedOperationsAlike(t *testing.T) {
+func TestAllShardsAssignTheSameIDToMigratedOperation(t *testing.T) {
 	now := Time(100 * Second)
 	s := NewShards(namedConfig(), 2, 1, func() Time { return now }, func(Event) {})
 	s.Import(MigratedRequest{Name: "foreign", Idempotency: NonIdempotent, Deadline: time.Now().Add(time.Second)})
--- a/internal/balancer/operations_test.go
+++ b/internal/balancer/operations_test.go
@@ -38,7 +38,7 @@
 }
 
 func TestStatisticsOfRunsSurviveReconfiguration(t *testing.T) {
-	balancer, _ := newReconfigured(t)
+	balancer, _ := newBalancerWithOpenRequest(t)
 	balancer.SetTime(balancer.now + Second)
 	balancer.operations.byID[idempotentOp].observeRun(Second)
 	stricter := namedConfig()
--- a/internal/balancer/overload.go
+++ b/internal/balancer/overload.go
@@ -5,8 +5,8 @@
 func (b *Balancer) backOff(id WorkerID, span Duration) {
 	until := b.now.Add(span)
 	b.workers[id].health.BackOff(until)
-	if !b.hearsLoadOf(id) {
-		b.gossip.unheardNotBefore = until
+	if !b.receivesLoadOf(id) {
+		b.gossip.unreportedNotBefore = until
 	}
 }
 
--- a/internal/balancer/overload_test.go
+++ b/internal/balancer/overload_test.go
@@ -18,7 +18,7 @@
 			balancer, _ := newWarmBalancer(2, 1)
 			balancer.config.startNotices = false
 			submit := func(id RequestID) {
-				arrive(balancer, id, Arrival{Operation: idempotentOp, Timeout: 30 * Second, SizeHint: hint})
+				submitRequest(balancer, id, Arrival{Operation: idempotentOp, Timeout: 30 * Second, SizeHint: hint})
 			}
 			for id := range RequestID(earlierRuns) {
 				submit(id)
@@ -28,13 +28,13 @@
 			}
 			const rejected, next = RequestID(earlierRuns), RequestID(earlierRuns + 1)
 			submit(rejected)
-			full := targetOf(balancer, rejected, 0)
+			full := workerOfAttempt(balancer, rejected, 0)
 			endFirstAttempt(balancer, rejected, Overloaded)
 			assert.InDelta(t, runTime, float64(balancer.workers[full].health.ProbeAfter-balancer.now), 0.1*Second)
 			assert.Len(t, balancer.requests.byID[rejected].attempts, 2, "its retry goes to the other worker")
-			assert.NotEqual(t, full, targetOf(balancer, rejected, 1))
+			assert.NotEqual(t, full, workerOfAttempt(balancer, rejected, 1))
 			submit(next)
-			assert.NotEqual(t, full, targetOf(balancer, next, 0), "nor is another request sent there")
+			assert.NotEqual(t, full, workerOfAttempt(balancer, next, 0), "nor is another request sent there")
 		})
 	}
 }
@@ -45,11 +45,11 @@
 	balancer, _ := newWarmBalancer(2, 1)
 	balancer.config.startNotices = false
 	for id := range RequestID(2) {
-		arrive(balancer, id, Arrival{Timeout: 30 * Second})
+		submitRequest(balancer, id, Arrival{Timeout: 30 * Second})
 	}
 	balancer.SetTime(balancer.now + runTime)
 	balancer.AttemptEnded(0, 0, Succeeded, FinalAnswer)
 	balancer.AttemptEnded(1, 0, Overloaded, NoAnswer)
-	overloaded := targetOf(balancer, 1, 0)
+	overloaded := workerOfAttempt(balancer, 1, 0)
 	assert.Equal(t, balancer.now+runTime, balancer.workers[overloaded].health.ProbeAfter)
 }
--- a/internal/balancer/pick_worker.go
+++ b/internal/balancer/pick_worker.go
@@ -40,7 +40,7 @@
 // mayUseWholeRing reports whether workers whose load no peer reports may be tried. They are not tried while most load
 // reports show no free slot, nor for a while after one of them was full.
 func (b *Balancer) mayUseWholeRing() bool {
-	return b.slots.freeSlotRatio >= minFreeSlotRatio && b.now >= b.gossip.unheardNotBefore
+	return b.slots.freeSlotRatio >= minFreeSlotRatio && b.now >= b.gossip.unreportedNotBefore
 }
 
 func (b *Balancer) pickFromSubset(req *request, number int, limits pickLimits) (WorkerID, bool) {
--- a/internal/balancer/pick_worker_test.go
+++ b/internal/balancer/pick_worker_test.go
@@ -27,10 +27,10 @@
 	smallPicks := map[WorkerID]int{}
 	largePicks := map[WorkerID]int{}
 	for range 2 * blockSize {
-		picked, ok := balancer.pickWorker(newPickableRequest(smallInterval))
+		picked, ok := balancer.pickWorker(newUnattemptedRequest(smallInterval))
 		assert.True(t, ok)
 		smallPicks[picked]++
-		picked, _ = balancer.pickWorker(newPickableRequest(largeInterval))
+		picked, _ = balancer.pickWorker(newUnattemptedRequest(largeInterval))
 		largePicks[picked]++
 	}
 	for position, id := range balancer.subsetting.ring {
@@ -47,7 +47,7 @@
 	for _, id := range ownBlock {
 		balancer.workers[id].unstarted = 1
 	}
-	picked, ok := balancer.pickWorker(newPickableRequest(0))
+	picked, ok := balancer.pickWorker(newUnattemptedRequest(0))
 	assert.True(t, ok)
 	assert.Contains(t, otherBlock, picked)
 }
@@ -57,7 +57,7 @@
 	busy := balancer.subsetting.ring[2]
 	balancer.addInFlight(busy, 3)
 	for range 8 {
-		picked, ok := balancer.pickWorker(newPickableRequest(0))
+		picked, ok := balancer.pickWorker(newUnattemptedRequest(0))
 		assert.True(t, ok)
 		assert.NotEqual(t, busy, picked)
 	}
@@ -81,7 +81,7 @@
 	balancer.config.dispatchers = 1
 	setSizes(balancer, Second) // requests have hints
 	newRequest := func(size Work) *request {
-		req := newPickableRequest(allIntervals)
+		req := newUnattemptedRequest(allIntervals)
 		req.size = size
 		return req
 	}
@@ -103,11 +103,11 @@
 	setSlots(balancer, 3)
 	balancer.config.gossip = true
 	balancer.ReceiveLoad(1, WorkerLoad{Worker: 0, InFlight: 2})
-	beyondQuota := newPickableRequest(allIntervals)
+	beyondQuota := newUnattemptedRequest(allIntervals)
 	beyondQuota.quotaWeight = 0.2
 	_, ok := balancer.pickWorker(beyondQuota)
 	assert.False(t, ok)
-	_, ok = balancer.pickWorker(newPickableRequest(allIntervals))
+	_, ok = balancer.pickWorker(newUnattemptedRequest(allIntervals))
 	assert.True(t, ok)
 }
 
@@ -121,7 +121,7 @@
 	balancer.updateSubsets()
 	assert.Len(t, balancer.subsetting.subsets[allIntervals].workers, sizeinterval.Count)
 	for id := range RequestID(sent) {
-		arrive(balancer, id, Arrival{Operation: nonIdempotentOp, Timeout: 10 * Second, SizeHint: Second})
+		submitRequest(balancer, id, Arrival{Operation: nonIdempotentOp, Timeout: 10 * Second, SizeHint: Second})
 	}
 	assert.Len(t, effects.lines, sent)
 	endFirstAttempt(balancer, sizeinterval.Count, Overloaded)
@@ -152,11 +152,11 @@
 				endpoints = append(endpoints, Endpoint{Worker: id, ID: string(rune('a' + id)), Zone: ZoneID(id % 2)})
 			}
 			balancer, _ := newTestBalancer(config, seed, endpoints)
-			arrive(balancer, 0, Arrival{Operation: idempotentOp, Timeout: 30 * Second, SizeHint: 100})
-			first := targetOf(balancer, 0, 0)
+			submitRequest(balancer, 0, Arrival{Operation: idempotentOp, Timeout: 30 * Second, SizeHint: 100})
+			first := workerOfAttempt(balancer, 0, 0)
 			assert.Equal(t, nearZone, balancer.workers[first].zone, "the first attempt stays in the zone")
 			endFirstAttempt(balancer, 0, Overloaded)
-			second := targetOf(balancer, 0, 1)
+			second := workerOfAttempt(balancer, 0, 1)
 			if balancer.workers[second].zone == farZone {
 				retries++
 			}
--- a/internal/balancer/picker.go
+++ b/internal/balancer/picker.go
@@ -54,7 +54,7 @@
 	handles   []*RequestHandle // by RequestID; nil if the ID is free
 	freeIDs   []RequestID
 	openCount int
-	siblings  [siblingRoles]inFlightByWorker
+	siblings  [siblingRoleCount]inFlightByWorker
 	stopAt    Time // latest time for an answer; never, unless the process is stopping
 	lifetime  context.Context
 	cancelAll context.CancelCauseFunc
@@ -109,13 +109,13 @@
 	return p.submit(arrival, func(*Balancer, *RequestHandle) {})
 }
 
-func (p *Picker) submit(arrival Arrival, arrived func(*Balancer, *RequestHandle)) *RequestHandle {
+func (p *Picker) submit(arrival Arrival, afterArrival func(*Balancer, *RequestHandle)) *RequestHandle {
 	h := p.newHandle(time.Now().Add(arrival.Timeout.Standard()))
 	p.update(func(b *Balancer) {
 		p.assignID(h)
 		arrival.Timeout = min(arrival.Timeout, p.stopAt.Sub(b.now))
 		b.RequestArrived(h.id, arrival)
-		arrived(b, h)
+		afterArrival(b, h)
 	})
 	return h
 }
@@ -158,10 +158,10 @@
 	return p.openCount
 }
 
-// StopAfter sets a time limit for all answers: the process exits after the given duration.
-func (p *Picker) StopAfter(span Duration) {
+// StopAfter sets a time limit for all answers: the process exits when remaining has elapsed.
+func (p *Picker) StopAfter(remaining Duration) {
 	p.update(func(b *Balancer) {
-		p.stopAt = min(p.stopAt, b.now.Add(span))
+		p.stopAt = min(p.stopAt, b.now.Add(remaining))
 		b.limitDeadlines(p.stopAt.Add(-b.config.margin))
 	})
 }
@@ -171,7 +171,7 @@
 	for id := range b.requests.newestFirst() {
 		req := b.requests.get(id)
 		req.deadline = min(req.deadline, latest)
-		b.due.reviewBy(req.deadline)
+		b.due.scheduleReview(req.deadline)
 	}
 }
 
@@ -179,9 +179,9 @@
 // longer needed. Otherwise the process would keep running until the deadlines of its clients.
 func (p *Picker) CancelAll() { p.cancelAll(ErrAttemptCanceled) }
 
-// WouldMissStop reports whether a request that arrives now would, according to its size hint, not complete before the
-// process exits.
-func (p *Picker) WouldMissStop(arrival Arrival) (misses bool) {
+// WouldMissStopDeadline reports whether a request that arrives now would, according to its size hint, not complete
+// before the process exits.
+func (p *Picker) WouldMissStopDeadline(arrival Arrival) (misses bool) {
 	p.read(func(b *Balancer) {
 		size := arrival.size()
 		if size == 0 {
--- a/internal/balancer/picker_bench_test.go
+++ b/internal/balancer/picker_bench_test.go
@@ -77,9 +77,9 @@
 	}
 }
 
-// BenchmarkArrivalBesidePendingRequests measures the arrival of a request and the departure of its client while all 256
+// BenchmarkArrivalWithPendingRequests measures the arrival of a request and the departure of its client while all 256
 // workers are full and 10,000 requests are pending.
-func BenchmarkArrivalBesidePendingRequests(b *testing.B) {
+func BenchmarkArrivalWithPendingRequests(b *testing.B) {
 	const slots = 8
 	picker := newPickerWithOpenRequests(b, 256, slots)
 	picker.balancer.slots.kinds[0].Estimate = slots
--- a/internal/balancer/picker_effects.go
+++ b/internal/balancer/picker_effects.go
@@ -9,20 +9,21 @@
 // goroutines that poll, probe and gossip. Its methods are called with the lock of the Picker held.
 type pickerEffects struct{ picker *Picker }
 
-func (e pickerEffects) SendAttempt(id RequestID, target WorkerID, within Duration) {
+func (e pickerEffects) SendAttempt(id RequestID, worker WorkerID, timeout Duration) {
 	p := e.picker
 	h := p.handles[id]
-	until := h.deadline
-	if within > 0 {
-		if earlier := time.Now().Add(within.Standard()); earlier.Before(until) {
-			until = earlier
+	attemptDeadline := h.deadline
+	if timeout > 0 {
+		if timeoutAt := time.Now().Add(timeout.Standard()); timeoutAt.Before(attemptDeadline) {
+			attemptDeadline = timeoutAt
 		}
 	}
 	op := &p.balancer.operations.byID[p.balancer.requests.get(id).operation]
-	ctx := h.beginAttempt(until) // changes len(h.cancels), and evaluation order in one expression is unspecified
-	h.push(Decision{
+	// beginAttempt extends h.cancels, and the order of evaluation within the literal below is unspecified.
+	ctx := h.beginAttempt(attemptDeadline)
+	h.addDecision(Decision{
 		Action:      SendAttempt,
-		Worker:      target,
+		Worker:      worker,
 		Ctx:         ctx,
 		Attempt:     len(h.cancels) - 1,
 		Idempotency: op.idempotency,
@@ -44,9 +45,9 @@
 	e.picker.handles[id].respond(Decision{Action: RespondFailed})
 }
 
-func (e pickerEffects) Wake(key uint64, after Duration) {
+func (e pickerEffects) Wake(key uint64, delay Duration) {
 	e.picker.wakeKey = key
-	e.picker.wakeAt = e.picker.balancer.now.Add(after)
+	e.picker.wakeAt = e.picker.balancer.now.Add(delay)
 	signal(e.picker.wakeChanged)
 }
 
@@ -74,8 +75,8 @@
 }
 
 // beginAttempt adds an attempt in flight that times out at the given time, and returns its context.
-func (h *RequestHandle) beginAttempt(until time.Time) context.Context {
-	timed, stop := context.WithDeadline(h.picker.lifetime, until)
+func (h *RequestHandle) beginAttempt(deadline time.Time) context.Context {
+	timed, stop := context.WithDeadline(h.picker.lifetime, deadline)
 	ctx, cancel := context.WithCancelCause(timed)
 	h.cancels = append(h.cancels, func(cause error) { cancel(cause); stop() })
 	h.reported = append(h.reported, false)
--- a/internal/balancer/picker_test.go
+++ b/internal/balancer/picker_test.go
@@ -28,7 +28,7 @@
 	return decision
 }
 
-func TestPickSendsAndThenRespondsWithTheAttemptThatSucceeded(t *testing.T) {
+func TestPickSendsAttemptAndThenRespondsWithItsResult(t *testing.T) {
 	picker, _ := newTestPicker(testConfig, 2)
 	handle := picker.Submit(Arrival{Timeout: 3 * Second})
 	decision := pick(t, handle)
@@ -42,7 +42,7 @@
 	assert.False(t, handle.Report(decision.Attempt, Succeeded), "a second report has no effect")
 }
 
-func TestPickRejectsWhereThereIsNoWorkerInTime(t *testing.T) {
+func TestPickRejectsRequestWithoutWorkerBeforeItsDeadline(t *testing.T) {
 	picker, now := newTestPicker(testConfig, 0)
 	handle := picker.Submit(Arrival{Timeout: 3 * Second})
 	*now += 3 * Second
@@ -137,7 +137,7 @@
 	assert.Equal(t, 0, picker.OpenRequests())
 }
 
-func TestRequestIDsAreUsedAgain(t *testing.T) {
+func TestRequestIDsAreReused(t *testing.T) {
 	picker, _ := newTestPicker(testConfig, 2)
 	for range 3 {
 		handle := picker.Submit(Arrival{Timeout: 3 * Second})
@@ -160,7 +160,7 @@
 	assert.Equal(t, RespondFailed, pick(t, nonIdempotent).Action)
 }
 
-func TestRunAppliesRulesAsTheyComeDue(t *testing.T) {
+func TestRunAppliesRulesWhenTheyAreDue(t *testing.T) {
 	start := time.Now()
 	picker := NewPicker(testConfig, 1, func() Time { return Second + Time(time.Since(start)/100000) }, func(Event) {})
 	ctx, cancel := context.WithCancel(context.Background())
@@ -172,7 +172,7 @@
 	assert.NoError(t, <-ended)
 }
 
-func TestManyClientsConcurrently(t *testing.T) {
+func TestConcurrentClientsAreAllAnswered(t *testing.T) {
 	picker, _ := newTestPicker(testConfig, 4)
 	start := time.Now()
 	picker.clock = func() Time { return 100*Second + Time(time.Since(start)/100000) }
@@ -221,7 +221,7 @@
 
 // Regression test for polling the discovery service again without a delay after a failure, and for polling it late
 // after its address has changed.
-func TestPollAfterAWaitOrAtOnceWhereTheServiceMoved(t *testing.T) {
+func TestPollIsDelayedAfterFailureAndImmediateAfterAddressChange(t *testing.T) {
 	config := testConfig
 	config.Discovery.Poll = true
 	picker, now := newTestPicker(config, 1)
--- a/internal/balancer/polling_test.go
+++ b/internal/balancer/polling_test.go
@@ -88,7 +88,7 @@
 			balancer := New(changeDeadlineConfig(3, 2), 1, effects)
 			balancer.SetTime(testStart)
 			stale := []Endpoint{{Worker: removed, ID: "w"}, {Worker: listed, ID: "v"}}
-			balancer.UpdateEndpoints(stale, AllEndpoints, FromBeforeStart)
+			balancer.UpdateEndpoints(stale, AllEndpoints, NotFromDiscovery)
 			balancer.RequestArrived(0, Arrival{Timeout: 10 * Second})
 			balancer.RunDueRules()
 			assert.Empty(t, effects.lines, "the list may be stale")
@@ -98,7 +98,7 @@
 			c.endPoll(balancer)
 			balancer.RunDueRules()
 			assert.Contains(t, effects.lines[1:], fmt.Sprint("attempt 0 to ", c.target(balancer)))
-			balancer.UpdateEndpoints([]Endpoint{{Worker: removed, ID: "w"}}, ChangedEndpoints, FromBeforeStart)
+			balancer.UpdateEndpoints([]Endpoint{{Worker: removed, ID: "w"}}, ChangedEndpoints, NotFromDiscovery)
 			assert.False(t, balancer.polling.EndpointsStale(), "a list from a peer does not make the own one stale")
 		})
 	}
@@ -107,7 +107,7 @@
 // Regression test for a successor that waits for a poll of its own, though its predecessor watches the list.
 func TestSuccessorUsesItsPredecessorsListAtOnce(t *testing.T) {
 	shards := NewShards(changeDeadlineConfig(3, 2), 1, 1, func() Time { return testStart }, func(Event) {})
-	shards.UpdateEndpoints([]Endpoint{{Worker: 0, ID: "w"}}, AllEndpoints, FromBeforeStart)
+	shards.UpdateEndpoints([]Endpoint{{Worker: 0, ID: "w"}}, AllEndpoints, NotFromDiscovery)
 	assert.True(t, shards.pickers[0].balancer.polling.EndpointsStale())
 	assert.True(t, shards.RestoreFromPredecessor(shards.Snapshot()))
 	assert.False(t, shards.pickers[0].balancer.polling.EndpointsStale())
@@ -120,7 +120,7 @@
 		for position := 0; position < dispatchers; position += 1 + dispatchers/10 {
 			balancer := New(changeDeadlineConfig(dispatchers, position), uint64(position), &recorder{})
 			balancer.SetTime(testStart)
-			balancer.UpdateEndpoints([]Endpoint{{ID: "w"}}, AllEndpoints, FromBeforeStart)
+			balancer.UpdateEndpoints([]Endpoint{{ID: "w"}}, AllEndpoints, NotFromDiscovery)
 			assertPollDueWithin(t, balancer, 2*Second, "the first poll")
 			for poll := range failedPolls {
 				balancer.EndpointsUnavailable()
@@ -292,7 +292,7 @@
 		config.Discovery.Poll = true
 		config.Dispatchers = dispatchers
 		config.Position = position
-		fleet.add(config, FromBeforeStart)
+		fleet.add(config, NotFromDiscovery)
 	}
 	return fleet
 }
@@ -314,7 +314,7 @@
 	for position := range dispatchers {
 		config := changeDeadlineConfig(dispatchers, position)
 		if begin == listsFromBeforeStart {
-			fleet.add(config, FromBeforeStart)
+			fleet.add(config, NotFromDiscovery)
 			continue
 		}
 		fleet.add(config, FromDiscovery).EndpointsUnavailable()
--- a/internal/balancer/process_exit_test.go
+++ b/internal/balancer/process_exit_test.go
@@ -8,8 +8,8 @@
 
 // refuseConnection has a request arrive, and the worker that gets it refuse the connection. It returns the worker.
 func refuseConnection(balancer *Balancer) WorkerID {
-	arrive(balancer, 0, Arrival{Operation: idempotentOp, Timeout: 20 * Second, SizeHint: 100})
-	refusing := targetOf(balancer, 0, 0)
+	submitRequest(balancer, 0, Arrival{Operation: idempotentOp, Timeout: 20 * Second, SizeHint: 100})
+	refusing := workerOfAttempt(balancer, 0, 0)
 	balancer.AttemptEnded(0, 0, ConnectionRefused, NoAnswer)
 	return refusing
 }
@@ -37,7 +37,7 @@
 	balancer.EndpointsUnavailable()
 	balancer.SetTime(balancer.now + 15*Second)
 	assert.Equal(t, initial, balancer.warmupFactor(exited), "nobody knows when it has restarted")
-	arrive(balancer, 1, Arrival{Operation: idempotentOp, Timeout: 20 * Second, SizeHint: 100})
+	submitRequest(balancer, 1, Arrival{Operation: idempotentOp, Timeout: 20 * Second, SizeHint: 100})
 	balancer.AttemptStarted(1, 0)
 	assert.Equal(t, initial, balancer.warmupFactor(exited))
 	balancer.SetTime(balancer.now.Add(balancer.config.warmupDuration / 2))
@@ -74,9 +74,9 @@
 func TestOthersOfAZoneMayHaveExitedWhileNoListIsWatched(t *testing.T) {
 	for _, watched := range []bool{true, false} {
 		balancer, _ := newWarmBalancer(8, 1)
-		arrive(balancer, 7, Arrival{Operation: idempotentOp, Timeout: 20 * Second, SizeHint: 100})
+		submitRequest(balancer, 7, Arrival{Operation: idempotentOp, Timeout: 20 * Second, SizeHint: 100})
 		balancer.AttemptStarted(7, 0)
-		running := targetOf(balancer, 7, 0)
+		running := workerOfAttempt(balancer, 7, 0)
 		if !watched {
 			balancer.EndpointsUnavailable()
 		}
--- a/internal/balancer/reconfigure_test.go
+++ b/internal/balancer/reconfigure_test.go
@@ -19,12 +19,12 @@
 	return config
 }
 
-// newReconfigured returns a Balancer with namedConfig, two warm workers, and request 0 of the idempotent operation with
+// newBalancerWithOpenRequest returns a Balancer with namedConfig, two warm workers, and request 0 of the idempotent operation with
 // its first attempt in flight.
-func newReconfigured(t *testing.T) (*Balancer, *recorder) {
+func newBalancerWithOpenRequest(t *testing.T) (*Balancer, *recorder) {
 	t.Helper()
 	balancer, effects := newTestBalancer(namedConfig(), 1, []Endpoint{{Worker: 0, ID: "a"}, {Worker: 1, ID: "b"}})
-	arrive(balancer, 0, Arrival{Operation: idempotentOp, Timeout: 5 * Second, SizeHint: 100})
+	submitRequest(balancer, 0, Arrival{Operation: idempotentOp, Timeout: 5 * Second, SizeHint: 100})
 	assert.Len(t, balancer.requests.byID[0].attempts, 1)
 	return balancer, effects
 }
@@ -33,12 +33,12 @@
 // the idempotency with which it arrived.
 func TestOpenRequestKeepsTheConfigurationItArrivedWith(t *testing.T) {
 	const replacement OperationID = 5
-	balancer, effects := newReconfigured(t)
+	balancer, effects := newBalancerWithOpenRequest(t)
 	stricter := namedConfig()
 	stricter.Operations[idempotentOp].Idempotency = NonIdempotent
 	numbers := balancer.Reconfigure(stricter).Operations
 	assert.Equal(t, []OperationID{replacement, 1, 2, 3, 4}, numbers, "unchanged operations keep their IDs")
-	arrive(balancer, 1, Arrival{Operation: replacement, Timeout: 5 * Second, SizeHint: 100})
+	submitRequest(balancer, 1, Arrival{Operation: replacement, Timeout: 5 * Second, SizeHint: 100})
 	endFirstAttempt(balancer, 1, ConnectionReset)
 	assert.Contains(t, effects.lines, "fail 1", "it may not run again")
 	endFirstAttempt(balancer, 0, ConnectionReset)
@@ -54,27 +54,27 @@
 	assert.True(t, balancer.requests.byID[0].closed, "its operation is no longer configured")
 }
 
-func TestLowerAttemptLimitBindsAtOnceAndHigherDoesNot(t *testing.T) {
-	balancer, effects := newReconfigured(t)
+func TestLowerAttemptLimitAppliesToOpenRequestsAndHigherDoesNot(t *testing.T) {
+	balancer, effects := newBalancerWithOpenRequest(t)
 	oneAttempt := namedConfig()
 	oneAttempt.Attempts.Max = 1
 	balancer.Reconfigure(oneAttempt)
 	endFirstAttempt(balancer, 0, Overloaded)
 	assert.Contains(t, effects.lines, "reject 0, retry after 20000")
-	arrive(balancer, 0, Arrival{Operation: idempotentOp, Timeout: 5 * Second, SizeHint: 100})
+	submitRequest(balancer, 0, Arrival{Operation: idempotentOp, Timeout: 5 * Second, SizeHint: 100})
 	balancer.Reconfigure(namedConfig())
 	assert.Len(t, balancer.requests.byID[0].attempts, 1)
 	endFirstAttempt(balancer, 0, Overloaded)
 	assert.True(t, balancer.requests.byID[0].closed, "one attempt was allowed when it arrived")
 	balancer.SetTime(balancer.now + 2*Second)
-	arrive(balancer, 1, Arrival{Operation: idempotentOp, Timeout: 5 * Second, SizeHint: 100})
+	submitRequest(balancer, 1, Arrival{Operation: idempotentOp, Timeout: 5 * Second, SizeHint: 100})
 	endFirstAttempt(balancer, 1, Overloaded)
 	assert.Len(t, balancer.requests.byID[1].attempts, 2)
 }
 
 // Regression test for a request that waited for a worker although it had no attempts left.
 func TestRequestWithoutAttemptsLeftIsRejectedAtOnce(t *testing.T) {
-	balancer, effects := newReconfigured(t)
+	balancer, effects := newBalancerWithOpenRequest(t)
 	for id := range balancer.workers {
 		balancer.workers[id].health.ProbeAfter = balancer.now + 4*Second
 	}
--- a/internal/balancer/request_handle.go
+++ b/internal/balancer/request_handle.go
@@ -28,7 +28,7 @@
 // request and returns the cause of ctx.
 func (h *RequestHandle) Pick(ctx context.Context) (Decision, error) {
 	for {
-		if decision, ok := h.next(); ok {
+		if decision, ok := h.nextDecision(); ok {
 			return decision, nil
 		}
 		select {
@@ -54,20 +54,20 @@
 			}
 		}
 		h.decisions = nil
-		h.release()
+		h.releaseIfDone()
 	})
 }
 
-// next returns the first decision that is still valid. An attempt that was not picked before its request was closed is
-// never sent.
-func (h *RequestHandle) next() (Decision, bool) {
+// nextDecision returns the first decision that is still valid. An attempt that was not picked before its request was
+// closed is never sent.
+func (h *RequestHandle) nextDecision() (Decision, bool) {
 	h.picker.mu.Lock()
 	defer h.picker.mu.Unlock()
 	for len(h.decisions) > 0 {
 		decision := h.decisions[0]
 		h.decisions = h.decisions[1:]
 		if decision.Action != SendAttempt {
-			h.release()
+			h.releaseIfDone()
 			return decision, true
 		}
 		if !h.closed {
@@ -116,19 +116,19 @@
 
 // Report records the outcome of an attempt; only the first call for an attempt has an effect. It reports whether the
 // result of this attempt is the answer to the client.
-func (h *RequestHandle) Report(number int, outcome Outcome) (answers bool) {
+func (h *RequestHandle) Report(number int, outcome Outcome) (isAnswer bool) {
 	h.picker.update(func(*Balancer) {
 		if h.reported[number] {
 			return
 		}
-		answers = outcome == Succeeded && !h.closed
-		if answers {
+		isAnswer = outcome == Succeeded && !h.closed
+		if isAnswer {
 			h.respond(Decision{Action: RespondResult, Attempt: number})
 		}
 		h.attemptEnded(number, outcome)
-		h.release()
+		h.releaseIfDone()
 	})
-	return answers
+	return isAnswer
 }
 
 // RejectOrFail answers the request at once: it rejects the request if permitted, and fails it otherwise.
@@ -155,16 +155,16 @@
 func (h *RequestHandle) respond(answer Decision) {
 	h.closed = true
 	h.cancelUnsent()
-	h.push(answer)
+	h.addDecision(answer)
 }
 
-func (h *RequestHandle) push(decision Decision) {
+func (h *RequestHandle) addDecision(decision Decision) {
 	h.decisions = append(h.decisions, decision)
 	signal(h.ready)
 }
 
-// release frees the ID of the request if it is closed and all its attempts have been reported.
-func (h *RequestHandle) release() {
+// releaseIfDone frees the ID of the request if it is closed and all its attempts have been reported.
+func (h *RequestHandle) releaseIfDone() {
 	if h.closed && h.inFlight == 0 && h.picker.handles[h.id] == h {
 		h.picker.releaseID(h.id)
 	}
--- a/internal/balancer/request_handle_test.go
+++ b/internal/balancer/request_handle_test.go
@@ -31,8 +31,8 @@
 			assert.NoError(t, sentAttempt.Ctx.Err(), "a sent attempt may not be canceled")
 			unsent.Report(unsentAttempt.Attempt, NotSent)
 			sent.Report(sentAttempt.Attempt, TimedOut)
-			unsent.next()
-			sent.next()
+			unsent.nextDecision()
+			sent.nextDecision()
 			assert.Equal(t, 0, picker.OpenRequests())
 		})
 	}
@@ -54,15 +54,15 @@
 	shards.CancelAll()
 }
 
-// events are the events that may happen to a request in its goroutines. They can occur in any order.
-var events = []struct {
+// requestEvents are the requestEvents that may happen to a request in its goroutines. They can occur in any order.
+var requestEvents = []struct {
 	name  byte
 	apply func(*requestDriver)
 }{
 	{'p', (*requestDriver).pick},
-	{'s', func(r *requestDriver) { r.withFirst(func(sent Decision) { r.handle.ReportSent(sent.Attempt) }) }},
+	{'s', func(r *requestDriver) { r.withFirstInFlight(func(sent Decision) { r.handle.ReportSent(sent.Attempt) }) }},
 	{'t', func(r *requestDriver) {
-		r.withFirst(func(started Decision) { r.handle.ReportStarted(started.Attempt) })
+		r.withFirstInFlight(func(started Decision) { r.handle.ReportStarted(started.Attempt) })
 	}},
 	{'h', (*requestDriver).export},
 	{'r', func(r *requestDriver) { r.report(Succeeded) }},
@@ -75,21 +75,21 @@
 
 // requestDriver applies events to a request if its goroutines could cause them.
 type requestDriver struct {
-	t        *testing.T
-	picker   *Picker
-	handle   *RequestHandle
-	inFlight []Decision // picked attempts that have not been reported
-	left     bool       // the client has left
-	answers  int        // number of answers to the client
+	t             *testing.T
+	picker        *Picker
+	handle        *RequestHandle
+	inFlight      []Decision // picked attempts that have not been reported
+	hasClientLeft bool       // the client has left
+	answers       int        // number of answers to the client
 }
 
-func (r *requestDriver) over() bool { return r.left || r.answers > 0 }
+func (r *requestDriver) isDone() bool { return r.hasClientLeft || r.answers > 0 }
 
 func (r *requestDriver) pick() {
-	if r.over() {
+	if r.isDone() {
 		return
 	}
-	decision, ok := r.handle.next()
+	decision, ok := r.handle.nextDecision()
 	switch {
 	case ok && decision.Action == SendAttempt:
 		r.inFlight = append(r.inFlight, decision)
@@ -98,7 +98,7 @@
 	}
 }
 
-func (r *requestDriver) withFirst(call func(Decision)) {
+func (r *requestDriver) withFirstInFlight(call func(Decision)) {
 	if len(r.inFlight) > 0 {
 		call(r.inFlight[0])
 	}
@@ -106,7 +106,7 @@
 
 func (r *requestDriver) report(outcome Outcome) {
 	r.t.Helper()
-	r.withFirst(func(ended Decision) {
+	r.withFirstInFlight(func(ended Decision) {
 		r.inFlight = r.inFlight[1:]
 		r.handle.Report(ended.Attempt, outcome)
 		assert.False(r.t, r.handle.Report(ended.Attempt, Succeeded), "a second report for an attempt has no effect")
@@ -127,8 +127,8 @@
 }
 
 func (r *requestDriver) leave() {
-	if !r.over() {
-		r.left = true
+	if !r.isDone() {
+		r.hasClientLeft = true
 		r.handle.clientLeft()
 	}
 }
@@ -136,7 +136,7 @@
 // finish drives the request until it is done and all its attempts have been reported.
 func (r *requestDriver) finish() {
 	r.t.Helper()
-	for n := 0; len(r.inFlight) > 0 || !r.over(); n++ {
+	for n := 0; len(r.inFlight) > 0 || !r.isDone(); n++ {
 		r.pick()
 		r.report(Overloaded)
 		if n > 10 {
@@ -151,7 +151,7 @@
 	t.Helper()
 	r := &requestDriver{t: t, picker: picker, handle: picker.Submit(Arrival{Timeout: 3 * Second})}
 	for _, name := range order {
-		for _, event := range events {
+		for _, event := range requestEvents {
 			if event.name == name {
 				event.apply(r)
 			}
@@ -183,8 +183,8 @@
 				assert.Zero(t, w.inFlight, "after %q", order)
 			}
 		}
-		for n := 0; left > 0 && n < len(events); n++ {
-			order = append(order, events[n].name)
+		for n := 0; left > 0 && n < len(requestEvents); n++ {
+			order = append(order, requestEvents[n].name)
 			all(left - 1)
 			order = order[:len(order)-1]
 		}
--- a/internal/balancer/retry_test.go
+++ b/internal/balancer/retry_test.go
@@ -48,7 +48,7 @@
 
 func TestAttemptInFlightMayHaveRun(t *testing.T) {
 	balancer, _ := newWarmBalancer(4, 1)
-	req := newPickableRequest(0)
+	req := newUnattemptedRequest(0)
 	req.operation = nonIdempotentOp
 	req.inFlight = 1
 	req.attempts = []attempt{{worker: 0, sentAt: balancer.now, inFlight: true}}
--- a/internal/balancer/review.go
+++ b/internal/balancer/review.go
@@ -13,7 +13,7 @@
 		}
 		b.reviewRequest(id, req)
 		if !req.closed {
-			b.due.reviewBy(req.deadline)
+			b.due.scheduleReview(req.deadline)
 		}
 	}
 }
--- a/internal/balancer/review_test.go
+++ b/internal/balancer/review_test.go
@@ -9,7 +9,7 @@
 func TestFinalAnswerComesInTimeWithoutAnOutcome(t *testing.T) {
 	const timeout = Duration(Second / 100) // the last try of a client
 	balancer, effects := newWarmBalancer(1, 1)
-	arrive(balancer, 0, Arrival{Operation: nonIdempotentOp, Timeout: timeout, SizeHint: 100})
+	submitRequest(balancer, 0, Arrival{Operation: nonIdempotentOp, Timeout: timeout, SizeHint: 100})
 	assert.Equal(t, []string{"attempt 0 to 0"}, effects.lines)
 	balancer.SetTime(min(balancer.due.wakeAt, balancer.now.Add(timeout)))
 	balancer.RunDueRules()
@@ -34,7 +34,7 @@
 	balancer, effects := newWarmBalancer(1, 1)
 	balancer.operations.byID[idempotentOp].slack = 2
 	balancer.operations.byID[nonIdempotentOp].slack = 2
-	arrive(balancer, 0, Arrival{Operation: idempotentOp, Timeout: 10 * Second, SizeHint: Second})
+	submitRequest(balancer, 0, Arrival{Operation: idempotentOp, Timeout: 10 * Second, SizeHint: Second})
 	balancer.RequestArrived(1, Arrival{Operation: nonIdempotentOp, Timeout: 10 * Second, SizeHint: Second})
 	balancer.workers[0].unstarted = 0
 	balancer.RunDueRules()
@@ -57,10 +57,10 @@
 	)
 	balancer, effects := newWarmBalancer(1, 1)
 	balancer.config.reportFree = NotReported // nothing shows which workers have free slots
-	arrive(balancer, 0, Arrival{Timeout: firstTimeout, SizeHint: 100})
+	submitRequest(balancer, 0, Arrival{Timeout: firstTimeout, SizeHint: 100})
 	balancer.AttemptStarted(0, 0)
 	balancer.AttemptEnded(0, 0, Succeeded, FinalAnswer)
-	arrive(balancer, 0, Arrival{Timeout: retryTimeout, SizeHint: 100})
+	submitRequest(balancer, 0, Arrival{Timeout: retryTimeout, SizeHint: 100})
 	assert.Equal(t, "attempt 0 to 0", effects.lines[1])
 	lastStart := balancer.now.Add(balancer.operations.byID[idempotentOp].latencyObjective)
 	for balancer.now < lastStart {
@@ -86,7 +86,7 @@
 	balancer.operations.byID[idempotentOp].longestTimeout = 20 * Second
 	balancer.zones[0].deliveryTime = 100
 	balancer.due.reviewAt = balancer.now.Add(balancer.config.patience)
-	arrive(balancer, 0, Arrival{Timeout: 18 * Second, SizeHint: 100})
+	submitRequest(balancer, 0, Arrival{Timeout: 18 * Second, SizeHint: 100})
 	for range reviews {
 		reviewNow(balancer)
 	}
--- a/internal/balancer/shards.go
+++ b/internal/balancer/shards.go
@@ -13,10 +13,10 @@
 // number of shards. Changes that concern the dispatcher apply to all shards; requests are assigned to shards in
 // round-robin order.
 type Shards struct {
-	pickers    []*Picker
-	firstPeer  PeerID // of the first shard of this process
-	gossip     bool   // whether loads may be sent to other processes
-	roundRobin atomic.Uint32
+	pickers       []*Picker
+	firstPeer     PeerID // of the first shard of this process
+	gossipEnabled bool   // whether loads may be sent to other processes
+	roundRobin    atomic.Uint32
 
 	reconfiguring sync.Mutex // held while operation IDs are assigned: they must be the same at all shards
 }
@@ -24,7 +24,7 @@
 // NewShards returns count shards for a process. config.Dispatchers and config.Position are in units of processes. clock
 // returns the current time, and log handles events.
 func NewShards(config Config, count int, seed uint64, clock func() Time, log func(Event)) *Shards {
-	s := &Shards{firstPeer: PeerID(config.Position * count), gossip: config.Gossip.Enabled}
+	s := &Shards{firstPeer: PeerID(config.Position * count), gossipEnabled: config.Gossip.Enabled}
 	position := config.Position
 	config.Dispatchers *= count
 	config.Gossip.Enabled = config.Gossip.Enabled || count > 1
@@ -48,18 +48,18 @@
 
 // Submit adds a request at the next shard in round-robin order. The caller must call Pick until it returns a final
 // answer.
-func (s *Shards) Submit(arrival Arrival) *RequestHandle { return s.next().Submit(arrival) }
+func (s *Shards) Submit(arrival Arrival) *RequestHandle { return s.nextPicker().Submit(arrival) }
 
-// next returns the next shard in round-robin order.
-func (s *Shards) next() *Picker {
+// nextPicker returns the next shard in round-robin order.
+func (s *Shards) nextPicker() *Picker {
 	if len(s.pickers) == 1 {
 		return s.pickers[0]
 	}
 	return s.pickers[s.roundRobin.Add(1)%uint32(len(s.pickers))]
 }
 
-// first returns the first shard, for queries with the same result at every shard.
-func (s *Shards) first() *Picker { return s.pickers[0] }
+// firstPicker returns the first shard, for queries with the same result at every shard.
+func (s *Shards) firstPicker() *Picker { return s.pickers[0] }
 
 // updateAll runs call on the Balancer of each shard in turn, and applies the rules that are due.
 func (s *Shards) updateAll(call func(*Balancer)) {
@@ -68,8 +68,8 @@
 	}
 }
 
-// updateAllOf runs call on the Balancer of each shard in turn, for each shard of another process.
-func (s *Shards) updateAllOf(process int, call func(b *Balancer, peer PeerID)) {
+// updateAllForProcess runs call on the Balancer of each shard in turn, for each shard of another process.
+func (s *Shards) updateAllForProcess(process int, call func(b *Balancer, peer PeerID)) {
 	for _, picker := range s.pickers {
 		for n := range s.pickers {
 			peer := PeerID(process*len(s.pickers) + n)
@@ -82,7 +82,7 @@
 func (s *Shards) Run(ctx context.Context, shard int) error { return s.pickers[shard].Run(ctx) }
 
 // Now returns the current time of the clock used for decisions.
-func (s *Shards) Now() Time { return s.first().clock() }
+func (s *Shards) Now() Time { return s.firstPicker().clock() }
 
 // OpenRequests returns the number of requests that are not closed or have attempts in flight.
 func (s *Shards) OpenRequests() (open int) {
@@ -92,10 +92,10 @@
 	return open
 }
 
-// StopAfter sets a time limit for all answers: the process exits after the given duration.
-func (s *Shards) StopAfter(span Duration) {
+// StopAfter sets a time limit for all answers: the process exits when remaining has elapsed.
+func (s *Shards) StopAfter(remaining Duration) {
 	for _, picker := range s.pickers {
-		picker.StopAfter(span)
+		picker.StopAfter(remaining)
 	}
 }
 
@@ -106,26 +106,30 @@
 	}
 }
 
-// WouldMissStop reports whether a request that arrives now would, according to its size hint, not complete before the
-// process exits.
-func (s *Shards) WouldMissStop(arrival Arrival) bool { return s.first().WouldMissStop(arrival) }
+// WouldMissStopDeadline reports whether a request that arrives now would, according to its size hint, not complete
+// before the process exits.
+func (s *Shards) WouldMissStopDeadline(arrival Arrival) bool {
+	return s.firstPicker().WouldMissStopDeadline(arrival)
+}
 
 // WorkerCounts returns the number of workers in the endpoint list, and the number of these that are currently ejected,
 // each as the maximum over the shards.
 func (s *Shards) WorkerCounts() (listed, ejected int) {
 	for _, picker := range s.pickers {
-		listedHere, ejectedHere := picker.WorkerCounts()
-		listed = max(listed, listedHere)
-		ejected = max(ejected, ejectedHere)
+		shardListed, shardEjected := picker.WorkerCounts()
+		listed = max(listed, shardListed)
+		ejected = max(ejected, shardEjected)
 	}
 	return listed, ejected
 }
 
 // AwaitPoll blocks until the endpoint list is due to be polled. It returns the error of ctx if that is done first.
-func (s *Shards) AwaitPoll(ctx context.Context) error { return s.first().AwaitPoll(ctx) }
+func (s *Shards) AwaitPoll(ctx context.Context) error { return s.firstPicker().AwaitPoll(ctx) }
 
 // NextProbe blocks until a worker is due to be probed. It returns the error of ctx if that is done first.
-func (s *Shards) NextProbe(ctx context.Context) (WorkerID, error) { return s.first().NextProbe(ctx) }
+func (s *Shards) NextProbe(ctx context.Context) (WorkerID, error) {
+	return s.firstPicker().NextProbe(ctx)
+}
 
 // NextLoadUpdates blocks until a shard has loads to send to other processes. It returns the error of ctx if that is
 // done first. In the meantime it passes loads to the other shards of this process, without holding the lock of the
@@ -136,7 +140,7 @@
 		if err != nil {
 			return nil, err
 		}
-		outside := updates[:0]
+		external := updates[:0]
 		for _, update := range updates {
 			local := int(update.To - s.firstPeer)
 			switch {
@@ -144,12 +148,12 @@
 				for _, load := range update.Loads {
 					s.pickers[local].ReceiveLoad(s.PeerID(shard), load)
 				}
-			case s.gossip:
-				outside = append(outside, update)
+			case s.gossipEnabled:
+				external = append(external, update)
 			}
 		}
-		if len(outside) > 0 {
-			return outside, nil
+		if len(external) > 0 {
+			return external, nil
 		}
 	}
 }
@@ -174,9 +178,9 @@
 	s.updateAll((*Balancer).acceptStaleEndpoints)
 }
 
-// ReportDiscoveryMoved records that the address of the endpoint service has changed. The service is polled at once,
-// regardless of the current delay.
-func (s *Shards) ReportDiscoveryMoved() {
+// ReportDiscoveryAddressChanged records that the address of the endpoint service has changed. The service is polled at
+// once, regardless of the current delay.
+func (s *Shards) ReportDiscoveryAddressChanged() {
 	s.updateAll(func(b *Balancer) { b.polling.PollNow(b.now) })
 }
 
@@ -194,19 +198,19 @@
 
 // ReceivePeerStarted records that another process, given by its index among the processes, has just started.
 func (s *Shards) ReceivePeerStarted(process int) {
-	s.updateAllOf(process, (*Balancer).receivePeerStarted)
+	s.updateAllForProcess(process, (*Balancer).receivePeerStarted)
 }
 
 // ReportSeniorPeer records that another process, given by its index among the processes, has run for longer than this
 // one.
 func (s *Shards) ReportSeniorPeer(process int) {
-	s.updateAllOf(process, func(b *Balancer, peer PeerID) { b.gossip.recordPeer(peer) })
+	s.updateAllForProcess(process, func(b *Balancer, peer PeerID) { b.gossip.recordPeer(peer) })
 }
 
 // Isolated reports whether all dispatchers may have lost power, as far as this process can determine: since its start,
 // no poll has been answered and no message was received from a peer that has run for longer.
 func (s *Shards) Isolated() (isolated bool) {
-	s.first().read(func(b *Balancer) { isolated = !b.polling.Answered() && !b.gossip.hearsSenior() })
+	s.firstPicker().read(func(b *Balancer) { isolated = !b.polling.Answered() && !b.gossip.hasSeniorPeer() })
 	return isolated
 }
 
--- a/internal/balancer/shards_test.go
+++ b/internal/balancer/shards_test.go
@@ -16,11 +16,11 @@
 	config.Dispatchers = 2
 	config.Position = 1
 	shards := NewShards(config, count, 1, func() Time { return testStart }, func(Event) {})
-	shards.UpdateEndpoints(testEndpoints(workers), AllEndpoints, FromBeforeStart)
+	shards.UpdateEndpoints(testEndpoints(workers), AllEndpoints, NotFromDiscovery)
 	return shards
 }
 
-func TestShardsAreDispatchersAmongAllOfAllProcesses(t *testing.T) {
+func TestShardsArePositionedAmongShardsOfAllProcesses(t *testing.T) {
 	config := testConfig
 	config.Gossip.Enabled = true
 	s := newTestShards(config, 3, 4)
@@ -85,7 +85,7 @@
 
 // Regression test for a deadlock of two shards that sent each other their loads at the same time, each waiting for the
 // lock of the other.
-func TestShardsThatGossipAtOnceDoNotDeadlock(t *testing.T) {
+func TestShardsThatGossipConcurrentlyDoNotDeadlock(t *testing.T) {
 	config := testConfig
 	config.Granularity = 0
 	s := newTestShards(config, 4, 8)
@@ -129,7 +129,7 @@
 		for w := range 60 {
 			list = append(list, Endpoint{Worker: WorkerID(w), ID: fmt.Sprintf("w%d", w)})
 		}
-		fleet[n].UpdateEndpoints(list, AllEndpoints, FromBeforeStart)
+		fleet[n].UpdateEndpoints(list, AllEndpoints, NotFromDiscovery)
 	}
 	for n, s := range fleet {
 		near := s.GossipPeers()
--- a/internal/balancer/sibling.go
+++ b/internal/balancer/sibling.go
@@ -7,7 +7,7 @@
 const (
 	Predecessor SiblingRole = iota
 	Successor
-	siblingRoles
+	siblingRoleCount
 )
 
 // RecentSend is the amount of work that was sent to a worker.
@@ -19,7 +19,7 @@
 // inFlightByWorker holds numbers of attempts in flight by WorkerID.
 type inFlightByWorker []int
 
-func (f inFlightByWorker) of(id WorkerID) int {
+func (f inFlightByWorker) get(id WorkerID) int {
 	if int(id) < len(f) {
 		return f[id]
 	}
@@ -35,7 +35,7 @@
 
 // set returns f with the number of attempts at a worker set to that in load.
 func (f inFlightByWorker) set(load WorkerLoad) inFlightByWorker {
-	return f.add(WorkerLoad{Worker: load.Worker, InFlight: load.InFlight - f.of(load.Worker)})
+	return f.add(WorkerLoad{Worker: load.Worker, InFlight: load.InFlight - f.get(load.Worker)})
 }
 
 // loads returns the loads of workers with attempts in flight.
@@ -54,7 +54,7 @@
 	var inFlight inFlightByWorker
 	p.read(func(b *Balancer) {
 		for n := range b.workers {
-			inFlight = append(inFlight, b.workers[n].inFlight-p.siblings[to].of(WorkerID(n)))
+			inFlight = append(inFlight, b.workers[n].inFlight-p.siblings[to].get(WorkerID(n)))
 		}
 	})
 	return inFlight.loads()
@@ -64,17 +64,17 @@
 // processes are one dispatcher, and its peers are sent the sum.
 func (p *Picker) UpdateSibling(from SiblingRole, loads []WorkerLoad) {
 	p.update(func(b *Balancer) {
-		before := p.siblings[from]
-		var now inFlightByWorker
+		previous := p.siblings[from]
+		var current inFlightByWorker
 		for _, load := range loads {
 			if int(load.Worker) < len(b.workers) {
-				now = now.set(load)
+				current = current.set(load)
 			}
 		}
-		p.siblings[from] = now
+		p.siblings[from] = current
 		for n := range b.workers {
 			id := WorkerID(n)
-			if change := now.of(id) - before.of(id); change != 0 {
+			if change := current.get(id) - previous.get(id); change != 0 {
 				b.addInFlight(id, change)
 				b.markLoadChanged(id)
 				b.due.capacityChanged = b.due.capacityChanged || change < 0
@@ -88,8 +88,8 @@
 func (b *Balancer) addRecentSends(sends []RecentSend) {
 	for _, sent := range sends {
 		if int(sent.Worker) < len(b.workers) {
-			made := send{sentAt: b.now, work: sent.Work, bySibling: true}
-			b.workers[sent.Worker].warmup.recordSend(made, b.warmupWindowStart())
+			siblingSend := send{sentAt: b.now, work: sent.Work, bySibling: true}
+			b.workers[sent.Worker].warmup.recordSend(siblingSend, b.warmupWindowStart())
 		}
 	}
 }
@@ -126,7 +126,7 @@
 // UpdateSibling records all attempts that a sibling has in flight. The first shard counts them, and sends them to the
 // other shards as part of its own load.
 func (s *Shards) UpdateSibling(from SiblingRole, loads []WorkerLoad) {
-	s.first().UpdateSibling(from, loads)
+	s.firstPicker().UpdateSibling(from, loads)
 }
 
 // AddRecentSends records the work that a sibling has sent to workers. Each shard counts all of it against their warm-up
--- a/internal/balancer/slot_estimation.go
+++ b/internal/balancer/slot_estimation.go
@@ -26,7 +26,7 @@
 func (b *Balancer) observeQueueing(id WorkerID, load int, start slotestimate.Start) {
 	reported := b.config.reportFree != NotReported
 	warming := b.warmupFactor(id) < 1
-	loadUnknown := b.config.gossip && !b.hearsLoadOf(id)
+	loadUnknown := b.config.gossip && !b.receivesLoadOf(id)
 	if reported || warming || loadUnknown {
 		return
 	}
--- a/internal/balancer/slot_estimation_test.go
+++ b/internal/balancer/slot_estimation_test.go
@@ -46,7 +46,7 @@
 func TestStartOnDeliveryIsAVoteForAFreeSlot(t *testing.T) {
 	balancer, _ := newDeliveryNoticesBalancer()
 	for id := range RequestID(4) {
-		arrive(balancer, id, Arrival{Timeout: 10 * Second, SizeHint: 100})
+		submitRequest(balancer, id, Arrival{Timeout: 10 * Second, SizeHint: 100})
 		balancer.SetTime(balancer.now.Add(3 * balancer.config.patience))
 		balancer.AttemptDelivered(id, 0)
 		balancer.AttemptStarted(id, 0)
--- a/internal/balancer/slow_start.go
+++ b/internal/balancer/slow_start.go
@@ -97,7 +97,7 @@
 		slots:        b.maxObservedSlots(id),
 		recentWork:   b.workers[id].warmup.workSince(b.warmupWindowStart()),
 		load:         b.load(id),
-		loadShared:   b.hearsLoadOf(id),
+		loadShared:   b.receivesLoadOf(id),
 	}
 	limits := b.config.slowStart()
 	if !limits.dividesByCredit(target) {
--- a/internal/balancer/snapshot.go
+++ b/internal/balancer/snapshot.go
@@ -16,12 +16,12 @@
 	Zones      []ZoneStats      `json:"Zones"`
 	Workers    []WorkerStats    `json:"Workers"`
 
-	Sample           []Work  `json:"Sample"`
-	Sampled          int     `json:"Sampled"`
-	TotalValue       float64 `json:"Worth"`
-	FreeSlotRatio    float64 `json:"Luck"`
-	UnheardNotBefore Time    `json:"BlindAt"`
-	Arrivals         int     `json:"Landings"`
+	Sample              []Work  `json:"Sample"`
+	ObservedSizes       int     `json:"Sampled"`
+	TotalValue          float64 `json:"Worth"`
+	FreeSlotRatio       float64 `json:"Luck"`
+	UnreportedNotBefore Time    `json:"BlindAt"`
+	Arrivals            int     `json:"Landings"`
 }
 
 // OperationStats is the learned state of one operation.
@@ -79,28 +79,28 @@
 }
 
 // Snapshot returns the learned state.
-func (p *Picker) Snapshot() (learned Snapshot) {
-	p.read(func(b *Balancer) { learned = b.snapshot() })
-	return learned
+func (p *Picker) Snapshot() (state Snapshot) {
+	p.read(func(b *Balancer) { state = b.snapshot() })
+	return state
 }
 
 func (b *Balancer) snapshot() Snapshot {
-	learned := Snapshot{
-		Sample:           append([]Work(nil), b.sizes.Sample()...),
-		Sampled:          b.sizes.Observed(),
-		TotalValue:       b.operations.totalValue,
-		FreeSlotRatio:    b.slots.freeSlotRatio,
-		UnheardNotBefore: b.gossip.unheardNotBefore,
-		Arrivals:         b.loadProbes.arrivals,
+	state := Snapshot{
+		Sample:              append([]Work(nil), b.sizes.Sample()...),
+		ObservedSizes:       b.sizes.Observed(),
+		TotalValue:          b.operations.totalValue,
+		FreeSlotRatio:       b.slots.freeSlotRatio,
+		UnreportedNotBefore: b.gossip.unreportedNotBefore,
+		Arrivals:            b.loadProbes.arrivals,
 	}
 	for n := range b.operations.byID {
-		learned.Operations = append(learned.Operations, b.operations.byID[n].snapshot())
+		state.Operations = append(state.Operations, b.operations.byID[n].snapshot())
 	}
 	for _, usage := range b.tenants.Usage() {
-		learned.Tenants = append(learned.Tenants, TenantStats{Usage: usage.Requests, At: usage.At})
+		state.Tenants = append(state.Tenants, TenantStats{Usage: usage.Requests, At: usage.At})
 	}
 	for _, kind := range b.slots.kinds {
-		learned.Kinds = append(learned.Kinds, KindStats{
+		state.Kinds = append(state.Kinds, KindStats{
 			Slots:       kind.Estimate,
 			MaxObserved: kind.MaxObserved,
 			Votes:       append([]int(nil), kind.Votes...),
@@ -108,12 +108,12 @@
 	}
 	for n := range b.zones {
 		known := &b.zones[n].health
-		learned.Zones = append(learned.Zones, ZoneStats{Failures: known.Failures, EjectedUntil: known.EjectedUntil})
+		state.Zones = append(state.Zones, ZoneStats{Failures: known.Failures, EjectedUntil: known.EjectedUntil})
 	}
 	for n := range b.workers {
-		learned.Workers = append(learned.Workers, b.workers[n].snapshot())
+		state.Workers = append(state.Workers, b.workers[n].snapshot())
 	}
-	return learned
+	return state
 }
 
 func (o *operation) snapshot() OperationStats {
@@ -130,88 +130,88 @@
 }
 
 func (w *worker) snapshot() WorkerStats {
-	learned := WorkerStats{
+	state := WorkerStats{
 		ConsecutiveFailures: w.health.ConsecutiveFailures,
 		PossiblyExecuted:    w.health.PossiblyExecuted,
 		ProbeAfter:          w.health.ProbeAfter,
 		NotBefore:           w.notBefore,
 	}
 	for _, known := range w.gossip.peerLoads {
-		learned.PeerLoads = append(learned.PeerLoads, SnapshotPeerLoad{
+		state.PeerLoads = append(state.PeerLoads, SnapshotPeerLoad{
 			From: known.from, InFlight: known.inFlight, ReceivedAt: known.receivedAt,
 		})
 	}
 	for _, sent := range w.warmup.sends {
-		learned.Sends = append(learned.Sends, SnapshotSend{At: sent.sentAt, Work: sent.work})
+		state.Sends = append(state.Sends, SnapshotSend{At: sent.sentAt, Work: sent.work})
 	}
-	return learned
+	return state
 }
 
 // Restore applies the learned state of another Balancer. It must be called after the first endpoint list and before the
 // first request.
-func (p *Picker) Restore(learned Snapshot) {
-	p.update(func(b *Balancer) { b.restore(learned) })
+func (p *Picker) Restore(state Snapshot) {
+	p.update(func(b *Balancer) { b.restore(state) })
 }
 
-func (b *Balancer) restore(learned Snapshot) {
-	b.sizes.Restore(learned.Sample, learned.Sampled)
-	b.operations.totalValue = learned.TotalValue
-	b.slots.freeSlotRatio = learned.FreeSlotRatio
-	b.gossip.unheardNotBefore = learned.UnheardNotBefore
-	b.loadProbes = loadProbes{arrivals: learned.Arrivals, nextAt: learned.Arrivals}
-	if len(learned.Sample) > 0 {
+func (b *Balancer) restore(state Snapshot) {
+	b.sizes.Restore(state.Sample, state.ObservedSizes)
+	b.operations.totalValue = state.TotalValue
+	b.slots.freeSlotRatio = state.FreeSlotRatio
+	b.gossip.unreportedNotBefore = state.UnreportedNotBefore
+	b.loadProbes = loadProbes{arrivals: state.Arrivals, nextAt: state.Arrivals}
+	if len(state.Sample) > 0 {
 		b.updateCutPoints()
 	}
-	for _, stats := range learned.Operations { // the last one wins if several configurations have the same name
+	for _, stats := range state.Operations { // the last one wins if several configurations have the same name
 		b.operations.restore(stats)
 	}
 	var usage []quota.Usage
-	for _, tenant := range learned.Tenants {
+	for _, tenant := range state.Tenants {
 		usage = append(usage, quota.Usage{Requests: tenant.Usage, At: tenant.At})
 	}
 	b.tenants.Restore(usage)
-	for n := range min(len(b.slots.kinds), len(learned.Kinds)) {
-		if kind := learned.Kinds[n]; kind.Slots > 0 {
+	for n := range min(len(b.slots.kinds), len(state.Kinds)) {
+		if kind := state.Kinds[n]; kind.Slots > 0 {
 			b.slots.kinds[n].Votes = kind.Votes
 			b.slots.kinds[n].MaxObserved = kind.MaxObserved
 			b.setSlotEstimate(KindID(n), kind.Slots)
 		}
 	}
-	for n := range min(len(b.zones), len(learned.Zones)) {
-		b.zones[n].health.Failures = learned.Zones[n].Failures
-		b.zones[n].health.EjectedUntil = learned.Zones[n].EjectedUntil
+	for n := range min(len(b.zones), len(state.Zones)) {
+		b.zones[n].health.Failures = state.Zones[n].Failures
+		b.zones[n].health.EjectedUntil = state.Zones[n].EjectedUntil
 	}
-	for n := range min(len(b.workers), len(learned.Workers)) {
-		b.restoreWorker(WorkerID(n), &learned.Workers[n])
+	for n := range min(len(b.workers), len(state.Workers)) {
+		b.restoreWorker(WorkerID(n), &state.Workers[n])
 	}
 }
 
-func (t *operationTable) restore(learned OperationStats) {
-	n := slices.IndexFunc(t.byID, func(known operation) bool { return known.name == learned.Name })
+func (t *operationTable) restore(stats OperationStats) {
+	n := slices.IndexFunc(t.byID, func(op operation) bool { return op.name == stats.Name })
 	if n < 0 {
 		return
 	}
-	known := &t.byID[n]
-	known.longestTimeout = learned.LongestTimeout
-	known.meanSize = learned.MeanSize
-	known.requestedWork = learned.RequestedWork
-	known.lostWork = learned.LostWork
-	known.arrivals = learned.Arrivals
-	known.meanRun = learned.MeanRun
-	known.runs = learned.Runs
+	op := &t.byID[n]
+	op.longestTimeout = stats.LongestTimeout
+	op.meanSize = stats.MeanSize
+	op.requestedWork = stats.RequestedWork
+	op.lostWork = stats.LostWork
+	op.arrivals = stats.Arrivals
+	op.meanRun = stats.MeanRun
+	op.runs = stats.Runs
 }
 
-func (b *Balancer) restoreWorker(id WorkerID, learned *WorkerStats) {
+func (b *Balancer) restoreWorker(id WorkerID, stats *WorkerStats) {
 	w := &b.workers[id]
-	w.health.ConsecutiveFailures = learned.ConsecutiveFailures
-	w.health.PossiblyExecuted = learned.PossiblyExecuted
-	w.health.ProbeAfter = learned.ProbeAfter
-	w.notBefore = learned.NotBefore
-	for _, heard := range learned.PeerLoads {
-		b.ReceiveLoad(heard.From, WorkerLoad{Worker: id, InFlight: heard.InFlight})
-		w.gossip.peerLoads[len(w.gossip.peerLoads)-1].receivedAt = heard.ReceivedAt
-	}
-	for _, sent := range learned.Sends {
+	w.health.ConsecutiveFailures = stats.ConsecutiveFailures
+	w.health.PossiblyExecuted = stats.PossiblyExecuted
+	w.health.ProbeAfter = stats.ProbeAfter
+	w.notBefore = stats.NotBefore
+	for _, reported := range stats.PeerLoads {
+		b.ReceiveLoad(reported.From, WorkerLoad{Worker: id, InFlight: reported.InFlight})
+		w.gossip.peerLoads[len(w.gossip.peerLoads)-1].receivedAt = reported.ReceivedAt
+	}
+	for _, sent := range stats.Sends {
 		w.warmup.sends = append(w.warmup.sends, send{sentAt: sent.At, work: sent.Work, bySibling: true})
 	}
 }
@@ -231,11 +231,11 @@
 		return false
 	}
 	for n, picker := range s.pickers {
-		learned := all[0]
+		state := all[0]
 		if len(all) == len(s.pickers) {
-			learned = all[n]
+			state = all[n]
 		}
-		picker.Restore(learned)
+		picker.Restore(state)
 	}
 	return true
 }
--- a/internal/balancer/snapshot_test.go
+++ b/internal/balancer/snapshot_test.go
@@ -14,7 +14,7 @@
 	config.LoadReports.FreeSlots = NotReported
 	config.Gossip.Enabled = true
 	predecessor, predecessorNow := newTestPicker(config, 4)
-	predecessor.update(learnSomething)
+	predecessor.update(setLearnedState)
 	successor, successorNow := newTestPicker(config, 4)
 	*successorNow = *predecessorNow
 	successor.Restore(jsonRoundTrip(t, predecessor.Snapshot()))
@@ -35,8 +35,8 @@
 	assert.Equal(t, 3, ejected, "one worker, and two in an ejected zone")
 }
 
-// learnSomething sets each kind of learned state of a Balancer.
-func learnSomething(balancer *Balancer) {
+// setLearnedState sets each kind of learned state of a Balancer.
+func setLearnedState(balancer *Balancer) {
 	balancer.slots.kinds[0].Votes = []int{0, 2, 2, 5, -9, -9}
 	balancer.slots.kinds[0].MaxObserved = 3
 	balancer.setSlotEstimate(0, 3)
--- a/internal/balancer/unstarted_attempts.go
+++ b/internal/balancer/unstarted_attempts.go
@@ -51,7 +51,7 @@
 	} else {
 		b.observeDelivery(waiting)
 	}
-	if !b.hearsLoadOf(waiting.worker) { // its load from other dispatchers is not known: it is taken to be full for a run
+	if !b.receivesLoadOf(waiting.worker) { // its load from other dispatchers is not known: it is taken to be full for a run
 		b.backOff(waiting.worker, b.operations.byID[req.operation].expectedRun())
 	}
 	target, ok := b.pickWorker(req)
--- a/internal/balancer/unstarted_attempts_test.go
+++ b/internal/balancer/unstarted_attempts_test.go
@@ -16,7 +16,7 @@
 
 func TestUnstartedAttemptIsMigrated(t *testing.T) {
 	balancer, effects := newWarmBalancer(2, 1)
-	arrive(balancer, 0, Arrival{Timeout: 10 * Second, SizeHint: 100})
+	submitRequest(balancer, 0, Arrival{Timeout: 10 * Second, SizeHint: 100})
 	balancer.now = balancer.now.Add(balancer.config.patience)
 	balancer.RunDueRules()
 	assert.Len(t, effects.lines, 3)
@@ -28,7 +28,7 @@
 // before its worker could have reported a start.
 func TestAttemptInDeliveryIsNotMigrated(t *testing.T) {
 	balancer, effects := newDeliveryNoticesBalancer()
-	arrive(balancer, 0, Arrival{Timeout: 10 * Second, SizeHint: 100})
+	submitRequest(balancer, 0, Arrival{Timeout: 10 * Second, SizeHint: 100})
 	assert.Len(t, effects.lines, 1)
 	advance(balancer, balancer.config.patience)
 	assert.Len(t, effects.lines, 1, "it may not have been delivered yet")
@@ -45,7 +45,7 @@
 	const nearDelivery = 100 // ticks until a worker of the zone has an attempt
 	balancer, effects := newDeliveryNoticesBalancer()
 	balancer.zones[0].deliveryTime = nearDelivery
-	arrive(balancer, 0, Arrival{Timeout: 10 * Second, SizeHint: 100})
+	submitRequest(balancer, 0, Arrival{Timeout: 10 * Second, SizeHint: 100})
 	advance(balancer, balancer.config.patience+deliveryMargin*nearDelivery)
 	assert.Len(t, effects.lines, 3)
 	assert.Greater(t, balancer.zones[0].deliveryTime, Duration(nearDelivery), "an attempt that was not delivered counts too")
--- a/internal/balancer/warm_up.go
+++ b/internal/balancer/warm_up.go
@@ -98,7 +98,7 @@
 // listMayPredateStarts reports whether this dispatcher goes by a list from before its start, cannot get another one, and
 // has heard of no peer that has run for longer.
 func (b *Balancer) listMayPredateStarts() bool {
-	return !b.polling.Answered() && b.polling.Failing() && !b.gossip.hearsSenior()
+	return !b.polling.Answered() && b.polling.Failing() && !b.gossip.hasSeniorPeer()
 }
 
 // observeSuccess notes how long an attempt that succeeded took. It may prove that its worker is warm.
--- a/internal/balancer/warm_up_test.go
+++ b/internal/balancer/warm_up_test.go
@@ -48,9 +48,9 @@
 func newIsolatedBalancerAfterRun(timesHint float64) (*Balancer, WorkerID) {
 	hint := initialBudget() / Work(testConfig.Warmup.OverloadFactor)
 	balancer := newIsolatedBalancer()
-	arrive(balancer, 0, Arrival{Operation: idempotentOp, Timeout: 20 * Second, SizeHint: hint})
+	submitRequest(balancer, 0, Arrival{Operation: idempotentOp, Timeout: 20 * Second, SizeHint: hint})
 	balancer.AttemptStarted(0, 0)
 	balancer.SetTime(balancer.now + Time(timesHint*float64(hint)))
 	balancer.AttemptEnded(0, 0, Succeeded, FinalAnswer)
-	return balancer, targetOf(balancer, 0, 0)
+	return balancer, workerOfAttempt(balancer, 0, 0)
 }
--- a/internal/balancer/worker_search_test.go
+++ b/internal/balancer/worker_search_test.go
@@ -139,7 +139,7 @@
 	if d.rng.IntN(2) == 0 {
 		changed.StartedAt = d.balancer.now
 	}
-	d.balancer.UpdateEndpoints([]Endpoint{changed}, ChangedEndpoints, FromBeforeStart)
+	d.balancer.UpdateEndpoints([]Endpoint{changed}, ChangedEndpoints, NotFromDiscovery)
 }
 
 // recordAttempts notes the attempts that the last step made.
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -85,7 +85,7 @@
 		w.stop(errAddressChanged)
 		return
 	}
-	w.balancer.ReportDiscoveryMoved()
+	w.balancer.ReportDiscoveryAddressChanged()
 }
 
 // FirstPollOver reports whether the first poll is over: it was answered, has failed, or has taken longer than
@@ -97,7 +97,7 @@
 func (w *Watcher) Seed(list *protocol.EndpointList, zones []string) {
 	w.table.addZones(zones)
 	endpoints, _ := w.table.Update(list)
-	w.balancer.UpdateEndpoints(endpoints, balancer.AllEndpoints, balancer.FromBeforeStart)
+	w.balancer.UpdateEndpoints(endpoints, balancer.AllEndpoints, balancer.NotFromDiscovery)
 }
 
 // DontAwaitFirstPoll makes FirstPollOver report whether any worker is listed. The first poll is made all the same.
@@ -107,7 +107,7 @@
 func (w *Watcher) Merge(endpoints []protocol.Endpoint) {
 	list := protocol.EndpointList{Version: w.table.Version(), Endpoints: endpoints}
 	updated, outdated := w.table.Update(&list)
-	w.balancer.UpdateEndpoints(updated, balancer.ChangedEndpoints, balancer.FromBeforeStart)
+	w.balancer.UpdateEndpoints(updated, balancer.ChangedEndpoints, balancer.NotFromDiscovery)
 	w.closeOutdated(outdated)
 }
 
@@ -201,7 +201,7 @@
 	}
 	addressChanged = errors.Is(context.Cause(watching), errAddressChanged)
 	if addressChanged {
-		w.balancer.ReportDiscoveryMoved()
+		w.balancer.ReportDiscoveryAddressChanged()
 	} else {
 		w.balancer.ReportWatchEnded(end)
 	}
--- a/internal/fleet/restore.go
+++ b/internal/fleet/restore.go
@@ -94,7 +94,7 @@
 		}
 		if !trustsSizes {
 			learned.Sample = nil
-			learned.Sampled = 0
+			learned.ObservedSizes = 0
 			learned.TotalValue = 0
 			learned.Operations = nil
 		}
@@ -104,7 +104,7 @@
 		if !trustsBackoffs {
 			learned.Zones = nil
 		}
-		learned.UnheardNotBefore = 0
+		learned.UnreportedNotBefore = 0
 		learned.FreeSlotRatio = 1
 		for w := range learned.Workers {
 			worker := &learned.Workers[w]
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -31,7 +31,7 @@
 	config.Attempts.Cancellation = true
 	shards := balancertest.NewShards(config)
 	worker := balancer.Endpoint{Worker: 0, ID: "w", State: balancer.Healthy}
-	shards.UpdateEndpoints([]balancer.Endpoint{worker}, balancer.AllEndpoints, balancer.FromBeforeStart)
+	shards.UpdateEndpoints([]balancer.Endpoint{worker}, balancer.AllEndpoints, balancer.NotFromDiscovery)
 	return shards
 }
 
--- a/internal/proxy/format_test.go
+++ b/internal/proxy/format_test.go
@@ -193,12 +193,12 @@
 			PeerLoads: []balancer.SnapshotPeerLoad{{From: 1, InFlight: 6, ReceivedAt: 38}},
 			Sends:     []balancer.SnapshotSend{{At: 39, Work: 1_500}},
 		}},
-		Sample:           []balancer.Work{11, 12, 13},
-		Sampled:          40,
-		TotalValue:       0.5,
-		FreeSlotRatio:    0.75,
-		UnheardNotBefore: 42,
-		Arrivals:         43,
+		Sample:              []balancer.Work{11, 12, 13},
+		ObservedSizes:       40,
+		TotalValue:          0.5,
+		FreeSlotRatio:       0.75,
+		UnreportedNotBefore: 42,
+		Arrivals:            43,
 	}
 }
 
@@ -223,7 +223,7 @@
 			Name: "render", LatencyObjective: 10_000, DedupWindow: 600_000, RetryAfter: 20_000, Value: 1.5,
 			Slack: 0.25, LateShare: 0.125, Idempotency: balancer.NonIdempotent, DedupScope: balancer.ScopeCell, Kind: 1,
 			Deadline: time.Date(2026, time.March, 4, 5, 6, 7, 89_000_000, time.UTC), LatestStart: 51, Size: 52, QuotaWeight: 0.75,
-			SpentElsewhere: 1, MaxAttempts: 3,
+			UnavailableAttempts: 1, MaxAttempts: 3,
 			Attempts: []balancer.MigratedAttempt{
 				{Worker: 1, SentAt: 53, StartedAt: 54, InFlight: true, MayHaveRun: true},
 				{Worker: 2, SentAt: 55, StartedAt: 56, InFlight: true, MayHaveRun: true},
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -69,7 +69,7 @@
 	}
 	// With a successor, requests in flight are migrated at the end.
 	endsWithProcess := phase.IsStopping() && phase != lifecycle.StoppingHandedOff
-	return !endsWithProcess || !p.balancer.WouldMissStop(arrival)
+	return !endsWithProcess || !p.balancer.WouldMissStopDeadline(arrival)
 }
 
 // submit passes a request to the balancer, with where it may have been executed before, and answers it. Where it may
--- a/internal/simadapter/discovery.go
+++ b/internal/simadapter/discovery.go
@@ -119,7 +119,7 @@
 	}
 	source := balancer.FromDiscovery
 	if mode == wordStale {
-		source = balancer.FromBeforeStart
+		source = balancer.NotFromDiscovery
 	}
 	in.balancer.UpdateEndpoints(endpoints, extent, source)
 	return nil
