--- a/internal/balancer/picker_test.go
+++ b/internal/balancer/picker_test.go
@@ -203,12 +203,12 @@
 
 // Regression test for a crash: a peer may send the load of a worker that has not been in an endpoint list of this
 // dispatcher yet.
-func TestLoadOfAnUnknownWorkerIsIgnored(t *testing.T) {
+func TestLoadOfUnknownWorkerIsIgnored(t *testing.T) {
 	picker, _ := newTestPicker(testConfig, 1)
 	assert.NotPanics(t, func() { picker.ReceiveLoad(1, WorkerLoad{Worker: 7, InFlight: 2}) })
 }
 
-func TestLoadsForOnePeerAreSentTogether(t *testing.T) {
+func TestLoadsForSamePeerAreSentTogether(t *testing.T) {
 	picker, _ := newTestPicker(testConfig, 1)
 	effects := pickerEffects{picker}
 	effects.SendLoad(1, WorkerLoad{0, 2})
--- a/internal/balancer/request_handle_test.go
+++ b/internal/balancer/request_handle_test.go
@@ -54,7 +54,7 @@
 	shards.CancelAll()
 }
 
-// requestEvents are the requestEvents that may happen to a request in its goroutines. They can occur in any order.
+// requestEvents are the events that may happen to a request in its goroutines. They can occur in any order.
 var requestEvents = []struct {
 	name  byte
 	apply func(*requestDriver)
@@ -163,7 +163,7 @@
 
 // Regression test for a request ID that was freed twice or never, and for two answers or none: events may occur between
 // a decision and its Pick, or between a result and its report.
-func TestEachOrderOfEventsEndsOnce(t *testing.T) {
+func TestRequestEndsOnceForEachOrderOfEvents(t *testing.T) {
 	config := testConfig
 	config.Attempts.StartNotices = true
 	order := make([]byte, 0, 5)
@@ -195,7 +195,7 @@
 }
 
 // If the client leaves while a decision is made, Pick returns the error and nothing is sent.
-func TestClientThatLeavesAsADecisionIsMadeGetsNoAttempt(t *testing.T) {
+func TestClientThatLeavesDuringDecisionGetsNoAttempt(t *testing.T) {
 	picker, _ := newTestPicker(testConfig, 2)
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
--- a/internal/balancer/sibling_test.go
+++ b/internal/balancer/sibling_test.go
@@ -8,7 +8,7 @@
 
 // Regression test for two processes of a dispatcher that both considered a worker free, and sent peers only their own
 // loads.
-func TestLoadOfTheSiblingCountsAsOwn(t *testing.T) {
+func TestLoadOfSiblingCountsAsOwn(t *testing.T) {
 	const unknown WorkerID = 99
 	picker, _ := newTestPicker(namedConfig(), 2)
 	used := pick(t, picker.Submit(Arrival{Timeout: 3 * Second})).Worker
