--- a/internal/balancer/snapshot.go
+++ b/internal/balancer/snapshot.go
@@ -107,8 +107,8 @@
 		})
 	}
 	for n := range b.zones {
-		known := &b.zones[n].health
-		state.Zones = append(state.Zones, ZoneStats{Failures: known.Failures, EjectedUntil: known.EjectedUntil})
+		zoneHealth := &b.zones[n].health
+		state.Zones = append(state.Zones, ZoneStats{Failures: zoneHealth.Failures, EjectedUntil: zoneHealth.EjectedUntil})
 	}
 	for n := range b.workers {
 		state.Workers = append(state.Workers, b.workers[n].snapshot())
@@ -136,9 +136,9 @@
 		ProbeAfter:          w.health.ProbeAfter,
 		NotBefore:           w.notBefore,
 	}
-	for _, known := range w.gossip.peerLoads {
+	for _, reported := range w.gossip.peerLoads {
 		state.PeerLoads = append(state.PeerLoads, SnapshotPeerLoad{
-			From: known.from, InFlight: known.inFlight, ReceivedAt: known.receivedAt,
+			From: reported.from, InFlight: reported.inFlight, ReceivedAt: reported.receivedAt,
 		})
 	}
 	for _, sent := range w.warmup.sends {
--- a/internal/balancer/snapshot_test.go
+++ b/internal/balancer/snapshot_test.go
@@ -22,7 +22,7 @@
 	after := successor.balancer
 	for name, pair := range map[string]struct{ before, after any }{
 		"slots":          {before.slots, after.slots},
-		"failures":       {workerFailures(before), workerFailures(after)},
+		"failures":       {workerFailureStates(before), workerFailureStates(after)},
 		"zones":          {before.zones, after.zones},
 		"sizes":          {before.sizes.Sample(), after.sizes.Sample()},
 		"quotas":         {before.tenants.Usage(), after.tenants.Usage()},
@@ -53,17 +53,17 @@
 	balancer.operations.byID[nonIdempotentOp].longestTimeout = 9 * Second
 }
 
-// workerFailure is the failure state of one worker.
-type workerFailure struct {
+// workerFailureState is the failure state of one worker.
+type workerFailureState struct {
 	consecutive int
 	probeAfter  Time
 }
 
-func workerFailures(balancer *Balancer) (failures []workerFailure) {
-	for _, known := range balancer.workers {
-		failures = append(failures, workerFailure{
-			consecutive: known.health.ConsecutiveFailures,
-			probeAfter:  known.health.ProbeAfter,
+func workerFailureStates(balancer *Balancer) (failures []workerFailureState) {
+	for _, worker := range balancer.workers {
+		failures = append(failures, workerFailureState{
+			consecutive: worker.health.ConsecutiveFailures,
+			probeAfter:  worker.health.ProbeAfter,
 		})
 	}
 	return failures
@@ -71,8 +71,8 @@
 
 // peersInFlight returns the numbers of attempts that peers have in flight, by WorkerID.
 func peersInFlight(balancer *Balancer) (inFlight []int) {
-	for _, known := range balancer.workers {
-		inFlight = append(inFlight, known.gossip.peerInFlight)
+	for _, worker := range balancer.workers {
+		inFlight = append(inFlight, worker.gossip.peerInFlight)
 	}
 	return inFlight
 }
