--- a/internal/balancer/arrivals.go
+++ b/internal/balancer/arrivals.go
@@ -29,7 +29,7 @@
 	b.requests.addOpen(id)
 	b.enqueue(id)
 	b.due.capacityChanged = true
-	b.due.reviewBy(min(b.now.Add(b.config.startTimeout), arrived.deadline))
+	b.due.scheduleReview(min(b.now.Add(b.config.startTimeout), arrived.deadline))
 }
 
 // startWaitDeadline returns the time until which a request waits for its start, usually the latest start that may keep
--- a/internal/balancer/capacity.go
+++ b/internal/balancer/capacity.go
@@ -24,19 +24,19 @@
 
 // MaxObserved returns the most attempts that the first shard has observed running at once at a worker, by KindID.
 func (s *Shards) MaxObserved() (slots []float64) {
-	s.first().read(func(b *Balancer) { slots = b.maxObserved() })
+	s.firstPicker().read(func(b *Balancer) { slots = b.maxObserved() })
 	return slots
 }
 
 // Capacity returns the capacity of the healthy workers that are not ejected, by the state of the first shard.
 func (s *Shards) Capacity() (total Capacity) {
-	s.first().read(func(b *Balancer) { total = b.capacity() })
+	s.firstPicker().read(func(b *Balancer) { total = b.capacity() })
 	return total
 }
 
 // MedianSize returns the size that the first shard assumes for a request without a hint. It is 0 before the first
 // hints.
 func (s *Shards) MedianSize() (size Work) {
-	s.first().read(func(b *Balancer) { size = b.sizes.Median() })
+	s.firstPicker().read(func(b *Balancer) { size = b.sizes.Median() })
 	return size
 }
--- a/internal/balancer/fleet_restart.go
+++ b/internal/balancer/fleet_restart.go
@@ -31,7 +31,7 @@
 		startedBefore := w.warmup.startedAt != DistantPast && w.warmup.startedAt < cutoff
 		if startedBefore && b.warmupFactor(WorkerID(n)) < 1 {
 			w.notBefore = max(w.notBefore, cutoff.Add(b.config.warmupWindow))
-			b.due.reviewBy(w.notBefore)
+			b.due.scheduleReview(w.notBefore)
 		}
 	}
 }
@@ -57,5 +57,5 @@
 
 // SubmitWithPriorAttempt calls Picker.SubmitWithPriorAttempt on the next shard in round-robin order.
 func (s *Shards) SubmitWithPriorAttempt(arrival Arrival, prior PriorAttempt) *RequestHandle {
-	return s.next().SubmitWithPriorAttempt(arrival, prior)
+	return s.nextPicker().SubmitWithPriorAttempt(arrival, prior)
 }
--- a/internal/balancer/pick_worker.go
+++ b/internal/balancer/pick_worker.go
@@ -43,7 +43,7 @@
 // mayUseWholeRing reports whether workers whose load no peer reports may be tried. They are skipped while most load
 // reports show no free slot, and for some time after one of them rejected an attempt.
 func (b *Balancer) mayUseWholeRing() bool {
-	return b.slots.freeSlotRatio >= minFreeSlotRatio && b.now >= b.gossip.unheardNotBefore
+	return b.slots.freeSlotRatio >= minFreeSlotRatio && b.now >= b.gossip.unreportedNotBefore
 }
 
 func (b *Balancer) pickFromSubset(req *request, number int, filter workerFilter) (WorkerID, bool) {
--- a/internal/balancer/sibling_test.go
+++ b/internal/balancer/sibling_test.go
@@ -6,8 +6,9 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// Regression test for two processes that each take a worker to be free, and send peers only their own load.
-func TestLoadOfTheSiblingCountsAsOwn(t *testing.T) {
+// Regression test for two processes of a dispatcher that both considered a worker free, and sent peers only their own
+// loads.
+func TestLoadOfSiblingCountsAsOwn(t *testing.T) {
 	const unknown WorkerID = 99
 	picker, _ := newTestPicker(namedConfig(), 2)
 	used := pick(t, picker.Submit(Arrival{Timeout: 3 * Second})).Worker
--- a/internal/balancer/slow_start.go
+++ b/internal/balancer/slow_start.go
@@ -100,7 +100,7 @@
 		slots:        b.maxObservedSlots(id),
 		recentWork:   b.workers[id].warmup.workSentAfter(b.warmupWindowStart()),
 		load:         b.load(id),
-		loadShared:   b.hearsLoadOf(id),
+		loadShared:   b.receivesLoadOf(id),
 	}
 	limits := b.config.slowStartLimits()
 	if !limits.usesCredit(target) {
--- a/internal/balancer/snapshot.go
+++ b/internal/balancer/snapshot.go
@@ -6,9 +6,9 @@
 	"canvasroute/internal/balancer/quota"
 )
 
-// Snapshot is what a Balancer has learned, for a process that continues with it. Workers and zones keep their numbers;
-// tenants and kinds are in the order of the configuration, and operations are identified by name. The JSON names are
-// those of earlier versions and of state folders.
+// Snapshot is the learned state of a Balancer, for a process that continues with it. Workers and zones keep their
+// numbers. Tenants and kinds are in the order of the configuration, and operations are identified by name. The JSON
+// names are those of earlier versions and of state folders.
 type Snapshot struct {
 	Operations []OperationStats `json:"Operations"`
 	Tenants    []TenantStats    `json:"Customers"`
@@ -16,15 +16,15 @@
 	Zones      []ZoneStats      `json:"Zones"`
 	Workers    []WorkerStats    `json:"Workers"`
 
-	Sample           []Work  `json:"Sample"`
-	Sampled          int     `json:"Sampled"`
-	TotalValue       float64 `json:"Worth"`
-	FreeSlotRatio    float64 `json:"Luck"`
-	UnheardNotBefore Time    `json:"BlindAt"`
-	Arrivals         int     `json:"Landings"`
+	Sample              []Work  `json:"Sample"`
+	ObservedSizes       int     `json:"Sampled"`
+	TotalValue          float64 `json:"Worth"`
+	FreeSlotRatio       float64 `json:"Luck"`
+	UnreportedNotBefore Time    `json:"BlindAt"`
+	Arrivals            int     `json:"Landings"`
 }
 
-// OperationStats is what was learned of one operation.
+// OperationStats is the learned state of one operation.
 type OperationStats struct {
 	Name           string   `json:"Name"`
 	LongestTimeout Duration `json:"Longest"`
@@ -36,26 +36,26 @@
 	Runs           int      `json:"Runs"`
 }
 
-// TenantStats is the recent usage of one tenant, and when it was reckoned.
+// TenantStats is the recent usage of one tenant and the time at which it was calculated.
 type TenantStats struct {
 	Usage float64 `json:"Used"`
 	At    Time    `json:"At"`
 }
 
-// KindStats is what was learned of the slots of a kind of worker; Slots is 0 where nothing was.
+// KindStats is the learned state of the slots of one kind of worker. Slots is 0 if there is no estimate.
 type KindStats struct {
 	Slots       float64 `json:"Slots"`
 	MaxObserved float64 `json:"Most"`
 	Votes       []int   `json:"Votes"`
 }
 
-// ZoneStats is what failures have shown of one zone.
+// ZoneStats is the failure state of one zone.
 type ZoneStats struct {
 	Failures     int  `json:"Quiet"`
 	EjectedUntil Time `json:"At"`
 }
 
-// WorkerStats is what was learned of one worker, beside its entry in the endpoint list.
+// WorkerStats is the learned state of one worker, in addition to its entry in the endpoint list.
 type WorkerStats struct {
 	ConsecutiveFailures int                `json:"Fails"`
 	PossiblyExecuted    bool               `json:"Ruined"` // an attempt that failed there may have run
@@ -65,55 +65,55 @@
 	Sends               []SnapshotSend     `json:"Spent"`
 }
 
-// SnapshotPeerLoad is what a peer last said of a worker.
+// SnapshotPeerLoad is the last load that a peer reported for a worker.
 type SnapshotPeerLoad struct {
 	From       PeerID `json:"From"`
 	InFlight   int    `json:"InFlight"`
 	ReceivedAt Time   `json:"At"`
 }
 
-// SnapshotSend is work that was sent to a worker at a time.
+// SnapshotSend is an amount of work that was sent to a worker at a given time.
 type SnapshotSend struct {
 	At   Time `json:"At"`
 	Work Work `json:"Work"`
 }
 
-// Snapshot returns what has been learned here.
-func (p *Picker) Snapshot() (learned Snapshot) {
-	p.read(func(b *Balancer) { learned = b.snapshot() })
-	return learned
+// Snapshot returns the learned state.
+func (p *Picker) Snapshot() (state Snapshot) {
+	p.read(func(b *Balancer) { state = b.snapshot() })
+	return state
 }
 
 func (b *Balancer) snapshot() Snapshot {
-	learned := Snapshot{
-		Sample:           append([]Work(nil), b.sizes.Sample()...),
-		Sampled:          b.sizes.Observed(),
-		TotalValue:       b.operations.totalValue,
-		FreeSlotRatio:    b.slots.freeSlotRatio,
-		UnheardNotBefore: b.gossip.unheardNotBefore,
-		Arrivals:         b.loadProbes.arrivals,
+	state := Snapshot{
+		Sample:              append([]Work(nil), b.sizes.Sample()...),
+		ObservedSizes:       b.sizes.Observed(),
+		TotalValue:          b.operations.totalValue,
+		FreeSlotRatio:       b.slots.freeSlotRatio,
+		UnreportedNotBefore: b.gossip.unreportedNotBefore,
+		Arrivals:            b.loadProbes.arrivals,
 	}
 	for n := range b.operations.byID {
-		learned.Operations = append(learned.Operations, b.operations.byID[n].snapshot())
+		state.Operations = append(state.Operations, b.operations.byID[n].snapshot())
 	}
 	for _, usage := range b.tenants.Usage() {
-		learned.Tenants = append(learned.Tenants, TenantStats{Usage: usage.Requests, At: usage.At})
+		state.Tenants = append(state.Tenants, TenantStats{Usage: usage.Requests, At: usage.At})
 	}
 	for _, kind := range b.slots.kinds {
-		learned.Kinds = append(learned.Kinds, KindStats{
+		state.Kinds = append(state.Kinds, KindStats{
 			Slots:       kind.Estimate,
 			MaxObserved: kind.MaxObserved,
 			Votes:       append([]int(nil), kind.Votes...),
 		})
 	}
 	for n := range b.zones {
-		known := &b.zones[n].health
-		learned.Zones = append(learned.Zones, ZoneStats{Failures: known.Failures, EjectedUntil: known.EjectedUntil})
+		zoneHealth := &b.zones[n].health
+		state.Zones = append(state.Zones, ZoneStats{Failures: zoneHealth.Failures, EjectedUntil: zoneHealth.EjectedUntil})
 	}
 	for n := range b.workers {
-		learned.Workers = append(learned.Workers, b.workers[n].snapshot())
+		state.Workers = append(state.Workers, b.workers[n].snapshot())
 	}
-	return learned
+	return state
 }
 
 func (o *operation) snapshot() OperationStats {
@@ -130,93 +130,93 @@
 }
 
 func (w *worker) snapshot() WorkerStats {
-	learned := WorkerStats{
+	state := WorkerStats{
 		ConsecutiveFailures: w.health.ConsecutiveFailures,
 		PossiblyExecuted:    w.health.PossiblyExecuted,
 		ProbeAfter:          w.health.ProbeAfter,
 		NotBefore:           w.notBefore,
 	}
-	for _, known := range w.gossip.peerLoads {
-		learned.PeerLoads = append(learned.PeerLoads, SnapshotPeerLoad{
-			From: known.from, InFlight: known.inFlight, ReceivedAt: known.receivedAt,
+	for _, reported := range w.gossip.peerLoads {
+		state.PeerLoads = append(state.PeerLoads, SnapshotPeerLoad{
+			From: reported.from, InFlight: reported.inFlight, ReceivedAt: reported.receivedAt,
 		})
 	}
 	for _, sent := range w.warmup.sends {
-		learned.Sends = append(learned.Sends, SnapshotSend{At: sent.sentAt, Work: sent.work})
+		state.Sends = append(state.Sends, SnapshotSend{At: sent.sentAt, Work: sent.work})
 	}
-	return learned
+	return state
 }
 
-// Restore takes what another Balancer has learned. It is called once the endpoints are known, and before the first
-// request.
-func (p *Picker) Restore(learned Snapshot) {
-	p.update(func(b *Balancer) { b.restore(learned) })
+// Restore applies the learned state of another Balancer. It must be called after the first endpoint list and before the
+// first request.
+func (p *Picker) Restore(state Snapshot) {
+	p.update(func(b *Balancer) { b.restore(state) })
 }
 
-func (b *Balancer) restore(learned Snapshot) {
-	b.sizes.Restore(learned.Sample, learned.Sampled)
-	b.operations.totalValue = learned.TotalValue
-	b.slots.freeSlotRatio = learned.FreeSlotRatio
-	b.gossip.unheardNotBefore = learned.UnheardNotBefore
-	b.loadProbes = loadProbes{arrivals: learned.Arrivals, nextProbeAt: learned.Arrivals}
-	if len(learned.Sample) > 0 {
+func (b *Balancer) restore(state Snapshot) {
+	b.sizes.Restore(state.Sample, state.ObservedSizes)
+	b.operations.totalValue = state.TotalValue
+	b.slots.freeSlotRatio = state.FreeSlotRatio
+	b.gossip.unreportedNotBefore = state.UnreportedNotBefore
+	b.loadProbes = loadProbes{arrivals: state.Arrivals, nextProbeAt: state.Arrivals}
+	if len(state.Sample) > 0 {
 		b.updateCutPoints()
 	}
-	for _, stats := range learned.Operations { // the last one, where there were several configurations of one name
+	for _, stats := range state.Operations { // the last one wins if several configurations have the same name
 		b.operations.restore(stats)
 	}
 	var usage []quota.Usage
-	for _, tenant := range learned.Tenants {
+	for _, tenant := range state.Tenants {
 		usage = append(usage, quota.Usage{Requests: tenant.Usage, At: tenant.At})
 	}
 	b.tenants.Restore(usage)
-	for n := range min(len(b.slots.kinds), len(learned.Kinds)) {
-		if kind := learned.Kinds[n]; kind.Slots > 0 {
+	for n := range min(len(b.slots.kinds), len(state.Kinds)) {
+		if kind := state.Kinds[n]; kind.Slots > 0 {
 			b.slots.kinds[n].Votes = kind.Votes
 			b.slots.kinds[n].MaxObserved = kind.MaxObserved
 			b.setSlotEstimate(KindID(n), kind.Slots)
 		}
 	}
-	for n := range min(len(b.zones), len(learned.Zones)) {
-		b.zones[n].health.Failures = learned.Zones[n].Failures
-		b.zones[n].health.EjectedUntil = learned.Zones[n].EjectedUntil
+	for n := range min(len(b.zones), len(state.Zones)) {
+		b.zones[n].health.Failures = state.Zones[n].Failures
+		b.zones[n].health.EjectedUntil = state.Zones[n].EjectedUntil
 	}
-	for n := range min(len(b.workers), len(learned.Workers)) {
-		b.restoreWorker(WorkerID(n), &learned.Workers[n])
+	for n := range min(len(b.workers), len(state.Workers)) {
+		b.restoreWorker(WorkerID(n), &state.Workers[n])
 	}
 }
 
-func (t *operationTable) restore(learned OperationStats) {
-	n := slices.IndexFunc(t.byID, func(known operation) bool { return known.name == learned.Name })
+func (t *operationTable) restore(stats OperationStats) {
+	n := slices.IndexFunc(t.byID, func(op operation) bool { return op.name == stats.Name })
 	if n < 0 {
 		return
 	}
-	known := &t.byID[n]
-	known.longestTimeout = learned.LongestTimeout
-	known.meanSize = learned.MeanSize
-	known.requestedWork = learned.RequestedWork
-	known.lostWork = learned.LostWork
-	known.arrivals = learned.Arrivals
-	known.meanRun = learned.MeanRun
-	known.runs = learned.Runs
+	op := &t.byID[n]
+	op.longestTimeout = stats.LongestTimeout
+	op.meanSize = stats.MeanSize
+	op.requestedWork = stats.RequestedWork
+	op.lostWork = stats.LostWork
+	op.arrivals = stats.Arrivals
+	op.meanRun = stats.MeanRun
+	op.runs = stats.Runs
 }
 
-func (b *Balancer) restoreWorker(id WorkerID, learned *WorkerStats) {
+func (b *Balancer) restoreWorker(id WorkerID, stats *WorkerStats) {
 	w := &b.workers[id]
-	w.health.ConsecutiveFailures = learned.ConsecutiveFailures
-	w.health.PossiblyExecuted = learned.PossiblyExecuted
-	w.health.ProbeAfter = learned.ProbeAfter
-	w.notBefore = learned.NotBefore
-	for _, heard := range learned.PeerLoads {
-		b.ReceiveLoad(heard.From, WorkerLoad{Worker: id, InFlight: heard.InFlight})
-		w.gossip.peerLoads[len(w.gossip.peerLoads)-1].receivedAt = heard.ReceivedAt
-	}
-	for _, sent := range learned.Sends {
+	w.health.ConsecutiveFailures = stats.ConsecutiveFailures
+	w.health.PossiblyExecuted = stats.PossiblyExecuted
+	w.health.ProbeAfter = stats.ProbeAfter
+	w.notBefore = stats.NotBefore
+	for _, reported := range stats.PeerLoads {
+		b.ReceiveLoad(reported.From, WorkerLoad{Worker: id, InFlight: reported.InFlight})
+		w.gossip.peerLoads[len(w.gossip.peerLoads)-1].receivedAt = reported.ReceivedAt
+	}
+	for _, sent := range stats.Sends {
 		w.warmup.sends = append(w.warmup.sends, send{sentAt: sent.At, work: sent.Work, bySibling: true})
 	}
 }
 
-// Snapshot returns what each shard has learned.
+// Snapshot returns the learned state of each shard.
 func (s *Shards) Snapshot() (all []Snapshot) {
 	for _, picker := range s.pickers {
 		all = append(all, picker.Snapshot())
@@ -224,24 +224,24 @@
 	return all
 }
 
-// RestoreFromDisk takes what the shards of an earlier process have learned. If that had another number of shards, each
-// shard takes what the first one had learned. It reports whether there was anything to take.
+// RestoreFromDisk applies the learned states of the shards of an earlier process. If that process had a different
+// number of shards, each shard gets the state of its first one. It reports whether there was any state.
 func (s *Shards) RestoreFromDisk(all []Snapshot) bool {
 	if len(all) == 0 {
 		return false
 	}
 	for n, picker := range s.pickers {
-		learned := all[0]
+		state := all[0]
 		if len(all) == len(s.pickers) {
-			learned = all[n]
+			state = all[n]
 		}
-		picker.Restore(learned)
+		picker.Restore(state)
 	}
 	return true
 }
 
-// RestoreFromPredecessor takes what the shards of the predecessor have learned. It does nothing and returns false where
-// that process has another number of shards.
+// RestoreFromPredecessor applies the learned states of the shards of the predecessor. If that process has a different
+// number of shards, it does nothing and returns false.
 func (s *Shards) RestoreFromPredecessor(all []Snapshot) bool {
 	if len(all) != len(s.pickers) {
 		return false
--- a/internal/balancer/snapshot_test.go
+++ b/internal/balancer/snapshot_test.go
@@ -7,14 +7,14 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// Regression test for a successor that begins with nothing: it would go by eight slots, and each failing worker and zone
-// would have to fail again.
+// Regression test for a successor that started without learned state: it assumed eight slots per worker, and failing
+// workers and zones had to fail again before they were ejected.
 func TestSnapshotIsRestored(t *testing.T) {
 	config := namedConfig()
 	config.LoadReports.FreeSlots = NotReported
 	config.Gossip.Enabled = true
 	predecessor, predecessorNow := newTestPicker(config, 4)
-	predecessor.update(learnSomething)
+	predecessor.update(setLearnedState)
 	successor, successorNow := newTestPicker(config, 4)
 	*successorNow = *predecessorNow
 	successor.Restore(jsonRoundTrip(t, predecessor.Snapshot()))
@@ -22,7 +22,7 @@
 	after := successor.balancer
 	for name, pair := range map[string]struct{ before, after any }{
 		"slots":          {before.slots, after.slots},
-		"failures":       {workerFailures(before), workerFailures(after)},
+		"failures":       {workerFailureStates(before), workerFailureStates(after)},
 		"zones":          {before.zones, after.zones},
 		"sizes":          {before.sizes.Sample(), after.sizes.Sample()},
 		"quotas":         {before.tenants.Usage(), after.tenants.Usage()},
@@ -35,8 +35,8 @@
 	assert.Equal(t, 3, ejected, "one worker, and two in an ejected zone")
 }
 
-// learnSomething gives a Balancer something to keep of each kind.
-func learnSomething(balancer *Balancer) {
+// setLearnedState sets each kind of learned state of a Balancer.
+func setLearnedState(balancer *Balancer) {
 	balancer.slots.kinds[0].Votes = []int{0, 2, 2, 5, -9, -9}
 	balancer.slots.kinds[0].MaxObserved = 3
 	balancer.setSlotEstimate(0, 3)
@@ -53,26 +53,26 @@
 	balancer.operations.byID[nonIdempotentOp].longestTimeout = 9 * Second
 }
 
-// workerFailure is what failures have shown of one worker.
-type workerFailure struct {
+// workerFailureState is the failure state of one worker.
+type workerFailureState struct {
 	consecutive int
 	probeAfter  Time
 }
 
-func workerFailures(balancer *Balancer) (failures []workerFailure) {
-	for _, known := range balancer.workers {
-		failures = append(failures, workerFailure{
-			consecutive: known.health.ConsecutiveFailures,
-			probeAfter:  known.health.ProbeAfter,
+func workerFailureStates(balancer *Balancer) (failures []workerFailureState) {
+	for _, worker := range balancer.workers {
+		failures = append(failures, workerFailureState{
+			consecutive: worker.health.ConsecutiveFailures,
+			probeAfter:  worker.health.ProbeAfter,
 		})
 	}
 	return failures
 }
 
-// peersInFlight returns the attempts of peers in flight, by WorkerID.
+// peersInFlight returns the numbers of attempts that peers have in flight, by WorkerID.
 func peersInFlight(balancer *Balancer) (inFlight []int) {
-	for _, known := range balancer.workers {
-		inFlight = append(inFlight, known.gossip.peerInFlight)
+	for _, worker := range balancer.workers {
+		inFlight = append(inFlight, worker.gossip.peerInFlight)
 	}
 	return inFlight
 }
--- a/internal/balancer/unstarted_attempts.go
+++ b/internal/balancer/unstarted_attempts.go
@@ -53,7 +53,7 @@
 	} else {
 		b.observeDelivery(waiting)
 	}
-	if !b.hearsLoadOf(waiting.worker) { // its load from other dispatchers is unknown: assume it is full for one run
+	if !b.receivesLoadOf(waiting.worker) { // its load from other dispatchers is unknown: assume it is full for one run
 		b.backOff(waiting.worker, b.operations.byID[req.operation].expectedRun())
 	}
 	target, ok := b.pickWorker(req)
--- a/internal/balancer/warm_up.go
+++ b/internal/balancer/warm_up.go
@@ -99,7 +99,7 @@
 // listMayPredateStarts reports whether this dispatcher uses an endpoint list from before its own start, its polls fail,
 // and it has received no message from a peer that has run for longer.
 func (b *Balancer) listMayPredateStarts() bool {
-	return !b.polling.Answered() && b.polling.Failing() && !b.gossip.hearsSenior()
+	return !b.polling.Answered() && b.polling.Failing() && !b.gossip.hasSeniorPeer()
 }
 
 // observeSuccess records the duration of a successful attempt. A short duration proves that the worker is warm.
