--- a/internal/fleet/admission.go
+++ b/internal/fleet/admission.go
@@ -8,16 +8,16 @@
 	"canvasroute/internal/proxy"
 )
 
-// NotReadyError means that no request may come yet.
+// NotReadyError reports that no requests may be sent to this dispatcher yet.
 type NotReadyError struct {
 	Phase  recovery.Phase
-	Reason string // why the phase began
+	Reason string // why the phase started
 }
 
-// Error is what operators read in the answer to HEALTH.
+// Error returns the message in the answer to HEALTH.
 func (e *NotReadyError) Error() string { return fmt.Sprintf("returning, %v: %s", e.Phase, e.Reason) }
 
-// Ready returns nil once requests may come, and a NotReadyError before.
+// Ready returns nil if requests may be sent to this dispatcher, and a NotReadyError otherwise.
 func (n *Node) Ready() error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -27,8 +27,8 @@
 	return nil
 }
 
-// Admit decides whether a request may come in. Before the recovered state is restored none may. After that the state
-// machine decides by its phase and the expected size, which is the median size where the client gives no hint.
+// Admit decides whether to admit a request. Before the stored state is restored all requests are rejected. After that
+// the state machine decides by its phase and the expected size, which is the median size if the client gives no hint.
 func (n *Node) Admit(arrival balancer.Arrival) proxy.RecoveryAdmission {
 	n.mu.Lock()
 	serving := n.machine.Phase() == recovery.Serving
--- a/internal/fleet/hot_restart.go
+++ b/internal/fleet/hot_restart.go
@@ -2,21 +2,21 @@
 
 import "context"
 
-// Only one process of a name has the state folder and the address. In a hot restart the predecessor yields both to its
-// successor, and reclaims them if the successor ends first.
+// Only one process per dispatcher name may own the state folder and the address. In a hot restart the predecessor
+// yields both to its successor, and reclaims them if the successor exits first.
 
-// socketOwner is which of two processes of this name is to have the folder and the address.
+// socketOwner identifies which of two processes of this name should own the folder and the address.
 type socketOwner uint8
 
 const (
-	ownedByThis      socketOwner = iota // the successor has ended: this process takes them back
+	ownedByThis      socketOwner = iota // the successor has exited: this process reclaims them
 	ownedBySuccessor                    // this process yields them
 )
 
-// maxOwnerChanges is how many changes of the owner may wait to be carried out. A hot restart needs two.
+// maxOwnerChanges is how many owner changes may be queued. A hot restart needs two.
 const maxOwnerChanges = 4
 
-// run runs one incarnation until it yields to a successor, and another one if the successor fails.
+// run runs an incarnation until it yields to a successor, and starts another one if the successor exits first.
 func (n *Node) run(ctx context.Context) error {
 	for {
 		if n.isSuccessor() && !n.serveUntilAcquired(ctx) {
@@ -42,8 +42,8 @@
 	return n.successor
 }
 
-// serveUntilAcquired serves without the folder and the address until the predecessor has yielded them. It returns
-// false if ctx ends before.
+// serveUntilAcquired serves without the folder and the address until the predecessor has yielded them. It returns false
+// if ctx ends first.
 func (n *Node) serveUntilAcquired(ctx context.Context) bool {
 	n.mu.Lock()
 	n.machine.TakeOver(n.uptime(), 0, 0) // the incarnation is not known before the folder is read
@@ -58,12 +58,12 @@
 	return true
 }
 
-// waitForSuccessorEnd waits until a successor has ended before this process. It returns false if ctx ends before.
+// waitForSuccessorEnd waits until a successor has exited. It returns false if ctx ends first.
 func (n *Node) waitForSuccessorEnd(ctx context.Context) bool {
 	return n.waitForOwner(ctx, ownedByThis)
 }
 
-// waitForOwner waits until the folder and the address are to have an owner. It returns false if ctx ends before.
+// waitForOwner waits for a change to the given owner of the folder and the address. It returns false if ctx ends first.
 func (n *Node) waitForOwner(ctx context.Context, want socketOwner) bool {
 	for {
 		select {
@@ -77,20 +77,21 @@
 	}
 }
 
-// waitForYield returns when a successor is to have the folder and the address, or ctx ends.
+// waitForYield waits until the folder and the address must be yielded to a successor, or ctx ends.
 func (n *Node) waitForYield(ctx context.Context) {
 	n.waitForOwner(ctx, ownedBySuccessor)
 }
 
-// YieldSocket yields the folder and the address to a successor. It does not wait.
+// YieldSocket requests that this process yield the folder and the address to a successor. It does not block.
 func (n *Node) YieldSocket() { n.requestOwner(ownedBySuccessor) }
 
-// ReclaimSocket takes the folder and the address back once the successor has ended. It does not wait.
+// ReclaimSocket requests that this process reclaim the folder and the address after the successor has exited. It does
+// not block.
 func (n *Node) ReclaimSocket() { n.requestOwner(ownedByThis) }
 
 func (n *Node) requestOwner(owner socketOwner) {
 	select {
 	case n.ownerChanges <- owner:
-	default: // maxOwnerChanges are waiting already
+	default: // the queue is full
 	}
 }
--- a/internal/fleet/incarnation.go
+++ b/internal/fleet/incarnation.go
@@ -10,22 +10,22 @@
 	"canvasroute/internal/fleet/store"
 )
 
-// The reasons for which nothing is persisted.
+// The reasons why nothing can be persisted.
 var (
 	errNoFolder       = errors.New("no state folder")
-	errFolderReadOnly = errors.New("the state folder cannot be written to")
-	errDiskTimeout    = errors.New("the disk takes longer than identity-within")
+	errFolderReadOnly = errors.New("the state folder is not writable")
+	errDiskTimeout    = errors.New("the disk did not respond within identity-within")
 )
 
-// resources returns what this process owns at present.
+// resources returns the resources that this process owns.
 func (n *Node) resources() ownedResources {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.owned
 }
 
-// acquire locks the folder, listens at the address, and reads what the folder holds. It fails if another process has
-// one of them. A folder that cannot be used is no error: the node works without it.
+// acquire locks the folder, listens on the address, and reads the folder's contents. It fails if another process owns
+// one of them. If the folder is unusable for other reasons, the node runs without it.
 func (n *Node) acquire() error {
 	folder, folderErr := store.OpenFolder(n.settings.State.Folder)
 	if errors.Is(folderErr, store.ErrLocked) {
@@ -53,7 +53,7 @@
 	return nil
 }
 
-// takeRecovered keeps what the folder held, and reports what is lost of it.
+// takeRecovered records the resources and the data recovered from the folder, and logs the records that were lost.
 func (n *Node) takeRecovered(owned ownedResources, recovered store.Recovered) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -72,7 +72,7 @@
 	}
 }
 
-// beginIncarnation persists the next incarnation, and reports it to the state machine. If the disk does not answer in
+// beginIncarnation persists the next incarnation, and reports it to the state machine. If the disk does not respond in
 // time, the process continues with an incarnation that is not durable.
 func (n *Node) beginIncarnation() {
 	n.mu.Lock()
@@ -102,8 +102,8 @@
 	n.carryOut()
 }
 
-// persistIncarnation returns the number of the next incarnation once it is durable. Nothing can interrupt the write, so
-// the goroutine that does it lasts as long as the disk hangs.
+// persistIncarnation returns the number of the next incarnation once it is durable. A write to a hung disk cannot be
+// interrupted, so its goroutine keeps running until the disk responds.
 func (n *Node) persistIncarnation(s *store.Store, recovered store.Recovered, nonce uint64) (uint64, error) {
 	if s == nil {
 		return 0, errNoFolder
@@ -131,7 +131,7 @@
 	}
 }
 
-// raiseIncarnation persists a higher incarnation before another message is sent.
+// raiseIncarnation persists a higher incarnation before the next message is sent.
 func (n *Node) raiseIncarnation(number uint64) {
 	n.log.Warn().Uint64("incarnation", number).Msg("peers know a later incarnation: raised")
 	if s := n.resources().store; s != nil {
@@ -154,16 +154,16 @@
 	}
 }
 
-// reportUpdate logs a change of the incarnation that could not be persisted. The process continues with the change.
+// reportUpdate logs a failure to persist a change of the incarnation. The process continues with the change in memory.
 func (n *Node) reportUpdate(err error) {
 	if err != nil {
 		n.log.Error().Err(err).Msg("change of the incarnation not persisted")
 	}
 }
 
-// release persists the last state and a clean shutdown, and releases the folder and the address.
+// release persists the final state and a clean shutdown, and releases the folder and the address.
 func (n *Node) release() {
-	_ = n.resources().socket.Close() // its Run closes it too, and the second call fails
+	_ = n.resources().socket.Close() // Run closes the socket too, and the second Close returns an error
 	n.saveState()
 	n.mu.Lock()
 	owned := n.owned
--- a/internal/fleet/keys.go
+++ b/internal/fleet/keys.go
@@ -14,8 +14,8 @@
 
 var _ proxy.Recovery = (*Node)(nil)
 
-// keyChecksum returns the number that stands for an operation and a key on disk and in messages. The length of the
-// operation is part of it, so that no two pairs are written alike.
+// keyChecksum returns the number that identifies an operation and a key on disk and in messages. It includes the length
+// of the operation, so that different pairs never produce the same input to the hash.
 func keyChecksum(operation, key string) uint64 {
 	hash := fnv.New64a()
 	fmt.Fprintf(hash, "%d %s %s", len(operation), operation, key)
@@ -23,7 +23,7 @@
 }
 
 // PriorExecution returns where a request under the same key may have run in a previous incarnation of any dispatcher,
-// nil for nowhere. It fails with proxy.ErrOutcomeUnknown if nobody can tell.
+// or nil if it has not run. It fails with proxy.ErrOutcomeUnknown if this cannot be determined.
 func (n *Node) PriorExecution(request proxy.KeyedRequest) (*proxy.PriorExecution, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -45,8 +45,8 @@
 	return &proxy.PriorExecution{Worker: found.Worker, Zone: found.Zone, Cell: found.Cell, SentAtMillis: found.SentAt}, nil
 }
 
-// PersistKey returns once a key is durable, so that its request may be sent. It fails with a KeyTimeoutError after the
-// key timeout.
+// PersistKey returns nil once a key is durable, so that its request may be sent. It fails with a KeyTimeoutError after
+// the key timeout.
 func (n *Node) PersistKey(ctx context.Context, record proxy.KeyRecord) error {
 	now := time.Now().UnixMilli()
 	return n.keyWriter.persist(ctx, store.Key{
@@ -62,7 +62,7 @@
 // writeKeys persists the keys of requests until ctx ends.
 func (n *Node) writeKeys(ctx context.Context) { n.keyWriter.run(ctx, n.writeKeyBatch) }
 
-// writeKeyBatch persists keys that are about to be sent.
+// writeKeyBatch persists keys whose requests are about to be sent.
 func (n *Node) writeKeyBatch(keys []store.Key) error {
 	s := n.resources().store
 	if s == nil {
@@ -76,7 +76,7 @@
 		return err
 	}
 	n.counters.keysPersisted += int64(len(keys))
-	for _, key := range keys { // for peers that recover; repeats within this incarnation do not need them
+	for _, key := range keys { // for recovering peers; repeats within this incarnation do not need them
 		n.keys.AddSent(messaging.Key(key))
 	}
 	return nil
--- a/internal/fleet/keywriter.go
+++ b/internal/fleet/keywriter.go
@@ -9,36 +9,37 @@
 )
 
 const (
-	// keyQueueLength is how many keys may wait for the disk. A request whose key finds the queue full waits to enter it.
+	// keyQueueLength is how many keys may wait to be written. If the queue is full, a request waits until its key can
+	// be queued.
 	keyQueueLength = 1024
-	// maxKeyBatch bounds the keys that become durable by one sync.
+	// maxKeyBatch limits the number of keys persisted by one sync.
 	maxKeyBatch = 512
 )
 
-// KeyTimeoutError means that a key was not durable within the key timeout.
+// KeyTimeoutError reports that a key was not durable within the key timeout.
 type KeyTimeoutError struct{ Timeout time.Duration }
 
-// Error names the timeout.
+// Error returns a message with the timeout.
 func (e *KeyTimeoutError) Error() string { return fmt.Sprintf("key: not on disk within %v", e.Timeout) }
 
-// keyWriter persists keys in batches, so that requests that come at the same time share a sync.
+// keyWriter persists keys in batches, so that concurrent requests share a sync.
 type keyWriter struct {
 	timeout time.Duration // for a key to become durable
 	queue   chan pendingKey
 }
 
-// pendingKey is a key on its way to the disk.
+// pendingKey is a key that waits to be written.
 type pendingKey struct {
 	key       store.Key
-	persisted chan error // receives the result of the write; its request may have stopped waiting
+	persisted chan error // receives the write result; buffered, because the request may have stopped waiting
 }
 
 func newKeyWriter(timeout time.Duration) *keyWriter {
 	return &keyWriter{timeout: timeout, queue: make(chan pendingKey, keyQueueLength)}
 }
 
-// persist returns once a key is durable, or with a KeyTimeoutError. After a timeout the key may become durable later,
-// which does no harm.
+// persist returns nil once a key is durable, and a KeyTimeoutError after the timeout. The key may still become durable
+// after the timeout, which is harmless.
 func (w *keyWriter) persist(ctx context.Context, key store.Key) error {
 	pending := pendingKey{key: key, persisted: make(chan error, 1)}
 	ctx, cancel := context.WithTimeoutCause(ctx, w.timeout, &KeyTimeoutError{Timeout: w.timeout})
@@ -56,7 +57,7 @@
 	}
 }
 
-// run passes the keys to write until ctx ends. Keys that come during one write are in the next batch.
+// run passes batches of keys to write until ctx ends. Keys queued during a write go into the next batch.
 func (w *keyWriter) run(ctx context.Context, write func([]store.Key) error) {
 	for {
 		batch := w.nextBatch(ctx)
@@ -74,7 +75,7 @@
 	}
 }
 
-// nextBatch waits for a key, and returns it with those that are queued behind it. It returns none if ctx ends.
+// nextBatch waits for a key, and returns it with the keys queued after it. It returns no keys if ctx ends.
 func (w *keyWriter) nextBatch(ctx context.Context) (batch []pendingKey) {
 	select {
 	case pending := <-w.queue:
--- a/internal/fleet/keywriter_test.go
+++ b/internal/fleet/keywriter_test.go
@@ -38,7 +38,7 @@
 	}
 	assert.Eventually(t, func() bool { return len(w.queue) == waiting }, 5*time.Second, time.Millisecond)
 	proceed <- nil
-	assert.NoError(t, first.Wait(), "the error of a later batch is not its own")
+	assert.NoError(t, first.Wait(), "the first key must not get the error of the later batch")
 	assert.Equal(t, waiting, <-writing)
 	proceed <- errDisk
 	assert.NoError(t, others.Wait())
--- a/internal/fleet/metrics.go
+++ b/internal/fleet/metrics.go
@@ -5,21 +5,21 @@
 	"canvasroute/internal/protocol"
 )
 
-// counters are what the metrics count since the process started. Node.mu guards them.
+// counters are the values of the metrics since the process started. Node.mu guards them.
 type counters struct {
 	factsTrusted     int64 // stored facts that were restored
-	factsDropped     int64 // stored facts that were damaged or not trusted
+	factsDropped     int64 // stored facts that were corrupt or not trusted
 	stateWrites      int64
 	stateFailures    int64 // writes of the state or the incarnation that failed
 	stateFailing     bool  // the last write of the state failed
 	keysPersisted    int64
 	keysLost         int64 // keys that could not be persisted
-	repeatsToGroup   int64 // requests that went to the dedup group of an earlier attempt
-	repeatsFailed    int64 // requests that failed since nobody could tell where an earlier attempt may have run
-	requestsRejected int64 // by the recovery
+	repeatsToGroup   int64 // requests sent to the dedup group of an earlier attempt
+	repeatsFailed    int64 // requests failed because the worker of an earlier attempt is unknown
+	requestsRejected int64 // rejected during recovery
 }
 
-// Metrics returns what operators read in the answer to DUMP. Names and order are their interface.
+// Metrics returns the metrics in the answer to DUMP. Operators rely on their names and order.
 func (n *Node) Metrics() []protocol.Metric {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -47,7 +47,7 @@
 	return append(metrics, socketMetrics(n.owned.socket)...)
 }
 
-// socketMetrics returns the metrics of the socket, none before there is one.
+// socketMetrics returns the metrics of the socket, or none if there is no socket.
 func socketMetrics(socket *messaging.Socket) []protocol.Metric {
 	if socket == nil {
 		return nil
--- a/internal/fleet/node.go
+++ b/internal/fleet/node.go
@@ -1,11 +1,11 @@
-// Package fleet lets the dispatchers of a fleet return to service after an outage, where operators have written a fleet
-// file. Without that file none of it runs.
+// Package fleet recovers dispatchers of a fleet after an outage. It is used only if operators have configured a fleet
+// file.
 //
-// The package reads the file. Its Node persists what a dispatcher needs after a restart, queries the peers, and applies
-// the decisions of package recovery to the proxy and the balancer.
+// The package reads the fleet file. Its Node persists the data that a dispatcher needs after a restart, queries the
+// peers, and applies the decisions of package recovery to the proxy and the balancer.
 //
-// It does not decide which phase comes when (package recovery), what a record looks like (package store) or a message
-// (package messaging), and it routes no request.
+// Package recovery defines the phases, package store the format of records, and package messaging the format of
+// messages. Package fleet routes no requests.
 package fleet
 
 import (
@@ -26,74 +26,74 @@
 	"canvasroute/internal/proxy"
 )
 
-// Config is what a node has to know of the dispatcher that it is part of.
+// Config describes the dispatcher that a Node belongs to.
 type Config struct {
 	Name           string               // of the dispatcher
 	Position       int                  // among the members
-	SettingsHash   string               // of the settings in use, for operators who look at the stored state
+	SettingsHash   string               // hash of the settings in use, for operators who inspect the stored state
 	Kinds          []string             // names of the kinds of workers, by balancer.KindID
-	DedupWindow    time.Duration        // the longest time in which workers drop the repeats of a key
-	WarmupDuration time.Duration        // from a worker's start until it is warm
-	MaxRetryAfter  time.Duration        // the most that a client is advised to wait, 0 to give no advice
-	IsSuccessor    bool                 // in a hot restart: the predecessor yields the folder and the address
-	Now            func() balancer.Time // the clock of the balancer
+	DedupWindow    time.Duration        // longest duration for which workers drop repeats of a key
+	WarmupDuration time.Duration        // duration from a worker's start until it is warm
+	MaxRetryAfter  time.Duration        // maximum retry delay advised to clients, 0 to give no advice
+	IsSuccessor    bool                 // this process is the successor in a hot restart
+	Now            func() balancer.Time // clock of the balancer
 	Log            zerolog.Logger
 }
 
-// Node recovers one dispatcher, and persists what it needs for the next recovery. Its methods may be called by several
-// goroutines, after Attach.
+// Node recovers one dispatcher, and persists the data for its next recovery. After Attach its methods are safe for
+// concurrent use.
 type Node struct {
 	settings  *Settings
 	config    Config
 	log       zerolog.Logger
 	startedAt time.Time // of the process
 
-	proxy    *proxy.Proxy     // from Attach
-	balancer *balancer.Shards // from Attach
+	proxy    *proxy.Proxy     // set by Attach
+	balancer *balancer.Shards // set by Attach
 
 	keyWriter      *keyWriter
-	stateChanged   chan struct{}             // the state machine is to be called
-	ownerChanges   chan socketOwner          // from YieldSocket and ReclaimSocket
-	storedCapacity func() map[string]float64 // by kind of worker, from the recovered state; decoded once
+	stateChanged   chan struct{}             // wakes tick to call the state machine
+	ownerChanges   chan socketOwner          // sent by YieldSocket and ReclaimSocket
+	storedCapacity func() map[string]float64 // by kind of worker, from the recovered state; decoded on the first call
 
-	mu          sync.Mutex // guards the fields below; never held during a write to disk
+	mu          sync.Mutex // guards the fields below; never held during a disk write
 	machine     *recovery.StateMachine
 	keys        *recovery.Keys
 	owned       ownedResources
-	recovered   store.Recovered      // what the folder held when this process acquired it
-	successor   bool                 // this process takes over from another one
-	replies     []recovery.PeerReply // not merged yet
-	restoring   bool                 // the recovered state is being restored, or has been
-	admitting   bool                 // it has been restored: requests may come
-	phaseReason string               // why the phase began, as operators read it
+	recovered   store.Recovered      // data in the folder when this process acquired it
+	successor   bool                 // this process takes over from a predecessor
+	replies     []recovery.PeerReply // not yet merged
+	restoring   bool                 // restoring the recovered state has started
+	admitting   bool                 // the recovered state has been restored, so requests may be admitted
+	phaseReason string               // why the phase started, for logs and answers to operators
 	counters    counters
 }
 
-// ownedResources are what only one process of a name has. folder and store are nil while another process has them; socket
-// is closed then.
+// ownedResources are the resources that only one process of a name may own. While another process owns them, folder and
+// store are nil and socket is closed.
 type ownedResources struct {
-	folder *store.Folder // also nil if the folder cannot be used
-	store  *store.Store  // nil with folder
+	folder *store.Folder // also nil if the folder is unusable
+	store  *store.Store  // nil if folder is nil
 	socket *messaging.Socket
 }
 
-// NameConflictError means that another process, which is no predecessor, has the folder or the address of this
+// NameConflictError reports that another process, which is not the predecessor, owns the folder or the address of this
 // dispatcher.
 type NameConflictError struct {
-	Name string // of the dispatcher
-	Err  error  // store.ErrLocked, or the error of the socket
+	Name string // name of the dispatcher
+	Err  error  // store.ErrLocked or the error of the socket
 }
 
-// Error names the dispatcher and what is taken.
+// Error returns a message with the name and the underlying error.
 func (e *NameConflictError) Error() string {
 	return fmt.Sprintf("two that go under the name %q: %v", e.Name, e.Err)
 }
 
-// Unwrap returns what is taken.
+// Unwrap returns the underlying error.
 func (e *NameConflictError) Unwrap() error { return e.Err }
 
-// Open returns a node that has locked and read the folder, and listens at its address. A successor does both later,
-// when it runs. Open fails with a NameConflictError if another process has not left them within the identity timeout.
+// Open returns a node that has locked and read the folder and listens on its address. A successor does both later, in
+// Run. Open fails with a NameConflictError if another process has not released them within the identity timeout.
 func Open(ctx context.Context, settings *Settings, config Config) (*Node, error) {
 	n := &Node{
 		settings:     settings,
@@ -123,7 +123,7 @@
 	}
 }
 
-// newStateMachine returns the state machine for the settings.
+// newStateMachine returns a state machine configured from the settings.
 func newStateMachine(settings *Settings, config *Config) *recovery.StateMachine {
 	var members []string
 	for _, member := range settings.Members {
@@ -145,24 +145,24 @@
 	})
 }
 
-// slowStartMargin is how much longer than a worker's warm-up the slow start may last.
+// slowStartMargin is added to the warm-up duration of a worker to get the maximum duration of the slow start.
 const slowStartMargin = time.Second
 
-// Attach sets the proxy and the balancer that the node acts on. It is called once, before anything runs.
+// Attach sets the proxy and the balancer of the node. It must be called once, before Run and before the first request.
 func (n *Node) Attach(p *proxy.Proxy, shards *balancer.Shards) {
 	n.proxy = p
 	n.balancer = shards
 }
 
-// uptime returns the time since the process started, which is the clock of the state machine.
+// uptime returns the time since the process started, as used by the state machine.
 func (n *Node) uptime() time.Duration { return time.Since(n.startedAt) }
 
-// errShutdownTimeout means that the disk did not finish in time.
-var errShutdownTimeout = errors.New("the disk does not answer")
+// errShutdownTimeout reports that the final disk writes did not complete in time.
+var errShutdownTimeout = errors.New("the disk did not respond in time")
 
-// Run recovers the dispatcher and persists its state until ctx ends. If the disk hangs then, Run returns after the
-// identity timeout, and the goroutine that waits for the disk ends with the process. Operators would kill a process
-// that does not end; either way the next incarnation treats this one as crashed.
+// Run recovers the dispatcher and persists its state until ctx ends. If the disk hangs at shutdown, Run returns after
+// the identity timeout and leaves the goroutine that waits for the disk running until the process exits. Otherwise
+// operators would have to kill the process. In both cases the next incarnation treats this one as crashed.
 func (n *Node) Run(ctx context.Context) error {
 	ended := make(chan error, 1)
 	go func() { ended <- n.run(ctx) }()
@@ -180,8 +180,8 @@
 	}
 }
 
-// runIncarnation runs the goroutines of this node until ctx ends, or until the folder and the address are to be yielded.
-// Then it releases both.
+// runIncarnation runs the goroutines of this node until ctx ends or the folder and the address must be yielded. It then
+// releases both.
 func (n *Node) runIncarnation(ctx context.Context) error {
 	running, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -204,7 +204,7 @@
 	return err
 }
 
-// sleep waits, and returns false if ctx ends before.
+// sleep waits for the duration, and returns false if ctx ends first.
 func sleep(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-time.After(d):
--- a/internal/fleet/node_test.go
+++ b/internal/fleet/node_test.go
@@ -18,14 +18,14 @@
 	"canvasroute/internal/proxy"
 )
 
-// hungDisk is a disk whose syncs do not end before the test does.
+// hungDisk is a disk whose syncs block until the test ends.
 type hungDisk struct {
 	*store.Memory
-	syncing chan struct{} // receives a value once a sync has begun
-	ended   chan struct{} // closed with the test
+	syncing chan struct{} // receives a value when a sync starts
+	ended   chan struct{} // closed when the test ends
 }
 
-// Sync waits for the end of the test.
+// Sync blocks until the test ends.
 func (d hungDisk) Sync(string) error {
 	select {
 	case d.syncing <- struct{}{}:
@@ -35,7 +35,7 @@
 	return nil
 }
 
-// freeAddress returns a UDP address of this machine at which nobody listens.
+// freeAddress returns an unused local UDP address.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	conn, err := net.ListenPacket("udp", "127.0.0.1:0")
@@ -44,7 +44,7 @@
 	return conn.LocalAddr().String()
 }
 
-// settingsOfOne returns the settings of a fleet of one dispatcher, n0, with a folder of its own.
+// settingsOfOne returns the settings of a fleet with the single dispatcher n0 and a temporary state folder.
 func settingsOfOne(t *testing.T) *Settings {
 	t.Helper()
 	dir := t.TempDir()
@@ -72,7 +72,7 @@
 	return Config{Name: "n0", Now: func() balancer.Time { return 0 }, Log: zerolog.Nop()}
 }
 
-// newNodeOnHungDisk returns a node of a fleet of one whose store is on a disk that hangs.
+// newNodeOnHungDisk returns the node of a single-dispatcher fleet whose store is on a hung disk.
 func newNodeOnHungDisk(t *testing.T) (*Node, hungDisk) {
 	t.Helper()
 	n, err := Open(context.Background(), settingsOfOne(t), configOfOne())
@@ -83,7 +83,7 @@
 	return n, disk
 }
 
-// assertDoesNotWait fails the test if an operation takes longer than anybody should wait.
+// assertDoesNotWait fails the test if an operation takes longer than 5 seconds.
 func assertDoesNotWait(t *testing.T, name string, operation func()) {
 	t.Helper()
 	const limit = 5 * time.Second
@@ -95,12 +95,11 @@
 	select {
 	case <-done:
 	case <-time.After(limit):
-		t.Fatalf("%s waits for the disk", name)
+		t.Fatalf("%s blocked on the disk", name)
 	}
 }
 
-// If a sync that takes seconds held the node's lock, all requests would wait for it, and clients would give up
-// unanswered.
+// If a slow sync held the node's lock, all requests would wait for it, and clients would time out.
 func TestOnlyKeysWaitForADiskThatHangs(t *testing.T) {
 	n, disk := newNodeOnHungDisk(t)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -122,7 +121,7 @@
 	}
 }
 
-// A process that waits for its disk at the end would be killed by its operators.
+// If the shutdown waited for a hung disk, operators would have to kill the process.
 func TestShutdownDoesNotWaitForADiskThatHangs(t *testing.T) {
 	n, disk := newNodeOnHungDisk(t)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -133,7 +132,7 @@
 	assertDoesNotWait(t, "the shutdown", func() { assert.NoError(t, <-ended) })
 }
 
-// Two processes under one name would answer each other's queries and write one folder.
+// Two processes under one name would answer each other's queries and write to the same folder.
 func TestSecondProcessOfANameIsRefused(t *testing.T) {
 	settings := settingsOfOne(t)
 	folder, err := store.OpenFolder(settings.State.Folder)
--- a/internal/fleet/operators_test.go
+++ b/internal/fleet/operators_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// TestCounterNamesOfDump pins the names that operators read in the answer to DUMP, in their order.
+// TestCounterNamesOfDump checks the names and the order of the metrics in the answer to DUMP, which operators rely on.
 func TestCounterNamesOfDump(t *testing.T) {
 	node, _ := newNodeOnHungDisk(t)
 	defer func() { assert.NoError(t, node.owned.socket.Close()) }()
@@ -26,7 +26,7 @@
 	}, names)
 }
 
-// TestEachKeyOfTheFleetFile pins the keys of the operators' file: each is read, with a value that is not its default.
+// TestEachKeyOfTheFleetFile checks that each key of the fleet file is read, using values other than the defaults.
 func TestEachKeyOfTheFleetFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "fleet.toml")
 	assert.NoError(t, os.WriteFile(path, []byte(`
@@ -58,11 +58,12 @@
 	r := &want.Recovery
 	r.IdentityTimeout, r.EndpointsTimeout, r.PeersTimeout = ms(11), ms(12), ms(13)
 	r.ProbeTimeout, r.QueryInterval, r.KeyTimeout = ms(14), ms(15), ms(16)
-	want.ownAddress, want.memberAddresses = read.ownAddress, read.memberAddresses // derived
+	want.ownAddress, want.memberAddresses = read.ownAddress, read.memberAddresses // derived from the fields above
 	assert.Equal(t, want, read)
 }
 
-// TestDeployedFleetFileIsRead checks that the example in deploy has no key that is unknown, and what it leaves unsaid.
+// TestDeployedFleetFileIsRead checks that the example in deploy has no unknown key and sets the same values as the
+// defaults.
 func TestDeployedFleetFileIsRead(t *testing.T) {
 	const example = "../../deploy/fleet.toml"
 	read, err := Read(example, "n1", 1, 2)
@@ -73,8 +74,8 @@
 		"member = [{name = \"n0\", address = \"10.0.0.1:7950\"}, {name = \"n1\", address = \"10.0.0.2:7950\"}]\n"), 0o600))
 	defaults, err := Read(least, "n1", 1, 2)
 	assert.NoError(t, err)
-	assert.Equal(t, defaults, read, "the example states the defaults")
+	assert.Equal(t, defaults, read, "the example must set the default values")
 }
 
-// ms is a span in milliseconds.
+// ms returns a duration in milliseconds.
 func ms(n int) Duration { return Duration(time.Duration(n) * time.Millisecond) }
--- a/internal/fleet/peers.go
+++ b/internal/fleet/peers.go
@@ -10,8 +10,8 @@
 	"canvasroute/internal/protocol"
 )
 
-// mergeReplies merges what peers know into what is known here. In doubt the more cautious value counts: the latest
-// start of a worker, a drain that any of them knows, each key. Only of peers that serve do requests in flight count.
+// mergeReplies merges the data of peers into the local state. If data conflict, the more cautious value is used: the
+// latest start of a worker, any reported drain, and every key. Requests in flight are only used from peers that serve.
 func (n *Node) mergeReplies(replies []recovery.PeerReply) {
 	_, endpoints := n.proxy.Endpoints()
 	merged := newEndpointMerge(endpoints)
@@ -38,8 +38,8 @@
 	}
 }
 
-// mergeCapacity passes on how many requests a peer has seen workers process at once. The peer may have it from its disk,
-// which helps where this dispatcher's disk is lost.
+// mergeCapacity passes to the balancer the highest number of concurrent requests that a peer has observed per worker
+// kind. The peer may have read it from its disk, which helps if this dispatcher's disk is lost.
 func (n *Node) mergeCapacity(maxObserved map[string]float64) {
 	for name, observed := range maxObserved {
 		if kind := slices.Index(n.config.Kinds, name); kind >= 0 {
@@ -48,11 +48,11 @@
 	}
 }
 
-// endpointMerge collects what peers know of the listed workers that is later than the list.
+// endpointMerge collects updates of the listed workers from peers that are more recent than the endpoint list.
 type endpointMerge struct {
-	endpoints []protocol.Endpoint // with what was merged
-	positions map[string]int      // of endpoints, by worker
-	changed   []bool              // by position
+	endpoints []protocol.Endpoint // including the merged updates
+	positions map[string]int      // indexes of endpoints, by worker ID
+	changed   []bool              // by index of endpoints
 }
 
 func newEndpointMerge(endpoints []protocol.Endpoint) *endpointMerge {
@@ -63,7 +63,7 @@
 	return m
 }
 
-// merge adds what a peer knows of a worker, and reports whether the worker is listed.
+// merge adds a peer's data on a worker, and reports whether the worker is in the endpoint list.
 func (m *endpointMerge) merge(w messaging.Worker) (listed bool) {
 	position, listed := m.positions[w.ID]
 	if !listed {
@@ -81,7 +81,7 @@
 	return true
 }
 
-// changedEndpoints returns the endpoints of which a peer knew something later, in the order of the list.
+// changedEndpoints returns the updated endpoints, in the order of the list.
 func (m *endpointMerge) changedEndpoints() (changed []protocol.Endpoint) {
 	for position, e := range m.endpoints {
 		if m.changed[position] {
@@ -91,7 +91,7 @@
 	return changed
 }
 
-// answerQueries sends what is known here to the peers that have sent queries.
+// answerQueries sends the data of this dispatcher to the peers that have queried it.
 func (n *Node) answerQueries(socket *messaging.Socket, queries []recovery.Query) {
 	known := recovery.LocalKnowledge{MaxObserved: n.knownCapacity(), Workers: n.knownWorkers()}
 	var messages []recovery.Addressed
@@ -108,8 +108,8 @@
 	}
 }
 
-// knownWorkers returns the listed workers of which something is known that a peer may lack: a start, a state other than
-// ready, or requests in flight from here.
+// knownWorkers returns the listed workers with data that a peer may lack: a start time, a state other than ready, or
+// requests in flight from this dispatcher.
 func (n *Node) knownWorkers() (workers []messaging.Worker) {
 	_, endpoints := n.proxy.Endpoints()
 	inFlight := n.proxy.InFlightByWorker()
@@ -128,11 +128,11 @@
 	return workers
 }
 
-// minObservedCapacity is a worker's capacity, in requests at once, that needs no observation: any worker processes one.
+// minObservedCapacity is the concurrency of a worker that needs no observation: every worker can process one request.
 const minObservedCapacity = 1
 
-// knownCapacity returns the most requests at once that workers of each kind have been seen to process. Before the stored
-// state is restored, what it says counts beside what this process has seen.
+// knownCapacity returns the highest number of requests that workers of each kind have processed concurrently. Until the
+// stored state is restored, the result includes the stored values.
 func (n *Node) knownCapacity() map[string]float64 {
 	capacity := map[string]float64{}
 	for kind, observed := range n.balancer.MaxObserved() {
--- a/internal/fleet/phases.go
+++ b/internal/fleet/phases.go
@@ -9,13 +9,13 @@
 )
 
 const (
-	// capacityInterval is how often the workers' capacity is read while a phase depends on it.
+	// capacityInterval is how often the workers' capacity is read during phases that depend on it.
 	capacityInterval = 50 * time.Millisecond
-	// minTickWait bounds how often the state machine is called by time alone.
+	// minTickWait is the minimum delay between two timed calls of the state machine.
 	minTickWait = time.Millisecond
 )
 
-// tick calls the state machine when it asks for it and when something has changed, until ctx ends.
+// tick calls the state machine when its timer expires and when notify is called, until ctx ends.
 func (n *Node) tick(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -68,22 +68,21 @@
 	event(n.machine, n.uptime())
 }
 
-// notify makes tick call the state machine.
+// notify wakes tick to call the state machine.
 func (n *Node) notify() {
 	select {
 	case n.stateChanged <- struct{}{}:
-	default: // tick is about to run
+	default: // a wake-up is already pending
 	}
 }
 
-// receive passes a message of a member to the state machine.
+// receive passes a message from a member to the state machine.
 func (n *Node) receive(from int, msg *messaging.Message) {
 	n.update(func(machine *recovery.StateMachine, uptime time.Duration) { machine.Receive(uptime, from, msg) })
 	n.carryOut()
 }
 
-// carryOut carries out the actions of the state machine. What has to be durable comes first, then what is restored or
-// merged, and last what is sent.
+// carryOut executes the actions of the state machine: first it persists, then it restores or merges, and last it sends.
 func (n *Node) carryOut() {
 	n.mu.Lock()
 	actions := n.machine.TakeActions()
@@ -111,18 +110,20 @@
 	}
 }
 
-// reportTransitions logs the phases that have begun. The caller holds mu.
+// reportTransitions logs the phases that have started. The caller holds mu.
 func (n *Node) reportTransitions(transitions []recovery.Transition) {
 	for _, t := range transitions {
 		n.phaseReason = t.Reason
-		// The testbed and operators look for this message and its fields.
+		// The testbed and operators match this message and its fields.
+		// The testbed and operators match this message and its fields.
 		n.log.Info().Stringer("phase", t.Phase).Str("why", t.Reason).Dur("at_ms", t.At).
 			Stringer("case", n.machine.Outage()).Msg("returning")
 	}
 }
 
-// takeReplies adds replies to those that wait. Once the phase admits requests it returns all of them, to be merged. The
-// first time restoreNow is true, unless the balancer has its state from a predecessor. The caller holds mu.
+// takeReplies queues replies until the phase admits requests, and then returns all queued replies to be merged.
+// restoreNow is true the first time, unless the balancer has inherited its state from a predecessor. The caller holds
+// mu.
 func (n *Node) takeReplies(received []recovery.PeerReply) (replies []recovery.PeerReply, restoreNow bool) {
 	n.replies = append(n.replies, received...)
 	if n.machine.Phase().Admits() {
@@ -142,13 +143,13 @@
 	n.notify()
 }
 
-// EndpointsUnavailable records that the discovery service did not answer, or no longer answers.
+// EndpointsUnavailable records that the discovery service did not answer, or has stopped answering.
 func (n *Node) EndpointsUnavailable() {
 	n.update((*recovery.StateMachine).EndpointsUnavailable)
 	n.notify()
 }
 
-// StoredEndpointsLoaded records that the proxy has an endpoint list to start with, perhaps an old one.
+// StoredEndpointsLoaded records that the proxy has an initial endpoint list, possibly an outdated one.
 func (n *Node) StoredEndpointsLoaded() {
 	n.update((*recovery.StateMachine).StoredEndpointsLoaded)
 }
--- a/internal/fleet/recovery/admission.go
+++ b/internal/fleet/recovery/admission.go
@@ -5,56 +5,58 @@
 	"time"
 )
 
-// Capacity is how many requests the workers can process at once, as the balancer sees it.
+// Capacity is the balancer's estimate of how many requests the workers can process concurrently.
 type Capacity struct {
-	Workers int     // that take requests
-	Warm    float64 // requests at once of all workers together, once they are warm; 0 while unknown
-	Now     float64 // the same at their present warm-up; n slots process n seconds of work per second
+	Workers int     // number of workers that accept requests
+	Warm    float64 // concurrent requests of all workers once they are warm; 0 if unknown
+	Now     float64 // concurrent requests at the current warm-up level; n slots process n seconds of work per second
 }
 
-// isWarm reports whether the workers have nearly the capacity of warm ones.
+// isWarm reports whether the current capacity is at least warmCapacityShare of the warm capacity.
 func (c Capacity) isWarm() bool { return c.Warm > 0 && c.Now >= warmCapacityShare*c.Warm }
 
-// Admission is the answer to a request that wants to come in.
+// Admission is the decision on whether to admit a request.
 type Admission struct {
 	Admitted   bool
-	RetryAfter time.Duration // when the client of a rejected request should retry, 0 for no advice
+	RetryAfter time.Duration // delay after which the client of a rejected request should retry, 0 for no advice
 }
 
-// admission is the load that this dispatcher takes before it serves in full.
+// admission tracks the load that this dispatcher admits before it enters Serving.
 type admission struct {
 	capacity       Capacity
-	inFlight       int           // admitted requests that have not ended
-	succeeded      int           // admitted requests
-	lastRejectedAt time.Duration // since the process started; 0 before the first rejection
+	inFlight       int           // admitted requests that are still in progress
+	succeeded      int           // admitted requests that succeeded
+	lastRejectedAt time.Duration // time since the process started; 0 before the first rejection
 
-	demand     time.Duration // processing time of the requests that came, decaying over demandWindow
-	demandAt   time.Duration // when demand was last brought up to date
-	lastBusyAt time.Duration // when a request was last rejected, or demand above what may be served in full
+	demand     time.Duration // processing time of all received requests, decaying with the time constant demandWindow
+	demandAt   time.Duration // when demand was last updated
+	lastBusyAt time.Duration // when a request was last rejected or demand last exceeded the limit for Serving
 }
 
 const (
-	// warmCapacityShare of the warm workers' capacity counts as all of it.
+	// warmCapacityShare is the share of the warm capacity that counts as fully warmed up.
 	warmCapacityShare = 0.9
-	// fullServiceDemandShare of the present capacity may be demanded when every request is admitted.
+	// fullServiceDemandShare is the highest share of the current capacity that demand may use to allow the switch to
+	// Serving.
 	fullServiceDemandShare = 0.7
-	// lowDemandDuration is how long demand has to be that low. One quiet moment is not enough to serve in full.
+	// lowDemandDuration is how long demand must stay within that limit. A short dip in demand is not enough.
 	lowDemandDuration = 500 * time.Millisecond
-	// demandWindow is the time constant over which demand is averaged.
+	// demandWindow is the time constant of the moving average of demand.
 	demandWindow = time.Second
-	// minRetryAfterDivisor sets the shortest retry advice: the longest one divided by it.
+	// minRetryAfterDivisor sets the minimum retry delay as a fraction of the maximum: MaxRetryAfter /
+	// minRetryAfterDivisor.
 	minRetryAfterDivisor = 4
 )
 
-// SetCapacity records the workers' capacity.
+// SetCapacity records the current capacity of the workers.
 func (s *StateMachine) SetCapacity(now time.Duration, capacity Capacity) {
 	s.now = now
 	s.admission.capacity = capacity
 	s.advance()
 }
 
-// Admit decides whether a request may come in. size is its expected processing time at a warm worker. Before Serving each
-// admitted request is to be ended by RequestSucceeded or RequestFailed.
+// Admit decides whether to admit a request. size is its expected processing time on a warm worker. The caller must
+// report the end of each request admitted before Serving with RequestSucceeded or RequestFailed.
 func (s *StateMachine) Admit(now, size time.Duration) Admission {
 	s.now = now
 	if s.phase == Serving {
@@ -69,7 +71,7 @@
 	return Admission{RetryAfter: s.drawRetryAfter()}
 }
 
-// admitsOneMore reports whether the phase's rule admits a request beside those in flight.
+// admitsOneMore reports whether the current phase allows another request in addition to those in flight.
 func (s *StateMachine) admitsOneMore() bool {
 	switch s.phase.rule().admission {
 	case admitProbes:
@@ -80,26 +82,27 @@
 	return false
 }
 
-// probeLimit returns how many requests may be in flight while nobody knows whether workers answer: one for each worker,
-// shared with the other dispatchers.
+// probeLimit returns how many requests may be in flight while it is unknown whether workers respond: one per worker,
+// divided by the number of active dispatchers, but at least one.
 func (s *StateMachine) probeLimit() int {
 	return max(1, s.admission.capacity.Workers/s.activeDispatchers())
 }
 
-// drawRetryAfter draws a time between a fraction of MaxRetryAfter and all of it, so that clients do not return in step.
+// drawRetryAfter returns a random delay between MaxRetryAfter/minRetryAfterDivisor and MaxRetryAfter, which keeps
+// clients from retrying simultaneously.
 func (s *StateMachine) drawRetryAfter() time.Duration {
 	longest := s.config.MaxRetryAfter
 	return longest/minRetryAfterDivisor +
 		time.Duration(s.rng.Float64()*float64(longest)*(minRetryAfterDivisor-1)/minRetryAfterDivisor)
 }
 
-// RequestSucceeded records that a request that was admitted before Serving has ended with a result.
+// RequestSucceeded records that a request admitted before Serving has completed with a result.
 func (s *StateMachine) RequestSucceeded(now time.Duration) {
 	s.admission.succeeded++
 	s.requestEnded(now)
 }
 
-// RequestFailed records that a request that was admitted before Serving has ended without a result.
+// RequestFailed records that a request admitted before Serving has ended without a result.
 func (s *StateMachine) RequestFailed(now time.Duration) { s.requestEnded(now) }
 
 func (s *StateMachine) requestEnded(now time.Duration) {
@@ -108,24 +111,24 @@
 	s.advance()
 }
 
-// addDemand adds a request that came, admitted or not.
+// addDemand adds the processing time of a received request, whether it was admitted or rejected.
 func (a *admission) addDemand(now, size time.Duration) {
 	a.demand = time.Duration(float64(a.demand)*demandDecay(now-a.demandAt)) + size
 	a.demandAt = now
 }
 
-// demandRate returns the averaged demand in seconds of processing time per second.
+// demandRate returns the average demand in seconds of processing time per second.
 func (a *admission) demandRate(now time.Duration) float64 {
 	return float64(a.demand) * demandDecay(now-a.demandAt) / demandWindow.Seconds() / float64(time.Second)
 }
 
-// demandDecay returns the share that is left of the demand after a while.
+// demandDecay returns the fraction of demand that remains after the elapsed time.
 func demandDecay(elapsed time.Duration) float64 {
 	return math.Exp(-float64(elapsed) / float64(demandWindow))
 }
 
-// demandWithinCapacity reports whether for lowDemandDuration no request has been rejected, and demand has been well
-// within this dispatcher's share of the workers' present capacity.
+// demandWithinCapacity reports whether, for at least lowDemandDuration, no request has been rejected and demand has
+// stayed below fullServiceDemandShare of this dispatcher's share of the workers' current capacity.
 func (s *StateMachine) demandWithinCapacity() bool {
 	a := &s.admission
 	limit := fullServiceDemandShare * a.capacity.Now / float64(s.activeDispatchers())
--- a/internal/fleet/recovery/admission_test.go
+++ b/internal/fleet/recovery/admission_test.go
@@ -10,7 +10,7 @@
 func TestProbingAdmitsFewRequestsUntilOneSucceeds(t *testing.T) {
 	s := newTestMachine(1, PreviousIncarnation{})
 	const size = 100 * ms
-	assert.False(t, s.Admit(0, size).Admitted, "before it may serve")
+	assert.False(t, s.Admit(0, size).Admitted, "request admitted before Probing")
 	s.EndpointsReceived(0)
 	s.Tick(time.Second)
 	assert.Equal(t, Probing, s.Phase())
@@ -24,10 +24,10 @@
 		assert.True(t, retryAfter >= 500*ms && retryAfter <= 2*time.Second, "%v", retryAfter)
 		delays[retryAfter] = true
 	}
-	assert.Len(t, delays, 20, "spread, so that clients do not return in step")
+	assert.Len(t, delays, 20, "retry delays must differ, so that clients do not retry simultaneously")
 	s.RequestFailed(1100 * ms)
 	assert.Equal(t, Probing, s.Phase())
-	assert.True(t, s.Admit(1200*ms, size).Admitted, "its place is free")
+	assert.True(t, s.Admit(1200*ms, size).Admitted, "the failed request must free its slot")
 	s.RequestSucceeded(1300 * ms)
 	assert.Equal(t, SlowStart, s.Phase())
 	s.SetCapacity(1400*ms, Capacity{Workers: 2, Warm: 6, Now: 3})
--- a/internal/fleet/recovery/heartbeats.go
+++ b/internal/fleet/recovery/heartbeats.go
@@ -8,11 +8,11 @@
 
 const (
 	heartbeatInterval  = time.Second
-	heartbeatReceivers = 2 // members that follow in the ring
+	heartbeatReceivers = 2 // number of ring successors that receive heartbeats
 )
 
-// sendHeartbeats sends the incarnation and the number of its persisted keys to the next members in the ring. A disk that
-// was reset to an earlier state cannot show that by itself; those members can.
+// sendHeartbeats sends the incarnation and the number of its persisted keys to the next members in the ring. A disk
+// that was reset to an earlier state cannot detect the reset by itself, but those members can.
 func (s *StateMachine) sendHeartbeats() {
 	if !s.phase.rule().sendsHeartbeats || s.now < s.nextHeartbeatAt {
 		return
@@ -25,8 +25,9 @@
 	}
 }
 
-// keysConfirmed reports whether each receiver of this dispatcher's heartbeats has answered, or the dedup window is over.
-// Before that its disk may have been reset to an earlier state, and only the receivers could tell.
+// keysConfirmed reports whether every receiver of this dispatcher's heartbeats has answered, or the dedup window has
+// passed. Until then this dispatcher's disk may have been reset to an earlier state, which only the receivers can
+// detect.
 func (s *StateMachine) keysConfirmed() bool {
 	if s.dedupWindowPassed() {
 		return true
--- a/internal/fleet/recovery/identity.go
+++ b/internal/fleet/recovery/identity.go
@@ -8,23 +8,23 @@
 	"canvasroute/internal/fleet/store"
 )
 
-// identity is what this dispatcher is, and what its disk held of its previous incarnation.
+// identity holds the current incarnation of this dispatcher and what its disk held of the previous one.
 type identity struct {
-	established   bool          // the fields below are known
-	incarnation   uint64        // number of this one
-	nonce         uint64        // drawn for this process, so that two with one incarnation differ
-	establishedAt time.Duration // since the process started; the dedup window of previous keys is counted from here
+	established   bool          // the fields below are set
+	incarnation   uint64        // number of the current incarnation
+	nonce         uint64        // random number of this process; distinguishes two processes with the same incarnation
+	establishedAt time.Duration // time since the process started; start of the dedup window of previous keys
 	previous      PreviousIncarnation
 	keysSuspect   bool   // keys of previous incarnations may be missing on this disk
-	persistedKeys uint64 // in this incarnation
+	persistedKeys uint64 // keys persisted in this incarnation
 }
 
-// PreviousIncarnation is what the disk held of the incarnation before this one.
+// PreviousIncarnation holds what the disk recorded of the incarnation before the current one.
 type PreviousIncarnation struct {
-	Incarnation   uint64                  // 0 for none
-	PersistedKeys uint64                  // in that incarnation, as far as they were read
-	KeysSuspect   bool                    // keys that were persisted may be missing
-	Peers         map[string]PeerProgress // what was known of peers, by name
+	Incarnation   uint64                  // 0 if there is none
+	PersistedKeys uint64                  // readable keys of that incarnation
+	KeysSuspect   bool                    // persisted keys may be missing
+	Peers         map[string]PeerProgress // by peer name
 }
 
 // KeysMark is a change of the durable mark that keys of previous incarnations may be missing.
@@ -37,7 +37,7 @@
 	ClearKeysSuspect
 )
 
-// PreviousIncarnationOf returns the previous incarnation of what a store recovered.
+// PreviousIncarnationOf returns the previous incarnation from the data that a store recovered.
 func PreviousIncarnationOf(recovered store.Recovered) PreviousIncarnation {
 	previous := PreviousIncarnation{
 		Incarnation:   recovered.Incarnation.Number,
@@ -50,8 +50,8 @@
 	return previous
 }
 
-// IdentityStored records which incarnation this is. The store has persisted it, or has failed to within IdentityTimeout.
-// Calls after the first one change nothing.
+// IdentityStored records the number of this incarnation, once the store has persisted it or has failed to do so within
+// IdentityTimeout. Only the first call has an effect.
 func (s *StateMachine) IdentityStored(now time.Duration, incarnation, nonce uint64, previous PreviousIncarnation) {
 	s.now = now
 	if s.identity.established {
@@ -71,26 +71,27 @@
 	s.advance()
 }
 
-// SetPersistedKeys records how many keys are durable in this incarnation. Heartbeats carry the number.
+// SetPersistedKeys records how many keys of this incarnation are durable. Heartbeats include this number.
 func (s *StateMachine) SetPersistedKeys(keys uint64) { s.identity.persistedKeys = keys }
 
-// IncarnationRaised records that a higher incarnation is durable, and announces it to the peers that are due a query.
+// IncarnationRaised records that a higher incarnation is durable, and queries the peers that are due with it.
 func (s *StateMachine) IncarnationRaised(now time.Duration, incarnation uint64) {
 	s.now = now
 	s.identity.incarnation = max(s.identity.incarnation, incarnation)
 	s.sendQueries()
 }
 
-// checkOwnName compares what a peer has received under this dispatcher's name with this process. What was last received
-// before this process started is of a previous incarnation, whose number this one has to exceed. What was received since
-// is of another process under the same name, of which the lower one gives way.
+// checkOwnName compares the incarnation that a peer last received under this dispatcher's name with this process. If
+// the peer received it before this process started, it belongs to a previous incarnation, and this process must use a
+// higher number. If the peer received it later, another process runs under the same name, and the process with the
+// lower incarnation or nonce is superseded.
 func (s *StateMachine) checkOwnName(reply *messaging.Message) {
 	nothingReceived := reply.YourIncarnation == 0
 	if nothingReceived || reply.YourNonce == s.identity.nonce {
 		return
 	}
 	if s.identity.previous.isOlderThan(reply) {
-		s.markKeysSuspect() // the disk was reset to an earlier state, which lacks the keys sent since
+		s.markKeysSuspect() // the disk was reset to an earlier state without the keys sent since
 	}
 	if reply.YourIncarnation < s.identity.incarnation {
 		return
@@ -105,7 +106,7 @@
 	}
 }
 
-// isOlderThan reports whether a peer knows a later incarnation than the disk held, or more keys of the same one.
+// isOlderThan reports whether a peer has received a later incarnation than the disk held, or more keys of the same one.
 func (p *PreviousIncarnation) isOlderThan(reply *messaging.Message) bool {
 	if reply.YourIncarnation == p.Incarnation {
 		return reply.YourPersistedKeys > p.PersistedKeys
@@ -113,7 +114,7 @@
 	return reply.YourIncarnation > p.Incarnation
 }
 
-// markKeysSuspect records that previous keys may be missing. The mark is durable, so that later incarnations have it too.
+// markKeysSuspect records that previous keys may be missing. The mark is durable so that later incarnations inherit it.
 func (s *StateMachine) markKeysSuspect() {
 	if !s.identity.keysSuspect {
 		s.identity.keysSuspect = true
@@ -121,8 +122,8 @@
 	}
 }
 
-// clearKeysSuspect ends the mark once an incarnation has run for a whole dedup window. The wall clock could not tell that
-// the window is over.
+// clearKeysSuspect clears the mark once an incarnation has run for a whole dedup window. The wall clock cannot be used
+// to detect the end of the window, because it may have jumped.
 func (s *StateMachine) clearKeysSuspect() {
 	if s.identity.established && s.identity.keysSuspect && s.dedupWindowPassed() {
 		s.identity.keysSuspect = false
@@ -130,14 +131,14 @@
 	}
 }
 
-// dedupWindowPassed reports whether every key of a previous incarnation has expired.
+// dedupWindowPassed reports whether all keys of previous incarnations have expired.
 func (s *StateMachine) dedupWindowPassed() bool {
 	return s.now >= s.identity.establishedAt+s.config.DedupWindow
 }
 
-// PeerKeysPending reports whether requests may have run under keys that are unknown here. That ends one dedup window
-// after the start. Before, it is so if this dispatcher or a peer may have lost keys, or a peer has not given its final
-// answer.
+// PeerKeysPending reports whether requests may have run under keys that this dispatcher does not have. This is the case
+// if this dispatcher or a peer may have lost keys, or if the final answer of a peer is missing, but never after one
+// dedup window since the start.
 func (s *StateMachine) PeerKeysPending(now time.Duration) bool {
 	if s.identity.established && now >= s.identity.establishedAt+s.config.DedupWindow {
 		return false
--- a/internal/fleet/recovery/identity_test.go
+++ b/internal/fleet/recovery/identity_test.go
@@ -17,7 +17,7 @@
 	s.Receive(10*ms, 1, reply)
 	actions := s.TakeActions()
 	assert.EqualValues(t, 8, actions.RaiseIncarnation)
-	assert.Equal(t, MarkKeysSuspect, actions.KeysMark, "the disk is older than that")
+	assert.Equal(t, MarkKeysSuspect, actions.KeysMark, "the disk is older than the reported incarnation")
 	assert.True(t, s.PeerKeysPending(20*ms))
 	s.IncarnationRaised(20*ms, 8)
 	assert.EqualValues(t, 8, s.Incarnation())
@@ -31,7 +31,7 @@
 func TestResetDiskIsDetectedByTheKeysThatPeersKnow(t *testing.T) {
 	for _, c := range []struct {
 		name  string
-		known uint64 // to the peer: keys of the previous incarnation, of which the disk holds 5
+		known uint64 // keys of the previous incarnation received by the peer; the disk holds 5
 		want  KeysMark
 	}{
 		{"as many keys as on disk", 5, KeepKeysMark},
@@ -49,11 +49,12 @@
 	}
 }
 
-// Peers receive messages of both processes that run under one name, and the lower one gives way.
+// If two processes run under one name, peers receive messages from both, and the process with the lower nonce must
+// stop.
 func TestLowerOfTwoProcessesUnderOneNameGivesWay(t *testing.T) {
 	for _, c := range []struct {
 		name  string
-		nonce uint64 // of the other process, where this one has 100
+		nonce uint64 // of the other process; this one has 100
 		want  Phase
 	}{
 		{"the other is lower", 99, AwaitingEndpoints},
@@ -70,7 +71,7 @@
 	}
 }
 
-// Two processes that both sent messages under one name would make peers drop the messages of the other one.
+// If two processes sent messages under one name, peers would drop the messages of one of them.
 func TestSupersededProcessSendsAndAdmitsNothing(t *testing.T) {
 	s := newTestMachine(4, PreviousIncarnation{Incarnation: 3})
 	s.EndpointsReceived(ms)
@@ -86,8 +87,8 @@
 	assert.Empty(t, s.TakeActions().Messages)
 }
 
-// A query begins a new incarnation at the peer that receives it. That peer still has to report the one before, or a reset
-// disk would not be detected.
+// The first query of a restarted dispatcher replaces its incarnation at the receiving peer. The reply must still report
+// the previous incarnation, or a reset disk would not be detected.
 func TestReplyReportsThePreviousIncarnationOfItsReceiver(t *testing.T) {
 	s := newTestMachine(1, PreviousIncarnation{})
 	s.Receive(ms, 1, &messaging.Message{Kind: messaging.Heartbeat, From: "d1", Incarnation: 4, Nonce: 44, PersistedKeys: 17})
@@ -98,17 +99,17 @@
 	assert.Equal(t, PeerProgress{
 		Incarnation: 5, Nonce: 55,
 		PreviousIncarnation: 4, PreviousNonce: 44, PreviousPersistedKeys: 17,
-	}, s.Peers()["d1"], "also after a restart of this one")
+	}, s.Peers()["d1"], "the stored progress must include the previous incarnation")
 }
 
-// A dispatcher that serves before the receivers of its heartbeats are back cannot know whether its disk was reset.
+// A dispatcher cannot detect that its disk was reset until the receivers of its heartbeats have answered.
 func TestKeysAreConfirmedByTheReceiversOfHeartbeats(t *testing.T) {
 	s := newTestMachine(2, PreviousIncarnation{Incarnation: 1})
 	s.TakeActions()
 	unconfirmed := func() bool { return s.Reply(Query{From: 3}, LocalKnowledge{})[0].KeysUnconfirmed }
 	assert.True(t, unconfirmed())
 	s.Receive(ms, 1, replyOf(s, 1, QueryingPeers))
-	assert.True(t, unconfirmed(), "d2 receives heartbeats too")
+	assert.True(t, unconfirmed(), "d2, which receives heartbeats too, has not answered")
 	s.Receive(ms, 2, replyOf(s, 2, QueryingPeers))
 	assert.False(t, unconfirmed())
 	s = newTestMachine(2, PreviousIncarnation{Incarnation: 1})
@@ -116,7 +117,7 @@
 	assert.False(t, unconfirmed(), "a dedup window has passed")
 }
 
-// A peer may answer before it knows whether its own disk was reset, and then lack keys that it has sent.
+// A peer may answer before it can tell whether its own disk was reset. Its answer may then lack keys that it has sent.
 func TestKeysArePendingUntilPeersAreSureOfTheirOwnDisks(t *testing.T) {
 	s := newTestMachine(2, PreviousIncarnation{Incarnation: 1})
 	peers := []int{1, 2, 3}
@@ -129,7 +130,7 @@
 		reply.KeysUnconfirmed = true
 		s.Receive(3*ms, peer, reply)
 	}
-	assert.True(t, s.PeerKeysPending(4*ms), "nor while they cannot tell")
+	assert.True(t, s.PeerKeysPending(4*ms), "keys of peers are still unconfirmed")
 	for _, peer := range peers {
 		s.Receive(5*ms, peer, replyOf(s, peer, Probing))
 	}
--- a/internal/fleet/recovery/keys.go
+++ b/internal/fleet/recovery/keys.go
@@ -7,19 +7,21 @@
 	"canvasroute/internal/fleet/messaging"
 )
 
-// Keys are the idempotency keys under which requests may have run. Those of previous incarnations, from this dispatcher's
-// disk and from peers, decide where a repeat goes. Keys that this incarnation sends are only reported to peers.
+// Keys holds the idempotency keys under which requests may have run. Keys of previous incarnations, from this
+// dispatcher's disk and from peers, decide where repeats are sent. Keys sent in this incarnation are only reported to
+// peers.
 type Keys struct {
 	dedupWindow time.Duration
-	previous    map[uint64]messaging.Key // by checksum, of all dispatchers
-	restored    map[uint64]messaging.Key // of previous, those of this dispatcher's own disk
-	sent        map[uint64]messaging.Key // by checksum, in this incarnation
+	previous    map[uint64]messaging.Key // by checksum; keys of all dispatchers
+	restored    map[uint64]messaging.Key // by checksum; the subset of previous from this dispatcher's own disk
+	sent        map[uint64]messaging.Key // by checksum; keys sent in this incarnation
 }
 
-// noSingleWorker is the worker of a key that was sent to several dedup groups, so that nobody knows where it ran.
+// noSingleWorker is the worker of a key that was sent to several dedup groups, so that the group that ran the request
+// is unknown.
 const noSingleWorker = ""
 
-// NewKeys returns an empty set of keys. dedupWindow is the longest time in which workers drop the repeats of a key.
+// NewKeys returns an empty set of keys. dedupWindow is the longest duration for which workers drop repeats of a key.
 func NewKeys(dedupWindow time.Duration) *Keys {
 	return &Keys{
 		dedupWindow: dedupWindow,
@@ -35,8 +37,8 @@
 	k.AddFromPeer(key)
 }
 
-// AddFromPeer adds a key of a previous incarnation of any dispatcher. Of two records of a key the one that expires later
-// counts; a key that went to two dedup groups counts as sent to neither.
+// AddFromPeer adds a key of a previous incarnation of any dispatcher. If there are two records of a key, the one that
+// expires later is kept. A key that was sent to two dedup groups is recorded with noSingleWorker.
 func (k *Keys) AddFromPeer(key messaging.Key) {
 	previous, known := k.previous[key.Sum]
 	switch {
@@ -50,17 +52,17 @@
 	k.previous[key.Sum] = key
 }
 
-// AddSent adds a key that this incarnation sends.
+// AddSent adds a key sent in this incarnation.
 func (k *Keys) AddSent(key messaging.Key) { k.sent[key.Sum] = key }
 
-// Count returns how many keys of previous incarnations are known.
+// Count returns the number of keys from previous incarnations.
 func (k *Keys) Count() int { return len(k.previous) }
 
-// ForPeers returns the keys of this dispatcher's own disk and incarnation that may not have expired, and forgets the
-// others. Keys from peers are left out: a dispatcher that recovers asks all members.
+// ForPeers returns the unexpired keys of this dispatcher's own disk and incarnation, and deletes the expired ones. Keys
+// from peers are omitted, because a recovering dispatcher queries all members.
 //
-// now is Unix time in ms, and uptime the time since the process started. The wall clock may have jumped, so it expires no
-// key before the process has run for a whole dedup window.
+// now is Unix time in ms, and uptime is the time since the process started. The wall clock may have jumped, so no key
+// expires before the process has run for a whole dedup window.
 func (k *Keys) ForPeers(now int64, uptime time.Duration) (keys []messaging.Key) {
 	for _, own := range []map[uint64]messaging.Key{k.restored, k.sent} {
 		for sum, key := range own {
@@ -74,25 +76,25 @@
 	return keys
 }
 
-// The reasons for which nobody can tell where a request under a key may have run.
+// The reasons why Find cannot determine where a request may have run.
 var (
-	ErrKeysPending      = errors.New("peers that may know the key have not answered")
-	ErrClockImplausible = errors.New("the wall clock does not fit the time at which the key was sent")
-	ErrSeveralGroups    = errors.New("the key went to two dedup groups")
+	ErrKeysPending      = errors.New("peers that may have the key have not answered")
+	ErrClockImplausible = errors.New("the wall clock is inconsistent with the send time of the key")
+	ErrSeveralGroups    = errors.New("the key was sent to two dedup groups")
 )
 
-// KeyLookup is a request whose key is looked up.
+// KeyLookup holds the parameters of Keys.Find.
 type KeyLookup struct {
 	Sum          uint64        // checksum of the operation and the key
-	MarkedRepeat bool          // the client marks the request as a repeat
-	KeysPending  bool          // requests may have run under keys that are unknown here
+	MarkedRepeat bool          // the client marked the request as a repeat
+	KeysPending  bool          // requests may have run under keys that this dispatcher does not have
 	Now          int64         // Unix time in ms
 	Uptime       time.Duration // since the process started
 }
 
-// Find returns where a request under a key may have run in a previous incarnation, nil for nowhere. It fails where the
-// request may have run and nobody can tell where, or whether the key has expired: with ErrKeysPending,
-// ErrClockImplausible or ErrSeveralGroups.
+// Find returns the record of where a request under a key may have run in a previous incarnation, or nil if it has not
+// run. It fails with ErrKeysPending, ErrClockImplausible or ErrSeveralGroups if the request may have run, but the
+// worker or the expiry of the key cannot be determined.
 func (k *Keys) Find(lookup KeyLookup) (*messaging.Key, error) {
 	key, known := k.previous[lookup.Sum]
 	if !known {
--- a/internal/fleet/recovery/keys_test.go
+++ b/internal/fleet/recovery/keys_test.go
@@ -42,5 +42,5 @@
 			assert.Equal(t, c.wantFound, key != nil)
 		})
 	}
-	assert.Len(t, keys.ForPeers(now, time.Second), 1, "keys from peers are not passed on")
+	assert.Len(t, keys.ForPeers(now, time.Second), 1, "keys from peers must not be forwarded")
 }
--- a/internal/fleet/recovery/outage.go
+++ b/internal/fleet/recovery/outage.go
@@ -2,26 +2,26 @@
 
 import "fmt"
 
-// Outage is how much of the fleet was down, as the peers' replies show. Its number is shown to operators.
+// Outage classifies how much of the fleet was down, based on the peers' replies. Metrics report its number.
 type Outage uint8
 
 // The values of Outage.
 const (
 	Undecided Outage = iota
-	OnlyThis         // every peer serves: they know better than this dispatcher's disk
+	OnlyThis         // every peer serves: their state is more recent than this dispatcher's disk
 	Partial          // some peers serve
-	FleetWide        // no peer serves: the newest of what all disks hold counts, and in doubt the more cautious value
+	FleetWide        // no peer serves: the newest data from all disks is used, and the more cautious value if in doubt
 )
 
-// outageNames are what operators read in logs.
+// outageNames are the names in log messages.
 var outageNames = [...]string{"undecided", "alone", "some", "all"}
 
-// String returns the name of the outage that operators read.
+// String returns the name of the outage as it appears in log messages.
 func (o Outage) String() string { return outageNames[o] }
 
-// classifyOutage returns how much of the fleet was down, and the counts that this follows from. It returns Undecided
-// while replies are missing and the phase has not timed out. After that a silent peer counts as down: what only it
-// knows is taken as unknown.
+// classifyOutage returns how much of the fleet was down, and the reply counts as the reason. It returns Undecided while
+// replies are missing and the phase has not timed out. After the timeout a silent peer counts as down, and any state
+// that only it holds is treated as unknown.
 func (s *StateMachine) classifyOutage() (outage Outage, reason string) {
 	answered := 0
 	serving := 0
--- a/internal/fleet/recovery/peers.go
+++ b/internal/fleet/recovery/peers.go
@@ -8,24 +8,24 @@
 	"canvasroute/internal/fleet/messaging"
 )
 
-// peer is what is known of one other dispatcher. What of it survives a restart is a PeerProgress.
+// peer holds the state of one other dispatcher. PeerProgress is the part of it that survives a restart.
 type peer struct {
-	incarnation   uint64       // the highest known, 0 while nothing is known
-	nonce         uint64       // of that incarnation
-	persistedKeys uint64       // in that incarnation, by its heartbeats
-	previous      PeerProgress // the incarnation before that one, about which it may ask
+	incarnation   uint64       // highest incarnation received, 0 if none
+	nonce         uint64       // nonce of that incarnation
+	persistedKeys uint64       // keys persisted in that incarnation, from its heartbeats
+	previous      PeerProgress // the incarnation before that one, which the peer's queries may ask for
 
-	received       bool          // a message has come since this process started
-	lastReceivedAt time.Duration // since this process started; without meaning unless received
-	phase          Phase         // the highest that a message of that incarnation has named
+	received       bool          // a message has arrived since this process started
+	lastReceivedAt time.Duration // time since this process started; only valid if received is true
+	phase          Phase         // highest phase in a message of that incarnation
 
 	query       queryState
-	answered    bool // a complete reply has come, and no further one is wanted about workers
-	answerFinal bool // that reply was final, so the peer is no longer queried
-	keysSuspect bool // keys that the peer should know may be missing
+	answered    bool // a complete reply has arrived, and no further reply about workers is needed
+	answerFinal bool // that reply was final, so the peer is not queried again
+	keysSuspect bool // the peer may have lost keys
 }
 
-// restore sets what the disk held of a peer.
+// restore sets the fields that the disk held of a peer.
 func (p *peer) restore(progress PeerProgress) {
 	p.incarnation = progress.Incarnation
 	p.nonce = progress.Nonce
@@ -37,7 +37,7 @@
 	}
 }
 
-// progress returns what is stored of a peer.
+// progress returns the fields of a peer to be stored.
 func (p *peer) progress() PeerProgress {
 	progress := p.currentProgress()
 	progress.PreviousIncarnation = p.previous.Incarnation
@@ -46,13 +46,14 @@
 	return progress
 }
 
-// currentProgress returns what is known of the highest incarnation alone.
+// currentProgress returns the progress of the highest incarnation, without the previous one.
 func (p *peer) currentProgress() PeerProgress {
 	return PeerProgress{Incarnation: p.incarnation, Nonce: p.nonce, PersistedKeys: p.persistedKeys}
 }
 
-// observe records the sender's incarnation and phase, and reports whether the message counts. One of an incarnation that
-// has ended does not: the highest one known counts, and of two processes with the same number the higher nonce.
+// observe records the sender's incarnation and phase, and reports whether the message is current. Messages of ended
+// incarnations are ignored. Of two processes with the same incarnation number, the one with the higher nonce is
+// current.
 func (p *peer) observe(msg *messaging.Message, now time.Duration) bool {
 	sameIncarnation := msg.Incarnation == p.incarnation
 	same := sameIncarnation && msg.Nonce == p.nonce
@@ -69,7 +70,7 @@
 	return true
 }
 
-// startIncarnation records that a peer has restarted. What it answered before still counts.
+// startIncarnation records a restart of the peer. Its earlier answers remain valid.
 func (p *peer) startIncarnation(msg *messaging.Message) {
 	if p.incarnation > 0 {
 		p.previous = p.currentProgress()
@@ -80,7 +81,7 @@
 	p.persistedKeys = 0
 }
 
-// receivePart records one part of a reply, and reports whether all of its parts have come.
+// receivePart records one part of a reply, and reports whether all parts have arrived.
 func (p *peer) receivePart(reply *messaging.Message) bool {
 	if len(p.query.receivedParts) != int(reply.Parts) {
 		p.query.receivedParts = make([]bool, reply.Parts)
@@ -90,31 +91,32 @@
 	return !slices.Contains(p.query.receivedParts, false)
 }
 
-// isSilent reports whether the peer has not answered although it has been queried more than once.
+// isSilent reports whether the peer has been queried more than once and has not answered.
 func (p *peer) isSilent() bool { return p.query.sent > 1 && !p.answered }
 
-// peerTable holds all members by position. The positions form a ring: the successors of a member are those that follow.
+// peerTable holds all members by position. The positions form a ring: the successors of a member are the positions
+// after it, wrapping around.
 type peerTable struct {
-	members []peer // the entry of this dispatcher itself is not used
+	members []peer // the entry of this dispatcher itself is unused
 	self    int
 
-	lastQueryNumber     uint32 // of all queries of this process, so that a reply names the one it answers
-	servingPeersQueried int    // serving peers that were queried about workers beside the successors
+	lastQueryNumber     uint32 // number of the last query of this process, to match replies to queries
+	servingPeersQueried int    // serving peers queried about workers in addition to the ring successors
 }
 
 func newPeerTable(members, self int) peerTable {
 	return peerTable{members: make([]peer, members), self: self}
 }
 
-// count returns how many peers there may be.
+// count returns the number of peers.
 func (t *peerTable) count() int { return len(t.members) - 1 }
 
-// isPeer reports whether a position is that of another member.
+// isPeer reports whether the position belongs to another member.
 func (t *peerTable) isPeer(position int) bool {
 	return position >= 0 && position < len(t.members) && position != t.self
 }
 
-// others yields every member but this one, by position.
+// others yields every member except this dispatcher, by position.
 func (t *peerTable) others() iter.Seq2[int, *peer] {
 	return func(yield func(int, *peer) bool) {
 		for position := range t.members {
@@ -125,10 +127,10 @@
 	}
 }
 
-// successor returns the position of the member that many steps further in the ring.
+// successor returns the position of the member the given number of steps ahead in the ring.
 func (t *peerTable) successor(steps int) int { return (t.self + steps) % len(t.members) }
 
-// successors yields the next members in the ring and their positions, at most the given number of them.
+// successors yields the next members in the ring with their positions, up to the given number.
 func (t *peerTable) successors(most int) iter.Seq2[int, *peer] {
 	return func(yield func(int, *peer) bool) {
 		for step := 1; step <= min(most, t.count()); step++ {
@@ -140,7 +142,7 @@
 	}
 }
 
-// Peers returns what is known of peers' incarnations and keys, by name. The caller stores it.
+// Peers returns the incarnations and key counts of peers by name, for the caller to store.
 func (s *StateMachine) Peers() map[string]PeerProgress {
 	progress := map[string]PeerProgress{}
 	for position, p := range s.peers.others() {
@@ -151,7 +153,7 @@
 	return progress
 }
 
-// PeersAnswered returns how many peers have sent a complete reply, and how many there may be.
+// PeersAnswered returns the number of peers that have sent a complete reply, and the number of peers.
 func (s *StateMachine) PeersAnswered() (answered, total int) {
 	for _, p := range s.peers.others() {
 		if p.answered {
@@ -161,8 +163,8 @@
 	return answered, s.peers.count()
 }
 
-// activeDispatchers returns how many dispatchers share the workers, this one included. While peers still have the time to
-// answer, all members count. Later a peer counts if a message of it has come since this process started.
+// activeDispatchers returns how many dispatchers share the workers, including this one. All members count up to the end
+// of QueryingPeers. After that a peer counts only if this process has received a message from it.
 func (s *StateMachine) activeDispatchers() int {
 	if s.phase <= QueryingPeers {
 		return len(s.peers.members)
--- a/internal/fleet/recovery/peers_test.go
+++ b/internal/fleet/recovery/peers_test.go
@@ -27,7 +27,7 @@
 			c.change(reply)
 			s.Receive(ms, c.from, reply)
 			assert.Empty(t, s.TakeActions().Replies)
-			assert.Equal(t, known, s.Peers()["d1"], "what was known of it stays")
+			assert.Equal(t, known, s.Peers()["d1"], "the recorded progress must not change")
 		})
 	}
 }
@@ -50,7 +50,7 @@
 	assert.Equal(t, []int{1, 3}, []int{answered, total})
 }
 
-// Two dispatchers that answer each query by a query would never stop.
+// Two dispatchers that answered each query with a query would never stop.
 func TestQueriesAreNotAnsweredByQueries(t *testing.T) {
 	s := newTestMachine(1, PreviousIncarnation{})
 	s.TakeActions()
--- a/internal/fleet/recovery/phase.go
+++ b/internal/fleet/recovery/phase.go
@@ -5,42 +5,43 @@
 	"time"
 )
 
-// Phase is a step of a dispatcher's recovery. Within one incarnation it only rises. Its number is sent to peers and shown
-// to operators.
+// Phase is a step of a dispatcher's recovery. It never decreases within an incarnation. Its number is sent to peers and
+// reported in metrics.
 type Phase uint8
 
-// The values of Phase, in the order in which a dispatcher goes through them. phaseRules says what a dispatcher may do in
-// each, the advanceFrom methods what ends each, and phaseDeadline when that is no longer waited for. In quotes: the word
-// that operators read.
+// The values of Phase, in the order in which a dispatcher enters them. phaseRules defines what a dispatcher may do in
+// each phase, the advanceFrom methods define when it ends, and phaseDeadline when it times out. The quoted words are
+// the names in logs and answers to operators.
 const (
 	EstablishingIdentity Phase = iota // "identity": the store persists the incarnation
 	AwaitingEndpoints                 // "list": the discovery service is polled for the endpoint list
-	QueryingPeers                     // "others": the peers are queried for what they know
-	Probing                           // "trickle": a few requests are admitted to find out whether workers answer
+	QueryingPeers                     // "others": the peers are queried for their state
+	Probing                           // "trickle": a few requests are admitted to find out whether workers respond
 	SlowStart                         // "ramp": requests are admitted while workers warm up
 	Serving                           // "full": every request is admitted
-	Superseded                        // "superseded": another process runs under this name: this one never serves
+	Superseded                        // "superseded": another process runs under this name, and this one never serves
 )
 
-// phaseRule is what a dispatcher may do in a phase. It answers the queries of peers in each but EstablishingIdentity.
+// phaseRule defines what a dispatcher may do in a phase. In every phase except EstablishingIdentity it answers queries
+// of peers.
 type phaseRule struct {
-	name            string // that operators read in logs and answers
-	sendsQueries    bool   // to the peers whose answer is not final
+	name            string // used in logs and answers to operators
+	sendsQueries    bool   // to peers whose answer is not final
 	sendsHeartbeats bool   // to the next members in the ring
-	usesCapacity    bool   // its end or its admission depends on the workers' capacity
+	usesCapacity    bool   // the end of the phase or its admission limit depends on the workers' capacity
 	admission       admissionRule
 }
 
-// admissionRule is which requests a dispatcher admits in a phase.
+// admissionRule defines which requests a dispatcher admits in a phase.
 type admissionRule uint8
 
 const (
 	admitNone   admissionRule = iota
-	admitProbes               // at most probeLimit at once
-	admitAll                  // all: the balancer queues them by value, and rejects those that cannot be done in time
+	admitProbes               // at most probeLimit requests concurrently
+	admitAll                  // all requests; the balancer queues them by value and rejects those that are too late
 )
 
-// phaseRules has one rule for each phase. Nothing is sent before the incarnation is durable.
+// phaseRules holds the rule of each phase. Nothing is sent before the incarnation is durable.
 var phaseRules = [...]phaseRule{
 	EstablishingIdentity: {name: "identity"},
 	AwaitingEndpoints:    {name: "list", sendsQueries: true},
@@ -57,31 +58,31 @@
 
 func (p Phase) rule() phaseRule { return phaseRules[p] }
 
-// String returns the name of the phase that operators read.
+// String returns the name of the phase as it appears in logs and answers to operators.
 func (p Phase) String() string { return p.rule().name }
 
 // Admits reports whether a dispatcher in this phase may admit requests.
 func (p Phase) Admits() bool { return p.rule().admission != admitNone }
 
-// UsesCapacity reports whether SetCapacity has to be called in this phase.
+// UsesCapacity reports whether the caller must call SetCapacity in this phase.
 func (p Phase) UsesCapacity() bool { return p.rule().usesCapacity }
 
-// Transition is the beginning of a phase.
+// Transition is the start of a phase.
 type Transition struct {
 	Phase  Phase
-	At     time.Duration // since the process started
-	Reason string        // why the phase before it ended
+	At     time.Duration // time since the process started
+	Reason string        // why the previous phase ended
 }
 
-// enter begins a phase.
+// enter starts a phase and records the transition.
 func (s *StateMachine) enter(phase Phase, reason string) {
 	s.phase = phase
 	s.phaseStartedAt = s.now
 	s.actions.Transitions = append(s.actions.Transitions, Transition{Phase: phase, At: s.now, Reason: reason})
 }
 
-// phaseDeadline returns when the current phase times out, since the process started. bounded is false for a phase without
-// a timeout.
+// phaseDeadline returns when the current phase times out, as the time since the process started. bounded is false if
+// the phase has no timeout.
 func (s *StateMachine) phaseDeadline() (deadline time.Duration, bounded bool) {
 	var timeout time.Duration
 	switch s.phase {
@@ -104,9 +105,9 @@
 	return bounded && s.now >= deadline
 }
 
-// advance makes every transition that is due. A phase ends by what is observed; its timeout only bounds the wait for
-// that. Serving ends only with Superseded, which checkOwnName enters from any phase, and TakeOver enters Serving at
-// once.
+// advance makes all transitions that are due. A phase ends when its condition is met; the timeout only limits the wait
+// for it. Two transitions are made elsewhere: checkOwnName enters Superseded from any phase, and TakeOver enters
+// Serving directly.
 func (s *StateMachine) advance() {
 	for {
 		phase := s.phase
@@ -128,8 +129,8 @@
 	}
 }
 
-// advanceFromEstablishingIdentity ends the phase once the caller has reported the incarnation, which it does after
-// IdentityTimeout at the latest.
+// advanceFromEstablishingIdentity ends the phase once the caller has reported the incarnation, at the latest after
+// IdentityTimeout.
 func (s *StateMachine) advanceFromEstablishingIdentity() {
 	if s.identity.established {
 		s.enter(AwaitingEndpoints, fmt.Sprintf("incarnation %d", s.identity.incarnation))
@@ -137,8 +138,9 @@
 	}
 }
 
-// advanceFromAwaitingEndpoints ends the phase with a current endpoint list, or with a stored one if the discovery service
-// does not answer. Without any list no request could be sent, so the phase lasts.
+// advanceFromAwaitingEndpoints ends the phase when a current endpoint list is received, or with a stored list if the
+// discovery service is unavailable or does not answer in time. Without any list the phase does not end, because no
+// request could be sent.
 func (s *StateMachine) advanceFromAwaitingEndpoints() {
 	switch {
 	case s.endpoints.current:
@@ -148,7 +150,7 @@
 	}
 }
 
-// advanceFromQueryingPeers ends the phase once the outage is classified.
+// advanceFromQueryingPeers ends the phase once the outage has been classified.
 func (s *StateMachine) advanceFromQueryingPeers() {
 	outage, reason := s.classifyOutage()
 	if outage == Undecided {
@@ -158,8 +160,8 @@
 	s.enter(Probing, reason)
 }
 
-// advanceFromProbing ends the phase once workers are known to answer: a request has succeeded here, or at the peers,
-// which all serve.
+// advanceFromProbing ends the phase once workers are known to respond, because a request of this dispatcher has
+// succeeded or all peers serve, or when the phase times out.
 func (s *StateMachine) advanceFromProbing() {
 	switch {
 	case s.admission.succeeded > 0:
@@ -171,7 +173,8 @@
 	}
 }
 
-// advanceFromSlowStart ends the phase once the workers can process what comes.
+// advanceFromSlowStart ends the phase once the workers have enough capacity for the demand, or when the phase times
+// out.
 func (s *StateMachine) advanceFromSlowStart() {
 	switch {
 	case s.admission.capacity.isWarm():
--- a/internal/fleet/recovery/queries.go
+++ b/internal/fleet/recovery/queries.go
@@ -6,29 +6,29 @@
 	"canvasroute/internal/fleet/messaging"
 )
 
-// queryState is how a peer is queried.
+// queryState tracks the queries to one peer.
 type queryState struct {
-	number        uint32 // of the last query, which a reply has to carry
-	receivedParts []bool // of the reply to it
-	wantWorkers   bool   // the peer is queried about workers too
-	sent          int    // queries in a row, which lengthen the wait for the next one
+	number        uint32 // number of the last query, which a reply must repeat
+	receivedParts []bool // received parts of the reply to that query
+	wantWorkers   bool   // queries ask for workers too
+	sent          int    // consecutive queries; determines the backoff before the next one
 
-	// Since this process started.
+	// Both are times since this process started.
 	lastAt time.Duration // when the last query was sent, 0 before the first
-	nextAt time.Duration // when the next one is due
+	nextAt time.Duration // when the next query is due
 }
 
 const (
-	// maxBackoffDoublings bounds the wait between two queries of a peer: sixteen times QueryInterval.
+	// maxBackoffDoublings limits the backoff between two queries to a peer to 16 times QueryInterval.
 	maxBackoffDoublings = 4
-	// minFinalAnswerDoublings sets the shortest wait after a reply that was not final: eight times QueryInterval.
+	// minFinalAnswerDoublings sets the minimum delay after a reply that is not final: 8 times QueryInterval.
 	minFinalAnswerDoublings = 3
-	// workerQueryPeers is how many peers are queried about workers: what all know of them is much the same, and much to
-	// send.
+	// workerQueryPeers is how many ring successors are queried about workers. All peers have much the same worker data,
+	// and it is large.
 	workerQueryPeers = 3
 )
 
-// sendQueries queries each peer that is due and whose answer is not final. The wait doubles with each query.
+// sendQueries queries each peer that is due and whose answer is not final. The delay doubles with each query.
 func (s *StateMachine) sendQueries() {
 	if !s.phase.rule().sendsQueries {
 		return
@@ -50,21 +50,23 @@
 	}
 }
 
-// queryBackoff returns the longest wait until a peer is queried again.
+// queryBackoff returns the maximum delay until a peer is queried again.
 func (s *StateMachine) queryBackoff(p *peer) time.Duration {
-	if p.answered { // its answer is final once it knows whether its keys are complete, which takes some time
+	if p.answered { // the answer becomes final once the peer can tell whether its keys are complete
 		return s.config.QueryInterval << maxBackoffDoublings
 	}
 	return s.config.QueryInterval << min(p.query.sent, maxBackoffDoublings)
 }
 
-// jittered draws a time between half of a wait and all of it, so that peers do not query in step.
+// jittered returns a random duration between half of wait and all of it, so that peers do not send queries
+// simultaneously.
 func (s *StateMachine) jittered(wait time.Duration) time.Duration {
 	return wait/2 + time.Duration(s.rng.Int64N(int64(wait/2)+1))
 }
 
-// isQueriedAboutWorkers reports whether a peer is one of the next few in the ring that answer. If every dispatcher
-// queried every other one about workers, a large fleet would send all that it knows once for each pair.
+// isQueriedAboutWorkers reports whether a peer is among the next workerQueryPeers members in the ring that are not
+// silent. If every dispatcher queried all others about workers, a large fleet would transfer its whole worker data once
+// per pair of dispatchers.
 func (s *StateMachine) isQueriedAboutWorkers(position int) bool {
 	lastStep := workerQueryPeers
 	for step := 1; step <= lastStep && step < len(s.peers.members); step++ {
@@ -73,14 +75,15 @@
 			return true
 		}
 		if s.peers.members[successor].isSilent() {
-			lastStep++ // another one takes its place
+			lastStep++ // skip the silent peer
 		}
 	}
 	return false
 }
 
-// queryServingPeerAboutWorkers queries a peer again that turns out to serve: it knows more of workers than successors in
-// the ring that were down. Once this dispatcher admits requests it has seen the workers itself.
+// queryServingPeerAboutWorkers queries a peer again if its reply shows that it serves, because a serving peer has more
+// recent worker data than ring successors that were down. It does nothing after QueryingPeers, because this dispatcher
+// then observes the workers itself.
 func (s *StateMachine) queryServingPeerAboutWorkers(p *peer) {
 	mayKnowMore := p.phase == Serving && !p.query.wantWorkers
 	enoughQueried := s.peers.servingPeersQueried >= workerQueryPeers
--- a/internal/fleet/recovery/receive.go
+++ b/internal/fleet/recovery/receive.go
@@ -6,22 +6,22 @@
 	"canvasroute/internal/fleet/messaging"
 )
 
-// Query is a query of a peer, to be answered by Reply.
+// Query is a query received from a peer, to be answered with Reply.
 type Query struct {
-	From        int    // the position of the peer
-	Number      uint32 // by which the peer finds the reply
-	WantWorkers bool   // the reply is to name workers too
-	Nonce       uint64 // of the process that asks
+	From        int    // position of the peer
+	Number      uint32 // matches the reply to the query
+	WantWorkers bool   // the reply must include workers
+	Nonce       uint64 // nonce of the process that sent the query
 }
 
 // PeerReply is one part of a reply and its sender.
 type PeerReply struct {
-	Member int // the position of the peer
+	Member int // position of the peer
 	*messaging.Message
 }
 
-// Receive handles a message from the member at a position. A message of an incarnation that has ended, or a reply to no
-// query of this process, changes nothing.
+// Receive handles a message from the member at a position. It ignores messages of ended incarnations, and replies that
+// match no query of this process.
 func (s *StateMachine) Receive(now time.Duration, from int, msg *messaging.Message) {
 	s.now = now
 	if !s.acceptsFrom(from, msg) {
@@ -41,8 +41,8 @@
 	}
 }
 
-// acceptsFrom reports whether a message can be of the member at a position. Before the incarnation is durable none is
-// accepted, since none may be answered.
+// acceptsFrom reports whether the message is valid for the member at a position. Before the incarnation is durable no
+// message is accepted, because none may be answered.
 func (s *StateMachine) acceptsFrom(from int, msg *messaging.Message) bool {
 	if !s.identity.established || !s.peers.isPeer(from) {
 		return false
@@ -52,8 +52,8 @@
 	return isSender && knownPhase
 }
 
-// receiveQuery handles a query. It shows that the peer is up, so that peer is queried again soon even after a long
-// backoff. It is not queried at once: two that answer a query by a query would never stop.
+// receiveQuery handles a query. The query shows that the peer is up, so the backoff of queries to that peer is reset.
+// The peer is not queried immediately, because two dispatchers that answered queries with queries would never stop.
 func (s *StateMachine) receiveQuery(from int, p *peer, query *messaging.Message) {
 	s.actions.Queries = append(s.actions.Queries, Query{
 		From:        from,
@@ -67,13 +67,13 @@
 	}
 }
 
-// isFinal reports whether the sender of a reply knows whether its own disk has lost keys. It does once it no longer
-// waits for its peers, and the receivers of its heartbeats have answered or a dedup window has passed.
+// isFinal reports whether the sender of a reply can tell whether its own disk has lost keys. This is the case once it
+// has left QueryingPeers, and the receivers of its heartbeats have answered or a dedup window has passed.
 func isFinal(reply *messaging.Message) bool {
 	return Phase(reply.Phase) > QueryingPeers && !reply.KeysUnconfirmed
 }
 
-// receiveReply handles one part of a reply to the last query of a peer.
+// receiveReply handles one part of a reply. Replies to any query but the last one are ignored.
 func (s *StateMachine) receiveReply(from int, p *peer, reply *messaging.Message) {
 	if reply.Number != p.query.number || p.answerFinal {
 		return
--- a/internal/fleet/recovery/reply.go
+++ b/internal/fleet/recovery/reply.go
@@ -2,18 +2,18 @@
 
 import "canvasroute/internal/fleet/messaging"
 
-// LocalKnowledge is what a dispatcher knows that its peers may not.
+// LocalKnowledge is the data of a dispatcher that its peers may not have.
 type LocalKnowledge struct {
-	MaxObserved map[string]float64 // by kind of worker: the most requests seen at work at once
-	Workers     []messaging.Worker // sent to peers that ask for workers
-	Keys        []messaging.Key    // sent to every peer that asks
+	MaxObserved map[string]float64 // by kind of worker: the highest number of requests processed concurrently
+	Workers     []messaging.Worker // sent to peers that query workers
+	Keys        []messaging.Key    // sent to every peer that queries
 }
 
-// receivedBeforeStartMillis stands in a reply for the time since a message that came before this process started: it is
+// receivedBeforeStartMillis is the reported age of a message that was received before this process started. It is
 // longer than any process runs.
 const receivedBeforeStartMillis = 1 << 40
 
-// Reply returns the messages that answer a query with what is known here.
+// Reply returns the messages that answer a query with the data of this dispatcher.
 func (s *StateMachine) Reply(query Query, known LocalKnowledge) []messaging.Message {
 	first := *s.message(messaging.Reply, query.Number)
 	first.MaxObserved = known.MaxObserved
@@ -26,8 +26,8 @@
 	return messaging.Split(first, known.Workers, known.Keys)
 }
 
-// reportPeer writes into a reply what was received under the name of the peer that asks, from an earlier process of that
-// name. The peer's query has itself begun a new incarnation here, so the one before that is reported then.
+// reportPeer adds to a reply what this dispatcher last received from an earlier process of the querying peer. If the
+// query itself started a new incarnation of that peer, the incarnation before it is reported.
 func (s *StateMachine) reportPeer(reply *messaging.Message, query Query) {
 	p := &s.peers.members[query.From]
 	if p.incarnation == 0 {
--- a/internal/fleet/recovery/statemachine.go
+++ b/internal/fleet/recovery/statemachine.go
@@ -1,13 +1,12 @@
-// Package recovery decides how a dispatcher returns to service after it was down. It decides which incarnation that is,
-// how much of the stored state is trusted, what the peers are queried for, and in which phases requests are admitted
-// again.
+// Package recovery decides how a dispatcher returns to service after an outage: which incarnation it is, how much of
+// the stored state it trusts, what it queries peers for, and in which phases it admits requests.
 //
-// It does no I/O, has no clock and starts no goroutine: events go in with the time, and actions come out. Times are
-// since the start of the process, unless they are said to be Unix times. Package fleet carries the actions out. A
-// StateMachine and a Keys must not be used by several goroutines at once.
+// The package does no I/O, reads no clock and starts no goroutines. Callers pass in events with the current time and
+// get back actions, which package fleet executes. Times are relative to the start of the process, unless documented as
+// Unix times. StateMachine and Keys are not safe for concurrent use.
 //
-// phase.go says what a dispatcher may do in each phase, and what ends it. trust.go says which facts survive a loss of
-// power, and when each is trusted.
+// phase.go defines what a dispatcher may do in each phase and when the phase ends. trust.go defines which facts survive
+// a power loss and when each is trusted.
 package recovery
 
 import (
@@ -18,44 +17,44 @@
 	"canvasroute/internal/fleet/store"
 )
 
-// Config are the parameters of a StateMachine. They do not change while it is used.
+// Config holds the parameters of a StateMachine. They must not change while it is in use.
 type Config struct {
-	Members           []string      // the names of all dispatchers that may exist, by position
-	Self              int           // the position of this one
+	Members           []string      // names of all possible dispatchers, by position
+	Self              int           // position of this dispatcher
 	IdentityTimeout   time.Duration // for the store to persist the incarnation
 	EndpointsTimeout  time.Duration // for the discovery service to answer, before a stored list is used
-	PeersTimeout      time.Duration // for the replies of the peers
+	PeersTimeout      time.Duration // for the peers to reply
 	ProbeTimeout      time.Duration // for the first request to succeed
 	SlowStartDuration time.Duration // for workers to warm up
-	QueryInterval     time.Duration // between queries to a silent peer at first; grows to sixteen times as much
-	DedupWindow       time.Duration // the longest time in which workers drop the repeats of a key
-	MaxRetryAfter     time.Duration // the most that a client is advised to wait, 0 to give no advice
-	Seed              uint64        // of the draws that spread queries and advice over time
+	QueryInterval     time.Duration // initial interval between queries to a silent peer; grows up to 16-fold
+	DedupWindow       time.Duration // longest duration for which workers drop repeats of a key
+	MaxRetryAfter     time.Duration // maximum retry delay advised to clients, 0 to give no advice
+	Seed              uint64        // for the random jitter of queries and retry delays
 }
 
-// Addressed is a message and its receiver.
+// Addressed is a message and its destination.
 type Addressed struct {
-	To int // the position of the member
+	To int // position of the receiving member
 	*messaging.Message
 }
 
-// Actions are what the caller has to do, in the order of the fields. Nothing may be sent before the mark of suspect keys
-// and the incarnation are durable.
+// Actions are to be executed by the caller in the order of the fields. No message may be sent before KeysMark and
+// RaiseIncarnation are durable.
 type Actions struct {
-	Transitions      []Transition // to be reported
-	KeysMark         KeysMark     // to be persisted
-	RaiseIncarnation uint64       // an incarnation to be persisted, 0 for none
-	Replies          []PeerReply  // parts of replies, to be merged into what is known here
-	Messages         []Addressed  // to be sent
-	Queries          []Query      // to be answered by Reply
+	Transitions      []Transition // to report
+	KeysMark         KeysMark     // to persist
+	RaiseIncarnation uint64       // incarnation to persist, 0 for none
+	Replies          []PeerReply  // parts of replies to merge into the local state
+	Messages         []Addressed  // to send
+	Queries          []Query      // to answer with Reply
 }
 
-// StateMachine is the recovery of one dispatcher.
+// StateMachine controls the recovery of one dispatcher.
 type StateMachine struct {
 	config  Config
 	rng     *rand.Rand
-	now     time.Duration // of the last event, since the process started
-	actions Actions       // since the last call of TakeActions
+	now     time.Duration // time of the last event, since the process started
+	actions Actions       // accumulated since the last call of TakeActions
 
 	phase          Phase
 	phaseStartedAt time.Duration
@@ -69,14 +68,14 @@
 	nextHeartbeatAt time.Duration // 0 before the first heartbeat
 }
 
-// endpointStatus is what is known of the endpoint list, which names the workers.
+// endpointStatus records the availability of the endpoint list, which lists the workers.
 type endpointStatus struct {
-	known              bool // there is a list, perhaps a stored one
-	current            bool // the discovery service has sent one since this process started
+	known              bool // a list is available, possibly a stored one
+	current            bool // the discovery service has sent a list since this process started
 	serviceUnavailable bool // the discovery service did not answer
 }
 
-// New returns a state machine in its first phase, in which it admits nothing.
+// New returns a state machine in its first phase, in which it admits no requests.
 func New(config Config) *StateMachine {
 	s := &StateMachine{
 		config: config,
@@ -90,16 +89,16 @@
 // Phase returns the current phase.
 func (s *StateMachine) Phase() Phase { return s.phase }
 
-// PhaseStartedAt returns when the current phase began, since the start of the process.
+// PhaseStartedAt returns when the current phase started, as the time since the process started.
 func (s *StateMachine) PhaseStartedAt() time.Duration { return s.phaseStartedAt }
 
-// Outage returns how much of the fleet was down, as far as it is known.
+// Outage returns how much of the fleet was down, or Undecided before the outage is classified.
 func (s *StateMachine) Outage() Outage { return s.outage }
 
 // Incarnation returns the number of this incarnation, 0 before it is established.
 func (s *StateMachine) Incarnation() uint64 { return s.identity.incarnation }
 
-// TakeActions returns what is to be done since the last call.
+// TakeActions returns the actions accumulated since the last call, and clears them.
 func (s *StateMachine) TakeActions() Actions {
 	actions := s.actions
 	s.actions = Actions{}
@@ -114,7 +113,8 @@
 	s.advance()
 }
 
-// StoredEndpointsLoaded records that an endpoint list from the configuration or the disk is known, which may be old.
+// StoredEndpointsLoaded records that an endpoint list from the configuration or the disk is available. It may be
+// outdated.
 func (s *StateMachine) StoredEndpointsLoaded(now time.Duration) {
 	s.now = now
 	s.endpoints.known = true
@@ -128,7 +128,7 @@
 	s.advance()
 }
 
-// TakeOver enters Serving at once: the successor in a hot restart continues where its predecessor serves.
+// TakeOver enters Serving directly: in a hot restart the successor continues the service of its predecessor.
 func (s *StateMachine) TakeOver(now time.Duration, incarnation, nonce uint64) {
 	s.now = now
 	s.endpoints.known = true
@@ -140,8 +140,8 @@
 	s.enter(Serving, "takes over from its predecessor")
 }
 
-// Tick does what is due by time alone, and returns when it has to be called again at the latest. Both times are since the
-// process started.
+// Tick makes the transitions and sends the messages that are due, and returns the latest time of the next call. Both
+// times are relative to the start of the process.
 func (s *StateMachine) Tick(now time.Duration) (next time.Duration) {
 	s.now = now
 	s.advance()
@@ -160,10 +160,10 @@
 	return next
 }
 
-// minTickInterval bounds how often Tick asks to be called.
+// minTickInterval is the minimum delay until the next call that Tick returns.
 const minTickInterval = time.Millisecond
 
-// message returns a message of this dispatcher with the fields that all kinds have.
+// message returns a message from this dispatcher with the fields common to all kinds of message.
 func (s *StateMachine) message(kind messaging.Kind, number uint32) *messaging.Message {
 	return &messaging.Message{
 		Kind:         kind,
@@ -176,5 +176,5 @@
 	}
 }
 
-// PeerProgress is what a dispatcher knows of a peer's incarnations and persisted keys.
+// PeerProgress holds the incarnations and persisted key counts of a peer, as recorded by this dispatcher.
 type PeerProgress = store.PeerProgress
--- a/internal/fleet/recovery/statemachine_test.go
+++ b/internal/fleet/recovery/statemachine_test.go
@@ -11,7 +11,7 @@
 
 const ms = time.Millisecond
 
-// newTestMachine returns the state machine of d0 of four, whose incarnation has just been stored.
+// newTestMachine returns the state machine of d0 in a fleet of four, just after its incarnation was stored.
 func newTestMachine(incarnation uint64, previous PreviousIncarnation) *StateMachine {
 	s := New(Config{
 		Members: []string{"d0", "d1", "d2", "d3"}, IdentityTimeout: 2 * time.Second,
@@ -23,7 +23,7 @@
 	return s
 }
 
-// replyOf returns the reply of d1, d2 or d3 to the last query.
+// replyOf returns the reply of d1, d2 or d3 to the last query of s.
 func replyOf(s *StateMachine, from int, phase Phase) *messaging.Message {
 	return &messaging.Message{
 		Kind: messaging.Reply, From: s.config.Members[from], Incarnation: 1, Nonce: uint64(from),
@@ -45,7 +45,7 @@
 func TestOutageFollowsFromTheReplies(t *testing.T) {
 	for _, c := range []struct {
 		name   string
-		phases []Phase // of d1, d2, d3, as far as they answer
+		phases []Phase // of d1, d2 and d3; a missing entry means no answer
 		want   Outage
 	}{
 		{"all serve", []Phase{Serving, Serving, Serving}, OnlyThis},
@@ -61,12 +61,12 @@
 			s.TakeActions()
 			for n, phase := range c.phases {
 				peer := n + 1
-				for range 3 { // a peer that serves is queried again, about workers
+				for range 3 { // a serving peer is queried again about workers
 					s.Receive(2*ms, peer, replyOf(s, peer, phase))
 				}
 			}
 			if len(c.phases) < 3 {
-				assert.Equal(t, QueryingPeers, s.Phase(), "it waits for the silent ones")
+				assert.Equal(t, QueryingPeers, s.Phase(), "must wait for the silent peers")
 				assert.Equal(t, Undecided, s.Outage())
 				s.Tick(ms + time.Second)
 			}
@@ -76,13 +76,13 @@
 	}
 }
 
-// The discovery service may be the last to come back: dispatchers that have a stored endpoint list continue with it.
+// The discovery service may recover last. Until then dispatchers with a stored endpoint list must continue with it.
 func TestStoredListIsUsedOnceDiscoveryDoesNotAnswer(t *testing.T) {
 	s := newTestMachine(1, PreviousIncarnation{})
 	s.Tick(2 * time.Second)
 	assert.Equal(t, AwaitingEndpoints, s.Phase())
 	s.EndpointsUnavailable(2 * time.Second)
-	assert.Equal(t, AwaitingEndpoints, s.Phase(), "there is no list at all")
+	assert.Equal(t, AwaitingEndpoints, s.Phase(), "there is no endpoint list")
 	s.StoredEndpointsLoaded(2 * time.Second)
 	assert.Equal(t, QueryingPeers, s.Phase())
 }
--- a/internal/fleet/recovery/trust.go
+++ b/internal/fleet/recovery/trust.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Fact is a kind of fact that a dispatcher may know from its previous incarnation. TrustRules has the rule for each.
+// Fact is a kind of stored fact from a previous incarnation. TrustRules has the rule for each.
 type Fact uint8
 
 // The values of Fact, in the order of TrustRules.
@@ -27,31 +27,32 @@
 	factCount
 )
 
-// TrustRule says whether facts of one kind survive a loss of power, and when a stored one is trusted. The texts are for
-// readers.
+// TrustRule defines whether facts of one kind survive a power loss, and when a stored fact is trusted. The text fields
+// are documentation.
 type TrustRule struct {
 	Fact                Fact
-	Name                string        // that operators read
-	Stored              string        // where, and when it is durable; neverStored for facts that no disk holds
-	MaxAge              time.Duration // up to which it is trusted, 0 for any
-	NeedsClock          bool          // its age is by the wall clock: it is not trusted if that has jumped
-	SurvivesFleetOutage bool          // it still holds when all dispatchers and workers were down
-	CheckedWith         string        // who may know better
-	Default             string        // what is assumed where it is not trusted
-	IfWrong             string        // what happens if it is trusted and wrong
+	Name                string        // used in logs
+	Stored              string        // where it is stored and when it is durable; neverStored if it is on no disk
+	MaxAge              time.Duration // maximum age to be trusted, 0 for no limit
+	NeedsClock          bool          // its age depends on the wall clock: not trusted after the clock was set back
+	SurvivesFleetOutage bool          // still valid after an outage of all dispatchers and workers
+	CheckedWith         string        // sources that may have more recent data
+	Default             string        // the value assumed if the fact is not trusted
+	IfWrong             string        // the effect of trusting a wrong fact
 }
 
-// neverStored is the Stored text of facts that no disk holds.
+// neverStored is the Stored text of facts that are not written to disk.
 const neverStored = "not at all"
 
-// survivesPowerLoss reports whether a disk holds facts of this kind.
+// survivesPowerLoss reports whether facts of this kind are written to disk.
 func (r *TrustRule) survivesPowerLoss() bool { return r.Stored != neverStored }
 
-// TrustRules has one row for each kind of fact, by its number: whether it survives a loss of power, and when it is
+// TrustRules holds the rule for each kind of fact, indexed by Fact: whether it survives a power loss, and when it is
 // trusted. docs/recovery.md shows the same table.
 //
 // fleet.Node applies CheckTrust to the facts that it restores into the balancer: capacity, sizes, backoffs and quotas.
-// Other rules are applied where the fact is read: for the identity by checkOwnName, for keys by Keys.Find.
+// The other rules are applied by the readers of the facts, such as checkOwnName for the identity and Keys.Find for
+// keys.
 var TrustRules = [factCount]TrustRule{
 	{
 		Fact: FactIdentity, Name: "name and incarnation", Stored: "life.a and life.b in turn, synced before the first message",
@@ -144,16 +145,16 @@
 	},
 }
 
-// RecordAge is what is known of the age of a stored record.
+// RecordAge is the age of a stored record.
 type RecordAge struct {
 	Elapsed     time.Duration // by the wall clock
-	ClockJumped bool          // the wall clock was set back since, so that Elapsed means nothing
+	ClockJumped bool          // the wall clock was set back since, so Elapsed is not meaningful
 }
 
-// maxClockStepBack is how far the wall clock may have been set back since a record was written and still be trusted.
+// maxClockStepBack is how far the wall clock may have been set back since a record was written without affecting trust.
 const maxClockStepBack = 2 * time.Second
 
-// RecordAgeOf returns the age of a record that was written at a time. Both times are Unix times in ms by the wall clock.
+// RecordAgeOf returns the age of a record. Both timestamps are wall clock times in Unix ms.
 func RecordAgeOf(written, now int64) RecordAge {
 	elapsed := time.Duration(now-written) * time.Millisecond
 	if elapsed < -maxClockStepBack {
@@ -162,26 +163,26 @@
 	return RecordAge{Elapsed: max(elapsed, 0)}
 }
 
-// The reasons for which a stored fact is not trusted, beside TooOldError.
+// The reasons why a stored fact is not trusted, in addition to TooOldError.
 var (
 	ErrClockJumped     = errors.New("the wall clock has jumped back since it was written")
 	ErrFleetWasDown    = errors.New("the whole fleet was down")
 	ErrFactNeverStored = errors.New("never stored")
 )
 
-// TooOldError means that a stored fact is older than its kind is trusted.
+// TooOldError reports that a stored fact is older than the maximum age of its kind.
 type TooOldError struct {
 	Age    time.Duration
 	MaxAge time.Duration
 }
 
-// Error names both ages.
+// Error returns a message with the age and the maximum age.
 func (e *TooOldError) Error() string {
 	return fmt.Sprintf("%v old, at most %v", e.Age.Round(time.Second), e.MaxAge)
 }
 
-// CheckTrust returns nil if a fact of an age is trusted after an outage. Otherwise it returns why not: ErrClockJumped, a
-// TooOldError, ErrFleetWasDown or ErrFactNeverStored.
+// CheckTrust returns nil if a fact of the given age is trusted after the outage. Otherwise it returns the reason:
+// ErrClockJumped, a TooOldError, ErrFleetWasDown or ErrFactNeverStored.
 func CheckTrust(fact Fact, age RecordAge, outage Outage) error {
 	rule := &TrustRules[fact]
 	switch {
--- a/internal/fleet/recovery/trust_test.go
+++ b/internal/fleet/recovery/trust_test.go
@@ -40,8 +40,8 @@
 	}
 }
 
-// TestRecoveryPageShowsTheTables keeps docs/recovery.md and the code together: the page has one row for each fact and
-// each phase, in the same order.
+// TestRecoveryPageShowsTheTables checks that docs/recovery.md has one row for each fact and each phase, in the order of
+// the code.
 func TestRecoveryPageShowsTheTables(t *testing.T) {
 	page, err := os.ReadFile("../../../docs/recovery.md")
 	assert.NoError(t, err)
@@ -55,7 +55,7 @@
 	rest := string(page)
 	for _, row := range rows {
 		_, after, found := strings.Cut(rest, row)
-		assert.True(t, found, "%q, in this order", row)
+		assert.True(t, found, "row %q missing or out of order", row)
 		if found {
 			rest = after
 		}
--- a/internal/fleet/restore.go
+++ b/internal/fleet/restore.go
@@ -11,7 +11,7 @@
 	"canvasroute/internal/proxy"
 )
 
-// InitialEndpoints returns the newer one of the configured endpoint list and the stored one. Either may be nil.
+// InitialEndpoints returns the newer of the configured and the stored endpoint list. Either may be nil.
 func (n *Node) InitialEndpoints(configured *protocol.EndpointList) *protocol.EndpointList {
 	snapshot, found := n.storedSnapshot()
 	configuredIsNewer := configured != nil && configured.Version >= snapshot.Version
@@ -29,8 +29,8 @@
 	return stored
 }
 
-// storedSnapshot decodes what the dispatcher had learned when it last wrote its state. found is false if there is no
-// state. One that cannot be decoded is dropped.
+// storedSnapshot decodes the learned data in the stored state. found is false if there is no stored state or it cannot
+// be decoded. State that cannot be decoded is dropped.
 func (n *Node) storedSnapshot() (snapshot proxy.Snapshot, found bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -46,8 +46,8 @@
 	return snapshot, true
 }
 
-// restore passes to the balancer and the proxy what is trusted of the stored state and what peers know. It is called
-// once, before the first request is sent.
+// restore passes the trusted facts of the stored state and the data of peers to the balancer and the proxy. It is
+// called once, before the first request is sent.
 func (n *Node) restore(replies []recovery.PeerReply) {
 	n.mu.Lock()
 	outage := n.machine.Outage()
@@ -68,7 +68,7 @@
 		Int64("dropped", n.counters.factsDropped).Int("keys", n.keys.Count()).Msg("stored state restored")
 }
 
-// restoreState restores what is trusted of the stored state. writtenAt is Unix time in ms.
+// restoreState restores the trusted facts of the stored state. writtenAt is Unix time in ms.
 func (n *Node) restoreState(writtenAt int64, outage recovery.Outage) {
 	snapshot, found := n.storedSnapshot()
 	if !found {
@@ -80,8 +80,8 @@
 	n.restoreDrains(snapshot)
 }
 
-// dropUntrusted removes from a stored snapshot the facts that recovery.CheckTrust does not trust, and what described only
-// the moment of writing.
+// dropUntrusted removes from a stored snapshot the facts that recovery.CheckTrust does not trust, and the data that
+// were valid only at the time of writing.
 func (n *Node) dropUntrusted(snapshot *proxy.Snapshot, age recovery.RecordAge, outage recovery.Outage) {
 	trustsCapacity := n.trusts(recovery.FactCapacity, age, outage)
 	trustsSizes := n.trusts(recovery.FactSizes, age, outage)
@@ -117,7 +117,7 @@
 	}
 }
 
-// trusts reports whether a stored fact is trusted. It counts the fact, and logs why it is not trusted.
+// trusts reports whether a stored fact is trusted. It updates the counters, and logs why a fact is not trusted.
 func (n *Node) trusts(fact recovery.Fact, age recovery.RecordAge, outage recovery.Outage) bool {
 	distrust := recovery.CheckTrust(fact, age, outage)
 	n.mu.Lock()
@@ -131,8 +131,7 @@
 	return false
 }
 
-// restoreDrains restores the drains of the stored endpoint list that the present one lacks, unless the present one is
-// newer.
+// restoreDrains applies the drains in the stored endpoint list to the current one, unless the current one is newer.
 func (n *Node) restoreDrains(snapshot proxy.Snapshot) {
 	version, endpoints := n.proxy.Endpoints()
 	if version > snapshot.Version {
@@ -150,15 +149,14 @@
 	}
 }
 
-// readStoredCapacity returns the most requests at once that workers of each kind had been seen to process when the stored
-// state was written.
+// readStoredCapacity returns, for each kind of worker, the highest number of concurrent requests in the stored state.
 func (n *Node) readStoredCapacity() map[string]float64 {
 	capacity := map[string]float64{}
 	snapshot, found := n.storedSnapshot()
 	if !found || len(snapshot.Learned) == 0 {
 		return capacity
 	}
-	for kind, stats := range snapshot.Learned[0].Kinds { // one shard stands for all
+	for kind, stats := range snapshot.Learned[0].Kinds { // the value is the same in all shards
 		if kind < len(snapshot.Kinds) && stats.MaxObserved > minObservedCapacity {
 			capacity[snapshot.Kinds[kind]] = stats.MaxObserved
 		}
--- a/internal/fleet/settings.go
+++ b/internal/fleet/settings.go
@@ -11,39 +11,39 @@
 	"canvasroute/internal/tomlconfig"
 )
 
-// Duration is a time in the fleet file, such as "250ms".
+// Duration is a duration in the fleet file, such as "250ms".
 type Duration time.Duration
 
-// UnmarshalText reads a number with its unit.
+// UnmarshalText parses a number with a unit.
 func (d *Duration) UnmarshalText(b []byte) error {
 	parsed, err := time.ParseDuration(string(b))
 	if err != nil {
-		return errors.New("must be a time with its unit, such as 250ms")
+		return errors.New("must be a duration with a unit, such as 250ms")
 	}
 	*d = Duration(parsed)
 	return nil
 }
 
-// Std returns the duration of the standard library.
+// Std returns d as a time.Duration.
 func (d Duration) Std() time.Duration { return time.Duration(d) }
 
-// Settings are the contents of the fleet file, checked. docs/returning.md describes the keys.
+// Settings holds the validated contents of the fleet file. docs/returning.md describes the keys.
 type Settings struct {
 	State struct {
 		Folder         string   `toml:"folder"`
-		Interval       Duration `toml:"every"`      // from one write of the state to the next
-		UnreliableDisk bool     `toml:"doubt-disk"` // the disk may lose what it has synced
+		Interval       Duration `toml:"every"`      // interval between writes of the state
+		UnreliableDisk bool     `toml:"doubt-disk"` // the disk may lose synced data
 	} `toml:"state"`
 	Link struct {
-		Listen string `toml:"listen"` // the UDP address for messages of the other members
+		Listen string `toml:"listen"` // UDP address for messages from the other members
 	} `toml:"link"`
-	Members  []Member `toml:"member"` // all dispatchers that may exist, by position
+	Members  []Member `toml:"member"` // all possible dispatchers, by position
 	Recovery struct {
 		IdentityTimeout  Duration `toml:"identity-within"` // for the incarnation to be persisted
 		EndpointsTimeout Duration `toml:"list-within"`     // for the discovery service to answer
 		PeersTimeout     Duration `toml:"others-within"`   // for the peers to reply
 		ProbeTimeout     Duration `toml:"trickle-within"`  // for the first request to succeed
-		QueryInterval    Duration `toml:"ask-every"`       // from one query of a silent peer to the next, at first
+		QueryInterval    Duration `toml:"ask-every"`       // initial interval between queries to a silent peer
 		KeyTimeout       Duration `toml:"keep-within"`     // for a key to be persisted before its request is rejected
 	} `toml:"recovery"`
 
@@ -51,19 +51,19 @@
 	memberAddresses []netip.AddrPort // parsed from Members, by position
 }
 
-// Member is one dispatcher of the fleet.
+// Member describes one dispatcher of the fleet.
 type Member struct {
 	Name    string `toml:"name"`
-	Address string `toml:"address"` // the UDP address from which its messages come, and to which messages are sent
+	Address string `toml:"address"` // UDP address of the member, for messages in both directions
 }
 
-// SettingError means that a key of the fleet file has a value that cannot be used.
+// SettingError reports an invalid value in the fleet file.
 type SettingError struct {
 	Key     string // such as member[1].name
-	Problem string // what is wrong with the value
+	Problem string // description of the error
 }
 
-// Error names the key and the problem.
+// Error returns the key and the problem.
 func (e *SettingError) Error() string { return e.Key + ": " + e.Problem }
 
 // settingError returns a SettingError with a formatted problem.
@@ -71,14 +71,14 @@
 	return &SettingError{Key: key, Problem: fmt.Sprintf(format, args...)}
 }
 
-// The limits of values in the fleet file. The messages of checkTimes name the first two.
+// The limits of values in the fleet file. The messages of checkTimes include the first two.
 const (
 	minSettingTime = time.Millisecond
 	maxSettingTime = time.Hour
 	maxMemberName  = 128 // bytes
 )
 
-// The values of keys that the fleet file leaves out. deploy/fleet.toml states the same.
+// The defaults of keys that the fleet file omits. deploy/fleet.toml sets the same values.
 const (
 	defaultStateInterval    = Duration(time.Second)
 	defaultIdentityTimeout  = Duration(2 * time.Second)
@@ -89,7 +89,7 @@
 	defaultKeyTimeout       = Duration(500 * time.Millisecond)
 )
 
-// defaultSettings returns settings with the values of keys that the file leaves out.
+// defaultSettings returns settings with the default values.
 func defaultSettings() *Settings {
 	s := &Settings{}
 	s.State.Interval = defaultStateInterval
@@ -102,9 +102,9 @@
 	return s
 }
 
-// Read reads and checks the fleet file. name and position are those of this dispatcher, dispatchers the number of members
-// that the settings expect. An error names the file, and the line or the key: for a value that cannot be used it is a
-// SettingError.
+// Read reads and validates the fleet file. name and position are those of this dispatcher, and dispatchers is the
+// expected number of members. Errors include the file name, and the line or the key. For an invalid value the error is
+// a SettingError.
 func Read(path, name string, position, dispatchers int) (*Settings, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -120,7 +120,7 @@
 	return s, nil
 }
 
-// check checks the values and parses the addresses.
+// check validates the values and parses the addresses.
 func (s *Settings) check(name string, position, dispatchers int) error {
 	if !filepath.IsAbs(s.State.Folder) {
 		return settingError("state.folder", "%q, must be an absolute path", s.State.Folder)
@@ -145,7 +145,7 @@
 	return nil
 }
 
-// checkTimes checks that each time is within its limits.
+// checkTimes validates that each duration is within its limits.
 func (s *Settings) checkTimes() error {
 	for _, setting := range []struct {
 		key   string
@@ -166,7 +166,7 @@
 	return nil
 }
 
-// checkMembers checks that each member has a name and an address of its own.
+// checkMembers validates that each member has a unique name and a unique address, and parses the addresses.
 func (s *Settings) checkMembers() error {
 	names := map[string]int{}             // positions, by name
 	addresses := map[netip.AddrPort]int{} // positions, by address
--- a/internal/fleet/state.go
+++ b/internal/fleet/state.go
@@ -9,7 +9,7 @@
 	"canvasroute/internal/fleet/store"
 )
 
-// saveStates writes the state at each interval until ctx ends. No request waits for it.
+// saveStates writes the state at each interval until ctx ends. Requests do not wait for these writes.
 func (n *Node) saveStates(ctx context.Context) {
 	ticker := time.NewTicker(n.settings.State.Interval.Std())
 	defer ticker.Stop()
@@ -23,8 +23,8 @@
 	}
 }
 
-// saveState persists what is known now. Before the previous state is restored it writes nothing, since that would replace
-// more by less.
+// saveState persists the current state. It writes nothing until restoring the previous state has started, because the
+// write would replace that state with an incomplete one.
 func (n *Node) saveState() {
 	n.mu.Lock()
 	s := n.owned.store
@@ -46,7 +46,7 @@
 	n.reportSave(err)
 }
 
-// reportSave counts a write of the state, and logs the first that fails and the first that works again.
+// reportSave counts a write of the state, and logs the first failure and the first success after a failure.
 func (n *Node) reportSave(err error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -71,7 +71,7 @@
 // PersistRejoin persists that an operator has ended the drain.
 func (n *Node) PersistRejoin() error { return n.updateDrain((*store.Store).ClearDrained) }
 
-// updateDrain persists a change of the drain by an operator.
+// updateDrain persists a change of the operator's drain.
 func (n *Node) updateDrain(change func(*store.Store) error) error {
 	s := n.resources().store
 	if s == nil {
@@ -83,7 +83,7 @@
 	return nil
 }
 
-// Drained reports whether an operator had drained this dispatcher before it started.
+// Drained reports whether an operator had drained this dispatcher before this process started.
 func (n *Node) Drained() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
