--- a/internal/fleet/incarnation.go
+++ b/internal/fleet/incarnation.go
@@ -96,7 +96,7 @@
 		n.machine.IncarnationRaised(n.uptime(), number)
 		n.machine.TakeOver(n.uptime(), number, nonce)
 	} else {
-		n.machine.IdentityStored(n.uptime(), number, nonce, recovery.PreviousIncarnationOf(recovered))
+		n.machine.IdentityStored(n.uptime(), number, nonce, recovery.NewPreviousIncarnation(recovered))
 	}
 	n.mu.Unlock()
 	n.carryOut()
@@ -141,7 +141,7 @@
 }
 
 // persistKeysMark persists a change of the mark that keys of previous incarnations may be missing.
-func (n *Node) persistKeysMark(mark recovery.KeysMark) {
+func (n *Node) persistKeysMark(mark recovery.KeysMarkChange) {
 	s := n.resources().store
 	if s == nil {
 		return
--- a/internal/fleet/keys.go
+++ b/internal/fleet/keys.go
@@ -30,7 +30,7 @@
 	found, err := n.keys.Find(recovery.KeyLookup{
 		Sum:          keyChecksum(request.Operation, request.Key),
 		MarkedRepeat: request.MarkedRepeat,
-		KeysPending:  n.machine.PeerKeysPending(n.uptime()),
+		KeysPending:  n.machine.MayLackKeys(n.uptime()),
 		Now:          time.Now().UnixMilli(),
 		Uptime:       n.uptime(),
 	})
--- a/internal/fleet/metrics.go
+++ b/internal/fleet/metrics.go
@@ -23,7 +23,7 @@
 func (n *Node) Metrics() []protocol.Metric {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	answered, total := n.machine.PeersAnswered()
+	answered, total := n.machine.CountAnsweredPeers()
 	c := &n.counters
 	metrics := []protocol.Metric{
 		{Name: "return_phase", Value: int64(n.machine.Phase())},
@@ -40,7 +40,7 @@
 		{Name: "keys_kept", Value: c.keysPersisted},
 		{Name: "keys_unkept", Value: c.keysLost},
 		{Name: "keys_before", Value: int64(n.keys.Count())},
-		{Name: "keys_open", Value: boolMetric(n.machine.PeerKeysPending(n.uptime()))},
+		{Name: "keys_open", Value: boolMetric(n.machine.MayLackKeys(n.uptime()))},
 		{Name: "keys_held", Value: c.repeatsToGroup},
 		{Name: "keys_barred", Value: c.repeatsFailed},
 	}
--- a/internal/fleet/peers.go
+++ b/internal/fleet/peers.go
@@ -93,13 +93,13 @@
 
 // answerQueries sends the data of this dispatcher to the peers that have queried it.
 func (n *Node) answerQueries(socket *messaging.Socket, queries []recovery.Query) {
-	known := recovery.LocalKnowledge{MaxObserved: n.knownCapacity(), Workers: n.knownWorkers()}
-	var messages []recovery.Addressed
+	known := recovery.LocalState{MaxObserved: n.knownCapacity(), Workers: n.knownWorkers()}
+	var messages []recovery.AddressedMessage
 	n.mu.Lock()
 	known.Keys = n.keys.ForPeers(time.Now().UnixMilli(), n.uptime())
 	for _, query := range queries {
 		for _, msg := range n.machine.Reply(query, known) {
-			messages = append(messages, recovery.Addressed{To: query.From, Message: &msg})
+			messages = append(messages, recovery.AddressedMessage{To: query.From, Message: &msg})
 		}
 	}
 	n.mu.Unlock()
@@ -147,7 +147,7 @@
 	if restored || state == nil {
 		return capacity
 	}
-	age := recovery.RecordAgeOf(state.WrittenAt, time.Now().UnixMilli())
+	age := recovery.NewRecordAge(state.WrittenAt, time.Now().UnixMilli())
 	if recovery.CheckTrust(recovery.FactCapacity, age, recovery.FleetWide) != nil {
 		return capacity
 	}
--- a/internal/fleet/phases.go
+++ b/internal/fleet/phases.go
@@ -55,7 +55,7 @@
 		machine.SetCapacity(uptime, recovery.Capacity{
 			Workers: capacity.Workers,
 			Warm:    capacity.WarmSlots,
-			Now:     capacity.CurrentSlots,
+			Current: capacity.CurrentSlots,
 		})
 	})
 	return true
@@ -90,7 +90,7 @@
 	replies, restoreNow := n.takeReplies(actions.Replies)
 	socket := n.owned.socket
 	n.mu.Unlock()
-	n.persistKeysMark(actions.KeysMark)
+	n.persistKeysMark(actions.KeysMarkChange)
 	if actions.RaiseIncarnation > 0 {
 		n.raiseIncarnation(actions.RaiseIncarnation)
 	}
@@ -126,7 +126,7 @@
 // mu.
 func (n *Node) takeReplies(received []recovery.PeerReply) (replies []recovery.PeerReply, restoreNow bool) {
 	n.replies = append(n.replies, received...)
-	if n.machine.Phase().Admits() {
+	if n.machine.Phase().AdmitsRequests() {
 		restoreNow = !n.restoring && !n.successor
 		n.restoring = true
 	}
--- a/internal/fleet/recovery/admission.go
+++ b/internal/fleet/recovery/admission.go
@@ -9,11 +9,13 @@
 type Capacity struct {
 	Workers int     // number of workers that accept requests
 	Warm    float64 // concurrent requests of all workers once they are warm; 0 if unknown
-	Now     float64 // concurrent requests at the current warm-up level; n slots process n seconds of work per second
+	Current float64 // the same at the current warm-up level; n slots process n seconds of work per second
 }
 
 // isWarm reports whether the current capacity is at least warmCapacityShare of the warm capacity.
-func (c Capacity) isWarm() bool { return c.Warm > 0 && c.Now >= warmCapacityShare*c.Warm }
+func (c Capacity) isWarm() bool {
+	return c.Warm > 0 && c.Current >= warmCapacityShare*c.Warm
+}
 
 // Admission is the decision on whether to admit a request.
 type Admission struct {
@@ -28,9 +30,9 @@
 	succeeded      int           // admitted requests that succeeded
 	lastRejectedAt time.Duration // time since the process started; 0 before the first rejection
 
-	demand     time.Duration // processing time of all received requests, decaying with the time constant demandWindow
-	demandAt   time.Duration // when demand was last updated
-	lastBusyAt time.Duration // when a request was last rejected or demand last exceeded the limit for Serving
+	demand           time.Duration // processing time of all received requests, decaying over demandWindow
+	demandUpdatedAt  time.Duration // when demand was last updated
+	lastOverloadedAt time.Duration // when a request was last rejected or demand last exceeded the limit for Serving
 }
 
 const (
@@ -52,7 +54,7 @@
 func (s *StateMachine) SetCapacity(now time.Duration, capacity Capacity) {
 	s.now = now
 	s.admission.capacity = capacity
-	s.advance()
+	s.advancePhase()
 }
 
 // Admit decides whether to admit a request. size is its expected processing time on a warm worker. The caller must
@@ -63,16 +65,16 @@
 		return Admission{Admitted: true}
 	}
 	s.admission.addDemand(now, size)
-	if s.admitsOneMore() {
+	if s.canAdmit() {
 		s.admission.inFlight++
 		return Admission{Admitted: true}
 	}
 	s.admission.lastRejectedAt = now
-	return Admission{RetryAfter: s.drawRetryAfter()}
+	return Admission{RetryAfter: s.randomRetryAfter()}
 }
 
-// admitsOneMore reports whether the current phase allows another request in addition to those in flight.
-func (s *StateMachine) admitsOneMore() bool {
+// canAdmit reports whether the current phase allows another request in addition to those in flight.
+func (s *StateMachine) canAdmit() bool {
 	switch s.phase.rule().admission {
 	case admitProbes:
 		return s.admission.inFlight < s.probeLimit()
@@ -85,12 +87,12 @@
 // probeLimit returns how many requests may be in flight while it is unknown whether workers respond: one per worker,
 // divided by the number of active dispatchers, but at least one.
 func (s *StateMachine) probeLimit() int {
-	return max(1, s.admission.capacity.Workers/s.activeDispatchers())
+	return max(1, s.admission.capacity.Workers/s.countActiveDispatchers())
 }
 
-// drawRetryAfter returns a random delay between MaxRetryAfter/minRetryAfterDivisor and MaxRetryAfter, which keeps
+// randomRetryAfter returns a random delay between MaxRetryAfter/minRetryAfterDivisor and MaxRetryAfter, which keeps
 // clients from retrying simultaneously.
-func (s *StateMachine) drawRetryAfter() time.Duration {
+func (s *StateMachine) randomRetryAfter() time.Duration {
 	longest := s.config.MaxRetryAfter
 	return longest/minRetryAfterDivisor +
 		time.Duration(s.rng.Float64()*float64(longest)*(minRetryAfterDivisor-1)/minRetryAfterDivisor)
@@ -99,27 +101,27 @@
 // RequestSucceeded records that a request admitted before Serving has completed with a result.
 func (s *StateMachine) RequestSucceeded(now time.Duration) {
 	s.admission.succeeded++
-	s.requestEnded(now)
+	s.recordRequestEnd(now)
 }
 
 // RequestFailed records that a request admitted before Serving has ended without a result.
-func (s *StateMachine) RequestFailed(now time.Duration) { s.requestEnded(now) }
+func (s *StateMachine) RequestFailed(now time.Duration) { s.recordRequestEnd(now) }
 
-func (s *StateMachine) requestEnded(now time.Duration) {
+func (s *StateMachine) recordRequestEnd(now time.Duration) {
 	s.now = now
 	s.admission.inFlight--
-	s.advance()
+	s.advancePhase()
 }
 
 // addDemand adds the processing time of a received request, whether it was admitted or rejected.
 func (a *admission) addDemand(now, size time.Duration) {
-	a.demand = time.Duration(float64(a.demand)*demandDecay(now-a.demandAt)) + size
-	a.demandAt = now
+	a.demand = time.Duration(float64(a.demand)*demandDecay(now-a.demandUpdatedAt)) + size
+	a.demandUpdatedAt = now
 }
 
 // demandRate returns the average demand in seconds of processing time per second.
 func (a *admission) demandRate(now time.Duration) float64 {
-	return float64(a.demand) * demandDecay(now-a.demandAt) / demandWindow.Seconds() / float64(time.Second)
+	return float64(a.demand) * demandDecay(now-a.demandUpdatedAt) / demandWindow.Seconds() / float64(time.Second)
 }
 
 // demandDecay returns the fraction of demand that remains after the elapsed time.
@@ -127,16 +129,16 @@
 	return math.Exp(-float64(elapsed) / float64(demandWindow))
 }
 
-// demandWithinCapacity reports whether, for at least lowDemandDuration, no request has been rejected and demand has
+// isDemandWithinCapacity reports whether, for at least lowDemandDuration, no request has been rejected and demand has
 // stayed below fullServiceDemandShare of this dispatcher's share of the workers' current capacity.
-func (s *StateMachine) demandWithinCapacity() bool {
+func (s *StateMachine) isDemandWithinCapacity() bool {
 	a := &s.admission
-	limit := fullServiceDemandShare * a.capacity.Now / float64(s.activeDispatchers())
-	overloaded := a.capacity.Now <= 0 || a.demandRate(s.now) > limit
-	rejectedLately := s.now-a.lastRejectedAt < lowDemandDuration
-	if overloaded || rejectedLately {
-		a.lastBusyAt = s.now
+	limit := fullServiceDemandShare * a.capacity.Current / float64(s.countActiveDispatchers())
+	overloaded := a.capacity.Current <= 0 || a.demandRate(s.now) > limit
+	rejectedRecently := s.now-a.lastRejectedAt < lowDemandDuration
+	if overloaded || rejectedRecently {
+		a.lastOverloadedAt = s.now
 		return false
 	}
-	return s.now-max(a.lastBusyAt, s.phaseStartedAt) >= lowDemandDuration
+	return s.now-max(a.lastOverloadedAt, s.phaseStartedAt) >= lowDemandDuration
 }
--- a/internal/fleet/recovery/admission_test.go
+++ b/internal/fleet/recovery/admission_test.go
@@ -14,7 +14,7 @@
 	s.EndpointsReceived(0)
 	s.Tick(time.Second)
 	assert.Equal(t, Probing, s.Phase())
-	s.SetCapacity(time.Second, Capacity{Workers: 1, Warm: 6, Now: 0.7})
+	s.SetCapacity(time.Second, Capacity{Workers: 1, Warm: 6, Current: 0.7})
 	assert.True(t, s.Admit(time.Second, size).Admitted)
 	delays := map[time.Duration]bool{}
 	for range 20 {
@@ -30,8 +30,8 @@
 	assert.True(t, s.Admit(1200*ms, size).Admitted, "the failed request must free its slot")
 	s.RequestSucceeded(1300 * ms)
 	assert.Equal(t, SlowStart, s.Phase())
-	s.SetCapacity(1400*ms, Capacity{Workers: 2, Warm: 6, Now: 3})
+	s.SetCapacity(1400*ms, Capacity{Workers: 2, Warm: 6, Current: 3})
 	assert.Equal(t, SlowStart, s.Phase())
-	s.SetCapacity(6*time.Second, Capacity{Workers: 2, Warm: 6, Now: 5.5})
+	s.SetCapacity(6*time.Second, Capacity{Workers: 2, Warm: 6, Current: 5.5})
 	assert.Equal(t, Serving, s.Phase())
 }
--- a/internal/fleet/recovery/heartbeats.go
+++ b/internal/fleet/recovery/heartbeats.go
@@ -21,7 +21,7 @@
 	for position := range s.peers.successors(heartbeatReceivers) {
 		heartbeat := s.message(messaging.Heartbeat, 0)
 		heartbeat.PersistedKeys = s.identity.persistedKeys
-		s.actions.Messages = append(s.actions.Messages, Addressed{To: position, Message: heartbeat})
+		s.actions.Messages = append(s.actions.Messages, AddressedMessage{To: position, Message: heartbeat})
 	}
 }
 
--- a/internal/fleet/recovery/identity.go
+++ b/internal/fleet/recovery/identity.go
@@ -27,18 +27,18 @@
 	Peers         map[string]PeerProgress // by peer name
 }
 
-// KeysMark is a change of the durable mark that keys of previous incarnations may be missing.
-type KeysMark uint8
+// KeysMarkChange is a change of the durable mark that keys of previous incarnations may be missing.
+type KeysMarkChange uint8
 
-// The values of KeysMark.
+// The values of KeysMarkChange.
 const (
-	KeepKeysMark KeysMark = iota
+	KeysMarkUnchanged KeysMarkChange = iota
 	MarkKeysSuspect
 	ClearKeysSuspect
 )
 
-// PreviousIncarnationOf returns the previous incarnation from the data that a store recovered.
-func PreviousIncarnationOf(recovered store.Recovered) PreviousIncarnation {
+// NewPreviousIncarnation returns the previous incarnation from the data that a store recovered.
+func NewPreviousIncarnation(recovered store.Recovered) PreviousIncarnation {
 	previous := PreviousIncarnation{
 		Incarnation:   recovered.Incarnation.Number,
 		PersistedKeys: recovered.PersistedKeys,
@@ -68,7 +68,7 @@
 			p.restore(progress)
 		}
 	}
-	s.advance()
+	s.advancePhase()
 }
 
 // SetPersistedKeys records how many keys of this incarnation are durable. Heartbeats include this number.
@@ -81,16 +81,16 @@
 	s.sendQueries()
 }
 
-// checkOwnName compares the incarnation that a peer last received under this dispatcher's name with this process. If
-// the peer received it before this process started, it belongs to a previous incarnation, and this process must use a
-// higher number. If the peer received it later, another process runs under the same name, and the process with the
-// lower incarnation or nonce is superseded.
-func (s *StateMachine) checkOwnName(reply *messaging.Message) {
+// checkOwnIncarnation compares the incarnation that a peer last received under this dispatcher's name with this
+// process. If the peer received it before this process started, it belongs to a previous incarnation, and this process
+// must use a higher number. If the peer received it later, another process runs under the same name, and the process
+// with the lower incarnation or nonce is superseded.
+func (s *StateMachine) checkOwnIncarnation(reply *messaging.Message) {
 	nothingReceived := reply.YourIncarnation == 0
 	if nothingReceived || reply.YourNonce == s.identity.nonce {
 		return
 	}
-	if s.identity.previous.isOlderThan(reply) {
+	if s.identity.previous.isOlderThanReport(reply) {
 		s.markKeysSuspect() // the disk was reset to an earlier state without the keys sent since
 	}
 	if reply.YourIncarnation < s.identity.incarnation {
@@ -101,13 +101,14 @@
 	case receivedAgo >= s.now:
 		s.actions.RaiseIncarnation = max(s.actions.RaiseIncarnation, reply.YourIncarnation+1)
 	case reply.YourIncarnation > s.identity.incarnation || reply.YourNonce > s.identity.nonce:
-		s.enter(Superseded, fmt.Sprintf("another process under this name: incarnation %d, last message %v ago",
+		s.enterPhase(Superseded, fmt.Sprintf("another process under this name: incarnation %d, last message %v ago",
 			reply.YourIncarnation, receivedAgo))
 	}
 }
 
-// isOlderThan reports whether a peer has received a later incarnation than the disk held, or more keys of the same one.
-func (p *PreviousIncarnation) isOlderThan(reply *messaging.Message) bool {
+// isOlderThanReport reports whether a peer has received a later incarnation than the disk held, or more keys of the
+// same one.
+func (p *PreviousIncarnation) isOlderThanReport(reply *messaging.Message) bool {
 	if reply.YourIncarnation == p.Incarnation {
 		return reply.YourPersistedKeys > p.PersistedKeys
 	}
@@ -118,7 +119,7 @@
 func (s *StateMachine) markKeysSuspect() {
 	if !s.identity.keysSuspect {
 		s.identity.keysSuspect = true
-		s.actions.KeysMark = MarkKeysSuspect
+		s.actions.KeysMarkChange = MarkKeysSuspect
 	}
 }
 
@@ -127,7 +128,7 @@
 func (s *StateMachine) clearKeysSuspect() {
 	if s.identity.established && s.identity.keysSuspect && s.dedupWindowPassed() {
 		s.identity.keysSuspect = false
-		s.actions.KeysMark = ClearKeysSuspect
+		s.actions.KeysMarkChange = ClearKeysSuspect
 	}
 }
 
@@ -136,10 +137,10 @@
 	return s.now >= s.identity.establishedAt+s.config.DedupWindow
 }
 
-// PeerKeysPending reports whether requests may have run under keys that this dispatcher does not have. This is the case
+// MayLackKeys reports whether requests may have run under keys that this dispatcher does not have. This is the case
 // if this dispatcher or a peer may have lost keys, or if the final answer of a peer is missing, but never after one
 // dedup window since the start.
-func (s *StateMachine) PeerKeysPending(now time.Duration) bool {
+func (s *StateMachine) MayLackKeys(now time.Duration) bool {
 	if s.identity.established && now >= s.identity.establishedAt+s.config.DedupWindow {
 		return false
 	}
--- a/internal/fleet/recovery/identity_test.go
+++ b/internal/fleet/recovery/identity_test.go
@@ -9,7 +9,7 @@
 	"canvasroute/internal/fleet/messaging"
 )
 
-func TestIncarnationIsRaisedAboveWhatPeersKnow(t *testing.T) {
+func TestIncarnationIsRaisedAboveTheOneReportedByPeers(t *testing.T) {
 	s := newTestMachine(1, PreviousIncarnation{})
 	s.TakeActions()
 	reply := replyOf(s, 1, Serving)
@@ -17,24 +17,24 @@
 	s.Receive(10*ms, 1, reply)
 	actions := s.TakeActions()
 	assert.EqualValues(t, 8, actions.RaiseIncarnation)
-	assert.Equal(t, MarkKeysSuspect, actions.KeysMark, "the disk is older than the reported incarnation")
-	assert.True(t, s.PeerKeysPending(20*ms))
+	assert.Equal(t, MarkKeysSuspect, actions.KeysMarkChange, "the disk is older than the reported incarnation")
+	assert.True(t, s.MayLackKeys(20*ms))
 	s.IncarnationRaised(20*ms, 8)
 	assert.EqualValues(t, 8, s.Incarnation())
 	s.Tick(39 * time.Second)
-	assert.Equal(t, KeepKeysMark, s.TakeActions().KeysMark)
+	assert.Equal(t, KeysMarkUnchanged, s.TakeActions().KeysMarkChange)
 	s.Tick(40 * time.Second)
-	assert.Equal(t, ClearKeysSuspect, s.TakeActions().KeysMark, "a dedup window has passed")
-	assert.False(t, s.PeerKeysPending(40*time.Second))
+	assert.Equal(t, ClearKeysSuspect, s.TakeActions().KeysMarkChange, "a dedup window has passed")
+	assert.False(t, s.MayLackKeys(40*time.Second))
 }
 
-func TestResetDiskIsDetectedByTheKeysThatPeersKnow(t *testing.T) {
+func TestResetDiskIsDetectedFromKeyCountsOfPeers(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		known uint64 // keys of the previous incarnation received by the peer; the disk holds 5
-		want  KeysMark
+		want  KeysMarkChange
 	}{
-		{"as many keys as on disk", 5, KeepKeysMark},
+		{"as many keys as on disk", 5, KeysMarkUnchanged},
 		{"more keys than on disk", 6, MarkKeysSuspect},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -44,14 +44,14 @@
 			reply.YourIncarnation, reply.YourNonce, reply.ReceivedAgoMillis = 2, 55, receivedBeforeStartMillis
 			reply.YourPersistedKeys = c.known
 			s.Receive(10*ms, 1, reply)
-			assert.Equal(t, c.want, s.TakeActions().KeysMark)
+			assert.Equal(t, c.want, s.TakeActions().KeysMarkChange)
 		})
 	}
 }
 
 // If two processes run under one name, peers receive messages from both, and the process with the lower nonce must
 // stop.
-func TestLowerOfTwoProcessesUnderOneNameGivesWay(t *testing.T) {
+func TestLowerOfTwoProcessesUnderOneNameIsSuperseded(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		nonce uint64 // of the other process; this one has 100
@@ -89,11 +89,11 @@
 
 // The first query of a restarted dispatcher replaces its incarnation at the receiving peer. The reply must still report
 // the previous incarnation, or a reset disk would not be detected.
-func TestReplyReportsThePreviousIncarnationOfItsReceiver(t *testing.T) {
+func TestReplyReportsPreviousIncarnationOfQueryingPeer(t *testing.T) {
 	s := newTestMachine(1, PreviousIncarnation{})
 	s.Receive(ms, 1, &messaging.Message{Kind: messaging.Heartbeat, From: "d1", Incarnation: 4, Nonce: 44, PersistedKeys: 17})
 	s.Receive(2*ms, 1, &messaging.Message{Kind: messaging.Query, From: "d1", Incarnation: 5, Nonce: 55, Number: 1})
-	reply := s.Reply(s.TakeActions().Queries[0], LocalKnowledge{})[0]
+	reply := s.Reply(s.TakeActions().Queries[0], LocalState{})[0]
 	assert.Equal(t, []uint64{4, 44, 17}, []uint64{reply.YourIncarnation, reply.YourNonce, reply.YourPersistedKeys})
 	assert.EqualValues(t, receivedBeforeStartMillis, reply.ReceivedAgoMillis)
 	assert.Equal(t, PeerProgress{
@@ -106,7 +106,7 @@
 func TestKeysAreConfirmedByTheReceiversOfHeartbeats(t *testing.T) {
 	s := newTestMachine(2, PreviousIncarnation{Incarnation: 1})
 	s.TakeActions()
-	unconfirmed := func() bool { return s.Reply(Query{From: 3}, LocalKnowledge{})[0].KeysUnconfirmed }
+	unconfirmed := func() bool { return s.Reply(Query{From: 3}, LocalState{})[0].KeysUnconfirmed }
 	assert.True(t, unconfirmed())
 	s.Receive(ms, 1, replyOf(s, 1, QueryingPeers))
 	assert.True(t, unconfirmed(), "d2, which receives heartbeats too, has not answered")
@@ -118,21 +118,21 @@
 }
 
 // A peer may answer before it can tell whether its own disk was reset. Its answer may then lack keys that it has sent.
-func TestKeysArePendingUntilPeersAreSureOfTheirOwnDisks(t *testing.T) {
+func TestKeysArePendingUntilPeersConfirmTheirOwnKeys(t *testing.T) {
 	s := newTestMachine(2, PreviousIncarnation{Incarnation: 1})
 	peers := []int{1, 2, 3}
 	for _, peer := range peers {
 		s.Receive(ms, peer, replyOf(s, peer, QueryingPeers))
 	}
-	assert.True(t, s.PeerKeysPending(2*ms))
+	assert.True(t, s.MayLackKeys(2*ms))
 	for _, peer := range peers {
 		reply := replyOf(s, peer, Probing)
 		reply.KeysUnconfirmed = true
 		s.Receive(3*ms, peer, reply)
 	}
-	assert.True(t, s.PeerKeysPending(4*ms), "keys of peers are still unconfirmed")
+	assert.True(t, s.MayLackKeys(4*ms), "keys of peers are still unconfirmed")
 	for _, peer := range peers {
 		s.Receive(5*ms, peer, replyOf(s, peer, Probing))
 	}
-	assert.False(t, s.PeerKeysPending(6*ms))
+	assert.False(t, s.MayLackKeys(6*ms))
 }
--- a/internal/fleet/recovery/keys.go
+++ b/internal/fleet/recovery/keys.go
@@ -17,9 +17,9 @@
 	sent        map[uint64]messaging.Key // by checksum; keys sent in this incarnation
 }
 
-// noSingleWorker is the worker of a key that was sent to several dedup groups, so that the group that ran the request
+// ambiguousWorker is the worker of a key that was sent to several dedup groups, so that the group that ran the request
 // is unknown.
-const noSingleWorker = ""
+const ambiguousWorker = ""
 
 // NewKeys returns an empty set of keys. dedupWindow is the longest duration for which workers drop repeats of a key.
 func NewKeys(dedupWindow time.Duration) *Keys {
@@ -38,13 +38,13 @@
 }
 
 // AddFromPeer adds a key of a previous incarnation of any dispatcher. If there are two records of a key, the one that
-// expires later is kept. A key that was sent to two dedup groups is recorded with noSingleWorker.
+// expires later is kept. A key that was sent to two dedup groups is recorded with ambiguousWorker.
 func (k *Keys) AddFromPeer(key messaging.Key) {
 	previous, known := k.previous[key.Sum]
 	switch {
 	case !known:
 	case previous.Zone != key.Zone || previous.Cell != key.Cell:
-		key.Worker = noSingleWorker
+		key.Worker = ambiguousWorker
 		key.ExpiresAt = max(key.ExpiresAt, previous.ExpiresAt)
 	case previous.ExpiresAt > key.ExpiresAt:
 		return
@@ -80,7 +80,7 @@
 var (
 	ErrKeysPending      = errors.New("peers that may have the key have not answered")
 	ErrClockImplausible = errors.New("the wall clock is inconsistent with the send time of the key")
-	ErrSeveralGroups    = errors.New("the key was sent to two dedup groups")
+	ErrMultipleGroups   = errors.New("the key was sent to two dedup groups")
 )
 
 // KeyLookup holds the parameters of Keys.Find.
@@ -93,7 +93,7 @@
 }
 
 // Find returns the record of where a request under a key may have run in a previous incarnation, or nil if it has not
-// run. It fails with ErrKeysPending, ErrClockImplausible or ErrSeveralGroups if the request may have run, but the
+// run. It fails with ErrKeysPending, ErrClockImplausible or ErrMultipleGroups if the request may have run, but the
 // worker or the expiry of the key cannot be determined.
 func (k *Keys) Find(lookup KeyLookup) (*messaging.Key, error) {
 	key, known := k.previous[lookup.Sum]
@@ -109,8 +109,8 @@
 	case remaining <= 0 && lookup.Uptime > k.dedupWindow:
 		delete(k.previous, lookup.Sum)
 		return nil, nil
-	case key.Worker == noSingleWorker:
-		return nil, ErrSeveralGroups
+	case key.Worker == ambiguousWorker:
+		return nil, ErrMultipleGroups
 	case remaining <= 0, remaining > window:
 		return nil, ErrClockImplausible
 	}
--- a/internal/fleet/recovery/keys_test.go
+++ b/internal/fleet/recovery/keys_test.go
@@ -9,7 +9,7 @@
 	"canvasroute/internal/fleet/messaging"
 )
 
-func TestRepeatsGoToTheirGroupOrFailForADedupWindow(t *testing.T) {
+func TestRepeatsGoToTheirGroupOrFailWithinDedupWindow(t *testing.T) {
 	const now = int64(1_000_000)
 	keys := NewKeys(40 * time.Second)
 	keys.Restore(messaging.Key{Sum: 1, Worker: "w1", Zone: "a", SentAt: now - 10_000, ExpiresAt: now + 30_000})
@@ -24,7 +24,7 @@
 		wantErr   error
 	}{
 		{"a known key without the client's mark", KeyLookup{Sum: 1}, true, nil},
-		{"a key sent to two groups", KeyLookup{Sum: 2, MarkedRepeat: true}, false, ErrSeveralGroups},
+		{"a key sent to two groups", KeyLookup{Sum: 2, MarkedRepeat: true}, false, ErrMultipleGroups},
 		{"a key expired by the clock alone", KeyLookup{Sum: 3, MarkedRepeat: true, Uptime: time.Second}, false, ErrClockImplausible},
 		{"a key sent in the future", KeyLookup{Sum: 4, MarkedRepeat: true, Uptime: time.Second}, false, ErrClockImplausible},
 		{
--- a/internal/fleet/recovery/outage.go
+++ b/internal/fleet/recovery/outage.go
@@ -7,10 +7,10 @@
 
 // The values of Outage.
 const (
-	Undecided Outage = iota
-	OnlyThis         // every peer serves: their state is more recent than this dispatcher's disk
-	Partial          // some peers serve
-	FleetWide        // no peer serves: the newest data from all disks is used, and the more cautious value if in doubt
+	Undecided          Outage = iota
+	ThisDispatcherOnly        // every peer serves: their state is more recent than this dispatcher's disk
+	Partial                   // some peers serve
+	FleetWide                 // no peer serves: the newest data from all disks is used, in doubt the more cautious value
 )
 
 // outageNames are the names in log messages.
@@ -42,7 +42,7 @@
 	case total == 0:
 		return FleetWide, "there are no peers"
 	case serving == total:
-		return OnlyThis, reason
+		return ThisDispatcherOnly, reason
 	case serving > 0:
 		return Partial, reason
 	}
--- a/internal/fleet/recovery/peers.go
+++ b/internal/fleet/recovery/peers.go
@@ -51,10 +51,10 @@
 	return PeerProgress{Incarnation: p.incarnation, Nonce: p.nonce, PersistedKeys: p.persistedKeys}
 }
 
-// observe records the sender's incarnation and phase, and reports whether the message is current. Messages of ended
-// incarnations are ignored. Of two processes with the same incarnation number, the one with the higher nonce is
+// recordMessage records the sender's incarnation and phase, and reports whether the message is current. Messages of
+// ended incarnations are ignored. Of two processes with the same incarnation number, the one with the higher nonce is
 // current.
-func (p *peer) observe(msg *messaging.Message, now time.Duration) bool {
+func (p *peer) recordMessage(msg *messaging.Message, now time.Duration) bool {
 	sameIncarnation := msg.Incarnation == p.incarnation
 	same := sameIncarnation && msg.Nonce == p.nonce
 	newer := msg.Incarnation > p.incarnation || sameIncarnation && msg.Nonce > p.nonce
@@ -62,7 +62,7 @@
 		return false
 	}
 	if newer {
-		p.startIncarnation(msg)
+		p.recordRestart(msg)
 	}
 	p.received = true
 	p.lastReceivedAt = now
@@ -70,8 +70,8 @@
 	return true
 }
 
-// startIncarnation records a restart of the peer. Its earlier answers remain valid.
-func (p *peer) startIncarnation(msg *messaging.Message) {
+// recordRestart records a restart of the peer. Its earlier answers remain valid.
+func (p *peer) recordRestart(msg *messaging.Message) {
 	if p.incarnation > 0 {
 		p.previous = p.currentProgress()
 	}
@@ -81,8 +81,8 @@
 	p.persistedKeys = 0
 }
 
-// receivePart records one part of a reply, and reports whether all parts have arrived.
-func (p *peer) receivePart(reply *messaging.Message) bool {
+// recordReplyPart records one part of a reply, and reports whether all parts have arrived.
+func (p *peer) recordReplyPart(reply *messaging.Message) bool {
 	if len(p.query.receivedParts) != int(reply.Parts) {
 		p.query.receivedParts = make([]bool, reply.Parts)
 	}
@@ -92,7 +92,7 @@
 }
 
 // isSilent reports whether the peer has been queried more than once and has not answered.
-func (p *peer) isSilent() bool { return p.query.sent > 1 && !p.answered }
+func (p *peer) isSilent() bool { return p.query.sentCount > 1 && !p.answered }
 
 // peerTable holds all members by position. The positions form a ring: the successors of a member are the positions
 // after it, wrapping around.
@@ -131,9 +131,9 @@
 func (t *peerTable) successor(steps int) int { return (t.self + steps) % len(t.members) }
 
 // successors yields the next members in the ring with their positions, up to the given number.
-func (t *peerTable) successors(most int) iter.Seq2[int, *peer] {
+func (t *peerTable) successors(limit int) iter.Seq2[int, *peer] {
 	return func(yield func(int, *peer) bool) {
-		for step := 1; step <= min(most, t.count()); step++ {
+		for step := 1; step <= min(limit, t.count()); step++ {
 			position := t.successor(step)
 			if !yield(position, &t.members[position]) {
 				return
@@ -153,8 +153,8 @@
 	return progress
 }
 
-// PeersAnswered returns the number of peers that have sent a complete reply, and the number of peers.
-func (s *StateMachine) PeersAnswered() (answered, total int) {
+// CountAnsweredPeers returns the number of peers that have sent a complete reply, and the number of peers.
+func (s *StateMachine) CountAnsweredPeers() (answered, total int) {
 	for _, p := range s.peers.others() {
 		if p.answered {
 			answered++
@@ -163,9 +163,9 @@
 	return answered, s.peers.count()
 }
 
-// activeDispatchers returns how many dispatchers share the workers, including this one. All members count up to the end
-// of QueryingPeers. After that a peer counts only if this process has received a message from it.
-func (s *StateMachine) activeDispatchers() int {
+// countActiveDispatchers returns how many dispatchers share the workers, including this one. All members count up to
+// the end of QueryingPeers. After that a peer counts only if this process has received a message from it.
+func (s *StateMachine) countActiveDispatchers() int {
 	if s.phase <= QueryingPeers {
 		return len(s.peers.members)
 	}
--- a/internal/fleet/recovery/peers_test.go
+++ b/internal/fleet/recovery/peers_test.go
@@ -9,7 +9,7 @@
 	"canvasroute/internal/fleet/messaging"
 )
 
-func TestMessagesOfEndedIncarnationsOrToNoQueryChangeNothing(t *testing.T) {
+func TestMessagesOfEndedIncarnationsAndUnmatchedRepliesAreIgnored(t *testing.T) {
 	known := PeerProgress{Incarnation: 5, Nonce: 9, PersistedKeys: 3}
 	for _, c := range []struct {
 		name   string
@@ -32,7 +32,7 @@
 	}
 }
 
-func TestPartsOfAReplyMayComeTwiceAndInAnyOrder(t *testing.T) {
+func TestReplyPartsMayArriveTwiceAndInAnyOrder(t *testing.T) {
 	s := newTestMachine(1, PreviousIncarnation{})
 	s.TakeActions()
 	part := func(n uint16) *messaging.Message {
@@ -42,11 +42,11 @@
 	}
 	for _, n := range []uint16{2, 0, 2, 0} {
 		s.Receive(ms, 1, part(n))
-		answered, _ := s.PeersAnswered()
+		answered, _ := s.CountAnsweredPeers()
 		assert.Zero(t, answered)
 	}
 	s.Receive(ms, 1, part(1))
-	answered, total := s.PeersAnswered()
+	answered, total := s.CountAnsweredPeers()
 	assert.Equal(t, []int{1, 3}, []int{answered, total})
 }
 
--- a/internal/fleet/recovery/phase.go
+++ b/internal/fleet/recovery/phase.go
@@ -61,8 +61,8 @@
 // String returns the name of the phase as it appears in logs and answers to operators.
 func (p Phase) String() string { return p.rule().name }
 
-// Admits reports whether a dispatcher in this phase may admit requests.
-func (p Phase) Admits() bool { return p.rule().admission != admitNone }
+// AdmitsRequests reports whether a dispatcher in this phase may admit requests.
+func (p Phase) AdmitsRequests() bool { return p.rule().admission != admitNone }
 
 // UsesCapacity reports whether the caller must call SetCapacity in this phase.
 func (p Phase) UsesCapacity() bool { return p.rule().usesCapacity }
@@ -74,8 +74,8 @@
 	Reason string        // why the previous phase ended
 }
 
-// enter starts a phase and records the transition.
-func (s *StateMachine) enter(phase Phase, reason string) {
+// enterPhase starts a phase and records the transition.
+func (s *StateMachine) enterPhase(phase Phase, reason string) {
 	s.phase = phase
 	s.phaseStartedAt = s.now
 	s.actions.Transitions = append(s.actions.Transitions, Transition{Phase: phase, At: s.now, Reason: reason})
@@ -105,10 +105,10 @@
 	return bounded && s.now >= deadline
 }
 
-// advance makes all transitions that are due. A phase ends when its condition is met; the timeout only limits the wait
-// for it. Two transitions are made elsewhere: checkOwnName enters Superseded from any phase, and TakeOver enters
-// Serving directly.
-func (s *StateMachine) advance() {
+// advancePhase makes all transitions that are due. A phase ends when its condition is met; the timeout only limits the
+// wait for it. Two transitions are made elsewhere: checkOwnIncarnation enters Superseded from any phase, and TakeOver
+// enters Serving directly.
+func (s *StateMachine) advancePhase() {
 	for {
 		phase := s.phase
 		switch phase {
@@ -133,7 +133,7 @@
 // IdentityTimeout.
 func (s *StateMachine) advanceFromEstablishingIdentity() {
 	if s.identity.established {
-		s.enter(AwaitingEndpoints, fmt.Sprintf("incarnation %d", s.identity.incarnation))
+		s.enterPhase(AwaitingEndpoints, fmt.Sprintf("incarnation %d", s.identity.incarnation))
 		s.sendQueries()
 	}
 }
@@ -144,9 +144,9 @@
 func (s *StateMachine) advanceFromAwaitingEndpoints() {
 	switch {
 	case s.endpoints.current:
-		s.enter(QueryingPeers, "endpoint list received")
+		s.enterPhase(QueryingPeers, "endpoint list received")
 	case s.endpoints.known && (s.endpoints.serviceUnavailable || s.phaseTimedOut()):
-		s.enter(QueryingPeers, "list service unavailable: stored endpoint list used, its workers taken for cold")
+		s.enterPhase(QueryingPeers, "list service unavailable: stored endpoint list used, its workers taken for cold")
 	}
 }
 
@@ -157,7 +157,7 @@
 		return
 	}
 	s.outage = outage
-	s.enter(Probing, reason)
+	s.enterPhase(Probing, reason)
 }
 
 // advanceFromProbing ends the phase once workers are known to respond, because a request of this dispatcher has
@@ -165,11 +165,11 @@
 func (s *StateMachine) advanceFromProbing() {
 	switch {
 	case s.admission.succeeded > 0:
-		s.enter(SlowStart, "a request succeeded")
-	case s.outage == OnlyThis:
-		s.enter(SlowStart, "all peers serve")
+		s.enterPhase(SlowStart, "a request succeeded")
+	case s.outage == ThisDispatcherOnly:
+		s.enterPhase(SlowStart, "all peers serve")
 	case s.phaseTimedOut():
-		s.enter(SlowStart, "timeout: no request succeeded")
+		s.enterPhase(SlowStart, "timeout: no request succeeded")
 	}
 }
 
@@ -178,10 +178,10 @@
 func (s *StateMachine) advanceFromSlowStart() {
 	switch {
 	case s.admission.capacity.isWarm():
-		s.enter(Serving, "workers are warm")
-	case s.demandWithinCapacity():
-		s.enter(Serving, "demand is within the workers' capacity")
+		s.enterPhase(Serving, "workers are warm")
+	case s.isDemandWithinCapacity():
+		s.enterPhase(Serving, "demand is within the workers' capacity")
 	case s.phaseTimedOut():
-		s.enter(Serving, "timeout: workers have had the time to warm up")
+		s.enterPhase(Serving, "timeout: workers have had the time to warm up")
 	}
 }
--- a/internal/fleet/recovery/queries.go
+++ b/internal/fleet/recovery/queries.go
@@ -11,7 +11,7 @@
 	number        uint32 // number of the last query, which a reply must repeat
 	receivedParts []bool // received parts of the reply to that query
 	wantWorkers   bool   // queries ask for workers too
-	sent          int    // consecutive queries; determines the backoff before the next one
+	sentCount     int    // consecutive queries; determines the backoff before the next one
 
 	// Both are times since this process started.
 	lastAt time.Duration // when the last query was sent, 0 before the first
@@ -40,13 +40,13 @@
 		s.peers.lastQueryNumber++
 		p.query.number = s.peers.lastQueryNumber
 		p.query.receivedParts = nil
-		p.query.wantWorkers = p.query.wantWorkers || s.isQueriedAboutWorkers(position)
-		p.query.nextAt = s.now + s.jittered(s.queryBackoff(p))
-		p.query.sent++
+		p.query.wantWorkers = p.query.wantWorkers || s.shouldQueryWorkers(position)
+		p.query.nextAt = s.now + s.withJitter(s.queryBackoff(p))
+		p.query.sentCount++
 		p.query.lastAt = s.now
 		query := s.message(messaging.Query, p.query.number)
 		query.WantWorkers = p.query.wantWorkers
-		s.actions.Messages = append(s.actions.Messages, Addressed{To: position, Message: query})
+		s.actions.Messages = append(s.actions.Messages, AddressedMessage{To: position, Message: query})
 	}
 }
 
@@ -55,19 +55,19 @@
 	if p.answered { // the answer becomes final once the peer can tell whether its keys are complete
 		return s.config.QueryInterval << maxBackoffDoublings
 	}
-	return s.config.QueryInterval << min(p.query.sent, maxBackoffDoublings)
+	return s.config.QueryInterval << min(p.query.sentCount, maxBackoffDoublings)
 }
 
-// jittered returns a random duration between half of wait and all of it, so that peers do not send queries
+// withJitter returns a random duration between half of wait and all of it, so that peers do not send queries
 // simultaneously.
-func (s *StateMachine) jittered(wait time.Duration) time.Duration {
+func (s *StateMachine) withJitter(wait time.Duration) time.Duration {
 	return wait/2 + time.Duration(s.rng.Int64N(int64(wait/2)+1))
 }
 
-// isQueriedAboutWorkers reports whether a peer is among the next workerQueryPeers members in the ring that are not
+// shouldQueryWorkers reports whether a peer is among the next workerQueryPeers members in the ring that are not
 // silent. If every dispatcher queried all others about workers, a large fleet would transfer its whole worker data once
 // per pair of dispatchers.
-func (s *StateMachine) isQueriedAboutWorkers(position int) bool {
+func (s *StateMachine) shouldQueryWorkers(position int) bool {
 	lastStep := workerQueryPeers
 	for step := 1; step <= lastStep && step < len(s.peers.members); step++ {
 		successor := s.peers.successor(step)
@@ -81,10 +81,10 @@
 	return false
 }
 
-// queryServingPeerAboutWorkers queries a peer again if its reply shows that it serves, because a serving peer has more
+// queryWorkersOfServingPeer queries a peer again if its reply shows that it serves, because a serving peer has more
 // recent worker data than ring successors that were down. It does nothing after QueryingPeers, because this dispatcher
 // then observes the workers itself.
-func (s *StateMachine) queryServingPeerAboutWorkers(p *peer) {
+func (s *StateMachine) queryWorkersOfServingPeer(p *peer) {
 	mayKnowMore := p.phase == Serving && !p.query.wantWorkers
 	enoughQueried := s.peers.servingPeersQueried >= workerQueryPeers
 	if !mayKnowMore || enoughQueried || s.phase > QueryingPeers {
--- a/internal/fleet/recovery/receive.go
+++ b/internal/fleet/recovery/receive.go
@@ -24,11 +24,11 @@
 // match no query of this process.
 func (s *StateMachine) Receive(now time.Duration, from int, msg *messaging.Message) {
 	s.now = now
-	if !s.acceptsFrom(from, msg) {
+	if !s.isValidMessage(from, msg) {
 		return
 	}
 	p := &s.peers.members[from]
-	if !p.observe(msg, now) {
+	if !p.recordMessage(msg, now) {
 		return
 	}
 	switch msg.Kind {
@@ -41,9 +41,9 @@
 	}
 }
 
-// acceptsFrom reports whether the message is valid for the member at a position. Before the incarnation is durable no
-// message is accepted, because none may be answered.
-func (s *StateMachine) acceptsFrom(from int, msg *messaging.Message) bool {
+// isValidMessage reports whether the message is valid for the member at a position. Before the incarnation is durable
+// no message is accepted, because none may be answered.
+func (s *StateMachine) isValidMessage(from int, msg *messaging.Message) bool {
 	if !s.identity.established || !s.peers.isPeer(from) {
 		return false
 	}
@@ -63,13 +63,13 @@
 	})
 	if !p.answered {
 		p.query.nextAt = min(p.query.nextAt, p.query.lastAt+s.config.QueryInterval)
-		p.query.sent = min(p.query.sent, 1)
+		p.query.sentCount = min(p.query.sentCount, 1)
 	}
 }
 
-// isFinal reports whether the sender of a reply can tell whether its own disk has lost keys. This is the case once it
-// has left QueryingPeers, and the receivers of its heartbeats have answered or a dedup window has passed.
-func isFinal(reply *messaging.Message) bool {
+// isFinalReply reports whether the sender of a reply can tell whether its own disk has lost keys. This is the case once
+// it has left QueryingPeers, and the receivers of its heartbeats have answered or a dedup window has passed.
+func isFinalReply(reply *messaging.Message) bool {
 	return Phase(reply.Phase) > QueryingPeers && !reply.KeysUnconfirmed
 }
 
@@ -78,13 +78,13 @@
 	if reply.Number != p.query.number || p.answerFinal {
 		return
 	}
-	s.checkOwnName(reply)
+	s.checkOwnIncarnation(reply)
 	s.actions.Replies = append(s.actions.Replies, PeerReply{Member: from, Message: reply})
-	if p.receivePart(reply) {
+	if p.recordReplyPart(reply) {
 		p.answered = true
-		p.answerFinal = isFinal(reply)
+		p.answerFinal = isFinalReply(reply)
 		p.query.nextAt = max(p.query.nextAt, s.now+s.config.QueryInterval<<minFinalAnswerDoublings)
-		s.queryServingPeerAboutWorkers(p)
+		s.queryWorkersOfServingPeer(p)
 	}
-	s.advance()
+	s.advancePhase()
 }
--- a/internal/fleet/recovery/reply.go
+++ b/internal/fleet/recovery/reply.go
@@ -2,8 +2,8 @@
 
 import "canvasroute/internal/fleet/messaging"
 
-// LocalKnowledge is the data of a dispatcher that its peers may not have.
-type LocalKnowledge struct {
+// LocalState is the data of a dispatcher that its peers may not have.
+type LocalState struct {
 	MaxObserved map[string]float64 // by kind of worker: the highest number of requests processed concurrently
 	Workers     []messaging.Worker // sent to peers that query workers
 	Keys        []messaging.Key    // sent to every peer that queries
@@ -14,21 +14,21 @@
 const receivedBeforeStartMillis = 1 << 40
 
 // Reply returns the messages that answer a query with the data of this dispatcher.
-func (s *StateMachine) Reply(query Query, known LocalKnowledge) []messaging.Message {
+func (s *StateMachine) Reply(query Query, local LocalState) []messaging.Message {
 	first := *s.message(messaging.Reply, query.Number)
-	first.MaxObserved = known.MaxObserved
+	first.MaxObserved = local.MaxObserved
 	first.KeysSuspect = s.identity.keysSuspect
 	first.KeysUnconfirmed = !s.keysConfirmed()
-	s.reportPeer(&first, query)
+	s.addReceivedIncarnation(&first, query)
 	if !query.WantWorkers {
-		return messaging.Split(first, nil, known.Keys)
+		return messaging.Split(first, nil, local.Keys)
 	}
-	return messaging.Split(first, known.Workers, known.Keys)
+	return messaging.Split(first, local.Workers, local.Keys)
 }
 
-// reportPeer adds to a reply what this dispatcher last received from an earlier process of the querying peer. If the
-// query itself started a new incarnation of that peer, the incarnation before it is reported.
-func (s *StateMachine) reportPeer(reply *messaging.Message, query Query) {
+// addReceivedIncarnation adds to a reply what this dispatcher last received from an earlier process of the querying
+// peer. If the query itself started a new incarnation of that peer, the incarnation before it is reported.
+func (s *StateMachine) addReceivedIncarnation(reply *messaging.Message, query Query) {
 	p := &s.peers.members[query.From]
 	if p.incarnation == 0 {
 		return
--- a/internal/fleet/recovery/statemachine.go
+++ b/internal/fleet/recovery/statemachine.go
@@ -32,21 +32,21 @@
 	Seed              uint64        // for the random jitter of queries and retry delays
 }
 
-// Addressed is a message and its destination.
-type Addressed struct {
+// AddressedMessage is a message and its destination.
+type AddressedMessage struct {
 	To int // position of the receiving member
 	*messaging.Message
 }
 
-// Actions are to be executed by the caller in the order of the fields. No message may be sent before KeysMark and
+// Actions are to be executed by the caller in the order of the fields. No message may be sent before KeysMarkChange and
 // RaiseIncarnation are durable.
 type Actions struct {
-	Transitions      []Transition // to report
-	KeysMark         KeysMark     // to persist
-	RaiseIncarnation uint64       // incarnation to persist, 0 for none
-	Replies          []PeerReply  // parts of replies to merge into the local state
-	Messages         []Addressed  // to send
-	Queries          []Query      // to answer with Reply
+	Transitions      []Transition       // to report
+	KeysMarkChange   KeysMarkChange     // to persist
+	RaiseIncarnation uint64             // incarnation to persist, 0 for none
+	Replies          []PeerReply        // parts of replies to merge into the local state
+	Messages         []AddressedMessage // to send
+	Queries          []Query            // to answer with Reply
 }
 
 // StateMachine controls the recovery of one dispatcher.
@@ -110,7 +110,7 @@
 	s.now = now
 	s.endpoints.known = true
 	s.endpoints.current = true
-	s.advance()
+	s.advancePhase()
 }
 
 // StoredEndpointsLoaded records that an endpoint list from the configuration or the disk is available. It may be
@@ -118,14 +118,14 @@
 func (s *StateMachine) StoredEndpointsLoaded(now time.Duration) {
 	s.now = now
 	s.endpoints.known = true
-	s.advance()
+	s.advancePhase()
 }
 
 // EndpointsUnavailable records that the discovery service did not answer.
 func (s *StateMachine) EndpointsUnavailable(now time.Duration) {
 	s.now = now
 	s.endpoints.serviceUnavailable = true
-	s.advance()
+	s.advancePhase()
 }
 
 // TakeOver enters Serving directly: in a hot restart the successor continues the service of its predecessor.
@@ -136,15 +136,15 @@
 	s.identity.incarnation = incarnation
 	s.identity.nonce = nonce
 	s.identity.establishedAt = now
-	s.outage = OnlyThis
-	s.enter(Serving, "takes over from its predecessor")
+	s.outage = ThisDispatcherOnly
+	s.enterPhase(Serving, "takes over from its predecessor")
 }
 
 // Tick makes the transitions and sends the messages that are due, and returns the latest time of the next call. Both
 // times are relative to the start of the process.
 func (s *StateMachine) Tick(now time.Duration) (next time.Duration) {
 	s.now = now
-	s.advance()
+	s.advancePhase()
 	s.sendQueries()
 	s.sendHeartbeats()
 	s.clearKeysSuspect()
--- a/internal/fleet/recovery/statemachine_test.go
+++ b/internal/fleet/recovery/statemachine_test.go
@@ -42,13 +42,13 @@
 	assert.Len(t, s.TakeActions().Messages, 1)
 }
 
-func TestOutageFollowsFromTheReplies(t *testing.T) {
+func TestOutageFollowsFromReplies(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		phases []Phase // of d1, d2 and d3; a missing entry means no answer
 		want   Outage
 	}{
-		{"all serve", []Phase{Serving, Serving, Serving}, OnlyThis},
+		{"all serve", []Phase{Serving, Serving, Serving}, ThisDispatcherOnly},
 		{"one of three recovers", []Phase{Serving, QueryingPeers, Serving}, Partial},
 		{"all recover", []Phase{QueryingPeers, AwaitingEndpoints, SlowStart}, FleetWide},
 		{"two serve, one is silent", []Phase{Serving, Serving}, Partial},
@@ -77,7 +77,7 @@
 }
 
 // The discovery service may recover last. Until then dispatchers with a stored endpoint list must continue with it.
-func TestStoredListIsUsedOnceDiscoveryDoesNotAnswer(t *testing.T) {
+func TestStoredListIsUsedIfDiscoveryDoesNotAnswer(t *testing.T) {
 	s := newTestMachine(1, PreviousIncarnation{})
 	s.Tick(2 * time.Second)
 	assert.Equal(t, AwaitingEndpoints, s.Phase())
--- a/internal/fleet/recovery/trust.go
+++ b/internal/fleet/recovery/trust.go
@@ -51,8 +51,8 @@
 // trusted. docs/recovery.md shows the same table.
 //
 // fleet.Node applies CheckTrust to the facts that it restores into the balancer: capacity, sizes, backoffs and quotas.
-// The other rules are applied by the readers of the facts, such as checkOwnName for the identity and Keys.Find for
-// keys.
+// The other rules are applied by the readers of the facts, such as checkOwnIncarnation for the identity and Keys.Find
+// for keys.
 var TrustRules = [factCount]TrustRule{
 	{
 		Fact: FactIdentity, Name: "name and incarnation", Stored: "life.a and life.b in turn, synced before the first message",
@@ -154,8 +154,8 @@
 // maxClockStepBack is how far the wall clock may have been set back since a record was written without affecting trust.
 const maxClockStepBack = 2 * time.Second
 
-// RecordAgeOf returns the age of a record. Both timestamps are wall clock times in Unix ms.
-func RecordAgeOf(written, now int64) RecordAge {
+// NewRecordAge returns the age of a record. Both timestamps are wall clock times in Unix ms.
+func NewRecordAge(written, now int64) RecordAge {
 	elapsed := time.Duration(now-written) * time.Millisecond
 	if elapsed < -maxClockStepBack {
 		return RecordAge{ClockJumped: true}
@@ -166,7 +166,7 @@
 // The reasons why a stored fact is not trusted, in addition to TooOldError.
 var (
 	ErrClockJumped     = errors.New("the wall clock has jumped back since it was written")
-	ErrFleetWasDown    = errors.New("the whole fleet was down")
+	ErrFleetOutage     = errors.New("the whole fleet was down")
 	ErrFactNeverStored = errors.New("never stored")
 )
 
@@ -182,7 +182,7 @@
 }
 
 // CheckTrust returns nil if a fact of the given age is trusted after the outage. Otherwise it returns the reason:
-// ErrClockJumped, a TooOldError, ErrFleetWasDown or ErrFactNeverStored.
+// ErrClockJumped, a TooOldError, ErrFleetOutage or ErrFactNeverStored.
 func CheckTrust(fact Fact, age RecordAge, outage Outage) error {
 	rule := &TrustRules[fact]
 	switch {
@@ -191,7 +191,7 @@
 	case rule.MaxAge > 0 && age.Elapsed > rule.MaxAge:
 		return &TooOldError{Age: age.Elapsed, MaxAge: rule.MaxAge}
 	case !rule.SurvivesFleetOutage && outage == FleetWide:
-		return ErrFleetWasDown
+		return ErrFleetOutage
 	case !rule.survivesPowerLoss():
 		return ErrFactNeverStored
 	}
--- a/internal/fleet/recovery/trust_test.go
+++ b/internal/fleet/recovery/trust_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-func TestTrustFollowsAgeClockAndOutage(t *testing.T) {
+func TestTrustDependsOnAgeClockAndOutage(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		fact   Fact
@@ -20,17 +20,17 @@
 		{"young capacity", FactCapacity, time.Hour, FleetWide, true},
 		{"old capacity", FactCapacity, 25 * time.Hour, FleetWide, false},
 		{"capacity written in the future", FactCapacity, -time.Minute, FleetWide, false},
-		{"young backoffs of one dispatcher", FactBackoffs, time.Second, OnlyThis, true},
+		{"young backoffs of one dispatcher", FactBackoffs, time.Second, ThisDispatcherOnly, true},
 		{"young backoffs after a fleet-wide outage", FactBackoffs, time.Second, FleetWide, false},
-		{"old backoffs", FactBackoffs, time.Minute, OnlyThis, false},
+		{"old backoffs", FactBackoffs, time.Minute, ThisDispatcherOnly, false},
 		{"old quotas", FactQuotas, 2 * time.Minute, Partial, false},
 		{"an endpoint list of any age", FactEndpoints, 1000 * time.Hour, FleetWide, true},
-		{"non-idempotent requests", FactNonIdempotent, 0, OnlyThis, false},
-		{"sends during warm-up", FactWarmupSends, 0, OnlyThis, false},
+		{"non-idempotent requests", FactNonIdempotent, 0, ThisDispatcherOnly, false},
+		{"sends during warm-up", FactWarmupSends, 0, ThisDispatcherOnly, false},
 		{"a manual drain of any age", FactManualDrain, 1000 * time.Hour, FleetWide, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			age := RecordAgeOf(10_000_000, 10_000_000+c.age.Milliseconds())
+			age := NewRecordAge(10_000_000, 10_000_000+c.age.Milliseconds())
 			err := CheckTrust(c.fact, age, c.outage)
 			assert.Equal(t, c.want, err == nil, "%v", err)
 			if err != nil {
@@ -40,9 +40,9 @@
 	}
 }
 
-// TestRecoveryPageShowsTheTables checks that docs/recovery.md has one row for each fact and each phase, in the order of
+// TestRecoveryPageMatchesTables checks that docs/recovery.md has one row for each fact and each phase, in the order of
 // the code.
-func TestRecoveryPageShowsTheTables(t *testing.T) {
+func TestRecoveryPageMatchesTables(t *testing.T) {
 	page, err := os.ReadFile("../../../docs/recovery.md")
 	assert.NoError(t, err)
 	var rows []string
--- a/internal/fleet/restore.go
+++ b/internal/fleet/restore.go
@@ -74,7 +74,7 @@
 	if !found {
 		return
 	}
-	age := recovery.RecordAgeOf(writtenAt, time.Now().UnixMilli())
+	age := recovery.NewRecordAge(writtenAt, time.Now().UnixMilli())
 	n.dropUntrusted(&snapshot, age, outage)
 	n.proxy.RestoreFromDisk(snapshot)
 	n.restoreDrains(snapshot)
--- a/internal/fleet/simulate/clients.go
+++ b/internal/fleet/simulate/clients.go
@@ -27,7 +27,7 @@
 	longest := interval + interval/2
 	w.after(w.between(shortest, longest), w.sendRequests)
 	n := w.nodes[w.rng.IntN(len(w.nodes))]
-	if !n.up || !n.machine.Phase().Admits() {
+	if !n.up || !n.machine.Phase().AdmitsRequests() {
 		return
 	}
 	switch draw := w.rng.Float64(); {
@@ -92,7 +92,7 @@
 	found, err := n.keys.Find(recovery.KeyLookup{
 		Sum:          key.sum,
 		MarkedRepeat: true,
-		KeysPending:  n.machine.PeerKeysPending(n.uptime()),
+		KeysPending:  n.machine.MayLackKeys(n.uptime()),
 		Now:          n.wallClock(),
 		Uptime:       n.uptime(),
 	})
--- a/internal/fleet/simulate/invariants.go
+++ b/internal/fleet/simulate/invariants.go
@@ -16,11 +16,11 @@
 	n.phase = transition.Phase
 	switch transition.Phase {
 	case recovery.Probing:
-		answered, total := n.machine.PeersAnswered()
+		answered, total := n.machine.CountAnsweredPeers()
 		if answered < total && n.uptime() < peersTimeout {
 			n.world.violation("%d: admits requests after %v, with %d of %d replies", n.position, n.uptime(), answered, total)
 		}
-		if n.machine.Outage() == recovery.OnlyThis {
+		if n.machine.Outage() == recovery.ThisDispatcherOnly {
 			n.checkPeersServe()
 		}
 	case recovery.Serving:
--- a/internal/fleet/simulate/node.go
+++ b/internal/fleet/simulate/node.go
@@ -135,7 +135,7 @@
 	})
 	n.diskFailed = err != nil
 	n.incarnation = incarnation.Number
-	n.machine.IdentityStored(n.uptime(), incarnation.Number, nonce, recovery.PreviousIncarnationOf(recovered))
+	n.machine.IdentityStored(n.uptime(), incarnation.Number, nonce, recovery.NewPreviousIncarnation(recovered))
 }
 
 // losePower ends the process.
@@ -202,12 +202,12 @@
 	for _, transition := range actions.Transitions {
 		n.checkTransition(transition)
 	}
-	n.persistKeysMark(actions.KeysMark)
+	n.persistKeysMark(actions.KeysMarkChange)
 	if actions.RaiseIncarnation > 0 {
 		n.raiseIncarnation(actions.RaiseIncarnation)
 	}
 	n.replies = append(n.replies, actions.Replies...)
-	if n.machine.Phase().Admits() {
+	if n.machine.Phase().AdmitsRequests() {
 		n.restored = true
 		n.mergeReplies()
 	}
@@ -222,7 +222,7 @@
 
 // persistKeysMark persists a change of the mark. Its error is a drawn fault: diskFailed stands for an incarnation that
 // could not be raised, and setting it here would weaken the check.
-func (n *node) persistKeysMark(mark recovery.KeysMark) {
+func (n *node) persistKeysMark(mark recovery.KeysMarkChange) {
 	switch mark {
 	case recovery.MarkKeysSuspect:
 		_ = n.store.MarkKeysSuspect()
@@ -252,7 +252,7 @@
 
 // reply sends what is known here to a peer that has sent a query.
 func (n *node) reply(query recovery.Query) {
-	known := recovery.LocalKnowledge{
+	known := recovery.LocalState{
 		Keys:        n.keys.ForPeers(n.wallClock(), n.uptime()),
 		MaxObserved: map[string]float64{"std": observedSlots},
 	}
--- a/internal/fleet/simulate/simulate.go
+++ b/internal/fleet/simulate/simulate.go
@@ -143,7 +143,7 @@
 	if age := w.now - w.workers.restartedAt; w.workers.restarted && age < warmupDuration {
 		share = coldCapacityShare + (1-coldCapacityShare)*age.Seconds()/warmupDuration.Seconds()
 	}
-	return recovery.Capacity{Workers: w.plan.Workers, Warm: warm, Now: share * warm}
+	return recovery.Capacity{Workers: w.plan.Workers, Warm: warm, Current: share * warm}
 }
 
 // violation reports that an invariant does not hold.
