--- a/internal/daemon/hot_restart_predecessor.go
+++ b/internal/daemon/hot_restart_predecessor.go
@@ -77,7 +77,7 @@
 func (h *hotRestart) yieldSockets() {
 	h.proxy.YieldDatagrams()
 	if h.node != nil {
-		h.node.YieldSocket()
+		h.node.YieldResources()
 	}
 }
 
@@ -85,7 +85,7 @@
 func (h *hotRestart) reclaimSockets() {
 	h.proxy.ReclaimDatagrams()
 	if h.node != nil {
-		h.node.ReclaimSocket()
+		h.node.ReclaimResources()
 	}
 }
 
--- a/internal/fleet/admission.go
+++ b/internal/fleet/admission.go
@@ -21,7 +21,7 @@
 func (n *Node) Ready() error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if phase := n.machine.Phase(); !n.admitting || phase == recovery.Superseded {
+	if phase := n.machine.Phase(); !n.restored || phase == recovery.Superseded {
 		return &NotReadyError{Phase: phase, Reason: n.phaseReason}
 	}
 	return nil
@@ -32,9 +32,9 @@
 func (n *Node) Admit(arrival balancer.Arrival) proxy.RecoveryAdmission {
 	n.mu.Lock()
 	serving := n.machine.Phase() == recovery.Serving
-	admitting := n.admitting
+	restored := n.restored
 	n.mu.Unlock()
-	if !admitting {
+	if !restored {
 		return proxy.RecoveryAdmission{RetryAfter: n.config.MaxRetryAfter}
 	}
 	if serving {
@@ -51,15 +51,15 @@
 		n.counters.requestsRejected++
 		return proxy.RecoveryAdmission{RetryAfter: admission.RetryAfter}
 	}
-	return proxy.RecoveryAdmission{Admitted: true, Done: n.requestEnded}
+	return proxy.RecoveryAdmission{Admitted: true, Done: n.reportRequestEnd}
 }
 
-// requestEnded reports the end of an admitted request to the state machine.
-func (n *Node) requestEnded(succeeded bool) {
+// reportRequestEnd reports the end of an admitted request to the state machine.
+func (n *Node) reportRequestEnd(succeeded bool) {
 	if succeeded {
-		n.update((*recovery.StateMachine).RequestSucceeded)
+		n.updateMachine((*recovery.StateMachine).RequestSucceeded)
 	} else {
-		n.update((*recovery.StateMachine).RequestFailed)
+		n.updateMachine((*recovery.StateMachine).RequestFailed)
 	}
-	n.notify()
+	n.requestTick()
 }
--- a/internal/fleet/hot_restart.go
+++ b/internal/fleet/hot_restart.go
@@ -5,19 +5,20 @@
 // Only one process per dispatcher name may own the state folder and the address. In a hot restart the predecessor
 // yields both to its successor, and reclaims them if the successor exits first.
 
-// socketOwner identifies which of two processes of this name should own the folder and the address.
-type socketOwner uint8
+// resourceOwner identifies which of two processes of this name should own the folder and the address.
+type resourceOwner uint8
 
 const (
-	ownedByThis      socketOwner = iota // the successor has exited: this process reclaims them
-	ownedBySuccessor                    // this process yields them
+	ownedByThisProcess resourceOwner = iota // the successor has exited: this process reclaims them
+	ownedBySuccessor                        // this process yields them
 )
 
 // maxOwnerChanges is how many owner changes may be queued. A hot restart needs two.
 const maxOwnerChanges = 4
 
-// run runs an incarnation until it yields to a successor, and starts another one if the successor exits first.
-func (n *Node) run(ctx context.Context) error {
+// runIncarnations runs an incarnation until it yields to a successor, and starts another one if the successor exits
+// first.
+func (n *Node) runIncarnations(ctx context.Context) error {
 	for {
 		if n.isSuccessor() && !n.serveUntilAcquired(ctx) {
 			return nil
@@ -47,10 +48,10 @@
 func (n *Node) serveUntilAcquired(ctx context.Context) bool {
 	n.mu.Lock()
 	n.machine.TakeOver(n.uptime(), 0, 0) // the incarnation is not known before the folder is read
-	n.admitting = true
+	n.restored = true
 	n.mu.Unlock()
-	n.carryOut()
-	for n.acquire() != nil {
+	n.executeActions()
+	for n.acquireResources() != nil {
 		if !sleep(ctx, n.settings.Recovery.QueryInterval.Std()) {
 			return false
 		}
@@ -60,11 +61,11 @@
 
 // waitForSuccessorEnd waits until a successor has exited. It returns false if ctx ends first.
 func (n *Node) waitForSuccessorEnd(ctx context.Context) bool {
-	return n.waitForOwner(ctx, ownedByThis)
+	return n.waitForOwner(ctx, ownedByThisProcess)
 }
 
 // waitForOwner waits for a change to the given owner of the folder and the address. It returns false if ctx ends first.
-func (n *Node) waitForOwner(ctx context.Context, want socketOwner) bool {
+func (n *Node) waitForOwner(ctx context.Context, want resourceOwner) bool {
 	for {
 		select {
 		case owner := <-n.ownerChanges:
@@ -82,14 +83,14 @@
 	n.waitForOwner(ctx, ownedBySuccessor)
 }
 
-// YieldSocket requests that this process yield the folder and the address to a successor. It does not block.
-func (n *Node) YieldSocket() { n.requestOwner(ownedBySuccessor) }
+// YieldResources requests that this process yield the folder and the address to a successor. It does not block.
+func (n *Node) YieldResources() { n.requestOwner(ownedBySuccessor) }
 
-// ReclaimSocket requests that this process reclaim the folder and the address after the successor has exited. It does
-// not block.
-func (n *Node) ReclaimSocket() { n.requestOwner(ownedByThis) }
+// ReclaimResources requests that this process reclaim the folder and the address after the successor has exited. It
+// does not block.
+func (n *Node) ReclaimResources() { n.requestOwner(ownedByThisProcess) }
 
-func (n *Node) requestOwner(owner socketOwner) {
+func (n *Node) requestOwner(owner resourceOwner) {
 	select {
 	case n.ownerChanges <- owner:
 	default: // the queue is full
--- a/internal/fleet/incarnation.go
+++ b/internal/fleet/incarnation.go
@@ -17,16 +17,16 @@
 	errDiskTimeout    = errors.New("the disk did not respond within identity-within")
 )
 
-// resources returns the resources that this process owns.
-func (n *Node) resources() ownedResources {
+// currentResources returns the currentResources that this process owns.
+func (n *Node) currentResources() ownedResources {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.owned
 }
 
-// acquire locks the folder, listens on the address, and reads the folder's contents. It fails if another process owns
-// one of them. If the folder is unusable for other reasons, the node runs without it.
-func (n *Node) acquire() error {
+// acquireResources locks the folder, listens on the address, and reads the folder's contents. It fails if another
+// process owns one of them. If the folder is unusable for other reasons, the node runs without it.
+func (n *Node) acquireResources() error {
 	folder, folderErr := store.OpenFolder(n.settings.State.Folder)
 	if errors.Is(folderErr, store.ErrLocked) {
 		return folderErr
@@ -49,18 +49,18 @@
 	if folder == nil || folder.ReadOnly() {
 		recovered.Errors = append(recovered.Errors, errFolderReadOnly)
 	}
-	n.takeRecovered(owned, recovered)
+	n.recordRecovered(owned, recovered)
 	return nil
 }
 
-// takeRecovered records the resources and the data recovered from the folder, and logs the records that were lost.
-func (n *Node) takeRecovered(owned ownedResources, recovered store.Recovered) {
+// recordRecovered records the resources and the data recovered from the folder, and logs the records that were lost.
+func (n *Node) recordRecovered(owned ownedResources, recovered store.Recovered) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.owned = owned
 	n.recovered = recovered
-	for _, lost := range recovered.Errors {
-		n.log.Warn().Err(lost).Msg("stored record ignored")
+	for _, err := range recovered.Errors {
+		n.log.Warn().Err(err).Msg("stored record ignored")
 		n.counters.factsDropped++
 	}
 	if recovered.Foreign {
@@ -99,7 +99,7 @@
 		n.machine.IdentityStored(n.uptime(), number, nonce, recovery.NewPreviousIncarnation(recovered))
 	}
 	n.mu.Unlock()
-	n.carryOut()
+	n.executeActions()
 }
 
 // persistIncarnation returns the number of the next incarnation once it is durable. A write to a hung disk cannot be
@@ -134,36 +134,37 @@
 // raiseIncarnation persists a higher incarnation before the next message is sent.
 func (n *Node) raiseIncarnation(number uint64) {
 	n.log.Warn().Uint64("incarnation", number).Msg("peers know a later incarnation: raised")
-	if s := n.resources().store; s != nil {
-		n.reportUpdate(s.RaiseIncarnation(number))
+	if s := n.currentResources().store; s != nil {
+		n.logUpdateError(s.RaiseIncarnation(number))
 	}
-	n.update(func(machine *recovery.StateMachine, uptime time.Duration) { machine.IncarnationRaised(uptime, number) })
+	n.updateMachine(func(machine *recovery.StateMachine, uptime time.Duration) { machine.IncarnationRaised(uptime, number) })
 }
 
 // persistKeysMark persists a change of the mark that keys of previous incarnations may be missing.
 func (n *Node) persistKeysMark(mark recovery.KeysMarkChange) {
-	s := n.resources().store
+	s := n.currentResources().store
 	if s == nil {
 		return
 	}
 	switch mark {
 	case recovery.MarkKeysSuspect:
-		n.reportUpdate(s.MarkKeysSuspect())
+		n.logUpdateError(s.MarkKeysSuspect())
 	case recovery.ClearKeysSuspect:
-		n.reportUpdate(s.ClearKeysSuspect())
+		n.logUpdateError(s.ClearKeysSuspect())
 	}
 }
 
-// reportUpdate logs a failure to persist a change of the incarnation. The process continues with the change in memory.
-func (n *Node) reportUpdate(err error) {
+// logUpdateError logs a failure to persist a change of the incarnation. The process continues with the change in
+// memory.
+func (n *Node) logUpdateError(err error) {
 	if err != nil {
 		n.log.Error().Err(err).Msg("change of the incarnation not persisted")
 	}
 }
 
-// release persists the final state and a clean shutdown, and releases the folder and the address.
-func (n *Node) release() {
-	_ = n.resources().socket.Close() // Run closes the socket too, and the second Close returns an error
+// releaseResources persists the final state and a clean shutdown, and releases the folder and the address.
+func (n *Node) releaseResources() {
+	_ = n.currentResources().socket.Close() // Run closes the socket too, and the second Close returns an error
 	n.saveState()
 	n.mu.Lock()
 	owned := n.owned
--- a/internal/fleet/keys.go
+++ b/internal/fleet/keys.go
@@ -41,7 +41,7 @@
 	case found == nil:
 		return nil, nil
 	}
-	n.counters.repeatsToGroup++
+	n.counters.repeatsRouted++
 	return &proxy.PriorExecution{Worker: found.Worker, Zone: found.Zone, Cell: found.Cell, SentAtMillis: found.SentAt}, nil
 }
 
@@ -64,7 +64,7 @@
 
 // writeKeyBatch persists keys whose requests are about to be sent.
 func (n *Node) writeKeyBatch(keys []store.Key) error {
-	s := n.resources().store
+	s := n.currentResources().store
 	if s == nil {
 		return errNoFolder
 	}
@@ -72,7 +72,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if err != nil {
-		n.counters.keysLost += int64(len(keys))
+		n.counters.keysNotPersisted += int64(len(keys))
 		return err
 	}
 	n.counters.keysPersisted += int64(len(keys))
--- a/internal/fleet/keywriter_test.go
+++ b/internal/fleet/keywriter_test.go
@@ -12,7 +12,7 @@
 	"canvasroute/internal/fleet/store"
 )
 
-func TestKeysThatComeDuringAWriteShareTheNext(t *testing.T) {
+func TestKeysQueuedDuringAWriteShareTheNextBatch(t *testing.T) {
 	const waiting = 20
 	errDisk := errors.New("no space left")
 	w := newKeyWriter(10 * time.Second)
--- a/internal/fleet/metrics.go
+++ b/internal/fleet/metrics.go
@@ -13,8 +13,8 @@
 	stateFailures    int64 // writes of the state or the incarnation that failed
 	stateFailing     bool  // the last write of the state failed
 	keysPersisted    int64
-	keysLost         int64 // keys that could not be persisted
-	repeatsToGroup   int64 // requests sent to the dedup group of an earlier attempt
+	keysNotPersisted int64 // keys that could not be persisted
+	repeatsRouted    int64 // requests sent to the dedup group of an earlier attempt
 	repeatsFailed    int64 // requests failed because the worker of an earlier attempt is unknown
 	requestsRejected int64 // rejected during recovery
 }
@@ -38,10 +38,10 @@
 		{Name: "state_writes", Value: c.stateWrites},
 		{Name: "state_failures", Value: c.stateFailures},
 		{Name: "keys_kept", Value: c.keysPersisted},
-		{Name: "keys_unkept", Value: c.keysLost},
+		{Name: "keys_unkept", Value: c.keysNotPersisted},
 		{Name: "keys_before", Value: int64(n.keys.Count())},
 		{Name: "keys_open", Value: boolMetric(n.machine.MayLackKeys(n.uptime()))},
-		{Name: "keys_held", Value: c.repeatsToGroup},
+		{Name: "keys_held", Value: c.repeatsRouted},
 		{Name: "keys_barred", Value: c.repeatsFailed},
 	}
 	return append(metrics, socketMetrics(n.owned.socket)...)
--- a/internal/fleet/node.go
+++ b/internal/fleet/node.go
@@ -52,21 +52,21 @@
 	balancer *balancer.Shards // set by Attach
 
 	keyWriter      *keyWriter
-	stateChanged   chan struct{}             // wakes tick to call the state machine
-	ownerChanges   chan socketOwner          // sent by YieldSocket and ReclaimSocket
+	tickRequests   chan struct{}             // wakes runTicks
+	ownerChanges   chan resourceOwner        // sent by YieldResources and ReclaimResources
 	storedCapacity func() map[string]float64 // by kind of worker, from the recovered state; decoded on the first call
 
-	mu          sync.Mutex // guards the fields below; never held during a disk write
-	machine     *recovery.StateMachine
-	keys        *recovery.Keys
-	owned       ownedResources
-	recovered   store.Recovered      // data in the folder when this process acquired it
-	successor   bool                 // this process takes over from a predecessor
-	replies     []recovery.PeerReply // not yet merged
-	restoring   bool                 // restoring the recovered state has started
-	admitting   bool                 // the recovered state has been restored, so requests may be admitted
-	phaseReason string               // why the phase started, for logs and answers to operators
-	counters    counters
+	mu             sync.Mutex // guards the fields below; never held during a disk write
+	machine        *recovery.StateMachine
+	keys           *recovery.Keys
+	owned          ownedResources
+	recovered      store.Recovered      // data in the folder when this process acquired it
+	successor      bool                 // this process takes over from a predecessor
+	replies        []recovery.PeerReply // not yet merged
+	restoreStarted bool                 // restoring the recovered state has started
+	restored       bool                 // the recovered state has been restored, so requests may be admitted
+	phaseReason    string               // why the phase started, for logs and answers to operators
+	counters       counters
 }
 
 // ownedResources are the resources that only one process of a name may own. While another process owns them, folder and
@@ -101,8 +101,8 @@
 		log:          config.Log,
 		startedAt:    time.Now(),
 		keyWriter:    newKeyWriter(settings.Recovery.KeyTimeout.Std()),
-		stateChanged: make(chan struct{}, 1),
-		ownerChanges: make(chan socketOwner, maxOwnerChanges),
+		tickRequests: make(chan struct{}, 1),
+		ownerChanges: make(chan resourceOwner, maxOwnerChanges),
 		machine:      newStateMachine(settings, &config),
 		keys:         recovery.NewKeys(config.DedupWindow),
 		successor:    config.IsSuccessor,
@@ -113,7 +113,7 @@
 	}
 	deadline := time.Now().Add(settings.Recovery.IdentityTimeout.Std())
 	for {
-		err := n.acquire()
+		err := n.acquireResources()
 		if err == nil {
 			return n, nil
 		}
@@ -165,7 +165,7 @@
 // operators would have to kill the process. In both cases the next incarnation treats this one as crashed.
 func (n *Node) Run(ctx context.Context) error {
 	ended := make(chan error, 1)
-	go func() { ended <- n.run(ctx) }()
+	go func() { ended <- n.runIncarnations(ctx) }()
 	select {
 	case err := <-ended:
 		return err
@@ -191,16 +191,16 @@
 		cancel()
 		return nil
 	})
-	socket := n.resources().socket
+	socket := n.currentResources().socket
 	goroutines.Go(func() error { return socket.Run(ctx, n.receive) })
-	for _, loop := range []func(context.Context){n.writeKeys, n.saveStates, n.tick} {
+	for _, loop := range []func(context.Context){n.writeKeys, n.saveStatePeriodically, n.runTicks} {
 		goroutines.Go(func() error {
 			loop(ctx)
 			return nil
 		})
 	}
 	err := goroutines.Wait()
-	n.release()
+	n.releaseResources()
 	return err
 }
 
--- a/internal/fleet/node_test.go
+++ b/internal/fleet/node_test.go
@@ -21,8 +21,8 @@
 // hungDisk is a disk whose syncs block until the test ends.
 type hungDisk struct {
 	*store.Memory
-	syncing chan struct{} // receives a value when a sync starts
-	ended   chan struct{} // closed when the test ends
+	syncing   chan struct{} // receives a value when a sync starts
+	testEnded chan struct{} // closed when the test ends
 }
 
 // Sync blocks until the test ends.
@@ -31,7 +31,7 @@
 	case d.syncing <- struct{}{}:
 	default:
 	}
-	<-d.ended
+	<-d.testEnded
 	return nil
 }
 
@@ -44,8 +44,8 @@
 	return conn.LocalAddr().String()
 }
 
-// settingsOfOne returns the settings of a fleet with the single dispatcher n0 and a temporary state folder.
-func settingsOfOne(t *testing.T) *Settings {
+// newSingleMemberSettings returns the settings of a fleet with the single dispatcher n0 and a temporary state folder.
+func newSingleMemberSettings(t *testing.T) *Settings {
 	t.Helper()
 	dir := t.TempDir()
 	path := filepath.Join(dir, "fleet.toml")
@@ -68,23 +68,23 @@
 	return settings
 }
 
-func configOfOne() Config {
+func newSingleMemberConfig() Config {
 	return Config{Name: "n0", Now: func() balancer.Time { return 0 }, Log: zerolog.Nop()}
 }
 
 // newNodeOnHungDisk returns the node of a single-dispatcher fleet whose store is on a hung disk.
 func newNodeOnHungDisk(t *testing.T) (*Node, hungDisk) {
 	t.Helper()
-	n, err := Open(context.Background(), settingsOfOne(t), configOfOne())
+	n, err := Open(context.Background(), newSingleMemberSettings(t), newSingleMemberConfig())
 	assert.NoError(t, err)
 	disk := hungDisk{store.NewMemory(), make(chan struct{}, 1), make(chan struct{})}
-	t.Cleanup(func() { close(disk.ended) })
+	t.Cleanup(func() { close(disk.testEnded) })
 	n.owned.store, n.recovered = store.Open(disk, "n0")
 	return n, disk
 }
 
-// assertDoesNotWait fails the test if an operation takes longer than 5 seconds.
-func assertDoesNotWait(t *testing.T, name string, operation func()) {
+// assertDoesNotBlock fails the test if an operation takes longer than 5 seconds.
+func assertDoesNotBlock(t *testing.T, name string, operation func()) {
 	t.Helper()
 	const limit = 5 * time.Second
 	done := make(chan struct{})
@@ -105,16 +105,16 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go n.writeKeys(ctx)
-	go n.tick(ctx)
+	go n.runTicks(ctx)
 	err := n.PersistKey(ctx, proxy.KeyRecord{Operation: "o", Key: "k", DedupWindow: time.Second})
 	var timeout *KeyTimeoutError
 	assert.ErrorAs(t, err, &timeout)
 	assert.ErrorContains(t, err, "not on disk")
 	<-disk.syncing
 	for range 20 {
-		n.notify()
-		assertDoesNotWait(t, "DUMP", func() { n.Metrics() })
-		assertDoesNotWait(t, "a request", func() {
+		n.requestTick()
+		assertDoesNotBlock(t, "DUMP", func() { n.Metrics() })
+		assertDoesNotBlock(t, "a request", func() {
 			assert.False(t, n.Admit(balancer.Arrival{}).Admitted, "no request is sent before the state is restored")
 		})
 		time.Sleep(time.Millisecond)
@@ -129,21 +129,21 @@
 	go func() { ended <- n.Run(ctx) }()
 	<-disk.syncing
 	cancel()
-	assertDoesNotWait(t, "the shutdown", func() { assert.NoError(t, <-ended) })
+	assertDoesNotBlock(t, "the shutdown", func() { assert.NoError(t, <-ended) })
 }
 
 // Two processes under one name would answer each other's queries and write to the same folder.
-func TestSecondProcessOfANameIsRefused(t *testing.T) {
-	settings := settingsOfOne(t)
+func TestOpenFailsIfAnotherProcessOwnsTheFolder(t *testing.T) {
+	settings := newSingleMemberSettings(t)
 	folder, err := store.OpenFolder(settings.State.Folder)
 	assert.NoError(t, err)
-	_, err = Open(context.Background(), settings, configOfOne())
+	_, err = Open(context.Background(), settings, newSingleMemberConfig())
 	var conflict *NameConflictError
 	assert.ErrorAs(t, err, &conflict)
 	assert.Equal(t, "n0", conflict.Name)
 	assert.ErrorIs(t, err, store.ErrLocked)
 	assert.NoError(t, folder.Close())
-	n, err := Open(context.Background(), settings, configOfOne())
+	n, err := Open(context.Background(), settings, newSingleMemberConfig())
 	assert.NoError(t, err)
 	var notReady *NotReadyError
 	assert.ErrorAs(t, n.Ready(), &notReady)
--- a/internal/fleet/operators_test.go
+++ b/internal/fleet/operators_test.go
@@ -9,8 +9,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// TestCounterNamesOfDump checks the names and the order of the metrics in the answer to DUMP, which operators rely on.
-func TestCounterNamesOfDump(t *testing.T) {
+// TestMetricNamesInDump checks the names and the order of the metrics in the answer to DUMP, which operators rely on.
+func TestMetricNamesInDump(t *testing.T) {
 	node, _ := newNodeOnHungDisk(t)
 	defer func() { assert.NoError(t, node.owned.socket.Close()) }()
 	var names []string
@@ -26,8 +26,9 @@
 	}, names)
 }
 
-// TestEachKeyOfTheFleetFile checks that each key of the fleet file is read, using values other than the defaults.
-func TestEachKeyOfTheFleetFile(t *testing.T) {
+// TestReadSetsEachKeyOfTheFleetFile checks that each key of the fleet file is read, using values other than the
+// defaults.
+func TestReadSetsEachKeyOfTheFleetFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "fleet.toml")
 	assert.NoError(t, os.WriteFile(path, []byte(`
 [state]
@@ -62,17 +63,17 @@
 	assert.Equal(t, want, read)
 }
 
-// TestDeployedFleetFileIsRead checks that the example in deploy has no unknown key and sets the same values as the
-// defaults.
-func TestDeployedFleetFileIsRead(t *testing.T) {
+// TestDeployedFleetFileMatchesDefaults checks that the example in deploy has no unknown key and sets the same values as
+// the defaults.
+func TestDeployedFleetFileMatchesDefaults(t *testing.T) {
 	const example = "../../deploy/fleet.toml"
 	read, err := Read(example, "n1", 1, 2)
 	assert.NoError(t, err)
 	assert.Equal(t, "/var/lib/canvasroute", read.State.Folder)
-	least := filepath.Join(t.TempDir(), "fleet.toml")
-	assert.NoError(t, os.WriteFile(least, []byte("state.folder = \"/var/lib/canvasroute\"\nlink.listen = \"10.0.0.1:7950\"\n"+
+	minimal := filepath.Join(t.TempDir(), "fleet.toml")
+	assert.NoError(t, os.WriteFile(minimal, []byte("state.folder = \"/var/lib/canvasroute\"\nlink.listen = \"10.0.0.1:7950\"\n"+
 		"member = [{name = \"n0\", address = \"10.0.0.1:7950\"}, {name = \"n1\", address = \"10.0.0.2:7950\"}]\n"), 0o600))
-	defaults, err := Read(least, "n1", 1, 2)
+	defaults, err := Read(minimal, "n1", 1, 2)
 	assert.NoError(t, err)
 	assert.Equal(t, defaults, read, "the example must set the default values")
 }
--- a/internal/fleet/peers.go
+++ b/internal/fleet/peers.go
@@ -20,9 +20,9 @@
 		if serving {
 			n.balancer.ReportSeniorPeer(reply.Member)
 		}
-		n.mergeCapacity(reply.MaxObserved)
+		n.mergeMaxObserved(reply.MaxObserved)
 		for _, w := range reply.Workers {
-			if merged.merge(w) && serving && w.InFlight > 0 {
+			if merged.mergeWorker(w) && serving && w.InFlight > 0 {
 				n.proxy.ReceiveLoad(reply.Member, w.ID, w.InFlight)
 			}
 		}
@@ -38,9 +38,9 @@
 	}
 }
 
-// mergeCapacity passes to the balancer the highest number of concurrent requests that a peer has observed per worker
+// mergeMaxObserved passes to the balancer the highest number of concurrent requests that a peer has observed per worker
 // kind. The peer may have read it from its disk, which helps if this dispatcher's disk is lost.
-func (n *Node) mergeCapacity(maxObserved map[string]float64) {
+func (n *Node) mergeMaxObserved(maxObserved map[string]float64) {
 	for name, observed := range maxObserved {
 		if kind := slices.Index(n.config.Kinds, name); kind >= 0 {
 			n.balancer.SeedMaxObserved(balancer.KindID(kind), observed)
@@ -63,8 +63,8 @@
 	return m
 }
 
-// merge adds a peer's data on a worker, and reports whether the worker is in the endpoint list.
-func (m *endpointMerge) merge(w messaging.Worker) (listed bool) {
+// mergeWorker adds a peer's data on a worker, and reports whether the worker is in the endpoint list.
+func (m *endpointMerge) mergeWorker(w messaging.Worker) (listed bool) {
 	position, listed := m.positions[w.ID]
 	if !listed {
 		return false
@@ -93,12 +93,12 @@
 
 // answerQueries sends the data of this dispatcher to the peers that have queried it.
 func (n *Node) answerQueries(socket *messaging.Socket, queries []recovery.Query) {
-	known := recovery.LocalState{MaxObserved: n.knownCapacity(), Workers: n.knownWorkers()}
+	local := recovery.LocalState{MaxObserved: n.observedCapacity(), Workers: n.workersForPeers()}
 	var messages []recovery.AddressedMessage
 	n.mu.Lock()
-	known.Keys = n.keys.ForPeers(time.Now().UnixMilli(), n.uptime())
+	local.Keys = n.keys.ForPeers(time.Now().UnixMilli(), n.uptime())
 	for _, query := range queries {
-		for _, msg := range n.machine.Reply(query, known) {
+		for _, msg := range n.machine.Reply(query, local) {
 			messages = append(messages, recovery.AddressedMessage{To: query.From, Message: &msg})
 		}
 	}
@@ -108,9 +108,9 @@
 	}
 }
 
-// knownWorkers returns the listed workers with data that a peer may lack: a start time, a state other than ready, or
+// workersForPeers returns the listed workers with data that a peer may lack: a start time, a state other than ready, or
 // requests in flight from this dispatcher.
-func (n *Node) knownWorkers() (workers []messaging.Worker) {
+func (n *Node) workersForPeers() (workers []messaging.Worker) {
 	_, endpoints := n.proxy.Endpoints()
 	inFlight := n.proxy.InFlightByWorker()
 	for _, e := range endpoints {
@@ -131,9 +131,9 @@
 // minObservedCapacity is the concurrency of a worker that needs no observation: every worker can process one request.
 const minObservedCapacity = 1
 
-// knownCapacity returns the highest number of requests that workers of each kind have processed concurrently. Until the
-// stored state is restored, the result includes the stored values.
-func (n *Node) knownCapacity() map[string]float64 {
+// observedCapacity returns the highest number of requests that workers of each kind have processed concurrently. Until
+// the stored state is restored, the result includes the stored values.
+func (n *Node) observedCapacity() map[string]float64 {
 	capacity := map[string]float64{}
 	for kind, observed := range n.balancer.MaxObserved() {
 		if kind < len(n.config.Kinds) && observed > minObservedCapacity {
@@ -141,10 +141,10 @@
 		}
 	}
 	n.mu.Lock()
-	restored := n.admitting
+	isRestored := n.restored
 	state := n.recovered.State
 	n.mu.Unlock()
-	if restored || state == nil {
+	if isRestored || state == nil {
 		return capacity
 	}
 	age := recovery.NewRecordAge(state.WrittenAt, time.Now().UnixMilli())
--- a/internal/fleet/phases.go
+++ b/internal/fleet/phases.go
@@ -15,14 +15,14 @@
 	minTickWait = time.Millisecond
 )
 
-// tick calls the state machine when its timer expires and when notify is called, until ctx ends.
-func (n *Node) tick(ctx context.Context) {
+// runTicks calls the state machine when its timer expires and when requestTick is called, until ctx ends.
+func (n *Node) runTicks(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
 		select {
 		case <-timer.C:
-		case <-n.stateChanged:
+		case <-n.tickRequests:
 		case <-ctx.Done():
 			return
 		}
@@ -33,7 +33,7 @@
 		}
 		next := n.machine.Tick(n.uptime())
 		n.mu.Unlock()
-		n.carryOut()
+		n.executeActions()
 		wait := max(next-n.uptime(), minTickWait)
 		if dependsOnCapacity {
 			wait = min(wait, capacityInterval)
@@ -51,7 +51,7 @@
 		return false
 	}
 	capacity := n.balancer.Capacity()
-	n.update(func(machine *recovery.StateMachine, uptime time.Duration) {
+	n.updateMachine(func(machine *recovery.StateMachine, uptime time.Duration) {
 		machine.SetCapacity(uptime, recovery.Capacity{
 			Workers: capacity.Workers,
 			Warm:    capacity.WarmSlots,
@@ -61,33 +61,34 @@
 	return true
 }
 
-// update passes an event to the state machine, with the time since the process started.
-func (n *Node) update(event func(machine *recovery.StateMachine, uptime time.Duration)) {
+// updateMachine passes an event to the state machine, with the time since the process started.
+func (n *Node) updateMachine(event func(machine *recovery.StateMachine, uptime time.Duration)) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	event(n.machine, n.uptime())
 }
 
-// notify wakes tick to call the state machine.
-func (n *Node) notify() {
+// requestTick wakes runTicks to call the state machine.
+func (n *Node) requestTick() {
 	select {
-	case n.stateChanged <- struct{}{}:
+	case n.tickRequests <- struct{}{}:
 	default: // a wake-up is already pending
 	}
 }
 
 // receive passes a message from a member to the state machine.
 func (n *Node) receive(from int, msg *messaging.Message) {
-	n.update(func(machine *recovery.StateMachine, uptime time.Duration) { machine.Receive(uptime, from, msg) })
-	n.carryOut()
+	n.updateMachine(func(machine *recovery.StateMachine, uptime time.Duration) { machine.Receive(uptime, from, msg) })
+	n.executeActions()
 }
 
-// carryOut executes the actions of the state machine: first it persists, then it restores or merges, and last it sends.
-func (n *Node) carryOut() {
+// executeActions executes the actions of the state machine: first it persists, then it restores or merges, and last it
+// sends.
+func (n *Node) executeActions() {
 	n.mu.Lock()
 	actions := n.machine.TakeActions()
 	n.reportTransitions(actions.Transitions)
-	replies, restoreNow := n.takeReplies(actions.Replies)
+	replies, restoreNow := n.collectReplies(actions.Replies)
 	socket := n.owned.socket
 	n.mu.Unlock()
 	n.persistKeysMark(actions.KeysMarkChange)
@@ -97,7 +98,7 @@
 	if restoreNow {
 		n.restore(replies)
 		n.mu.Lock()
-		n.admitting = true
+		n.restored = true
 		n.mu.Unlock()
 	} else if len(replies) > 0 {
 		n.mergeReplies(replies)
@@ -121,16 +122,16 @@
 	}
 }
 
-// takeReplies queues replies until the phase admits requests, and then returns all queued replies to be merged.
+// collectReplies queues replies until the phase admits requests, and then returns all queued replies to be merged.
 // restoreNow is true the first time, unless the balancer has inherited its state from a predecessor. The caller holds
 // mu.
-func (n *Node) takeReplies(received []recovery.PeerReply) (replies []recovery.PeerReply, restoreNow bool) {
+func (n *Node) collectReplies(received []recovery.PeerReply) (replies []recovery.PeerReply, restoreNow bool) {
 	n.replies = append(n.replies, received...)
 	if n.machine.Phase().AdmitsRequests() {
-		restoreNow = !n.restoring && !n.successor
-		n.restoring = true
+		restoreNow = !n.restoreStarted && !n.successor
+		n.restoreStarted = true
 	}
-	if n.restoring {
+	if n.restoreStarted {
 		replies = n.replies
 		n.replies = nil
 	}
@@ -139,17 +140,17 @@
 
 // EndpointsReceived records that the discovery service has sent its endpoint list.
 func (n *Node) EndpointsReceived() {
-	n.update((*recovery.StateMachine).EndpointsReceived)
-	n.notify()
+	n.updateMachine((*recovery.StateMachine).EndpointsReceived)
+	n.requestTick()
 }
 
 // EndpointsUnavailable records that the discovery service did not answer, or has stopped answering.
 func (n *Node) EndpointsUnavailable() {
-	n.update((*recovery.StateMachine).EndpointsUnavailable)
-	n.notify()
+	n.updateMachine((*recovery.StateMachine).EndpointsUnavailable)
+	n.requestTick()
 }
 
 // StoredEndpointsLoaded records that the proxy has an initial endpoint list, possibly an outdated one.
 func (n *Node) StoredEndpointsLoaded() {
-	n.update((*recovery.StateMachine).StoredEndpointsLoaded)
+	n.updateMachine((*recovery.StateMachine).StoredEndpointsLoaded)
 }
--- a/internal/fleet/restore.go
+++ b/internal/fleet/restore.go
@@ -13,7 +13,7 @@
 
 // InitialEndpoints returns the newer of the configured and the stored endpoint list. Either may be nil.
 func (n *Node) InitialEndpoints(configured *protocol.EndpointList) *protocol.EndpointList {
-	snapshot, found := n.storedSnapshot()
+	snapshot, found := n.decodeStoredSnapshot()
 	configuredIsNewer := configured != nil && configured.Version >= snapshot.Version
 	if !found || configuredIsNewer {
 		return configured
@@ -29,9 +29,9 @@
 	return stored
 }
 
-// storedSnapshot decodes the learned data in the stored state. found is false if there is no stored state or it cannot
-// be decoded. State that cannot be decoded is dropped.
-func (n *Node) storedSnapshot() (snapshot proxy.Snapshot, found bool) {
+// decodeStoredSnapshot decodes the learned data in the stored state. found is false if there is no stored state or it
+// cannot be decoded. State that cannot be decoded is dropped.
+func (n *Node) decodeStoredSnapshot() (snapshot proxy.Snapshot, found bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.recovered.State == nil {
@@ -55,7 +55,7 @@
 	n.mu.Unlock()
 	processStart := n.config.Now().Add(-balancer.DurationOf(n.uptime()))
 	if state != nil {
-		n.restoreState(state.WrittenAt, outage)
+		n.restoreStoredState(state.WrittenAt, outage)
 	}
 	n.balancer.DelayWarmingWorkers(processStart)
 	if outage == recovery.FleetWide {
@@ -68,25 +68,25 @@
 		Int64("dropped", n.counters.factsDropped).Int("keys", n.keys.Count()).Msg("stored state restored")
 }
 
-// restoreState restores the trusted facts of the stored state. writtenAt is Unix time in ms.
-func (n *Node) restoreState(writtenAt int64, outage recovery.Outage) {
-	snapshot, found := n.storedSnapshot()
+// restoreStoredState restores the trusted facts of the stored state. writtenAt is Unix time in ms.
+func (n *Node) restoreStoredState(writtenAt int64, outage recovery.Outage) {
+	snapshot, found := n.decodeStoredSnapshot()
 	if !found {
 		return
 	}
 	age := recovery.NewRecordAge(writtenAt, time.Now().UnixMilli())
-	n.dropUntrusted(&snapshot, age, outage)
+	n.dropUntrustedFacts(&snapshot, age, outage)
 	n.proxy.RestoreFromDisk(snapshot)
 	n.restoreDrains(snapshot)
 }
 
-// dropUntrusted removes from a stored snapshot the facts that recovery.CheckTrust does not trust, and the data that
-// were valid only at the time of writing.
-func (n *Node) dropUntrusted(snapshot *proxy.Snapshot, age recovery.RecordAge, outage recovery.Outage) {
-	trustsCapacity := n.trusts(recovery.FactCapacity, age, outage)
-	trustsSizes := n.trusts(recovery.FactSizes, age, outage)
-	trustsBackoffs := n.trusts(recovery.FactBackoffs, age, outage)
-	trustsQuotas := n.trusts(recovery.FactQuotas, age, outage)
+// dropUntrustedFacts removes from a stored snapshot the facts that recovery.CheckTrust does not trust, and the data
+// that were valid only at the time of writing.
+func (n *Node) dropUntrustedFacts(snapshot *proxy.Snapshot, age recovery.RecordAge, outage recovery.Outage) {
+	trustsCapacity := n.checkTrust(recovery.FactCapacity, age, outage)
+	trustsSizes := n.checkTrust(recovery.FactSizes, age, outage)
+	trustsBackoffs := n.checkTrust(recovery.FactBackoffs, age, outage)
+	trustsQuotas := n.checkTrust(recovery.FactQuotas, age, outage)
 	for shard := range snapshot.Learned {
 		learned := &snapshot.Learned[shard]
 		if !trustsCapacity {
@@ -117,17 +117,17 @@
 	}
 }
 
-// trusts reports whether a stored fact is trusted. It updates the counters, and logs why a fact is not trusted.
-func (n *Node) trusts(fact recovery.Fact, age recovery.RecordAge, outage recovery.Outage) bool {
-	distrust := recovery.CheckTrust(fact, age, outage)
+// checkTrust reports whether a stored fact is trusted. It updates the counters, and logs why a fact is not trusted.
+func (n *Node) checkTrust(fact recovery.Fact, age recovery.RecordAge, outage recovery.Outage) bool {
+	reason := recovery.CheckTrust(fact, age, outage)
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if distrust == nil {
+	if reason == nil {
 		n.counters.factsTrusted++
 		return true
 	}
 	n.counters.factsDropped++
-	n.log.Info().Str("fact", recovery.TrustRules[fact].Name).Str("why", distrust.Error()).Msg("stored fact not trusted")
+	n.log.Info().Str("fact", recovery.TrustRules[fact].Name).Str("why", reason.Error()).Msg("stored fact not trusted")
 	return false
 }
 
@@ -152,7 +152,7 @@
 // readStoredCapacity returns, for each kind of worker, the highest number of concurrent requests in the stored state.
 func (n *Node) readStoredCapacity() map[string]float64 {
 	capacity := map[string]float64{}
-	snapshot, found := n.storedSnapshot()
+	snapshot, found := n.decodeStoredSnapshot()
 	if !found || len(snapshot.Learned) == 0 {
 		return capacity
 	}
--- a/internal/fleet/settings.go
+++ b/internal/fleet/settings.go
@@ -71,11 +71,11 @@
 	return &SettingError{Key: key, Problem: fmt.Sprintf(format, args...)}
 }
 
-// The limits of values in the fleet file. The messages of checkTimes include the first two.
+// The limits of values in the fleet file. The messages of validateDurations include the first two.
 const (
-	minSettingTime = time.Millisecond
-	maxSettingTime = time.Hour
-	maxMemberName  = 128 // bytes
+	minSettingDuration = time.Millisecond
+	maxSettingDuration = time.Hour
+	maxMemberNameBytes = 128 // bytes
 )
 
 // The defaults of keys that the fleet file omits. deploy/fleet.toml sets the same values.
@@ -114,18 +114,18 @@
 	if err := tomlconfig.Decode(path, text, s); err != nil {
 		return nil, err
 	}
-	if err := s.check(name, position, dispatchers); err != nil {
+	if err := s.validate(name, position, dispatchers); err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
 	return s, nil
 }
 
-// check validates the values and parses the addresses.
-func (s *Settings) check(name string, position, dispatchers int) error {
+// validate validates the values and parses the addresses.
+func (s *Settings) validate(name string, position, dispatchers int) error {
 	if !filepath.IsAbs(s.State.Folder) {
 		return settingError("state.folder", "%q, must be an absolute path", s.State.Folder)
 	}
-	if err := s.checkTimes(); err != nil {
+	if err := s.validateDurations(); err != nil {
 		return err
 	}
 	own, err := netip.ParseAddrPort(s.Link.Listen)
@@ -136,7 +136,7 @@
 	if len(s.Members) != dispatchers {
 		return settingError("member", "%d of them, settings.balancers says %d", len(s.Members), dispatchers)
 	}
-	if err := s.checkMembers(); err != nil {
+	if err := s.validateMembers(); err != nil {
 		return err
 	}
 	if found := s.Members[position].Name; found != name {
@@ -145,8 +145,8 @@
 	return nil
 }
 
-// checkTimes validates that each duration is within its limits.
-func (s *Settings) checkTimes() error {
+// validateDurations validates that each duration is within its limits.
+func (s *Settings) validateDurations() error {
 	for _, setting := range []struct {
 		key   string
 		value Duration
@@ -159,15 +159,15 @@
 		{"recovery.ask-every", s.Recovery.QueryInterval},
 		{"recovery.keep-within", s.Recovery.KeyTimeout},
 	} {
-		if d := setting.value.Std(); d < minSettingTime || d > maxSettingTime {
+		if d := setting.value.Std(); d < minSettingDuration || d > maxSettingDuration {
 			return settingError(setting.key, "%v, must be from 1ms to 1h", d)
 		}
 	}
 	return nil
 }
 
-// checkMembers validates that each member has a unique name and a unique address, and parses the addresses.
-func (s *Settings) checkMembers() error {
+// validateMembers validates that each member has a unique name and a unique address, and parses the addresses.
+func (s *Settings) validateMembers() error {
 	names := map[string]int{}             // positions, by name
 	addresses := map[netip.AddrPort]int{} // positions, by address
 	for position, member := range s.Members {
@@ -177,8 +177,8 @@
 		if err != nil {
 			return settingError(addressKey, "%q is not an address with a port", member.Address)
 		}
-		if member.Name == "" || len(member.Name) > maxMemberName {
-			return settingError(nameKey, "must be a text of up to %d bytes", maxMemberName)
+		if member.Name == "" || len(member.Name) > maxMemberNameBytes {
+			return settingError(nameKey, "must be a text of up to %d bytes", maxMemberNameBytes)
 		}
 		if other, taken := names[member.Name]; taken {
 			return settingError(nameKey, "%q is that of member[%d] too", member.Name, other)
--- a/internal/fleet/settings_test.go
+++ b/internal/fleet/settings_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-func TestSettingsThatCannotBeUsedNameTheirKey(t *testing.T) {
+func TestInvalidSettingErrorNamesTheKey(t *testing.T) {
 	const valid = `
 [state]
 folder = "/var/lib/canvasroute"
--- a/internal/fleet/state.go
+++ b/internal/fleet/state.go
@@ -9,8 +9,8 @@
 	"canvasroute/internal/fleet/store"
 )
 
-// saveStates writes the state at each interval until ctx ends. Requests do not wait for these writes.
-func (n *Node) saveStates(ctx context.Context) {
+// saveStatePeriodically writes the state at each interval until ctx ends. Requests do not wait for these writes.
+func (n *Node) saveStatePeriodically(ctx context.Context) {
 	ticker := time.NewTicker(n.settings.State.Interval.Std())
 	defer ticker.Stop()
 	for {
@@ -28,10 +28,10 @@
 func (n *Node) saveState() {
 	n.mu.Lock()
 	s := n.owned.store
-	restoring := n.restoring
+	restoreStarted := n.restoreStarted
 	peers := n.machine.Peers()
 	n.mu.Unlock()
-	if s == nil || !restoring {
+	if s == nil || !restoreStarted {
 		return
 	}
 	learned, err := json.Marshal(n.proxy.SnapshotForDisk())
@@ -43,11 +43,11 @@
 			Peers:        peers,
 		})
 	}
-	n.reportSave(err)
+	n.recordSaveResult(err)
 }
 
-// reportSave counts a write of the state, and logs the first failure and the first success after a failure.
-func (n *Node) reportSave(err error) {
+// recordSaveResult counts a write of the state, and logs the first failure and the first success after a failure.
+func (n *Node) recordSaveResult(err error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	wasFailing := n.counters.stateFailing
@@ -73,7 +73,7 @@
 
 // updateDrain persists a change of the operator's drain.
 func (n *Node) updateDrain(change func(*store.Store) error) error {
-	s := n.resources().store
+	s := n.currentResources().store
 	if s == nil {
 		return errNoFolder
 	}
