--- a/internal/fleet/phases.go
+++ b/internal/fleet/phases.go
@@ -116,7 +116,6 @@
 	for _, t := range transitions {
 		n.phaseReason = t.Reason
 		// The testbed and operators match this message and its fields.
-		// The testbed and operators match this message and its fields.
 		n.log.Info().Stringer("phase", t.Phase).Str("why", t.Reason).Dur("at_ms", t.At).
 			Stringer("case", n.machine.Outage()).Msg("returning")
 	}
--- a/internal/fleet/recovery/peers.go
+++ b/internal/fleet/recovery/peers.go
@@ -164,7 +164,8 @@
 }
 
 // countActiveDispatchers returns how many dispatchers share the workers, including this one. All members count up to
-// the end of QueryingPeers. After that a peer counts only if this process has received a message from it.
+// the end of QueryingPeers, because peers may still answer until then. After that a peer counts only if this process has
+// received a message from it.
 func (s *StateMachine) countActiveDispatchers() int {
 	if s.phase <= QueryingPeers {
 		return len(s.peers.members)
--- a/internal/fleet/recovery/phase.go
+++ b/internal/fleet/recovery/phase.go
@@ -9,7 +9,7 @@
 // reported in metrics.
 type Phase uint8
 
-// The values of Phase, in the order in which a dispatcher enters them. phaseRules defines what a dispatcher may do in
+// The values of Phase, in the order in which a dispatcher enters them. phaseRules defines the permitted operations of
 // each phase, the advanceFrom methods define when it ends, and phaseDeadline when it times out. The quoted words are
 // the names in logs and answers to operators.
 const (
@@ -22,8 +22,8 @@
 	Superseded                        // "superseded": another process runs under this name, and this one never serves
 )
 
-// phaseRule defines what a dispatcher may do in a phase. In every phase except EstablishingIdentity it answers queries
-// of peers.
+// phaseRule lists the operations that a dispatcher may perform in a phase. In every phase except EstablishingIdentity
+// it answers queries of peers.
 type phaseRule struct {
 	name            string // used in logs and answers to operators
 	sendsQueries    bool   // to peers whose answer is not final
--- a/internal/fleet/recovery/reply.go
+++ b/internal/fleet/recovery/reply.go
@@ -26,8 +26,8 @@
 	return messaging.Split(first, local.Workers, local.Keys)
 }
 
-// addReceivedIncarnation adds to a reply what this dispatcher last received from an earlier process of the querying
-// peer. If the query itself started a new incarnation of that peer, the incarnation before it is reported.
+// addReceivedIncarnation adds to a reply the last incarnation received from an earlier process of the querying peer. If
+// the query itself started a new incarnation of that peer, the incarnation before it is reported.
 func (s *StateMachine) addReceivedIncarnation(reply *messaging.Message, query Query) {
 	p := &s.peers.members[query.From]
 	if p.incarnation == 0 {
--- a/internal/fleet/recovery/statemachine.go
+++ b/internal/fleet/recovery/statemachine.go
@@ -5,8 +5,8 @@
 // get back actions, which package fleet executes. Times are relative to the start of the process, unless documented as
 // Unix times. StateMachine and Keys are not safe for concurrent use.
 //
-// phase.go defines what a dispatcher may do in each phase and when the phase ends. trust.go defines which facts survive
-// a power loss and when each is trusted.
+// phase.go defines the rules of each phase and the conditions that end it. trust.go defines which facts survive a
+// power loss and when each is trusted.
 package recovery
 
 import (
--- a/internal/fleet/recovery/trust.go
+++ b/internal/fleet/recovery/trust.go
@@ -32,7 +32,7 @@
 type TrustRule struct {
 	Fact                Fact
 	Name                string        // used in logs
-	Stored              string        // where it is stored and when it is durable; neverStored if it is on no disk
+	Stored              string        // storage location and time of durability, or neverStored
 	MaxAge              time.Duration // maximum age to be trusted, 0 for no limit
 	NeedsClock          bool          // its age depends on the wall clock: not trusted after the clock was set back
 	SurvivesFleetOutage bool          // still valid after an outage of all dispatchers and workers
--- a/internal/fleet/restore.go
+++ b/internal/fleet/restore.go
@@ -111,8 +111,8 @@
 			if !trustsBackoffs {
 				*worker = balancer.WorkerStats{}
 			}
-			worker.PeerLoads = nil // requests of peers that have ended since
-			worker.Sends = nil     // too long ago to count
+			worker.PeerLoads = nil // the peers' requests have ended since
+			worker.Sends = nil     // too old to count
 		}
 	}
 }
--- a/internal/fleet/settings.go
+++ b/internal/fleet/settings.go
@@ -11,7 +11,7 @@
 	"canvasroute/internal/tomlconfig"
 )
 
-// Duration is a duration in the fleet file, such as "250ms".
+// Duration is a time.Duration that the fleet file gives as text, such as "250ms".
 type Duration time.Duration
 
 // UnmarshalText parses a number with a unit.
@@ -24,7 +24,7 @@
 	return nil
 }
 
-// Std returns d as a time.Duration.
+// Std converts d to a time.Duration.
 func (d Duration) Std() time.Duration { return time.Duration(d) }
 
 // Settings holds the validated contents of the fleet file. docs/returning.md describes the keys.
