--- a/internal/fleet/keys.go
+++ b/internal/fleet/keys.go
@@ -14,8 +14,8 @@
 
 var _ proxy.Recovery = (*Node)(nil)
 
-// keyChecksum returns the number that stands for an operation and a key on disk and in messages. The length of the
-// operation is part of it, so that no two pairs are written alike.
+// keyChecksum returns the number that identifies an operation and a key on disk and in messages. It includes the length
+// of the operation, so that different pairs never produce the same input to the hash.
 func keyChecksum(operation, key string) uint64 {
 	hash := fnv.New64a()
 	fmt.Fprintf(hash, "%d %s %s", len(operation), operation, key)
@@ -23,14 +23,14 @@
 }
 
 // PriorExecution returns where a request under the same key may have run in a previous incarnation of any dispatcher,
-// nil for nowhere. It fails with proxy.ErrOutcomeUnknown if nobody can tell.
+// or nil if it has not run. It fails with proxy.ErrOutcomeUnknown if this cannot be determined.
 func (n *Node) PriorExecution(request proxy.KeyedRequest) (*proxy.PriorExecution, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	found, err := n.keys.Find(recovery.KeyLookup{
 		Sum:          keyChecksum(request.Operation, request.Key),
 		MarkedRepeat: request.MarkedRepeat,
-		KeysPending:  n.machine.PeerKeysPending(n.uptime()),
+		KeysPending:  n.machine.MayLackKeys(n.uptime()),
 		Now:          time.Now().UnixMilli(),
 		Uptime:       n.uptime(),
 	})
@@ -41,12 +41,12 @@
 	case found == nil:
 		return nil, nil
 	}
-	n.counters.repeatsToGroup++
+	n.counters.repeatsRouted++
 	return &proxy.PriorExecution{Worker: found.Worker, Zone: found.Zone, Cell: found.Cell, SentAtMillis: found.SentAt}, nil
 }
 
-// PersistKey returns once a key is durable, so that its request may be sent. It fails with a KeyTimeoutError after the
-// key timeout.
+// PersistKey returns nil once a key is durable, so that its request may be sent. It fails with a KeyTimeoutError after
+// the key timeout.
 func (n *Node) PersistKey(ctx context.Context, record proxy.KeyRecord) error {
 	now := time.Now().UnixMilli()
 	return n.keyWriter.persist(ctx, store.Key{
@@ -62,9 +62,9 @@
 // writeKeys persists the keys of requests until ctx ends.
 func (n *Node) writeKeys(ctx context.Context) { n.keyWriter.run(ctx, n.writeKeyBatch) }
 
-// writeKeyBatch persists keys that are about to be sent.
+// writeKeyBatch persists keys whose requests are about to be sent.
 func (n *Node) writeKeyBatch(keys []store.Key) error {
-	s := n.resources().store
+	s := n.currentResources().store
 	if s == nil {
 		return errNoFolder
 	}
@@ -72,11 +72,11 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if err != nil {
-		n.counters.keysLost += int64(len(keys))
+		n.counters.keysNotPersisted += int64(len(keys))
 		return err
 	}
 	n.counters.keysPersisted += int64(len(keys))
-	for _, key := range keys { // for peers that recover; repeats within this incarnation do not need them
+	for _, key := range keys { // for recovering peers; repeats within this incarnation do not need them
 		n.keys.AddSent(messaging.Key(key))
 	}
 	return nil
--- a/internal/fleet/keywriter_test.go
+++ b/internal/fleet/keywriter_test.go
@@ -12,7 +12,7 @@
 	"canvasroute/internal/fleet/store"
 )
 
-func TestKeysThatComeDuringAWriteShareTheNext(t *testing.T) {
+func TestKeysQueuedDuringAWriteShareTheNextBatch(t *testing.T) {
 	const waiting = 20
 	errDisk := errors.New("no space left")
 	w := newKeyWriter(10 * time.Second)
@@ -38,7 +38,7 @@
 	}
 	assert.Eventually(t, func() bool { return len(w.queue) == waiting }, 5*time.Second, time.Millisecond)
 	proceed <- nil
-	assert.NoError(t, first.Wait(), "the error of a later batch is not its own")
+	assert.NoError(t, first.Wait(), "the first key must not get the error of the later batch")
 	assert.Equal(t, waiting, <-writing)
 	proceed <- errDisk
 	assert.NoError(t, others.Wait())
--- a/internal/fleet/metrics.go
+++ b/internal/fleet/metrics.go
@@ -5,25 +5,25 @@
 	"canvasroute/internal/protocol"
 )
 
-// counters are what the metrics count since the process started. Node.mu guards them.
+// counters are the values of the metrics since the process started. Node.mu guards them.
 type counters struct {
 	factsTrusted     int64 // stored facts that were restored
-	factsDropped     int64 // stored facts that were damaged or not trusted
+	factsDropped     int64 // stored facts that were corrupt or not trusted
 	stateWrites      int64
 	stateFailures    int64 // writes of the state or the incarnation that failed
 	stateFailing     bool  // the last write of the state failed
 	keysPersisted    int64
-	keysLost         int64 // keys that could not be persisted
-	repeatsToGroup   int64 // requests that went to the dedup group of an earlier attempt
-	repeatsFailed    int64 // requests that failed since nobody could tell where an earlier attempt may have run
-	requestsRejected int64 // by the recovery
+	keysNotPersisted int64 // keys that could not be persisted
+	repeatsRouted    int64 // requests sent to the dedup group of an earlier attempt
+	repeatsFailed    int64 // requests failed because the worker of an earlier attempt is unknown
+	requestsRejected int64 // rejected during recovery
 }
 
-// Metrics returns what operators read in the answer to DUMP. Names and order are their interface.
+// Metrics returns the metrics in the answer to DUMP. Operators rely on their names and order.
 func (n *Node) Metrics() []protocol.Metric {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	answered, total := n.machine.PeersAnswered()
+	answered, total := n.machine.CountAnsweredPeers()
 	c := &n.counters
 	metrics := []protocol.Metric{
 		{Name: "return_phase", Value: int64(n.machine.Phase())},
@@ -38,16 +38,16 @@
 		{Name: "state_writes", Value: c.stateWrites},
 		{Name: "state_failures", Value: c.stateFailures},
 		{Name: "keys_kept", Value: c.keysPersisted},
-		{Name: "keys_unkept", Value: c.keysLost},
+		{Name: "keys_unkept", Value: c.keysNotPersisted},
 		{Name: "keys_before", Value: int64(n.keys.Count())},
-		{Name: "keys_open", Value: boolMetric(n.machine.PeerKeysPending(n.uptime()))},
-		{Name: "keys_held", Value: c.repeatsToGroup},
+		{Name: "keys_open", Value: boolMetric(n.machine.MayLackKeys(n.uptime()))},
+		{Name: "keys_held", Value: c.repeatsRouted},
 		{Name: "keys_barred", Value: c.repeatsFailed},
 	}
 	return append(metrics, socketMetrics(n.owned.socket)...)
 }
 
-// socketMetrics returns the metrics of the socket, none before there is one.
+// socketMetrics returns the metrics of the socket, or none if there is no socket.
 func socketMetrics(socket *messaging.Socket) []protocol.Metric {
 	if socket == nil {
 		return nil
--- a/internal/fleet/operators_test.go
+++ b/internal/fleet/operators_test.go
@@ -9,8 +9,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// TestCounterNamesOfDump pins the names that operators read in the answer to DUMP, in their order.
-func TestCounterNamesOfDump(t *testing.T) {
+// TestMetricNamesInDump checks the names and the order of the metrics in the answer to DUMP, which operators rely on.
+func TestMetricNamesInDump(t *testing.T) {
 	node, _ := newNodeOnHungDisk(t)
 	defer func() { assert.NoError(t, node.owned.socket.Close()) }()
 	var names []string
@@ -26,8 +26,9 @@
 	}, names)
 }
 
-// TestEachKeyOfTheFleetFile pins the keys of the operators' file: each is read, with a value that is not its default.
-func TestEachKeyOfTheFleetFile(t *testing.T) {
+// TestReadSetsEachKeyOfTheFleetFile checks that each key of the fleet file is read, using values other than the
+// defaults.
+func TestReadSetsEachKeyOfTheFleetFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "fleet.toml")
 	assert.NoError(t, os.WriteFile(path, []byte(`
 [state]
@@ -58,23 +59,24 @@
 	r := &want.Recovery
 	r.IdentityTimeout, r.EndpointsTimeout, r.PeersTimeout = ms(11), ms(12), ms(13)
 	r.ProbeTimeout, r.QueryInterval, r.KeyTimeout = ms(14), ms(15), ms(16)
-	want.ownAddress, want.memberAddresses = read.ownAddress, read.memberAddresses // derived
+	want.ownAddress, want.memberAddresses = read.ownAddress, read.memberAddresses // derived from the fields above
 	assert.Equal(t, want, read)
 }
 
-// TestDeployedFleetFileIsRead checks that the example in deploy has no key that is unknown, and what it leaves unsaid.
-func TestDeployedFleetFileIsRead(t *testing.T) {
+// TestDeployedFleetFileMatchesDefaults checks that the example in deploy has no unknown key and sets the same values as
+// the defaults.
+func TestDeployedFleetFileMatchesDefaults(t *testing.T) {
 	const example = "../../deploy/fleet.toml"
 	read, err := Read(example, "n1", 1, 2)
 	assert.NoError(t, err)
 	assert.Equal(t, "/var/lib/canvasroute", read.State.Folder)
-	least := filepath.Join(t.TempDir(), "fleet.toml")
-	assert.NoError(t, os.WriteFile(least, []byte("state.folder = \"/var/lib/canvasroute\"\nlink.listen = \"10.0.0.1:7950\"\n"+
+	minimal := filepath.Join(t.TempDir(), "fleet.toml")
+	assert.NoError(t, os.WriteFile(minimal, []byte("state.folder = \"/var/lib/canvasroute\"\nlink.listen = \"10.0.0.1:7950\"\n"+
 		"member = [{name = \"n0\", address = \"10.0.0.1:7950\"}, {name = \"n1\", address = \"10.0.0.2:7950\"}]\n"), 0o600))
-	defaults, err := Read(least, "n1", 1, 2)
+	defaults, err := Read(minimal, "n1", 1, 2)
 	assert.NoError(t, err)
-	assert.Equal(t, defaults, read, "the example states the defaults")
+	assert.Equal(t, defaults, read, "the example must set the default values")
 }
 
-// ms is a span in milliseconds.
+// ms returns a duration in milliseconds.
 func ms(n int) Duration { return Duration(time.Duration(n) * time.Millisecond) }
--- a/internal/fleet/phases.go
+++ b/internal/fleet/phases.go
@@ -9,20 +9,20 @@
 )
 
 const (
-	// capacityInterval is how often the workers' capacity is read while a phase depends on it.
+	// capacityInterval is how often the workers' capacity is read during phases that depend on it.
 	capacityInterval = 50 * time.Millisecond
-	// minTickWait bounds how often the state machine is called by time alone.
+	// minTickWait is the minimum delay between two timed calls of the state machine.
 	minTickWait = time.Millisecond
 )
 
-// tick calls the state machine when it asks for it and when something has changed, until ctx ends.
-func (n *Node) tick(ctx context.Context) {
+// runTicks calls the state machine when its timer expires and when requestTick is called, until ctx ends.
+func (n *Node) runTicks(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
 		select {
 		case <-timer.C:
-		case <-n.stateChanged:
+		case <-n.tickRequests:
 		case <-ctx.Done():
 			return
 		}
@@ -33,7 +33,7 @@
 		}
 		next := n.machine.Tick(n.uptime())
 		n.mu.Unlock()
-		n.carryOut()
+		n.executeActions()
 		wait := max(next-n.uptime(), minTickWait)
 		if dependsOnCapacity {
 			wait = min(wait, capacityInterval)
@@ -51,54 +51,54 @@
 		return false
 	}
 	capacity := n.balancer.Capacity()
-	n.update(func(machine *recovery.StateMachine, uptime time.Duration) {
+	n.updateMachine(func(machine *recovery.StateMachine, uptime time.Duration) {
 		machine.SetCapacity(uptime, recovery.Capacity{
 			Workers: capacity.Workers,
 			Warm:    capacity.WarmSlots,
-			Now:     capacity.CurrentSlots,
+			Current: capacity.CurrentSlots,
 		})
 	})
 	return true
 }
 
-// update passes an event to the state machine, with the time since the process started.
-func (n *Node) update(event func(machine *recovery.StateMachine, uptime time.Duration)) {
+// updateMachine passes an event to the state machine, with the time since the process started.
+func (n *Node) updateMachine(event func(machine *recovery.StateMachine, uptime time.Duration)) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	event(n.machine, n.uptime())
 }
 
-// notify makes tick call the state machine.
-func (n *Node) notify() {
+// requestTick wakes runTicks to call the state machine.
+func (n *Node) requestTick() {
 	select {
-	case n.stateChanged <- struct{}{}:
-	default: // tick is about to run
+	case n.tickRequests <- struct{}{}:
+	default: // a wake-up is already pending
 	}
 }
 
-// receive passes a message of a member to the state machine.
+// receive passes a message from a member to the state machine.
 func (n *Node) receive(from int, msg *messaging.Message) {
-	n.update(func(machine *recovery.StateMachine, uptime time.Duration) { machine.Receive(uptime, from, msg) })
-	n.carryOut()
+	n.updateMachine(func(machine *recovery.StateMachine, uptime time.Duration) { machine.Receive(uptime, from, msg) })
+	n.executeActions()
 }
 
-// carryOut carries out the actions of the state machine. What has to be durable comes first, then what is restored or
-// merged, and last what is sent.
-func (n *Node) carryOut() {
+// executeActions executes the actions of the state machine: first it persists, then it restores or merges, and last it
+// sends.
+func (n *Node) executeActions() {
 	n.mu.Lock()
 	actions := n.machine.TakeActions()
 	n.reportTransitions(actions.Transitions)
-	replies, restoreNow := n.takeReplies(actions.Replies)
+	replies, restoreNow := n.collectReplies(actions.Replies)
 	socket := n.owned.socket
 	n.mu.Unlock()
-	n.persistKeysMark(actions.KeysMark)
+	n.persistKeysMark(actions.KeysMarkChange)
 	if actions.RaiseIncarnation > 0 {
 		n.raiseIncarnation(actions.RaiseIncarnation)
 	}
 	if restoreNow {
 		n.restore(replies)
 		n.mu.Lock()
-		n.admitting = true
+		n.restored = true
 		n.mu.Unlock()
 	} else if len(replies) > 0 {
 		n.mergeReplies(replies)
@@ -111,25 +111,26 @@
 	}
 }
 
-// reportTransitions logs the phases that have begun. The caller holds mu.
+// reportTransitions logs the phases that have started. The caller holds mu.
 func (n *Node) reportTransitions(transitions []recovery.Transition) {
 	for _, t := range transitions {
 		n.phaseReason = t.Reason
-		// The testbed and operators look for this message and its fields.
+		// The testbed and operators match this message and its fields.
 		n.log.Info().Stringer("phase", t.Phase).Str("why", t.Reason).Dur("at_ms", t.At).
 			Stringer("case", n.machine.Outage()).Msg("returning")
 	}
 }
 
-// takeReplies adds replies to those that wait. Once the phase admits requests it returns all of them, to be merged. The
-// first time restoreNow is true, unless the balancer has its state from a predecessor. The caller holds mu.
-func (n *Node) takeReplies(received []recovery.PeerReply) (replies []recovery.PeerReply, restoreNow bool) {
+// collectReplies queues replies until the phase admits requests, and then returns all queued replies to be merged.
+// restoreNow is true the first time, unless the balancer has inherited its state from a predecessor. The caller holds
+// mu.
+func (n *Node) collectReplies(received []recovery.PeerReply) (replies []recovery.PeerReply, restoreNow bool) {
 	n.replies = append(n.replies, received...)
-	if n.machine.Phase().Admits() {
-		restoreNow = !n.restoring && !n.successor
-		n.restoring = true
+	if n.machine.Phase().AdmitsRequests() {
+		restoreNow = !n.restoreStarted && !n.successor
+		n.restoreStarted = true
 	}
-	if n.restoring {
+	if n.restoreStarted {
 		replies = n.replies
 		n.replies = nil
 	}
@@ -138,17 +139,17 @@
 
 // EndpointsReceived records that the discovery service has sent its endpoint list.
 func (n *Node) EndpointsReceived() {
-	n.update((*recovery.StateMachine).EndpointsReceived)
-	n.notify()
+	n.updateMachine((*recovery.StateMachine).EndpointsReceived)
+	n.requestTick()
 }
 
-// EndpointsUnavailable records that the discovery service did not answer, or no longer answers.
+// EndpointsUnavailable records that the discovery service did not answer, or has stopped answering.
 func (n *Node) EndpointsUnavailable() {
-	n.update((*recovery.StateMachine).EndpointsUnavailable)
-	n.notify()
+	n.updateMachine((*recovery.StateMachine).EndpointsUnavailable)
+	n.requestTick()
 }
 
-// StoredEndpointsLoaded records that the proxy has an endpoint list to start with, perhaps an old one.
+// StoredEndpointsLoaded records that the proxy has an initial endpoint list, possibly an outdated one.
 func (n *Node) StoredEndpointsLoaded() {
-	n.update((*recovery.StateMachine).StoredEndpointsLoaded)
+	n.updateMachine((*recovery.StateMachine).StoredEndpointsLoaded)
 }
