--- a/internal/proxy/answer_by_head.go
+++ b/internal/proxy/answer_by_head.go
@@ -7,8 +7,8 @@
 	"canvasroute/internal/protocol"
 )
 
-// AnswerByHead answers what can be answered by the head alone: health checks, unknown paths and methods, and requests
-// that are rejected before their body is read. It returns nil for a request that Serve should answer.
+// AnswerByHead returns the response to a request that needs no body: a health check, an unknown path or method, or a
+// request that is rejected before its body is read. It returns nil if Serve must handle the request.
 func (p *Proxy) AnswerByHead(h *protocol.Head) *protocol.Response {
 	switch h.Path() {
 	case protocol.PathHealth:
@@ -19,7 +19,7 @@
 	return p.refusePath()
 }
 
-// answerHealthCheck answers a load balancer.
+// answerHealthCheck returns the response to a health check of a load balancer.
 func (p *Proxy) answerHealthCheck(h *protocol.Head) *protocol.Response {
 	if h.Method != http.MethodGet && h.Method != http.MethodHead {
 		return p.refuseMethod("GET, HEAD")
@@ -30,8 +30,8 @@
 	return respondHealthy()
 }
 
-// shedByHead rejects a request where this process serves no more or is overloaded. It returns nil for one that is
-// admitted so far.
+// shedByHead rejects a request if this process no longer accepts requests or is overloaded. It returns nil if the
+// request may continue to Serve.
 func (p *Proxy) shedByHead(h *protocol.Head) *protocol.Response {
 	if h.Method != http.MethodPost {
 		return p.refuseMethod("POST")
--- a/internal/proxy/answer_by_head_test.go
+++ b/internal/proxy/answer_by_head_test.go
@@ -26,15 +26,15 @@
 func TestHealthRequiresWorkersAndServingPhase(t *testing.T) {
 	p := newProxy(peertest.ClosedAddress)
 	health := &protocol.Head{Method: "GET", Target: "/_health"}
-	assert.Equal(t, 503, p.AnswerByHead(health).Status, "the list is from before the start, and no poll has ended")
+	assert.Equal(t, 503, p.AnswerByHead(health).Status, "initial endpoints only, before the first poll")
 	p.discovery.DontAwaitFirstPoll()
 	assert.Equal(t, 200, p.AnswerByHead(health).Status)
 	p.endpoints.Update(&protocol.EndpointList{Complete: true})
-	assert.Equal(t, 503, p.AnswerByHead(health).Status, "there is no worker")
+	assert.Equal(t, 503, p.AnswerByHead(health).Status, "the endpoint list is empty")
 	worker := protocol.Endpoint{ID: "w", State: protocol.Ready}
 	p.endpoints.Update(&protocol.EndpointList{Endpoints: []protocol.Endpoint{worker}})
 	p.lifecycle.Stop(time.Now())
-	assert.Equal(t, 503, p.AnswerByHead(health).Status, "it stops")
+	assert.Equal(t, 503, p.AnswerByHead(health).Status, "the process is stopping")
 }
 
 func TestOverloadRejectsByHeadWithRetryAfter(t *testing.T) {
@@ -57,5 +57,5 @@
 	assert.Greater(t, rejected, 32)
 	assert.EqualValues(t, rejected, p.counters.shed.Load())
 	health := p.AnswerByHead(&protocol.Head{Method: "GET", Target: "/_health"})
-	assert.Equal(t, 200, health.Status, "an overloaded dispatcher is healthy")
+	assert.Equal(t, 200, health.Status, "an overloaded dispatcher must be healthy")
 }
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -9,45 +9,45 @@
 	"canvasroute/internal/transport"
 )
 
-// responseEndTimeout bounds the wait for the end of a response after the line with the result has come.
+// responseEndTimeout limits the wait for the end of a response after the line with the result was received.
 const responseEndTimeout = 250 * time.Millisecond
 
-// attempt is one attempt of a request at a worker. The goroutine that runs it owns it, except for pause. While it is
-// paused, the goroutine that migrates its request may read it.
+// attempt is one attempt of a request at a worker. It is owned by the goroutine that runs it, except for the field
+// pause. While the attempt is paused, the goroutine that migrates its request may read it.
 type attempt struct {
 	proxy     *Proxy
 	request   *protocol.Request
-	settings  *settings // those of the request
-	number    int       // among the request's attempts
-	deadline  time.Time // the client gives up then
-	sendBy    time.Time // when the dedup window of an earlier attempt closes, zero for no bound
+	settings  *settings // settings of the request
+	number    int       // index among the request's attempts
+	deadline  time.Time // when the client times out
+	sendBy    time.Time // end of the dedup window of an earlier attempt, zero for no limit
 	freshness transport.Freshness
-	reused    bool // its connection has been used before
-	migrated  bool // the sibling process continues it
+	reused    bool // the connection had been used before this attempt
+	migrated  bool // the sibling process continues the attempt
 	events    attemptEvents
 	pause     *readPause
 }
 
-// attemptEvents report the progress of an attempt to the balancer.
+// attemptEvents are callbacks that report the progress of an attempt to the balancer.
 type attemptEvents struct {
-	sent         func() // its last byte was written
-	delivered    func() // the worker has received it
-	started      func() // the worker executes it
-	rejectOrFail func() // the whole request is to be rejected or failed, as it cannot be sent to any worker
+	sent         func() // the last byte of the attempt was written
+	delivered    func() // the worker has received the attempt
+	started      func() // the worker has started to execute the attempt
+	rejectOrFail func() // the request cannot be sent to any worker and must be rejected or failed
 }
 
-// attemptResult is how an attempt ended.
+// attemptResult is the result of an attempt that has ended.
 type attemptResult struct {
 	outcome balancer.Outcome
-	result  string // of a succeeded attempt
-	// finish closes the connection or returns it to the pool. It is called once the outcome has been reported, as it
-	// may have to wait for the end of the response. It is nil where there is no connection any more.
+	result  string // result text if the attempt succeeded
+	// finish closes the connection or returns it to the pool. It is called after the outcome has been reported, because
+	// it may wait for the end of the response. It is nil if the attempt has no open connection.
 	finish func()
 }
 
-// requiredFreshness is how sure an attempt must be that its connection is still open, by the operation. An operation
-// that may not be executed twice needs the most. One that only a group of workers may repeat must not take the end of
-// an old connection for an answer.
+// requiredFreshness maps the idempotency of an operation to the freshness that its connections need, which is how
+// certain it must be that a connection is still open. An operation that must not be executed twice needs the most. An
+// operation that only a group of workers deduplicates must not take the close of an old connection for a response.
 var requiredFreshness = map[balancer.Idempotency]transport.Freshness{
 	balancer.Idempotent:      transport.AnyConnection,
 	balancer.IdempotentByKey: transport.Settled,
@@ -80,8 +80,8 @@
 	p.runInBackground(r, a, func() attemptResult { return a.run(decision.Ctx, decision.Worker) })
 }
 
-// runInBackground runs an attempt on a goroutine of its own, for which Proxy.Run waits. The attempt may outlast its
-// request, as the settings may not allow cancellation.
+// runInBackground runs an attempt on a new goroutine, which Proxy.Run waits for. The attempt may outlive its request,
+// because the settings may not allow cancellation.
 func (p *Proxy) runInBackground(r *inFlightRequest, a *attempt, run func() attemptResult) {
 	p.background.Go(func() error {
 		p.runAttempt(r, a, run)
@@ -89,7 +89,7 @@
 	})
 }
 
-// runAttempt runs an attempt and reports its outcome once, unless the sibling process continues it.
+// runAttempt runs an attempt and reports its outcome exactly once, unless the sibling process continues the attempt.
 func (p *Proxy) runAttempt(r *inFlightRequest, a *attempt, run func() attemptResult) {
 	r.addAttempt(a)
 	ended := run()
@@ -107,21 +107,22 @@
 	}
 }
 
-// run sends the attempt to a worker and waits for its response. ctx ends when the balancer cancels the attempt, or when
-// the client's deadline passes.
+// run sends the attempt to a worker and waits for the response. ctx ends when the balancer cancels the attempt, or at
+// the client's deadline.
 //
-// A worker cannot have executed an attempt whose last byte was not written. Up to that byte, three events end the
-// attempt without a trace (mayStillBeSent): ctx ends, the dedup window closes, or the worker is no longer ready. The
-// balancer cancels ctx whenever the request is answered or its client leaves, also where the settings allow no
-// cancellation.
+// A worker cannot have executed an attempt whose last byte was not written. Until that byte is written, three events
+// end the attempt without side effects (mayStillBeSent): ctx ends, the dedup window closes, or the worker is no longer
+// ready. The balancer cancels ctx whenever the request has a response or its client disconnects, even if the settings
+// do not allow cancellation.
 //
-// After the last byte, the worker ends the attempt by a response or a close, and ctx by its end. So does the pool, by an
-// interrupt, once the endpoint list shows that the worker has restarted. The outcome says whether the attempt may have
-// been executed (lostOutcome).
+// After the last byte, the attempt ends with a response, when the worker closes the connection, or when ctx ends. The
+// pool also interrupts the connection when the endpoint list shows that the worker has restarted. The outcome indicates
+// whether the attempt may have been executed (lostOutcome).
 //
-// The attempt counts as unsent until the balancer knows of its last byte (events.sent). From then on the balancer cancels
-// ctx only by decisions that the settings allow, or as the process ends. Before, a client that leaves cancels an attempt
-// whose last byte was just written, which is harmless, as nobody waits for it.
+// The balancer treats the attempt as unsent until events.sent reports the last byte. From then on the balancer cancels
+// ctx only by decisions that the settings allow, or when the process exits. Before the report, a client that
+// disconnects may cancel an attempt whose last byte was just written. That is harmless, because no client waits for the
+// result.
 func (a *attempt) run(ctx context.Context, worker balancer.WorkerID) attemptResult {
 	notSent := attemptResult{outcome: balancer.NotSent}
 	conn, err := a.connect(ctx, worker)
@@ -132,7 +133,7 @@
 		a.proxy.pool.Put(conn)
 		return notSent
 	}
-	// Before it is sent: after a loss of power nobody else would know which worker has the key.
+	// The key is persisted before the attempt is sent: after a power loss, no other record shows which worker has it.
 	if err := a.proxy.persistKey(ctx, a.settings, a.request, worker); err != nil {
 		a.proxy.pool.Put(conn)
 		a.proxy.log.Warn().Err(err).Msg("attempt not sent: key not persisted")
@@ -144,7 +145,7 @@
 	}
 	stop := context.AfterFunc(ctx, conn.Interrupt)
 	if !a.mayStillBeSent(ctx, worker, conn.Addr()) {
-		if !stop() { // the interrupt has come or is about to: the pool must not keep the connection
+		if !stop() { // the interrupt has run or is about to run: the pool must not keep the connection
 			conn.Interrupt()
 		}
 		a.proxy.pool.Put(conn)
@@ -160,7 +161,8 @@
 	return a.await(ctx, conn, stop)
 }
 
-// connect returns a connection to a worker. It waits up to the dial timeout and the close of the dedup window.
+// connect returns a connection to a worker. It waits at most until the dial timeout or the end of the dedup window,
+// whichever is earlier.
 func (a *attempt) connect(ctx context.Context, worker balancer.WorkerID) (*transport.Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, a.settings.dialTimeout)
 	defer cancel()
@@ -172,19 +174,20 @@
 	return a.proxy.pool.Get(ctx, a.proxy.endpoints.Endpoint(worker).Address, a.freshness)
 }
 
-// mayStillBeSent reports whether what the balancer has decided still holds. Since then the connection was opened and
-// the key persisted, which may have taken long. Meanwhile the client may have left, the dedup window may have closed,
-// and the worker may drain or have another address. None of that is a failure of the worker.
+// mayStillBeSent reports whether the balancer's decision is still valid. Opening the connection and persisting the key
+// may have taken a long time. Meanwhile the client may have disconnected, the dedup window may have closed, and the
+// worker may have started to drain or have changed its address. None of these is a failure of the worker.
 func (a *attempt) mayStillBeSent(ctx context.Context, worker balancer.WorkerID, address string) bool {
 	return ctx.Err() == nil && !a.dedupWindowClosed() && a.proxy.endpoints.Accepts(worker, address)
 }
 
-// dedupWindowClosed reports whether the worker might execute the attempt a second time if it were sent now.
+// dedupWindowClosed reports whether the worker could execute the request a second time if the attempt were sent now.
 func (a *attempt) dedupWindowClosed() bool {
 	return !a.sendBy.IsZero() && !time.Now().Before(a.sendBy)
 }
 
-// send sends the message. After an error the worker cannot have executed it: its last byte was not written.
+// send sends the message. If it returns an error, the last byte was not written, so the worker cannot have executed the
+// attempt.
 func (a *attempt) send(conn *transport.Conn, message []byte) error {
 	if a.reused && a.freshness != transport.AnyConnection {
 		return conn.SendOnReused(a.settings.dialTimeout, message)
@@ -192,12 +195,13 @@
 	return conn.Send(a.settings.dialTimeout, message)
 }
 
-// resume continues an attempt that the sibling process had sent.
+// resume continues an attempt that the sibling process sent.
 func (a *attempt) resume(ctx context.Context, conn *transport.Conn) attemptResult {
 	return a.await(ctx, conn, context.AfterFunc(ctx, conn.Interrupt))
 }
 
-// await waits for the worker's response. stop prevents the interrupt of conn when ctx ends, and reports whether it did.
+// await waits for the worker's response. stop prevents the interrupt of conn at the end of ctx, and reports whether it
+// did so in time.
 func (a *attempt) await(ctx context.Context, conn *transport.Conn, stop func() bool) attemptResult {
 	if a.proxy.config.MigratesRequests {
 		conn.StartRecording()
@@ -216,8 +220,9 @@
 	}
 }
 
-// release returns a connection to the pool, or closes it where it cannot be used again: the response did not end in
-// time, or an interrupt has come. A connection can be used again only once the response was read to its end.
+// release returns a connection to the pool if it can be reused, and closes it otherwise. A connection can be reused
+// only after the response was read to its end; it cannot if the response did not end in time or the connection was
+// interrupted.
 func (a *attempt) release(conn *transport.Conn, answer workerResponse, interrupted bool) {
 	err := answer.err
 	if err == nil {
--- a/internal/proxy/attempt_outcome.go
+++ b/internal/proxy/attempt_outcome.go
@@ -10,16 +10,16 @@
 	"canvasroute/internal/transport"
 )
 
-// The outcome of an attempt that failed, by how far it got: connectOutcome without a connection, sendOutcome before its
-// last byte, lostOutcome after it. The balancer derives from the outcome whether the attempt may have been executed,
-// and whether the worker is at fault.
+// The outcome of a failed attempt depends on its progress: connectOutcome applies without a connection, sendOutcome
+// before the last byte was written, and lostOutcome after it. The balancer derives from the outcome whether the attempt
+// may have been executed, and whether it counts as a failure of the worker.
 
-// connectOutcome returns the outcome of an attempt that got no connection, and logs it where the worker is at fault.
+// connectOutcome returns the outcome of an attempt that got no connection. It logs connection failures of the worker.
 func (a *attempt) connectOutcome(ctx context.Context, worker balancer.WorkerID, err error) balancer.Outcome {
 	if ctx.Err() != nil || a.dedupWindowClosed() {
 		return balancer.NotSent
 	}
-	if errors.Is(err, transport.ErrPoolExhausted) { // no failure of the worker
+	if errors.Is(err, transport.ErrPoolExhausted) { // not a failure of the worker
 		a.proxy.log.Warn().Msg("connection limit reached")
 		return balancer.NotSent
 	}
@@ -32,22 +32,21 @@
 	return balancer.NoConnection
 }
 
-// sendOutcome closes the connection of an attempt that could not be sent to its last byte, and returns the outcome. On a
-// new connection that counts as no connection: the worker could not be reached.
+// sendOutcome closes the connection of an attempt whose last byte could not be written, and returns the outcome. On a
+// new connection, the outcome is NoConnection, because the worker could not be reached.
 func (a *attempt) sendOutcome(ctx context.Context, conn *transport.Conn, err error) balancer.Outcome {
 	conn.CloseFor(closeReason(err, ctx.Err() != nil), err)
 	if ctx.Err() != nil {
 		return balancer.NotSent
 	}
-	if conn.Reused() { // the end of a connection that was kept is no failure of the worker
+	if conn.Reused() { // the close of an idle connection is not a failure of the worker
 		a.proxy.pool.MarkSuspect(conn.Addr())
 		return balancer.NotSent
 	}
 	return balancer.NoConnection
 }
 
-// lostOutcome returns the outcome of an attempt that was sent and whose connection brings nothing more. err is the
-// error of reading from it.
+// lostOutcome returns the outcome of an attempt that was sent and whose response cannot be read. err is the read error.
 func (a *attempt) lostOutcome(ctx context.Context, err error) balancer.Outcome {
 	switch {
 	case errors.Is(context.Cause(ctx), balancer.ErrAttemptCanceled):
@@ -61,8 +60,8 @@
 	return balancer.ConnectionReset
 }
 
-// lostHeadOutcome returns the outcome of an attempt of whose response no head could be read. A reused connection that
-// has brought nothing may have ended before the attempt was sent on it.
+// lostHeadOutcome returns the outcome of an attempt whose response head could not be read. If a reused connection
+// returned no bytes, the worker may have closed it before the attempt was sent.
 func (a *attempt) lostHeadOutcome(ctx context.Context, conn *transport.Conn, err error) balancer.Outcome {
 	outcome := a.lostOutcome(ctx, err)
 	if outcome != balancer.ConnectionReset || !a.reused || !conn.NothingReceived() {
@@ -72,8 +71,8 @@
 	return balancer.ConnectionStale
 }
 
-// closeReason returns why a connection ends that an error has made useless. An interrupt is the reason before all
-// others: it causes the error.
+// closeReason returns the reason for closing a connection after a read or write error. An interrupt takes precedence
+// over all other reasons, because it causes the error.
 func closeReason(err error, interrupted bool) transport.CloseReason {
 	switch {
 	case interrupted:
--- a/internal/proxy/attempt_test.go
+++ b/internal/proxy/attempt_test.go
@@ -18,14 +18,14 @@
 	"canvasroute/internal/transport"
 )
 
-// endedAttempt is how an attempt at a test's worker ended.
+// endedAttempt is the result of an attempt at a test worker.
 type endedAttempt struct {
 	outcome balancer.Outcome
 	result  string
-	starts  int // reports of the start
+	starts  int // number of reported starts
 }
 
-// newTestAttempt returns an attempt whose events nobody receives.
+// newTestAttempt returns an attempt whose events are discarded.
 func newTestAttempt(t *testing.T, p *Proxy, h *protocol.Head) *attempt {
 	t.Helper()
 	request, err := protocol.ParseRequest(h)
@@ -37,7 +37,7 @@
 	}
 }
 
-// runTestAttempt runs one attempt at an address.
+// runTestAttempt runs one attempt at the worker with an address.
 func runTestAttempt(ctx context.Context, t *testing.T, address string) endedAttempt {
 	t.Helper()
 	a := newTestAttempt(t, newProxy(address), requestHead("idem"))
@@ -96,7 +96,7 @@
 }
 
 func TestAttemptWithoutConnectionWasNotExecuted(t *testing.T) {
-	t.Run("nobody listens", func(t *testing.T) {
+	t.Run("connection refused", func(t *testing.T) {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		assert.NoError(t, err)
 		listener.Close()
@@ -143,7 +143,7 @@
 	assert.Equal(t, <-clients, <-clients)
 }
 
-// A worker that ends an idle connection must not be ejected for it.
+// A worker must not be ejected for closing an idle connection.
 func TestEndOfReusedConnectionIsNoFailureOfTheWorker(t *testing.T) {
 	var attempts atomic.Int32
 	p := newProxy(peertest.StartServer(t, func(conn net.Conn, _ *http.Request) {
@@ -158,17 +158,17 @@
 		return serve(p, requestHead(operation)).Status
 	}
 	assert.Equal(t, 200, status("idem"))
-	time.Sleep(transport.SettleTime) // an idle connection is not used for operation once before
+	time.Sleep(transport.SettleTime) // the operation once uses an idle connection only after this time
 	assert.Equal(t, 502, status("once"))
 	assert.Equal(t, int64(1), outcomeCount(p, balancer.ConnectionStale))
-	assert.Equal(t, 200, status("idem"), "the worker gets the next one at once")
+	assert.Equal(t, 200, status("idem"), "the worker must receive the next request immediately")
 }
 
-// A machine that vanishes and comes back has lost its attempts, and does not say so.
+// A machine that crashes and restarts has lost its attempts without closing their connections.
 func TestAttemptAtRestartedWorkerIsReset(t *testing.T) {
 	for name, migrates := range map[string]bool{
 		"alone": false,
-		// While requests may be migrated, reading may be stopped and started again.
+		// If requests can be migrated, reads may be stopped and resumed.
 		"during a hot restart": true,
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -180,13 +180,13 @@
 			began := time.Now()
 			updateWorker(t, p, restartedAt(began.Add(time.Second)))
 			assert.Equal(t, 502, peertest.Receive(t, answers).Status)
-			assert.Less(t, time.Since(began), time.Second, "not by the client's timeout")
+			assert.Less(t, time.Since(began), time.Second, "must not wait for the client's timeout")
 			assert.EqualValues(t, 1, outcomeCount(p, balancer.ConnectionReset))
 		})
 	}
 }
 
-// A connection that is not up within the dial timeout counts as one that never is: nothing was executed.
+// If no connection is established within the dial timeout, the worker cannot have executed the attempt.
 func TestConnectTimesOut(t *testing.T) {
 	p := newProxyWith(unresponsiveAddress(t), func(_ *balancer.Config, config *Config) {
 		config.DialTimeout = 20 * time.Millisecond
@@ -195,21 +195,22 @@
 	outcomes := make(chan balancer.Outcome, 1)
 	go func() { outcomes <- a.run(context.Background(), 0).outcome }()
 	assert.Equal(t, balancer.NoConnection, peertest.Receive(t, outcomes))
-	assert.Zero(t, p.pool.OpenConnections(), "it counts against the limit no more")
+	assert.Zero(t, p.pool.OpenConnections(), "the dial must no longer count against the connection limit")
 }
 
-// A connection is waited for no longer than an attempt may be repeated.
+// The wait for a connection ends with the dedup window, because the attempt must not be sent after it.
 func TestConnectEndsWithRetryWindow(t *testing.T) {
 	p := newProxyWith(unresponsiveAddress(t), withRetryWindow(balancer.Second))
 	a := newTestAttempt(t, p, keyedHead())
 	a.sendBy = time.Now().Add(50 * time.Millisecond)
 	outcomes := make(chan balancer.Outcome, 1)
 	go func() { outcomes <- a.run(context.Background(), 0).outcome }()
-	assert.Equal(t, balancer.NotSent, peertest.Receive(t, outcomes), "it is no failure of the worker")
+	assert.Equal(t, balancer.NotSent, peertest.Receive(t, outcomes), "the timeout is not a failure of the worker")
 	assert.Zero(t, p.pool.OpenConnections())
 }
 
-// However long a request has waited, and however late its connection was: at the first attempt and at later ones.
+// The timeout that a worker receives must exclude the time that the request has waited and the time to connect, for the
+// first attempt and for retries.
 func TestWorkerTimeoutIsAtMostWhatIsLeftToTheClient(t *testing.T) {
 	timeouts, left := make(chan string, 4), make(chan time.Duration, 4)
 	arrivedAt := time.Now().Add(-500 * time.Millisecond)
@@ -223,7 +224,7 @@
 	}), func(balancing *balancer.Config, _ *Config) { balancing.Attempts.Max = 4 })
 	p.hooks.beforeSend = func() {
 		time.Sleep(50 * time.Millisecond)
-		left <- time.Until(arrivedAt.Add(2 * time.Second)) // its client waits for as long
+		left <- time.Until(arrivedAt.Add(2 * time.Second)) // the client's timeout is 2 s
 	}
 	answers := make(chan *protocol.Response, 1)
 	go func() { answers <- p.Serve(context.Background(), requestHead("idem"), nil, arrivedAt) }()
--- a/internal/proxy/counters.go
+++ b/internal/proxy/counters.go
@@ -9,28 +9,30 @@
 	"canvasroute/internal/balancer"
 )
 
-// numOutcomes is the number of outcomes, with the unused one of number 0.
+// numOutcomes is the number of outcomes, including the unused value 0.
 const numOutcomes = balancer.ConnectionRefused + 1
 
-// counters count requests, attempts and probes since the start. The log line has older names, which operators know.
+// counters count requests, attempts and probes since the process started. The keys in the log line are older names,
+// which are kept for operators.
 type counters struct {
-	// Requests. Those that are admitted end as one of the five after it, and the others as one of the last three.
-	admitted   atomic.Int64 // with a valid head and a free ID
+	// Requests. An admitted request is also counted by one of the next five counters when it ends. A request that is
+	// not admitted is counted by one of the last three.
+	admitted   atomic.Int64 // the head is valid and the ID was free
 	succeeded  atomic.Int64
 	rejected   atomic.Int64
 	failed     atomic.Int64
 	clientLeft atomic.Int64
-	migrated   atomic.Int64 // the sibling process continues them
-	invalid    atomic.Int64 // malformed, or with an unknown path or method, or with an ID that is open
-	overBudget atomic.Int64 // rejected on a connection beyond the limit
+	migrated   atomic.Int64 // continued by the sibling process
+	invalid    atomic.Int64 // malformed, with an unknown path or method, or with the ID of an open request
+	overBudget atomic.Int64 // rejected because of the connection limit or the memory limit for bodies
 	shed       atomic.Int64 // rejected by the admission controller
 
-	sent     atomic.Int64              // attempts that were sent to their last byte
+	sent     atomic.Int64              // attempts whose last byte was written
 	outcomes [numOutcomes]atomic.Int64 // attempts that have ended, by outcome
-	probes   atomic.Int64              // of workers for load reports, answered or not
+	probes   atomic.Int64              // probes of workers for load reports, with or without a response
 }
 
-// outcomeNames are the keys of the outcomes in the log line.
+// outcomeNames are the keys of the outcomes in the log line; an outcome without a name is omitted.
 var outcomeNames = [numOutcomes]string{
 	balancer.Succeeded:         "succeeded",
 	balancer.WorkerError:       "worker_error",
@@ -46,7 +48,7 @@
 
 func (c *counters) countOutcome(outcome balancer.Outcome) { c.outcomes[outcome].Add(1) }
 
-// LogCounters writes all counters in one log line. why is what the line was written for.
+// LogCounters logs all counters in one line. why is the reason for logging them.
 func (p *Proxy) LogCounters(why string) {
 	requests := &p.counters
 	var memory runtime.MemStats
--- a/internal/proxy/helpers_test.go
+++ b/internal/proxy/helpers_test.go
@@ -22,7 +22,7 @@
 	"canvasroute/internal/transport"
 )
 
-// Lines and parts of a worker's response to the request with ID a1.
+// Lines and complete responses of a worker to the request with ID a1.
 const (
 	startedLine  = `{"id":"a1","from":"w","state":"started"}`
 	doneLine     = `{"id":"a1","from":"w","state":"done","result":"r"}`
@@ -30,10 +30,10 @@
 	declinedText = "HTTP/1.1 503 No\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n"
 )
 
-// succeededText returns the response of an attempt that succeeds at once.
+// succeededText returns the response to an attempt that succeeds immediately.
 func succeededText() string { return peertest.Complete(doneLine) }
 
-// startCountingWorker starts a worker where attempts succeed, and counts those that it has received completely.
+// startCountingWorker starts a worker at which all attempts succeed. attempts counts the attempts received completely.
 func startCountingWorker(t *testing.T) (address string, attempts *atomic.Int32) {
 	t.Helper()
 	attempts = &atomic.Int32{}
@@ -43,7 +43,7 @@
 	}), attempts
 }
 
-// startHangingWorker starts a worker that never responds. received gets a value for each attempt.
+// startHangingWorker starts a worker that never responds. received receives a value for each attempt.
 func startHangingWorker(t *testing.T) (address string, received <-chan bool) {
 	t.Helper()
 	attempts := make(chan bool, 1)
@@ -53,7 +53,7 @@
 	}), attempts
 }
 
-// unresponsiveAddress returns an address at which connections are never accepted: its queue is full.
+// unresponsiveAddress returns an address at which connections are never accepted, because the listener's queue is full.
 func unresponsiveAddress(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -70,17 +70,17 @@
 		}
 		t.Cleanup(func() { conn.Close() })
 	}
-	t.Fatal("the listener's queue does not fill")
+	t.Fatal("the listener's queue is not full after 4 connections")
 	return ""
 }
 
-// newProxy returns a proxy with one worker of ID w at an address, and three operations: idem is idempotent, once is
-// not, and keyed is idempotent by key.
+// newProxy returns a proxy with one worker with ID w at address, and three operations: idem is idempotent, once is
+// non-idempotent, and keyed is idempotent by key.
 func newProxy(address string) *Proxy {
 	return newProxyWith(address, func(*balancer.Config, *Config) {})
 }
 
-// newProxyWith is newProxy with a changed configuration.
+// newProxyWith is like newProxy, but applies change to the configuration.
 func newProxyWith(address string, change func(*balancer.Config, *Config)) *Proxy {
 	balancing := balancertest.Config()
 	balancing.Attempts.Cancellation = true
@@ -115,7 +115,7 @@
 	balancing.Attempts.Cancellation = false
 }
 
-// withPersistedKeys makes zones drop the repeats of keyed, so that its keys are persisted by a Recovery.
+// withPersistedKeys makes zones deduplicate requests of the operation keyed, so that r persists their keys.
 func withPersistedKeys(r Recovery) func(*balancer.Config, *Config) {
 	return func(balancing *balancer.Config, config *Config) {
 		withoutCancellation(balancing, config)
@@ -125,7 +125,7 @@
 	}
 }
 
-// withRetryWindow allows repeats of keyed in one zone, within a window.
+// withRetryWindow makes zones deduplicate requests of the operation keyed within a window.
 func withRetryWindow(window balancer.Duration) func(*balancer.Config, *Config) {
 	return func(balancing *balancer.Config, config *Config) {
 		balancing.Attempts.Max = 4
@@ -136,7 +136,7 @@
 	}
 }
 
-// parseHead parses the head of a request with the header fields.
+// parseHead parses a request head with the given header fields.
 func parseHead(fields string) *protocol.Head {
 	parsed, err := protocol.ParseRequestHead([]byte("POST /api HTTP/1.1\r\n" + fields + "\r\n"))
 	if err != nil {
@@ -145,22 +145,22 @@
 	return &parsed.Head
 }
 
-// requestHead returns the head of the request a1 for an operation.
+// requestHead returns the head of a request with ID a1 for an operation.
 func requestHead(operation string) *protocol.Head {
 	return parseHead("Req-Id: a1\r\nReq-Deadline: 2\r\nReq-Kind: " + operation + "\r\n")
 }
 
-// keyedHead returns the head of the request a1 for the operation keyed.
+// keyedHead returns the head of a request with ID a1 and an idempotency key for the operation keyed.
 func keyedHead() *protocol.Head {
 	return parseHead("Req-Id: a1\r\nReq-Kind: keyed\r\nIdempotency-Key: k\r\n")
 }
 
-// serve serves a request, and returns its answer.
+// serve calls p.Serve and returns the response.
 func serve(p *Proxy, h *protocol.Head) *protocol.Response {
 	return p.Serve(context.Background(), h, nil, time.Now())
 }
 
-// startServe serves a request on a goroutine of its own, which sends its answer.
+// startServe calls p.Serve on a new goroutine. The returned channel receives the response.
 func startServe(ctx context.Context, p *Proxy, h *protocol.Head) <-chan *protocol.Response {
 	answers := make(chan *protocol.Response, 1)
 	arrivedAt := time.Now()
@@ -176,12 +176,12 @@
 	assert.NoError(t, peertest.Receive(t, ended))
 }
 
-// outcomeCount returns the number of attempts with an outcome.
+// outcomeCount returns the number of attempts that ended with an outcome.
 func outcomeCount(p *Proxy, outcome balancer.Outcome) int64 {
 	return p.counters.outcomes[outcome].Load()
 }
 
-// updateWorker applies a line of the endpoint watch that changes worker w.
+// updateWorker applies an update of the endpoint list that sets fields of worker w.
 func updateWorker(t *testing.T, p *Proxy, fields string) {
 	t.Helper()
 	list, err := protocol.ParseEndpointList([]byte(`{"seq":9,"whole":false,"hosts":[{"host":"w",` + fields + `}]}`))
@@ -189,11 +189,11 @@
 	p.discovery.Apply(list)
 }
 
-// fakeRecovery admits all requests. Its methods PriorExecution and PersistKey call the functions of these names.
+// fakeRecovery is a Recovery that admits all requests. PriorExecution and PersistKey call the functions in its fields.
 type fakeRecovery struct {
 	priorExecution func()
 	persistKey     func() error
-	persisted      atomic.Int32 // calls of PersistKey
+	persisted      atomic.Int32 // number of calls of PersistKey
 }
 
 func (f *fakeRecovery) Ready() error          { return nil }
--- a/internal/proxy/idempotency_keys.go
+++ b/internal/proxy/idempotency_keys.go
@@ -7,12 +7,11 @@
 	"canvasroute/internal/protocol"
 )
 
-// persistsKeys reports whether only a part of the fleet drops repeats of an operation. It then has to be known where
-// the first attempt went, also after a loss of power.
+// persistsKeys reports whether only a part of the fleet deduplicates requests of an operation. The worker of the first
+// attempt must then be on disk, so that it is still known after a power loss.
 func (o *Operation) persistsKeys() bool { return o.RequiresKey && o.DedupScope != balancer.ScopeAll }
 
-// dropsRepeatsWith reports whether a worker belongs to the group that drops repeats of a request which may have been
-// executed before.
+// dropsRepeatsWith reports whether a worker belongs to the group that deduplicates a request after the prior execution.
 func (o *Operation) dropsRepeatsWith(worker *protocol.Endpoint, prior *PriorExecution) bool {
 	switch o.DedupScope {
 	case balancer.ScopeZone:
@@ -23,8 +22,9 @@
 	return false
 }
 
-// priorAttempt returns where and when a request's key may have been used before, nil for nowhere. The worker is any of
-// the group that drops repeats. The error is ErrOutcomeUnknown, or that of Recovery.PriorExecution.
+// priorAttempt returns the earlier attempt that may have used a request's key, or nil if there is none. The returned
+// worker is an arbitrary member of the group that deduplicates the request. The error is ErrOutcomeUnknown if the group
+// has no known worker, or the error of Recovery.PriorExecution.
 func (p *Proxy) priorAttempt(r *inFlightRequest) (*balancer.PriorAttempt, error) {
 	configured := r.settings.operations[r.request.Operation]
 	if p.config.Recovery == nil || !configured.persistsKeys() {
@@ -47,8 +47,8 @@
 	return &balancer.PriorAttempt{Worker: worker, SentAt: p.config.FromUnix(float64(prior.SentAtMillis))}, nil
 }
 
-// persistKey returns once it is on disk which worker an attempt goes to, where that has to be known after a loss of
-// power. ctx bounds the wait.
+// persistKey persists which worker an attempt is sent to, if the operation requires that (persistsKeys). It returns
+// after the record is on disk, or when ctx ends.
 func (p *Proxy) persistKey(ctx context.Context, current *settings, request *protocol.Request, worker balancer.WorkerID,
 ) error {
 	configured := current.operations[request.Operation]
@@ -62,7 +62,7 @@
 		Worker:      endpoint.ID,
 		DedupWindow: configured.DedupWindow,
 	}
-	if configured.DedupScope == balancer.ScopeZone { // the group alone: with both, two workers of it would differ
+	if configured.DedupScope == balancer.ScopeZone { // one field only: with both, records of one group would differ
 		record.Zone = endpoint.Zone
 	} else {
 		record.Cell = endpoint.Cell
--- a/internal/proxy/in_flight_request.go
+++ b/internal/proxy/in_flight_request.go
@@ -9,29 +9,29 @@
 	"canvasroute/internal/protocol"
 )
 
-// inFlightRequest is a request from its admission to its answer. Its goroutine, which answers the client, owns it; each
-// attempt has a goroutine of its own.
+// inFlightRequest is an admitted request that has no response yet. It is owned by the goroutine that responds to the
+// client; each attempt has a goroutine of its own.
 type inFlightRequest struct {
 	request        *protocol.Request
-	settings       *settings // in force when it arrived
+	settings       *settings // settings when the request arrived
 	handle         *balancer.RequestHandle
-	deadline       time.Time // the client gives up then
-	markedRepeat   bool      // the client says that it has sent the request before
-	closeRequested bool      // the client's connection ends with the answer
-	acceptsInterim bool      // the client takes interim responses
+	deadline       time.Time // when the client times out
+	markedRepeat   bool      // the client marked the request as a retry
+	closeRequested bool      // the client's connection closes after the response
+	acceptsInterim bool      // the client accepts interim responses
 
-	// result receives the result of the attempt that the balancer answers with. It has room for this one, so that the
-	// attempt's goroutine never waits.
+	// result receives the result of the attempt whose result the balancer selected for the response. It is buffered for
+	// one value, so that the attempt's goroutine never blocks.
 	result chan string
 
-	// mu guards the fields below, which the attempts' goroutines and that of ExportAll use too. The balancer, the
-	// endpoint table and the attempts' pauses are called under it, and call nothing here.
+	// mu guards the fields below, which are also used by the attempts' goroutines and the caller of ExportAll. The
+	// balancer, the endpoint table and the attempts' pauses are called with mu held; they never call back.
 	mu        sync.Mutex
-	attempts  map[int]*attempt // in flight, by their numbers
+	attempts  map[int]*attempt // attempts in flight, by attempt number
 	migration *migration       // nil unless exported; set before Pick returns RespondElsewhere
 }
 
-// newResultChannel returns the channel of a request's result.
+// newResultChannel returns a channel for inFlightRequest.result.
 func newResultChannel() chan string { return make(chan string, 1) }
 
 func (r *inFlightRequest) addAttempt(a *attempt) {
@@ -49,7 +49,7 @@
 	delete(r.attempts, a.number)
 }
 
-// attemptsInFlight returns a copy of the attempts, by their numbers.
+// attemptsInFlight returns a copy of the attempts in flight, by attempt number.
 func (r *inFlightRequest) attemptsInFlight() map[int]*attempt {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/proxy/interleaving_test.go
+++ b/internal/proxy/interleaving_test.go
@@ -20,7 +20,7 @@
 	"canvasroute/internal/transport"
 )
 
-// Each test here forces one order of two events that seldom come in it (docs/crossings.md).
+// The tests in this file force an order of events that rarely occurs by itself (docs/crossings.md).
 
 func TestClientThatLeavesDuringConnectGetsNoAttempt(t *testing.T) {
 	for _, operation := range []string{"idem", "once"} {
@@ -30,7 +30,7 @@
 			ctx, leave := context.WithCancel(context.Background())
 			var answers <-chan *protocol.Response
 			serving, left := make(chan bool), make(chan bool)
-			p.hooks.beforeSend = func() { // the connection is up
+			p.hooks.beforeSend = func() { // the connection is established
 				<-serving
 				leave()
 				assert.Nil(t, peertest.Receive(t, answers))
@@ -42,13 +42,13 @@
 			awaitAttempts(t, p)
 			assert.Zero(t, attempts.Load())
 			assert.Equal(t, []int64{0, 1}, []int64{p.counters.sent.Load(), outcomeCount(p, balancer.NotSent)})
-			assert.Zero(t, p.pool.OpenConnections(), "an interrupted connection is not kept for others")
+			assert.Zero(t, p.pool.OpenConnections(), "an interrupted connection must not be reused")
 			assert.Equal(t, 0, p.balancer.OpenRequests())
 		})
 	}
 }
 
-// isDialing reports whether a connection is being opened: it counts against the limit already.
+// isDialing reports whether the pool is opening a connection, which already counts against the connection limit.
 func isDialing(p *Proxy) bool { return p.pool.OpenConnections() == 1 }
 
 func TestClientThatLeavesEndsTheWaitForAConnection(t *testing.T) {
@@ -95,7 +95,7 @@
 		leave()
 		assert.Nil(t, peertest.Receive(t, answers))
 		close(left)
-		return nil // the key is on disk, and the client has left
+		return nil // the key is on disk, and the client has disconnected
 	}}
 	p := newProxyWith(address, withPersistedKeys(recovery))
 	go func() { answers <- p.Serve(ctx, keyedHead(), nil, time.Now()) }()
@@ -105,8 +105,8 @@
 	assert.EqualValues(t, 1, recovery.persisted.Load())
 }
 
-// A list arrives while the connection is opened, or an idle one is taken: the worker drains, or has moved and its
-// address is another worker's now.
+// An update of the endpoint list is received after the balancer's decision and before the attempt is sent: the worker
+// drains, was removed, or has a new address, so that another worker may use the old one.
 func TestListReceivedDuringConnectPreventsSending(t *testing.T) {
 	for name, fields := range map[string]string{
 		"worker drains":    `"health":"Terminating"`,
@@ -117,22 +117,23 @@
 			address, attempts := startCountingWorker(t)
 			p := newProxy(address)
 			assert.Equal(t, 200, serve(p, requestHead("idem")).Status)
-			awaitAttempts(t, p) // its connection is idle now
+			awaitAttempts(t, p) // the connection becomes idle
 			p.hooks.beforeSend = func() { updateWorker(t, p, fields) }
 			assert.NotEqual(t, 200, peertest.Receive(t, startServe(context.Background(), p, requestHead("idem"))).Status)
 			awaitAttempts(t, p)
 			assert.EqualValues(t, 1, attempts.Load())
-			assert.Zero(t, p.pool.OpenConnections(), "the connection must not be used any more")
+			assert.Zero(t, p.pool.OpenConnections(), "the connection must not be reused")
 		})
 	}
 }
 
-// restartedAt are the fields of a list for a worker that restarted at a time.
+// restartedAt returns the endpoint list fields of a worker that restarted at the given time.
 func restartedAt(at time.Time) string {
 	return fmt.Sprintf(`"health":"Ready","born_ms":%d`, at.UnixMilli())
 }
 
-// assertTimeoutWithin checks a timeout in seconds, as a worker receives it, against what was left to the client.
+// assertTimeoutWithin checks that a timeout in seconds, as received by a worker, is at most the client's remaining
+// time.
 func assertTimeoutWithin(t *testing.T, text string, left time.Duration) {
 	t.Helper()
 	const rounding = 0.001 // seconds
@@ -142,13 +143,13 @@
 	assert.Positive(t, seconds)
 }
 
-// The balancer decides on a retry within the dedup window, which closes while the connection is opened.
+// The balancer decides on a retry within the dedup window, but the window closes before the attempt is sent.
 func TestNothingIsSentAfterRetryWindow(t *testing.T) {
 	var received atomic.Int32
 	const window = time.Second
 	address := peertest.StartServer(t, func(conn net.Conn, _ *http.Request) {
 		received.Add(1)
-		io.WriteString(conn, failedText) // it may have been executed
+		io.WriteString(conn, failedText) // the attempt may have been executed
 	})
 	p := newProxyWith(address, withRetryWindow(balancer.DurationOf(window)))
 	attempts := 0
@@ -160,12 +161,12 @@
 	}
 	assert.Equal(t, 502, peertest.Receive(t, startServe(context.Background(), p, keyedHead())).Status)
 	awaitAttempts(t, p)
-	assert.EqualValues(t, 1, received.Load(), "the worker would execute the second one again")
-	assert.Greater(t, attempts, 1, "there was a retry")
+	assert.EqualValues(t, 1, received.Load(), "the worker would execute a second attempt again")
+	assert.Greater(t, attempts, 1, "the balancer must have decided on a retry")
 	assert.EqualValues(t, 1, outcomeCount(p, balancer.WorkerError))
 }
 
-// reconfigurable is a proxy with the configuration that it was given last.
+// reconfigurable is a proxy with its current configuration.
 type reconfigurable struct {
 	*Proxy
 	balancing balancer.Config
@@ -195,7 +196,7 @@
 	config.Tenants = names
 }
 
-// usage is what the tenants have used of their quotas, by name.
+// usage returns the quota usage of the tenants, by name.
 func (r *reconfigurable) usage() map[string]float64 {
 	snapshot := r.SnapshotForDisk()
 	byName := map[string]float64{}
@@ -205,8 +206,8 @@
 	return byName
 }
 
-// Requests arrive while the balancer goes by new settings and the names by the previous ones; the new ones have fewer
-// tenants, and then others in another order.
+// Requests arrive while the balancer already uses the new settings and the proxy still looks up names in the previous
+// ones. The new settings have fewer tenants at first, and then other tenants in another order.
 func TestRequestDuringReconfigurationCountsForItsTenant(t *testing.T) {
 	address, _ := startCountingWorker(t)
 	r := newReconfigurable(address, func(balancing *balancer.Config, config *Config) {
@@ -216,7 +217,7 @@
 		return serve(r.Proxy, parseHead("Req-Id: a1\r\nReq-Kind: idem\r\nReq-Owner: "+tenant+"\r\n")).Status
 	}
 	r.hooks.beforeSettings = func() {
-		assert.Equal(t, 200, status("b"), "by its name in the previous settings")
+		assert.Equal(t, 200, status("b"), "the name must be looked up in the previous settings")
 		assert.Equal(t, 200, status("c"))
 	}
 	r.setTenants("c")
@@ -236,7 +237,7 @@
 	assert.LessOrEqual(t, usage["d"], 1.0)
 }
 
-// Settings change while a request is in flight; its operation is not in the new ones.
+// The operation of a request is removed from the settings while the request is in flight.
 func TestRequestEndsUnderTheSettingsItArrivedUnder(t *testing.T) {
 	address, attempts := startCountingWorker(t)
 	recovery := &fakeRecovery{persistKey: func() error { return nil }}
@@ -247,12 +248,12 @@
 		r.Reconfigure(r.config, r.balancing)
 	}
 	assert.Equal(t, 200, serve(r.Proxy, keyedHead()).Status)
-	assert.EqualValues(t, 1, recovery.persisted.Load(), "its key is persisted by the previous settings")
+	assert.EqualValues(t, 1, recovery.persisted.Load(), "the key must be persisted under the previous settings")
 	assert.EqualValues(t, 1, attempts.Load())
 	assert.Equal(t, 400, serve(r.Proxy, keyedHead()).Status)
 }
 
-// The client of an attempt at a hanging worker has left, and the settings allow no cancellation.
+// The client of an attempt at a hanging worker has disconnected, and the settings do not allow cancellation.
 func TestRunEndsWithAttemptsThatNoClientWaitsFor(t *testing.T) {
 	address, received := startHangingWorker(t)
 	p := newProxyWith(address, withoutCancellation)
@@ -262,11 +263,11 @@
 	client, leave := context.WithCancel(context.Background())
 	answers := startServe(client, p, parseHead("Req-Id: a1\r\nReq-Kind: idem\r\nReq-Deadline: 600\r\n"))
 	peertest.Receive(t, received)
-	isSent := func() bool { return p.counters.sent.Load() == 1 } // until then it would not be sent at all
+	isSent := func() bool { return p.counters.sent.Load() == 1 } // earlier, a disconnect prevents sending
 	assert.Eventually(t, isSent, peertest.EventTimeout, peertest.PollInterval)
 	leave()
 	assert.Nil(t, peertest.Receive(t, answers))
-	assert.Equal(t, 1, p.balancer.OpenRequests(), "the attempt continues")
+	assert.Equal(t, 1, p.balancer.OpenRequests(), "the attempt must continue")
 	stop()
 	assert.NoError(t, peertest.Receive(t, stopped))
 }
--- a/internal/proxy/migration_export.go
+++ b/internal/proxy/migration_export.go
@@ -10,32 +10,32 @@
 	"canvasroute/internal/transport"
 )
 
-// MigratedRequest is a request in flight, as one process of this dispatcher passes it to its sibling. Its sockets are
-// passed along: that of the client and one for each attempt in flight.
+// MigratedRequest is a request in flight in the form in which a process passes it to its sibling. Its sockets are
+// passed separately: the client's socket and one for each attempt in flight.
 type MigratedRequest struct {
 	Request        *protocol.Request        `json:"Invocation"`
 	Balancing      balancer.MigratedRequest `json:"Decided"`
 	Workers        []string                 `json:"Hosts"`   // IDs of the attempts' workers
-	Pipelined      []byte                   `json:"Early"`   // what the client has sent beyond the request
-	Received       [][]byte                 `json:"Came"`    // on each attempt's connection since it was sent
-	Reused         []bool                   `json:"Used"`    // the attempt's connection had been used before
-	CloseRequested bool                     `json:"Closes"`  // the client's connection ends with the answer
-	AcceptsInterim bool                     `json:"Interim"` // the client takes interim responses
+	Pipelined      []byte                   `json:"Early"`   // bytes that the client has sent after the request
+	Received       [][]byte                 `json:"Came"`    // bytes received from the worker, for each attempt
+	Reused         []bool                   `json:"Used"`    // the connection had been used before, for each attempt
+	CloseRequested bool                     `json:"Closes"`  // the client's connection closes after the response
+	AcceptsInterim bool                     `json:"Interim"` // the client accepts interim responses
 }
 
 // Migrator passes a request to the sibling process, with the client's socket and those of the attempts in flight by
-// their numbers. It returns an error where the sibling did not take the request.
+// attempt number. It returns an error if the sibling did not accept the request.
 type Migrator func(m *MigratedRequest, client syscall.Conn, attempts map[int]syscall.Conn) error
 
-// migration is a request that was taken from the balancer and is to be passed on.
+// migration is a request that was exported from the balancer and is to be passed to the sibling process.
 type migration struct {
 	request  *MigratedRequest
-	attempts map[int]*attempt // paused, by their numbers
+	attempts map[int]*attempt // paused attempts, by attempt number
 	migrator Migrator
 }
 
-// ExportAll passes on the requests in flight whose attempts all wait for their workers just now. The others continue
-// here; ExportAll is called again until none is left.
+// ExportAll starts to migrate the requests in flight whose attempts are all waiting for their workers. Other requests
+// continue in this process; the caller repeats ExportAll until no request is in flight.
 func (p *Proxy) ExportAll(to Migrator) {
 	p.inFlight.Range(func(key, _ any) bool {
 		p.export(key.(*inFlightRequest), to)
@@ -43,8 +43,8 @@
 	})
 }
 
-// export pauses the attempts of a request and takes the request from the balancer. The request's own goroutine then
-// passes it on (migrate). Where either is not possible now, the attempts are resumed, which loses nothing.
+// export pauses the attempts of a request and exports the request from the balancer. The request's own goroutine then
+// passes it to the sibling process (migrate). If either step fails, export resumes the attempts without losing data.
 func (p *Proxy) export(r *inFlightRequest, to Migrator) {
 	if r.isMigrating() {
 		return
@@ -57,7 +57,8 @@
 	}
 }
 
-// pauseAttempts pauses the attempts in flight. It returns the paused ones by their numbers, and whether they are all.
+// pauseAttempts pauses the attempts in flight. It returns the paused attempts by attempt number, and reports whether
+// all attempts were paused.
 func (r *inFlightRequest) pauseAttempts() (paused map[int]*attempt, all bool) {
 	paused = map[int]*attempt{}
 	for number, a := range r.attemptsInFlight() {
@@ -69,9 +70,9 @@
 	return paused, true
 }
 
-// takeFromBalancer takes a request from the balancer, and reports whether the balancer gave it. It refuses a request
-// that is answered, or has other attempts than the paused ones. Both steps are done under mu: the balancer wakes the
-// request's goroutine, which must find the migration.
+// takeFromBalancer exports a request from the balancer and sets its migration. It returns false if the balancer
+// refuses, because the request has a response or has attempts that are not paused. Both steps are done with mu held,
+// because the balancer wakes the request's goroutine, which needs the migration.
 func (p *Proxy) takeFromBalancer(r *inFlightRequest, paused map[int]*attempt, to Migrator) (taken bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -98,7 +99,7 @@
 	return r.migration != nil
 }
 
-// cancelMigration ends the paused attempts of a request whose client has left.
+// cancelMigration ends the paused attempts of a request whose client has disconnected.
 func (r *inFlightRequest) cancelMigration() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -109,8 +110,8 @@
 	r.migration.attempts = nil
 }
 
-// migrate passes on a request that export has prepared, and ends it here. Where that fails the outcome of the request
-// is unknown.
+// migrate passes a request that export has prepared to the sibling process, and ends it in this process. If that fails,
+// the outcome of the request is unknown.
 func (p *Proxy) migrate(ctx context.Context, r *inFlightRequest) *protocol.Response {
 	r.mu.Lock()
 	m := *r.migration
@@ -127,7 +128,7 @@
 	return p.respondElsewhere()
 }
 
-// passOn gives a request to the migrator, unless its client has left. ctx is that of the client.
+// passOn passes a request to the migrator, unless the client has disconnected. ctx is the client's context.
 func (m *migration) passOn(ctx context.Context) error {
 	sockets, err := m.collectSockets()
 	client, detachErr := transport.Detach(ctx)
@@ -143,15 +144,16 @@
 	return m.migrator(m.request, client.Socket, sockets)
 }
 
-// endAttempts ends the paused attempts here. Their connections are the sibling process's, or are given up.
+// endAttempts ends the paused attempts in this process and closes its copies of their connections. The sibling process
+// has taken over the connections, or the migration was abandoned.
 func (m *migration) endAttempts() {
 	for _, a := range m.attempts {
 		a.pause.end()
 	}
 }
 
-// collectSockets returns the sockets of the paused attempts by their numbers, and adds to the request what was read
-// from them. Its errors are transport.ErrNotRecorded and transport.ErrNoSocket.
+// collectSockets returns the sockets of the paused attempts by attempt number, and adds the bytes received on them to
+// the request. The error wraps transport.ErrNotRecorded or transport.ErrNoSocket.
 func (m *migration) collectSockets() (map[int]syscall.Conn, error) {
 	sockets := map[int]syscall.Conn{}
 	m.request.Received = make([][]byte, len(m.request.Balancing.Attempts))
--- a/internal/proxy/migration_import.go
+++ b/internal/proxy/migration_import.go
@@ -10,17 +10,18 @@
 	"canvasroute/internal/protocol"
 )
 
-// ImportedRequest is a request of the sibling process that continues here.
+// ImportedRequest is a request of the sibling process that this process continues.
 type ImportedRequest struct {
-	*MigratedRequest // nil where it could not be parsed
+	*MigratedRequest // nil if it could not be parsed
 
-	// Finish waits for the answer to the client and returns it. It is to be called once, and is nil with an error of
-	// Import.
+	// Finish waits for the response to the client and returns it. It must be called exactly once. It is nil if Import
+	// returned an error.
 	Finish func(context.Context) *protocol.Response
 }
 
-// Import prepares to continue a request that the sibling process passes on as JSON. attempts are the connections of the
-// request's attempts, by their numbers. With an error the request is returned as far as it could be parsed.
+// Import prepares to continue a request that the sibling process has exported as JSON. attempts are the connections of
+// the request's attempts, by attempt number. If Import returns an error, the result holds the request if it could be
+// parsed.
 func (p *Proxy) Import(text json.RawMessage, attempts map[int]net.Conn) (ImportedRequest, error) {
 	migrated := &MigratedRequest{}
 	if err := json.Unmarshal(text, migrated); err != nil {
@@ -37,20 +38,21 @@
 	return ImportedRequest{MigratedRequest: migrated, Finish: finish}, nil
 }
 
-// renumberWorkers replaces the sibling's numbers of the attempts' workers by those here.
+// renumberWorkers replaces the sibling's worker numbers of the attempts with those of this process. It returns an error
+// if a worker is not in the endpoint list.
 func (p *Proxy) renumberWorkers(migrated *MigratedRequest) error {
 	for number := range migrated.Balancing.Attempts {
 		id := migrated.Workers[number]
 		worker, known := p.endpoints.ByID(id)
 		if !known {
-			return fmt.Errorf("worker %q is not known here", id)
+			return fmt.Errorf("unknown worker %q", id)
 		}
 		migrated.Balancing.Attempts[number].Worker = worker
 	}
 	return nil
 }
 
-// continueRequest answers a migrated request.
+// continueRequest resumes the attempts of a migrated request and returns the response to it.
 func (p *Proxy) continueRequest(ctx context.Context, migrated *MigratedRequest, attempts map[int]net.Conn,
 ) *protocol.Response {
 	p.requestIDs.openMigrated(migrated.Request.ID)
--- a/internal/proxy/migration_test.go
+++ b/internal/proxy/migration_test.go
@@ -16,10 +16,10 @@
 	"canvasroute/internal/transport"
 )
 
-// retryInterval is the time between two tries to pause or export.
+// retryInterval is the interval between attempts to pause or export.
 const retryInterval = 5 * time.Millisecond
 
-// What arrives while a request is paused is read as if there had been no pause, in whatever pieces it comes.
+// Bytes that arrive during a pause must be read as if there had been no pause, regardless of where the data is split.
 func TestPausedRequestContinuesAndGetsItsAnswer(t *testing.T) {
 	text := peertest.Complete(startedLine, doneLine)
 	p := newProxy(peertest.StartServer(t, func(conn net.Conn, _ *http.Request) {
@@ -44,7 +44,7 @@
 	}
 }
 
-// pauseAndResumeAll pauses each attempt that can be paused, and resumes it.
+// pauseAndResumeAll pauses and resumes each attempt that can be paused.
 func pauseAndResumeAll(p *Proxy) {
 	p.inFlight.Range(func(key, _ any) bool {
 		for _, a := range key.(*inFlightRequest).attemptsInFlight() {
@@ -56,7 +56,7 @@
 	})
 }
 
-// Its client must not wait for ever, and its worker's connection must not be used for another request.
+// When a migration fails, the client must not wait forever, and the connection to the worker must not be reused.
 func TestRequestFailsWhenMigrationFails(t *testing.T) {
 	p := newProxy(peertest.StartServer(t, peertest.RespondWith(peertest.Chunked(startedLine))))
 	p.config.MigratesRequests = true
@@ -67,7 +67,7 @@
 		p.ExportAll(refuse)
 		select {
 		case response := <-answers:
-			assert.Equal(t, 502, response.Status, "it may have been executed")
+			assert.Equal(t, 502, response.Status, "the request may have been executed")
 			assert.NoError(t, p.background.Wait())
 			assert.Equal(t, 0, p.balancer.OpenRequests())
 			return
@@ -84,7 +84,8 @@
 	assert.Error(t, err)
 }
 
-// A reader that stops just as the wait for it times out would otherwise wait for ever.
+// If the reader stops at the same time as the call of request times out, request must report the pause. Otherwise the
+// reader would wait forever.
 func TestPauseAtItsTimeoutIsNotLost(t *testing.T) {
 	pause := newReadPause()
 	conn, other := net.Pipe()
@@ -98,7 +99,7 @@
 		return pause.requested
 	}
 	assert.Eventually(t, isRequested, peertest.EventTimeout, peertest.PollInterval)
-	pause.mu.Lock() // as wait does, while the request times out
+	pause.mu.Lock() // like readPause.wait, while the call of request times out
 	time.Sleep(2 * pauseTimeout)
 	pause.requested = false
 	pause.paused <- struct{}{}
--- a/internal/proxy/operation_counters.go
+++ b/internal/proxy/operation_counters.go
@@ -8,27 +8,27 @@
 	"canvasroute/internal/protocol"
 )
 
-// operationCounters count how requests end, by operation. An operation keeps its counts while this process lives, also
-// under settings without it.
+// operationCounters count requests by operation and result. The counts of an operation are kept until the process
+// exits, even if the operation is removed from the settings.
 type operationCounters struct {
 	mu     sync.RWMutex // guards the map and the slice; the counts are atomic
-	names  []string     // in the order in which they were added
+	names  []string     // operation names in the order in which they were added
 	byName map[string]*operationCounts
 }
 
-// operationCounts are the counts of one operation. An admitted request is outstanding until it ends, and then counts
-// as one of the others. A request that is rejected by its head was never outstanding.
+// operationCounts are the counts of one operation. An admitted request counts as outstanding until it ends, and as one
+// of the others afterwards. A request that is rejected from its head alone never counts as outstanding.
 type operationCounts struct {
 	outstanding atomic.Int64
 	succeeded   atomic.Int64
 	declined    atomic.Int64 // rejected
-	aborted     atomic.Int64 // failed, or its client left
+	aborted     atomic.Int64 // failed, or the client disconnected
 }
 
-// countAnswer counts the end of a request; nil is a client that has left.
+// countAnswer counts a request that has ended. answer is nil if the client has disconnected.
 func (c *operationCounts) countAnswer(answer *protocol.Response) {
 	switch {
-	case answer == protocol.Migrated: // it ends at the sibling process
+	case answer == protocol.Migrated: // counted by the sibling process
 	case answer == nil:
 		c.aborted.Add(1)
 	case answer.Status == http.StatusOK:
@@ -40,8 +40,8 @@
 	}
 }
 
-// counted returns the answer of serve to an admitted request. It counts the request as outstanding until then, and by
-// its answer after.
+// counted calls serve for an admitted request and returns the response. It counts the request as outstanding during the
+// call, and by its response afterwards.
 func (p *Proxy) counted(operationName string, serve func() *protocol.Response) *protocol.Response {
 	p.counters.admitted.Add(1)
 	counts := p.operations.of(operationName)
@@ -52,7 +52,7 @@
 	return answer
 }
 
-// add starts the counts of an operation, unless it has some.
+// add adds an operation with zero counts, unless the operation already has counts.
 func (o *operationCounters) add(name string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -65,14 +65,15 @@
 	}
 }
 
-// of returns the counts of an operation, nil for a name that no settings ever had.
+// of returns the counts of an operation, or nil if the operation was never configured.
 func (o *operationCounters) of(name string) *operationCounts {
 	o.mu.RLock()
 	defer o.mu.RUnlock()
 	return o.byName[name]
 }
 
-// Metrics returns the metrics of the answer to DUMP. They are read one by one while others change.
+// Metrics returns the metrics for the response to DUMP. They are read one by one, so the values are not a consistent
+// snapshot.
 func (p *Proxy) Metrics() []protocol.Metric {
 	p.operations.mu.RLock()
 	defer p.operations.mu.RUnlock()
--- a/internal/proxy/operators_test.go
+++ b/internal/proxy/operators_test.go
@@ -14,8 +14,7 @@
 	"canvasroute/internal/protocol"
 )
 
-// TestCounterNamesOfDump pins the names that operators read in the answer to DUMP, in their order, and the counter of
-// each.
+// TestCounterNamesOfDump checks the names in the response to DUMP, their order, and the counter of each.
 func TestCounterNamesOfDump(t *testing.T) {
 	p := newProxy(peertest.ClosedAddress)
 	idem := p.operations.of("idem")
@@ -41,8 +40,8 @@
 	}, p.Metrics())
 }
 
-// TestCountersLogLine pins the keys of the log line that SIGUSR1 asks for, and the counter of each. Each outcome of an
-// attempt is pinned with its number.
+// TestCountersLogLine checks the keys of the log line that SIGUSR1 requests, and the counter of each. Each outcome of
+// an attempt is checked by its numeric value.
 func TestCountersLogLine(t *testing.T) {
 	p, log := newProxy(peertest.ClosedAddress), &bytes.Buffer{}
 	p.log = zerolog.New(log)
@@ -93,7 +92,7 @@
 	}, line)
 }
 
-// TestAnswersByPathAndMethod pins the answers that follow from the head alone.
+// TestAnswersByPathAndMethod checks the responses that depend on the head alone.
 func TestAnswersByPathAndMethod(t *testing.T) {
 	p := newProxy(peertest.ClosedAddress)
 	p.discovery.DontAwaitFirstPoll()
@@ -114,7 +113,7 @@
 	}
 }
 
-// TestReasonsOfNotBeingReady pins what operators read in the answer to HEALTH.
+// TestReasonsOfNotBeingReady checks the texts that operators read in the response to HEALTH.
 func TestReasonsOfNotBeingReady(t *testing.T) {
 	p := newProxy(peertest.ClosedAddress)
 	assert.EqualError(t, p.Ready(), "takes no clients: no list of workers yet")
--- a/internal/proxy/pause.go
+++ b/internal/proxy/pause.go
@@ -8,23 +8,24 @@
 	"canvasroute/internal/transport"
 )
 
-// pauseTimeout bounds the wait for an attempt's goroutine to stop reading.
+// pauseTimeout limits the wait for an attempt's goroutine to stop reading.
 const pauseTimeout = 100 * time.Millisecond
 
-// readPause lets another goroutine, the exporter, stop the reading of a response. The exporter then either resumes the
-// reader or takes the connection over. Reading starts again from the first byte of the response, so that a pause loses
-// nothing.
+// readPause lets another goroutine, the exporter, pause the goroutine that reads a response. The exporter then either
+// resumes the reader or takes over the connection. A resumed reader reads the response again from its first byte, so
+// that a pause loses no data.
 //
-// The exporter calls request and, after true, either resume or end once. The reader calls begin, wait and finish.
+// The exporter calls request and, if that returns true, either resume or end exactly once. The reader calls begin, wait
+// and finish.
 type readPause struct {
-	// mu guards conn and requested. A reader sends to paused under it, so that a request that times out sees either
-	// both or none.
+	// mu guards conn and requested. The reader clears requested and sends to paused with mu held, so that a call of
+	// request that times out observes both changes or neither.
 	mu        sync.Mutex
-	conn      *transport.Conn // while the attempt waits for its worker, nil otherwise
+	conn      *transport.Conn // set while the attempt waits for its worker, nil otherwise
 	requested bool            // the exporter waits for the reader to stop
 
-	paused   chan struct{} // the reader has stopped and waits for takeOver
-	takeOver chan bool     // true: the sibling process reads on; false: the reader does
+	paused   chan struct{} // receives a value when the reader has stopped and waits for takeOver
+	takeOver chan bool     // true: the sibling process continues to read; false: the reader continues
 	ended    chan struct{} // closed when the attempt no longer waits for its worker
 }
 
@@ -32,8 +33,8 @@
 	return &readPause{paused: make(chan struct{}, 1), takeOver: make(chan bool, 1), ended: make(chan struct{})}
 }
 
-// request stops the reading, and reports whether the reader has stopped. It has not where the attempt does not wait for
-// its worker, or does not stop within pauseTimeout.
+// request stops the reader and reports whether it has stopped. It returns false if the attempt is not waiting for its
+// worker, or if the reader does not stop within pauseTimeout.
 func (p *readPause) request() bool {
 	p.mu.Lock()
 	if p.conn == nil {
@@ -54,7 +55,7 @@
 	defer p.mu.Unlock()
 	p.requested = false
 	select {
-	case <-p.paused: // since the timeout
+	case <-p.paused: // the reader stopped after the timeout
 		return true
 	default:
 		return false
@@ -64,38 +65,39 @@
 // resume lets the paused reader continue.
 func (p *readPause) resume() { p.takeOver <- false }
 
-// end lets the paused reader end without an outcome: the connection is the sibling process's, or is given up.
+// end makes the paused reader return without an outcome, because the sibling process has taken over the connection or
+// the migration was abandoned.
 func (p *readPause) end() { p.takeOver <- true }
 
-// begin allows pauses while conn is read.
+// begin enables pauses before conn is read.
 func (p *readPause) begin(conn *transport.Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.conn = conn
 }
 
-// finish allows no further pause.
+// finish disables pauses.
 func (p *readPause) finish() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.conn = nil
 }
 
-// wait is called by a reader that was stopped. It returns once the exporter has decided, and reports whether the
-// sibling process takes over.
+// wait is called by the reader after it was stopped. It waits for the exporter's decision, and reports whether the
+// sibling process takes over the connection.
 func (p *readPause) wait() (takenOver bool) {
 	p.mu.Lock()
-	if !p.requested { // the request has timed out
+	if !p.requested { // the call of request has timed out
 		p.mu.Unlock()
 		return false
 	}
 	p.requested = false
-	p.paused <- struct{}{} // has room
+	p.paused <- struct{}{} // never blocks: the channel is buffered
 	p.mu.Unlock()
 	return <-p.takeOver
 }
 
-// receive reads a worker's response, and lets itself be paused meanwhile.
+// receive reads a worker's response. The exporter may pause it.
 func (a *attempt) receive(ctx context.Context, conn *transport.Conn) workerResponse {
 	a.pause.begin(conn)
 	defer close(a.pause.ended)
@@ -114,8 +116,8 @@
 	}
 }
 
-// stoppedByPause reports whether a pause has ended the reading. A pause makes reads time out; so do the end of ctx and
-// an interrupt of the connection, which take precedence. Reading has no other timeout.
+// stoppedByPause reports whether a read failed because of a pause. A pause makes reads time out. The end of ctx and an
+// interrupt of the connection do so too, and take precedence. Reads have no other timeout.
 func stoppedByPause(ctx context.Context, conn *transport.Conn, readErr error) bool {
 	timedOut := readErr != nil && transport.CloseReasonOf(readErr) == transport.TooSlow
 	return timedOut && ctx.Err() == nil && !conn.Interrupted()
--- a/internal/proxy/peers.go
+++ b/internal/proxy/peers.go
@@ -5,22 +5,22 @@
 	"canvasroute/internal/protocol"
 )
 
-// What dispatchers report to each other while one of them recovers. Workers are named by their IDs, as their numbers
-// differ.
+// The methods below provide and apply the state that dispatchers exchange while one of them recovers. Workers are
+// identified by their IDs, because each dispatcher assigns its own worker numbers.
 
-// Endpoints returns the version of the endpoint list and the workers by their numbers, with those that are gone.
+// Endpoints returns the version of the endpoint list and the workers, indexed by number and including removed ones.
 func (p *Proxy) Endpoints() (version int64, endpoints []protocol.Endpoint) {
 	contents := p.endpoints.Contents()
 	return contents.Version, contents.Endpoints
 }
 
-// MergeEndpoints applies later starts and drains of workers that peers have learned.
+// MergeEndpoints applies newer starts and drains of workers that peers have received.
 func (p *Proxy) MergeEndpoints(endpoints []protocol.Endpoint) { p.discovery.Merge(endpoints) }
 
-// InFlightByWorker returns how many attempts of this process are in flight, by the worker's ID.
+// InFlightByWorker returns the number of attempts that this process has in flight, by worker ID.
 func (p *Proxy) InFlightByWorker() map[string]int { return p.inFlightFor(balancer.Successor) }
 
-// inFlightFor returns how many attempts are in flight, by the worker's ID, except those that the sibling process itself
+// inFlightFor returns the number of attempts in flight, by worker ID, excluding those that the sibling process itself
 // has reported.
 func (p *Proxy) inFlightFor(sibling balancer.SiblingRole) map[string]int {
 	byWorker := map[string]int{}
@@ -30,8 +30,8 @@
 	return byWorker
 }
 
-// ReceiveLoad applies how many attempts another dispatcher has in flight at a worker. process is the dispatcher's
-// position.
+// ReceiveLoad applies the number of attempts that another dispatcher has in flight at a worker. process is the
+// dispatcher's position in Config.Peers. Unknown workers are ignored.
 func (p *Proxy) ReceiveLoad(process int, workerID string, inFlight int) {
 	if worker, known := p.endpoints.ByID(workerID); known {
 		peer := balancer.PeerID(process * p.balancer.Count())
--- a/internal/proxy/probe.go
+++ b/internal/proxy/probe.go
@@ -9,10 +9,10 @@
 	"canvasroute/internal/transport"
 )
 
-// loadReport is a worker's answer to a probe.
+// loadReport is a worker's response to a probe.
 type loadReport struct {
-	values          []float64 // by Config.ReportFields; empty where the worker gives no report
-	closeConnection bool      // it cannot be used again
+	values          []float64 // indexed as Config.ReportFields; empty if the worker returned no report
+	closeConnection bool      // the connection cannot be reused
 }
 
 // probeWorkers requests load reports from the workers that the balancer selects, until ctx ends.
@@ -29,8 +29,8 @@
 	}
 }
 
-// probe requests one load report and passes it on to the balancer. The dial timeout bounds all of its steps together. A
-// failure is not reported: the balancer judges workers by their attempts.
+// probe requests one load report and passes it to the balancer. The dial timeout limits the total time of all steps.
+// Failures are not reported, because the balancer detects worker failures from attempts.
 func (p *Proxy) probe(ctx context.Context, worker balancer.WorkerID) {
 	ctx, cancel := context.WithTimeout(ctx, p.settings.Load().dialTimeout)
 	defer cancel()
@@ -56,7 +56,7 @@
 	}
 }
 
-// requestLoadReport requests a report on a connection. A worker that refuses gives an empty one.
+// requestLoadReport requests a load report on conn. The report is empty if the response status is not 200.
 func (p *Proxy) requestLoadReport(conn *transport.Conn) (loadReport, error) {
 	if err := conn.Send(p.settings.Load().dialTimeout, protocol.AppendGet(nil, protocol.PathLoad)); err != nil {
 		return loadReport{}, err
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -1,12 +1,12 @@
-// Package proxy carries a request from its client to workers and back.
+// Package proxy forwards requests from clients to workers and returns the responses.
 //
 // A Proxy admits requests, sends the attempts that the balancer decides on, and reads the workers' responses. During a
-// hot restart it migrates requests in flight to a sibling process. It chooses no worker and decides on no retry,
-// rejection or cancellation: it follows the balancer's decisions, and reports events to the balancer. It does not parse
-// the endpoint list (package discovery), exchange load with peers (package gossip) or accept connections (package
-// transport).
+// hot restart it migrates requests in flight to a sibling process. The balancer makes all decisions on worker
+// selection, retries, rejections and cancellations; the Proxy executes them and reports events to the balancer. Other
+// packages parse the endpoint list (discovery), exchange load with peers (gossip) and accept connections (transport).
 //
-// The life of a request stands in request.go, that of an attempt in attempt.go, and the answers in responses.go.
+// The lifecycle of a request is in request.go, that of an attempt in attempt.go, and the responses to clients are in
+// responses.go.
 package proxy
 
 import (
@@ -29,35 +29,35 @@
 	"canvasroute/internal/transport"
 )
 
-// Operation configures one operation, by the name that requests give.
+// Operation configures the operation that requests refer to by Name.
 type Operation struct {
 	Name           string
-	DefaultTimeout time.Duration       // of a request that gives none
-	RequiresKey    bool                // workers drop repeats by an idempotency key; requests without one are malformed
-	DedupScope     balancer.DedupScope // the group of workers that drops repeats
-	DedupWindow    time.Duration       // how long the group remembers a key
+	DefaultTimeout time.Duration       // timeout of a request that does not set one
+	RequiresKey    bool                // workers deduplicate by idempotency key; requests without a key are malformed
+	DedupScope     balancer.DedupScope // the group of workers that deduplicates requests
+	DedupWindow    time.Duration       // how long the group stores a key
 }
 
-// Config configures a Proxy. Operations, Tenants, DialTimeout and MaxRetryAfter may change later (Reconfigure).
+// Config configures a Proxy. Reconfigure may change Operations, Tenants, DialTimeout and MaxRetryAfter later.
 type Config struct {
 	Operations          []Operation
-	Tenants             []string                       // names by their numbers at the start; empty for a single tenant
-	Zones               []string                       // names by their numbers
-	Kinds               []string                       // kinds of workers, by their numbers
-	ReportFields        []string                       // the fields of workers' load reports that the balancer reads
-	DialTimeout         time.Duration                  // of a connection to a worker
-	MaxRetryAfter       time.Duration                  // advice with a 503, 0 for none
+	Tenants             []string                       // initial names, indexed by tenant ID; empty for a single tenant
+	Zones               []string                       // names, indexed by zone number
+	Kinds               []string                       // kinds of workers, indexed by kind number
+	ReportFields        []string                       // fields of the workers' load reports that the balancer uses
+	DialTimeout         time.Duration                  // timeout for connecting to a worker
+	MaxRetryAfter       time.Duration                  // Retry-After of 503 responses, 0 to omit it
 	DiscoveryAddress    string                         // host and port of the discovery service
-	Peers               []netip.AddrPort               // all dispatchers by their positions, with this one
-	Position            int                            // of this dispatcher in Peers
-	InitialEndpoints    *protocol.EndpointList         // known at the start, nil for none
-	PredecessorSnapshot json.RawMessage                // a Snapshot, nil without a predecessor
+	Peers               []netip.AddrPort               // all dispatchers by position, including this one
+	Position            int                            // index of this dispatcher in Peers
+	InitialEndpoints    *protocol.EndpointList         // endpoint list at startup, nil if there is none
+	PredecessorSnapshot json.RawMessage                // JSON of a Snapshot, nil if there is no predecessor
 	MigratesRequests    bool                           // requests in flight may be exported to a sibling process
 	FromUnix            func(ms float64) balancer.Time // converts Unix time in milliseconds
-	Recovery            Recovery                       // nil where it is disabled
+	Recovery            Recovery                       // nil if recovery is disabled
 }
 
-// Proxy answers requests by sending attempts to workers. Its methods may be called concurrently, except SiblingUpdate
+// Proxy serves requests by sending attempts to workers. Its methods are safe for concurrent use, except SiblingUpdate
 // and Snapshot.
 type Proxy struct {
 	config    Config
@@ -70,27 +70,27 @@
 	lifecycle *lifecycle.State
 	log       zerolog.Logger
 
-	settings   atomic.Pointer[settings] // replaced as a whole
+	settings   atomic.Pointer[settings] // replaced as a whole by applySettings
 	counters   counters
 	operations operationCounters
 	requestIDs requestIDs
-	inFlight   sync.Map       // set of *inFlightRequest; empty where requests are not migrated
-	background errgroup.Group // attempts and probes; each reports its errors itself
+	inFlight   sync.Map       // set of *inFlightRequest; empty unless Config.MigratesRequests is set
+	background errgroup.Group // attempts and probes; the functions return no errors
 
-	// sendsReportedAt is the time up to which the sibling process knows the work that was sent.
+	// sendsReportedAt is the time up to which sent work has been reported to the sibling process.
 	sendsReportedAt balancer.Time
 
 	hooks testHooks
 }
 
-// testHooks are set by tests to run between two steps.
+// testHooks are functions that tests set to run code between two steps.
 type testHooks struct {
-	beforeSettings func() // the balancer has new settings, and the names of requests have the previous ones
-	beforeSend     func() // an attempt has its connection and is not sent
+	beforeSettings func() // runs when the balancer uses the new settings and Proxy.settings still has the previous ones
+	beforeSend     func() // runs when an attempt has a connection and has not been sent
 }
 
-// New returns a Proxy. It gives the balancer the endpoints that are known at the start: those of the predecessor or
-// else the initial ones. datagrams is nil where dispatchers do not exchange load.
+// New returns a Proxy. It passes the initial endpoints to the balancer: those of the predecessor's snapshot if there is
+// one, otherwise Config.InitialEndpoints. datagrams is nil if dispatchers do not exchange load.
 func New(c Config, shards *balancer.Shards, pool *transport.Pool, datagrams *transport.Datagrams,
 	state *lifecycle.State, log zerolog.Logger,
 ) *Proxy {
@@ -122,7 +122,7 @@
 	return c
 }
 
-// seedEndpoints applies the endpoints that are known at the start, and reports whether they are a predecessor's.
+// seedEndpoints applies the initial endpoints, and reports whether they are from a predecessor's snapshot.
 func (p *Proxy) seedEndpoints() (successor bool) {
 	successor, err := p.restoreFromPredecessor(p.config.PredecessorSnapshot)
 	if err != nil {
@@ -134,7 +134,7 @@
 	return successor
 }
 
-// initialIDs numbers operations and tenants by their positions, as the balancer does at its start.
+// initialIDs returns the IDs of operations and tenants at startup: their positions in c, as in the balancer.
 func initialIDs(c Config) balancer.AssignedIDs {
 	ids := balancer.AssignedIDs{}
 	for n := range c.Operations {
@@ -146,8 +146,8 @@
 	return ids
 }
 
-// Run runs discovery, gossip, probes and the balancer until ctx ends, which must be after all clients have their
-// answers. It then cancels the attempts that are still in flight and waits for them.
+// Run runs discovery, gossip, probes and the balancer until ctx ends. ctx must not end before all clients have received
+// their responses. Run then cancels the attempts that are still in flight and waits for them.
 func (p *Proxy) Run(ctx context.Context) error {
 	g, ctx := errgroup.WithContext(ctx)
 	for shard := range p.balancer.Count() {
@@ -159,19 +159,19 @@
 	g.Go(func() error { return p.probeWorkers(ctx) })
 	err := g.Wait()
 	p.balancer.CancelAll()
-	_ = p.background.Wait() // attempts report their errors to the balancer and return none
+	_ = p.background.Wait() // always nil: attempts report their errors to the balancer
 	return err
 }
 
-// StopWithin bounds the time for answers, as this process stops. Requests that would not be done by then are rejected:
-// one that is cut off after it was begun cannot always be sent again. Their clients should retry late, as connections
-// still arrive here for a while, and dispatchers may be restarted in turn.
+// StopWithin limits the time for responses when this process stops. Requests that would not complete in time are
+// rejected, because a request that is interrupted during execution cannot always be retried. Clients should retry after
+// a long delay: this process still receives connections for some time, and other dispatchers may be restarted next.
 func (p *Proxy) StopWithin(within time.Duration) { p.balancer.StopAfter(balancer.DurationOf(within)) }
 
-// SetDiscoveryAddress changes the address of the discovery service. The new one is polled at once.
+// SetDiscoveryAddress changes the address of the discovery service and polls the new address immediately.
 func (p *Proxy) SetDiscoveryAddress(address string) { p.discovery.SetAddress(address) }
 
-// YieldDatagrams leaves gossip to the sibling process during a hot restart.
+// YieldDatagrams hands gossip over to the sibling process during a hot restart.
 func (p *Proxy) YieldDatagrams() { p.gossip.Yield() }
 
 // ReclaimDatagrams takes gossip back from the sibling process.
--- a/internal/proxy/queueing.go
+++ b/internal/proxy/queueing.go
@@ -9,8 +9,8 @@
 	"canvasroute/internal/admission"
 )
 
-// sampleQueueingDelay measures how long arriving data waits before a goroutine reads it. It reports the delay to the
-// admission controller until ctx ends, and no delay while the controller wants no sample.
+// sampleQueueingDelay measures how long arriving data waits until a goroutine reads it, and reports the delay to the
+// admission controller until ctx ends. It reports a delay of 0 without measuring if the controller needs no sample.
 func (p *Proxy) sampleQueueingDelay(ctx context.Context) error {
 	pipe, err := newDelayPipe()
 	if err != nil {
@@ -42,15 +42,16 @@
 	}
 }
 
-// delayPipe is a pipe to this process, which shows how long data waits for a goroutine that reads it.
+// delayPipe is a pipe from this process to itself, which measures how long data waits until a goroutine reads it.
 //
-// Neither a timer nor the run queue shows that delay. While goroutines have work, readable sockets wait in the kernel's
-// list for the next poll, in the order in which they became readable. A byte in a pipe goes through the same list.
+// Neither a timer nor the length of the run queue includes that delay. While goroutines are runnable, readable sockets
+// wait in the kernel's ready list for the next poll, in the order in which they became readable. A byte in a pipe waits
+// in the same list.
 type delayPipe struct {
 	reader   *os.File
 	writer   *os.File
-	arrivals chan time.Time // of the bytes; has room for one
-	ended    chan struct{}  // closed when the reading goroutine has ended
+	arrivals chan time.Time // read times of the bytes; buffered for one
+	ended    chan struct{}  // closed when the reading goroutine has exited
 }
 
 func newDelayPipe() (*delayPipe, error) {
@@ -68,7 +69,8 @@
 	return pipe, nil
 }
 
-// sendByte sends a byte through the pipe and returns when it was read. The error is that of ctx or of the write.
+// sendByte writes a byte to the pipe, waits until it is read, and returns the time of the read. The error is that of
+// ctx or of the write.
 func (d *delayPipe) sendByte(ctx context.Context) (arrivedAt time.Time, err error) {
 	if _, err := d.writer.Write([]byte{0}); err != nil {
 		return time.Time{}, err
@@ -81,7 +83,7 @@
 	}
 }
 
-// timestampReads sends the time of each byte that it reads, until the writer is closed. sendByte sends the next byte
+// timestampReads sends the read time of each byte to arrivals until the writer is closed. sendByte writes the next byte
 // only after it has received that time.
 func (d *delayPipe) timestampReads() {
 	defer close(d.ended)
@@ -94,7 +96,7 @@
 	}
 }
 
-// close ends the reading goroutine and closes the pipe.
+// close stops the reading goroutine and closes the pipe.
 func (d *delayPipe) close() {
 	d.writer.Close()
 	<-d.ended
--- a/internal/proxy/queueing_test.go
+++ b/internal/proxy/queueing_test.go
@@ -10,7 +10,7 @@
 	"canvasroute/internal/peertest"
 )
 
-// Samples that stop, or that show a delay where there is none, would reject requests for nothing.
+// Missing samples, or samples of a delay in an idle process, would cause requests to be rejected without overload.
 func TestIdleProcessHasNoQueueingDelay(t *testing.T) {
 	p := newProxy(peertest.ClosedAddress)
 	ctx, cancel := context.WithTimeout(context.Background(), 300*time.Millisecond)
@@ -32,7 +32,7 @@
 			assert.NoError(t, err)
 			assert.Positive(t, overloaded)
 			assert.Equal(t, 1.0, p.admission.AdmittedShare())
-			assert.Less(t, p.admission.Examined(), int64(1000), "samples have started new intervals")
+			assert.Less(t, p.admission.Examined(), int64(1000), "samples start new intervals")
 			return
 		}
 	}
--- a/internal/proxy/readiness.go
+++ b/internal/proxy/readiness.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// errNotReady is the error of a process that should get no new clients.
+// errNotReady is wrapped by the errors of a process that must not receive new clients.
 var errNotReady = errors.New("takes no clients")
 
-// Ready returns nil while this process should get new clients, or else an error that says why not.
+// Ready returns nil if this process may receive new clients, and an error with the reason otherwise.
 func (p *Proxy) Ready() error {
 	if phase := p.lifecycle.PhaseAt(time.Now()); !phase.TakesClients() {
 		return fmt.Errorf("%w: %v", errNotReady, phase)
@@ -17,13 +17,14 @@
 	return p.workersAvailable()
 }
 
-// healthy reports whether load balancers should send clients to this dispatcher. During a hot restart, either of its
+// healthy reports whether load balancers may send clients to this dispatcher. During a hot restart, either of its two
 // processes may serve them.
 func (p *Proxy) healthy() bool {
 	return p.workersAvailable() == nil && p.lifecycle.PhaseAt(time.Now()).Healthy()
 }
 
-// workersAvailable returns nil while there are workers to send to, or else an errNotReady that says why not.
+// workersAvailable returns nil if there are workers to send requests to, and otherwise an error that wraps errNotReady
+// and includes the reason.
 func (p *Proxy) workersAvailable() error {
 	switch {
 	case !p.discovery.FirstPollOver():
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -10,17 +10,17 @@
 	"canvasroute/internal/protocol"
 )
 
-// The life of a request: Serve checks it, admit rejects it or submits it to the balancer, and execute follows the
-// balancer's decisions up to its answer. Each attempt runs beside that (attempt.go).
+// The lifecycle of a request: Serve validates it, admit rejects it or submits it to the balancer, and execute follows
+// the balancer's decisions until there is a response. Each attempt runs on a goroutine of its own (attempt.go).
 
-// Serve answers one request whose last byte was read at arrivedAt. It returns nil where the client left before its
-// answer or ctx ended, and protocol.Migrated where the sibling process will answer.
+// Serve handles one request, whose last byte was read at arrivedAt, and returns the response. It returns nil if the
+// client disconnected or ctx ended before the response, and protocol.Migrated if the sibling process will respond.
 func (p *Proxy) Serve(ctx context.Context, h *protocol.Head, body []byte, arrivedAt time.Time) *protocol.Response {
 	request, err := protocol.ParseRequest(h)
 	if err != nil {
 		return p.MalformedRequest(err)
 	}
-	current := p.settings.Load() // once: the request is served to its end under these
+	current := p.settings.Load() // loaded once: the request uses the same settings until it ends
 	arrival, err := current.arrivalOf(request)
 	if err != nil {
 		return p.MalformedRequest(err)
@@ -42,8 +42,8 @@
 	return p.counted(request.Operation, func() *protocol.Response { return p.admit(ctx, r, arrival) })
 }
 
-// admit answers a valid request. It rejects the request while the process stops or recovers, and submits it otherwise.
-// Overload is decided on before, by the head alone (AnswerByHead), and afterwards by the balancer.
+// admit rejects a valid request if the process is stopping or recovering, and submits it to the balancer otherwise.
+// Overload is checked before admit, from the request head alone (AnswerByHead), and after it by the balancer.
 func (p *Proxy) admit(ctx context.Context, r *inFlightRequest, arrival balancer.Arrival) *protocol.Response {
 	if !p.canFinish(arrival) {
 		return p.respondUnavailable(r.settings.maxRetryAfter)
@@ -60,20 +60,19 @@
 	return answer
 }
 
-// canFinish reports whether this process serves new requests, and would have answered one with this arrival before it
-// ends.
+// canFinish reports whether this process accepts new requests and can respond to this one before the process exits.
 func (p *Proxy) canFinish(arrival balancer.Arrival) bool {
 	phase := p.lifecycle.PhaseAt(time.Now())
 	if !phase.AdmitsRequests() {
 		return false
 	}
-	// With a successor, requests in flight are migrated at the end.
+	// If there is a successor, requests in flight are migrated to it before this process exits.
 	endsWithProcess := phase.IsStopping() && phase != lifecycle.StoppingHandedOff
 	return !endsWithProcess || !p.balancer.WouldMissStop(arrival)
 }
 
-// submit passes a request to the balancer, with where it may have been executed before, and answers it. Where it may
-// have been executed at an unknown worker, the request fails.
+// submit passes a request to the balancer, together with any earlier attempt that may have executed it, and returns the
+// response. The request fails if it may have been executed at an unknown worker.
 func (p *Proxy) submit(ctx context.Context, r *inFlightRequest, arrival balancer.Arrival) *protocol.Response {
 	prior, err := p.priorAttempt(r)
 	switch {
@@ -87,7 +86,7 @@
 	return p.execute(ctx, r)
 }
 
-// execute follows the balancer's decisions on a request up to its answer.
+// execute follows the balancer's decisions on a request until there is a response.
 func (p *Proxy) execute(ctx context.Context, r *inFlightRequest) *protocol.Response {
 	if p.config.MigratesRequests {
 		p.inFlight.Store(r, nil)
@@ -95,7 +94,7 @@
 	}
 	for {
 		decision, err := r.handle.Pick(ctx)
-		if err != nil { // the client has left, or ctx has ended otherwise
+		if err != nil { // the client disconnected, or ctx ended for another reason
 			r.cancelMigration()
 			return p.respondToNobody()
 		}
--- a/internal/proxy/request_ids.go
+++ b/internal/proxy/request_ids.go
@@ -2,15 +2,15 @@
 
 import "sync"
 
-// requestIDs are the IDs of the requests that are open in this process and, during a hot restart, in its sibling.
-// Workers know a request by its ID alone: of two clients that send the same one, the second is refused.
+// requestIDs is the set of IDs of the requests that are open in this process and, during a hot restart, in its sibling.
+// Workers identify a request by its ID alone, so a request with the ID of an open request is refused.
 type requestIDs struct {
-	mu        sync.Mutex // guards the fields below; nothing is called under it
+	mu        sync.Mutex // guards the fields below; no locks are acquired while it is held
 	here      map[string]struct{}
 	atSibling map[string]struct{}
 	tracking  bool     // opened and closed are recorded for the sibling
-	opened    []string // since the last call of changes
-	closed    []string // since the last call of changes
+	opened    []string // IDs opened since the last call of changes
+	closed    []string // IDs closed since the last call of changes
 }
 
 // open adds an ID, and reports whether it was free.
@@ -32,7 +32,7 @@
 	return true
 }
 
-// openMigrated adds the ID of a request that the sibling has passed on.
+// openMigrated adds the ID of a request that was migrated from the sibling.
 func (i *requestIDs) openMigrated(id string) {
 	i.mu.Lock()
 	delete(i.atSibling, id)
@@ -40,7 +40,7 @@
 	i.open(id)
 }
 
-// close frees the ID of a request that has its answer.
+// close frees the ID of a request that has ended.
 func (i *requestIDs) close(id string) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -50,7 +50,7 @@
 	}
 }
 
-// startTracking records changes from now on. The first ones are all IDs that are open.
+// startTracking starts to record changes. The next call of changes also returns all IDs that are open now.
 func (i *requestIDs) startTracking() {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -62,8 +62,8 @@
 	}
 }
 
-// changes returns the IDs that were opened and closed since the last call. The opened ones are to be applied first: an
-// ID that was opened and closed again ends closed.
+// changes returns the IDs that were opened and closed since the last call. The caller must apply opened before closed,
+// so that an ID that was opened and then closed counts as closed.
 func (i *requestIDs) changes() (opened, closed []string) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -72,7 +72,7 @@
 	return opened, closed
 }
 
-// applySibling applies the sibling's changes. An ID that it closed and opened again counts as closed.
+// applySibling applies the sibling's changes. An ID that the sibling closed and opened again counts as closed.
 func (i *requestIDs) applySibling(opened, closed []string) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -87,7 +87,7 @@
 	}
 }
 
-// forgetSibling removes the IDs of a sibling that has ended, and stops recording changes.
+// forgetSibling removes the IDs of a sibling that has exited, and stops recording changes.
 func (i *requestIDs) forgetSibling() {
 	i.mu.Lock()
 	defer i.mu.Unlock()
--- a/internal/proxy/request_test.go
+++ b/internal/proxy/request_test.go
@@ -41,7 +41,7 @@
 	}
 }
 
-// Workers know a request by its ID alone: a second one with the ID of an open request must not reach them.
+// Workers identify a request by its ID alone, so a second request with the ID of an open one must not reach them.
 func TestOpenRequestIDIsRefused(t *testing.T) {
 	var p *Proxy
 	second := 0
@@ -49,15 +49,15 @@
 		second = serve(p, requestHead("idem")).Status
 		io.WriteString(conn, succeededText())
 	}))
-	for range 2 { // an ID that is not open any more may be used again
+	for range 2 { // an ID can be reused after its request has ended
 		response := serve(p, requestHead("idem"))
 		assert.Equal(t, []int{200, 409}, []int{response.Status, second})
 		assert.NoError(t, p.background.Wait())
 	}
 }
 
-// A request that is cut off when the process ends cannot always be rejected. But clients should not be rejected as long
-// as there is time for their requests.
+// A stopping process rejects a request that would not complete in time, because a request that is interrupted by the
+// exit cannot always be rejected. It still serves requests that can complete in time.
 func TestStoppingProcessServesWhatItCanFinish(t *testing.T) {
 	p := newProxy(peertest.StartServer(t, peertest.RespondWith(succeededText())))
 	p.settings.Load().maxRetryAfter = 2 * time.Second
@@ -79,7 +79,7 @@
 			assert.Nil(t, p.Serve(ctx, requestHead(operation), nil, time.Now()))
 			assert.NoError(t, p.background.Wait())
 			assert.Equal(t, 0, p.balancer.OpenRequests())
-			assert.Equal(t, int64(1), p.counters.sent.Load(), "it is not sent again")
+			assert.Equal(t, int64(1), p.counters.sent.Load(), "the request must not be sent again")
 		})
 	}
 }
@@ -107,7 +107,8 @@
 	return sum["succeeded"] + sum["declined"] + sum["aborted"]
 }
 
-// Requests that succeed, fail, are declined, time out, lose their client or come too late each count once.
+// Each request is counted exactly once, whether it succeeds, fails, is declined, times out, arrives when the process is
+// drained, or has a client that disconnects.
 func TestEachAdmittedRequestEndsOnce(t *testing.T) {
 	rng := rand.New(rand.NewPCG(3, 4))
 	var mu sync.Mutex
@@ -157,8 +158,8 @@
 	assert.Equal(t, p.counters.sent.Load(), sum["forwards"])
 }
 
-// slowWorker responds after a latency. The first attempt is then queued before it starts. attempts counts those
-// received.
+// slowWorker returns a worker that sends the response head after latency, and starts the first attempt only after
+// queueing. attempts counts the attempts that it has received.
 func slowWorker(latency, queueing time.Duration) (respond func(net.Conn, *http.Request), attempts *atomic.Int64) {
 	attempts = &atomic.Int64{}
 	return func(conn net.Conn, _ *http.Request) {
@@ -172,11 +173,11 @@
 	}, attempts
 }
 
-// An objective that is short beside the network latency to a worker must not move each attempt before the worker could
-// have reported its start, until no attempt is left.
+// If the latency objective is short compared to the network latency to a worker, each attempt could be hedged before
+// the worker can report its start, until the limit of attempts is reached.
 func TestAttemptAtDistantWorkerIsNotHedgedBeforeDelivery(t *testing.T) {
 	for name, test := range map[string]struct {
-		latency, queueing time.Duration // up to the head of the response, and from there to the start
+		latency, queueing time.Duration // until the response head, and from there until the start
 		attempts          int64
 	}{
 		"distant":          {80 * time.Millisecond, 0, 1},
--- a/internal/proxy/settings.go
+++ b/internal/proxy/settings.go
@@ -9,25 +9,25 @@
 	"canvasroute/internal/protocol"
 )
 
-// settings are the part of the configuration that may change while a Proxy serves. They are replaced as a whole and
-// never changed: a request is served under those that were in force when it arrived.
+// settings is the part of the configuration that may change while a Proxy is running. A settings value is immutable and
+// replaced as a whole: a request uses the settings at its arrival until it ends.
 type settings struct {
 	operations    map[string]operation         // by name
-	tenants       map[string]balancer.TenantID // by name; empty where all requests are of one tenant
-	tenantNames   []string                     // by their numbers, with those of earlier settings
-	dialTimeout   time.Duration                // of a connection to a worker
+	tenants       map[string]balancer.TenantID // by name; empty if all requests belong to a single tenant
+	tenantNames   []string                     // indexed by tenant ID, including those of earlier settings
+	dialTimeout   time.Duration                // timeout for connecting to a worker
 	maxRetryAfter time.Duration                // see Config.MaxRetryAfter
 }
 
-// operation is an Operation with its number in the balancer.
+// operation is an Operation with its ID in the balancer.
 type operation struct {
 	Operation
 	number balancer.OperationID
 }
 
-// Reconfigure replaces the settings, all at once. Requests in flight keep the settings that they arrived under. An
-// operation that the new ones do not have is unknown to later requests, and keeps its counts. A request that arrives
-// meanwhile is looked up by the earlier names, whose numbers stay the same in the balancer.
+// Reconfigure replaces all settings at once. Requests in flight keep the settings at their arrival. Later requests for
+// an operation that was removed are rejected as unknown; its counts are kept. Names in a request that arrives during
+// the call are looked up in the previous settings, whose IDs remain valid in the balancer.
 func (p *Proxy) Reconfigure(c Config, balancing balancer.Config) {
 	ids := p.balancer.Reconfigure(balancing)
 	if p.hooks.beforeSettings != nil {
@@ -36,7 +36,7 @@
 	p.applySettings(c, ids)
 }
 
-// applySettings replaces the settings. ids are the balancer's numbers of the operations and tenants in c.
+// applySettings replaces the settings. ids are the balancer's IDs of the operations and tenants in c.
 func (p *Proxy) applySettings(c Config, ids balancer.AssignedIDs) {
 	next := &settings{
 		operations:    map[string]operation{},
@@ -57,7 +57,7 @@
 	p.settings.Store(next)
 }
 
-// addTenant gives a tenant its number in the balancer, which keeps a number for each tenant that ever was.
+// addTenant adds a tenant with its ID in the balancer, which keeps the IDs of removed tenants.
 func (s *settings) addTenant(name string, id balancer.TenantID) {
 	missing := max(0, int(id)+1-len(s.tenantNames))
 	s.tenantNames = append(s.tenantNames, make([]string, missing)...)
@@ -65,8 +65,9 @@
 	s.tenants[name] = id
 }
 
-// arrivalOf returns a request in the balancer's terms, and gives the request its operation's timeout where it has none.
-// The error is protocol.ErrMalformed: an unknown operation or tenant, or a missing idempotency key.
+// arrivalOf converts a request to a balancer.Arrival. If the request has no timeout, arrivalOf sets the default timeout
+// of its operation. The error wraps protocol.ErrMalformed if the operation or tenant is unknown, or if the idempotency
+// key is missing.
 func (s *settings) arrivalOf(request *protocol.Request) (balancer.Arrival, error) {
 	configured, known := s.operations[request.Operation]
 	if !known {
--- a/internal/proxy/sibling.go
+++ b/internal/proxy/sibling.go
@@ -2,19 +2,19 @@
 
 import "canvasroute/internal/balancer"
 
-// SiblingUpdate is what the two processes of a dispatcher send each other at short intervals during a hot restart. To
-// workers, peers and clients they are one dispatcher.
+// SiblingUpdate is the message that the two processes of a dispatcher send each other at short intervals during a hot
+// restart, so that they act as one dispatcher towards workers, peers and clients.
 type SiblingUpdate struct {
-	InFlight          map[string]int           `json:"Loads,omitempty"`  // attempts in flight, by the worker's ID
-	RecentSends       map[string]balancer.Work `json:"Spent,omitempty"`  // work sent since the last update, by the worker's ID
+	InFlight          map[string]int           `json:"Loads,omitempty"`  // attempts in flight, by worker ID
+	RecentSends       map[string]balancer.Work `json:"Spent,omitempty"`  // work sent since the last update, by worker ID
 	Opened            []string                 `json:"Opened,omitempty"` // request IDs opened since the last update
 	Closed            []string                 `json:"Closed,omitempty"` // request IDs closed since the last update
-	ClientConnections int                      `json:"Clients"`          // that it has, or may still have
-	WorkerConnections int                      `json:"Workers"`          // that it has, or may still have
+	ClientConnections int                      `json:"Clients"`          // upper bound of open connections with clients
+	WorkerConnections int                      `json:"Workers"`          // upper bound of open connections to workers
 }
 
-// SiblingUpdate returns what is to be sent to the sibling process now, without the numbers of connections. Each call
-// continues where the last one ended; calls must not overlap.
+// SiblingUpdate returns the next update for the sibling process, without the numbers of connections. It covers the
+// changes since the previous call. Calls must not be concurrent.
 func (p *Proxy) SiblingUpdate(to balancer.SiblingRole) SiblingUpdate {
 	u := SiblingUpdate{InFlight: p.inFlightFor(to), RecentSends: map[string]balancer.Work{}}
 	now := p.balancer.Now()
@@ -26,7 +26,7 @@
 	return u
 }
 
-// ReceiveSiblingUpdate applies an update of the sibling process. Workers that are not listed here are left out.
+// ReceiveSiblingUpdate applies an update from the sibling process. Unknown workers are ignored.
 func (p *Proxy) ReceiveSiblingUpdate(from balancer.SiblingRole, u SiblingUpdate) {
 	p.balancer.UpdateSibling(from, p.workerLoads(u.InFlight))
 	if sends := p.recentSends(u.RecentSends); len(sends) > 0 {
@@ -35,7 +35,7 @@
 	p.requestIDs.applySibling(u.Opened, u.Closed)
 }
 
-// workerLoads returns attempts in flight by worker ID in the balancer's terms, without those at unknown workers.
+// workerLoads converts counts of attempts in flight by worker ID to WorkerLoads. Unknown workers are omitted.
 func (p *Proxy) workerLoads(inFlight map[string]int) []balancer.WorkerLoad {
 	var loads []balancer.WorkerLoad
 	for id, count := range inFlight {
@@ -46,7 +46,7 @@
 	return loads
 }
 
-// recentSends returns the work sent by worker ID in the balancer's terms, without that sent to unknown workers.
+// recentSends converts the work sent by worker ID to RecentSends. Unknown workers are omitted.
 func (p *Proxy) recentSends(sent map[string]balancer.Work) []balancer.RecentSend {
 	var sends []balancer.RecentSend
 	for id, work := range sent {
@@ -57,7 +57,7 @@
 	return sends
 }
 
-// ForgetSibling forgets what the sibling process had in flight, as it has ended.
+// ForgetSibling removes the attempts in flight and the request IDs of a sibling process that has exited.
 func (p *Proxy) ForgetSibling(from balancer.SiblingRole) {
 	p.balancer.UpdateSibling(from, nil)
 	p.requestIDs.forgetSibling()
--- a/internal/proxy/snapshot.go
+++ b/internal/proxy/snapshot.go
@@ -10,20 +10,21 @@
 	"canvasroute/internal/protocol"
 )
 
-// Snapshot is the state that a process passes to the one that continues it: a successor, or a later process that reads
-// it from disk. It holds names beside numbers, as the numbers of a process with other settings differ.
+// Snapshot is the state that a process passes to the process that replaces it: a successor, or a later process that
+// reads it from disk. It includes names in addition to numbers, because a process with other settings assigns other
+// numbers.
 type Snapshot struct {
-	Version   int64               `json:"Version"` // of the endpoint list
-	Endpoints []protocol.Endpoint `json:"Workers"` // by their numbers, with those that are gone
-	Zones     []string            `json:"Zones"`   // by their numbers
+	Version   int64               `json:"Version"` // version of the endpoint list
+	Endpoints []protocol.Endpoint `json:"Workers"` // indexed by worker number, including removed workers
+	Zones     []string            `json:"Zones"`   // names, indexed by zone number
 	Kinds     []string            `json:"Kinds"`
-	Tenants   []string            `json:"Owners"` // by their numbers, with those of earlier settings
+	Tenants   []string            `json:"Owners"` // names, indexed by tenant ID, including those of earlier settings
 	Learned   []balancer.Snapshot `json:"Learnt"` // by shard
 	Sibling   SiblingUpdate       `json:"Twin"`
-	Drained   bool                `json:"Left"` // operators drained this dispatcher, which holds for a successor too
+	Drained   bool                `json:"Left"` // operators drained this dispatcher; a successor is drained too
 }
 
-// Snapshot returns the state for a successor. From then on SiblingUpdate returns which request IDs change.
+// Snapshot returns the state for a successor. Later calls of SiblingUpdate return the changes of open request IDs.
 func (p *Proxy) Snapshot() Snapshot {
 	s := p.SnapshotForDisk()
 	p.requestIDs.startTracking()
@@ -31,7 +32,7 @@
 	return s
 }
 
-// SnapshotForDisk returns the state for the disk, which has no requests in flight.
+// SnapshotForDisk returns the state to write to disk, which includes no requests in flight.
 func (p *Proxy) SnapshotForDisk() Snapshot {
 	s := Snapshot{Kinds: p.config.Kinds, Tenants: p.settings.Load().tenantNames, Learned: p.balancer.Snapshot()}
 	contents := p.endpoints.Contents()
@@ -43,8 +44,8 @@
 	return s
 }
 
-// restoreFromPredecessor applies the Snapshot of a predecessor. It reports whether there is one that had workers, and
-// does nothing otherwise.
+// restoreFromPredecessor applies the Snapshot of a predecessor. It does nothing and returns false if text is nil or the
+// snapshot lists no endpoints.
 func (p *Proxy) restoreFromPredecessor(text json.RawMessage) (restored bool, err error) {
 	if text == nil {
 		return false, nil
@@ -70,8 +71,9 @@
 	return true, nil
 }
 
-// RestoreFromDisk applies a Snapshot of an earlier process, whose workers and zones had other numbers. It reports
-// whether the balancer accepted it. The endpoint list has to be known, and no request may have arrived yet.
+// RestoreFromDisk applies a Snapshot of an earlier process, whose workers and zones may have had other numbers. It
+// reports whether the balancer accepted it. It must be called after the endpoint list was received and before the first
+// request.
 func (p *Proxy) RestoreFromDisk(s Snapshot) bool {
 	p.alignNames(s)
 	for shard := range s.Learned {
@@ -93,7 +95,7 @@
 	return p.balancer.RestoreFromDisk(s.Learned)
 }
 
-// alignNames puts the values of a Snapshot by tenant and by kind into the order of the settings here.
+// alignNames reorders the per-tenant and per-kind values of a Snapshot to the order of the current settings.
 func (p *Proxy) alignNames(s Snapshot) {
 	for shard := range s.Learned {
 		learned := &s.Learned[shard]
@@ -102,8 +104,9 @@
 	}
 }
 
-// align puts values that are in the order of the previous names into that of the current ones. Values of other names
-// are dropped, and a name that is new gets the zero value. Without any names there is one value, which stays.
+// align reorders values from the order of the previous names to that of the current names. It drops the values of names
+// that are no longer used, and adds zero values for new names. If there are no names at all, there is a single value,
+// which is returned unchanged.
 func align[T any](values []T, previous, current []string) []T {
 	if len(previous) == 0 && len(current) == 0 {
 		return values
@@ -122,8 +125,8 @@
 	return aligned
 }
 
-// renumber moves each value to the number that current returns for its previous number. Values for which current finds
-// none are dropped.
+// renumber moves each value to the index that current returns for its previous index. It drops a value if current
+// returns false.
 func renumber[T any](values []T, current func(previous int) (int, bool)) []T {
 	var renumbered []T
 	for previous, value := range values {
--- a/internal/proxy/snapshot_test.go
+++ b/internal/proxy/snapshot_test.go
@@ -20,13 +20,13 @@
 	assert.NoError(t, err)
 	successor := newProxyWith(peertest.ClosedAddress, func(_ *balancer.Config, config *Config) { config.PredecessorSnapshot = text })
 	assert.Equal(t, predecessor.endpoints.Contents(), successor.endpoints.Contents())
-	assert.NoError(t, successor.Ready(), "it does not wait for its own first poll")
-	assert.Equal(t, 409, serve(successor, requestHead("idem")).Status, "the predecessor has this ID open")
+	assert.NoError(t, successor.Ready(), "the successor must not wait for its first poll")
+	assert.Equal(t, 409, serve(successor, requestHead("idem")).Status, "the ID is open in the predecessor")
 }
 
 func TestMalformedSnapshotIsNotRestored(t *testing.T) {
 	p := newProxyWith(peertest.ClosedAddress, func(_ *balancer.Config, config *Config) { config.PredecessorSnapshot = []byte("{") })
-	assert.Equal(t, int64(7), p.endpoints.Version(), "it starts with the initial endpoints")
+	assert.Equal(t, int64(7), p.endpoints.Version(), "the proxy must start with the initial endpoints")
 }
 
 func TestAlignPutsValuesIntoTheOrderOfNames(t *testing.T) {
--- a/internal/proxy/worker_response.go
+++ b/internal/proxy/worker_response.go
@@ -14,25 +14,25 @@
 
 var (
 	errMalformedResponse = errors.New("malformed response")
-	errTruncatedResponse = errors.New("response ended without a last line")
-	errCloseRequested    = errors.New("worker closes the connection")
+	errTruncatedResponse = errors.New("response ended without a final state")
+	errCloseRequested    = errors.New("worker requested to close the connection")
 )
 
-// workerResponse is a worker's response, as far as it decides the attempt.
+// workerResponse is a worker's response, read up to the line that decides the outcome of the attempt.
 type workerResponse struct {
 	outcome  balancer.Outcome
-	result   string        // of a succeeded attempt
-	body     protocol.Body // its rest is still to be read, unless there is an error
-	err      error         // nil where the connection can be used again after the rest of the body
-	migrated bool          // the sibling process reads on; the other fields are not set
+	result   string        // result text if the attempt succeeded
+	body     protocol.Body // the rest of the body must still be read unless err is set
+	err      error         // nil if the connection can be reused after the rest of the body was read
+	migrated bool          // the sibling process continues to read; the other fields are not set
 }
 
-// readResponse reads a worker's response up to the line that decides the attempt. ctx is that of the attempt, which
-// interrupts conn when it ends.
+// readResponse reads a worker's response up to the line that decides the outcome of the attempt. ctx is the context of
+// the attempt, whose end interrupts conn.
 //
-// The outcome follows from the state in that line (lineParser.parse), or without status 200 from the head: Overloaded
-// where the worker declined the attempt, else WorkerError. A response that is malformed is a WorkerError too, and one
-// that ends before such a line has the outcome of a lost connection.
+// For status 200, the outcome is that of the state in the deciding line (lineParser.parse). For any other status, the
+// outcome is Overloaded if the worker declined the attempt, and WorkerError otherwise. A malformed response is a
+// WorkerError too. A response that ends before the deciding line has the outcome of a lost connection.
 func (a *attempt) readResponse(ctx context.Context, conn *transport.Conn) workerResponse {
 	head, err := conn.ReadResponseHead()
 	if err != nil {
@@ -49,7 +49,7 @@
 	return a.readLines(ctx, conn, &head, body)
 }
 
-// unsuccessfulResponse returns a response with another status than 200.
+// unsuccessfulResponse returns the workerResponse for a head with a status other than 200.
 func unsuccessfulResponse(head *protocol.Head, body protocol.Body) workerResponse {
 	answer := workerResponse{outcome: balancer.WorkerError, body: body}
 	if protocol.Declined(head) {
@@ -61,7 +61,7 @@
 	return answer
 }
 
-// readLines reads the lines of a successful response up to the one that decides the attempt.
+// readLines reads the lines of a response with status 200 up to the line that decides the outcome.
 func (a *attempt) readLines(ctx context.Context, conn *transport.Conn, head *protocol.Head, body protocol.Body,
 ) workerResponse {
 	lines := lineParser{attempt: a}
@@ -85,21 +85,21 @@
 	return answer
 }
 
-// undecided is the outcome of an attempt whose response has not decided it yet.
+// undecided is the outcome before the deciding line was parsed.
 const undecided balancer.Outcome = 0
 
-// lineParser parses the lines of a response as their bytes come, up to the one that decides the attempt.
+// lineParser parses the lines of a response incrementally, up to the line that decides the outcome of the attempt.
 type lineParser struct {
 	attempt *attempt
-	pending []byte           // a line that is not complete
-	outcome balancer.Outcome // undecided up to the line that decides
-	result  string           // of a succeeded attempt
-	err     error            // errMalformedResponse, which ends the parsing
+	pending []byte           // bytes received after the last complete line
+	outcome balancer.Outcome // undecided until the deciding line was parsed
+	result  string           // result text if the attempt succeeded
+	err     error            // wraps errMalformedResponse; stops the parser
 }
 
 func (p *lineParser) decided() bool { return p.outcome != undecided }
 
-// write parses the lines that are complete with the next bytes, and reports whether more bytes are needed.
+// write adds data and parses the lines that are complete. It reports whether more data is needed.
 func (p *lineParser) write(data []byte) (more bool) {
 	p.pending = append(p.pending, data...)
 	for !p.decided() && p.err == nil {
@@ -116,7 +116,7 @@
 	return !p.decided() && p.err == nil
 }
 
-// end parses the last line of a body that ended without a line end.
+// end parses the last line of a body that does not end with a newline.
 func (p *lineParser) end() {
 	last := bytes.TrimSpace(p.pending)
 	if !p.decided() && p.err == nil && len(last) > 0 {
@@ -124,7 +124,7 @@
 	}
 }
 
-// parse applies one line. A line with a state that is not listed here decides nothing.
+// parse applies one line. Lines with other states than those below are ignored.
 func (p *lineParser) parse(text []byte) {
 	if len(text) == 0 {
 		return
@@ -135,7 +135,7 @@
 		return
 	}
 	if line.ID != p.attempt.request.ID { // the result of another request must not reach this client
-		p.err = fmt.Errorf("%w: a line for %.40q", errMalformedResponse, line.ID)
+		p.err = fmt.Errorf("%w: line for request ID %.40q", errMalformedResponse, line.ID)
 		return
 	}
 	switch line.State {
