--- a/internal/daemon/shutdown.go
+++ b/internal/daemon/shutdown.go
@@ -33,13 +33,13 @@
 	p.server.CloseAllAfter(responseTime + closeMargin)
 	migrates := p.restart.exportRequests()
 	if !migrates {
-		p.proxy.StopWithin(responseTime)
+		p.proxy.SetStopTimeout(responseTime)
 	}
 	select {
 	case <-time.After(acceptAfterStop):
 	case <-failed.Done():
 	}
 	if migrates {
-		p.proxy.StopWithin(responseTime - acceptAfterStop)
+		p.proxy.SetStopTimeout(responseTime - acceptAfterStop)
 	}
 }
--- a/internal/proxy/answer_by_head.go
+++ b/internal/proxy/answer_by_head.go
@@ -12,19 +12,19 @@
 func (p *Proxy) AnswerByHead(h *protocol.Head) *protocol.Response {
 	switch h.Path() {
 	case protocol.PathHealth:
-		return p.answerHealthCheck(h)
+		return p.respondHealthCheck(h)
 	case protocol.PathRequest:
 		return p.shedByHead(h)
 	}
-	return p.refusePath()
+	return p.respondUnknownPath()
 }
 
-// answerHealthCheck returns the response to a health check of a load balancer.
-func (p *Proxy) answerHealthCheck(h *protocol.Head) *protocol.Response {
+// respondHealthCheck returns the response to a health check of a load balancer.
+func (p *Proxy) respondHealthCheck(h *protocol.Head) *protocol.Response {
 	if h.Method != http.MethodGet && h.Method != http.MethodHead {
-		return p.refuseMethod("GET, HEAD")
+		return p.respondMethodNotAllowed("GET, HEAD")
 	}
-	if !p.healthy() {
+	if !p.isHealthy() {
 		return respondUnhealthy()
 	}
 	return respondHealthy()
@@ -34,7 +34,7 @@
 // request may continue to Serve.
 func (p *Proxy) shedByHead(h *protocol.Head) *protocol.Response {
 	if h.Method != http.MethodPost {
-		return p.refuseMethod("POST")
+		return p.respondMethodNotAllowed("POST")
 	}
 	if !p.lifecycle.PhaseAt(time.Now()).AdmitsRequests() {
 		return p.rejectByHead(h)
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -92,18 +92,18 @@
 // runAttempt runs an attempt and reports its outcome exactly once, unless the sibling process continues the attempt.
 func (p *Proxy) runAttempt(r *inFlightRequest, a *attempt, run func() attemptResult) {
 	r.addAttempt(a)
-	ended := run()
+	res := run()
 	r.removeAttempt(a)
 	if a.migrated {
-		ended.finish()
+		res.finish()
 		return
 	}
-	p.counters.countOutcome(ended.outcome)
-	if answersClient := r.handle.Report(a.number, ended.outcome); answersClient {
-		r.result <- ended.result
+	p.counters.countOutcome(res.outcome)
+	if answersClient := r.handle.Report(a.number, res.outcome); answersClient {
+		r.result <- res.result
 	}
-	if ended.finish != nil {
-		ended.finish()
+	if res.finish != nil {
+		res.finish()
 	}
 }
 
@@ -111,7 +111,7 @@
 // the client's deadline.
 //
 // A worker cannot have executed an attempt whose last byte was not written. Until that byte is written, three events
-// end the attempt without side effects (mayStillBeSent): ctx ends, the dedup window closes, or the worker is no longer
+// end the attempt without side effects (canStillSend): ctx ends, the dedup window closes, or the worker is no longer
 // ready. The balancer cancels ctx whenever the request has a response or its client disconnects, even if the settings
 // do not allow cancellation.
 //
@@ -119,8 +119,8 @@
 // pool also interrupts the connection when the endpoint list shows that the worker has restarted. The outcome indicates
 // whether the attempt may have been executed (lostOutcome).
 //
-// The balancer treats the attempt as unsent until events.sent reports the last byte. From then on the balancer cancels
-// ctx only by decisions that the settings allow, or when the process exits. Before the report, a client that
+// The balancer treats the attempt as unsent until events.sent reports the last byte. From then on the balancer
+// cancels ctx only by decisions that the settings allow, or when the process exits. Before the report, a client that
 // disconnects may cancel an attempt whose last byte was just written. That is harmless, because no client waits for the
 // result.
 func (a *attempt) run(ctx context.Context, worker balancer.WorkerID) attemptResult {
@@ -144,7 +144,7 @@
 		a.proxy.hooks.beforeSend()
 	}
 	stop := context.AfterFunc(ctx, conn.Interrupt)
-	if !a.mayStillBeSent(ctx, worker, conn.Addr()) {
+	if !a.canStillSend(ctx, worker, conn.Addr()) {
 		if !stop() { // the interrupt has run or is about to run: the pool must not keep the connection
 			conn.Interrupt()
 		}
@@ -158,7 +158,7 @@
 	}
 	a.events.sent()
 	a.proxy.counters.sent.Add(1)
-	return a.await(ctx, conn, stop)
+	return a.awaitResponse(ctx, conn, stop)
 }
 
 // connect returns a connection to a worker. It waits at most until the dial timeout or the end of the dedup window,
@@ -174,10 +174,10 @@
 	return a.proxy.pool.Get(ctx, a.proxy.endpoints.Endpoint(worker).Address, a.freshness)
 }
 
-// mayStillBeSent reports whether the balancer's decision is still valid. Opening the connection and persisting the key
+// canStillSend reports whether the balancer's decision is still valid. Opening the connection and persisting the key
 // may have taken a long time. Meanwhile the client may have disconnected, the dedup window may have closed, and the
 // worker may have started to drain or have changed its address. None of these is a failure of the worker.
-func (a *attempt) mayStillBeSent(ctx context.Context, worker balancer.WorkerID, address string) bool {
+func (a *attempt) canStillSend(ctx context.Context, worker balancer.WorkerID, address string) bool {
 	return ctx.Err() == nil && !a.dedupWindowClosed() && a.proxy.endpoints.Accepts(worker, address)
 }
 
@@ -197,37 +197,37 @@
 
 // resume continues an attempt that the sibling process sent.
 func (a *attempt) resume(ctx context.Context, conn *transport.Conn) attemptResult {
-	return a.await(ctx, conn, context.AfterFunc(ctx, conn.Interrupt))
+	return a.awaitResponse(ctx, conn, context.AfterFunc(ctx, conn.Interrupt))
 }
 
-// await waits for the worker's response. stop prevents the interrupt of conn at the end of ctx, and reports whether it
-// did so in time.
-func (a *attempt) await(ctx context.Context, conn *transport.Conn, stop func() bool) attemptResult {
+// awaitResponse waits for the worker's response. stop prevents the interrupt of conn at the end of ctx, and reports
+// whether it did so in time.
+func (a *attempt) awaitResponse(ctx context.Context, conn *transport.Conn, stop func() bool) attemptResult {
 	if a.proxy.config.MigratesRequests {
 		conn.StartRecording()
 	}
-	answer := a.receive(ctx, conn)
+	response := a.receiveResponse(ctx, conn)
 	interrupted := !stop()
 	conn.StopRecording()
-	a.migrated = answer.migrated
+	a.migrated = response.migrated
 	if a.migrated {
 		return attemptResult{finish: func() { conn.CloseFor(transport.Migrated, nil) }}
 	}
 	return attemptResult{
-		outcome: answer.outcome,
-		result:  answer.result,
-		finish:  func() { a.release(conn, answer, interrupted) },
+		outcome: response.outcome,
+		result:  response.result,
+		finish:  func() { a.release(conn, response, interrupted) },
 	}
 }
 
 // release returns a connection to the pool if it can be reused, and closes it otherwise. A connection can be reused
 // only after the response was read to its end; it cannot if the response did not end in time or the connection was
 // interrupted.
-func (a *attempt) release(conn *transport.Conn, answer workerResponse, interrupted bool) {
-	err := answer.err
+func (a *attempt) release(conn *transport.Conn, response workerResponse, interrupted bool) {
+	err := response.err
 	if err == nil {
 		conn.SetReadTimeout(responseEndTimeout)
-		err = conn.ReadChunks(&answer.body, func([]byte) bool { return true })
+		err = conn.ReadChunks(&response.body, func([]byte) bool { return true })
 	}
 	switch {
 	case err != nil:
--- a/internal/proxy/attempt_test.go
+++ b/internal/proxy/attempt_test.go
@@ -18,8 +18,8 @@
 	"canvasroute/internal/transport"
 )
 
-// endedAttempt is the result of an attempt at a test worker.
-type endedAttempt struct {
+// testAttemptResult is the result of an attempt at a test worker.
+type testAttemptResult struct {
 	outcome balancer.Outcome
 	result  string
 	starts  int // number of reported starts
@@ -38,10 +38,10 @@
 }
 
 // runTestAttempt runs one attempt at the worker with an address.
-func runTestAttempt(ctx context.Context, t *testing.T, address string) endedAttempt {
+func runTestAttempt(ctx context.Context, t *testing.T, address string) testAttemptResult {
 	t.Helper()
 	a := newTestAttempt(t, newProxy(address), requestHead("idem"))
-	var ended endedAttempt
+	var ended testAttemptResult
 	a.events.started = func() { ended.starts++ }
 	result := a.run(ctx, 0)
 	if result.finish != nil {
@@ -144,7 +144,7 @@
 }
 
 // A worker must not be ejected for closing an idle connection.
-func TestEndOfReusedConnectionIsNoFailureOfTheWorker(t *testing.T) {
+func TestClosedReusedConnectionIsNotWorkerFailure(t *testing.T) {
 	var attempts atomic.Int32
 	p := newProxy(peertest.StartServer(t, func(conn net.Conn, _ *http.Request) {
 		if attempts.Add(1) == 2 {
@@ -199,8 +199,8 @@
 }
 
 // The wait for a connection ends with the dedup window, because the attempt must not be sent after it.
-func TestConnectEndsWithRetryWindow(t *testing.T) {
-	p := newProxyWith(unresponsiveAddress(t), withRetryWindow(balancer.Second))
+func TestConnectEndsWithDedupWindow(t *testing.T) {
+	p := newProxyWith(unresponsiveAddress(t), withDedupWindow(balancer.Second))
 	a := newTestAttempt(t, p, keyedHead())
 	a.sendBy = time.Now().Add(50 * time.Millisecond)
 	outcomes := make(chan balancer.Outcome, 1)
@@ -211,7 +211,7 @@
 
 // The timeout that a worker receives must exclude the time that the request has waited and the time to connect, for the
 // first attempt and for retries.
-func TestWorkerTimeoutIsAtMostWhatIsLeftToTheClient(t *testing.T) {
+func TestWorkerTimeoutIsAtMostRemainingClientTimeout(t *testing.T) {
 	timeouts, left := make(chan string, 4), make(chan time.Duration, 4)
 	arrivedAt := time.Now().Add(-500 * time.Millisecond)
 	p := newProxyWith(peertest.StartServer(t, func(conn net.Conn, request *http.Request) {
--- a/internal/proxy/counters.go
+++ b/internal/proxy/counters.go
@@ -48,12 +48,12 @@
 
 func (c *counters) countOutcome(outcome balancer.Outcome) { c.outcomes[outcome].Add(1) }
 
-// LogCounters logs all counters in one line. why is the reason for logging them.
-func (p *Proxy) LogCounters(why string) {
+// LogCounters logs all counters in one line. reason is why they are logged.
+func (p *Proxy) LogCounters(reason string) {
 	requests := &p.counters
 	var memory runtime.MemStats
 	runtime.ReadMemStats(&memory)
-	p.log.Info().Str("why", why).
+	p.log.Info().Str("why", reason).
 		Int("open", p.balancer.OpenRequests()).
 		Int64("taken", requests.admitted.Load()).
 		Int64("succeeded", requests.succeeded.Load()).
--- a/internal/proxy/format_test.go
+++ b/internal/proxy/format_test.go
@@ -74,9 +74,9 @@
 	}
 }
 
-// TestDocumentFieldsNameTheirKeys checks that no key is derived from the name of a Go field, because renaming the field
-// would change the key.
-func TestDocumentFieldsNameTheirKeys(t *testing.T) {
+// TestDocumentFieldsHaveExplicitKeys checks that no key is derived from the name of a Go field, because renaming the
+// field would change the key.
+func TestDocumentFieldsHaveExplicitKeys(t *testing.T) {
 	for _, document := range formats(t) {
 		assert.Empty(t, untaggedFields(reflect.TypeOf(document.value), document.name))
 	}
--- a/internal/proxy/helpers_test.go
+++ b/internal/proxy/helpers_test.go
@@ -125,8 +125,8 @@
 	}
 }
 
-// withRetryWindow makes zones deduplicate requests of the operation keyed within a window.
-func withRetryWindow(window balancer.Duration) func(*balancer.Config, *Config) {
+// withDedupWindow makes zones deduplicate requests of the operation keyed within a window.
+func withDedupWindow(window balancer.Duration) func(*balancer.Config, *Config) {
 	return func(balancing *balancer.Config, config *Config) {
 		balancing.Attempts.Max = 4
 		balancing.Operations[2].DedupWindow = window
--- a/internal/proxy/idempotency_keys.go
+++ b/internal/proxy/idempotency_keys.go
@@ -11,8 +11,8 @@
 // attempt must then be on disk, so that it is still known after a power loss.
 func (o *Operation) persistsKeys() bool { return o.RequiresKey && o.DedupScope != balancer.ScopeAll }
 
-// dropsRepeatsWith reports whether a worker belongs to the group that deduplicates a request after the prior execution.
-func (o *Operation) dropsRepeatsWith(worker *protocol.Endpoint, prior *PriorExecution) bool {
+// isInDedupGroup reports whether a worker belongs to the group that deduplicates a request after the prior execution.
+func (o *Operation) isInDedupGroup(worker *protocol.Endpoint, prior *PriorExecution) bool {
 	switch o.DedupScope {
 	case balancer.ScopeZone:
 		return worker.Zone == prior.Zone
@@ -22,12 +22,12 @@
 	return false
 }
 
-// priorAttempt returns the earlier attempt that may have used a request's key, or nil if there is none. The returned
-// worker is an arbitrary member of the group that deduplicates the request. The error is ErrOutcomeUnknown if the group
-// has no known worker, or the error of Recovery.PriorExecution.
-func (p *Proxy) priorAttempt(r *inFlightRequest) (*balancer.PriorAttempt, error) {
-	configured := r.settings.operations[r.request.Operation]
-	if p.config.Recovery == nil || !configured.persistsKeys() {
+// findPriorAttempt returns the earlier attempt that may have used a request's key, or nil if there is none. The
+// returned worker is an arbitrary member of the group that deduplicates the request. The error is ErrOutcomeUnknown if
+// the group has no known worker, or the error of Recovery.PriorExecution.
+func (p *Proxy) findPriorAttempt(r *inFlightRequest) (*balancer.PriorAttempt, error) {
+	op := r.settings.operations[r.request.Operation]
+	if p.config.Recovery == nil || !op.persistsKeys() {
 		return nil, nil
 	}
 	prior, err := p.config.Recovery.PriorExecution(KeyedRequest{
@@ -39,7 +39,7 @@
 		return nil, err
 	}
 	worker, known := p.endpoints.Find(func(endpoint *protocol.Endpoint) bool {
-		return configured.dropsRepeatsWith(endpoint, prior)
+		return op.isInDedupGroup(endpoint, prior)
 	})
 	if !known {
 		return nil, ErrOutcomeUnknown
@@ -51,8 +51,8 @@
 // after the record is on disk, or when ctx ends.
 func (p *Proxy) persistKey(ctx context.Context, current *settings, request *protocol.Request, worker balancer.WorkerID,
 ) error {
-	configured := current.operations[request.Operation]
-	if p.config.Recovery == nil || !configured.persistsKeys() {
+	op := current.operations[request.Operation]
+	if p.config.Recovery == nil || !op.persistsKeys() {
 		return nil
 	}
 	endpoint := p.endpoints.Endpoint(worker)
@@ -60,9 +60,9 @@
 		Operation:   request.Operation,
 		Key:         request.IdempotencyKey,
 		Worker:      endpoint.ID,
-		DedupWindow: configured.DedupWindow,
+		DedupWindow: op.DedupWindow,
 	}
-	if configured.DedupScope == balancer.ScopeZone { // one field only: with both, records of one group would differ
+	if op.DedupScope == balancer.ScopeZone { // one field only: with both, records of one group would differ
 		record.Zone = endpoint.Zone
 	} else {
 		record.Cell = endpoint.Cell
--- a/internal/proxy/interleaving_test.go
+++ b/internal/proxy/interleaving_test.go
@@ -144,14 +144,14 @@
 }
 
 // The balancer decides on a retry within the dedup window, but the window closes before the attempt is sent.
-func TestNothingIsSentAfterRetryWindow(t *testing.T) {
+func TestNothingIsSentAfterDedupWindow(t *testing.T) {
 	var received atomic.Int32
 	const window = time.Second
 	address := peertest.StartServer(t, func(conn net.Conn, _ *http.Request) {
 		received.Add(1)
 		io.WriteString(conn, failedText) // the attempt may have been executed
 	})
-	p := newProxyWith(address, withRetryWindow(balancer.DurationOf(window)))
+	p := newProxyWith(address, withDedupWindow(balancer.DurationOf(window)))
 	attempts := 0
 	p.hooks.beforeSend = func() {
 		attempts++
@@ -166,15 +166,15 @@
 	assert.EqualValues(t, 1, outcomeCount(p, balancer.WorkerError))
 }
 
-// reconfigurable is a proxy with its current configuration.
-type reconfigurable struct {
+// reconfigurableProxy is a proxy with its current configuration.
+type reconfigurableProxy struct {
 	*Proxy
 	balancing balancer.Config
 	config    Config
 }
 
-func newReconfigurable(address string, change func(*balancer.Config, *Config)) *reconfigurable {
-	r := &reconfigurable{}
+func newReconfigurableProxy(address string, change func(*balancer.Config, *Config)) *reconfigurableProxy {
+	r := &reconfigurableProxy{}
 	r.Proxy = newProxyWith(address, func(balancing *balancer.Config, config *Config) {
 		change(balancing, config)
 		r.balancing = *balancing
@@ -183,7 +183,7 @@
 	return r
 }
 
-func (r *reconfigurable) setTenants(names ...string) {
+func (r *reconfigurableProxy) setTenants(names ...string) {
 	setTenants(&r.balancing, &r.config, names...)
 	r.Reconfigure(r.config, r.balancing)
 }
@@ -197,7 +197,7 @@
 }
 
 // usage returns the quota usage of the tenants, by name.
-func (r *reconfigurable) usage() map[string]float64 {
+func (r *reconfigurableProxy) usage() map[string]float64 {
 	snapshot := r.SnapshotForDisk()
 	byName := map[string]float64{}
 	for n, name := range snapshot.Tenants {
@@ -210,18 +210,18 @@
 // ones. The new settings have fewer tenants at first, and then other tenants in another order.
 func TestRequestDuringReconfigurationCountsForItsTenant(t *testing.T) {
 	address, _ := startCountingWorker(t)
-	r := newReconfigurable(address, func(balancing *balancer.Config, config *Config) {
+	r := newReconfigurableProxy(address, func(balancing *balancer.Config, config *Config) {
 		setTenants(balancing, config, "a", "b", "c")
 	})
 	status := func(tenant string) int {
 		return serve(r.Proxy, parseHead("Req-Id: a1\r\nReq-Kind: idem\r\nReq-Owner: "+tenant+"\r\n")).Status
 	}
-	r.hooks.beforeSettings = func() {
+	r.hooks.beforeApplySettings = func() {
 		assert.Equal(t, 200, status("b"), "the name must be looked up in the previous settings")
 		assert.Equal(t, 200, status("c"))
 	}
 	r.setTenants("c")
-	r.hooks.beforeSettings = nil
+	r.hooks.beforeApplySettings = nil
 	assert.Equal(t, 400, status("b"))
 	assert.Equal(t, 200, status("c"))
 	usage := r.usage()
@@ -238,10 +238,10 @@
 }
 
 // The operation of a request is removed from the settings while the request is in flight.
-func TestRequestEndsUnderTheSettingsItArrivedUnder(t *testing.T) {
+func TestRequestEndsUnderTheSettingsAtArrival(t *testing.T) {
 	address, attempts := startCountingWorker(t)
 	recovery := &fakeRecovery{persistKey: func() error { return nil }}
-	r := newReconfigurable(address, withPersistedKeys(recovery))
+	r := newReconfigurableProxy(address, withPersistedKeys(recovery))
 	recovery.priorExecution = func() {
 		r.balancing.Operations = r.balancing.Operations[:1]
 		r.config.Operations = r.config.Operations[:1]
@@ -254,7 +254,7 @@
 }
 
 // The client of an attempt at a hanging worker has disconnected, and the settings do not allow cancellation.
-func TestRunEndsWithAttemptsThatNoClientWaitsFor(t *testing.T) {
+func TestRunEndsWithAttemptsOfDisconnectedClients(t *testing.T) {
 	address, received := startHangingWorker(t)
 	p := newProxyWith(address, withoutCancellation)
 	ctx, stop := context.WithCancel(context.Background())
@@ -272,7 +272,7 @@
 	assert.NoError(t, peertest.Receive(t, stopped))
 }
 
-func TestEndlessResponseHoldsNothingAfterItsDeadline(t *testing.T) {
+func TestEndlessResponseReleasesResourcesAfterDeadline(t *testing.T) {
 	for name, test := range map[string]struct {
 		first, repeated string
 		succeeds        bool
--- a/internal/proxy/migration_export.go
+++ b/internal/proxy/migration_export.go
@@ -50,7 +50,7 @@
 		return
 	}
 	paused, all := r.pauseAttempts()
-	if !all || !p.takeFromBalancer(r, paused, to) {
+	if !all || !p.exportFromBalancer(r, paused, to) {
 		for _, a := range paused {
 			a.pause.resume()
 		}
@@ -70,10 +70,10 @@
 	return paused, true
 }
 
-// takeFromBalancer exports a request from the balancer and sets its migration. It returns false if the balancer
+// exportFromBalancer exports a request from the balancer and sets its migration. It returns false if the balancer
 // refuses, because the request has a response or has attempts that are not paused. Both steps are done with mu held,
 // because the balancer wakes the request's goroutine, which needs the migration.
-func (p *Proxy) takeFromBalancer(r *inFlightRequest, paused map[int]*attempt, to Migrator) (taken bool) {
+func (p *Proxy) exportFromBalancer(r *inFlightRequest, paused map[int]*attempt, to Migrator) (taken bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	balancing, exported := r.handle.Export(len(paused))
@@ -116,20 +116,20 @@
 	r.mu.Lock()
 	m := *r.migration
 	r.mu.Unlock()
-	err := m.passOn(ctx)
+	err := m.transfer(ctx)
 	m.endAttempts()
 	switch {
 	case ctx.Err() != nil:
-		return p.respondToNobody()
+		return p.respondDisconnected()
 	case err != nil:
 		p.log.Warn().Err(err).Str("id", r.request.ID).Msg("migration failed")
 		return p.respondFailed()
 	}
-	return p.respondElsewhere()
+	return p.respondMigrated()
 }
 
-// passOn passes a request to the migrator, unless the client has disconnected. ctx is the client's context.
-func (m *migration) passOn(ctx context.Context) error {
+// transfer passes a request to the migrator, unless the client has disconnected. ctx is the client's context.
+func (m *migration) transfer(ctx context.Context) error {
 	sockets, err := m.collectSockets()
 	client, detachErr := transport.Detach(ctx)
 	m.request.Pipelined = client.Pipelined
--- a/internal/proxy/migration_import.go
+++ b/internal/proxy/migration_import.go
@@ -22,9 +22,9 @@
 // Import prepares to continue a request that the sibling process has exported as JSON. attempts are the connections of
 // the request's attempts, by attempt number. If Import returns an error, the result holds the request if it could be
 // parsed.
-func (p *Proxy) Import(text json.RawMessage, attempts map[int]net.Conn) (ImportedRequest, error) {
+func (p *Proxy) Import(requestJSON json.RawMessage, attempts map[int]net.Conn) (ImportedRequest, error) {
 	migrated := &MigratedRequest{}
-	if err := json.Unmarshal(text, migrated); err != nil {
+	if err := json.Unmarshal(requestJSON, migrated); err != nil {
 		return ImportedRequest{}, fmt.Errorf("migrated request: %w", err)
 	}
 	if err := p.renumberWorkers(migrated); err != nil {
@@ -33,7 +33,7 @@
 	operationName := migrated.Request.Operation
 	p.operations.add(operationName)
 	finish := func(ctx context.Context) *protocol.Response {
-		return p.counted(operationName, func() *protocol.Response { return p.continueRequest(ctx, migrated, attempts) })
+		return p.serveCounted(operationName, func() *protocol.Response { return p.continueRequest(ctx, migrated, attempts) })
 	}
 	return ImportedRequest{MigratedRequest: migrated, Finish: finish}, nil
 }
--- a/internal/proxy/migration_test.go
+++ b/internal/proxy/migration_test.go
@@ -20,7 +20,7 @@
 const retryInterval = 5 * time.Millisecond
 
 // Bytes that arrive during a pause must be read as if there had been no pause, regardless of where the data is split.
-func TestPausedRequestContinuesAndGetsItsAnswer(t *testing.T) {
+func TestPausedRequestResumesAndSucceeds(t *testing.T) {
 	text := peertest.Complete(startedLine, doneLine)
 	p := newProxy(peertest.StartServer(t, func(conn net.Conn, _ *http.Request) {
 		for _, next := range []byte(text) {
@@ -86,7 +86,7 @@
 
 // If the reader stops at the same time as the call of request times out, request must report the pause. Otherwise the
 // reader would wait forever.
-func TestPauseAtItsTimeoutIsNotLost(t *testing.T) {
+func TestPauseDuringRequestTimeoutIsReported(t *testing.T) {
 	pause := newReadPause()
 	conn, other := net.Pipe()
 	defer other.Close()
--- a/internal/proxy/operation_counters.go
+++ b/internal/proxy/operation_counters.go
@@ -25,31 +25,31 @@
 	aborted     atomic.Int64 // failed, or the client disconnected
 }
 
-// countAnswer counts a request that has ended. answer is nil if the client has disconnected.
-func (c *operationCounts) countAnswer(answer *protocol.Response) {
+// countResponse counts a request that has ended. response is nil if the client has disconnected.
+func (c *operationCounts) countResponse(response *protocol.Response) {
 	switch {
-	case answer == protocol.Migrated: // counted by the sibling process
-	case answer == nil:
+	case response == protocol.Migrated: // counted by the sibling process
+	case response == nil:
 		c.aborted.Add(1)
-	case answer.Status == http.StatusOK:
+	case response.Status == http.StatusOK:
 		c.succeeded.Add(1)
-	case answer.Status == http.StatusTooManyRequests, answer.Status == http.StatusServiceUnavailable:
+	case response.Status == http.StatusTooManyRequests, response.Status == http.StatusServiceUnavailable:
 		c.declined.Add(1)
 	default:
 		c.aborted.Add(1)
 	}
 }
 
-// counted calls serve for an admitted request and returns the response. It counts the request as outstanding during the
-// call, and by its response afterwards.
-func (p *Proxy) counted(operationName string, serve func() *protocol.Response) *protocol.Response {
+// serveCounted calls serve for an admitted request and returns the response. It counts the request as outstanding
+// during the call, and by its response afterwards.
+func (p *Proxy) serveCounted(operationName string, serve func() *protocol.Response) *protocol.Response {
 	p.counters.admitted.Add(1)
-	counts := p.operations.of(operationName)
+	counts := p.operations.get(operationName)
 	counts.outstanding.Add(1)
 	defer counts.outstanding.Add(-1)
-	answer := serve()
-	counts.countAnswer(answer)
-	return answer
+	response := serve()
+	counts.countResponse(response)
+	return response
 }
 
 // add adds an operation with zero counts, unless the operation already has counts.
@@ -65,8 +65,8 @@
 	}
 }
 
-// of returns the counts of an operation, or nil if the operation was never configured.
-func (o *operationCounters) of(name string) *operationCounts {
+// get returns the counts of an operation, or nil if the operation was never configured.
+func (o *operationCounters) get(name string) *operationCounts {
 	o.mu.RLock()
 	defer o.mu.RUnlock()
 	return o.byName[name]
--- a/internal/proxy/operators_test.go
+++ b/internal/proxy/operators_test.go
@@ -14,10 +14,10 @@
 	"canvasroute/internal/protocol"
 )
 
-// TestCounterNamesOfDump checks the names in the response to DUMP, their order, and the counter of each.
-func TestCounterNamesOfDump(t *testing.T) {
+// TestDumpMetricNames checks the names in the response to DUMP, their order, and the counter of each.
+func TestDumpMetricNames(t *testing.T) {
 	p := newProxy(peertest.ClosedAddress)
-	idem := p.operations.of("idem")
+	idem := p.operations.get("idem")
 	idem.succeeded.Store(1)
 	idem.declined.Store(2)
 	idem.aborted.Store(3)
@@ -92,8 +92,8 @@
 	}, line)
 }
 
-// TestAnswersByPathAndMethod checks the responses that depend on the head alone.
-func TestAnswersByPathAndMethod(t *testing.T) {
+// TestHeadResponsesByPathAndMethod checks the responses that depend on the head alone.
+func TestHeadResponsesByPathAndMethod(t *testing.T) {
 	p := newProxy(peertest.ClosedAddress)
 	p.discovery.DontAwaitFirstPoll()
 	for _, test := range []struct {
@@ -113,8 +113,8 @@
 	}
 }
 
-// TestReasonsOfNotBeingReady checks the texts that operators read in the response to HEALTH.
-func TestReasonsOfNotBeingReady(t *testing.T) {
+// TestNotReadyReasons checks the texts that operators read in the response to HEALTH.
+func TestNotReadyReasons(t *testing.T) {
 	p := newProxy(peertest.ClosedAddress)
 	assert.EqualError(t, p.Ready(), "takes no clients: no list of workers yet")
 	p.discovery.DontAwaitFirstPoll()
--- a/internal/proxy/pause.go
+++ b/internal/proxy/pause.go
@@ -97,15 +97,15 @@
 	return <-p.takeOver
 }
 
-// receive reads a worker's response. The exporter may pause it.
-func (a *attempt) receive(ctx context.Context, conn *transport.Conn) workerResponse {
+// receiveResponse reads a worker's response. The exporter may pause it.
+func (a *attempt) receiveResponse(ctx context.Context, conn *transport.Conn) workerResponse {
 	a.pause.begin(conn)
 	defer close(a.pause.ended)
 	for {
-		answer := a.readResponse(ctx, conn)
-		if !stoppedByPause(ctx, conn, answer.err) {
+		response := a.readResponse(ctx, conn)
+		if !stoppedByPause(ctx, conn, response.err) {
 			a.pause.finish()
-			return answer
+			return response
 		}
 		if takenOver := a.pause.wait(); takenOver {
 			return workerResponse{migrated: true}
--- a/internal/proxy/peers.go
+++ b/internal/proxy/peers.go
@@ -32,9 +32,9 @@
 
 // ReceiveLoad applies the number of attempts that another dispatcher has in flight at a worker. process is the
 // dispatcher's position in Config.Peers. Unknown workers are ignored.
-func (p *Proxy) ReceiveLoad(process int, workerID string, inFlight int) {
+func (p *Proxy) ReceiveLoad(position int, workerID string, inFlight int) {
 	if worker, known := p.endpoints.ByID(workerID); known {
-		peer := balancer.PeerID(process * p.balancer.Count())
+		peer := balancer.PeerID(position * p.balancer.Count())
 		p.balancer.ReceiveLoad(peer, balancer.WorkerLoad{Worker: worker, InFlight: inFlight})
 	}
 }
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -85,8 +85,8 @@
 
 // testHooks are functions that tests set to run code between two steps.
 type testHooks struct {
-	beforeSettings func() // runs when the balancer uses the new settings and Proxy.settings still has the previous ones
-	beforeSend     func() // runs when an attempt has a connection and has not been sent
+	beforeApplySettings func() // runs when only the balancer uses the new settings
+	beforeSend          func() // runs when an attempt has a connection and has not been sent
 }
 
 // New returns a Proxy. It passes the initial endpoints to the balancer: those of the predecessor's snapshot if there is
@@ -163,10 +163,12 @@
 	return err
 }
 
-// StopWithin limits the time for responses when this process stops. Requests that would not complete in time are
+// SetStopTimeout limits the time for responses when this process stops. Requests that would not complete in time are
 // rejected, because a request that is interrupted during execution cannot always be retried. Clients should retry after
 // a long delay: this process still receives connections for some time, and other dispatchers may be restarted next.
-func (p *Proxy) StopWithin(within time.Duration) { p.balancer.StopAfter(balancer.DurationOf(within)) }
+func (p *Proxy) SetStopTimeout(within time.Duration) {
+	p.balancer.StopAfter(balancer.DurationOf(within))
+}
 
 // SetDiscoveryAddress changes the address of the discovery service and polls the new address immediately.
 func (p *Proxy) SetDiscoveryAddress(address string) { p.discovery.SetAddress(address) }
--- a/internal/proxy/queueing.go
+++ b/internal/proxy/queueing.go
@@ -17,7 +17,7 @@
 		return fmt.Errorf("queueing delay: %w", err)
 	}
 	defer pipe.close()
-	began := time.Now()
+	startedAt := time.Now()
 	ticker := time.NewTicker(admission.SampleInterval)
 	defer ticker.Stop()
 	for {
@@ -28,7 +28,7 @@
 		}
 		sentAt := time.Now()
 		if !p.admission.ShouldSample() {
-			p.admission.ObserveDelay(sentAt.Sub(began), 0)
+			p.admission.ObserveDelay(sentAt.Sub(startedAt), 0)
 			continue
 		}
 		arrivedAt, err := pipe.sendByte(ctx)
@@ -38,7 +38,7 @@
 		case err != nil:
 			return fmt.Errorf("queueing delay: %w", err)
 		}
-		p.admission.ObserveDelay(sentAt.Sub(began), arrivedAt.Sub(sentAt))
+		p.admission.ObserveDelay(sentAt.Sub(startedAt), arrivedAt.Sub(sentAt))
 	}
 }
 
--- a/internal/proxy/readiness.go
+++ b/internal/proxy/readiness.go
@@ -14,18 +14,18 @@
 	if phase := p.lifecycle.PhaseAt(time.Now()); !phase.TakesClients() {
 		return fmt.Errorf("%w: %v", errNotReady, phase)
 	}
-	return p.workersAvailable()
+	return p.checkWorkers()
 }
 
-// healthy reports whether load balancers may send clients to this dispatcher. During a hot restart, either of its two
+// isHealthy reports whether load balancers may send clients to this dispatcher. During a hot restart, either of its two
 // processes may serve them.
-func (p *Proxy) healthy() bool {
-	return p.workersAvailable() == nil && p.lifecycle.PhaseAt(time.Now()).Healthy()
+func (p *Proxy) isHealthy() bool {
+	return p.checkWorkers() == nil && p.lifecycle.PhaseAt(time.Now()).Healthy()
 }
 
-// workersAvailable returns nil if there are workers to send requests to, and otherwise an error that wraps errNotReady
+// checkWorkers returns nil if there are workers to send requests to, and otherwise an error that wraps errNotReady
 // and includes the reason.
-func (p *Proxy) workersAvailable() error {
+func (p *Proxy) checkWorkers() error {
 	switch {
 	case !p.discovery.FirstPollOver():
 		return fmt.Errorf("%w: no list of workers yet", errNotReady)
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -21,12 +21,12 @@
 		return p.MalformedRequest(err)
 	}
 	current := p.settings.Load() // loaded once: the request uses the same settings until it ends
-	arrival, err := current.arrivalOf(request)
+	arrival, err := current.newArrival(request)
 	if err != nil {
 		return p.MalformedRequest(err)
 	}
 	if !p.requestIDs.open(request.ID) {
-		return p.refuseDuplicateID()
+		return p.respondDuplicateID()
 	}
 	defer p.requestIDs.close(request.ID)
 	request.Body = body
@@ -39,7 +39,7 @@
 		acceptsInterim: h.AcceptsInterim(),
 		result:         newResultChannel(),
 	}
-	return p.counted(request.Operation, func() *protocol.Response { return p.admit(ctx, r, arrival) })
+	return p.serveCounted(request.Operation, func() *protocol.Response { return p.admit(ctx, r, arrival) })
 }
 
 // admit rejects a valid request if the process is stopping or recovering, and submits it to the balancer otherwise.
@@ -55,9 +55,9 @@
 	if !admission.Admitted {
 		return p.respondUnavailable(admission.RetryAfter)
 	}
-	answer := p.submit(ctx, r, arrival)
-	admission.Done(answer != nil && answer.Status == http.StatusOK)
-	return answer
+	response := p.submit(ctx, r, arrival)
+	admission.Done(response != nil && response.Status == http.StatusOK)
+	return response
 }
 
 // canFinish reports whether this process accepts new requests and can respond to this one before the process exits.
@@ -74,7 +74,7 @@
 // submit passes a request to the balancer, together with any earlier attempt that may have executed it, and returns the
 // response. The request fails if it may have been executed at an unknown worker.
 func (p *Proxy) submit(ctx context.Context, r *inFlightRequest, arrival balancer.Arrival) *protocol.Response {
-	prior, err := p.priorAttempt(r)
+	prior, err := p.findPriorAttempt(r)
 	switch {
 	case err != nil:
 		return p.respondFailed()
@@ -96,7 +96,7 @@
 		decision, err := r.handle.Pick(ctx)
 		if err != nil { // the client disconnected, or ctx ended for another reason
 			r.cancelMigration()
-			return p.respondToNobody()
+			return p.respondDisconnected()
 		}
 		switch decision.Action {
 		case balancer.SendAttempt:
--- a/internal/proxy/request_ids.go
+++ b/internal/proxy/request_ids.go
@@ -6,8 +6,8 @@
 // Workers identify a request by its ID alone, so a request with the ID of an open request is refused.
 type requestIDs struct {
 	mu        sync.Mutex // guards the fields below; no locks are acquired while it is held
-	here      map[string]struct{}
-	atSibling map[string]struct{}
+	local     map[string]struct{}
+	inSibling map[string]struct{}
 	tracking  bool     // opened and closed are recorded for the sibling
 	opened    []string // IDs opened since the last call of changes
 	closed    []string // IDs closed since the last call of changes
@@ -17,15 +17,15 @@
 func (i *requestIDs) open(id string) bool {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	_, here := i.here[id]
-	_, atSibling := i.atSibling[id]
-	if here || atSibling {
+	_, local := i.local[id]
+	_, inSibling := i.inSibling[id]
+	if local || inSibling {
 		return false
 	}
-	if i.here == nil {
-		i.here = map[string]struct{}{}
+	if i.local == nil {
+		i.local = map[string]struct{}{}
 	}
-	i.here[id] = struct{}{}
+	i.local[id] = struct{}{}
 	if i.tracking {
 		i.opened = append(i.opened, id)
 	}
@@ -35,7 +35,7 @@
 // openMigrated adds the ID of a request that was migrated from the sibling.
 func (i *requestIDs) openMigrated(id string) {
 	i.mu.Lock()
-	delete(i.atSibling, id)
+	delete(i.inSibling, id)
 	i.mu.Unlock()
 	i.open(id)
 }
@@ -44,7 +44,7 @@
 func (i *requestIDs) close(id string) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	delete(i.here, id)
+	delete(i.local, id)
 	if i.tracking {
 		i.closed = append(i.closed, id)
 	}
@@ -57,7 +57,7 @@
 	i.tracking = true
 	i.opened = nil
 	i.closed = nil
-	for id := range i.here {
+	for id := range i.local {
 		i.opened = append(i.opened, id)
 	}
 }
@@ -76,14 +76,14 @@
 func (i *requestIDs) applySibling(opened, closed []string) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	if i.atSibling == nil {
-		i.atSibling = map[string]struct{}{}
+	if i.inSibling == nil {
+		i.inSibling = map[string]struct{}{}
 	}
 	for _, id := range opened {
-		i.atSibling[id] = struct{}{}
+		i.inSibling[id] = struct{}{}
 	}
 	for _, id := range closed {
-		delete(i.atSibling, id)
+		delete(i.inSibling, id)
 	}
 }
 
@@ -91,7 +91,7 @@
 func (i *requestIDs) forgetSibling() {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	i.atSibling = nil
+	i.inSibling = nil
 	i.tracking = false
 	i.opened = nil
 	i.closed = nil
--- a/internal/proxy/request_ids_test.go
+++ b/internal/proxy/request_ids_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-func TestRequestIDIsOpenInOneOfTwoProcesses(t *testing.T) {
+func TestRequestIDIsOpenInOneProcessOnly(t *testing.T) {
 	var ids requestIDs
 	assert.True(t, ids.open("a"))
 	assert.False(t, ids.open("a"))
@@ -21,7 +21,7 @@
 	assert.True(t, ids.open("d"))
 }
 
-func TestRequestIDChangesStartWithAllThatAreOpen(t *testing.T) {
+func TestRequestIDChangesStartWithOpenIDs(t *testing.T) {
 	var ids requestIDs
 	ids.open("a")
 	opened, closed := ids.changes()
--- a/internal/proxy/request_test.go
+++ b/internal/proxy/request_test.go
@@ -42,7 +42,7 @@
 }
 
 // Workers identify a request by its ID alone, so a second request with the ID of an open one must not reach them.
-func TestOpenRequestIDIsRefused(t *testing.T) {
+func TestRequestWithOpenIDIsRefused(t *testing.T) {
 	var p *Proxy
 	second := 0
 	p = newProxy(peertest.StartServer(t, func(conn net.Conn, _ *http.Request) {
@@ -58,17 +58,17 @@
 
 // A stopping process rejects a request that would not complete in time, because a request that is interrupted by the
 // exit cannot always be rejected. It still serves requests that can complete in time.
-func TestStoppingProcessServesWhatItCanFinish(t *testing.T) {
+func TestStoppingProcessRejectsOnlyRequestsItCannotFinish(t *testing.T) {
 	p := newProxy(peertest.StartServer(t, peertest.RespondWith(succeededText())))
 	p.settings.Load().maxRetryAfter = 2 * time.Second
 	p.lifecycle.Stop(time.Now())
-	p.StopWithin(2 * time.Second)
+	p.SetStopTimeout(2 * time.Second)
 	long := parseHead("Req-Id: a2\r\nReq-Kind: once\r\nReq-Cost: 1500000\r\n")
 	assert.Equal(t, &protocol.Response{Status: 503, RetryAfter: 2 * time.Second}, serve(p, long))
 	assert.Equal(t, 200, serve(p, requestHead("once")).Status)
 }
 
-func TestClientThatLeavesGetsNoAnswer(t *testing.T) {
+func TestClientThatLeavesGetsNoResponse(t *testing.T) {
 	for _, operation := range []string{"idem", "once"} {
 		t.Run(operation, func(t *testing.T) {
 			ctx, leave := context.WithCancel(context.Background())
@@ -94,8 +94,8 @@
 	assert.Equal(t, 429, serve(p, requestHead("once")).Status)
 }
 
-// endedRequests sums the metrics by name.
-func endedRequests(p *Proxy) map[string]int64 {
+// sumMetrics sums the metrics by name.
+func sumMetrics(p *Proxy) map[string]int64 {
 	sum := map[string]int64{}
 	for _, metric := range p.Metrics() {
 		sum[metric.Name] += metric.Value
@@ -103,13 +103,13 @@
 	return sum
 }
 
-func countEnded(sum map[string]int64) int64 {
+func sumEndedRequests(sum map[string]int64) int64 {
 	return sum["succeeded"] + sum["declined"] + sum["aborted"]
 }
 
 // Each request is counted exactly once, whether it succeeds, fails, is declined, times out, arrives when the process is
 // drained, or has a client that disconnects.
-func TestEachAdmittedRequestEndsOnce(t *testing.T) {
+func TestEachAdmittedRequestIsCountedOnce(t *testing.T) {
 	rng := rand.New(rand.NewPCG(3, 4))
 	var mu sync.Mutex
 	texts := []string{
@@ -144,12 +144,12 @@
 			p.Serve(ctx, head, nil, time.Now())
 		})
 		time.Sleep(time.Millisecond)
-		assert.LessOrEqual(t, countEnded(endedRequests(p)), int64(admitted))
+		assert.LessOrEqual(t, sumEndedRequests(sumMetrics(p)), int64(admitted))
 	}
 	wg.Wait()
 	assert.NoError(t, p.background.Wait())
-	sum := endedRequests(p)
-	assert.Equal(t, int64(admitted), countEnded(sum))
+	sum := sumMetrics(p)
+	assert.Equal(t, int64(admitted), sumEndedRequests(sum))
 	assert.Zero(t, sum["outstanding"])
 	assert.Equal(t, int64(invalid), p.counters.invalid.Load())
 	for _, name := range []string{"succeeded", "declined", "aborted"} {
--- a/internal/proxy/responses.go
+++ b/internal/proxy/responses.go
@@ -52,14 +52,14 @@
 	return &protocol.Response{Status: http.StatusBadGateway}
 }
 
-// respondToNobody counts a request whose client has disconnected, and returns no response.
-func (p *Proxy) respondToNobody() *protocol.Response {
+// respondDisconnected counts a request whose client has disconnected, and returns no response.
+func (p *Proxy) respondDisconnected() *protocol.Response {
 	p.counters.clientLeft.Add(1)
 	return nil
 }
 
-// respondElsewhere counts a request that the sibling process continues, and returns protocol.Migrated.
-func (p *Proxy) respondElsewhere() *protocol.Response {
+// respondMigrated counts a request that the sibling process continues, and returns protocol.Migrated.
+func (p *Proxy) respondMigrated() *protocol.Response {
 	p.counters.migrated.Add(1)
 	return protocol.Migrated
 }
@@ -74,29 +74,29 @@
 
 // MalformedRequest returns the response to a request that cannot be parsed. err is the parse error.
 func (p *Proxy) MalformedRequest(err error) *protocol.Response {
-	return p.refuseInvalid(protocol.RejectionOf(err))
+	return p.respondInvalid(protocol.RejectionOf(err))
 }
 
-// refuseDuplicateID returns the response to a request with the ID of another open request, which is not affected.
-func (p *Proxy) refuseDuplicateID() *protocol.Response {
-	return p.refuseInvalid(&protocol.Response{Status: http.StatusConflict})
+// respondDuplicateID returns the response to a request with the ID of another open request, which is not affected.
+func (p *Proxy) respondDuplicateID() *protocol.Response {
+	return p.respondInvalid(&protocol.Response{Status: http.StatusConflict})
 }
 
-// refusePath returns the response to a request for an unknown path.
-func (p *Proxy) refusePath() *protocol.Response {
-	return p.refuseInvalid(&protocol.Response{Status: http.StatusNotFound})
+// respondUnknownPath returns the response to a request for an unknown path.
+func (p *Proxy) respondUnknownPath() *protocol.Response {
+	return p.respondInvalid(&protocol.Response{Status: http.StatusNotFound})
 }
 
-// refuseMethod returns the response to a request with a method that its path does not support. allowed lists the
-// supported methods.
-func (p *Proxy) refuseMethod(allowed string) *protocol.Response {
-	return p.refuseInvalid(&protocol.Response{Status: http.StatusMethodNotAllowed, Allow: allowed})
+// respondMethodNotAllowed returns the response to a request with a method that its path does not support. allowed lists
+// the supported methods.
+func (p *Proxy) respondMethodNotAllowed(allowed string) *protocol.Response {
+	return p.respondInvalid(&protocol.Response{Status: http.StatusMethodNotAllowed, Allow: allowed})
 }
 
-// refuseInvalid counts an invalid request and returns its response.
-func (p *Proxy) refuseInvalid(answer *protocol.Response) *protocol.Response {
+// respondInvalid counts an invalid request and returns its response.
+func (p *Proxy) respondInvalid(response *protocol.Response) *protocol.Response {
 	p.counters.invalid.Add(1)
-	return answer
+	return response
 }
 
 // OverBudget returns the response to a request that exceeds the connection limit or the memory limit for bodies. The
@@ -109,12 +109,12 @@
 // rejectByHead returns the response to a request that is rejected before its body is read. If h names a known
 // operation, the response is counted for the operation.
 func (p *Proxy) rejectByHead(h *protocol.Head) *protocol.Response {
-	answer := &protocol.Response{Status: http.StatusServiceUnavailable, RetryAfter: p.settings.Load().maxRetryAfter}
+	response := &protocol.Response{Status: http.StatusServiceUnavailable, RetryAfter: p.settings.Load().maxRetryAfter}
 	if h == nil {
-		return answer
+		return response
 	}
-	if counts := p.operations.of(h.Operation()); counts != nil {
-		counts.countAnswer(answer)
+	if counts := p.operations.get(h.Operation()); counts != nil {
+		counts.countResponse(response)
 	}
-	return answer
+	return response
 }
--- a/internal/proxy/settings.go
+++ b/internal/proxy/settings.go
@@ -30,8 +30,8 @@
 // the call are looked up in the previous settings, whose IDs remain valid in the balancer.
 func (p *Proxy) Reconfigure(c Config, balancing balancer.Config) {
 	ids := p.balancer.Reconfigure(balancing)
-	if p.hooks.beforeSettings != nil {
-		p.hooks.beforeSettings()
+	if p.hooks.beforeApplySettings != nil {
+		p.hooks.beforeApplySettings()
 	}
 	p.applySettings(c, ids)
 }
@@ -47,9 +47,9 @@
 	if previous := p.settings.Load(); previous != nil {
 		next.tenantNames = slices.Clone(previous.tenantNames)
 	}
-	for position, configured := range c.Operations {
-		next.operations[configured.Name] = operation{configured, ids.Operations[position]}
-		p.operations.add(configured.Name)
+	for position, op := range c.Operations {
+		next.operations[op.Name] = operation{op, ids.Operations[position]}
+		p.operations.add(op.Name)
 	}
 	for position, name := range c.Tenants {
 		next.addTenant(name, ids.Tenants[position])
@@ -65,15 +65,15 @@
 	s.tenants[name] = id
 }
 
-// arrivalOf converts a request to a balancer.Arrival. If the request has no timeout, arrivalOf sets the default timeout
-// of its operation. The error wraps protocol.ErrMalformed if the operation or tenant is unknown, or if the idempotency
-// key is missing.
-func (s *settings) arrivalOf(request *protocol.Request) (balancer.Arrival, error) {
-	configured, known := s.operations[request.Operation]
+// newArrival converts a request to a balancer.Arrival. If the request has no timeout, newArrival sets the default
+// timeout of its operation. The error wraps protocol.ErrMalformed if the operation or tenant is unknown, or if the
+// idempotency key is missing.
+func (s *settings) newArrival(request *protocol.Request) (balancer.Arrival, error) {
+	op, known := s.operations[request.Operation]
 	if !known {
 		return balancer.Arrival{}, fmt.Errorf("%w: unknown operation %.40q", protocol.ErrMalformed, request.Operation)
 	}
-	if configured.RequiresKey && request.IdempotencyKey == "" {
+	if op.RequiresKey && request.IdempotencyKey == "" {
 		return balancer.Arrival{}, fmt.Errorf("%w: no Idempotency-Key", protocol.ErrMalformed)
 	}
 	tenant, known := s.tenants[request.Tenant]
@@ -81,10 +81,10 @@
 		return balancer.Arrival{}, fmt.Errorf("%w: unknown owner %.40q", protocol.ErrMalformed, request.Tenant)
 	}
 	if request.Timeout == 0 {
-		request.Timeout = configured.DefaultTimeout
+		request.Timeout = op.DefaultTimeout
 	}
 	return balancer.Arrival{
-		Operation: configured.number,
+		Operation: op.number,
 		Tenant:    tenant,
 		Timeout:   balancer.DurationOf(request.Timeout),
 		SizeHint:  balancer.Work(balancer.DurationOf(request.SizeHint)),
--- a/internal/proxy/snapshot.go
+++ b/internal/proxy/snapshot.go
@@ -44,14 +44,14 @@
 	return s
 }
 
-// restoreFromPredecessor applies the Snapshot of a predecessor. It does nothing and returns false if text is nil or the
-// snapshot lists no endpoints.
-func (p *Proxy) restoreFromPredecessor(text json.RawMessage) (restored bool, err error) {
-	if text == nil {
+// restoreFromPredecessor applies the Snapshot of a predecessor. It does nothing and returns false if snapshotJSON
+// is nil or the snapshot lists no endpoints.
+func (p *Proxy) restoreFromPredecessor(snapshotJSON json.RawMessage) (restored bool, err error) {
+	if snapshotJSON == nil {
 		return false, nil
 	}
 	var s Snapshot
-	if err := json.Unmarshal(text, &s); err != nil {
+	if err := json.Unmarshal(snapshotJSON, &s); err != nil {
 		return false, fmt.Errorf("snapshot of the predecessor: %w", err)
 	}
 	if len(s.Endpoints) == 0 {
@@ -59,7 +59,7 @@
 	}
 	list := protocol.EndpointList{Version: s.Version, Complete: true, Endpoints: s.Endpoints}
 	p.discovery.Seed(&list, s.Zones)
-	p.alignNames(s)
+	p.alignValues(s)
 	if !p.balancer.RestoreFromPredecessor(s.Learned) {
 		p.log.Warn().Int("instances", len(s.Learned)).Msg("snapshot not restored: number of shards differs")
 	}
@@ -75,7 +75,7 @@
 // reports whether the balancer accepted it. It must be called after the endpoint list was received and before the first
 // request.
 func (p *Proxy) RestoreFromDisk(s Snapshot) bool {
-	p.alignNames(s)
+	p.alignValues(s)
 	for shard := range s.Learned {
 		learned := &s.Learned[shard]
 		learned.Workers = renumber(learned.Workers, func(previous int) (int, bool) {
@@ -95,8 +95,8 @@
 	return p.balancer.RestoreFromDisk(s.Learned)
 }
 
-// alignNames reorders the per-tenant and per-kind values of a Snapshot to the order of the current settings.
-func (p *Proxy) alignNames(s Snapshot) {
+// alignValues reorders the per-tenant and per-kind values of a Snapshot to the order of the current settings.
+func (p *Proxy) alignValues(s Snapshot) {
 	for shard := range s.Learned {
 		learned := &s.Learned[shard]
 		learned.Tenants = align(learned.Tenants, s.Tenants, p.settings.Load().tenantNames)
--- a/internal/proxy/snapshot_test.go
+++ b/internal/proxy/snapshot_test.go
@@ -29,7 +29,7 @@
 	assert.Equal(t, int64(7), p.endpoints.Version(), "the proxy must start with the initial endpoints")
 }
 
-func TestAlignPutsValuesIntoTheOrderOfNames(t *testing.T) {
+func TestAlignReordersValuesByName(t *testing.T) {
 	for name, test := range map[string]struct {
 		values            []int
 		previous, current []string
--- a/internal/proxy/worker_response.go
+++ b/internal/proxy/worker_response.go
@@ -43,22 +43,22 @@
 		return workerResponse{outcome: a.lostOutcome(ctx, err), body: body, err: err}
 	}
 	if head.Status != http.StatusOK {
-		return unsuccessfulResponse(&head, body)
+		return newUnsuccessfulResponse(&head, body)
 	}
 	a.events.delivered()
 	return a.readLines(ctx, conn, &head, body)
 }
 
-// unsuccessfulResponse returns the workerResponse for a head with a status other than 200.
-func unsuccessfulResponse(head *protocol.Head, body protocol.Body) workerResponse {
-	answer := workerResponse{outcome: balancer.WorkerError, body: body}
+// newUnsuccessfulResponse returns the workerResponse for a head with a status other than 200.
+func newUnsuccessfulResponse(head *protocol.Head, body protocol.Body) workerResponse {
+	response := workerResponse{outcome: balancer.WorkerError, body: body}
 	if protocol.Declined(head) {
-		answer.outcome = balancer.Overloaded
+		response.outcome = balancer.Overloaded
 	}
 	if head.CloseRequested() || body.EndsWithConnection() {
-		answer.err = errCloseRequested
+		response.err = errCloseRequested
 	}
-	return answer
+	return response
 }
 
 // readLines reads the lines of a response with status 200 up to the line that decides the outcome.
@@ -67,22 +67,22 @@
 	lines := lineParser{attempt: a}
 	err := conn.ReadChunks(&body, lines.write)
 	if err == nil {
-		lines.end()
+		lines.finish()
 	}
 	if lines.err != nil {
 		return workerResponse{outcome: balancer.WorkerError, body: body, err: lines.err}
 	}
-	if !lines.decided() {
+	if !lines.isDecided() {
 		if err == nil {
 			err = errTruncatedResponse
 		}
 		return workerResponse{outcome: a.lostOutcome(ctx, err), body: body, err: err}
 	}
-	answer := workerResponse{outcome: lines.outcome, result: lines.result, body: body}
+	response := workerResponse{outcome: lines.outcome, result: lines.result, body: body}
 	if head.CloseRequested() {
-		answer.err = errCloseRequested
+		response.err = errCloseRequested
 	}
-	return answer
+	return response
 }
 
 // undecided is the outcome before the deciding line was parsed.
@@ -97,12 +97,12 @@
 	err     error            // wraps errMalformedResponse; stops the parser
 }
 
-func (p *lineParser) decided() bool { return p.outcome != undecided }
+func (p *lineParser) isDecided() bool { return p.outcome != undecided }
 
 // write adds data and parses the lines that are complete. It reports whether more data is needed.
 func (p *lineParser) write(data []byte) (more bool) {
 	p.pending = append(p.pending, data...)
-	for !p.decided() && p.err == nil {
+	for !p.isDecided() && p.err == nil {
 		line, remainder, complete := bytes.Cut(p.pending, []byte("\n"))
 		if !complete {
 			break
@@ -113,13 +113,13 @@
 	if len(p.pending) > protocol.MaxLineBytes {
 		p.err = fmt.Errorf("%w: line too long", errMalformedResponse)
 	}
-	return !p.decided() && p.err == nil
+	return !p.isDecided() && p.err == nil
 }
 
-// end parses the last line of a body that does not end with a newline.
-func (p *lineParser) end() {
+// finish parses the last line of a body that does not end with a newline.
+func (p *lineParser) finish() {
 	last := bytes.TrimSpace(p.pending)
-	if !p.decided() && p.err == nil && len(last) > 0 {
+	if !p.isDecided() && p.err == nil && len(last) > 0 {
 		p.parse(last)
 	}
 }
