--- a/internal/proxy/attempt_test.go
+++ b/internal/proxy/attempt_test.go
@@ -178,7 +178,7 @@
 			answers := startServe(context.Background(), p, requestHead("once"))
 			peertest.Receive(t, received)
 			began := time.Now()
-			updateWorker(t, p, restartedAt(began.Add(time.Second)))
+			updateWorker(t, p, restartFields(began.Add(time.Second)))
 			assert.Equal(t, 502, peertest.Receive(t, answers).Status)
 			assert.Less(t, time.Since(began), time.Second, "must not wait for the client's timeout")
 			assert.EqualValues(t, 1, outcomeCount(p, balancer.ConnectionReset))
@@ -212,7 +212,7 @@
 // The timeout that a worker receives must exclude the time that the request has waited and the time to connect, for the
 // first attempt and for retries.
 func TestWorkerTimeoutIsAtMostRemainingClientTimeout(t *testing.T) {
-	timeouts, left := make(chan string, 4), make(chan time.Duration, 4)
+	timeouts, remaining := make(chan string, 4), make(chan time.Duration, 4)
 	arrivedAt := time.Now().Add(-500 * time.Millisecond)
 	p := newProxyWith(peertest.StartServer(t, func(conn net.Conn, request *http.Request) {
 		timeouts <- request.Header.Get("Req-Deadline")
@@ -224,7 +224,7 @@
 	}), func(balancing *balancer.Config, _ *Config) { balancing.Attempts.Max = 4 })
 	p.hooks.beforeSend = func() {
 		time.Sleep(50 * time.Millisecond)
-		left <- time.Until(arrivedAt.Add(2 * time.Second)) // the client's timeout is 2 s
+		remaining <- time.Until(arrivedAt.Add(2 * time.Second)) // the client's timeout is 2 s
 	}
 	answers := make(chan *protocol.Response, 1)
 	go func() { answers <- p.Serve(context.Background(), requestHead("idem"), nil, arrivedAt) }()
@@ -232,6 +232,6 @@
 	awaitAttempts(t, p)
 	assert.Len(t, timeouts, 2)
 	for range 2 {
-		assertTimeoutWithin(t, peertest.Receive(t, timeouts), peertest.Receive(t, left))
+		assertTimeoutWithin(t, peertest.Receive(t, timeouts), peertest.Receive(t, remaining))
 	}
 }
--- a/internal/proxy/interleaving_test.go
+++ b/internal/proxy/interleaving_test.go
@@ -27,18 +27,18 @@
 		t.Run(operation, func(t *testing.T) {
 			address, attempts := startCountingWorker(t)
 			p := newProxyWith(address, withoutCancellation)
-			ctx, leave := context.WithCancel(context.Background())
+			ctx, disconnect := context.WithCancel(context.Background())
 			var answers <-chan *protocol.Response
-			serving, left := make(chan bool), make(chan bool)
+			serving, disconnected := make(chan bool), make(chan bool)
 			p.hooks.beforeSend = func() { // the connection is established
 				<-serving
-				leave()
+				disconnect()
 				assert.Nil(t, peertest.Receive(t, answers))
-				close(left)
+				close(disconnected)
 			}
 			answers = startServe(ctx, p, requestHead(operation))
 			close(serving)
-			peertest.Receive(t, left)
+			peertest.Receive(t, disconnected)
 			awaitAttempts(t, p)
 			assert.Zero(t, attempts.Load())
 			assert.Equal(t, []int64{0, 1}, []int64{p.counters.sent.Load(), outcomeCount(p, balancer.NotSent)})
@@ -56,19 +56,19 @@
 		withoutCancellation(balancing, config)
 		config.DialTimeout = time.Minute
 	}
-	leaveWhile := func(t *testing.T, p *Proxy, waiting func() bool) {
+	disconnectWhile := func(t *testing.T, p *Proxy, waiting func() bool) {
 		t.Helper()
-		ctx, leave := context.WithCancel(context.Background())
+		ctx, disconnect := context.WithCancel(context.Background())
 		answers := startServe(ctx, p, requestHead("idem"))
 		assert.Eventually(t, waiting, peertest.EventTimeout, peertest.PollInterval)
-		leave()
+		disconnect()
 		assert.Nil(t, peertest.Receive(t, answers))
 		awaitAttempts(t, p)
 		assert.Zero(t, p.counters.sent.Load())
 	}
 	t.Run("the dial is slow", func(t *testing.T) {
 		p := newProxyWith(unresponsiveAddress(t), withLongDial)
-		leaveWhile(t, p, func() bool { return isDialing(p) })
+		disconnectWhile(t, p, func() bool { return isDialing(p) })
 	})
 	t.Run("the limit is reached", func(t *testing.T) {
 		p := newProxyWith(unresponsiveAddress(t), withLongDial)
@@ -81,7 +81,7 @@
 			ended <- err
 		}()
 		assert.Eventually(t, func() bool { return isDialing(p) }, peertest.EventTimeout, peertest.PollInterval)
-		leaveWhile(t, p, func() bool { return p.balancer.OpenRequests() == 1 })
+		disconnectWhile(t, p, func() bool { return p.balancer.OpenRequests() == 1 })
 		cancel()
 		assert.Error(t, peertest.Receive(t, ended))
 	})
@@ -89,17 +89,17 @@
 
 func TestClientThatLeavesWhileKeyIsPersistedGetsNoAttempt(t *testing.T) {
 	address, attempts := startCountingWorker(t)
-	ctx, leave := context.WithCancel(context.Background())
-	answers, left := make(chan *protocol.Response, 1), make(chan bool)
+	ctx, disconnect := context.WithCancel(context.Background())
+	answers, disconnected := make(chan *protocol.Response, 1), make(chan bool)
 	recovery := &fakeRecovery{priorExecution: func() {}, persistKey: func() error {
-		leave()
+		disconnect()
 		assert.Nil(t, peertest.Receive(t, answers))
-		close(left)
+		close(disconnected)
 		return nil // the key is on disk, and the client has disconnected
 	}}
 	p := newProxyWith(address, withPersistedKeys(recovery))
 	go func() { answers <- p.Serve(ctx, keyedHead(), nil, time.Now()) }()
-	peertest.Receive(t, left)
+	peertest.Receive(t, disconnected)
 	awaitAttempts(t, p)
 	assert.Zero(t, attempts.Load())
 	assert.EqualValues(t, 1, recovery.persisted.Load())
@@ -127,19 +127,19 @@
 	}
 }
 
-// restartedAt returns the endpoint list fields of a worker that restarted at the given time.
-func restartedAt(at time.Time) string {
+// restartFields returns the endpoint list fields of a worker that restarted at the given time.
+func restartFields(at time.Time) string {
 	return fmt.Sprintf(`"health":"Ready","born_ms":%d`, at.UnixMilli())
 }
 
 // assertTimeoutWithin checks that a timeout in seconds, as received by a worker, is at most the client's remaining
 // time.
-func assertTimeoutWithin(t *testing.T, text string, left time.Duration) {
+func assertTimeoutWithin(t *testing.T, text string, remaining time.Duration) {
 	t.Helper()
 	const rounding = 0.001 // seconds
 	seconds, err := strconv.ParseFloat(text, 64)
 	assert.NoError(t, err)
-	assert.LessOrEqual(t, seconds, left.Seconds()+rounding)
+	assert.LessOrEqual(t, seconds, remaining.Seconds()+rounding)
 	assert.Positive(t, seconds)
 }
 
@@ -260,12 +260,12 @@
 	ctx, stop := context.WithCancel(context.Background())
 	stopped := make(chan error, 1)
 	go func() { stopped <- p.Run(ctx) }()
-	client, leave := context.WithCancel(context.Background())
+	client, disconnect := context.WithCancel(context.Background())
 	answers := startServe(client, p, parseHead("Req-Id: a1\r\nReq-Kind: idem\r\nReq-Deadline: 600\r\n"))
 	peertest.Receive(t, received)
 	isSent := func() bool { return p.counters.sent.Load() == 1 } // earlier, a disconnect prevents sending
 	assert.Eventually(t, isSent, peertest.EventTimeout, peertest.PollInterval)
-	leave()
+	disconnect()
 	assert.Nil(t, peertest.Receive(t, answers))
 	assert.Equal(t, 1, p.balancer.OpenRequests(), "the attempt must continue")
 	stop()
--- a/internal/proxy/migration_export.go
+++ b/internal/proxy/migration_export.go
@@ -36,21 +36,21 @@
 
 // ExportAll starts to migrate the requests in flight whose attempts are all waiting for their workers. Other requests
 // continue in this process; the caller repeats ExportAll until no request is in flight.
-func (p *Proxy) ExportAll(to Migrator) {
+func (p *Proxy) ExportAll(toSibling Migrator) {
 	p.inFlight.Range(func(key, _ any) bool {
-		p.export(key.(*inFlightRequest), to)
+		p.export(key.(*inFlightRequest), toSibling)
 		return true
 	})
 }
 
 // export pauses the attempts of a request and exports the request from the balancer. The request's own goroutine then
 // passes it to the sibling process (migrate). If either step fails, export resumes the attempts without losing data.
-func (p *Proxy) export(r *inFlightRequest, to Migrator) {
+func (p *Proxy) export(r *inFlightRequest, toSibling Migrator) {
 	if r.isMigrating() {
 		return
 	}
-	paused, all := r.pauseAttempts()
-	if !all || !p.exportFromBalancer(r, paused, to) {
+	paused, allPaused := r.pauseAttempts()
+	if !allPaused || !p.exportFromBalancer(r, paused, toSibling) {
 		for _, a := range paused {
 			a.pause.resume()
 		}
@@ -59,7 +59,7 @@
 
 // pauseAttempts pauses the attempts in flight. It returns the paused attempts by attempt number, and reports whether
 // all attempts were paused.
-func (r *inFlightRequest) pauseAttempts() (paused map[int]*attempt, all bool) {
+func (r *inFlightRequest) pauseAttempts() (paused map[int]*attempt, allPaused bool) {
 	paused = map[int]*attempt{}
 	for number, a := range r.attemptsInFlight() {
 		if !a.pause.request() {
@@ -73,7 +73,7 @@
 // exportFromBalancer exports a request from the balancer and sets its migration. It returns false if the balancer
 // refuses, because the request has a response or has attempts that are not paused. Both steps are done with mu held,
 // because the balancer wakes the request's goroutine, which needs the migration.
-func (p *Proxy) exportFromBalancer(r *inFlightRequest, paused map[int]*attempt, to Migrator) (taken bool) {
+func (p *Proxy) exportFromBalancer(r *inFlightRequest, paused map[int]*attempt, toSibling Migrator) (taken bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	balancing, exported := r.handle.Export(len(paused))
@@ -89,7 +89,7 @@
 	for _, a := range balancing.Attempts {
 		migrated.Workers = append(migrated.Workers, p.endpoints.Endpoint(a.Worker).ID)
 	}
-	r.migration = &migration{request: migrated, attempts: paused, migrator: to}
+	r.migration = &migration{request: migrated, attempts: paused, migrator: toSibling}
 	return true
 }
 
@@ -144,8 +144,8 @@
 	return m.migrator(m.request, client.Socket, sockets)
 }
 
-// endAttempts ends the paused attempts in this process and closes its copies of their connections. The sibling process
-// has taken over the connections, or the migration was abandoned.
+// endAttempts ends the paused attempts in this process, whose goroutines then close their connections. The sibling
+// process has taken over the connections, or the migration was abandoned.
 func (m *migration) endAttempts() {
 	for _, a := range m.attempts {
 		a.pause.end()
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -85,7 +85,7 @@
 
 // testHooks are functions that tests set to run code between two steps.
 type testHooks struct {
-	beforeApplySettings func() // runs when only the balancer uses the new settings
+	beforeApplySettings func() // runs after the balancer has applied new settings
 	beforeSend          func() // runs when an attempt has a connection and has not been sent
 }
 
@@ -166,8 +166,8 @@
 // SetStopTimeout limits the time for responses when this process stops. Requests that would not complete in time are
 // rejected, because a request that is interrupted during execution cannot always be retried. Clients should retry after
 // a long delay: this process still receives connections for some time, and other dispatchers may be restarted next.
-func (p *Proxy) SetStopTimeout(within time.Duration) {
-	p.balancer.StopAfter(balancer.DurationOf(within))
+func (p *Proxy) SetStopTimeout(timeout time.Duration) {
+	p.balancer.StopAfter(balancer.DurationOf(timeout))
 }
 
 // SetDiscoveryAddress changes the address of the discovery service and polls the new address immediately.
--- a/internal/proxy/request_test.go
+++ b/internal/proxy/request_test.go
@@ -71,9 +71,9 @@
 func TestClientThatLeavesGetsNoResponse(t *testing.T) {
 	for _, operation := range []string{"idem", "once"} {
 		t.Run(operation, func(t *testing.T) {
-			ctx, leave := context.WithCancel(context.Background())
+			ctx, disconnect := context.WithCancel(context.Background())
 			p := newProxy(peertest.StartServer(t, func(conn net.Conn, _ *http.Request) {
-				leave()
+				disconnect()
 				_, _ = conn.Read(make([]byte, 1))
 			}))
 			assert.Nil(t, p.Serve(ctx, requestHead(operation), nil, time.Now()))
--- a/internal/proxy/sibling.go
+++ b/internal/proxy/sibling.go
@@ -15,8 +15,8 @@
 
 // SiblingUpdate returns the next update for the sibling process, without the numbers of connections. It covers the
 // changes since the previous call. Calls must not be concurrent.
-func (p *Proxy) SiblingUpdate(to balancer.SiblingRole) SiblingUpdate {
-	u := SiblingUpdate{InFlight: p.inFlightFor(to), RecentSends: map[string]balancer.Work{}}
+func (p *Proxy) SiblingUpdate(recipient balancer.SiblingRole) SiblingUpdate {
+	u := SiblingUpdate{InFlight: p.inFlightFor(recipient), RecentSends: map[string]balancer.Work{}}
 	now := p.balancer.Now()
 	for _, send := range p.balancer.RecentSendsSince(p.sendsReportedAt) {
 		u.RecentSends[p.endpoints.Endpoint(send.Worker).ID] += send.Work
@@ -27,8 +27,8 @@
 }
 
 // ReceiveSiblingUpdate applies an update from the sibling process. Unknown workers are ignored.
-func (p *Proxy) ReceiveSiblingUpdate(from balancer.SiblingRole, u SiblingUpdate) {
-	p.balancer.UpdateSibling(from, p.workerLoads(u.InFlight))
+func (p *Proxy) ReceiveSiblingUpdate(sender balancer.SiblingRole, u SiblingUpdate) {
+	p.balancer.UpdateSibling(sender, p.workerLoads(u.InFlight))
 	if sends := p.recentSends(u.RecentSends); len(sends) > 0 {
 		p.balancer.AddRecentSends(sends)
 	}
@@ -58,7 +58,7 @@
 }
 
 // ForgetSibling removes the attempts in flight and the request IDs of a sibling process that has exited.
-func (p *Proxy) ForgetSibling(from balancer.SiblingRole) {
-	p.balancer.UpdateSibling(from, nil)
+func (p *Proxy) ForgetSibling(sender balancer.SiblingRole) {
+	p.balancer.UpdateSibling(sender, nil)
 	p.requestIDs.forgetSibling()
 }
--- a/internal/proxy/snapshot.go
+++ b/internal/proxy/snapshot.go
@@ -125,12 +125,12 @@
 	return aligned
 }
 
-// renumber moves each value to the index that current returns for its previous index. It drops a value if current
-// returns false.
-func renumber[T any](values []T, current func(previous int) (int, bool)) []T {
+// renumber moves each value to the index that lookUp returns for its previous index. It drops a value if lookUp returns
+// false.
+func renumber[T any](values []T, lookUp func(previous int) (int, bool)) []T {
 	var renumbered []T
 	for previous, value := range values {
-		number, known := current(previous)
+		number, known := lookUp(previous)
 		if !known {
 			continue
 		}
