--- a/internal/proxy/counters.go
+++ b/internal/proxy/counters.go
@@ -17,15 +17,15 @@
 type counters struct {
 	// Requests. An admitted request is also counted by one of the next five counters when it ends. A request that is
 	// not admitted is counted by one of the last three.
-	admitted   atomic.Int64 // the head is valid and the ID was free
-	succeeded  atomic.Int64
-	rejected   atomic.Int64
-	failed     atomic.Int64
-	clientLeft atomic.Int64
-	migrated   atomic.Int64 // continued by the sibling process
-	invalid    atomic.Int64 // malformed, with an unknown path or method, or with the ID of an open request
-	overBudget atomic.Int64 // rejected because of the connection limit or the memory limit for bodies
-	shed       atomic.Int64 // rejected by the admission controller
+	admitted           atomic.Int64 // the head is valid and the ID was free
+	succeeded          atomic.Int64
+	rejected           atomic.Int64
+	failed             atomic.Int64
+	clientDisconnected atomic.Int64
+	migrated           atomic.Int64 // continued by the sibling process
+	invalid            atomic.Int64 // malformed, with an unknown path or method, or with the ID of an open request
+	overBudget         atomic.Int64 // rejected because of the connection limit or the memory limit for bodies
+	shed               atomic.Int64 // rejected by the admission controller
 
 	sent     atomic.Int64              // attempts whose last byte was written
 	outcomes [numOutcomes]atomic.Int64 // attempts that have ended, by outcome
@@ -59,7 +59,7 @@
 		Int64("succeeded", requests.succeeded.Load()).
 		Int64("throttled", requests.rejected.Load()).
 		Int64("errored", requests.failed.Load()).
-		Int64("client_left", requests.clientLeft.Load()).
+		Int64("client_left", requests.clientDisconnected.Load()).
 		Int64("turned_away", requests.invalid.Load()).
 		Int64("overfull", requests.overBudget.Load()).
 		Int64("at_door", requests.shed.Load()).
--- a/internal/proxy/migration_export.go
+++ b/internal/proxy/migration_export.go
@@ -52,7 +52,7 @@
 	paused, allPaused := r.pauseAttempts()
 	if !allPaused || !p.exportFromBalancer(r, paused, toSibling) {
 		for _, a := range paused {
-			a.pause.resume()
+			a.pause.resumeReader()
 		}
 	}
 }
@@ -62,7 +62,7 @@
 func (r *inFlightRequest) pauseAttempts() (paused map[int]*attempt, allPaused bool) {
 	paused = map[int]*attempt{}
 	for number, a := range r.attemptsInFlight() {
-		if !a.pause.request() {
+		if !a.pause.tryPause() {
 			return paused, false
 		}
 		paused[number] = a
@@ -148,7 +148,7 @@
 // process has taken over the connections, or the migration was abandoned.
 func (m *migration) endAttempts() {
 	for _, a := range m.attempts {
-		a.pause.end()
+		a.pause.endReader()
 	}
 }
 
--- a/internal/proxy/migration_test.go
+++ b/internal/proxy/migration_test.go
@@ -48,8 +48,8 @@
 func pauseAndResumeAll(p *Proxy) {
 	p.inFlight.Range(func(key, _ any) bool {
 		for _, a := range key.(*inFlightRequest).attemptsInFlight() {
-			if a.pause.request() {
-				a.pause.resume()
+			if a.pause.tryPause() {
+				a.pause.resumeReader()
 			}
 		}
 		return true
@@ -84,22 +84,22 @@
 	assert.Error(t, err)
 }
 
-// If the reader stops at the same time as the call of request times out, request must report the pause. Otherwise the
+// If the reader stops at the same time as the call of tryPause times out, tryPause must report the pause. Otherwise the
 // reader would wait forever.
-func TestPauseDuringRequestTimeoutIsReported(t *testing.T) {
+func TestPauseAtTimeoutIsReported(t *testing.T) {
 	pause := newReadPause()
 	conn, other := net.Pipe()
 	defer other.Close()
-	pause.begin(transport.NewPool(1, time.Minute, zerolog.Nop()).Import(conn, "", nil))
+	pause.enable(transport.NewPool(1, time.Minute, zerolog.Nop()).Import(conn, "", nil))
 	results := make(chan bool)
-	go func() { results <- pause.request() }()
+	go func() { results <- pause.tryPause() }()
 	isRequested := func() bool {
 		pause.mu.Lock()
 		defer pause.mu.Unlock()
 		return pause.requested
 	}
 	assert.Eventually(t, isRequested, peertest.EventTimeout, peertest.PollInterval)
-	pause.mu.Lock() // like readPause.wait, while the call of request times out
+	pause.mu.Lock() // like readPause.awaitDecision, while the call of tryPause times out
 	time.Sleep(2 * pauseTimeout)
 	pause.requested = false
 	pause.paused <- struct{}{}
--- a/internal/proxy/operators_test.go
+++ b/internal/proxy/operators_test.go
@@ -50,7 +50,7 @@
 	counts.succeeded.Store(12)
 	counts.rejected.Store(13)
 	counts.failed.Store(14)
-	counts.clientLeft.Store(15)
+	counts.clientDisconnected.Store(15)
 	counts.invalid.Store(16)
 	counts.overBudget.Store(17)
 	counts.shed.Store(18)
--- a/internal/proxy/pause.go
+++ b/internal/proxy/pause.go
@@ -15,11 +15,11 @@
 // resumes the reader or takes over the connection. A resumed reader reads the response again from its first byte, so
 // that a pause loses no data.
 //
-// The exporter calls request and, if that returns true, either resume or end exactly once. The reader calls begin, wait
-// and finish.
+// The exporter calls tryPause and, if that returns true, either resumeReader or endReader exactly once. The reader
+// calls enable, awaitDecision and disable.
 type readPause struct {
 	// mu guards conn and requested. The reader clears requested and sends to paused with mu held, so that a call of
-	// request that times out observes both changes or neither.
+	// tryPause that times out observes both changes or neither.
 	mu        sync.Mutex
 	conn      *transport.Conn // set while the attempt waits for its worker, nil otherwise
 	requested bool            // the exporter waits for the reader to stop
@@ -33,9 +33,9 @@
 	return &readPause{paused: make(chan struct{}, 1), takeOver: make(chan bool, 1), ended: make(chan struct{})}
 }
 
-// request stops the reader and reports whether it has stopped. It returns false if the attempt is not waiting for its
+// tryPause stops the reader and reports whether it has stopped. It returns false if the attempt is not waiting for its
 // worker, or if the reader does not stop within pauseTimeout.
-func (p *readPause) request() bool {
+func (p *readPause) tryPause() bool {
 	p.mu.Lock()
 	if p.conn == nil {
 		p.mu.Unlock()
@@ -62,32 +62,32 @@
 	}
 }
 
-// resume lets the paused reader continue.
-func (p *readPause) resume() { p.takeOver <- false }
+// resumeReader lets the paused reader continue.
+func (p *readPause) resumeReader() { p.takeOver <- false }
 
-// end makes the paused reader return without an outcome, because the sibling process has taken over the connection or
-// the migration was abandoned.
-func (p *readPause) end() { p.takeOver <- true }
+// endReader makes the paused reader return without an outcome, because the sibling process has taken over the
+// connection or the migration was abandoned.
+func (p *readPause) endReader() { p.takeOver <- true }
 
-// begin enables pauses before conn is read.
-func (p *readPause) begin(conn *transport.Conn) {
+// enable allows pauses from now on. It is called before conn is read.
+func (p *readPause) enable(conn *transport.Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.conn = conn
 }
 
-// finish disables pauses.
-func (p *readPause) finish() {
+// disable makes later calls of tryPause return false.
+func (p *readPause) disable() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.conn = nil
 }
 
-// wait is called by the reader after it was stopped. It waits for the exporter's decision, and reports whether the
-// sibling process takes over the connection.
-func (p *readPause) wait() (takenOver bool) {
+// awaitDecision is called by the reader after it was stopped. It waits for the exporter's decision, and reports whether
+// the sibling process takes over the connection.
+func (p *readPause) awaitDecision() (takenOver bool) {
 	p.mu.Lock()
-	if !p.requested { // the call of request has timed out
+	if !p.requested { // the call of tryPause has timed out
 		p.mu.Unlock()
 		return false
 	}
@@ -99,15 +99,15 @@
 
 // receiveResponse reads a worker's response. The exporter may pause it.
 func (a *attempt) receiveResponse(ctx context.Context, conn *transport.Conn) workerResponse {
-	a.pause.begin(conn)
+	a.pause.enable(conn)
 	defer close(a.pause.ended)
 	for {
 		response := a.readResponse(ctx, conn)
 		if !stoppedByPause(ctx, conn, response.err) {
-			a.pause.finish()
+			a.pause.disable()
 			return response
 		}
-		if takenOver := a.pause.wait(); takenOver {
+		if takenOver := a.pause.awaitDecision(); takenOver {
 			return workerResponse{migrated: true}
 		}
 		if err := conn.Rewind(); err != nil {
@@ -116,8 +116,8 @@
 	}
 }
 
-// stoppedByPause reports whether a read failed because of a pause. A pause makes reads time out. The end of ctx and an
-// interrupt of the connection do so too, and take precedence. Reads have no other timeout.
+// stoppedByPause reports whether a read failed because of a pause. A pause makes reads time out, and so do the end of
+// ctx and an interrupt of the connection, which take precedence. Reads have no other timeout.
 func stoppedByPause(ctx context.Context, conn *transport.Conn, readErr error) bool {
 	timedOut := readErr != nil && transport.CloseReasonOf(readErr) == transport.TooSlow
 	return timedOut && ctx.Err() == nil && !conn.Interrupted()
--- a/internal/proxy/responses.go
+++ b/internal/proxy/responses.go
@@ -54,7 +54,7 @@
 
 // respondDisconnected counts a request whose client has disconnected, and returns no response.
 func (p *Proxy) respondDisconnected() *protocol.Response {
-	p.counters.clientLeft.Add(1)
+	p.counters.clientDisconnected.Add(1)
 	return nil
 }
 
