--- a/internal/proxy/peers.go
+++ b/internal/proxy/peers.go
@@ -30,7 +30,7 @@
 	return byWorker
 }
 
-// ReceiveLoad applies the number of attempts that another dispatcher has in flight at a worker. process is the
+// ReceiveLoad applies the number of attempts that another dispatcher has in flight at a worker. position is the
 // dispatcher's position in Config.Peers. Unknown workers are ignored.
 func (p *Proxy) ReceiveLoad(position int, workerID string, inFlight int) {
 	if worker, known := p.endpoints.ByID(workerID); known {
--- a/internal/proxy/queueing.go
+++ b/internal/proxy/queueing.go
@@ -44,7 +44,7 @@
 
 // delayPipe is a pipe from this process to itself, which measures how long data waits until a goroutine reads it.
 //
-// Neither a timer nor the length of the run queue includes that delay. While goroutines are runnable, readable sockets
+// Neither a timer nor the length of the run queue reflects that delay. While goroutines are runnable, readable sockets
 // wait in the kernel's ready list for the next poll, in the order in which they became readable. A byte in a pipe waits
 // in the same list.
 type delayPipe struct {
