--- a/internal/proxy/idempotency_keys.go
+++ b/internal/proxy/idempotency_keys.go
@@ -7,13 +7,12 @@
 	"canvasroute/internal/protocol"
 )
 
-// persistsKeys reports whether only a part of the fleet drops repeats of an operation. It then has to be known where
-// the first attempt went, also after a loss of power.
+// persistsKeys reports whether only a part of the fleet deduplicates requests of an operation. The worker of the first
+// attempt must then be on disk, so that it is still known after a power loss.
 func (o *Operation) persistsKeys() bool { return o.RequiresKey && o.DedupScope != balancer.ScopeAll }
 
-// dropsRepeatsWith reports whether a worker belongs to the group that drops repeats of a request which may have been
-// executed before.
-func (o *Operation) dropsRepeatsWith(worker *protocol.Endpoint, prior *PriorExecution) bool {
+// isInDedupGroup reports whether a worker belongs to the group that deduplicates a request after the prior execution.
+func (o *Operation) isInDedupGroup(worker *protocol.Endpoint, prior *PriorExecution) bool {
 	switch o.DedupScope {
 	case balancer.ScopeZone:
 		return worker.Zone == prior.Zone
@@ -23,11 +22,12 @@
 	return false
 }
 
-// priorAttempt returns where and when a request's key may have been used before, nil for nowhere. The worker is any of
-// the group that drops repeats. The error is ErrOutcomeUnknown, or that of Recovery.PriorExecution.
-func (p *Proxy) priorAttempt(r *inFlightRequest) (*balancer.PriorAttempt, error) {
-	configured := r.settings.operations[r.request.Operation]
-	if p.config.Recovery == nil || !configured.persistsKeys() {
+// findPriorAttempt returns the earlier attempt that may have used a request's key, or nil if there is none. The
+// returned worker is an arbitrary member of the group that deduplicates the request. The error is ErrOutcomeUnknown if
+// the group has no known worker, or the error of Recovery.PriorExecution.
+func (p *Proxy) findPriorAttempt(r *inFlightRequest) (*balancer.PriorAttempt, error) {
+	op := r.settings.operations[r.request.Operation]
+	if p.config.Recovery == nil || !op.persistsKeys() {
 		return nil, nil
 	}
 	prior, err := p.config.Recovery.PriorExecution(KeyedRequest{
@@ -39,7 +39,7 @@
 		return nil, err
 	}
 	worker, known := p.endpoints.Find(func(endpoint *protocol.Endpoint) bool {
-		return configured.dropsRepeatsWith(endpoint, prior)
+		return op.isInDedupGroup(endpoint, prior)
 	})
 	if !known {
 		return nil, ErrOutcomeUnknown
@@ -47,12 +47,12 @@
 	return &balancer.PriorAttempt{Worker: worker, SentAt: p.config.FromUnix(float64(prior.SentAtMillis))}, nil
 }
 
-// persistKey returns once it is on disk which worker an attempt goes to, where that has to be known after a loss of
-// power. ctx bounds the wait.
+// persistKey persists which worker an attempt is sent to, if the operation requires that (persistsKeys). It returns
+// after the record is on disk, or when ctx ends.
 func (p *Proxy) persistKey(ctx context.Context, current *settings, request *protocol.Request, worker balancer.WorkerID,
 ) error {
-	configured := current.operations[request.Operation]
-	if p.config.Recovery == nil || !configured.persistsKeys() {
+	op := current.operations[request.Operation]
+	if p.config.Recovery == nil || !op.persistsKeys() {
 		return nil
 	}
 	endpoint := p.endpoints.Endpoint(worker)
@@ -60,9 +60,9 @@
 		Operation:   request.Operation,
 		Key:         request.IdempotencyKey,
 		Worker:      endpoint.ID,
-		DedupWindow: configured.DedupWindow,
+		DedupWindow: op.DedupWindow,
 	}
-	if configured.DedupScope == balancer.ScopeZone { // the group alone: with both, two workers of it would differ
+	if op.DedupScope == balancer.ScopeZone { // one field only: with both, records of one group would differ
 		record.Zone = endpoint.Zone
 	} else {
 		record.Cell = endpoint.Cell
--- a/internal/proxy/interleaving_test.go
+++ b/internal/proxy/interleaving_test.go
@@ -20,35 +20,35 @@
 	"canvasroute/internal/transport"
 )
 
-// Each test here forces one order of two events that seldom come in it (docs/crossings.md).
+// The tests in this file force an order of events that rarely occurs by itself (docs/crossings.md).
 
 func TestClientThatLeavesDuringConnectGetsNoAttempt(t *testing.T) {
 	for _, operation := range []string{"idem", "once"} {
 		t.Run(operation, func(t *testing.T) {
 			address, attempts := startCountingWorker(t)
 			p := newProxyWith(address, withoutCancellation)
-			ctx, leave := context.WithCancel(context.Background())
+			ctx, disconnect := context.WithCancel(context.Background())
 			var answers <-chan *protocol.Response
-			serving, left := make(chan bool), make(chan bool)
-			p.hooks.beforeSend = func() { // the connection is up
+			serving, disconnected := make(chan bool), make(chan bool)
+			p.hooks.beforeSend = func() { // the connection is established
 				<-serving
-				leave()
+				disconnect()
 				assert.Nil(t, peertest.Receive(t, answers))
-				close(left)
+				close(disconnected)
 			}
 			answers = startServe(ctx, p, requestHead(operation))
 			close(serving)
-			peertest.Receive(t, left)
+			peertest.Receive(t, disconnected)
 			awaitAttempts(t, p)
 			assert.Zero(t, attempts.Load())
 			assert.Equal(t, []int64{0, 1}, []int64{p.counters.sent.Load(), outcomeCount(p, balancer.NotSent)})
-			assert.Zero(t, p.pool.OpenConnections(), "an interrupted connection is not kept for others")
+			assert.Zero(t, p.pool.OpenConnections(), "an interrupted connection must not be reused")
 			assert.Equal(t, 0, p.balancer.OpenRequests())
 		})
 	}
 }
 
-// isDialing reports whether a connection is being opened: it counts against the limit already.
+// isDialing reports whether the pool is opening a connection, which already counts against the connection limit.
 func isDialing(p *Proxy) bool { return p.pool.OpenConnections() == 1 }
 
 func TestClientThatLeavesEndsTheWaitForAConnection(t *testing.T) {
@@ -56,19 +56,19 @@
 		withoutCancellation(balancing, config)
 		config.DialTimeout = time.Minute
 	}
-	leaveWhile := func(t *testing.T, p *Proxy, waiting func() bool) {
+	disconnectWhile := func(t *testing.T, p *Proxy, waiting func() bool) {
 		t.Helper()
-		ctx, leave := context.WithCancel(context.Background())
+		ctx, disconnect := context.WithCancel(context.Background())
 		answers := startServe(ctx, p, requestHead("idem"))
 		assert.Eventually(t, waiting, peertest.EventTimeout, peertest.PollInterval)
-		leave()
+		disconnect()
 		assert.Nil(t, peertest.Receive(t, answers))
 		awaitAttempts(t, p)
 		assert.Zero(t, p.counters.sent.Load())
 	}
 	t.Run("the dial is slow", func(t *testing.T) {
 		p := newProxyWith(unresponsiveAddress(t), withLongDial)
-		leaveWhile(t, p, func() bool { return isDialing(p) })
+		disconnectWhile(t, p, func() bool { return isDialing(p) })
 	})
 	t.Run("the limit is reached", func(t *testing.T) {
 		p := newProxyWith(unresponsiveAddress(t), withLongDial)
@@ -81,7 +81,7 @@
 			ended <- err
 		}()
 		assert.Eventually(t, func() bool { return isDialing(p) }, peertest.EventTimeout, peertest.PollInterval)
-		leaveWhile(t, p, func() bool { return p.balancer.OpenRequests() == 1 })
+		disconnectWhile(t, p, func() bool { return p.balancer.OpenRequests() == 1 })
 		cancel()
 		assert.Error(t, peertest.Receive(t, ended))
 	})
@@ -89,24 +89,24 @@
 
 func TestClientThatLeavesWhileKeyIsPersistedGetsNoAttempt(t *testing.T) {
 	address, attempts := startCountingWorker(t)
-	ctx, leave := context.WithCancel(context.Background())
-	answers, left := make(chan *protocol.Response, 1), make(chan bool)
+	ctx, disconnect := context.WithCancel(context.Background())
+	answers, disconnected := make(chan *protocol.Response, 1), make(chan bool)
 	recovery := &fakeRecovery{priorExecution: func() {}, persistKey: func() error {
-		leave()
+		disconnect()
 		assert.Nil(t, peertest.Receive(t, answers))
-		close(left)
-		return nil // the key is on disk, and the client has left
+		close(disconnected)
+		return nil // the key is on disk, and the client has disconnected
 	}}
 	p := newProxyWith(address, withPersistedKeys(recovery))
 	go func() { answers <- p.Serve(ctx, keyedHead(), nil, time.Now()) }()
-	peertest.Receive(t, left)
+	peertest.Receive(t, disconnected)
 	awaitAttempts(t, p)
 	assert.Zero(t, attempts.Load())
 	assert.EqualValues(t, 1, recovery.persisted.Load())
 }
 
-// A list arrives while the connection is opened, or an idle one is taken: the worker drains, or has moved and its
-// address is another worker's now.
+// An update of the endpoint list is received after the balancer's decision and before the attempt is sent: the worker
+// drains, was removed, or has a new address, so that another worker may use the old one.
 func TestListReceivedDuringConnectPreventsSending(t *testing.T) {
 	for name, fields := range map[string]string{
 		"worker drains":    `"health":"Terminating"`,
@@ -117,40 +117,41 @@
 			address, attempts := startCountingWorker(t)
 			p := newProxy(address)
 			assert.Equal(t, 200, serve(p, requestHead("idem")).Status)
-			awaitAttempts(t, p) // its connection is idle now
+			awaitAttempts(t, p) // the connection becomes idle
 			p.hooks.beforeSend = func() { updateWorker(t, p, fields) }
 			assert.NotEqual(t, 200, peertest.Receive(t, startServe(context.Background(), p, requestHead("idem"))).Status)
 			awaitAttempts(t, p)
 			assert.EqualValues(t, 1, attempts.Load())
-			assert.Zero(t, p.pool.OpenConnections(), "the connection must not be used any more")
+			assert.Zero(t, p.pool.OpenConnections(), "the connection must not be reused")
 		})
 	}
 }
 
-// restartedAt are the fields of a list for a worker that restarted at a time.
-func restartedAt(at time.Time) string {
+// restartFields returns the endpoint list fields of a worker that restarted at the given time.
+func restartFields(at time.Time) string {
 	return fmt.Sprintf(`"health":"Ready","born_ms":%d`, at.UnixMilli())
 }
 
-// assertTimeoutWithin checks a timeout in seconds, as a worker receives it, against what was left to the client.
-func assertTimeoutWithin(t *testing.T, text string, left time.Duration) {
+// assertTimeoutWithin checks that a timeout in seconds, as received by a worker, is at most the client's remaining
+// time.
+func assertTimeoutWithin(t *testing.T, text string, remaining time.Duration) {
 	t.Helper()
 	const rounding = 0.001 // seconds
 	seconds, err := strconv.ParseFloat(text, 64)
 	assert.NoError(t, err)
-	assert.LessOrEqual(t, seconds, left.Seconds()+rounding)
+	assert.LessOrEqual(t, seconds, remaining.Seconds()+rounding)
 	assert.Positive(t, seconds)
 }
 
-// The balancer decides on a retry within the dedup window, which closes while the connection is opened.
-func TestNothingIsSentAfterRetryWindow(t *testing.T) {
+// The balancer decides on a retry within the dedup window, but the window closes before the attempt is sent.
+func TestNothingIsSentAfterDedupWindow(t *testing.T) {
 	var received atomic.Int32
 	const window = time.Second
 	address := peertest.StartServer(t, func(conn net.Conn, _ *http.Request) {
 		received.Add(1)
-		io.WriteString(conn, failedText) // it may have been executed
+		io.WriteString(conn, failedText) // the attempt may have been executed
 	})
-	p := newProxyWith(address, withRetryWindow(balancer.DurationOf(window)))
+	p := newProxyWith(address, withDedupWindow(balancer.DurationOf(window)))
 	attempts := 0
 	p.hooks.beforeSend = func() {
 		attempts++
@@ -160,20 +161,20 @@
 	}
 	assert.Equal(t, 502, peertest.Receive(t, startServe(context.Background(), p, keyedHead())).Status)
 	awaitAttempts(t, p)
-	assert.EqualValues(t, 1, received.Load(), "the worker would execute the second one again")
-	assert.Greater(t, attempts, 1, "there was a retry")
+	assert.EqualValues(t, 1, received.Load(), "the worker would execute a second attempt again")
+	assert.Greater(t, attempts, 1, "the balancer must have decided on a retry")
 	assert.EqualValues(t, 1, outcomeCount(p, balancer.WorkerError))
 }
 
-// reconfigurable is a proxy with the configuration that it was given last.
-type reconfigurable struct {
+// reconfigurableProxy is a proxy with its current configuration.
+type reconfigurableProxy struct {
 	*Proxy
 	balancing balancer.Config
 	config    Config
 }
 
-func newReconfigurable(address string, change func(*balancer.Config, *Config)) *reconfigurable {
-	r := &reconfigurable{}
+func newReconfigurableProxy(address string, change func(*balancer.Config, *Config)) *reconfigurableProxy {
+	r := &reconfigurableProxy{}
 	r.Proxy = newProxyWith(address, func(balancing *balancer.Config, config *Config) {
 		change(balancing, config)
 		r.balancing = *balancing
@@ -182,7 +183,7 @@
 	return r
 }
 
-func (r *reconfigurable) setTenants(names ...string) {
+func (r *reconfigurableProxy) setTenants(names ...string) {
 	setTenants(&r.balancing, &r.config, names...)
 	r.Reconfigure(r.config, r.balancing)
 }
@@ -195,8 +196,8 @@
 	config.Tenants = names
 }
 
-// usage is what the tenants have used of their quotas, by name.
-func (r *reconfigurable) usage() map[string]float64 {
+// usage returns the quota usage of the tenants, by name.
+func (r *reconfigurableProxy) usage() map[string]float64 {
 	snapshot := r.SnapshotForDisk()
 	byName := map[string]float64{}
 	for n, name := range snapshot.Tenants {
@@ -205,22 +206,22 @@
 	return byName
 }
 
-// Requests arrive while the balancer goes by new settings and the names by the previous ones; the new ones have fewer
-// tenants, and then others in another order.
+// Requests arrive while the balancer already uses the new settings and the proxy still looks up names in the previous
+// ones. The new settings have fewer tenants at first, and then other tenants in another order.
 func TestRequestDuringReconfigurationCountsForItsTenant(t *testing.T) {
 	address, _ := startCountingWorker(t)
-	r := newReconfigurable(address, func(balancing *balancer.Config, config *Config) {
+	r := newReconfigurableProxy(address, func(balancing *balancer.Config, config *Config) {
 		setTenants(balancing, config, "a", "b", "c")
 	})
 	status := func(tenant string) int {
 		return serve(r.Proxy, parseHead("Req-Id: a1\r\nReq-Kind: idem\r\nReq-Owner: "+tenant+"\r\n")).Status
 	}
-	r.hooks.beforeSettings = func() {
-		assert.Equal(t, 200, status("b"), "by its name in the previous settings")
+	r.hooks.beforeApplySettings = func() {
+		assert.Equal(t, 200, status("b"), "the name must be looked up in the previous settings")
 		assert.Equal(t, 200, status("c"))
 	}
 	r.setTenants("c")
-	r.hooks.beforeSettings = nil
+	r.hooks.beforeApplySettings = nil
 	assert.Equal(t, 400, status("b"))
 	assert.Equal(t, 200, status("c"))
 	usage := r.usage()
@@ -236,42 +237,42 @@
 	assert.LessOrEqual(t, usage["d"], 1.0)
 }
 
-// Settings change while a request is in flight; its operation is not in the new ones.
-func TestRequestEndsUnderTheSettingsItArrivedUnder(t *testing.T) {
+// The operation of a request is removed from the settings while the request is in flight.
+func TestRequestEndsUnderTheSettingsAtArrival(t *testing.T) {
 	address, attempts := startCountingWorker(t)
 	recovery := &fakeRecovery{persistKey: func() error { return nil }}
-	r := newReconfigurable(address, withPersistedKeys(recovery))
+	r := newReconfigurableProxy(address, withPersistedKeys(recovery))
 	recovery.priorExecution = func() {
 		r.balancing.Operations = r.balancing.Operations[:1]
 		r.config.Operations = r.config.Operations[:1]
 		r.Reconfigure(r.config, r.balancing)
 	}
 	assert.Equal(t, 200, serve(r.Proxy, keyedHead()).Status)
-	assert.EqualValues(t, 1, recovery.persisted.Load(), "its key is persisted by the previous settings")
+	assert.EqualValues(t, 1, recovery.persisted.Load(), "the key must be persisted under the previous settings")
 	assert.EqualValues(t, 1, attempts.Load())
 	assert.Equal(t, 400, serve(r.Proxy, keyedHead()).Status)
 }
 
-// The client of an attempt at a hanging worker has left, and the settings allow no cancellation.
-func TestRunEndsWithAttemptsThatNoClientWaitsFor(t *testing.T) {
+// The client of an attempt at a hanging worker has disconnected, and the settings do not allow cancellation.
+func TestRunEndsWithAttemptsOfDisconnectedClients(t *testing.T) {
 	address, received := startHangingWorker(t)
 	p := newProxyWith(address, withoutCancellation)
 	ctx, stop := context.WithCancel(context.Background())
 	stopped := make(chan error, 1)
 	go func() { stopped <- p.Run(ctx) }()
-	client, leave := context.WithCancel(context.Background())
+	client, disconnect := context.WithCancel(context.Background())
 	answers := startServe(client, p, parseHead("Req-Id: a1\r\nReq-Kind: idem\r\nReq-Deadline: 600\r\n"))
 	peertest.Receive(t, received)
-	isSent := func() bool { return p.counters.sent.Load() == 1 } // until then it would not be sent at all
+	isSent := func() bool { return p.counters.sent.Load() == 1 } // earlier, a disconnect prevents sending
 	assert.Eventually(t, isSent, peertest.EventTimeout, peertest.PollInterval)
-	leave()
+	disconnect()
 	assert.Nil(t, peertest.Receive(t, answers))
-	assert.Equal(t, 1, p.balancer.OpenRequests(), "the attempt continues")
+	assert.Equal(t, 1, p.balancer.OpenRequests(), "the attempt must continue")
 	stop()
 	assert.NoError(t, peertest.Receive(t, stopped))
 }
 
-func TestEndlessResponseHoldsNothingAfterItsDeadline(t *testing.T) {
+func TestEndlessResponseReleasesResourcesAfterDeadline(t *testing.T) {
 	for name, test := range map[string]struct {
 		first, repeated string
 		succeeds        bool
--- a/internal/proxy/operators_test.go
+++ b/internal/proxy/operators_test.go
@@ -14,11 +14,10 @@
 	"canvasroute/internal/protocol"
 )
 
-// TestCounterNamesOfDump pins the names that operators read in the answer to DUMP, in their order, and the counter of
-// each.
-func TestCounterNamesOfDump(t *testing.T) {
+// TestDumpMetricNames checks the names in the response to DUMP, their order, and the counter of each.
+func TestDumpMetricNames(t *testing.T) {
 	p := newProxy(peertest.ClosedAddress)
-	idem := p.operations.of("idem")
+	idem := p.operations.get("idem")
 	idem.succeeded.Store(1)
 	idem.declined.Store(2)
 	idem.aborted.Store(3)
@@ -41,8 +40,8 @@
 	}, p.Metrics())
 }
 
-// TestCountersLogLine pins the keys of the log line that SIGUSR1 asks for, and the counter of each. Each outcome of an
-// attempt is pinned with its number.
+// TestCountersLogLine checks the keys of the log line that SIGUSR1 requests, and the counter of each. Each outcome of
+// an attempt is checked by its numeric value.
 func TestCountersLogLine(t *testing.T) {
 	p, log := newProxy(peertest.ClosedAddress), &bytes.Buffer{}
 	p.log = zerolog.New(log)
@@ -51,7 +50,7 @@
 	counts.succeeded.Store(12)
 	counts.rejected.Store(13)
 	counts.failed.Store(14)
-	counts.clientLeft.Store(15)
+	counts.clientDisconnected.Store(15)
 	counts.invalid.Store(16)
 	counts.overBudget.Store(17)
 	counts.shed.Store(18)
@@ -93,8 +92,8 @@
 	}, line)
 }
 
-// TestAnswersByPathAndMethod pins the answers that follow from the head alone.
-func TestAnswersByPathAndMethod(t *testing.T) {
+// TestHeadResponsesByPathAndMethod checks the responses that depend on the head alone.
+func TestHeadResponsesByPathAndMethod(t *testing.T) {
 	p := newProxy(peertest.ClosedAddress)
 	p.discovery.DontAwaitFirstPoll()
 	for _, test := range []struct {
@@ -114,8 +113,8 @@
 	}
 }
 
-// TestReasonsOfNotBeingReady pins what operators read in the answer to HEALTH.
-func TestReasonsOfNotBeingReady(t *testing.T) {
+// TestNotReadyReasons checks the texts that operators read in the response to HEALTH.
+func TestNotReadyReasons(t *testing.T) {
 	p := newProxy(peertest.ClosedAddress)
 	assert.EqualError(t, p.Ready(), "takes no clients: no list of workers yet")
 	p.discovery.DontAwaitFirstPoll()
--- a/internal/proxy/request_ids_test.go
+++ b/internal/proxy/request_ids_test.go
@@ -6,13 +6,13 @@
 	"github.com/stretchr/testify/assert"
 )
 
-func TestRequestIDIsOpenInOneOfTwoProcesses(t *testing.T) {
+func TestRequestIDIsOpenInOneProcessOnly(t *testing.T) {
 	var ids requestIDs
 	assert.True(t, ids.open("a"))
 	assert.False(t, ids.open("a"))
 	ids.applySibling([]string{"b", "c"}, []string{"c"})
-	assert.False(t, ids.open("b"), "the sibling has it")
-	assert.True(t, ids.open("c"), "the sibling has closed it")
+	assert.False(t, ids.open("b"), "the ID is open in the sibling")
+	assert.True(t, ids.open("c"), "the sibling has closed the ID")
 	ids.openMigrated("b")
 	ids.close("b")
 	assert.True(t, ids.open("b"))
@@ -21,11 +21,11 @@
 	assert.True(t, ids.open("d"))
 }
 
-func TestRequestIDChangesStartWithAllThatAreOpen(t *testing.T) {
+func TestRequestIDChangesStartWithOpenIDs(t *testing.T) {
 	var ids requestIDs
 	ids.open("a")
 	opened, closed := ids.changes()
-	assert.Empty(t, opened, "nothing is tracked yet")
+	assert.Empty(t, opened, "changes are not tracked yet")
 	assert.Empty(t, closed)
 	ids.startTracking()
 	ids.open("b")
