--- a/internal/transport/byte_budget.go
+++ b/internal/transport/byte_budget.go
@@ -2,13 +2,13 @@
 
 import "sync/atomic"
 
-// byteBudget limits how many bytes of request bodies are in memory at once, over all connections. A body is reserved by
-// its announced length before it is read, so that many bodies together can't exceed the memory limit later.
+// byteBudget limits the total size of the request bodies in memory, over all connections. The announced length of a
+// body is reserved before the body is read, so that concurrent bodies can't exceed the limit together.
 type byteBudget struct {
 	available atomic.Int64 // bytes that may still be reserved
 }
 
-// reserve takes n bytes out of the budget and reports whether as many were available. Otherwise it takes none.
+// reserve reserves n bytes and reports whether they were available. If not, it reserves nothing.
 func (b *byteBudget) reserve(n int64) bool {
 	if b.available.Add(-n) >= 0 {
 		return true
@@ -17,5 +17,5 @@
 	return false
 }
 
-// release gives n reserved bytes back.
+// release returns n reserved bytes to the budget.
 func (b *byteBudget) release(n int64) { b.available.Add(n) }
--- a/internal/transport/byte_budget_test.go
+++ b/internal/transport/byte_budget_test.go
@@ -11,13 +11,13 @@
 	"canvasroute/internal/protocol"
 )
 
-// assertAvailable waits until the byte budget has that many bytes left.
+// assertAvailable waits until the byte budget has want bytes available.
 func assertAvailable(t *testing.T, server *Server, want int64) {
 	t.Helper()
 	assert.Eventually(t, func() bool { return server.bodyBudget.available.Load() == want }, testTimeout, time.Millisecond)
 }
 
-// Bodies that are announced on many connections could together exceed the memory limit.
+// Without a shared budget, bodies announced on many connections could exceed the memory limit together.
 func TestBodiesInMemoryStayWithinTheByteBudget(t *testing.T) {
 	server, _, _ := startServer(t, 8)
 	server.bodyBudget.available.Store(protocol.MaxBodyBytes)
@@ -31,7 +31,8 @@
 	assertAvailable(t, server, protocol.MaxBodyBytes)
 }
 
-// A chunked body reserves the largest length while it is read; that must not keep others out while it is served.
+// A chunked body reserves the maximum length while it is read. Unless the excess is released once the length is known,
+// other requests are rejected while this one is served.
 func TestChunkedBodyIsBudgetedByItsLengthOnceComplete(t *testing.T) {
 	server, handler, _ := startServer(t, 8)
 	server.bodyBudget.available.Store(protocol.MaxBodyBytes + 2)
--- a/internal/transport/byte_stream.go
+++ b/internal/transport/byte_stream.go
@@ -5,16 +5,17 @@
 	"sync/atomic"
 )
 
-// byteStream reads and writes a connection and counts the bytes. It can record what it reads, and replay it.
+// byteStream reads from and writes to a connection and counts the bytes. It can record the data that it reads, and
+// replay recorded data.
 type byteStream struct {
 	conn         net.Conn
 	bytesRead    atomic.Int64
 	bytesWritten atomic.Int64
-	replay       []byte        // is read before anything else from conn
-	recording    *readRecorder // nil where nothing is recorded
+	replay       []byte        // data that Read returns before it reads from conn
+	recording    *readRecorder // nil if reads are not recorded
 }
 
-// Read reads from the bytes to be replayed, and after them from the connection.
+// Read returns the data to be replayed first, and then reads from the connection.
 func (s *byteStream) Read(p []byte) (n int, err error) {
 	if len(s.replay) > 0 {
 		n = copy(p, s.replay)
@@ -29,7 +30,7 @@
 	return n, err
 }
 
-// Write writes to the connection.
+// Write writes p to the connection.
 func (s *byteStream) Write(p []byte) (int, error) {
 	n, err := s.conn.Write(p)
 	s.bytesWritten.Add(int64(n))
--- a/internal/transport/client_eviction.go
+++ b/internal/transport/client_eviction.go
@@ -1,22 +1,23 @@
 package transport
 
-// evictionRank orders the connections that may be evicted by what would be lost with them. The lowest goes first.
+// evictionRank is the eviction priority of a connection. Connections with the lowest rank, whose loss costs least, are
+// evicted first.
 //
-// A connection is useful once a request on it was accepted. Clients that open many connections and send nothing on them,
-// only invalid requests, or a request byte by byte therefore keep no other client out.
+// A connection is useful once a request on it was accepted. Therefore a client can't block others by opening many
+// connections on which it sends nothing, only invalid requests, or a request byte by byte.
 type evictionRank int
 
 // The ranks, lowest first.
 const (
-	rankUnusedIdle    evictionRank = iota // no request was useful, none has begun
-	rankUnusedReading                     // no request was useful, one has begun
+	rankUnusedIdle    evictionRank = iota // no request accepted so far, none being read
+	rankUnusedReading                     // no request accepted so far, one being read
 	rankUsefulIdle
 	rankUsefulReading
 	evictionRanks // number of ranks
 )
 
-// evictionRank returns the rank of a connection. evictable is false for one that is owed a response or is evicted
-// already.
+// evictionRank returns the rank of a connection. evictable is false if a request on it is being served or if it has
+// been evicted already.
 func (s *clientSlot) evictionRank() (rank evictionRank, evictable bool) {
 	switch {
 	case s.useful && s.state == stateReading:
@@ -31,7 +32,7 @@
 	return rank, s.state != stateServing && !s.evicted
 }
 
-// removeFromQueue takes a connection out of the queue of its rank, if it is in one. It is called under the lock.
+// removeFromQueue removes a connection from the queue of its rank, if it is in one. The caller must hold the lock.
 func (s *clientSlot) removeFromQueue() {
 	if s.queue != nil {
 		s.queue.Remove(s.element)
@@ -39,9 +40,9 @@
 	}
 }
 
-// enqueue puts a connection whose state has just changed last in the queue of its rank. The first of a queue is the one
-// that is longest in its state, so that an eviction costs the same however many connections are open. It is called under
-// the lock.
+// enqueue appends a connection whose state has just changed to the queue of its rank. The front of each queue is
+// therefore the connection that has been in its state longest, and the cost of an eviction doesn't depend on the number
+// of open connections. The caller must hold the lock.
 func (l *clientLimiter) enqueue(c *Conn, slot *clientSlot) {
 	slot.removeFromQueue()
 	if rank, evictable := slot.evictionRank(); evictable {
@@ -50,14 +51,14 @@
 	}
 }
 
-// hasIdle reports whether an idle connection may be evicted. It is called under the lock.
+// hasIdle reports whether an idle connection can be evicted. The caller must hold the lock.
 func (l *clientLimiter) hasIdle() bool {
 	return l.evictable[rankUnusedIdle].Len()+l.evictable[rankUsefulIdle].Len() > 0
 }
 
-// evictOne evicts the connection of the lowest rank that is longest in its state, and reports whether there was one. The
-// connection gets a read deadline that leaves time for a request in transit, and its owner closes it then. It is called
-// under the lock.
+// evictOne evicts one connection and reports whether one could be evicted. Among the connections with the lowest rank,
+// it selects the one that has been in its state longest. It sets a read deadline that allows time for a request in
+// transit; the owner closes the connection when the deadline passes. The caller must hold the lock.
 func (l *clientLimiter) evictOne() bool {
 	for _, queue := range l.evictable {
 		if queue.Len() == 0 {
@@ -78,7 +79,7 @@
 	return false
 }
 
-// isEvicted reports whether a connection is being closed to make room for another one.
+// isEvicted reports whether a connection has been evicted in favor of another one.
 func (l *clientLimiter) isEvicted(c *Conn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/transport/client_eviction_test.go
+++ b/internal/transport/client_eviction_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// waitForState waits until the server's only connection is in a state.
+// waitForState waits until the server's only connection is in state want.
 func waitForState(t *testing.T, server *Server, want clientState) {
 	t.Helper()
 	assert.Eventually(t, func() bool {
@@ -52,7 +52,7 @@
 	assert.Equal(t, clientResponse{503, "", true}, readResponse(t, slowReader))
 }
 
-// Connections that were useful stay in a flood of silent ones, and a new client gets in.
+// A flood of silent connections must neither evict a useful connection nor block a new client.
 func TestFloodOfSilentConnectionsKeepsNoClientOut(t *testing.T) {
 	server, _, _ := startServer(t, 8)
 	useful, usefulReader := connect(t, server)
--- a/internal/transport/client_limits.go
+++ b/internal/transport/client_limits.go
@@ -9,58 +9,59 @@
 	"canvasroute/internal/lifecycle"
 )
 
-// spareDivisor divides the limit into the number of connections beyond it that may be open for a moment.
+// spareDivisor is the ratio of the connection limit to the number of spare slots.
 const spareDivisor = 16
 
-// clientLimiter limits how many client connections are open. It has the state of each, which decides its read deadline.
-// Where a new connection needs a slot, it evicts the least useful one, see evictionRank.
+// clientLimiter limits the number of open client connections. It tracks the state of each connection and sets the read
+// deadline for that state. If no slot is free for a new connection, it evicts an open one, see evictionRank.
 type clientLimiter struct {
-	freed     chan struct{} // has an element after a slot was released
+	freed     chan struct{} // receives an element when a slot is released
 	lifecycle *lifecycle.State
 
-	mu        sync.Mutex                // guards what follows
-	limit     int                       // slots for connections that are served
-	spare     int                       // slots beyond limit, for connections that are rejected or are being closed
-	slots     map[*Conn]*clientSlot     // of the open connections
-	counted   int                       // slots that count toward limit
-	evictable [evictionRanks]*list.List // *Conn by eviction rank, the one longest in its state first
+	mu        sync.Mutex                // guards the fields below
+	limit     int                       // maximum number of admitted connections
+	spare     int                       // additional slots for connections that are being rejected or closed
+	slots     map[*Conn]*clientSlot     // the slots of the open connections
+	counted   int                       // number of slots that count toward limit
+	evictable [evictionRanks]*list.List // queues of *Conn by eviction rank, longest in its state first
 }
 
-// clientSlot is the state of a client's connection.
+// clientSlot is the state of one client connection.
 type clientSlot struct {
 	state         clientState
-	since         time.Time // when it got into state
-	awaitingFirst bool      // the first request hasn't been answered
-	useful        bool      // a request on it was accepted, rather than rejected as the client's fault
+	since         time.Time // time of the last change of state
+	awaitingFirst bool      // no response has been sent yet
+	useful        bool      // a request was accepted: its response was not a client error
 	admission     admissionResult
-	evicted       bool // it is being closed to make room
+	evicted       bool // it is being closed in favor of another connection
 
-	queue   *list.List    // the one of clientLimiter.evictable that it is in, nil if it may not be evicted
-	element *list.Element // in queue
+	queue   *list.List    // the queue of clientLimiter.evictable that contains it, nil if not evictable
+	element *list.Element // the connection's element in queue
 }
 
-// countsTowardLimit reports whether a connection keeps another one out. One that is rejected or evicted is in a spare
-// slot.
+// countsTowardLimit reports whether a connection counts toward the limit. Rejected and evicted connections occupy spare
+// slots instead.
 func (s *clientSlot) countsTowardLimit() bool { return !s.evicted && s.admission == admitted }
 
-// admissionResult says whether a new connection was within the limit.
+// admissionResult is the result of checking a new connection against the limit.
 type admissionResult uint8
 
 const (
 	admitted  admissionResult = iota
-	overLimit                 // it gets one response that says so, and is closed
+	overLimit                 // the connection is closed after one overload response
 )
 
-// clientState says what the server waits for on a client's connection.
+// clientState is the stage of the request cycle that a client connection is in.
 type clientState uint8
 
 const (
 	stateIdle    clientState = iota // between requests
-	stateReading                    // part of a request has come
-	stateServing                    // a complete request was read, and is owed a response
+	stateReading                    // part of a request has been received
+	stateServing                    // a complete request was read; its response has not been sent yet
 )
 
-// newClientLimiter returns a limiter of limit connections. state says whether connections may be idle.
+// newClientLimiter returns a limiter for limit connections. The phase of state determines whether idle connections are
+// kept open.
 func newClientLimiter(limit int, state *lifecycle.State) *clientLimiter {
 	l := &clientLimiter{
 		limit:     limit,
@@ -75,11 +76,11 @@
 	return l
 }
 
-// spareSlots returns how many connections beyond a limit may be open.
+// spareSlots returns the number of spare slots for a limit.
 func spareSlots(limit int) int { return max(limit/spareDivisor, 1) }
 
-// waitForCapacity waits until there is a slot for one more connection, which may be a spare one, or until ctx ends.
-// Meanwhile it evicts connections; those in the spare slots are being closed.
+// waitForCapacity waits until a slot, regular or spare, is free for one more connection, or until ctx ends. While it
+// waits, it evicts connections. Connections in spare slots are being closed already.
 func (l *clientLimiter) waitForCapacity(ctx context.Context) {
 	for {
 		l.mu.Lock()
@@ -100,7 +101,8 @@
 	}
 }
 
-// setLimit changes the limit. Idle connections beyond it are evicted now, others when new ones come.
+// setLimit changes the limit. If more connections are open, idle ones are evicted at once, and others when new
+// connections are accepted.
 func (l *clientLimiter) setLimit(limit int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -111,15 +113,15 @@
 	}
 }
 
-// open returns the number of open connections, with those in spare slots.
+// open returns the number of open connections, including those in spare slots.
 func (l *clientLimiter) open() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.slots)
 }
 
-// acquire gives a new connection a slot and sets the timeout of its first request. At the limit it evicts another one;
-// the result is overLimit where none may be evicted.
+// acquire assigns a slot to a new connection and sets the timeout of its first request. At the limit it evicts another
+// connection. If none can be evicted, it returns overLimit.
 func (l *clientLimiter) acquire(c *Conn) admissionResult {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -138,7 +140,7 @@
 	return admission
 }
 
-// release gives back the slot of a closed connection.
+// release frees the slot of a closed connection.
 func (l *clientLimiter) release(c *Conn) {
 	l.mu.Lock()
 	if slot := l.slots[c]; slot != nil {
@@ -153,22 +155,24 @@
 	}
 }
 
-// count adds a slot to counted if it counts toward the limit. It is called under the lock, after a change of the slot.
+// count increments counted if the slot counts toward the limit. It is called after a change of the slot. The caller
+// must hold the lock.
 func (l *clientLimiter) count(slot *clientSlot) {
 	if slot.countsTowardLimit() {
 		l.counted++
 	}
 }
 
-// uncount undoes count. It is called under the lock, before a change of the slot.
+// uncount reverts count. It is called before a change of the slot. The caller must hold the lock.
 func (l *clientLimiter) uncount(slot *clientSlot) {
 	if slot.countsTowardLimit() {
 		l.counted--
 	}
 }
 
-// markIdle records that a response was sent, and sets the idle timeout. It does so under one lock with the check whether
-// idle connections are closed: either closeIdle finds the connection idle, or markIdle finds the later phase.
+// markIdle records that a response was sent, and sets the idle timeout. The state change and the check of the lifecycle
+// phase happen under the same lock, so that a connection can't miss a phase change: either closeIdle finds it idle, or
+// markIdle finds the new phase.
 func (l *clientLimiter) markIdle(c *Conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -190,17 +194,17 @@
 	}
 }
 
-// markReading records that a request's first byte has come, and sets the deadline for the rest. An evicted connection
-// gets no more time. Nor does a first request, whose timeout counts from accept.
+// markReading records that the first byte of a request was received, and sets the deadline for the rest of the request.
+// The deadline is not extended for an evicted connection, nor for a first request, whose timeout counts from accept.
 func (l *clientLimiter) markReading(c *Conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	slot := l.setState(c, stateReading)
 	switch {
-	case slot.evicted: // its deadline stays
+	case slot.evicted: // its deadline is unchanged
 	case l.closesIdle():
 		c.SetReadTimeout(finalRequestTimeout)
-	case slot.awaitingFirst: // its deadline stays
+	case slot.awaitingFirst: // its deadline is unchanged
 	case slot.useful:
 		c.SetReadTimeout(requestReadTimeout)
 	default:
@@ -208,14 +212,14 @@
 	}
 }
 
-// markServing records that a complete request was read. The connection isn't evicted before its response.
+// markServing records that a complete request was read. The connection can't be evicted until its response was sent.
 func (l *clientLimiter) markServing(c *Conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.setState(c, stateServing)
 }
 
-// setState records a change of a connection's state. It is called under the lock.
+// setState changes the state of a connection and returns its slot. The caller must hold the lock.
 func (l *clientLimiter) setState(c *Conn, state clientState) *clientSlot {
 	slot := l.slots[c]
 	slot.state = state
@@ -233,19 +237,19 @@
 	l.enqueue(c, slot)
 }
 
-// isReading reports whether a part of a request has come.
+// isReading reports whether part of a request has been received.
 func (l *clientLimiter) isReading(c *Conn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.slots[c].state == stateReading
 }
 
-// closesIdle reports whether idle connections are closed in the process's present phase.
+// closesIdle reports whether idle connections are closed in the current lifecycle phase.
 func (l *clientLimiter) closesIdle() bool {
 	return !l.lifecycle.PhaseAt(time.Now()).KeepsIdleConnections()
 }
 
-// interruptAll interrupts all connections, whatever their state; their owners close them.
+// interruptAll interrupts all connections regardless of their state. Their owners close them.
 func (l *clientLimiter) interruptAll() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -254,8 +258,8 @@
 	}
 }
 
-// closeIdle sets short read deadlines for the connections that are idle or reading a request; their owners close them
-// then. Those that are owed a response are closed after it.
+// closeIdle sets short read deadlines for the connections that are idle or reading a request. Their owners close them
+// when the deadlines pass. Connections on which a request is being served are closed after the response.
 func (l *clientLimiter) closeIdle() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/transport/client_limits_test.go
+++ b/internal/transport/client_limits_test.go
@@ -12,8 +12,8 @@
 	"canvasroute/internal/lifecycle"
 )
 
-// A connection counted or ranked by an earlier state would make the limit wrong for good, or be evicted
-// although it is owed a response.
+// If the count or a queue were not updated on a change of state, the limit would stay wrong permanently, or a
+// connection could be evicted while its request is being served.
 func TestLimiterStaysConsistentUnderRandomOperations(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	limiter := newClientLimiter(20, &lifecycle.State{})
@@ -36,7 +36,7 @@
 			limiter.markReading(conn)
 		case 2:
 			limiter.markServing(conn)
-		case 3: // as before the response to an accepted request
+		case 3: // the sequence before the response to an accepted request
 			limiter.markServing(conn)
 			limiter.markUseful(conn)
 		case 4:
@@ -54,8 +54,8 @@
 	}
 }
 
-// assertLimiterConsistent checks that the count and the queues are as the slots' states say, and that each queue is
-// in the order of since.
+// assertLimiterConsistent checks that the count and the queues match the states of the slots, and that each queue is
+// ordered by the time of the last state change.
 func assertLimiterConsistent(t *testing.T, limiter *clientLimiter) {
 	t.Helper()
 	counted, queued := 0, 0
@@ -81,7 +81,8 @@
 	assert.Equal(t, counted, limiter.counted)
 }
 
-// BenchmarkAcquireAtTheLimit is the cost of a connection in a flood: it must not grow with the number of slots.
+// BenchmarkAcquireAtTheLimit measures the cost of a connection during a flood, which must not grow with the number of
+// slots.
 func BenchmarkAcquireAtTheLimit(b *testing.B) {
 	limiter := newClientLimiter(5000, &lifecycle.State{})
 	pipe, peer := net.Pipe()
--- a/internal/transport/close_watch.go
+++ b/internal/transport/close_watch.go
@@ -10,16 +10,17 @@
 	"canvasroute/internal/protocol"
 )
 
-// maxUnreadBytes is how many received bytes the kernel holds at least before a client has to wait with more. Beyond it
-// the kernel may hold back the end of the stream too.
+// maxUnreadBytes is a lower bound of the kernel's receive buffer. If more bytes than this are unread, the receive
+// window may be closed, and a FIN of the client may not have been received.
 const maxUnreadBytes = 32 << 10
 
-// errClosedBehindUnread reports a client that sent more than is buffered and then closed the connection.
+// errClosedBehindUnread reports that a client closed the connection after it had sent more data than the read buffer
+// holds.
 var errClosedBehindUnread = errors.New("connection closed after more data than is buffered")
 
-// WatchForClose starts a goroutine that watches for the peer closing the connection, and then calls onClose once with the
-// cause. Data that comes meanwhile is buffered. stop ends the watch and waits for its goroutine. The caller must not read
-// before stop has returned.
+// WatchForClose starts a goroutine that calls onClose once with the cause when the peer closes the connection. Data
+// that is received meanwhile is buffered. stop ends the watch and waits for the goroutine to return. The caller must
+// not read from the connection before stop has returned.
 func (c *Conn) WatchForClose(onClose func(error)) (stop func()) {
 	c.setReadDeadline(time.Time{})
 	done, stopped := make(chan struct{}), make(chan struct{})
@@ -37,7 +38,7 @@
 	})
 }
 
-// awaitClose waits until the peer has closed the connection and returns the cause, nil where it was stopped before.
+// awaitClose waits until the peer has closed the connection and returns the cause. It returns nil if stopped earlier.
 func (c *Conn) awaitClose(stopped <-chan struct{}) error {
 	for !c.readBuf.Full() {
 		_, err := c.readBuf.Fill(&c.stream)
@@ -54,12 +55,14 @@
 	return c.probeForClose(stopped, errClosedBehindUnread)
 }
 
-// probeForClose watches a client from which nothing more can be read. It has half-closed the connection and may still
-// wait for its response, or it has sent more than is buffered, which hides the end of the stream. It returns cause once
-// the client has closed the connection, nil where it was stopped before.
+// probeForClose detects a close by a client when reads can't detect it. Either the client has half-closed the
+// connection and may still be waiting for its response, or it has sent more data than the read buffer holds, so that
+// the end of the stream can't be read. probeForClose returns cause once the client has closed the connection, and nil
+// if stopped earlier.
 //
-// Whether the client still reads doesn't show until something is sent to it. It therefore gets interim responses
-// (RFC 9110, 15.2) at intervals. A client that reads skips them; the kernel of one that has closed answers with a reset.
+// Only sending data shows whether the client still reads. probeForClose therefore sends interim responses (RFC 9110,
+// 15.2) periodically. A client that reads ignores them; if the client has closed the connection, its kernel replies
+// with a reset.
 func (c *Conn) probeForClose(stopped <-chan struct{}, cause error) error {
 	socket, ok := c.nc.(syscall.Conn)
 	if !ok {
@@ -78,7 +81,7 @@
 		switch {
 		case !halfClosed && state != tcpEstablished:
 			return cause
-		case halfClosed && !c.acceptsInterim: // nothing may be sent that would show whether it reads
+		case halfClosed && !c.acceptsInterim: // without interim responses, it can't be probed
 			return cause
 		case probeDue && c.acceptsInterim && endMayBeHidden:
 			c.setWriteDeadline(time.Now().Add(probeWriteTimeout))
@@ -94,11 +97,11 @@
 	}
 }
 
-// closedWhileQueued reports whether a client closed its connection some time before its request was read. Such a client
-// gave up while the connection waited in the listener's queue, and its request must not be sent to a worker any more.
+// closedWhileQueued reports whether a client closed its connection while the connection waited in the listener's queue.
+// The request of such a client must not be sent to a worker.
 //
-// A client whose request has just come isn't inspected. It can't have closed long ago, and WatchForClose detects a close
-// in time.
+// A client whose request was received less than queuedAtLeast ago isn't probed: if it has closed the connection,
+// WatchForClose detects that in time.
 func (c *Conn) closedWhileQueued() bool {
 	socket, ok := c.nc.(syscall.Conn)
 	if !ok || timeSinceLastData(socket) < queuedAtLeast {
@@ -113,6 +116,6 @@
 	if c.probeForClose(stopped, io.EOF) != nil {
 		return true
 	}
-	state, _ := tcpState(socket) // the reset may have come just as the wait ended
+	state, _ := tcpState(socket) // the reset may have been received as the wait ended
 	return state != tcpEstablished && state != tcpCloseWait
 }
--- a/internal/transport/close_watch_test.go
+++ b/internal/transport/close_watch_test.go
@@ -15,10 +15,10 @@
 	"canvasroute/internal/protocol"
 )
 
-// detectWithin is how long after a client's close nothing may be sent to a worker for it any more.
+// detectWithin is the maximum time to detect a client's close. After it nothing may be sent to a worker for the client.
 const detectWithin = 100 * time.Millisecond
 
-// watchClose watches a connection until the test ends, and returns the channel of the close's cause.
+// watchClose watches a connection until the test ends, and returns a channel that receives the cause of its close.
 func watchClose(t *testing.T, conn *Conn) <-chan error {
 	t.Helper()
 	closed := make(chan error, 1)
@@ -27,7 +27,7 @@
 	return closed
 }
 
-// readInterims reads that many interim responses.
+// readInterims reads count interim responses.
 func readInterims(t *testing.T, peer net.Conn, count int) {
 	t.Helper()
 	want := strings.Repeat(protocol.Continue, count)
@@ -72,16 +72,16 @@
 	conn, peer, _ := connPair(t)
 	conn.acceptsInterim = true
 	go func() {
-		_, _ = peer.Write(make([]byte, 8<<20)) // it blocks until the peer is closed
+		_, _ = peer.Write(make([]byte, 8<<20)) // blocks until the peer is closed
 	}()
 	closed := watchClose(t, conn)
 	readInterims(t, peer, 2)
-	assert.Empty(t, closed, "it isn't closed as long as the peer reads")
+	assert.Empty(t, closed, "no close is reported while the peer reads")
 	peer.Close()
 	assert.Error(t, peertest.Receive(t, closed))
 }
 
-// A client of HTTP/1.0 gets no interim responses.
+// Interim responses must not be sent to an HTTP/1.0 client, so the close has to be detected without probing.
 func TestCloseBehindUnreadDataOfAnHTTP10ClientIsDetected(t *testing.T) {
 	conn, peer, _ := connPair(t)
 	_, err := peer.Write(make([]byte, 3*readBufferBytes))
@@ -91,13 +91,14 @@
 	assert.ErrorIs(t, peertest.Receive(t, closed), errClosedBehindUnread)
 }
 
-// A client's reset may come late, or only once it closes a connection that it had half-closed before.
+// A client that half-closes its connection and closes it later doesn't send a reset until it is sent data after the
+// close.
 func TestCloseAfterHalfCloseIsDetectedInTime(t *testing.T) {
 	conn, peer, _ := connPair(t)
 	conn.acceptsInterim = true
 	closed := watchClose(t, conn)
 	assert.NoError(t, peer.CloseWrite())
-	readInterims(t, peer, 3) // so it was found to read twice
+	readInterims(t, peer, 3) // two probes have shown that the peer still reads
 	assert.Empty(t, closed)
 	peer.Close()
 	closedAt := time.Now()
@@ -105,7 +106,7 @@
 	assert.Less(t, time.Since(closedAt), detectWithin)
 }
 
-// A close is detected in time at whichever moment between two probes it comes, and whatever was sent before it.
+// A close must be detected in time regardless of its time between two probes and of the data sent before it.
 func TestCloseIsDetectedInTimeAtAnyMoment(t *testing.T) {
 	for _, tt := range []struct {
 		name        string
@@ -138,13 +139,13 @@
 					late++
 				}
 			}
-			assert.Less(t, late, 3, "up to two may be the machine's delay")
+			assert.Less(t, late, 3, "up to two may be late because of scheduling delays")
 		})
 	}
 }
 
-// A client may give up while its connection waits in the listener's queue, as that of a process out of descriptors
-// does. One that has only half-closed its connection gets its response.
+// A client may time out while its connection waits in the listener's queue, for example because the process has no free
+// descriptors. Its request must not be served. A client that has only half-closed its connection gets a response.
 func TestRequestOfAClientThatClosedWhileQueuedIsNotServed(t *testing.T) {
 	handler := newGatedHandler()
 	server := newTestServer(listenLoopback(t), 4, handler)
@@ -160,7 +161,7 @@
 	handler.release <- &protocol.Response{Status: 200}
 	assert.Equal(t, 200, readFinalResponse(t, reader).status)
 	assert.Eventually(t, func() bool { return server.OpenConnections() == 0 }, testTimeout, time.Millisecond)
-	assert.Empty(t, handler.requested, "the closed one isn't served")
+	assert.Empty(t, handler.requested, "the request on the closed connection is not served")
 	stop()
 	assert.NoError(t, peertest.Receive(t, ended))
 }
@@ -175,7 +176,7 @@
 	conn.setReadDeadline(pastDeadline)
 	limiter.markServing(conn)
 	limiter.mu.Lock()
-	assert.False(t, limiter.evictOne(), "a connection that is owed a response isn't evicted")
+	assert.False(t, limiter.evictOne(), "a connection is not evicted while its request is served")
 	limiter.mu.Unlock()
 	limiter.closeIdle()
 	closed := watchClose(t, conn)
--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -15,11 +15,11 @@
 
 // Sizes of a connection's buffers, in bytes.
 const (
-	readBufferBytes  = protocol.MaxHeadBytes // a head is parsed in the buffer
-	writeBufferBytes = 2 << 10               // it is flushed whenever it is full
+	readBufferBytes  = protocol.MaxHeadBytes // a message head is parsed in the buffer
+	writeBufferBytes = 2 << 10               // flushed whenever the buffer is full
 )
 
-// PeerRole says who is at the other end of a connection. Its values are those of the log field "side".
+// PeerRole is the kind of peer of a connection. Its values appear in the log field "side".
 type PeerRole string
 
 // The values of PeerRole.
@@ -29,42 +29,42 @@
 	Discovery PeerRole = "list"
 )
 
-// Conn is one connection with its buffers and deadlines. One goroutine at a time owns it, see the package's comment.
-// While WatchForClose watches, nothing else may read or write.
+// Conn is a connection with its buffers and deadlines. It is owned by one goroutine at a time, see the package comment.
+// While a watch started by WatchForClose is active, no other goroutine may read or write.
 type Conn struct {
 	nc             net.Conn
 	stream         byteStream
 	readBuf        *Ring
 	writeBuf       *Ring
 	role           PeerRole
-	addr           string // of the peer
+	addr           string // address of the peer
 	log            zerolog.Logger
 	openedAt       time.Time
-	messagesSent   int   // since it was opened
-	readAtLastSend int64 // bytes that had been read when the last message was sent
+	messagesSent   int   // number of messages sent since the connection was opened
+	readAtLastSend int64 // value of stream.bytesRead when the last message was sent
 
 	closeOnce        sync.Once
-	onClose          func()      // nil where nobody wants to know of the close
-	peerProcessEnded atomic.Bool // the process at the other end is known to have ended: the connection is stale
+	onClose          func()      // called after the close, may be nil
+	peerProcessEnded atomic.Bool // the peer's process is known to have ended, so the connection is stale
 
 	deadlineMu  sync.Mutex
-	interrupted bool // under deadlineMu
+	interrupted bool // guarded by deadlineMu
 
-	// Of a client's connection.
+	// Fields of client connections.
 	acceptsInterim bool   // the client understands interim (1xx) responses
-	stopCloseWatch func() // ends WatchForClose
+	stopCloseWatch func() // stops the watch started by WatchForClose
 
-	idleSince time.Time // of an idle connection in a Pool
+	idleSince time.Time // time at which the connection became idle in a Pool
 
 	testHooks connTestHooks
 }
 
 // connTestHooks are functions that tests set to force an order of events.
 type connTestHooks struct {
-	beforeLastByte func() // runs before SendOnReused checks the connection and sends a message's last byte
+	beforeLastByte func() // runs before SendOnReused checks the connection and sends the last byte of a message
 }
 
-// newConn returns a connection that the caller owns. onClose may be nil.
+// newConn returns a connection that is owned by the caller. onClose may be nil.
 func newConn(nc net.Conn, role PeerRole, addr string, log zerolog.Logger, onClose func()) *Conn {
 	return &Conn{
 		nc:       nc,
@@ -79,7 +79,7 @@
 	}
 }
 
-// Dial opens a connection that belongs to no pool.
+// Dial opens a connection outside of any pool. The connection is owned by the caller.
 func Dial(ctx context.Context, addr string, role PeerRole, log zerolog.Logger) (*Conn, error) {
 	nc, err := dialTCP(ctx, addr)
 	if err != nil {
@@ -88,7 +88,7 @@
 	return newConn(nc, role, addr, log, nil), nil
 }
 
-// dialTCP opens a TCP connection until ctx ends.
+// dialTCP opens a TCP connection. It fails if ctx ends before the connection is established.
 func dialTCP(ctx context.Context, addr string) (net.Conn, error) {
 	var dialer net.Dialer
 	nc, err := dialer.DialContext(ctx, "tcp", addr)
@@ -98,8 +98,8 @@
 	return nc, nil
 }
 
-// CloseFor closes the connection and writes its log line. Only the first call has an effect. Where the peer's process
-// is known to have ended, Stale is logged instead of reason.
+// CloseFor closes the connection and logs the close with reason and cause, which may be nil. Only the first call has an
+// effect. If the peer's process is known to have ended, Stale is logged instead of reason.
 func (c *Conn) CloseFor(reason CloseReason, cause error) {
 	c.closeOnce.Do(func() {
 		c.nc.Close()
@@ -119,11 +119,11 @@
 	})
 }
 
-// Addr returns the peer's address.
+// Addr returns the address of the peer.
 func (c *Conn) Addr() string { return c.addr }
 
-// Reused reports whether a message has been sent on the connection before.
+// Reused reports whether at least one message has been sent on the connection.
 func (c *Conn) Reused() bool { return c.messagesSent > 0 }
 
-// NothingReceived reports whether nothing has been read since the last message was sent.
+// NothingReceived reports whether no data has been read since the last message was sent.
 func (c *Conn) NothingReceived() bool { return c.stream.bytesRead.Load() == c.readAtLastSend }
--- a/internal/transport/conn_test.go
+++ b/internal/transport/conn_test.go
@@ -35,29 +35,29 @@
 	assert.True(t, errors.Is(err, errors.ErrUnsupported))
 }
 
-// A close that resets the connection drops small writes that the kernel still holds back.
+// Without TCP_NODELAY, a close that resets the connection can drop small writes that the kernel has delayed.
 func TestNoDelayIsSetOnAllConnections(t *testing.T) {
 	server, handler, _, _ := startGatedServer(t)
 	client, _ := connect(t, server)
 	io.WriteString(client, gatedRequest)
-	assert.True(t, noDelay(t, peertest.Receive(t, handler.requested)), "a client's")
+	assert.True(t, noDelay(t, peertest.Receive(t, handler.requested)), "client connection")
 	handler.release <- &protocol.Response{Status: 200}
 	addr, _ := startWorker(t)
 	pool := NewPool(2, time.Minute, zerolog.Nop())
 	toWorker := mustGet(t, pool, addr)
-	assert.True(t, noDelay(t, toWorker), "a worker's")
+	assert.True(t, noDelay(t, toWorker), "worker connection")
 	toDiscovery, err := Dial(context.Background(), addr, Discovery, zerolog.Nop())
 	assert.NoError(t, err)
-	assert.True(t, noDelay(t, toDiscovery), "the discovery service's")
+	assert.True(t, noDelay(t, toDiscovery), "discovery connection")
 	file, err := toWorker.nc.(*net.TCPConn).File()
 	assert.NoError(t, err)
 	defer file.Close()
 	migrated, err := net.FileConn(file)
 	assert.NoError(t, err)
-	assert.True(t, noDelay(t, pool.Import(migrated, addr, nil)), "a migrated one")
+	assert.True(t, noDelay(t, pool.Import(migrated, addr, nil)), "migrated connection")
 }
 
-// noDelay returns whether small writes are sent at once, rather than held back behind others.
+// noDelay reports whether TCP_NODELAY is set on a connection.
 func noDelay(t *testing.T, conn *Conn) bool {
 	t.Helper()
 	value := 0
--- a/internal/transport/datagrams.go
+++ b/internal/transport/datagrams.go
@@ -13,25 +13,26 @@
 	"canvasroute/internal/settings"
 )
 
-// Errors of Datagrams.Send beside those of the socket.
+// Errors returned by Datagrams.Send, in addition to those of the socket.
 var (
 	ErrDatagramTooLong = errors.New("datagram too long")
 	ErrSocketYielded   = errors.New("socket yielded to another process")
 )
 
-// Datagrams is the UDP socket between dispatchers. During a hot restart two processes have it, of which one at a time
-// uses it. It is safe for use by several goroutines.
+// Datagrams is the UDP socket for messages between dispatchers. During a hot restart two processes share the socket,
+// and only one of them uses it at any time. It is safe for concurrent use.
 type Datagrams struct {
 	conn *net.UDPConn
 
 	mu     sync.Mutex
-	resume chan struct{} // closed when another process gives the socket back; nil while this one uses it
+	resume chan struct{} // closed by Reclaim; nil while this process uses the socket
 }
 
-// Socket returns the socket in a form that can be passed to another process.
+// Socket returns the underlying socket, which can be passed to another process.
 func (d *Datagrams) Socket() syscall.Conn { return d.conn }
 
-// Yield leaves the socket to another process. Until Reclaim nothing is received or sent here.
+// Yield lets another process use the socket. Until Reclaim is called, this process neither receives nor sends
+// datagrams.
 func (d *Datagrams) Yield() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -41,7 +42,7 @@
 	}
 }
 
-// Reclaim takes the socket back from the other process.
+// Reclaim resumes the use of the socket by this process.
 func (d *Datagrams) Reclaim() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -52,15 +53,15 @@
 	}
 }
 
-// resumed returns a channel that is closed when the socket is taken back, nil while it isn't yielded.
+// resumed returns a channel that is closed when the socket is reclaimed. It returns nil if the socket is not yielded.
 func (d *Datagrams) resumed() <-chan struct{} {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.resume
 }
 
-// Send sends one datagram of at most settings.MaxMessageBytes. The error is ErrDatagramTooLong, ErrSocketYielded or one
-// of the socket.
+// Send sends one datagram of at most settings.MaxMessageBytes. It returns ErrDatagramTooLong, ErrSocketYielded or an
+// error of the socket.
 func (d *Datagrams) Send(to netip.AddrPort, payload []byte) error {
 	if len(payload) > settings.MaxMessageBytes {
 		return ErrDatagramTooLong
@@ -74,9 +75,10 @@
 	return nil
 }
 
-// Run passes received datagrams to receive until ctx ends, and closes the socket then. payload is valid during the call
-// only. One of more than settings.MaxMessageBytes has exactly one byte more. Errors of a read are skipped, as most mean
-// that a peer's machine refused an earlier datagram. The error is always nil.
+// Run passes received datagrams to receive until ctx ends, and then closes the socket. payload is valid only during the
+// call of receive. Datagrams longer than settings.MaxMessageBytes are truncated to settings.MaxMessageBytes+1 bytes.
+// Read errors are ignored, because most of them report that a peer's host refused an earlier datagram. Run always
+// returns nil.
 func (d *Datagrams) Run(ctx context.Context, receive func(from netip.AddrPort, payload []byte)) error {
 	stop := context.AfterFunc(ctx, func() { d.conn.Close() })
 	defer stop()
--- a/internal/transport/deadline_test.go
+++ b/internal/transport/deadline_test.go
@@ -8,7 +8,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// A deadline may have passed before it is set, as what came before took longer than the whole timeout.
+// The timeout may be used up by preceding steps before the deadline is set. SetReadTimeout then gets a negative
+// duration.
 func TestNegativeTimeoutIsADeadlineThatHasPassed(t *testing.T) {
 	conn, _, _ := connPair(t)
 	conn.SetReadTimeout(-time.Second)
@@ -34,8 +35,8 @@
 	conn.StartRecording()
 	assert.NoError(t, conn.Rewind())
 	_, err = conn.ReadResponseHead()
-	assert.Equal(t, TooSlow, CloseReasonOf(err), "a rewind doesn't undo it either")
+	assert.Equal(t, TooSlow, CloseReasonOf(err), "a rewind does not undo the interrupt")
 	conn.CloseFor(AttemptCanceled, nil)
 	got, _ := io.ReadAll(peer)
-	assert.Empty(t, got, "nothing was sent after it")
+	assert.Empty(t, got, "no data is sent after the interrupt")
 }
--- a/internal/transport/doc.go
+++ b/internal/transport/doc.go
@@ -1,29 +1,31 @@
-// Package transport moves bytes between the dispatcher and its clients, its workers, the discovery service and other
-// dispatchers. It knows messages by their framing alone, which package protocol parses. It doesn't interpret requests,
-// choose workers or retry: a Handler and package proxy do that.
+// Package transport implements the network connections between the dispatcher and its clients, its workers, the
+// discovery service and other dispatchers. It handles only the framing of messages, which package protocol parses.
+// Handler and package proxy interpret requests, select workers and retry.
 //
-// # Who owns a connection
+// # Ownership of connections
 //
-// One goroutine at a time owns a Conn, that is reads, writes and closes it. Others may only interrupt it or set its read
-// deadline, by Interrupt, Interrupted, SetReadTimeout and StopReading. The owner's read then fails, and the owner closes
-// the connection with the reason that it finds.
+// At any time, one goroutine owns a Conn: only the owner may read, write and close it. Other goroutines may only call
+// Interrupt, Interrupted, SetReadTimeout and StopReading. If the owner's read fails as a result, the owner closes the
+// connection with the appropriate CloseReason.
 //
-//   - A client's connection is owned by the goroutine that Server starts for it, from accept to close. While a request
-//     is being served, the goroutine of WatchForClose reads it instead; stopping the watch gives it back.
-//   - A worker's connection is owned by the caller of Pool.Get or Pool.Import until it calls Put or CloseFor. An idle one
-//     is owned by the Pool.
-//   - A connection from Dial is owned by its caller.
+//   - A client connection is owned by the goroutine that Server starts for it, from accept to close. While a request is
+//     being served, the goroutine of WatchForClose reads from the connection; stopping the watch returns it to the
+//     owner.
+//   - A worker connection is owned by the caller of Pool.Get or Pool.Import until the caller calls Put or CloseFor.
+//     Idle worker connections are owned by the Pool.
+//   - A connection from Dial is owned by the caller of Dial.
 //
-// # Which limits hold
+// # Limits
 //
-//   - Server limits the client connections (SetLimit). A new one beyond the limit evicts the connection of the lowest
-//     rank, see clientLimiter. Where none may be evicted, it gets one response that says so.
-//   - A sixteenth of the limit is spare, for connections that are rejected or evicted. Beyond it the server does not
-//     accept, and clients wait in the listener's queue.
-//   - Where the process is out of descriptors even so, accept is retried after acceptRetryDelay.
-//   - Pool limits the connections to workers (SetLimit). Get closes the connection that is idle longest, and then waits
-//     in turn until its context ends, with ErrPoolExhausted.
-//   - byteBudget limits the bytes of request bodies in memory, over all client connections.
+//   - Server limits the number of client connections (SetLimit). A new connection beyond the limit evicts the
+//     connection with the lowest rank, see clientLimiter. If none can be evicted, the new connection gets one overload
+//     response.
+//   - Spare slots, a sixteenth of the limit, are reserved for connections that are being rejected or evicted. When
+//     these are used up too, the server stops accepting, and clients wait in the listener's queue.
+//   - If the process runs out of file descriptors nevertheless, accept is retried after acceptRetryDelay.
+//   - Pool limits the number of worker connections (SetLimit). At the limit, Get closes the connection that has been
+//     idle longest and waits in FIFO order for a slot. It returns ErrPoolExhausted if its context ends first.
+//   - byteBudget limits the total size of the request bodies in memory, over all client connections.
 //
-// timeouts.go has the timeouts, and close_reason.go the reasons for which connections are closed.
+// timeouts.go defines the timeouts, and close_reason.go the reasons for closing a connection.
 package transport
--- a/internal/transport/exchange.go
+++ b/internal/transport/exchange.go
@@ -9,16 +9,16 @@
 	"canvasroute/internal/protocol"
 )
 
-// errClientClosed is the cause of a request's context that ended because its client closed the connection.
+// errClientClosed is the cause with which the context of a request is canceled if the client closes the connection.
 var errClientClosed = errors.New("client closed the connection")
 
-// clientRequest is a request whose head was read.
+// clientRequest is a request whose head has been read.
 type clientRequest struct {
 	head protocol.Head
-	body protocol.Body // its framing; the body isn't read yet
+	body protocol.Body // framing of the body, which hasn't been read yet
 }
 
-// persistenceOf returns what happens to a connection after a response, which may be its last one.
+// persistenceOf returns the persistence to announce in a response. isLast means that the connection is closed after it.
 func persistenceOf(isLast bool) protocol.Persistence {
 	if isLast {
 		return protocol.CloseAfterResponse
@@ -26,8 +26,8 @@
 	return protocol.KeepAlive
 }
 
-// serveRequests serves one connection's requests until it is closed. A connection over the limit is closed after the
-// first.
+// serveRequests serves the requests on one connection until the connection is closed. A connection over the limit is
+// closed after the first request.
 func (s *Server) serveRequests(c *Conn, admission admissionResult) {
 	for {
 		reason, err := s.exchange(c, admission)
@@ -38,8 +38,8 @@
 	}
 }
 
-// exchange reads one request and responds to it. It returns why the connection must be closed then, or staysOpen, and the
-// error that led to it.
+// exchange reads one request and responds to it. It returns the reason for which the connection must be closed, with
+// the error that caused it, or staysOpen.
 func (s *Server) exchange(c *Conn, admission admissionResult) (CloseReason, error) {
 	head, err := c.ReadRequestHead(func() { s.clients.markReading(c) })
 	if err != nil {
@@ -62,8 +62,8 @@
 	return s.readBodyAndServe(c, request, admission)
 }
 
-// readBodyAndServe reads a request's body within the byte budget, and responds to the request. Its results are those of
-// exchange, as are those of the functions below.
+// readBodyAndServe reads the body of a request within the byte budget, and responds to the request. Its results, and
+// those of the functions below, are the results of exchange.
 func (s *Server) readBodyAndServe(c *Conn, request *clientRequest, admission admissionResult) (CloseReason, error) {
 	reserved := request.body.MaxRead()
 	if !s.bodyBudget.reserve(reserved) {
@@ -75,13 +75,13 @@
 		return s.handleReadError(c, err)
 	}
 	received := time.Now()
-	s.bodyBudget.release(reserved - int64(len(content))) // a chunked body could have been longer
+	s.bodyBudget.release(reserved - int64(len(content))) // the reservation for a chunked body is its maximum length
 	reserved = int64(len(content))
 	s.clients.markServing(c)
 	if admission == overLimit {
 		return s.respond(c, s.handler.OverBudget(&request.head), protocol.CloseAfterResponse)
 	}
-	if !c.Reused() && c.closedWhileQueued() { // only the first request waits in the listener's queue
+	if !c.Reused() && c.closedWhileQueued() { // only a first request can have waited in the listener's queue
 		return ClientLeft, errClientClosed
 	}
 	persistence := persistenceOf(request.head.CloseRequested())
@@ -90,8 +90,8 @@
 	})
 }
 
-// serveAndRespond sends the response that serve returns. While serve runs, it watches for the client closing the
-// connection, which ends serve's context.
+// serveAndRespond calls serve and sends the response that it returns. If the client closes the connection while serve
+// runs, the context of serve is canceled.
 func (s *Server) serveAndRespond(c *Conn, persistence protocol.Persistence,
 	serve func(context.Context) *protocol.Response,
 ) (CloseReason, error) {
@@ -112,9 +112,9 @@
 	return s.respond(c, response, persistence)
 }
 
-// reject sends the response to a request that isn't served. The body is read and dropped, so that the next request can
-// follow. A body can't be read where it is malformed, too large or held back until a 100 (Continue). The connection is
-// then closed (RFC 9110, 10.1.1; RFC 9112, 9.3).
+// reject sends response to a request that is not served. It reads and discards the body, so that the connection can be
+// used for the next request. If the body can't be read because it is malformed, too large or delayed by the client
+// until a 100 (Continue), the connection is closed (RFC 9110, 10.1.1; RFC 9112, 9.3).
 func (s *Server) reject(c *Conn, request *clientRequest, response *protocol.Response, persistence protocol.Persistence,
 ) (CloseReason, error) {
 	bodyUnread := request.head.ExpectsContinue()
@@ -135,11 +135,10 @@
 	return reason, err
 }
 
-// respond sends a response. It is the connection's last one by persistence, or in a phase of the process that closes
-// connections after a response.
+// respond sends a response. It then closes the connection if persistence or the lifecycle phase requires that.
 //
-// A stopping process keeps a connection open while pipelined requests are buffered (RFC 9112, 9.3.2). The client has sent
-// those already, and nobody else will respond to them.
+// A stopping process keeps a connection open while pipelined requests are buffered (RFC 9112, 9.3.2). The client has
+// sent these requests already, and no other process can respond to them.
 func (s *Server) respond(c *Conn, response *protocol.Response, persistence protocol.Persistence) (CloseReason, error) {
 	phase := s.lifecycle.PhaseAt(time.Now())
 	pipelined := phase.IsStopping() && c.readBuf.Len() > 0
@@ -151,7 +150,7 @@
 		return CloseReasonOf(err), err
 	}
 	if persistence == protocol.CloseAfterResponse {
-		if c.readable() { // the client has sent more: a reset for that could destroy the response
+		if c.readable() { // the client has sent more data: a reset caused by it could discard the response
 			c.halfCloseAndDrain(transitGrace)
 		}
 		return CloseRequested, nil
@@ -160,7 +159,7 @@
 	return staysOpen, nil
 }
 
-// handleReadError sends a response after an error of reading a request, where the client may still read one.
+// handleReadError handles an error of reading a request. It sends an error response if the client may still read it.
 func (s *Server) handleReadError(c *Conn, err error) (CloseReason, error) {
 	reason := CloseReasonOf(err)
 	switch reason {
@@ -174,21 +173,21 @@
 	return reason, err
 }
 
-// handleReadTimeout is handleReadError for a read deadline that has passed. It is the idle timeout, or that of a request
-// that has come in part. Or it was set to evict the connection or to stop the process.
+// handleReadTimeout is handleReadError for an expired read deadline. The deadline was the idle timeout or the timeout
+// of a partially received request, or it was set to evict the connection or to stop the process.
 func (s *Server) handleReadTimeout(c *Conn, err error) (CloseReason, error) {
 	evicted := s.clients.isEvicted(c)
 	partial := c.readBuf.Len() > 0 || s.clients.isReading(c)
 	switch {
 	case evicted && partial:
 		if _, sendErr := s.respond(c, s.handler.OverBudget(nil), protocol.CloseAfterResponse); sendErr == nil {
-			c.halfCloseAndDrain(transitGrace) // not longer: its slot is needed
+			c.halfCloseAndDrain(transitGrace) // no longer than this, because the slot is needed
 		}
 		return Evicted, nil
 	case partial:
 		s.respondMalformed(c, err)
 		return TooSlow, err
-	case c.hasUnreadData() && !c.Interrupted(): // a request came just as the deadline passed
+	case c.hasUnreadData() && !c.Interrupted(): // a request was received as the deadline passed
 		c.SetReadTimeout(finalRequestTimeout)
 		return staysOpen, nil
 	case evicted:
@@ -199,7 +198,8 @@
 	return IdleTimeout, nil
 }
 
-// respondMalformed sends the response to a request that could not be read, and closes the sending side.
+// respondMalformed sends the error response for a request that could not be read. It then half-closes the connection
+// and drains it.
 func (s *Server) respondMalformed(c *Conn, err error) {
 	if _, sendErr := s.respond(c, s.handler.MalformedRequest(err), protocol.CloseAfterResponse); sendErr == nil {
 		c.halfCloseAndDrain(lingerTimeout)
--- a/internal/transport/exchange_test.go
+++ b/internal/transport/exchange_test.go
@@ -59,7 +59,7 @@
 	assert.Equal(t, clientResponse{200, "ab", false}, response)
 }
 
-// A client that expects a 100 (Continue) doesn't send its body before: the server must not wait for it.
+// A client that expects a 100 (Continue) delays its body until then, so the server must not wait for the body.
 func TestServerRejectsWithoutWaitingForABodyHeldBack(t *testing.T) {
 	server, _, _ := startServer(t, 4)
 	client, reader := connect(t, server)
@@ -75,7 +75,7 @@
 	assert.ErrorIs(t, <-handler.canceled, errClientClosed)
 }
 
-// A client that half-closes its connection sends nothing more, and still waits for its response.
+// A client that has half-closed its connection sends no more data, but still waits for its response.
 func TestHalfClosedClientGetsItsResponse(t *testing.T) {
 	server, handler, _ := startServer(t, 4)
 	handler.delay = 100 * time.Millisecond
@@ -86,7 +86,7 @@
 	assert.Equal(t, []any{200, "ab"}, []any{response.status, response.body})
 }
 
-// It can't be probed by interim responses, so nothing distinguishes its half-close from a close.
+// Interim responses must not be sent to an HTTP/1.0 client, so a half-close can't be distinguished from a close.
 func TestHalfCloseByAnHTTP10ClientCancelsItsRequest(t *testing.T) {
 	server, handler, _ := startServer(t, 4)
 	client, _ := connect(t, server)
--- a/internal/transport/helpers_test.go
+++ b/internal/transport/helpers_test.go
@@ -17,16 +17,16 @@
 	"canvasroute/internal/protocol"
 )
 
-// testTimeout bounds a wait for something that comes soon unless the test fails.
+// testTimeout limits waits for events that occur soon unless the test fails.
 const testTimeout = 5 * time.Second
 
-// Requests to an echoHandler and a gatedHandler.
+// Requests for an echoHandler and a gatedHandler.
 const (
 	echoRequest  = "POST /api HTTP/1.1\r\nContent-Length: 2\r\n\r\nab"
 	gatedRequest = "POST /gate HTTP/1.1\r\nContent-Length: 2\r\n\r\nab"
 )
 
-// connPair makes a connection under test with its peer on loopback, and returns its log too.
+// connPair returns a loopback connection under test, the socket of its peer, and the log of the connection.
 func connPair(t *testing.T) (*Conn, *net.TCPConn, *bytes.Buffer) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -42,7 +42,7 @@
 	return conn, peer.(*net.TCPConn), log
 }
 
-// startWorker listens at an address until the test ends, and passes on the connections that it accepts.
+// startWorker listens at a loopback address until the test ends. The channel receives the accepted connections.
 func startWorker(t *testing.T) (addr string, accepted <-chan net.Conn) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -61,7 +61,7 @@
 	return ln.Addr().String(), conns
 }
 
-// mustGet gets any connection to an address.
+// mustGet gets a connection to an address with the requirement AnyConnection.
 func mustGet(t *testing.T, pool *Pool, addr string) *Conn {
 	t.Helper()
 	return mustGetFresh(t, pool, addr, AnyConnection)
@@ -76,11 +76,11 @@
 	return conn
 }
 
-// echoHandler responds with the request's body: at once, after a delay where the path is /later, and never where it is
-// /wait. It rejects the path /none.
+// echoHandler responds with the body of the request: for the path /later after a delay, for other paths immediately.
+// For the path /wait it blocks until the request is canceled. It rejects the path /none.
 type echoHandler struct {
-	canceled chan error    // receives why a request to /wait was canceled
-	delay    time.Duration // of requests to /later
+	canceled chan error    // receives the cancellation cause of each request to /wait
+	delay    time.Duration // delay of responses to /later
 }
 
 func newEchoHandler() *echoHandler { return &echoHandler{canceled: make(chan error, 1)} }
@@ -116,7 +116,7 @@
 	return protocol.RejectionOf(err)
 }
 
-// gatedHandler is an echoHandler that holds requests to /gate until the test sends their response.
+// gatedHandler is an echoHandler that blocks requests to /gate until the test sends their response to release.
 type gatedHandler struct {
 	echoHandler
 	requested chan *Conn // receives the connection of each request to /gate
@@ -143,12 +143,12 @@
 	return ln
 }
 
-// newTestServer makes a server that doesn't run yet: connections wait in its listener's queue.
+// newTestServer returns a server that is not running, so connections wait in the listener's queue.
 func newTestServer(ln *net.TCPListener, limit int, handler Handler) *Server {
 	return NewServer(ln, limit, 1<<20, handler, &lifecycle.State{}, zerolog.Nop())
 }
 
-// startServer runs a server with an echoHandler until the test ends or calls stop, which waits for the server's end.
+// startServer runs a server with an echoHandler until the test ends or calls stop, which waits until Run has returned.
 func startServer(t *testing.T, limit int) (server *Server, handler *echoHandler, stop func()) {
 	t.Helper()
 	handler = newEchoHandler()
@@ -161,14 +161,14 @@
 			assert.NoError(t, err)
 			ended <- nil
 		case <-time.After(testTimeout):
-			t.Error("the server does not stop")
+			t.Error("server did not stop in time")
 		}
 	}
 	t.Cleanup(stop)
 	return server, handler, stop
 }
 
-// startGatedServer runs a server with a gatedHandler until stop is called, and returns the channel of Run's error.
+// startGatedServer runs a server with a gatedHandler until stop is called. The channel ended receives the error of Run.
 func startGatedServer(t *testing.T) (server *Server, handler *gatedHandler, stop context.CancelFunc, ended <-chan error) {
 	t.Helper()
 	handler = newGatedHandler()
@@ -185,7 +185,7 @@
 	return cancel, ended
 }
 
-// runStopped runs a server whose context has ended already, until it returns.
+// runStopped calls Run with a canceled context and waits until it returns.
 func runStopped(t *testing.T, server *Server) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -193,7 +193,7 @@
 	assert.NoError(t, server.Run(ctx))
 }
 
-// connect opens a client's connection to a server.
+// connect opens a client connection to a server.
 func connect(t *testing.T, server *Server) (net.Conn, *bufio.Reader) {
 	t.Helper()
 	conn, err := net.Dial("tcp", server.ln.Addr().String())
@@ -203,11 +203,11 @@
 	return conn, bufio.NewReader(conn)
 }
 
-// clientResponse is a response as the standard library's client reads it.
+// clientResponse is a response as parsed by net/http.
 type clientResponse struct {
 	status int
 	body   string
-	closes bool // it announces the end of the connection
+	closes bool // the response has Connection: close
 }
 
 // roundTrip sends text, which may be empty, and reads the next response.
@@ -229,7 +229,7 @@
 	return clientResponse{response.StatusCode, string(body), response.Close}
 }
 
-// readFinalResponse is readResponse past interim responses.
+// readFinalResponse reads the next final response and skips interim ones.
 func readFinalResponse(t *testing.T, reader *bufio.Reader) clientResponse {
 	t.Helper()
 	for {
--- a/internal/transport/lingering_close.go
+++ b/internal/transport/lingering_close.go
@@ -6,13 +6,13 @@
 	"canvasroute/internal/protocol"
 )
 
-// maxDrainReads limits the reads of a drain, so that it takes no more than two of the largest bodies.
+// maxDrainReads limits the number of reads of a drain to the size of two bodies of maximum length.
 const maxDrainReads = 2 * protocol.MaxBodyBytes / readBufferBytes
 
 // halfCloseAndDrain is the first part of a lingering close (RFC 9112, 9.6). It closes the sending side, and then reads
-// and drops data until the client closes too, or timeout has passed.
+// and discards data until the client closes the connection, timeout expires or maxDrainReads is reached.
 //
-// A full close would reset the connection on data that comes later. The reset could destroy the response before the
+// A full close would reset the connection when more data is received. The reset could discard the response before the
 // client has read it.
 func (c *Conn) halfCloseAndDrain(timeout time.Duration) {
 	socket, ok := c.nc.(interface{ CloseWrite() error })
--- a/internal/transport/lingering_close_test.go
+++ b/internal/transport/lingering_close_test.go
@@ -13,7 +13,7 @@
 	"canvasroute/internal/protocol"
 )
 
-// lastRequest is a gatedRequest that announces the end of its connection.
+// lastRequest is a gatedRequest with the header Connection: close.
 var lastRequest = strings.Replace(gatedRequest, "\r\n", "\r\nConnection: close\r\n", 1)
 
 func TestResponseIsNotResetByABodyThatIsTooLarge(t *testing.T) {
@@ -44,11 +44,11 @@
 	body := bytes.Repeat([]byte("r"), 256<<10)
 	handler.release <- &protocol.Response{Status: 200, Body: body}
 	assert.Eventually(t, func() bool { return served.stream.bytesWritten.Load() > int64(len(body)) }, testTimeout,
-		time.Millisecond) // all of it is on its way, and the connection about to be closed
+		time.Millisecond) // the whole response was written, and the connection is about to be closed
 	assert.Len(t, readResponse(t, reader).body, len(body))
 }
 
-// What a client sends after the half-close is dropped: a request served then would get no response.
+// Data received after the half-close must be discarded, because a request served then could not get a response.
 func TestRequestAfterTheHalfCloseIsNotServed(t *testing.T) {
 	server, handler, _, _ := startGatedServer(t)
 	client, reader := connect(t, server)
@@ -60,7 +60,7 @@
 	handler.release <- &protocol.Response{Status: 200}
 	assert.Equal(t, clientResponse{200, "", true}, readResponse(t, reader))
 	_, err := reader.ReadByte()
-	assert.ErrorIs(t, err, io.EOF, "the half-close")
+	assert.ErrorIs(t, err, io.EOF, "the server half-closed the connection")
 	io.WriteString(client, gatedRequest[1:])
 	assert.Eventually(t, func() bool { return server.OpenConnections() == 0 }, testTimeout, time.Millisecond)
 	assert.Empty(t, handler.requested)
--- a/internal/transport/listen.go
+++ b/internal/transport/listen.go
@@ -12,16 +12,16 @@
 	"golang.org/x/sys/unix"
 )
 
-// ListenOptions say how a socket is opened where a second process of this dispatcher may serve at the same address.
+// ListenOptions configure how a socket is opened if two processes of this dispatcher may serve at the same address.
 type ListenOptions struct {
-	// Inherited is the predecessor's socket, which is used instead of a new one; nil without a predecessor. Both
-	// processes then accept from one queue, which outlives either.
+	// Inherited is the socket of the predecessor, which is used instead of a new one, or nil if there is none. Both
+	// processes then accept from the same queue, which exists until both have closed the socket.
 	Inherited *os.File
-	// ReusePort lets a second process listen at the same address, with a queue of its own.
+	// ReusePort allows a second process to listen at the same address with a separate queue.
 	ReusePort bool
 }
 
-// ListenClients listens for clients at a TCP address.
+// ListenClients listens for clients at a TCP address, or uses the inherited socket.
 func ListenClients(addr string, options ListenOptions) (*net.TCPListener, error) {
 	ln, err := openOrInherit(options, net.FileListener, func(c net.ListenConfig) (net.Listener, error) {
 		return c.Listen(context.Background(), "tcp", addr)
@@ -36,7 +36,7 @@
 	return tcp, nil
 }
 
-// ListenDatagrams opens the UDP socket between dispatchers, or uses the inherited one.
+// ListenDatagrams opens the UDP socket for messages between dispatchers, or uses the inherited socket.
 func ListenDatagrams(addr netip.AddrPort, options ListenOptions) (*Datagrams, error) {
 	pc, err := openOrInherit(options, net.FilePacketConn, func(c net.ListenConfig) (net.PacketConn, error) {
 		return c.ListenPacket(context.Background(), "udp", addr.String())
@@ -51,7 +51,7 @@
 	return &Datagrams{conn: udp}, nil
 }
 
-// openOrInherit returns a socket of the inherited file, which it closes, or opens a new one where there is none.
+// openOrInherit returns the socket of the inherited file, which it closes, or opens a new socket if there is none.
 func openOrInherit[T any](options ListenOptions, inherit func(*os.File) (T, error),
 	open func(net.ListenConfig) (T, error),
 ) (T, error) {
@@ -66,8 +66,8 @@
 	return open(config)
 }
 
-// shrinkBacklog limits the queue of a listener that is about to be closed to one connection. Connections that are queued
-// already stay. The kernel does not answer a client that finds the queue full; it tries again later.
+// shrinkBacklog limits the queue of a listener that is about to be closed to one connection. Connections already in the
+// queue remain there. While the queue is full, the kernel drops connection attempts silently, and clients retry them.
 func shrinkBacklog(ln syscall.Conn) error {
 	var listenErr error
 	inspectErr := withDescriptor(ln, func(fd int) { listenErr = unix.Listen(fd, 0) })
@@ -77,7 +77,7 @@
 	return nil
 }
 
-// setReusePort lets more than one socket of this user be bound to the address.
+// setReusePort allows several sockets of the same user to be bound to the address.
 func setReusePort(_, _ string, raw syscall.RawConn) error {
 	var optionErr error
 	controlErr := raw.Control(func(fd uintptr) {
--- a/internal/transport/listen_test.go
+++ b/internal/transport/listen_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// Clients that come beyond a shrunk backlog wait outside; they aren't reset.
+// Connection attempts beyond a shrunk backlog must time out rather than be reset, so that clients retry them.
 func TestShrunkBacklogQueuesOneMoreAtMost(t *testing.T) {
 	ln := listenLoopback(t)
 	defer ln.Close()
@@ -23,11 +23,11 @@
 		assert.NoError(t, dial())
 	}
 	assert.NoError(t, shrinkBacklog(ln))
-	assert.True(t, isTimeout(dial()), "no answer, rather than a refusal")
+	assert.True(t, isTimeout(dial()), "the attempt times out and is not refused")
 	ln.SetDeadline(time.Now().Add(testTimeout))
 	for range 3 {
 		conn, err := ln.Accept()
-		assert.NoError(t, err, "those that were queued are still there")
+		assert.NoError(t, err, "queued connections remain in the queue")
 		conn.Close()
 	}
 }
--- a/internal/transport/migration.go
+++ b/internal/transport/migration.go
@@ -9,7 +9,7 @@
 	"canvasroute/internal/protocol"
 )
 
-// Socket returns the connection in a form that can be passed to another process, nil where it isn't a socket.
+// Socket returns the underlying socket, which can be passed to another process, or nil if the connection has none.
 func (c *Conn) Socket() syscall.Conn {
 	socket, ok := c.nc.(syscall.Conn)
 	if !ok {
@@ -18,20 +18,21 @@
 	return socket
 }
 
-// clientConnKey is the key of the client's *Conn in the context of Handler.Serve.
+// clientConnKey is the context key under which Handler.Serve gets the *Conn of the client.
 type clientConnKey struct{}
 
-// ErrNoSocket reports a context that has no client's connection, or one that isn't a socket.
+// ErrNoSocket is returned by Detach if the context has no client connection, or if the connection is not a socket.
 var ErrNoSocket = errors.New("connection has no socket")
 
-// DetachedClient is a client's connection that is to be handed over.
+// DetachedClient is a client connection that is about to be migrated to another process.
 type DetachedClient struct {
 	Socket    syscall.Conn
-	Pipelined []byte // the data that came after the request
+	Pipelined []byte // data received after the request
 }
 
-// Detach prepares a client's connection to be handed over, and ends the watch for the client closing it. ctx is that of
-// Handler.Serve for the request on it, which must return protocol.Migrated then. The error is ErrNoSocket.
+// Detach prepares a client connection for migration to another process, and stops the watch for its close. ctx is the
+// context of the Handler.Serve call for the current request, which must then return protocol.Migrated. The only error
+// is ErrNoSocket.
 func Detach(ctx context.Context) (DetachedClient, error) {
 	c, ok := ctx.Value(clientConnKey{}).(*Conn)
 	if !ok || c.Socket() == nil {
@@ -41,16 +42,16 @@
 	return DetachedClient{Socket: c.Socket(), Pipelined: append([]byte(nil), c.readBuf.Bytes()...)}, nil
 }
 
-// MigratedClient is a client's connection that the predecessor detached while a request on it was being served.
+// MigratedClient is a client connection that the predecessor detached while a request on it was being served.
 type MigratedClient struct {
 	Conn           net.Conn
-	Pipelined      []byte // the data that came after the request; it is read next
-	CloseRequested bool   // the client announced this request as its last
-	AcceptsInterim bool   // the client understands interim responses
+	Pipelined      []byte // data received after the request, which is read next
+	CloseRequested bool   // the client announced this request as the last one
+	AcceptsInterim bool   // the client understands interim (1xx) responses
 }
 
-// Import continues with a client's connection of the predecessor, in a goroutine of its own. finish returns the response
-// to the request that is being served on it.
+// Import takes over a client connection from the predecessor and serves it in a new goroutine. finish returns the
+// response to the current request on the connection.
 func (s *Server) Import(client MigratedClient, finish func(context.Context) *protocol.Response) {
 	c := newConn(client.Conn, Client, client.Conn.RemoteAddr().String(), s.log, nil)
 	c.stream.replay = client.Pipelined
@@ -70,13 +71,14 @@
 	})
 }
 
-// Import continues with the predecessor's connection to a worker, which the caller then owns. received has been read on
-// it since the last message was sent. The connection takes a slot where one is free.
+// Import takes over a worker connection from the predecessor. The connection is owned by the caller. received is the
+// data that the predecessor has read on it since the last message was sent. The connection occupies a slot if one is
+// free.
 func (p *Pool) Import(nc net.Conn, addr string, received []byte) *Conn {
 	releaseSlot := p.releaseSlot
 	select {
 	case p.slots <- struct{}{}:
-	default: // the predecessor still has the slot, and is about to release it
+	default: // the predecessor still occupies the slot, and is about to release it
 		releaseSlot = func() {}
 	}
 	c := p.track(nc, addr, releaseSlot)
--- a/internal/transport/migration_test.go
+++ b/internal/transport/migration_test.go
@@ -18,7 +18,7 @@
 // detachingHandler detaches the connection of each request to /migrate.
 type detachingHandler struct {
 	echoHandler
-	detached chan []byte // receives the pipelined data of each
+	detached chan []byte // receives the pipelined data of each detached connection
 }
 
 func (d *detachingHandler) Serve(ctx context.Context, head *protocol.Head, body []byte, received time.Time,
@@ -90,7 +90,7 @@
 		assert.Equal(t, 1, pool.OpenConnections())
 	}
 	imported[1].CloseFor(Stopping, nil)
-	assert.Equal(t, 1, pool.OpenConnections(), "it had no slot")
+	assert.Equal(t, 1, pool.OpenConnections(), "the second import had no slot")
 	imported[0].CloseFor(Stopping, nil)
 	assert.Equal(t, 0, pool.OpenConnections())
 }
--- a/internal/transport/pool.go
+++ b/internal/transport/pool.go
@@ -11,53 +11,53 @@
 	"github.com/rs/zerolog"
 )
 
-// ErrPoolExhausted reports that no connection became free in time and none could be opened within the limit.
+// ErrPoolExhausted is returned by Get if its context ended before a connection or a slot became available.
 var ErrPoolExhausted = errors.New("connection pool exhausted")
 
-// errDialInvalidated reports a connection for whose address CloseIdle was called while it was being opened.
+// errDialInvalidated is returned by dial if CloseIdle was called for the address while the connection was being opened.
 var errDialInvalidated = errors.New("address invalidated while connecting")
 
-// Freshness is what an attempt requires of the connection on which it is sent.
+// Freshness is the requirement of an attempt for the connection on which it is sent.
 type Freshness uint8
 
 // The values of Freshness.
 const (
-	AnyConnection Freshness = iota // any idle connection or a new one
-	Settled                        // none that was used less than SettleTime ago
-	VerifiedOnly                   // as Settled, and only a new one while reused connections are suspect
+	AnyConnection Freshness = iota // any idle connection, or a new one
+	Settled                        // an idle connection last used at least SettleTime ago, or a new one
+	VerifiedOnly                   // like Settled, but always a new one while reused connections are suspect
 )
 
-// Pool has the connections to workers, idle or in use, and limits their number. It is safe for use by several goroutines.
+// Pool manages the idle and active connections to workers and limits their number. It is safe for concurrent use.
 type Pool struct {
 	log     zerolog.Logger
-	maxIdle time.Duration // for which a connection is kept idle
-	slots   chan struct{} // one element for each connection, and for each withheld slot
+	maxIdle time.Duration // maximum duration for which a connection is kept idle
+	slots   chan struct{} // one element for each connection and each withheld slot
 
 	mu           sync.Mutex
-	withheld     int // slots that SetLimit has taken away
+	withheld     int // number of slots disabled by SetLimit
 	closed       bool
-	idle         map[string][]*Conn // by address, the latest used last
-	inUse        map[*Conn]string   // the address of each
-	closeOnPut   map[*Conn]bool     // in use, and stale
+	idle         map[string][]*Conn // by address, most recently used last
+	inUse        map[*Conn]string   // address of each connection in use
+	closeOnPut   map[*Conn]bool     // stale connections in use
 	dialing      map[*pendingDial]bool
-	waiters      []*waiter // for a slot, first come first
-	suspectUntil time.Time // until then a worker may close a reused connection while a message is sent on it
+	waiters      []*waiter // goroutines waiting for a slot, in FIFO order
+	suspectUntil time.Time // until this time, workers may close reused connections while a message is being sent
 
 	testHooks poolTestHooks
 }
 
 // poolTestHooks are functions that tests set to force an order of events.
 type poolTestHooks struct {
-	afterDial func() // runs once a connection is open, before the pool has it
+	afterDial func() // runs after a connection was opened, before it is added to the pool
 }
 
 // pendingDial is a connection that is being opened.
 type pendingDial struct {
 	addr        string
-	invalidated bool // CloseIdle was called meanwhile: the connection may lead to another process at the address
+	invalidated bool // CloseIdle was called for addr: the connection may lead to a previous process at that address
 }
 
-// NewPool returns a pool of at most limit connections to workers that close an idle connection after workerIdleTimeout.
+// NewPool returns a pool of at most limit connections to workers that close idle connections after workerIdleTimeout.
 func NewPool(limit int, workerIdleTimeout time.Duration, log zerolog.Logger) *Pool {
 	return &Pool{
 		log:        log,
@@ -70,9 +70,9 @@
 	}
 }
 
-// Get returns an idle connection to an address that is fresh enough, or a new one. The caller then owns it, until it
-// calls Put or CloseFor. Where all slots are taken, Get waits for one until ctx ends. The error is then
-// ErrPoolExhausted; others are those of connecting.
+// Get returns an idle connection to an address that meets the requirement, or a new one. The caller owns the connection
+// until it calls Put or CloseFor. If all slots are in use, Get waits for one. It returns ErrPoolExhausted if ctx ends
+// during this wait, and otherwise errors of connecting.
 func (p *Pool) Get(ctx context.Context, addr string, need Freshness) (*Conn, error) {
 	for {
 		if need != VerifiedOnly || !p.reuseIsSuspect() {
@@ -91,8 +91,8 @@
 	}
 }
 
-// dial opens a connection in a slot that the caller has acquired. After an error the slot is free again. The error is
-// errDialInvalidated where CloseIdle was called for the address meanwhile.
+// dial opens a connection in a slot that the caller has acquired. It releases the slot after an error. It returns
+// errDialInvalidated if CloseIdle was called for the address meanwhile.
 func (p *Pool) dial(ctx context.Context, addr string) (*Conn, error) {
 	pending := &pendingDial{addr: addr}
 	p.mu.Lock()
@@ -116,17 +116,17 @@
 	return c, nil
 }
 
-// finishDial removes a dial; nothing changes it afterwards.
+// finishDial removes a pending dial. Its fields are not modified afterwards.
 func (p *Pool) finishDial(pending *pendingDial) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.dialing, pending)
 }
 
-// releaseSlot gives back a connection's slot. The first goroutine that waits for one gets it.
+// releaseSlot frees a slot. The goroutine that has waited longest for one gets it.
 func (p *Pool) releaseSlot() { <-p.slots }
 
-// track adds an open connection, which is in use. releaseSlot is called when it is closed.
+// track adds an open connection to those in use. releaseSlot is called when the connection is closed.
 func (p *Pool) track(nc net.Conn, addr string, releaseSlot func()) (c *Conn) {
 	c = newConn(nc, Worker, addr, p.log, func() {
 		releaseSlot()
@@ -141,8 +141,9 @@
 	return c
 }
 
-// Put gives back a connection on which a response was read completely. The first waiter that it satisfies gets it. Where
-// it satisfies none of them, it is closed for its slot. Without waiters it stays idle.
+// Put returns a connection on which a complete response was read to the pool. The first waiter that the connection
+// satisfies gets it. If there are waiters but the connection satisfies none of them, it is closed to free its slot. If
+// there are no waiters, it becomes idle.
 func (p *Pool) Put(c *Conn) {
 	c.clearDeadlines()
 	p.mu.Lock()
@@ -164,8 +165,8 @@
 	}
 }
 
-// reasonToClose returns why a connection that is put back can't be used again, staysOpen if it can. It is called under
-// the lock.
+// reasonToClose returns the reason for which a returned connection can't be reused, or staysOpen if it can. The caller
+// must hold the lock.
 func (p *Pool) reasonToClose(c *Conn) CloseReason {
 	switch {
 	case p.closeOnPut[c]:
@@ -182,8 +183,9 @@
 	return staysOpen
 }
 
-// SetLimit changes how many connections there may be, up to the limit of NewPool. Connections in use stay. A lower limit
-// may therefore be reached only in part; the caller sets it again as connections are closed.
+// SetLimit changes the maximum number of connections, up to the limit given to NewPool. Connections in use are not
+// closed, so a lower limit may be reached only partially; the caller must set it again when connections have been
+// closed.
 func (p *Pool) SetLimit(limit int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -202,15 +204,15 @@
 	}
 }
 
-// OpenConnections returns the number of connections, with those that are being opened.
+// OpenConnections returns the number of connections, including those that are being opened.
 func (p *Pool) OpenConnections() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return len(p.slots) - p.withheld
 }
 
-// Run closes idle connections that have expired, until ctx ends. Then it closes all idle ones; Put closes those in use.
-// The error is always nil.
+// Run periodically closes expired idle connections until ctx ends. It then closes all idle connections; those in use
+// are closed by Put. Run always returns nil.
 func (p *Pool) Run(ctx context.Context) error {
 	ticker := time.NewTicker(max(p.maxIdle/expiryChecksPerIdle, minExpiryInterval))
 	defer ticker.Stop()
@@ -229,7 +231,7 @@
 	}
 }
 
-// closeForGood marks the pool closed and removes all idle connections.
+// closeForGood marks the pool as closed and removes all idle connections, which it returns.
 func (p *Pool) closeForGood() []*Conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/transport/pool_idle.go
+++ b/internal/transport/pool_idle.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// takeReusable returns the latest used idle connection to an address that is fresh enough, nil if there is none. It
-// closes those that the worker has closed or that have expired.
+// takeReusable returns the most recently used idle connection to an address that meets the requirement, or nil if there
+// is none. It closes connections that the worker has closed or that have expired.
 func (p *Pool) takeReusable(addr string, need Freshness) *Conn {
 	for {
 		c := p.takeLatestIdle(addr, need)
@@ -14,7 +14,8 @@
 	}
 }
 
-// takeLatestIdle takes out the latest used idle connection to an address that is fresh enough, nil if there is none.
+// takeLatestIdle removes and returns the most recently used idle connection to an address that meets the requirement,
+// or nil.
 func (p *Pool) takeLatestIdle(addr string, need Freshness) *Conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -31,7 +32,8 @@
 	return c
 }
 
-// removeOldestIdle takes out the connection that is idle longest, nil if there is none. It is called under the lock.
+// removeOldestIdle removes and returns the connection that has been idle longest, or nil. The caller must hold the
+// lock.
 func (p *Pool) removeOldestIdle() (oldest *Conn) {
 	for _, conns := range p.idle {
 		if oldest == nil || conns[0].idleSince.Before(oldest.idleSince) {
@@ -44,7 +46,7 @@
 	return oldest
 }
 
-// removeIdle takes out the n-th idle connection to an address. It is called under the lock.
+// removeIdle removes and returns the idle connection to an address with index n. The caller must hold the lock.
 func (p *Pool) removeIdle(addr string, n int) *Conn {
 	conns := p.idle[addr]
 	c := conns[n]
@@ -57,14 +59,15 @@
 	return c
 }
 
-// removeExpired takes out the connections that have been idle for too long, or that the worker closed.
+// removeExpired removes and returns the connections that have expired or that the worker has closed.
 func (p *Pool) removeExpired() []*Conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.removeIdleWhere(func(c *Conn) bool { return time.Since(c.idleSince) >= p.maxIdle || c.readable() })
 }
 
-// removeIdleWhere takes out all idle connections for which remove returns true. It is called under the lock.
+// removeIdleWhere removes and returns all idle connections for which remove returns true. The caller must hold the
+// lock.
 func (p *Pool) removeIdleWhere(remove func(*Conn) bool) (removed []*Conn) {
 	for addr, conns := range p.idle {
 		for n := len(conns) - 1; n >= 0; n-- {
@@ -76,8 +79,8 @@
 	return removed
 }
 
-// closeIdleConn closes an idle connection that was taken out. One that its worker closed before it expired makes reused
-// connections suspect.
+// closeIdleConn closes a connection that was removed from the idle ones. If the worker closed it before it expired,
+// reused connections become suspect.
 func (p *Pool) closeIdleConn(c *Conn) {
 	if !c.readable() {
 		c.CloseFor(IdleTimeout, nil)
--- a/internal/transport/pool_slots.go
+++ b/internal/transport/pool_slots.go
@@ -5,18 +5,19 @@
 	"slices"
 )
 
-// waiter is a goroutine that waits for a slot, or for a connection that is put back.
+// waiter is a goroutine that waits for a slot or for a connection to be put back.
 type waiter struct {
 	addr    string
 	need    Freshness
-	granted chan *Conn // of capacity 1, so that Put does not block
+	granted chan *Conn // has capacity 1, so that Put does not block
 }
 
-// satisfies reports whether a waiter may get a connection that has just been put back.
+// satisfies reports whether a connection that was just put back may be granted to a waiter.
 func (c *Conn) satisfies(w *waiter) bool { return w.need == AnyConnection && w.addr == c.addr }
 
-// acquireSlot takes a slot and returns nil. Where none is free it closes the connection that is idle longest, and waits.
-// It returns a connection instead if one is put back meanwhile that satisfies the need. The error is ErrPoolExhausted.
+// acquireSlot acquires a slot and returns nil. If no slot is free, it closes the connection that has been idle longest
+// and waits. If a suitable connection is put back meanwhile, acquireSlot returns this connection instead of acquiring a
+// slot. The only error is ErrPoolExhausted.
 func (p *Pool) acquireSlot(ctx context.Context, addr string, need Freshness) (*Conn, error) {
 	for {
 		select {
@@ -32,13 +33,13 @@
 	}
 }
 
-// waitForSlot waits for the first of three events. It returns nil once it has a slot, a connection that was put back, or
-// ErrPoolExhausted at the end of ctx.
+// waitForSlot waits until a slot is acquired, a connection is granted by Put or ctx ends. It returns nil, the
+// connection or ErrPoolExhausted, respectively.
 func (p *Pool) waitForSlot(ctx context.Context, addr string, need Freshness) (*Conn, error) {
 	w := &waiter{addr: addr, need: need, granted: make(chan *Conn, 1)}
 	p.mu.Lock()
 	oldest := p.removeOldestIdle()
-	p.waiters = append(p.waiters, w) // under the same lock: a connection that is put back from now on finds the waiter
+	p.waiters = append(p.waiters, w) // under the same lock, so that a later Put finds the waiter
 	p.mu.Unlock()
 	if oldest != nil {
 		oldest.CloseFor(Evicted, nil)
@@ -55,7 +56,7 @@
 	}
 }
 
-// cancelWait removes a waiter. A connection that was granted to it just now is put back.
+// cancelWait removes a waiter. If a connection was granted to it concurrently, cancelWait puts the connection back.
 func (p *Pool) cancelWait(w *waiter) {
 	p.mu.Lock()
 	p.waiters = slices.DeleteFunc(p.waiters, func(other *waiter) bool { return other == w })
--- a/internal/transport/pool_slots_test.go
+++ b/internal/transport/pool_slots_test.go
@@ -12,7 +12,7 @@
 	"canvasroute/internal/peertest"
 )
 
-// hasWaiter reports whether somebody waits for a slot.
+// hasWaiter reports whether a goroutine is waiting for a slot.
 func (p *Pool) hasWaiter() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -86,7 +86,8 @@
 	assert.NotSame(t, inUse, peertest.Receive(t, got))
 }
 
-// The client of an attempt closes its connection just as a worker's is granted to the attempt.
+// An attempt is canceled at the same time as a connection is granted to it. The connection must be returned to the
+// pool.
 func TestConnectionGrantedToACanceledWaiterIsNotLost(t *testing.T) {
 	addr, _ := startWorker(t)
 	pool := NewPool(1, time.Minute, zerolog.Nop())
--- a/internal/transport/pool_stale.go
+++ b/internal/transport/pool_stale.go
@@ -2,21 +2,21 @@
 
 import "time"
 
-// suspectReuse makes reused connections suspect from now on. It is called under the lock.
+// suspectReuse makes reused connections suspect, or extends the time for which they are. The caller must hold the lock.
 func (p *Pool) suspectReuse() {
 	p.suspectUntil = time.Now().Add(suspectFactor * idleDivisor * p.maxIdle)
 }
 
-// reuseIsSuspect reports whether a worker may close a reused connection just as a message is sent on it.
+// reuseIsSuspect reports whether workers may close reused connections while a message is being sent.
 func (p *Pool) reuseIsSuspect() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return time.Now().Before(p.suspectUntil)
 }
 
-// MarkSuspect records that the peer closed a reused connection to an address while a message was sent on it. It makes
-// reused connections to all addresses suspect, and closes the idle ones to this address. A new one will show whether the
-// worker still runs.
+// MarkSuspect records that the peer closed a reused connection to addr while a message was being sent. It makes reused
+// connections to all addresses suspect, and closes the idle connections to addr, so that the next attempt opens a new
+// connection, which shows whether the worker is still running.
 func (p *Pool) MarkSuspect(addr string) {
 	p.mu.Lock()
 	p.suspectReuse()
@@ -26,7 +26,8 @@
 	closeStale(conns)
 }
 
-// CloseIdle closes the idle connections to an address. Put closes those in use, and one that is being opened isn't used.
+// CloseIdle closes the idle connections to addr. Connections in use are closed by Put, and those being opened are
+// discarded.
 func (p *Pool) CloseIdle(addr string) {
 	p.mu.Lock()
 	conns := p.idle[addr]
@@ -43,16 +44,16 @@
 	closeStale(conns)
 }
 
-// closeStale closes connections that were taken out of the idle ones.
+// closeStale closes connections that were removed from the idle ones.
 func closeStale(conns []*Conn) {
 	for _, c := range conns {
 		c.CloseFor(Stale, nil)
 	}
 }
 
-// CloseOpenedBefore interrupts the connections in use to an address that were opened before a time, at which the process
-// there has ended. A machine that vanishes sends no reset: without the interrupt an attempt could wait on its connection
-// forever.
+// CloseOpenedBefore interrupts the connections in use to addr that were opened before the given time, because the
+// worker process at addr has ended. A host that fails sends no reset, so without the interrupt an attempt could wait on
+// its connection forever.
 func (p *Pool) CloseOpenedBefore(addr string, before time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/transport/pool_stale_test.go
+++ b/internal/transport/pool_stale_test.go
@@ -35,10 +35,10 @@
 	conn := mustGet(t, pool, addr)
 	assert.Contains(t, log.String(), "stale_retired")
 	first := peertest.Receive(t, accepted)
-	assert.NotEqual(t, first.RemoteAddr(), conn.nc.LocalAddr(), "it may lead to the worker's predecessor")
+	assert.NotEqual(t, first.RemoteAddr(), conn.nc.LocalAddr(), "it may lead to a previous worker process")
 	assert.Equal(t, 1, pool.OpenConnections())
 	pool.Put(conn)
-	assert.Same(t, conn, mustGet(t, pool, addr), "the next one is reused")
+	assert.Same(t, conn, mustGet(t, pool, addr), "the second connection is reused")
 	assert.Empty(t, pool.dialing)
 }
 
@@ -50,7 +50,7 @@
 	older.openedAt = time.Now().Add(-time.Minute)
 	pool.CloseOpenedBefore(addr, time.Now().Add(-time.Second))
 	_, err := older.ReadResponseHead()
-	assert.Equal(t, TooSlow, CloseReasonOf(err), "the read ends")
+	assert.Equal(t, TooSlow, CloseReasonOf(err), "the read is interrupted")
 	older.CloseFor(CloseReasonOf(err), err)
 	assert.Contains(t, log.String(), "stale_retired")
 	newer.SetReadTimeout(10 * time.Millisecond)
@@ -69,7 +69,7 @@
 	assert.NotSame(t, conn, mustGet(t, pool, addr))
 }
 
-// A worker may close a reused connection under a message that must not be sent twice.
+// A worker may close a reused connection while a message that must not be sent twice is being sent on it.
 func TestSuspectConnectionsAreNotReusedWhereVerifiedOnlyIsNeeded(t *testing.T) {
 	addr, _ := startWorker(t)
 	pool := NewPool(4, time.Minute, zerolog.Nop())
@@ -79,12 +79,12 @@
 	}
 	conn := mustGetFresh(t, pool, addr, VerifiedOnly)
 	putSettled(conn)
-	assert.Same(t, conn, mustGetFresh(t, pool, addr, VerifiedOnly), "nothing makes it suspect")
+	assert.Same(t, conn, mustGetFresh(t, pool, addr, VerifiedOnly), "reused connections are not suspect")
 	putSettled(conn)
 	pool.MarkSuspect("127.0.0.9:1")
 	assert.NotSame(t, conn, mustGetFresh(t, pool, addr, VerifiedOnly))
 	assert.Same(t, conn, mustGetFresh(t, pool, addr, Settled))
 	putSettled(conn)
 	pool.MarkSuspect(addr)
-	assert.NotSame(t, conn, mustGet(t, pool, addr), "the other idle connections to the address were closed")
+	assert.NotSame(t, conn, mustGet(t, pool, addr), "the idle connections to the address were closed")
 }
--- a/internal/transport/pool_test.go
+++ b/internal/transport/pool_test.go
@@ -20,7 +20,7 @@
 	assert.Same(t, conn, mustGet(t, pool, addr))
 }
 
-// A message that is sent on a closed connection may have been processed for all that the dispatcher knows.
+// If a message is sent on a closed connection, the dispatcher can't determine whether the worker has processed it.
 func TestPoolDoesNotReuseAConnectionThatTheWorkerClosed(t *testing.T) {
 	addr, accepted := startWorker(t)
 	var log bytes.Buffer
--- a/internal/transport/read.go
+++ b/internal/transport/read.go
@@ -7,10 +7,11 @@
 	"canvasroute/internal/protocol"
 )
 
-// ErrTruncated reports a connection that the peer closed within a message.
+// ErrTruncated is returned by reads if the peer closed the connection in the middle of a message.
 var ErrTruncated = errors.New("connection closed within a message")
 
-// fill reads once into the read buffer. End of stream is io.EOF, or ErrTruncated where part of a message is buffered.
+// fill reads once into the read buffer. At the end of the stream it returns io.EOF, or ErrTruncated if data is
+// buffered.
 func (c *Conn) fill() error {
 	_, err := c.readBuf.Fill(&c.stream)
 	if errors.Is(err, io.EOF) && c.readBuf.Len() > 0 {
@@ -19,15 +20,15 @@
 	return err
 }
 
-// ReadRequestHead reads the head of a client's request. onFirstByte, which may be nil, is called once there is a first
-// byte. The error is io.EOF before the first byte, ErrTruncated within the head, protocol.ErrMalformed,
-// protocol.ErrHeadTooLarge or one of the connection.
+// ReadRequestHead reads the head of a client's request. onFirstByte, which may be nil, is called when the first byte is
+// available. The error is io.EOF if the connection was closed before the first byte, ErrTruncated if it was closed
+// within the head, protocol.ErrMalformed, protocol.ErrHeadTooLarge or an error of the connection.
 func (c *Conn) ReadRequestHead(onFirstByte func()) (protocol.Head, error) {
 	return c.readHead(protocol.ParseRequestHead, onFirstByte)
 }
 
-// ReadResponseHead reads the head of a final response and skips interim ones (RFC 9110, 15.2). Its errors are those of
-// ReadRequestHead. After an error the head is that of the last response.
+// ReadResponseHead reads the head of a final response and skips interim responses (RFC 9110, 15.2). It returns the
+// errors of ReadRequestHead. After an error the head may be incomplete.
 func (c *Conn) ReadResponseHead() (head protocol.Head, err error) {
 	for protocol.IsInterim(head.Status) && err == nil {
 		head, err = c.readHead(protocol.ParseResponseHead, nil)
@@ -35,7 +36,7 @@
 	return head, err
 }
 
-// readHead reads until parse finds a complete head or an error.
+// readHead reads until parse returns a complete head or an error.
 func (c *Conn) readHead(parse func([]byte) (protocol.ParsedHead, error), onFirstByte func()) (protocol.Head, error) {
 	for {
 		if c.readBuf.Len() > 0 {
@@ -58,8 +59,8 @@
 	}
 }
 
-// ReadChunks passes a body to consume piece by piece, until it is complete or consume returns false. The error is
-// ErrTruncated for a connection that is closed before the body is complete, protocol.ErrMalformed or one of the
+// ReadChunks passes a body to consume in pieces, until the body is complete or consume returns false. The error is
+// ErrTruncated if the connection is closed before the body is complete, protocol.ErrMalformed or an error of the
 // connection.
 func (c *Conn) ReadChunks(body *protocol.Body, consume func([]byte) bool) error {
 	for !body.Done() {
@@ -89,8 +90,8 @@
 	return nil
 }
 
-// ReadBody reads a body of at most limit bytes. The error is protocol.ErrTooLarge for a longer one, or one of ReadChunks.
-// After the latter the content is what was read so far.
+// ReadBody reads a body of at most limit bytes. It returns protocol.ErrTooLarge for a longer body, or an error of
+// ReadChunks with the content read so far.
 func (c *Conn) ReadBody(body protocol.Body, limit int) ([]byte, error) {
 	content := make([]byte, 0, min(body.Length(), readBufferBytes)) // a client can announce more than it sends
 	err := c.readLimited(body, limit, func(data []byte) { content = append(content, data...) })
@@ -100,12 +101,12 @@
 	return content, err
 }
 
-// DiscardBody reads and drops a body of at most limit bytes. Its errors are those of ReadBody.
+// DiscardBody reads and discards a body of at most limit bytes. It returns the errors of ReadBody.
 func (c *Conn) DiscardBody(body protocol.Body, limit int) error {
 	return c.readLimited(body, limit, func([]byte) {})
 }
 
-// readLimited passes a body of at most limit bytes to consume piece by piece.
+// readLimited passes a body of at most limit bytes to consume in pieces.
 func (c *Conn) readLimited(body protocol.Body, limit int, consume func([]byte)) error {
 	if body.Length() > int64(limit) {
 		return protocol.ErrTooLarge
--- a/internal/transport/recording.go
+++ b/internal/transport/recording.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// maxRecordedBytes limits the recording of one connection.
+// maxRecordedBytes is the maximum size of the recording of one connection.
 const maxRecordedBytes = 1 << 20
 
-// ErrNotRecorded reports a connection that isn't recorded, or on which more than maxRecordedBytes was read.
-var ErrNotRecorded = errors.New("more data than can be recorded")
+// ErrNotRecorded reports that a connection isn't being recorded, or that more than maxRecordedBytes were read.
+var ErrNotRecorded = errors.New("no complete recording of the connection")
 
-// readRecorder keeps the bytes that are read on a connection, so that this process or its successor can read them again.
+// readRecorder records the data read on a connection, so that this process or its successor can read it again.
 type readRecorder struct {
 	data       []byte
-	overflowed bool // more than maxRecordedBytes was read; data was dropped
+	overflowed bool // more than maxRecordedBytes were read, and data was discarded
 }
 
-// record adds the bytes of one read.
+// record appends the data of one read.
 func (r *readRecorder) record(p []byte) {
 	if len(r.data)+len(p) > maxRecordedBytes {
 		r.overflowed = true
@@ -29,14 +29,14 @@
 	r.data = append(r.data, p...)
 }
 
-// StartRecording starts to record what is read.
+// StartRecording starts to record the data read on the connection.
 func (c *Conn) StartRecording() { c.stream.recording = &readRecorder{} }
 
-// StopRecording ends the recording and drops it.
+// StopRecording ends and discards the recording.
 func (c *Conn) StopRecording() { c.stream.recording = nil }
 
-// Recorded returns all that was read since StartRecording, and what is still to be replayed after it. The caller owns the
-// connection. The error is ErrNotRecorded.
+// Recorded returns the data read since StartRecording, followed by the data that has not been replayed yet. The caller
+// must own the connection. The only error is ErrNotRecorded.
 func (c *Conn) Recorded() ([]byte, error) {
 	recording := c.stream.recording
 	if recording == nil || recording.overflowed {
@@ -46,8 +46,8 @@
 	return append(data[:len(data):len(data)], c.stream.replay...), nil
 }
 
-// Rewind makes the next read start at the start of the recording again, and removes the read deadline. A new recording
-// begins. The error is ErrNotRecorded.
+// Rewind makes the next read start at the beginning of the recording, and removes the read deadline. It starts a new
+// recording. The only error is ErrNotRecorded.
 func (c *Conn) Rewind() error {
 	recorded, err := c.Recorded()
 	if err != nil {
@@ -60,5 +60,6 @@
 	return nil
 }
 
-// StopReading makes the read that is under way and all later ones fail with a timeout, until Rewind.
+// StopReading makes the current read and all later reads fail with a timeout, until Rewind is called or another read
+// deadline is set.
 func (c *Conn) StopReading() { c.setReadDeadline(pastDeadline) }
--- a/internal/transport/recording_test.go
+++ b/internal/transport/recording_test.go
@@ -27,7 +27,7 @@
 	assert.Equal(t, 200, head.Status)
 	recorded, err = conn.Recorded()
 	assert.NoError(t, err)
-	assert.Equal(t, text, string(recorded), "the recording starts anew")
+	assert.Equal(t, text, string(recorded), "the rewind starts a new recording")
 }
 
 func TestRecordingIncludesWhatIsStillToBeReplayed(t *testing.T) {
--- a/internal/transport/ring_test.go
+++ b/internal/transport/ring_test.go
@@ -12,7 +12,7 @@
 	ring := NewRing(8)
 	assert.Equal(t, 6, ring.Write([]byte("abcdef")))
 	ring.Discard(4)
-	assert.Equal(t, 6, ring.Write([]byte("ghijklmn")), "no more than fits")
+	assert.Equal(t, 6, ring.Write([]byte("ghijklmn")), "only the bytes that fit are written")
 	assert.True(t, ring.Full())
 	assert.Equal(t, "efghijkl", string(ring.Bytes()))
 	var out bytes.Buffer
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -13,23 +13,23 @@
 	"canvasroute/internal/protocol"
 )
 
-// Handler responds to clients' requests. Its methods are called by several goroutines at once.
+// Handler responds to requests of clients. Its methods are called concurrently.
 type Handler interface {
-	// Serve returns the response to a complete request, whose last byte was read at the time received. ctx ends when the
-	// client closes the connection; Serve then returns nil. protocol.Migrated says that another process sends the
-	// response.
+	// Serve returns the response to a complete request, whose last byte was read at the time received. If the client
+	// closes the connection, ctx is canceled and Serve returns nil. Serve returns protocol.Migrated if another process
+	// sends the response.
 	Serve(ctx context.Context, head *protocol.Head, body []byte, received time.Time) *protocol.Response
-	// AnswerByHead returns the response to a request that needs no body, or that is rejected by its head; nil to read
-	// the body.
+	// AnswerByHead returns the response to a request that is rejected by its head or whose body isn't needed. It
+	// returns nil if the body is to be read and the request served.
 	AnswerByHead(head *protocol.Head) *protocol.Response
-	// OverBudget returns the response on a connection that is over the limit or evicted, or to a request for whose body
-	// no memory is left. head is nil where none was read.
+	// OverBudget returns the response for a connection that is over the limit or evicted, and for a request whose body
+	// exceeds the byte budget. head is nil if no head was read.
 	OverBudget(head *protocol.Head) *protocol.Response
-	// MalformedRequest returns the response to a request that could not be read. err is the error of reading it.
+	// MalformedRequest returns the response to a request that could not be read because of err.
 	MalformedRequest(err error) *protocol.Response
 }
 
-// Server accepts client connections and serves the requests on each, one after the other.
+// Server accepts client connections and serves the requests on each connection sequentially.
 type Server struct {
 	ln             *net.TCPListener
 	handler        Handler
@@ -37,14 +37,14 @@
 	clients        *clientLimiter
 	bodyBudget     byteBudget
 	lifecycle      *lifecycle.State
-	conns          errgroup.Group // one goroutine for each connection
-	listenerShared bool           // another process may accept from the same queue
+	conns          errgroup.Group // one goroutine per connection
+	listenerShared bool           // another process may accept from the same listener queue
 }
 
-// NewServer returns a server of a listener, which Run closes. limit is the number of connections; for a moment there may
-// be a sixteenth more. bodyBytes limits the request bodies in memory at once, over all connections; it is at least
-// protocol.MaxBodyBytes. state says which responses are the last of their connections, and whether connections may be
-// idle.
+// NewServer returns a server for a listener, which Run closes. limit is the maximum number of connections, to which a
+// sixteenth is added for connections that are being rejected or closed. bodyBytes limits the total size of the request
+// bodies in memory; the minimum is protocol.MaxBodyBytes. The phase of state determines whether connections are
+// accepted, kept idle, and closed after a response.
 func NewServer(ln *net.TCPListener, limit int, bodyBytes int64, handler Handler, state *lifecycle.State,
 	log zerolog.Logger,
 ) *Server {
@@ -59,24 +59,24 @@
 	return s
 }
 
-// ShareListener says that the listener may be passed to another process. It must be called before Run.
+// ShareListener records that the listener may be passed to another process. It must be called before Run.
 func (s *Server) ShareListener() { s.listenerShared = true }
 
-// SetLimit changes how many connections there may be.
+// SetLimit changes the maximum number of connections.
 func (s *Server) SetLimit(limit int) { s.clients.setLimit(limit) }
 
-// OpenConnections returns the number of open connections.
+// OpenConnections returns the number of open connections, including those over the limit.
 func (s *Server) OpenConnections() int { return s.clients.open() }
 
-// CloseAllAfter closes the connections that are still open after a time, whatever their state. A client that doesn't read
-// its response, or sends request after request, then can't keep the process from stopping. stop cancels that.
+// CloseAllAfter closes all connections that are still open after a delay, regardless of their state. This ensures that
+// the process stops even if a client doesn't read its response, or pipelines requests continuously. stop cancels the
+// close.
 func (s *Server) CloseAllAfter(after time.Duration) (stop func() bool) {
 	return time.AfterFunc(after, s.clients.interruptAll).Stop
 }
 
-// Run accepts connections until ctx ends, and then those that are left in the listener's queue. It closes idle
-// connections and waits for the others, which are closed after the responses that they are owed. The error is always
-// nil.
+// Run accepts connections until ctx ends, and then the connections that remain in the listener's queue. It closes idle
+// connections and waits for the others, which are closed after their pending responses. Run always returns nil.
 func (s *Server) Run(ctx context.Context) error {
 	deadlineSet := make(chan struct{})
 	stop := context.AfterFunc(ctx, func() {
@@ -86,7 +86,7 @@
 	defer s.ln.Close()
 	s.acceptUntil(ctx)
 	if !stop() {
-		<-deadlineSet // a deadline that is set later would end acceptQueued
+		<-deadlineSet // if the deadline were set later, it would interrupt acceptQueued
 	}
 	phase := s.lifecycle.PhaseAt(time.Now())
 	s.lifecycle.BeginClosing(time.Now())
@@ -98,8 +98,8 @@
 	return s.conns.Wait()
 }
 
-// FollowLifecycle follows the phases of the process until ctx ends. It closes idle connections in a phase without them,
-// and stops accepting in a phase in which another process accepts. The error is always nil.
+// FollowLifecycle applies changes of the lifecycle phase until ctx ends. It closes idle connections if the phase
+// doesn't keep them, and stops accepting if another process accepts in this phase. It always returns nil.
 func (s *Server) FollowLifecycle(ctx context.Context) error {
 	for {
 		wait, changed := s.lifecycle.NextChange(time.Now())
@@ -123,7 +123,7 @@
 	}
 }
 
-// acceptUntil accepts connections in the phases that allow it, until ctx ends or the listener is closed.
+// acceptUntil accepts connections in the lifecycle phases that allow it, until ctx ends or the listener is closed.
 func (s *Server) acceptUntil(ctx context.Context) {
 	for ctx.Err() == nil {
 		s.clients.waitForCapacity(ctx)
@@ -137,18 +137,18 @@
 			if !s.waitUntilAccepting(ctx) {
 				return
 			}
-		default: // for want of descriptors, as a rule: some will come free
+		default: // usually a lack of file descriptors, which is temporary
 			s.log.Warn().Err(err).Msg("accept failed")
 			time.Sleep(acceptRetryDelay)
 		}
 	}
 }
 
-// acceptQueued accepts the connections that are left in the listener's queue as the process stops. Otherwise the kernel
-// would reset them with the listener: clients that came while the process was busy, or out of descriptors, would get no
-// response. It shrinks the queue first, so that most clients that come meanwhile stay out of it.
+// acceptQueued accepts the connections that remain in the listener's queue when the process stops. Otherwise the kernel
+// would reset them when the listener is closed, and clients that connected while the process was busy or out of file
+// descriptors would get no response. acceptQueued first shrinks the queue, so that it admits few new connections.
 func (s *Server) acceptQueued() {
-	if !s.listenerShared { // a successor that has just started would get a queue of one
+	if !s.listenerShared { // otherwise a successor that has just started would inherit a queue of one connection
 		if err := shrinkBacklog(s.ln); err != nil {
 			s.log.Warn().Err(err).Msg("listener backlog not shrunk")
 		}
@@ -161,20 +161,21 @@
 			s.start(nc)
 		case isTimeout(err), errors.Is(err, net.ErrClosed):
 			return
-		default: // out of descriptors
+		default: // out of file descriptors
 			time.Sleep(queuePollTimeout)
 		}
 	}
 }
 
-// waitUntilAccepting waits for a phase in which this process accepts connections, and reports whether there is one before
-// ctx ends.
+// waitUntilAccepting waits for a lifecycle phase in which this process accepts connections. It returns false if ctx
+// ends first.
 func (s *Server) waitUntilAccepting(ctx context.Context) bool {
 	for ctx.Err() == nil {
 		_, changed := s.lifecycle.NextChange(time.Now())
 		if s.lifecycle.PhaseAt(time.Now()).AcceptsConnections() {
 			s.ln.SetDeadline(time.Time{})
-			// FollowLifecycle or the end of ctx may have set the deadline that this has just removed.
+			// The deadline just removed may have been set by FollowLifecycle or the end of ctx, so both are checked
+			// again.
 			if s.lifecycle.PhaseAt(time.Now()).AcceptsConnections() && ctx.Err() == nil {
 				return true
 			}
@@ -188,7 +189,7 @@
 	return false
 }
 
-// start serves a new connection in a goroutine of its own, which owns it and for which Run waits.
+// start serves a new connection in a new goroutine, which owns the connection. Run waits for this goroutine.
 func (s *Server) start(nc net.Conn) {
 	c := newConn(nc, Client, nc.RemoteAddr().String(), s.log, nil)
 	admission := s.clients.acquire(c)
--- a/internal/transport/shutdown_test.go
+++ b/internal/transport/shutdown_test.go
@@ -15,7 +15,7 @@
 	"canvasroute/internal/protocol"
 )
 
-// serverWithSuccessor makes a server that doesn't run, and the listener of a successor that shares its queue.
+// serverWithSuccessor returns a server that is not running, and the listener of a successor that shares its queue.
 func serverWithSuccessor(t *testing.T) (server *Server, successor *net.TCPListener) {
 	t.Helper()
 	ln := listenLoopback(t)
@@ -27,7 +27,7 @@
 	return newTestServer(ln, 4, newEchoHandler()), successor
 }
 
-// Clients that wait in the listener's queue as the process stops would be reset with it.
+// Connections that are still in the listener's queue when the listener is closed would be reset.
 func TestQueuedConnectionsAreServedAtShutdown(t *testing.T) {
 	server := newTestServer(listenLoopback(t), 4, newEchoHandler())
 	var conns [3]net.Conn
@@ -59,7 +59,7 @@
 	conn.Close()
 }
 
-// The process is stopped while its successor has the listener already but doesn't serve yet.
+// The process is stopped after its successor has inherited the listener, but before the successor accepts connections.
 func TestSharedListenerKeepsItsBacklog(t *testing.T) {
 	server, successor := serverWithSuccessor(t)
 	server.ShareListener()
@@ -67,19 +67,19 @@
 	runStopped(t, server)
 	for range 4 {
 		conn, err := net.DialTimeout("tcp", successor.Addr().String(), testTimeout)
-		assert.NoError(t, err, "its queue holds more than one")
+		assert.NoError(t, err, "the queue holds more than one connection")
 		t.Cleanup(func() { conn.Close() })
 	}
 }
 
-// A process that was drained before it is stopped still is the only one that accepts from its queue.
+// Even if a process was drained before it is stopped, no other process accepts from its queue.
 func TestDrainedServerStillServesNewConnectionsAtShutdown(t *testing.T) {
 	server, _, _ := startServer(t, 4)
 	server.lifecycle.Drain(time.Now().Add(-lifecycle.DrainGrace))
 	server.lifecycle.Stop(time.Now())
 	applied, cancel := context.WithCancel(context.Background())
 	cancel()
-	assert.NoError(t, server.FollowLifecycle(applied)) // it applies the present phase before it looks at the context
+	assert.NoError(t, server.FollowLifecycle(applied)) // it applies the current phase before it checks the context
 	client, reader := connect(t, server)
 	assert.Equal(t, clientResponse{200, "ab", true}, roundTrip(t, client, reader, echoRequest))
 }
@@ -119,7 +119,7 @@
 	}
 }
 
-// The process is stopped while the first of two pipelined requests is served.
+// The process is stopped while the first of two pipelined requests is being served.
 func TestPipelinedRequestsAreServedAtShutdown(t *testing.T) {
 	server, handler, stop, ended := startGatedServer(t)
 	client, reader := connect(t, server)
--- a/internal/transport/socket_state.go
+++ b/internal/transport/socket_state.go
@@ -8,14 +8,14 @@
 	"golang.org/x/sys/unix"
 )
 
-// States of a TCP socket as TCP_INFO reports them.
+// States of a TCP socket, as reported by TCP_INFO.
 const (
 	tcpEstablished = unix.BPF_TCP_ESTABLISHED
 	tcpClosed      = unix.BPF_TCP_CLOSE
 	tcpCloseWait   = unix.BPF_TCP_CLOSE_WAIT // the peer has closed its sending side
 )
 
-// withDescriptor calls use with a socket's file descriptor.
+// withDescriptor calls use with the file descriptor of a socket.
 func withDescriptor(socket syscall.Conn, use func(fd int)) error {
 	raw, err := socket.SyscallConn()
 	if err != nil {
@@ -24,8 +24,8 @@
 	return raw.Control(func(fd uintptr) { use(int(fd)) })
 }
 
-// tcpState returns the state of a TCP socket, and the number of received bytes that were not read. A socket that can't be
-// inspected is tcpClosed. A number that can't be had is taken for more than maxUnreadBytes.
+// tcpState returns the state of a TCP socket and the number of received bytes that have not been read. The state is
+// tcpClosed if it can't be determined, and the number is maxUnreadBytes+1 if it can't be determined.
 func tcpState(socket syscall.Conn) (state uint8, unread int) {
 	state = tcpClosed
 	_ = withDescriptor(socket, func(fd int) {
@@ -41,8 +41,8 @@
 	return state, unread
 }
 
-// timeSinceLastData returns how long ago data was last received on a TCP socket, to the millisecond; 0 where that can't
-// be had.
+// timeSinceLastData returns the time since data was last received on a TCP socket, with millisecond resolution. It
+// returns 0 if that can't be determined.
 func timeSinceLastData(socket syscall.Conn) (age time.Duration) {
 	_ = withDescriptor(socket, func(fd int) {
 		if info, err := unix.GetsockoptTCPInfo(fd, unix.IPPROTO_TCP, unix.TCP_INFO); err == nil {
@@ -52,9 +52,9 @@
 	return age
 }
 
-// peekSocket returns what a read of one byte would return now, without blocking or consuming it. At the end of the stream
-// that is 0 and no error. The error is syscall.EAGAIN where nothing has come, and errors.ErrUnsupported for a connection
-// that isn't a socket.
+// peekSocket returns the results of a read of one byte without blocking or consuming data. At the end of the stream it
+// returns 0 and no error. The error is syscall.EAGAIN if no data is available, and errors.ErrUnsupported if the
+// connection isn't a socket.
 func (c *Conn) peekSocket() (n int, err error) {
 	socket, ok := c.nc.(syscall.Conn)
 	if !ok {
@@ -67,14 +67,14 @@
 	return n, errors.Join(err, inspectErr)
 }
 
-// readable reports whether a read would return at once: with data, the end of the stream or an error. An idle connection
-// that is readable can't be used again.
+// readable reports whether a read would return immediately with data, the end of the stream or an error. An idle
+// connection that is readable can't be reused.
 func (c *Conn) readable() bool {
 	_, err := c.peekSocket()
 	return c.readBuf.Len() > 0 || !errors.Is(err, syscall.EAGAIN)
 }
 
-// hasUnreadData reports whether the socket has received data that was not read.
+// hasUnreadData reports whether the socket has received data that has not been read.
 func (c *Conn) hasUnreadData() bool {
 	n, err := c.peekSocket()
 	return n > 0 && err == nil
--- a/internal/transport/timeouts_test.go
+++ b/internal/transport/timeouts_test.go
@@ -10,11 +10,11 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// timeoutTolerance in seconds is how far from its time a timeout may fire.
+// timeoutTolerance is the maximum deviation of a measured timeout, in seconds.
 const timeoutTolerance = 0.5
 
-// Clients that connect by hundreds, and send nothing or part of a request, are closed or rejected soon after they
-// connected.
+// If the timeout restarted with every byte, clients that open hundreds of connections and send nothing or partial
+// requests could occupy the connection slots.
 func TestFirstRequestTimeoutCountsFromConnecting(t *testing.T) {
 	server, _, _ := startServer(t, 4)
 	began := time.Now()
@@ -22,7 +22,7 @@
 	partial, partialReader := connect(t, server)
 	for range 3 {
 		io.WriteString(partial, "POST /a")
-		time.Sleep(firstRequestTimeout / 4) // more bytes don't extend the timeout
+		time.Sleep(firstRequestTimeout / 4) // more bytes must not extend the timeout
 	}
 	_, err := silentReader.ReadByte()
 	assert.ErrorIs(t, err, io.EOF)
@@ -30,7 +30,7 @@
 	assert.InDelta(t, firstRequestTimeout.Seconds(), time.Since(began).Seconds(), timeoutTolerance)
 }
 
-// A body is neither served before its last byte nor rejected though it came in time.
+// A request must not be served before the last byte of its body, and not be rejected if the body completes in time.
 func TestBodyThatCompletesBeforeTheTimeoutIsServed(t *testing.T) {
 	server, _, _ := startServer(t, 4)
 	inTime, inTimeReader := connect(t, server)
@@ -44,7 +44,7 @@
 	assert.Equal(t, clientResponse{408, "", true}, readResponse(t, neverReader))
 }
 
-// A client whose requests were all rejected doesn't hold its slot as long as others do.
+// A client whose requests were all rejected must not occupy its slot for the regular idle timeout.
 func TestConnectionWithoutAUsefulRequestHasAShortIdleTimeout(t *testing.T) {
 	server, _, _ := startServer(t, 8)
 	client, reader := connect(t, server)
--- a/internal/transport/write.go
+++ b/internal/transport/write.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// ErrUnsolicitedData reports a reused connection that the peer closed, or on which it sent something, before the message
-// on it was complete. The message's last byte wasn't sent, so that the peer can't have processed the message.
+// ErrUnsolicitedData is returned by SendOnReused if the peer closed the connection or sent data before the message was
+// complete. The last byte of the message wasn't sent, so the peer can't have processed the message.
 var ErrUnsolicitedData = errors.New("unsolicited data or close before the message was complete")
 
-// Send writes a message, which is given in one or more fragments. It fails if that takes longer than timeout.
+// Send sends a message that consists of one or more fragments. It fails if this takes longer than timeout.
 func (c *Conn) Send(timeout time.Duration, fragments ...[]byte) error {
 	c.setWriteDeadline(time.Now().Add(timeout))
 	for _, fragment := range fragments {
@@ -26,11 +26,12 @@
 	return nil
 }
 
-// SendOnReused is Send for a connection that has carried a message before. Before it sends the last byte, it checks that
-// the connection is still open and that nothing has come on it; otherwise the error is ErrUnsolicitedData.
+// SendOnReused is Send for a connection on which a message has been sent before. Before the last byte, it checks that
+// the connection is still open and that no data was received on it. Otherwise it returns ErrUnsolicitedData.
 //
-// A worker's late second response has no request ID, and would be taken for the response to this message. And had the
-// worker closed the connection after the last byte, nobody could say whether it has processed the message.
+// The check guards against a late second response of the worker, which has no request ID and would be taken for the
+// response to this message. It also guards against a close by the worker: if the last byte had been sent, it would be
+// unknown whether the worker has processed the message.
 func (c *Conn) SendOnReused(timeout time.Duration, message []byte) error {
 	c.setWriteDeadline(time.Now().Add(timeout))
 	last := len(message) - 1
@@ -49,7 +50,7 @@
 	return c.Send(timeout, message[last:])
 }
 
-// write buffers p, and flushes the buffer whenever it is full.
+// write appends p to the write buffer, and flushes the buffer whenever it is full.
 func (c *Conn) write(p []byte) error {
 	for len(p) > 0 {
 		n := c.writeBuf.Write(p)
@@ -64,7 +65,7 @@
 	return nil
 }
 
-// flush writes all that is buffered.
+// flush writes all buffered data to the connection.
 func (c *Conn) flush() error {
 	if err := c.writeBuf.Drain(&c.stream); err != nil {
 		return fmt.Errorf("sending: %w", err)
--- a/internal/transport/write_test.go
+++ b/internal/transport/write_test.go
@@ -20,7 +20,8 @@
 	assert.True(t, conn.NothingReceived())
 }
 
-// A second response to the message before, and a close, each come just before the last byte of the next message.
+// A late second response to the previous message, or a close, is received just before the last byte of a message is
+// sent.
 func TestDataBeforeAMessagesLastByteIsUnsolicited(t *testing.T) {
 	for _, tt := range []struct {
 		name string
@@ -46,7 +47,7 @@
 			assert.NoError(t, <-received)
 			conn.CloseFor(Malformed, nil)
 			rest, _ := io.ReadAll(peer)
-			assert.Empty(t, rest, "the message was never complete")
+			assert.Empty(t, rest, "the last byte of the message is not sent")
 		})
 	}
 }
