--- a/internal/transport/client_eviction.go
+++ b/internal/transport/client_eviction.go
@@ -51,8 +51,8 @@
 	}
 }
 
-// hasIdle reports whether an idle connection can be evicted. The caller must hold the lock.
-func (l *clientLimiter) hasIdle() bool {
+// hasEvictableIdle reports whether an idle connection can be evicted. The caller must hold the lock.
+func (l *clientLimiter) hasEvictableIdle() bool {
 	return l.evictable[rankUnusedIdle].Len()+l.evictable[rankUsefulIdle].Len() > 0
 }
 
@@ -66,7 +66,7 @@
 		}
 		c := queue.Front().Value.(*Conn)
 		slot := l.slots[c]
-		l.uncount(slot)
+		l.uncountSlot(slot)
 		slot.evicted = true
 		slot.removeFromQueue()
 		if slot.useful {
--- a/internal/transport/client_eviction_test.go
+++ b/internal/transport/client_eviction_test.go
@@ -53,7 +53,7 @@
 }
 
 // A flood of silent connections must neither evict a useful connection nor block a new client.
-func TestFloodOfSilentConnectionsKeepsNoClientOut(t *testing.T) {
+func TestFloodOfSilentConnectionsDoesNotBlockClients(t *testing.T) {
 	server, _, _ := startServer(t, 8)
 	useful, usefulReader := connect(t, server)
 	roundTrip(t, useful, usefulReader, echoRequest)
--- a/internal/transport/client_limits.go
+++ b/internal/transport/client_limits.go
@@ -29,7 +29,7 @@
 // clientSlot is the state of one client connection.
 type clientSlot struct {
 	state         clientState
-	since         time.Time // time of the last change of state
+	stateSince    time.Time // time of the last change of state
 	awaitingFirst bool      // no response has been sent yet
 	useful        bool      // a request was accepted: its response was not a client error
 	admission     admissionResult
@@ -108,13 +108,13 @@
 	defer l.mu.Unlock()
 	l.limit = limit
 	l.spare = spareSlots(limit)
-	for l.counted > l.limit && l.hasIdle() {
+	for l.counted > l.limit && l.hasEvictableIdle() {
 		l.evictOne()
 	}
 }
 
-// open returns the number of open connections, including those in spare slots.
-func (l *clientLimiter) open() int {
+// openCount returns the number of open connections, including those in spare slots.
+func (l *clientLimiter) openCount() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.slots)
@@ -129,9 +129,9 @@
 	if l.counted >= l.limit && !l.evictOne() {
 		admission = overLimit
 	}
-	slot := &clientSlot{since: time.Now(), awaitingFirst: true, admission: admission}
+	slot := &clientSlot{stateSince: time.Now(), awaitingFirst: true, admission: admission}
 	l.slots[c] = slot
-	l.count(slot)
+	l.countSlot(slot)
 	l.enqueue(c, slot)
 	c.SetReadTimeout(firstRequestTimeout)
 	if l.closesIdle() {
@@ -144,7 +144,7 @@
 func (l *clientLimiter) release(c *Conn) {
 	l.mu.Lock()
 	if slot := l.slots[c]; slot != nil {
-		l.uncount(slot)
+		l.uncountSlot(slot)
 		slot.removeFromQueue()
 	}
 	delete(l.slots, c)
@@ -155,16 +155,16 @@
 	}
 }
 
-// count increments counted if the slot counts toward the limit. It is called after a change of the slot. The caller
+// countSlot increments counted if the slot counts toward the limit. It is called after a change of the slot. The caller
 // must hold the lock.
-func (l *clientLimiter) count(slot *clientSlot) {
+func (l *clientLimiter) countSlot(slot *clientSlot) {
 	if slot.countsTowardLimit() {
 		l.counted++
 	}
 }
 
-// uncount reverts count. It is called before a change of the slot. The caller must hold the lock.
-func (l *clientLimiter) uncount(slot *clientSlot) {
+// uncountSlot reverts countSlot. It is called before a change of the slot. The caller must hold the lock.
+func (l *clientLimiter) uncountSlot(slot *clientSlot) {
 	if slot.countsTowardLimit() {
 		l.counted--
 	}
@@ -177,12 +177,12 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	slot := l.slots[c]
-	l.uncount(slot)
+	l.uncountSlot(slot)
 	slot.state = stateIdle
-	slot.since = time.Now()
+	slot.stateSince = time.Now()
 	slot.awaitingFirst = false
 	slot.evicted = false
-	l.count(slot)
+	l.countSlot(slot)
 	l.enqueue(c, slot)
 	switch {
 	case l.closesIdle():
@@ -223,7 +223,7 @@
 func (l *clientLimiter) setState(c *Conn, state clientState) *clientSlot {
 	slot := l.slots[c]
 	slot.state = state
-	slot.since = time.Now()
+	slot.stateSince = time.Now()
 	l.enqueue(c, slot)
 	return slot
 }
--- a/internal/transport/client_limits_test.go
+++ b/internal/transport/client_limits_test.go
@@ -74,7 +74,7 @@
 	for _, queue := range limiter.evictable {
 		queued -= queue.Len()
 		for e := queue.Front(); e != nil && e.Next() != nil; e = e.Next() {
-			assert.False(t, limiter.slots[e.Next().Value.(*Conn)].since.Before(limiter.slots[e.Value.(*Conn)].since))
+			assert.False(t, limiter.slots[e.Next().Value.(*Conn)].stateSince.Before(limiter.slots[e.Value.(*Conn)].stateSince))
 		}
 	}
 	assert.Zero(t, queued)
--- a/internal/transport/close_reason.go
+++ b/internal/transport/close_reason.go
@@ -12,8 +12,8 @@
 // documents for operators.
 type CloseReason string
 
-// staysOpen is the zero value: the connection is not closed.
-const staysOpen CloseReason = ""
+// keepOpen is the zero value: the connection is not closed.
+const keepOpen CloseReason = ""
 
 // The reasons derived from read and write errors, see CloseReasonOf.
 const (
--- a/internal/transport/close_watch.go
+++ b/internal/transport/close_watch.go
@@ -76,14 +76,14 @@
 	for poll := 0; ; poll++ {
 		state, unread := tcpState(socket)
 		halfClosed := state == tcpCloseWait
-		endMayBeHidden := halfClosed || unread > maxUnreadBytes
+		closeMayBeHidden := halfClosed || unread > maxUnreadBytes
 		probeDue := poll%pollsPerProbe == 0
 		switch {
 		case !halfClosed && state != tcpEstablished:
 			return cause
 		case halfClosed && !c.acceptsInterim: // without interim responses, it can't be probed
 			return cause
-		case probeDue && c.acceptsInterim && endMayBeHidden:
+		case probeDue && c.acceptsInterim && closeMayBeHidden:
 			c.setWriteDeadline(time.Now().Add(probeWriteTimeout))
 			if _, err := c.stream.Write([]byte(protocol.Continue)); err != nil {
 				return cause
@@ -100,11 +100,11 @@
 // closedWhileQueued reports whether a client closed its connection while the connection waited in the listener's queue.
 // The request of such a client must not be sent to a worker.
 //
-// A client whose request was received less than queuedAtLeast ago isn't probed: if it has closed the connection,
+// A client whose request was received less than queuedThreshold ago isn't probed: if it has closed the connection,
 // WatchForClose detects that in time.
 func (c *Conn) closedWhileQueued() bool {
 	socket, ok := c.nc.(syscall.Conn)
-	if !ok || timeSinceLastData(socket) < queuedAtLeast {
+	if !ok || timeSinceLastData(socket) < queuedThreshold {
 		return false
 	}
 	if state, _ := tcpState(socket); state == tcpEstablished {
--- a/internal/transport/close_watch_test.go
+++ b/internal/transport/close_watch_test.go
@@ -107,7 +107,7 @@
 }
 
 // A close must be detected in time regardless of its time between two probes and of the data sent before it.
-func TestCloseIsDetectedInTimeAtAnyMoment(t *testing.T) {
+func TestCloseIsDetectedInTimeAtAnyPointBetweenProbes(t *testing.T) {
 	for _, tt := range []struct {
 		name        string
 		beforeClose func(peer *net.TCPConn) error
@@ -124,14 +124,14 @@
 		}},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			const moments = 24
+			const steps = 24
 			late := 0
-			for moment := range moments {
+			for step := range steps {
 				conn, peer, _ := connPair(t)
 				conn.acceptsInterim = true
 				closed := watchClose(t, conn)
 				assert.NoError(t, tt.beforeClose(peer))
-				time.Sleep(time.Duration(moment) * pollsPerProbe * closePollInterval / moments)
+				time.Sleep(time.Duration(step) * pollsPerProbe * closePollInterval / steps)
 				peer.Close()
 				closedAt := time.Now()
 				assert.Error(t, peertest.Receive(t, closed))
@@ -155,7 +155,7 @@
 	io.WriteString(halfClosed, gatedRequest)
 	assert.NoError(t, halfClosed.(*net.TCPConn).CloseWrite())
 	assert.NoError(t, closed.Close())
-	time.Sleep(2 * queuedAtLeast)
+	time.Sleep(2 * queuedThreshold)
 	stop, ended := runServer(server)
 	peertest.Receive(t, handler.requested)
 	handler.release <- &protocol.Response{Status: 200}
--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -34,8 +34,8 @@
 type Conn struct {
 	nc             net.Conn
 	stream         byteStream
-	readBuf        *Ring
-	writeBuf       *Ring
+	readBuf        *RingBuffer
+	writeBuf       *RingBuffer
 	role           PeerRole
 	addr           string // address of the peer
 	log            zerolog.Logger
@@ -69,8 +69,8 @@
 	return &Conn{
 		nc:       nc,
 		stream:   byteStream{conn: nc},
-		readBuf:  NewRing(readBufferBytes),
-		writeBuf: NewRing(writeBufferBytes),
+		readBuf:  NewRingBuffer(readBufferBytes),
+		writeBuf: NewRingBuffer(writeBufferBytes),
 		role:     role,
 		addr:     addr,
 		log:      log,
--- a/internal/transport/deadline_test.go
+++ b/internal/transport/deadline_test.go
@@ -10,7 +10,7 @@
 
 // The timeout may be used up by preceding steps before the deadline is set. SetReadTimeout then gets a negative
 // duration.
-func TestNegativeTimeoutIsADeadlineThatHasPassed(t *testing.T) {
+func TestNegativeReadTimeoutExpiresImmediately(t *testing.T) {
 	conn, _, _ := connPair(t)
 	conn.SetReadTimeout(-time.Second)
 	_, err := conn.ReadResponseHead()
@@ -24,7 +24,7 @@
 	assert.Equal(t, TooSlow, CloseReasonOf(err))
 }
 
-func TestInterruptOutlastsLaterDeadlines(t *testing.T) {
+func TestLaterDeadlineDoesNotUndoInterrupt(t *testing.T) {
 	conn, peer, _ := connPair(t)
 	conn.Interrupt()
 	assert.Error(t, conn.Send(time.Hour, []byte(echoRequest)))
--- a/internal/transport/exchange.go
+++ b/internal/transport/exchange.go
@@ -18,8 +18,9 @@
 	body protocol.Body // framing of the body, which hasn't been read yet
 }
 
-// persistenceOf returns the persistence to announce in a response. isLast means that the connection is closed after it.
-func persistenceOf(isLast bool) protocol.Persistence {
+// persistenceFor returns the persistence to announce in a response. isLast means that the connection is closed after
+// it.
+func persistenceFor(isLast bool) protocol.Persistence {
 	if isLast {
 		return protocol.CloseAfterResponse
 	}
@@ -31,7 +32,7 @@
 func (s *Server) serveRequests(c *Conn, admission admissionResult) {
 	for {
 		reason, err := s.exchange(c, admission)
-		if reason != staysOpen {
+		if reason != keepOpen {
 			c.CloseFor(reason, err)
 			return
 		}
@@ -39,7 +40,7 @@
 }
 
 // exchange reads one request and responds to it. It returns the reason for which the connection must be closed, with
-// the error that caused it, or staysOpen.
+// the error that caused it, or keepOpen.
 func (s *Server) exchange(c *Conn, admission admissionResult) (CloseReason, error) {
 	head, err := c.ReadRequestHead(func() { s.clients.markReading(c) })
 	if err != nil {
@@ -52,7 +53,7 @@
 	}
 	request := &clientRequest{head: head, body: body}
 	if rejection := s.handler.AnswerByHead(&request.head); rejection != nil {
-		return s.reject(c, request, rejection, persistenceOf(admission == overLimit))
+		return s.reject(c, request, rejection, persistenceFor(admission == overLimit))
 	}
 	if head.ExpectsContinue() && body.Length() <= protocol.MaxBodyBytes {
 		if err := c.Send(responseWriteTimeout, []byte(protocol.Continue)); err != nil {
@@ -84,7 +85,7 @@
 	if !c.Reused() && c.closedWhileQueued() { // only a first request can have waited in the listener's queue
 		return ClientLeft, errClientClosed
 	}
-	persistence := persistenceOf(request.head.CloseRequested())
+	persistence := persistenceFor(request.head.CloseRequested())
 	return s.serveAndRespond(c, persistence, func(ctx context.Context) *protocol.Response {
 		return s.handler.Serve(ctx, &request.head, content, received)
 	})
@@ -156,7 +157,7 @@
 		return CloseRequested, nil
 	}
 	s.clients.markIdle(c)
-	return staysOpen, nil
+	return keepOpen, nil
 }
 
 // handleReadError handles an error of reading a request. It sends an error response if the client may still read it.
@@ -189,7 +190,7 @@
 		return TooSlow, err
 	case c.hasUnreadData() && !c.Interrupted(): // a request was received as the deadline passed
 		c.SetReadTimeout(finalRequestTimeout)
-		return staysOpen, nil
+		return keepOpen, nil
 	case evicted:
 		return Evicted, nil
 	case s.lifecycle.PhaseAt(time.Now()).ClosesAfterResponse():
--- a/internal/transport/exchange_test.go
+++ b/internal/transport/exchange_test.go
@@ -60,7 +60,7 @@
 }
 
 // A client that expects a 100 (Continue) delays its body until then, so the server must not wait for the body.
-func TestServerRejectsWithoutWaitingForABodyHeldBack(t *testing.T) {
+func TestServerRejectsWithoutWaitingForADelayedBody(t *testing.T) {
 	server, _, _ := startServer(t, 4)
 	client, reader := connect(t, server)
 	response := roundTrip(t, client, reader, "POST /none HTTP/1.1\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n")
--- a/internal/transport/helpers_test.go
+++ b/internal/transport/helpers_test.go
@@ -185,8 +185,8 @@
 	return cancel, ended
 }
 
-// runStopped calls Run with a canceled context and waits until it returns.
-func runStopped(t *testing.T, server *Server) {
+// runWithCanceledContext calls Run with a canceled context and waits until it returns.
+func runWithCanceledContext(t *testing.T, server *Server) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
--- a/internal/transport/migration.go
+++ b/internal/transport/migration.go
@@ -60,8 +60,8 @@
 	s.clients.markServing(c)
 	s.clients.markUseful(c)
 	s.conns.Go(func() error {
-		reason, err := s.serveAndRespond(c, persistenceOf(client.CloseRequested), finish)
-		if reason != staysOpen {
+		reason, err := s.serveAndRespond(c, persistenceFor(client.CloseRequested), finish)
+		if reason != keepOpen {
 			c.CloseFor(reason, err)
 		} else {
 			s.serveRequests(c, admitted)
--- a/internal/transport/migration_test.go
+++ b/internal/transport/migration_test.go
@@ -34,7 +34,7 @@
 	return protocol.Migrated
 }
 
-func TestDetachedConnectionGivesItsPipelinedData(t *testing.T) {
+func TestDetachReturnsPipelinedData(t *testing.T) {
 	handler := &detachingHandler{detached: make(chan []byte, 1)}
 	server := newTestServer(listenLoopback(t), 4, handler)
 	stop, ended := runServer(server)
@@ -46,12 +46,12 @@
 	assert.NoError(t, peertest.Receive(t, ended))
 }
 
-func TestContextOfNoRequestCannotBeDetached(t *testing.T) {
+func TestDetachFailsWithoutAClientConnection(t *testing.T) {
 	_, err := Detach(context.Background())
 	assert.ErrorIs(t, err, ErrNoSocket)
 }
 
-func TestImportedClientGetsItsResponseAndIsServedOn(t *testing.T) {
+func TestImportedClientGetsItsResponseAndCanSendMoreRequests(t *testing.T) {
 	server, _, _ := startServer(t, 4)
 	conn, peer, _ := connPair(t)
 	server.Import(MigratedClient{Conn: conn.nc, Pipelined: []byte(echoRequest), AcceptsInterim: true},
@@ -78,7 +78,7 @@
 	assert.Eventually(t, func() bool { return server.OpenConnections() == 0 }, testTimeout, time.Millisecond)
 }
 
-func TestImportedConnectionTakesASlotWhereOneIsFree(t *testing.T) {
+func TestImportedConnectionTakesASlotIfOneIsFree(t *testing.T) {
 	addr, _ := startWorker(t)
 	pool := NewPool(1, time.Minute, zerolog.Nop())
 	imported := make([]*Conn, 2)
--- a/internal/transport/pool.go
+++ b/internal/transport/pool.go
@@ -75,7 +75,7 @@
 // during this wait, and otherwise errors of connecting.
 func (p *Pool) Get(ctx context.Context, addr string, need Freshness) (*Conn, error) {
 	for {
-		if need != VerifiedOnly || !p.reuseIsSuspect() {
+		if need != VerifiedOnly || !p.isReuseSuspect() {
 			if c := p.takeReusable(addr, need); c != nil {
 				return c, nil
 			}
@@ -149,7 +149,7 @@
 	p.mu.Lock()
 	reason := p.reasonToClose(c)
 	delete(p.closeOnPut, c)
-	if reason != staysOpen {
+	if reason != keepOpen {
 		delete(p.inUse, c)
 	} else if n := slices.IndexFunc(p.waiters, c.satisfies); n >= 0 {
 		p.waiters[n].granted <- c
@@ -160,12 +160,12 @@
 		p.idle[c.addr] = append(p.idle[c.addr], c)
 	}
 	p.mu.Unlock()
-	if reason != staysOpen {
+	if reason != keepOpen {
 		c.CloseFor(reason, nil)
 	}
 }
 
-// reasonToClose returns the reason for which a returned connection can't be reused, or staysOpen if it can. The caller
+// reasonToClose returns the reason for which a returned connection can't be reused, or keepOpen if it can. The caller
 // must hold the lock.
 func (p *Pool) reasonToClose(c *Conn) CloseReason {
 	switch {
@@ -180,7 +180,7 @@
 	case len(p.waiters) > 0 && !slices.ContainsFunc(p.waiters, c.satisfies):
 		return Evicted
 	}
-	return staysOpen
+	return keepOpen
 }
 
 // SetLimit changes the maximum number of connections, up to the limit given to NewPool. Connections in use are not
@@ -223,7 +223,7 @@
 				p.closeIdleConn(c)
 			}
 		case <-ctx.Done():
-			for _, c := range p.closeForGood() {
+			for _, c := range p.closeAndRemoveIdle() {
 				c.CloseFor(Stopping, nil)
 			}
 			return nil
@@ -231,8 +231,8 @@
 	}
 }
 
-// closeForGood marks the pool as closed and removes all idle connections, which it returns.
-func (p *Pool) closeForGood() []*Conn {
+// closeAndRemoveIdle marks the pool as closed and removes all idle connections, which it returns.
+func (p *Pool) closeAndRemoveIdle() []*Conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.closed = true
--- a/internal/transport/pool_idle.go
+++ b/internal/transport/pool_idle.go
@@ -89,5 +89,5 @@
 	c.CloseFor(PeerClosed, nil)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.suspectReuse()
+	p.markReuseSuspect()
 }
--- a/internal/transport/pool_stale.go
+++ b/internal/transport/pool_stale.go
@@ -2,13 +2,14 @@
 
 import "time"
 
-// suspectReuse makes reused connections suspect, or extends the time for which they are. The caller must hold the lock.
-func (p *Pool) suspectReuse() {
+// markReuseSuspect makes reused connections suspect, or extends the time for which they are. The caller must hold the
+// lock.
+func (p *Pool) markReuseSuspect() {
 	p.suspectUntil = time.Now().Add(suspectFactor * idleDivisor * p.maxIdle)
 }
 
-// reuseIsSuspect reports whether workers may close reused connections while a message is being sent.
-func (p *Pool) reuseIsSuspect() bool {
+// isReuseSuspect reports whether workers may close reused connections while a message is being sent.
+func (p *Pool) isReuseSuspect() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return time.Now().Before(p.suspectUntil)
@@ -19,7 +20,7 @@
 // connection, which shows whether the worker is still running.
 func (p *Pool) MarkSuspect(addr string) {
 	p.mu.Lock()
-	p.suspectReuse()
+	p.markReuseSuspect()
 	conns := p.idle[addr]
 	delete(p.idle, addr)
 	p.mu.Unlock()
--- a/internal/transport/read_test.go
+++ b/internal/transport/read_test.go
@@ -43,7 +43,7 @@
 	assert.ErrorIs(t, err, protocol.ErrTooLarge)
 }
 
-func TestCloseWithinAMessageDiffersFromOneBetween(t *testing.T) {
+func TestCloseWithinAMessageIsDistinguishedFromCloseBetweenMessages(t *testing.T) {
 	for _, tt := range []struct {
 		name, received string
 		want           error
--- a/internal/transport/recording_test.go
+++ b/internal/transport/recording_test.go
@@ -30,7 +30,7 @@
 	assert.Equal(t, text, string(recorded), "the rewind starts a new recording")
 }
 
-func TestRecordingIncludesWhatIsStillToBeReplayed(t *testing.T) {
+func TestRecordingIncludesDataStillToBeReplayed(t *testing.T) {
 	const text = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
 	conn, peer, _ := connPair(t)
 	conn.StartRecording()
--- a/internal/transport/ring.go
+++ b/internal/transport/ring_buffer.go
@@ -2,24 +2,24 @@
 
 import "io"
 
-// Ring is a ring buffer of bytes with a fixed capacity.
-type Ring struct {
+// RingBuffer is a ring buffer of bytes with a fixed capacity.
+type RingBuffer struct {
 	buf    []byte
 	start  int // index in buf of the first buffered byte
 	length int // number of buffered bytes
 }
 
-// NewRing returns an empty ring buffer with a capacity of size bytes.
-func NewRing(size int) *Ring { return &Ring{buf: make([]byte, size)} }
+// NewRingBuffer returns an empty ring buffer with a capacity of size bytes.
+func NewRingBuffer(size int) *RingBuffer { return &RingBuffer{buf: make([]byte, size)} }
 
 // Len returns the number of buffered bytes.
-func (r *Ring) Len() int { return r.length }
+func (r *RingBuffer) Len() int { return r.length }
 
 // Full reports whether the buffer is full.
-func (r *Ring) Full() bool { return r.length == len(r.buf) }
+func (r *RingBuffer) Full() bool { return r.length == len(r.buf) }
 
 // space returns the contiguous free space after the last buffered byte.
-func (r *Ring) space() []byte {
+func (r *RingBuffer) space() []byte {
 	if r.length == 0 {
 		r.start = 0
 	}
@@ -31,7 +31,7 @@
 }
 
 // Fill reads once from a reader into the contiguous free space, and returns the results of that read.
-func (r *Ring) Fill(from io.Reader) (int, error) {
+func (r *RingBuffer) Fill(from io.Reader) (int, error) {
 	n, err := from.Read(r.space())
 	r.length += n
 	return n, err
@@ -39,7 +39,7 @@
 
 // Bytes returns all buffered bytes as one slice. If they wrap around the end of the buffer, Bytes copies them first.
 // The result is valid until the next call of another method.
-func (r *Ring) Bytes() []byte {
+func (r *RingBuffer) Bytes() []byte {
 	if r.start+r.length > len(r.buf) {
 		contiguous := make([]byte, len(r.buf))
 		first := copy(contiguous, r.buf[r.start:])
@@ -51,13 +51,13 @@
 }
 
 // Discard removes the first n buffered bytes. n must be at most Len.
-func (r *Ring) Discard(n int) {
+func (r *RingBuffer) Discard(n int) {
 	r.start = (r.start + n) % len(r.buf)
 	r.length -= n
 }
 
 // Write appends as much of p as fits, and returns the number of bytes appended.
-func (r *Ring) Write(p []byte) (written int) {
+func (r *RingBuffer) Write(p []byte) (written int) {
 	for len(p) > 0 && !r.Full() {
 		n := copy(r.space(), p)
 		r.length += n
@@ -68,7 +68,7 @@
 }
 
 // Drain writes all buffered bytes to a writer and removes them. It stops at the first error and returns it.
-func (r *Ring) Drain(to io.Writer) error {
+func (r *RingBuffer) Drain(to io.Writer) error {
 	for r.length > 0 {
 		n, err := to.Write(r.buf[r.start:min(r.start+r.length, len(r.buf))])
 		r.Discard(n)
--- a/internal/transport/ring_test.go
+++ b/internal/transport/ring_buffer_test.go
@@ -9,7 +9,7 @@
 )
 
 func TestRingReturnsWrappedBytesInOnePiece(t *testing.T) {
-	ring := NewRing(8)
+	ring := NewRingBuffer(8)
 	assert.Equal(t, 6, ring.Write([]byte("abcdef")))
 	ring.Discard(4)
 	assert.Equal(t, 6, ring.Write([]byte("ghijklmn")), "only the bytes that fit are written")
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -66,7 +66,7 @@
 func (s *Server) SetLimit(limit int) { s.clients.setLimit(limit) }
 
 // OpenConnections returns the number of open connections, including those over the limit.
-func (s *Server) OpenConnections() int { return s.clients.open() }
+func (s *Server) OpenConnections() int { return s.clients.openCount() }
 
 // CloseAllAfter closes all connections that are still open after a delay, regardless of their state. This ensures that
 // the process stops even if a client doesn't read its response, or pipelines requests continuously. stop cancels the
@@ -130,7 +130,7 @@
 		nc, err := s.ln.Accept()
 		switch {
 		case err == nil:
-			s.start(nc)
+			s.startConn(nc)
 		case errors.Is(err, net.ErrClosed):
 			return
 		case isTimeout(err): // ctx has ended, or FollowLifecycle has stopped accepting
@@ -158,7 +158,7 @@
 		nc, err := s.ln.Accept()
 		switch {
 		case err == nil:
-			s.start(nc)
+			s.startConn(nc)
 		case isTimeout(err), errors.Is(err, net.ErrClosed):
 			return
 		default: // out of file descriptors
@@ -189,8 +189,8 @@
 	return false
 }
 
-// start serves a new connection in a new goroutine, which owns the connection. Run waits for this goroutine.
-func (s *Server) start(nc net.Conn) {
+// startConn serves a new connection in a new goroutine, which owns the connection. Run waits for this goroutine.
+func (s *Server) startConn(nc net.Conn) {
 	c := newConn(nc, Client, nc.RemoteAddr().String(), s.log, nil)
 	admission := s.clients.acquire(c)
 	s.conns.Go(func() error {
--- a/internal/transport/shutdown_test.go
+++ b/internal/transport/shutdown_test.go
@@ -36,7 +36,7 @@
 		io.WriteString(conns[n], echoRequest)
 	}
 	server.lifecycle.Stop(time.Now())
-	runStopped(t, server)
+	runWithCanceledContext(t, server)
 	for _, conn := range conns {
 		got, err := io.ReadAll(conn)
 		assert.NoError(t, err)
@@ -52,7 +52,7 @@
 	connect(t, server)
 	assert.NoError(t, server.lifecycle.HandOff(time.Now()))
 	server.lifecycle.Stop(time.Now())
-	runStopped(t, server)
+	runWithCanceledContext(t, server)
 	successor.SetDeadline(time.Now().Add(testTimeout))
 	conn, err := successor.Accept()
 	assert.NoError(t, err)
@@ -64,7 +64,7 @@
 	server, successor := serverWithSuccessor(t)
 	server.ShareListener()
 	server.lifecycle.Stop(time.Now())
-	runStopped(t, server)
+	runWithCanceledContext(t, server)
 	for range 4 {
 		conn, err := net.DialTimeout("tcp", successor.Addr().String(), testTimeout)
 		assert.NoError(t, err, "the queue holds more than one connection")
@@ -84,7 +84,7 @@
 	assert.Equal(t, clientResponse{200, "ab", true}, roundTrip(t, client, reader, echoRequest))
 }
 
-func TestRequestThatCrossesTheIdleTimeoutIsServed(t *testing.T) {
+func TestRequestReceivedAsTheIdleTimeoutExpiresIsServed(t *testing.T) {
 	for _, tt := range []struct {
 		name     string
 		stopping bool
@@ -165,7 +165,7 @@
 	assert.Less(t, time.Since(began), responseWriteTimeout-time.Second)
 }
 
-func TestServerStopsDespiteAClientThatSendsWithoutEnd(t *testing.T) {
+func TestServerStopsDespiteAClientThatSendsContinuously(t *testing.T) {
 	server, _, stop, ended := startGatedServer(t)
 	client, reader := connect(t, server)
 	go io.Copy(io.Discard, reader)
--- a/internal/transport/timeouts.go
+++ b/internal/transport/timeouts.go
@@ -32,7 +32,7 @@
 	closePollInterval = 10 * time.Millisecond // between inspections of the socket
 	pollsPerProbe     = 3                     // inspections between two interim responses
 	probeWriteTimeout = closePollInterval     // for sending an interim response
-	queuedAtLeast     = 50 * time.Millisecond // a client is probed if its request was received earlier
+	queuedThreshold   = 50 * time.Millisecond // a client is probed if its request was received earlier
 	resetTimeout      = 50 * time.Millisecond // from an interim response to the reset of a closed client
 )
 
