--- a/internal/daemon/hot_restart.go
+++ b/internal/daemon/hot_restart.go
@@ -53,8 +53,8 @@
 	server    *transport.Server
 	pool      *transport.Pool
 	listener  syscall.Conn
-	datagrams *transport.Datagrams // nil without gossip
-	node      *fleet.Node          // nil without LB_FLEET
+	datagrams *transport.DatagramSocket // nil without gossip
+	node      *fleet.Node               // nil without LB_FLEET
 
 	exporting sync.Mutex // serializes passes over the requests in flight
 
--- a/internal/daemon/process.go
+++ b/internal/daemon/process.go
@@ -38,10 +38,10 @@
 	clock        func() balancer.Time // from step 2, as shards and pool
 	shards       *balancer.Shards
 	pool         *transport.Pool
-	restart      *hotRestart          // from step 3; nil without an admin address
-	node         *fleet.Node          // from step 4; nil without LB_FLEET
-	datagrams    *transport.Datagrams // from step 5; nil without gossip
-	state        *lifecycle.State     // from step 6, as proxy
+	restart      *hotRestart               // from step 3; nil without an admin address
+	node         *fleet.Node               // from step 4; nil without LB_FLEET
+	datagrams    *transport.DatagramSocket // from step 5; nil without gossip
+	state        *lifecycle.State          // from step 6, as proxy
 	proxy        *proxy.Proxy
 	listener     *net.TCPListener // from step 7, as server
 	server       *transport.Server
@@ -156,7 +156,7 @@
 	p.listener = listener
 	p.server = transport.NewServer(listener, p.limits.clientConnections, p.limits.bodyBytes, p.proxy, p.state, p.log)
 	if p.restart != nil {
-		p.server.ShareListener()
+		p.server.MarkListenerShared()
 		p.restart.attach(p)
 	}
 	return nil
--- a/internal/discovery/watch_end.go
+++ b/internal/discovery/watch_end.go
@@ -74,7 +74,7 @@
 		return balancer.WatchRejected
 	case !opened:
 		return balancer.WatchFailed
-	case transport.CloseReasonOf(err) == transport.TooSlow:
+	case transport.CloseReasonOf(err) == transport.TimedOut:
 		return balancer.WatchSilent
 	}
 	return balancer.WatchCut
@@ -107,7 +107,7 @@
 		return endedWatch{closeReason: transport.Malformed, err: applyErr}
 	case readErr == nil:
 		return endedWatch{closeReason: transport.CloseRequested, err: errWatchEnded}
-	case transport.CloseReasonOf(readErr) == transport.TooSlow:
+	case transport.CloseReasonOf(readErr) == transport.TimedOut:
 		return endedWatch{closeReason: transport.WatchTimeout, err: readErr}
 	}
 	return endedWatch{closeReason: transport.CloseReasonOf(readErr), err: readErr}
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -68,7 +68,7 @@
 	config    Config
 	balancer  *balancer.Shards
 	endpoints Endpoints
-	datagrams *transport.Datagrams // nil where only the shards of this process exchange load
+	datagrams *transport.DatagramSocket // nil where only the shards of this process exchange load
 
 	// The goroutine that receives owns these.
 	latest       []timestamp // by balancer.PeerID
@@ -76,7 +76,7 @@
 }
 
 // New returns an Exchange. datagrams is nil where only the shards of this process exchange load.
-func New(c Config, b *balancer.Shards, endpoints Endpoints, datagrams *transport.Datagrams) *Exchange {
+func New(c Config, b *balancer.Shards, endpoints Endpoints, datagrams *transport.DatagramSocket) *Exchange {
 	return &Exchange{
 		config:       c,
 		balancer:     b,
--- a/internal/proxy/answer_by_head.go
+++ b/internal/proxy/answer_by_head.go
@@ -7,9 +7,9 @@
 	"canvasroute/internal/protocol"
 )
 
-// AnswerByHead answers what can be answered by the head alone: health checks, unknown paths and methods, and requests
+// RespondToHead answers what can be answered by the head alone: health checks, unknown paths and methods, and requests
 // that are rejected before their body is read. It returns nil for a request that Serve should answer.
-func (p *Proxy) AnswerByHead(h *protocol.Head) *protocol.Response {
+func (p *Proxy) RespondToHead(h *protocol.Head) *protocol.Response {
 	switch h.Path() {
 	case protocol.PathHealth:
 		return p.answerHealthCheck(h)
--- a/internal/proxy/answer_by_head_test.go
+++ b/internal/proxy/answer_by_head_test.go
@@ -15,26 +15,26 @@
 	p := newProxy(peertest.ClosedAddress)
 	for target, want := range map[string]int{"/": 404, "/api/x": 404, "/_health?x": 405} {
 		t.Run(target, func(t *testing.T) {
-			assert.Equal(t, want, p.AnswerByHead(&protocol.Head{Method: "POST", Target: target}).Status)
+			assert.Equal(t, want, p.RespondToHead(&protocol.Head{Method: "POST", Target: target}).Status)
 		})
 	}
-	assert.Nil(t, p.AnswerByHead(&protocol.Head{Method: "POST", Target: "/api?x=1"}))
-	put := p.AnswerByHead(&protocol.Head{Method: "PUT", Target: "/api"})
+	assert.Nil(t, p.RespondToHead(&protocol.Head{Method: "POST", Target: "/api?x=1"}))
+	put := p.RespondToHead(&protocol.Head{Method: "PUT", Target: "/api"})
 	assert.Equal(t, &protocol.Response{Status: 405, Allow: "POST"}, put)
 }
 
 func TestHealthRequiresWorkersAndServingPhase(t *testing.T) {
 	p := newProxy(peertest.ClosedAddress)
 	health := &protocol.Head{Method: "GET", Target: "/_health"}
-	assert.Equal(t, 503, p.AnswerByHead(health).Status, "the list is from before the start, and no poll has ended")
+	assert.Equal(t, 503, p.RespondToHead(health).Status, "the list is from before the start, and no poll has ended")
 	p.discovery.DontAwaitFirstPoll()
-	assert.Equal(t, 200, p.AnswerByHead(health).Status)
+	assert.Equal(t, 200, p.RespondToHead(health).Status)
 	p.endpoints.Update(&protocol.EndpointList{Complete: true})
-	assert.Equal(t, 503, p.AnswerByHead(health).Status, "there is no worker")
+	assert.Equal(t, 503, p.RespondToHead(health).Status, "there is no worker")
 	worker := protocol.Endpoint{ID: "w", State: protocol.Ready}
 	p.endpoints.Update(&protocol.EndpointList{Endpoints: []protocol.Endpoint{worker}})
 	p.lifecycle.Stop(time.Now())
-	assert.Equal(t, 503, p.AnswerByHead(health).Status, "it stops")
+	assert.Equal(t, 503, p.RespondToHead(health).Status, "it stops")
 }
 
 func TestOverloadRejectsByHeadWithRetryAfter(t *testing.T) {
@@ -49,13 +49,13 @@
 	}
 	rejected := 0
 	for range 64 {
-		if response := p.AnswerByHead(&protocol.Head{Method: "POST", Target: "/api"}); response != nil {
+		if response := p.RespondToHead(&protocol.Head{Method: "POST", Target: "/api"}); response != nil {
 			assert.Equal(t, &protocol.Response{Status: 503, RetryAfter: 2 * time.Second}, response)
 			rejected++
 		}
 	}
 	assert.Greater(t, rejected, 32)
 	assert.EqualValues(t, rejected, p.counters.shed.Load())
-	health := p.AnswerByHead(&protocol.Head{Method: "GET", Target: "/_health"})
+	health := p.RespondToHead(&protocol.Head{Method: "GET", Target: "/_health"})
 	assert.Equal(t, 200, health.Status, "an overloaded dispatcher is healthy")
 }
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -21,7 +21,7 @@
 	number    int       // among the request's attempts
 	deadline  time.Time // the client gives up then
 	sendBy    time.Time // when the dedup window of an earlier attempt closes, zero for no bound
-	freshness transport.Freshness
+	freshness transport.ReusePolicy
 	reused    bool // its connection has been used before
 	migrated  bool // the sibling process continues it
 	events    attemptEvents
@@ -48,10 +48,10 @@
 // requiredFreshness is how sure an attempt must be that its connection is still open, by the operation. An operation
 // that may not be executed twice needs the most. One that only a group of workers may repeat must not take the end of
 // an old connection for an answer.
-var requiredFreshness = map[balancer.Idempotency]transport.Freshness{
+var requiredFreshness = map[balancer.Idempotency]transport.ReusePolicy{
 	balancer.Idempotent:      transport.AnyConnection,
 	balancer.IdempotentByKey: transport.Settled,
-	balancer.NonIdempotent:   transport.VerifiedOnly,
+	balancer.NonIdempotent:   transport.SettledUnlessSuspect,
 }
 
 func (p *Proxy) newAttempt(r *inFlightRequest, decision balancer.Decision) *attempt {
--- a/internal/proxy/operators_test.go
+++ b/internal/proxy/operators_test.go
@@ -109,7 +109,7 @@
 		{"a request", "POST", "/api?q=1", nil},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			assert.Equal(t, test.want, p.AnswerByHead(&protocol.Head{Method: test.method, Target: test.target}))
+			assert.Equal(t, test.want, p.RespondToHead(&protocol.Head{Method: test.method, Target: test.target}))
 		})
 	}
 }
--- a/internal/proxy/pause.go
+++ b/internal/proxy/pause.go
@@ -117,6 +117,6 @@
 // stoppedByPause reports whether a pause has ended the reading. A pause makes reads time out; so do the end of ctx and
 // an interrupt of the connection, which take precedence. Reading has no other timeout.
 func stoppedByPause(ctx context.Context, conn *transport.Conn, readErr error) bool {
-	timedOut := readErr != nil && transport.CloseReasonOf(readErr) == transport.TooSlow
+	timedOut := readErr != nil && transport.CloseReasonOf(readErr) == transport.TimedOut
 	return timedOut && ctx.Err() == nil && !conn.Interrupted()
 }
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -91,7 +91,7 @@
 
 // New returns a Proxy. It gives the balancer the endpoints that are known at the start: those of the predecessor or
 // else the initial ones. datagrams is nil where dispatchers do not exchange load.
-func New(c Config, shards *balancer.Shards, pool *transport.Pool, datagrams *transport.Datagrams,
+func New(c Config, shards *balancer.Shards, pool *transport.Pool, datagrams *transport.DatagramSocket,
 	state *lifecycle.State, log zerolog.Logger,
 ) *Proxy {
 	p := &Proxy{
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -18,12 +18,12 @@
 func (p *Proxy) Serve(ctx context.Context, h *protocol.Head, body []byte, arrivedAt time.Time) *protocol.Response {
 	request, err := protocol.ParseRequest(h)
 	if err != nil {
-		return p.MalformedRequest(err)
+		return p.RejectMalformed(err)
 	}
 	current := p.settings.Load() // once: the request is served to its end under these
 	arrival, err := current.arrivalOf(request)
 	if err != nil {
-		return p.MalformedRequest(err)
+		return p.RejectMalformed(err)
 	}
 	if !p.requestIDs.open(request.ID) {
 		return p.refuseDuplicateID()
@@ -43,7 +43,7 @@
 }
 
 // admit answers a valid request. It rejects the request while the process stops or recovers, and submits it otherwise.
-// Overload is decided on before, by the head alone (AnswerByHead), and afterwards by the balancer.
+// Overload is decided on before, by the head alone (RespondToHead), and afterwards by the balancer.
 func (p *Proxy) admit(ctx context.Context, r *inFlightRequest, arrival balancer.Arrival) *protocol.Response {
 	if !p.canFinish(arrival) {
 		return p.respondUnavailable(r.settings.maxRetryAfter)
--- a/internal/proxy/responses.go
+++ b/internal/proxy/responses.go
@@ -69,8 +69,8 @@
 	return &protocol.Response{Status: http.StatusServiceUnavailable}
 }
 
-// MalformedRequest returns the answer to a request that cannot be parsed.
-func (p *Proxy) MalformedRequest(err error) *protocol.Response {
+// RejectMalformed returns the answer to a request that cannot be parsed.
+func (p *Proxy) RejectMalformed(err error) *protocol.Response {
 	return p.refuseInvalid(protocol.RejectionOf(err))
 }
 
@@ -95,10 +95,9 @@
 	return answer
 }
 
-// OverBudget returns the answer to a request for which there is no connection slot or no memory for its body; h is nil
-// where no head was read. The
-// request was sent to no worker.
-func (p *Proxy) OverBudget(h *protocol.Head) *protocol.Response {
+// RejectOverBudget returns the answer to a request for which there is no connection slot or no memory for its body; h
+// is nil where no head was read. The request was sent to no worker.
+func (p *Proxy) RejectOverBudget(h *protocol.Head) *protocol.Response {
 	p.counters.overBudget.Add(1)
 	return p.rejectByHead(h)
 }
--- a/internal/transport/close_reason.go
+++ b/internal/transport/close_reason.go
@@ -19,13 +19,13 @@
 const (
 	PeerClosed  CloseReason = "peer_closed" // the peer closed it between messages
 	PeerAborted CloseReason = "peer_broke"  // the peer closed or reset it in the middle of a message
-	TooSlow     CloseReason = "too_slow"    // the deadline passed before a message was read or written completely
+	TimedOut    CloseReason = "too_slow"    // the deadline passed before a message was read or written completely
 	Malformed   CloseReason = "malformed"   // a malformed or oversized message, or unexpected bytes
 )
 
 // The reasons specified by the owner of a connection.
 const (
-	ClientLeft         CloseReason = "client_left"   // the client closed it before its response was ready
+	ClientClosed       CloseReason = "client_left"   // the client closed it before its response was ready
 	IdleTimeout        CloseReason = "idle_retired"  // the idle timeout expired
 	Stale              CloseReason = "stale_retired" // its peer moved, drains, exited, restarted or may be dead
 	AttemptCanceled    CloseReason = "called_off"    // its attempt was canceled, or the attempt or probe timed out
@@ -40,7 +40,7 @@
 // CloseReasonOf returns the reason that corresponds to an error of reading or writing a message.
 //
 //   - PeerClosed for io.EOF: the peer closed the connection between messages.
-//   - TooSlow if a deadline has passed, including those set by Interrupt and StopReading.
+//   - TimedOut if a deadline has passed, including those set by Interrupt and StopReading.
 //   - Malformed for the errors of package protocol.
 //   - PeerAborted for any other error, such as ErrTruncated or a reset.
 func CloseReasonOf(err error) CloseReason {
@@ -48,7 +48,7 @@
 	case errors.Is(err, io.EOF):
 		return PeerClosed
 	case isTimeout(err):
-		return TooSlow
+		return TimedOut
 	case errors.Is(err, protocol.ErrMalformed), errors.Is(err, protocol.ErrTooLarge),
 		errors.Is(err, protocol.ErrHeadTooLarge):
 		return Malformed
--- a/internal/transport/datagrams.go
+++ b/internal/transport/datagrams.go
@@ -13,15 +13,15 @@
 	"canvasroute/internal/settings"
 )
 
-// Errors returned by Datagrams.Send, in addition to those of the socket.
+// Errors returned by DatagramSocket.Send, in addition to those of the socket.
 var (
 	ErrDatagramTooLong = errors.New("datagram too long")
 	ErrSocketYielded   = errors.New("socket yielded to another process")
 )
 
-// Datagrams is the UDP socket for messages between dispatchers. During a hot restart two processes share the socket,
-// and only one of them uses it at any time. It is safe for concurrent use.
-type Datagrams struct {
+// DatagramSocket is the UDP socket for messages between dispatchers. During a hot restart two processes share the
+// socket, and only one of them uses it at any time. It is safe for concurrent use.
+type DatagramSocket struct {
 	conn *net.UDPConn
 
 	mu     sync.Mutex
@@ -29,11 +29,11 @@
 }
 
 // Socket returns the underlying socket, which can be passed to another process.
-func (d *Datagrams) Socket() syscall.Conn { return d.conn }
+func (d *DatagramSocket) Socket() syscall.Conn { return d.conn }
 
 // Yield lets another process use the socket. Until Reclaim is called, this process neither receives nor sends
 // datagrams.
-func (d *Datagrams) Yield() {
+func (d *DatagramSocket) Yield() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.resume == nil {
@@ -43,7 +43,7 @@
 }
 
 // Reclaim resumes the use of the socket by this process.
-func (d *Datagrams) Reclaim() {
+func (d *DatagramSocket) Reclaim() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.resume != nil {
@@ -54,7 +54,7 @@
 }
 
 // resumed returns a channel that is closed when the socket is reclaimed. It returns nil if the socket is not yielded.
-func (d *Datagrams) resumed() <-chan struct{} {
+func (d *DatagramSocket) resumed() <-chan struct{} {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.resume
@@ -62,7 +62,7 @@
 
 // Send sends one datagram of at most settings.MaxMessageBytes. It returns ErrDatagramTooLong, ErrSocketYielded or an
 // error of the socket.
-func (d *Datagrams) Send(to netip.AddrPort, payload []byte) error {
+func (d *DatagramSocket) Send(to netip.AddrPort, payload []byte) error {
 	if len(payload) > settings.MaxMessageBytes {
 		return ErrDatagramTooLong
 	}
@@ -79,7 +79,7 @@
 // call of receive. Datagrams longer than settings.MaxMessageBytes are truncated to settings.MaxMessageBytes+1 bytes.
 // Read errors are ignored, because most of them report that a peer's host refused an earlier datagram. Run always
 // returns nil.
-func (d *Datagrams) Run(ctx context.Context, receive func(from netip.AddrPort, payload []byte)) error {
+func (d *DatagramSocket) Run(ctx context.Context, receive func(from netip.AddrPort, payload []byte)) error {
 	stop := context.AfterFunc(ctx, func() { d.conn.Close() })
 	defer stop()
 	buffer := make([]byte, settings.MaxMessageBytes+1)
--- a/internal/transport/exchange.go
+++ b/internal/transport/exchange.go
@@ -52,7 +52,7 @@
 		return s.handleReadError(c, err)
 	}
 	request := &clientRequest{head: head, body: body}
-	if rejection := s.handler.AnswerByHead(&request.head); rejection != nil {
+	if rejection := s.handler.RespondToHead(&request.head); rejection != nil {
 		return s.reject(c, request, rejection, persistenceFor(admission == overLimit))
 	}
 	if head.ExpectsContinue() && body.Length() <= protocol.MaxBodyBytes {
@@ -68,7 +68,7 @@
 func (s *Server) readBodyAndServe(c *Conn, request *clientRequest, admission admissionResult) (CloseReason, error) {
 	reserved := request.body.MaxRead()
 	if !s.bodyBudget.reserve(reserved) {
-		return s.reject(c, request, s.handler.OverBudget(&request.head), protocol.CloseAfterResponse)
+		return s.reject(c, request, s.handler.RejectOverBudget(&request.head), protocol.CloseAfterResponse)
 	}
 	defer func() { s.bodyBudget.release(reserved) }()
 	content, err := c.ReadBody(request.body, protocol.MaxBodyBytes)
@@ -80,10 +80,10 @@
 	reserved = int64(len(content))
 	s.clients.markServing(c)
 	if admission == overLimit {
-		return s.respond(c, s.handler.OverBudget(&request.head), protocol.CloseAfterResponse)
+		return s.respond(c, s.handler.RejectOverBudget(&request.head), protocol.CloseAfterResponse)
 	}
 	if !c.Reused() && c.closedWhileQueued() { // only a first request can have waited in the listener's queue
-		return ClientLeft, errClientClosed
+		return ClientClosed, errClientClosed
 	}
 	persistence := persistenceFor(request.head.CloseRequested())
 	return s.serveAndRespond(c, persistence, func(ctx context.Context) *protocol.Response {
@@ -104,7 +104,7 @@
 	c.stopCloseWatch()
 	switch {
 	case response == nil:
-		return ClientLeft, context.Cause(ctx)
+		return ClientClosed, context.Cause(ctx)
 	case response == protocol.Migrated:
 		return Migrated, nil
 	case !response.IsClientError():
@@ -164,7 +164,7 @@
 func (s *Server) handleReadError(c *Conn, err error) (CloseReason, error) {
 	reason := CloseReasonOf(err)
 	switch reason {
-	case TooSlow:
+	case TimedOut:
 		return s.handleReadTimeout(c, err)
 	case Malformed:
 		s.respondMalformed(c, err)
@@ -181,13 +181,13 @@
 	partial := c.readBuf.Len() > 0 || s.clients.isReading(c)
 	switch {
 	case evicted && partial:
-		if _, sendErr := s.respond(c, s.handler.OverBudget(nil), protocol.CloseAfterResponse); sendErr == nil {
+		if _, sendErr := s.respond(c, s.handler.RejectOverBudget(nil), protocol.CloseAfterResponse); sendErr == nil {
 			c.halfCloseAndDrain(transitGrace) // no longer than this, because the slot is needed
 		}
 		return Evicted, nil
 	case partial:
 		s.respondMalformed(c, err)
-		return TooSlow, err
+		return TimedOut, err
 	case c.hasUnreadData() && !c.Interrupted(): // a request was received as the deadline passed
 		c.SetReadTimeout(finalRequestTimeout)
 		return keepOpen, nil
@@ -202,7 +202,7 @@
 // respondMalformed sends the error response for a request that could not be read. It then half-closes the connection
 // and drains it.
 func (s *Server) respondMalformed(c *Conn, err error) {
-	if _, sendErr := s.respond(c, s.handler.MalformedRequest(err), protocol.CloseAfterResponse); sendErr == nil {
+	if _, sendErr := s.respond(c, s.handler.RejectMalformed(err), protocol.CloseAfterResponse); sendErr == nil {
 		c.halfCloseAndDrain(lingerTimeout)
 	}
 }
--- a/internal/transport/helpers_test.go
+++ b/internal/transport/helpers_test.go
@@ -61,17 +61,17 @@
 	return ln.Addr().String(), conns
 }
 
-// mustGet gets a connection to an address with the requirement AnyConnection.
+// mustGet gets a connection to an address with the policy AnyConnection.
 func mustGet(t *testing.T, pool *Pool, addr string) *Conn {
 	t.Helper()
-	return mustGetFresh(t, pool, addr, AnyConnection)
+	return mustGetWithPolicy(t, pool, addr, AnyConnection)
 }
 
-func mustGetFresh(t *testing.T, pool *Pool, addr string, need Freshness) *Conn {
+func mustGetWithPolicy(t *testing.T, pool *Pool, addr string, policy ReusePolicy) *Conn {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
-	conn, err := pool.Get(ctx, addr, need)
+	conn, err := pool.Get(ctx, addr, policy)
 	assert.NoError(t, err)
 	return conn
 }
@@ -85,7 +85,7 @@
 
 func newEchoHandler() *echoHandler { return &echoHandler{canceled: make(chan error, 1)} }
 
-func (e *echoHandler) AnswerByHead(head *protocol.Head) *protocol.Response {
+func (e *echoHandler) RespondToHead(head *protocol.Head) *protocol.Response {
 	if head.Path() == "/none" {
 		return &protocol.Response{Status: 404}
 	}
@@ -108,11 +108,11 @@
 	return &protocol.Response{Status: 200, Body: body}
 }
 
-func (e *echoHandler) OverBudget(*protocol.Head) *protocol.Response {
+func (e *echoHandler) RejectOverBudget(*protocol.Head) *protocol.Response {
 	return &protocol.Response{Status: 503}
 }
 
-func (e *echoHandler) MalformedRequest(err error) *protocol.Response {
+func (e *echoHandler) RejectMalformed(err error) *protocol.Response {
 	return protocol.RejectionOf(err)
 }
 
--- a/internal/transport/listen.go
+++ b/internal/transport/listen.go
@@ -37,7 +37,7 @@
 }
 
 // ListenDatagrams opens the UDP socket for messages between dispatchers, or uses the inherited socket.
-func ListenDatagrams(addr netip.AddrPort, options ListenOptions) (*Datagrams, error) {
+func ListenDatagrams(addr netip.AddrPort, options ListenOptions) (*DatagramSocket, error) {
 	pc, err := openOrInherit(options, net.FilePacketConn, func(c net.ListenConfig) (net.PacketConn, error) {
 		return c.ListenPacket(context.Background(), "udp", addr.String())
 	})
@@ -48,7 +48,7 @@
 	if !ok {
 		return nil, fmt.Errorf("listening for peers: inherited socket %v is not UDP", pc.LocalAddr())
 	}
-	return &Datagrams{conn: udp}, nil
+	return &DatagramSocket{conn: udp}, nil
 }
 
 // openOrInherit returns the socket of the inherited file, which it closes, or opens a new socket if there is none.
--- a/internal/transport/pool.go
+++ b/internal/transport/pool.go
@@ -17,14 +17,14 @@
 // errDialInvalidated is returned by dial if CloseIdle was called for the address while the connection was being opened.
 var errDialInvalidated = errors.New("address invalidated while connecting")
 
-// Freshness is the requirement of an attempt for the connection on which it is sent.
-type Freshness uint8
+// ReusePolicy determines which connections may be used for an attempt.
+type ReusePolicy uint8
 
-// The values of Freshness.
+// The values of ReusePolicy.
 const (
-	AnyConnection Freshness = iota // any idle connection, or a new one
-	Settled                        // an idle connection last used at least SettleTime ago, or a new one
-	VerifiedOnly                   // like Settled, but always a new one while reused connections are suspect
+	AnyConnection        ReusePolicy = iota // any idle connection, or a new one
+	Settled                                 // an idle connection last used at least SettleTime ago, or a new one
+	SettledUnlessSuspect                    // like Settled, but always a new one while reused connections are suspect
 )
 
 // Pool manages the idle and active connections to workers and limits their number. It is safe for concurrent use.
@@ -70,17 +70,17 @@
 	}
 }
 
-// Get returns an idle connection to an address that meets the requirement, or a new one. The caller owns the connection
+// Get returns an idle connection to an address that satisfies policy, or a new one. The caller owns the connection
 // until it calls Put or CloseFor. If all slots are in use, Get waits for one. It returns ErrPoolExhausted if ctx ends
 // during this wait, and otherwise errors of connecting.
-func (p *Pool) Get(ctx context.Context, addr string, need Freshness) (*Conn, error) {
+func (p *Pool) Get(ctx context.Context, addr string, policy ReusePolicy) (*Conn, error) {
 	for {
-		if need != VerifiedOnly || !p.isReuseSuspect() {
-			if c := p.takeReusable(addr, need); c != nil {
+		if policy != SettledUnlessSuspect || !p.isReuseSuspect() {
+			if c := p.takeReusable(addr, policy); c != nil {
 				return c, nil
 			}
 		}
-		granted, err := p.acquireSlot(ctx, addr, need)
+		granted, err := p.acquireSlot(ctx, addr, policy)
 		if granted != nil || err != nil {
 			return granted, err
 		}
--- a/internal/transport/pool_idle.go
+++ b/internal/transport/pool_idle.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// takeReusable returns the most recently used idle connection to an address that meets the requirement, or nil if there
-// is none. It closes connections that the worker has closed or that have expired.
-func (p *Pool) takeReusable(addr string, need Freshness) *Conn {
+// takeReusable returns the most recently used idle connection to an address that satisfies policy, or nil if there is
+// none. It closes connections that the worker has closed or that have expired.
+func (p *Pool) takeReusable(addr string, policy ReusePolicy) *Conn {
 	for {
-		c := p.takeLatestIdle(addr, need)
+		c := p.takeLatestIdle(addr, policy)
 		if c == nil || !c.readable() && time.Since(c.idleSince) < p.maxIdle {
 			return c
 		}
@@ -14,14 +14,14 @@
 	}
 }
 
-// takeLatestIdle removes and returns the most recently used idle connection to an address that meets the requirement,
-// or nil.
-func (p *Pool) takeLatestIdle(addr string, need Freshness) *Conn {
+// takeLatestIdle removes and returns the most recently used idle connection to an address that satisfies policy, or
+// nil.
+func (p *Pool) takeLatestIdle(addr string, policy ReusePolicy) *Conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	conns := p.idle[addr]
 	n := len(conns) - 1
-	for n >= 0 && need != AnyConnection && time.Since(conns[n].idleSince) < SettleTime {
+	for n >= 0 && policy != AnyConnection && time.Since(conns[n].idleSince) < SettleTime {
 		n--
 	}
 	if n < 0 {
--- a/internal/transport/pool_slots_test.go
+++ b/internal/transport/pool_slots_test.go
@@ -49,19 +49,19 @@
 	for _, tt := range []struct {
 		name   string
 		addr   string
-		need   Freshness
+		policy ReusePolicy
 		reused bool
 	}{
 		{"the same address", addr, AnyConnection, true},
 		{"another address", otherAddr, AnyConnection, false},
-		{"a verified one is needed", addr, VerifiedOnly, false},
+		{"a verified one is needed", addr, SettledUnlessSuspect, false},
 		{"a settled one is needed", addr, Settled, false},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			pool := NewPool(1, time.Minute, zerolog.Nop())
 			inUse := mustGet(t, pool, addr)
 			got := make(chan *Conn, 1)
-			go func() { got <- mustGetFresh(t, pool, tt.addr, tt.need) }()
+			go func() { got <- mustGetWithPolicy(t, pool, tt.addr, tt.policy) }()
 			assert.Eventually(t, pool.hasWaiter, testTimeout, time.Millisecond)
 			pool.Put(inUse)
 			next := peertest.Receive(t, got)
--- a/internal/transport/pool_stale_test.go
+++ b/internal/transport/pool_stale_test.go
@@ -50,7 +50,7 @@
 	older.openedAt = time.Now().Add(-time.Minute)
 	pool.CloseOpenedBefore(addr, time.Now().Add(-time.Second))
 	_, err := older.ReadResponseHead()
-	assert.Equal(t, TooSlow, CloseReasonOf(err), "the read is interrupted")
+	assert.Equal(t, TimedOut, CloseReasonOf(err), "the read is interrupted")
 	older.CloseFor(CloseReasonOf(err), err)
 	assert.Contains(t, log.String(), "stale_retired")
 	newer.SetReadTimeout(10 * time.Millisecond)
@@ -70,20 +70,20 @@
 }
 
 // A worker may close a reused connection while a message that must not be sent twice is being sent on it.
-func TestSuspectConnectionsAreNotReusedWhereVerifiedOnlyIsNeeded(t *testing.T) {
+func TestSuspectConnectionsAreNotReusedWithSettledUnlessSuspect(t *testing.T) {
 	addr, _ := startWorker(t)
 	pool := NewPool(4, time.Minute, zerolog.Nop())
 	putSettled := func(conn *Conn) {
 		pool.Put(conn)
 		conn.idleSince = time.Now().Add(-SettleTime)
 	}
-	conn := mustGetFresh(t, pool, addr, VerifiedOnly)
+	conn := mustGetWithPolicy(t, pool, addr, SettledUnlessSuspect)
 	putSettled(conn)
-	assert.Same(t, conn, mustGetFresh(t, pool, addr, VerifiedOnly), "reused connections are not suspect")
+	assert.Same(t, conn, mustGetWithPolicy(t, pool, addr, SettledUnlessSuspect), "reused connections are not suspect")
 	putSettled(conn)
 	pool.MarkSuspect("127.0.0.9:1")
-	assert.NotSame(t, conn, mustGetFresh(t, pool, addr, VerifiedOnly))
-	assert.Same(t, conn, mustGetFresh(t, pool, addr, Settled))
+	assert.NotSame(t, conn, mustGetWithPolicy(t, pool, addr, SettledUnlessSuspect))
+	assert.Same(t, conn, mustGetWithPolicy(t, pool, addr, Settled))
 	putSettled(conn)
 	pool.MarkSuspect(addr)
 	assert.NotSame(t, conn, mustGet(t, pool, addr), "the idle connections to the address were closed")
--- a/internal/transport/pool_test.go
+++ b/internal/transport/pool_test.go
@@ -58,11 +58,11 @@
 	pool := NewPool(4, time.Minute, zerolog.Nop())
 	conn := mustGet(t, pool, addr)
 	pool.Put(conn)
-	for _, need := range []Freshness{Settled, VerifiedOnly} {
-		assert.NotSame(t, conn, mustGetFresh(t, pool, addr, need))
+	for _, policy := range []ReusePolicy{Settled, SettledUnlessSuspect} {
+		assert.NotSame(t, conn, mustGetWithPolicy(t, pool, addr, policy))
 	}
 	conn.idleSince = conn.idleSince.Add(-SettleTime)
-	assert.Same(t, conn, mustGetFresh(t, pool, addr, Settled))
+	assert.Same(t, conn, mustGetWithPolicy(t, pool, addr, Settled))
 }
 
 func TestClosedPoolLeavesNoConnectionOpen(t *testing.T) {
--- a/internal/transport/read_test.go
+++ b/internal/transport/read_test.go
@@ -69,7 +69,7 @@
 		{io.EOF, PeerClosed},
 		{ErrTruncated, PeerAborted},
 		{protocol.ErrMalformed, Malformed},
-		{context.DeadlineExceeded, TooSlow},
+		{context.DeadlineExceeded, TimedOut},
 	} {
 		t.Run(tt.err.Error(), func(t *testing.T) {
 			assert.Equal(t, tt.want, CloseReasonOf(tt.err))
--- a/internal/transport/recording_test.go
+++ b/internal/transport/recording_test.go
@@ -70,5 +70,5 @@
 	conn, _, _ := connPair(t)
 	time.AfterFunc(10*time.Millisecond, conn.StopReading)
 	_, err := conn.ReadResponseHead()
-	assert.Equal(t, TooSlow, CloseReasonOf(err))
+	assert.Equal(t, TimedOut, CloseReasonOf(err))
 }
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -19,14 +19,14 @@
 	// closes the connection, ctx is canceled and Serve returns nil. Serve returns protocol.Migrated if another process
 	// sends the response.
 	Serve(ctx context.Context, head *protocol.Head, body []byte, received time.Time) *protocol.Response
-	// AnswerByHead returns the response to a request that is rejected by its head or whose body isn't needed. It
+	// RespondToHead returns the response to a request that is rejected by its head or whose body isn't needed. It
 	// returns nil if the body is to be read and the request served.
-	AnswerByHead(head *protocol.Head) *protocol.Response
-	// OverBudget returns the response for a connection that is over the limit or evicted, and for a request whose body
-	// exceeds the byte budget. head is nil if no head was read.
-	OverBudget(head *protocol.Head) *protocol.Response
-	// MalformedRequest returns the response to a request that could not be read because of err.
-	MalformedRequest(err error) *protocol.Response
+	RespondToHead(head *protocol.Head) *protocol.Response
+	// RejectOverBudget returns the response for a connection that is over the limit or evicted, and for a request whose
+	// body exceeds the byte budget. head is nil if no head was read.
+	RejectOverBudget(head *protocol.Head) *protocol.Response
+	// RejectMalformed returns the response to a request that could not be read because of err.
+	RejectMalformed(err error) *protocol.Response
 }
 
 // Server accepts client connections and serves the requests on each connection sequentially.
@@ -59,8 +59,8 @@
 	return s
 }
 
-// ShareListener records that the listener may be passed to another process. It must be called before Run.
-func (s *Server) ShareListener() { s.listenerShared = true }
+// MarkListenerShared records that the listener may be passed to another process. It must be called before Run.
+func (s *Server) MarkListenerShared() { s.listenerShared = true }
 
 // SetLimit changes the maximum number of connections.
 func (s *Server) SetLimit(limit int) { s.clients.setLimit(limit) }
--- a/internal/transport/shutdown_test.go
+++ b/internal/transport/shutdown_test.go
@@ -62,7 +62,7 @@
 // The process is stopped after its successor has inherited the listener, but before the successor accepts connections.
 func TestSharedListenerKeepsItsBacklog(t *testing.T) {
 	server, successor := serverWithSuccessor(t)
-	server.ShareListener()
+	server.MarkListenerShared()
 	server.lifecycle.Stop(time.Now())
 	runWithCanceledContext(t, server)
 	for range 4 {
