--- a/internal/proxy/answer_by_head.go
+++ b/internal/proxy/answer_by_head.go
@@ -7,9 +7,9 @@
 	"canvasroute/internal/protocol"
 )
 
-// AnswerByHead returns the response to a request that needs no body: a health check, an unknown path or method, or a
+// RespondToHead returns the response to a request that needs no body: a health check, an unknown path or method, or a
 // request that is rejected before its body is read. It returns nil if Serve must handle the request.
-func (p *Proxy) AnswerByHead(h *protocol.Head) *protocol.Response {
+func (p *Proxy) RespondToHead(h *protocol.Head) *protocol.Response {
 	switch h.Path() {
 	case protocol.PathHealth:
 		return p.respondHealthCheck(h)
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -21,7 +21,7 @@
 	number    int       // index among the request's attempts
 	deadline  time.Time // when the client times out
 	sendBy    time.Time // end of the dedup window of an earlier attempt, zero for no limit
-	freshness transport.Freshness
+	freshness transport.ReusePolicy
 	reused    bool // the connection had been used before this attempt
 	migrated  bool // the sibling process continues the attempt
 	events    attemptEvents
@@ -48,10 +48,10 @@
 // requiredFreshness maps the idempotency of an operation to the freshness that its connections need, which is how
 // certain it must be that a connection is still open. An operation that must not be executed twice needs the most. An
 // operation that only a group of workers deduplicates must not take the close of an old connection for a response.
-var requiredFreshness = map[balancer.Idempotency]transport.Freshness{
+var requiredFreshness = map[balancer.Idempotency]transport.ReusePolicy{
 	balancer.Idempotent:      transport.AnyConnection,
 	balancer.IdempotentByKey: transport.Settled,
-	balancer.NonIdempotent:   transport.VerifiedOnly,
+	balancer.NonIdempotent:   transport.SettledUnlessSuspect,
 }
 
 func (p *Proxy) newAttempt(r *inFlightRequest, decision balancer.Decision) *attempt {
--- a/internal/proxy/pause.go
+++ b/internal/proxy/pause.go
@@ -119,6 +119,6 @@
 // stoppedByPause reports whether a read failed because of a pause. A pause makes reads time out, and so do the end of
 // ctx and an interrupt of the connection, which take precedence. Reads have no other timeout.
 func stoppedByPause(ctx context.Context, conn *transport.Conn, readErr error) bool {
-	timedOut := readErr != nil && transport.CloseReasonOf(readErr) == transport.TooSlow
+	timedOut := readErr != nil && transport.CloseReasonOf(readErr) == transport.TimedOut
 	return timedOut && ctx.Err() == nil && !conn.Interrupted()
 }
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -91,7 +91,7 @@
 
 // New returns a Proxy. It passes the initial endpoints to the balancer: those of the predecessor's snapshot if there is
 // one, otherwise Config.InitialEndpoints. datagrams is nil if dispatchers do not exchange load.
-func New(c Config, shards *balancer.Shards, pool *transport.Pool, datagrams *transport.Datagrams,
+func New(c Config, shards *balancer.Shards, pool *transport.Pool, datagrams *transport.DatagramSocket,
 	state *lifecycle.State, log zerolog.Logger,
 ) *Proxy {
 	p := &Proxy{
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -18,12 +18,12 @@
 func (p *Proxy) Serve(ctx context.Context, h *protocol.Head, body []byte, arrivedAt time.Time) *protocol.Response {
 	request, err := protocol.ParseRequest(h)
 	if err != nil {
-		return p.MalformedRequest(err)
+		return p.RejectMalformed(err)
 	}
 	current := p.settings.Load() // loaded once: the request uses the same settings until it ends
 	arrival, err := current.newArrival(request)
 	if err != nil {
-		return p.MalformedRequest(err)
+		return p.RejectMalformed(err)
 	}
 	if !p.requestIDs.open(request.ID) {
 		return p.respondDuplicateID()
@@ -43,7 +43,7 @@
 }
 
 // admit rejects a valid request if the process is stopping or recovering, and submits it to the balancer otherwise.
-// Overload is checked before admit, from the request head alone (AnswerByHead), and after it by the balancer.
+// Overload is checked before admit, from the request head alone (RespondToHead), and after it by the balancer.
 func (p *Proxy) admit(ctx context.Context, r *inFlightRequest, arrival balancer.Arrival) *protocol.Response {
 	if !p.canFinish(arrival) {
 		return p.respondUnavailable(r.settings.maxRetryAfter)
--- a/internal/proxy/responses.go
+++ b/internal/proxy/responses.go
@@ -72,8 +72,8 @@
 	return &protocol.Response{Status: http.StatusServiceUnavailable}
 }
 
-// MalformedRequest returns the response to a request that cannot be parsed. err is the parse error.
-func (p *Proxy) MalformedRequest(err error) *protocol.Response {
+// RejectMalformed returns the response to a request that cannot be parsed. err is the parse error.
+func (p *Proxy) RejectMalformed(err error) *protocol.Response {
 	return p.respondInvalid(protocol.RejectionOf(err))
 }
 
@@ -99,9 +99,9 @@
 	return response
 }
 
-// OverBudget returns the response to a request that exceeds the connection limit or the memory limit for bodies. The
+// RejectOverBudget returns the response to a request that exceeds the connection limit or the memory limit for bodies. The
 // request was not sent to any worker. h is nil if no head was read.
-func (p *Proxy) OverBudget(h *protocol.Head) *protocol.Response {
+func (p *Proxy) RejectOverBudget(h *protocol.Head) *protocol.Response {
 	p.counters.overBudget.Add(1)
 	return p.rejectByHead(h)
 }
--- a/internal/transport/pool_idle.go
+++ b/internal/transport/pool_idle.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// takeReusable returns the latest used idle connection to an address that is fresh enough, nil if there is none. It
-// closes those that the worker has closed or that have expired.
-func (p *Pool) takeReusable(addr string, need Freshness) *Conn {
+// takeReusable returns the most recently used idle connection to an address that satisfies policy, or nil if there is
+// none. It closes connections that the worker has closed or that have expired.
+func (p *Pool) takeReusable(addr string, policy ReusePolicy) *Conn {
 	for {
-		c := p.takeLatestIdle(addr, need)
+		c := p.takeLatestIdle(addr, policy)
 		if c == nil || !c.readable() && time.Since(c.idleSince) < p.maxIdle {
 			return c
 		}
@@ -14,13 +14,14 @@
 	}
 }
 
-// takeLatestIdle takes out the latest used idle connection to an address that is fresh enough, nil if there is none.
-func (p *Pool) takeLatestIdle(addr string, need Freshness) *Conn {
+// takeLatestIdle removes and returns the most recently used idle connection to an address that satisfies policy, or
+// nil.
+func (p *Pool) takeLatestIdle(addr string, policy ReusePolicy) *Conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	conns := p.idle[addr]
 	n := len(conns) - 1
-	for n >= 0 && need != AnyConnection && time.Since(conns[n].idleSince) < SettleTime {
+	for n >= 0 && policy != AnyConnection && time.Since(conns[n].idleSince) < SettleTime {
 		n--
 	}
 	if n < 0 {
@@ -31,7 +32,8 @@
 	return c
 }
 
-// removeOldestIdle takes out the connection that is idle longest, nil if there is none. It is called under the lock.
+// removeOldestIdle removes and returns the connection that has been idle longest, or nil. The caller must hold the
+// lock.
 func (p *Pool) removeOldestIdle() (oldest *Conn) {
 	for _, conns := range p.idle {
 		if oldest == nil || conns[0].idleSince.Before(oldest.idleSince) {
@@ -44,7 +46,7 @@
 	return oldest
 }
 
-// removeIdle takes out the n-th idle connection to an address. It is called under the lock.
+// removeIdle removes and returns the idle connection to an address with index n. The caller must hold the lock.
 func (p *Pool) removeIdle(addr string, n int) *Conn {
 	conns := p.idle[addr]
 	c := conns[n]
@@ -57,14 +59,15 @@
 	return c
 }
 
-// removeExpired takes out the connections that have been idle for too long, or that the worker closed.
+// removeExpired removes and returns the connections that have expired or that the worker has closed.
 func (p *Pool) removeExpired() []*Conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.removeIdleWhere(func(c *Conn) bool { return time.Since(c.idleSince) >= p.maxIdle || c.readable() })
 }
 
-// removeIdleWhere takes out all idle connections for which remove returns true. It is called under the lock.
+// removeIdleWhere removes and returns all idle connections for which remove returns true. The caller must hold the
+// lock.
 func (p *Pool) removeIdleWhere(remove func(*Conn) bool) (removed []*Conn) {
 	for addr, conns := range p.idle {
 		for n := len(conns) - 1; n >= 0; n-- {
@@ -76,8 +79,8 @@
 	return removed
 }
 
-// closeIdleConn closes an idle connection that was taken out. One that its worker closed before it expired makes reused
-// connections suspect.
+// closeIdleConn closes a connection that was removed from the idle ones. If the worker closed it before it expired,
+// reused connections become suspect.
 func (p *Pool) closeIdleConn(c *Conn) {
 	if !c.readable() {
 		c.CloseFor(IdleTimeout, nil)
@@ -86,5 +89,5 @@
 	c.CloseFor(PeerClosed, nil)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.suspectReuse()
+	p.markReuseSuspect()
 }
--- a/internal/transport/pool_test.go
+++ b/internal/transport/pool_test.go
@@ -20,7 +20,7 @@
 	assert.Same(t, conn, mustGet(t, pool, addr))
 }
 
-// A message that is sent on a closed connection may have been processed for all that the dispatcher knows.
+// If a message is sent on a closed connection, the dispatcher can't determine whether the worker has processed it.
 func TestPoolDoesNotReuseAConnectionThatTheWorkerClosed(t *testing.T) {
 	addr, accepted := startWorker(t)
 	var log bytes.Buffer
@@ -58,11 +58,11 @@
 	pool := NewPool(4, time.Minute, zerolog.Nop())
 	conn := mustGet(t, pool, addr)
 	pool.Put(conn)
-	for _, need := range []Freshness{Settled, VerifiedOnly} {
-		assert.NotSame(t, conn, mustGetFresh(t, pool, addr, need))
+	for _, policy := range []ReusePolicy{Settled, SettledUnlessSuspect} {
+		assert.NotSame(t, conn, mustGetWithPolicy(t, pool, addr, policy))
 	}
 	conn.idleSince = conn.idleSince.Add(-SettleTime)
-	assert.Same(t, conn, mustGetFresh(t, pool, addr, Settled))
+	assert.Same(t, conn, mustGetWithPolicy(t, pool, addr, Settled))
 }
 
 func TestClosedPoolLeavesNoConnectionOpen(t *testing.T) {
--- a/internal/transport/read_test.go
+++ b/internal/transport/read_test.go
@@ -43,7 +43,7 @@
 	assert.ErrorIs(t, err, protocol.ErrTooLarge)
 }
 
-func TestCloseWithinAMessageDiffersFromOneBetween(t *testing.T) {
+func TestCloseWithinAMessageIsDistinguishedFromCloseBetweenMessages(t *testing.T) {
 	for _, tt := range []struct {
 		name, received string
 		want           error
@@ -69,7 +69,7 @@
 		{io.EOF, PeerClosed},
 		{ErrTruncated, PeerAborted},
 		{protocol.ErrMalformed, Malformed},
-		{context.DeadlineExceeded, TooSlow},
+		{context.DeadlineExceeded, TimedOut},
 	} {
 		t.Run(tt.err.Error(), func(t *testing.T) {
 			assert.Equal(t, tt.want, CloseReasonOf(tt.err))
--- a/internal/transport/recording_test.go
+++ b/internal/transport/recording_test.go
@@ -27,10 +27,10 @@
 	assert.Equal(t, 200, head.Status)
 	recorded, err = conn.Recorded()
 	assert.NoError(t, err)
-	assert.Equal(t, text, string(recorded), "the recording starts anew")
+	assert.Equal(t, text, string(recorded), "the rewind starts a new recording")
 }
 
-func TestRecordingIncludesWhatIsStillToBeReplayed(t *testing.T) {
+func TestRecordingIncludesDataStillToBeReplayed(t *testing.T) {
 	const text = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
 	conn, peer, _ := connPair(t)
 	conn.StartRecording()
@@ -70,5 +70,5 @@
 	conn, _, _ := connPair(t)
 	time.AfterFunc(10*time.Millisecond, conn.StopReading)
 	_, err := conn.ReadResponseHead()
-	assert.Equal(t, TooSlow, CloseReasonOf(err))
+	assert.Equal(t, TimedOut, CloseReasonOf(err))
 }
