--- a/internal/admin/command.go
+++ b/internal/admin/command.go
@@ -9,21 +9,22 @@
 	"canvasroute/internal/protocol"
 )
 
-// Bounds on reading a command and answering it.
+// Limits on reading a command and sending the response.
 const (
-	responseTimeout = time.Second      // for the caller to take the answer
-	lateGrace       = time.Millisecond // after the wait for a line: reads what arrived before its end
-	maxDiscarded    = 64 << 10         // bytes that are read after the line: unread ones would reset the connection
+	responseTimeout = time.Second      // for the caller to receive the response
+	lateReadGrace   = time.Millisecond // extra read time after the deadline, for bytes that arrived before it
+	maxDiscarded    = 64 << 10         // bytes read after the line: closing with unread bytes would reset the connection
 )
 
-// Why a caller has sent no command. The texts are answered, and operators' scripts may match them.
+// Errors for a connection without a complete command. Their texts are sent to the caller, and operators' scripts may
+// match them.
 var (
 	errCommandTimeout    = errors.New("no whole line came in time")
 	errCommandIncomplete = errors.New("the line has no end")
 )
 
-// serve reads one command, runs it and answers it. Then it waits for the caller to close the connection: closing it first
-// could reset it before the caller has read the answer.
+// serve reads one command, runs it and sends the response. Then it waits for the caller to close the connection:
+// closing it first could reset it before the caller has read the response.
 func (s *Server) serve(c *connection) {
 	command, readErr := readCommand(c.conn)
 	s.slots.pin(c)
@@ -39,9 +40,9 @@
 	}
 }
 
-// readCommand reads a command's line until the connection's read deadline. A line that has arrived by then counts, even
-// if it is read only after the deadline. It fails with errCommandTimeout, errCommandIncomplete or the error of
-// protocol.ParseCommand.
+// readCommand reads a command line until the read deadline of the connection. A line that has arrived by the deadline
+// is accepted even if it is read only afterwards. readCommand returns errCommandTimeout, errCommandIncomplete or the
+// error of protocol.ParseCommand.
 func readCommand(conn net.Conn) (protocol.Command, error) {
 	line := make([]byte, protocol.MaxCommandBytes)
 	received, late := 0, false
@@ -54,7 +55,7 @@
 			return command, parseErr
 		case errors.Is(err, os.ErrDeadlineExceeded) && !late:
 			late = true
-			conn.SetReadDeadline(time.Now().Add(lateGrace))
+			conn.SetReadDeadline(time.Now().Add(lateReadGrace))
 		case errors.Is(err, os.ErrDeadlineExceeded):
 			return "", errCommandTimeout
 		case err != nil:
@@ -63,7 +64,7 @@
 	}
 }
 
-// run runs the command that readCommand has returned, or answers its error.
+// run runs the command and returns the response, or the error response if readCommand has failed.
 func (s *Server) run(command protocol.Command, readErr error) []byte {
 	if readErr != nil {
 		return protocol.AppendCommandResult(nil, readErr)
@@ -82,15 +83,15 @@
 	return protocol.AppendCommandResult(nil, err)
 }
 
-// closeWrite ends the sending side of a connection, which shows the caller the end of the answer. It reports whether it
-// could.
+// closeWrite shuts down the sending side of a connection, so that the caller reads the end of the response. It reports
+// whether it succeeded.
 func closeWrite(conn net.Conn) bool {
 	half, ok := conn.(interface{ CloseWrite() error })
 	return ok && half.CloseWrite() == nil
 }
 
-// discardUnread reads what the caller sends after its command: up to maxDiscarded bytes, until it closes the connection
-// or the read deadline passes.
+// discardUnread reads and discards the bytes that the caller sends after its command, until the caller closes the
+// connection, the read deadline passes, or maxDiscarded bytes have been read.
 func discardUnread(conn net.Conn) {
 	buffer := make([]byte, protocol.MaxCommandBytes)
 	for discarded := 0; discarded < maxDiscarded; {
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -1,10 +1,11 @@
-// Package admin answers operators' commands on an address of their own: each connection has one line, one answer and its
-// end. Handler runs the commands. The server shares no connections and no descriptors with clients, so that it answers
-// while all of theirs are in use. Three bounds keep a caller from blocking others:
+// Package admin serves operators' commands on a separate address. Each connection carries one command line and one
+// response. Handler runs the commands. The server shares no connection slots or file descriptors with clients, so that
+// it responds even if clients use all of theirs. Three limits prevent a caller from blocking others:
 //
-//   - MaxConnections are open at once. Another caller replaces one that is waited for, see connectionSlots.
-//   - The command's line has to arrive within commandTimeout of the accept.
-//   - The caller has to take the answer within responseTimeout, and to close the connection within lingerTimeout.
+//   - At most MaxConnections are open at once. When all are in use, a new caller replaces a connection that waits for
+//     its caller, see connectionSlots.
+//   - The command line must arrive within commandTimeout of the accept.
+//   - The caller must receive the response within responseTimeout and then close the connection within lingerTimeout.
 package admin
 
 import (
@@ -20,15 +21,15 @@
 	"canvasroute/internal/protocol"
 )
 
-// acceptRetryDelay is the wait after a failed accept, such as one for want of descriptors.
+// acceptRetryDelay is the wait after a failed accept, for example if no file descriptors are free.
 const acceptRetryDelay = 10 * time.Millisecond
 
-// Handler runs operators' commands. An error is answered with its text.
+// Handler runs operators' commands. The text of an error is sent to the caller.
 type Handler interface {
-	Health() error              // HEALTH: nil while this process should get new clients, else why not
-	Drain() error               // LEAVE: begins to drain the dispatcher
+	Health() error              // HEALTH: nil if this process accepts new clients, otherwise the reason
+	Drain() error               // LEAVE: starts draining the dispatcher
 	Rejoin() error              // JOIN: ends a drain
-	Metrics() []protocol.Metric // DUMP: the metrics, in the order of the answer
+	Metrics() []protocol.Metric // DUMP: the metrics, in the order of the response
 }
 
 // Server accepts operators' connections.
@@ -39,7 +40,7 @@
 	slots    *connectionSlots
 }
 
-// Listen returns a server that listens at an address. Callers are answered once it runs.
+// Listen opens a listener at an address and returns its server. Run must be called to serve connections.
 func Listen(addr string, handler Handler, log zerolog.Logger) (*Server, error) {
 	listener, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -48,8 +49,8 @@
 	return &Server{listener: listener, handler: handler, log: log, slots: newConnectionSlots()}, nil
 }
 
-// Run answers commands until ctx ends. It returns when the open connections have ended, which ctx interrupts unless their
-// command is being run or answered. The error is always nil.
+// Run serves connections until ctx is done. It then interrupts the open connections, except those whose command is
+// being run or answered, and returns when all are closed. The error is always nil.
 func (s *Server) Run(ctx context.Context) error {
 	var connections errgroup.Group
 	stop := context.AfterFunc(ctx, func() {
@@ -57,7 +58,7 @@
 		s.slots.evictAll()
 	})
 	defer stop()
-	for s.slots.await(ctx) {
+	for s.slots.awaitFreeSlot(ctx) {
 		conn, err := s.listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			break
@@ -74,6 +75,6 @@
 			return nil
 		})
 	}
-	s.slots.evictAll() // a connection may have been added after the call at the end of ctx
+	s.slots.evictAll() // a connection may have been added after ctx was done
 	return connections.Wait()
 }
--- a/internal/admin/server_test.go
+++ b/internal/admin/server_test.go
@@ -16,7 +16,7 @@
 	"canvasroute/internal/protocol"
 )
 
-// fakeHandler counts the commands that it runs.
+// fakeHandler counts calls of Drain and Rejoin.
 type fakeHandler struct {
 	drains  int
 	rejoins int
@@ -64,7 +64,7 @@
 	return conn.(*net.TCPConn)
 }
 
-// exchange sends a text and reads the answer to its end.
+// exchange sends a text and reads the whole response.
 func exchange(t *testing.T, addr, text string) string {
 	t.Helper()
 	conn := dial(t, addr)
@@ -96,7 +96,7 @@
 			assert.Equal(t, c.want, exchange(t, addr, c.text))
 		})
 	}
-	assert.Equal(t, []int{1, 1}, []int{handler.drains, handler.rejoins}, "one line to a connection")
+	assert.Equal(t, []int{1, 1}, []int{handler.drains, handler.rejoins}, "only one line is read from a connection")
 }
 
 func TestIncompleteCommandIsNotRun(t *testing.T) {
@@ -111,8 +111,8 @@
 	assert.Zero(t, handler.drains)
 }
 
-// Callers that send nothing or do not read must not delay the answer to another.
-func TestSilentCallersDoNotKeepOthersOut(t *testing.T) {
+// Callers that send nothing or do not read must not delay the response to another one.
+func TestIdleConnectionsDoNotBlockOtherCallers(t *testing.T) {
 	addr, _ := startServer(t)
 	for n := range 100 {
 		conn := dial(t, addr)
@@ -125,7 +125,7 @@
 	assert.Less(t, time.Since(startedAt), time.Second)
 }
 
-// A line may arrive just as its connection is evicted, or as its timeout passes.
+// A command line may arrive just as its connection is evicted or its timeout expires.
 func TestCommandThatArrivesAsItsWaitEndsIsAnswered(t *testing.T) {
 	server, err := Listen("127.0.0.1:0", &fakeHandler{}, zerolog.Nop())
 	assert.NoError(t, err)
@@ -144,7 +144,7 @@
 	assert.Contains(t, readAll(t, caller), "end\n")
 }
 
-// awaitUnread waits until bytes have arrived on a connection, and leaves them unread.
+// awaitUnread waits until a number of bytes has arrived on a connection, without reading them.
 func awaitUnread(t *testing.T, conn *net.TCPConn, want int) {
 	t.Helper()
 	raw, err := conn.SyscallConn()
--- a/internal/admin/slots.go
+++ b/internal/admin/slots.go
@@ -8,41 +8,41 @@
 	"time"
 )
 
-// MaxConnections is how many connections are open at once. The process sets as many descriptors aside for them.
+// MaxConnections is the maximum number of open connections. The process reserves as many file descriptors for them.
 const MaxConnections = 16
 
-// Bounds on waiting for a caller.
+// Time limits on waiting for a caller.
 const (
-	commandTimeout = 2 * time.Second        // from the accept to the end of the command's line
-	lingerTimeout  = 250 * time.Millisecond // for the caller to close the connection after the answer
+	commandTimeout = 2 * time.Second        // from the accept to the end of the command line
+	lingerTimeout  = 250 * time.Millisecond // for the caller to close the connection after the response
 )
 
-// longPast is a read deadline that interrupts a read at once.
-var longPast = time.Unix(1, 0)
+// pastDeadline is a read deadline that interrupts a read immediately.
+var pastDeadline = time.Unix(1, 0)
 
-// connection is a caller's connection that uses a slot.
+// connection is a caller's connection that occupies a slot.
 type connection struct {
 	conn    net.Conn
 	evicted bool // the wait for the caller was interrupted; guarded by connectionSlots.mu
 }
 
-// connectionSlots bounds the number of connections, and chooses which one another caller replaces. First come those whose
-// caller has its answer, the last one answered before the others. Then come those that have not sent a command, the one
-// that waits longest first. A connection whose command is being run or answered is not evicted. So callers that connect
-// and send nothing keep no other caller out.
+// connectionSlots limits the number of connections and selects the one to evict when a new caller needs a slot.
+// Connections that have received their response are evicted first, starting with the one answered last. Next are those
+// that have not sent a command, starting with the oldest. A connection whose command is being run or answered is never
+// evicted. Callers that connect and send nothing therefore cannot block others.
 type connectionSlots struct {
-	mu        sync.Mutex
-	inUse     int           // slots of connections that are not released
-	evictable []*connection // in the order of eviction
-	freed     chan struct{} // has a value when a slot was released, or a connection became evictable
+	mu         sync.Mutex
+	slotsInUse int           // number of connections that are not released yet
+	evictable  []*connection // in eviction order
+	freed      chan struct{} // receives a value when a slot is released or a connection becomes evictable
 }
 
 func newConnectionSlots() *connectionSlots {
 	return &connectionSlots{freed: make(chan struct{}, 1)}
 }
 
-// await waits until a slot is free, and evicts a connection where none is. It reports false when ctx has ended.
-func (s *connectionSlots) await(ctx context.Context) bool {
+// awaitFreeSlot waits until a slot is free, evicting a connection if necessary. It returns false when ctx is done.
+func (s *connectionSlots) awaitFreeSlot(ctx context.Context) bool {
 	for {
 		if s.freeOrEvict() {
 			return ctx.Err() == nil
@@ -55,11 +55,11 @@
 	}
 }
 
-// freeOrEvict reports whether a slot is free. If none is, it evicts a connection, whose slot is free after release.
+// freeOrEvict reports whether a slot is free. If not, it evicts a connection, whose slot becomes free on release.
 func (s *connectionSlots) freeOrEvict() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.inUse < MaxConnections {
+	if s.slotsInUse < MaxConnections {
 		return true
 	}
 	if len(s.evictable) > 0 {
@@ -69,25 +69,25 @@
 	return false
 }
 
-// evict interrupts the wait for the caller. The connection's goroutine then releases its slot. The caller holds
-// connectionSlots.mu.
+// evict interrupts the wait for the caller, after which the connection's goroutine releases the slot. The caller of
+// evict must hold connectionSlots.mu.
 func (c *connection) evict() {
 	c.evicted = true
-	c.conn.SetReadDeadline(longPast)
+	c.conn.SetReadDeadline(pastDeadline)
 }
 
-// add uses a slot for a connection that has not sent its command yet.
+// add assigns a slot to a connection that has not sent its command yet.
 func (s *connectionSlots) add(conn net.Conn) *connection {
 	c := &connection{conn: conn}
 	conn.SetReadDeadline(time.Now().Add(commandTimeout))
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.inUse++
+	s.slotsInUse++
 	s.evictable = append(s.evictable, c)
 	return c
 }
 
-// pin protects a connection from eviction while its command is run and answered.
+// pin prevents the eviction of a connection while its command is run and answered.
 func (s *connectionSlots) pin(c *connection) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -96,8 +96,8 @@
 	}
 }
 
-// linger gives a caller that has its answer lingerTimeout to close the connection, which is the next one to be evicted
-// meanwhile. It reports false for a connection that was evicted before it was pinned.
+// linger gives the caller lingerTimeout to close the connection after the response. Until then the connection is the
+// next one to be evicted. linger returns false if the connection was evicted before it was pinned.
 func (s *connectionSlots) linger(c *connection) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -106,7 +106,7 @@
 	}
 	c.conn.SetReadDeadline(time.Now().Add(lingerTimeout))
 	s.evictable = slices.Insert(s.evictable, 0, c)
-	s.wake() // a goroutine that awaits a slot can evict this one
+	s.signalFreed() // awaitFreeSlot can evict this connection
 	return true
 }
 
@@ -116,12 +116,13 @@
 	s.pin(c)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.inUse--
-	s.wake()
+	s.slotsInUse--
+	s.signalFreed()
 }
 
-// wake has await look for a slot again. One value in the channel is enough for all reasons since its last look.
-func (s *connectionSlots) wake() {
+// signalFreed makes awaitFreeSlot check for a free slot again. One value in the channel is enough for any number of
+// changes since its last check.
+func (s *connectionSlots) signalFreed() {
 	select {
 	case s.freed <- struct{}{}:
 	default:
--- a/internal/daemon/admin_handler.go
+++ b/internal/daemon/admin_handler.go
@@ -10,30 +10,30 @@
 	"canvasroute/internal/proxy"
 )
 
-// Commands in messages to a successor.
+// Commands that the predecessor forwards to its successor.
 const (
 	commandLeave = string(protocol.CommandLeave)
 	commandJoin  = string(protocol.CommandJoin)
 )
 
-// adminHandler runs operators' commands, as admin.Handler describes them. LEAVE and JOIN are meant for the dispatcher
-// as a whole: where a successor serves, they are forwarded to it. HEALTH and DUMP are answered for this process.
+// adminHandler implements admin.Handler. LEAVE and JOIN apply to the dispatcher as a whole: if a successor is serving,
+// they are forwarded to it. HEALTH and DUMP report on this process only.
 type adminHandler struct {
 	proxy   *proxy.Proxy
 	state   *lifecycle.State
 	restart *hotRestart // nil without an admin address
 	node    *fleet.Node // nil without LB_FLEET
 
-	// Metrics since the start of the process.
+	// Counters since the process started.
 	reloadsApplied  atomic.Int64
 	reloadsRejected atomic.Int64
 }
 
-// Health returns nil while this process should get new clients, or else an error that says why not.
+// Health returns nil if this process accepts new clients. Otherwise it returns an error with the reason.
 func (a *adminHandler) Health() error { return a.proxy.Ready() }
 
-// Drain begins to drain the dispatcher, until Rejoin. With LB_FLEET it fails where the drain cannot be persisted, by
-// which it outlasts restarts; this process drains all the same.
+// Drain starts draining the dispatcher; the drain lasts until Rejoin. With LB_FLEET the drain is persisted so that it
+// survives restarts. If that fails, Drain returns the error, but this process drains anyway.
 func (a *adminHandler) Drain() error {
 	if forwarded, err := a.restart.forwardCommand(commandLeave); forwarded {
 		return err
@@ -45,7 +45,8 @@
 	return a.node.PersistDrain()
 }
 
-// Rejoin ends a drain. It fails with lifecycle.ErrStopping, and as Drain does where the end cannot be persisted.
+// Rejoin ends a drain. It returns lifecycle.ErrStopping if the process is stopping, or the error from persisting the
+// end of the drain.
 func (a *adminHandler) Rejoin() error {
 	if a.state.PhaseAt(time.Now()).IsStopping() {
 		return lifecycle.ErrStopping
@@ -62,7 +63,7 @@
 	return a.node.PersistRejoin()
 }
 
-// Metrics returns the metrics of this process in the order of the answer to DUMP.
+// Metrics returns the metrics of this process in the order of the DUMP response.
 func (a *adminHandler) Metrics() []protocol.Metric {
 	metrics := a.proxy.Metrics()
 	if a.node != nil {
--- a/internal/daemon/admin_handler_test.go
+++ b/internal/daemon/admin_handler_test.go
@@ -13,8 +13,8 @@
 	"canvasroute/internal/lifecycle"
 )
 
-// A drained dispatcher must finish the requests that it has admitted, admit no more, and keep no connection.
-func TestLeaveDrainsAndJoinTakesClientsAgain(t *testing.T) {
+// A drained dispatcher must complete the requests that it has admitted, admit no new ones, and keep no connection open.
+func TestLeaveDrainsAndJoinAcceptsNewClients(t *testing.T) {
 	admin := freeAddress(t)
 	workerDelay := 2 * lifecycle.DrainGrace
 	dispatcher := startDispatcher(t, workerDelay, nil, func(c *Config) {
@@ -38,13 +38,13 @@
 	assert.Equal(t, []any{503, true}, []any{health.StatusCode, health.Close})
 	_, err = idle.in.ReadByte()
 	assert.ErrorIs(t, err, io.EOF)
-	assert.InDelta(t, lifecycle.DrainGrace.Seconds(), time.Since(drainedAt).Seconds(), 0.3, "clients may use it until then")
+	assert.InDelta(t, lifecycle.DrainGrace.Seconds(), time.Since(drainedAt).Seconds(), 0.3, "idle connections stay open until then")
 	_, err = unused.in.ReadByte()
 	assert.ErrorIs(t, err, io.EOF)
 	late := dialClient(t, url)
 	late.send("l1")
 	assert.Equal(t, clientResponse{status: 503, closes: true, retryAfter: "2"}, late.receive(t),
-		"at once, with when to retry")
+		"rejected immediately, with a Retry-After header")
 	assert.Less(t, time.Since(drainedAt), workerDelay-time.Second)
 	inFlight.assertResponse(t, 200, true, "a request in flight is neither cut nor shortened")
 	assert.Equal(t, "done\n", runAdminCommand(t, admin, "JOIN"))
@@ -62,7 +62,7 @@
 	assert.NoError(t, <-dispatcher.ended)
 }
 
-// assertMetrics checks that the answer to DUMP has the lines.
+// assertMetrics checks that the DUMP response contains the lines.
 func assertMetrics(t *testing.T, admin string, lines ...string) {
 	t.Helper()
 	dump := runAdminCommand(t, admin, "DUMP")
--- a/internal/daemon/balancer_events.go
+++ b/internal/daemon/balancer_events.go
@@ -6,8 +6,8 @@
 	"canvasroute/internal/balancer"
 )
 
-// logBalancerEvent logs an event of the balancer: a constant message, with the event's parts as fields. An event that has
-// no case here is logged as its text.
+// logBalancerEvent logs a balancer event as a constant message with the event's values as log fields. An event type
+// without a case of its own is logged as the text of its String method.
 func logBalancerEvent(log zerolog.Logger, event balancer.Event) {
 	switch e := event.(type) {
 	case balancer.WorkerEjected:
--- a/internal/daemon/command.go
+++ b/internal/daemon/command.go
@@ -13,11 +13,12 @@
 	"canvasroute/internal/proxy"
 )
 
-// errStateRejected is returned for a folder with records that are not usable. Operators read its text.
+// errStateRejected is returned if a state folder contains records that cannot be used. Its text is shown to operators.
 var errStateRejected = errors.New("some of it is not believed")
 
-// RunCommand runs a command of the program other than serving, and returns the exit code: 0, or 1 for a failure. Failures
-// are a wrong command line, a folder that cannot be read, and a folder with records that are not usable.
+// RunCommand runs a subcommand of the program (any command other than serving) and returns the exit code: 0 on success,
+// 1 on failure. It fails if the command line is invalid, if the folder cannot be read, or if some records in it cannot
+// be used.
 func RunCommand(args []string, stdout, stderr io.Writer) int {
 	root := &cobra.Command{
 		Use:          "canvasroute",
@@ -36,7 +37,7 @@
 	return exitOK
 }
 
-// newStateShowCommand returns the command "state show".
+// newStateShowCommand returns the "state show" command.
 func newStateShowCommand(stdout io.Writer) *cobra.Command {
 	asJSON := false
 	command := &cobra.Command{
@@ -55,8 +56,8 @@
 	return command
 }
 
-// showState writes what a folder holds. Where some records are not usable it fails with errStateRejected, after it has
-// written the rest.
+// showState passes a summary of the state folder to write. If some records cannot be used, it returns errStateRejected
+// after writing the summary of the others.
 func showState(folder string, write func(stateSummary) error) error {
 	disk, err := store.ReadFolder(folder)
 	if err != nil {
@@ -72,28 +73,29 @@
 	return nil
 }
 
-// stateSummary is what operators are shown of a folder. The JSON keys and the lines of writeText are an interface:
-// operators' scripts read them. Both keep older words than the fields, see docs/glossary.md.
+// stateSummary is the content of a state folder as shown to operators. The JSON keys and the lines of writeText are a
+// stable interface that operators' scripts parse. They keep older terms than the field names, see docs/glossary.md.
 type stateSummary struct {
-	Name            string    `json:"name"`                   // of the dispatcher
-	Incarnation     uint64    `json:"life"`                   // number of the last start
-	Nonce           string    `json:"token"`                  // of the incarnation, 16 hexadecimal digits
-	StartedAt       time.Time `json:"began"`                  // of the incarnation, in UTC
-	Drained         bool      `json:"left_by_hand"`           // an operator has drained the dispatcher
-	CleanShutdown   bool      `json:"ended_in_order"`         // the incarnation has ended by itself
-	SavedAt         time.Time `json:"facts_written,omitzero"` // of the learnt state, in UTC; zero without
-	SettingsHash    string    `json:"settings,omitempty"`     // of the settings that the state was learnt under
-	EndpointVersion int64     `json:"list_version"`           // of the endpoint list
-	Workers         int       `json:"workers"`                // in the endpoint list
-	Capacities      []string  `json:"bears,omitempty"`        // by kind of worker, in requests at once
-	Keys            int       `json:"keys"`                   // idempotency keys whose attempts may have run
-	KeysSuspect     bool      `json:"keys_may_be_missing"`    // the disk may have lost keys that it had synced
-	Rejected        []string  `json:"not_believed,omitempty"` // why records are not usable
+	Name            string    `json:"name"`                   // name of the dispatcher
+	Incarnation     uint64    `json:"life"`                   // number of the last incarnation
+	Nonce           string    `json:"token"`                  // nonce of the incarnation, 16 hexadecimal digits
+	StartedAt       time.Time `json:"began"`                  // start time of the incarnation, in UTC
+	Drained         bool      `json:"left_by_hand"`           // an operator drained the dispatcher
+	CleanShutdown   bool      `json:"ended_in_order"`         // the incarnation shut down gracefully
+	SavedAt         time.Time `json:"facts_written,omitzero"` // last save of the learned state, in UTC; zero if none
+	SettingsHash    string    `json:"settings,omitempty"`     // hash of the settings under which the state was learned
+	EndpointVersion int64     `json:"list_version"`           // version of the endpoint list
+	Workers         int       `json:"workers"`                // number of workers in the endpoint list
+	Capacities      []string  `json:"bears,omitempty"`        // concurrent requests per worker, by kind
+	Keys            int       `json:"keys"`                   // number of idempotency keys whose attempts may have run
+	KeysSuspect     bool      `json:"keys_may_be_missing"`    // the disk may have lost keys that were already synced
+	Rejected        []string  `json:"not_believed,omitempty"` // one reason for each record that cannot be used
 }
 
-// summarizeState returns what the dispatcher whose folder it is would recover from it.
+// summarizeState returns a summary of the state that a dispatcher would recover from the folder.
 func summarizeState(disk store.Disk) stateSummary {
-	// Opening a folder under another name rejects its records as foreign, but returns the name in them.
+	// Opening the folder under another name rejects its records as foreign, but still returns the name that they
+	// contain.
 	_, foreign := store.Open(disk, "")
 	_, recovered := store.Open(disk, foreign.Incarnation.Name)
 	incarnation := recovered.Incarnation
@@ -116,7 +118,7 @@
 	return summary
 }
 
-// addLearnedState adds what the dispatcher has learnt of workers and endpoints.
+// addLearnedState adds the learned state of workers and endpoints to the summary.
 func (s *stateSummary) addLearnedState(state *store.State) {
 	s.SavedAt = time.UnixMilli(state.WrittenAt).UTC()
 	s.SettingsHash = state.SettingsHash
@@ -130,7 +132,7 @@
 	if len(snapshot.Learned) == 0 {
 		return
 	}
-	oneShard := snapshot.Learned[0] // the shards learn the same
+	oneShard := snapshot.Learned[0] // all shards learn the same capacities
 	for kind, capacity := range oneShard.Kinds {
 		if kind < len(snapshot.Kinds) {
 			s.Capacities = append(s.Capacities, fmt.Sprintf("%s: %v at once", snapshot.Kinds[kind], capacity.MaxObserved))
@@ -138,14 +140,14 @@
 	}
 }
 
-// writeJSON writes a summary for scripts.
+// writeJSON writes the summary as indented JSON.
 func writeJSON(out io.Writer, summary stateSummary) error {
 	encoder := json.NewEncoder(out)
 	encoder.SetIndent("", " ")
 	return encoder.Encode(summary)
 }
 
-// writeText writes a summary in lines for people.
+// writeText writes the summary as lines of text.
 func writeText(out io.Writer, summary stateSummary) error {
 	lines := &lineWriter{out: out}
 	lines.line("dispatcher %q, life %d (token %s), began %s", summary.Name, summary.Incarnation, summary.Nonce,
@@ -175,7 +177,7 @@
 	return lines.err
 }
 
-// lineWriter writes lines until the first error.
+// lineWriter writes formatted lines to out. After the first write error it writes no more and keeps the error in err.
 type lineWriter struct {
 	out io.Writer
 	err error
--- a/internal/daemon/operators_test.go
+++ b/internal/daemon/compatibility_test.go
@@ -22,7 +22,7 @@
 	"canvasroute/internal/proxy"
 )
 
-// configWithEachKey has each key that this package reads, with a value other than its default.
+// configWithEachKey sets each key that this package reads to a value other than its default.
 const configWithEachKey = `{"name":"n3","listen":"127.0.0.1:8080","discovery":"127.0.0.1:8500","mgmt":"127.0.0.1:8600",
 "seed":"8c1f30d27a5be964","limits":{"cores":2.5,"memory_mb":200,"sockets":2048},
 "peer_listen":"127.0.0.1:7946","peers":["127.0.0.1:7946","127.0.0.2:7946"],"peers_all":"127.3.255.1:7946",
@@ -36,7 +36,7 @@
 "policyLimits":{"peers":true,"maxForwards":3,"mayCancel":true,"connIdleS":8,"dialTimeoutS":0.2,"retryAfter":true,
 "maxRetryAfterS":2}}}`
 
-// TestEachKeyOfTheConfiguration pins the keys of the configuration file.
+// TestEachKeyOfTheConfiguration checks that the keys of the configuration file do not change.
 func TestEachKeyOfTheConfiguration(t *testing.T) {
 	read, err := parseConfig([]byte(configWithEachKey), fakeEnv())
 	assert.NoError(t, err)
@@ -74,11 +74,11 @@
 			unset = append(unset, config.Type().Field(n).Name)
 		}
 	}
-	assert.Equal(t, []string{"Fleet"}, unset, "it has a file of its own")
+	assert.Equal(t, []string{"Fleet"}, unset, "the fleet settings are in a separate file")
 }
 
-// TestOperatingPageShowsNumbersOfTheConfiguration keeps the default and the range of each number on the operators' page
-// and in config_table.go together.
+// TestOperatingPageShowsNumbersOfTheConfiguration checks that docs/operating.md has the same default and range of each
+// number as config_table.go.
 func TestOperatingPageShowsNumbersOfTheConfiguration(t *testing.T) {
 	page, err := os.ReadFile("../../docs/operating.md")
 	assert.NoError(t, err)
@@ -101,14 +101,15 @@
 	}
 }
 
-// TestSettingsHash pins the hash that the folder on disk has. State with another hash was learnt under other settings.
+// TestSettingsHash checks that the settings hash in the state folder does not change. State with another hash was
+// learned under other settings.
 func TestSettingsHash(t *testing.T) {
 	read, err := parseConfig([]byte(configWithEachKey), fakeEnv())
 	assert.NoError(t, err)
 	assert.Equal(t, "8aeee8ff73cee782", read.settingsHash)
 }
 
-// TestEachVariableOfTheEnvironment pins the variables, which override the file.
+// TestEachVariableOfTheEnvironment checks the environment variables, which override the file.
 func TestEachVariableOfTheEnvironment(t *testing.T) {
 	dir := t.TempDir()
 	config := writeFile(t, filepath.Join(dir, "config.json"), testConfiguration)
@@ -121,11 +122,11 @@
 		[]string{read.Name, read.Listen, read.Proxy.DiscoveryAddress, read.AdminListen, read.Fleet.State.Folder})
 	reloaded, err := ReloadConfig(variables)
 	assert.NoError(t, err)
-	assert.Equal(t, "127.0.0.1:8500", reloaded.Proxy.DiscoveryAddress, "a running dispatcher polls the address in the file")
+	assert.Equal(t, "127.0.0.1:8500", reloaded.Proxy.DiscoveryAddress, "a running dispatcher uses the address in the file")
 	assert.Equal(t, "127.0.0.9:3", reloaded.AdminListen)
 }
 
-// TestProcessExitCodes pins the codes that a service manager sees.
+// TestProcessExitCodes checks the exit codes that service managers rely on.
 func TestProcessExitCodes(t *testing.T) {
 	taken, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NoError(t, err)
@@ -156,7 +157,7 @@
 			case code := <-ended:
 				assert.Equal(t, c.want, code)
 			case <-time.After(10 * time.Second):
-				t.Fatal("it does not end")
+				t.Fatal("process did not exit in time")
 			}
 		})
 	}
@@ -165,8 +166,8 @@
 	assert.Equal(t, 0, RunCommand([]string{"--help"}, &stdout, &stderr))
 }
 
-// TestStateShowOfEarlierRelease reads the folder that an earlier release wrote, snapshot included. Operators are shown
-// what that release showed.
+// TestStateShowOfEarlierRelease reads a state folder, including its snapshot, that an earlier release wrote. The output
+// must be the same as in that release.
 func TestStateShowOfEarlierRelease(t *testing.T) {
 	const folder = "../fleet/store/testdata/folder"
 	for golden, args := range map[string][]string{
@@ -181,8 +182,8 @@
 	}
 }
 
-// TestStateShowOfTornFolder pins the key under which faults are shown, and the exit code.
-func TestStateShowOfTornFolder(t *testing.T) {
+// TestStateShowOfCorruptFolder checks the key under which errors are shown, and the exit code.
+func TestStateShowOfCorruptFolder(t *testing.T) {
 	folder := t.TempDir()
 	writeFile(t, filepath.Join(folder, "life.a"), "x")
 	var stdout, stderr bytes.Buffer
@@ -190,14 +191,13 @@
 	assert.Contains(t, stdout.String(), "\n \"not_believed\": [\n  \"life.a: ")
 }
 
-// TestRendezvousOfHotRestart pins where the processes of one dispatcher find each other. All releases have to agree on
-// it.
-func TestRendezvousOfHotRestart(t *testing.T) {
+// TestHotRestartControlSocketPath checks the path of the control socket. All releases must derive the same one.
+func TestHotRestartControlSocketPath(t *testing.T) {
 	dir := t.TempDir()
 	t.Setenv("TMPDIR", dir)
 	config, err := parseConfig([]byte(configWithEachKey), fakeEnv())
 	assert.NoError(t, err)
-	assert.Equal(t, hotrestart.RendezvousFor(dir, "n3", "127.0.0.1:8080", "127.0.0.1:7946"), newHotRestart(config, nopLog).rendezvous)
+	assert.Equal(t, hotrestart.NewControlSocket(dir, "n3", "127.0.0.1:8080", "127.0.0.1:7946"), newHotRestart(config, nopLog).controlSocket)
 	config.AdminListen = ""
 	assert.Nil(t, newHotRestart(config, nopLog), "without an admin address there is no hot restart")
 }
--- a/internal/daemon/config.go
+++ b/internal/daemon/config.go
@@ -11,43 +11,43 @@
 	"canvasroute/internal/proxy"
 )
 
-// Environment variables. LB_NAME, LB_LISTEN, LB_DISCOVERY and LB_MGMT override the file's keys.
+// Environment variables. LB_NAME, LB_LISTEN, LB_DISCOVERY and LB_MGMT override keys of the configuration file.
 const (
 	envConfig    = "LB_CONFIG"    // path of the configuration file
-	envFleet     = "LB_FLEET"     // path of the fleet's file, empty for none
+	envFleet     = "LB_FLEET"     // path of the fleet file; empty if there is none
 	envName      = "LB_NAME"      // overrides name
 	envListen    = "LB_LISTEN"    // overrides listen
-	envDiscovery = "LB_DISCOVERY" // overrides discovery, at the start only
+	envDiscovery = "LB_DISCOVERY" // overrides discovery, on startup only
 	envAdmin     = "LB_MGMT"      // overrides mgmt
 )
 
-// errConfigNotSet is returned without LB_CONFIG.
-var errConfigNotSet = errors.New(envConfig + ": not set; it names the configuration file")
+// errConfigNotSet is returned if LB_CONFIG is not set.
+var errConfigNotSet = errors.New(envConfig + ": not set; must be the path of the configuration file")
 
-// Config is the configuration of a dispatcher's process. The keys behind the fields, with units, defaults and ranges,
-// are in config_table.go. While the process runs it is replaced and not changed, see process.
+// Config is the configuration of a dispatcher process. config_table.go lists the keys of its fields with their units,
+// defaults and ranges. A running process never modifies its Config: a reload replaces it, see process.
 type Config struct {
 	Name              string          // unique among the dispatchers
 	Listen            string          // address for clients
-	PeerListen        string          // address for datagrams of other dispatchers, "" without gossip
-	AdminListen       string          // admin address, "" for none
-	Seed              uint64          // of the balancer's random numbers
-	Cores             float64         // limit on processor time, in cores
-	MemoryMB          int             // limit on memory, in MiB
-	Sockets           int             // limit on open descriptors
-	WorkerIdleTimeout time.Duration   // workers close connections that are idle for so long
-	MaxClientTimeout  time.Duration   // the longest default client timeout of all operations
-	Balancer          balancer.Config // what package settings reads, with the values of setPollingDiscovery
+	PeerListen        string          // UDP address for gossip, "" if gossip is disabled
+	AdminListen       string          // admin address, "" if there is none
+	Seed              uint64          // seed of the balancer's random numbers
+	Cores             float64         // CPU limit, in cores
+	MemoryMB          int             // memory limit, in MiB
+	Sockets           int             // limit on open file descriptors
+	WorkerIdleTimeout time.Duration   // workers close connections that have been idle for this duration
+	MaxClientTimeout  time.Duration   // longest default client timeout of all operations
+	Balancer          balancer.Config // read by package settings, then adjusted by setPollingDiscovery
 	Proxy             proxy.Config
-	Fleet             *fleet.Settings // nil without LB_FLEET
+	Fleet             *fleet.Settings // nil if LB_FLEET is not set
 
-	settingsHash string          // identifies the settings under which the state on disk was learnt
+	settingsHash string          // identifies the settings under which the state on disk was learned
 	keys         map[string]bool // paths of the keys in the file, see configKeys
 }
 
-// ReadConfig returns the configuration in the file that LB_CONFIG names. The other environment variables override the
-// file's name and addresses. It fails with a *settings.KeyError for a single key, with errConfigNotSet, errNotJSON or
-// errNotObject, or with the error of reading a file.
+// ReadConfig reads the configuration file that LB_CONFIG names. The other environment variables override the name and
+// the addresses in the file. It returns a *settings.KeyError if the value of a key is invalid, errConfigNotSet,
+// errNotJSON or errNotObject, or the error from reading a file.
 func ReadConfig(getenv func(string) string) (*Config, error) {
 	path := getenv(envConfig)
 	if path == "" {
@@ -70,8 +70,8 @@
 	return c, nil
 }
 
-// ReloadConfig returns the configuration for a dispatcher that runs already, as ReadConfig does. Only LB_DISCOVERY is
-// ignored: it still has the address from the start, and the discovery service may have moved since.
+// ReloadConfig reads the configuration like ReadConfig, but for a dispatcher that is already running. It ignores
+// LB_DISCOVERY, which still holds the address from startup: the discovery service may have moved since then.
 func ReloadConfig(getenv func(string) string) (*Config, error) {
 	return ReadConfig(func(variable string) string {
 		if variable == envDiscovery {
--- a/internal/daemon/config_check.go
+++ b/internal/daemon/config_check.go
@@ -7,10 +7,10 @@
 	"github.com/valyala/fastjson"
 )
 
-// Checks of the settings that package settings does not make: the simulator's settings may have such values, and a
-// dispatcher on sockets must not.
+// Checks of settings that package settings accepts because the simulator may use such values, but that a dispatcher
+// with real connections must reject.
 
-// checkOperations rejects timeouts that are not positive and names that are used twice.
+// checkOperations rejects timeouts that are not positive and duplicate operation names.
 func (r *configReader) checkOperations() {
 	first := map[string]int{}
 	for n, operation := range r.root.GetArray("settings", "operations") {
@@ -28,7 +28,7 @@
 	}
 }
 
-// checkMaxAttempts rejects a number of attempts that is not a positive whole number.
+// checkMaxAttempts rejects a maximum number of attempts that is not a positive whole number.
 func (r *configReader) checkMaxAttempts() {
 	path := keyPath{"settings", "policyLimits", "maxForwards"}
 	field := r.root.Get(path...)
@@ -41,7 +41,7 @@
 	}
 }
 
-// checkPositive rejects a value that is not a number above 0, up to math.MaxInt32.
+// checkPositive rejects a value that is not a number greater than 0 and at most math.MaxInt32.
 func (r *configReader) checkPositive(v *fastjson.Value, key string) {
 	n, err := v.Float64()
 	if err != nil || !(n > 0 && n <= math.MaxInt32) {
--- a/internal/daemon/config_keys.go
+++ b/internal/daemon/config_keys.go
@@ -6,14 +6,14 @@
 	"github.com/valyala/fastjson"
 )
 
-// optionalKeys may be missing from a file that is reloaded, though the configuration in force has them.
+// optionalKeys are the keys that a reloaded file may omit even if the current configuration has them.
 var optionalKeys = map[string]bool{"known": true, "mgmt": true, "peers_all": true}
 
-// operationKeys are the keys within an operation that configKeys lists.
+// operationKeys are the keys of an operation that configKeys includes.
 var operationKeys = []string{"name", "repeat", "latencyObjectiveS", "clientTimeoutS", "billedValue"}
 
-// configKeys returns the paths of a file's keys, except optional ones. Of the keys within lists it has only those that
-// each operation has, such as "settings.operations[].name".
+// configKeys returns the paths of the keys in a file, except optional ones. Of the keys inside lists it includes only
+// the operationKeys that every operation has, as paths such as "settings.operations[].name".
 func configKeys(root *fastjson.Value) map[string]bool {
 	keys := map[string]bool{}
 	addKeys(keys, nil, root)
@@ -30,7 +30,7 @@
 	return keys
 }
 
-// addKeys adds the paths of an object's keys, and of the keys within their values.
+// addKeys adds the paths of an object's keys and, recursively, of the keys of nested objects.
 func addKeys(keys map[string]bool, path keyPath, v *fastjson.Value) {
 	if v.Type() != fastjson.TypeObject {
 		return
@@ -46,21 +46,21 @@
 	})
 }
 
-// firstMissingKey returns a key that the current configuration has and the next one lacks, "" for none. Of several it
-// returns the shortest, and of the shortest the first in alphabetical order. The check keeps a file that was written in
-// part from setting defaults unnoticed.
+// firstMissingKey returns a key that the current configuration has and the next one lacks, or "" if there is none. If
+// several are missing, it returns the shortest, and among those of equal length the first in alphabetical order. The
+// check prevents a partially written file from silently resetting keys to their defaults.
 func firstMissingKey(current, next map[string]bool) string {
 	first := ""
 	for key := range current {
-		if !next[key] && (first == "" || precedes(key, first)) {
+		if !next[key] && (first == "" || sortsBefore(key, first)) {
 			first = key
 		}
 	}
 	return first
 }
 
-// precedes reports whether a is shorter than b or, at the same length, before it in alphabetical order.
-func precedes(a, b string) bool {
+// sortsBefore reports whether a is shorter than b or, if their lengths are equal, precedes b in alphabetical order.
+func sortsBefore(a, b string) bool {
 	if len(a) != len(b) {
 		return len(a) < len(b)
 	}
--- a/internal/daemon/config_parse.go
+++ b/internal/daemon/config_parse.go
@@ -16,25 +16,25 @@
 	"canvasroute/internal/settings"
 )
 
-// endpointChangeDeadline is how long after a change of the endpoint list each dispatcher has to know it. The platform
-// fixes it; no key sets it.
+// endpointChangeDeadline is the time within which each dispatcher must learn of a change to the endpoint list. It is
+// fixed by the platform and cannot be configured.
 const endpointChangeDeadline = 6 * balancer.Second
 
-// Numbers in texts.
+// Formats of numbers in the configuration and in the stored state.
 const (
-	settingsHashDigits = 16 // hexadecimal digits of the settings' hash that are kept
+	settingsHashDigits = 16 // hexadecimal digits kept of the settings hash
 	seedBase           = 16
 	seedBits           = 64
 )
 
-// Why a file is rejected as a whole.
+// Errors for a file that is rejected as a whole.
 var (
 	errNotJSON   = errors.New("not JSON")
 	errNotObject = errors.New("not a JSON object")
 )
 
-// parseConfig returns the configuration that a file's text describes, with the defaults of missing keys. Of several
-// faults it returns the one that the order of the steps here finds first.
+// parseConfig parses the text of a configuration file and sets the defaults of missing keys. If there are several
+// errors, it returns the first one in the order of the steps below.
 func parseConfig(text []byte, getenv func(string) string) (*Config, error) {
 	root, err := fastjson.ParseBytes(text)
 	if err != nil {
@@ -51,7 +51,7 @@
 	r.setPollingDiscovery(c)
 	r.readIdentity(c)
 	r.readLimits(c)
-	c.WorkerIdleTimeout = r.seconds(workerIdleTimeoutKey)
+	c.WorkerIdleTimeout = r.duration(workerIdleTimeoutKey)
 	r.readPeers(c)
 	r.readInitialEndpoints(c)
 	r.readProxy(c)
@@ -65,22 +65,22 @@
 	return c, nil
 }
 
-// hashSettings returns the hash by which the state on disk names the settings that it was learnt under.
+// hashSettings returns the hash that identifies settings in the state on disk.
 func hashSettings(v *fastjson.Value) string {
 	return fmt.Sprintf("%x", sha256.Sum256(v.MarshalTo(nil)))[:settingsHashDigits]
 }
 
-// setPollingDiscovery sets what no key decides for a process on sockets. It polls the discovery service, and its proxy
-// reports when a worker has received an attempt.
+// setPollingDiscovery sets the balancer options that are fixed for a dispatcher process: it polls the discovery
+// service, and its proxy reports when a worker has received an attempt.
 func (r *configReader) setPollingDiscovery(c *Config) {
-	interval := r.seconds(pollIntervalKey)
+	interval := r.duration(pollIntervalKey)
 	c.Balancer.Discovery.Poll = true
 	c.Balancer.Discovery.MaxPollInterval = settings.DurationOf(interval.Seconds())
 	c.Balancer.Discovery.ChangeDeadline = endpointChangeDeadline
 	c.Balancer.Attempts.DeliveryNotices = true
 }
 
-// readIdentity reads who the dispatcher is and the addresses that it uses.
+// readIdentity reads the dispatcher's name, its addresses and its random seed.
 func (r *configReader) readIdentity(c *Config) {
 	c.Name = r.text(envName, "name")
 	c.Listen = r.address(envListen, "listen").String()
@@ -91,14 +91,15 @@
 	c.Seed = r.seed()
 }
 
-// readLimits reads the limits on the machine's resources.
+// readLimits reads the limits on CPU, memory and file descriptors.
 func (r *configReader) readLimits(c *Config) {
 	c.Cores = r.number(coresKey)
 	c.MemoryMB = int(r.number(memoryKey))
 	c.Sockets = int(r.number(socketsKey))
 }
 
-// readPeers reads the addresses for gossip: one for each dispatcher, this one included. Without gossip there are none.
+// readPeers reads the gossip addresses: one for each dispatcher, including this one. It reads none if gossip is
+// disabled.
 func (r *configReader) readPeers(c *Config) {
 	if !c.Balancer.Gossip.Enabled {
 		return
@@ -116,7 +117,7 @@
 	}
 }
 
-// readInitialEndpoints reads the endpoint list that the dispatcher starts with, if the file has one.
+// readInitialEndpoints reads the optional endpoint list that the dispatcher starts with.
 func (r *configReader) readInitialEndpoints(c *Config) {
 	v := r.root.Get("known")
 	if v == nil || v.Type() == fastjson.TypeNull {
@@ -130,10 +131,10 @@
 	c.Proxy.InitialEndpoints = &list
 }
 
-// readProxy reads the operations, the names of tenants, zones and kinds, and the timeouts.
+// readProxy reads the operations, the names of tenants, zones, kinds and load report fields, and the timeouts.
 func (r *configReader) readProxy(c *Config) {
 	c.Proxy.Position = c.Balancer.Position
-	c.Proxy.DialTimeout = r.seconds(dialTimeoutKey)
+	c.Proxy.DialTimeout = r.duration(dialTimeoutKey)
 	if c.Balancer.Rejections.RetryAfter {
 		c.Proxy.MaxRetryAfter = c.Balancer.Rejections.MaxRetryAfter.Standard()
 	}
@@ -143,15 +144,15 @@
 		c.MaxClientTimeout = max(c.MaxClientTimeout, operation.DefaultTimeout)
 	}
 	for n, v := range r.root.GetArray("settings", "orgs") {
-		c.Proxy.Tenants = append(c.Proxy.Tenants, r.entryName(v, "orgs", n))
+		c.Proxy.Tenants = append(c.Proxy.Tenants, r.readEntryName(v, "orgs", n))
 	}
 	c.Proxy.Zones = r.names("settings", "zones")
 	c.Proxy.Kinds = r.names("settings", "shapes")
 	c.Proxy.ReportFields = r.names("settings", "report", "names")
 }
 
-// operation reads the n-th operation's name and default timeout. The rest is in balanced, the operations that package
-// settings has read, in the same order.
+// operation reads the name and the default timeout of the n-th operation. The other values are copied from
+// balanced, the operations that package settings has read, in the same order.
 func (r *configReader) operation(n int, v *fastjson.Value, balanced []balancer.OperationConfig) proxy.Operation {
 	operation := proxy.Operation{DefaultTimeout: defaultClientTimeout}
 	if n < len(balanced) {
@@ -162,12 +163,12 @@
 	if s := v.GetFloat64("clientTimeoutS"); s > 0 {
 		operation.DefaultTimeout = time.Duration(s * float64(time.Second))
 	}
-	operation.Name = r.entryName(v, "operations", n)
+	operation.Name = r.readEntryName(v, "operations", n)
 	return operation
 }
 
-// entryName reads the name of the n-th entry of a list in the settings.
-func (r *configReader) entryName(v *fastjson.Value, list string, n int) string {
+// readEntryName reads the name of the n-th entry of a list in the settings.
+func (r *configReader) readEntryName(v *fastjson.Value, list string, n int) string {
 	name := string(v.GetStringBytes("name"))
 	if name == "" {
 		r.reject(fmt.Sprintf("settings.%s[%d].name", list, n), "must be a non-empty string")
--- a/internal/daemon/config_size_test.go
+++ b/internal/daemon/config_size_test.go
@@ -9,7 +9,7 @@
 	"github.com/valyala/fastjson"
 )
 
-// A configuration has no bound on the number of dispatchers or workers.
+// The number of dispatchers and workers in a configuration is not limited.
 func TestConfigurationTakesManyDispatchersAndWorkers(t *testing.T) {
 	const many = 1024
 	configuration := fastjson.MustParse(testConfiguration)
--- a/internal/daemon/config_test.go
+++ b/internal/daemon/config_test.go
@@ -103,7 +103,7 @@
 	_, err = parseConfig([]byte(testConfiguration), fakeEnv("LB_LISTEN", "nowhere"))
 	var keyError *settings.KeyError
 	assert.ErrorAs(t, err, &keyError)
-	assert.Equal(t, "LB_LISTEN", keyError.Key, "the variable, not the file's key")
+	assert.Equal(t, "LB_LISTEN", keyError.Key, "the variable, not the key in the file")
 	_, err = ReadConfig(fakeEnv())
 	assert.ErrorIs(t, err, errConfigNotSet)
 	assert.ErrorContains(t, err, "LB_CONFIG: not set")
@@ -111,7 +111,8 @@
 	assert.ErrorIs(t, err, os.ErrNotExist)
 }
 
-// Both limits may be at their minimum, or one allow many descriptors and the other no memory for as many connections.
+// Each limit may be at its minimum, and one may allow many file descriptors while the other has too little memory for
+// as many connections.
 func TestResourceLimitsFollowFromMemoryAndDescriptors(t *testing.T) {
 	for _, c := range []struct {
 		name                                string
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,11 +1,11 @@
-// Package daemon runs a dispatcher as a process. It decides nothing about requests: package balancer does, and package
-// proxy does the I/O. Where to read what an engineer on call asks:
+// Package daemon runs a dispatcher as a process. It makes no decisions about requests: package balancer makes them, and
+// package proxy does the I/O. Where the main topics are documented:
 //
-//   - The keys of the configuration, their units, defaults and ranges: config_table.go.
-//   - Which goroutine owns the configuration: type process.
-//   - The order in which the parts are started, and why: process.start.
-//   - What SIGHUP changes, and what waits for the next start: process.reload.
-//   - How SIGTERM ends the process, and within which bounds: process.shutDown.
+//   - Configuration keys with their units, defaults and ranges: config_table.go.
+//   - Ownership of the configuration: type process.
+//   - Startup order and its reasons: process.start.
+//   - What SIGHUP changes, and what requires a restart: process.reload.
+//   - The shutdown after SIGTERM and its time limits: process.shutDown.
 //   - What the two processes of a hot restart hand over, and in which order: type hotRestart.
 package daemon
 
@@ -15,16 +15,16 @@
 	"github.com/rs/zerolog"
 )
 
-// Exit codes of the process, which service managers see.
+// Exit codes of the process, used by service managers.
 const (
 	exitOK        = 0
 	exitFailure   = 1 // the process could not start or continue, or a command failed
 	exitBadConfig = 2 // the configuration is invalid
 )
 
-// Main runs a dispatcher until a signal ends it, and returns the process's exit code.
+// Main runs a dispatcher until a signal stops it, and returns the exit code of the process.
 func Main() int {
-	// Before anything else: a signal that is not received would kill the process.
+	// This must be the first step: a signal without a handler would kill the process.
 	received := notifySignals()
 	defer received.close()
 	zerolog.TimeFieldFormat = zerolog.TimeFormatUnixMs
@@ -42,8 +42,8 @@
 	return exitOK
 }
 
-// serve runs a dispatcher until a signal ends it or a part of it fails. It returns when all admitted requests are
-// answered or handed over. reload reads the configuration again.
+// serve runs a dispatcher until a signal stops it or one of its parts fails. It returns after all admitted requests
+// have been answered or handed over. reload reads the configuration again.
 func serve(config *Config, reload func() (*Config, error), received *signals, log zerolog.Logger) error {
 	p := &process{config: config, readConfig: reload, signals: received, log: log}
 	defer p.disconnect()
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -34,7 +34,7 @@
 			}, 5*time.Second, 20*time.Millisecond, "SIGUSR1 logs the counters")
 			assert.NoError(t, syscall.Kill(os.Getpid(), syscall.SIGTERM))
 			<-answered
-			awaitEnd(t, dispatcher.ended, 5*time.Second)
+			awaitExit(t, dispatcher.ended, 5*time.Second)
 			assert.Contains(t, dispatcher.log.String(), `"why":"exit","open":0,"taken":1`)
 		})
 	}
--- a/internal/daemon/helpers_test.go
+++ b/internal/daemon/helpers_test.go
@@ -31,7 +31,7 @@
 
 var nopLog = zerolog.Nop()
 
-// fakeEnv returns an environment of the variables in pairs, each followed by its value.
+// fakeEnv returns a getenv function for the given pairs of a variable and its value.
 func fakeEnv(pairs ...string) func(string) string {
 	return func(variable string) string {
 		for n := 0; n < len(pairs); n += 2 {
@@ -43,15 +43,15 @@
 	}
 }
 
-// writeFile writes a file of a test and returns its path.
+// writeFile writes a file and returns its path.
 func writeFile(t *testing.T, path, text string) string {
 	t.Helper()
 	assert.NoError(t, os.WriteFile(path, []byte(text), 0o600))
 	return path
 }
 
-// standaloneConfiguration returns testConfiguration for a dispatcher with another address for clients, without gossip,
-// and with a discovery service that is down.
+// standaloneConfiguration returns testConfiguration with another client address, without gossip, and with a discovery
+// service that is not reachable.
 func standaloneConfiguration(listen string) string {
 	return strings.NewReplacer("127.0.0.1:8080", listen, "127.0.0.1:8500", unusedAddress, `"peers":true`, `"peers":false`).
 		Replace(testConfiguration)
@@ -60,7 +60,7 @@
 // unusedAddress is an address at which no server listens.
 const unusedAddress = "127.0.0.1:9"
 
-// syncBuffer is a log that may be read while it is written.
+// syncBuffer is a buffer for log output that may be read while it is written.
 type syncBuffer struct {
 	mu     sync.Mutex
 	buffer bytes.Buffer
@@ -78,7 +78,7 @@
 	return s.buffer.String()
 }
 
-// freeAddress returns an address that no socket has.
+// freeAddress returns an address that no socket uses.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	free, err := net.Listen("tcp", "127.0.0.1:0")
@@ -87,7 +87,7 @@
 	return free.Addr().String()
 }
 
-// acceptsConnections reports whether a process accepts connections at an address.
+// acceptsConnections reports whether a process accepts connections on an address.
 func acceptsConnections(addr string) bool {
 	conn, err := net.Dial("tcp", addr)
 	if err == nil {
@@ -96,19 +96,19 @@
 	return err == nil
 }
 
-// awaitEnd waits for the end of a process without an error.
-func awaitEnd(t *testing.T, ended <-chan error, timeout time.Duration) {
+// awaitExit waits until a process exits without an error.
+func awaitExit(t *testing.T, ended <-chan error, timeout time.Duration) {
 	t.Helper()
 	select {
 	case err := <-ended:
 		assert.NoError(t, err)
 	case <-time.After(timeout):
-		t.Fatal("it does not end")
+		t.Fatal("process did not exit in time")
 	}
 }
 
-// newTestConfig returns the configuration of a dispatcher with one worker, which answers after a delay, and a discovery
-// service that is down.
+// newTestConfig returns the configuration of a dispatcher with one worker, which responds after a delay, and a
+// discovery service that is not reachable.
 func newTestConfig(t *testing.T, workerDelay time.Duration) (c Config, url string) {
 	t.Helper()
 	worker := http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -131,15 +131,15 @@
 	return *parsed, "http://" + parsed.Listen
 }
 
-// runningDispatcher is a process that receives the signals of the test's own process.
+// runningDispatcher is a dispatcher that receives the signals of the test process.
 type runningDispatcher struct {
 	url   string
 	log   *syncBuffer
 	ended <-chan error
 }
 
-// startDispatcher starts a dispatcher and waits until it is healthy. reload reads its configuration again; changes alter
-// the first one.
+// startDispatcher starts a dispatcher and waits until it is healthy. reload reads the configuration again; changes
+// modify the initial one.
 func startDispatcher(t *testing.T, workerDelay time.Duration, reload func() (*Config, error), changes ...func(*Config),
 ) *runningDispatcher {
 	t.Helper()
@@ -159,7 +159,7 @@
 		}
 		response.Body.Close()
 		return response.StatusCode == 200
-	}, 5*time.Second, 10*time.Millisecond, "ready with the endpoint list that it was started with")
+	}, 5*time.Second, 10*time.Millisecond, "healthy with its initial endpoint list")
 	return &runningDispatcher{url: url, log: log, ended: ended}
 }
 
@@ -180,7 +180,7 @@
 	return response.StatusCode, string(text)
 }
 
-// runAdminCommand sends one command to the admin address and returns the answer.
+// runAdminCommand sends one command to the admin address and returns the response.
 func runAdminCommand(t *testing.T, addr, command string) string {
 	t.Helper()
 	conn, err := net.Dial("tcp", addr)
@@ -195,7 +195,7 @@
 	return string(answer)
 }
 
-// client is a client's connection.
+// client is a client connection.
 type client struct {
 	net.Conn
 	in *bufio.Reader
@@ -216,10 +216,10 @@
 		"Content-Length: 0\r\n\r\n", id)
 }
 
-// clientResponse is what a client sees of a response.
+// clientResponse is the part of a response that tests check.
 type clientResponse struct {
 	status     int
-	closes     bool   // it announces that the connection is closed
+	closes     bool   // the response has "Connection: close"
 	retryAfter string // "" without the header
 }
 
@@ -238,7 +238,7 @@
 	}
 }
 
-// assertResponse checks the status of the next response, and whether it announces that the connection is closed.
+// assertResponse checks the status of the next response, and whether the response closes the connection.
 func (c *client) assertResponse(t *testing.T, status int, closes bool, explanation ...any) {
 	t.Helper()
 	response := c.receive(t)
--- a/internal/daemon/hot_restart.go
+++ b/internal/daemon/hot_restart.go
@@ -18,33 +18,36 @@
 	"canvasroute/internal/transport"
 )
 
-// siblingUpdateInterval is the time between two updates that a process of a hot restart sends to the other, its sibling.
+// siblingUpdateInterval is the time between two updates that a process sends to its sibling, the other process of a hot
+// restart.
 const siblingUpdateInterval = 50 * time.Millisecond
 
-// hotRestart is this process's part in a hot restart, in which a second process of the same dispatcher takes over. A
-// process is first the successor of one that serves (hot_restart_successor.go), and later the predecessor of another
-// (hot_restart_predecessor.go). What is handed over, in order:
+// hotRestart is this process's side of a hot restart, in which a second process of the same dispatcher takes over. A
+// process starts as the successor of a serving process (hot_restart_successor.go) and may later become the predecessor
+// of another one (hot_restart_predecessor.go). The steps, in order:
 //
-//  1. At its start the successor connects to the predecessor. It receives the listener for clients, the socket for
-//     gossip, and the snapshot of what the proxy has learnt. Both may then accept from one queue of connections; the
-//     predecessor serves as before.
-//  2. When its parts run, the successor notifies the predecessor that it serves. The predecessor then leaves accepting,
-//     gossip, and the folder and address of the fleet's node to it (handOffTo). Open connections stay.
-//  3. Each sends the other an update every siblingUpdateInterval: requests in flight, recent sends, and the connections
-//     that it needs. So both keep within the resource limits together (hot_restart_limits.go), and each rejects a request
-//     whose ID is in flight at the other.
-//  4. LEAVE and JOIN that reach the predecessor are forwarded to the successor.
-//  5. After SIGTERM the predecessor hands over each request in flight, with the connections of its client and attempts
-//     (exportRequests). It tries at once, and with each update again for those that could not be moved yet.
-//  6. When the predecessor has ended, the successor has all of the resource limits. If the successor ends first, the
-//     predecessor takes back what it left (takeBack), unless it is stopping.
+//  1. On startup the successor connects to the predecessor. It receives the client listener, the gossip socket, and a
+//     snapshot of the state that the proxy has learned. From then on both processes can accept from the same queue of
+//     connections; the predecessor continues to serve.
+//  2. When its parts are running, the successor notifies the predecessor that it is serving. The predecessor then stops
+//     accepting connections, stops gossip, and releases the state folder and the address of the fleet node
+//     (handOffToSuccessor). Open connections stay with the predecessor.
+//  3. Each process sends the other an update every siblingUpdateInterval: its requests in flight, its recent sends, and
+//     the number of connections that it needs. With the updates both processes together stay within the resource limits
+//     (hot_restart_limits.go), and each rejects a request whose ID is in flight at the other.
+//  4. The predecessor forwards LEAVE and JOIN to the successor.
+//  5. After SIGTERM the predecessor hands over each request in flight, with the connections of its client and its
+//     attempts (exportRequests). It tries immediately, and retries with each update for requests that could not be
+//     moved yet.
+//  6. When the predecessor has exited, the successor gets all of the resource limits. If the successor exits first, the
+//     predecessor resumes serving (handleSuccessorExit), unless it is stopping.
 //
-// Without an admin address there is no hot restart: the methods that other files call accept a nil *hotRestart, for a
-// process without predecessor and successor.
+// Hot restarts require an admin address: newHotRestart returns nil without one. The methods that other files call
+// accept a nil *hotRestart and then behave as if there were no predecessor and no successor.
 type hotRestart struct {
-	rendezvous  hotrestart.Rendezvous
-	predecessor *hotrestart.Handover // nil without a predecessor
-	log         zerolog.Logger
+	controlSocket hotrestart.ControlSocket
+	predecessor   *hotrestart.Handover // nil if there is none
+	log           zerolog.Logger
 
 	// Set by attach.
 	limits    resourceLimits
@@ -53,24 +56,25 @@
 	server    *transport.Server
 	pool      *transport.Pool
 	listener  syscall.Conn
-	datagrams *transport.Datagrams // nil without gossip
-	node      *fleet.Node          // nil without LB_FLEET
+	datagrams *transport.Datagrams // nil if gossip is disabled
+	node      *fleet.Node          // nil if LB_FLEET is not set
 
-	exporting sync.Mutex // serializes passes over the requests in flight
+	exportMu sync.Mutex // serializes calls of proxy.ExportAll
 
-	mu        sync.Mutex
-	successor *hotrestart.Link // to the successor that serves, nil without one
-	siblings  int              // processes that share the memory limit with this one
+	mu           sync.Mutex
+	successor    *hotrestart.Link // link to the serving successor, nil if there is none
+	siblingCount int              // number of other processes that share the memory limit with this one
 }
 
-// newHotRestart connects to the process that serves under the same name and addresses, if there is one, and receives its
-// sockets and snapshot. If that fails, this process starts without them. It returns nil without an admin address.
+// newHotRestart connects to the process that serves under the same name and addresses, if there is one, and receives
+// its sockets and snapshot. If that fails, this process starts without them. newHotRestart returns nil if there is no
+// admin address.
 func newHotRestart(c *Config, log zerolog.Logger) *hotRestart {
 	if c.AdminListen == "" {
 		return nil
 	}
-	h := &hotRestart{rendezvous: hotrestart.RendezvousFor(os.TempDir(), c.Name, c.Listen, c.PeerListen), log: log}
-	predecessor, err := hotrestart.Connect(h.rendezvous)
+	h := &hotRestart{controlSocket: hotrestart.NewControlSocket(os.TempDir(), c.Name, c.Listen, c.PeerListen), log: log}
+	predecessor, err := hotrestart.Connect(h.controlSocket)
 	if err != nil {
 		log.Warn().Err(err).Msg("predecessor unreachable, starting without its state")
 	}
@@ -82,7 +86,7 @@
 	return h
 }
 
-// attach gives the hot restart the parts of the process that it shares. It has to be called before run.
+// attach sets the parts of the process that the hot restart uses. It must be called before run.
 func (h *hotRestart) attach(p *process) {
 	h.limits = p.limits
 	h.state = p.state
@@ -94,21 +98,22 @@
 	h.node = p.node
 }
 
-// run waits for successors, and follows the predecessor until that one has ended. It returns when ctx ends.
+// run accepts successors and, if there is a predecessor, handles its messages until it exits. run returns when ctx is
+// done.
 func (h *hotRestart) run(ctx context.Context) error {
 	listener := hotrestart.Listener{
-		Rendezvous: h.rendezvous,
-		Sockets:    h.sharedSockets,
-		Snapshot:   func() any { return h.proxy.Snapshot() },
-		Serve:      h.serveSuccessor,
-		IsStopping: h.isStopping,
-		Log:        h.log,
+		ControlSocket: h.controlSocket,
+		Sockets:       h.sharedSockets,
+		Snapshot:      func() any { return h.proxy.Snapshot() },
+		Serve:         h.handleSuccessor,
+		IsStopping:    h.isStopping,
+		Log:           h.log,
 	}
 	var g errgroup.Group
 	g.Go(func() error { return listener.Run(ctx) })
 	if h.predecessor != nil {
 		g.Go(func() error {
-			h.followPredecessor(ctx)
+			h.handlePredecessor(ctx)
 			return nil
 		})
 	}
@@ -117,7 +122,7 @@
 
 func (h *hotRestart) isStopping() bool { return h.state.PhaseAt(time.Now()).IsStopping() }
 
-// sharedSockets returns the sockets that a successor receives.
+// sharedSockets returns the sockets to send to a successor.
 func (h *hotRestart) sharedSockets() []hotrestart.Socket {
 	sockets := []hotrestart.Socket{{Name: hotrestart.ClientSocket, Conn: h.listener}}
 	if h.datagrams != nil {
@@ -126,8 +131,8 @@
 	return sockets
 }
 
-// sendUpdates starts a goroutine that sends updates to the sibling until stop is called or ctx ends. At its end it closes
-// the link. stop waits for it.
+// sendUpdates starts a goroutine that sends updates to the sibling until stop is called, ctx is done, or sending fails.
+// The goroutine closes the link when it returns, and stop waits for it.
 func (h *hotRestart) sendUpdates(ctx context.Context, link *hotrestart.Link, update func() proxy.SiblingUpdate) (stop func()) {
 	ctx, cancel := context.WithCancel(ctx)
 	done := make(chan struct{})
@@ -138,7 +143,7 @@
 		defer ticker.Stop()
 		for {
 			if err := link.SendSiblingUpdate(update()); err != nil {
-				return // the link is broken: the receiving side logs why
+				return // the link is broken: the receiving goroutine logs the cause
 			}
 			select {
 			case <-ticker.C:
@@ -153,7 +158,7 @@
 	}
 }
 
-// parseSiblingUpdate parses an update of the sibling. One that is malformed is logged and otherwise ignored.
+// parseSiblingUpdate parses an update from the sibling. It logs a malformed update and returns false.
 func (h *hotRestart) parseSiblingUpdate(text json.RawMessage) (update proxy.SiblingUpdate, ok bool) {
 	if err := json.Unmarshal(text, &update); err != nil {
 		h.log.Warn().Err(err).Msg("malformed sibling update")
--- a/internal/daemon/hot_restart_limits_test.go
+++ b/internal/daemon/hot_restart_limits_test.go
@@ -12,7 +12,7 @@
 		got, want connectionShare
 	}{
 		{"half", connectionShare{601, 363}.half(), connectionShare{300, 181}},
-		{"open ones and half of the free ones", connectionShare{100, 60}.halfway(connectionShare{600, 360}), connectionShare{350, 210}},
+		{"open ones and half of the free ones", connectionShare{100, 60}.midpoint(connectionShare{600, 360}), connectionShare{350, 210}},
 		{"as many as are open, and one more to workers", connectionShare{350, 210}.shrinkTo(connectionShare{90, 50}), connectionShare{90, 51}},
 		{"never more than before", connectionShare{90, 51}.shrinkTo(connectionShare{120, 80}), connectionShare{90, 51}},
 	} {
--- a/internal/daemon/hot_restart_predecessor.go
+++ b/internal/daemon/hot_restart_predecessor.go
@@ -12,11 +12,11 @@
 	"canvasroute/internal/proxy"
 )
 
-// serveSuccessor runs beside a successor, which has received sockets and snapshot, until one of the two has ended. If the
-// successor ends, this process takes back what it has left to it.
-func (h *hotRestart) serveSuccessor(ctx context.Context, link *hotrestart.Link) {
+// handleSuccessor exchanges updates with a successor that has received the sockets and the snapshot, until one of the
+// two processes exits. If the successor exits, this process resumes serving.
+func (h *hotRestart) handleSuccessor(ctx context.Context, link *hotrestart.Link) {
 	h.addSibling()
-	share := h.openConnectionShare().halfway(h.allConnections())
+	share := h.openConnectionShare().midpoint(h.allConnections())
 	stop := h.sendUpdates(ctx, link, func() proxy.SiblingUpdate {
 		if h.isStopping() {
 			h.exportRequests()
@@ -32,19 +32,20 @@
 	})
 	defer stop()
 	err := link.Receive(hotrestart.Handler{
-		Serving: func() { h.handOffTo(link) },
+		Serving: func() { h.handOffToSuccessor(link) },
 		SiblingUpdate: func(text json.RawMessage) {
 			if update, ok := h.parseSiblingUpdate(text); ok {
 				h.proxy.ReceiveSiblingUpdate(balancer.Successor, update)
 			}
 		},
 	})
-	h.takeBack()
+	h.handleSuccessorExit()
 	h.log.Info().AnErr("cause", err).Stringer("phase", h.state.PhaseAt(time.Now())).Msg("successor ended")
 }
 
-// handOffTo leaves accepting connections and the sockets for datagrams to a successor that serves.
-func (h *hotRestart) handOffTo(link *hotrestart.Link) {
+// handOffToSuccessor stops accepting connections and releases the datagram sockets after a successor has started to
+// serve.
+func (h *hotRestart) handOffToSuccessor(link *hotrestart.Link) {
 	if err := h.state.HandOff(time.Now()); err != nil {
 		h.log.Warn().Err(err).Msg("successor serves, but this process cannot hand off")
 		return
@@ -56,16 +57,16 @@
 	h.log.Info().Msg("successor serves")
 }
 
-// takeBack takes back what was left to a successor that has ended. A process that is stopping yields the sockets instead,
-// as it has no more use for them.
-func (h *hotRestart) takeBack() {
+// handleSuccessorExit resumes serving after the successor has exited. A process that is stopping releases the datagram
+// sockets instead, because it does not need them any more.
+func (h *hotRestart) handleSuccessorExit() {
 	h.proxy.ForgetSibling(balancer.Successor)
 	h.removeSibling()
 	h.setConnectionLimits(h.allConnections())
 	h.mu.Lock()
 	h.successor = nil
 	h.mu.Unlock()
-	h.state.TakeBack(time.Now())
+	h.state.ResumeServing(time.Now())
 	if h.isStopping() {
 		h.yieldSockets()
 	} else {
@@ -73,7 +74,8 @@
 	}
 }
 
-// yieldSockets leaves gossip, and the folder and address of the fleet's node, to a successor.
+// yieldSockets stops gossip and releases the state folder and the address of the fleet node, so that a successor can
+// use them.
 func (h *hotRestart) yieldSockets() {
 	h.proxy.YieldDatagrams()
 	if h.node != nil {
@@ -81,7 +83,7 @@
 	}
 }
 
-// reclaimSockets takes back what yieldSockets has left to a successor.
+// reclaimSockets reverts yieldSockets.
 func (h *hotRestart) reclaimSockets() {
 	h.proxy.ReclaimDatagrams()
 	if h.node != nil {
@@ -89,7 +91,7 @@
 	}
 }
 
-// servingSuccessor returns the link to a successor that serves, nil without one.
+// servingSuccessor returns the link to the serving successor, or nil if there is none.
 func (h *hotRestart) servingSuccessor() *hotrestart.Link {
 	if h == nil {
 		return nil
@@ -99,15 +101,15 @@
 	return h.successor
 }
 
-// exportRequests hands over the requests in flight that can be moved now to the successor that serves. It reports whether
-// there is such a successor.
+// exportRequests hands over the requests in flight that can be moved now to the serving successor. It returns false if
+// there is no such successor.
 func (h *hotRestart) exportRequests() bool {
 	link := h.servingSuccessor()
 	if link == nil {
 		return false
 	}
-	h.exporting.Lock()
-	defer h.exporting.Unlock()
+	h.exportMu.Lock()
+	defer h.exportMu.Unlock()
 	h.proxy.ExportAll(func(request *proxy.MigratedRequest, client syscall.Conn, attempts map[int]syscall.Conn) error {
 		sockets := []hotrestart.Socket{{Name: hotrestart.ClientSocket, Conn: client}}
 		for n, conn := range attempts {
@@ -118,8 +120,8 @@
 	return true
 }
 
-// forwardCommand sends an operator's command to the successor that serves. Without one it reports that it has not been
-// forwarded, and this process has to run it.
+// forwardCommand sends an operator's command to the serving successor. If there is none, forwarded is false and this
+// process must run the command.
 func (h *hotRestart) forwardCommand(command string) (forwarded bool, err error) {
 	link := h.servingSuccessor()
 	if link == nil {
--- a/internal/daemon/hot_restart_successor.go
+++ b/internal/daemon/hot_restart_successor.go
@@ -20,7 +20,7 @@
 // errNoClientSocket is returned for a request that was handed over without its client's connection.
 var errNoClientSocket = errors.New("migrated request: no client socket")
 
-// socket returns a socket that the predecessor has handed over, nil if it has not.
+// socket returns a socket that the predecessor has handed over, or nil if there is none with that name.
 func (h *hotRestart) socket(name string) *os.File {
 	if h == nil || h.predecessor == nil {
 		return nil
@@ -28,7 +28,7 @@
 	return h.predecessor.Sockets[name]
 }
 
-// snapshot returns the proxy.Snapshot that the predecessor has handed over, nil without a predecessor.
+// snapshot returns the encoded proxy.Snapshot that the predecessor has handed over, or nil if there is no predecessor.
 func (h *hotRestart) snapshot() json.RawMessage {
 	if h == nil || h.predecessor == nil {
 		return nil
@@ -36,16 +36,16 @@
 	return h.predecessor.Snapshot
 }
 
-// disconnect closes the link to the predecessor, which takes it for the end of this process.
+// disconnect closes the link to the predecessor, which the predecessor handles as the exit of this process.
 func (h *hotRestart) disconnect() {
 	if h != nil && h.predecessor != nil {
 		h.predecessor.Link.Close()
 	}
 }
 
-// followPredecessor notifies the predecessor that this process serves, and receives what it hands over until it has
-// ended. By then this process has all of the resource limits.
-func (h *hotRestart) followPredecessor(ctx context.Context) {
+// handlePredecessor notifies the predecessor that this process is serving, and handles its messages until it exits.
+// Afterwards this process may use all of the resource limits.
+func (h *hotRestart) handlePredecessor(ctx context.Context) {
 	link := h.predecessor.Link
 	h.addSibling()
 	h.setConnectionLimits(h.allConnections().half()) // until the predecessor's first update
@@ -65,7 +65,8 @@
 	h.log.Info().AnErr("cause", err).Msg("predecessor ended")
 }
 
-// receivePredecessorUpdate counts what the predecessor has in flight, and takes the connections that it does not need.
+// receivePredecessorUpdate records the predecessor's requests in flight, and sets this process's connection limits to
+// the connections that the predecessor does not need.
 func (h *hotRestart) receivePredecessorUpdate(text json.RawMessage) {
 	update, ok := h.parseSiblingUpdate(text)
 	if !ok {
@@ -79,8 +80,8 @@
 	})
 }
 
-// runForwardedCommand runs LEAVE or JOIN that the predecessor has received, as this process serves instead of it. Other
-// than by adminHandler, the drain and its end are not persisted here, even with LB_FLEET.
+// runForwardedCommand runs LEAVE or JOIN, forwarded by the predecessor because this process is the one that serves.
+// Unlike adminHandler, it does not persist the drain or its end, even with LB_FLEET.
 func (h *hotRestart) runForwardedCommand(command string) {
 	h.log.Info().Str("call", command).Msg("operator command forwarded by predecessor")
 	now := time.Now()
@@ -93,11 +94,11 @@
 	}
 }
 
-// importRequest continues a request that the predecessor has handed over. sockets has the client's connection and, by the
-// numbers of the attempts, those to workers. A request that cannot be continued is answered 502, as a worker may have
-// executed an attempt.
+// importRequest continues a request that the predecessor has handed over. sockets holds the client's connection, and
+// the connections to workers under the numbers of their attempts. A request that cannot be continued gets status 502,
+// because a worker may have executed an attempt.
 func (h *hotRestart) importRequest(text json.RawMessage, sockets map[string]*os.File) {
-	client, attempts := h.openConnections(sockets)
+	client, attempts := h.importConnections(sockets)
 	request, err := h.proxy.Import(text, attempts)
 	if err == nil && client == nil {
 		err = errNoClientSocket
@@ -121,14 +122,15 @@
 	h.server.Import(migrated, request.Finish)
 }
 
-// badGateway is the answer to a request that cannot be continued.
+// badGateway returns the response to a request that cannot be continued.
 func badGateway(context.Context) *protocol.Response {
 	return &protocol.Response{Status: http.StatusBadGateway}
 }
 
-// openConnections returns the connections of a request's sockets: the client's, and those of the attempts by their
-// numbers. One that cannot be opened is logged and left out; the client's is then nil. It closes the files.
-func (h *hotRestart) openConnections(sockets map[string]*os.File) (client net.Conn, attempts map[int]net.Conn) {
+// importConnections converts the sockets of a request to connections: the client's, and those of the attempts by their
+// numbers. A socket that cannot be converted is logged and skipped; if it is the client's, client is nil.
+// importConnections closes the files.
+func (h *hotRestart) importConnections(sockets map[string]*os.File) (client net.Conn, attempts map[int]net.Conn) {
 	attempts = map[int]net.Conn{}
 	for name, file := range sockets {
 		conn, err := net.FileConn(file)
--- a/internal/daemon/hot_restart_test.go
+++ b/internal/daemon/hot_restart_test.go
@@ -15,21 +15,21 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// testProcess is a dispatcher that runs beside others in the test's own process, with signals of its own.
+// testProcess is a dispatcher that runs alongside others in the test process, with signals of its own.
 type testProcess struct {
 	signals *signals
-	admin   string // address
+	admin   string // admin address
 	log     *syncBuffer
 	ended   chan error
 }
 
-// startProcess starts a process and waits until it serves.
+// startProcess starts a dispatcher and waits until it serves.
 func startProcess(t *testing.T, config Config) *testProcess {
 	t.Helper()
 	return startProcessWith(t, config, nil)
 }
 
-// startProcessWith starts a process whose configuration reload reads again.
+// startProcessWith starts a dispatcher with a function that reloads its configuration.
 func startProcessWith(t *testing.T, config Config, reload func() (*Config, error)) *testProcess {
 	t.Helper()
 	d := &testProcess{
@@ -42,25 +42,26 @@
 	go func() { d.ended <- serve(&config, reload, d.signals, zerolog.New(d.log)) }()
 	hasStarted := func() bool { return strings.Contains(d.log.String(), `"message":"started"`) }
 	assert.Eventually(t, hasStarted, 5*time.Second, time.Millisecond)
-	d.awaitAnswer(t, "HEALTH", "done\n")
+	d.awaitResponse(t, "HEALTH", "done\n")
 	return d
 }
 
-// awaitAnswer sends a command until its answer contains a text.
-func (d *testProcess) awaitAnswer(t *testing.T, command, want string) {
+// awaitResponse repeats a command until its response contains a text.
+func (d *testProcess) awaitResponse(t *testing.T, command, want string) {
 	t.Helper()
 	answered := func() bool { return strings.Contains(runAdminCommand(t, d.admin, command), want) }
 	assert.Eventually(t, answered, 5*time.Second, time.Millisecond, want)
 }
 
-// stop sends SIGTERM and waits for the end.
+// stop sends SIGTERM and waits for the exit.
 func (d *testProcess) stop(t *testing.T) {
 	t.Helper()
 	d.signals.stop <- syscall.SIGTERM
-	awaitEnd(t, d.ended, 6*time.Second)
+	awaitExit(t, d.ended, 6*time.Second)
 }
 
-// startHealthChecks checks the health on new connections until stop, which returns how many checks passed and failed.
+// startHealthChecks sends health checks on new connections until stop is called. stop returns the number of passed and
+// failed checks.
 func startHealthChecks(url string) (stop func() (passed, failed int64)) {
 	var passed, failed atomic.Int64
 	var clients sync.WaitGroup
@@ -93,7 +94,7 @@
 	}
 }
 
-// No connection in the listener's queue, no health check and no request in flight may be lost.
+// A hot restart must not lose a connection in the listen queue, a health check or a request in flight.
 func TestHotRestartLosesNoConnectionAndNoRequest(t *testing.T) {
 	t.Setenv("TMPDIR", t.TempDir())
 	config, url := newTestConfig(t, 2*time.Second)
@@ -101,19 +102,19 @@
 	inFlight := dialClient(t, url)
 	idle := dialClient(t, url)
 	inFlight.send("b1")
-	predecessor.awaitAnswer(t, "DUMP", "svc.forwards=1\n")
+	predecessor.awaitResponse(t, "DUMP", "svc.forwards=1\n")
 	stop := startHealthChecks(url)
 	successor := startProcess(t, config)
-	assert.Contains(t, successor.log.String(), `"sockets":1`, "the listener")
+	assert.Contains(t, successor.log.String(), `"sockets":1`, "the client listener")
 	repeated := dialClient(t, url)
 	repeated.send("b1")
 	assert.Equal(t, 409, repeated.receive(t).status, "its ID is in flight at the other process")
-	idle.send("i1") // on a connection that the predecessor has
-	predecessor.awaitAnswer(t, "DUMP", "svc.forwards=2\n")
+	idle.send("i1") // on a connection of the predecessor
+	predecessor.awaitResponse(t, "DUMP", "svc.forwards=2\n")
 	signalledAt := time.Now()
 	predecessor.stop(t)
-	assert.Less(t, time.Since(signalledAt), 1500*time.Millisecond, "it does not wait for the requests that it has handed over")
-	successor.awaitAnswer(t, "DUMP", "svc.outstanding=2\n")
+	assert.Less(t, time.Since(signalledAt), 1500*time.Millisecond, "does not wait for requests that were handed over")
+	successor.awaitResponse(t, "DUMP", "svc.outstanding=2\n")
 	for _, c := range []*client{inFlight, idle} {
 		c.assertResponse(t, 200, false, "its connection is open at the successor")
 		c.send("again" + c.LocalAddr().String())
@@ -131,48 +132,49 @@
 	third.stop(t)
 }
 
-// The predecessor accepts again when the successor ends before it.
-func TestPredecessorTakesBackWhenItsSuccessorDies(t *testing.T) {
+// The predecessor must accept connections again if the successor exits first.
+func TestPredecessorResumesServingAfterSuccessorExits(t *testing.T) {
 	t.Setenv("TMPDIR", t.TempDir())
 	config, url := newTestConfig(t, time.Millisecond)
 	predecessor := startProcess(t, config)
 	successor := startProcess(t, config)
-	predecessor.awaitAnswer(t, "HEALTH", "error takes no clients: relieved\n")
+	predecessor.awaitResponse(t, "HEALTH", "error takes no clients: relieved\n")
 	successor.stop(t)
-	predecessor.awaitAnswer(t, "HEALTH", "done\n")
+	predecessor.awaitResponse(t, "HEALTH", "done\n")
 	c := dialClient(t, url)
 	c.send("a1")
 	c.assertResponse(t, 200, false)
 	third := startProcess(t, config)
-	assert.Contains(t, third.log.String(), "predecessor connected", "it has the rendezvous again")
+	assert.Contains(t, third.log.String(), "predecessor connected", "the predecessor listens on the control socket again")
 	predecessor.stop(t)
 	third.stop(t)
 }
 
-// A hot restart must not undo a drain. Commands are meant for the process that serves, whichever receives them.
+// A hot restart must not undo a drain. Commands apply to the serving process, regardless of which process receives
+// them.
 func TestLeaveAndJoinAreForwardedToTheSuccessor(t *testing.T) {
 	t.Setenv("TMPDIR", t.TempDir())
 	config, _ := newTestConfig(t, time.Millisecond)
 	predecessor := startProcess(t, config)
 	successor := startProcess(t, config)
-	assert.Equal(t, "done\n", runAdminCommand(t, predecessor.admin, "LEAVE"), "meant for the one that serves")
+	assert.Equal(t, "done\n", runAdminCommand(t, predecessor.admin, "LEAVE"), "applies to the serving process")
 	drains := func() bool {
 		return strings.Contains(runAdminCommand(t, successor.admin, "HEALTH"), "error takes no clients: leaving")
 	}
 	assert.Eventually(t, drains, time.Second, time.Millisecond)
 	assert.Equal(t, "done\n", runAdminCommand(t, predecessor.admin, "JOIN"))
-	successor.awaitAnswer(t, "HEALTH", "done\n")
+	successor.awaitResponse(t, "HEALTH", "done\n")
 	predecessor.stop(t)
 	successor.stop(t)
 }
 
-// On a platform without Unix sockets both processes listen, and the predecessor shuts down as without a successor.
-func TestWithoutRendezvousBothProcessesListen(t *testing.T) {
+// On a platform without Unix sockets both processes listen, and the predecessor shuts down as if it had no successor.
+func TestBothProcessesListenWithoutControlSocket(t *testing.T) {
 	t.Setenv("TMPDIR", filepath.Join(t.TempDir(), "none"))
 	config, url := newTestConfig(t, time.Millisecond)
 	predecessor, successor := startProcess(t, config), startProcess(t, config)
 	assert.Contains(t, successor.log.String(), "hot restart unavailable")
-	predecessor.awaitAnswer(t, "HEALTH", "done\n")
+	predecessor.awaitResponse(t, "HEALTH", "done\n")
 	predecessor.stop(t)
 	for n := range 8 {
 		c := dialClient(t, url)
--- a/internal/daemon/process.go
+++ b/internal/daemon/process.go
@@ -22,50 +22,51 @@
 	"canvasroute/internal/transport"
 )
 
-// process holds the parts of a running dispatcher. start fills the fields in the order in which they stand here. Before
-// its step a field has its zero value, and no step may use it.
+// process holds the parts of a running dispatcher. start sets the fields in the order of their declaration. Until its
+// step has run, a field has its zero value and must not be used.
 //
-// While the process runs, the goroutine of handleSignals alone owns config: a reload replaces it with another Config, and
-// the shutdown reads its timeouts there. The other parts have copies of what they need, and are notified of a reload by
-// calls. The other fields do not change any more.
+// While the process runs, only the goroutine of handleSignals uses config: a reload replaces it with another Config,
+// and the shutdown reads its timeouts. The other parts hold copies of the values that they need, and a reload updates
+// them by method calls. The other fields do not change after start.
 type process struct {
 	config     *Config
 	readConfig func() (*Config, error) // reads the configuration again
 	signals    *signals
 	log        zerolog.Logger
 
-	limits       resourceLimits       // from step 1 of start
-	clock        func() balancer.Time // from step 2, as shards and pool
+	limits       resourceLimits       // set by step 1 of start
+	clock        func() balancer.Time // set by step 2, like shards and pool
 	shards       *balancer.Shards
 	pool         *transport.Pool
-	restart      *hotRestart          // from step 3; nil without an admin address
-	node         *fleet.Node          // from step 4; nil without LB_FLEET
-	datagrams    *transport.Datagrams // from step 5; nil without gossip
-	state        *lifecycle.State     // from step 6, as proxy
+	restart      *hotRestart          // set by step 3; nil if there is no admin address
+	node         *fleet.Node          // set by step 4; nil if LB_FLEET is not set
+	datagrams    *transport.Datagrams // set by step 5; nil if gossip is disabled
+	state        *lifecycle.State     // set by step 6, like proxy
 	proxy        *proxy.Proxy
-	listener     *net.TCPListener // from step 7, as server
+	listener     *net.TCPListener // set by step 7, like server
 	server       *transport.Server
-	adminHandler *adminHandler // from step 8
-	adminServer  *admin.Server // from step 8; nil without an admin address
+	adminHandler *adminHandler // set by step 8
+	adminServer  *admin.Server // set by step 8; nil if there is no admin address
 }
 
-// start opens the sockets and builds the parts. Nothing runs yet when it returns. Each step uses what earlier ones have
-// built, so their order is fixed:
+// start opens the sockets and creates the parts. It starts none of the goroutines that run starts. The order of the
+// steps is fixed, because each one uses the results of earlier ones:
 //
-//  1. The limits on resources bound the pool, the server and the heap.
+//  1. The resource limits apply to the pool, the server and the heap.
 //  2. The balancer and the pool need the limits and the clock.
 //  3. The predecessor hands over its state and sockets before the steps that use them.
-//  4. The fleet's node leaves the folder and its address to a predecessor at first. The endpoint list that the node has
-//     stored may replace the configured one, with which the proxy starts.
-//  5. The socket for gossip is the predecessor's, or a new one. The proxy sends and receives on it.
+//  4. The fleet node does not use its state folder and address while a predecessor does. Its stored endpoint list may
+//     replace the configured one that the proxy starts with.
+//  5. The gossip socket is inherited from the predecessor, or a new one. The proxy sends and receives on it.
 //  6. The proxy answers the clients that connect to the listener.
-//  7. The listener for clients is the predecessor's, or a new one. With it the hot restart has all parts that it needs.
-//  8. The admin server runs commands on all of them. If its address is in use, the start fails and a predecessor serves
-//     as before: only run notifies it of a successor.
+//  7. The client listener is inherited from the predecessor, or a new one. It is the last part that the hot restart
+//     needs.
+//  8. The admin server runs commands that use all other parts. If its address is in use, the start fails and a
+//     predecessor continues to serve, because it is notified of its successor only by run.
 func (p *process) start() error {
 	p.applyResourceLimits()
 	p.buildBalancer()
-	p.connectPredecessor()
+	p.connectToPredecessor()
 	if err := p.openNode(); err != nil {
 		return err
 	}
@@ -84,15 +85,16 @@
 	return nil
 }
 
-// applyResourceLimits derives the limits from the configuration, and sets those of the Go runtime.
+// applyResourceLimits derives the resource limits from the configuration and applies those of the Go runtime.
 func (p *process) applyResourceLimits() {
 	runtime.GOMAXPROCS(max(1, int(math.Ceil(p.config.Cores))))
 	p.limits = p.config.resourceLimits()
 	debug.SetMemoryLimit(p.limits.heapBytes)
 }
 
-// buildBalancer sets the clock, and builds the balancer and the pool of connections to workers. The clock starts at the
-// time of day and follows the monotonic clock, so that it advances even if the machine's clock is set back.
+// buildBalancer sets the clock and creates the balancer and the pool of worker connections. The clock starts at the
+// current wall-clock time and then follows the monotonic clock, so that it advances even if the system clock is set
+// back.
 func (p *process) buildBalancer() {
 	const (
 		microsPerTick = int64(balancer.Tick / time.Microsecond)
@@ -109,17 +111,19 @@
 	p.pool = transport.NewPool(p.limits.workerConnections, p.config.WorkerIdleTimeout, p.log)
 }
 
-// connectPredecessor receives state and sockets from a process with the same name and addresses, if one serves.
-func (p *process) connectPredecessor() {
+// connectToPredecessor receives the state and the sockets of a process that serves under the same name and addresses,
+// if there is one.
+func (p *process) connectToPredecessor() {
 	p.restart = newHotRestart(p.config, p.log)
 	p.config.Proxy.PredecessorSnapshot = p.restart.snapshot()
 	p.config.Proxy.MigratesRequests = p.restart != nil
 }
 
-// disconnect closes the link to the predecessor. One that was not notified that this process serves continues alone.
+// disconnect closes the link to the predecessor. A predecessor that was not notified of a serving successor continues
+// to serve.
 func (p *process) disconnect() { p.restart.disconnect() }
 
-// openPeerSocket opens or inherits the socket for gossip, where there is gossip.
+// openPeerSocket opens or inherits the gossip socket. It does nothing if gossip is disabled.
 func (p *process) openPeerSocket() error {
 	if !p.config.Balancer.Gossip.Enabled {
 		return nil
@@ -132,12 +136,12 @@
 	return err
 }
 
-// listenOptions returns how to open a socket that the processes of a hot restart share, by its name there.
+// listenOptions returns the options for opening a socket that the processes of a hot restart share under a name.
 func (p *process) listenOptions(socketName string) transport.ListenOptions {
 	return transport.ListenOptions{Inherited: p.restart.socket(socketName), ReusePort: p.restart != nil}
 }
 
-// buildProxy builds the proxy, and gives the node the parts whose state it restores.
+// buildProxy creates the proxy, and attaches the parts whose state the fleet node restores.
 func (p *process) buildProxy() {
 	p.state = &lifecycle.State{}
 	p.proxy = proxy.New(p.config.Proxy, p.shards, p.pool, p.datagrams, p.state, p.log)
@@ -146,8 +150,8 @@
 	}
 }
 
-// openClientListener opens or inherits the listener for clients. With it the parts that a hot restart shares are
-// complete.
+// openClientListener opens or inherits the client listener and creates the server. The parts that a hot restart uses
+// are then complete and get attached to it.
 func (p *process) openClientListener() error {
 	listener, err := transport.ListenClients(p.config.Listen, p.listenOptions(hotrestart.ClientSocket))
 	if err != nil {
@@ -162,7 +166,7 @@
 	return nil
 }
 
-// openAdmin opens the admin server, where there is an admin address.
+// openAdmin creates the handler of operators' commands, and opens the admin server if there is an admin address.
 func (p *process) openAdmin() error {
 	p.adminHandler = &adminHandler{proxy: p.proxy, state: p.state, restart: p.restart, node: p.node}
 	if p.config.AdminListen == "" {
@@ -173,10 +177,10 @@
 	return err
 }
 
-// run runs the parts until a signal ends the process or one of them fails. Each part has a goroutine. Two contexts end
-// them in order: accepting ends the server's accepting of connections; working ends the other parts. The server cancels
-// working itself when its last connection is closed, as until then requests in flight need the other parts. A part that
-// fails ends accepting, by way of handleSignals, and with it the process.
+// run runs each part in a goroutine until a signal stops the process or a part fails. Two contexts stop the parts in
+// order: canceling accepting stops the server from accepting connections; canceling working stops the other parts.
+// working is canceled when the server has closed its last connection, because requests in flight need the other parts
+// until then. If a part fails, handleSignals cancels accepting, and the process stops.
 func (p *process) run() error {
 	accepting, stopAccepting := context.WithCancel(context.Background())
 	working, stopWorking := context.WithCancel(context.Background())
@@ -198,7 +202,7 @@
 		g.Go(func() error { return p.restart.run(working) })
 	}
 	g.Go(func() error { return p.handleSignals(failed, working, stopAccepting) })
-	err := g.Wait() // the first part's error
+	err := g.Wait() // the error of the first part that failed
 	p.proxy.LogCounters("exit")
 	return err
 }
--- a/internal/daemon/operations_test.go
+++ b/internal/daemon/process_test.go
@@ -17,12 +17,12 @@
 	"canvasroute/internal/lifecycle"
 )
 
-// reloadableProcess is a process with a configuration file that a test replaces.
+// reloadableProcess is a process with a configuration file that tests can replace.
 type reloadableProcess struct {
 	*testProcess
 	url  string
-	path string // of the configuration file
-	text string // of the first configuration
+	path string // path of the configuration file
+	text string // text of the initial configuration
 }
 
 // startReloadable starts a process with a configuration file.
@@ -42,44 +42,44 @@
 	}
 }
 
-// reload writes the first configuration with one text replaced, and signals the process.
+// reload writes the initial configuration with one text replaced, and sends SIGHUP to the process.
 func (p *reloadableProcess) reload(t *testing.T, old, replacement string) {
 	t.Helper()
 	writeFile(t, p.path+".new", strings.Replace(p.text, old, replacement, 1))
 	assert.NoError(t, os.Rename(p.path+".new", p.path))
 	select {
 	case p.signals.reload <- syscall.SIGHUP:
-	default: // one has not been handled yet, as with a real signal
+	default: // drops the signal if one is pending, like the real signal handling
 	}
 }
 
-// All shards must have the settings of the last file, however fast the files follow each other.
-func TestTenReloadsWithinASecondEndWithTheLastFile(t *testing.T) {
+// All shards must end up with the settings of the last file, however quickly the reloads follow each other.
+func TestRapidReloadsApplyLastFile(t *testing.T) {
 	dispatcher := startReloadable(t, 300*time.Millisecond, 2)
 	inFlight := dialClient(t, dispatcher.url)
 	inFlight.send("o1")
-	dispatcher.awaitAnswer(t, "DUMP", "svc.forwards=1\n")
+	dispatcher.awaitResponse(t, "DUMP", "svc.forwards=1\n")
 	for n := range 10 {
 		dispatcher.reload(t, `"name":"render"`, fmt.Sprintf(`"name":"render%d"`, n))
 		time.Sleep(50 * time.Millisecond)
 	}
-	dispatcher.awaitAnswer(t, "DUMP", "svc.succeeded.render9=0\n")
-	assert.Equal(t, 200, inFlight.receive(t).status, "its operation is gone, the request is not")
+	dispatcher.awaitResponse(t, "DUMP", "svc.succeeded.render9=0\n")
+	assert.Equal(t, 200, inFlight.receive(t).status, "a request in flight is completed after its operation was removed")
 	assert.Equal(t, "done\n", runAdminCommand(t, dispatcher.admin, "LEAVE"))
 	dispatcher.reload(t, `"maxForwards":3`, `"maxForwards":1`)
-	dispatcher.awaitAnswer(t, "DUMP", "svc.sighup_rejected=0\n")
+	dispatcher.awaitResponse(t, "DUMP", "svc.sighup_rejected=0\n")
 	applied := func() bool { return strings.Contains(dispatcher.log.String(), `"forwards":1,`) }
-	assert.Eventually(t, applied, time.Second, time.Millisecond, "also while it drains")
+	assert.Eventually(t, applied, time.Second, time.Millisecond, "a reload is also applied while draining")
 	assert.Equal(t, "done\n", runAdminCommand(t, dispatcher.admin, "JOIN"))
-	for n := range 4 { // by each shard
+	for n := range 4 { // reaches each shard
 		c := dialClient(t, dispatcher.url)
 		c.send(fmt.Sprint("r", n))
-		assert.Equal(t, 200, c.receive(t).status, "render is an operation again")
+		assert.Equal(t, 200, c.receive(t).status, "render is a valid operation again")
 	}
 	dispatcher.stop(t)
 }
 
-// A successor that cannot start must not take over. Beside one that serves, each process reloads for itself.
+// A successor that fails to start must not take over. The two processes of a hot restart reload independently.
 func TestSuccessorThatCannotStartLeavesThePredecessorServing(t *testing.T) {
 	t.Setenv("TMPDIR", t.TempDir())
 	dispatcher := startReloadable(t, time.Millisecond, 1)
@@ -89,13 +89,13 @@
 	config.AdminListen = dispatcher.admin
 	err := serve(&config, nil, dispatcher.signals, zerolog.Nop())
 	assert.ErrorContains(t, err, "admin server")
-	dispatcher.awaitAnswer(t, "HEALTH", "done\n")
+	dispatcher.awaitResponse(t, "HEALTH", "done\n")
 	successor := startProcess(t, config)
-	dispatcher.awaitAnswer(t, "HEALTH", "relieved")
+	dispatcher.awaitResponse(t, "HEALTH", "relieved")
 	dispatcher.reload(t, `"maxForwards":3`, `"maxForwards":0`)
-	dispatcher.awaitAnswer(t, "DUMP", "svc.sighup_rejected=1\n")
+	dispatcher.awaitResponse(t, "DUMP", "svc.sighup_rejected=1\n")
 	dispatcher.reload(t, `"maxForwards":3`, `"maxForwards":2`)
-	dispatcher.awaitAnswer(t, "DUMP", "svc.sighup_applied=1\n")
+	dispatcher.awaitResponse(t, "DUMP", "svc.sighup_applied=1\n")
 	dispatcher.stop(t)
 	c := dialClient(t, dispatcher.url)
 	c.send("a1")
@@ -103,8 +103,8 @@
 	successor.stop(t)
 }
 
-// A drain must not cut a long request, nor admit one that is not complete in time. The client of a pipelined request must
-// see that it was not begun.
+// A drain must neither abort a long request nor admit one that is not completely received in time. A client must be
+// able to tell that a pipelined request was not processed.
 func TestDrainOfOpenConnections(t *testing.T) {
 	dispatcher := startReloadable(t, 4*time.Second, 1)
 	long := dialClient(t, dispatcher.url)
@@ -114,21 +114,21 @@
 	io.WriteString(incomplete, "POST /api HTTP/1.1\r\nReq-Id: h1\r\nReq-Kind: render\r\nContent-Length: 2\r\n\r\na")
 	pipelining.send("t1")
 	pipelining.send("t2")
-	dispatcher.awaitAnswer(t, "DUMP", "svc.outstanding=2\n")
+	dispatcher.awaitResponse(t, "DUMP", "svc.outstanding=2\n")
 	assert.Equal(t, "done\n", runAdminCommand(t, dispatcher.admin, "LEAVE"))
 	incomplete.assertResponse(t, 408, true, "it was never complete")
 	for _, c := range []*client{long, pipelining} {
 		c.assertResponse(t, 200, true)
 		_, err := c.in.ReadByte()
-		assert.ErrorIs(t, err, io.EOF, "the second one was not begun, and its client sees that")
+		assert.ErrorIs(t, err, io.EOF, "the second request was not processed, and the connection is closed")
 	}
-	dispatcher.awaitAnswer(t, "DUMP", "svc.outstanding=0\n")
+	dispatcher.awaitResponse(t, "DUMP", "svc.outstanding=0\n")
 	assert.Contains(t, runAdminCommand(t, dispatcher.admin, "DUMP"), "svc.forwards=2\n")
 	assert.Greater(t, 4*time.Second, lifecycle.DrainGrace)
 	dispatcher.stop(t)
 }
 
-// Where a program without hot restart has the address, the start must fail and not open a queue beside it.
+// If a program without hot restart uses the address, the start must fail instead of opening a second listen queue.
 func TestAddressInUseByProgramWithoutHotRestart(t *testing.T) {
 	t.Setenv("TMPDIR", t.TempDir())
 	config, _ := newTestConfig(t, time.Millisecond)
@@ -141,7 +141,7 @@
 	assert.ErrorContains(t, err, config.Listen)
 }
 
-// Commands must not wait for connections of clients.
+// Admin commands must not wait for free client connections.
 func TestOperatorsAreAnsweredWhileAllClientConnectionsAreInUse(t *testing.T) {
 	dispatcher := startReloadable(t, time.Millisecond, 1)
 	var conns []net.Conn
--- a/internal/daemon/recovery.go
+++ b/internal/daemon/recovery.go
@@ -12,8 +12,7 @@
 	"canvasroute/internal/proxy"
 )
 
-// openNode opens the dispatcher's node of the fleet, where LB_FLEET configures one. The proxy then waits for its
-// recovery.
+// openNode opens the dispatcher's fleet node if LB_FLEET is set. The proxy then waits for the node's recovery.
 func (p *process) openNode() error {
 	isSuccessor := p.restart.snapshot() != nil
 	node, err := newNode(p.config, p.clock, isSuccessor, p.log)
@@ -26,8 +25,9 @@
 	return nil
 }
 
-// newNode opens the node that a configuration describes, nil where it describes none. A successor has its predecessor's
-// state, and gets the folder and the address when that process leaves them. It fails with a *fleet.NameConflictError.
+// newNode opens the configured fleet node, or returns nil if there is none. A successor starts with the state of its
+// predecessor, and gets the state folder and the address when the predecessor releases them. newNode fails with a
+// *fleet.NameConflictError if another process uses the folder or the address.
 func newNode(c *Config, now func() balancer.Time, isSuccessor bool, log zerolog.Logger) (*fleet.Node, error) {
 	if c.Fleet == nil {
 		return nil, nil
@@ -46,8 +46,8 @@
 	})
 }
 
-// maxPartialDedupWindow returns the longest deduplication window of the operations whose keys only a zone or a cell
-// shares, 0 without such an operation. Where all workers share keys, a repeat is dropped wherever it is sent.
+// maxPartialDedupWindow returns the longest deduplication window of the operations whose keys are shared only within a
+// zone or a cell, or 0 if there are none. If all workers share the keys, any worker drops a repeated request.
 func maxPartialDedupWindow(operations []balancer.OperationConfig) time.Duration {
 	longest := time.Duration(0)
 	for _, operation := range operations {
@@ -58,13 +58,13 @@
 	return longest
 }
 
-// attachNode gives the node the parts whose state it restores. It has to be called before anything runs.
+// attachNode attaches the parts whose state the node restores. It must be called before any part runs.
 func attachNode(node *fleet.Node, requests *proxy.Proxy, shards *balancer.Shards, state *lifecycle.State) {
 	node.Attach(requests, shards)
 	if _, endpoints := requests.Endpoints(); len(endpoints) > 0 {
 		node.StoredEndpointsLoaded()
 	}
-	if node.Drained() { // a drain by LEAVE outlasts restarts, until JOIN
+	if node.Drained() { // a drain by LEAVE persists across restarts until JOIN
 		state.Drain(time.Now())
 	}
 }
--- a/internal/daemon/recovery_test.go
+++ b/internal/daemon/recovery_test.go
@@ -15,7 +15,7 @@
 	"canvasroute/internal/fleet/store"
 )
 
-// Without LB_FLEET nothing of the fleet exists: no file, no listener and no goroutine.
+// Without LB_FLEET no fleet node may be created, and therefore no file, listener or goroutine of one.
 func TestWithoutFleetFileThereIsNoNode(t *testing.T) {
 	c, err := parseConfig([]byte(testConfiguration), fakeEnv())
 	assert.NoError(t, err)
@@ -68,7 +68,7 @@
 	assert.ErrorContains(t, err, "LB_FLEET")
 }
 
-// Of two processes with the same name on one machine, the second neither writes nor serves.
+// If two processes on one machine have the same name, the second one must neither write nor serve.
 func TestSecondProcessOfTheSameNameIsRejected(t *testing.T) {
 	dir := t.TempDir()
 	socket, err := net.ListenPacket("udp", "127.0.0.1:0")
@@ -82,7 +82,7 @@
 	c, err := ReadConfig(fakeEnv("LB_CONFIG", config, "LB_FLEET", fleetPath))
 	assert.NoError(t, err)
 	_, err = newNode(c, nil, false, nopLog)
-	assert.ErrorContains(t, err, `two that go under the name "n3"`, "the address is taken")
+	assert.ErrorContains(t, err, `two that go under the name "n3"`, "the address is in use")
 	socket.Close()
 	folder, err := store.OpenFolder(filepath.Join(dir, "state"))
 	assert.NoError(t, err)
--- a/internal/daemon/reload.go
+++ b/internal/daemon/reload.go
@@ -7,17 +7,17 @@
 	"canvasroute/internal/settings"
 )
 
-// reload handles SIGHUP: it reads the configuration file again, and applies it as a whole or not at all. The goroutine of
-// handleSignals calls it, which owns the configuration. A file that is not valid, or that checkReload rejects, changes
-// nothing. Each key of an accepted file is treated in one of four ways:
+// reload handles SIGHUP: it reads the configuration file again and applies it either completely or not at all. It is
+// called by the goroutine of handleSignals, which owns the configuration. A file that is invalid, or that checkReload
+// rejects, changes nothing. Each key of an accepted file is treated in one of four ways:
 //
-//   - name, listen and peer_listen identify the dispatcher: checkReload rejects a file with another value.
-//   - discovery, and the settings that withReloaded takes over, are in force when reload returns. These are operations,
-//     tenants and quotas, rules, prices, the goal, and policyLimits except connIdleS, peers and probes.
-//   - The keys of requiringRestart wait for the next start. The log line names those that differ.
-//   - seed and known matter at a start only, and are not compared. The file of LB_FLEET is read, but not applied.
+//   - name, listen and peer_listen identify the dispatcher: checkReload rejects a file in which they differ.
+//   - discovery, and the settings that withReloaded copies, are in effect when reload returns. The settings are
+//     operations, tenants and quotas, rules, prices, the goal, and policyLimits except connIdleS, peers and probes.
+//   - The keys of requiringRestart take effect on the next start. The log line names those that differ.
+//   - seed and known are used on startup only and are not compared. The LB_FLEET file is read, but not applied.
 //
-// The state of workers stays, and requests in flight keep the operation with which they arrived.
+// The state of workers is kept, and requests in flight keep the operation that they had on arrival.
 func (p *process) reload() {
 	next, err := p.readConfig()
 	if err == nil {
@@ -42,8 +42,8 @@
 		Msg("configuration reloaded")
 }
 
-// checkReload returns a *settings.KeyError for a configuration that a running process cannot take over: it is another
-// dispatcher's, or it lacks a key that the current one has.
+// checkReload returns a *settings.KeyError if a running process cannot apply the configuration: it identifies another
+// dispatcher, or lacks a key that the current one has.
 func (c *Config) checkReload(next *Config) error {
 	if key := firstMissingKey(c.keys, next.keys); key != "" {
 		return &settings.KeyError{Key: key, Problem: "missing; the configuration in force has it"}
@@ -63,13 +63,14 @@
 	return nil
 }
 
-// withReloaded returns the configuration with what a reload changes. Of the rest it keeps the current values.
+// withReloaded returns the current configuration with the reloadable values replaced by those of next.
 func (c *Config) withReloaded(next *Config) *Config {
 	merged := *c
 	merged.keys = next.keys
 	merged.MaxClientTimeout = next.MaxClientTimeout
 
-	// The balancer takes over all but its place in the fleet, and what workers and peers report to it.
+	// The balancer gets all new values, except its place in the fleet and the options for messages from workers and
+	// peers.
 	merged.Balancer = next.Balancer
 	merged.Balancer.Dispatchers = c.Balancer.Dispatchers
 	merged.Balancer.Position = c.Balancer.Position
@@ -87,7 +88,8 @@
 	return &merged
 }
 
-// requiringRestart returns the keys whose values in the file wait for the next start. Operators read them in the log.
+// requiringRestart returns the keys whose values in the file take effect on the next start. Operators read them in the
+// log.
 func requiringRestart(applied, file *Config) []string {
 	type limits struct {
 		cores    float64
@@ -97,7 +99,7 @@
 	keys := []string{}
 	for _, row := range []struct {
 		key     string
-		applied any // the value in force
+		applied any // the value in effect
 		file    any // the value in the file
 	}{
 		{"mgmt", applied.AdminListen, file.AdminListen},
--- a/internal/daemon/reload_test.go
+++ b/internal/daemon/reload_test.go
@@ -15,14 +15,14 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// sighupWith replaces a configuration file and sends SIGHUP to the test process.
+// sighupWith replaces the configuration file and sends SIGHUP to the test process.
 func sighupWith(t *testing.T, path, text string) {
 	t.Helper()
 	writeFile(t, path, text)
 	assert.NoError(t, syscall.Kill(os.Getpid(), syscall.SIGHUP))
 }
 
-// SIGHUP must not end the process. Afterwards it polls the discovery service at its new address.
+// SIGHUP must not stop the process. After the reload the process polls the discovery service at its new address.
 func TestSighupReloadsTheConfiguration(t *testing.T) {
 	polled := make(chan string, 8)
 	discovery := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -52,15 +52,15 @@
 	case target := <-polled:
 		assert.Equal(t, "/catalog/members?stream=1&index=41", target)
 	case <-time.After(time.Second):
-		t.Fatal("the new address is not polled at once")
+		t.Fatal("new discovery address was not polled within 1 s")
 	}
-	assert.Contains(t, log.String(), `"at_next_start":["limits",`, "the test's own changes of the first configuration follow")
+	assert.Contains(t, log.String(), `"at_next_start":["limits",`, "more keys follow, which the test had changed")
 	<-answered
 	assert.NoError(t, syscall.Kill(os.Getpid(), syscall.SIGTERM))
 	assert.NoError(t, <-dispatcher.ended)
 }
 
-// A file is applied as a whole or not at all. An operation that the file no longer has is not served.
+// A file must be applied completely or not at all. An operation that was removed from the file is not served.
 func TestSighupAppliesNewSettingsWholeOrNotAtAll(t *testing.T) {
 	path, admin := filepath.Join(t.TempDir(), "config.json"), freeAddress(t)
 	dispatcher := startDispatcher(t, 300*time.Millisecond, func() (*Config, error) {
@@ -103,7 +103,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			reloadUntil(t, c.text, fmt.Sprintf("svc.sighup_rejected=%d", n+1))
-			assert.Equal(t, 400, statusOf("other"), "nothing of it is applied")
+			assert.Equal(t, 400, statusOf("other"), "no part of the file is applied")
 		})
 	}
 	inFlight := make(chan int)
--- a/internal/daemon/resource_limits.go
+++ b/internal/daemon/resource_limits.go
@@ -2,39 +2,39 @@
 
 import "canvasroute/internal/admin"
 
-// How the limits on memory and descriptors are divided. What is left of the memory is for stacks and files.
+// Division of the memory and file descriptor limits. The rest of the memory is for stacks and files.
 const (
-	heapShare             = 0.75     // of the memory limit is the limit of the garbage collector
-	connectionMemoryShare = 0.5      // of the memory limit is for connections
-	bodyMemoryShare       = 0.125    // of the memory limit is for request bodies
-	bytesPerConnection    = 32 << 10 // of memory
+	heapShare             = 0.75     // fraction of the memory limit that is the limit of the garbage collector
+	connectionMemoryShare = 0.5      // fraction of the memory limit for connections
+	bodyMemoryShare       = 0.125    // fraction of the memory limit for request bodies
+	bytesPerConnection    = 32 << 10 // memory for each connection
 	mebibyte              = 1 << 20  // bytes
 
-	clientShare         = 0.6      // of the connections are clients'
-	rejectedClientShare = 1.0 / 16 // of the clients' connections may be open in addition while they are rejected
+	clientShare         = 0.6      // fraction of the connections for clients
+	rejectedClientShare = 1.0 / 16 // additional connections for rejecting clients, as a fraction of clients
 
-	ownDescriptors   = 24                       // listener, datagrams, discovery, standard streams, poller, short-lived files
-	adminDescriptors = admin.MaxConnections + 2 // the listener's, and a connection's for which a slot is not free yet
+	reservedDescriptors = 24                       // listener, gossip, discovery, standard streams, poller, temporary ones
+	adminDescriptors    = admin.MaxConnections + 2 // plus the listener, and an accepted connection that waits for a slot
 
-	maxShards = 64 // a shard's number takes one byte in messages between dispatchers
+	maxShards = 64 // a shard number is encoded in one byte in messages between dispatchers
 )
 
 // shardCount returns the number of balancer shards: one for each whole core, at least one and at most maxShards.
 func (c *Config) shardCount() int { return min(max(int(c.Cores), 1), maxShards) }
 
-// resourceLimits are upper bounds for the whole process.
+// resourceLimits are the resource limits of the whole process.
 type resourceLimits struct {
-	clientConnections int   // open at once, those that are being rejected not included
-	workerConnections int   // open at once, the idle ones included
-	bodyBytes         int64 // of all request bodies in memory
+	clientConnections int   // maximum open client connections, excluding those being rejected
+	workerConnections int   // maximum open worker connections, including idle ones
+	bodyBytes         int64 // memory limit for all request bodies
 	heapBytes         int64 // memory limit of the garbage collector
 }
 
-// resourceLimits derives the bounds from the limits on descriptors and memory. The limit that allows fewer connections
-// decides their number.
+// resourceLimits derives the resource limits from the limits on file descriptors and memory. The limit that allows
+// fewer connections determines their number.
 func (c *Config) resourceLimits() resourceLimits {
 	memory := float64(c.MemoryMB) * mebibyte
-	own := ownDescriptors
+	own := reservedDescriptors
 	if c.AdminListen != "" {
 		own += adminDescriptors
 	}
--- a/internal/daemon/shutdown.go
+++ b/internal/daemon/shutdown.go
@@ -5,30 +5,32 @@
 	"time"
 )
 
-// Bounds on the end of the process, counted from SIGTERM or SIGINT. The platform sends SIGKILL 700 ms after the longest
-// client timeout or 3 s, whichever is shorter. A hung state folder may delay the end beyond these bounds
-// (fleet.Node.Run).
+// Time limits of the shutdown, counted from SIGTERM or SIGINT. The platform sends SIGKILL 700 ms after the longest
+// client timeout or 3 s, whichever is shorter. A state folder that does not respond may delay the exit beyond these
+// limits (fleet.Node.Run).
 const (
-	acceptAfterStop  = 500 * time.Millisecond // connections are accepted for this long: clients learn late that the process ends
-	maxClientTimeout = 3 * time.Second        // of the longest client timeout that is waited for
-	responseMargin   = 450 * time.Millisecond // for responses, beyond the longest client timeout
-	closeMargin      = 100 * time.Millisecond // for clients to read the last responses
+	acceptDuration           = 500 * time.Millisecond // clients learn with a delay that the process is stopping
+	maxShutdownClientTimeout = 3 * time.Second        // upper limit on the longest client timeout
+	responseMargin           = 450 * time.Millisecond // added to the longest client timeout for responses
+	closeMargin              = 100 * time.Millisecond // time for clients to read the last responses
 )
 
-// shutDown begins the graceful shutdown, and returns when accepting has to end. Its steps:
+// shutDown starts the graceful shutdown, and returns when the process must stop accepting connections. The steps:
 //
-//  1. At once the phase is lifecycle.Stopping (StoppingHandedOff beside a successor, Closing if it was drained): health checks fail, and each response closes its connection.
-//  2. Requests in flight get their responses within responseTime: the longest client timeout, at most maxClientTimeout,
-//     and responseMargin. The proxy rejects at once what would miss that bound.
-//  3. Where a successor serves, requests in flight are handed over to it instead. The bound is set after acceptAfterStop,
-//     for those that could not be handed over by then: a request that has moved does not depend on this process's end.
-//  4. After acceptAfterStop, or once a part of the process has failed, shutDown returns. Its caller ends the accepting,
-//     and transport.Server.Run closes idle connections and waits for the others.
-//  5. At responseTime and closeMargin the server closes the connections that are left, in whatever state.
+//  1. The phase becomes lifecycle.Stopping immediately (StoppingHandedOff if a successor is serving, Closing if the
+//     process was drained): health checks fail, and each response closes its connection.
+//  2. Requests in flight get their responses within responseTime, the sum of responseMargin and the longest client
+//     timeout (at most maxShutdownClientTimeout). The proxy immediately rejects requests that would exceed that limit.
+//  3. If a successor is serving, requests in flight are handed over to it instead. The limit is then set only after
+//     acceptDuration, for those that could not be handed over by then: a request that was moved does not depend on the
+//     exit of this process.
+//  4. After acceptDuration, or when a part of the process has failed, shutDown returns. Its caller stops accepting, and
+//     transport.Server.Run closes idle connections and waits for the others.
+//  5. After responseTime and closeMargin the server closes all remaining connections.
 //
-// When the last connection is closed the other parts end, see process.run. Step 5 comes before the platform's SIGKILL.
+// When the last connection is closed, the other parts stop, see process.run. Step 5 precedes the platform's SIGKILL.
 func (p *process) shutDown(failed context.Context) {
-	responseTime := min(p.config.MaxClientTimeout, maxClientTimeout) + responseMargin
+	responseTime := min(p.config.MaxClientTimeout, maxShutdownClientTimeout) + responseMargin
 	p.state.Stop(time.Now())
 	p.server.CloseAllAfter(responseTime + closeMargin)
 	migrates := p.restart.exportRequests()
@@ -36,10 +38,10 @@
 		p.proxy.StopWithin(responseTime)
 	}
 	select {
-	case <-time.After(acceptAfterStop):
+	case <-time.After(acceptDuration):
 	case <-failed.Done():
 	}
 	if migrates {
-		p.proxy.StopWithin(responseTime - acceptAfterStop)
+		p.proxy.StopWithin(responseTime - acceptDuration)
 	}
 }
--- a/internal/daemon/signals.go
+++ b/internal/daemon/signals.go
@@ -7,8 +7,9 @@
 	"syscall"
 )
 
-// signals holds the signals that are not handled yet, at most one of each kind: a second one asks for nothing new. Each
-// kind has a channel of its own, so that many signals of one kind do not displace another kind.
+// signals holds the signals that have not been handled yet, at most one of each kind, because a repeated signal
+// requests nothing new. Each kind has a channel of its own, so that many signals of one kind cannot displace another
+// kind.
 type signals struct {
 	logCounters chan os.Signal // SIGUSR1
 	reload      chan os.Signal // SIGHUP
@@ -23,7 +24,7 @@
 	}
 }
 
-// notifySignals receives the process's signals from now on, until close.
+// notifySignals starts receiving the signals of the process. close stops it.
 func notifySignals() *signals {
 	s := newSignals()
 	signal.Notify(s.logCounters, syscall.SIGUSR1)
@@ -38,9 +39,9 @@
 	signal.Stop(s.stop)
 }
 
-// handleSignals handles one signal after the other, in the goroutine that owns the configuration. It ends with the first
-// signal to stop, when a part of the process has failed, or with working. stopAccepting ends the accepting of clients'
-// connections.
+// handleSignals handles signals sequentially, in the goroutine that owns the configuration. It returns after the first
+// SIGTERM or SIGINT, when a part of the process has failed, or when working is done. stopAccepting stops the server
+// from accepting client connections.
 func (p *process) handleSignals(failed, working context.Context, stopAccepting context.CancelFunc) error {
 	for {
 		select {
--- a/internal/daemon/signals_test.go
+++ b/internal/daemon/signals_test.go
@@ -15,13 +15,13 @@
 	"canvasroute/internal/balancer"
 )
 
-// In each test here a signal arrives at an unusual moment, see docs/crossings.md.
+// Tests of signals that arrive at unusual times, see docs/crossings.md.
 
-// killDelay is the time from SIGTERM to SIGKILL, at newTestConfig's longest client timeout of 1 s.
+// killDelay is the time from SIGTERM to SIGKILL for the longest client timeout of newTestConfig, 1 s.
 const killDelay = time.Second + 700*time.Millisecond
 
-// preparedProcess returns a process's signals, which a test may send before it starts the process too.
-func preparedProcess(c Config, reload func() (*Config, error)) (received *signals, start func() <-chan error) {
+// prepareProcess returns the signals of a process, which a test may also send before it starts the process.
+func prepareProcess(c Config, reload func() (*Config, error)) (received *signals, start func() <-chan error) {
 	received = newSignals()
 	c.PeerListen = ""
 	return received, func() <-chan error {
@@ -31,10 +31,10 @@
 	}
 }
 
-// assertEndsInTime checks that a process ends by itself before it could be killed.
-func assertEndsInTime(t *testing.T, signalledAt time.Time, ended <-chan error) {
+// assertExitsBeforeKill checks that a process exits by itself before the platform would kill it.
+func assertExitsBeforeKill(t *testing.T, signalledAt time.Time, ended <-chan error) {
 	t.Helper()
-	awaitEnd(t, ended, 10*time.Second)
+	awaitExit(t, ended, 10*time.Second)
 	assert.Less(t, time.Since(signalledAt), killDelay)
 }
 
@@ -48,14 +48,14 @@
 
 func TestSignalBeforeTheListenerOpensStillServesClients(t *testing.T) {
 	config, url := newTestConfig(t, 10*time.Millisecond)
-	received, start := preparedProcess(config, nil)
+	received, start := prepareProcess(config, nil)
 	received.stop <- syscall.SIGTERM
 	signalledAt := time.Now()
 	ended := start()
 	c := awaitListening(t, url)
 	c.send("a1")
 	c.assertResponse(t, 200, true)
-	assertEndsInTime(t, signalledAt, ended)
+	assertExitsBeforeKill(t, signalledAt, ended)
 }
 
 func TestSigtermWhileTheConfigurationIsReloaded(t *testing.T) {
@@ -65,7 +65,7 @@
 			var received *signals
 			var signalledAt time.Time
 			read := make(chan bool, 1)
-			received, start := preparedProcess(config, func() (*Config, error) {
+			received, start := prepareProcess(config, func() (*Config, error) {
 				signalledAt = time.Now()
 				received.stop <- syscall.SIGTERM
 				read <- true
@@ -78,7 +78,7 @@
 			received.reload <- syscall.SIGHUP
 			<-read
 			c.assertResponse(t, 200, true)
-			assertEndsInTime(t, signalledAt, ended)
+			assertExitsBeforeKill(t, signalledAt, ended)
 		})
 	}
 }
@@ -88,27 +88,28 @@
 	config.Balancer.Attempts.Cancellation = false
 	config.Balancer.Operations[0].Idempotency = balancer.NonIdempotent
 	config.AdminListen = freeAddress(t)
-	received, start := preparedProcess(config, nil)
+	received, start := prepareProcess(config, nil)
 	ended := start()
 	c := awaitListening(t, url)
 	io.WriteString(c, "POST /api HTTP/1.1\r\nReq-Id: a1\r\nReq-Kind: render\r\nReq-Deadline: 30\r\n\r\n")
-	leaving := awaitListening(t, url) // closes its connection while its request is in flight
-	io.WriteString(leaving, "POST /api HTTP/1.1\r\nReq-Id: a2\r\nReq-Kind: render\r\nReq-Deadline: 30\r\n\r\n")
+	disconnecting := awaitListening(t, url) // disconnects while its request is in flight
+	io.WriteString(disconnecting, "POST /api HTTP/1.1\r\nReq-Id: a2\r\nReq-Kind: render\r\nReq-Deadline: 30\r\n\r\n")
 	bothSent := func() bool {
 		return strings.Contains(runAdminCommand(t, config.AdminListen, "DUMP"), "svc.forwards=2\n")
 	}
 	assert.Eventually(t, bothSent, 5*time.Second, time.Millisecond)
-	leaving.Close()
+	disconnecting.Close()
 	signalledAt := time.Now()
 	received.stop <- syscall.SIGTERM
 	assert.Contains(t, []int{429, 502}, c.receive(t).status)
-	assertEndsInTime(t, signalledAt, ended)
+	assertExitsBeforeKill(t, signalledAt, ended)
 }
 
-// Clients send on persistent connections until a response closes them. Each request is answered.
+// Clients send requests on persistent connections until a response closes the connection. Each request must be
+// answered.
 func TestClientsOnKeptConnectionsGetEachResponseWhileTheProcessEnds(t *testing.T) {
 	config, url := newTestConfig(t, 5*time.Millisecond)
-	received, start := preparedProcess(config, nil)
+	received, start := prepareProcess(config, nil)
 	ended := start()
 	awaitListening(t, url)
 	var clients sync.WaitGroup
@@ -126,7 +127,7 @@
 					sending <- true
 				}
 			}
-			t.Error("its connection is never closed")
+			t.Error("connection was not closed after 1000 requests")
 		})
 	}
 	for range 12 {
@@ -135,13 +136,13 @@
 	signalledAt := time.Now()
 	received.stop <- syscall.SIGTERM
 	clients.Wait()
-	assertEndsInTime(t, signalledAt, ended)
+	assertExitsBeforeKill(t, signalledAt, ended)
 }
 
-// The shutdown does not wait for a client that pipelines without end.
+// The shutdown must not wait for a client that keeps sending pipelined requests.
 func TestClientThatPipelinesWithoutEndDoesNotDelayTheEnd(t *testing.T) {
 	config, url := newTestConfig(t, time.Millisecond)
-	received, start := preparedProcess(config, nil)
+	received, start := prepareProcess(config, nil)
 	ended := start()
 	c := awaitListening(t, url)
 	go io.Copy(io.Discard, c)
@@ -160,5 +161,5 @@
 	<-pipelining
 	signalledAt := time.Now()
 	received.stop <- syscall.SIGTERM
-	assertEndsInTime(t, signalledAt, ended)
+	assertExitsBeforeKill(t, signalledAt, ended)
 }
--- a/internal/hotrestart/handover.go
+++ b/internal/hotrestart/handover.go
@@ -10,26 +10,26 @@
 	"time"
 )
 
-// handshakeTimeout bounds the time that each side waits for the first message of the other.
+// handshakeTimeout is the time that each process waits for the first message of the other.
 const handshakeTimeout = 2 * time.Second
 
-// Handover is what a process has received from its predecessor.
+// Handover holds the link, sockets and snapshot that a process has received from its predecessor.
 type Handover struct {
-	Link     *Link               // to the predecessor
-	Sockets  map[string]*os.File // by their names: ClientSocket and PeerSocket
-	Snapshot json.RawMessage     // the predecessor's state
+	Link     *Link               // link to the predecessor
+	Sockets  map[string]*os.File // by name: ClientSocket and PeerSocket
+	Snapshot json.RawMessage     // state of the predecessor
 }
 
-// Connect connects to the predecessor and receives what it hands over. Without a predecessor it returns nil and no error.
-// It fails with ErrOtherUser, ErrVersionMismatch or the error of the connection. The predecessor serves as before until
-// Link.SendServing.
-func Connect(r Rendezvous) (*Handover, error) {
+// Connect connects to the predecessor and receives its sockets and snapshot. If there is no predecessor, it returns nil
+// and no error. It fails with ErrOtherUser, ErrVersionMismatch or the error of the connection. The predecessor
+// continues to serve until Link.SendServing.
+func Connect(r ControlSocket) (*Handover, error) {
 	conn, err := r.dial()
 	if errors.Is(err, os.ErrNotExist) || errors.Is(err, syscall.ECONNREFUSED) {
-		return nil, nil // no process, or one that was killed has left its socket
+		return nil, nil // no process is listening; a killed one may have left its socket file
 	}
 	if err != nil {
-		return nil, fmt.Errorf("rendezvous: %w", err)
+		return nil, fmt.Errorf("hot restart control socket: %w", err)
 	}
 	handover, err := receiveHandover(conn)
 	if err != nil {
@@ -39,13 +39,13 @@
 	return handover, nil
 }
 
-// receiveHandover makes the handshake of a successor.
+// receiveHandover performs the handshake of a successor.
 func receiveHandover(conn *net.UnixConn) (*Handover, error) {
 	link, err := newHandshakeLink(conn)
 	if err != nil {
 		return nil, err
 	}
-	if err := link.send(message{Version: version}); err != nil {
+	if err := link.send(message{Version: protocolVersion}); err != nil {
 		return nil, err
 	}
 	first, err := link.receive()
@@ -60,7 +60,8 @@
 	return &Handover{Link: link, Snapshot: first.Snapshot, Sockets: first.files}, nil
 }
 
-// newHandshakeLink returns a link that waits for its first message until handshakeTimeout. It fails with ErrOtherUser.
+// newHandshakeLink returns a link whose first message must arrive within handshakeTimeout. It returns ErrOtherUser if
+// the other process runs as another user.
 func newHandshakeLink(conn *net.UnixConn) (*Link, error) {
 	if !isSameUser(conn) {
 		return nil, ErrOtherUser
--- a/internal/hotrestart/hotrestart_test.go
+++ b/internal/hotrestart/hotrestart_test.go
@@ -15,19 +15,19 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// startPredecessor listens for successors until the test ends. It hands over one socket and a text, and returns each
-// update that it receives.
-func startPredecessor(t *testing.T, r Rendezvous, connected chan<- *Link) (shared *net.TCPListener) {
+// startPredecessor listens for successors until the test ends. It hands over one socket and a text, and sends each
+// received update back.
+func startPredecessor(t *testing.T, r ControlSocket, connected chan<- *Link) (shared *net.TCPListener) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NoError(t, err)
 	shared = listener.(*net.TCPListener)
 	predecessor := Listener{
-		Rendezvous: r,
-		Log:        zerolog.Nop(),
-		IsStopping: func() bool { return false },
-		Sockets:    func() []Socket { return []Socket{{ClientSocket, shared}} },
-		Snapshot:   func() any { return "known" },
+		ControlSocket: r,
+		Log:           zerolog.Nop(),
+		IsStopping:    func() bool { return false },
+		Sockets:       func() []Socket { return []Socket{{ClientSocket, shared}} },
+		Snapshot:      func() any { return "known" },
 		Serve: func(ctx context.Context, l *Link) {
 			defer context.AfterFunc(ctx, l.Close)()
 			connected <- l
@@ -56,11 +56,11 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			assert.NoError(t, os.MkdirAll(c.dir, 0o700))
-			rendezvous := RendezvousFor(c.dir, "n3", "127.0.0.1:1")
+			socket := NewControlSocket(c.dir, "n3", "127.0.0.1:1")
 			connected := make(chan *Link, 2)
-			shared := startPredecessor(t, rendezvous, connected)
-			for range 2 { // after a successor that has failed, the next may connect
-				handover, err := Connect(rendezvous)
+			shared := startPredecessor(t, socket, connected)
+			for range 2 { // after a successor has failed, another one may connect
+				handover, err := Connect(socket)
 				if !assert.NoError(t, err) {
 					return
 				}
@@ -68,7 +68,7 @@
 				assert.JSONEq(t, `"known"`, string(handover.Snapshot))
 				listener, err := net.FileListener(handover.Sockets[ClientSocket])
 				assert.NoError(t, err)
-				assert.Equal(t, shared.Addr(), listener.Addr(), "one queue")
+				assert.Equal(t, shared.Addr(), listener.Addr(), "both processes accept from one queue")
 				listener.Close()
 				assert.NoError(t, handover.Link.SendSiblingUpdate(7))
 				update, err := handover.Link.receive()
@@ -80,16 +80,16 @@
 	}
 }
 
-// What another process has left at the rendezvous must neither fail nor delay a start.
+// A file that another process has left at the path of the control socket must neither fail nor delay a start.
 func TestStartWithoutPredecessor(t *testing.T) {
-	startsAlone := func(t *testing.T, r Rendezvous) {
+	startsAlone := func(t *testing.T, r ControlSocket) {
 		t.Helper()
 		handover, err := Connect(r)
 		assert.Nil(t, handover)
 		assert.NoError(t, err)
 	}
-	r := RendezvousFor(t.TempDir(), "n3")
-	t.Run("nothing there", func(t *testing.T) { startsAlone(t, r) })
+	r := NewControlSocket(t.TempDir(), "n3")
+	t.Run("no file", func(t *testing.T) { startsAlone(t, r) })
 	t.Run("socket of a killed process", func(t *testing.T) {
 		listener, err := r.listen()
 		assert.NoError(t, err)
@@ -103,31 +103,31 @@
 		startPredecessor(t, r, make(chan *Link, 1)) // replaces it
 	})
 	t.Run("no such directory", func(t *testing.T) {
-		none := RendezvousFor(filepath.Join(t.TempDir(), "none"), "n3")
+		none := NewControlSocket(filepath.Join(t.TempDir(), "none"), "n3")
 		startsAlone(t, none)
-		listener := Listener{Rendezvous: none, Log: zerolog.Nop(), IsStopping: func() bool { return false }}
+		listener := Listener{ControlSocket: none, Log: zerolog.Nop(), IsStopping: func() bool { return false }}
 		assert.NoError(t, listener.Run(context.Background()), "it serves without successors")
 	})
 }
 
 func TestProcessOfAnotherVersionIsRejected(t *testing.T) {
-	r := RendezvousFor(t.TempDir(), "n3")
+	r := NewControlSocket(t.TempDir(), "n3")
 	startPredecessor(t, r, make(chan *Link, 1))
 	conn, err := r.dial()
 	assert.NoError(t, err)
 	defer conn.Close()
 	conn.SetDeadline(time.Now().Add(5 * time.Second))
-	assert.NoError(t, newLink(conn).send(message{Version: version + 1}))
+	assert.NoError(t, newLink(conn).send(message{Version: protocolVersion + 1}))
 	_, err = newLink(conn).receive()
 	assert.Error(t, err, "it receives nothing")
-	assert.ErrorIs(t, (&message{Version: version + 1}).checkVersion(), ErrVersionMismatch)
+	assert.ErrorIs(t, (&message{Version: protocolVersion + 1}).checkVersion(), ErrVersionMismatch)
 	_, err = parseMessage([]byte(`{"v":`))
 	assert.ErrorIs(t, err, ErrVersionMismatch)
 }
 
-// A start waits for a predecessor that does not answer until handshakeTimeout.
-func TestSilentPredecessorIsGivenUp(t *testing.T) {
-	r := RendezvousFor(t.TempDir(), "n3")
+// Connect must return after handshakeTimeout if the predecessor does not respond.
+func TestConnectTimesOutOnUnresponsivePredecessor(t *testing.T) {
+	r := NewControlSocket(t.TempDir(), "n3")
 	listener, err := r.listen()
 	assert.NoError(t, err)
 	defer listener.Close()
--- a/internal/hotrestart/link.go
+++ b/internal/hotrestart/link.go
@@ -13,30 +13,32 @@
 	"golang.org/x/sys/unix"
 )
 
-// sendTimeout bounds the sending of one message.
+// sendTimeout limits the time to send one message.
 const sendTimeout = time.Second
 
-// maxSockets bounds the descriptors beside one message.
+// maxSockets limits the number of file descriptors that are sent with one message.
 const maxSockets = 64
 
-// Link is the connection between the two processes of a hot restart. Many goroutines may send, one may receive.
+// Link is the connection between the two processes of a hot restart. Any number of goroutines may send, but only one
+// may receive.
 type Link struct {
-	conn    *net.UnixConn
-	lines   *bufio.Reader // reads from conn through a descriptorReader
-	files   []*os.File    // received descriptors, of messages that are not parsed yet; for the receiving goroutine
-	sending sync.Mutex    // held while a message is written
+	conn   *net.UnixConn
+	reader *bufio.Reader // reads from conn through a descriptorReader
+	files  []*os.File    // received descriptors of messages not parsed yet; used by the receiving goroutine only
+	sendMu sync.Mutex    // held while a message is written
 }
 
 func newLink(conn *net.UnixConn) *Link {
 	l := &Link{conn: conn}
-	l.lines = bufio.NewReader(descriptorReader{l})
+	l.reader = bufio.NewReader(descriptorReader{l})
 	return l
 }
 
-// Close closes the link. The other process takes that for the end of this one.
+// Close closes the link. The other process handles this as the exit of this process.
 func (l *Link) Close() { l.conn.Close() }
 
-// descriptorReader reads bytes for the link, and collects the descriptors beside them in Link.files.
+// descriptorReader reads bytes from the connection of a link and appends the file descriptors that arrive with them to
+// Link.files.
 type descriptorReader struct{ link *Link }
 
 // Read implements io.Reader.
@@ -65,8 +67,8 @@
 	return n, err
 }
 
-// send sends a message with sockets, which stay open in this process too. It fails with a *TooManySocketsError, or with
-// the error of the connection.
+// send sends a message with sockets, which also stay open in this process. It returns a *TooManySocketsError or the
+// error of the connection.
 func (l *Link) send(m message, sockets ...Socket) error {
 	if len(sockets) > maxSockets {
 		return &TooManySocketsError{Sockets: len(sockets)}
@@ -79,14 +81,14 @@
 		return err
 	}
 	line = append(line, '\n')
-	l.sending.Lock()
-	defer l.sending.Unlock()
+	l.sendMu.Lock()
+	defer l.sendMu.Unlock()
 	l.conn.SetWriteDeadline(time.Now().Add(sendTimeout))
 	descriptors := make([]int, len(sockets))
 	return withDescriptors(sockets, descriptors, func() error { return l.write(line, descriptors) })
 }
 
-// write writes a line, with descriptors beside its first byte. The caller holds sending.
+// write writes a line, and sends the descriptors with its first byte. The caller must hold sendMu.
 func (l *Link) write(line []byte, descriptors []int) error {
 	if len(descriptors) > 0 {
 		n, _, err := l.conn.WriteMsgUnix(line, unix.UnixRights(descriptors...), nil)
@@ -102,7 +104,7 @@
 }
 
 // withDescriptors fills descriptors, one for each socket, and calls use. Until use returns, no socket is closed and no
-// descriptor is reused: SyscallConn guarantees that for one socket at a time, hence the recursion.
+// descriptor is reused. SyscallConn guarantees this for only one socket at a time, hence the recursion.
 func withDescriptors(sockets []Socket, descriptors []int, use func() error) error {
 	if len(sockets) == 0 {
 		return use()
@@ -119,13 +121,13 @@
 	return errors.Join(controlErr, used)
 }
 
-// receivedMessage is a message with the sockets that came with it.
+// receivedMessage is a message with the sockets that were sent with it.
 type receivedMessage struct {
 	message
-	files map[string]*os.File // by the names of the sockets; the receiver closes them
+	files map[string]*os.File // by socket name; the receiver must close them
 }
 
-// receive reads the next message. It fails with ErrVersionMismatch, or with the error of the connection.
+// receive reads the next message. It returns ErrVersionMismatch or the error of the connection.
 func (l *Link) receive() (receivedMessage, error) {
 	line, err := l.readLine()
 	if err != nil {
@@ -146,11 +148,12 @@
 	return receivedMessage{message: m, files: files}, nil
 }
 
-// readLine reads a line with its end. It fails with ErrVersionMismatch for one that is longer than maxMessageBytes.
+// readLine reads a line including its newline. It returns ErrVersionMismatch if the line is longer than
+// maxMessageBytes.
 func (l *Link) readLine() ([]byte, error) {
 	var line []byte
 	for {
-		fragment, err := l.lines.ReadSlice('\n')
+		fragment, err := l.reader.ReadSlice('\n')
 		line = append(line, fragment...)
 		switch {
 		case err == nil:
@@ -158,12 +161,12 @@
 		case !errors.Is(err, bufio.ErrBufferFull):
 			return nil, fmt.Errorf("hot restart: %w", err)
 		case len(line) > maxMessageBytes:
-			return nil, fmt.Errorf("%w: a line of more than %d bytes", ErrVersionMismatch, maxMessageBytes)
+			return nil, fmt.Errorf("%w: line longer than %d bytes", ErrVersionMismatch, maxMessageBytes)
 		}
 	}
 }
 
-// SendSiblingUpdate sends what this process has in flight, encoded in JSON.
+// SendSiblingUpdate sends the requests in flight at this process, encoded in JSON.
 func (l *Link) SendSiblingUpdate(v any) error {
 	text, err := marshal(v)
 	if err != nil {
@@ -175,7 +178,7 @@
 // SendCommand forwards an operator's command to the successor.
 func (l *Link) SendCommand(command string) error { return l.send(message{Command: command}) }
 
-// SendServing notifies the predecessor that this process accepts connections from now on.
+// SendServing notifies the predecessor that this process has started to accept connections.
 func (l *Link) SendServing() error { return l.send(message{Serving: true}) }
 
 // SendRequest hands over one request in flight, encoded in JSON, with its sockets.
@@ -187,19 +190,19 @@
 	return l.send(message{Request: text}, sockets...)
 }
 
-// Handler has a function for each kind of message that a link receives. A nil one ignores the messages of its kind.
+// Handler has a function for each kind of message that a link receives. Messages without a function are ignored.
 type Handler struct {
-	Serving       func()                // the successor serves from now on
-	SiblingUpdate func(json.RawMessage) // what the other process has in flight
-	Command       func(string)          // an operator's command that the predecessor forwards
+	Serving       func()                // the successor has started to serve
+	SiblingUpdate func(json.RawMessage) // requests in flight at the other process
+	Command       func(string)          // an operator's command, forwarded by the predecessor
 
-	// Request has the request in flight that the predecessor hands over, and its sockets by their names: ClientSocket,
-	// and the numbers of the attempts. It closes the files.
+	// Request receives a request in flight that the predecessor hands over, and its sockets by name: ClientSocket, and
+	// the numbers of the attempts. It must close the files.
 	Request func(json.RawMessage, map[string]*os.File)
 }
 
-// Receive handles one message after the other until the other process ends or the link is closed. It returns the error
-// that has ended the receiving.
+// Receive handles messages sequentially until the other process exits or the link is closed. It returns the error that
+// ended the loop.
 func (l *Link) Receive(h Handler) error {
 	for {
 		m, err := l.receive()
--- a/internal/hotrestart/listener.go
+++ b/internal/hotrestart/listener.go
@@ -11,33 +11,34 @@
 	"github.com/rs/zerolog"
 )
 
-// acceptRetryDelay is the wait after a failed accept, such as one for want of descriptors.
+// acceptRetryDelay is the wait after a failed accept, for example if no file descriptors are free.
 const acceptRetryDelay = 10 * time.Millisecond
 
 // Socket is a socket to hand over.
 type Socket struct {
-	Name string // in the message: ClientSocket, PeerSocket, or the number of an attempt
+	Name string // name in the message: ClientSocket, PeerSocket, or the number of an attempt
 	Conn syscall.Conn
 }
 
-// Listener waits for successors in a process that serves.
+// Listener accepts successors in a serving process.
 type Listener struct {
-	Rendezvous Rendezvous
-	Sockets    func() []Socket // the sockets that both processes will share
-	Snapshot   func() any      // the process's state, which is encoded in JSON
-	IsStopping func() bool     // reports whether this process ends, and leaves the rendezvous to others
-	Log        zerolog.Logger
+	ControlSocket ControlSocket
+	Sockets       func() []Socket // returns the sockets to share with the successor
+	Snapshot      func() any      // returns the state of the process, to be encoded in JSON
+	IsStopping    func() bool     // reports whether this process is stopping and must not listen again
+	Log           zerolog.Logger
 
-	// Serve is called with the link to each successor that has received sockets and snapshot. It returns when the link
-	// ends, and has to close the link when ctx ends.
+	// Serve is called with the link to each successor that has received the sockets and the snapshot. It must return
+	// when the link ends, and close the link when ctx is done.
 	Serve func(ctx context.Context, l *Link)
 }
 
-// Run serves successors until ctx ends, one at a time: after one that has failed to start, the next may connect. If this
-// process cannot listen at the rendezvous, Run logs that and returns nil. A later process then starts without its state.
+// Run serves one successor after another until ctx is done, so that another one may connect if one fails to start. If
+// this process cannot listen on the control socket, Run logs the error and returns nil. A later process then starts
+// without the state of this one.
 func (s *Listener) Run(ctx context.Context) error {
 	for ctx.Err() == nil && !s.IsStopping() {
-		ln, err := s.Rendezvous.listen() // again where a successor had taken the rendezvous and has died
+		ln, err := s.ControlSocket.listen() // listens again if a successor had replaced the socket and exited
 		if err != nil {
 			s.Log.Warn().Err(err).Msg("hot restart unavailable")
 			return nil
@@ -47,13 +48,13 @@
 	return nil
 }
 
-// acceptSuccessors serves successors until ctx ends, or until another process has replaced the rendezvous: a successor
-// that serves listens there itself.
+// acceptSuccessors serves successors until ctx is done, or until another process has replaced the control socket: a
+// serving successor listens there itself.
 func (s *Listener) acceptSuccessors(ctx context.Context, ln *net.UnixListener) {
 	defer context.AfterFunc(ctx, func() { ln.Close() })()
 	defer ln.Close()
-	own := s.Rendezvous.stat()
-	for isOwn := true; isOwn; isOwn = os.SameFile(own, s.Rendezvous.stat()) {
+	own := s.ControlSocket.stat()
+	for isOwn := true; isOwn; isOwn = os.SameFile(own, s.ControlSocket.stat()) {
 		conn, err := ln.AcceptUnix()
 		if errors.Is(err, net.ErrClosed) {
 			return
@@ -70,7 +71,7 @@
 	}
 }
 
-// serve makes the handshake of a predecessor, and then leaves the link to Serve. It fails with ErrOtherUser,
+// serve performs the handshake of a predecessor and then passes the link to Serve. It returns ErrOtherUser,
 // ErrVersionMismatch or the error of the connection.
 func (s *Listener) serve(ctx context.Context, conn *net.UnixConn) error {
 	link, err := newHandshakeLink(conn)
@@ -89,7 +90,7 @@
 	if err != nil {
 		return err
 	}
-	if err := link.send(message{Version: version, Snapshot: snapshot}, s.Sockets()...); err != nil {
+	if err := link.send(message{Version: protocolVersion, Snapshot: snapshot}, s.Sockets()...); err != nil {
 		return err
 	}
 	s.Serve(ctx, link)
--- a/internal/hotrestart/message.go
+++ b/internal/hotrestart/message.go
@@ -1,19 +1,21 @@
-// Package hotrestart hands over a dispatcher's sockets, state and requests. They go from a process that serves to a second
-// one that is started beside it, its successor. The two find each other at a Unix socket, see Rendezvous. Where there is
-// no socket, or no process listens at it, a process starts without a predecessor.
+// Package hotrestart hands over a dispatcher's sockets, state and requests from a serving process to its successor, a
+// second process that is started while the first one still runs. They connect through a Unix socket, see ControlSocket.
+// If there is no socket, or no process listens on it, a process starts without a predecessor.
 //
-// The messages between the two, in order:
+// The messages between the two processes, in order:
 //
-//  1. The successor connects (Connect) and sends its version.
-//  2. The predecessor (Listener) answers with its version, its snapshot and the sockets that both will share.
-//  3. The successor reports that it serves (Link.SendServing). Until then it may end without an effect.
-//  4. Both send updates at intervals (Link.SendSiblingUpdate). The predecessor may forward commands (Link.SendCommand) and
-//     hand over requests in flight (Link.SendRequest), until one of the two ends.
+//  1. The successor connects (Connect) and sends its protocol version.
+//  2. The predecessor (Listener) replies with its version, its snapshot and the sockets that both processes share.
+//  3. The successor reports that it is serving (Link.SendServing). Until then it may exit without any effect.
+//  4. Both send updates at intervals (Link.SendSiblingUpdate). The predecessor may forward commands (Link.SendCommand)
+//     and hand over requests in flight (Link.SendRequest), until one of the two exits.
 //
-// This package moves messages and descriptors. What a snapshot means, and which process serves when, its callers decide.
+// This package transfers messages and file descriptors. Its callers interpret the snapshot and decide which process
+// serves.
 //
-// A message is a line of JSON, with the descriptors of its sockets beside its first byte. Processes of other releases
-// read and write them too: the keys, their meaning and the version stay, see format_test.go.
+// A message is a line of JSON. The file descriptors of its sockets are sent with its first byte. Processes of other
+// releases read and write the same messages: the keys, their meaning and the version must not change, see
+// format_test.go.
 package hotrestart
 
 import (
@@ -22,48 +24,49 @@
 	"fmt"
 )
 
-// version is the version of the messages. Between processes of different versions there is no hot restart.
-const version = 1
+// protocolVersion is the version of the messages. Processes with different versions cannot perform a hot restart.
+const protocolVersion = 1
 
-// maxMessageBytes bounds a line that is received, which may exceed it by less than one read buffer.
+// maxMessageBytes limits the length of a received line, which may exceed it by less than one read buffer.
 const maxMessageBytes = 16 << 20
 
-// The names of the sockets that are handed over. Those of a request's attempts are their numbers.
+// Names of the sockets that are handed over. The socket of an attempt is named by the number of the attempt.
 const (
 	ClientSocket = "clients"
 	PeerSocket   = "peers"
 )
 
-// message is one line. The keys on the wire are older words than the fields. A field that is not sent has its zero value.
+// message is one line of the protocol. The keys on the wire keep older terms than the fields. A field that is not sent
+// has its zero value.
 type message struct {
-	Version  int             `json:"v,omitempty"`       // in the first message of each side
-	Sockets  []string        `json:"sockets,omitempty"` // names, in the order of the descriptors
-	Snapshot json.RawMessage `json:"legacy,omitempty"`  // the predecessor's state
-	Serving  bool            `json:"serving,omitempty"` // the successor accepts connections from now on
-	Update   json.RawMessage `json:"twin,omitempty"`    // what the sender has in flight
-	Request  json.RawMessage `json:"open,omitempty"`    // a request in flight that the successor continues
+	Version  int             `json:"v,omitempty"`       // in the first message of each process
+	Sockets  []string        `json:"sockets,omitempty"` // names, in the order of the file descriptors
+	Snapshot json.RawMessage `json:"legacy,omitempty"`  // state of the predecessor
+	Serving  bool            `json:"serving,omitempty"` // the successor has started to accept connections
+	Update   json.RawMessage `json:"twin,omitempty"`    // requests in flight at the sender
+	Request  json.RawMessage `json:"open,omitempty"`    // a request in flight, to be continued by the successor
 	Command  string          `json:"call,omitempty"`    // an operator's command, forwarded to the successor
 }
 
-// Why a hot restart with another process is not possible.
+// Errors that prevent a hot restart with another process.
 var (
-	// ErrVersionMismatch is returned for a line that is not a message of this version.
-	ErrVersionMismatch = errors.New("not a message of this version of the hot restart")
-	// ErrOtherUser is returned where the process at the rendezvous runs as another user.
-	ErrOtherUser = errors.New("the process at the rendezvous is another user's")
+	// ErrVersionMismatch is returned for a line that is not a message of this protocol version.
+	ErrVersionMismatch = errors.New("not a hot restart message of this version")
+	// ErrOtherUser is returned if the process that uses the control socket runs as another user.
+	ErrOtherUser = errors.New("the process at the hot restart control socket runs as another user")
 )
 
-// TooManySocketsError is returned for a message with more than maxSockets sockets, which is not sent.
+// TooManySocketsError is returned if a message has more than maxSockets sockets. The message is not sent.
 type TooManySocketsError struct {
-	Sockets int // of the message
+	Sockets int // number of sockets in the message
 }
 
-// Error says how many sockets there are, and how many are possible.
+// Error returns the number of sockets and the limit.
 func (e *TooManySocketsError) Error() string {
 	return fmt.Sprintf("hot restart: %d sockets in a message, at most %d are possible", e.Sockets, maxSockets)
 }
 
-// parseMessage parses a line. It fails with ErrVersionMismatch.
+// parseMessage parses a line. It returns ErrVersionMismatch if the line is malformed.
 func parseMessage(line []byte) (message, error) {
 	var m message
 	if err := json.Unmarshal(line, &m); err != nil {
@@ -72,15 +75,15 @@
 	return m, nil
 }
 
-// checkVersion returns ErrVersionMismatch for the first message of a process with another version.
+// checkVersion returns ErrVersionMismatch if the first message of a process has another version.
 func (m *message) checkVersion() error {
-	if m.Version != version {
-		return fmt.Errorf("%w: version %d, this process has %d", ErrVersionMismatch, m.Version, version)
+	if m.Version != protocolVersion {
+		return fmt.Errorf("%w: version %d, this process has %d", ErrVersionMismatch, m.Version, protocolVersion)
 	}
 	return nil
 }
 
-// marshal encodes a message or a part of it.
+// marshal encodes a message, or a part of one, in JSON.
 func marshal(v any) (json.RawMessage, error) {
 	text, err := json.Marshal(v)
 	if err != nil {
--- a/internal/lifecycle/phase_test.go
+++ b/internal/lifecycle/phase_test.go
@@ -6,17 +6,17 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// TestPhaseWords pins the words that operators read in answers and in the log, in the order of the phases.
-func TestPhaseWords(t *testing.T) {
+// TestPhaseString checks the names that operators read in responses and in the log, in the order of the phases.
+func TestPhaseString(t *testing.T) {
 	for n, want := range []string{"serving", "leaving", "away", "relieved", "ending", "yielding", "closing"} {
 		assert.Equal(t, want, Phase(n).String())
 	}
 	assert.EqualError(t, ErrStopping, "the process ends")
 }
 
-// phaseAnswers are the answers of a phase to each question about it.
-type phaseAnswers struct {
-	takesClients        bool
+// phaseProperties are the results of the methods of a Phase.
+type phaseProperties struct {
+	acceptsNewClients   bool
 	healthy             bool
 	acceptsConnections  bool
 	closesAfterResponse bool
@@ -25,50 +25,50 @@
 	isStopping          bool
 }
 
-// phaseTable is what each phase allows. Two invariants show in it: in each phase either this process or its successor
-// accepts connections, and a dispatcher is healthy all through a hot restart.
-var phaseTable = []struct {
+// phaseTestCases has the properties of each phase. It shows two invariants: in each phase either this process or its
+// successor accepts connections, and a dispatcher stays healthy throughout a hot restart.
+var phaseTestCases = []struct {
 	phase Phase
-	want  phaseAnswers
+	want  phaseProperties
 }{
-	{Serving, phaseAnswers{
-		takesClients:       true,
+	{Serving, phaseProperties{
+		acceptsNewClients:  true,
 		healthy:            true,
 		acceptsConnections: true,
 		admitsRequests:     true,
 		keepsIdle:          true,
 	}},
-	{Draining, phaseAnswers{
+	{Draining, phaseProperties{
 		acceptsConnections:  true,
 		closesAfterResponse: true,
 		admitsRequests:      true,
 		keepsIdle:           true,
 	}},
-	{Drained, phaseAnswers{
+	{Drained, phaseProperties{
 		acceptsConnections:  true,
 		closesAfterResponse: true,
 	}},
-	{HandedOff, phaseAnswers{
+	{HandedOff, phaseProperties{
 		healthy:             true,
 		closesAfterResponse: true,
 		admitsRequests:      true,
 		keepsIdle:           true,
 	}},
-	{Stopping, phaseAnswers{
+	{Stopping, phaseProperties{
 		acceptsConnections:  true,
 		closesAfterResponse: true,
 		admitsRequests:      true,
 		keepsIdle:           true,
 		isStopping:          true,
 	}},
-	{StoppingHandedOff, phaseAnswers{
+	{StoppingHandedOff, phaseProperties{
 		healthy:             true,
 		closesAfterResponse: true,
 		admitsRequests:      true,
 		keepsIdle:           true,
 		isStopping:          true,
 	}},
-	{Closing, phaseAnswers{
+	{Closing, phaseProperties{
 		acceptsConnections:  true,
 		closesAfterResponse: true,
 		admitsRequests:      true,
@@ -76,12 +76,12 @@
 	}},
 }
 
-func TestWhatEachPhaseAllows(t *testing.T) {
-	for _, c := range phaseTable {
+func TestPhaseProperties(t *testing.T) {
+	for _, c := range phaseTestCases {
 		t.Run(c.phase.String(), func(t *testing.T) {
 			p := c.phase
-			assert.Equal(t, c.want, phaseAnswers{
-				takesClients:        p.TakesClients(),
+			assert.Equal(t, c.want, phaseProperties{
+				acceptsNewClients:   p.AcceptsNewClients(),
 				healthy:             p.Healthy(),
 				acceptsConnections:  p.AcceptsConnections(),
 				closesAfterResponse: p.ClosesAfterResponse(),
--- a/internal/lifecycle/state.go
+++ b/internal/lifecycle/state.go
@@ -1,6 +1,6 @@
-// Package lifecycle decides which connections and requests a process accepts, from its start to its end. Health checks,
-// admission, idle connections and the shutdown go by the one State of the process. It does no I/O and reads no clock: its
-// callers pass the time, and act on the phase.
+// Package lifecycle determines which connections and requests a process accepts, from its start to its exit. A process
+// has one State, which health checks, admission, idle connections and the shutdown all use. The package does no I/O and
+// reads no clock: its callers pass the time and act on the phase.
 package lifecycle
 
 import (
@@ -9,47 +9,48 @@
 	"time"
 )
 
-// DrainGrace is how long after Drain requests on open connections are still served. The platform's limit is two seconds
-// after LEAVE: from then on a dispatcher may not admit a request or keep an idle connection open.
+// DrainGrace is the time after Drain during which requests on open connections are still served. The platform allows
+// two seconds after LEAVE: after that a dispatcher must not admit a request or keep an idle connection open.
 const DrainGrace = 1800 * time.Millisecond
 
-// ErrStopping is returned by changes that are not possible while the process ends. Operators read its text.
+// ErrStopping is returned by changes that are not possible while the process is stopping. Operators read its text.
 var ErrStopping = errors.New("the process ends")
 
-// State is the phase of a process, see Phase for its changes. Many goroutines may use it. The zero State is Serving.
+// State holds the phase of a process, see Phase for the transitions. It is safe for concurrent use. The zero value is
+// Serving.
 type State struct {
-	mu      sync.Mutex
-	phase   Phase         // as set last; never Drained, which follows from Draining by time
-	since   time.Time     // when phase was set; zero for the first Serving
-	changed chan struct{} // closed at the next change; nil while nobody waits for it
+	mu         sync.Mutex
+	phase      Phase         // the phase set last; never Drained, which phaseAt derives from Draining and the time
+	phaseSetAt time.Time     // time at which phase was set; zero for the initial Serving
+	changed    chan struct{} // closed at the next change; nil if no caller waits for it
 }
 
-// PhaseAt returns the phase at a time, which is not before the last change.
+// PhaseAt returns the phase at a time that must not be before the last change.
 func (s *State) PhaseAt(now time.Time) Phase {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.phaseAt(now)
 }
 
-// phaseAt is PhaseAt for callers that hold mu.
+// phaseAt is PhaseAt without locking. The caller must hold mu.
 func (s *State) phaseAt(now time.Time) Phase {
-	if s.phase == Draining && now.Sub(s.since) >= DrainGrace {
+	if s.phase == Draining && now.Sub(s.phaseSetAt) >= DrainGrace {
 		return Drained
 	}
 	return s.phase
 }
 
-// Drain begins to drain the process for an operator. A second call does not extend DrainGrace. Beside a successor, or
-// while the process ends, it changes nothing.
+// Drain starts draining the process, as an operator requested. A second call does not extend DrainGrace. Drain has no
+// effect if a successor is serving or the process is stopping.
 func (s *State) Drain(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.phase == Serving {
-		s.set(Draining, now)
+		s.setPhase(Draining, now)
 	}
 }
 
-// Rejoin ends a drain at once. It fails with ErrStopping.
+// Rejoin ends a drain immediately. It returns ErrStopping if the process is stopping.
 func (s *State) Rejoin(now time.Time) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -57,13 +58,13 @@
 		return ErrStopping
 	}
 	if s.phase == Draining {
-		s.set(Serving, now)
+		s.setPhase(Serving, now)
 	}
 	return nil
 }
 
-// HandOff leaves accepting connections to a successor. A process that drains continues to drain, as it should not get
-// clients anyway. It fails with ErrStopping in Closing: accepting has ended then.
+// HandOff stops accepting connections, because a successor accepts them. A draining process continues to drain, because
+// it should not get clients anyway. HandOff returns ErrStopping in Closing, when accepting has already ended.
 func (s *State) HandOff(now time.Time) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -71,58 +72,59 @@
 	case Closing:
 		return ErrStopping
 	case Stopping, StoppingHandedOff:
-		s.set(StoppingHandedOff, now)
+		s.setPhase(StoppingHandedOff, now)
 	case Serving:
-		s.set(HandedOff, now)
+		s.setPhase(HandedOff, now)
 	}
 	return nil
 }
 
-// TakeBack ends a HandOff after the end of the successor. A process that stops continues to stop.
-func (s *State) TakeBack(now time.Time) {
+// ResumeServing reverts HandOff after the successor has exited. A process that is stopping continues to stop.
+func (s *State) ResumeServing(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.phase == HandedOff {
-		s.set(Serving, now)
+		s.setPhase(Serving, now)
 	}
 }
 
-// Stop begins the end of the process. A drained process goes to Closing at once, as Stopping would admit requests again.
+// Stop starts the shutdown of the process. A drained process changes to Closing directly, because Stopping would admit
+// requests again.
 func (s *State) Stop(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
 	case s.phase.IsStopping():
 	case s.phaseAt(now) == Drained:
-		s.set(Closing, now)
+		s.setPhase(Closing, now)
 	case s.phase == HandedOff:
-		s.set(StoppingHandedOff, now)
+		s.setPhase(StoppingHandedOff, now)
 	default:
-		s.set(Stopping, now)
+		s.setPhase(Stopping, now)
 	}
 }
 
-// BeginClosing begins the last phase, when accepting has ended.
+// BeginClosing starts the last phase, after accepting has ended.
 func (s *State) BeginClosing(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.phase != Closing {
-		s.set(Closing, now)
+		s.setPhase(Closing, now)
 	}
 }
 
-// set changes the phase and wakes those who wait for a change. The caller holds mu.
-func (s *State) set(phase Phase, now time.Time) {
+// setPhase changes the phase and closes the channel that NextChange returned. The caller must hold mu.
+func (s *State) setPhase(phase Phase, now time.Time) {
 	s.phase = phase
-	s.since = now
+	s.phaseSetAt = now
 	if s.changed != nil {
 		close(s.changed)
 		s.changed = nil
 	}
 }
 
-// NextChange returns when the phase changes next. changed is closed at the next change by a call. wait is the time until
-// a change without a call, the end of DrainGrace; it is 0 where there is none.
+// NextChange returns when the phase changes next. changed is closed when a method changes the phase. wait is the time
+// until the phase changes by itself, at the end of DrainGrace; it is 0 if no such change is pending.
 func (s *State) NextChange(now time.Time) (wait time.Duration, changed <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -130,7 +132,7 @@
 		s.changed = make(chan struct{})
 	}
 	if s.phaseAt(now) == Draining {
-		wait = DrainGrace - now.Sub(s.since)
+		wait = DrainGrace - now.Sub(s.phaseSetAt)
 	}
 	return wait, s.changed
 }
--- a/internal/lifecycle/state_test.go
+++ b/internal/lifecycle/state_test.go
@@ -7,38 +7,38 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// start is when the states of the tests begin.
-var start = time.Unix(1000, 0)
+// startTime is the time at which each test starts.
+var startTime = time.Unix(1000, 0)
 
-// after returns the time that is a duration after start.
-func after(elapsed time.Duration) time.Time { return start.Add(elapsed) }
+// after returns startTime plus a duration.
+func after(elapsed time.Duration) time.Time { return startTime.Add(elapsed) }
 
-func TestDrainServesForAWhileAndThenIsDrained(t *testing.T) {
+func TestDrainReachesDrainedAfterGracePeriod(t *testing.T) {
 	var s State
-	assert.Equal(t, Serving, s.PhaseAt(start))
-	s.Drain(start)
+	assert.Equal(t, Serving, s.PhaseAt(startTime))
+	s.Drain(startTime)
 	assert.Equal(t, Draining, s.PhaseAt(after(DrainGrace-1)))
-	s.Drain(after(DrainGrace / 2)) // does not begin again
+	s.Drain(after(DrainGrace / 2)) // does not restart DrainGrace
 	assert.Equal(t, Drained, s.PhaseAt(after(DrainGrace)))
 	assert.Less(t, DrainGrace, 2*time.Second, "the platform's limit on admitting requests after LEAVE")
 }
 
-func TestRejoinTakesClientsAtOnceHoweverOften(t *testing.T) {
+func TestRepeatedRejoinReturnsToServingImmediately(t *testing.T) {
 	var s State
-	assert.NoError(t, s.Rejoin(start), "without a drain it changes nothing")
+	assert.NoError(t, s.Rejoin(startTime), "without a drain it changes nothing")
 	for n := range 3 {
 		now := after(time.Duration(n) * 200 * time.Millisecond)
 		s.Drain(now)
-		assert.False(t, s.PhaseAt(now).TakesClients())
+		assert.False(t, s.PhaseAt(now).AcceptsNewClients())
 		assert.NoError(t, s.Rejoin(now.Add(100*time.Millisecond)))
 		assert.Equal(t, Serving, s.PhaseAt(now.Add(100*time.Millisecond)))
 	}
-	assert.Equal(t, Serving, s.PhaseAt(after(time.Hour)), "no earlier drain takes effect late")
+	assert.Equal(t, Serving, s.PhaseAt(after(time.Hour)), "an earlier drain must not take effect later")
 }
 
-func TestStoppingProcessDoesNotRejoin(t *testing.T) {
+func TestStoppingProcessRejectsRejoin(t *testing.T) {
 	var s State
-	s.Drain(start)
+	s.Drain(startTime)
 	s.Stop(after(time.Second))
 	assert.ErrorIs(t, s.Rejoin(after(time.Second)), ErrStopping)
 	s.Drain(after(time.Second))
@@ -46,22 +46,22 @@
 	s.BeginClosing(after(time.Minute))
 	assert.Equal(t, Closing, s.PhaseAt(after(time.Minute)))
 	s.Stop(after(time.Minute))
-	assert.Equal(t, Closing, s.PhaseAt(after(time.Minute)), "a second signal takes nothing back")
+	assert.Equal(t, Closing, s.PhaseAt(after(time.Minute)), "a second signal does not revert the phase")
 }
 
-// A drained dispatcher must not hold connections again because it ends.
+// Stopping a drained dispatcher must not make it keep idle connections again.
 func TestDrainedProcessKeepsNoIdleConnectionWhenItStops(t *testing.T) {
 	var s State
-	s.Drain(start)
+	s.Drain(startTime)
 	s.Stop(after(DrainGrace))
 	assert.False(t, s.PhaseAt(after(DrainGrace)).KeepsIdleConnections())
 }
 
 func TestNextChangeByTimeAndByCall(t *testing.T) {
 	var s State
-	wait, changed := s.NextChange(start)
+	wait, changed := s.NextChange(startTime)
 	assert.Zero(t, wait)
-	s.Drain(start)
+	s.Drain(startTime)
 	<-changed
 	wait, changed = s.NextChange(after(time.Second))
 	assert.Equal(t, DrainGrace-time.Second, wait)
@@ -69,18 +69,18 @@
 	<-changed
 }
 
-func TestHandOffAndTakeBack(t *testing.T) {
+func TestHandOffAndResumeServing(t *testing.T) {
 	var s State
-	assert.NoError(t, s.HandOff(start))
-	assert.Equal(t, HandedOff, s.PhaseAt(start))
-	s.TakeBack(start)
-	assert.Equal(t, Serving, s.PhaseAt(start))
-	assert.NoError(t, s.HandOff(start))
-	s.Stop(start)
-	assert.Equal(t, StoppingHandedOff, s.PhaseAt(start))
-	s.TakeBack(start)
-	assert.Equal(t, StoppingHandedOff, s.PhaseAt(start), "it continues to stop")
-	s.BeginClosing(start)
-	assert.ErrorIs(t, s.HandOff(start), ErrStopping)
-	assert.Equal(t, Closing, s.PhaseAt(start))
+	assert.NoError(t, s.HandOff(startTime))
+	assert.Equal(t, HandedOff, s.PhaseAt(startTime))
+	s.ResumeServing(startTime)
+	assert.Equal(t, Serving, s.PhaseAt(startTime))
+	assert.NoError(t, s.HandOff(startTime))
+	s.Stop(startTime)
+	assert.Equal(t, StoppingHandedOff, s.PhaseAt(startTime))
+	s.ResumeServing(startTime)
+	assert.Equal(t, StoppingHandedOff, s.PhaseAt(startTime), "it continues to stop")
+	s.BeginClosing(startTime)
+	assert.ErrorIs(t, s.HandOff(startTime), ErrStopping)
+	assert.Equal(t, Closing, s.PhaseAt(startTime))
 }
--- a/internal/proxy/readiness.go
+++ b/internal/proxy/readiness.go
@@ -11,7 +11,7 @@
 
 // Ready returns nil while this process should get new clients, or else an error that says why not.
 func (p *Proxy) Ready() error {
-	if phase := p.lifecycle.PhaseAt(time.Now()); !phase.TakesClients() {
+	if phase := p.lifecycle.PhaseAt(time.Now()); !phase.AcceptsNewClients() {
 		return fmt.Errorf("%w: %v", errNotReady, phase)
 	}
 	return p.workersAvailable()
