--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -68,7 +68,7 @@
 			time.Sleep(acceptRetryDelay)
 			continue
 		}
-		c := s.slots.add(conn)
+		c := s.slots.addConnection(conn)
 		connections.Go(func() error {
 			defer s.slots.release(c)
 			s.serve(c)
--- a/internal/admin/server_test.go
+++ b/internal/admin/server_test.go
@@ -133,7 +133,7 @@
 	caller := dial(t, server.listener.Addr().String())
 	conn, err := server.listener.Accept()
 	assert.NoError(t, err)
-	c := server.slots.add(conn)
+	c := server.slots.addConnection(conn)
 	io.WriteString(caller, "DUMP\n")
 	awaitUnread(t, conn.(*net.TCPConn), len("DUMP\n"))
 	server.slots.evictAll()
--- a/internal/admin/slots.go
+++ b/internal/admin/slots.go
@@ -76,8 +76,8 @@
 	c.conn.SetReadDeadline(pastDeadline)
 }
 
-// add assigns a slot to a connection that has not sent its command yet.
-func (s *connectionSlots) add(conn net.Conn) *connection {
+// addConnection assigns a slot to a connection that has not sent its command yet.
+func (s *connectionSlots) addConnection(conn net.Conn) *connection {
 	c := &connection{conn: conn}
 	conn.SetReadDeadline(time.Now().Add(commandTimeout))
 	s.mu.Lock()
--- a/internal/daemon/command.go
+++ b/internal/daemon/command.go
@@ -96,8 +96,8 @@
 func summarizeState(disk store.Disk) stateSummary {
 	// Opening the folder under another name rejects its records as foreign, but still returns the name that they
 	// contain.
-	_, foreign := store.Open(disk, "")
-	_, recovered := store.Open(disk, foreign.Incarnation.Name)
+	_, foreignRecovered := store.Open(disk, "")
+	_, recovered := store.Open(disk, foreignRecovered.Incarnation.Name)
 	incarnation := recovered.Incarnation
 	summary := stateSummary{
 		Name:          incarnation.Name,
@@ -132,8 +132,8 @@
 	if len(snapshot.Learned) == 0 {
 		return
 	}
-	oneShard := snapshot.Learned[0] // all shards learn the same capacities
-	for kind, capacity := range oneShard.Kinds {
+	firstShard := snapshot.Learned[0] // all shards learn the same capacities
+	for kind, capacity := range firstShard.Kinds {
 		if kind < len(snapshot.Kinds) {
 			s.Capacities = append(s.Capacities, fmt.Sprintf("%s: %v at once", snapshot.Kinds[kind], capacity.MaxObserved))
 		}
--- a/internal/daemon/config_reader.go
+++ b/internal/daemon/config_reader.go
@@ -59,7 +59,7 @@
 	return r.getenv(variable)
 }
 
-// address parses the value that requiredString returns as an IP address with a port. If the value comes from the
+// address parses the value that text returns as an IP address with a port. If the value comes from the
 // environment, the error names the variable instead of the key.
 func (r *configReader) address(variable, key string) netip.AddrPort {
 	text := r.text(variable, key)
--- a/internal/daemon/config_size_test.go
+++ b/internal/daemon/config_size_test.go
@@ -10,7 +10,7 @@
 )
 
 // The number of dispatchers and workers in a configuration is not limited.
-func TestConfigurationTakesManyDispatchersAndWorkers(t *testing.T) {
+func TestConfigurationAcceptsManyDispatchersAndWorkers(t *testing.T) {
 	const many = 1024
 	configuration := fastjson.MustParse(testConfiguration)
 	var peers, hosts []string
--- a/internal/daemon/config_test.go
+++ b/internal/daemon/config_test.go
@@ -37,7 +37,7 @@
 	assert.Equal(t, int(memoryKey.defaultValue), c.MemoryMB)
 }
 
-func TestInvalidConfigurationIsRejectedByKey(t *testing.T) {
+func TestInvalidConfigurationIsRejectedWithKey(t *testing.T) {
 	for _, c := range []struct{ name, old, invalid, want string }{
 		{"name", `"name":"n3"`, `"name":7`, "name: must be a non-empty string"},
 		{"listen", `"listen":"127.0.0.1:8080"`, `"listen":"here"`, `listen: "here" is not an address`},
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-func TestSigtermAnswersAllRequestsInFlightAndEnds(t *testing.T) {
+func TestSigtermAnswersRequestsInFlightAndExits(t *testing.T) {
 	for _, c := range []struct {
 		name        string
 		workerDelay time.Duration
--- a/internal/daemon/hot_restart_limits.go
+++ b/internal/daemon/hot_restart_limits.go
@@ -17,8 +17,8 @@
 }
 
 // midpoint returns the mean of two shares.
-func (s connectionShare) midpoint(to connectionShare) connectionShare {
-	return connectionShare{clients: (s.clients + to.clients) / 2, workers: (s.workers + to.workers) / 2}
+func (s connectionShare) midpoint(other connectionShare) connectionShare {
+	return connectionShare{clients: (s.clients + other.clients) / 2, workers: (s.workers + other.workers) / 2}
 }
 
 // shrinkTo returns the share reduced to the open connections, plus one to workers so that an attempt can still be made.
--- a/internal/daemon/process_test.go
+++ b/internal/daemon/process_test.go
@@ -129,7 +129,7 @@
 }
 
 // If a program without hot restart uses the address, the start must fail instead of opening a second listen queue.
-func TestAddressInUseByProgramWithoutHotRestart(t *testing.T) {
+func TestStartFailsIfAnotherProgramUsesTheAddress(t *testing.T) {
 	t.Setenv("TMPDIR", t.TempDir())
 	config, _ := newTestConfig(t, time.Millisecond)
 	listener, err := net.Listen("tcp", config.Listen)
@@ -142,7 +142,7 @@
 }
 
 // Admin commands must not wait for free client connections.
-func TestOperatorsAreAnsweredWhileAllClientConnectionsAreInUse(t *testing.T) {
+func TestAdminCommandsSucceedWhileAllClientConnectionsAreInUse(t *testing.T) {
 	dispatcher := startReloadable(t, time.Millisecond, 1)
 	var conns []net.Conn
 	for range 700 {
--- a/internal/daemon/recovery_test.go
+++ b/internal/daemon/recovery_test.go
@@ -39,7 +39,7 @@
 address = "127.0.0.2:7950"
 `
 
-func TestInvalidFleetFileIsRejectedByPlace(t *testing.T) {
+func TestInvalidFleetFileIsRejectedWithLocation(t *testing.T) {
 	dir := t.TempDir()
 	config := writeFile(t, filepath.Join(dir, "config.json"), testConfiguration)
 	read := func(text string) error {
--- a/internal/daemon/reload_test.go
+++ b/internal/daemon/reload_test.go
@@ -61,7 +61,7 @@
 }
 
 // A file must be applied completely or not at all. An operation that was removed from the file is not served.
-func TestSighupAppliesNewSettingsWholeOrNotAtAll(t *testing.T) {
+func TestSighupAppliesNewSettingsCompletelyOrNotAtAll(t *testing.T) {
 	path, admin := filepath.Join(t.TempDir(), "config.json"), freeAddress(t)
 	dispatcher := startDispatcher(t, 300*time.Millisecond, func() (*Config, error) {
 		return ReloadConfig(fakeEnv("LB_CONFIG", path, "LB_MGMT", admin))
--- a/internal/daemon/resource_limits.go
+++ b/internal/daemon/resource_limits.go
@@ -34,11 +34,11 @@
 // fewer connections determines their number.
 func (c *Config) resourceLimits() resourceLimits {
 	memory := float64(c.MemoryMB) * mebibyte
-	own := reservedDescriptors
+	reserved := reservedDescriptors
 	if c.AdminListen != "" {
-		own += adminDescriptors
+		reserved += adminDescriptors
 	}
-	connections := min(c.Sockets-own, int(memory*connectionMemoryShare/bytesPerConnection))
+	connections := min(c.Sockets-reserved, int(memory*connectionMemoryShare/bytesPerConnection))
 	clients := int(float64(connections) * clientShare)
 	rejected := int(float64(clients)*rejectedClientShare) + 1
 	return resourceLimits{
--- a/internal/daemon/signals_test.go
+++ b/internal/daemon/signals_test.go
@@ -46,7 +46,7 @@
 	return dialClient(t, url)
 }
 
-func TestSignalBeforeTheListenerOpensStillServesClients(t *testing.T) {
+func TestClientsAreServedAfterSigtermBeforeListening(t *testing.T) {
 	config, url := newTestConfig(t, 10*time.Millisecond)
 	received, start := prepareProcess(config, nil)
 	received.stop <- syscall.SIGTERM
@@ -83,7 +83,7 @@
 	}
 }
 
-func TestHangingWorkerDoesNotDelayTheEndWithoutCancellation(t *testing.T) {
+func TestHangingWorkerDoesNotDelayExitWithoutCancellation(t *testing.T) {
 	config, url := newTestConfig(t, time.Minute)
 	config.Balancer.Attempts.Cancellation = false
 	config.Balancer.Operations[0].Idempotency = balancer.NonIdempotent
@@ -107,7 +107,7 @@
 
 // Clients send requests on persistent connections until a response closes the connection. Each request must be
 // answered.
-func TestClientsOnKeptConnectionsGetEachResponseWhileTheProcessEnds(t *testing.T) {
+func TestPersistentConnectionsGetEachResponseDuringShutdown(t *testing.T) {
 	config, url := newTestConfig(t, 5*time.Millisecond)
 	received, start := prepareProcess(config, nil)
 	ended := start()
@@ -140,7 +140,7 @@
 }
 
 // The shutdown must not wait for a client that keeps sending pipelined requests.
-func TestClientThatPipelinesWithoutEndDoesNotDelayTheEnd(t *testing.T) {
+func TestEndlessPipeliningDoesNotDelayExit(t *testing.T) {
 	config, url := newTestConfig(t, time.Millisecond)
 	received, start := prepareProcess(config, nil)
 	ended := start()
--- a/internal/hotrestart/control_socket.go
+++ b/internal/hotrestart/control_socket.go
@@ -28,14 +28,14 @@
 	return ControlSocket{dir: dir, file: fmt.Sprintf("canvasroute-%016x.sock", h.Sum64())}
 }
 
-func (r ControlSocket) path(file string) string { return filepath.Join(r.dir, file) }
+func (s ControlSocket) path(file string) string { return filepath.Join(s.dir, file) }
 
 // withAddress calls use with the address of a file in the directory. If the path is too long, the address refers to the
 // directory by a file descriptor that is open during the call.
-func (r ControlSocket) withAddress(file string, use func(*net.UnixAddr) error) error {
-	path := r.path(file)
+func (s ControlSocket) withAddress(file string, use func(*net.UnixAddr) error) error {
+	path := s.path(file)
 	if len(path) > maxPathBytes {
-		dir, err := os.Open(r.dir)
+		dir, err := os.Open(s.dir)
 		if err != nil {
 			return fmt.Errorf("hot restart control socket: %w", err)
 		}
@@ -48,11 +48,11 @@
 // listen listens on the control socket, replacing an existing file such as the socket of a predecessor or of a killed
 // process. The new socket listens before it is renamed to its final name, so that a connecting process always finds a
 // listening one.
-func (r ControlSocket) listen() (*net.UnixListener, error) {
-	temporary := fmt.Sprintf("%s.%d", r.file, os.Getpid())
-	_ = os.Remove(r.path(temporary)) // if an existing file cannot be removed, listening fails
+func (s ControlSocket) listen() (*net.UnixListener, error) {
+	temporary := fmt.Sprintf("%s.%d", s.file, os.Getpid())
+	_ = os.Remove(s.path(temporary)) // if an existing file cannot be removed, listening fails
 	var ln *net.UnixListener
-	err := r.withAddress(temporary, func(addr *net.UnixAddr) error {
+	err := s.withAddress(temporary, func(addr *net.UnixAddr) error {
 		var err error
 		ln, err = net.ListenUnix("unix", addr)
 		return err
@@ -61,7 +61,7 @@
 		return nil, fmt.Errorf("hot restart control socket: %w", err)
 	}
 	ln.SetUnlinkOnClose(false) // on close the path may belong to the successor
-	if err := os.Rename(r.path(temporary), r.path(r.file)); err != nil {
+	if err := os.Rename(s.path(temporary), s.path(s.file)); err != nil {
 		ln.Close()
 		return nil, fmt.Errorf("hot restart control socket: %w", err)
 	}
@@ -69,8 +69,8 @@
 }
 
 // stat returns the file info of the control socket, or nil if it does not exist.
-func (r ControlSocket) stat() os.FileInfo {
-	info, err := os.Stat(r.path(r.file))
+func (s ControlSocket) stat() os.FileInfo {
+	info, err := os.Stat(s.path(s.file))
 	if err != nil {
 		return nil
 	}
@@ -78,9 +78,9 @@
 }
 
 // dial connects to the process that listens on the control socket.
-func (r ControlSocket) dial() (*net.UnixConn, error) {
+func (s ControlSocket) dial() (*net.UnixConn, error) {
 	var conn *net.UnixConn
-	err := r.withAddress(r.file, func(addr *net.UnixAddr) error {
+	err := s.withAddress(s.file, func(addr *net.UnixAddr) error {
 		var err error
 		conn, err = net.DialUnix("unix", nil, addr)
 		return err
--- a/internal/hotrestart/handover.go
+++ b/internal/hotrestart/handover.go
@@ -23,8 +23,8 @@
 // Connect connects to the predecessor and receives its sockets and snapshot. If there is no predecessor, it returns nil
 // and no error. It fails with ErrOtherUser, ErrVersionMismatch or the error of the connection. The predecessor
 // continues to serve until Link.SendServing.
-func Connect(r ControlSocket) (*Handover, error) {
-	conn, err := r.dial()
+func Connect(socket ControlSocket) (*Handover, error) {
+	conn, err := socket.dial()
 	if errors.Is(err, os.ErrNotExist) || errors.Is(err, syscall.ECONNREFUSED) {
 		return nil, nil // no process is listening; a killed one may have left its socket file
 	}
--- a/internal/hotrestart/hotrestart_test.go
+++ b/internal/hotrestart/hotrestart_test.go
@@ -17,13 +17,13 @@
 
 // startPredecessor listens for successors until the test ends. It hands over one socket and a text, and sends each
 // received update back.
-func startPredecessor(t *testing.T, r ControlSocket, connected chan<- *Link) (shared *net.TCPListener) {
+func startPredecessor(t *testing.T, socket ControlSocket, connected chan<- *Link) (shared *net.TCPListener) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NoError(t, err)
 	shared = listener.(*net.TCPListener)
 	predecessor := Listener{
-		ControlSocket: r,
+		ControlSocket: socket,
 		Log:           zerolog.Nop(),
 		IsStopping:    func() bool { return false },
 		Sockets:       func() []Socket { return []Socket{{ClientSocket, shared}} },
@@ -43,7 +43,7 @@
 		shared.Close()
 	})
 	assert.Eventually(t, func() bool {
-		_, err := os.Stat(r.path(r.file))
+		_, err := os.Stat(socket.path(socket.file))
 		return err == nil
 	}, time.Second, time.Millisecond)
 	return shared
@@ -82,25 +82,25 @@
 
 // A file that another process has left at the path of the control socket must neither fail nor delay a start.
 func TestStartWithoutPredecessor(t *testing.T) {
-	startsAlone := func(t *testing.T, r ControlSocket) {
+	startsAlone := func(t *testing.T, socket ControlSocket) {
 		t.Helper()
-		handover, err := Connect(r)
+		handover, err := Connect(socket)
 		assert.Nil(t, handover)
 		assert.NoError(t, err)
 	}
-	r := NewControlSocket(t.TempDir(), "n3")
-	t.Run("no file", func(t *testing.T) { startsAlone(t, r) })
+	socket := NewControlSocket(t.TempDir(), "n3")
+	t.Run("no file", func(t *testing.T) { startsAlone(t, socket) })
 	t.Run("socket of a killed process", func(t *testing.T) {
-		listener, err := r.listen()
+		listener, err := socket.listen()
 		assert.NoError(t, err)
 		listener.Close()
-		startsAlone(t, r)
+		startsAlone(t, socket)
 	})
 	t.Run("ordinary file", func(t *testing.T) {
-		assert.NoError(t, os.Remove(r.path(r.file)))
-		assert.NoError(t, os.WriteFile(r.path(r.file), []byte("x"), 0o600))
-		startsAlone(t, r)
-		startPredecessor(t, r, make(chan *Link, 1)) // replaces it
+		assert.NoError(t, os.Remove(socket.path(socket.file)))
+		assert.NoError(t, os.WriteFile(socket.path(socket.file), []byte("x"), 0o600))
+		startsAlone(t, socket)
+		startPredecessor(t, socket, make(chan *Link, 1)) // replaces it
 	})
 	t.Run("no such directory", func(t *testing.T) {
 		none := NewControlSocket(filepath.Join(t.TempDir(), "none"), "n3")
@@ -111,9 +111,9 @@
 }
 
 func TestProcessOfAnotherVersionIsRejected(t *testing.T) {
-	r := NewControlSocket(t.TempDir(), "n3")
-	startPredecessor(t, r, make(chan *Link, 1))
-	conn, err := r.dial()
+	socket := NewControlSocket(t.TempDir(), "n3")
+	startPredecessor(t, socket, make(chan *Link, 1))
+	conn, err := socket.dial()
 	assert.NoError(t, err)
 	defer conn.Close()
 	conn.SetDeadline(time.Now().Add(5 * time.Second))
@@ -127,12 +127,12 @@
 
 // Connect must return after handshakeTimeout if the predecessor does not respond.
 func TestConnectTimesOutOnUnresponsivePredecessor(t *testing.T) {
-	r := NewControlSocket(t.TempDir(), "n3")
-	listener, err := r.listen()
+	socket := NewControlSocket(t.TempDir(), "n3")
+	listener, err := socket.listen()
 	assert.NoError(t, err)
 	defer listener.Close()
 	startedAt := time.Now()
-	_, err = Connect(r)
+	_, err = Connect(socket)
 	assert.ErrorIs(t, err, os.ErrDeadlineExceeded)
 	assert.InDelta(t, handshakeTimeout.Seconds(), time.Since(startedAt).Seconds(), 0.5)
 	assert.NotErrorIs(t, err, syscall.ECONNREFUSED)
--- a/internal/hotrestart/listener.go
+++ b/internal/hotrestart/listener.go
@@ -36,36 +36,36 @@
 // Run serves one successor after another until ctx is done, so that another one may connect if one fails to start. If
 // this process cannot listen on the control socket, Run logs the error and returns nil. A later process then starts
 // without the state of this one.
-func (s *Listener) Run(ctx context.Context) error {
-	for ctx.Err() == nil && !s.IsStopping() {
-		ln, err := s.ControlSocket.listen() // listens again if a successor had replaced the socket and exited
+func (l *Listener) Run(ctx context.Context) error {
+	for ctx.Err() == nil && !l.IsStopping() {
+		ln, err := l.ControlSocket.listen() // listens again if a successor had replaced the socket and exited
 		if err != nil {
-			s.Log.Warn().Err(err).Msg("hot restart unavailable")
+			l.Log.Warn().Err(err).Msg("hot restart unavailable")
 			return nil
 		}
-		s.acceptSuccessors(ctx, ln)
+		l.acceptSuccessors(ctx, ln)
 	}
 	return nil
 }
 
 // acceptSuccessors serves successors until ctx is done, or until another process has replaced the control socket: a
 // serving successor listens there itself.
-func (s *Listener) acceptSuccessors(ctx context.Context, ln *net.UnixListener) {
+func (l *Listener) acceptSuccessors(ctx context.Context, ln *net.UnixListener) {
 	defer context.AfterFunc(ctx, func() { ln.Close() })()
 	defer ln.Close()
-	own := s.ControlSocket.stat()
-	for isOwn := true; isOwn; isOwn = os.SameFile(own, s.ControlSocket.stat()) {
+	own := l.ControlSocket.stat()
+	for isOwn := true; isOwn; isOwn = os.SameFile(own, l.ControlSocket.stat()) {
 		conn, err := ln.AcceptUnix()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		if err != nil {
-			s.Log.Warn().Err(err).Msg("successor accept failed")
+			l.Log.Warn().Err(err).Msg("successor accept failed")
 			time.Sleep(acceptRetryDelay)
 			continue
 		}
-		if err := s.serve(ctx, conn); err != nil {
-			s.Log.Warn().Err(err).Msg("successor rejected")
+		if err := l.serve(ctx, conn); err != nil {
+			l.Log.Warn().Err(err).Msg("successor rejected")
 		}
 		conn.Close()
 	}
@@ -73,7 +73,7 @@
 
 // serve performs the handshake of a predecessor and then passes the link to Serve. It returns ErrOtherUser,
 // ErrVersionMismatch or the error of the connection.
-func (s *Listener) serve(ctx context.Context, conn *net.UnixConn) error {
+func (l *Listener) serve(ctx context.Context, conn *net.UnixConn) error {
 	link, err := newHandshakeLink(conn)
 	if err != nil {
 		return err
@@ -86,13 +86,13 @@
 		return err
 	}
 	conn.SetReadDeadline(time.Time{})
-	snapshot, err := marshal(s.Snapshot())
+	snapshot, err := marshal(l.Snapshot())
 	if err != nil {
 		return err
 	}
-	if err := link.send(message{Version: protocolVersion, Snapshot: snapshot}, s.Sockets()...); err != nil {
+	if err := link.send(message{Version: protocolVersion, Snapshot: snapshot}, l.Sockets()...); err != nil {
 		return err
 	}
-	s.Serve(ctx, link)
+	l.Serve(ctx, link)
 	return nil
 }
