--- a/internal/daemon/config_size_test.go
+++ b/internal/daemon/config_size_test.go
@@ -9,8 +9,8 @@
 	"github.com/valyala/fastjson"
 )
 
-// A configuration has no bound on the number of dispatchers or workers.
-func TestConfigurationTakesManyDispatchersAndWorkers(t *testing.T) {
+// The number of dispatchers and workers in a configuration is not limited.
+func TestConfigurationAcceptsManyDispatchersAndWorkers(t *testing.T) {
 	const many = 1024
 	configuration := fastjson.MustParse(testConfiguration)
 	var peers, hosts []string
--- a/internal/proxy/readiness.go
+++ b/internal/proxy/readiness.go
@@ -11,7 +11,7 @@
 
 // Ready returns nil if this process may receive new clients, and an error with the reason otherwise.
 func (p *Proxy) Ready() error {
-	if phase := p.lifecycle.PhaseAt(time.Now()); !phase.TakesClients() {
+	if phase := p.lifecycle.PhaseAt(time.Now()); !phase.AcceptsNewClients() {
 		return fmt.Errorf("%w: %v", errNotReady, phase)
 	}
 	return p.checkWorkers()
