--- a/internal/admission/controller_test.go
+++ b/internal/admission/controller_test.go
@@ -8,14 +8,14 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// Time of the core that one request takes.
+// CPU time that one request takes.
 const (
 	admittedCost = 100 * time.Microsecond
 	rejectedCost = 25 * time.Microsecond
 )
 
-// simulateCore simulates a core that serves one queue, to which requests come at a rate per second until a time. It
-// returns how many requests were admitted and the longest delay, both counted from a time on.
+// simulateCore simulates a core that serves one queue. Requests arrive at rate per second until the time to. It returns
+// the number of admitted requests and the longest delay, both counted from the time from.
 func simulateCore(c *Controller, rate float64, from, to time.Duration) (admitted int, longest time.Duration) {
 	idleAt := time.Duration(0)
 	gap := time.Duration(float64(time.Second) / rate)
@@ -39,25 +39,25 @@
 	return admitted, longest
 }
 
-func TestOverloadKeepsTheDelayShortAndTheCoreBusy(t *testing.T) {
-	const capacity = 10_000 // requests a second, if all are admitted
+func TestOverloadKeepsDelayShortAndCoreBusy(t *testing.T) {
+	const capacity = 10_000 // requests per second, if all are admitted
 	for _, factor := range []float64{1.5, 3} {
 		t.Run(fmt.Sprintf("%v times the capacity", factor), func(t *testing.T) {
 			admitted, longest := simulateCore(New(1), factor*capacity, 2*time.Second, 6*time.Second)
 			assert.Less(t, longest, 50*time.Millisecond)
-			// The requests that the core can admit in 4 s, in the time that rejecting all the others leaves.
+			// The number of requests that the core can admit in 4 s if it rejects all others.
 			possible := 4 * (1 - factor*capacity*rejectedCost.Seconds()) / (admittedCost - rejectedCost).Seconds()
 			assert.Greater(t, float64(admitted), 0.75*possible)
 		})
 	}
 }
 
-func TestAllAreAdmittedBelowCapacity(t *testing.T) {
+func TestAllRequestsAreAdmittedBelowCapacity(t *testing.T) {
 	admitted, _ := simulateCore(New(1), 9000, 0, 2*time.Second)
 	assert.InDelta(t, 18000, admitted, 1)
 }
 
-// Pauses of the machine, or a lack of processor time, must not shed load while few requests arrive.
+// While few requests arrive, pauses of the machine or a lack of CPU time must not cause load shedding.
 func TestDelayWithFewRequestsIsIgnored(t *testing.T) {
 	c := New(1)
 	for sampleAt := SampleInterval; sampleAt < 5*time.Second; sampleAt += SampleInterval {
@@ -77,12 +77,12 @@
 			delay = time.Millisecond
 		}
 		c.ObserveDelay(sampleAt, delay)
-		c.examined.Add(1000)
+		c.intervalRequests.Add(1000)
 	}
 	assert.Equal(t, 1.0, c.AdmittedShare())
 }
 
-func TestAdmittedAreSpreadEvenlyAndTheShareRecovers(t *testing.T) {
+func TestAdmittedRequestsAreSpreadEvenlyAndShareRecovers(t *testing.T) {
 	c := New(1)
 	simulateCore(c, 40000, 0, 2*time.Second)
 	assert.Less(t, c.AdmittedShare(), 0.5)
@@ -96,7 +96,7 @@
 		}
 	}
 	assert.LessOrEqual(t, float64(longest), 1/share+1)
-	c.examined.Store(0)
+	c.intervalRequests.Store(0)
 	for sampleAt := 3 * time.Second; sampleAt < 6*time.Second; sampleAt += SampleInterval {
 		c.ObserveDelay(sampleAt, 0)
 	}
--- a/internal/discovery/helpers_test.go
+++ b/internal/discovery/helpers_test.go
@@ -33,21 +33,23 @@
 	}), polls
 }
 
-// emptyList returns a line that changes nothing but the version of the list.
+// emptyList returns a line that changes only the version of the list.
 func emptyList(version int) string {
 	return fmt.Sprintf(`{"seq":%d,"whole":false,"hosts":[]}`, version)
 }
 
-// newWatcher returns a Watcher of the service at an address. Its list of version 7 has worker 0 with ID "w" at
-// peertest.ClosedAddress. Its balancer polls again late after a failure, as there is another dispatcher: only a change
-// of the address is followed at once.
-func newWatcher(address string) *Watcher { return newWatcherOf(address, peertest.ClosedAddress) }
+// newWatcher returns a Watcher of the service at an address. Its table has version 7 and one worker, number 0, with ID
+// "w" at peertest.ClosedAddress. After a failure, its balancer waits long before it polls again, because there is
+// another dispatcher. Only a changed address is polled immediately.
+func newWatcher(address string) *Watcher {
+	return newWatcherWithWorker(address, peertest.ClosedAddress)
+}
 
-// newWatcherOf is newWatcher with the worker's address.
-func newWatcherOf(address, workerAddress string) *Watcher {
-	balancing := balancertest.Config()
-	balancing.Discovery = balancer.DiscoveryConfig{Poll: true, MaxPollInterval: 1000 * balancer.Second}
-	shards := balancertest.NewShards(balancing)
+// newWatcherWithWorker is newWatcher with another address of the worker.
+func newWatcherWithWorker(address, workerAddress string) *Watcher {
+	balancerConfig := balancertest.Config()
+	balancerConfig.Discovery = balancer.DiscoveryConfig{Poll: true, MaxPollInterval: 1000 * balancer.Second}
+	shards := balancertest.NewShards(balancerConfig)
 	pool := transport.NewPool(4, time.Minute, zerolog.Nop())
 	config := Config{Address: address, DialTimeout: func() time.Duration { return time.Second }}
 	w := NewWatcher(config, newTable(), shards, pool, zerolog.Nop())
@@ -58,8 +60,8 @@
 
 // newTable returns an empty table.
 func newTable(zones ...string) *Table {
-	fromUnix := func(millis float64) balancer.Time { return balancer.Time(millis * balancer.Second / 1000) }
-	return NewTable(zones, nil, fromUnix, zerolog.Nop())
+	fromUnixMillis := func(millis float64) balancer.Time { return balancer.Time(millis * balancer.Second / 1000) }
+	return NewTable(zones, nil, fromUnixMillis, zerolog.Nop())
 }
 
 // runWatcher runs a Watcher and its balancer until the test ends.
@@ -76,7 +78,7 @@
 	})
 }
 
-// awaitVersion waits until a list of a version is applied.
+// awaitVersion waits until a list with the given version is applied.
 func awaitVersion(t *testing.T, w *Watcher, version int64) {
 	t.Helper()
 	assert.Eventually(t, func() bool { return w.table.Version() == version }, peertest.EventTimeout, peertest.PollInterval)
--- a/internal/discovery/table.go
+++ b/internal/discovery/table.go
@@ -11,60 +11,61 @@
 	"canvasroute/internal/protocol"
 )
 
-// Table is the endpoint table: all workers that were ever listed, by number, ID and tag (a hash of the ID in 16 bits).
-// A worker keeps its number while this process lives, also after it is gone. All methods may be called concurrently.
+// Table is the endpoint table. It contains all workers that have ever been listed, indexed by number, ID and tag (a
+// 16-bit hash of the ID). A worker keeps its number until this process exits, even after the worker is gone. All
+// methods are safe for concurrent use.
 type Table struct {
-	fromUnix func(ms float64) balancer.Time
-	kinds    map[string]int // numbers by the names in the settings
-	log      zerolog.Logger
+	fromUnixMillis func(ms float64) balancer.Time
+	kinds          map[string]int // kind numbers by name, from the settings
+	log            zerolog.Logger
 
-	// mu guards the fields below. fromUnix, log and the function that Find is given are called under it.
-	mu      sync.Mutex
-	zones   map[string]int               // numbers by name: the zones of the settings first, then others as they were seen
-	numbers map[string]balancer.WorkerID // by the worker's ID
-	workers []worker                     // by their numbers
-	tagged  map[uint16]balancer.WorkerID // by tag; of several workers with one tag the first
-	version int64                        // of the last list
+	// mu guards the fields below. It is held during calls of fromUnixMillis, log and the function passed to Find.
+	mu          sync.Mutex
+	zones       map[string]int               // zone numbers by name; zones in the settings come first
+	numberByID  map[string]balancer.WorkerID // worker numbers by ID
+	workers     []worker                     // by worker number
+	numberByTag map[uint16]balancer.WorkerID // worker numbers by tag; the first one if several workers share a tag
+	version     int64                        // of the last list
 }
 
 // worker is a row of the table.
 type worker struct {
-	tag       uint16            // by which dispatchers name it to each other
-	startedAt balancer.Time     // the latest start that was listed, 0 for long ago
-	endpoint  protocol.Endpoint // as last listed; its address is the last one known
+	tag       uint16            // identifies the worker in messages between dispatchers
+	startedAt balancer.Time     // the latest listed start time; 0 means long ago
+	endpoint  protocol.Endpoint // as last listed, with the last known address
 }
 
 func (w *worker) isGone() bool { return w.endpoint.State == protocol.Gone }
 
-// OutdatedAddress is an address whose idle connections must not be used any more.
+// OutdatedAddress is an address whose idle connections must no longer be used.
 type OutdatedAddress struct {
 	Address string // host and port
-	// StartedAt is when the process that now listens there started. Connections opened before lead to its predecessor,
-	// also those in use. It is zero where the process is the same.
+	// StartedAt is the start time of the process that now listens at the address. Earlier connections, including those
+	// in use, were opened to its predecessor. StartedAt is zero if the process is the same.
 	StartedAt time.Time
 }
 
-// Contents is what a table holds.
+// Contents is a copy of the data in a Table.
 type Contents struct {
 	Version   int64               // of the last list
-	Endpoints []protocol.Endpoint // by the workers' numbers, with those that are gone
-	Zones     []string            // names by the zones' numbers
+	Endpoints []protocol.Endpoint // by worker number, including workers that are gone
+	Zones     []string            // names by zone number
 }
 
-// NewTable returns an empty table. zones and kinds are the names in the settings, whose positions are their numbers.
-// fromUnix converts Unix time in milliseconds to the balancer's time.
-func NewTable(zones, kinds []string, fromUnix func(ms float64) balancer.Time, log zerolog.Logger) *Table {
+// NewTable returns an empty table. zones and kinds are the names in the settings, which are numbered by their
+// positions. fromUnixMillis converts Unix time in milliseconds to the balancer's time.
+func NewTable(zones, kinds []string, fromUnixMillis func(ms float64) balancer.Time, log zerolog.Logger) *Table {
 	return &Table{
-		fromUnix: fromUnix,
-		kinds:    positions(kinds),
-		log:      log,
-		zones:    positions(zones),
-		numbers:  map[string]balancer.WorkerID{},
-		tagged:   map[uint16]balancer.WorkerID{},
+		fromUnixMillis: fromUnixMillis,
+		kinds:          indexByName(kinds),
+		log:            log,
+		zones:          indexByName(zones),
+		numberByID:     map[string]balancer.WorkerID{},
+		numberByTag:    map[uint16]balancer.WorkerID{},
 	}
 }
 
-func positions(names []string) map[string]int {
+func indexByName(names []string) map[string]int {
 	byName := map[string]int{}
 	for position, name := range names {
 		byName[name] = position
@@ -72,15 +73,16 @@
 	return byName
 }
 
-// workerStates are the balancer's terms for the states in an endpoint list.
+// workerStates maps the states in an endpoint list to the balancer's states.
 var workerStates = map[string]balancer.WorkerState{
 	protocol.Ready:       balancer.Healthy,
 	protocol.Terminating: balancer.Draining,
 	protocol.Gone:        balancer.Gone,
 }
 
-// Update applies a list, or a change to it. It returns the listed workers in the balancer's terms, in the order of the
-// list, and the addresses that it makes outdated. Workers that a complete list leaves out are gone.
+// Update applies a complete list or a list of changes. It returns the listed workers as the balancer's endpoints, in
+// the order of the list, and the addresses that have become outdated. It marks workers missing from a complete list as
+// gone.
 func (t *Table) Update(list *protocol.EndpointList) ([]balancer.Endpoint, []OutdatedAddress) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -89,9 +91,9 @@
 	var outdated []OutdatedAddress
 	listed := map[balancer.WorkerID]bool{}
 	for _, endpoint := range list.Endpoints {
-		number := t.register(endpoint)
+		number := t.registerWorker(endpoint)
 		listed[number] = true
-		if address, found := t.updateWorker(number, endpoint); found {
+		if address, isOutdated := t.updateWorker(number, endpoint); isOutdated {
 			outdated = append(outdated, address)
 		}
 		endpoints = append(endpoints, t.balancerEndpoint(number))
@@ -102,7 +104,7 @@
 	return endpoints, outdated
 }
 
-// markUnlistedGone marks the workers as gone that are not listed, and returns their addresses.
+// markUnlistedGone marks the workers that are not in listed as gone, and returns the addresses of those newly marked.
 func (t *Table) markUnlistedGone(listed map[balancer.WorkerID]bool) []OutdatedAddress {
 	var outdated []OutdatedAddress
 	for number := range t.workers {
@@ -116,26 +118,26 @@
 	return outdated
 }
 
-// register returns the number of a worker, a new one for an ID that was never listed.
-func (t *Table) register(endpoint protocol.Endpoint) balancer.WorkerID {
-	if number, known := t.numbers[endpoint.ID]; known {
+// registerWorker returns the number of a worker, and assigns a new number to an ID that was never listed before.
+func (t *Table) registerWorker(endpoint protocol.Endpoint) balancer.WorkerID {
+	if number, found := t.numberByID[endpoint.ID]; found {
 		return number
 	}
 	number := balancer.WorkerID(len(t.workers))
 	tag := protocol.WorkerTag(endpoint.ID)
-	t.numbers[endpoint.ID] = number
+	t.numberByID[endpoint.ID] = number
 	t.workers = append(t.workers, worker{tag: tag})
 	t.log.Info().Int("worker", int(number)).Str("host", endpoint.ID).Str("addr", endpoint.Address).
 		Msg("worker registered")
-	if _, taken := t.tagged[tag]; !taken {
-		t.tagged[tag] = number
+	if _, taken := t.numberByTag[tag]; !taken {
+		t.numberByTag[tag] = number
 	}
 	return number
 }
 
-// updateWorker replaces a worker's endpoint. It returns the worker's previous address, and whether connections to it
-// are outdated: the worker has restarted, is not ready, or has moved. An endpoint without an address keeps the previous
-// one.
+// updateWorker replaces a worker's endpoint. If connections to the worker's previous address are outdated, because the
+// worker restarted, is not ready or changed its address, it returns that address and true. An endpoint without an
+// address keeps the previous one.
 func (t *Table) updateWorker(number balancer.WorkerID, endpoint protocol.Endpoint) (OutdatedAddress, bool) {
 	w := &t.workers[number]
 	previous := *w
@@ -144,7 +146,7 @@
 	}
 	w.endpoint = endpoint
 	if endpoint.StartedAtMillis > 0 {
-		w.startedAt = max(w.startedAt, t.fromUnix(endpoint.StartedAtMillis))
+		w.startedAt = max(w.startedAt, t.fromUnixMillis(endpoint.StartedAtMillis))
 	}
 	t.registerZone(endpoint.Zone)
 	address := previous.endpoint.Address
@@ -160,15 +162,15 @@
 	return OutdatedAddress{}, false
 }
 
-// registerZone gives a number to a zone that has none yet. Each zone that the settings do not name is a zone of its
-// own.
+// registerZone assigns a number to a zone that has none. Each zone that is missing from the settings gets a number of
+// its own.
 func (t *Table) registerZone(name string) {
-	if _, known := t.zones[name]; !known {
+	if _, found := t.zones[name]; !found {
 		t.zones[name] = len(t.zones)
 	}
 }
 
-// balancerEndpoint returns a worker in the balancer's terms.
+// balancerEndpoint returns a worker as the balancer's endpoint.
 func (t *Table) balancerEndpoint(number balancer.WorkerID) balancer.Endpoint {
 	w := &t.workers[number]
 	return balancer.Endpoint{
@@ -182,7 +184,7 @@
 	}
 }
 
-// addZones gives numbers to zones that have none yet, in their order.
+// addZones assigns numbers, in the order of names, to the zones that have none.
 func (t *Table) addZones(names []string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -191,60 +193,61 @@
 	}
 }
 
-// Endpoint returns a worker as it was last listed. Its number must be one of the table's.
+// Endpoint returns the endpoint of a worker as last listed. It panics if the table has no worker with that number.
 func (t *Table) Endpoint(number balancer.WorkerID) protocol.Endpoint {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.workers[number].endpoint
 }
 
-// Accepts reports whether a worker may be sent a new attempt at an address: it is ready and is still listed there.
-func (t *Table) Accepts(number balancer.WorkerID, address string) bool {
+// IsReadyAt reports whether a new attempt may be sent to a worker at an address: the worker is ready and still listed
+// with that address.
+func (t *Table) IsReadyAt(number balancer.WorkerID, address string) bool {
 	endpoint := t.Endpoint(number)
 	return endpoint.State == protocol.Ready && endpoint.Address == address
 }
 
-// Tag returns the short hash by which dispatchers name a worker to each other.
+// Tag returns the 16-bit hash that identifies a worker in messages between dispatchers.
 func (t *Table) Tag(number balancer.WorkerID) uint16 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.workers[number].tag
 }
 
-// ByTag returns the worker with a tag, and whether there is one. Of several workers with the same tag it is the one
-// that was listed first.
-func (t *Table) ByTag(tag uint16) (balancer.WorkerID, bool) {
+// WorkerByTag returns the number of the worker with a tag, and whether there is one. If several workers share the tag,
+// it returns the one that was listed first.
+func (t *Table) WorkerByTag(tag uint16) (balancer.WorkerID, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	number, known := t.tagged[tag]
-	return number, known
+	number, found := t.numberByTag[tag]
+	return number, found
 }
 
-// ByID returns the worker with an ID, and whether it was ever listed.
-func (t *Table) ByID(id string) (balancer.WorkerID, bool) {
+// WorkerByID returns the number of the worker with an ID, and whether the worker was ever listed.
+func (t *Table) WorkerByID(id string) (balancer.WorkerID, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	number, known := t.numbers[id]
-	return number, known
+	number, found := t.numberByID[id]
+	return number, found
 }
 
-// Find returns the worker with the lowest number whose endpoint matches, and whether there is one.
-func (t *Table) Find(matches func(*protocol.Endpoint) bool) (balancer.WorkerID, bool) {
+// FindWorker returns the lowest number of a worker whose endpoint matches, and whether there is one.
+func (t *Table) FindWorker(matches func(*protocol.Endpoint) bool) (balancer.WorkerID, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	number := slices.IndexFunc(t.workers, func(w worker) bool { return matches(&w.endpoint) })
 	return balancer.WorkerID(number), number >= 0
 }
 
-// ZoneByName returns the number of a zone, and whether it has one.
+// ZoneByName returns the number of a zone, and whether the zone has one.
 func (t *Table) ZoneByName(name string) (int, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	number, known := t.zones[name]
-	return number, known
+	number, found := t.zones[name]
+	return number, found
 }
 
-// HasWorkers reports whether any worker is listed that is not gone.
+// HasWorkers reports whether the table has a worker that is not gone.
 func (t *Table) HasWorkers() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -258,7 +261,7 @@
 	return t.version
 }
 
-// Contents returns a copy of what the table holds.
+// Contents returns a copy of the table's data.
 func (t *Table) Contents() Contents {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/discovery/table_test.go
+++ b/internal/discovery/table_test.go
@@ -33,22 +33,22 @@
 		return addresses
 	}
 	w := protocol.Endpoint{ID: "w", Address: "127.0.0.1:1", State: protocol.Ready}
-	assert.Empty(t, update(false, w), "it is new")
-	assert.Empty(t, update(false, w), "nothing has changed")
+	assert.Empty(t, update(false, w), "new worker")
+	assert.Empty(t, update(false, w), "unchanged worker")
 	w.StartedAtMillis = 1000
-	assert.Equal(t, []string{"127.0.0.1:1"}, update(false, w), "it has restarted")
+	assert.Equal(t, []string{"127.0.0.1:1"}, update(false, w), "restarted worker")
 	w.Address = "127.0.0.1:2"
-	assert.Equal(t, []string{"127.0.0.1:1"}, update(false, w), "it has moved")
+	assert.Equal(t, []string{"127.0.0.1:1"}, update(false, w), "worker with a new address")
 	assert.Equal(t, "127.0.0.1:2", table.Endpoint(0).Address)
 	w.State = protocol.Terminating
-	assert.Equal(t, []string{"127.0.0.1:2"}, update(false, w), "it drains")
-	assert.Equal(t, []string{"127.0.0.1:2"}, update(true), "a complete list leaves it out")
+	assert.Equal(t, []string{"127.0.0.1:2"}, update(false, w), "draining worker")
+	assert.Equal(t, []string{"127.0.0.1:2"}, update(true), "worker missing from a complete list")
 	assert.Empty(t, update(true))
 	assert.Equal(t, int64(8), table.Version())
 }
 
-// Two zones with one number would make the group of workers that drops repeats too large.
-func TestZonesThatSettingsDoNotNameAreDistinct(t *testing.T) {
+// If two zones shared a number, the group of workers that deduplicates requests would be too large.
+func TestUnconfiguredZonesGetDistinctNumbers(t *testing.T) {
 	endpoints, _ := newTable("a").Update(&protocol.EndpointList{Endpoints: []protocol.Endpoint{
 		{ID: "1", Zone: "a", State: protocol.Ready},
 		{ID: "2", Zone: "x", State: protocol.Ready},
@@ -58,13 +58,14 @@
 	assert.NotEqual(t, endpoints[1].Zone, endpoints[2].Zone)
 }
 
-// A successor must not give a predecessor's zone number to another zone: what was learned is kept by number.
-func TestAddedZonesKeepTheirNumbers(t *testing.T) {
+// A successor must not assign a predecessor's zone number to another zone, because learned state is stored by zone
+// number.
+func TestPredecessorZonesKeepTheirNumbers(t *testing.T) {
 	table := newTable("a")
 	table.addZones([]string{"a", "x", "y"})
 	table.Update(&protocol.EndpointList{Endpoints: []protocol.Endpoint{{ID: "1", Zone: "y"}, {ID: "2", Zone: "z"}}})
 	assert.Equal(t, []string{"a", "x", "y", "z"}, table.Contents().Zones)
-	number, known := table.ZoneByName("y")
-	assert.True(t, known)
+	number, found := table.ZoneByName("y")
+	assert.True(t, found)
 	assert.Equal(t, 2, number)
 }
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -10,47 +10,48 @@
 	"canvasroute/internal/transport"
 )
 
-// watch polls the service once, and applies the lines of the watch until it ends. opened reports whether the service
-// accepted the watch. The error is nil only where ctx ended an open watch. stop ends ctx.
-func (w *Watcher) watch(ctx context.Context, stop context.CancelCauseFunc) (opened bool, err error) {
-	address := w.beginWatch(stop)
+// watch opens a watch with one poll of the service and applies its lines until the watch ends. opened reports whether
+// the service accepted the watch. The error is nil only if an open watch ended because ctx was canceled. cancel is the
+// cancel function of ctx.
+func (w *Watcher) watch(ctx context.Context, cancel context.CancelCauseFunc) (opened bool, err error) {
+	address := w.beginWatch(cancel)
 	conn, err := w.dial(ctx, address)
 	if err != nil {
 		return false, fmt.Errorf("poll of %s: %w", address, err)
 	}
 	defer context.AfterFunc(ctx, conn.Interrupt)()
-	body, err := w.open(conn)
+	body, err := w.openWatch(conn)
 	if err != nil {
 		conn.CloseFor(openCloseReason(err), err)
 		return false, fmt.Errorf("poll of %s: %w", address, err)
 	}
-	ended := w.follow(ctx, conn, body)
-	conn.CloseFor(ended.closeReason, ended.err)
-	if ended.err != nil {
-		return true, fmt.Errorf("watch of %s: %w", address, ended.err)
+	end := w.readWatch(ctx, conn, body)
+	conn.CloseFor(end.closeReason, end.err)
+	if end.err != nil {
+		return true, fmt.Errorf("watch of %s: %w", address, end.err)
 	}
 	return true, nil
 }
 
-// beginWatch returns the address to poll. From then on SetAddress calls stop.
-func (w *Watcher) beginWatch(stop context.CancelCauseFunc) (address string) {
+// beginWatch stores cancelWatch, for SetAddress to call, and returns the address to poll.
+func (w *Watcher) beginWatch(cancelWatch context.CancelCauseFunc) (address string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.stop = stop
+	w.cancelWatch = cancelWatch
 	return w.address
 }
 
-// dial opens a connection to the service.
+// dial opens a connection to the discovery service.
 func (w *Watcher) dial(ctx context.Context, address string) (*transport.Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, min(w.config.DialTimeout()*dialTimeoutFactor, headTimeout))
 	defer cancel()
 	return transport.Dial(ctx, address, transport.Discovery, w.log)
 }
 
-// open requests a watch from the version of the table on, and returns the body that brings its lines. The error is a
-// statusError where the service answers with another status than 200.
-func (w *Watcher) open(conn *transport.Conn) (protocol.Body, error) {
-	began := time.Now()
+// openWatch requests a watch of the changes since the table's version, and returns the response body, which carries the
+// lines of the watch. The error is a *statusError if the response has a status other than 200.
+func (w *Watcher) openWatch(conn *transport.Conn) (protocol.Body, error) {
+	startedAt := time.Now()
 	poll := protocol.AppendGet(nil, protocol.WatchTarget(w.table.Version()))
 	if err := conn.Send(headTimeout, poll); err != nil {
 		return protocol.Body{}, err
@@ -65,14 +66,14 @@
 		return protocol.Body{}, err
 	}
 	if head.Status != http.StatusOK {
-		return protocol.Body{}, newStatusError(head.Status, time.Since(began))
+		return protocol.Body{}, newStatusError(head.Status, time.Since(startedAt))
 	}
-	conn.SetReadTimeout(firstLineTimeout - time.Since(began))
+	conn.SetReadTimeout(firstLineTimeout - time.Since(startedAt))
 	return body, nil
 }
 
-// follow applies the lines of a watch until it ends.
-func (w *Watcher) follow(ctx context.Context, conn *transport.Conn, body protocol.Body) endedWatch {
+// readWatch reads an open watch and applies its lines until it ends.
+func (w *Watcher) readWatch(ctx context.Context, conn *transport.Conn, body protocol.Body) openWatchEnd {
 	var reader protocol.LineReader
 	var applyErr error
 	readErr := conn.ReadChunks(&body, func(data []byte) (more bool) {
@@ -84,13 +85,13 @@
 		return applyErr == nil
 	})
 	if line := reader.Remainder(); readErr != nil && applyErr == nil && len(line) > 0 {
-		w.applyTruncated(line)
+		w.applyTruncatedLine(line)
 	}
-	return endOfWatch(ctx, readErr, applyErr)
+	return classifyWatchEnd(ctx, readErr, applyErr)
 }
 
-// applyLines applies the complete lines that have come, up to the first malformed one. Only a complete line extends the
-// read timeout: single bytes, which may come without end, don't show that the service is alive.
+// applyLines applies the complete lines received so far and stops at the first malformed one. Only a complete line
+// extends the read timeout: bytes that never complete a line do not show that the service is alive.
 func (w *Watcher) applyLines(reader *protocol.LineReader, conn *transport.Conn) error {
 	for line, complete := reader.Next(); complete; line, complete = reader.Next() {
 		conn.SetReadTimeout(lineTimeout)
@@ -104,7 +105,7 @@
 	return nil
 }
 
-// applyLine applies a list, or a change to it. The error is protocol.ErrMalformed.
+// applyLine applies a line, which is a complete list or a list of changes. The error is protocol.ErrMalformed.
 func (w *Watcher) applyLine(line []byte) error {
 	list, err := protocol.ParseEndpointList(line)
 	if err != nil {
@@ -114,10 +115,11 @@
 	return nil
 }
 
-// applyTruncated applies the workers that are complete in a line within which the connection ended. Otherwise a drain
-// would be learned too late from a service whose watches are cut again and again. The version stays, so that the next
-// watch brings the whole list again, and no worker counts as gone.
-func (w *Watcher) applyTruncated(line []byte) {
+// applyTruncatedLine applies the complete worker entries of a line that was cut off by a failure of the connection.
+// Otherwise a drain would be applied too late if the watches of a service are cut off repeatedly. The version of the
+// table is unchanged, so that the next watch starts with the complete list again, and no missing worker is marked as
+// gone.
+func (w *Watcher) applyTruncatedLine(line []byte) {
 	list, _ := protocol.ParseEndpointList(line)
 	w.log.Warn().Int("bytes", len(line)).Int("workers", len(list.Endpoints)).Msg("endpoint watch cut within a line")
 	if len(list.Endpoints) == 0 {
--- a/internal/discovery/watch_end.go
+++ b/internal/discovery/watch_end.go
@@ -11,39 +11,40 @@
 	"canvasroute/internal/transport"
 )
 
-// The limits of a poll and of the watch that it opens. Every dispatcher has to know a change 6 s after the
-// service has listed it. A silent watch is given up while there is still time to poll again.
+// Limits of a poll and of the watch that it opens. Every dispatcher must have applied a change 6 s after the service
+// listed it. The timeouts close a silent watch early enough to poll again within that time.
 const (
-	// maxFirstPollWait is how long a process that has a list from before its start waits for its first poll. It then
-	// serves by that list.
+	// maxFirstPollWait is how long a process that has a list from before its start waits for its first poll. After
+	// that, it serves requests with that list.
 	maxFirstPollWait = 700 * time.Millisecond
-	// dialTimeoutFactor times the dial timeout of workers, up to headTimeout, is how long dialing the service may take.
+	// dialTimeoutFactor times the dial timeout of workers, but at most headTimeout, is the timeout for dialing the
+	// service.
 	dialTimeoutFactor = 4
-	// headTimeout bounds each step up to the head of the response: dialing, sending, and receiving the head. A service
-	// that works through its queue answers 503 before that.
+	// headTimeout limits each step of a poll: dialing, sending the request, and receiving the response head. An
+	// overloaded service that works through its queue responds with 503 before this timeout.
 	headTimeout = 2500 * time.Millisecond
-	// minOverloadedWait is how long the service takes at least for a 503 that shows overload: the poll has waited in
-	// its queue. A faster 503 is one of a service that is down.
+	// minOverloadedWait is the minimum response time of a 503 that indicates overload: the poll has waited in the
+	// queue of the service. A faster 503 indicates that the service is down.
 	minOverloadedWait = time.Second
-	// firstLineTimeout is counted from the poll to the end of its first line, which is the list.
+	// firstLineTimeout limits the time from the poll to the end of the first line, which contains the list.
 	firstLineTimeout = 3500 * time.Millisecond
-	// lineTimeout is counted from one line to the next. The service sends a line every 2 s, an empty one if nothing has
+	// lineTimeout limits the time between two lines. The service sends a line every 2 s, an empty one if nothing has
 	// changed.
 	lineTimeout = 2700 * time.Millisecond
-	// maxLineBytes bounds a line that is not complete yet.
+	// maxLineBytes limits the length of an incomplete line.
 	maxLineBytes = 8 << 20
 )
 
-// The ends of a watch that are no failure of its connection.
+// Reasons for the end of a watch that are not connection failures.
 var (
 	errAddressChanged = errors.New("discovery: address changed")
-	errWatchEnded     = errors.New("discovery: watch has ended")
+	errWatchEnded     = errors.New("discovery: service ended the watch")
 )
 
-// statusError is the error of a poll that was answered with another status than 200.
+// statusError is the error of a poll whose response has a status other than 200.
 type statusError struct {
 	status     int
-	overloaded bool // the poll has waited in the service's queue
+	overloaded bool // the poll waited in the queue of the service
 }
 
 func newStatusError(status int, wait time.Duration) *statusError {
@@ -60,17 +61,17 @@
 	return fmt.Sprintf("discovery: status %d", e.status)
 }
 
-// watchEnd classifies the end of a poll, or of the watch that it opened. The balancer derives from it when to poll
-// again.
+// classifyPollEnd classifies the end of a poll or of the watch that it opened. The balancer uses the result to schedule
+// the next poll.
 //
-//   - WatchRejected: 503 after at least minOverloadedWait. The service has too many callers.
-//   - WatchFailed: no watch was opened. Dialing, sending or the response failed, or the status was another one.
-//   - WatchSilent: the watch was open, and firstLineTimeout or lineTimeout has passed.
-//   - WatchDisconnected: the watch was open, and ended in any other way.
-func watchEnd(opened bool, err error) balancer.WatchEnd {
-	var refused *statusError
+//   - WatchRejected: the service responded with 503 after at least minOverloadedWait. It has too many clients.
+//   - WatchFailed: no watch was opened, because dialing, sending or receiving failed or because of any other status.
+//   - WatchSilent: the watch was open, and firstLineTimeout or lineTimeout expired.
+//   - WatchDisconnected: the watch was open and ended for any other reason.
+func classifyPollEnd(opened bool, err error) balancer.WatchEnd {
+	var statusErr *statusError
 	switch {
-	case errors.As(err, &refused) && refused.overloaded:
+	case errors.As(err, &statusErr) && statusErr.overloaded:
 		return balancer.WatchRejected
 	case !opened:
 		return balancer.WatchFailed
@@ -80,35 +81,35 @@
 	return balancer.WatchDisconnected
 }
 
-// openCloseReason returns why to close a connection on which no watch could be opened.
+// openCloseReason returns the reason for closing a connection on which opening a watch failed with err.
 func openCloseReason(err error) transport.CloseReason {
-	var refused *statusError
-	if errors.As(err, &refused) {
+	var statusErr *statusError
+	if errors.As(err, &statusErr) {
 		return transport.UnexpectedResponse
 	}
 	return transport.CloseReasonOf(err)
 }
 
-// endedWatch is how an open watch ended.
-type endedWatch struct {
-	closeReason transport.CloseReason // of its connection
-	err         error                 // nil where this process has ended it
+// openWatchEnd describes the end of an open watch.
+type openWatchEnd struct {
+	closeReason transport.CloseReason // reason for closing the connection
+	err         error                 // nil if this process ended the watch
 }
 
-// endOfWatch classifies the end of an open watch, whose context is ctx. readErr is the error of its connection, nil
-// after a complete response; applyErr is that of the list, nil unless a line was malformed or too long.
-func endOfWatch(ctx context.Context, readErr, applyErr error) endedWatch {
+// classifyWatchEnd classifies the end of an open watch, whose context is ctx. readErr is the error of reading from the
+// connection, or nil after a complete response. applyErr is nil unless a line was malformed or too long.
+func classifyWatchEnd(ctx context.Context, readErr, applyErr error) openWatchEnd {
 	switch {
 	case errors.Is(context.Cause(ctx), errAddressChanged):
-		return endedWatch{closeReason: transport.Stale}
+		return openWatchEnd{closeReason: transport.Stale}
 	case ctx.Err() != nil:
-		return endedWatch{closeReason: transport.Stopping}
+		return openWatchEnd{closeReason: transport.Stopping}
 	case applyErr != nil:
-		return endedWatch{closeReason: transport.Malformed, err: applyErr}
+		return openWatchEnd{closeReason: transport.Malformed, err: applyErr}
 	case readErr == nil:
-		return endedWatch{closeReason: transport.CloseRequested, err: errWatchEnded}
+		return openWatchEnd{closeReason: transport.CloseRequested, err: errWatchEnded}
 	case transport.CloseReasonOf(readErr) == transport.TooSlow:
-		return endedWatch{closeReason: transport.WatchTimeout, err: readErr}
+		return openWatchEnd{closeReason: transport.WatchTimeout, err: readErr}
 	}
-	return endedWatch{closeReason: transport.CloseReasonOf(readErr), err: readErr}
+	return openWatchEnd{closeReason: transport.CloseReasonOf(readErr), err: readErr}
 }
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -17,7 +17,7 @@
 	"canvasroute/internal/protocol"
 )
 
-// watchOnce polls a discovery service once, and returns the error that the watch ended with.
+// watchOnce polls a service that answers with respond, and returns the Watcher and the error of the ended watch.
 func watchOnce(t *testing.T, respond peertest.Responder) (*Watcher, error) {
 	t.Helper()
 	targets := make(chan string, 1)
@@ -36,7 +36,7 @@
 	assert.ErrorIs(t, err, errWatchEnded)
 	assert.Equal(t, int64(9), w.table.Version())
 	assert.Equal(t, "127.0.0.1:2", w.table.Endpoint(1).Address)
-	assert.True(t, w.FirstPollOver())
+	assert.True(t, w.FirstPollDone())
 }
 
 func TestWatchAppliesIndentedLists(t *testing.T) {
@@ -48,7 +48,7 @@
 	assert.Equal(t, protocol.Terminating, w.table.Endpoint(1).State)
 }
 
-// No bound on the length of a list may refuse one line with many workers, and then a change to each.
+// The length limit must not reject a line that lists 1024 workers, nor a line that changes all of them.
 func TestWatchAppliesListOfManyWorkers(t *testing.T) {
 	const workers = 1024
 	line := func(version int, complete bool, state string) string {
@@ -64,7 +64,7 @@
 	assert.ErrorIs(t, err, errWatchEnded)
 	contents := w.table.Contents()
 	assert.Equal(t, int64(9), contents.Version)
-	assert.Len(t, contents.Endpoints, workers+1, "with the one that was known before")
+	assert.Len(t, contents.Endpoints, workers+1, "the listed workers and the one from before the watch")
 	tags := map[uint16]int{}
 	for number := range contents.Endpoints {
 		tags[w.table.Tag(balancer.WorkerID(number))]++
@@ -72,7 +72,7 @@
 	assert.Greater(t, len(tags), workers-32, "few workers share a tag")
 }
 
-// A service that is overloaded must not be polled again as soon as one that is down.
+// An overloaded service must not be polled again as soon as a service that is down.
 func TestSlow503MeansOverloaded(t *testing.T) {
 	for name, test := range map[string]struct {
 		wait time.Duration
@@ -89,7 +89,7 @@
 			opened, err := w.watch(context.Background(), nil)
 			assert.False(t, opened)
 			assert.ErrorContains(t, err, "status 503")
-			assert.Equal(t, test.want, watchEnd(opened, err))
+			assert.Equal(t, test.want, classifyPollEnd(opened, err))
 		})
 	}
 }
@@ -98,7 +98,7 @@
 	for name, test := range map[string]struct{ text, want string }{
 		"503":                  {unavailable, "status 503"},
 		"malformed list":       {peertest.Chunked(`{"seq":x}`), "malformed"},
-		"end within a list":    {peertest.Chunked(`{"seq":`), "within a message"}, // it may be indented: the rest is still to come
+		"end within a list":    {peertest.Chunked(`{"seq":`), "within a message"}, // a list may span several lines
 		"end without response": {"", "EOF"},
 		"end within a chunk":   {peertest.Chunked("") + "1", "within a message"},
 	} {
@@ -110,8 +110,8 @@
 	}
 }
 
-// A drain must not be learned too late because the watch that brought it was cut.
-func TestTruncatedLineAppliesItsCompleteWorkers(t *testing.T) {
+// A drain must be applied even if the watch is cut off within the line that reports it.
+func TestTruncatedLineAppliesCompleteWorkers(t *testing.T) {
 	const chunkStart = peertest.ChunkedHead + "400\r\n"
 	for name, test := range map[string]struct {
 		respond peertest.Responder
@@ -131,21 +131,22 @@
 		t.Run(name, func(t *testing.T) {
 			w, err := watchOnce(t, test.respond)
 			assert.ErrorContains(t, err, test.want)
-			assert.Equal(t, int64(7), w.table.Version(), "the next watch brings the whole list again")
+			assert.Equal(t, int64(7), w.table.Version(), "the next watch must return the complete list again")
 			assert.Equal(t, protocol.Terminating, w.table.Endpoint(0).State)
-			assert.Len(t, w.table.Contents().Endpoints, 1, "an incomplete worker is left out")
+			assert.Len(t, w.table.Contents().Endpoints, 1, "an incomplete worker entry is skipped")
 		})
 	}
 }
 
 func TestSilentWatchTimesOut(t *testing.T) {
-	began := time.Now()
+	startedAt := time.Now()
 	_, err := watchOnce(t, peertest.RespondWith(peertest.Chunked(emptyList(9))))
 	assert.ErrorContains(t, err, "timeout")
-	assert.InDelta(t, lineTimeout.Seconds(), time.Since(began).Seconds(), 1)
+	assert.InDelta(t, lineTimeout.Seconds(), time.Since(startedAt).Seconds(), 1)
 }
 
-// Bytes that never make a line are no sign of life: the service counts a change as known six seconds after it.
+// Bytes that never complete a line must not keep a watch open: the service assumes that every dispatcher has applied a
+// change 6 s after it.
 func TestWatchThatBringsBytesButNoLinesTimesOut(t *testing.T) {
 	for name, first := range map[string]string{
 		"from the start": peertest.ChunkedHead,
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -1,8 +1,8 @@
-// Package discovery follows the discovery service, which lists the workers.
+// Package discovery receives the list of workers from the discovery service.
 //
-// A Watcher holds one watch on the service open and applies each of its lines to the endpoint Table. It reports each
+// A Watcher keeps one watch of the service open and applies each of its lines to the endpoint Table. It reports each
 // change to the balancer, to the pool of connections to workers and to an Observer. The balancer decides when to poll
-// again after a watch has ended. The package sends nothing to workers and chooses none.
+// again after a watch has ended. The package neither sends requests to workers nor selects workers.
 package discovery
 
 import (
@@ -19,61 +19,61 @@
 	"canvasroute/internal/transport"
 )
 
-// Observer is notified of the state of discovery.
+// Observer is notified when the endpoint list is updated and when the discovery service is unavailable.
 type Observer interface {
-	// EndpointsReceived is called after each list or change to it.
+	// EndpointsReceived is called after each complete list or list of changes has been applied.
 	EndpointsReceived()
-	// EndpointsUnavailable is called after each poll or watch that failed.
+	// EndpointsUnavailable is called after each failed poll or watch.
 	EndpointsUnavailable()
 }
 
 // Config configures a Watcher.
 type Config struct {
 	Address     string               // host and port of the discovery service
-	DialTimeout func() time.Duration // returns the timeout in force for dialing a worker
-	Observer    Observer             // nil where nobody is to be notified
+	DialTimeout func() time.Duration // returns the current timeout for dialing a worker
+	Observer    Observer             // optional
 }
 
-// Counters count what happened since the start.
+// Counters count events since the process started.
 type Counters struct {
-	Lists       atomic.Int64 // lists and changes received
-	WatchesLost atomic.Int64 // polls and watches that failed
+	Lists       atomic.Int64 // complete lists and lists of changes received
+	WatchesLost atomic.Int64 // failed polls and watches
 }
 
-// Watcher watches the discovery service. Run polls and follows watches on one goroutine; the other methods may be
-// called from any.
+// Watcher watches the discovery service. Run polls and reads watches on a single goroutine. The other methods are safe
+// for concurrent use.
 type Watcher struct {
 	Counters Counters
 
-	config   Config
-	table    *Table
-	balancer *balancer.Shards
-	pool     *transport.Pool
-	log      zerolog.Logger
-	answered atomic.Bool // the first poll was answered, has failed, or is not waited for
+	config        Config
+	table         *Table
+	balancer      *balancer.Shards
+	pool          *transport.Pool
+	log           zerolog.Logger
+	firstPollDone atomic.Bool // the first poll was answered, failed, or is no longer waited for
 
-	// mu guards address and stop. It is also held while the end of a watch or a change of the address is reported to
-	// the balancer, so that neither report overtakes the other.
-	mu      sync.Mutex
-	address string                  // of the discovery service
-	stop    context.CancelCauseFunc // ends the poll or watch under way; nil while there is none
+	// mu guards address and cancelWatch. It is also held while the end of a watch or a change of the address is
+	// reported to the balancer, so that the reports stay in order.
+	mu          sync.Mutex
+	address     string                  // of the discovery service
+	cancelWatch context.CancelCauseFunc // cancels the current poll or watch; nil if there is none
 
 	hooks testHooks
 }
 
-// testHooks are set by tests to run between two steps.
+// testHooks are functions that tests set to run code between two steps. Each may be nil.
 type testHooks struct {
-	beforeUpdate func() // the table and the pool know a list, the balancer does not
-	beforeReport func() // a watch has ended and is not reported
+	beforeUpdate func() // runs after a list is applied to the table and the pool, before the balancer is updated
+	beforeReport func() // runs after a watch has ended, before its end is reported
 }
 
-// NewWatcher returns a Watcher that fills table.
+// NewWatcher returns a Watcher that applies endpoint lists to table.
 func NewWatcher(c Config, table *Table, b *balancer.Shards, pool *transport.Pool, log zerolog.Logger) *Watcher {
 	return &Watcher{config: c, table: table, balancer: b, pool: pool, log: log, address: c.Address}
 }
 
-// SetAddress changes the address of the discovery service. A watch at the previous address ends, and the new one is
-// polled at once. The table keeps its workers.
+// SetAddress changes the address of the discovery service. It cancels a watch at the previous address, and the new
+// address is polled immediately. The table keeps its workers.
 func (w *Watcher) SetAddress(address string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -81,63 +81,65 @@
 		return
 	}
 	w.address = address
-	if w.stop != nil {
-		w.stop(errAddressChanged)
+	if w.cancelWatch != nil {
+		w.cancelWatch(errAddressChanged)
 		return
 	}
 	w.balancer.ReportDiscoveryMoved()
 }
 
-// FirstPollOver reports whether the first poll is over: it was answered, has failed, or has taken longer than
+// FirstPollDone reports whether the wait for the first poll is over: the poll was answered, failed, or took longer than
 // maxFirstPollWait in a process that already has a list.
-func (w *Watcher) FirstPollOver() bool { return w.answered.Load() }
+func (w *Watcher) FirstPollDone() bool { return w.firstPollDone.Load() }
 
-// Seed applies a complete list that is known before the first poll. zones are the names of its zones by their numbers,
-// nil where the numbers may be new.
+// Seed applies a complete list that was obtained before the first poll. zones are the names of its zones in the order
+// of their numbers, or nil if the zones may be numbered anew.
 func (w *Watcher) Seed(list *protocol.EndpointList, zones []string) {
 	w.table.addZones(zones)
 	endpoints, _ := w.table.Update(list)
 	w.balancer.UpdateEndpoints(endpoints, balancer.AllEndpoints, balancer.FromBeforeStart)
 }
 
-// DontAwaitFirstPoll makes FirstPollOver report whether any worker is listed. The first poll is made all the same.
-func (w *Watcher) DontAwaitFirstPoll() { w.answered.Store(w.table.HasWorkers()) }
+// SkipFirstPollWait makes FirstPollDone report whether any worker is listed. The first poll is sent regardless.
+func (w *Watcher) SkipFirstPollWait() { w.firstPollDone.Store(w.table.HasWorkers()) }
 
-// Merge applies later starts and drains of workers that peers have learned. The version of the list stays.
-func (w *Watcher) Merge(endpoints []protocol.Endpoint) {
+// MergePeerEndpoints applies more recent starts and drains of workers reported by peers. The version of the list is
+// unchanged.
+func (w *Watcher) MergePeerEndpoints(endpoints []protocol.Endpoint) {
 	list := protocol.EndpointList{Version: w.table.Version(), Endpoints: endpoints}
 	updated, outdated := w.table.Update(&list)
 	w.balancer.UpdateEndpoints(updated, balancer.ChangedEndpoints, balancer.FromBeforeStart)
-	w.closeOutdated(outdated)
+	w.closeOutdatedConnections(outdated)
 }
 
-// Apply applies a list, or a change to it, from the discovery service. The pool is updated before the balancer: the
-// balancer sends to newly listed workers at once, which must not use a connection to the process before.
+// Apply applies a complete list or a list of changes from the discovery service. The pool is updated before the
+// balancer, because the balancer sends requests to newly listed workers immediately, and these requests must not use a
+// connection to a worker's previous process.
 func (w *Watcher) Apply(list protocol.EndpointList) {
 	w.Counters.Lists.Add(1)
 	endpoints, outdated := w.table.Update(&list)
-	w.closeOutdated(outdated)
+	w.closeOutdatedConnections(outdated)
 	if w.hooks.beforeUpdate != nil {
 		w.hooks.beforeUpdate()
 	}
-	w.balancer.UpdateEndpoints(endpoints, extentOf(list), balancer.FromDiscovery)
-	w.answered.Store(true)
+	w.balancer.UpdateEndpoints(endpoints, listExtent(list), balancer.FromDiscovery)
+	w.firstPollDone.Store(true)
 	if w.config.Observer != nil {
 		w.config.Observer.EndpointsReceived()
 	}
 }
 
-// extentOf returns whether a list names all workers or only those that have changed.
-func extentOf(list protocol.EndpointList) balancer.ListExtent {
+// listExtent returns whether a list contains all workers or only the changed ones.
+func listExtent(list protocol.EndpointList) balancer.ListExtent {
 	if list.Complete {
 		return balancer.AllEndpoints
 	}
 	return balancer.ChangedEndpoints
 }
 
-// closeOutdated closes the idle connections to outdated addresses. Where another process listens there now, it also
-// closes those in use that were opened to the previous one.
-func (w *Watcher) closeOutdated(outdated []OutdatedAddress) {
+// closeOutdatedConnections closes the idle connections to outdated addresses. If another process now listens at an
+// address, it also closes the connections in use that were opened to the previous process.
+func (w *Watcher) closeOutdatedConnections(outdated []OutdatedAddress) {
 	for _, previous := range outdated {
 		w.pool.CloseIdle(previous.Address)
 		if !previous.StartedAt.IsZero() {
@@ -146,7 +148,8 @@
 	}
 }
 
-// Run polls whenever the balancer decides so, and reports the end of each watch, until ctx ends.
+// Run polls when the balancer schedules a poll, and reports the end of each watch, until ctx is canceled. It returns
+// nil.
 func (w *Watcher) Run(ctx context.Context) error {
 	for w.balancer.AwaitPoll(ctx) == nil {
 		w.poll(ctx)
@@ -157,14 +160,14 @@
 	return nil
 }
 
-// poll opens a watch, follows it to its end, and reports the end to the balancer and the observer.
+// poll opens a watch, reads it until it ends, and reports its end to the balancer and the observer.
 func (w *Watcher) poll(ctx context.Context) {
-	watching, stop := context.WithCancelCause(ctx)
-	defer stop(nil)
-	slowPoll := time.AfterFunc(maxFirstPollWait, w.giveUpFirstPoll)
-	opened, err := w.watch(watching, stop)
-	slowPoll.Stop()
-	addressChanged := w.reportEnd(watching, watchEnd(opened, err))
+	watchCtx, cancel := context.WithCancelCause(ctx)
+	defer cancel(nil)
+	firstPollTimer := time.AfterFunc(maxFirstPollWait, w.endFirstPollWait)
+	opened, err := w.watch(watchCtx, cancel)
+	firstPollTimer.Stop()
+	addressChanged := w.reportWatchEnd(watchCtx, classifyPollEnd(opened, err))
 	switch {
 	case ctx.Err() != nil:
 		return
@@ -174,32 +177,32 @@
 	}
 	w.Counters.WatchesLost.Add(1)
 	w.log.Warn().Err(err).Msg("endpoint watch lost")
-	w.answered.Store(true)
+	w.firstPollDone.Store(true)
 	if w.config.Observer != nil {
 		w.config.Observer.EndpointsUnavailable()
 	}
 }
 
-// giveUpFirstPoll ends the wait for the first poll in a process that has a list from before its start. A service that
-// is down or overloaded may answer late or never. Later polls are not affected.
-func (w *Watcher) giveUpFirstPoll() {
-	if !w.answered.Load() && w.table.HasWorkers() {
+// endFirstPollWait ends the wait for the first poll in a process that has a list from before its start, because a
+// service that is down or overloaded may respond late or never. Later polls are not affected.
+func (w *Watcher) endFirstPollWait() {
+	if !w.firstPollDone.Load() && w.table.HasWorkers() {
 		w.balancer.ReportFirstPollSlow()
-		w.answered.Store(true)
+		w.firstPollDone.Store(true)
 	}
 }
 
-// reportEnd reports the end of a watch to the balancer, or that the address has changed, which it returns. Both the
-// test and the report are done under mu. A change between the two would otherwise wait until another poll of the
-// previous address has ended.
-func (w *Watcher) reportEnd(watching context.Context, end balancer.WatchEnd) (addressChanged bool) {
+// reportWatchEnd reports to the balancer that the address has changed or, otherwise, that the watch has ended. It
+// returns whether the address has changed. mu is held during both the check and the report: a change between them would
+// otherwise take effect only after another poll of the previous address.
+func (w *Watcher) reportWatchEnd(watchCtx context.Context, end balancer.WatchEnd) (addressChanged bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.stop = nil
+	w.cancelWatch = nil
 	if w.hooks.beforeReport != nil {
 		w.hooks.beforeReport()
 	}
-	addressChanged = errors.Is(context.Cause(watching), errAddressChanged)
+	addressChanged = errors.Is(context.Cause(watchCtx), errAddressChanged)
 	if addressChanged {
 		w.balancer.ReportDiscoveryMoved()
 	} else {
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -14,13 +14,13 @@
 	"canvasroute/internal/transport"
 )
 
-// Each test here forces one order of two events that seldom come in it (docs/crossings.md).
+// Each test in this file forces a rare order of two events (docs/crossings.md).
 
-// The balancer sends to a restarted worker as soon as it knows of the restart. By then no connection to the process
-// before may be left.
+// The balancer may send a request to a restarted worker as soon as it is updated with the restart. All connections to
+// the previous process must be closed before that.
 func TestConnectionsToPreviousProcessAreClosedBeforeBalancerIsUpdated(t *testing.T) {
 	address := peertest.StartServer(t, func(net.Conn, *http.Request) {})
-	w := newWatcherOf(peertest.ClosedAddress, address)
+	w := newWatcherWithWorker(peertest.ClosedAddress, address)
 	conn, err := w.pool.Get(context.Background(), address, transport.AnyConnection)
 	assert.NoError(t, err)
 	w.pool.Put(conn)
@@ -36,8 +36,8 @@
 	assert.True(t, called)
 }
 
-// SIGHUP changes the address between the end of a watch and its report, twice, there and back: the new address is
-// polled at once, and no watch continues at the previous one.
+// SIGHUP changes the address, to another one and back, between the end of a watch and its report. The last address must
+// be polled immediately, and no watch may remain at the previous one.
 func TestAddressChangeWhileWatchIsLostTakesEffectAtOnce(t *testing.T) {
 	next, polled := startService(t, peertest.Chunked(emptyList(9)))
 	w := newWatcher(peertest.StartServer(t, peertest.RespondAndClose(unavailable)))
@@ -51,7 +51,7 @@
 			close(changed)
 		}()
 		select {
-		case <-changed: // it must wait for the report
+		case <-changed: // unexpected, because SetAddress waits for the report
 		case <-time.After(50 * time.Millisecond):
 		}
 	}
@@ -61,7 +61,7 @@
 	awaitVersion(t, w, 9)
 }
 
-// SIGHUP changes the address while the previous one is polled, or while a line from there is applied.
+// SIGHUP changes the address while the previous address is polled, or while a line of its watch is applied.
 func TestAddressChangeTakesEffectDuringPollAndUpdate(t *testing.T) {
 	t.Run("during a poll", func(t *testing.T) {
 		previous, _ := startService(t, "HTTP/1.1 200 OK\r\nTransfer-")
@@ -71,7 +71,7 @@
 		assert.Eventually(t, func() bool {
 			w.mu.Lock()
 			defer w.mu.Unlock()
-			return w.stop != nil
+			return w.cancelWatch != nil
 		}, peertest.EventTimeout, peertest.PollInterval)
 		w.SetAddress(next)
 		peertest.Receive(t, polled)
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -16,12 +16,12 @@
 	"canvasroute/internal/transport"
 )
 
-// singleWorker is an endpoint table with one worker.
+// singleWorker is an endpoint table with one worker, number 0.
 type singleWorker struct{ id string }
 
 func (s singleWorker) Tag(balancer.WorkerID) uint16 { return protocol.WorkerTag(s.id) }
 
-func (s singleWorker) ByTag(tag uint16) (balancer.WorkerID, bool) {
+func (s singleWorker) WorkerByTag(tag uint16) (balancer.WorkerID, bool) {
 	return 0, tag == protocol.WorkerTag(s.id)
 }
 
@@ -41,7 +41,7 @@
 	return New(Config{Peers: peers}, newBalancer(), singleWorker{"w"}, nil), peers[1]
 }
 
-// connectPeer gives an exchange a socket, and returns that of dispatcher 1.
+// connectPeer opens sockets for an exchange and for dispatcher 1, and returns that of dispatcher 1.
 func connectPeer(t *testing.T, e *Exchange) *net.UDPConn {
 	t.Helper()
 	peer, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(netip.MustParseAddrPort("127.0.0.1:0")))
@@ -66,15 +66,15 @@
 	e.receive(peer, load(40000)) // too old to be reordered: the peer has restarted
 	e.receive(peer, []byte("abc"))
 	e.receive(netip.MustParseAddrPort("127.0.0.9:7001"), load(7))
-	e.receive(e.config.Peers[0], load(7)) // our own address
+	e.receive(e.config.Peers[0], load(7)) // address of this dispatcher
 	counters := &e.Counters
 	assert.Equal(t, []int64{3, 1, 1, 2}, []int64{
-		counters.Received.Load(), counters.Reordered.Load(), counters.Malformed.Load(), counters.Strangers.Load(),
+		counters.Received.Load(), counters.Reordered.Load(), counters.Malformed.Load(), counters.UnknownSenders.Load(),
 	})
 }
 
-// isSentWithin reports whether the balancer sends a request that arrives now to the worker, before the timeout.
-func isSentWithin(t *testing.T, timeout time.Duration, shards *balancer.Shards) bool {
+// sendsAttemptWithin submits a request and reports whether the balancer sends it to a worker within the timeout.
+func sendsAttemptWithin(t *testing.T, timeout time.Duration, shards *balancer.Shards) bool {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
@@ -99,13 +99,13 @@
 	assert.NoError(t, <-stopped)
 
 	e.balancer.ReceiveLoad(1, balancer.WorkerLoad{Worker: 0, InFlight: 8})
-	assert.False(t, isSentWithin(t, 50*time.Millisecond, e.balancer), "the peer's load fills the worker")
+	assert.False(t, sendsAttemptWithin(t, 50*time.Millisecond, e.balancer), "the peer's load fills the worker")
 	e.receive(e.config.Peers[1], datagram[:length])
-	assert.True(t, isSentWithin(t, peertest.EventTimeout, e.balancer), "a peer that has just started has nothing in flight")
+	assert.True(t, sendsAttemptWithin(t, peertest.EventTimeout, e.balancer), "a new peer has nothing in flight")
 }
 
-// Two dispatchers that restart at once must not take each other for one that has run for longer.
-func TestHelloIsAnsweredUntilAnOlderPeerIsMet(t *testing.T) {
+// Two dispatchers that restart at the same time must not each treat the other as an older one.
+func TestHelloIsAnsweredUntilOlderPeerSendsLoad(t *testing.T) {
 	e, _ := newExchange()
 	connectPeer(t, e)
 	peer := e.config.Peers[1]
@@ -113,14 +113,14 @@
 	for millis := range int64(3) {
 		e.receive(peer, hello(timestampIn(millis)))
 	}
-	assert.EqualValues(t, 1, e.Counters.Sent.Load(), "once, so that two do not answer each other for ever")
-	e.helloReplies[1] = time.Time{}
+	assert.EqualValues(t, 1, e.Counters.Sent.Load(), "only one reply, so that replies do not continue forever")
+	e.helloRepliedAt[1] = time.Time{}
 	e.balancer.ReceiveLoad(2, balancer.WorkerLoad{Worker: 0, InFlight: 1})
 	e.receive(peer, hello(timestampIn(4)))
-	assert.EqualValues(t, 1, e.Counters.Sent.Load(), "it has met an older peer")
+	assert.EqualValues(t, 1, e.Counters.Sent.Load(), "no reply after load from an older peer")
 }
 
-func TestOnlyRecentDatagramsAreReordered(t *testing.T) {
+func TestOnlyRecentDatagramsCountAsReordered(t *testing.T) {
 	for name, test := range map[string]struct {
 		latest timestamp
 		millis uint16
@@ -134,6 +134,6 @@
 		"as old as may be":       {timestamp{5000, true}, 5000 - maxReorderMillis + 1, true},
 		"older: a restart":       {timestamp{5000, true}, 5000 - maxReorderMillis, false},
 	} {
-		t.Run(name, func(t *testing.T) { assert.Equal(t, test.want, test.latest.overtook(test.millis)) })
+		t.Run(name, func(t *testing.T) { assert.Equal(t, test.want, test.latest.isAfter(test.millis)) })
 	}
 }
--- a/internal/peertest/peertest.go
+++ b/internal/peertest/peertest.go
@@ -1,5 +1,5 @@
-// Package peertest plays the other side of HTTP connections in tests. Its servers listen on loopback and answer with
-// literal bytes, so that a test decides where a message is cut or malformed.
+// Package peertest provides HTTP servers for tests. They listen on the loopback address and respond with literal bytes,
+// so that a test controls where a message is cut off or malformed.
 package peertest
 
 import (
@@ -13,24 +13,24 @@
 )
 
 const (
-	// EventTimeout bounds the wait for an event that is sure to come.
+	// EventTimeout limits the wait for an expected event.
 	EventTimeout = 5 * time.Second
-	// PollInterval is the time between two checks of a condition that is to become true.
+	// PollInterval is the interval between two checks of a condition that is expected to become true.
 	PollInterval = time.Millisecond
-	// ClosedAddress is an address at which nobody listens.
+	// ClosedAddress is an address that refuses connections.
 	ClosedAddress = "127.0.0.1:1"
 )
 
-// The start and the end of a response with a chunked body.
+// Start and end of a response with a chunked body.
 const (
 	ChunkedHead = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 	LastChunk   = "0\r\n\r\n"
 )
 
-// Chunk returns a line, with its line end, as one chunk of a body.
+// Chunk returns a line, including a newline, as one chunk of a body.
 func Chunk(line string) string { return fmt.Sprintf("%x\r\n%s\n\r\n", len(line)+1, line) }
 
-// Chunked returns the start of a response: its head, and the lines as the first chunks of its body.
+// Chunked returns the start of a chunked response: the head, and the lines as the first chunks of the body.
 func Chunked(lines ...string) string {
 	text := ChunkedHead
 	for _, line := range lines {
@@ -39,18 +39,18 @@
 	return text
 }
 
-// Complete returns a complete response: its head, and a body of the lines.
+// Complete returns a complete chunked response: the head, and a body with the lines.
 func Complete(lines ...string) string { return Chunked(lines...) + LastChunk }
 
-// A Responder answers a request once its body has ended. It writes to the connection what it likes, and may close it.
+// A Responder responds to a request after its body has been read. It may write any bytes to conn, and may close it.
 type Responder func(conn net.Conn, request *http.Request)
 
-// RespondWith returns a Responder that writes the same text each time and leaves the connection open.
+// RespondWith returns a Responder that writes text in response to each request and leaves the connection open.
 func RespondWith(text string) Responder {
 	return func(conn net.Conn, _ *http.Request) { _, _ = io.WriteString(conn, text) }
 }
 
-// RespondAndClose returns a Responder that writes the same text each time and then closes the connection.
+// RespondAndClose returns a Responder that writes text in response to a request and then closes the connection.
 func RespondAndClose(text string) Responder {
 	return func(conn net.Conn, _ *http.Request) {
 		_, _ = io.WriteString(conn, text)
@@ -79,7 +79,7 @@
 	return listener.Addr().String()
 }
 
-// serveConnection answers the requests of one connection until either side ends it.
+// serveConnection responds to the requests on a connection until either side closes it.
 func serveConnection(conn net.Conn, respond Responder) {
 	defer conn.Close()
 	reader := bufio.NewReader(conn)
@@ -88,18 +88,18 @@
 		if err != nil {
 			return
 		}
-		_, _ = io.Copy(io.Discard, request.Body) // a body that is cut off is the test's own doing
+		_, _ = io.Copy(io.Discard, request.Body) // if the body is cut off, the test intends it
 		respond(conn, request)
 	}
 }
 
-// Receive returns the next value of a channel. Without one within EventTimeout it fails the test.
+// Receive returns the next value of a channel. It fails the test if none is received within EventTimeout.
 func Receive[T any](t *testing.T, values <-chan T) (value T) {
 	t.Helper()
 	select {
 	case value = <-values:
 	case <-time.After(EventTimeout):
-		t.Fatal("no value within the timeout")
+		t.Fatal("no value received within the timeout")
 	}
 	return value
 }
--- a/internal/proxy/answer_by_head_test.go
+++ b/internal/proxy/answer_by_head_test.go
@@ -27,7 +27,7 @@
 	p := newProxy(peertest.ClosedAddress)
 	health := &protocol.Head{Method: "GET", Target: "/_health"}
 	assert.Equal(t, 503, p.AnswerByHead(health).Status, "the list is from before the start, and no poll has ended")
-	p.discovery.DontAwaitFirstPoll()
+	p.discovery.SkipFirstPollWait()
 	assert.Equal(t, 200, p.AnswerByHead(health).Status)
 	p.endpoints.Update(&protocol.EndpointList{Complete: true})
 	assert.Equal(t, 503, p.AnswerByHead(health).Status, "there is no worker")
@@ -40,7 +40,7 @@
 func TestOverloadRejectsByHeadWithRetryAfter(t *testing.T) {
 	p := newProxy(peertest.ClosedAddress)
 	p.settings.Load().maxRetryAfter = 2 * time.Second
-	p.discovery.DontAwaitFirstPoll()
+	p.discovery.SkipFirstPollWait()
 	for at := time.Duration(0); at < time.Second; at += admission.SampleInterval {
 		for range 100 {
 			p.admission.Admit()
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -176,7 +176,7 @@
 // the key persisted, which may have taken long. Meanwhile the client may have left, the dedup window may have closed,
 // and the worker may drain or have another address. None of that is a failure of the worker.
 func (a *attempt) mayStillBeSent(ctx context.Context, worker balancer.WorkerID, address string) bool {
-	return ctx.Err() == nil && !a.dedupWindowClosed() && a.proxy.endpoints.Accepts(worker, address)
+	return ctx.Err() == nil && !a.dedupWindowClosed() && a.proxy.endpoints.IsReadyAt(worker, address)
 }
 
 // dedupWindowClosed reports whether the worker might execute the attempt a second time if it were sent now.
--- a/internal/proxy/counters.go
+++ b/internal/proxy/counters.go
@@ -91,6 +91,6 @@
 		Int64("failed", datagrams.Failed.Load()).
 		Int64("heard", datagrams.Received.Load()).
 		Int64("malformed", datagrams.Malformed.Load()).
-		Int64("strangers", datagrams.Strangers.Load()).
+		Int64("strangers", datagrams.UnknownSenders.Load()).
 		Int64("overtaken", datagrams.Reordered.Load())
 }
--- a/internal/proxy/idempotency_keys.go
+++ b/internal/proxy/idempotency_keys.go
@@ -38,7 +38,7 @@
 	if prior == nil || err != nil {
 		return nil, err
 	}
-	worker, known := p.endpoints.Find(func(endpoint *protocol.Endpoint) bool {
+	worker, known := p.endpoints.FindWorker(func(endpoint *protocol.Endpoint) bool {
 		return configured.dropsRepeatsWith(endpoint, prior)
 	})
 	if !known {
--- a/internal/proxy/migration_import.go
+++ b/internal/proxy/migration_import.go
@@ -41,7 +41,7 @@
 func (p *Proxy) renumberWorkers(migrated *MigratedRequest) error {
 	for number := range migrated.Balancing.Attempts {
 		id := migrated.Workers[number]
-		worker, known := p.endpoints.ByID(id)
+		worker, known := p.endpoints.WorkerByID(id)
 		if !known {
 			return fmt.Errorf("worker %q is not known here", id)
 		}
--- a/internal/proxy/operators_test.go
+++ b/internal/proxy/operators_test.go
@@ -65,7 +65,7 @@
 	datagrams.Failed.Store(25)
 	datagrams.Received.Store(26)
 	datagrams.Malformed.Store(27)
-	datagrams.Strangers.Store(28)
+	datagrams.UnknownSenders.Store(28)
 	datagrams.Reordered.Store(29)
 	for outcome := range balancer.Outcome(11) {
 		counts.outcomes[outcome].Store(100 + int64(outcome))
@@ -96,7 +96,7 @@
 // TestAnswersByPathAndMethod pins the answers that follow from the head alone.
 func TestAnswersByPathAndMethod(t *testing.T) {
 	p := newProxy(peertest.ClosedAddress)
-	p.discovery.DontAwaitFirstPoll()
+	p.discovery.SkipFirstPollWait()
 	for _, test := range []struct {
 		name, method, target string
 		want                 *protocol.Response
@@ -118,7 +118,7 @@
 func TestReasonsOfNotBeingReady(t *testing.T) {
 	p := newProxy(peertest.ClosedAddress)
 	assert.EqualError(t, p.Ready(), "takes no clients: no list of workers yet")
-	p.discovery.DontAwaitFirstPoll()
+	p.discovery.SkipFirstPollWait()
 	assert.NoError(t, p.Ready())
 	p.lifecycle.Drain(time.Now())
 	assert.EqualError(t, p.Ready(), "takes no clients: leaving")
--- a/internal/proxy/peers.go
+++ b/internal/proxy/peers.go
@@ -15,7 +15,9 @@
 }
 
 // MergeEndpoints applies later starts and drains of workers that peers have learned.
-func (p *Proxy) MergeEndpoints(endpoints []protocol.Endpoint) { p.discovery.Merge(endpoints) }
+func (p *Proxy) MergeEndpoints(endpoints []protocol.Endpoint) {
+	p.discovery.MergePeerEndpoints(endpoints)
+}
 
 // InFlightByWorker returns how many attempts of this process are in flight, by the worker's ID.
 func (p *Proxy) InFlightByWorker() map[string]int { return p.inFlightFor(balancer.Successor) }
@@ -33,7 +35,7 @@
 // ReceiveLoad applies how many attempts another dispatcher has in flight at a worker. process is the dispatcher's
 // position.
 func (p *Proxy) ReceiveLoad(process int, workerID string, inFlight int) {
-	if worker, known := p.endpoints.ByID(workerID); known {
+	if worker, known := p.endpoints.WorkerByID(workerID); known {
 		peer := balancer.PeerID(process * p.balancer.Count())
 		p.balancer.ReceiveLoad(peer, balancer.WorkerLoad{Worker: worker, InFlight: inFlight})
 	}
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -106,7 +106,7 @@
 	p.discovery = discovery.NewWatcher(p.watcherConfig(), p.endpoints, shards, pool, log)
 	p.applySettings(c, initialIDs(c))
 	successor := p.seedEndpoints()
-	p.gossip = gossip.New(gossip.Config{Peers: c.Peers, Position: c.Position, Successor: successor},
+	p.gossip = gossip.New(gossip.Config{Peers: c.Peers, Position: c.Position, IsSuccessor: successor},
 		shards, p.endpoints, datagrams)
 	return p
 }
--- a/internal/proxy/queueing_test.go
+++ b/internal/proxy/queueing_test.go
@@ -32,7 +32,7 @@
 			assert.NoError(t, err)
 			assert.Positive(t, overloaded)
 			assert.Equal(t, 1.0, p.admission.AdmittedShare())
-			assert.Less(t, p.admission.Examined(), int64(1000), "samples have started new intervals")
+			assert.Less(t, p.admission.IntervalRequests(), int64(1000), "samples have started new intervals")
 			return
 		}
 	}
--- a/internal/proxy/readiness.go
+++ b/internal/proxy/readiness.go
@@ -26,7 +26,7 @@
 // workersAvailable returns nil while there are workers to send to, or else an errNotReady that says why not.
 func (p *Proxy) workersAvailable() error {
 	switch {
-	case !p.discovery.FirstPollOver():
+	case !p.discovery.FirstPollDone():
 		return fmt.Errorf("%w: no list of workers yet", errNotReady)
 	case !p.endpoints.HasWorkers():
 		return fmt.Errorf("%w: no worker is listed", errNotReady)
--- a/internal/proxy/sibling.go
+++ b/internal/proxy/sibling.go
@@ -39,7 +39,7 @@
 func (p *Proxy) workerLoads(inFlight map[string]int) []balancer.WorkerLoad {
 	var loads []balancer.WorkerLoad
 	for id, count := range inFlight {
-		if worker, known := p.endpoints.ByID(id); known {
+		if worker, known := p.endpoints.WorkerByID(id); known {
 			loads = append(loads, balancer.WorkerLoad{Worker: worker, InFlight: count})
 		}
 	}
@@ -50,7 +50,7 @@
 func (p *Proxy) recentSends(sent map[string]balancer.Work) []balancer.RecentSend {
 	var sends []balancer.RecentSend
 	for id, work := range sent {
-		if worker, known := p.endpoints.ByID(id); known {
+		if worker, known := p.endpoints.WorkerByID(id); known {
 			sends = append(sends, balancer.RecentSend{Worker: worker, Work: work})
 		}
 	}
--- a/internal/proxy/snapshot.go
+++ b/internal/proxy/snapshot.go
@@ -66,7 +66,7 @@
 		p.lifecycle.Drain(time.Now())
 	}
 	p.ReceiveSiblingUpdate(balancer.Predecessor, s.Sibling)
-	p.discovery.DontAwaitFirstPoll()
+	p.discovery.SkipFirstPollWait()
 	return true, nil
 }
 
@@ -80,7 +80,7 @@
 			if previous >= len(s.Endpoints) {
 				return 0, false
 			}
-			worker, known := p.endpoints.ByID(s.Endpoints[previous].ID)
+			worker, known := p.endpoints.WorkerByID(s.Endpoints[previous].ID)
 			return int(worker), known
 		})
 		learned.Zones = renumber(learned.Zones, func(previous int) (int, bool) {
