--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -73,7 +73,7 @@
 }
 
 // readWatch reads an open watch and applies its lines until it ends.
-func (w *Watcher) readWatch(ctx context.Context, conn *transport.Conn, body protocol.Body) openWatchEnd {
+func (w *Watcher) readWatch(ctx context.Context, conn *transport.Conn, body protocol.Body) watchOutcome {
 	var reader protocol.LineReader
 	var applyErr error
 	readErr := conn.ReadChunks(&body, func(data []byte) (more bool) {
--- a/internal/discovery/watch_end.go
+++ b/internal/discovery/watch_end.go
@@ -90,26 +90,26 @@
 	return transport.CloseReasonOf(err)
 }
 
-// openWatchEnd describes the end of an open watch.
-type openWatchEnd struct {
+// watchOutcome describes the end of an open watch.
+type watchOutcome struct {
 	closeReason transport.CloseReason // reason for closing the connection
 	err         error                 // nil if this process ended the watch
 }
 
 // classifyWatchEnd classifies the end of an open watch, whose context is ctx. readErr is the error of reading from the
 // connection, or nil after a complete response. applyErr is nil unless a line was malformed or too long.
-func classifyWatchEnd(ctx context.Context, readErr, applyErr error) openWatchEnd {
+func classifyWatchEnd(ctx context.Context, readErr, applyErr error) watchOutcome {
 	switch {
 	case errors.Is(context.Cause(ctx), errAddressChanged):
-		return openWatchEnd{closeReason: transport.Stale}
+		return watchOutcome{closeReason: transport.Stale}
 	case ctx.Err() != nil:
-		return openWatchEnd{closeReason: transport.Stopping}
+		return watchOutcome{closeReason: transport.Stopping}
 	case applyErr != nil:
-		return openWatchEnd{closeReason: transport.Malformed, err: applyErr}
+		return watchOutcome{closeReason: transport.Malformed, err: applyErr}
 	case readErr == nil:
-		return openWatchEnd{closeReason: transport.CloseRequested, err: errWatchEnded}
+		return watchOutcome{closeReason: transport.CloseRequested, err: errWatchEnded}
 	case transport.CloseReasonOf(readErr) == transport.TooSlow:
-		return openWatchEnd{closeReason: transport.WatchTimeout, err: readErr}
+		return watchOutcome{closeReason: transport.WatchTimeout, err: readErr}
 	}
-	return openWatchEnd{closeReason: transport.CloseReasonOf(readErr), err: readErr}
+	return watchOutcome{closeReason: transport.CloseReasonOf(readErr), err: readErr}
 }
