--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -178,7 +178,7 @@
 // may have taken a long time. Meanwhile the client may have disconnected, the dedup window may have closed, and the
 // worker may have started to drain or have changed its address. None of these is a failure of the worker.
 func (a *attempt) canStillSend(ctx context.Context, worker balancer.WorkerID, address string) bool {
-	return ctx.Err() == nil && !a.dedupWindowClosed() && a.proxy.endpoints.Accepts(worker, address)
+	return ctx.Err() == nil && !a.dedupWindowClosed() && a.proxy.endpoints.IsReadyAt(worker, address)
 }
 
 // dedupWindowClosed reports whether the worker could execute the request a second time if the attempt were sent now.
--- a/internal/proxy/idempotency_keys.go
+++ b/internal/proxy/idempotency_keys.go
@@ -38,7 +38,7 @@
 	if prior == nil || err != nil {
 		return nil, err
 	}
-	worker, known := p.endpoints.Find(func(endpoint *protocol.Endpoint) bool {
+	worker, known := p.endpoints.FindWorker(func(endpoint *protocol.Endpoint) bool {
 		return op.isInDedupGroup(endpoint, prior)
 	})
 	if !known {
--- a/internal/proxy/migration_import.go
+++ b/internal/proxy/migration_import.go
@@ -43,7 +43,7 @@
 func (p *Proxy) renumberWorkers(migrated *MigratedRequest) error {
 	for number := range migrated.Balancing.Attempts {
 		id := migrated.Workers[number]
-		worker, known := p.endpoints.ByID(id)
+		worker, known := p.endpoints.WorkerByID(id)
 		if !known {
 			return fmt.Errorf("unknown worker %q", id)
 		}
--- a/internal/proxy/operators_test.go
+++ b/internal/proxy/operators_test.go
@@ -64,7 +64,7 @@
 	datagrams.Failed.Store(25)
 	datagrams.Received.Store(26)
 	datagrams.Malformed.Store(27)
-	datagrams.Strangers.Store(28)
+	datagrams.UnknownSenders.Store(28)
 	datagrams.Reordered.Store(29)
 	for outcome := range balancer.Outcome(11) {
 		counts.outcomes[outcome].Store(100 + int64(outcome))
@@ -95,7 +95,7 @@
 // TestHeadResponsesByPathAndMethod checks the responses that depend on the head alone.
 func TestHeadResponsesByPathAndMethod(t *testing.T) {
 	p := newProxy(peertest.ClosedAddress)
-	p.discovery.DontAwaitFirstPoll()
+	p.discovery.SkipFirstPollWait()
 	for _, test := range []struct {
 		name, method, target string
 		want                 *protocol.Response
@@ -117,7 +117,7 @@
 func TestNotReadyReasons(t *testing.T) {
 	p := newProxy(peertest.ClosedAddress)
 	assert.EqualError(t, p.Ready(), "takes no clients: no list of workers yet")
-	p.discovery.DontAwaitFirstPoll()
+	p.discovery.SkipFirstPollWait()
 	assert.NoError(t, p.Ready())
 	p.lifecycle.Drain(time.Now())
 	assert.EqualError(t, p.Ready(), "takes no clients: leaving")
--- a/internal/proxy/peers.go
+++ b/internal/proxy/peers.go
@@ -15,7 +15,7 @@
 }
 
 // MergeEndpoints applies newer starts and drains of workers that peers have received.
-func (p *Proxy) MergeEndpoints(endpoints []protocol.Endpoint) { p.discovery.Merge(endpoints) }
+func (p *Proxy) MergeEndpoints(endpoints []protocol.Endpoint) { p.discovery.MergePeerEndpoints(endpoints) }
 
 // InFlightByWorker returns the number of attempts that this process has in flight, by worker ID.
 func (p *Proxy) InFlightByWorker() map[string]int { return p.inFlightFor(balancer.Successor) }
@@ -33,7 +33,7 @@
 // ReceiveLoad applies the number of attempts that another dispatcher has in flight at a worker. position is the
 // dispatcher's position in Config.Peers. Unknown workers are ignored.
 func (p *Proxy) ReceiveLoad(position int, workerID string, inFlight int) {
-	if worker, known := p.endpoints.ByID(workerID); known {
+	if worker, known := p.endpoints.WorkerByID(workerID); known {
 		peer := balancer.PeerID(position * p.balancer.Count())
 		p.balancer.ReceiveLoad(peer, balancer.WorkerLoad{Worker: worker, InFlight: inFlight})
 	}
--- a/internal/proxy/snapshot.go
+++ b/internal/proxy/snapshot.go
@@ -67,7 +67,7 @@
 		p.lifecycle.Drain(time.Now())
 	}
 	p.ReceiveSiblingUpdate(balancer.Predecessor, s.Sibling)
-	p.discovery.DontAwaitFirstPoll()
+	p.discovery.SkipFirstPollWait()
 	return true, nil
 }
 
@@ -82,7 +82,7 @@
 			if previous >= len(s.Endpoints) {
 				return 0, false
 			}
-			worker, known := p.endpoints.ByID(s.Endpoints[previous].ID)
+			worker, known := p.endpoints.WorkerByID(s.Endpoints[previous].ID)
 			return int(worker), known
 		})
 		learned.Zones = renumber(learned.Zones, func(previous int) (int, bool) {
