--- a/internal/balancer/config.go
+++ b/internal/balancer/config.go
@@ -28,7 +28,7 @@
 	DedupWindow      Duration // duration for which workers remember the key of a request; 0 if they do not
 	Value            float64  // of an answer that meets the objective
 	LateShare        float64  // share of the value that a late answer has, 0 to 1
-	Stretch          float64  // the objective grows by this multiple of the size, including the run; no growth up to 1
+	Stretch          float64  // the objective grows by this multiple of the size: 1 for the run itself; less counts as 1
 	Idempotency      Idempotency
 	DedupScope       DedupScope
 	Kind             KindID // the kind of worker that runs it, or AnyKind
@@ -46,7 +46,7 @@
 	Name  string  // identifies it across configurations
 }
 
-// AttemptConfig is what the platform permits and reports about attempts.
+// AttemptConfig describes what the platform permits and reports about attempts.
 type AttemptConfig struct {
 	Max             int  // attempts per request, at least 1; with 0 no attempt is ever sent
 	Cancellation    bool // attempts in flight may be canceled
--- a/internal/balancer/derived_config.go
+++ b/internal/balancer/derived_config.go
@@ -40,7 +40,7 @@
 
 	// Limits, costs and weights.
 	maxAttempts          int
-	startTimeout         Duration // how long an attempt may stay unstarted; also the review interval at most
+	startTimeout         Duration // how long an attempt may stay unstarted; also the maximum review interval
 	margin               Duration // safety margin before deadlines
 	overQuotaShare       float64  // weight of a request beyond its tenant's quota
 	crossZoneCost        float64  // cost of an attempt in another zone
--- a/internal/balancer/eligibility.go
+++ b/internal/balancer/eligibility.go
@@ -16,11 +16,11 @@
 	tooSlowWhileWarmingUp   // the request could meet its objective, but not on this worker while it is warming up
 
 	// The worker accepts no attempt of any request, or none of a tenant beyond its quota.
-	notHealthy           // the endpoint list has it as draining or gone
+	notHealthy           // the endpoint list shows it as draining or gone
 	unstartedAttempt     // an earlier attempt has not started: the worker is full despite its estimated slots
 	probeInFlight        // it failed, and an attempt that probes it is in flight
 	noFreeSlot           // as many attempts are in flight as it has slots
-	backingOff           // it is ejected, was overloaded, or another dispatcher is to try it first
+	backingOff           // it is ejected, was overloaded, or its notBefore time has not been reached
 	reservedForQuota     // its remaining slots are reserved for requests within their tenant's quota
 	aboveMeanLoad        // it has too many more attempts in flight than the mean of the subset (STAR)
 	loadUnknown          // it is warming up, and its load from other dispatchers is unknown
@@ -39,15 +39,15 @@
 // workerFilter restricts a search to some workers.
 type workerFilter struct {
 	sameZone       bool // only workers of this dispatcher's zone
-	onlyWithCredit bool // only workers that are warming up and for which an attempt is credited
+	onlyWithCredit bool // only workers that are warming up and for which this dispatcher has credit
 }
 
 // exclusionOf returns why an attempt of a request may not be sent to a worker of a subset now, or eligible. If there
 // are several reasons, it returns the first one. From slowStartExclusion on the order matters, because that check
 // accrues credit when it is called.
 //
-// The callers skip workers outside the subset, and those that maybeFreeWorkers has found to be full. While the endpoint
-// list dates from before the start of this process, no worker is searched for at all.
+// The callers skip workers outside the subset, and those that maybeFreeWorkers has found to be full. While attempts
+// based on the endpoint list are forbidden (EndpointsStale), dispatchDueAt prevents any search for pending requests.
 func (b *Balancer) exclusionOf(req *request, id WorkerID, candidates *subset, filter workerFilter) exclusion {
 	if reason := b.suitabilityExclusion(req, id, filter); reason != eligible {
 		return reason
--- a/internal/balancer/gossip.go
+++ b/internal/balancer/gossip.go
@@ -25,9 +25,9 @@
 // gossip holds the relative ages of peers, and the times at which they are sent the loads of this dispatcher. The loads
 // that they report are in workerGossip.
 type gossip struct {
-	seniorPeers         []bool // by PeerID: peers that started before this dispatcher
-	juniorPeers         []bool // by PeerID: peers that started after this dispatcher
-	changedLoads        []WorkerID
+	seniorPeers         []bool     // by PeerID: peers that started before this dispatcher
+	juniorPeers         []bool     // by PeerID: peers that started after this dispatcher
+	changedLoads        []WorkerID // workers whose loads are to be sent at sendLoadsAt
 	sendLoadsAt         Time
 	resendAt            Time
 	resendInterval      Duration // interval at which unchanged loads are resent
@@ -38,8 +38,8 @@
 type workerGossip struct {
 	peerInFlight int // sum of peerLoads
 	peerLoads    []peerLoad
-	lastSentLoad int       // number in flight as last sent to peers, or notSent
-	peers        peerRange // dispatchers that have the worker in their subset
+	lastSentLoad int             // number in flight as last sent to peers, or notSent
+	dispatchers  dispatcherRange // dispatchers that have the worker in their subset
 }
 
 // peerLoad is the last load of a worker that a peer reported.
@@ -132,9 +132,9 @@
 // dispatcher whose attempt ended is the first to know, and therefore the first to send.
 func (b *Balancer) staggerAccess(id WorkerID) {
 	w := &b.workers[id]
-	sharers := max(w.gossip.peers.count(), 1)
+	dispatcherCount := max(w.gossip.dispatchers.count(), 1)
 	rotation := int(b.now / Second) // so that the last dispatcher changes over time
-	rank := (b.config.position + rotation) % sharers
+	rank := (b.config.position + rotation) % dispatcherCount
 	// A peer receives the load of the preceding dispatcher within half of the start timeout.
 	w.notBefore = b.now.Add(Duration(rank) * b.config.startTimeout / 2)
 	b.due.scheduleReview(w.notBefore)
@@ -142,9 +142,9 @@
 
 // subsetPeers yields the other dispatchers that have a worker in their subset.
 func (b *Balancer) subsetPeers(id WorkerID) iter.Seq[PeerID] {
-	sharers := b.workers[id].gossip.peers
+	dispatchers := b.workers[id].gossip.dispatchers
 	return func(yield func(PeerID) bool) {
-		for n := sharers.from; n < sharers.to; n++ {
+		for n := dispatchers.from; n < dispatchers.to; n++ {
 			if peer := n % b.config.dispatchers; peer != b.config.position && !yield(PeerID(peer)) {
 				return
 			}
@@ -156,14 +156,14 @@
 // endpoint list, it returns all other dispatchers.
 func (b *Balancer) gossipPeers() (peers []PeerID) {
 	workers := b.subsetting.subsets[allIntervals].workers
-	shares := make([]bool, b.config.dispatchers)
+	sharesWorker := make([]bool, b.config.dispatchers)
 	for _, id := range workers {
 		for peer := range b.subsetPeers(id) {
-			shares[peer] = true
+			sharesWorker[peer] = true
 		}
 	}
-	for peer := range shares {
-		if peer != b.config.position && (shares[peer] || len(workers) == 0) {
+	for peer := range sharesWorker {
+		if peer != b.config.position && (sharesWorker[peer] || len(workers) == 0) {
 			peers = append(peers, PeerID(peer))
 		}
 	}
--- a/internal/balancer/hedging.go
+++ b/internal/balancer/hedging.go
@@ -4,10 +4,10 @@
 // attempt must not take the slot of a first one.
 const maxHedgeLoadShare = 0.5
 
-// shouldHedge reports whether the only attempt of a request has run for longer than the time left until its deadline.
-// Its worker is then slow or will not respond. Hedging earlier would mostly duplicate healthy work: hints are rough,
-// and many requests that run for four times their hint are merely large. It requires workers that report starts.
-// reviewRequest calls it only if no request is pending.
+// shouldHedge reports whether the only attempt of a request has run for longer than the time left until the deadline of
+// the request. Its worker is then slow or will not respond. Hedging earlier would mostly duplicate healthy work: hints
+// are rough, and many requests that run for four times their hint are merely large. Hedging requires workers that report
+// starts. reviewRequest calls shouldHedge only if no request is pending.
 func (b *Balancer) shouldHedge(req *request) bool {
 	if req.inFlight != 1 {
 		return false
--- a/internal/balancer/hints.go
+++ b/internal/balancer/hints.go
@@ -7,7 +7,7 @@
 	// worker is warm.
 	verifiedPace = 0.7
 
-	// hintConfidence is the share of the waiting time allowed by a hint that is relied on.
+	// hintConfidence is the share of the additional waiting time allowed by a hint that is treated as certain.
 	hintConfidence = 0.5
 
 	// stopConfidence is the share of the time left until the process exits that a request may need according to its hint.
--- a/internal/balancer/migration.go
+++ b/internal/balancer/migration.go
@@ -115,14 +115,14 @@
 }
 
 func (b *Balancer) importRequest(id RequestID, migrated MigratedRequest) {
-	number := b.operations.findOrAdd(migrated.operation())
-	left := DurationOf(time.Until(migrated.Deadline))
+	operationID := b.operations.findOrAdd(migrated.operation())
+	remaining := DurationOf(time.Until(migrated.Deadline))
 	imported := b.requests.reserve(id)
 	*imported = request{
-		operation:         number,
-		deadline:          b.now.Add(left - b.config.margin),
+		operation:         operationID,
+		deadline:          b.now.Add(remaining - b.config.margin),
 		latestStart:       migrated.LatestStart,
-		startWaitDeadline: b.startWaitDeadline(&b.operations.byID[number], migrated.LatestStart),
+		startWaitDeadline: b.startWaitDeadline(&b.operations.byID[operationID], migrated.LatestStart),
 		late:              b.now > migrated.LatestStart,
 		size:              migrated.Size,
 		interval:          b.sizes.IntervalOf(migrated.Size),
--- a/internal/balancer/operations.go
+++ b/internal/balancer/operations.go
@@ -121,11 +121,11 @@
 }
 
 // observeRun records the run time of a successful attempt.
-func (op *operation) observeRun(took Duration) {
+func (op *operation) observeRun(runTime Duration) {
 	earlier := op.runs
 	op.runs++
-	if took > 0 {
-		op.meanRun += sampleWeight(earlier) * (float64(took) - op.meanRun)
+	if runTime > 0 {
+		op.meanRun += sampleWeight(earlier) * (float64(runTime) - op.meanRun)
 	}
 }
 
--- a/internal/balancer/outcome.go
+++ b/internal/balancer/outcome.go
@@ -45,7 +45,8 @@
 	FinalAnswer               // the request is closed with the result of this attempt
 )
 
-// answerOf returns FinalAnswer if the request was closed by its attempt, and NoAnswer otherwise.
+// answerOf returns FinalAnswer for an attempt that ends when its request handle is closed, and NoAnswer otherwise. If
+// something other than the attempt closed the handle, the Balancer has closed the request too and ignores the value.
 func answerOf(closed bool) Answer {
 	if closed {
 		return FinalAnswer
--- a/internal/balancer/pick_worker.go
+++ b/internal/balancer/pick_worker.go
@@ -5,8 +5,8 @@
 const minFreeSlotRatio = 0.5
 
 // pickWorker selects a worker for a request: the next eligible one in the round-robin order of its interval's subset,
-// or else of the other subsets (STAR). Without gossip, workers that are warming up and have credit for an attempt are
-// preferred.
+// or else of the other subsets (STAR). Without gossip, it prefers workers of this dispatcher's zone that are warming up
+// and for which this dispatcher has credit for an attempt.
 //
 // If attempts in other zones have a cost, workers of this dispatcher's zone are preferred. If dispatchers do not share
 // their load, this holds for the first attempt only: retries in a full zone would use up all attempts while another
@@ -41,7 +41,7 @@
 }
 
 // mayUseWholeRing reports whether workers whose load no peer reports may be tried. They are skipped while most load
-// reports show no free slot, and for some time after one of them rejected an attempt.
+// reports show no free slot, and for some time after one of them rejected an attempt or did not start it in time.
 func (b *Balancer) mayUseWholeRing() bool {
 	return b.slots.freeSlotRatio >= minFreeSlotRatio && b.now >= b.gossip.unreportedNotBefore
 }
--- a/internal/balancer/picker.go
+++ b/internal/balancer/picker.go
@@ -54,8 +54,8 @@
 	handles   []*RequestHandle // by RequestID; nil if the ID is free
 	freeIDs   []RequestID
 	openCount int
-	siblings  [siblingRoleCount]inFlightByWorker
-	stopAt    Time // latest time for an answer; never, unless the process is stopping
+	siblings  [siblingRoleCount]inFlightByWorker // attempts in flight as last reported by each sibling
+	stopAt    Time                               // latest time for an answer; never, unless the process is stopping
 	lifetime  context.Context
 	cancelAll context.CancelCauseFunc
 
@@ -289,20 +289,20 @@
 // Without this limit, an attempt that is decided on within the window could be sent after it if its connection is
 // established late.
 func (p *Picker) sendBy(id RequestID) time.Time {
-	var noBound time.Time
+	var noLimit time.Time
 	b := p.balancer
 	req := b.requests.get(id)
 	op := &b.operations.byID[req.operation]
 	if op.idempotency != IdempotentByKey {
-		return noBound
+		return noLimit
 	}
 	for n := range len(req.attempts) - 1 { // attempts are in the order in which they were sent
 		if earlier := &req.attempts[n]; earlier.mayRun() {
-			left := b.dedupExpiresAt(op, earlier).Sub(b.now)
-			return time.Now().Add(left.Standard())
+			untilExpiry := b.dedupExpiresAt(op, earlier).Sub(b.now)
+			return time.Now().Add(untilExpiry.Standard())
 		}
 	}
-	return noBound
+	return noLimit
 }
 
 // signal wakes the reader of a channel of capacity 1, unless a signal is already pending.
--- a/internal/balancer/polling/polling.go
+++ b/internal/balancer/polling/polling.go
@@ -151,8 +151,9 @@
 	}
 }
 
-// RecordInitialList records that a list from before the start is in use, and schedules the first poll. Workers may have
-// been drained or removed since that list. Dispatchers that start together poll in the order of their positions.
+// RecordInitialList records that a list from before the start, or from a peer, is in use, and schedules the next poll.
+// Workers may have been drained or removed since that list. Dispatchers that start together poll in the order of their
+// positions.
 func (s *Schedule) RecordInitialList(now tick.Time) {
 	c := &s.config
 	s.nextPoll = now.Add(c.initialSpread() * tick.Duration(c.Position) / tick.Duration(c.Dispatchers))
--- a/internal/balancer/quota/quota.go
+++ b/internal/balancer/quota/quota.go
@@ -40,8 +40,8 @@
 	At       tick.Time
 }
 
-// SetQuota sets the quota of the tenant with a name, in requests per second, and returns the tenant's number, which
-// never changes. It adds the tenant if the name is new.
+// SetQuota sets the quota of the named tenant, in requests per second, and returns the tenant's number, which never
+// changes. It adds the tenant if the name is new.
 func (t *Tenants) SetQuota(name string, quota float64) int {
 	number := slices.IndexFunc(t.tenants, func(known tenant) bool { return known.name == name })
 	if number < 0 {
--- a/internal/balancer/shards.go
+++ b/internal/balancer/shards.go
@@ -58,7 +58,7 @@
 	return s.pickers[s.roundRobin.Add(1)%uint32(len(s.pickers))]
 }
 
-// firstPicker returns the first shard, for queries with the same result at every shard.
+// firstPicker returns the first shard, which represents the process where a single shard is queried or updated.
 func (s *Shards) firstPicker() *Picker { return s.pickers[0] }
 
 // updateAll runs call on the Balancer of each shard in turn, and applies the rules that are due.
@@ -68,7 +68,7 @@
 	}
 }
 
-// updateAllForProcess runs call on the Balancer of each shard in turn, for each shard of another process.
+// updateAllForProcess runs call on the Balancer of each shard in turn, once for each shard of another process.
 func (s *Shards) updateAllForProcess(process int, call func(b *Balancer, peer PeerID)) {
 	for _, picker := range s.pickers {
 		for n := range s.pickers {
--- a/internal/balancer/slotestimate/slotestimate.go
+++ b/internal/balancer/slotestimate/slotestimate.go
@@ -47,8 +47,8 @@
 	return k.recount()
 }
 
-// recount returns the estimate that agrees with most votes, and updates MaxObserved. A number of slots agrees with each
-// start at once at a load up to that number, and with each wait at a higher load.
+// recount returns the estimate that agrees with most votes, and raises or lowers MaxObserved. A number of slots agrees
+// with each start at once at a load up to that number, and with each wait at a higher load.
 func (k *Kind) recount() (estimate float64) {
 	agreeing, most := 0, 0
 	estimate = k.Estimate
@@ -75,7 +75,7 @@
 
 // Seed sets MaxObserved to a value observed by other dispatchers, and reports whether it was accepted. It is rejected
 // if this dispatcher has its own observations.
-func (k *Kind) Seed(maxObserved float64) (taken bool) {
+func (k *Kind) Seed(maxObserved float64) (accepted bool) {
 	if maxObserved <= 1 || k.MaxObserved > 1 {
 		return false
 	}
--- a/internal/balancer/slow_start.go
+++ b/internal/balancer/slow_start.go
@@ -72,8 +72,8 @@
 	return eligible
 }
 
-// usesCredit reports whether there are so many dispatchers that one dispatcher's share of the budget is too small for a
-// request. If so, each dispatcher earns its attempts one at a time: see warmupCredit.
+// usesCredit reports whether dispatchers do not share their load and are so many that one dispatcher's share of the
+// budget is too small for a request. If so, each dispatcher earns its attempts one at a time: see warmupCredit.
 func (s *slowStartLimits) usesCredit(w warmingWorker) bool {
 	return !s.gossip && s.ownShare(w) < s.minUsefulShare
 }
--- a/internal/balancer/snapshot.go
+++ b/internal/balancer/snapshot.go
@@ -6,9 +6,9 @@
 	"canvasroute/internal/balancer/quota"
 )
 
-// Snapshot is the learned state of a Balancer, for a process that continues with it. Workers and zones keep their
-// numbers. Tenants and kinds are in the order of the configuration, and operations are identified by name. The JSON
-// names are those of earlier versions and of state folders.
+// Snapshot is the learned state of a Balancer, for a process that continues with it. Workers and zones keep their IDs.
+// Tenants and kinds are in the order of the configuration, and operations are identified by name. The JSON names are
+// those of earlier versions and of state folders.
 type Snapshot struct {
 	Operations []OperationStats `json:"Operations"`
 	Tenants    []TenantStats    `json:"Customers"`
--- a/internal/balancer/subsetting.go
+++ b/internal/balancer/subsetting.go
@@ -143,8 +143,8 @@
 }
 
 // updateIntervalSubset recomputes this dispatcher's subset of a block. The subset is large enough that each worker has
-// the configured number of dispatchers. It begins at an offset given by this dispatcher's position, and wraps around
-// the block.
+// at least dispatchersPerWorker dispatchers. It begins at an offset given by this dispatcher's position, and wraps
+// around the block.
 func (b *Balancer) updateIntervalSubset(own *subset, block []WorkerID) {
 	dispatchers := b.config.dispatchers
 	size := len(block)
@@ -154,7 +154,7 @@
 	for index, id := range block {
 		// The subset of the dispatcher at position p begins at size*p/dispatchers. So these are the first dispatcher whose
 		// subset includes this worker, and the first one whose subset begins after it.
-		b.workers[id].gossip.peers = peerRange{
+		b.workers[id].gossip.dispatchers = dispatcherRange{
 			from: ceilDiv((index-subsetSize+1+size)*dispatchers, size),
 			to:   ceilDiv((index+1+size)*dispatchers, size),
 		}
@@ -167,10 +167,10 @@
 // ceilDiv divides non-negative integers, and rounds up.
 func ceilDiv(dividend, divisor int) int { return (dividend + divisor - 1) / divisor }
 
-// peerRange is a range of dispatchers by position, modulo the number of dispatchers.
-type peerRange struct {
+// dispatcherRange is a range of dispatchers by position, modulo the number of dispatchers.
+type dispatcherRange struct {
 	from int
 	to   int // exclusive
 }
 
-func (r peerRange) count() int { return r.to - r.from }
+func (r dispatcherRange) count() int { return r.to - r.from }
--- a/internal/balancer/subsetting_test.go
+++ b/internal/balancer/subsetting_test.go
@@ -31,7 +31,7 @@
 		{workers: 1, dispatchers: 40, dispatchersPerWorker: 4},
 	} {
 		usedBy := map[WorkerID][]int{} // dispatchers that have the worker in their subset
-		var peersOf []peerRange        // by WorkerID, as computed by the last dispatcher
+		var peersOf []dispatcherRange  // by WorkerID, as computed by the last dispatcher
 		for position := range c.dispatchers {
 			balancer, _ := newWarmBalancer(c.workers, 1)
 			balancer.config.position = position
@@ -43,7 +43,7 @@
 			}
 			peersOf = nil
 			for _, known := range balancer.workers {
-				peersOf = append(peersOf, known.gossip.peers)
+				peersOf = append(peersOf, known.gossip.dispatchers)
 			}
 		}
 		for id := range WorkerID(c.workers) {
--- a/internal/balancer/types.go
+++ b/internal/balancer/types.go
@@ -39,7 +39,7 @@
 // The values of Idempotency.
 const (
 	Idempotent      Idempotency = iota // may be executed any number of times
-	IdempotentByKey                    // again on workers that deduplicate by key, within the dedup window and scope
+	IdempotentByKey                    // may be repeated within the dedup window and scope: workers deduplicate by key
 	NonIdempotent                      // must not be repeated if it may have been executed
 )
 
--- a/internal/balancer/units.go
+++ b/internal/balancer/units.go
@@ -22,7 +22,7 @@
 	Tick = tick.Unit
 
 	// DistantPast is the earliest Time. Timestamp fields hold it for events that have not happened, or that happened
-	// before the balancer could observe them. notYet, noExit and noFleetRestart are aliases of it.
+	// before the balancer could observe them. notYet, noExit and noFleetRestart have the same value.
 	DistantPast Time = 0
 
 	never   = tick.Never
--- a/internal/balancer/unstarted_attempts.go
+++ b/internal/balancer/unstarted_attempts.go
@@ -45,7 +45,9 @@
 
 // migrateUnstarted moves an attempt from the queue of its worker, which is full despite its estimated slots, to a
 // worker with a free slot. The wait counts in the slot estimate of the first worker, whether or not another worker is
-// found. The new attempt is sent before the first one is canceled, so the platform must allow a second attempt.
+// found. If delivery notices are configured but the delivery has not been reported, the wait counts in the mean delivery
+// time of the worker's zone instead. The new attempt is sent before the first one is canceled, so the platform must
+// allow a second attempt.
 func (b *Balancer) migrateUnstarted(id RequestID, waiting *attempt) {
 	req := b.requests.get(id)
 	if waiting.deliveredAt != notYet || !b.config.deliveryNotices {
--- a/internal/balancer/worker_table.go
+++ b/internal/balancer/worker_table.go
@@ -2,8 +2,8 @@
 
 import "canvasroute/internal/balancer/outlier"
 
-// worker is the state of one worker, indexed by WorkerID. health is changed by ejection.go and overload.go, gossip by
-// gossip.go, and warmup by warm_up.go, warmup_credit.go and process_exit.go.
+// worker is the state of one worker, indexed by WorkerID. The rules for health are in ejection.go and overload.go, those
+// for gossip in gossip.go, and those for warmup in warm_up.go, warmup_credit.go and process_exit.go.
 type worker struct {
 	hash  uint64 // hash of its ID: its position on the ring
 	zone  ZoneID
@@ -13,7 +13,7 @@
 
 	inFlight  int  // attempts of this dispatcher, including those of a sibling process
 	unstarted int  // number of these whose start has not been reported
-	notBefore Time // earliest time for the next attempt: before it, another dispatcher may send
+	notBefore Time // earliest time for the next attempt: see staggerAccess and delayWarmingWorkers
 
 	health outlier.Worker
 	gossip workerGossip
