--- a/internal/balancer/doc.go
+++ b/internal/balancer/doc.go
@@ -25,7 +25,7 @@
 //   - size intervals: package sizeinterval; ring and subsets: subsetting.go; choice: pick_worker.go, mean_load.go;
 //     search for candidate workers, without a decision: worker_search.go.
 //   - reasons to skip a worker: eligibility.go, which lists all of them (exclusion).
-//   - slow start of workers: slow_start.go (budget), warmup_credit.go (budget shared by dispatchers), warm_up.go
+//   - slow start of workers: slow_start.go (budget), warmup_credit.go (many dispatchers without gossip), warm_up.go
 //     (warm-up progress of a worker), process_exit.go (restarts that the endpoint list does not contain yet).
 //   - outlier ejection of workers and zones: package outlier, ejection.go; backoff after an overload: overload.go.
 //   - slots of a worker: package slotestimate, slot_estimation.go.
--- a/internal/balancer/gossip.go
+++ b/internal/balancer/gossip.go
@@ -36,10 +36,10 @@
 
 // workerGossip holds the loads of a worker that peers reported, and the load that was last sent to them.
 type workerGossip struct {
-	peerInFlight int // sum of peerLoads
-	peerLoads    []peerLoad
-	lastSentLoad int             // number in flight as last sent to peers, or notSent
-	dispatchers  dispatcherRange // dispatchers that have the worker in their subset
+	peerInFlight      int // sum of peerLoads
+	peerLoads         []peerLoad
+	lastSentLoad      int             // number in flight as last sent to peers, or notSent
+	subsetDispatchers dispatcherRange // dispatchers that have the worker in their subset
 }
 
 // peerLoad is the last load of a worker that a peer reported.
@@ -129,12 +129,12 @@
 // staggerAccess is called when a slot becomes free at a full worker that is warming up. The dispatchers that are
 // informed of it try the worker one after the other, each delayed until it would have received the load of the one
 // before. If all of them sent at once, the attempts that the worker rejects would still count against its budget. The
-// dispatcher whose attempt ended is the first to know, and therefore the first to send.
+// dispatcher whose attempt ended observes the free slot first, and is therefore the first to send.
 func (b *Balancer) staggerAccess(id WorkerID) {
 	w := &b.workers[id]
-	dispatcherCount := max(w.gossip.dispatchers.count(), 1)
+	subsetDispatcherCount := max(w.gossip.subsetDispatchers.count(), 1)
 	rotation := int(b.now / Second) // so that the last dispatcher changes over time
-	rank := (b.config.position + rotation) % dispatcherCount
+	rank := (b.config.position + rotation) % subsetDispatcherCount
 	// A peer receives the load of the preceding dispatcher within half of the start timeout.
 	w.notBefore = b.now.Add(Duration(rank) * b.config.startTimeout / 2)
 	b.due.scheduleReview(w.notBefore)
@@ -142,9 +142,9 @@
 
 // subsetPeers yields the other dispatchers that have a worker in their subset.
 func (b *Balancer) subsetPeers(id WorkerID) iter.Seq[PeerID] {
-	dispatchers := b.workers[id].gossip.dispatchers
+	positions := b.workers[id].gossip.subsetDispatchers
 	return func(yield func(PeerID) bool) {
-		for n := dispatchers.from; n < dispatchers.to; n++ {
+		for n := positions.from; n < positions.to; n++ {
 			if peer := n % b.config.dispatchers; peer != b.config.position && !yield(PeerID(peer)) {
 				return
 			}
--- a/internal/balancer/picker.go
+++ b/internal/balancer/picker.go
@@ -158,7 +158,7 @@
 	return p.openCount
 }
 
-// StopAfter sets a time limit for all answers: the process exits when remaining has elapsed.
+// StopAfter limits the deadlines of all requests, because the process exits when remaining has elapsed.
 func (p *Picker) StopAfter(remaining Duration) {
 	p.update(func(b *Balancer) {
 		p.stopAt = min(p.stopAt, b.now.Add(remaining))
@@ -179,8 +179,8 @@
 // longer needed. Otherwise the process would keep running until the deadlines of its clients.
 func (p *Picker) CancelAll() { p.cancelAll(ErrAttemptCanceled) }
 
-// WouldMissStopDeadline reports whether a request that arrives now would, according to its size hint, not complete
-// before the process exits.
+// WouldMissStopDeadline reports whether a request that arrives now may not complete before the process exits: according
+// to its size hint, or to the median size without one, it needs more than stopConfidence of the time that is left.
 func (p *Picker) WouldMissStopDeadline(arrival Arrival) (misses bool) {
 	p.read(func(b *Balancer) {
 		size := arrival.size()
--- a/internal/balancer/shards.go
+++ b/internal/balancer/shards.go
@@ -92,7 +92,7 @@
 	return open
 }
 
-// StopAfter sets a time limit for all answers: the process exits when remaining has elapsed.
+// StopAfter limits the deadlines of all requests, because the process exits when remaining has elapsed.
 func (s *Shards) StopAfter(remaining Duration) {
 	for _, picker := range s.pickers {
 		picker.StopAfter(remaining)
@@ -106,8 +106,8 @@
 	}
 }
 
-// WouldMissStopDeadline reports whether a request that arrives now would, according to its size hint, not complete
-// before the process exits.
+// WouldMissStopDeadline reports whether a request that arrives now may not complete before the process exits: see
+// Picker.WouldMissStopDeadline.
 func (s *Shards) WouldMissStopDeadline(arrival Arrival) bool {
 	return s.firstPicker().WouldMissStopDeadline(arrival)
 }
--- a/internal/balancer/shards_test.go
+++ b/internal/balancer/shards_test.go
@@ -136,7 +136,7 @@
 		assert.Less(t, len(near), 30)
 		balancer := s.pickers[0].balancer
 		for _, w := range balancer.subsetting.subsets[allIntervals].workers {
-			for p := balancer.workers[w].gossip.dispatchers.from; p < balancer.workers[w].gossip.dispatchers.to; p++ {
+			for p := balancer.workers[w].gossip.subsetDispatchers.from; p < balancer.workers[w].gossip.subsetDispatchers.to; p++ {
 				if p%80 != n {
 					assert.Contains(t, near, p%80, "peer for worker %d", w)
 				}
--- a/internal/balancer/subsetting.go
+++ b/internal/balancer/subsetting.go
@@ -154,7 +154,7 @@
 	for index, id := range block {
 		// The subset of the dispatcher at position p begins at size*p/dispatchers. So these are the first dispatcher whose
 		// subset includes this worker, and the first one whose subset begins after it.
-		b.workers[id].gossip.dispatchers = dispatcherRange{
+		b.workers[id].gossip.subsetDispatchers = dispatcherRange{
 			from: ceilDiv((index-subsetSize+1+size)*dispatchers, size),
 			to:   ceilDiv((index+1+size)*dispatchers, size),
 		}
--- a/internal/balancer/subsetting_test.go
+++ b/internal/balancer/subsetting_test.go
@@ -43,15 +43,15 @@
 			}
 			peersOf = nil
 			for _, known := range balancer.workers {
-				peersOf = append(peersOf, known.gossip.dispatchers)
+				peersOf = append(peersOf, known.gossip.subsetDispatchers)
 			}
 		}
 		for id := range WorkerID(c.workers) {
-			var peers []int
+			var subsetDispatchers []int
 			for number := peersOf[id].from; number < peersOf[id].to; number++ {
-				peers = append(peers, number%c.dispatchers)
+				subsetDispatchers = append(subsetDispatchers, number%c.dispatchers)
 			}
-			assert.ElementsMatch(t, usedBy[id], peers, "worker %d of %+v", id, c)
+			assert.ElementsMatch(t, usedBy[id], subsetDispatchers, "worker %d of %+v", id, c)
 		}
 	}
 }
--- a/internal/balancer/tick/tick.go
+++ b/internal/balancer/tick/tick.go
@@ -28,7 +28,7 @@
 const Millisecond = Duration(time.Millisecond / Unit)
 
 const (
-	// Never is a time that is never reached.
+	// Never is the latest Time, which is never reached.
 	Never = Time(math.MaxInt64)
 	// Forever is an unlimited duration.
 	Forever = Duration(math.MaxInt64)
