--- a/internal/balancer/shards.go
+++ b/internal/balancer/shards.go
@@ -58,7 +58,7 @@
 	return s.pickers[s.roundRobin.Add(1)%uint32(len(s.pickers))]
 }
 
-// firstPicker returns the first shard, for queries with the same result at every shard.
+// firstPicker returns the first shard, which represents the process where a single shard is queried or updated.
 func (s *Shards) firstPicker() *Picker { return s.pickers[0] }
 
 // updateAll runs call on the Balancer of each shard in turn, and applies the rules that are due.
@@ -68,7 +68,7 @@
 	}
 }
 
-// updateAllForProcess runs call on the Balancer of each shard in turn, for each shard of another process.
+// updateAllForProcess runs call on the Balancer of each shard in turn, once for each shard of another process.
 func (s *Shards) updateAllForProcess(process int, call func(b *Balancer, peer PeerID)) {
 	for _, picker := range s.pickers {
 		for n := range s.pickers {
@@ -92,7 +92,7 @@
 	return open
 }
 
-// StopAfter sets a time limit for all answers: the process exits when remaining has elapsed.
+// StopAfter limits the deadlines of all requests, because the process exits when remaining has elapsed.
 func (s *Shards) StopAfter(remaining Duration) {
 	for _, picker := range s.pickers {
 		picker.StopAfter(remaining)
@@ -106,8 +106,8 @@
 	}
 }
 
-// WouldMissStopDeadline reports whether a request that arrives now would, according to its size hint, not complete
-// before the process exits.
+// WouldMissStopDeadline reports whether a request that arrives now may not complete before the process exits: see
+// Picker.WouldMissStopDeadline.
 func (s *Shards) WouldMissStopDeadline(arrival Arrival) bool {
 	return s.firstPicker().WouldMissStopDeadline(arrival)
 }
--- a/internal/balancer/subsetting_test.go
+++ b/internal/balancer/subsetting_test.go
@@ -31,7 +31,7 @@
 		{workers: 1, dispatchers: 40, dispatchersPerWorker: 4},
 	} {
 		usedBy := map[WorkerID][]int{} // dispatchers that have the worker in their subset
-		var peersOf []peerRange        // by WorkerID, as computed by the last dispatcher
+		var peersOf []dispatcherRange  // by WorkerID, as computed by the last dispatcher
 		for position := range c.dispatchers {
 			balancer, _ := newWarmBalancer(c.workers, 1)
 			balancer.config.position = position
@@ -43,15 +43,15 @@
 			}
 			peersOf = nil
 			for _, known := range balancer.workers {
-				peersOf = append(peersOf, known.gossip.peers)
+				peersOf = append(peersOf, known.gossip.subsetDispatchers)
 			}
 		}
 		for id := range WorkerID(c.workers) {
-			var peers []int
+			var subsetDispatchers []int
 			for number := peersOf[id].from; number < peersOf[id].to; number++ {
-				peers = append(peers, number%c.dispatchers)
+				subsetDispatchers = append(subsetDispatchers, number%c.dispatchers)
 			}
-			assert.ElementsMatch(t, usedBy[id], peers, "worker %d of %+v", id, c)
+			assert.ElementsMatch(t, usedBy[id], subsetDispatchers, "worker %d of %+v", id, c)
 		}
 	}
 }
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -45,18 +45,18 @@
 type Watcher struct {
 	Counters Counters
 
-	config   Config
-	table    *Table
-	balancer *balancer.Shards
-	pool     *transport.Pool
-	log      zerolog.Logger
+	config        Config
+	table         *Table
+	balancer      *balancer.Shards
+	pool          *transport.Pool
+	log           zerolog.Logger
 	firstPollDone atomic.Bool // the first poll was answered, failed, or is no longer waited for
 
 	// mu guards address and cancelWatch. It is also held while the end of a watch or a change of the address is
 	// reported to the balancer, so that the reports stay in order.
-	mu      sync.Mutex
-	address string                  // of the discovery service
-	cancelWatch    context.CancelCauseFunc // cancels the current poll or watch; nil if there is none
+	mu          sync.Mutex
+	address     string                  // of the discovery service
+	cancelWatch context.CancelCauseFunc // cancels the current poll or watch; nil if there is none
 
 	hooks testHooks
 }
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -41,19 +41,19 @@
 
 // Config configures an Exchange.
 type Config struct {
-	Peers     []netip.AddrPort // addresses of all dispatchers, including this one
-	Position  int              // index of this dispatcher in Peers
+	Peers       []netip.AddrPort // addresses of all dispatchers, including this one
+	Position    int              // index of this dispatcher in Peers
 	IsSuccessor bool             // this process replaces a predecessor known to the peers, and sends no hello
 }
 
 // Counters count datagrams since the process started.
 type Counters struct {
-	Sent      atomic.Int64
-	Failed    atomic.Int64 // failed to send
-	Received  atomic.Int64 // received and applied
-	Malformed atomic.Int64 // dropped as malformed
+	Sent           atomic.Int64
+	Failed         atomic.Int64 // failed to send
+	Received       atomic.Int64 // received and applied
+	Malformed      atomic.Int64 // dropped as malformed
 	UnknownSenders atomic.Int64 // dropped, because the source address is not a peer's
-	Reordered atomic.Int64 // dropped, because a later one had been received
+	Reordered      atomic.Int64 // dropped, because a later one had been received
 }
 
 // timestamp is the timestamp of the latest datagram from a peer.
@@ -72,19 +72,19 @@
 	datagrams *transport.DatagramSocket // nil if only the shards of this process exchange load
 
 	// The fields below are used only by the receiving goroutine.
-	latestTimestamps       []timestamp // by balancer.PeerID
-	helloRepliedAt []time.Time // time of the last reply to a hello, by process
+	latestTimestamps []timestamp // by balancer.PeerID
+	helloRepliedAt   []time.Time // time of the last reply to a hello, by process
 }
 
 // New returns an Exchange. datagrams is nil if only the shards of this process exchange load.
 func New(c Config, b *balancer.Shards, endpoints Endpoints, datagrams *transport.DatagramSocket) *Exchange {
 	return &Exchange{
-		config:       c,
-		balancer:     b,
-		endpoints:    endpoints,
-		datagrams:    datagrams,
-		latestTimestamps:       make([]timestamp, len(c.Peers)*b.Count()),
-		helloRepliedAt: make([]time.Time, len(c.Peers)),
+		config:           c,
+		balancer:         b,
+		endpoints:        endpoints,
+		datagrams:        datagrams,
+		latestTimestamps: make([]timestamp, len(c.Peers)*b.Count()),
+		helloRepliedAt:   make([]time.Time, len(c.Peers)),
 	}
 }
 
--- a/internal/proxy/peers.go
+++ b/internal/proxy/peers.go
@@ -15,7 +15,9 @@
 }
 
 // MergeEndpoints applies newer starts and drains of workers that peers have received.
-func (p *Proxy) MergeEndpoints(endpoints []protocol.Endpoint) { p.discovery.MergePeerEndpoints(endpoints) }
+func (p *Proxy) MergeEndpoints(endpoints []protocol.Endpoint) {
+	p.discovery.MergePeerEndpoints(endpoints)
+}
 
 // InFlightByWorker returns the number of attempts that this process has in flight, by worker ID.
 func (p *Proxy) InFlightByWorker() map[string]int { return p.inFlightFor(balancer.Successor) }
