--- a/internal/fleet/store/abslot.go
+++ b/internal/fleet/store/abslot.go
@@ -11,28 +11,28 @@
 // slotFiles is the number of files of an abSlot: document n is in file n modulo slotFiles.
 const slotFiles = 2
 
-// abSlot holds one document in two files, A and B, that are written in turn. A write that fails, or that the disk loses
-// after its sync, leaves the previous document in the other file.
+// abSlot stores one document in two files, A and B, that are written alternately. If a write fails, or if the disk loses
+// it after the sync, the other file still holds the previous document.
 type abSlot struct {
 	disk    Disk
-	name    string // of the files, without ".a" and ".b"
+	name    string // of the files, without the suffix ".a" or ".b"
 	kind    recordKind
-	inPlace bool            // files are overwritten in place: the document is written often, and one write of it may be lost
-	number  uint64          // of the newest document that was read or written, 0 for none
-	exists  [slotFiles]bool // by file, for those that are overwritten in place
+	inPlace bool            // overwrite files in place: for a document that is written often and may lose its last write
+	number  uint64          // of the newest document that was read or written, 0 if there is none
+	exists  [slotFiles]bool // by file; only used if inPlace is set
 }
 
-// numberedDocument is a document and its place among all that were written to a slot.
+// numberedDocument is a document with its sequence number in the slot.
 type numberedDocument struct {
 	Number uint64          `cbor:"1,keyasint"`
 	Body   cbor.RawMessage `cbor:"2,keyasint"`
 }
 
-// file returns the name of the file that holds the document of a number.
+// file returns the name of the file for the document with the given number.
 func (s *abSlot) file(number uint64) string { return s.name + "." + string('a'+byte(number%slotFiles)) }
 
-// read decodes the newest document that is complete. found is false if there is none. The error names the files that are
-// lost, also where another one was found.
+// read decodes the newest intact document into v. found is false if there is none. The returned error lists the damaged
+// files; it can be non-nil even if found is true.
 func (s *abSlot) read(v any) (found bool, lost error) {
 	var newest numberedDocument
 	for file := range uint64(slotFiles) {
@@ -59,7 +59,7 @@
 	return true, lost
 }
 
-// readFile reads the document in the file of a number.
+// readFile reads the document from the file for the given number.
 func (s *abSlot) readFile(number uint64) (document numberedDocument, err error) {
 	record, err := s.disk.Read(s.file(number))
 	if err != nil {
@@ -69,7 +69,7 @@
 	return document, err
 }
 
-// write replaces the older one of the two documents, and returns once the new one is durable.
+// write replaces the older of the two documents, and returns once the new one is durable.
 func (s *abSlot) write(v any) error {
 	body, err := cbor.Marshal(v)
 	if err != nil {
@@ -91,7 +91,7 @@
 	return nil
 }
 
-// replace writes a record to a new file, and renames that to the older one of the two.
+// replace writes a record to a new file, and renames it over the older of the two files.
 func (s *abSlot) replace(record []byte) error {
 	fresh := s.name + ".new"
 	if err := s.disk.Write(fresh, record); err != nil {
@@ -106,8 +106,8 @@
 	return s.disk.SyncNames()
 }
 
-// overwrite writes a record over the older one of the two files. Replacing the file would free blocks. Some file systems
-// pass each of them on to the device at once, which holds up all syncs, also those of the keys.
+// overwrite overwrites the older of the two files in place. Replacing the file would free its blocks, and some file
+// systems discard freed blocks on the device immediately, which delays all syncs, including those of the key journal.
 func (s *abSlot) overwrite(record []byte) error {
 	next := (s.number + 1) % slotFiles
 	file := s.file(next)
--- a/internal/fleet/store/disk.go
+++ b/internal/fleet/store/disk.go
@@ -9,39 +9,40 @@
 	"syscall"
 )
 
-// Disk is a folder of files without subfolders. The contents of a file are durable after Sync, its name after SyncNames.
+// Disk is a folder of files without subfolders. The contents of a file are durable after Sync, and its name is durable
+// after SyncNames.
 type Disk interface {
-	Read(name string) ([]byte, error)      // fails with fs.ErrNotExist if there is no such file
+	Read(name string) ([]byte, error)      // fails with fs.ErrNotExist if the file does not exist
 	Write(name string, b []byte) error     // creates or replaces the file
-	Overwrite(name string, b []byte) error // in place: the rest of a longer file stays, and no block is freed
-	Append(name string, b []byte) error    // creates the file if there is none
+	Overwrite(name string, b []byte) error // in place: keeps the rest of a longer file, and frees no blocks
+	Append(name string, b []byte) error    // creates the file if it does not exist
 	Sync(name string) error                // makes the contents of the file durable
-	Rename(from, to string) error          // replaces a file that has the new name
+	Rename(from, to string) error          // replaces an existing file with the new name
 	Remove(name string) error
-	Names() ([]string, error) // in order
-	SyncNames() error         // makes the names of all files durable, and that others were removed
+	Names() ([]string, error) // sorted
+	SyncNames() error         // makes the names of all files and the removal of others durable
 }
 
-// The permissions of the folder and its files: the dispatcher's user alone.
+// The permissions of the folder and its files grant access only to the dispatcher's user.
 const (
 	folderMode fs.FileMode = 0o700
 	fileMode   fs.FileMode = 0o600
 )
 
-// Folder is a Disk in the file system, which one process locks at a time.
+// Folder is a Disk in the file system. At most one process at a time can lock it.
 type Folder struct {
 	path string
-	lock *os.File // nil for a folder that is only read
+	lock *os.File // nil if the folder is read-only
 }
 
-// ErrLocked means that another process has locked the folder.
-var ErrLocked = errors.New("another process holds the folder")
+// ErrLocked is returned if another process has locked the folder.
+var ErrLocked = errors.New("locked by another process")
 
-// lockName is the file that is locked. It is never removed: earlier releases lock the same one.
+// lockName is the name of the lock file. It is never removed, and earlier releases lock the same file.
 const lockName = "lock"
 
-// OpenFolder locks a folder for this process, and creates it if there is none. It fails at once with ErrLocked if another
-// process has locked it. A folder that cannot be written to is opened for reading: ReadOnly reports that.
+// OpenFolder locks a folder for this process, and creates it if it does not exist. It fails immediately with ErrLocked if
+// another process has locked the folder. If the folder is not writable, it is opened read-only, which ReadOnly reports.
 func OpenFolder(path string) (*Folder, error) {
 	if err := os.MkdirAll(path, folderMode); err != nil {
 		return nil, fmt.Errorf("state folder: %w", err)
@@ -77,7 +78,7 @@
 	return &Folder{path: path}, nil
 }
 
-// ReadOnly reports whether the folder is not locked, so that nothing may be written to it.
+// ReadOnly reports whether the folder was opened without a lock, so that it must not be written to.
 func (f *Folder) ReadOnly() bool { return f.lock == nil }
 
 // Close unlocks the folder.
@@ -96,13 +97,13 @@
 // Write creates or replaces a file.
 func (f *Folder) Write(name string, b []byte) error { return os.WriteFile(f.pathOf(name), b, fileMode) }
 
-// Overwrite writes over the beginning of a file, in place.
+// Overwrite overwrites the beginning of a file in place, and creates the file if it does not exist.
 func (f *Folder) Overwrite(name string, b []byte) error { return f.writeWith(0, name, b) }
 
-// Append writes behind the end of a file.
+// Append appends to a file, and creates it if it does not exist.
 func (f *Folder) Append(name string, b []byte) error { return f.writeWith(os.O_APPEND, name, b) }
 
-// writeWith writes to a file that is opened with an additional flag.
+// writeWith opens a file with an additional flag and writes b to it.
 func (f *Folder) writeWith(flag int, name string, b []byte) error {
 	file, err := os.OpenFile(f.pathOf(name), os.O_CREATE|os.O_WRONLY|flag, fileMode)
 	if err != nil {
@@ -126,13 +127,13 @@
 	return errors.Join(file.Sync(), file.Close())
 }
 
-// Rename renames a file, and replaces one that has the new name.
+// Rename renames a file, replacing an existing file with the new name.
 func (f *Folder) Rename(from, to string) error { return os.Rename(f.pathOf(from), f.pathOf(to)) }
 
 // Remove removes a file.
 func (f *Folder) Remove(name string) error { return os.Remove(f.pathOf(name)) }
 
-// Names returns the names of all regular files but the lock, in order.
+// Names returns the names of all regular files except the lock file, sorted.
 func (f *Folder) Names() (names []string, err error) {
 	entries, err := os.ReadDir(f.path)
 	for _, entry := range entries {
--- a/internal/fleet/store/journal.go
+++ b/internal/fleet/store/journal.go
@@ -9,52 +9,52 @@
 	"strings"
 )
 
-// Key records that a request under an idempotency key may have run in a dedup group of workers. It is durable before the
-// first byte is sent to the worker, since after a loss of power nobody else knows that.
+// Key records that a request with an idempotency key may have run in a dedup group of workers. The record is durable
+// before the first byte is sent to the worker, because after a power loss it is the only evidence of the request.
 type Key struct {
 	Sum       uint64 `cbor:"1,keyasint"` // checksum of the operation and the key
-	Worker    string `cbor:"2,keyasint"` // to which the request was sent
+	Worker    string `cbor:"2,keyasint"` // the worker to which the request was sent
 	Zone      string `cbor:"3,keyasint"` // of that worker
 	Cell      int    `cbor:"4,keyasint"` // of that worker
 	SentAt    int64  `cbor:"5,keyasint"` // Unix time in ms
-	ExpiresAt int64  `cbor:"6,keyasint"` // Unix time in ms from which workers no longer drop repeats
+	ExpiresAt int64  `cbor:"6,keyasint"` // Unix time in ms after which workers no longer drop repeats
 }
 
 const (
-	// segmentPrefix is the beginning of a segment's file name; its number follows.
+	// segmentPrefix is the prefix of a segment's file name, which ends with the segment's number.
 	segmentPrefix = "keys."
-	// segmentMillis is how long keys are appended to one segment.
+	// segmentMillis is the duration for which keys are appended to one segment.
 	segmentMillis = 30_000
-	// clockSlackMillis is how long a segment is kept after its last key has expired, since the wall clock may have been
-	// off.
+	// clockSlackMillis is the duration for which a segment is kept after its last key has expired, because the wall clock
+	// may have been wrong.
 	clockSlackMillis = 60_000
 )
 
-// keyBatch is the keys that became durable by one sync.
+// keyBatch is a batch of keys that one sync makes durable.
 type keyBatch struct {
-	Incarnation uint64 `cbor:"1,keyasint"` // that wrote it
-	First       uint64 `cbor:"2,keyasint"` // number of keys that the incarnation had persisted before
+	Incarnation uint64 `cbor:"1,keyasint"` // the incarnation that wrote the batch
+	First       uint64 `cbor:"2,keyasint"` // number of keys that the incarnation had persisted before this batch
 	Keys        []Key  `cbor:"3,keyasint"`
 }
 
-// keyJournal holds keys in segments to which batches are appended. A batch that is cut off at the end of a segment may
-// never have been acknowledged. A damaged one before the end means that the disk has lost something.
+// keyJournal stores keys in segments to which batches are appended. A batch that is truncated at the end of a segment may
+// never have been acknowledged. A damaged batch before the end means that the disk has lost data.
 type keyJournal struct {
 	disk             Disk
-	segment          int           // to which the next batch goes
-	segmentStartedAt int64         // Unix time in ms of its first batch, 0 for none
-	expiry           map[int]int64 // by segment: Unix time in ms at which the last of its keys expires
-	incarnation      uint64        // of the keys that are written, or of the last that was read
+	segment          int           // the segment to which the next batch is appended
+	segmentStartedAt int64         // Unix time in ms of the segment's first batch, 0 if it has none
+	expiry           map[int]int64 // by segment: Unix time in ms at which its last key expires
+	incarnation      uint64        // of the keys being written, or of the last key that was read
 	count            uint64        // keys persisted in that incarnation
 }
 
-// begin starts counting the keys of an incarnation.
+// begin resets the key count for a new incarnation.
 func (j *keyJournal) begin(incarnation uint64) {
 	j.incarnation = incarnation
 	j.count = 0
 }
 
-// countOf returns how many keys of an incarnation were read.
+// countOf returns the number of keys of an incarnation that were read, or 0 if it is not the last incarnation read.
 func (j *keyJournal) countOf(incarnation uint64) uint64 {
 	if incarnation != j.incarnation {
 		return 0
@@ -64,14 +64,14 @@
 
 func segmentName(number int) string { return segmentPrefix + strconv.Itoa(number) }
 
-// segmentNumber returns the number of the segment in a file. isSegment is false for any other file.
+// segmentNumber returns the number of the segment that a file holds. isSegment is false if the file is not a segment.
 func segmentNumber(file string) (number int, isSegment bool) {
 	digits, found := strings.CutPrefix(file, segmentPrefix)
 	number, err := strconv.Atoi(digits)
 	return number, found && err == nil && number > 0
 }
 
-// read returns all keys that are complete. The error names what is lost.
+// read returns the keys of all intact batches. The returned error lists the damaged or missing records.
 func (j *keyJournal) read() (keys []Key, lost error) {
 	files, err := j.disk.Names()
 	if err != nil {
@@ -91,7 +91,7 @@
 		keys = append(keys, found...)
 		lost = errors.Join(lost, err)
 	}
-	j.segment++ // nothing is appended behind a batch that was cut off
+	j.segment++ // never append after a truncated batch
 	return keys, lost
 }
 
@@ -120,8 +120,8 @@
 	return keys, lost
 }
 
-// append persists a batch of keys. now is Unix time in ms. After a failure the next batch goes to a new segment: what was
-// appended since the last sync may be on disk in part.
+// append persists a batch of keys. now is Unix time in ms. After an error, the next batch is written to a new segment,
+// because the data appended since the last sync may be partly on disk.
 func (j *keyJournal) append(keys []Key, now int64) error {
 	if j.segmentStartedAt > 0 && now-j.segmentStartedAt > segmentMillis {
 		j.removeExpired(now)
@@ -159,25 +159,25 @@
 	return j.disk.SyncNames()
 }
 
-// startSegment makes the next batch go to a new segment.
+// startSegment selects a new segment for the next batch.
 func (j *keyJournal) startSegment() {
 	j.segment++
 	j.segmentStartedAt = 0
 }
 
-// removeExpired removes the segments whose keys have all expired.
+// removeExpired removes the segments whose keys expired at least clockSlackMillis ago. now is Unix time in ms.
 func (j *keyJournal) removeExpired(now int64) {
 	for segment, expiry := range j.expiry {
 		if expiry >= now-clockSlackMillis {
 			continue
 		}
 		if err := j.disk.Remove(segmentName(segment)); err == nil || errors.Is(err, fs.ErrNotExist) {
-			delete(j.expiry, segment) // after another error it is removed with the next segment
+			delete(j.expiry, segment) // after any other error, removal is retried when the next segment starts
 		}
 	}
 }
 
-// extendExpiry records that a segment holds keys.
+// extendExpiry updates the expiry of a segment to which keys were added.
 func (j *keyJournal) extendExpiry(segment int, keys []Key) {
 	for _, key := range keys {
 		j.expiry[segment] = max(j.expiry[segment], key.ExpiresAt)
--- a/internal/fleet/store/memory.go
+++ b/internal/fleet/store/memory.go
@@ -8,28 +8,28 @@
 	"sync"
 )
 
-// Memory is a Disk in memory with fault injection, for tests and simulations. It knows what is durable, can lose power
-// before any operation, and can fail operations or ignore syncs.
+// Memory is an in-memory Disk with fault injection, for tests and simulations. It tracks which data is durable, and can
+// simulate a power loss before any operation, failing operations and ignored syncs.
 type Memory struct {
-	// Faults. They must not change while another goroutine uses the disk.
-	PowerLossAfter int   // power is lost before the operation of this number, counted from 1; 0 for never
-	WriteError     error // with which each operation but reads fails, nil for none
-	DropSyncs      bool  // Sync does nothing and reports success
+	// Injected faults, which must not change while another goroutine uses the disk.
+	PowerLossAfter int   // number of the operation, counted from 1, before which power is lost; 0 for never
+	WriteError     error // returned by each operation except reads, nil for no error
+	DropSyncs      bool  // Sync does nothing but returns no error
 
-	Steps int // operations so far, reads not counted
+	Steps int // number of operations so far, not counting reads
 
-	mu      sync.Mutex        // guards the files below, and Steps
-	files   map[string]*inode // as programs see them
-	durable map[string]*inode // the files whose names would be left after a loss of power
+	mu      sync.Mutex        // guards files, durable and Steps
+	files   map[string]*inode // as returned by reads
+	durable map[string]*inode // the files whose names would survive a power loss
 }
 
 // inode is one file.
 type inode struct {
-	bytes   []byte // as programs see them
-	durable []byte // what would be left after a loss of power
+	bytes   []byte // as returned by reads
+	durable []byte // the contents that would survive a power loss
 }
 
-// ErrPowerLost means that the simulated power was lost before the operation.
+// ErrPowerLost is returned by operations after the simulated power loss.
 var ErrPowerLost = errors.New("power lost")
 
 // NewMemory returns an empty disk without faults.
@@ -37,7 +37,7 @@
 	return &Memory{files: map[string]*inode{}, durable: map[string]*inode{}}
 }
 
-// step does one operation, unless a fault is injected.
+// step counts and runs one operation, or returns the error of an injected fault.
 func (m *Memory) step(operation func() error) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -51,7 +51,7 @@
 	return operation()
 }
 
-// change does an operation that changes a file, which is created if there is none.
+// change runs an operation that modifies a file, and creates the file if it does not exist.
 func (m *Memory) change(name string, operation func(*inode)) error {
 	return m.step(func() error {
 		if m.files[name] == nil {
@@ -62,8 +62,8 @@
 	})
 }
 
-// Restart returns the disk as it is after a loss of power. It has the files whose names were durable, with their durable
-// contents and at most tail bytes of what was written since.
+// Restart returns a copy of the disk as it is after a power loss. The copy has the files whose names were durable, with
+// their durable contents and at most tail bytes of the data written since the last sync.
 func (m *Memory) Restart(tail int) *Memory {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -76,7 +76,7 @@
 	return next
 }
 
-// afterPowerLoss returns what is left of a file's contents if at most tail bytes reached the disk after the last sync.
+// afterPowerLoss returns the file's contents after a power loss if at most tail bytes were written after the last sync.
 func (i *inode) afterPowerLoss(tail int) []byte {
 	left := slices.Clone(i.durable)
 	appended := len(i.bytes) > len(left) && slices.Equal(i.bytes[:len(left)], left)
@@ -105,14 +105,14 @@
 	})
 }
 
-// Overwrite writes over the beginning of a file, in place.
+// Overwrite overwrites the beginning of a file in place, and creates the file if it does not exist.
 func (m *Memory) Overwrite(name string, b []byte) error {
 	return m.change(name, func(i *inode) {
 		i.bytes = append(slices.Clone(b), i.bytes[min(len(b), len(i.bytes)):]...)
 	})
 }
 
-// Append writes behind the end of a file.
+// Append appends to a file, and creates it if it does not exist.
 func (m *Memory) Append(name string, b []byte) error {
 	return m.change(name, func(i *inode) { i.bytes = append(i.bytes, b...) })
 }
@@ -127,7 +127,7 @@
 	})
 }
 
-// Rename renames a file, and replaces one that has the new name.
+// Rename renames a file, replacing an existing file with the new name.
 func (m *Memory) Rename(from, to string) error {
 	return m.step(func() error {
 		file := m.files[from]
@@ -140,7 +140,7 @@
 	})
 }
 
-// Remove removes a file. It does not fail if there is none.
+// Remove removes a file. It does not fail if the file does not exist.
 func (m *Memory) Remove(name string) error {
 	return m.step(func() error {
 		delete(m.files, name)
@@ -148,7 +148,7 @@
 	})
 }
 
-// Names returns the names of all files, in order.
+// Names returns the names of all files, sorted.
 func (m *Memory) Names() ([]string, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -164,13 +164,13 @@
 }
 
 const (
-	// tornByte is what Tear adds to a file.
+	// tornByte is the wrong byte that Tear appends to a file.
 	tornByte = 0xff
-	// tearOffsetDivisor makes the place at which Tear cuts differ from the number of the file.
+	// tearOffsetDivisor decorrelates the offset at which Tear truncates a file from its choice of the file.
 	tearOffsetDivisor = 7
 )
 
-// Tear cuts one file off and adds a wrong byte to it. random chooses the file and the place.
+// Tear truncates one file and appends a wrong byte to it. random selects the file and the offset.
 func (m *Memory) Tear(random uint64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/fleet/store/record.go
+++ b/internal/fleet/store/record.go
@@ -10,22 +10,22 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// A record is a header and a body in CBOR. The header has these fields, at these offsets in bytes; numbers are
+// A record is a header followed by a body in CBOR. The constants are the byte offsets of the header's fields. Numbers are
 // big-endian.
 const (
-	magic       = "cvrt"          // what each record begins with
-	kindAt      = len(magic)      // a byte: the recordKind
-	versionAt   = kindAt + 1      // a byte: the version of the format
+	magic       = "cvrt"          // the first bytes of each record
+	kindAt      = len(magic)      // 1 byte: the recordKind
+	versionAt   = kindAt + 1      // 1 byte: the format version
 	lengthAt    = versionAt + 1   // 4 bytes: the length of the body
-	headerSumAt = lengthAt + 4    // 4 bytes: a checksum of the header up to here
-	bodySumAt   = headerSumAt + 4 // 4 bytes: a checksum of the body
+	headerSumAt = lengthAt + 4    // 4 bytes: the checksum of the header fields before it
+	bodySumAt   = headerSumAt + 4 // 4 bytes: the checksum of the body
 	headerBytes = bodySumAt + 4
 )
 
-// maxRecordBytes bounds the length of a body. A longer one is taken for a damaged header.
+// maxRecordBytes limits the length of a body. A header with a greater length is treated as damaged.
 const maxRecordBytes = 64 << 20
 
-// recordKind is what the body of a record holds.
+// recordKind is the type of the document in the body of a record.
 type recordKind byte
 
 const (
@@ -34,10 +34,10 @@
 	kindKeys
 )
 
-// formatVersion of all records. A record with a higher one was written by a later release.
+// formatVersion is the format version of all records. A record with a higher version was written by a later release.
 const formatVersion = 1
 
-// The errors of a record that cannot be used.
+// The errors for records that cannot be used. `canvasroute state show` prints their texts, which operators' scripts read.
 var (
 	ErrTruncated     = errors.New("torn: the record is cut off")
 	ErrChecksum      = errors.New("damaged: the checksum does not match")
@@ -47,16 +47,16 @@
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// encodeRecord returns a record that holds v.
+// encodeRecord returns a record of the current format version with v as its body.
 func encodeRecord(kind recordKind, v any) ([]byte, error) {
 	return encodeRecordAs(kind, formatVersion, v)
 }
 
-// encodeRecordAs returns a record of a version of the format.
+// encodeRecordAs returns a record of the given format version with v as its body.
 func encodeRecordAs(kind recordKind, version byte, v any) ([]byte, error) {
 	body, err := cbor.Marshal(v)
 	if err != nil {
-		return nil, fmt.Errorf("encoding a record: %w", err)
+		return nil, fmt.Errorf("encoding record: %w", err)
 	}
 	b := append([]byte(magic), byte(kind), version)
 	b = binary.BigEndian.AppendUint32(b, uint32(len(body)))
@@ -65,11 +65,11 @@
 	return append(b, body...), nil
 }
 
-// decodeRecord decodes the record that b begins with into v, and returns what follows it. It fails with ErrTruncated,
+// decodeRecord decodes the record at the start of b into v, and returns the bytes after it. It fails with ErrTruncated,
 // ErrChecksum, ErrUnknownRecord or ErrNewerVersion.
 func decodeRecord(b []byte, kind recordKind, v any) (remaining []byte, err error) {
 	if len(b) < headerBytes || allZero(b) {
-		return nil, ErrTruncated // a file may have grown before its contents were written
+		return nil, ErrTruncated // the file system may have extended the file before it wrote the contents
 	}
 	length := binary.BigEndian.Uint32(b[lengthAt:])
 	switch {
--- a/internal/fleet/store/recovered.go
+++ b/internal/fleet/store/recovered.go
@@ -5,27 +5,28 @@
 	"fmt"
 )
 
-// Recovered is what a disk held.
+// Recovered holds the records that were read from a disk.
 type Recovered struct {
-	Incarnation   Incarnation // the last one; zero where none is known
+	Incarnation   Incarnation // the last one; zero if none was found
 	Known         bool        // an incarnation was found
-	Foreign       bool        // that incarnation is of another dispatcher
-	State         *State      // the last state of this dispatcher, nil for none
-	Keys          []Key       // of all incarnations, in the order of writing
-	PersistedKeys uint64      // of the last incarnation: the number of its last key that was read, counted from 1
-	Errors        []error     // what is lost, each with its file; tested with errors.Is
-	KeysSuspect   bool        // keys that were persisted may be missing
+	Foreign       bool        // the incarnation belongs to another dispatcher
+	State         *State      // the last state of this dispatcher, nil if none was found
+	Keys          []Key       // of all incarnations, in the order in which they were written
+	PersistedKeys uint64      // in the last incarnation: the sequence number of the last key that was read, from 1
+	Errors        []error     // the damaged or missing records, each with its file; matched with errors.Is
+	KeysSuspect   bool        // persisted keys may be missing
 }
 
-// The errors of Recovered that concern several records. Those of one record are ErrTruncated, ErrChecksum,
-// ErrUnknownRecord and ErrNewerVersion.
+// The errors in Recovered.Errors that concern several records. The errors for a single record are ErrTruncated,
+// ErrChecksum, ErrUnknownRecord and ErrNewerVersion. `canvasroute state show` prints the texts of both.
 var (
 	ErrForeignState = errors.New("state of another dispatcher")
 	ErrOutdated     = errors.New("the incarnation on disk is older than the state")
 	ErrKeysMissing  = errors.New("keys that had been persisted are missing")
 )
 
-// Open reads the records of the dispatcher of a name. It does not fail: what is lost is named in Recovered.Errors.
+// Open reads the records of the named dispatcher. It does not fail: damaged or missing records are listed in
+// Recovered.Errors.
 func Open(disk Disk, name string) (*Store, Recovered) {
 	opened := &Store{
 		name:     name,
@@ -36,7 +37,7 @@
 	return opened, opened.readRecords()
 }
 
-// readRecords reads all records, and compares them with each other.
+// readRecords reads all records, and checks that they are consistent with each other.
 func (s *Store) readRecords() Recovered {
 	var r Recovered
 	var identityErr error
@@ -48,7 +49,7 @@
 	keys, journalErr := s.journal.read()
 	r.report(journalErr)
 	r.Keys = keys
-	// A truncated record counts as well: it may have been complete once.
+	// A truncated record also makes the keys suspect, because it may have been complete before.
 	r.KeysSuspect = identityErr != nil || journalErr != nil
 	r.KeysSuspect = r.KeysSuspect || r.Incarnation.KeysSuspect
 	r.Foreign = r.Known && r.Incarnation.Name != s.name
@@ -57,20 +58,20 @@
 	}
 	r.checkKeyCount(&s.journal)
 	if !r.Known || r.Foreign {
-		r.KeysSuspect = true // nobody knows what this dispatcher has sent
+		r.KeysSuspect = true // there is no record of the keys that this dispatcher has sent
 	}
 	return r
 }
 
-// report adds an error, if there is one.
+// report adds err to r.Errors if it is not nil.
 func (r *Recovered) report(err error) {
 	if err != nil {
 		r.Errors = append(r.Errors, err)
 	}
 }
 
-// takeState adds the state that was read, unless it is of another dispatcher. A state that is newer than the
-// incarnation on disk shows that the disk has lost a write that it had acknowledged, so perhaps keys too.
+// takeState sets r.State to the state that was read, unless it belongs to another dispatcher. If the state is newer than
+// the incarnation on disk, the disk has lost an acknowledged write, so it may have lost keys as well.
 func (r *Recovered) takeState(state *State, name string) {
 	if state.Name != name {
 		r.report(fmt.Errorf("facts: %w: %q", ErrForeignState, state.Name))
@@ -84,7 +85,7 @@
 	}
 }
 
-// checkKeyCount compares the number of keys that were read with those that the state and a clean shutdown have recorded.
+// checkKeyCount compares the number of keys that were read with the numbers recorded in the state and at a clean shutdown.
 func (r *Recovered) checkKeyCount(journal *keyJournal) {
 	persisted := uint64(0)
 	if r.State != nil && r.State.Incarnation == r.Incarnation.Number {
@@ -101,7 +102,7 @@
 	}
 }
 
-// MinNextIncarnation returns the lowest number that the state allows for the next incarnation. The state may be newer
+// MinNextIncarnation returns the lowest valid number for the next incarnation according to the state, which may be newer
 // than the incarnation on disk.
 func (r *Recovered) MinNextIncarnation() uint64 {
 	if r.State == nil {
@@ -110,7 +111,7 @@
 	return r.State.Incarnation + 1
 }
 
-// SuspectUnreliableDisk marks keys as suspect after a crash, since the disk may have lost what it had synced.
+// SuspectUnreliableDisk marks the keys as suspect after a crash, because an unreliable disk may have lost synced data.
 func (r *Recovered) SuspectUnreliableDisk() {
 	crashed := r.Known && !r.Incarnation.CleanShutdown
 	if crashed {
--- a/internal/fleet/store/store.go
+++ b/internal/fleet/store/store.go
@@ -1,9 +1,9 @@
-// Package store persists what a dispatcher needs after a restart: its incarnation, what it has learned, and the keys
-// under which requests may have run.
+// Package store persists the data that a dispatcher needs after a restart: its incarnation, its learned state, and the
+// idempotency keys of requests that may have run.
 //
-// Incarnation and state are documents in A/B slots, keys are a journal of segments, and records carry checksums. What
-// is read back is complete and unaltered, or is reported as lost. Package recovery decides how far the contents are
-// trusted.
+// The incarnation and the state are documents in A/B slots, the keys are a journal of segments, and all records have
+// checksums. Each record is either read back complete and unaltered, or is reported as damaged or missing. Package
+// recovery decides whether the contents are trusted.
 package store
 
 import (
@@ -11,66 +11,66 @@
 	"sync/atomic"
 )
 
-// Incarnation identifies one run of a dispatcher. Its number rises with each start.
+// Incarnation identifies one run of a dispatcher. Its number increases with each start.
 type Incarnation struct {
 	Name          string `cbor:"1,keyasint"` // of the dispatcher
-	Number        uint64 `cbor:"2,keyasint"` // raised at each start, before the first message is sent
-	Nonce         uint64 `cbor:"3,keyasint"` // drawn at each start: two processes that claim one name and number differ in it
+	Number        uint64 `cbor:"2,keyasint"` // increased at each start, before the first message is sent
+	Nonce         uint64 `cbor:"3,keyasint"` // random, distinguishes processes of one name and number
 	StartedAt     int64  `cbor:"4,keyasint"` // Unix time in ms
-	Drained       bool   `cbor:"5,keyasint"` // an operator has drained it
-	Keys          uint64 `cbor:"6,keyasint"` // persisted in this incarnation; set by a clean shutdown
-	CleanShutdown bool   `cbor:"7,keyasint"` // it has ended in order; after a crash false
+	Drained       bool   `cbor:"5,keyasint"` // an operator has drained the dispatcher
+	Keys          uint64 `cbor:"6,keyasint"` // number of keys persisted in this incarnation; set at a clean shutdown
+	CleanShutdown bool   `cbor:"7,keyasint"` // false after a crash
 	KeysSuspect   bool   `cbor:"8,keyasint"` // keys of previous incarnations may be missing, until a dedup window has passed
 }
 
-// State is what a dispatcher has learned, as of one moment.
+// State is the learned state of a dispatcher at one time.
 type State struct {
 	Name         string                  `cbor:"1,keyasint"` // of the dispatcher
-	Incarnation  uint64                  `cbor:"2,keyasint"` // that wrote it
+	Incarnation  uint64                  `cbor:"2,keyasint"` // the incarnation that wrote the state
 	WrittenAt    int64                   `cbor:"3,keyasint"` // Unix time in ms
 	SettingsHash string                  `cbor:"4,keyasint"` // of the settings in use
-	Learned      []byte                  `cbor:"5,keyasint"` // a proxy.Snapshot in JSON, as a successor in a hot restart takes it
-	Peers        map[string]PeerProgress `cbor:"6,keyasint"` // what is known of peers, by name
-	Keys         uint64                  `cbor:"7,keyasint"` // persisted in this incarnation up to then
+	Learned      []byte                  `cbor:"5,keyasint"` // a proxy.Snapshot in JSON, as in a hot restart
+	Peers        map[string]PeerProgress `cbor:"6,keyasint"` // by name of the peer
+	Keys         uint64                  `cbor:"7,keyasint"` // number of keys persisted in this incarnation so far
 }
 
-// PeerProgress is what is known of a peer's present incarnation and of the one before.
+// PeerProgress records the current and the previous incarnation of a peer, and how many keys it persisted in each.
 type PeerProgress struct {
-	Incarnation   uint64 `cbor:"1,keyasint"` // the highest known
+	Incarnation   uint64 `cbor:"1,keyasint"` // the highest observed
 	Nonce         uint64 `cbor:"2,keyasint"` // of that incarnation
-	PersistedKeys uint64 `cbor:"3,keyasint"` // in that incarnation
+	PersistedKeys uint64 `cbor:"3,keyasint"` // number of keys persisted in that incarnation
 
-	PreviousIncarnation   uint64 `cbor:"4,keyasint,omitempty"` // the one before, 0 for none known
-	PreviousNonce         uint64 `cbor:"5,keyasint,omitempty"` // of the one before
-	PreviousPersistedKeys uint64 `cbor:"6,keyasint,omitempty"` // in the one before
+	PreviousIncarnation   uint64 `cbor:"4,keyasint,omitempty"` // the incarnation before, 0 if unknown
+	PreviousNonce         uint64 `cbor:"5,keyasint,omitempty"` // of the previous incarnation
+	PreviousPersistedKeys uint64 `cbor:"6,keyasint,omitempty"` // number of keys persisted in the previous incarnation
 }
 
-// Store holds the records of one dispatcher on a disk. All methods may be called by several goroutines.
+// Store reads and writes the records of one dispatcher on a disk. All methods are safe for concurrent use.
 type Store struct {
 	name string // of the dispatcher
 
-	mu          sync.Mutex // guards the fields below; held during writes, except those of the state
+	mu          sync.Mutex // guards the fields below; held during all writes except those of the state
 	incarnation Incarnation
 	identity    abSlot
 	journal     keyJournal
 
-	stateMu sync.Mutex // guards state; held during its writes, which the keys do not wait for
+	stateMu sync.Mutex // guards state; held during its writes, so that writes of keys do not wait for them
 	state   abSlot
 
-	persistedKeys atomic.Uint64 // in this incarnation; read without waiting for a write
+	persistedKeys atomic.Uint64 // number of keys persisted in this incarnation; read without waiting for a write
 }
 
-// Start is what an incarnation begins with.
+// Start holds the parameters of Begin.
 type Start struct {
-	Previous    Incarnation // zero for none
-	MinNumber   uint64      // the lowest number that it may have; 0 for no limit
-	Nonce       uint64      // drawn for this process
-	KeysSuspect bool        // keys of previous incarnations may be missing; later incarnations read that too
+	Previous    Incarnation // zero if there is none
+	MinNumber   uint64      // the lowest valid number of the new incarnation; 0 for no limit
+	Nonce       uint64      // random, generated for this process
+	KeysSuspect bool        // keys of previous incarnations may be missing; persisted for later incarnations
 	At          int64       // Unix time in ms
 }
 
-// Begin persists the next incarnation of a dispatcher and returns it. Its number is at least start.MinNumber and above
-// that of the previous one, if that is of the same dispatcher.
+// Begin persists the next incarnation of the dispatcher and returns it. Its number is at least start.MinNumber, and is
+// higher than that of the previous incarnation if that belongs to the same dispatcher.
 func (s *Store) Begin(start Start) (Incarnation, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -91,7 +91,8 @@
 	return next, s.identity.write(next)
 }
 
-// RaiseIncarnation persists a higher number, since peers know one that this disk does not hold.
+// RaiseIncarnation increases the number of the incarnation to at least number and persists it. It is called if a peer has
+// received a higher number than the one on this disk.
 func (s *Store) RaiseIncarnation(number uint64) error {
 	return s.update(func(i *Incarnation) { i.Number = max(i.Number, number) })
 }
@@ -101,7 +102,7 @@
 	return s.update(func(i *Incarnation) { i.KeysSuspect = true })
 }
 
-// ClearKeysSuspect persists that no key of a previous incarnation is missing that could still count.
+// ClearKeysSuspect persists that no unexpired key of a previous incarnation is missing.
 func (s *Store) ClearKeysSuspect() error {
 	return s.update(func(i *Incarnation) { i.KeysSuspect = false })
 }
@@ -116,8 +117,8 @@
 	return s.update(func(i *Incarnation) { i.Drained = false })
 }
 
-// MarkCleanShutdown persists that this incarnation ends in order, and how many keys it has persisted. It is the last
-// write of an incarnation.
+// MarkCleanShutdown persists that this incarnation ends with a clean shutdown, and the number of keys that it has
+// persisted. It is the last write of an incarnation.
 func (s *Store) MarkCleanShutdown() error {
 	return s.update(func(i *Incarnation) {
 		i.CleanShutdown = true
@@ -125,7 +126,7 @@
 	})
 }
 
-// update changes the incarnation and persists it. After an error the former one still holds.
+// update changes the incarnation and persists it. After an error, the previous incarnation remains in effect.
 func (s *Store) update(change func(*Incarnation)) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -141,8 +142,8 @@
 	return nil
 }
 
-// AppendKeys persists keys. With an error none of them counts as persisted, though some may be read back. now is Unix
-// time in ms.
+// AppendKeys persists keys. If it returns an error, none of the keys is counted as persisted, although some may be read
+// after a restart. now is Unix time in ms.
 func (s *Store) AppendKeys(keys []Key, now int64) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -151,11 +152,11 @@
 	return err
 }
 
-// PersistedKeys returns how many keys were persisted in this incarnation. It does not wait for a write in progress,
-// since a disk that hangs must not stop the caller.
+// PersistedKeys returns the number of keys persisted in this incarnation. It does not wait for a write in progress, so
+// that a hung disk cannot block the caller.
 func (s *Store) PersistedKeys() uint64 { return s.persistedKeys.Load() }
 
-// SaveState persists what was learned, as of this incarnation.
+// SaveState persists the learned state with the name, incarnation and key count of this dispatcher.
 func (s *Store) SaveState(state State) error {
 	s.mu.Lock()
 	state.Name = s.name
--- a/internal/fleet/store/store_bench_test.go
+++ b/internal/fleet/store/store_bench_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// openBenchmarkStore returns a store on the file system.
+// openBenchmarkStore returns a store in a temporary folder.
 func openBenchmarkStore(b *testing.B) *Store {
 	b.Helper()
 	folder, err := OpenFolder(b.TempDir())
@@ -19,7 +19,7 @@
 	return s
 }
 
-// BenchmarkAppendKeys measures one batch of keys, which its requests wait for before they are sent.
+// BenchmarkAppendKeys measures the write of one batch of keys, which must be durable before its requests are sent.
 func BenchmarkAppendKeys(b *testing.B) {
 	for _, size := range []struct {
 		name string
@@ -40,7 +40,7 @@
 	}
 }
 
-// BenchmarkSaveState measures one write of 100 kB of state, which no request waits for.
+// BenchmarkSaveState measures one write of 100 kB of state. No request waits for this write.
 func BenchmarkSaveState(b *testing.B) {
 	s := openBenchmarkStore(b)
 	text := bytes.Repeat([]byte("fact"), 25_000)
--- a/internal/fleet/store/store_test.go
+++ b/internal/fleet/store/store_test.go
@@ -10,13 +10,13 @@
 
 const (
 	testNonce = 77
-	// farExpiry is an expiry, in Unix time in ms, that no test reaches.
+	// farExpiry is an expiry time, in Unix time in ms, that no test reaches.
 	farExpiry int64 = 1 << 40
-	// wholeTail is more bytes than any file of a test has.
+	// wholeTail exceeds the size in bytes of every file in the tests.
 	wholeTail = 1 << 20
 )
 
-// beginIncarnation opens a disk for d0, and begins the next incarnation on it.
+// beginIncarnation opens a disk as dispatcher d0 and begins the next incarnation.
 func beginIncarnation(t *testing.T, disk Disk) *Store {
 	t.Helper()
 	s, recovered := Open(disk, "d0")
@@ -25,8 +25,8 @@
 	return s
 }
 
-// writeIncarnation writes what a dispatcher writes in one incarnation, until the first error. It returns what was
-// acknowledged as durable, in the words of readBack.
+// writeIncarnation performs the writes of a dispatcher in one incarnation, until the first error. It returns the
+// acknowledged writes, in the same form as readBack.
 func writeIncarnation(disk Disk) (acknowledged []string, err error) {
 	s, recovered := Open(disk, "d0")
 	incarnation, err := s.Begin(Start{Previous: recovered.Incarnation, Nonce: testNonce, At: 1000})
@@ -53,7 +53,7 @@
 	return acknowledged, s.MarkCleanShutdown()
 }
 
-// readBack returns what a disk holds, also in the words of writeIncarnation.
+// readBack reads a disk. It also returns its contents in the same form as writeIncarnation.
 func readBack(t *testing.T, disk Disk) (words []string, recovered Recovered) {
 	t.Helper()
 	_, recovered = Open(disk, "d0")
@@ -64,7 +64,7 @@
 		}
 	}
 	for _, k := range recovered.Keys {
-		assert.Equal(t, Key{Sum: k.Sum, Worker: "w1", Zone: "north", SentAt: 1000, ExpiresAt: farExpiry}, k, "no mixture")
+		assert.Equal(t, Key{Sum: k.Sum, Worker: "w1", Zone: "north", SentAt: 1000, ExpiresAt: farExpiry}, k, "unaltered key")
 		words = append(words, fmt.Sprint("key ", k.Sum))
 	}
 	if recovered.State != nil {
@@ -73,8 +73,8 @@
 	return words, recovered
 }
 
-// Each file is the old one or the new one, and what was acknowledged is there. Power is lost before each operation,
-// with each number of bytes of the last write that reached the disk.
+// Guards against torn or lost writes: whichever operation the power loss precedes, and however many bytes of the last
+// write reached the disk, each file must hold its old or its new record, and acknowledged writes must be readable.
 func TestPowerLostBeforeEachOperationLeavesOldOrNew(t *testing.T) {
 	const (
 		maxTail   = 140
@@ -103,7 +103,7 @@
 					assert.NotNil(t, recovered.State, "tail %d", tail)
 					assert.GreaterOrEqual(t, string(recovered.State.Learned), lastState)
 				}
-				if tail == 0 || tail > maxRecord { // no record is cut off
+				if tail == 0 || tail > maxRecord { // no record is truncated
 					assert.Equal(t, !recovered.Known, recovered.KeysSuspect, "tail %d: %v", tail, recovered.Errors)
 				}
 			}
@@ -116,7 +116,7 @@
 	last := uint64(0)
 	for operation := range 40 {
 		disk.PowerLossAfter = operation + 1
-		_, _ = writeIncarnation(disk) // it ends with the loss of power
+		_, _ = writeIncarnation(disk) // fails with the power loss
 		disk = disk.Restart(0)
 		if _, recovered := Open(disk, "d0"); recovered.Known {
 			assert.GreaterOrEqual(t, recovered.Incarnation.Number, last)
@@ -126,7 +126,7 @@
 	assert.Greater(t, last, uint64(10))
 }
 
-// A disk may report a sync that it has not done. The keys that it loses by that are detected.
+// A disk may report a sync as successful without performing it. The keys lost that way must be detected.
 func TestDiskThatDropsASyncIsDetected(t *testing.T) {
 	disk := NewMemory()
 	s := beginIncarnation(t, disk)
@@ -159,7 +159,7 @@
 				disk.files[name] = &inode{bytes: flipped}
 				words, recovered := readBack(t, disk)
 				assert.NotEmpty(t, recovered.Errors, "byte %d", at)
-				assert.Contains(t, words, "incarnation 1", "the other slot is undamaged")
+				assert.Contains(t, words, "incarnation 1", "the other file of the slot is intact")
 				if strings.HasPrefix(name, segmentPrefix) {
 					assert.True(t, recovered.KeysSuspect, "byte %d", at)
 				}
@@ -174,15 +174,15 @@
 	assert.NoError(t, err)
 	s, recovered := Open(disk, "d1")
 	assert.True(t, recovered.Foreign)
-	assert.Nil(t, recovered.State, "what another dispatcher has learned is not taken")
+	assert.Nil(t, recovered.State, "the state of another dispatcher is not used")
 	assert.Len(t, recovered.Errors, 1)
 	assert.ErrorIs(t, recovered.Errors[0], ErrForeignState)
-	assert.Len(t, recovered.Keys, 3, "where keys may have run is true whoever wrote it")
-	assert.True(t, recovered.KeysSuspect, "its own keys are elsewhere")
+	assert.Len(t, recovered.Keys, 3, "keys are valid whichever dispatcher wrote them")
+	assert.True(t, recovered.KeysSuspect, "the keys of this dispatcher are not on this disk")
 	incarnation, err := s.Begin(Start{Previous: recovered.Incarnation, Nonce: 5, At: 2000})
 	assert.NoError(t, err)
 	assert.Equal(t, Incarnation{Name: "d1", Number: 1, Nonce: 5, StartedAt: 2000}, incarnation,
-		"neither its number nor its drain is taken")
+		"neither the number nor the drain of the other dispatcher is used")
 }
 
 func TestFullDiskIsReportedAndHarmsNothingThatWasWritten(t *testing.T) {
@@ -195,10 +195,10 @@
 	assert.ErrorIs(t, s.SaveState(State{}), errFull)
 	assert.ErrorIs(t, s.MarkDrained(), errFull)
 	disk.WriteError = nil
-	assert.NoError(t, s.AppendKeys([]Key{{Sum: 3}}, 1002), "it continues once there is space")
+	assert.NoError(t, s.AppendKeys([]Key{{Sum: 3}}, 1002), "writes succeed again once there is space")
 	_, recovered := Open(disk.Restart(0), "d0")
 	assert.Equal(t, []uint64{1, 3}, []uint64{recovered.Keys[0].Sum, recovered.Keys[1].Sum})
-	assert.False(t, recovered.Incarnation.Drained, "what was not written is not read")
+	assert.False(t, recovered.Incarnation.Drained, "the failed write is not read back")
 	assert.False(t, recovered.KeysSuspect, "%v", recovered.Errors)
 }
 
@@ -240,7 +240,8 @@
 	assert.False(t, recovered.KeysSuspect, "%v", recovered.Errors)
 }
 
-// A second loss of power within the dedup window must not clear the mark, whatever the wall clock says.
+// A second power loss within the dedup window must not clear the keys-suspect mark, even if the wall clock has jumped
+// past the window.
 func TestSuspectKeysStayMarkedThroughRestarts(t *testing.T) {
 	disk := NewMemory()
 	s, recovered := Open(disk, "d0")
