--- a/internal/fleet/messaging/message.go
+++ b/internal/fleet/messaging/message.go
@@ -1,8 +1,8 @@
-// Package messaging is the protocol by which the dispatchers of a fleet recover: queries, replies and heartbeats, in
-// CBOR over UDP. It is apart from the platform's own datagrams.
+// Package messaging implements the recovery protocol between the dispatchers of a fleet: queries, replies and heartbeats,
+// encoded in CBOR and sent over UDP. It is independent of the platform's own datagrams.
 //
-// Messages may be lost, duplicated, late and out of order. Each stands for itself, and receiving one twice changes
-// nothing. The package neither repeats nor interprets them: package recovery does.
+// Messages may be lost, duplicated, delayed and reordered. Each message is self-contained and idempotent. This package
+// neither retransmits nor interprets messages: package recovery does.
 package messaging
 
 import (
@@ -12,71 +12,71 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// MaxDatagramBytes bounds an encoded message, so that no network on the way fragments it.
+// MaxDatagramBytes limits the size of an encoded message, so that no network on the path fragments it.
 const MaxDatagramBytes = 1200
 
-// Kind is the kind of a message.
+// Kind is the type of a message.
 type Kind uint8
 
 // The values of Kind.
 const (
-	Query     Kind = iota + 1 // asks what the receiver knows
-	Reply                     // one part of what the sender knows
-	Heartbeat                 // the sender's progress, in case its disk loses that
+	Query     Kind = iota + 1 // requests a reply from the receiver
+	Reply                     // one part of the sender's keys, workers and recovery progress
+	Heartbeat                 // the sender's progress, which peers report back if its disk loses it
 )
 
-// Worker is what the sender knows of a worker.
+// Worker describes a worker in the sender's endpoint list.
 type Worker struct {
 	ID        string `cbor:"1,keyasint"`
-	StartedAt int64  `cbor:"2,keyasint,omitempty"` // Unix time in ms, 0 for unknown
-	State     string `cbor:"3,keyasint,omitempty"` // in the endpoint list, "" for ready
-	InFlight  int    `cbor:"4,keyasint,omitempty"` // the sender's requests in flight there
+	StartedAt int64  `cbor:"2,keyasint,omitempty"` // Unix time in ms, 0 if unknown
+	State     string `cbor:"3,keyasint,omitempty"` // state in the endpoint list, "" for ready
+	InFlight  int    `cbor:"4,keyasint,omitempty"` // the sender's requests in flight on the worker
 }
 
-// Key records where a request under an idempotency key may have run.
+// Key records the worker on which a request with an idempotency key may have run.
 type Key struct {
 	Sum       uint64 `cbor:"1,keyasint"`           // checksum of the operation and the key
-	Worker    string `cbor:"2,keyasint"`           // to which the request was sent
+	Worker    string `cbor:"2,keyasint"`           // the worker to which the request was sent
 	Zone      string `cbor:"3,keyasint,omitempty"` // of that worker
 	Cell      int    `cbor:"4,keyasint,omitempty"` // of that worker
 	SentAt    int64  `cbor:"5,keyasint"`           // Unix time in ms
-	ExpiresAt int64  `cbor:"6,keyasint"`           // Unix time in ms from which workers no longer drop repeats
+	ExpiresAt int64  `cbor:"6,keyasint"`           // Unix time in ms after which workers no longer drop repeats
 }
 
-// Message is a query, a reply or a heartbeat. Which fields have a meaning depends on its kind.
+// Message is a query, a reply or a heartbeat. Its kind determines which fields are used.
 type Message struct {
 	Kind         Kind   `cbor:"1,keyasint"`
-	From         string `cbor:"2,keyasint"`           // the name of the sender
+	From         string `cbor:"2,keyasint"`           // name of the sender
 	Incarnation  uint64 `cbor:"3,keyasint"`           // of the sender
 	Nonce        uint64 `cbor:"4,keyasint"`           // of the sender's process
-	Number       uint32 `cbor:"5,keyasint"`           // of a query, and in the replies to it
-	Phase        uint8  `cbor:"6,keyasint,omitempty"` // of the sender's recovery
-	UptimeMillis int64  `cbor:"7,keyasint,omitempty"` // since the sender's process started
+	Number       uint32 `cbor:"5,keyasint"`           // number of a query, repeated in the replies to it
+	Phase        uint8  `cbor:"6,keyasint,omitempty"` // recovery phase of the sender
+	UptimeMillis int64  `cbor:"7,keyasint,omitempty"` // time since the sender's process started
 
-	PersistedKeys uint64 `cbor:"20,keyasint,omitempty"` // in heartbeats: in the sender's incarnation
-	WantWorkers   bool   `cbor:"18,keyasint,omitempty"` // in queries: the reply is to name workers
+	PersistedKeys uint64 `cbor:"20,keyasint,omitempty"` // in heartbeats: keys persisted in the sender's incarnation
+	WantWorkers   bool   `cbor:"18,keyasint,omitempty"` // in queries: the reply should include workers
 
-	// In replies. The fields that begin with Your are about earlier processes of the receiver's name.
-	YourIncarnation   uint64             `cbor:"8,keyasint,omitempty"`  // the highest that the sender knows, 0 for none
+	// Fields of replies. Those with the prefix Your describe earlier processes with the receiver's name.
+	YourIncarnation   uint64             `cbor:"8,keyasint,omitempty"`  // the highest received by the sender, 0 if none
 	YourNonce         uint64             `cbor:"9,keyasint,omitempty"`  // of that incarnation
-	YourPersistedKeys uint64             `cbor:"19,keyasint,omitempty"` // in that incarnation
-	ReceivedAgoMillis int64              `cbor:"10,keyasint,omitempty"` // since the last message of that incarnation
-	KeysUnconfirmed   bool               `cbor:"21,keyasint,omitempty"` // the sender does not know yet whether it has lost keys
-	KeysSuspect       bool               `cbor:"12,keyasint,omitempty"` // keys that the sender had persisted may be missing
-	MaxObserved       map[string]float64 `cbor:"13,keyasint,omitempty"` // by kind of worker: the most requests seen at work at once
+	YourPersistedKeys uint64             `cbor:"19,keyasint,omitempty"` // number of keys persisted in that incarnation
+	ReceivedAgoMillis int64              `cbor:"10,keyasint,omitempty"` // time since the last message of that incarnation
+	KeysUnconfirmed   bool               `cbor:"21,keyasint,omitempty"` // the sender may still find that it lost keys
+	KeysSuspect       bool               `cbor:"12,keyasint,omitempty"` // keys persisted by the sender may be missing
+	MaxObserved       map[string]float64 `cbor:"13,keyasint,omitempty"` // by kind of worker: highest observed concurrency
 	Part              uint16             `cbor:"14,keyasint,omitempty"` // number of this part, from 0
 	Parts             uint16             `cbor:"15,keyasint,omitempty"` // number of parts
-	Workers           []Worker           `cbor:"16,keyasint,omitempty"` // that the sender knows
-	Keys              []Key              `cbor:"17,keyasint,omitempty"` // of the sender's own disk and incarnation
+	Workers           []Worker           `cbor:"16,keyasint,omitempty"` // workers in the sender's endpoint list
+	Keys              []Key              `cbor:"17,keyasint,omitempty"` // keys from the sender's own disk and incarnation
 }
 
-// The errors of messages.
+// The errors for messages that cannot be decoded or encoded.
 var (
-	ErrMalformed = errors.New("malformed message") // received bytes are not of this protocol
-	ErrTooLong   = errors.New("message too long")  // a message to be sent is above MaxDatagramBytes
+	ErrMalformed = errors.New("malformed message") // the received bytes are not a valid message
+	ErrTooLong   = errors.New("message too long")  // the encoded message exceeds MaxDatagramBytes
 )
 
-// strictDecoding bounds what a datagram can make the decoder do.
+// strictDecoding limits the resources that decoding a datagram can use.
 var strictDecoding = mustDecMode(cbor.DecOptions{
 	DupMapKey:        cbor.DupMapKeyEnforcedAPF,
 	MaxArrayElements: 1024,
@@ -87,16 +87,16 @@
 
 func mustDecMode(mode cbor.DecMode, err error) cbor.DecMode {
 	if err != nil {
-		panic(err) // the options are constants
+		panic(err) // cannot happen: the options are constant
 	}
 	return mode
 }
 
-// Encode returns the bytes of a message. It fails with ErrTooLong above MaxDatagramBytes.
+// Encode returns the encoding of a message. It fails with ErrTooLong if the encoding exceeds MaxDatagramBytes.
 func Encode(msg *Message) ([]byte, error) {
 	datagram, err := cbor.Marshal(msg)
 	if err != nil {
-		return nil, fmt.Errorf("encoding a message: %w", err)
+		return nil, fmt.Errorf("encoding message: %w", err)
 	}
 	if len(datagram) > MaxDatagramBytes {
 		return nil, fmt.Errorf("%w: %d bytes, %d at most", ErrTooLong, len(datagram), MaxDatagramBytes)
@@ -104,7 +104,7 @@
 	return datagram, nil
 }
 
-// Decode returns the message in a datagram. It fails with ErrMalformed.
+// Decode decodes the message in a datagram. It fails with ErrMalformed if the datagram is not a valid message.
 func Decode(datagram []byte) (*Message, error) {
 	if len(datagram) > MaxDatagramBytes {
 		return nil, fmt.Errorf("%w: %d bytes", ErrMalformed, len(datagram))
@@ -119,10 +119,10 @@
 	return msg, nil
 }
 
-// maxNameBytes bounds a sender's name.
+// maxNameBytes limits the length of a sender's name.
 const maxNameBytes = 255
 
-// valid reports whether the fields of a decoded message can be used.
+// valid reports whether the fields of a decoded message are in range and consistent.
 func (m *Message) valid() bool {
 	switch {
 	case m.Kind < Query || m.Kind > Heartbeat:
@@ -137,16 +137,16 @@
 	return true
 }
 
-// The most bytes that the contents of a message take in CBOR, without the names in them.
+// The maximum sizes in bytes of the parts of a message in CBOR, without the names that they contain.
 const (
-	maxCommonBytes = 400 // all fields but the ones below
+	maxCommonBytes = 400 // all fields except those below
 	maxWorkerBytes = 48  // a Worker
 	maxKeyBytes    = 56  // a Key
 	maxKindBytes   = 12  // an entry of MaxObserved
 )
 
-// Split returns a reply in as many messages as its workers and keys need. Each has the fields of first, but only the
-// first one has MaxObserved.
+// Split splits a reply into as many messages as its workers and keys require. Each message has the fields of first, except
+// that only the first message has MaxObserved.
 func Split(first Message, workers []Worker, keys []Key) []Message {
 	s := newSplitter(first)
 	for _, w := range workers {
@@ -164,11 +164,11 @@
 	return s.parts
 }
 
-// splitter fills the parts of a reply one after the other.
+// splitter fills the parts of a reply in order.
 type splitter struct {
-	parts     []Message // the last one is being filled
-	capacity  int       // bytes for workers and keys in each part
-	remaining int       // of these bytes in the last part
+	parts     []Message // the last part is being filled
+	capacity  int       // bytes available for workers and keys in each part
+	remaining int       // unused bytes of the capacity of the last part
 }
 
 func newSplitter(first Message) *splitter {
@@ -179,7 +179,8 @@
 	return &splitter{parts: []Message{first}, capacity: capacity, remaining: capacity}
 }
 
-// partFor returns the part that has room for an entry of a size in bytes.
+// partFor reserves space for an entry of size bytes in the last part, or in a new part if the last one is full, and returns
+// that part.
 func (s *splitter) partFor(size int) *Message {
 	s.remaining -= size
 	if s.remaining < 0 {
--- a/internal/fleet/messaging/message_test.go
+++ b/internal/fleet/messaging/message_test.go
@@ -52,7 +52,7 @@
 	assert.NoError(t, err)
 	for size := range complete {
 		_, err := Decode(complete[:size])
-		assert.ErrorIs(t, err, ErrMalformed, "cut off at %d", size)
+		assert.ErrorIs(t, err, ErrMalformed, "truncated to %d bytes", size)
 	}
 	_, err = Decode(make([]byte, MaxDatagramBytes+1))
 	assert.ErrorIs(t, err, ErrMalformed)
--- a/internal/fleet/messaging/socket.go
+++ b/internal/fleet/messaging/socket.go
@@ -12,7 +12,7 @@
 	"github.com/rs/zerolog"
 )
 
-// Socket sends and receives the messages between the members of a fleet. Send may be called by several goroutines.
+// Socket sends and receives messages between the members of a fleet. Send is safe for concurrent use.
 type Socket struct {
 	conn    *net.UDPConn
 	members []netip.AddrPort // by position
@@ -22,21 +22,22 @@
 	Sent           atomic.Int64 // messages
 	Bytes          atomic.Int64 // of the messages sent
 	Failed         atomic.Int64 // messages that could not be encoded or sent
-	Received       atomic.Int64 // messages of members
-	Malformed      atomic.Int64 // datagrams of members that are no message
-	UnknownSenders atomic.Int64 // datagrams of senders that are no member
+	Received       atomic.Int64 // messages from members
+	Malformed      atomic.Int64 // datagrams from members that are not valid messages
+	UnknownSenders atomic.Int64 // datagrams from senders that are not members
 }
 
-// Listen opens the socket of one member at its address. members are the addresses of all of them by position.
+// Listen opens the socket of a member at its address. members holds the addresses of all members by position.
 func Listen(address netip.AddrPort, members []netip.AddrPort, log zerolog.Logger) (*Socket, error) {
 	conn, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(address))
 	if err != nil {
-		return nil, fmt.Errorf("listening for the fleet: %w", err)
+		return nil, fmt.Errorf("listening for fleet messages: %w", err)
 	}
 	return &Socket{conn: conn, members: members, log: log}, nil
 }
 
-// Send sends a message to the member at a position. A failure is counted: to the protocol it is a lost message.
+// Send sends a message to the member at position to. An error is only counted: the protocol handles it like a lost
+// message.
 func (s *Socket) Send(to int, msg *Message) {
 	datagram, err := Encode(msg)
 	if err == nil {
@@ -50,16 +51,17 @@
 	s.Bytes.Add(int64(len(datagram)))
 }
 
-// Run passes what members send to receive, with the sender's position, until ctx ends. It closes the socket.
+// Run calls receive for each message from a member, with the sender's position, until ctx is canceled. It then closes the
+// socket.
 func (s *Socket) Run(ctx context.Context, receive func(from int, msg *Message)) error {
 	defer context.AfterFunc(ctx, func() { s.conn.Close() })()
-	datagram := make([]byte, MaxDatagramBytes+1) // one byte more, so that one that is too long is not cut to a valid length
+	datagram := make([]byte, MaxDatagramBytes+1) // one extra byte, so that a datagram that is too long is detected
 	for ctx.Err() == nil {
 		size, from, err := s.conn.ReadFromUDPAddrPort(datagram)
 		if errors.Is(err, net.ErrClosed) {
 			return nil
 		}
-		if err != nil { // such as an ICMP answer that a member's port is closed
+		if err != nil { // for example an ICMP message that a member's port is closed
 			continue
 		}
 		s.receive(datagram[:size], from, receive)
@@ -67,8 +69,8 @@
 	return nil
 }
 
-// receive counts a datagram, and passes its message to a function if it comes from a member. IPv4 senders count by their
-// IPv4 address, also on a socket for both families.
+// receive counts a datagram, and calls the function receive with its message if the sender is a member. An IPv4 sender is
+// matched by its IPv4 address even on a dual-stack socket.
 func (s *Socket) receive(datagram []byte, from netip.AddrPort, receive func(from int, msg *Message)) {
 	from = netip.AddrPortFrom(from.Addr().Unmap(), from.Port())
 	position := slices.Index(s.members, from)
--- a/internal/fleet/simulate/clients.go
+++ b/internal/fleet/simulate/clients.go
@@ -9,18 +9,19 @@
 )
 
 const (
-	requestInterval = 60 * time.Millisecond // on average, of a fleet of smallFleet dispatchers or fewer
-	smallFleet      = 6                     // dispatchers; a larger fleet receives more requests in proportion
+	requestInterval = 60 * time.Millisecond // mean interval for at most smallFleet dispatchers
+	smallFleet      = 6                     // dispatchers; a larger fleet receives proportionally more requests
 	requestSize     = 200 * time.Millisecond
-	minRequestTime  = 50 * time.Millisecond // until a request ends
+	minRequestTime  = 50 * time.Millisecond // duration of a request
 	maxRequestTime  = 400 * time.Millisecond
 	repeatShare     = 0.3 // of the requests
 	keyedShare      = 0.3 // of the requests
-	repeatRange     = 120 // how many of the last keys are repeated
+	repeatRange     = 120 // number of most recent keys from which repeats are drawn
 	zoneCount       = 3
 )
 
-// sendRequests sends a request to one dispatcher, again and again: some under a new key, some as a repeat.
+// sendRequests sends a request to a random dispatcher, with a new key, as a repeat of an earlier key or without a key, and
+// schedules the next request.
 func (w *world) sendRequests() {
 	interval := requestInterval * smallFleet / time.Duration(max(w.plan.Dispatchers, smallFleet))
 	shortest := interval / 2
@@ -43,7 +44,7 @@
 	n.admitRequest()
 }
 
-// admitRequest admits a request if the phase allows it, and ends it a while later.
+// admitRequest admits a request if the phase allows it, and schedules its end.
 func (n *node) admitRequest() {
 	if !n.machine.Admit(n.uptime(), requestSize).Admitted {
 		return
@@ -63,7 +64,7 @@
 	})
 }
 
-// persistKey writes a key to disk, and reports whether the request may be sent.
+// persistKey writes a key to disk, and reports whether that succeeded, so that the request may be sent.
 func (n *node) persistKey(key sentKey) bool {
 	record := store.Key{
 		Sum:       key.sum,
@@ -79,15 +80,15 @@
 	return true
 }
 
-// What becomes of a marked repeat.
+// The outcomes of a marked repeat.
 const (
-	repeatAnywhere = "anywhere" // it may run again in another dedup group
+	repeatAnywhere = "anywhere" // it may run again, in another dedup group
 	repeatFailed   = "error"
 	repeatToGroup  = "group"
 )
 
-// sendRepeat sends a marked repeat of a request, and checks where it goes. If the request was sent before this dispatcher
-// started, its repeat has to go to the same dedup group or fail, for one dedup window.
+// sendRepeat sends a marked repeat of a request, and checks the dedup group to which it is sent. If the request was sent
+// before this dispatcher started, its repeat must be sent to the same dedup group or fail, for one dedup window.
 func (n *node) sendRepeat(key sentKey) {
 	found, err := n.keys.Find(recovery.KeyLookup{
 		Sum:          key.sum,
@@ -111,8 +112,8 @@
 	}
 	switch {
 	case isProtected && outcome == repeatAnywhere:
-		n.world.violation("%d: a repeat of key %d, sent at %v, goes anywhere", n.position, key.sum, key.at)
+		n.world.violation("%d: repeat of key %d, sent at %v, may run in any dedup group", n.position, key.sum, key.at)
 	case found != nil && found.Zone != key.zone:
-		n.world.violation("%d: a repeat of key %d goes to %s, the request went to %s", n.position, key.sum, found.Zone, key.zone)
+		n.world.violation("%d: repeat of key %d sent to %s, but the request was sent to %s", n.position, key.sum, found.Zone, key.zone)
 	}
 }
--- a/internal/fleet/simulate/faults.go
+++ b/internal/fleet/simulate/faults.go
@@ -8,43 +8,43 @@
 	"canvasroute/internal/fleet/store"
 )
 
-// errDiskFull is the error of a disk without space.
+// errDiskFull is returned by writes to a full disk.
 var errDiskFull = errors.New("no space left on the disk")
 
-// diskFault is what a loss of power does to a disk.
+// diskFault is the effect of a power loss on a disk.
 type diskFault string
 
 const (
 	diskIntact  diskFault = "intact"
-	diskLost    diskFault = "lost"    // an empty disk in its place
-	diskTorn    diskFault = "torn"    // a file is cut off
-	diskReset   diskFault = "reset"   // put back to an earlier state
-	diskSwapped diskFault = "swapped" // another dispatcher's disk
-	diskFull    diskFault = "full"    // nothing can be written any more
+	diskLost    diskFault = "lost"    // replaced by an empty disk
+	diskTorn    diskFault = "torn"    // a file is truncated
+	diskReset   diskFault = "reset"   // restored to an earlier snapshot
+	diskSwapped diskFault = "swapped" // replaced by a copy of another dispatcher's disk
+	diskFull    diskFault = "full"    // all writes fail
 )
 
-// diskFaults are all kinds, in the order in which they are drawn.
+// diskFaults lists all kinds of disk faults, in the order in which they are drawn.
 var diskFaults = []diskFault{diskIntact, diskLost, diskTorn, diskReset, diskSwapped, diskFull}
 
-// unreportedKeyTime is how long before a loss of power keys may have been sent that no peer has stored. The sender's last
-// heartbeat and the last state of its peers are up to a second old each; the rest is slack.
+// unreportedKeyTime is the duration before a power loss in which the sender may have sent keys that no peer has stored. The
+// sender's last heartbeat and the last saved state of its peers are each up to a second old. The rest is slack.
 const unreportedKeyTime = 2200 * time.Millisecond
 
-// The probability of each kind of fault in a history.
+// The probabilities of the kinds of faults in a history.
 const (
 	diskFaultProbability      = 0.5 // of each diskFault
 	clockJumpProbability      = 0.3
 	neverBackProbability      = 0.2
 	unreliableDiskProbability = 0.2
-	// resetDiskEvery is how many dispatchers there are for each whose disk may be reset.
+	// resetDiskEvery is the number of dispatchers for each dispatcher whose disk may be reset.
 	resetDiskEvery = 3
 )
 
-// The probability of each kind of fault in one loss of power, if the history has it.
+// The probabilities of the kinds of faults in one power loss, for the kinds that the history has.
 const (
 	partialOutageProbability   = 0.4 // only some dispatchers lose power
-	workerOutageProbability    = 0.8 // the workers too, if all dispatchers do
-	discoveryOutageProbability = 0.5 // the discovery service too
+	workerOutageProbability    = 0.8 // if all dispatchers lose power, the workers lose it too
+	discoveryOutageProbability = 0.5 // the discovery service fails too
 	staysDownProbability       = 0.2 // of each dispatcher
 	jumpedClockProbability     = 0.3 // of each dispatcher
 )
@@ -52,10 +52,10 @@
 // The times of faults.
 const (
 	maxPowerLosses      = 3
-	snapshotAt          = dedupWindow + 2*time.Second // when the disks are copied that diskReset puts back
+	snapshotAt          = dedupWindow + 2*time.Second // time of the disk snapshots that diskReset restores
 	minFirstPowerLoss   = 4 * time.Second             // after the first dedup window
 	maxFirstPowerLoss   = 7 * time.Second
-	minPowerLossGap     = 200 * time.Millisecond // from the end of one loss of power to the next
+	minPowerLossGap     = 200 * time.Millisecond // from the end of one power loss to the next
 	maxPowerLossGap     = 9 * time.Second
 	minDowntime         = 50 * time.Millisecond // of a dispatcher
 	leastMaxDowntime    = 100 * time.Millisecond
@@ -66,21 +66,21 @@
 	maxClockJump        = 2 * time.Hour // in either direction
 )
 
-// faultPlan is which kinds of faults a history has at all. So some histories have few kinds, and show faults of the
-// software that many kinds together would hide.
+// faultPlan is the set of fault kinds that a history has. Some histories have few kinds, because many kinds together could
+// hide a defect of the software.
 type faultPlan struct {
 	powerLosses int
-	disks       []diskFault     // the kinds that are drawn from; none for diskIntact alone
-	clockJumps  bool            // wall clocks may jump
-	neverBack   bool            // some dispatchers stay down
-	snapshots   []*store.Memory // by position: the disk that diskReset puts back
+	disks       []diskFault     // the kinds to draw from; if empty, only diskIntact
+	clockJumps  bool            // wall clocks may jump when a dispatcher restarts
+	neverBack   bool            // some dispatchers may never restart
+	snapshots   []*store.Memory // by position: the disk that diskReset restores
 }
 
-// scheduleFaults draws and schedules the faults of a history, and returns when the last one is over.
+// scheduleFaults draws and schedules the faults of a history, and returns the time at which the last one ends.
 func (w *world) scheduleFaults() time.Duration {
 	plan := w.drawFaultPlan()
 	plan.snapshots = make([]*store.Memory, len(w.nodes))
-	// A dedup window passes before anything fails: the keys of a fleet that has just begun are suspect anyway.
+	// The first fault comes after a dedup window, because until then the keys of a new fleet are suspect in any case.
 	w.at(snapshotAt, func() {
 		for position, n := range w.nodes {
 			plan.snapshots[position] = n.disk.Restart(0)
@@ -94,7 +94,8 @@
 	return w.lastFaultAt
 }
 
-// drawFaultPlan draws the kinds of faults, and the faults of the network and of unreliable disks.
+// drawFaultPlan draws the fault kinds of a history, schedules the faults of the network, and selects whether disks are
+// unreliable.
 func (w *world) drawFaultPlan() faultPlan {
 	if w.plan.FleetOutageOnly {
 		return faultPlan{powerLosses: 1}
@@ -108,8 +109,8 @@
 	plan.clockJumps = w.happens(clockJumpProbability)
 	plan.neverBack = w.happens(neverBackProbability)
 	if slices.Contains(plan.disks, diskReset) {
-		// A reset is detected as long as one of the two receivers of heartbeats has its disk, and its reply arrives. So
-		// only some disks are reset, no other one loses anything, and all messages arrive.
+		// A reset is detected only if at least one of the two receivers of the dispatcher's heartbeats still has its disk
+		// and its reply arrives. Therefore only some disks are reset, no other disk loses data, and no message is lost.
 		plan.disks = []diskFault{diskIntact, diskReset, diskFull}
 	} else {
 		w.drawNetworkFaults()
@@ -123,8 +124,8 @@
 	return plan
 }
 
-// schedulePowerLoss schedules one loss of power of some dispatchers, perhaps with the workers or the discovery service.
-// It returns when the last of them is back.
+// schedulePowerLoss schedules a power loss of some or all dispatchers, possibly with an outage of the workers or the
+// discovery service. It returns the time at which the last of them restarts.
 func (w *world) schedulePowerLoss(at time.Duration, plan *faultPlan) time.Duration {
 	share := 1.0 // of the dispatchers
 	if !w.plan.FleetOutageOnly && w.happens(partialOutageProbability) {
@@ -161,7 +162,7 @@
 	return last
 }
 
-// scheduleWorkerOutage schedules a loss of power of all workers, and returns when they are back.
+// scheduleWorkerOutage schedules a power loss of all workers, and returns the time at which they restart.
 func (w *world) scheduleWorkerOutage(at time.Duration) time.Duration {
 	back := at + w.between(minWorkerOutage, maxWorkerOutage)
 	w.at(at, func() { w.workers.up = false })
@@ -169,7 +170,7 @@
 	return back
 }
 
-// scheduleDiscoveryOutage schedules an outage of the discovery service, and returns when it is back.
+// scheduleDiscoveryOutage schedules an outage of the discovery service, and returns the time at which it ends.
 func (w *world) scheduleDiscoveryOutage(at time.Duration) time.Duration {
 	back := at + w.between(0, maxDiscoveryOutage)
 	w.at(at, func() { w.discoveryUp = false })
@@ -177,8 +178,8 @@
 	return back
 }
 
-// scheduleRestart schedules the restart of a dispatcher after a loss of power, which may change its disk and its clock.
-// It returns when the dispatcher starts.
+// scheduleRestart schedules the restart of a dispatcher after a power loss, possibly with a disk fault and a clock jump. It
+// returns the time at which the dispatcher starts.
 func (w *world) scheduleRestart(n *node, at, maxDowntime time.Duration, plan *faultPlan) time.Duration {
 	back := at + w.between(minDowntime, maxDowntime)
 	fault := diskIntact
@@ -208,7 +209,7 @@
 	return back
 }
 
-// injectDiskFault replaces the disk by what a loss of power left of it.
+// injectDiskFault replaces the disk by its durable contents after a power loss, and applies a fault to it.
 func (n *node) injectDiskFault(fault diskFault, snapshot, other *store.Memory) {
 	n.disk = n.disk.Restart(0)
 	switch fault {
@@ -228,7 +229,7 @@
 	}
 }
 
-// markKeysUnknownToPeers marks the keys that are lost with a disk that was reset, since no peer can know them.
+// markKeysUnknownToPeers marks the keys that a disk reset loses and that the dispatcher's peers have not received.
 func (n *node) markKeysUnknownToPeers() {
 	for number := range n.world.keys {
 		key := &n.world.keys[number]
--- a/internal/fleet/simulate/invariants.go
+++ b/internal/fleet/simulate/invariants.go
@@ -7,18 +7,19 @@
 	"canvasroute/internal/fleet/recovery"
 )
 
-// checkTransition checks that phases only rise, and that an outage that is classified as that of one dispatcher was one.
-// It also checks that no dispatcher admits requests before its peers have answered or have had the time to.
+// checkTransition checks that phases only advance, and that an outage is classified as one of a single dispatcher only if
+// no other dispatcher was down. It also checks that no dispatcher admits requests before its peers have replied or the
+// timeout for their replies has passed.
 func (n *node) checkTransition(transition recovery.Transition) {
 	if transition.Phase < n.phase {
-		n.world.violation("%d: %v after %v", n.position, transition.Phase, n.phase)
+		n.world.violation("%d: phase %v after phase %v", n.position, transition.Phase, n.phase)
 	}
 	n.phase = transition.Phase
 	switch transition.Phase {
 	case recovery.Probing:
 		answered, total := n.machine.PeersAnswered()
 		if answered < total && n.uptime() < peersTimeout {
-			n.world.violation("%d: admits requests after %v, with %d of %d replies", n.position, n.uptime(), answered, total)
+			n.world.violation("%d: admits requests after %v with %d of %d replies", n.position, n.uptime(), answered, total)
 		}
 		if n.machine.Outage() == recovery.OnlyThis {
 			n.checkPeersServe()
@@ -28,26 +29,26 @@
 	}
 }
 
-// checkPeersServe checks that all peers serve, or have stopped so recently that their replies may be older.
+// checkPeersServe checks that all peers serve, or stopped so recently that their replies may predate the stop.
 func (n *node) checkPeersServe() {
 	for _, peer := range n.world.nodes {
 		if peer == n || peer.up && peer.machine.Phase() == recovery.Serving {
 			continue
 		}
 		if peer.up || n.world.now-peer.startedAt > peersTimeout+n.uptime() {
-			n.world.violation("%d: takes itself for the only one that was down, and %d does not serve", n.position, peer.position)
+			n.world.violation("%d: classified the outage as its own alone, but %d does not serve", n.position, peer.position)
 		}
 	}
 }
 
-// checkSentIncarnation checks that no message carries an incarnation that is not on disk, unless the disk has failed.
+// checkSentIncarnation checks that no message has a higher incarnation than the disk, unless the disk has failed.
 func (n *node) checkSentIncarnation(msg *messaging.Message) {
 	if msg.Incarnation > n.incarnation && !n.diskFailed {
-		n.world.violation("%d: sends incarnation %d, %d is on its disk", n.position, msg.Incarnation, n.incarnation)
+		n.world.violation("%d: sent incarnation %d, but its disk has %d", n.position, msg.Incarnation, n.incarnation)
 	}
 }
 
-// checkEnd checks that every dispatcher that is up serves once the last fault is over.
+// checkEnd checks that every running dispatcher serves at the end of the history, and completes the result.
 func (w *world) checkEnd() {
 	lastServingAt := time.Duration(0)
 	for _, n := range w.nodes {
@@ -59,7 +60,7 @@
 		w.result.FinalPhases[phase]++
 		w.result.Outages[n.machine.Outage()]++
 		if phase != recovery.Serving {
-			w.violation("%d: %v at the end, %v after its start", n.position, phase, n.uptime())
+			w.violation("%d: phase %v at the end, %v after its start", n.position, phase, n.uptime())
 		}
 		lastServingAt = max(lastServingAt, n.servingAt)
 	}
--- a/internal/fleet/simulate/network.go
+++ b/internal/fleet/simulate/network.go
@@ -6,24 +6,24 @@
 	"canvasroute/internal/fleet/messaging"
 )
 
-// link is a direction between two dispatchers, by their positions.
+// link is the direction from one dispatcher to another, by their positions.
 type link struct {
 	from int
 	to   int
 }
 
-// network is how messages are carried.
+// network holds the current faults and delays of the simulated network.
 type network struct {
 	loss        float64       // probability that a message is lost
 	duplication float64       // probability that a message is sent twice
 	delay       time.Duration // of each message
-	maxJitter   time.Duration // the most that is added to the delay
-	cut         map[link]bool // links that carry nothing
+	maxJitter   time.Duration // maximum random addition to the delay
+	cut         map[link]bool // links that lose all messages
 }
 
 const networkDelay = 2 * time.Millisecond
 
-// The faults of the network: the probability of each in a history, and how large it is at most.
+// The probability of each network fault in a history, and its maximum value.
 const (
 	lossProbability        = 0.4
 	maxLoss                = 0.4
@@ -33,7 +33,7 @@
 	maxDrawnJitter         = 300 * time.Millisecond
 	cutLinksProbability    = 0.4
 	partitionProbability   = 0.2
-	// All faults of the network end together, at a time in this range after the first dedup window.
+	// The range of the time, after the first dedup window, at which all network faults end.
 	minNetworkFaultTime = 5 * time.Second
 	maxNetworkFaultTime = 25 * time.Second
 )
@@ -43,7 +43,7 @@
 	return network{delay: networkDelay, cut: map[link]bool{}}
 }
 
-// send carries a message, encoded, to another dispatcher.
+// send encodes a message and schedules its delivery to another dispatcher, subject to the faults of the network.
 func (w *world) send(from, to int, msg *messaging.Message) {
 	datagram, err := messaging.Encode(msg)
 	if err != nil {
@@ -65,7 +65,7 @@
 	}
 }
 
-// deliver hands a message to a dispatcher that is up.
+// deliver decodes a message and passes it to a dispatcher, if that is up.
 func (w *world) deliver(from, to int, datagram []byte) {
 	msg, err := messaging.Decode(datagram)
 	if err != nil {
@@ -77,7 +77,7 @@
 	}
 }
 
-// drawNetworkFaults draws faults of the network, and schedules their end.
+// drawNetworkFaults draws and applies network faults, and schedules their end.
 func (w *world) drawNetworkFaults() {
 	if w.happens(lossProbability) {
 		w.network.loss = maxLoss * w.rng.Float64()
@@ -99,7 +99,7 @@
 	w.lastFaultAt = max(w.lastFaultAt, healedAt)
 }
 
-// cutLinks cuts some links in one direction.
+// cutLinks cuts random links, each in one direction.
 func (w *world) cutLinks() {
 	for range 1 + w.rng.IntN(len(w.nodes)) {
 		from := w.rng.IntN(len(w.nodes))
@@ -108,7 +108,7 @@
 	}
 }
 
-// partition cuts every link between the first dispatchers, as many as it draws, and the others.
+// partition cuts all links between the first dispatchers, a random number of them, and the others.
 func (w *world) partition() {
 	size := w.rng.IntN(len(w.nodes)) + 1
 	for from := range w.nodes {
--- a/internal/fleet/simulate/node.go
+++ b/internal/fleet/simulate/node.go
@@ -10,31 +10,31 @@
 	"canvasroute/internal/fleet/store"
 )
 
-// node is one dispatcher through its incarnations. It carries out the actions of the state machine on simulated disks and
-// messages, in the order in which fleet.Node does.
+// node is one dispatcher across its incarnations. It performs the actions of the state machine with a simulated disk and
+// network, in the same order as fleet.Node.
 type node struct {
 	world          *world
-	position       int // among the members
+	position       int // in the list of members
 	disk           *store.Memory
-	unreliableDisk bool            // it may drop syncs, and the settings say so
+	unreliableDisk bool            // the disk may drop syncs, and the settings declare it unreliable
 	clockOffset    time.Duration   // of its wall clock
-	messages       int             // sent
-	powerLosses    []time.Duration // when it has lost power
+	messages       int             // number of messages sent
+	powerLosses    []time.Duration // times of its power losses
 
 	up        bool
-	run       int           // number of starts and stops, so that events of a process that has ended do nothing
-	startedAt time.Duration // the last time
+	run       int           // number of starts and stops, so that events of an exited process are ignored
+	startedAt time.Duration // time of the last start
 
-	// Of the process that runs.
+	// State of the running process.
 	machine     *recovery.StateMachine
 	keys        *recovery.Keys
 	store       *store.Store
-	incarnation uint64               // that is on disk
-	diskFailed  bool                 // no incarnation could be written
-	restored    bool                 // the phase admits requests, so the state may be written
-	replies     []recovery.PeerReply // not merged yet
-	phase       recovery.Phase       // the last that has begun
-	servingAt   time.Duration        // 0 before it serves
+	incarnation uint64               // the incarnation on disk
+	diskFailed  bool                 // an incarnation could not be written
+	restored    bool                 // the phase has admitted requests, so the state may be written
+	replies     []recovery.PeerReply // not yet merged
+	phase       recovery.Phase       // the current phase
+	servingAt   time.Duration        // time of the transition to Serving, 0 before it
 }
 
 // The settings of each dispatcher.
@@ -43,27 +43,27 @@
 	endpointsTimeout = 3 * time.Second
 	peersTimeout     = time.Second
 	probeTimeout     = 2 * time.Second
-	slowStartMargin  = time.Second // how much longer than a warm-up the slow start may last
+	slowStartMargin  = time.Second // by which the slow start may exceed the warm-up
 	queryInterval    = 100 * time.Millisecond
-	stateInterval    = time.Second // from one write of the state to the next
+	stateInterval    = time.Second // between writes of the state
 	maxRetryAfter    = 2 * time.Second
 )
 
 const (
 	minTick = time.Millisecond
 	maxTick = 100 * time.Millisecond
-	// A dispatcher polls the discovery service again after a time in this range.
+	// The range of the delay until a dispatcher retries a failed poll of the discovery service.
 	minPollInterval = 100 * time.Millisecond
 	maxPollInterval = time.Second
 	// wallClockStart is the Unix time in ms at which histories begin.
 	wallClockStart = 1_700_000_000_000
-	// workerStart is the Unix time in ms at which the workers of replies have started.
+	// workerStart is the start time of the workers in replies, as Unix time in ms.
 	workerStart = 1 << 40
-	// observedSlots is how many requests at once a worker of replies has been seen to process.
+	// observedSlots is the highest observed concurrency of workers in replies.
 	observedSlots = 3
 )
 
-// letters is the number of letters from which names are made.
+// letters is the number of letters used in names.
 const letters = 'z' - 'a' + 1
 
 // memberNames returns the names of all dispatchers by position.
@@ -79,12 +79,12 @@
 // uptime returns the time since the process started.
 func (n *node) uptime() time.Duration { return n.world.now - n.startedAt }
 
-// wallClock returns the Unix time in ms by the dispatcher's clock.
+// wallClock returns the Unix time in ms according to the dispatcher's clock.
 func (n *node) wallClock() int64 {
 	return wallClockStart + (n.world.now + n.clockOffset).Milliseconds()
 }
 
-// start starts a process on the disk as it is.
+// start starts a process with the current contents of the disk.
 func (n *node) start() {
 	n.up = true
 	n.run++
@@ -114,7 +114,7 @@
 	n.pollDiscovery(n.run)
 }
 
-// openStore reads the disk and begins an incarnation.
+// openStore reads the disk, restores the keys, and begins a new incarnation.
 func (n *node) openStore() {
 	s, recovered := store.Open(n.disk, n.world.memberNames()[n.position])
 	n.store = s
@@ -145,10 +145,10 @@
 	n.powerLosses = append(n.powerLosses, n.world.now)
 }
 
-// running reports whether a process that was started as a run is still up.
+// running reports whether the process of the given run is still up.
 func (n *node) running(run int) bool { return n.up && n.run == run }
 
-// tick lets the state machine do what is due by time, again and again.
+// tick runs the due timers of the state machine, and schedules the next tick.
 func (n *node) tick(run int) {
 	if !n.running(run) {
 		return
@@ -163,7 +163,7 @@
 	n.world.after(wait, func() { n.tick(run) })
 }
 
-// pollDiscovery polls the discovery service until it answers.
+// pollDiscovery polls the discovery service, and retries until a poll succeeds.
 func (n *node) pollDiscovery(run int) {
 	if !n.running(run) {
 		return
@@ -178,7 +178,7 @@
 	n.world.after(n.world.between(minPollInterval, maxPollInterval), func() { n.pollDiscovery(run) })
 }
 
-// saveState writes the state, again and again.
+// saveState writes the state if it was restored, and schedules the next write.
 func (n *node) saveState(run int) {
 	if !n.running(run) {
 		return
@@ -190,13 +190,13 @@
 	n.world.after(stateInterval, func() { n.saveState(run) })
 }
 
-// receive passes a message of a member to the state machine.
+// receive passes a message from a member to the state machine.
 func (n *node) receive(from int, msg *messaging.Message) {
 	n.machine.Receive(n.uptime(), from, msg)
 	n.carryOut()
 }
 
-// carryOut carries out the actions of the state machine, and checks the invariants of each.
+// carryOut performs the pending actions of the state machine, and checks the invariants of phase transitions and messages.
 func (n *node) carryOut() {
 	actions := n.machine.TakeActions()
 	for _, transition := range actions.Transitions {
@@ -220,8 +220,8 @@
 	}
 }
 
-// persistKeysMark persists a change of the mark. Its error is a drawn fault: diskFailed stands for an incarnation that
-// could not be raised, and setting it here would weaken the check.
+// persistKeysMark persists a change of the keys-suspect mark. It ignores errors, because they are injected faults:
+// diskFailed means that an incarnation could not be written, and setting it here would weaken checkSentIncarnation.
 func (n *node) persistKeysMark(mark recovery.KeysMark) {
 	switch mark {
 	case recovery.MarkKeysSuspect:
@@ -231,7 +231,7 @@
 	}
 }
 
-// raiseIncarnation persists a higher incarnation before another message is sent.
+// raiseIncarnation persists a higher incarnation before the next message is sent.
 func (n *node) raiseIncarnation(incarnation uint64) {
 	if err := n.store.RaiseIncarnation(incarnation); err != nil {
 		n.diskFailed = true
@@ -240,7 +240,7 @@
 	n.machine.IncarnationRaised(n.uptime(), incarnation)
 }
 
-// mergeReplies adds the keys that peers know.
+// mergeReplies adds the keys from the replies of peers.
 func (n *node) mergeReplies() {
 	for _, reply := range n.replies {
 		for _, key := range reply.Keys {
@@ -250,13 +250,13 @@
 	n.replies = nil
 }
 
-// reply sends what is known here to a peer that has sent a query.
+// reply replies to a peer's query with this dispatcher's keys, observed concurrency and, if requested, workers.
 func (n *node) reply(query recovery.Query) {
 	known := recovery.LocalKnowledge{
 		Keys:        n.keys.ForPeers(n.wallClock(), n.uptime()),
 		MaxObserved: map[string]float64{"std": observedSlots},
 	}
-	// Sorted, since which keys a lost part of the reply holds must follow from the seed.
+	// The keys are sorted so that the contents of each part of the reply, and thus of lost parts, depend only on the seed.
 	slices.SortFunc(known.Keys, func(a, b messaging.Key) int { return cmp.Compare(a.Sum, b.Sum) })
 	if query.WantWorkers {
 		for worker := range n.world.plan.Workers {
--- a/internal/fleet/simulate/schedule.go
+++ b/internal/fleet/simulate/schedule.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// schedule holds the events to come. Those of one time are handled in the order in which they were added.
+// schedule holds the pending events. Events with the same time are handled in the order in which they were added.
 type schedule struct {
 	queue eventQueue
-	added int // events so far
+	added int // number of events added so far
 }
 
-// event is something that happens at a time.
+// event is a function to be called at a simulated time.
 type event struct {
 	at     time.Duration // since the start of the history
-	number int           // by the order of adding
+	number int           // sequence number in the order of adding
 	handle func()
 }
 
@@ -24,7 +24,7 @@
 	heap.Push(&s.queue, event{at: at, number: s.added, handle: handle})
 }
 
-// next removes the first event. found is false if there is none.
+// next removes and returns the earliest event. found is false if there is none.
 func (s *schedule) next() (first event, found bool) {
 	if len(s.queue) == 0 {
 		return event{}, false
@@ -32,7 +32,7 @@
 	return heap.Pop(&s.queue).(event), true
 }
 
-// eventQueue is a heap.Interface.
+// eventQueue implements heap.Interface, ordered by time and sequence number.
 type eventQueue []event
 
 func (q eventQueue) Len() int      { return len(q) }
--- a/internal/fleet/simulate/simulate.go
+++ b/internal/fleet/simulate/simulate.go
@@ -1,8 +1,8 @@
-// Package simulate runs whole fleets through losses of power in one process, without real time. The recovery's state
-// machines, the stores and the messages are those of the dispatcher; disks, clocks, network, workers and clients are
-// simulated. A seed gives one history. Invariants are checked after each step.
+// Package simulate runs the power-loss recovery of whole fleets in one process, in simulated time. It uses the recovery
+// state machine, the store and the messages of the dispatcher, and simulates disks, clocks, network, workers and clients. A
+// seed determines one history, which is one run of a fleet. Invariants are checked during the run.
 //
-// It does not simulate the balancer or the dispatcher's process: the testbed does, in real time.
+// It does not simulate the balancer or the dispatcher's process. The testbed tests those in real time.
 package simulate
 
 import (
@@ -14,36 +14,36 @@
 	"canvasroute/internal/fleet/store"
 )
 
-// Plan is what a history is drawn from.
+// Plan holds the parameters of a history.
 type Plan struct {
 	Dispatchers     int // in the fleet
-	Workers         int // that the dispatchers share
+	Workers         int // shared by the dispatchers
 	Seed            uint64
-	FleetOutageOnly bool // no fault but one loss of power of the whole fleet
+	FleetOutageOnly bool // the only fault is one power loss of the whole fleet
 }
 
-// Result is what happened in a history.
+// Result holds the violations and statistics of a history.
 type Result struct {
-	Violations   []string                // of invariants, with the time; the first maxViolations of them
-	Events       int                     // that were handled
-	Messages     int                     // sent by all dispatchers together
-	Bytes        int                     // of these messages
-	MaxMessages  int                     // sent by the dispatcher that sent most
-	RecoveryTime time.Duration           // from the end of the last fault until the last dispatcher served
-	Outages      map[recovery.Outage]int // dispatchers by how much of the fleet was down, at the end
-	Repeats      map[string]int          // marked repeats of keys sent before a restart, by what became of them
-	FinalPhases  map[recovery.Phase]int  // dispatchers by phase, at the end
+	Violations   []string                // of invariants, each with its time; at most maxViolations
+	Events       int                     // number of events handled
+	Messages     int                     // number of messages sent by all dispatchers
+	Bytes        int                     // total size of these messages
+	MaxMessages  int                     // highest number of messages sent by one dispatcher
+	RecoveryTime time.Duration           // from the end of the last fault until the last dispatcher serves
+	Outages      map[recovery.Outage]int // number of dispatchers by their final outage classification
+	Repeats      map[string]int          // marked repeats of keys sent before a restart, by outcome
+	FinalPhases  map[recovery.Phase]int  // number of dispatchers by their final phase
 }
 
 const (
-	dedupWindow       = 10 * time.Second       // in which workers drop the repeats of a key
+	dedupWindow       = 10 * time.Second       // duration for which workers drop repeats of a key
 	warmupDuration    = 12 * time.Second       // from a worker's start until it is warm
-	coldCapacityShare = 0.12                   // of a warm worker's capacity that a cold one has
+	coldCapacityShare = 0.12                   // capacity of a cold worker as a share of a warm worker's
 	warmWorkerSlots   = 3                      // requests that a warm worker processes at once
 	settleDuration    = 25 * time.Second       // from the last fault to the end of the history
-	maxStagger        = 200 * time.Millisecond // between the first starts of dispatchers
+	maxStagger        = 200 * time.Millisecond // maximum delay of the first start of a dispatcher
 	firstRequestAt    = time.Second
-	// maxViolations bounds how many violations a result lists: later ones often follow from the first.
+	// maxViolations limits the violations in a result, because later ones are often consequences of the first.
 	maxViolations = 20
 )
 
@@ -57,29 +57,29 @@
 	result Result
 
 	network     network
-	discoveryUp bool // the discovery service answers
+	discoveryUp bool // the discovery service is reachable
 	workers     workerPool
-	keys        []sentKey     // in the order of sending
+	keys        []sentKey     // in the order in which they were sent
 	lastFaultAt time.Duration // when the last fault ends
 }
 
-// workerPool is all workers together.
+// workerPool is the state of all workers, which lose power and restart together.
 type workerPool struct {
 	up          bool
-	restarted   bool          // they have lost power and started again
-	restartedAt time.Duration // the last time, if restarted
+	restarted   bool          // the workers have restarted after a power loss
+	restartedAt time.Duration // time of the last restart, if restarted
 }
 
-// sentKey is a request under a key that was sent to a dedup group.
+// sentKey records a request with a key that was sent to a dedup group.
 type sentKey struct {
 	sum            uint64
-	zone           string        // of the dedup group
-	at             time.Duration // when it was sent
+	zone           string        // zone of the dedup group
+	at             time.Duration // time at which it was sent
 	sender         int           // position of the dispatcher
-	unknownToPeers bool          // the sender's disk was reset, and no peer can know the key
+	unknownToPeers bool          // the sender's disk was reset, and no peer has received the key
 }
 
-// Run simulates one history.
+// Run simulates one history and returns its result.
 func Run(plan Plan) Result {
 	w := &world{
 		plan:        plan,
@@ -106,7 +106,7 @@
 	return w.result
 }
 
-// runUntil handles all events up to a time.
+// runUntil handles all events up to the given time.
 func (w *world) runUntil(end time.Duration) {
 	for {
 		next, found := w.events.next()
@@ -119,21 +119,21 @@
 	}
 }
 
-// at schedules an event, or for now if its time has passed.
+// at schedules an event, immediately if its time has passed.
 func (w *world) at(at time.Duration, handle func()) { w.events.add(max(at, w.now), handle) }
 
-// after schedules an event a while from now.
+// after schedules an event after a delay.
 func (w *world) after(wait time.Duration, handle func()) { w.at(w.now+wait, handle) }
 
-// happens draws whether an event of a probability happens.
+// happens returns true with the given probability.
 func (w *world) happens(probability float64) bool { return w.rng.Float64() < probability }
 
-// between draws a time from low to high, both included.
+// between returns a random duration from low to high, inclusive.
 func (w *world) between(low, high time.Duration) time.Duration {
 	return low + time.Duration(w.rng.Int64N(int64(high-low)+1))
 }
 
-// capacity returns the workers' present capacity.
+// capacity returns the current capacity of the workers.
 func (w *world) capacity() recovery.Capacity {
 	warm := warmWorkerSlots * float64(w.plan.Workers)
 	if !w.workers.up {
@@ -146,7 +146,7 @@
 	return recovery.Capacity{Workers: w.plan.Workers, Warm: warm, Now: share * warm}
 }
 
-// violation reports that an invariant does not hold.
+// violation adds a violated invariant to the result, unless the result already has maxViolations.
 func (w *world) violation(format string, args ...any) {
 	if len(w.result.Violations) < maxViolations {
 		text := fmt.Sprintf(format, args...)
--- a/internal/fleet/simulate/simulate_test.go
+++ b/internal/fleet/simulate/simulate_test.go
@@ -12,7 +12,7 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// historyCount returns how many histories are run: the number in CANVASROUTE_HISTORIES, if that is set.
+// historyCount returns the number of histories to run: the value of CANVASROUTE_HISTORIES if set, otherwise defaultCount.
 func historyCount(t *testing.T, defaultCount int) int {
 	t.Helper()
 	setting := os.Getenv("CANVASROUTE_HISTORIES")
@@ -26,7 +26,7 @@
 
 func TestNoHistoryViolatesAnInvariant(t *testing.T) {
 	var histories errgroup.Group
-	histories.SetLimit(max(1, runtime.NumCPU()/2)) // tests of other packages, which run beside it, depend on times
+	histories.SetLimit(max(1, runtime.NumCPU()/2)) // leaves CPU time for timing-dependent tests of other packages
 	for seed := range historyCount(t, 600) {
 		histories.Go(func() error {
 			plan := Plan{Dispatchers: 3 + seed%4, Workers: 15, Seed: uint64(seed)}
@@ -45,7 +45,7 @@
 		plan Plan
 	}{
 		{"seed 42", Plan{Dispatchers: 5, Workers: 15, Seed: 42}},
-		// Parts of replies are lost: the result must not follow from the order of a map.
+		// In this history parts of replies are lost. The result must not depend on the iteration order of a map.
 		{"seed 170", Plan{Dispatchers: 5, Workers: 15, Seed: 170}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -62,7 +62,7 @@
 		t.Run(fmt.Sprint(size, " dispatchers"), func(t *testing.T) {
 			result := Run(Plan{Dispatchers: size, Workers: 200, Seed: 1, FleetOutageOnly: true})
 			assert.Empty(t, result.Violations)
-			t.Logf("%d messages and %d bytes each, most %d, all serve after %v, %d events",
+			t.Logf("%d messages and %d bytes per dispatcher, at most %d messages, all serve after %v, %d events",
 				result.Messages/size, result.Bytes/size, result.MaxMessages, result.RecoveryTime, result.Events)
 		})
 	}
--- a/internal/fleet/store/disk.go
+++ b/internal/fleet/store/disk.go
@@ -29,7 +29,7 @@
 	fileMode   fs.FileMode = 0o600
 )
 
-// Folder is a Disk in the file system. At most one process at a time can lock it.
+// Folder is a Disk in the file system. Only one process can lock it at the same time.
 type Folder struct {
 	path string
 	lock *os.File // nil if the folder is read-only
