--- a/internal/fleet/simulate/clients.go
+++ b/internal/fleet/simulate/clients.go
@@ -112,8 +112,8 @@
 	}
 	switch {
 	case isProtected && outcome == repeatAnywhere:
-		n.world.violation("%d: repeat of key %d, sent at %v, may run in any dedup group", n.position, key.sum, key.at)
+		n.world.violation("%d: a repeat of key %d, sent at %v, goes anywhere", n.position, key.sum, key.at)
 	case found != nil && found.Zone != key.zone:
-		n.world.violation("%d: repeat of key %d sent to %s, but the request was sent to %s", n.position, key.sum, found.Zone, key.zone)
+		n.world.violation("%d: a repeat of key %d goes to %s, the request went to %s", n.position, key.sum, found.Zone, key.zone)
 	}
 }
--- a/internal/fleet/simulate/invariants.go
+++ b/internal/fleet/simulate/invariants.go
@@ -12,14 +12,14 @@
 // timeout for their replies has passed.
 func (n *node) checkTransition(transition recovery.Transition) {
 	if transition.Phase < n.phase {
-		n.world.violation("%d: phase %v after phase %v", n.position, transition.Phase, n.phase)
+		n.world.violation("%d: %v after %v", n.position, transition.Phase, n.phase)
 	}
 	n.phase = transition.Phase
 	switch transition.Phase {
 	case recovery.Probing:
 		answered, total := n.machine.PeersAnswered()
 		if answered < total && n.uptime() < peersTimeout {
-			n.world.violation("%d: admits requests after %v with %d of %d replies", n.position, n.uptime(), answered, total)
+			n.world.violation("%d: admits requests after %v, with %d of %d replies", n.position, n.uptime(), answered, total)
 		}
 		if n.machine.Outage() == recovery.OnlyThis {
 			n.checkPeersServe()
@@ -36,7 +36,7 @@
 			continue
 		}
 		if peer.up || n.world.now-peer.startedAt > peersTimeout+n.uptime() {
-			n.world.violation("%d: classified the outage as its own alone, but %d does not serve", n.position, peer.position)
+			n.world.violation("%d: takes itself for the only one that was down, and %d does not serve", n.position, peer.position)
 		}
 	}
 }
@@ -44,7 +44,7 @@
 // checkSentIncarnation checks that no message has a higher incarnation than the disk, unless the disk has failed.
 func (n *node) checkSentIncarnation(msg *messaging.Message) {
 	if msg.Incarnation > n.incarnation && !n.diskFailed {
-		n.world.violation("%d: sent incarnation %d, but its disk has %d", n.position, msg.Incarnation, n.incarnation)
+		n.world.violation("%d: sends incarnation %d, %d is on its disk", n.position, msg.Incarnation, n.incarnation)
 	}
 }
 
@@ -60,7 +60,7 @@
 		w.result.FinalPhases[phase]++
 		w.result.Outages[n.machine.Outage()]++
 		if phase != recovery.Serving {
-			w.violation("%d: phase %v at the end, %v after its start", n.position, phase, n.uptime())
+			w.violation("%d: %v at the end, %v after its start", n.position, phase, n.uptime())
 		}
 		lastServingAt = max(lastServingAt, n.servingAt)
 	}
