--- a/internal/daemon/recovery_test.go
+++ b/internal/daemon/recovery_test.go
@@ -99,7 +99,7 @@
 	folder, err := store.OpenFolder(path)
 	assert.NoError(t, err)
 	opened, _ := store.Open(folder, "n3")
-	_, err = opened.Begin(store.Start{MinNumber: 7, Nonce: 9, At: time.Now().UnixMilli()})
+	_, err = opened.Begin(store.BeginOptions{MinNumber: 7, Nonce: 9, At: time.Now().UnixMilli()})
 	assert.NoError(t, err)
 	assert.NoError(t, opened.MarkDrained())
 	assert.NoError(t, opened.AppendKeys([]store.Key{{Sum: 1}}, time.Now().UnixMilli()))
--- a/internal/fleet/incarnation.go
+++ b/internal/fleet/incarnation.go
@@ -114,7 +114,7 @@
 	}
 	written := make(chan result, 1)
 	go func() {
-		incarnation, err := s.Begin(store.Start{
+		incarnation, err := s.Begin(store.BeginOptions{
 			Previous:    recovered.Incarnation,
 			MinNumber:   recovered.MinNextIncarnation(),
 			Nonce:       nonce,
--- a/internal/fleet/messaging/message.go
+++ b/internal/fleet/messaging/message.go
@@ -1,5 +1,5 @@
-// Package messaging implements the recovery protocol between the dispatchers of a fleet: queries, replies and heartbeats,
-// encoded in CBOR and sent over UDP. It is independent of the platform's own datagrams.
+// Package messaging implements the recovery protocol between the dispatchers of a fleet: queries, replies and
+// heartbeats, encoded in CBOR and sent over UDP. It is independent of the platform's own datagrams.
 //
 // Messages may be lost, duplicated, delayed and reordered. Each message is self-contained and idempotent. This package
 // neither retransmits nor interprets messages: package recovery does.
@@ -56,18 +56,18 @@
 	PersistedKeys uint64 `cbor:"20,keyasint,omitempty"` // in heartbeats: keys persisted in the sender's incarnation
 	WantWorkers   bool   `cbor:"18,keyasint,omitempty"` // in queries: the reply should include workers
 
-	// Fields of replies. Those with the prefix Your describe earlier processes with the receiver's name.
-	YourIncarnation   uint64             `cbor:"8,keyasint,omitempty"`  // the highest received by the sender, 0 if none
-	YourNonce         uint64             `cbor:"9,keyasint,omitempty"`  // of that incarnation
-	YourPersistedKeys uint64             `cbor:"19,keyasint,omitempty"` // number of keys persisted in that incarnation
-	ReceivedAgoMillis int64              `cbor:"10,keyasint,omitempty"` // time since the last message of that incarnation
-	KeysUnconfirmed   bool               `cbor:"21,keyasint,omitempty"` // the sender may still find that it lost keys
-	KeysSuspect       bool               `cbor:"12,keyasint,omitempty"` // keys persisted by the sender may be missing
-	MaxObserved       map[string]float64 `cbor:"13,keyasint,omitempty"` // by kind of worker: highest observed concurrency
-	Part              uint16             `cbor:"14,keyasint,omitempty"` // number of this part, from 0
-	Parts             uint16             `cbor:"15,keyasint,omitempty"` // number of parts
-	Workers           []Worker           `cbor:"16,keyasint,omitempty"` // workers in the sender's endpoint list
-	Keys              []Key              `cbor:"17,keyasint,omitempty"` // keys from the sender's own disk and incarnation
+	// Fields of replies. Those with the prefix Receiver describe earlier processes with the receiver's name.
+	ReceiverIncarnation   uint64             `cbor:"8,keyasint,omitempty"`  // highest received by the sender, 0 if none
+	ReceiverNonce         uint64             `cbor:"9,keyasint,omitempty"`  // of that incarnation
+	ReceiverPersistedKeys uint64             `cbor:"19,keyasint,omitempty"` // keys persisted in that incarnation
+	ReceivedAgoMillis     int64              `cbor:"10,keyasint,omitempty"` // since the last message of that incarnation
+	KeysUnconfirmed       bool               `cbor:"21,keyasint,omitempty"` // the sender may still find that it lost keys
+	KeysSuspect           bool               `cbor:"12,keyasint,omitempty"` // keys persisted by the sender may be missing
+	MaxObserved           map[string]float64 `cbor:"13,keyasint,omitempty"` // highest observed concurrency by kind of worker
+	Part                  uint16             `cbor:"14,keyasint,omitempty"` // number of this part, from 0
+	Parts                 uint16             `cbor:"15,keyasint,omitempty"` // number of parts
+	Workers               []Worker           `cbor:"16,keyasint,omitempty"` // workers in the sender's endpoint list
+	Keys                  []Key              `cbor:"17,keyasint,omitempty"` // keys from the sender's own disk and incarnation
 }
 
 // The errors for messages that cannot be decoded or encoded.
@@ -76,8 +76,8 @@
 	ErrTooLong   = errors.New("message too long")  // the encoded message exceeds MaxDatagramBytes
 )
 
-// strictDecoding limits the resources that decoding a datagram can use.
-var strictDecoding = mustDecMode(cbor.DecOptions{
+// strictDecMode limits the resources that decoding a datagram can use.
+var strictDecMode = mustDecMode(cbor.DecOptions{
 	DupMapKey:        cbor.DupMapKeyEnforcedAPF,
 	MaxArrayElements: 1024,
 	MaxMapPairs:      64,
@@ -110,10 +110,10 @@
 		return nil, fmt.Errorf("%w: %d bytes", ErrMalformed, len(datagram))
 	}
 	msg := &Message{}
-	if err := strictDecoding.Unmarshal(datagram, msg); err != nil {
+	if err := strictDecMode.Unmarshal(datagram, msg); err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrMalformed, err)
 	}
-	if !msg.valid() {
+	if !msg.isValid() {
 		return nil, ErrMalformed
 	}
 	return msg, nil
@@ -122,8 +122,8 @@
 // maxNameBytes limits the length of a sender's name.
 const maxNameBytes = 255
 
-// valid reports whether the fields of a decoded message are in range and consistent.
-func (m *Message) valid() bool {
+// isValid reports whether the fields of a decoded message are in range and consistent.
+func (m *Message) isValid() bool {
 	switch {
 	case m.Kind < Query || m.Kind > Heartbeat:
 		return false
@@ -139,16 +139,16 @@
 
 // The maximum sizes in bytes of the parts of a message in CBOR, without the names that they contain.
 const (
-	maxCommonBytes = 400 // all fields except those below
-	maxWorkerBytes = 48  // a Worker
-	maxKeyBytes    = 56  // a Key
-	maxKindBytes   = 12  // an entry of MaxObserved
+	maxOtherFieldBytes    = 400 // all fields except those below
+	maxWorkerBytes        = 48  // a Worker
+	maxKeyBytes           = 56  // a Key
+	maxObservedEntryBytes = 12  // an entry of MaxObserved
 )
 
-// Split splits a reply into as many messages as its workers and keys require. Each message has the fields of first, except
-// that only the first message has MaxObserved.
-func Split(first Message, workers []Worker, keys []Key) []Message {
-	s := newSplitter(first)
+// Split splits a reply into as many messages as its workers and keys require. Each message has the fields of template,
+// but only the first message has MaxObserved.
+func Split(template Message, workers []Worker, keys []Key) []Message {
+	s := newSplitter(template)
 	for _, w := range workers {
 		part := s.partFor(maxWorkerBytes + len(w.ID) + len(w.State))
 		part.Workers = append(part.Workers, w)
@@ -171,16 +171,16 @@
 	remaining int       // unused bytes of the capacity of the last part
 }
 
-func newSplitter(first Message) *splitter {
-	capacity := MaxDatagramBytes - maxCommonBytes - len(first.From)
-	for kind := range first.MaxObserved {
-		capacity -= maxKindBytes + len(kind)
+func newSplitter(template Message) *splitter {
+	capacity := MaxDatagramBytes - maxOtherFieldBytes - len(template.From)
+	for kind := range template.MaxObserved {
+		capacity -= maxObservedEntryBytes + len(kind)
 	}
-	return &splitter{parts: []Message{first}, capacity: capacity, remaining: capacity}
+	return &splitter{parts: []Message{template}, capacity: capacity, remaining: capacity}
 }
 
-// partFor reserves space for an entry of size bytes in the last part, or in a new part if the last one is full, and returns
-// that part.
+// partFor reserves space for an entry of size bytes in the last part, or in a new part if the last one is full, and
+// returns that part.
 func (s *splitter) partFor(size int) *Message {
 	s.remaining -= size
 	if s.remaining < 0 {
--- a/internal/fleet/messaging/message_test.go
+++ b/internal/fleet/messaging/message_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-func TestPartsFitADatagramAndHoldAllTogether(t *testing.T) {
+func TestSplitPartsFitDatagramAndKeepAllEntries(t *testing.T) {
 	for _, size := range []int{0, 1, 40, 400} {
 		t.Run(fmt.Sprint(size, " workers and keys"), func(t *testing.T) {
 			var workers []Worker
@@ -21,7 +21,7 @@
 			}
 			first := Message{
 				Kind: Reply, From: "dispatcher-with-a-long-name", Incarnation: 1 << 60, Nonce: ^uint64(0),
-				Number: 1 << 31, Phase: 5, UptimeMillis: 1 << 40, YourIncarnation: 1 << 60, YourNonce: ^uint64(0),
+				Number: 1 << 31, Phase: 5, UptimeMillis: 1 << 40, ReceiverIncarnation: 1 << 60, ReceiverNonce: ^uint64(0),
 				ReceivedAgoMillis: 1 << 40, KeysSuspect: true, MaxObserved: map[string]float64{"std-3c": 3.1, "big-16c": 16.5},
 			}
 			var gotWorkers []Worker
@@ -42,12 +42,12 @@
 	}
 }
 
-func TestMessageThatIsTooLongIsNotEncoded(t *testing.T) {
+func TestEncodeRejectsTooLongMessage(t *testing.T) {
 	_, err := Encode(&Message{Kind: Reply, From: "d0", Parts: 1, Keys: make([]Key, MaxDatagramBytes)})
 	assert.ErrorIs(t, err, ErrTooLong)
 }
 
-func TestMalformedMessagesAreRejected(t *testing.T) {
+func TestDecodeRejectsMalformedMessages(t *testing.T) {
 	complete, err := Encode(&Message{Kind: Query, From: "d0", Incarnation: 1, Nonce: 2, Number: 3})
 	assert.NoError(t, err)
 	for size := range complete {
--- a/internal/fleet/messaging/socket.go
+++ b/internal/fleet/messaging/socket.go
@@ -20,8 +20,8 @@
 
 	// Counters since the socket was opened.
 	Sent           atomic.Int64 // messages
-	Bytes          atomic.Int64 // of the messages sent
-	Failed         atomic.Int64 // messages that could not be encoded or sent
+	SentBytes      atomic.Int64 // of the messages sent
+	SendErrors     atomic.Int64 // messages that could not be encoded or sent
 	Received       atomic.Int64 // messages from members
 	Malformed      atomic.Int64 // datagrams from members that are not valid messages
 	UnknownSenders atomic.Int64 // datagrams from senders that are not members
@@ -44,15 +44,15 @@
 		_, err = s.conn.WriteToUDPAddrPort(datagram, s.members[to])
 	}
 	if err != nil {
-		s.Failed.Add(1)
+		s.SendErrors.Add(1)
 		return
 	}
 	s.Sent.Add(1)
-	s.Bytes.Add(int64(len(datagram)))
+	s.SentBytes.Add(int64(len(datagram)))
 }
 
-// Run calls receive for each message from a member, with the sender's position, until ctx is canceled. It then closes the
-// socket.
+// Run calls receive for each message from a member, with the sender's position, until ctx is canceled. It then closes
+// the socket.
 func (s *Socket) Run(ctx context.Context, receive func(from int, msg *Message)) error {
 	defer context.AfterFunc(ctx, func() { s.conn.Close() })()
 	datagram := make([]byte, MaxDatagramBytes+1) // one extra byte, so that a datagram that is too long is detected
@@ -69,8 +69,8 @@
 	return nil
 }
 
-// receive counts a datagram, and calls the function receive with its message if the sender is a member. An IPv4 sender is
-// matched by its IPv4 address even on a dual-stack socket.
+// receive counts a datagram, and calls the function receive with its message if the sender is a member. An IPv4 sender
+// is matched by its IPv4 address even on a dual-stack socket.
 func (s *Socket) receive(datagram []byte, from netip.AddrPort, receive func(from int, msg *Message)) {
 	from = netip.AddrPortFrom(from.Addr().Unmap(), from.Port())
 	position := slices.Index(s.members, from)
--- a/internal/fleet/metrics.go
+++ b/internal/fleet/metrics.go
@@ -54,7 +54,7 @@
 	}
 	return []protocol.Metric{
 		{Name: "link_sent", Value: socket.Sent.Load()},
-		{Name: "link_bytes", Value: socket.Bytes.Load()},
+		{Name: "link_bytes", Value: socket.SentBytes.Load()},
 		{Name: "link_heard", Value: socket.Received.Load()},
 		{Name: "link_malformed", Value: socket.Malformed.Load()},
 		{Name: "link_strangers", Value: socket.UnknownSenders.Load()},
--- a/internal/fleet/recovery/identity.go
+++ b/internal/fleet/recovery/identity.go
@@ -85,32 +85,32 @@
 // before this process started is of a previous incarnation, whose number this one has to exceed. What was received since
 // is of another process under the same name, of which the lower one gives way.
 func (s *StateMachine) checkOwnName(reply *messaging.Message) {
-	nothingReceived := reply.YourIncarnation == 0
-	if nothingReceived || reply.YourNonce == s.identity.nonce {
+	nothingReceived := reply.ReceiverIncarnation == 0
+	if nothingReceived || reply.ReceiverNonce == s.identity.nonce {
 		return
 	}
 	if s.identity.previous.isOlderThan(reply) {
 		s.markKeysSuspect() // the disk was reset to an earlier state, which lacks the keys sent since
 	}
-	if reply.YourIncarnation < s.identity.incarnation {
+	if reply.ReceiverIncarnation < s.identity.incarnation {
 		return
 	}
 	receivedAgo := time.Duration(reply.ReceivedAgoMillis) * time.Millisecond
 	switch {
 	case receivedAgo >= s.now:
-		s.actions.RaiseIncarnation = max(s.actions.RaiseIncarnation, reply.YourIncarnation+1)
-	case reply.YourIncarnation > s.identity.incarnation || reply.YourNonce > s.identity.nonce:
+		s.actions.RaiseIncarnation = max(s.actions.RaiseIncarnation, reply.ReceiverIncarnation+1)
+	case reply.ReceiverIncarnation > s.identity.incarnation || reply.ReceiverNonce > s.identity.nonce:
 		s.enter(Superseded, fmt.Sprintf("another process under this name: incarnation %d, last message %v ago",
-			reply.YourIncarnation, receivedAgo))
+			reply.ReceiverIncarnation, receivedAgo))
 	}
 }
 
 // isOlderThan reports whether a peer knows a later incarnation than the disk held, or more keys of the same one.
 func (p *PreviousIncarnation) isOlderThan(reply *messaging.Message) bool {
-	if reply.YourIncarnation == p.Incarnation {
-		return reply.YourPersistedKeys > p.PersistedKeys
+	if reply.ReceiverIncarnation == p.Incarnation {
+		return reply.ReceiverPersistedKeys > p.PersistedKeys
 	}
-	return reply.YourIncarnation > p.Incarnation
+	return reply.ReceiverIncarnation > p.Incarnation
 }
 
 // markKeysSuspect records that previous keys may be missing. The mark is durable, so that later incarnations have it too.
--- a/internal/fleet/recovery/identity_test.go
+++ b/internal/fleet/recovery/identity_test.go
@@ -13,7 +13,7 @@
 	s := newTestMachine(1, PreviousIncarnation{})
 	s.TakeActions()
 	reply := replyOf(s, 1, Serving)
-	reply.YourIncarnation, reply.YourNonce, reply.ReceivedAgoMillis = 7, 55, receivedBeforeStartMillis
+	reply.ReceiverIncarnation, reply.ReceiverNonce, reply.ReceivedAgoMillis = 7, 55, receivedBeforeStartMillis
 	s.Receive(10*ms, 1, reply)
 	actions := s.TakeActions()
 	assert.EqualValues(t, 8, actions.RaiseIncarnation)
@@ -41,8 +41,8 @@
 			s := newTestMachine(3, PreviousIncarnation{Incarnation: 2, PersistedKeys: 5})
 			s.TakeActions()
 			reply := replyOf(s, 1, Serving)
-			reply.YourIncarnation, reply.YourNonce, reply.ReceivedAgoMillis = 2, 55, receivedBeforeStartMillis
-			reply.YourPersistedKeys = c.known
+			reply.ReceiverIncarnation, reply.ReceiverNonce, reply.ReceivedAgoMillis = 2, 55, receivedBeforeStartMillis
+			reply.ReceiverPersistedKeys = c.known
 			s.Receive(10*ms, 1, reply)
 			assert.Equal(t, c.want, s.TakeActions().KeysMark)
 		})
@@ -63,7 +63,7 @@
 			s := newTestMachine(4, PreviousIncarnation{Incarnation: 3})
 			s.TakeActions()
 			reply := replyOf(s, 1, Serving)
-			reply.YourIncarnation, reply.YourNonce, reply.ReceivedAgoMillis = 4, c.nonce, 3
+			reply.ReceiverIncarnation, reply.ReceiverNonce, reply.ReceivedAgoMillis = 4, c.nonce, 3
 			s.Receive(10*ms, 1, reply)
 			assert.Equal(t, c.want, s.Phase())
 		})
@@ -75,7 +75,7 @@
 	s := newTestMachine(4, PreviousIncarnation{Incarnation: 3})
 	s.EndpointsReceived(ms)
 	reply := replyOf(s, 1, Serving)
-	reply.YourIncarnation, reply.YourNonce, reply.ReceivedAgoMillis = 5, 101, 3
+	reply.ReceiverIncarnation, reply.ReceiverNonce, reply.ReceivedAgoMillis = 5, 101, 3
 	s.Receive(10*ms, 1, reply)
 	s.TakeActions()
 	for now := time.Second; now < time.Minute; now += time.Second {
@@ -93,7 +93,7 @@
 	s.Receive(ms, 1, &messaging.Message{Kind: messaging.Heartbeat, From: "d1", Incarnation: 4, Nonce: 44, PersistedKeys: 17})
 	s.Receive(2*ms, 1, &messaging.Message{Kind: messaging.Query, From: "d1", Incarnation: 5, Nonce: 55, Number: 1})
 	reply := s.Reply(s.TakeActions().Queries[0], LocalKnowledge{})[0]
-	assert.Equal(t, []uint64{4, 44, 17}, []uint64{reply.YourIncarnation, reply.YourNonce, reply.YourPersistedKeys})
+	assert.Equal(t, []uint64{4, 44, 17}, []uint64{reply.ReceiverIncarnation, reply.ReceiverNonce, reply.ReceiverPersistedKeys})
 	assert.EqualValues(t, receivedBeforeStartMillis, reply.ReceivedAgoMillis)
 	assert.Equal(t, PeerProgress{
 		Incarnation: 5, Nonce: 55,
--- a/internal/fleet/recovery/reply.go
+++ b/internal/fleet/recovery/reply.go
@@ -41,8 +41,8 @@
 	case p.received:
 		receivedAgoMillis = (s.now - p.lastReceivedAt).Milliseconds()
 	}
-	reply.YourIncarnation = progress.Incarnation
-	reply.YourNonce = progress.Nonce
-	reply.YourPersistedKeys = progress.PersistedKeys
+	reply.ReceiverIncarnation = progress.Incarnation
+	reply.ReceiverNonce = progress.Nonce
+	reply.ReceiverPersistedKeys = progress.PersistedKeys
 	reply.ReceivedAgoMillis = receivedAgoMillis
 }
--- a/internal/fleet/simulate/clients.go
+++ b/internal/fleet/simulate/clients.go
@@ -9,34 +9,34 @@
 )
 
 const (
-	requestInterval = 60 * time.Millisecond // mean interval for at most smallFleet dispatchers
-	smallFleet      = 6                     // dispatchers; a larger fleet receives proportionally more requests
-	requestSize     = 200 * time.Millisecond
-	minRequestTime  = 50 * time.Millisecond // duration of a request
-	maxRequestTime  = 400 * time.Millisecond
-	repeatShare     = 0.3 // of the requests
-	keyedShare      = 0.3 // of the requests
-	repeatRange     = 120 // number of most recent keys from which repeats are drawn
-	zoneCount       = 3
+	meanRequestInterval = 60 * time.Millisecond // mean interval for at most baseFleetSize dispatchers
+	baseFleetSize       = 6                     // dispatchers; a larger fleet receives proportionally more requests
+	requestSize         = 200 * time.Millisecond
+	minRequestTime      = 50 * time.Millisecond // duration of a request
+	maxRequestTime      = 400 * time.Millisecond
+	repeatShare         = 0.3 // of the requests
+	keyedShare          = 0.3 // of the requests
+	recentKeyCount      = 120 // number of most recent keys from which repeats are drawn
+	zoneCount           = 3
 )
 
-// sendRequests sends a request to a random dispatcher, with a new key, as a repeat of an earlier key or without a key, and
-// schedules the next request.
+// sendRequests sends a request to a random dispatcher, with a new key, as a repeat of an earlier key or without a key,
+// and schedules the next request.
 func (w *world) sendRequests() {
-	interval := requestInterval * smallFleet / time.Duration(max(w.plan.Dispatchers, smallFleet))
+	interval := meanRequestInterval * baseFleetSize / time.Duration(max(w.plan.Dispatchers, baseFleetSize))
 	shortest := interval / 2
 	longest := interval + interval/2
-	w.after(w.between(shortest, longest), w.sendRequests)
+	w.after(w.drawDuration(shortest, longest), w.sendRequests)
 	n := w.nodes[w.rng.IntN(len(w.nodes))]
 	if !n.up || !n.machine.Phase().Admits() {
 		return
 	}
 	switch draw := w.rng.Float64(); {
 	case draw < repeatShare && len(w.keys) > 0:
-		n.sendRepeat(w.keys[max(0, len(w.keys)-1-w.rng.IntN(repeatRange))])
+		n.sendRepeat(w.keys[max(0, len(w.keys)-1-w.rng.IntN(recentKeyCount))])
 	case draw < repeatShare+keyedShare:
 		zone := string(rune('a' + w.rng.IntN(zoneCount)))
-		key := sentKey{sum: uint64(len(w.keys) + 1), zone: zone, at: w.now, sender: n.position}
+		key := sentKey{sum: uint64(len(w.keys) + 1), zone: zone, sentAt: w.now, sender: n.position}
 		if n.persistKey(key) {
 			w.keys = append(w.keys, key)
 		}
@@ -49,10 +49,10 @@
 	if !n.machine.Admit(n.uptime(), requestSize).Admitted {
 		return
 	}
-	run := n.run
+	runNumber := n.runNumber
 	succeeds := n.world.workers.up
-	n.world.after(n.world.between(minRequestTime, maxRequestTime), func() {
-		if !n.running(run) {
+	n.world.after(n.world.drawDuration(minRequestTime, maxRequestTime), func() {
+		if !n.isRunning(runNumber) {
 			return
 		}
 		if succeeds {
@@ -60,7 +60,7 @@
 		} else {
 			n.machine.RequestFailed(n.uptime())
 		}
-		n.carryOut()
+		n.performActions()
 	})
 }
 
@@ -87,8 +87,8 @@
 	repeatToGroup  = "group"
 )
 
-// sendRepeat sends a marked repeat of a request, and checks the dedup group to which it is sent. If the request was sent
-// before this dispatcher started, its repeat must be sent to the same dedup group or fail, for one dedup window.
+// sendRepeat sends a marked repeat of a request, and checks the dedup group to which it is sent. If the request was
+// sent before this dispatcher started, its repeat must be sent to the same dedup group or fail, for one dedup window.
 func (n *node) sendRepeat(key sentKey) {
 	found, err := n.keys.Find(recovery.KeyLookup{
 		Sum:          key.sum,
@@ -104,16 +104,17 @@
 	case found != nil:
 		outcome = repeatToGroup
 	}
-	sentBeforeStart := key.at < n.startedAt
-	inDedupWindow := n.world.now < key.at+dedupWindow
+	sentBeforeStart := key.sentAt < n.startedAt
+	inDedupWindow := n.world.now < key.sentAt+dedupWindow
 	isProtected := sentBeforeStart && inDedupWindow && !key.unknownToPeers
 	if isProtected {
 		n.world.result.Repeats[outcome]++
 	}
 	switch {
 	case isProtected && outcome == repeatAnywhere:
-		n.world.violation("%d: a repeat of key %d, sent at %v, goes anywhere", n.position, key.sum, key.at)
+		n.world.reportViolation("%d: a repeat of key %d, sent at %v, goes anywhere", n.position, key.sum, key.sentAt)
 	case found != nil && found.Zone != key.zone:
-		n.world.violation("%d: a repeat of key %d goes to %s, the request went to %s", n.position, key.sum, found.Zone, key.zone)
+		n.world.reportViolation("%d: a repeat of key %d goes to %s, the request went to %s", n.position, key.sum, found.Zone,
+			key.zone)
 	}
 }
--- a/internal/fleet/simulate/faults.go
+++ b/internal/fleet/simulate/faults.go
@@ -26,18 +26,18 @@
 // diskFaults lists all kinds of disk faults, in the order in which they are drawn.
 var diskFaults = []diskFault{diskIntact, diskLost, diskTorn, diskReset, diskSwapped, diskFull}
 
-// unreportedKeyTime is the duration before a power loss in which the sender may have sent keys that no peer has stored. The
-// sender's last heartbeat and the last saved state of its peers are each up to a second old. The rest is slack.
+// unreportedKeyTime is the duration before a power loss in which the sender may have sent keys that no peer has stored.
+// The sender's last heartbeat and the last saved state of its peers are each up to a second old. The rest is slack.
 const unreportedKeyTime = 2200 * time.Millisecond
 
 // The probabilities of the kinds of faults in a history.
 const (
-	diskFaultProbability      = 0.5 // of each diskFault
-	clockJumpProbability      = 0.3
-	neverBackProbability      = 0.2
-	unreliableDiskProbability = 0.2
-	// resetDiskEvery is the number of dispatchers for each dispatcher whose disk may be reset.
-	resetDiskEvery = 3
+	diskFaultProbability       = 0.5 // of each diskFault
+	clockJumpProbability       = 0.3
+	permanentOutageProbability = 0.2
+	unreliableDiskProbability  = 0.2
+	// dispatchersPerResetDisk is the number of dispatchers for each dispatcher whose disk may be reset.
+	dispatchersPerResetDisk = 3
 )
 
 // The probabilities of the kinds of faults in one power loss, for the kinds that the history has.
@@ -52,28 +52,28 @@
 // The times of faults.
 const (
 	maxPowerLosses      = 3
-	snapshotAt          = dedupWindow + 2*time.Second // time of the disk snapshots that diskReset restores
+	snapshotTime        = dedupWindow + 2*time.Second // time of the disk snapshots that diskReset restores
 	minFirstPowerLoss   = 4 * time.Second             // after the first dedup window
 	maxFirstPowerLoss   = 7 * time.Second
 	minPowerLossGap     = 200 * time.Millisecond // from the end of one power loss to the next
 	maxPowerLossGap     = 9 * time.Second
 	minDowntime         = 50 * time.Millisecond // of a dispatcher
-	leastMaxDowntime    = 100 * time.Millisecond
-	greatestMaxDowntime = 5 * time.Second
+	smallestMaxDowntime = 100 * time.Millisecond
+	largestMaxDowntime  = 5 * time.Second
 	minWorkerOutage     = 100 * time.Millisecond
 	maxWorkerOutage     = 4 * time.Second
 	maxDiscoveryOutage  = 6 * time.Second
 	maxClockJump        = 2 * time.Hour // in either direction
 )
 
-// faultPlan is the set of fault kinds that a history has. Some histories have few kinds, because many kinds together could
-// hide a defect of the software.
+// faultPlan is the set of fault kinds that a history has. Some histories have few kinds, because many kinds together
+// could hide a defect of the software.
 type faultPlan struct {
-	powerLosses int
-	disks       []diskFault     // the kinds to draw from; if empty, only diskIntact
-	clockJumps  bool            // wall clocks may jump when a dispatcher restarts
-	neverBack   bool            // some dispatchers may never restart
-	snapshots   []*store.Memory // by position: the disk that diskReset restores
+	powerLosses      int
+	diskFaultKinds   []diskFault     // the kinds to draw from; if empty, only diskIntact
+	clockJumps       bool            // wall clocks may jump when a dispatcher restarts
+	permanentOutages bool            // some dispatchers may never restart
+	snapshots        []*store.Memory // by position: the disk that diskReset restores
 }
 
 // scheduleFaults draws and schedules the faults of a history, and returns the time at which the last one ends.
@@ -81,15 +81,15 @@
 	plan := w.drawFaultPlan()
 	plan.snapshots = make([]*store.Memory, len(w.nodes))
 	// The first fault comes after a dedup window, because until then the keys of a new fleet are suspect in any case.
-	w.at(snapshotAt, func() {
+	w.at(snapshotTime, func() {
 		for position, n := range w.nodes {
-			plan.snapshots[position] = n.disk.Restart(0)
+			plan.snapshots[position] = n.disk.AfterPowerLoss(0)
 		}
 	})
-	at := dedupWindow + w.between(minFirstPowerLoss, maxFirstPowerLoss)
+	at := dedupWindow + w.drawDuration(minFirstPowerLoss, maxFirstPowerLoss)
 	for range plan.powerLosses {
 		at = w.schedulePowerLoss(at, &plan)
-		at += w.between(minPowerLossGap, maxPowerLossGap)
+		at += w.drawDuration(minPowerLossGap, maxPowerLossGap)
 	}
 	return w.lastFaultAt
 }
@@ -102,20 +102,21 @@
 	}
 	plan := faultPlan{powerLosses: 1 + w.rng.IntN(maxPowerLosses)}
 	for _, fault := range diskFaults {
-		if w.happens(diskFaultProbability) {
-			plan.disks = append(plan.disks, fault)
+		if w.drawBool(diskFaultProbability) {
+			plan.diskFaultKinds = append(plan.diskFaultKinds, fault)
 		}
 	}
-	plan.clockJumps = w.happens(clockJumpProbability)
-	plan.neverBack = w.happens(neverBackProbability)
-	if slices.Contains(plan.disks, diskReset) {
-		// A reset is detected only if at least one of the two receivers of the dispatcher's heartbeats still has its disk
-		// and its reply arrives. Therefore only some disks are reset, no other disk loses data, and no message is lost.
-		plan.disks = []diskFault{diskIntact, diskReset, diskFull}
+	plan.clockJumps = w.drawBool(clockJumpProbability)
+	plan.permanentOutages = w.drawBool(permanentOutageProbability)
+	if slices.Contains(plan.diskFaultKinds, diskReset) {
+		// A reset is detected only if at least one of the two receivers of the dispatcher's heartbeats still has its
+		// disk and its reply arrives. Therefore only some disks are reset, no other disk loses data, and no message is
+		// lost.
+		plan.diskFaultKinds = []diskFault{diskIntact, diskReset, diskFull}
 	} else {
 		w.drawNetworkFaults()
 	}
-	if w.happens(unreliableDiskProbability) {
+	if w.drawBool(unreliableDiskProbability) {
 		for _, n := range w.nodes {
 			n.disk.DropSyncs = true
 			n.unreliableDisk = true
@@ -128,12 +129,12 @@
 // discovery service. It returns the time at which the last of them restarts.
 func (w *world) schedulePowerLoss(at time.Duration, plan *faultPlan) time.Duration {
 	share := 1.0 // of the dispatchers
-	if !w.plan.FleetOutageOnly && w.happens(partialOutageProbability) {
+	if !w.plan.FleetOutageOnly && w.drawBool(partialOutageProbability) {
 		share = w.rng.Float64()
 	}
 	var down []*node
 	for _, n := range w.nodes {
-		if w.happens(share) {
+		if w.drawBool(share) {
 			down = append(down, n)
 		}
 	}
@@ -144,57 +145,57 @@
 			}
 		}
 	})
-	last := at
-	if share == 1 && w.happens(workerOutageProbability) {
-		last = max(last, w.scheduleWorkerOutage(at))
+	lastEndAt := at
+	if share == 1 && w.drawBool(workerOutageProbability) {
+		lastEndAt = max(lastEndAt, w.scheduleWorkerOutage(at))
 	}
-	if w.happens(discoveryOutageProbability) {
-		last = max(last, w.scheduleDiscoveryOutage(at))
+	if w.drawBool(discoveryOutageProbability) {
+		lastEndAt = max(lastEndAt, w.scheduleDiscoveryOutage(at))
 	}
-	maxDowntime := w.between(leastMaxDowntime, greatestMaxDowntime)
+	maxDowntime := w.drawDuration(smallestMaxDowntime, largestMaxDowntime)
 	for _, n := range down {
-		if plan.neverBack && w.happens(staysDownProbability) {
+		if plan.permanentOutages && w.drawBool(staysDownProbability) {
 			continue
 		}
-		last = max(last, w.scheduleRestart(n, at, maxDowntime, plan))
+		lastEndAt = max(lastEndAt, w.scheduleRestart(n, at, maxDowntime, plan))
 	}
-	w.lastFaultAt = max(w.lastFaultAt, last)
-	return last
+	w.lastFaultAt = max(w.lastFaultAt, lastEndAt)
+	return lastEndAt
 }
 
 // scheduleWorkerOutage schedules a power loss of all workers, and returns the time at which they restart.
 func (w *world) scheduleWorkerOutage(at time.Duration) time.Duration {
-	back := at + w.between(minWorkerOutage, maxWorkerOutage)
+	endsAt := at + w.drawDuration(minWorkerOutage, maxWorkerOutage)
 	w.at(at, func() { w.workers.up = false })
-	w.at(back, func() { w.workers = workerPool{up: true, restarted: true, restartedAt: w.now} })
-	return back
+	w.at(endsAt, func() { w.workers = workerPool{up: true, restarted: true, restartedAt: w.now} })
+	return endsAt
 }
 
 // scheduleDiscoveryOutage schedules an outage of the discovery service, and returns the time at which it ends.
 func (w *world) scheduleDiscoveryOutage(at time.Duration) time.Duration {
-	back := at + w.between(0, maxDiscoveryOutage)
+	endsAt := at + w.drawDuration(0, maxDiscoveryOutage)
 	w.at(at, func() { w.discoveryUp = false })
-	w.at(back, func() { w.discoveryUp = true })
-	return back
+	w.at(endsAt, func() { w.discoveryUp = true })
+	return endsAt
 }
 
-// scheduleRestart schedules the restart of a dispatcher after a power loss, possibly with a disk fault and a clock jump. It
-// returns the time at which the dispatcher starts.
+// scheduleRestart schedules the restart of a dispatcher after a power loss, possibly with a disk fault and a clock
+// jump. It returns the time at which the dispatcher starts.
 func (w *world) scheduleRestart(n *node, at, maxDowntime time.Duration, plan *faultPlan) time.Duration {
-	back := at + w.between(minDowntime, maxDowntime)
+	restartAt := at + w.drawDuration(minDowntime, maxDowntime)
 	fault := diskIntact
-	if len(plan.disks) > 0 {
-		fault = plan.disks[w.rng.IntN(len(plan.disks))]
+	if len(plan.diskFaultKinds) > 0 {
+		fault = plan.diskFaultKinds[w.rng.IntN(len(plan.diskFaultKinds))]
 	}
-	if fault == diskReset && n.position%resetDiskEvery != 0 {
+	if fault == diskReset && n.position%dispatchersPerResetDisk != 0 {
 		fault = diskIntact
 	}
 	other := w.nodes[w.rng.IntN(len(w.nodes))]
 	clockJump := time.Duration(0)
-	if plan.clockJumps && w.happens(jumpedClockProbability) {
-		clockJump = w.between(-maxClockJump, maxClockJump)
+	if plan.clockJumps && w.drawBool(jumpedClockProbability) {
+		clockJump = w.drawDuration(-maxClockJump, maxClockJump)
 	}
-	w.at(back, func() {
+	w.at(restartAt, func() {
 		if n.up {
 			return
 		}
@@ -206,24 +207,24 @@
 		n.disk.DropSyncs = dropsSyncs
 		n.start()
 	})
-	return back
+	return restartAt
 }
 
 // injectDiskFault replaces the disk by its durable contents after a power loss, and applies a fault to it.
 func (n *node) injectDiskFault(fault diskFault, snapshot, other *store.Memory) {
-	n.disk = n.disk.Restart(0)
+	n.disk = n.disk.AfterPowerLoss(0)
 	switch fault {
 	case diskLost:
 		n.disk = store.NewMemory()
 	case diskTorn:
-		n.disk.Tear(n.world.rng.Uint64())
+		n.disk.TearFile(n.world.rng.Uint64())
 	case diskReset:
 		if snapshot != nil {
-			n.disk = snapshot.Restart(0)
+			n.disk = snapshot.AfterPowerLoss(0)
 			n.markKeysUnknownToPeers()
 		}
 	case diskSwapped:
-		n.disk = other.Restart(0)
+		n.disk = other.AfterPowerLoss(0)
 	case diskFull:
 		n.disk.WriteError = errDiskFull
 	}
@@ -233,7 +234,7 @@
 func (n *node) markKeysUnknownToPeers() {
 	for number := range n.world.keys {
 		key := &n.world.keys[number]
-		sentJustBefore := func(loss time.Duration) bool { return key.at <= loss && key.at > loss-unreportedKeyTime }
+		sentJustBefore := func(loss time.Duration) bool { return key.sentAt <= loss && key.sentAt > loss-unreportedKeyTime }
 		if key.sender == n.position && slices.ContainsFunc(n.powerLosses, sentJustBefore) {
 			key.unknownToPeers = true
 		}
--- a/internal/fleet/simulate/invariants.go
+++ b/internal/fleet/simulate/invariants.go
@@ -7,19 +7,20 @@
 	"canvasroute/internal/fleet/recovery"
 )
 
-// checkTransition checks that phases only advance, and that an outage is classified as one of a single dispatcher only if
-// no other dispatcher was down. It also checks that no dispatcher admits requests before its peers have replied or the
-// timeout for their replies has passed.
+// checkTransition checks that phases only advance, and that an outage is classified as one of a single dispatcher only
+// if no other dispatcher was down. It also checks that no dispatcher admits requests before its peers have replied or
+// the timeout for their replies has passed.
 func (n *node) checkTransition(transition recovery.Transition) {
 	if transition.Phase < n.phase {
-		n.world.violation("%d: %v after %v", n.position, transition.Phase, n.phase)
+		n.world.reportViolation("%d: %v after %v", n.position, transition.Phase, n.phase)
 	}
 	n.phase = transition.Phase
 	switch transition.Phase {
 	case recovery.Probing:
 		answered, total := n.machine.PeersAnswered()
 		if answered < total && n.uptime() < peersTimeout {
-			n.world.violation("%d: admits requests after %v, with %d of %d replies", n.position, n.uptime(), answered, total)
+			n.world.reportViolation("%d: admits requests after %v, with %d of %d replies", n.position, n.uptime(), answered,
+				total)
 		}
 		if n.machine.Outage() == recovery.OnlyThis {
 			n.checkPeersServe()
@@ -36,7 +37,8 @@
 			continue
 		}
 		if peer.up || n.world.now-peer.startedAt > peersTimeout+n.uptime() {
-			n.world.violation("%d: takes itself for the only one that was down, and %d does not serve", n.position, peer.position)
+			n.world.reportViolation("%d: takes itself for the only one that was down, and %d does not serve", n.position,
+				peer.position)
 		}
 	}
 }
@@ -44,12 +46,12 @@
 // checkSentIncarnation checks that no message has a higher incarnation than the disk, unless the disk has failed.
 func (n *node) checkSentIncarnation(msg *messaging.Message) {
 	if msg.Incarnation > n.incarnation && !n.diskFailed {
-		n.world.violation("%d: sends incarnation %d, %d is on its disk", n.position, msg.Incarnation, n.incarnation)
+		n.world.reportViolation("%d: sends incarnation %d, %d is on its disk", n.position, msg.Incarnation, n.incarnation)
 	}
 }
 
-// checkEnd checks that every running dispatcher serves at the end of the history, and completes the result.
-func (w *world) checkEnd() {
+// checkFinalState checks that every running dispatcher serves at the end of the history, and completes the result.
+func (w *world) checkFinalState() {
 	lastServingAt := time.Duration(0)
 	for _, n := range w.nodes {
 		w.result.MaxMessages = max(w.result.MaxMessages, n.messages)
@@ -60,7 +62,7 @@
 		w.result.FinalPhases[phase]++
 		w.result.Outages[n.machine.Outage()]++
 		if phase != recovery.Serving {
-			w.violation("%d: %v at the end, %v after its start", n.position, phase, n.uptime())
+			w.reportViolation("%d: %v at the end, %v after its start", n.position, phase, n.uptime())
 		}
 		lastServingAt = max(lastServingAt, n.servingAt)
 	}
--- a/internal/fleet/simulate/network.go
+++ b/internal/fleet/simulate/network.go
@@ -47,21 +47,21 @@
 func (w *world) send(from, to int, msg *messaging.Message) {
 	datagram, err := messaging.Encode(msg)
 	if err != nil {
-		w.violation("%d: %v", from, err)
+		w.reportViolation("%d: %v", from, err)
 		return
 	}
 	w.nodes[from].messages++
 	w.result.Messages++
 	w.result.Bytes += len(datagram)
 	copies := 1
-	if w.happens(w.network.duplication) {
+	if w.drawBool(w.network.duplication) {
 		copies = 2
 	}
 	for range copies {
-		if w.happens(w.network.loss) || w.network.cut[link{from: from, to: to}] {
+		if w.drawBool(w.network.loss) || w.network.cut[link{from: from, to: to}] {
 			continue
 		}
-		w.after(w.network.delay+w.between(0, w.network.maxJitter), func() { w.deliver(from, to, datagram) })
+		w.after(w.network.delay+w.drawDuration(0, w.network.maxJitter), func() { w.deliver(from, to, datagram) })
 	}
 }
 
@@ -69,7 +69,7 @@
 func (w *world) deliver(from, to int, datagram []byte) {
 	msg, err := messaging.Decode(datagram)
 	if err != nil {
-		w.violation("%d: %v", to, err)
+		w.reportViolation("%d: %v", to, err)
 		return
 	}
 	if n := w.nodes[to]; n.up {
@@ -79,24 +79,24 @@
 
 // drawNetworkFaults draws and applies network faults, and schedules their end.
 func (w *world) drawNetworkFaults() {
-	if w.happens(lossProbability) {
+	if w.drawBool(lossProbability) {
 		w.network.loss = maxLoss * w.rng.Float64()
 	}
-	if w.happens(duplicationProbability) {
+	if w.drawBool(duplicationProbability) {
 		w.network.duplication = maxDuplication * w.rng.Float64()
 	}
-	if w.happens(jitterProbability) {
-		w.network.maxJitter = w.between(0, maxDrawnJitter)
+	if w.drawBool(jitterProbability) {
+		w.network.maxJitter = w.drawDuration(0, maxDrawnJitter)
 	}
-	if w.happens(cutLinksProbability) {
+	if w.drawBool(cutLinksProbability) {
 		w.cutLinks()
 	}
-	if w.happens(partitionProbability) {
+	if w.drawBool(partitionProbability) {
 		w.partition()
 	}
-	healedAt := dedupWindow + w.between(minNetworkFaultTime, maxNetworkFaultTime)
-	w.at(healedAt, func() { w.network = newNetwork() })
-	w.lastFaultAt = max(w.lastFaultAt, healedAt)
+	faultsEndAt := dedupWindow + w.drawDuration(minNetworkFaultTime, maxNetworkFaultTime)
+	w.at(faultsEndAt, func() { w.network = newNetwork() })
+	w.lastFaultAt = max(w.lastFaultAt, faultsEndAt)
 }
 
 // cutLinks cuts random links, each in one direction.
--- a/internal/fleet/simulate/node.go
+++ b/internal/fleet/simulate/node.go
@@ -10,8 +10,8 @@
 	"canvasroute/internal/fleet/store"
 )
 
-// node is one dispatcher across its incarnations. It performs the actions of the state machine with a simulated disk and
-// network, in the same order as fleet.Node.
+// node is one dispatcher across its incarnations. It performs the actions of the state machine with a simulated disk
+// and network, in the same order as fleet.Node.
 type node struct {
 	world          *world
 	position       int // in the list of members
@@ -22,7 +22,7 @@
 	powerLosses    []time.Duration // times of its power losses
 
 	up        bool
-	run       int           // number of starts and stops, so that events of an exited process are ignored
+	runNumber int           // number of starts and stops, so that events of an exited process are ignored
 	startedAt time.Duration // time of the last start
 
 	// State of the running process.
@@ -63,14 +63,14 @@
 	observedSlots = 3
 )
 
-// letters is the number of letters used in names.
-const letters = 'z' - 'a' + 1
+// letterCount is the number of letters used in names.
+const letterCount = 'z' - 'a' + 1
 
 // memberNames returns the names of all dispatchers by position.
 func (w *world) memberNames() (names []string) {
 	for position := range w.nodes {
-		first := rune('A' + position%letters)
-		second := rune('a' + position/letters)
+		first := rune('A' + position%letterCount)
+		second := rune('a' + position/letterCount)
 		names = append(names, string(first)+string(second))
 	}
 	return names
@@ -87,7 +87,7 @@
 // start starts a process with the current contents of the disk.
 func (n *node) start() {
 	n.up = true
-	n.run++
+	n.runNumber++
 	n.startedAt = n.world.now
 	n.servingAt = 0
 	n.phase = 0
@@ -108,10 +108,10 @@
 	})
 	n.openStore()
 	n.machine.StoredEndpointsLoaded(n.uptime())
-	n.carryOut()
-	n.tick(n.run)
-	n.saveState(n.run)
-	n.pollDiscovery(n.run)
+	n.performActions()
+	n.tick(n.runNumber)
+	n.saveState(n.runNumber)
+	n.pollDiscovery(n.runNumber)
 }
 
 // openStore reads the disk, restores the keys, and begins a new incarnation.
@@ -126,7 +126,7 @@
 		recovered.SuspectUnreliableDisk()
 	}
 	nonce := n.world.rng.Uint64()
-	incarnation, err := s.Begin(store.Start{
+	incarnation, err := s.Begin(store.BeginOptions{
 		Previous:    recovered.Incarnation,
 		MinNumber:   recovered.MinNextIncarnation(),
 		Nonce:       nonce,
@@ -141,16 +141,16 @@
 // losePower ends the process.
 func (n *node) losePower() {
 	n.up = false
-	n.run++
+	n.runNumber++
 	n.powerLosses = append(n.powerLosses, n.world.now)
 }
 
-// running reports whether the process of the given run is still up.
-func (n *node) running(run int) bool { return n.up && n.run == run }
+// isRunning reports whether the process of the given run is still up.
+func (n *node) isRunning(runNumber int) bool { return n.up && n.runNumber == runNumber }
 
 // tick runs the due timers of the state machine, and schedules the next tick.
-func (n *node) tick(run int) {
-	if !n.running(run) {
+func (n *node) tick(runNumber int) {
+	if !n.isRunning(runNumber) {
 		return
 	}
 	if n.machine.Phase().UsesCapacity() {
@@ -158,46 +158,47 @@
 	}
 	n.machine.SetPersistedKeys(n.store.PersistedKeys())
 	next := n.machine.Tick(n.uptime())
-	n.carryOut()
+	n.performActions()
 	wait := min(max(next-n.uptime(), minTick), maxTick)
-	n.world.after(wait, func() { n.tick(run) })
+	n.world.after(wait, func() { n.tick(runNumber) })
 }
 
 // pollDiscovery polls the discovery service, and retries until a poll succeeds.
-func (n *node) pollDiscovery(run int) {
-	if !n.running(run) {
+func (n *node) pollDiscovery(runNumber int) {
+	if !n.isRunning(runNumber) {
 		return
 	}
 	if n.world.discoveryUp {
 		n.machine.EndpointsReceived(n.uptime())
-		n.carryOut()
+		n.performActions()
 		return
 	}
 	n.machine.EndpointsUnavailable(n.uptime())
-	n.carryOut()
-	n.world.after(n.world.between(minPollInterval, maxPollInterval), func() { n.pollDiscovery(run) })
+	n.performActions()
+	n.world.after(n.world.drawDuration(minPollInterval, maxPollInterval), func() { n.pollDiscovery(runNumber) })
 }
 
 // saveState writes the state if it was restored, and schedules the next write.
-func (n *node) saveState(run int) {
-	if !n.running(run) {
+func (n *node) saveState(runNumber int) {
+	if !n.isRunning(runNumber) {
 		return
 	}
 	if n.restored {
 		//nolint:errcheck // a disk that fails here is a drawn fault; lost state violates no invariant
 		n.store.SaveState(store.State{WrittenAt: n.wallClock(), Learned: []byte("{}"), Peers: n.machine.Peers()})
 	}
-	n.world.after(stateInterval, func() { n.saveState(run) })
+	n.world.after(stateInterval, func() { n.saveState(runNumber) })
 }
 
 // receive passes a message from a member to the state machine.
 func (n *node) receive(from int, msg *messaging.Message) {
 	n.machine.Receive(n.uptime(), from, msg)
-	n.carryOut()
+	n.performActions()
 }
 
-// carryOut performs the pending actions of the state machine, and checks the invariants of phase transitions and messages.
-func (n *node) carryOut() {
+// performActions performs the pending actions of the state machine, and checks the invariants of phase transitions and
+// messages.
+func (n *node) performActions() {
 	actions := n.machine.TakeActions()
 	for _, transition := range actions.Transitions {
 		n.checkTransition(transition)
@@ -256,11 +257,12 @@
 		Keys:        n.keys.ForPeers(n.wallClock(), n.uptime()),
 		MaxObserved: map[string]float64{"std": observedSlots},
 	}
-	// The keys are sorted so that the contents of each part of the reply, and thus of lost parts, depend only on the seed.
+	// The keys are sorted so that the contents of each part of the reply, and thus of lost parts, depend only on the
+	// seed.
 	slices.SortFunc(known.Keys, func(a, b messaging.Key) int { return cmp.Compare(a.Sum, b.Sum) })
 	if query.WantWorkers {
 		for worker := range n.world.plan.Workers {
-			id := string(rune('a'+worker%letters)) + "-worker"
+			id := string(rune('a'+worker%letterCount)) + "-worker"
 			known.Workers = append(known.Workers, messaging.Worker{ID: id, StartedAt: workerStart})
 		}
 	}
--- a/internal/fleet/simulate/schedule.go
+++ b/internal/fleet/simulate/schedule.go
@@ -7,21 +7,21 @@
 
 // schedule holds the pending events. Events with the same time are handled in the order in which they were added.
 type schedule struct {
-	queue eventQueue
-	added int // number of events added so far
+	queue      eventQueue
+	addedCount int // number of events added so far
 }
 
 // event is a function to be called at a simulated time.
 type event struct {
-	at     time.Duration // since the start of the history
-	number int           // sequence number in the order of adding
-	handle func()
+	at       time.Duration // since the start of the history
+	sequence int           // sequence number in the order of adding
+	handle   func()
 }
 
 // add adds an event.
 func (s *schedule) add(at time.Duration, handle func()) {
-	s.added++
-	heap.Push(&s.queue, event{at: at, number: s.added, handle: handle})
+	s.addedCount++
+	heap.Push(&s.queue, event{at: at, sequence: s.addedCount, handle: handle})
 }
 
 // next removes and returns the earliest event. found is false if there is none.
@@ -43,7 +43,7 @@
 	if q[a].at != q[b].at {
 		return q[a].at < q[b].at
 	}
-	return q[a].number < q[b].number
+	return q[a].sequence < q[b].sequence
 }
 
 func (q *eventQueue) Pop() any {
--- a/internal/fleet/simulate/simulate.go
+++ b/internal/fleet/simulate/simulate.go
@@ -1,6 +1,6 @@
 // Package simulate runs the power-loss recovery of whole fleets in one process, in simulated time. It uses the recovery
-// state machine, the store and the messages of the dispatcher, and simulates disks, clocks, network, workers and clients. A
-// seed determines one history, which is one run of a fleet. Invariants are checked during the run.
+// state machine, the store and the messages of the dispatcher, and simulates disks, clocks, network, workers and
+// clients. A seed determines one history, which is one run of a fleet. Invariants are checked during the run.
 //
 // It does not simulate the balancer or the dispatcher's process. The testbed tests those in real time.
 package simulate
@@ -41,7 +41,7 @@
 	coldCapacityShare = 0.12                   // capacity of a cold worker as a share of a warm worker's
 	warmWorkerSlots   = 3                      // requests that a warm worker processes at once
 	settleDuration    = 25 * time.Second       // from the last fault to the end of the history
-	maxStagger        = 200 * time.Millisecond // maximum delay of the first start of a dispatcher
+	maxStartDelay     = 200 * time.Millisecond // maximum delay of the first start of a dispatcher
 	firstRequestAt    = time.Second
 	// maxViolations limits the violations in a result, because later ones are often consequences of the first.
 	maxViolations = 20
@@ -74,7 +74,7 @@
 type sentKey struct {
 	sum            uint64
 	zone           string        // zone of the dedup group
-	at             time.Duration // time at which it was sent
+	sentAt         time.Duration // time at which it was sent
 	sender         int           // position of the dispatcher
 	unknownToPeers bool          // the sender's disk was reset, and no peer has received the key
 }
@@ -97,12 +97,12 @@
 		w.nodes = append(w.nodes, &node{world: w, position: position, disk: store.NewMemory()})
 	}
 	for _, n := range w.nodes {
-		w.after(w.between(0, maxStagger), n.start)
+		w.after(w.drawDuration(0, maxStartDelay), n.start)
 	}
 	end := w.scheduleFaults() + settleDuration
 	w.after(firstRequestAt, w.sendRequests)
 	w.runUntil(end)
-	w.checkEnd()
+	w.checkFinalState()
 	return w.result
 }
 
@@ -119,17 +119,17 @@
 	}
 }
 
-// at schedules an event, immediately if its time has passed.
+// at schedules an event for the given time, or for now if that time has passed.
 func (w *world) at(at time.Duration, handle func()) { w.events.add(max(at, w.now), handle) }
 
 // after schedules an event after a delay.
-func (w *world) after(wait time.Duration, handle func()) { w.at(w.now+wait, handle) }
+func (w *world) after(delay time.Duration, handle func()) { w.at(w.now+delay, handle) }
 
-// happens returns true with the given probability.
-func (w *world) happens(probability float64) bool { return w.rng.Float64() < probability }
+// drawBool returns true with the given probability.
+func (w *world) drawBool(probability float64) bool { return w.rng.Float64() < probability }
 
-// between returns a random duration from low to high, inclusive.
-func (w *world) between(low, high time.Duration) time.Duration {
+// drawDuration returns a random duration from low to high, inclusive.
+func (w *world) drawDuration(low, high time.Duration) time.Duration {
 	return low + time.Duration(w.rng.Int64N(int64(high-low)+1))
 }
 
@@ -146,8 +146,8 @@
 	return recovery.Capacity{Workers: w.plan.Workers, Warm: warm, Now: share * warm}
 }
 
-// violation adds a violated invariant to the result, unless the result already has maxViolations.
-func (w *world) violation(format string, args ...any) {
+// reportViolation adds a violated invariant to the result, unless the result already has maxViolations.
+func (w *world) reportViolation(format string, args ...any) {
 	if len(w.result.Violations) < maxViolations {
 		text := fmt.Sprintf(format, args...)
 		w.result.Violations = append(w.result.Violations, fmt.Sprintf("%v: %s", w.now, text))
--- a/internal/fleet/simulate/simulate_test.go
+++ b/internal/fleet/simulate/simulate_test.go
@@ -12,7 +12,8 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// historyCount returns the number of histories to run: the value of CANVASROUTE_HISTORIES if set, otherwise defaultCount.
+// historyCount returns the number of histories to run: the value of CANVASROUTE_HISTORIES if set, otherwise
+// defaultCount.
 func historyCount(t *testing.T, defaultCount int) int {
 	t.Helper()
 	setting := os.Getenv("CANVASROUTE_HISTORIES")
@@ -39,7 +40,7 @@
 	assert.NoError(t, histories.Wait())
 }
 
-func TestOneSeedGivesOneHistory(t *testing.T) {
+func TestSameSeedGivesSameResult(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		plan Plan
--- a/internal/fleet/state.go
+++ b/internal/fleet/state.go
@@ -87,5 +87,5 @@
 func (n *Node) Drained() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.recovered.Known && !n.recovered.Foreign && n.recovered.Incarnation.Drained
+	return n.recovered.IncarnationFound && !n.recovered.Foreign && n.recovered.Incarnation.Drained
 }
--- a/internal/fleet/store/abslot.go
+++ b/internal/fleet/store/abslot.go
@@ -11,15 +11,15 @@
 // slotFiles is the number of files of an abSlot: document n is in file n modulo slotFiles.
 const slotFiles = 2
 
-// abSlot stores one document in two files, A and B, that are written alternately. If a write fails, or if the disk loses
-// it after the sync, the other file still holds the previous document.
+// abSlot stores one document in two files, A and B, that are written alternately. If a write fails, or if the disk
+// loses it after the sync, the other file still holds the previous document.
 type abSlot struct {
-	disk    Disk
-	name    string // of the files, without the suffix ".a" or ".b"
-	kind    recordKind
-	inPlace bool            // overwrite files in place: for a document that is written often and may lose its last write
-	number  uint64          // of the newest document that was read or written, 0 if there is none
-	exists  [slotFiles]bool // by file; only used if inPlace is set
+	disk       Disk
+	name       string // of the files, without the suffix ".a" or ".b"
+	kind       recordKind
+	inPlace    bool            // overwrite files in place: the document is written often and may lose its last write
+	number     uint64          // of the newest document that was read or written, 0 if there is none
+	fileExists [slotFiles]bool // by file; only used if inPlace is set
 }
 
 // numberedDocument is a document with its sequence number in the slot.
@@ -29,20 +29,22 @@
 }
 
 // file returns the name of the file for the document with the given number.
-func (s *abSlot) file(number uint64) string { return s.name + "." + string('a'+byte(number%slotFiles)) }
+func (s *abSlot) file(number uint64) string {
+	return s.name + "." + string('a'+byte(number%slotFiles))
+}
 
 // read decodes the newest intact document into v. found is false if there is none. The returned error lists the damaged
 // files; it can be non-nil even if found is true.
-func (s *abSlot) read(v any) (found bool, lost error) {
+func (s *abSlot) read(v any) (found bool, readErr error) {
 	var newest numberedDocument
 	for file := range uint64(slotFiles) {
 		document, err := s.readFile(file)
 		if errors.Is(err, fs.ErrNotExist) {
 			continue
 		}
-		s.exists[file] = true
+		s.fileExists[file] = true
 		if err != nil {
-			lost = errors.Join(lost, fmt.Errorf("%s: %w", s.file(file), err))
+			readErr = errors.Join(readErr, fmt.Errorf("%s: %w", s.file(file), err))
 			continue
 		}
 		if document.Number > newest.Number {
@@ -50,13 +52,13 @@
 		}
 	}
 	if newest.Number == 0 {
-		return false, lost
+		return false, readErr
 	}
 	s.number = newest.Number
 	if err := cbor.Unmarshal(newest.Body, v); err != nil {
-		return false, errors.Join(lost, fmt.Errorf("%s: %w", s.file(newest.Number), err))
+		return false, errors.Join(readErr, fmt.Errorf("%s: %w", s.file(newest.Number), err))
 	}
-	return true, lost
+	return true, readErr
 }
 
 // readFile reads the document from the file for the given number.
@@ -93,14 +95,14 @@
 
 // replace writes a record to a new file, and renames it over the older of the two files.
 func (s *abSlot) replace(record []byte) error {
-	fresh := s.name + ".new"
-	if err := s.disk.Write(fresh, record); err != nil {
+	newName := s.name + ".new"
+	if err := s.disk.Write(newName, record); err != nil {
 		return err
 	}
-	if err := s.disk.Sync(fresh); err != nil {
+	if err := s.disk.Sync(newName); err != nil {
 		return err
 	}
-	if err := s.disk.Rename(fresh, s.file(s.number+1)); err != nil {
+	if err := s.disk.Rename(newName, s.file(s.number+1)); err != nil {
 		return err
 	}
 	return s.disk.SyncNames()
@@ -117,11 +119,11 @@
 	if err := s.disk.Sync(file); err != nil {
 		return err
 	}
-	if !s.exists[next] {
+	if !s.fileExists[next] {
 		if err := s.disk.SyncNames(); err != nil {
 			return err
 		}
 	}
-	s.exists[next] = true
+	s.fileExists[next] = true
 	return nil
 }
--- a/internal/fleet/store/disk.go
+++ b/internal/fleet/store/disk.go
@@ -31,38 +31,39 @@
 
 // Folder is a Disk in the file system. Only one process can lock it at the same time.
 type Folder struct {
-	path string
-	lock *os.File // nil if the folder is read-only
+	path     string
+	lockFile *os.File // nil if the folder is read-only
 }
 
 // ErrLocked is returned if another process has locked the folder.
 var ErrLocked = errors.New("locked by another process")
 
-// lockName is the name of the lock file. It is never removed, and earlier releases lock the same file.
-const lockName = "lock"
+// lockFileName is the name of the lock file. It is never removed, and earlier releases lock the same file.
+const lockFileName = "lock"
 
-// OpenFolder locks a folder for this process, and creates it if it does not exist. It fails immediately with ErrLocked if
-// another process has locked the folder. If the folder is not writable, it is opened read-only, which ReadOnly reports.
+// OpenFolder locks a folder for this process, and creates it if it does not exist. It fails immediately with ErrLocked
+// if another process has locked the folder. If the folder is not writable, it is opened read-only, which ReadOnly
+// reports.
 func OpenFolder(path string) (*Folder, error) {
 	if err := os.MkdirAll(path, folderMode); err != nil {
 		return nil, fmt.Errorf("state folder: %w", err)
 	}
 	f := &Folder{path: path}
-	lock, err := os.OpenFile(filepath.Join(path, lockName), os.O_CREATE|os.O_RDWR, fileMode)
+	lockFile, err := os.OpenFile(filepath.Join(path, lockFileName), os.O_CREATE|os.O_RDWR, fileMode)
 	if errors.Is(err, syscall.EROFS) || errors.Is(err, fs.ErrPermission) {
 		return f, nil
 	}
 	if err != nil {
 		return nil, fmt.Errorf("state folder: %w", err)
 	}
-	if err := syscall.Flock(int(lock.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
-		lock.Close()
+	if err := syscall.Flock(int(lockFile.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
+		lockFile.Close()
 		if errors.Is(err, syscall.EWOULDBLOCK) {
 			err = ErrLocked
 		}
 		return nil, fmt.Errorf("state folder %s: %w", path, err)
 	}
-	f.lock = lock
+	f.lockFile = lockFile
 	return f, nil
 }
 
@@ -79,33 +80,35 @@
 }
 
 // ReadOnly reports whether the folder was opened without a lock, so that it must not be written to.
-func (f *Folder) ReadOnly() bool { return f.lock == nil }
+func (f *Folder) ReadOnly() bool { return f.lockFile == nil }
 
 // Close unlocks the folder.
 func (f *Folder) Close() error {
-	if f.lock == nil {
+	if f.lockFile == nil {
 		return nil
 	}
-	return f.lock.Close()
+	return f.lockFile.Close()
 }
 
-func (f *Folder) pathOf(name string) string { return filepath.Join(f.path, name) }
+func (f *Folder) filePath(name string) string { return filepath.Join(f.path, name) }
 
 // Read returns the contents of a file.
-func (f *Folder) Read(name string) ([]byte, error) { return os.ReadFile(f.pathOf(name)) }
+func (f *Folder) Read(name string) ([]byte, error) { return os.ReadFile(f.filePath(name)) }
 
 // Write creates or replaces a file.
-func (f *Folder) Write(name string, b []byte) error { return os.WriteFile(f.pathOf(name), b, fileMode) }
+func (f *Folder) Write(name string, b []byte) error {
+	return os.WriteFile(f.filePath(name), b, fileMode)
+}
 
 // Overwrite overwrites the beginning of a file in place, and creates the file if it does not exist.
-func (f *Folder) Overwrite(name string, b []byte) error { return f.writeWith(0, name, b) }
+func (f *Folder) Overwrite(name string, b []byte) error { return f.writeWithFlag(0, name, b) }
 
 // Append appends to a file, and creates it if it does not exist.
-func (f *Folder) Append(name string, b []byte) error { return f.writeWith(os.O_APPEND, name, b) }
+func (f *Folder) Append(name string, b []byte) error { return f.writeWithFlag(os.O_APPEND, name, b) }
 
-// writeWith opens a file with an additional flag and writes b to it.
-func (f *Folder) writeWith(flag int, name string, b []byte) error {
-	file, err := os.OpenFile(f.pathOf(name), os.O_CREATE|os.O_WRONLY|flag, fileMode)
+// writeWithFlag opens a file with an additional flag and writes b to it.
+func (f *Folder) writeWithFlag(flag int, name string, b []byte) error {
+	file, err := os.OpenFile(f.filePath(name), os.O_CREATE|os.O_WRONLY|flag, fileMode)
 	if err != nil {
 		return err
 	}
@@ -114,12 +117,12 @@
 }
 
 // Sync makes the contents of a file durable.
-func (f *Folder) Sync(name string) error { return f.sync(f.pathOf(name)) }
+func (f *Folder) Sync(name string) error { return f.syncPath(f.filePath(name)) }
 
 // SyncNames makes the names of all files durable.
-func (f *Folder) SyncNames() error { return f.sync(f.path) }
+func (f *Folder) SyncNames() error { return f.syncPath(f.path) }
 
-func (f *Folder) sync(path string) error {
+func (f *Folder) syncPath(path string) error {
 	file, err := os.Open(path)
 	if err != nil {
 		return err
@@ -128,16 +131,16 @@
 }
 
 // Rename renames a file, replacing an existing file with the new name.
-func (f *Folder) Rename(from, to string) error { return os.Rename(f.pathOf(from), f.pathOf(to)) }
+func (f *Folder) Rename(from, to string) error { return os.Rename(f.filePath(from), f.filePath(to)) }
 
 // Remove removes a file.
-func (f *Folder) Remove(name string) error { return os.Remove(f.pathOf(name)) }
+func (f *Folder) Remove(name string) error { return os.Remove(f.filePath(name)) }
 
 // Names returns the names of all regular files except the lock file, sorted.
 func (f *Folder) Names() (names []string, err error) {
 	entries, err := os.ReadDir(f.path)
 	for _, entry := range entries {
-		if entry.Type().IsRegular() && entry.Name() != lockName {
+		if entry.Type().IsRegular() && entry.Name() != lockFileName {
 			names = append(names, entry.Name())
 		}
 	}
--- a/internal/fleet/store/format_test.go
+++ b/internal/fleet/store/format_test.go
@@ -37,8 +37,11 @@
 	assert.NoError(t, err)
 	return State{
 		Name: "n3", Incarnation: 8, WrittenAt: 1_700_000_042_000, SettingsHash: "0123456789abcdef", Learned: snapshot,
-		Peers: map[string]PeerProgress{"n4": {Incarnation: 5, Nonce: 6, PersistedKeys: 7, PreviousIncarnation: 4, PreviousNonce: 0x8000000000000000, PreviousPersistedKeys: 9}},
-		Keys:  3,
+		Peers: map[string]PeerProgress{"n4": {
+			Incarnation: 5, Nonce: 6, PersistedKeys: 7, PreviousIncarnation: 4,
+			PreviousNonce: 0x8000000000000000, PreviousPersistedKeys: 9,
+		}},
+		Keys: 3,
 	}
 }
 
@@ -46,8 +49,8 @@
 func writeFolder(t *testing.T, disk Disk) {
 	t.Helper()
 	s, recovered := Open(disk, wantIncarnation.Name)
-	assert.False(t, recovered.Known)
-	_, err := s.Begin(Start{
+	assert.False(t, recovered.IncarnationFound)
+	_, err := s.Begin(BeginOptions{
 		Previous: Incarnation{Name: wantIncarnation.Name, Number: 7, Drained: true},
 		Nonce:    wantIncarnation.Nonce, KeysSuspect: true, At: wantIncarnation.StartedAt,
 	})
@@ -72,12 +75,13 @@
 	state := wantState(t)
 	_, recovered := Open(disk, "n3")
 	assert.Equal(t, Recovered{
-		Incarnation: wantIncarnation, Known: true, State: &state, Keys: wantKeys, PersistedKeys: 3, KeysSuspect: true,
+		Incarnation: wantIncarnation, IncarnationFound: true, State: &state, Keys: wantKeys, PersistedKeys: 3,
+		KeysSuspect: true,
 	}, recovered)
 }
 
-// TestReadsOlderStateOfEarlierRelease checks that the older state record, which lists no peers, is read if the newest one
-// is missing.
+// TestReadsOlderStateOfEarlierRelease checks that the older state record, which lists no peers, is read if the newest
+// one is missing.
 func TestReadsOlderStateOfEarlierRelease(t *testing.T) {
 	disk := NewMemory()
 	older, err := os.ReadFile(filepath.Join(goldenFolder, "facts.b"))
@@ -85,11 +89,13 @@
 	assert.NoError(t, disk.Write("facts.b", older))
 	_, recovered := Open(disk, "n3")
 	assert.Equal(t, &State{
-		Name: "n3", Incarnation: 8, WrittenAt: 1_700_000_000_000, SettingsHash: "earlier", Learned: []byte("{}"), Keys: 2,
+		Name: "n3", Incarnation: 8, WrittenAt: 1_700_000_000_000, SettingsHash: "earlier", Learned: []byte("{}"),
+		Keys: 2,
 	}, recovered.State)
 }
 
-// TestWritesFolderThatEarlierReleaseReads checks that each file is byte for byte identical to that of an earlier release.
+// TestWritesFolderThatEarlierReleaseReads checks that each file is byte for byte identical to that of an earlier
+// release.
 func TestWritesFolderThatEarlierReleaseReads(t *testing.T) {
 	path := t.TempDir()
 	disk, err := OpenFolder(path)
@@ -111,8 +117,8 @@
 	assert.NoError(t, err, "an earlier release uses this file to lock the folder")
 }
 
-// TestFolderFixtureSetsEachField keeps the tests above complete: a field added to a record needs a value in the fixture,
-// and a decision about how an earlier release reads it.
+// TestFolderFixtureSetsEachField keeps the tests above complete: a field added to a record needs a value in the
+// fixture, and a decision about how an earlier release reads it.
 func TestFolderFixtureSetsEachField(t *testing.T) {
 	for _, record := range []any{wantIncarnation, wantKeys, wantState(t)} {
 		v := reflect.ValueOf(record)
--- a/internal/fleet/store/journal.go
+++ b/internal/fleet/store/journal.go
@@ -25,8 +25,8 @@
 	segmentPrefix = "keys."
 	// segmentMillis is the duration for which keys are appended to one segment.
 	segmentMillis = 30_000
-	// clockSlackMillis is the duration for which a segment is kept after its last key has expired, because the wall clock
-	// may have been wrong.
+	// clockSlackMillis is the duration for which a segment is kept after its last key has expired, because the wall
+	// clock may have been wrong.
 	clockSlackMillis = 60_000
 )
 
@@ -37,29 +37,29 @@
 	Keys        []Key  `cbor:"3,keyasint"`
 }
 
-// keyJournal stores keys in segments to which batches are appended. A batch that is truncated at the end of a segment may
-// never have been acknowledged. A damaged batch before the end means that the disk has lost data.
+// keyJournal stores keys in segments to which batches are appended. A batch that is truncated at the end of a segment
+// may never have been acknowledged. A damaged batch before the end means that the disk has lost data.
 type keyJournal struct {
 	disk             Disk
 	segment          int           // the segment to which the next batch is appended
 	segmentStartedAt int64         // Unix time in ms of the segment's first batch, 0 if it has none
 	expiry           map[int]int64 // by segment: Unix time in ms at which its last key expires
 	incarnation      uint64        // of the keys being written, or of the last key that was read
-	count            uint64        // keys persisted in that incarnation
+	persistedCount   uint64        // keys persisted in that incarnation
 }
 
 // begin resets the key count for a new incarnation.
 func (j *keyJournal) begin(incarnation uint64) {
 	j.incarnation = incarnation
-	j.count = 0
+	j.persistedCount = 0
 }
 
-// countOf returns the number of keys of an incarnation that were read, or 0 if it is not the last incarnation read.
-func (j *keyJournal) countOf(incarnation uint64) uint64 {
+// keyCount returns the number of keys of an incarnation that were read, or 0 if it is not the last incarnation read.
+func (j *keyJournal) keyCount(incarnation uint64) uint64 {
 	if incarnation != j.incarnation {
 		return 0
 	}
-	return j.count
+	return j.persistedCount
 }
 
 func segmentName(number int) string { return segmentPrefix + strconv.Itoa(number) }
@@ -72,7 +72,7 @@
 }
 
 // read returns the keys of all intact batches. The returned error lists the damaged or missing records.
-func (j *keyJournal) read() (keys []Key, lost error) {
+func (j *keyJournal) read() (keys []Key, readErr error) {
 	files, err := j.disk.Names()
 	if err != nil {
 		return nil, err
@@ -89,14 +89,14 @@
 		j.segment = max(j.segment, segment)
 		found, err := j.readSegment(segment)
 		keys = append(keys, found...)
-		lost = errors.Join(lost, err)
+		readErr = errors.Join(readErr, err)
 	}
 	j.segment++ // never append after a truncated batch
-	return keys, lost
+	return keys, readErr
 }
 
 // readSegment returns the keys of one segment up to the first damaged batch.
-func (j *keyJournal) readSegment(segment int) (keys []Key, lost error) {
+func (j *keyJournal) readSegment(segment int) (keys []Key, readErr error) {
 	remaining, err := j.disk.Read(segmentName(segment))
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil, nil
@@ -106,18 +106,18 @@
 		if remaining, err = decodeRecord(remaining, kindKeys, &batch); err != nil {
 			break
 		}
-		if batch.Incarnation == j.incarnation && batch.First > j.count {
-			lost = errors.Join(lost, fmt.Errorf("%s: %w", segmentName(segment), ErrKeysMissing))
+		if batch.Incarnation == j.incarnation && batch.First > j.persistedCount {
+			readErr = errors.Join(readErr, fmt.Errorf("%s: %w", segmentName(segment), ErrKeysMissing))
 		}
 		j.incarnation = batch.Incarnation
-		j.count = batch.First + uint64(len(batch.Keys))
+		j.persistedCount = batch.First + uint64(len(batch.Keys))
 		keys = append(keys, batch.Keys...)
 		j.extendExpiry(segment, batch.Keys)
 	}
 	if err != nil {
-		lost = errors.Join(lost, fmt.Errorf("%s: %w", segmentName(segment), err))
+		readErr = errors.Join(readErr, fmt.Errorf("%s: %w", segmentName(segment), err))
 	}
-	return keys, lost
+	return keys, readErr
 }
 
 // append persists a batch of keys. now is Unix time in ms. After an error, the next batch is written to a new segment,
@@ -127,12 +127,12 @@
 		j.removeExpired(now)
 		j.startSegment()
 	}
-	record, err := encodeRecord(kindKeys, keyBatch{Incarnation: j.incarnation, First: j.count, Keys: keys})
+	record, err := encodeRecord(kindKeys, keyBatch{Incarnation: j.incarnation, First: j.persistedCount, Keys: keys})
 	if err != nil {
 		return err
 	}
 	newSegment := j.segmentStartedAt == 0
-	if err := j.write(segmentName(j.segment), record, newSegment); err != nil {
+	if err := j.appendAndSync(segmentName(j.segment), record, newSegment); err != nil {
 		err = fmt.Errorf("writing %s: %w", segmentName(j.segment), err)
 		j.startSegment()
 		return err
@@ -140,13 +140,13 @@
 	if newSegment {
 		j.segmentStartedAt = now
 	}
-	j.count += uint64(len(keys))
+	j.persistedCount += uint64(len(keys))
 	j.extendExpiry(j.segment, keys)
 	return nil
 }
 
-// write appends a record to a segment, and returns once it is durable.
-func (j *keyJournal) write(file string, record []byte, newSegment bool) error {
+// appendAndSync appends a record to a segment, and returns once it is durable.
+func (j *keyJournal) appendAndSync(file string, record []byte, newSegment bool) error {
 	if err := j.disk.Append(file, record); err != nil {
 		return err
 	}
--- a/internal/fleet/store/memory.go
+++ b/internal/fleet/store/memory.go
@@ -12,13 +12,13 @@
 // simulate a power loss before any operation, failing operations and ignored syncs.
 type Memory struct {
 	// Injected faults, which must not change while another goroutine uses the disk.
-	PowerLossAfter int   // number of the operation, counted from 1, before which power is lost; 0 for never
-	WriteError     error // returned by each operation except reads, nil for no error
-	DropSyncs      bool  // Sync does nothing but returns no error
+	PowerLossBefore int   // number of the operation, counted from 1, before which power is lost; 0 for never
+	WriteError      error // returned by each operation except reads, nil for no error
+	DropSyncs       bool  // Sync does nothing but returns no error
 
-	Steps int // number of operations so far, not counting reads
+	OperationCount int // number of operations so far, not counting reads
 
-	mu      sync.Mutex        // guards files, durable and Steps
+	mu      sync.Mutex        // guards files, durable and OperationCount
 	files   map[string]*inode // as returned by reads
 	durable map[string]*inode // the files whose names would survive a power loss
 }
@@ -37,12 +37,12 @@
 	return &Memory{files: map[string]*inode{}, durable: map[string]*inode{}}
 }
 
-// step counts and runs one operation, or returns the error of an injected fault.
-func (m *Memory) step(operation func() error) error {
+// runOperation counts and runs one operation, or returns the error of an injected fault.
+func (m *Memory) runOperation(operation func() error) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.Steps++
-	if m.PowerLossAfter > 0 && m.Steps >= m.PowerLossAfter {
+	m.OperationCount++
+	if m.PowerLossBefore > 0 && m.OperationCount >= m.PowerLossBefore {
 		return ErrPowerLost
 	}
 	if m.WriteError != nil {
@@ -51,9 +51,9 @@
 	return operation()
 }
 
-// change runs an operation that modifies a file, and creates the file if it does not exist.
-func (m *Memory) change(name string, operation func(*inode)) error {
-	return m.step(func() error {
+// changeFile runs an operation that modifies a file, and creates the file if it does not exist.
+func (m *Memory) changeFile(name string, operation func(*inode)) error {
+	return m.runOperation(func() error {
 		if m.files[name] == nil {
 			m.files[name] = &inode{}
 		}
@@ -62,29 +62,30 @@
 	})
 }
 
-// Restart returns a copy of the disk as it is after a power loss. The copy has the files whose names were durable, with
-// their durable contents and at most tail bytes of the data written since the last sync.
-func (m *Memory) Restart(tail int) *Memory {
+// AfterPowerLoss returns a copy of the disk as it is after a power loss. The copy has the files whose names were
+// durable, with their durable contents and at most tail bytes of the data written since the last sync.
+func (m *Memory) AfterPowerLoss(tail int) *Memory {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	next := NewMemory()
 	for name, file := range m.durable {
-		b := file.afterPowerLoss(tail)
+		b := file.contentsAfterPowerLoss(tail)
 		next.files[name] = &inode{bytes: b, durable: slices.Clone(b)}
 	}
 	next.durable = maps.Clone(next.files)
 	return next
 }
 
-// afterPowerLoss returns the file's contents after a power loss if at most tail bytes were written after the last sync.
-func (i *inode) afterPowerLoss(tail int) []byte {
-	left := slices.Clone(i.durable)
-	appended := len(i.bytes) > len(left) && slices.Equal(i.bytes[:len(left)], left)
+// contentsAfterPowerLoss returns the file's contents after a power loss, with at most tail bytes of the data written
+// since the last sync.
+func (i *inode) contentsAfterPowerLoss(tail int) []byte {
+	remaining := slices.Clone(i.durable)
+	appended := len(i.bytes) > len(remaining) && slices.Equal(i.bytes[:len(remaining)], remaining)
 	if appended {
-		return append(left, i.bytes[len(left):min(len(i.bytes), len(left)+tail)]...)
+		return append(remaining, i.bytes[len(remaining):min(len(i.bytes), len(remaining)+tail)]...)
 	}
 	overwritten := i.bytes[:min(len(i.bytes), tail)]
-	return append(slices.Clone(overwritten), left[min(len(left), len(overwritten)):]...)
+	return append(slices.Clone(overwritten), remaining[min(len(remaining), len(overwritten)):]...)
 }
 
 // Read returns the contents of a file, durable or not.
@@ -99,7 +100,7 @@
 
 // Write creates or replaces a file.
 func (m *Memory) Write(name string, b []byte) error {
-	return m.step(func() error {
+	return m.runOperation(func() error {
 		m.files[name] = &inode{bytes: slices.Clone(b)}
 		return nil
 	})
@@ -107,19 +108,19 @@
 
 // Overwrite overwrites the beginning of a file in place, and creates the file if it does not exist.
 func (m *Memory) Overwrite(name string, b []byte) error {
-	return m.change(name, func(i *inode) {
+	return m.changeFile(name, func(i *inode) {
 		i.bytes = append(slices.Clone(b), i.bytes[min(len(b), len(i.bytes)):]...)
 	})
 }
 
 // Append appends to a file, and creates it if it does not exist.
 func (m *Memory) Append(name string, b []byte) error {
-	return m.change(name, func(i *inode) { i.bytes = append(i.bytes, b...) })
+	return m.changeFile(name, func(i *inode) { i.bytes = append(i.bytes, b...) })
 }
 
 // Sync makes the contents of a file durable, unless DropSyncs is set.
 func (m *Memory) Sync(name string) error {
-	return m.step(func() error {
+	return m.runOperation(func() error {
 		if file := m.files[name]; file != nil && !m.DropSyncs {
 			file.durable = slices.Clone(file.bytes)
 		}
@@ -129,7 +130,7 @@
 
 // Rename renames a file, replacing an existing file with the new name.
 func (m *Memory) Rename(from, to string) error {
-	return m.step(func() error {
+	return m.runOperation(func() error {
 		file := m.files[from]
 		if file == nil {
 			return fs.ErrNotExist
@@ -142,7 +143,7 @@
 
 // Remove removes a file. It does not fail if the file does not exist.
 func (m *Memory) Remove(name string) error {
-	return m.step(func() error {
+	return m.runOperation(func() error {
 		delete(m.files, name)
 		return nil
 	})
@@ -157,21 +158,21 @@
 
 // SyncNames makes the names of all files durable, but not their contents.
 func (m *Memory) SyncNames() error {
-	return m.step(func() error {
+	return m.runOperation(func() error {
 		m.durable = maps.Clone(m.files)
 		return nil
 	})
 }
 
 const (
-	// tornByte is the wrong byte that Tear appends to a file.
+	// tornByte is the wrong byte that TearFile appends to a file.
 	tornByte = 0xff
-	// tearOffsetDivisor decorrelates the offset at which Tear truncates a file from its choice of the file.
+	// tearOffsetDivisor decorrelates the offset at which TearFile truncates a file from its choice of the file.
 	tearOffsetDivisor = 7
 )
 
-// Tear truncates one file and appends a wrong byte to it. random selects the file and the offset.
-func (m *Memory) Tear(random uint64) {
+// TearFile truncates one file and appends a wrong byte to it. random selects the file and the offset.
+func (m *Memory) TearFile(random uint64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	names := slices.Sorted(maps.Keys(m.files))
--- a/internal/fleet/store/record.go
+++ b/internal/fleet/store/record.go
@@ -10,20 +10,20 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// A record is a header followed by a body in CBOR. The constants are the byte offsets of the header's fields. Numbers are
-// big-endian.
+// A record is a header followed by a body in CBOR. The constants are the byte offsets of the header's fields. Numbers
+// are big-endian.
 const (
-	magic       = "cvrt"          // the first bytes of each record
-	kindAt      = len(magic)      // 1 byte: the recordKind
-	versionAt   = kindAt + 1      // 1 byte: the format version
-	lengthAt    = versionAt + 1   // 4 bytes: the length of the body
-	headerSumAt = lengthAt + 4    // 4 bytes: the checksum of the header fields before it
-	bodySumAt   = headerSumAt + 4 // 4 bytes: the checksum of the body
-	headerBytes = bodySumAt + 4
+	magic                = "cvrt"                   // the first bytes of each record
+	kindOffset           = len(magic)               // 1 byte: the recordKind
+	versionOffset        = kindOffset + 1           // 1 byte: the format version
+	lengthOffset         = versionOffset + 1        // 4 bytes: the length of the body
+	headerChecksumOffset = lengthOffset + 4         // 4 bytes: the checksum of the header fields before it
+	bodyChecksumOffset   = headerChecksumOffset + 4 // 4 bytes: the checksum of the body
+	headerBytes          = bodyChecksumOffset + 4
 )
 
-// maxRecordBytes limits the length of a body. A header with a greater length is treated as damaged.
-const maxRecordBytes = 64 << 20
+// maxBodyBytes limits the length of a body. A header with a greater length is treated as damaged.
+const maxBodyBytes = 64 << 20
 
 // recordKind is the type of the document in the body of a record.
 type recordKind byte
@@ -37,7 +37,8 @@
 // formatVersion is the format version of all records. A record with a higher version was written by a later release.
 const formatVersion = 1
 
-// The errors for records that cannot be used. `canvasroute state show` prints their texts, which operators' scripts read.
+// The errors for records that cannot be used. `canvasroute state show` prints their texts, which operators' scripts
+// read.
 var (
 	ErrTruncated     = errors.New("torn: the record is cut off")
 	ErrChecksum      = errors.New("damaged: the checksum does not match")
@@ -45,49 +46,50 @@
 	ErrNewerVersion  = errors.New("written by a later release")
 )
 
-var castagnoli = crc32.MakeTable(crc32.Castagnoli)
+var castagnoliTable = crc32.MakeTable(crc32.Castagnoli)
 
 // encodeRecord returns a record of the current format version with v as its body.
 func encodeRecord(kind recordKind, v any) ([]byte, error) {
-	return encodeRecordAs(kind, formatVersion, v)
+	return encodeRecordVersion(kind, formatVersion, v)
 }
 
-// encodeRecordAs returns a record of the given format version with v as its body.
-func encodeRecordAs(kind recordKind, version byte, v any) ([]byte, error) {
+// encodeRecordVersion returns a record of the given format version with v as its body.
+func encodeRecordVersion(kind recordKind, version byte, v any) ([]byte, error) {
 	body, err := cbor.Marshal(v)
 	if err != nil {
 		return nil, fmt.Errorf("encoding record: %w", err)
 	}
 	b := append([]byte(magic), byte(kind), version)
 	b = binary.BigEndian.AppendUint32(b, uint32(len(body)))
-	b = binary.BigEndian.AppendUint32(b, crc32.Checksum(b, castagnoli))
-	b = binary.BigEndian.AppendUint32(b, crc32.Checksum(body, castagnoli))
+	b = binary.BigEndian.AppendUint32(b, crc32.Checksum(b, castagnoliTable))
+	b = binary.BigEndian.AppendUint32(b, crc32.Checksum(body, castagnoliTable))
 	return append(b, body...), nil
 }
 
 // decodeRecord decodes the record at the start of b into v, and returns the bytes after it. It fails with ErrTruncated,
 // ErrChecksum, ErrUnknownRecord or ErrNewerVersion.
 func decodeRecord(b []byte, kind recordKind, v any) (remaining []byte, err error) {
-	if len(b) < headerBytes || allZero(b) {
+	if len(b) < headerBytes || isAllZero(b) {
 		return nil, ErrTruncated // the file system may have extended the file before it wrote the contents
 	}
-	length := binary.BigEndian.Uint32(b[lengthAt:])
+	length := binary.BigEndian.Uint32(b[lengthOffset:])
 	switch {
-	case string(b[:kindAt]) != magic:
+	case string(b[:kindOffset]) != magic:
 		return nil, ErrUnknownRecord
-	case binary.BigEndian.Uint32(b[headerSumAt:]) != crc32.Checksum(b[:headerSumAt], castagnoli), length > maxRecordBytes:
+	case binary.BigEndian.Uint32(b[headerChecksumOffset:]) != crc32.Checksum(b[:headerChecksumOffset], castagnoliTable),
+		length > maxBodyBytes:
 		return nil, ErrChecksum
-	case b[kindAt] != byte(kind):
+	case b[kindOffset] != byte(kind):
 		return nil, ErrUnknownRecord
 	case uint64(len(b)-headerBytes) < uint64(length):
 		return nil, ErrTruncated
 	}
 	end := headerBytes + int(length)
 	body := b[headerBytes:end]
-	if binary.BigEndian.Uint32(b[bodySumAt:]) != crc32.Checksum(body, castagnoli) {
+	if binary.BigEndian.Uint32(b[bodyChecksumOffset:]) != crc32.Checksum(body, castagnoliTable) {
 		return nil, ErrChecksum
 	}
-	if b[versionAt] > formatVersion {
+	if b[versionOffset] > formatVersion {
 		return nil, ErrNewerVersion
 	}
 	if err := cbor.Unmarshal(body, v); err != nil {
@@ -96,6 +98,6 @@
 	return b[end:], nil
 }
 
-func allZero(b []byte) bool {
+func isAllZero(b []byte) bool {
 	return !slices.ContainsFunc(b, func(c byte) bool { return c != 0 })
 }
--- a/internal/fleet/store/store.go
+++ b/internal/fleet/store/store.go
@@ -20,7 +20,7 @@
 	Drained       bool   `cbor:"5,keyasint"` // an operator has drained the dispatcher
 	Keys          uint64 `cbor:"6,keyasint"` // number of keys persisted in this incarnation; set at a clean shutdown
 	CleanShutdown bool   `cbor:"7,keyasint"` // false after a crash
-	KeysSuspect   bool   `cbor:"8,keyasint"` // keys of previous incarnations may be missing, until a dedup window has passed
+	KeysSuspect   bool   `cbor:"8,keyasint"` // keys of previous incarnations may be missing, for one dedup window
 }
 
 // State is the learned state of a dispatcher at one time.
@@ -60,8 +60,8 @@
 	persistedKeys atomic.Uint64 // number of keys persisted in this incarnation; read without waiting for a write
 }
 
-// Start holds the parameters of Begin.
-type Start struct {
+// BeginOptions holds the parameters of Begin.
+type BeginOptions struct {
 	Previous    Incarnation // zero if there is none
 	MinNumber   uint64      // the lowest valid number of the new incarnation; 0 for no limit
 	Nonce       uint64      // random, generated for this process
@@ -69,21 +69,21 @@
 	At          int64       // Unix time in ms
 }
 
-// Begin persists the next incarnation of the dispatcher and returns it. Its number is at least start.MinNumber, and is
-// higher than that of the previous incarnation if that belongs to the same dispatcher.
-func (s *Store) Begin(start Start) (Incarnation, error) {
+// Begin persists the next incarnation of the dispatcher and returns it. Its number is at least options.MinNumber, and
+// is higher than that of the previous incarnation if that belongs to the same dispatcher.
+func (s *Store) Begin(options BeginOptions) (Incarnation, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	next := Incarnation{
 		Name:        s.name,
-		Number:      max(start.MinNumber, 1),
-		Nonce:       start.Nonce,
-		StartedAt:   start.At,
-		KeysSuspect: start.KeysSuspect,
+		Number:      max(options.MinNumber, 1),
+		Nonce:       options.Nonce,
+		StartedAt:   options.At,
+		KeysSuspect: options.KeysSuspect,
 	}
-	if start.Previous.Name == s.name {
-		next.Number = max(next.Number, start.Previous.Number+1)
-		next.Drained = start.Previous.Drained
+	if options.Previous.Name == s.name {
+		next.Number = max(next.Number, options.Previous.Number+1)
+		next.Drained = options.Previous.Drained
 	}
 	s.incarnation = next
 	s.journal.begin(next.Number)
@@ -91,43 +91,44 @@
 	return next, s.identity.write(next)
 }
 
-// RaiseIncarnation increases the number of the incarnation to at least number and persists it. It is called if a peer has
-// received a higher number than the one on this disk.
+// RaiseIncarnation increases the number of the incarnation to at least number and persists it. It is called if a peer
+// has received a higher number than the one on this disk.
 func (s *Store) RaiseIncarnation(number uint64) error {
-	return s.update(func(i *Incarnation) { i.Number = max(i.Number, number) })
+	return s.updateIncarnation(func(i *Incarnation) { i.Number = max(i.Number, number) })
 }
 
 // MarkKeysSuspect persists that keys of previous incarnations may be missing.
 func (s *Store) MarkKeysSuspect() error {
-	return s.update(func(i *Incarnation) { i.KeysSuspect = true })
+	return s.updateIncarnation(func(i *Incarnation) { i.KeysSuspect = true })
 }
 
 // ClearKeysSuspect persists that no unexpired key of a previous incarnation is missing.
 func (s *Store) ClearKeysSuspect() error {
-	return s.update(func(i *Incarnation) { i.KeysSuspect = false })
+	return s.updateIncarnation(func(i *Incarnation) { i.KeysSuspect = false })
 }
 
 // MarkDrained persists that an operator has drained this dispatcher.
 func (s *Store) MarkDrained() error {
-	return s.update(func(i *Incarnation) { i.Drained = true })
+	return s.updateIncarnation(func(i *Incarnation) { i.Drained = true })
 }
 
 // ClearDrained persists that an operator has ended the drain.
 func (s *Store) ClearDrained() error {
-	return s.update(func(i *Incarnation) { i.Drained = false })
+	return s.updateIncarnation(func(i *Incarnation) { i.Drained = false })
 }
 
 // MarkCleanShutdown persists that this incarnation ends with a clean shutdown, and the number of keys that it has
 // persisted. It is the last write of an incarnation.
 func (s *Store) MarkCleanShutdown() error {
-	return s.update(func(i *Incarnation) {
+	return s.updateIncarnation(func(i *Incarnation) {
 		i.CleanShutdown = true
-		i.Keys = s.journal.count
+		i.Keys = s.journal.persistedCount
 	})
 }
 
-// update changes the incarnation and persists it. After an error, the previous incarnation remains in effect.
-func (s *Store) update(change func(*Incarnation)) error {
+// updateIncarnation changes the incarnation and persists it. After an error, the previous incarnation remains in
+// effect.
+func (s *Store) updateIncarnation(change func(*Incarnation)) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	next := s.incarnation
@@ -148,7 +149,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	err := s.journal.append(keys, now)
-	s.persistedKeys.Store(s.journal.count)
+	s.persistedKeys.Store(s.journal.persistedCount)
 	return err
 }
 
@@ -161,7 +162,7 @@
 	s.mu.Lock()
 	state.Name = s.name
 	state.Incarnation = s.incarnation.Number
-	state.Keys = s.journal.count
+	state.Keys = s.journal.persistedCount
 	s.mu.Unlock()
 	s.stateMu.Lock()
 	defer s.stateMu.Unlock()
--- a/internal/fleet/store/store_bench_test.go
+++ b/internal/fleet/store/store_bench_test.go
@@ -13,7 +13,7 @@
 		b.Fatal(err)
 	}
 	s, recovered := Open(folder, "d0")
-	if _, err := s.Begin(Start{Previous: recovered.Incarnation, Nonce: 1, At: 1000}); err != nil {
+	if _, err := s.Begin(BeginOptions{Previous: recovered.Incarnation, Nonce: 1, At: 1000}); err != nil {
 		b.Fatal(err)
 	}
 	return s
--- a/internal/fleet/store/store_test.go
+++ b/internal/fleet/store/store_test.go
@@ -20,7 +20,7 @@
 func beginIncarnation(t *testing.T, disk Disk) *Store {
 	t.Helper()
 	s, recovered := Open(disk, "d0")
-	_, err := s.Begin(Start{Previous: recovered.Incarnation, Nonce: testNonce, At: 1000})
+	_, err := s.Begin(BeginOptions{Previous: recovered.Incarnation, Nonce: testNonce, At: 1000})
 	assert.NoError(t, err)
 	return s
 }
@@ -29,7 +29,7 @@
 // acknowledged writes, in the same form as readBack.
 func writeIncarnation(disk Disk) (acknowledged []string, err error) {
 	s, recovered := Open(disk, "d0")
-	incarnation, err := s.Begin(Start{Previous: recovered.Incarnation, Nonce: testNonce, At: 1000})
+	incarnation, err := s.Begin(BeginOptions{Previous: recovered.Incarnation, Nonce: testNonce, At: 1000})
 	if err != nil {
 		return acknowledged, err
 	}
@@ -54,28 +54,28 @@
 }
 
 // readBack reads a disk. It also returns its contents in the same form as writeIncarnation.
-func readBack(t *testing.T, disk Disk) (words []string, recovered Recovered) {
+func readBack(t *testing.T, disk Disk) (records []string, recovered Recovered) {
 	t.Helper()
 	_, recovered = Open(disk, "d0")
-	if recovered.Known {
-		words = append(words, fmt.Sprint("incarnation ", recovered.Incarnation.Number))
+	if recovered.IncarnationFound {
+		records = append(records, fmt.Sprint("incarnation ", recovered.Incarnation.Number))
 		if recovered.Incarnation.Drained {
-			words = append(words, "drained")
+			records = append(records, "drained")
 		}
 	}
 	for _, k := range recovered.Keys {
 		assert.Equal(t, Key{Sum: k.Sum, Worker: "w1", Zone: "north", SentAt: 1000, ExpiresAt: farExpiry}, k, "unaltered key")
-		words = append(words, fmt.Sprint("key ", k.Sum))
+		records = append(records, fmt.Sprint("key ", k.Sum))
 	}
 	if recovered.State != nil {
-		words = append(words, string(recovered.State.Learned))
+		records = append(records, string(recovered.State.Learned))
 	}
-	return words, recovered
+	return records, recovered
 }
 
 // Guards against torn or lost writes: whichever operation the power loss precedes, and however many bytes of the last
 // write reached the disk, each file must hold its old or its new record, and acknowledged writes must be readable.
-func TestPowerLostBeforeEachOperationLeavesOldOrNew(t *testing.T) {
+func TestPowerLostBeforeOperationKeepsOldOrNewRecord(t *testing.T) {
 	const (
 		maxTail   = 140
 		maxRecord = 120 // bytes; no record of this test is longer
@@ -83,14 +83,14 @@
 	complete := NewMemory()
 	_, err := writeIncarnation(complete)
 	assert.NoError(t, err)
-	for operation := 1; operation <= complete.Steps; operation++ {
+	for operation := 1; operation <= complete.OperationCount; operation++ {
 		t.Run(fmt.Sprint("before operation ", operation), func(t *testing.T) {
 			for tail := range maxTail {
 				disk := NewMemory()
-				disk.PowerLossAfter = operation
+				disk.PowerLossBefore = operation
 				acknowledged, err := writeIncarnation(disk)
 				assert.ErrorIs(t, err, ErrPowerLost)
-				words, recovered := readBack(t, disk.Restart(tail))
+				words, recovered := readBack(t, disk.AfterPowerLoss(tail))
 				lastState := ""
 				for _, written := range acknowledged {
 					if strings.HasPrefix(written, "state") {
@@ -104,21 +104,21 @@
 					assert.GreaterOrEqual(t, string(recovered.State.Learned), lastState)
 				}
 				if tail == 0 || tail > maxRecord { // no record is truncated
-					assert.Equal(t, !recovered.Known, recovered.KeysSuspect, "tail %d: %v", tail, recovered.Errors)
+					assert.Equal(t, !recovered.IncarnationFound, recovered.KeysSuspect, "tail %d: %v", tail, recovered.Errors)
 				}
 			}
 		})
 	}
 }
 
-func TestIncarnationRisesThroughLossesOfPower(t *testing.T) {
+func TestIncarnationIncreasesAcrossPowerLosses(t *testing.T) {
 	disk := NewMemory()
 	last := uint64(0)
 	for operation := range 40 {
-		disk.PowerLossAfter = operation + 1
+		disk.PowerLossBefore = operation + 1
 		_, _ = writeIncarnation(disk) // fails with the power loss
-		disk = disk.Restart(0)
-		if _, recovered := Open(disk, "d0"); recovered.Known {
+		disk = disk.AfterPowerLoss(0)
+		if _, recovered := Open(disk, "d0"); recovered.IncarnationFound {
 			assert.GreaterOrEqual(t, recovered.Incarnation.Number, last)
 			last = recovered.Incarnation.Number
 		}
@@ -135,14 +135,14 @@
 	assert.NoError(t, s.AppendKeys([]Key{{Sum: 2}}, 1000))
 	disk.DropSyncs = false
 	assert.NoError(t, s.SaveState(State{WrittenAt: 1}))
-	_, recovered := Open(disk.Restart(0), "d0")
+	_, recovered := Open(disk.AfterPowerLoss(0), "d0")
 	assert.Len(t, recovered.Keys, 1)
 	assert.True(t, recovered.KeysSuspect, "%v", recovered.Errors)
 	assert.Len(t, recovered.Errors, 1)
 	assert.ErrorIs(t, recovered.Errors[0], ErrKeysMissing)
 }
 
-func TestFlippedBitIsDetectedAnywhere(t *testing.T) {
+func TestFlippedBitIsDetectedInEachByte(t *testing.T) {
 	complete := NewMemory()
 	_, err := writeIncarnation(complete)
 	assert.NoError(t, err)
@@ -153,7 +153,7 @@
 			intact, err := complete.Read(name)
 			assert.NoError(t, err)
 			for at := range intact {
-				disk := complete.Restart(wholeTail)
+				disk := complete.AfterPowerLoss(wholeTail)
 				flipped := append([]byte(nil), intact...)
 				flipped[at] ^= 1 << (at % 8)
 				disk.files[name] = &inode{bytes: flipped}
@@ -179,13 +179,13 @@
 	assert.ErrorIs(t, recovered.Errors[0], ErrForeignState)
 	assert.Len(t, recovered.Keys, 3, "keys are valid whichever dispatcher wrote them")
 	assert.True(t, recovered.KeysSuspect, "the keys of this dispatcher are not on this disk")
-	incarnation, err := s.Begin(Start{Previous: recovered.Incarnation, Nonce: 5, At: 2000})
+	incarnation, err := s.Begin(BeginOptions{Previous: recovered.Incarnation, Nonce: 5, At: 2000})
 	assert.NoError(t, err)
 	assert.Equal(t, Incarnation{Name: "d1", Number: 1, Nonce: 5, StartedAt: 2000}, incarnation,
 		"neither the number nor the drain of the other dispatcher is used")
 }
 
-func TestFullDiskIsReportedAndHarmsNothingThatWasWritten(t *testing.T) {
+func TestFullDiskReturnsErrorAndKeepsWrittenRecords(t *testing.T) {
 	errFull := fmt.Errorf("no space left")
 	disk := NewMemory()
 	s := beginIncarnation(t, disk)
@@ -196,14 +196,14 @@
 	assert.ErrorIs(t, s.MarkDrained(), errFull)
 	disk.WriteError = nil
 	assert.NoError(t, s.AppendKeys([]Key{{Sum: 3}}, 1002), "writes succeed again once there is space")
-	_, recovered := Open(disk.Restart(0), "d0")
+	_, recovered := Open(disk.AfterPowerLoss(0), "d0")
 	assert.Equal(t, []uint64{1, 3}, []uint64{recovered.Keys[0].Sum, recovered.Keys[1].Sum})
 	assert.False(t, recovered.Incarnation.Drained, "the failed write is not read back")
 	assert.False(t, recovered.KeysSuspect, "%v", recovered.Errors)
 }
 
-func TestRecordOfALaterReleaseIsNamed(t *testing.T) {
-	b, err := encodeRecordAs(kindIncarnation, formatVersion+1, numberedDocument{Number: 99})
+func TestRecordOfLaterReleaseFailsWithNewerVersion(t *testing.T) {
+	b, err := encodeRecordVersion(kindIncarnation, formatVersion+1, numberedDocument{Number: 99})
 	assert.NoError(t, err)
 	_, err = decodeRecord(b, kindIncarnation, &numberedDocument{})
 	assert.ErrorIs(t, err, ErrNewerVersion)
@@ -226,7 +226,7 @@
 	assert.Contains(t, words, "drained")
 }
 
-func TestSegmentsAreRemovedOnceTheirKeysHaveExpired(t *testing.T) {
+func TestSegmentsAreRemovedAfterTheirKeysExpire(t *testing.T) {
 	disk := NewMemory()
 	s := beginIncarnation(t, disk)
 	for n := range int64(100) {
@@ -242,24 +242,24 @@
 
 // A second power loss within the dedup window must not clear the keys-suspect mark, even if the wall clock has jumped
 // past the window.
-func TestSuspectKeysStayMarkedThroughRestarts(t *testing.T) {
+func TestSuspectKeysStayMarkedAcrossRestarts(t *testing.T) {
 	disk := NewMemory()
 	s, recovered := Open(disk, "d0")
-	_, err := s.Begin(Start{Previous: recovered.Incarnation, Nonce: 5, KeysSuspect: true, At: 1000})
+	_, err := s.Begin(BeginOptions{Previous: recovered.Incarnation, Nonce: 5, KeysSuspect: true, At: 1000})
 	assert.NoError(t, err)
-	disk = disk.Restart(0)
+	disk = disk.AfterPowerLoss(0)
 	s, recovered = Open(disk, "d0")
 	assert.True(t, recovered.KeysSuspect)
-	_, err = s.Begin(Start{Previous: recovered.Incarnation, Nonce: 6, KeysSuspect: recovered.KeysSuspect, At: farExpiry})
+	_, err = s.Begin(BeginOptions{Previous: recovered.Incarnation, Nonce: 6, KeysSuspect: recovered.KeysSuspect, At: farExpiry})
 	assert.NoError(t, err)
-	_, recovered = Open(disk.Restart(0), "d0")
+	_, recovered = Open(disk.AfterPowerLoss(0), "d0")
 	assert.True(t, recovered.KeysSuspect)
 	assert.NoError(t, s.ClearKeysSuspect(), "a dedup window has passed")
-	_, recovered = Open(disk.Restart(0), "d0")
+	_, recovered = Open(disk.AfterPowerLoss(0), "d0")
 	assert.False(t, recovered.KeysSuspect)
 }
 
-func TestNextIncarnationFollowsTheState(t *testing.T) {
+func TestMinNextIncarnationAndSuspectKeys(t *testing.T) {
 	for _, c := range []struct {
 		name           string
 		recovered      Recovered
@@ -270,11 +270,11 @@
 		{"an empty disk", Recovered{}, true, 1, false},
 		{"a state", Recovered{State: &State{Incarnation: 7}}, false, 8, false},
 		{"suspect keys", Recovered{KeysSuspect: true}, false, 1, true},
-		{"a crash on a reliable disk", Recovered{Known: true}, false, 1, false},
-		{"a crash on an unreliable disk", Recovered{Known: true}, true, 1, true},
+		{"a crash on a reliable disk", Recovered{IncarnationFound: true}, false, 1, false},
+		{"a crash on an unreliable disk", Recovered{IncarnationFound: true}, true, 1, true},
 		{
 			"a clean shutdown on an unreliable disk",
-			Recovered{Known: true, Incarnation: Incarnation{CleanShutdown: true}},
+			Recovered{IncarnationFound: true, Incarnation: Incarnation{CleanShutdown: true}},
 			true, 1, false,
 		},
 	} {
--- a/internal/testbed/experiment/clock.go
+++ b/internal/testbed/experiment/clock.go
@@ -15,7 +15,7 @@
 	}
 	defer func() { _ = disk.Close() }() // every write has returned its error
 	_, found := store.Open(disk, name)
-	if !found.Known || found.Foreign {
+	if !found.IncarnationFound || found.Foreign {
 		return nil
 	}
 	names, err := disk.Names()
@@ -30,7 +30,7 @@
 	shiftMillis := by.Milliseconds()
 	state, _ := store.Open(disk, name)
 	incarnation := found.Incarnation
-	start := store.Start{
+	start := store.BeginOptions{
 		MinNumber:   incarnation.Number,
 		Nonce:       incarnation.Nonce,
 		KeysSuspect: found.KeysSuspect,
--- a/internal/testbed/experiment/clock_test.go
+++ b/internal/testbed/experiment/clock_test.go
@@ -19,7 +19,7 @@
 	}
 	disk := open()
 	state, _ := store.Open(disk, "d1")
-	incarnation, err := state.Begin(store.Start{MinNumber: 4, Nonce: 77, At: now})
+	incarnation, err := state.Begin(store.BeginOptions{MinNumber: 4, Nonce: 77, At: now})
 	assert.NoError(t, err)
 	assert.NoError(t, state.AppendKeys([]store.Key{{Sum: 9, Worker: "w3", SentAt: now, ExpiresAt: now + 1000}}, now))
 	assert.NoError(t, state.SaveState(store.State{WrittenAt: now, SettingsHash: "abc"}))
