--- a/internal/fleet/messaging/message.go
+++ b/internal/fleet/messaging/message.go
@@ -40,7 +40,7 @@
 	Zone      string `cbor:"3,keyasint,omitempty"` // of that worker
 	Cell      int    `cbor:"4,keyasint,omitempty"` // of that worker
 	SentAt    int64  `cbor:"5,keyasint"`           // Unix time in ms
-	ExpiresAt int64  `cbor:"6,keyasint"`           // Unix time in ms after which workers no longer drop repeats
+	ExpiresAt int64  `cbor:"6,keyasint"`           // Unix time in ms at which workers stop dropping repeats
 }
 
 // Message is a query, a reply or a heartbeat. Its kind determines which fields are used.
--- a/internal/fleet/simulate/faults.go
+++ b/internal/fleet/simulate/faults.go
@@ -230,7 +230,8 @@
 	}
 }
 
-// markKeysUnknownToPeers marks the keys that a disk reset loses and that the dispatcher's peers have not received.
+// markKeysUnknownToPeers marks the keys that a disk reset loses and that were sent too shortly before a power loss for
+// a peer to have stored them.
 func (n *node) markKeysUnknownToPeers() {
 	for number := range n.world.keys {
 		key := &n.world.keys[number]
--- a/internal/fleet/store/journal.go
+++ b/internal/fleet/store/journal.go
@@ -17,7 +17,7 @@
 	Zone      string `cbor:"3,keyasint"` // of that worker
 	Cell      int    `cbor:"4,keyasint"` // of that worker
 	SentAt    int64  `cbor:"5,keyasint"` // Unix time in ms
-	ExpiresAt int64  `cbor:"6,keyasint"` // Unix time in ms after which workers no longer drop repeats
+	ExpiresAt int64  `cbor:"6,keyasint"` // Unix time in ms at which workers stop dropping repeats
 }
 
 const (
@@ -165,7 +165,7 @@
 	j.segmentStartedAt = 0
 }
 
-// removeExpired removes the segments whose keys expired at least clockSlackMillis ago. now is Unix time in ms.
+// removeExpired removes the segments whose last key expired more than clockSlackMillis ago. now is Unix time in ms.
 func (j *keyJournal) removeExpired(now int64) {
 	for segment, expiry := range j.expiry {
 		if expiry >= now-clockSlackMillis {
--- a/internal/fleet/store/store_test.go
+++ b/internal/fleet/store/store_test.go
@@ -90,14 +90,14 @@
 				disk.PowerLossBefore = operation
 				acknowledged, err := writeIncarnation(disk)
 				assert.ErrorIs(t, err, ErrPowerLost)
-				words, recovered := readBack(t, disk.AfterPowerLoss(tail))
+				records, recovered := readBack(t, disk.AfterPowerLoss(tail))
 				lastState := ""
 				for _, written := range acknowledged {
 					if strings.HasPrefix(written, "state") {
 						lastState = written
 						continue
 					}
-					assert.Contains(t, words, written, "tail %d", tail)
+					assert.Contains(t, records, written, "tail %d", tail)
 				}
 				if lastState != "" {
 					assert.NotNil(t, recovered.State, "tail %d", tail)
@@ -157,9 +157,9 @@
 				flipped := append([]byte(nil), intact...)
 				flipped[at] ^= 1 << (at % 8)
 				disk.files[name] = &inode{bytes: flipped}
-				words, recovered := readBack(t, disk)
+				records, recovered := readBack(t, disk)
 				assert.NotEmpty(t, recovered.Errors, "byte %d", at)
-				assert.Contains(t, words, "incarnation 1", "the other file of the slot is intact")
+				assert.Contains(t, records, "incarnation 1", "the other file of the slot is intact")
 				if strings.HasPrefix(name, segmentPrefix) {
 					assert.True(t, recovered.KeysSuspect, "byte %d", at)
 				}
@@ -222,8 +222,8 @@
 	folder, err = OpenFolder(path)
 	assert.NoError(t, err)
 	assert.False(t, folder.ReadOnly())
-	words, _ := readBack(t, folder)
-	assert.Contains(t, words, "drained")
+	records, _ := readBack(t, folder)
+	assert.Contains(t, records, "drained")
 }
 
 func TestSegmentsAreRemovedAfterTheirKeysExpire(t *testing.T) {
