--- a/internal/fleet/simulate/clients.go
+++ b/internal/fleet/simulate/clients.go
@@ -9,33 +9,34 @@
 )
 
 const (
-	requestInterval = 60 * time.Millisecond // on average, of a fleet of smallFleet dispatchers or fewer
-	smallFleet      = 6                     // dispatchers; a larger fleet receives more requests in proportion
-	requestSize     = 200 * time.Millisecond
-	minRequestTime  = 50 * time.Millisecond // until a request ends
-	maxRequestTime  = 400 * time.Millisecond
-	repeatShare     = 0.3 // of the requests
-	keyedShare      = 0.3 // of the requests
-	repeatRange     = 120 // how many of the last keys are repeated
-	zoneCount       = 3
+	meanRequestInterval = 60 * time.Millisecond // mean interval for at most baseFleetSize dispatchers
+	baseFleetSize       = 6                     // dispatchers; a larger fleet receives proportionally more requests
+	requestSize         = 200 * time.Millisecond
+	minRequestTime      = 50 * time.Millisecond // duration of a request
+	maxRequestTime      = 400 * time.Millisecond
+	repeatShare         = 0.3 // of the requests
+	keyedShare          = 0.3 // of the requests
+	recentKeyCount      = 120 // number of most recent keys from which repeats are drawn
+	zoneCount           = 3
 )
 
-// sendRequests sends a request to one dispatcher, again and again: some under a new key, some as a repeat.
+// sendRequests sends a request to a random dispatcher, with a new key, as a repeat of an earlier key or without a key,
+// and schedules the next request.
 func (w *world) sendRequests() {
-	interval := requestInterval * smallFleet / time.Duration(max(w.plan.Dispatchers, smallFleet))
+	interval := meanRequestInterval * baseFleetSize / time.Duration(max(w.plan.Dispatchers, baseFleetSize))
 	shortest := interval / 2
 	longest := interval + interval/2
-	w.after(w.between(shortest, longest), w.sendRequests)
+	w.after(w.drawDuration(shortest, longest), w.sendRequests)
 	n := w.nodes[w.rng.IntN(len(w.nodes))]
 	if !n.up || !n.machine.Phase().AdmitsRequests() {
 		return
 	}
 	switch draw := w.rng.Float64(); {
 	case draw < repeatShare && len(w.keys) > 0:
-		n.sendRepeat(w.keys[max(0, len(w.keys)-1-w.rng.IntN(repeatRange))])
+		n.sendRepeat(w.keys[max(0, len(w.keys)-1-w.rng.IntN(recentKeyCount))])
 	case draw < repeatShare+keyedShare:
 		zone := string(rune('a' + w.rng.IntN(zoneCount)))
-		key := sentKey{sum: uint64(len(w.keys) + 1), zone: zone, at: w.now, sender: n.position}
+		key := sentKey{sum: uint64(len(w.keys) + 1), zone: zone, sentAt: w.now, sender: n.position}
 		if n.persistKey(key) {
 			w.keys = append(w.keys, key)
 		}
@@ -43,15 +44,15 @@
 	n.admitRequest()
 }
 
-// admitRequest admits a request if the phase allows it, and ends it a while later.
+// admitRequest admits a request if the phase allows it, and schedules its end.
 func (n *node) admitRequest() {
 	if !n.machine.Admit(n.uptime(), requestSize).Admitted {
 		return
 	}
-	run := n.run
+	runNumber := n.runNumber
 	succeeds := n.world.workers.up
-	n.world.after(n.world.between(minRequestTime, maxRequestTime), func() {
-		if !n.running(run) {
+	n.world.after(n.world.drawDuration(minRequestTime, maxRequestTime), func() {
+		if !n.isRunning(runNumber) {
 			return
 		}
 		if succeeds {
@@ -59,11 +60,11 @@
 		} else {
 			n.machine.RequestFailed(n.uptime())
 		}
-		n.carryOut()
+		n.performActions()
 	})
 }
 
-// persistKey writes a key to disk, and reports whether the request may be sent.
+// persistKey writes a key to disk, and reports whether that succeeded, so that the request may be sent.
 func (n *node) persistKey(key sentKey) bool {
 	record := store.Key{
 		Sum:       key.sum,
@@ -79,15 +80,15 @@
 	return true
 }
 
-// What becomes of a marked repeat.
+// The outcomes of a marked repeat.
 const (
-	repeatAnywhere = "anywhere" // it may run again in another dedup group
+	repeatAnywhere = "anywhere" // it may run again, in another dedup group
 	repeatFailed   = "error"
 	repeatToGroup  = "group"
 )
 
-// sendRepeat sends a marked repeat of a request, and checks where it goes. If the request was sent before this dispatcher
-// started, its repeat has to go to the same dedup group or fail, for one dedup window.
+// sendRepeat sends a marked repeat of a request, and checks the dedup group to which it is sent. If the request was
+// sent before this dispatcher started, its repeat must be sent to the same dedup group or fail, for one dedup window.
 func (n *node) sendRepeat(key sentKey) {
 	found, err := n.keys.Find(recovery.KeyLookup{
 		Sum:          key.sum,
@@ -103,16 +104,16 @@
 	case found != nil:
 		outcome = repeatToGroup
 	}
-	sentBeforeStart := key.at < n.startedAt
-	inDedupWindow := n.world.now < key.at+dedupWindow
+	sentBeforeStart := key.sentAt < n.startedAt
+	inDedupWindow := n.world.now < key.sentAt+dedupWindow
 	isProtected := sentBeforeStart && inDedupWindow && !key.unknownToPeers
 	if isProtected {
 		n.world.result.Repeats[outcome]++
 	}
 	switch {
 	case isProtected && outcome == repeatAnywhere:
-		n.world.violation("%d: a repeat of key %d, sent at %v, goes anywhere", n.position, key.sum, key.at)
+		n.world.reportViolation("%d: a repeat of key %d, sent at %v, goes anywhere", n.position, key.sum, key.sentAt)
 	case found != nil && found.Zone != key.zone:
-		n.world.violation("%d: a repeat of key %d goes to %s, the request went to %s", n.position, key.sum, found.Zone, key.zone)
+		n.world.reportViolation("%d: a repeat of key %d goes to %s, the request went to %s", n.position, key.sum, found.Zone, key.zone)
 	}
 }
--- a/internal/fleet/simulate/node.go
+++ b/internal/fleet/simulate/node.go
@@ -10,31 +10,31 @@
 	"canvasroute/internal/fleet/store"
 )
 
-// node is one dispatcher through its incarnations. It carries out the actions of the state machine on simulated disks and
-// messages, in the order in which fleet.Node does.
+// node is one dispatcher across its incarnations. It performs the actions of the state machine with a simulated disk
+// and network, in the same order as fleet.Node.
 type node struct {
 	world          *world
-	position       int // among the members
+	position       int // in the list of members
 	disk           *store.Memory
-	unreliableDisk bool            // it may drop syncs, and the settings say so
+	unreliableDisk bool            // the disk may drop syncs, and the settings declare it unreliable
 	clockOffset    time.Duration   // of its wall clock
-	messages       int             // sent
-	powerLosses    []time.Duration // when it has lost power
+	messages       int             // number of messages sent
+	powerLosses    []time.Duration // times of its power losses
 
 	up        bool
-	run       int           // number of starts and stops, so that events of a process that has ended do nothing
-	startedAt time.Duration // the last time
+	runNumber int           // number of starts and stops, so that events of an exited process are ignored
+	startedAt time.Duration // time of the last start
 
-	// Of the process that runs.
+	// State of the running process.
 	machine     *recovery.StateMachine
 	keys        *recovery.Keys
 	store       *store.Store
-	incarnation uint64               // that is on disk
-	diskFailed  bool                 // no incarnation could be written
-	restored    bool                 // the phase admits requests, so the state may be written
-	replies     []recovery.PeerReply // not merged yet
-	phase       recovery.Phase       // the last that has begun
-	servingAt   time.Duration        // 0 before it serves
+	incarnation uint64               // the incarnation on disk
+	diskFailed  bool                 // an incarnation could not be written
+	restored    bool                 // the phase has admitted requests, so the state may be written
+	replies     []recovery.PeerReply // not yet merged
+	phase       recovery.Phase       // the current phase
+	servingAt   time.Duration        // time of the transition to Serving, 0 before it
 }
 
 // The settings of each dispatcher.
@@ -43,34 +43,34 @@
 	endpointsTimeout = 3 * time.Second
 	peersTimeout     = time.Second
 	probeTimeout     = 2 * time.Second
-	slowStartMargin  = time.Second // how much longer than a warm-up the slow start may last
+	slowStartMargin  = time.Second // by which the slow start may exceed the warm-up
 	queryInterval    = 100 * time.Millisecond
-	stateInterval    = time.Second // from one write of the state to the next
+	stateInterval    = time.Second // between writes of the state
 	maxRetryAfter    = 2 * time.Second
 )
 
 const (
 	minTick = time.Millisecond
 	maxTick = 100 * time.Millisecond
-	// A dispatcher polls the discovery service again after a time in this range.
+	// The range of the delay until a dispatcher retries a failed poll of the discovery service.
 	minPollInterval = 100 * time.Millisecond
 	maxPollInterval = time.Second
 	// wallClockStart is the Unix time in ms at which histories begin.
 	wallClockStart = 1_700_000_000_000
-	// workerStart is the Unix time in ms at which the workers of replies have started.
+	// workerStart is the start time of the workers in replies, as Unix time in ms.
 	workerStart = 1 << 40
-	// observedSlots is how many requests at once a worker of replies has been seen to process.
+	// observedSlots is the highest observed concurrency of workers in replies.
 	observedSlots = 3
 )
 
-// letters is the number of letters from which names are made.
-const letters = 'z' - 'a' + 1
+// letterCount is the number of letters used in names.
+const letterCount = 'z' - 'a' + 1
 
 // memberNames returns the names of all dispatchers by position.
 func (w *world) memberNames() (names []string) {
 	for position := range w.nodes {
-		first := rune('A' + position%letters)
-		second := rune('a' + position/letters)
+		first := rune('A' + position%letterCount)
+		second := rune('a' + position/letterCount)
 		names = append(names, string(first)+string(second))
 	}
 	return names
@@ -79,15 +79,15 @@
 // uptime returns the time since the process started.
 func (n *node) uptime() time.Duration { return n.world.now - n.startedAt }
 
-// wallClock returns the Unix time in ms by the dispatcher's clock.
+// wallClock returns the Unix time in ms according to the dispatcher's clock.
 func (n *node) wallClock() int64 {
 	return wallClockStart + (n.world.now + n.clockOffset).Milliseconds()
 }
 
-// start starts a process on the disk as it is.
+// start starts a process with the current contents of the disk.
 func (n *node) start() {
 	n.up = true
-	n.run++
+	n.runNumber++
 	n.startedAt = n.world.now
 	n.servingAt = 0
 	n.phase = 0
@@ -108,13 +108,13 @@
 	})
 	n.openStore()
 	n.machine.StoredEndpointsLoaded(n.uptime())
-	n.carryOut()
-	n.tick(n.run)
-	n.saveState(n.run)
-	n.pollDiscovery(n.run)
+	n.performActions()
+	n.tick(n.runNumber)
+	n.saveState(n.runNumber)
+	n.pollDiscovery(n.runNumber)
 }
 
-// openStore reads the disk and begins an incarnation.
+// openStore reads the disk, restores the keys, and begins a new incarnation.
 func (n *node) openStore() {
 	s, recovered := store.Open(n.disk, n.world.memberNames()[n.position])
 	n.store = s
@@ -126,7 +126,7 @@
 		recovered.SuspectUnreliableDisk()
 	}
 	nonce := n.world.rng.Uint64()
-	incarnation, err := s.Begin(store.Start{
+	incarnation, err := s.Begin(store.BeginOptions{
 		Previous:    recovered.Incarnation,
 		MinNumber:   recovered.MinNextIncarnation(),
 		Nonce:       nonce,
@@ -141,16 +141,16 @@
 // losePower ends the process.
 func (n *node) losePower() {
 	n.up = false
-	n.run++
+	n.runNumber++
 	n.powerLosses = append(n.powerLosses, n.world.now)
 }
 
-// running reports whether a process that was started as a run is still up.
-func (n *node) running(run int) bool { return n.up && n.run == run }
+// isRunning reports whether the process of the given run is still up.
+func (n *node) isRunning(runNumber int) bool { return n.up && n.runNumber == runNumber }
 
-// tick lets the state machine do what is due by time, again and again.
-func (n *node) tick(run int) {
-	if !n.running(run) {
+// tick runs the due timers of the state machine, and schedules the next tick.
+func (n *node) tick(runNumber int) {
+	if !n.isRunning(runNumber) {
 		return
 	}
 	if n.machine.Phase().UsesCapacity() {
@@ -158,46 +158,47 @@
 	}
 	n.machine.SetPersistedKeys(n.store.PersistedKeys())
 	next := n.machine.Tick(n.uptime())
-	n.carryOut()
+	n.performActions()
 	wait := min(max(next-n.uptime(), minTick), maxTick)
-	n.world.after(wait, func() { n.tick(run) })
+	n.world.after(wait, func() { n.tick(runNumber) })
 }
 
-// pollDiscovery polls the discovery service until it answers.
-func (n *node) pollDiscovery(run int) {
-	if !n.running(run) {
+// pollDiscovery polls the discovery service, and retries until a poll succeeds.
+func (n *node) pollDiscovery(runNumber int) {
+	if !n.isRunning(runNumber) {
 		return
 	}
 	if n.world.discoveryUp {
 		n.machine.EndpointsReceived(n.uptime())
-		n.carryOut()
+		n.performActions()
 		return
 	}
 	n.machine.EndpointsUnavailable(n.uptime())
-	n.carryOut()
-	n.world.after(n.world.between(minPollInterval, maxPollInterval), func() { n.pollDiscovery(run) })
+	n.performActions()
+	n.world.after(n.world.drawDuration(minPollInterval, maxPollInterval), func() { n.pollDiscovery(runNumber) })
 }
 
-// saveState writes the state, again and again.
-func (n *node) saveState(run int) {
-	if !n.running(run) {
+// saveState writes the state if it was restored, and schedules the next write.
+func (n *node) saveState(runNumber int) {
+	if !n.isRunning(runNumber) {
 		return
 	}
 	if n.restored {
 		//nolint:errcheck // a disk that fails here is a drawn fault; lost state violates no invariant
 		n.store.SaveState(store.State{WrittenAt: n.wallClock(), Learned: []byte("{}"), Peers: n.machine.Peers()})
 	}
-	n.world.after(stateInterval, func() { n.saveState(run) })
+	n.world.after(stateInterval, func() { n.saveState(runNumber) })
 }
 
-// receive passes a message of a member to the state machine.
+// receive passes a message from a member to the state machine.
 func (n *node) receive(from int, msg *messaging.Message) {
 	n.machine.Receive(n.uptime(), from, msg)
-	n.carryOut()
+	n.performActions()
 }
 
-// carryOut carries out the actions of the state machine, and checks the invariants of each.
-func (n *node) carryOut() {
+// performActions performs the pending actions of the state machine, and checks the invariants of phase transitions and
+// messages.
+func (n *node) performActions() {
 	actions := n.machine.TakeActions()
 	for _, transition := range actions.Transitions {
 		n.checkTransition(transition)
@@ -220,8 +221,8 @@
 	}
 }
 
-// persistKeysMark persists a change of the mark. Its error is a drawn fault: diskFailed stands for an incarnation that
-// could not be raised, and setting it here would weaken the check.
+// persistKeysMark persists a change of the keys-suspect mark. It ignores errors, because they are injected faults:
+// diskFailed means that an incarnation could not be written, and setting it here would weaken checkSentIncarnation.
 func (n *node) persistKeysMark(mark recovery.KeysMarkChange) {
 	switch mark {
 	case recovery.MarkKeysSuspect:
@@ -231,7 +232,7 @@
 	}
 }
 
-// raiseIncarnation persists a higher incarnation before another message is sent.
+// raiseIncarnation persists a higher incarnation before the next message is sent.
 func (n *node) raiseIncarnation(incarnation uint64) {
 	if err := n.store.RaiseIncarnation(incarnation); err != nil {
 		n.diskFailed = true
@@ -240,7 +241,7 @@
 	n.machine.IncarnationRaised(n.uptime(), incarnation)
 }
 
-// mergeReplies adds the keys that peers know.
+// mergeReplies adds the keys from the replies of peers.
 func (n *node) mergeReplies() {
 	for _, reply := range n.replies {
 		for _, key := range reply.Keys {
@@ -250,17 +251,18 @@
 	n.replies = nil
 }
 
-// reply sends what is known here to a peer that has sent a query.
+// reply replies to a peer's query with this dispatcher's keys, observed concurrency and, if requested, workers.
 func (n *node) reply(query recovery.Query) {
 	known := recovery.LocalState{
 		Keys:        n.keys.ForPeers(n.wallClock(), n.uptime()),
 		MaxObserved: map[string]float64{"std": observedSlots},
 	}
-	// Sorted, since which keys a lost part of the reply holds must follow from the seed.
+	// The keys are sorted so that the contents of each part of the reply, and thus of lost parts, depend only on the
+	// seed.
 	slices.SortFunc(known.Keys, func(a, b messaging.Key) int { return cmp.Compare(a.Sum, b.Sum) })
 	if query.WantWorkers {
 		for worker := range n.world.plan.Workers {
-			id := string(rune('a'+worker%letters)) + "-worker"
+			id := string(rune('a'+worker%letterCount)) + "-worker"
 			known.Workers = append(known.Workers, messaging.Worker{ID: id, StartedAt: workerStart})
 		}
 	}
--- a/internal/fleet/store/disk.go
+++ b/internal/fleet/store/disk.go
@@ -9,59 +9,61 @@
 	"syscall"
 )
 
-// Disk is a folder of files without subfolders. The contents of a file are durable after Sync, its name after SyncNames.
+// Disk is a folder of files without subfolders. The contents of a file are durable after Sync, and its name is durable
+// after SyncNames.
 type Disk interface {
-	Read(name string) ([]byte, error)      // fails with fs.ErrNotExist if there is no such file
+	Read(name string) ([]byte, error)      // fails with fs.ErrNotExist if the file does not exist
 	Write(name string, b []byte) error     // creates or replaces the file
-	Overwrite(name string, b []byte) error // in place: the rest of a longer file stays, and no block is freed
-	Append(name string, b []byte) error    // creates the file if there is none
+	Overwrite(name string, b []byte) error // in place: keeps the rest of a longer file, and frees no blocks
+	Append(name string, b []byte) error    // creates the file if it does not exist
 	Sync(name string) error                // makes the contents of the file durable
-	Rename(from, to string) error          // replaces a file that has the new name
+	Rename(from, to string) error          // replaces an existing file with the new name
 	Remove(name string) error
-	Names() ([]string, error) // in order
-	SyncNames() error         // makes the names of all files durable, and that others were removed
+	Names() ([]string, error) // sorted
+	SyncNames() error         // makes the names of all files and the removal of others durable
 }
 
-// The permissions of the folder and its files: the dispatcher's user alone.
+// The permissions of the folder and its files grant access only to the dispatcher's user.
 const (
 	folderMode fs.FileMode = 0o700
 	fileMode   fs.FileMode = 0o600
 )
 
-// Folder is a Disk in the file system, which one process locks at a time.
+// Folder is a Disk in the file system. Only one process can lock it at the same time.
 type Folder struct {
-	path string
-	lock *os.File // nil for a folder that is only read
+	path     string
+	lockFile *os.File // nil if the folder is read-only
 }
 
-// ErrLocked means that another process has locked the folder.
-var ErrLocked = errors.New("another process holds the folder")
+// ErrLocked is returned if another process has locked the folder.
+var ErrLocked = errors.New("locked by another process")
 
-// lockName is the file that is locked. It is never removed: earlier releases lock the same one.
-const lockName = "lock"
+// lockFileName is the name of the lock file. It is never removed, and earlier releases lock the same file.
+const lockFileName = "lock"
 
-// OpenFolder locks a folder for this process, and creates it if there is none. It fails at once with ErrLocked if another
-// process has locked it. A folder that cannot be written to is opened for reading: ReadOnly reports that.
+// OpenFolder locks a folder for this process, and creates it if it does not exist. It fails immediately with ErrLocked
+// if another process has locked the folder. If the folder is not writable, it is opened read-only, which ReadOnly
+// reports.
 func OpenFolder(path string) (*Folder, error) {
 	if err := os.MkdirAll(path, folderMode); err != nil {
 		return nil, fmt.Errorf("state folder: %w", err)
 	}
 	f := &Folder{path: path}
-	lock, err := os.OpenFile(filepath.Join(path, lockName), os.O_CREATE|os.O_RDWR, fileMode)
+	lockFile, err := os.OpenFile(filepath.Join(path, lockFileName), os.O_CREATE|os.O_RDWR, fileMode)
 	if errors.Is(err, syscall.EROFS) || errors.Is(err, fs.ErrPermission) {
 		return f, nil
 	}
 	if err != nil {
 		return nil, fmt.Errorf("state folder: %w", err)
 	}
-	if err := syscall.Flock(int(lock.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
-		lock.Close()
+	if err := syscall.Flock(int(lockFile.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
+		lockFile.Close()
 		if errors.Is(err, syscall.EWOULDBLOCK) {
 			err = ErrLocked
 		}
 		return nil, fmt.Errorf("state folder %s: %w", path, err)
 	}
-	f.lock = lock
+	f.lockFile = lockFile
 	return f, nil
 }
 
@@ -77,34 +79,36 @@
 	return &Folder{path: path}, nil
 }
 
-// ReadOnly reports whether the folder is not locked, so that nothing may be written to it.
-func (f *Folder) ReadOnly() bool { return f.lock == nil }
+// ReadOnly reports whether the folder was opened without a lock, so that it must not be written to.
+func (f *Folder) ReadOnly() bool { return f.lockFile == nil }
 
 // Close unlocks the folder.
 func (f *Folder) Close() error {
-	if f.lock == nil {
+	if f.lockFile == nil {
 		return nil
 	}
-	return f.lock.Close()
+	return f.lockFile.Close()
 }
 
-func (f *Folder) pathOf(name string) string { return filepath.Join(f.path, name) }
+func (f *Folder) filePath(name string) string { return filepath.Join(f.path, name) }
 
 // Read returns the contents of a file.
-func (f *Folder) Read(name string) ([]byte, error) { return os.ReadFile(f.pathOf(name)) }
+func (f *Folder) Read(name string) ([]byte, error) { return os.ReadFile(f.filePath(name)) }
 
 // Write creates or replaces a file.
-func (f *Folder) Write(name string, b []byte) error { return os.WriteFile(f.pathOf(name), b, fileMode) }
+func (f *Folder) Write(name string, b []byte) error {
+	return os.WriteFile(f.filePath(name), b, fileMode)
+}
 
-// Overwrite writes over the beginning of a file, in place.
-func (f *Folder) Overwrite(name string, b []byte) error { return f.writeWith(0, name, b) }
+// Overwrite overwrites the beginning of a file in place, and creates the file if it does not exist.
+func (f *Folder) Overwrite(name string, b []byte) error { return f.writeWithFlag(0, name, b) }
 
-// Append writes behind the end of a file.
-func (f *Folder) Append(name string, b []byte) error { return f.writeWith(os.O_APPEND, name, b) }
+// Append appends to a file, and creates it if it does not exist.
+func (f *Folder) Append(name string, b []byte) error { return f.writeWithFlag(os.O_APPEND, name, b) }
 
-// writeWith writes to a file that is opened with an additional flag.
-func (f *Folder) writeWith(flag int, name string, b []byte) error {
-	file, err := os.OpenFile(f.pathOf(name), os.O_CREATE|os.O_WRONLY|flag, fileMode)
+// writeWithFlag opens a file with an additional flag and writes b to it.
+func (f *Folder) writeWithFlag(flag int, name string, b []byte) error {
+	file, err := os.OpenFile(f.filePath(name), os.O_CREATE|os.O_WRONLY|flag, fileMode)
 	if err != nil {
 		return err
 	}
@@ -113,12 +117,12 @@
 }
 
 // Sync makes the contents of a file durable.
-func (f *Folder) Sync(name string) error { return f.sync(f.pathOf(name)) }
+func (f *Folder) Sync(name string) error { return f.syncPath(f.filePath(name)) }
 
 // SyncNames makes the names of all files durable.
-func (f *Folder) SyncNames() error { return f.sync(f.path) }
+func (f *Folder) SyncNames() error { return f.syncPath(f.path) }
 
-func (f *Folder) sync(path string) error {
+func (f *Folder) syncPath(path string) error {
 	file, err := os.Open(path)
 	if err != nil {
 		return err
@@ -126,17 +130,17 @@
 	return errors.Join(file.Sync(), file.Close())
 }
 
-// Rename renames a file, and replaces one that has the new name.
-func (f *Folder) Rename(from, to string) error { return os.Rename(f.pathOf(from), f.pathOf(to)) }
+// Rename renames a file, replacing an existing file with the new name.
+func (f *Folder) Rename(from, to string) error { return os.Rename(f.filePath(from), f.filePath(to)) }
 
 // Remove removes a file.
-func (f *Folder) Remove(name string) error { return os.Remove(f.pathOf(name)) }
+func (f *Folder) Remove(name string) error { return os.Remove(f.filePath(name)) }
 
-// Names returns the names of all regular files but the lock, in order.
+// Names returns the names of all regular files except the lock file, sorted.
 func (f *Folder) Names() (names []string, err error) {
 	entries, err := os.ReadDir(f.path)
 	for _, entry := range entries {
-		if entry.Type().IsRegular() && entry.Name() != lockName {
+		if entry.Type().IsRegular() && entry.Name() != lockFileName {
 			names = append(names, entry.Name())
 		}
 	}
--- a/internal/fleet/store/store_test.go
+++ b/internal/fleet/store/store_test.go
@@ -10,26 +10,26 @@
 
 const (
 	testNonce = 77
-	// farExpiry is an expiry, in Unix time in ms, that no test reaches.
+	// farExpiry is an expiry time, in Unix time in ms, that no test reaches.
 	farExpiry int64 = 1 << 40
-	// wholeTail is more bytes than any file of a test has.
+	// wholeTail exceeds the size in bytes of every file in the tests.
 	wholeTail = 1 << 20
 )
 
-// beginIncarnation opens a disk for d0, and begins the next incarnation on it.
+// beginIncarnation opens a disk as dispatcher d0 and begins the next incarnation.
 func beginIncarnation(t *testing.T, disk Disk) *Store {
 	t.Helper()
 	s, recovered := Open(disk, "d0")
-	_, err := s.Begin(Start{Previous: recovered.Incarnation, Nonce: testNonce, At: 1000})
+	_, err := s.Begin(BeginOptions{Previous: recovered.Incarnation, Nonce: testNonce, At: 1000})
 	assert.NoError(t, err)
 	return s
 }
 
-// writeIncarnation writes what a dispatcher writes in one incarnation, until the first error. It returns what was
-// acknowledged as durable, in the words of readBack.
+// writeIncarnation performs the writes of a dispatcher in one incarnation, until the first error. It returns the
+// acknowledged writes, in the same form as readBack.
 func writeIncarnation(disk Disk) (acknowledged []string, err error) {
 	s, recovered := Open(disk, "d0")
-	incarnation, err := s.Begin(Start{Previous: recovered.Incarnation, Nonce: testNonce, At: 1000})
+	incarnation, err := s.Begin(BeginOptions{Previous: recovered.Incarnation, Nonce: testNonce, At: 1000})
 	if err != nil {
 		return acknowledged, err
 	}
@@ -53,29 +53,29 @@
 	return acknowledged, s.MarkCleanShutdown()
 }
 
-// readBack returns what a disk holds, also in the words of writeIncarnation.
-func readBack(t *testing.T, disk Disk) (words []string, recovered Recovered) {
+// readBack reads a disk. It also returns its contents in the same form as writeIncarnation.
+func readBack(t *testing.T, disk Disk) (records []string, recovered Recovered) {
 	t.Helper()
 	_, recovered = Open(disk, "d0")
-	if recovered.Known {
-		words = append(words, fmt.Sprint("incarnation ", recovered.Incarnation.Number))
+	if recovered.IncarnationFound {
+		records = append(records, fmt.Sprint("incarnation ", recovered.Incarnation.Number))
 		if recovered.Incarnation.Drained {
-			words = append(words, "drained")
+			records = append(records, "drained")
 		}
 	}
 	for _, k := range recovered.Keys {
-		assert.Equal(t, Key{Sum: k.Sum, Worker: "w1", Zone: "north", SentAt: 1000, ExpiresAt: farExpiry}, k, "no mixture")
-		words = append(words, fmt.Sprint("key ", k.Sum))
+		assert.Equal(t, Key{Sum: k.Sum, Worker: "w1", Zone: "north", SentAt: 1000, ExpiresAt: farExpiry}, k, "unaltered key")
+		records = append(records, fmt.Sprint("key ", k.Sum))
 	}
 	if recovered.State != nil {
-		words = append(words, string(recovered.State.Learned))
+		records = append(records, string(recovered.State.Learned))
 	}
-	return words, recovered
+	return records, recovered
 }
 
-// Each file is the old one or the new one, and what was acknowledged is there. Power is lost before each operation,
-// with each number of bytes of the last write that reached the disk.
-func TestPowerLostBeforeEachOperationLeavesOldOrNew(t *testing.T) {
+// Guards against torn or lost writes: whichever operation the power loss precedes, and however many bytes of the last
+// write reached the disk, each file must hold its old or its new record, and acknowledged writes must be readable.
+func TestPowerLostBeforeOperationKeepsOldOrNewRecord(t *testing.T) {
 	const (
 		maxTail   = 140
 		maxRecord = 120 // bytes; no record of this test is longer
@@ -83,42 +83,42 @@
 	complete := NewMemory()
 	_, err := writeIncarnation(complete)
 	assert.NoError(t, err)
-	for operation := 1; operation <= complete.Steps; operation++ {
+	for operation := 1; operation <= complete.OperationCount; operation++ {
 		t.Run(fmt.Sprint("before operation ", operation), func(t *testing.T) {
 			for tail := range maxTail {
 				disk := NewMemory()
-				disk.PowerLossAfter = operation
+				disk.PowerLossBefore = operation
 				acknowledged, err := writeIncarnation(disk)
 				assert.ErrorIs(t, err, ErrPowerLost)
-				words, recovered := readBack(t, disk.Restart(tail))
+				records, recovered := readBack(t, disk.AfterPowerLoss(tail))
 				lastState := ""
 				for _, written := range acknowledged {
 					if strings.HasPrefix(written, "state") {
 						lastState = written
 						continue
 					}
-					assert.Contains(t, words, written, "tail %d", tail)
+					assert.Contains(t, records, written, "tail %d", tail)
 				}
 				if lastState != "" {
 					assert.NotNil(t, recovered.State, "tail %d", tail)
 					assert.GreaterOrEqual(t, string(recovered.State.Learned), lastState)
 				}
-				if tail == 0 || tail > maxRecord { // no record is cut off
-					assert.Equal(t, !recovered.Known, recovered.KeysSuspect, "tail %d: %v", tail, recovered.Errors)
+				if tail == 0 || tail > maxRecord { // no record is truncated
+					assert.Equal(t, !recovered.IncarnationFound, recovered.KeysSuspect, "tail %d: %v", tail, recovered.Errors)
 				}
 			}
 		})
 	}
 }
 
-func TestIncarnationRisesThroughLossesOfPower(t *testing.T) {
+func TestIncarnationIncreasesAcrossPowerLosses(t *testing.T) {
 	disk := NewMemory()
 	last := uint64(0)
 	for operation := range 40 {
-		disk.PowerLossAfter = operation + 1
-		_, _ = writeIncarnation(disk) // it ends with the loss of power
-		disk = disk.Restart(0)
-		if _, recovered := Open(disk, "d0"); recovered.Known {
+		disk.PowerLossBefore = operation + 1
+		_, _ = writeIncarnation(disk) // fails with the power loss
+		disk = disk.AfterPowerLoss(0)
+		if _, recovered := Open(disk, "d0"); recovered.IncarnationFound {
 			assert.GreaterOrEqual(t, recovered.Incarnation.Number, last)
 			last = recovered.Incarnation.Number
 		}
@@ -126,7 +126,7 @@
 	assert.Greater(t, last, uint64(10))
 }
 
-// A disk may report a sync that it has not done. The keys that it loses by that are detected.
+// A disk may report a sync as successful without performing it. The keys lost that way must be detected.
 func TestDiskThatDropsASyncIsDetected(t *testing.T) {
 	disk := NewMemory()
 	s := beginIncarnation(t, disk)
@@ -135,14 +135,14 @@
 	assert.NoError(t, s.AppendKeys([]Key{{Sum: 2}}, 1000))
 	disk.DropSyncs = false
 	assert.NoError(t, s.SaveState(State{WrittenAt: 1}))
-	_, recovered := Open(disk.Restart(0), "d0")
+	_, recovered := Open(disk.AfterPowerLoss(0), "d0")
 	assert.Len(t, recovered.Keys, 1)
 	assert.True(t, recovered.KeysSuspect, "%v", recovered.Errors)
 	assert.Len(t, recovered.Errors, 1)
 	assert.ErrorIs(t, recovered.Errors[0], ErrKeysMissing)
 }
 
-func TestFlippedBitIsDetectedAnywhere(t *testing.T) {
+func TestFlippedBitIsDetectedInEachByte(t *testing.T) {
 	complete := NewMemory()
 	_, err := writeIncarnation(complete)
 	assert.NoError(t, err)
@@ -153,13 +153,13 @@
 			intact, err := complete.Read(name)
 			assert.NoError(t, err)
 			for at := range intact {
-				disk := complete.Restart(wholeTail)
+				disk := complete.AfterPowerLoss(wholeTail)
 				flipped := append([]byte(nil), intact...)
 				flipped[at] ^= 1 << (at % 8)
 				disk.files[name] = &inode{bytes: flipped}
-				words, recovered := readBack(t, disk)
+				records, recovered := readBack(t, disk)
 				assert.NotEmpty(t, recovered.Errors, "byte %d", at)
-				assert.Contains(t, words, "incarnation 1", "the other slot is undamaged")
+				assert.Contains(t, records, "incarnation 1", "the other file of the slot is intact")
 				if strings.HasPrefix(name, segmentPrefix) {
 					assert.True(t, recovered.KeysSuspect, "byte %d", at)
 				}
@@ -174,18 +174,18 @@
 	assert.NoError(t, err)
 	s, recovered := Open(disk, "d1")
 	assert.True(t, recovered.Foreign)
-	assert.Nil(t, recovered.State, "what another dispatcher has learned is not taken")
+	assert.Nil(t, recovered.State, "the state of another dispatcher is not used")
 	assert.Len(t, recovered.Errors, 1)
 	assert.ErrorIs(t, recovered.Errors[0], ErrForeignState)
-	assert.Len(t, recovered.Keys, 3, "where keys may have run is true whoever wrote it")
-	assert.True(t, recovered.KeysSuspect, "its own keys are elsewhere")
-	incarnation, err := s.Begin(Start{Previous: recovered.Incarnation, Nonce: 5, At: 2000})
+	assert.Len(t, recovered.Keys, 3, "keys are valid whichever dispatcher wrote them")
+	assert.True(t, recovered.KeysSuspect, "the keys of this dispatcher are not on this disk")
+	incarnation, err := s.Begin(BeginOptions{Previous: recovered.Incarnation, Nonce: 5, At: 2000})
 	assert.NoError(t, err)
 	assert.Equal(t, Incarnation{Name: "d1", Number: 1, Nonce: 5, StartedAt: 2000}, incarnation,
-		"neither its number nor its drain is taken")
+		"neither the number nor the drain of the other dispatcher is used")
 }
 
-func TestFullDiskIsReportedAndHarmsNothingThatWasWritten(t *testing.T) {
+func TestFullDiskReturnsErrorAndKeepsWrittenRecords(t *testing.T) {
 	errFull := fmt.Errorf("no space left")
 	disk := NewMemory()
 	s := beginIncarnation(t, disk)
@@ -195,15 +195,15 @@
 	assert.ErrorIs(t, s.SaveState(State{}), errFull)
 	assert.ErrorIs(t, s.MarkDrained(), errFull)
 	disk.WriteError = nil
-	assert.NoError(t, s.AppendKeys([]Key{{Sum: 3}}, 1002), "it continues once there is space")
-	_, recovered := Open(disk.Restart(0), "d0")
+	assert.NoError(t, s.AppendKeys([]Key{{Sum: 3}}, 1002), "writes succeed again once there is space")
+	_, recovered := Open(disk.AfterPowerLoss(0), "d0")
 	assert.Equal(t, []uint64{1, 3}, []uint64{recovered.Keys[0].Sum, recovered.Keys[1].Sum})
-	assert.False(t, recovered.Incarnation.Drained, "what was not written is not read")
+	assert.False(t, recovered.Incarnation.Drained, "the failed write is not read back")
 	assert.False(t, recovered.KeysSuspect, "%v", recovered.Errors)
 }
 
-func TestRecordOfALaterReleaseIsNamed(t *testing.T) {
-	b, err := encodeRecordAs(kindIncarnation, formatVersion+1, numberedDocument{Number: 99})
+func TestRecordOfLaterReleaseFailsWithNewerVersion(t *testing.T) {
+	b, err := encodeRecordVersion(kindIncarnation, formatVersion+1, numberedDocument{Number: 99})
 	assert.NoError(t, err)
 	_, err = decodeRecord(b, kindIncarnation, &numberedDocument{})
 	assert.ErrorIs(t, err, ErrNewerVersion)
@@ -222,11 +222,11 @@
 	folder, err = OpenFolder(path)
 	assert.NoError(t, err)
 	assert.False(t, folder.ReadOnly())
-	words, _ := readBack(t, folder)
-	assert.Contains(t, words, "drained")
+	records, _ := readBack(t, folder)
+	assert.Contains(t, records, "drained")
 }
 
-func TestSegmentsAreRemovedOnceTheirKeysHaveExpired(t *testing.T) {
+func TestSegmentsAreRemovedAfterTheirKeysExpire(t *testing.T) {
 	disk := NewMemory()
 	s := beginIncarnation(t, disk)
 	for n := range int64(100) {
@@ -240,25 +240,26 @@
 	assert.False(t, recovered.KeysSuspect, "%v", recovered.Errors)
 }
 
-// A second loss of power within the dedup window must not clear the mark, whatever the wall clock says.
-func TestSuspectKeysStayMarkedThroughRestarts(t *testing.T) {
+// A second power loss within the dedup window must not clear the keys-suspect mark, even if the wall clock has jumped
+// past the window.
+func TestSuspectKeysStayMarkedAcrossRestarts(t *testing.T) {
 	disk := NewMemory()
 	s, recovered := Open(disk, "d0")
-	_, err := s.Begin(Start{Previous: recovered.Incarnation, Nonce: 5, KeysSuspect: true, At: 1000})
+	_, err := s.Begin(BeginOptions{Previous: recovered.Incarnation, Nonce: 5, KeysSuspect: true, At: 1000})
 	assert.NoError(t, err)
-	disk = disk.Restart(0)
+	disk = disk.AfterPowerLoss(0)
 	s, recovered = Open(disk, "d0")
 	assert.True(t, recovered.KeysSuspect)
-	_, err = s.Begin(Start{Previous: recovered.Incarnation, Nonce: 6, KeysSuspect: recovered.KeysSuspect, At: farExpiry})
+	_, err = s.Begin(BeginOptions{Previous: recovered.Incarnation, Nonce: 6, KeysSuspect: recovered.KeysSuspect, At: farExpiry})
 	assert.NoError(t, err)
-	_, recovered = Open(disk.Restart(0), "d0")
+	_, recovered = Open(disk.AfterPowerLoss(0), "d0")
 	assert.True(t, recovered.KeysSuspect)
 	assert.NoError(t, s.ClearKeysSuspect(), "a dedup window has passed")
-	_, recovered = Open(disk.Restart(0), "d0")
+	_, recovered = Open(disk.AfterPowerLoss(0), "d0")
 	assert.False(t, recovered.KeysSuspect)
 }
 
-func TestNextIncarnationFollowsTheState(t *testing.T) {
+func TestMinNextIncarnationAndSuspectKeys(t *testing.T) {
 	for _, c := range []struct {
 		name           string
 		recovered      Recovered
@@ -269,11 +270,11 @@
 		{"an empty disk", Recovered{}, true, 1, false},
 		{"a state", Recovered{State: &State{Incarnation: 7}}, false, 8, false},
 		{"suspect keys", Recovered{KeysSuspect: true}, false, 1, true},
-		{"a crash on a reliable disk", Recovered{Known: true}, false, 1, false},
-		{"a crash on an unreliable disk", Recovered{Known: true}, true, 1, true},
+		{"a crash on a reliable disk", Recovered{IncarnationFound: true}, false, 1, false},
+		{"a crash on an unreliable disk", Recovered{IncarnationFound: true}, true, 1, true},
 		{
 			"a clean shutdown on an unreliable disk",
-			Recovered{Known: true, Incarnation: Incarnation{CleanShutdown: true}},
+			Recovered{IncarnationFound: true, Incarnation: Incarnation{CleanShutdown: true}},
 			true, 1, false,
 		},
 	} {
