--- a/internal/testbed/command/command.go
+++ b/internal/testbed/command/command.go
@@ -1,4 +1,4 @@
-// Package command implements the command line of testbed.
+// Package command implements the command line of the testbed program.
 package command
 
 import (
@@ -21,23 +21,23 @@
 // Exit codes, which docs/testbed-guide.md documents.
 const (
 	exitOK     = 0
-	exitFailed = 1   // a rule was violated, or something failed
-	exitUsage  = 2   // an argument or a file is invalid
+	exitFailed = 1   // a rule was violated, or an operation failed
+	exitUsage  = 2   // an argument or an experiment file is invalid
 	exitSignal = 130 // interrupted
 )
 
-// errExperimentFailed means that a run was complete, but a rule was violated or a process failed.
+// errExperimentFailed is returned if a run has completed, but a rule was violated or a process failed.
 var errExperimentFailed = errors.New("a rule was broken or a process failed")
 
-// errInterrupted means that a run was interrupted. Its partial result has been written.
+// errInterrupted is returned if a run was interrupted, after its partial result has been written.
 var errInterrupted = errors.New("interrupted: the result is partial")
 
-// usageError is an error in the arguments or a file.
+// usageError is an error in the arguments or an experiment file.
 type usageError struct{ error }
 
 func (e usageError) Unwrap() error { return e.error }
 
-// Main runs testbed with its arguments, and returns the exit code of the process.
+// Main runs the testbed program with its arguments, and returns the exit code of the process.
 func Main(args []string) int {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
@@ -52,11 +52,11 @@
 		return int(baselineCode)
 	}
 	fmt.Fprintln(os.Stderr, "testbed:", err)
-	return exitCodeOf(err)
+	return exitCode(err)
 }
 
-// exitCodeOf returns the exit code for an error.
-func exitCodeOf(err error) int {
+// exitCode returns the exit code for an error.
+func exitCode(err error) int {
 	var usage usageError
 	switch {
 	case errors.Is(err, errInterrupted):
@@ -67,12 +67,12 @@
 	return exitFailed
 }
 
-// baselineExitError is the exit code of a baseline, other than 0. The baseline has logged its error.
+// baselineExitError holds the non-zero exit code of a baseline, which has already logged the error.
 type baselineExitError int
 
 func (c baselineExitError) Error() string { return fmt.Sprintf("exit code %d", int(c)) }
 
-// New returns the root command. Tables are written to out, progress and warnings to status.
+// New returns the root command. Its commands write tables to out, and progress and warnings to status.
 func New(out, status io.Writer) *cobra.Command {
 	root := &cobra.Command{
 		Use:   "testbed",
@@ -99,7 +99,7 @@
 		RunE: func(_ *cobra.Command, args []string) error {
 			var invalid []error
 			for _, path := range args {
-				plan, err := experiment.Read(path, warnTo(status))
+				plan, err := experiment.Read(path, renamedKeyWarner(status))
 				if err != nil {
 					invalid = append(invalid, err)
 					continue
@@ -135,7 +135,7 @@
 	}
 }
 
-// standInCommand is the hidden command by which the testbed starts a baseline in a process of its own.
+// standInCommand returns the hidden command with which the testbed starts a baseline in a separate process.
 func standInCommand() *cobra.Command {
 	config := baseline.Config{}
 	command := &cobra.Command{
--- a/internal/testbed/command/command_test.go
+++ b/internal/testbed/command/command_test.go
@@ -25,8 +25,8 @@
 	"canvasroute/internal/testbed/history"
 )
 
-// The test binary also serves as both programs: as testbed with the arguments after "testbed", and as canvasroute if
-// LB_CONFIG is set.
+// TestMain lets the test binary act as the programs under test: as a baseline for "stand-in", as canvasroute if
+// LB_CONFIG is set, and as testbed with the arguments that follow "testbed".
 func TestMain(m *testing.M) {
 	switch {
 	case len(os.Args) > 1 && os.Args[1] == "stand-in":
@@ -39,8 +39,8 @@
 	os.Exit(m.Run())
 }
 
-// shortExperiment takes three seconds, in which a worker drains and another one starts and warms up. Its policy and the
-// baseline's fault are to be filled in.
+// shortExperiment is the format of an experiment file with a load of three seconds, during which one worker drains and
+// another starts and warms up. Its arguments are the policy and the baseline's fault.
 var shortExperiment = `name = "short"
 [dispatchers]
 count = 2
@@ -73,7 +73,7 @@
 workers = 1
 `
 
-// operationTable returns an operation of an experiment file, with additional keys.
+// operationTable returns the table of an operation in an experiment file, with additional keys.
 func operationTable(name, idempotency, work, keys string) string {
 	return fmt.Sprintf(`[[operation]]
 name = %q
@@ -88,14 +88,14 @@
 %s`, name, idempotency, work, keys)
 }
 
-// runShortExperiment runs shortExperiment. The fault may be "".
+// runShortExperiment runs shortExperiment. An empty fault means none.
 func runShortExperiment(t *testing.T, policy, fault string) *experiment.Result {
 	t.Helper()
 	return runExperiment(t, fmt.Sprintf(shortExperiment, policy, fault))
 }
 
-// memoryFolder returns a folder in memory if possible. A disk that a dozen parallel experiments write to may take
-// seconds, which is not what they test: experiments simulate faults of disks themselves.
+// memoryFolder returns a temporary folder, in memory if possible. With a dozen parallel experiments, writes to a disk
+// can take seconds, which would disturb the tests: experiments simulate disk faults themselves.
 func memoryFolder(t *testing.T) string {
 	t.Helper()
 	folder, err := os.MkdirTemp("/dev/shm", "testbed-")
@@ -106,7 +106,7 @@
 	return folder
 }
 
-// runExperiment runs the text of an experiment file. All of its calls must be over, and no process may have failed.
+// runExperiment runs an experiment file given as text. It checks that all calls have ended and that no process failed.
 func runExperiment(t *testing.T, text string) *experiment.Result {
 	t.Helper()
 	plan, err := experiment.Parse("short.toml", []byte(text), func(key experiment.RenamedKey) { t.Error(key) })
@@ -126,7 +126,7 @@
 	return result
 }
 
-// violatedRules returns the rules that were violated.
+// violatedRules returns the rules that a result reports as violated.
 func violatedRules(result *experiment.Result) (rules []history.Rule) {
 	for _, rule := range history.Rules {
 		if result.Rules[string(rule)] > 0 {
@@ -148,7 +148,7 @@
 			result := runShortExperiment(t, baseline.RoundRobin, fault)
 			assert.Equal(t, []history.Rule{rule}, violatedRules(result), result.Violations)
 			for _, violation := range result.Violations {
-				assert.NotEmpty(t, violation.ID, "the request is named")
+				assert.NotEmpty(t, violation.ID, "the violation has no request ID")
 				if fault == baseline.FaultRepeatedAttempt {
 					assert.Equal(t, "once", violation.Operation)
 				}
@@ -157,8 +157,8 @@
 	}
 }
 
-// A sound dispatcher must not be reported.
-func TestSoundDispatchersViolateNoRule(t *testing.T) {
+// Guards against false positives: a correct dispatcher must not be reported for a violation.
+func TestCorrectDispatchersViolateNoRule(t *testing.T) {
 	for _, policy := range []string{
 		experiment.Canvasroute, baseline.RoundRobin, baseline.LeastOutstanding, baseline.Random,
 	} {
@@ -171,9 +171,9 @@
 	}
 }
 
-// Several shards in each of two processes keep drains and the warm-up budget in common, also if datagrams between
-// processes are not allowed or are lost.
-func TestShardsOfSeveralProcessesKeepTheRules(t *testing.T) {
+// Two processes with several shards each must respect drains and the shared warm-up budget, also if datagrams between
+// the processes are disabled or lost.
+func TestShardsOfSeveralProcessesViolateNoRule(t *testing.T) {
 	for name, peers := range map[string]string{"peers": "", "lossy peers": "peer-loss = 0.5\n", "no peers": "peers = false\n"} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -185,7 +185,7 @@
 	}
 }
 
-// testbedCommand returns a command that runs the program as a process of its own, and the buffer for its output.
+// testbedCommand returns a command that runs the testbed program as a separate process, and the buffer for its output.
 func testbedCommand(t *testing.T, args ...string) (cmd *exec.Cmd, output *bytes.Buffer) {
 	t.Helper()
 	self, err := os.Executable()
@@ -196,7 +196,7 @@
 	return cmd, output
 }
 
-// exitStatus returns the exit code of a process, from the error of its end.
+// exitStatus returns the exit code of a process from the error that Run or Wait returned.
 func exitStatus(t *testing.T, err error) int {
 	t.Helper()
 	var ended *exec.ExitError
@@ -279,8 +279,8 @@
 	}
 }
 
-// The two processes of an upgrade count as one dispatcher. Without an upgrade the testbed also compares the dispatcher's
-// counters with what clients observed.
+// The two processes of an upgrade must count as one dispatcher. The testbed compares a dispatcher's counters with the
+// outcomes that clients observed only if the dispatcher was not upgraded.
 func TestOperatorActionsUnderLoadViolateNoRule(t *testing.T) {
 	result := runExperiment(t, fmt.Sprintf(shortExperiment, experiment.Canvasroute, "")+`[[fault]]
 kind = "upgrade"
@@ -306,7 +306,7 @@
 	assert.Greater(t, float64(result.Calls.Total.Answers["succeeded"]), 0.95*float64(result.Planned))
 }
 
-// awaitHealth waits until the answer to HEALTH at an admin server begins with a text.
+// awaitHealth waits until the answer of an admin server to HEALTH has the wanted prefix.
 func awaitHealth(t *testing.T, adminAddr, want string) {
 	t.Helper()
 	assert.Eventually(t, func() bool {
@@ -321,8 +321,8 @@
 	}, 5*time.Second, 5*time.Millisecond, want)
 }
 
-// If the old process of an upgrade is killed, the new one has the listener and continues without it.
-func TestNewProcessOfAnUpgradeSurvivesAKilledOldOne(t *testing.T) {
+// The new process of an upgrade owns the listener, so it must continue to serve after the old process is killed.
+func TestUpgradedProcessServesAfterOldProcessIsKilled(t *testing.T) {
 	const sockets = 512
 	dispatcher := newTestDispatcher(t, sockets)
 	start := func() (cmd *exec.Cmd, adminAddr string) {
@@ -336,7 +336,7 @@
 	second, secondAdmin := start()
 	awaitHealth(t, firstAdmin, relieved)
 	assert.NoError(t, first.Process.Kill())
-	_ = first.Wait() // reports that it was killed
+	_ = first.Wait() // returns the error for a killed process
 	for range 20 {
 		answer, err := http.Get("http://" + dispatcher.listen + "/_health")
 		if assert.NoError(t, err) {
--- a/internal/testbed/command/dispatcher_process_test.go
+++ b/internal/testbed/command/dispatcher_process_test.go
@@ -21,40 +21,40 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// Helpers for tests of single dispatcher processes.
+// Helpers for tests of individual dispatcher processes.
 
-// testDispatcher is one dispatcher process, its worker, and the address of its discovery service.
+// testDispatcher holds a dispatcher process, its addresses, and the addresses of its worker and its discovery service.
 type testDispatcher struct {
 	listen       string // address for clients
-	discovery    string // address
-	worker       string // address
-	config       string // path of the configuration
-	otherWorkers string // further entries of its endpoint list, as JSON
+	discovery    string // address of the discovery service
+	worker       string // address of the worker
+	config       string // path of the configuration file
+	otherWorkers string // further entries of the endpoint list, as JSON
 	cmd          *exec.Cmd
 }
 
-// addressesTaken counts the addresses assigned. Each has a loopback host of its own, so that no outgoing connection
-// takes its port.
-var addressesTaken atomic.Int64
+// addressesAssigned counts the assigned addresses. Each address has its own loopback host, so that no outgoing
+// connection can use its port.
+var addressesAssigned atomic.Int64
 
-// freeAddress returns an address that nothing listens on.
+// freeAddress returns an address on which no process listens.
 func freeAddress(t *testing.T) string {
 	t.Helper()
-	n := addressesTaken.Add(1)
+	n := addressesAssigned.Add(1)
 	ln, err := net.Listen("tcp", fmt.Sprintf("127.%d.%d.%d:0", 40+os.Getpid()%100, n/250, 1+n%250))
 	assert.NoError(t, err)
 	defer ln.Close()
 	return ln.Addr().String()
 }
 
-// endpointList returns a version of the endpoint list with the worker and the others.
+// endpointList returns the endpoint list, with the worker and otherWorkers, under a version.
 func (d *testDispatcher) endpointList(version int) string {
 	return fmt.Sprintf(`{"seq":%d,"whole":true,"hosts":[{"host":"w","dial":%q,"health":"Ready","born_ms":0}%s]}`,
 		version, d.worker, d.otherWorkers)
 }
 
-// newTestDispatcher starts a worker, and writes the configuration of a process that knows it. The discovery service is
-// not started.
+// newTestDispatcher starts a worker, and writes the configuration of a dispatcher whose initial endpoint list contains
+// the worker. It starts neither the dispatcher nor the discovery service.
 func newTestDispatcher(t *testing.T, sockets int) *testDispatcher {
 	t.Helper()
 	d := newTestDispatcherWithoutList(t, sockets)
@@ -62,7 +62,7 @@
 	return d
 }
 
-// newTestDispatcherWithoutList does what newTestDispatcher does, but the process starts without an endpoint list.
+// newTestDispatcherWithoutList is like newTestDispatcher, but the configuration contains no endpoint list.
 func newTestDispatcherWithoutList(t *testing.T, sockets int) *testDispatcher {
 	t.Helper()
 	ln := listen(t, "127.0.0.1:0")
@@ -77,7 +77,7 @@
 	return d
 }
 
-// writeConfig writes the configuration, with an additional key.
+// writeConfig writes the configuration file, with additional keys as JSON.
 func (d *testDispatcher) writeConfig(t *testing.T, sockets int, additional string) {
 	t.Helper()
 	assert.NoError(t, os.WriteFile(d.config, fmt.Appendf(nil, `{"name":"n","listen":%q,"discovery":%q,"seed":"1",%s
@@ -86,7 +86,7 @@
 		d.listen, d.discovery, additional, sockets), 0o600))
 }
 
-// start starts the process with a limit on descriptors and additional environment variables.
+// start starts the process with a limit on file descriptors and additional environment variables.
 func (d *testDispatcher) start(t *testing.T, sockets int, variables ...string) (startedAt time.Time) {
 	t.Helper()
 	cmd := exec.Command("sh", "-c", fmt.Sprintf("ulimit -n %d && exec %s", sockets, os.Args[0]))
@@ -101,7 +101,7 @@
 	return time.Now()
 }
 
-// awaitReady waits until the health check succeeds.
+// awaitReady waits until a health check succeeds, and fails the test otherwise.
 func (d *testDispatcher) awaitReady(t *testing.T, within time.Duration) {
 	t.Helper()
 	client := http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
@@ -115,7 +115,7 @@
 	}, within, 20*time.Millisecond, "the process is not ready")
 }
 
-// send sends one request over a connection of its own.
+// send sends one request over a new connection, and returns the status code of the answer.
 func (d *testDispatcher) send(id string) (status int, err error) {
 	c, err := net.DialTimeout("tcp", d.listen, time.Second)
 	if err != nil {
@@ -132,7 +132,7 @@
 	return status, err
 }
 
-// serveDiscovery starts the discovery service with a handler, and counts the calls.
+// serveDiscovery starts the discovery service with a handler, and counts its calls in calls.
 func (d *testDispatcher) serveDiscovery(t *testing.T, calls *atomic.Int64, answer http.HandlerFunc) {
 	t.Helper()
 	serve(t, listen(t, d.discovery), func(w http.ResponseWriter, r *http.Request) {
@@ -141,7 +141,8 @@
 	})
 }
 
-// serveWatch is a handler that writes the list, and an empty line each second.
+// serveWatch is the handler of a working discovery service: it writes the endpoint list, then an empty line each
+// second.
 func (d *testDispatcher) serveWatch(w http.ResponseWriter, r *http.Request) {
 	for line := d.endpointList(2); ; line = "" {
 		fmt.Fprintln(w, line)
@@ -154,8 +155,8 @@
 	}
 }
 
-// connectIdleClients keeps a number of idle clients connected until the end of the test. Each connects again as soon as
-// its connection is closed. It returns the number of connections refused or closed so far.
+// connectIdleClients keeps a number of idle clients connected until the end of the test. Each client reconnects 50 ms
+// after its connection is refused or closed. The returned counter is the number of such connections.
 func (d *testDispatcher) connectIdleClients(t *testing.T, count int) (refused *atomic.Int64) {
 	t.Helper()
 	refused = &atomic.Int64{}
@@ -184,8 +185,8 @@
 	return refused
 }
 
-// descriptors returns the number of descriptors that the process has open, 0 if it has ended.
-func (d *testDispatcher) descriptors(t *testing.T) int {
+// countDescriptors returns the number of open file descriptors of the process, or 0 if the process has exited.
+func (d *testDispatcher) countDescriptors(t *testing.T) int {
 	t.Helper()
 	files, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", d.cmd.Process.Pid))
 	if err != nil && !errors.Is(err, os.ErrNotExist) {
@@ -194,7 +195,7 @@
 	return len(files)
 }
 
-// sendAll sends requests with IDs of a prefix, one after the other. Each must succeed.
+// sendAll sends requests sequentially, with the given prefix in their IDs. Each request must succeed.
 func (d *testDispatcher) sendAll(t *testing.T, prefix string, count int) {
 	t.Helper()
 	for n := range count {
@@ -204,7 +205,7 @@
 	}
 }
 
-// serve starts an HTTP server, which the end of the test closes.
+// serve starts an HTTP server, and closes it at the end of the test.
 func serve(t *testing.T, ln net.Listener, handler http.HandlerFunc) *http.Server {
 	t.Helper()
 	server := &http.Server{Handler: handler, ErrorLog: log.New(io.Discard, "", 0)}
@@ -213,9 +214,9 @@
 	return server
 }
 
-// listen listens on an address. A process that a parallel test starts has a copy of each open listener from its fork to
-// its exec. The port of a listener that has just been closed may thus be in use for a moment, so listen tries for a
-// second.
+// listen listens on an address, and retries for one second while the address is in use. A process that a parallel test
+// starts has a copy of each open listener between fork and exec, so the port of a closed listener can remain in use for
+// a short time.
 func listen(t *testing.T, address string) net.Listener {
 	t.Helper()
 	for limit := time.Now().Add(time.Second); ; {
@@ -231,12 +232,12 @@
 	}
 }
 
-// answerDone is the handler of a worker that answers at once.
+// answerDone is the handler of a worker that answers immediately.
 func answerDone(w http.ResponseWriter, r *http.Request) {
 	json.NewEncoder(w).Encode(map[string]string{"id": r.Header.Get("Req-Id"), "state": "done", "result": "made"})
 }
 
-// keepSending sends requests to dispatchers, each of which must succeed, until the function returned is called.
+// keepSending sends requests to the dispatchers until stop is called. Each request must succeed.
 func keepSending(t *testing.T, dispatchers []*testDispatcher) (stop func()) {
 	t.Helper()
 	sending, cancel := context.WithCancel(context.Background())
--- a/internal/testbed/command/endpoints_test.go
+++ b/internal/testbed/command/endpoints_test.go
@@ -12,10 +12,10 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// Tests of single dispatcher processes with a discovery service that fails in some way.
+// Tests of individual dispatcher processes with a failing discovery service.
 
 // A restarted process must become ready while its discovery service is down, unresponsive or overloaded.
-func TestRestartedProcessIsReadyInTimeWhateverItsListServiceDoes(t *testing.T) {
+func TestRestartedProcessIsReadyInTimeDespiteDiscoveryFailures(t *testing.T) {
 	unresponsive := func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }
 	overloaded := func(w http.ResponseWriter, r *http.Request) {
 		select {
@@ -24,7 +24,7 @@
 		case <-r.Context().Done():
 		}
 	}
-	for name, handlerOf := range map[string]func(*testDispatcher) http.HandlerFunc{
+	for name, newHandler := range map[string]func(*testDispatcher) http.HandlerFunc{
 		"up":           func(d *testDispatcher) http.HandlerFunc { return d.serveWatch },
 		"unresponsive": func(*testDispatcher) http.HandlerFunc { return unresponsive },
 		"overloaded":   func(*testDispatcher) http.HandlerFunc { return overloaded },
@@ -34,10 +34,10 @@
 			t.Parallel()
 			dispatcher := newTestDispatcher(t, 128)
 			var calls atomic.Int64
-			if handlerOf != nil {
-				dispatcher.serveDiscovery(t, &calls, handlerOf(dispatcher))
+			if newHandler != nil {
+				dispatcher.serveDiscovery(t, &calls, newHandler(dispatcher))
 			}
-			for range 2 { // killed once, and started again
+			for range 2 { // killed and restarted once
 				startedAt := dispatcher.start(t, 128)
 				dispatcher.awaitReady(t, 2*time.Second)
 				t.Logf("ready after %v", time.Since(startedAt).Round(time.Millisecond))
@@ -57,32 +57,34 @@
 	})
 }
 
-// While idle clients use up the descriptors and the discovery service is down, there must be a descriptor left for a
-// client with a request, the poll of the list, a connection to a worker and the health check.
-func TestIdleClientsThatFillTheDescriptorsKeepNobodyOut(t *testing.T) {
+// While idle clients exhaust the file descriptors and the discovery service is down, descriptors must remain available
+// for client requests, polls of the endpoint list, connections to workers and health checks.
+func TestIdleClientsUsingAllDescriptorsDoNotBlockRequests(t *testing.T) {
 	const sockets, idle = 96, 300
 	dispatcher := newTestDispatcher(t, sockets)
 	dispatcher.start(t, sockets)
 	dispatcher.awaitReady(t, 6*time.Second)
 	refused := dispatcher.connectIdleClients(t, idle)
-	assert.Eventually(t, func() bool { return refused.Load() > idle }, 10*time.Second, time.Millisecond, "the descriptors are full")
+	assert.Eventually(t, func() bool { return refused.Load() > idle }, 10*time.Second, time.Millisecond,
+		"idle clients did not exhaust the descriptors")
 	dispatcher.sendAll(t, "down-", 20)
 	dispatcher.awaitReady(t, time.Second)
 	var calls atomic.Int64
 	upSince := time.Now()
 	dispatcher.serveDiscovery(t, &calls, dispatcher.serveWatch)
-	assert.Eventually(t, func() bool { return calls.Load() > 0 }, 6*time.Second, time.Millisecond, "the list is polled")
+	assert.Eventually(t, func() bool { return calls.Load() > 0 }, 6*time.Second, time.Millisecond, "the endpoint list was not polled")
 	t.Logf("polled %v after the discovery service is up, %d descriptors open, %d connections refused",
-		time.Since(upSince).Round(time.Millisecond), dispatcher.descriptors(t), refused.Load())
+		time.Since(upSince).Round(time.Millisecond), dispatcher.countDescriptors(t), refused.Load())
 	dispatcher.sendAll(t, "up-", 20)
 	dispatcher.awaitReady(t, time.Second)
-	assert.LessOrEqual(t, dispatcher.descriptors(t), sockets)
+	assert.LessOrEqual(t, dispatcher.countDescriptors(t), sockets)
 	assert.NoError(t, dispatcher.cmd.Process.Signal(syscall.SIGTERM))
 	assert.NoError(t, dispatcher.cmd.Wait(), "%s", strings.TrimSpace(dispatcher.listen))
 }
 
-// After polls of the list were refused, timed out or cut off, each of several processes must apply a drain in time. From
-// 6 s after the list is available again, plus the grace, nothing is sent to the worker.
+// After polls of the endpoint list were refused, timed out or cut off, each of several processes must apply a drain in
+// time: no request may be sent to the worker later than 6 s after the list is available again. The test waits for
+// another second of grace before it checks.
 func TestDrainIsAppliedInTimeByEachProcessAfterFailedPolls(t *testing.T) {
 	for name, failing := range map[string]http.HandlerFunc{
 		"refused":      nil,
@@ -104,12 +106,12 @@
 	}
 }
 
-// testDrainAfterFailedPolls drains a worker while the discovery service answers with a handler, or refuses connections
-// for nil.
-func testDrainAfterFailedPolls(t *testing.T, failing http.HandlerFunc) {
+// testDrainAfterFailedPolls drains a worker while the discovery services answer with failingHandler, or refuse
+// connections if it is nil.
+func testDrainAfterFailedPolls(t *testing.T, failingHandler http.HandlerFunc) {
 	t.Helper()
 	const processes, grace = 3, time.Second
-	var lastRequestAt atomic.Int64 // at the draining worker, Unix time in nanoseconds
+	var lastRequestAt atomic.Int64 // time of the last request to the draining worker, in Unix nanoseconds
 	ln := listen(t, "127.0.0.1:0")
 	serve(t, ln, func(w http.ResponseWriter, r *http.Request) {
 		lastRequestAt.Store(time.Now().UnixNano())
@@ -127,11 +129,11 @@
 		dispatchers = append(dispatchers, dispatcher)
 	}
 	defer keepSending(t, dispatchers)()
-	assert.Eventually(t, func() bool { return lastRequestAt.Load() > 0 }, 3*time.Second, time.Millisecond, "the worker is used")
-	for n, dispatcher := range dispatchers { // the discovery services fail, and the worker starts to drain meanwhile
+	assert.Eventually(t, func() bool { return lastRequestAt.Load() > 0 }, 3*time.Second, time.Millisecond, "the worker received no request")
+	for n, dispatcher := range dispatchers { // the worker starts to drain while the discovery services fail
 		healthyServices[n].Close()
-		if failing != nil {
-			failingServices = append(failingServices, serve(t, listen(t, dispatcher.discovery), failing))
+		if failingHandler != nil {
+			failingServices = append(failingServices, serve(t, listen(t, dispatcher.discovery), failingHandler))
 		}
 	}
 	time.Sleep(5 * time.Second)
--- a/internal/testbed/command/power_test.go
+++ b/internal/testbed/command/power_test.go
@@ -10,8 +10,8 @@
 	"canvasroute/internal/testbed/fault"
 )
 
-// powerLossExperiment is an experiment in which four dispatchers, nine workers and the discovery service lose power at
-// once. Keys of the dispatchers and of the fault are to be filled in.
+// powerLossExperiment is the format of an experiment file in which four dispatchers, nine workers and the discovery
+// service lose power at the same time. Its arguments are additional keys of the dispatchers and of the fault.
 var powerLossExperiment = `name = "lost"
 [dispatchers]
 count = 4
@@ -47,8 +47,8 @@
 %s
 `
 
-// Several processes lose power at once and restart with each state of a disk, while messages between them are lost,
-// duplicated and delayed. The rules must be kept; no time is asserted.
+// All dispatchers lose power at the same time and restart with each disk state, while messages between them are lost,
+// duplicated and delayed. No rule may be violated; the test asserts no durations.
 func TestFleetThatLosesPowerKeepsTheRulesWithEachKindOfDisk(t *testing.T) {
 	const lossyLink = "link-loss = 0.2\nlink-jitter = \"30ms\"\nlink-duplicates = 0.2\n"
 	for _, disk := range fault.DiskStates {
@@ -65,7 +65,7 @@
 					serving[phase.Dispatcher] = true
 				}
 			}
-			assert.Equal(t, map[int]bool{0: true, 1: true, 2: true, 3: true}, serving, "all serve again")
+			assert.Equal(t, map[int]bool{0: true, 1: true, 2: true, 3: true}, serving, "not all dispatchers serve again after the power loss")
 		})
 	}
 }
--- a/internal/testbed/command/run.go
+++ b/internal/testbed/command/run.go
@@ -17,49 +17,49 @@
 	"canvasroute/internal/testbed/report"
 )
 
-// demo is the experiment file of the command demo.
+// demoExperiment is the experiment file that the demo command runs.
 //
 //go:embed demo.toml
-var demo []byte
+var demoExperiment []byte
 
-// runFlags are the flags of all commands that run experiments.
+// runFlags holds the flags of the commands that run experiments.
 type runFlags struct {
 	folder     string // for the result, "" for the default
-	dispatcher string // path of the program, "" for the default
-	policy     string // "" for the file's
-	seeds      []uint // none: the file's
+	dispatcher string // path of the dispatcher program, "" for the default
+	policy     string // "" for the policy of the file
+	seeds      []uint // empty for the seed of the file
 	quiet      bool   // no progress
 }
 
-// add adds the flags that a command has.
-func (f *runFlags) add(command *cobra.Command) {
+// register adds the flags that demo and run have in common to a command.
+func (f *runFlags) register(command *cobra.Command) {
 	command.Flags().StringVarP(&f.folder, "out", "o", "", "folder for the result (default testbed-results/NAME-TIME)")
 	command.Flags().StringVar(&f.dispatcher, "dispatcher", "",
 		"dispatcher program (default: canvasroute beside this one)")
 	command.Flags().BoolVarP(&f.quiet, "quiet", "q", false, "no progress")
 }
 
-// demoCommand returns the command that runs, or prints, the experiment that the program contains.
+// demoCommand returns the command that runs or prints the embedded experiment.
 func demoCommand(out, status io.Writer) *cobra.Command {
-	flags, show := &runFlags{}, false
+	flags, printOnly := &runFlags{}, false
 	command := &cobra.Command{
 		Use:   "demo",
 		Short: "Three dispatchers, ten workers, a crash in the middle: half a minute",
 		Args:  cobra.NoArgs,
 		RunE: func(command *cobra.Command, _ []string) error {
-			if show {
-				_, err := out.Write(demo)
+			if printOnly {
+				_, err := out.Write(demoExperiment)
 				return err
 			}
-			plan, err := experiment.Parse("demo.toml", demo, warnTo(status))
+			plan, err := experiment.Parse("demo.toml", demoExperiment, renamedKeyWarner(status))
 			if err != nil {
 				return err
 			}
 			return flags.run(command.Context(), plan, out, status)
 		},
 	}
-	flags.add(command)
-	command.Flags().BoolVar(&show, "show", false, "print the experiment file instead, as a start for one of your own")
+	flags.register(command)
+	command.Flags().BoolVar(&printOnly, "show", false, "print the experiment file instead, as a start for one of your own")
 	return command
 }
 
@@ -71,7 +71,7 @@
 		Short: "Run the experiment that a TOML file names",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(command *cobra.Command, args []string) error {
-			plan, err := experiment.Read(args[0], warnTo(status))
+			plan, err := experiment.Read(args[0], renamedKeyWarner(status))
 			if err != nil {
 				return usageError{err}
 			}
@@ -83,20 +83,20 @@
 			return flags.run(command.Context(), plan, out, status)
 		},
 	}
-	flags.add(command)
+	flags.register(command)
 	command.Flags().StringVar(&flags.policy, "policy", "", "dispatchers' policy instead of the file's: canvasroute, "+
 		strings.Join(baseline.Policies, ", "))
 	command.Flags().UintSliceVar(&flags.seeds, "seeds", nil, "seeds to run one after the other, instead of the file's")
 	return command
 }
 
-// warnTo returns a function that writes a warning about a former key of an experiment file to status.
-func warnTo(status io.Writer) func(experiment.RenamedKey) {
+// renamedKeyWarner returns a callback that writes a warning about a former key of an experiment file to status.
+func renamedKeyWarner(status io.Writer) func(experiment.RenamedKey) {
 	return func(key experiment.RenamedKey) { fmt.Fprintln(status, "testbed: warning:", key) }
 }
 
-// run runs a plan with each seed. With several seeds each result gets a folder of its own. It returns
-// errExperimentFailed or errInterrupted if a result says so.
+// run runs a plan with each seed. With several seeds, each result is written to its own subfolder. It returns
+// errExperimentFailed if any run failed, and errInterrupted if a run was interrupted.
 func (f *runFlags) run(ctx context.Context, plan *experiment.Plan, out, status io.Writer) error {
 	programs, err := experiment.FindPrograms(f.dispatcher)
 	if err != nil {
@@ -131,13 +131,13 @@
 	return nil
 }
 
-// runSeed runs a plan with one seed, writes its report and prints its figures.
+// runSeed runs a plan with one seed, writes its report and prints a summary to out.
 func (f *runFlags) runSeed(ctx context.Context, plan *experiment.Plan, seed uint64, options experiment.Options,
 	out, status io.Writer,
 ) (*experiment.Result, error) {
 	finish := func() {}
 	if !f.quiet {
-		options.Progress, finish = progress(status, plan.Duration())
+		options.Progress, finish = newProgressBar(status, plan.Duration())
 	}
 	result, err := plan.Run(ctx, seed, options)
 	finish()
@@ -156,32 +156,33 @@
 // Appearance of the progress bar.
 const (
 	progressWidth    = 24                     // characters
-	progressInterval = 200 * time.Millisecond // at most as often it is drawn
+	progressInterval = 200 * time.Millisecond // minimum time between updates
 )
 
-// progress returns functions that draw a progress bar, and end it.
-func progress(status io.Writer, duration time.Duration) (update func(experiment.Progress), finish func()) {
+// newProgressBar returns functions that update a progress bar and remove it.
+func newProgressBar(status io.Writer, duration time.Duration) (update func(experiment.Progress), finish func()) {
 	bar := progressbar.NewOptions64(duration.Milliseconds(), progressbar.OptionSetWriter(status),
 		progressbar.OptionSetWidth(progressWidth), progressbar.OptionThrottle(progressInterval),
 		progressbar.OptionSetPredictTime(true), progressbar.OptionClearOnFinish())
 	update = func(g experiment.Progress) {
 		bar.Describe(fmt.Sprintf("%d calls: %d succeeded, %d throttled, %d other, %d open", g.Calls.Total,
 			g.Calls.Succeeded, g.Calls.Throttled, g.Calls.Other, g.Open))
-		_ = bar.Set64(min(g.At, g.Of).Milliseconds())
+		_ = bar.Set64(min(g.At, g.LoadDuration).Milliseconds())
 	}
 	return update, func() { _ = bar.Finish() }
 }
 
-// maxFolderWords is how many words of an experiment's name its folder has.
+// maxFolderWords limits the words of an experiment's name in the name of its folder.
 const maxFolderWords = 4
 
-// folderName returns the name of a folder for the results of a named experiment: its first words, with hyphens.
+// folderName returns a folder name for the results of an experiment: the first words of its name in lower case, joined
+// with hyphens.
 func folderName(name string) string {
 	words := strings.FieldsFunc(strings.ToLower(name), func(r rune) bool { return !isFolderRune(r) })
 	return strings.Join(words[:min(len(words), maxFolderWords)], "-")
 }
 
-// isFolderRune reports whether a character may stand in the name of a folder.
+// isFolderRune reports whether a character is allowed in a folder name.
 func isFolderRune(r rune) bool {
 	isLetter := r >= 'a' && r <= 'z'
 	isDigit := r >= '0' && r <= '9'
--- a/internal/testbed/command/saturate.go
+++ b/internal/testbed/command/saturate.go
@@ -13,7 +13,7 @@
 	"canvasroute/internal/testbed/experiment"
 )
 
-// Defaults of the search for the highest rate.
+// Defaults of the search for the highest sustained rate.
 const (
 	defaultObjective     = 50 * time.Millisecond
 	defaultTrialDuration = 4 * time.Second
@@ -24,7 +24,7 @@
 	saturationSeed       = 1
 )
 
-// saturateCommand returns the command that searches for the highest rate.
+// saturateCommand returns the command that searches for the highest sustained rate.
 func saturateCommand(out, status io.Writer) *cobra.Command {
 	dispatcher := ""
 	saturation := experiment.Saturation{Seed: saturationSeed, Steps: saturationSteps}
@@ -61,7 +61,8 @@
 	return command
 }
 
-// saturate searches for the highest rate of each policy, and prints them.
+// saturate searches for the highest sustained rate of each policy. It prints each trial to status and a table of the
+// best trials to out.
 func saturate(ctx context.Context, saturation experiment.Saturation, policies []string, dispatcher string,
 	out, status io.Writer,
 ) error {
@@ -80,7 +81,7 @@
 		options := experiment.Options{Folder: folder, Programs: programs}
 		best[policy], err = experiment.Saturate(ctx, saturation, options, func(trial experiment.Trial) {
 			verdict := "holds"
-			if !trial.Holds {
+			if !trial.Sustained {
 				verdict = trial.Reason
 			}
 			fmt.Fprintf(status, "  %-14s %8.0f per second  p99 %9.2f ms  %s\n", policy, trial.Rate, trial.P99, verdict)
@@ -93,7 +94,8 @@
 	return nil
 }
 
-// printSaturation prints the best trial of each policy, and the ratio of canvasroute's to the reverse proxy's.
+// printSaturation prints the best trial of each policy, and the ratios of the values of canvasroute to those of the
+// reverse proxy.
 func printSaturation(out io.Writer, policies []string, best map[string]experiment.Trial) {
 	fmt.Fprintf(out, "%-14s %10s %10s %10s %12s %12s %12s\n", "", "per second", "p50 ms", "p99 ms", "CPU us/call",
 		"allocs/call", "bytes/call")
--- a/internal/testbed/experiment/actions.go
+++ b/internal/testbed/experiment/actions.go
@@ -14,15 +14,15 @@
 	for _, action := range actions {
 		select {
 		case <-time.After(max(action.At-env.clock(), 0)):
-			env.apply(ctx, action)
+			env.applyAction(ctx, action)
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// apply applies one action. It does not wait for what takes long.
-func (env *environment) apply(ctx context.Context, action fault.Action) {
+// applyAction applies one action. Actions that take long run in the background, and applyAction does not wait for them.
+func (env *environment) applyAction(ctx context.Context, action fault.Action) {
 	switch action.Kind {
 	case fault.ListLag, fault.ListLagEnd, fault.ListDown, fault.ListUnavailable, fault.ListRecover:
 		env.applyToDiscovery(action)
@@ -33,9 +33,9 @@
 	case fault.WorkerAdd:
 		env.addWorkers(int(action.Value))
 	case fault.PowerLoss:
-		env.losePower(action.Targets)
+		env.cutPower(action.Targets)
 	case fault.PowerReturn:
-		env.returnPower(ctx, action)
+		env.restorePower(ctx, action)
 	case fault.DispatcherKill, fault.DispatcherStart, fault.DispatcherPause, fault.DispatcherResume,
 		fault.DispatcherRestart:
 		for _, n := range action.Targets {
@@ -43,7 +43,7 @@
 		}
 	case fault.DispatcherLeave, fault.DispatcherJoin, fault.DispatcherUpgrade, fault.DispatcherReconfigure,
 		fault.ClientsIdle, fault.ClientsTrickle:
-		env.applyOperators(ctx, action)
+		env.applyOperatorAction(ctx, action)
 	default:
 		for _, n := range action.Targets {
 			env.applyToWorker(action, n)
@@ -51,7 +51,7 @@
 	}
 }
 
-// applyToDiscovery changes the discovery service's lag or outage.
+// applyToDiscovery sets the lag or the outage of the discovery service.
 func (env *environment) applyToDiscovery(action fault.Action) {
 	switch action.Kind {
 	case fault.ListLag:
@@ -67,7 +67,7 @@
 	}
 }
 
-// applyToPeers changes the conditions of the network between dispatchers.
+// applyToPeers sets the loss or the partition of the network between dispatchers. It does nothing if peers are off.
 func (env *environment) applyToPeers(action fault.Action) {
 	if env.peers == nil {
 		return
@@ -82,7 +82,7 @@
 	env.peers.SetConditions(conditions)
 }
 
-// addWorkers adds workers of the first kind, which have to warm up.
+// addWorkers starts additional workers of the first kind. They start cold and warm up.
 func (env *environment) addWorkers(count int) {
 	for range count {
 		env.mu.Lock()
@@ -99,12 +99,12 @@
 	case fault.WorkerCrash, fault.WorkerStop:
 		if server.Running() {
 			server.Crash()
-			env.publish(n, discoveryserver.Gone)
+			env.publishWorker(n, discoveryserver.Gone)
 		}
 	case fault.WorkerRestart:
 		if !server.Running() {
 			env.recordFailure(server.Start())
-			env.publish(n, discoveryserver.Ready)
+			env.publishWorker(n, discoveryserver.Ready)
 		}
 	case fault.WorkerSpeed:
 		server.SetSpeed(env.combinedSpeed(n, action))
@@ -123,12 +123,13 @@
 	case fault.WorkerDrain:
 		if server.Running() {
 			server.Drain()
-			env.publish(n, discoveryserver.Terminating)
+			env.publishWorker(n, discoveryserver.Terminating)
 		}
 	}
 }
 
-// combinedSpeed sets the factor of one fault for worker n's speed, and returns the product of all faults' factors.
+// combinedSpeed records the speed factor that one fault applies to worker n, and returns the product of the factors of
+// all faults.
 func (env *environment) combinedSpeed(n int, action fault.Action) float64 {
 	env.mu.Lock()
 	defer env.mu.Unlock()
@@ -145,20 +146,20 @@
 	p := env.process(n)
 	switch kind {
 	case fault.DispatcherKill:
-		env.dispatcherDown(n)
+		env.recordOutageStart(n)
 		p.kill()
 	case fault.DispatcherPause:
-		env.dispatcherDown(n)
+		env.recordOutageStart(n)
 		p.pause()
 	case fault.DispatcherResume:
 		p.resume()
-		env.dispatcherUp(n)
+		env.recordOutageEnd(n)
 	case fault.DispatcherStart:
 		if !p.running() {
 			env.recordFailure(env.launchDispatcher(n))
-			env.dispatcherUp(n)
+			env.recordOutageEnd(n)
 		}
 	case fault.DispatcherRestart:
-		env.actions.Go(func() { env.restart(ctx, n) })
+		env.actions.Go(func() { env.restartDispatcher(ctx, n) })
 	}
 }
--- a/internal/testbed/experiment/admin_client.go
+++ b/internal/testbed/experiment/admin_client.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// adminTimeout bounds the connection to an admin server, and then its answer.
+// adminTimeout is the timeout for connecting to an admin server, and for the command and its answer after that.
 const adminTimeout = time.Second
 
 // adminCommand is a command of the admin server's protocol.
@@ -15,13 +15,13 @@
 
 // The values of adminCommand.
 const (
-	commandDrain    adminCommand = "LEAVE" // drains the dispatcher
-	commandAccept   adminCommand = "JOIN"  // has it accept clients again
+	commandDrain    adminCommand = "LEAVE" // drain the dispatcher
+	commandAccept   adminCommand = "JOIN"  // end the drain: accept clients again
 	commandHealth   adminCommand = "HEALTH"
 	commandCounters adminCommand = "DUMP"
 )
 
-// answerDone is the admin server's answer to a successful command, and to HEALTH while clients are accepted.
+// answerDone is the admin server's answer to a successful command, and to HEALTH while the dispatcher accepts clients.
 const answerDone = "done\n"
 
 // callAdmin sends one command to an admin server and returns the complete answer.
@@ -42,8 +42,8 @@
 	return string(answer), nil
 }
 
-// callOperators sends a command to the admin server of dispatcher n, and records a failure unless it succeeds.
-func (env *environment) callOperators(n int, command adminCommand) {
+// sendAdminCommand sends a command to the admin server of dispatcher n, and records a failure unless it succeeds.
+func (env *environment) sendAdminCommand(n int, command adminCommand) {
 	answer, err := callAdmin(env.process(n).adminAddr, command)
 	if err == nil && answer != answerDone {
 		err = fmt.Errorf("%s: %s answered %q", dispatcherName(n), command, answer)
--- a/internal/testbed/experiment/clock.go
+++ b/internal/testbed/experiment/clock.go
@@ -6,14 +6,14 @@
 	"canvasroute/internal/fleet/store"
 )
 
-// shiftClock simulates a jump of a dispatcher's clock while it has no power. As a process' clock cannot be changed, it
-// moves all times on the dispatcher's disk in the opposite direction.
-func shiftClock(folder, name string, by time.Duration) error {
+// shiftClock simulates a clock jump of a dispatcher that has no power. The clock of a single process cannot be changed,
+// so shiftClock shifts all timestamps in the dispatcher's state folder in the opposite direction.
+func shiftClock(folder, name string, shift time.Duration) error {
 	disk, err := store.OpenFolder(folder)
 	if err != nil || disk.ReadOnly() {
 		return err
 	}
-	defer func() { _ = disk.Close() }() // every write has returned its error
+	defer func() { _ = disk.Close() }() // errors were returned by the writes
 	_, found := store.Open(disk, name)
 	if !found.Known || found.Foreign {
 		return nil
@@ -27,7 +27,7 @@
 			return err
 		}
 	}
-	shiftMillis := by.Milliseconds()
+	shiftMillis := shift.Milliseconds()
 	state, _ := store.Open(disk, name)
 	incarnation := found.Incarnation
 	start := store.Start{
--- a/internal/testbed/experiment/clock_test.go
+++ b/internal/testbed/experiment/clock_test.go
@@ -9,8 +9,8 @@
 	"canvasroute/internal/fleet/store"
 )
 
-// A shift that changed anything but times would make experiments with a clock jump fail for another cause.
-func TestShiftClockMovesTimesAndNothingElse(t *testing.T) {
+// If shiftClock changed more than timestamps, experiments with a clock jump would fail for an unrelated reason.
+func TestShiftClockChangesOnlyTimes(t *testing.T) {
 	path, now := t.TempDir(), time.Now().UnixMilli()
 	open := func() *store.Folder {
 		folder, err := store.OpenFolder(path)
--- a/internal/testbed/experiment/counters.go
+++ b/internal/testbed/experiment/counters.go
@@ -8,13 +8,13 @@
 	"canvasroute/internal/testbed/history"
 )
 
-// Tolerances between a dispatcher's own counters and the recorded history. The larger one applies.
+// Tolerances for differences between a dispatcher's own counters and the recorded history. The larger one applies.
 const (
-	counterTolerance    = 0.01 // share of the requests with an outcome
+	counterTolerance    = 0.01 // share of the requests with the outcome
 	minCounterTolerance = 3    // requests
 )
 
-// comparedCounters are a dispatcher's counters, and the names of the outcomes that they count.
+// comparedCounters maps dispatcher counters to the names of the outcomes that they count.
 var comparedCounters = []struct {
 	counter string
 	outcome string
@@ -24,11 +24,12 @@
 	{"aborted", history.OutcomeNames[history.Errored]},
 }
 
-// uncertainOutcomes are those of requests that a dispatcher may have counted or not, as their clients got no answer.
+// uncertainOutcomes are the outcomes of requests that a dispatcher may or may not have counted, because their clients
+// received no answer.
 var uncertainOutcomes = []history.Outcome{history.Unanswered, history.Broken, history.Unreachable, history.Interrupted}
 
-// compareCounters compares the counters of each dispatcher that has had only one process with the outcomes of its
-// requests. Requests whose client left without an answer may be counted or not.
+// compareCounters compares the counters of each dispatcher with the outcomes of its requests. It skips baselines,
+// dispatchers that are not running, and dispatchers that had more than one process.
 func (env *environment) compareCounters() {
 	for n := range env.listenAddrs {
 		p := env.process(n)
@@ -40,13 +41,13 @@
 			env.recordFailure(fmt.Errorf("%s: %w", dispatcherName(n), err))
 			continue
 		}
-		env.compareCountersOf(n, parseCounters(dump))
+		env.compareDispatcherCounters(n, parseCounters(dump))
 	}
 }
 
-// compareCountersOf compares reported counters of dispatcher n with the outcomes of its requests, and records a failure
-// for each one that differs by more than the tolerance.
-func (env *environment) compareCountersOf(n int, reported map[string]int) {
+// compareDispatcherCounters compares the counters that dispatcher n reported with the outcomes of its requests, and
+// records a failure for each counter that differs by more than the tolerance.
+func (env *environment) compareDispatcherCounters(n int, reported map[string]int) {
 	observed := map[string]int{}
 	for _, request := range env.history.Requests() {
 		if request.Dispatcher == n {
@@ -61,13 +62,14 @@
 		counter, outcomes := reported[pair.counter], observed[pair.outcome]
 		tolerance := uncertain + max(minCounterTolerance, int(counterTolerance*float64(outcomes)))
 		if counter < outcomes-tolerance || counter > outcomes+tolerance {
-			env.recordFailure(fmt.Errorf("%s: svc.%s says %d, clients saw %d", dispatcherName(n), pair.counter, counter,
+			env.recordFailure(fmt.Errorf("%s: counter svc.%s is %d, clients observed %d", dispatcherName(n), pair.counter, counter,
 				outcomes))
 		}
 	}
 }
 
-// parseCounters returns the counters of a dump by name, each summed over operations.
+// parseCounters parses the counters of a dump, and returns the sum over all operations for each counter name. Lines
+// that are not counters are skipped.
 func parseCounters(dump string) map[string]int {
 	sums := map[string]int{}
 	for line := range strings.Lines(dump) {
--- a/internal/testbed/experiment/disk.go
+++ b/internal/testbed/experiment/disk.go
@@ -14,25 +14,28 @@
 	"canvasroute/internal/testbed/unit"
 )
 
-// oldCopyDelay is when, since the start of the experiment, copyDisks copies each disk for fault.DiskOld.
-const oldCopyDelay = 3 * time.Second
+// diskCopyDelay is the time from the start of the experiment until copyDisks copies each state folder for
+// fault.DiskOld.
+const diskCopyDelay = 3 * time.Second
 
-// copyDisks copies the state folder of each dispatcher, unless ctx ends before that time.
+// copyDisks waits for diskCopyDelay and copies the state folder of each dispatcher. It copies nothing if ctx ends
+// first.
 func (env *environment) copyDisks(ctx context.Context) error {
 	select {
-	case <-time.After(oldCopyDelay):
+	case <-time.After(diskCopyDelay):
 	case <-ctx.Done():
 		return nil
 	}
 	for _, p := range env.processes {
-		if err := copyDisk(p.disk, oldDisk(p.disk)); err != nil {
+		if err := copyDisk(p.stateFolder, diskCopyPath(p.stateFolder)); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// copyDisk copies a folder that a dispatcher may be writing to. Files that disappear meanwhile are left out.
+// copyDisk copies the files of a folder that a dispatcher may be writing to. It skips files that are removed during the
+// copy, and copies nothing if the folder does not exist.
 func copyDisk(from, to string) error {
 	entries, err := os.ReadDir(from)
 	if err != nil && !errors.Is(err, os.ErrNotExist) {
@@ -59,70 +62,70 @@
 	return nil
 }
 
-// damageDisk brings the disk of a dispatcher that has lost power to the state of the action's mode.
+// damageDisk puts the state folder of a dispatcher without power into the disk state that the action's mode selects.
 func (env *environment) damageDisk(n int, action fault.Action) error {
-	disk := env.process(n).disk
+	stateFolder := env.process(n).stateFolder
 	switch action.Mode {
 	case fault.DiskMissing:
-		return os.RemoveAll(disk)
+		return os.RemoveAll(stateFolder)
 	case fault.DiskLostSync:
-		return removeNewest(diskFiles(disk))
+		return removeNewestFiles(diskFiles(stateFolder))
 	case fault.DiskTorn:
 		rng := unit.RandomStream(env.seed, fmt.Sprint("disk ", n, " ", action.At))
-		if files := diskFiles(disk); len(files) > 0 {
+		if files := diskFiles(stateFolder); len(files) > 0 {
 			return truncate(files[rng.IntN(len(files))], int64(1+rng.IntN(maxTornBytes)))
 		}
 	case fault.DiskOld:
-		if _, err := os.Stat(oldDisk(disk)); err != nil {
-			return nil // the power was lost before the copy was made
+		if _, err := os.Stat(diskCopyPath(stateFolder)); err != nil {
+			return nil // power was lost before the copy was made
 		}
-		return replaceDisk(disk, oldDisk(disk))
-	case fault.DiskSwapped: // by a copy of the next dispatcher's, which may be running
-		return replaceDisk(disk, env.process((n+1)%len(env.listenAddrs)).disk)
+		return replaceDisk(stateFolder, diskCopyPath(stateFolder))
+	case fault.DiskSwapped: // replaced by a copy of the next dispatcher's folder; that dispatcher may be running
+		return replaceDisk(stateFolder, env.process((n+1)%len(env.listenAddrs)).stateFolder)
 	case fault.DiskFull:
-		return blockNewFiles(disk, fullDevice)
+		return blockNewFiles(stateFolder, fullDevice)
 	case fault.DiskReadOnly:
-		return blockNewFiles(disk, readOnlyFile)
+		return blockNewFiles(stateFolder, readOnlyFile)
 	}
 	return nil
 }
 
 const (
-	maxTornBytes    = 200  // lost from the end of a torn file, at most
-	blockedKeyFiles = 1000 // number of names of key files that blockNewFiles takes
+	maxTornBytes    = 200  // maximum number of bytes removed from the end of a torn file
+	blockedKeyFiles = 1000 // number of key file names that blockNewFiles occupies
 )
 
-// Files to which every write fails.
+// Files on which every write fails.
 const (
 	fullDevice   = "/dev/full"
 	readOnlyFile = "/proc/version"
 )
 
-// Names of the store's files that are to be written next.
+// Names of the files that the store creates next.
 const (
 	nextIncarnationFile = "life.new"
 	keyFileFormat       = "keys.%d" // with the number of the file
 )
 
-// diskFiles returns the paths of the files in a state folder that belong to the store.
+// diskFiles returns the paths of the store's files in a state folder, or nil if the folder cannot be read.
 func diskFiles(disk string) (paths []string) {
 	folder, err := store.ReadFolder(disk)
 	if err != nil {
 		return nil
 	}
-	names, _ := folder.Names() // fails on files that a DiskFull of before has left
+	names, _ := folder.Names() // returns an error for files left by an earlier DiskFull fault
 	for _, name := range names {
 		paths = append(paths, filepath.Join(disk, name))
 	}
 	return paths
 }
 
-// removeNewest removes the newest file of each kind.
-func removeNewest(files []string) error {
+// removeNewestFiles removes the newest file of each kind.
+func removeNewestFiles(files []string) error {
 	newest := map[string]string{}
 	for _, path := range files {
 		kind := strings.TrimSuffix(path, filepath.Ext(path))
-		if candidate := newest[kind]; candidate == "" || newer(path, candidate) {
+		if candidate := newest[kind]; candidate == "" || wasModifiedAfter(path, candidate) {
 			newest[kind] = path
 		}
 	}
@@ -134,7 +137,7 @@
 	return nil
 }
 
-// truncate removes bytes from the end of a file.
+// truncate removes a number of bytes from the end of a file.
 func truncate(path string, bytes int64) error {
 	info, err := os.Stat(path)
 	if err != nil {
@@ -143,7 +146,7 @@
 	return os.Truncate(path, max(info.Size()-bytes, 0))
 }
 
-// replaceDisk replaces a state folder by a copy of another.
+// replaceDisk replaces a state folder with a copy of another folder.
 func replaceDisk(disk, source string) error {
 	if err := os.RemoveAll(disk); err != nil {
 		return err
@@ -151,20 +154,20 @@
 	return copyDisk(source, disk)
 }
 
-// oldDisk returns the path of the earlier copy of a state folder.
-func oldDisk(disk string) string { return disk + ".old" }
+// diskCopyPath returns the path of the copy of a state folder that copyDisks makes.
+func diskCopyPath(disk string) string { return disk + ".old" }
 
-// newer reports whether file a was modified after file b.
-func newer(a, b string) bool {
+// wasModifiedAfter reports whether file a was modified after file b.
+func wasModifiedAfter(a, b string) bool {
 	infoA, errA := os.Stat(a)
 	infoB, errB := os.Stat(b)
 	return errA == nil && errB == nil && infoA.ModTime().After(infoB.ModTime())
 }
 
-// blockNewFiles makes each write to a new file fail from now on. It takes the names of the next files for links to
-// target, a full device or a file that cannot be written.
+// blockNewFiles makes every later write to a new file in a state folder fail. It occupies the names of the next files
+// with symbolic links to target, which is a full device or a file that cannot be written.
 func blockNewFiles(disk, target string) error {
-	last, err := lastKeyFile(disk)
+	last, err := lastKeyFileNumber(disk)
 	if err != nil {
 		return err
 	}
@@ -180,8 +183,8 @@
 	return nil
 }
 
-// lastKeyFile returns the highest number of a key file in a state folder, 0 if there is none.
-func lastKeyFile(disk string) (last int, err error) {
+// lastKeyFileNumber returns the highest number of a key file in a state folder, or 0 if there is none.
+func lastKeyFileNumber(disk string) (last int, err error) {
 	entries, err := os.ReadDir(disk)
 	if err != nil && !errors.Is(err, os.ErrNotExist) {
 		return 0, err
--- a/internal/testbed/experiment/dispatchers.go
+++ b/internal/testbed/experiment/dispatchers.go
@@ -13,23 +13,24 @@
 	"canvasroute/internal/testbed/network"
 )
 
-// Timing of starts and ends of dispatchers.
+// Timing of dispatcher starts, stops and restarts.
 const (
 	readyTimeout      = 15 * time.Second
 	readyPollInterval = 20 * time.Millisecond
 	stopTimeout       = 6 * time.Second
-	removalDelay      = 300 * time.Millisecond // from SIGTERM to the removal from the front tier, at a planned restart
-	restartDelay      = 100 * time.Millisecond // from the end of a process to the next start
-	resumeGrace       = 250 * time.Millisecond // after a resume, until a dispatcher's timing counts again
+	removalDelay      = 300 * time.Millisecond // from SIGTERM to the removal from the front tier in a planned restart
+	restartDelay      = 100 * time.Millisecond // from the exit of a process to the next start
+	resumeGrace       = 250 * time.Millisecond // after a resume, during which delays still count as the outage
 )
 
-// forever is the end of an outage that lasts to the end of the experiment.
-const forever = time.Duration(1 << 62)
+// openOutageEnd is the recorded end of an outage that lasts until the end of the experiment.
+const openOutageEnd = time.Duration(1 << 62)
 
 var errNotReady = errors.New("did not become ready")
 
-// startDispatchers starts all dispatchers on free ports, and waits until all are ready.
-func (env *environment) startDispatchers(ctx, running context.Context) error {
+// startDispatchers starts all dispatchers on free ports, and waits until all are ready. Networks and the front tier run
+// until backgroundCtx ends. The error wraps errNotReady if another attempt may succeed.
+func (env *environment) startDispatchers(ctx, backgroundCtx context.Context) error {
 	settings := &env.plan.Dispatchers
 	addrs, err := env.newProcesses()
 	if err != nil {
@@ -40,11 +41,11 @@
 		if err != nil {
 			return err
 		}
-		env.peers = peers // another attempt to start replaces it; the old one runs on unused
-		env.background.Go(func() error { return peers.Run(running) })
+		env.peers = peers // a later start attempt replaces the network; the previous one keeps running unused
+		env.background.Go(func() error { return peers.Run(backgroundCtx) })
 	}
 	if settings.Recovery {
-		if err := env.startLink(running, addrs.link); err != nil {
+		if err := env.startLink(backgroundCtx, addrs.link); err != nil {
 			return err
 		}
 	}
@@ -57,17 +58,17 @@
 	}
 	frontTier := loadgen.NewFrontTier(addresses, settings.FailureTimeout.Std())
 	env.frontTier = frontTier
-	env.background.Go(func() error { return frontTier.Run(running) })
+	env.background.Go(func() error { return frontTier.Run(backgroundCtx) })
 	return env.awaitReady(ctx)
 }
 
-// datagramAddrs are the addresses at which dispatchers receive datagrams, by dispatcher.
+// datagramAddrs holds the addresses at which dispatchers receive datagrams, by dispatcher.
 type datagramAddrs struct {
 	peers []netip.AddrPort // from peers
-	link  []netip.AddrPort // from other members of a fleet that persists state
+	link  []netip.AddrPort // from other members of a fleet with persisted state
 }
 
-// newProcesses assigns ports to all dispatchers, and returns those for datagrams.
+// newProcesses creates the processes of all dispatchers and assigns ports to them. It returns the datagram addresses.
 func (env *environment) newProcesses() (addrs datagramAddrs, err error) {
 	env.listenAddrs = nil
 	env.processes = nil
@@ -91,14 +92,15 @@
 	return addrs, nil
 }
 
-// peerConditions returns those of the plan, without any fault.
+// peerConditions returns the conditions of the peer network that the plan configures, without faults.
 func (env *environment) peerConditions() network.Conditions {
 	d := &env.plan.Dispatchers
 	return network.Conditions{Loss: d.PeerLoss, Delay: d.PeerDelay.Std(), Jitter: d.PeerJitter.Std()}
 }
 
-// launchDispatcher starts one dispatcher's process. All workers count as listed to it as ready until the discovery
-// service writes otherwise, as drains that the process before was notified of do not bind it.
+// launchDispatcher starts the process of one dispatcher. The history records all workers as listed ready for it until
+// the discovery service reports otherwise: the new process is not bound by drains that only the previous process was
+// notified of.
 func (env *environment) launchDispatcher(n int) error {
 	p := env.process(n)
 	config, err := env.dispatcherConfig(n, p.adminAddr, env.plan.Dispatchers.MaxAttempts)
@@ -114,7 +116,8 @@
 	return p.start(config)
 }
 
-// dispatcherConfig returns the configuration for a dispatcher's start or reload.
+// dispatcherConfig returns the configuration for a start or a reload of dispatcher n. Its endpoint list is the one from
+// the time of a power loss while the dispatcher has no power, and the current list otherwise.
 func (env *environment) dispatcherConfig(n int, adminAddr string, maxAttempts int) ([]byte, error) {
 	addrs := dispatcherAddrs{
 		listen:    env.listenAddrs[n].String(),
@@ -135,14 +138,15 @@
 	return plan.dispatcherConfig(n, dispatcherSeed(env.seed, n, env.process(n).incarnations), addrs, endpoints)
 }
 
-// process returns the serving process of a dispatcher.
+// process returns the serving process of dispatcher n.
 func (env *environment) process(n int) *process {
 	env.mu.Lock()
 	defer env.mu.Unlock()
 	return env.processes[n]
 }
 
-// awaitReady waits until the front tier has all dispatchers in rotation.
+// awaitReady waits until the front tier has all dispatchers in rotation. It returns an error that wraps errNotReady if
+// a process exits or after readyTimeout.
 func (env *environment) awaitReady(ctx context.Context) error {
 	limit := time.Now().Add(readyTimeout)
 	for !env.frontTier.Ready() {
@@ -163,8 +167,8 @@
 	return nil
 }
 
-// restart stops a dispatcher as the platform does for a planned restart, and starts it again.
-func (env *environment) restart(ctx context.Context, n int) {
+// restartDispatcher stops dispatcher n in the same way as the platform does for a planned restart, and starts it again.
+func (env *environment) restartDispatcher(ctx context.Context, n int) {
 	p, from := env.process(n), env.clock()
 	if !p.running() {
 		return
@@ -181,30 +185,30 @@
 	env.history.AddOutage(history.Outage{Dispatcher: n, Planned: true, From: from, To: env.clock()})
 }
 
-// dispatcherDown records the start of an unplanned outage.
-func (env *environment) dispatcherDown(n int) {
+// recordOutageStart records the start of an unplanned outage of dispatcher n.
+func (env *environment) recordOutageStart(n int) {
 	env.mu.Lock()
 	defer env.mu.Unlock()
 	env.downSince[n] = env.clock()
 }
 
-// dispatcherUp records the end of an unplanned outage, if there is one.
-func (env *environment) dispatcherUp(n int) {
+// recordOutageEnd records the end of an unplanned outage of dispatcher n, if one has started.
+func (env *environment) recordOutageEnd(n int) {
 	env.mu.Lock()
 	defer env.mu.Unlock()
-	if from, reported := env.downSince[n]; reported {
+	if from, isDown := env.downSince[n]; isDown {
 		env.history.AddOutage(history.Outage{Dispatcher: n, From: from, To: env.clock() + resumeGrace})
 		delete(env.downSince, n)
 	}
 }
 
-// endProcesses stops all processes that run.
-func (env *environment) endProcesses(within time.Duration) {
+// stopProcesses stops all running processes, and kills those that do not exit within the timeout.
+func (env *environment) stopProcesses(timeout time.Duration) {
 	var ending sync.WaitGroup
 	for _, p := range env.processes {
 		ending.Go(func() {
 			if p.running() {
-				env.recordFailure(p.stop(within))
+				env.recordFailure(p.stop(timeout))
 			}
 			p.log.Close()
 		})
--- a/internal/testbed/experiment/environment.go
+++ b/internal/testbed/experiment/environment.go
@@ -20,10 +20,11 @@
 	"canvasroute/internal/testbed/workload"
 )
 
-// maxStartAttempts is how often the start of all dispatchers is tried, as a port may be taken in between.
+// maxStartAttempts limits the attempts to start all dispatchers. A start can fail because another process has bound an
+// assigned port meanwhile.
 const maxStartAttempts = 3
 
-// environment is everything but the load: the stand-ins and the dispatchers' processes.
+// environment holds everything in a run except the load: the stand-ins and the dispatcher processes.
 type environment struct {
 	plan              *Plan
 	seed              uint64
@@ -39,18 +40,18 @@
 	links     *network.Network // nil if dispatchers persist no state
 	frontTier *loadgen.FrontTier
 
-	listenAddrs []netip.AddrPort // by dispatcher
-	background  *errgroup.Group  // stand-ins that run to the end
-	stop        context.CancelFunc
-	actions     sync.WaitGroup // actions of faults that are still running
+	listenAddrs    []netip.AddrPort // by dispatcher
+	background     *errgroup.Group  // goroutines of the stand-ins, which run until stopBackground
+	stopBackground context.CancelFunc
+	actions        sync.WaitGroup // running actions of the timeline
 
 	mu                   sync.Mutex
-	processes            []*process // the serving one of each dispatcher; an upgrade replaces it
+	processes            []*process // serving process of each dispatcher; an upgrade replaces it
 	servers              []*worker.Server
-	speedFactors         []map[int]float64     // by worker, then by fault
+	speedFactors         []map[int]float64     // by worker and fault
 	downSince            map[int]time.Duration // by dispatcher
-	endpointsAtPowerLoss map[int][]byte        // by dispatcher: the list that it restarts with after a loss of power
-	drainedByOperator    map[int]bool          // dispatchers whose last command was LEAVE, not JOIN
+	endpointsAtPowerLoss map[int][]byte        // endpoint list for the restart after a power loss, by dispatcher
+	drainedByOperator    map[int]bool          // whether the last command was LEAVE, not JOIN, by dispatcher
 	failures             []string
 }
 
@@ -59,7 +60,7 @@
 	return time.Duration(time.Now().UnixNano() - env.startedAtNanos.Load())
 }
 
-// openEnvironment starts the stand-ins and the dispatchers. The environment has to be closed, also after an error.
+// openEnvironment starts the stand-ins and the dispatchers. The caller must close the environment, also after an error.
 func openEnvironment(ctx context.Context, p *Plan, seed uint64, folder string, command []string) (*environment, error) {
 	env := &environment{
 		plan:                 p,
@@ -72,34 +73,34 @@
 		drainedByOperator:    map[int]bool{},
 	}
 	env.startedAtNanos.Store(time.Now().UnixNano())
-	running, cancel := context.WithCancel(context.Background())
-	env.background, running = errgroup.WithContext(running)
-	env.stop = cancel
-	if err := env.startStandIns(running); err != nil {
+	backgroundCtx, cancel := context.WithCancel(context.Background())
+	env.background, backgroundCtx = errgroup.WithContext(backgroundCtx)
+	env.stopBackground = cancel
+	if err := env.startStandIns(backgroundCtx); err != nil {
 		return env, err
 	}
-	err := errors.New("never tried")
+	err := errors.New("no attempt was made to start the dispatchers")
 	for range maxStartAttempts {
-		if err = env.startDispatchers(ctx, running); !errors.Is(err, errNotReady) {
+		if err = env.startDispatchers(ctx, backgroundCtx); !errors.Is(err, errNotReady) {
 			break
 		}
-		env.endProcesses(time.Second)
+		env.stopProcesses(time.Second)
 	}
 	if err == nil {
 		env.startedAtNanos.Store(time.Now().UnixNano())
 		if env.links != nil {
-			env.background.Go(func() error { return env.copyDisks(running) })
+			env.background.Go(func() error { return env.copyDisks(backgroundCtx) })
 		}
 	}
 	return env, err
 }
 
-// startStandIns starts the discovery service and the workers, all of which are warm.
+// startStandIns starts the discovery service and the workers. All workers start warm.
 func (env *environment) startStandIns(ctx context.Context) (err error) {
 	fleet := &env.plan.Fleet
-	env.fleet = worker.NewFleet(env.plan.workerConfig(), env.plan.deduplications(), env.history, env.clock, env.workerOverloaded)
+	env.fleet = worker.NewFleet(env.plan.workerConfig(), env.plan.deduplications(), env.history, env.clock, env.publishOverloadedWorker)
 	env.catalog = discoveryserver.NewCatalog(fleet.ListLag.Std())
-	env.discovery, err = discoveryserver.New(env.catalog, env.plan.Dispatchers.Count, env.clock, env.endpointNotified)
+	env.discovery, err = discoveryserver.New(env.catalog, env.plan.Dispatchers.Count, env.clock, env.recordEndpointNotification)
 	if err != nil {
 		return err
 	}
@@ -113,12 +114,12 @@
 	return nil
 }
 
-// workerConfig returns what all workers have in common.
+// workerConfig returns the configuration that all workers share.
 func (p *Plan) workerConfig() worker.Config {
 	fleet := &p.Fleet
 	return worker.Config{
 		Warmup:      p.warmup(),
-		IdleTimeout: fleet.Idle.Std(),
+		IdleTimeout: fleet.ConnIdleTimeout.Std(),
 		StartNotes:  fleet.StartNotes,
 		Progress:    fleet.Progress,
 		Probes:      fleet.Probes,
@@ -126,7 +127,7 @@
 	}
 }
 
-// warmup returns how workers behave after their start.
+// warmup returns the warm-up behaviour of workers.
 func (p *Plan) warmup() worker.Warmup {
 	fleet := &p.Fleet
 	return worker.Warmup{
@@ -137,7 +138,7 @@
 	}
 }
 
-// deduplications returns how workers deduplicate each operation.
+// deduplications returns the deduplication settings of workers, by operation.
 func (p *Plan) deduplications() (all []worker.Deduplication) {
 	for _, operation := range p.Operations {
 		deduplication := worker.Deduplication{Window: operation.DedupWindow.Std()}
@@ -149,7 +150,7 @@
 	return all
 }
 
-// addWorker adds a worker, starts it with the method given and lists it.
+// addWorker adds a worker, starts it with the given method and publishes it in the endpoint list.
 func (env *environment) addWorker(place workerPlace, start func(*worker.Server) error) error {
 	env.mu.Lock()
 	n := len(env.servers)
@@ -161,12 +162,12 @@
 	if err := start(server); err != nil {
 		return err
 	}
-	env.publish(n, discoveryserver.Ready)
+	env.publishWorker(n, discoveryserver.Ready)
 	return nil
 }
 
-// publish updates a worker in the list. One that started warm is listed without a start time.
-func (env *environment) publish(n int, state discoveryserver.State) {
+// publishWorker updates the endpoint list entry of worker n. The entry of a worker that started warm has no start time.
+func (env *environment) publishWorker(n int, state discoveryserver.State) {
 	server := env.server(n)
 	identity := server.Identity()
 	entry := discoveryserver.Entry{
@@ -191,8 +192,8 @@
 	return env.servers[n]
 }
 
-// endpointNotified records that an entry of the list has been written to a dispatcher.
-func (env *environment) endpointNotified(dispatcher int, entry discoveryserver.Entry) {
+// recordEndpointNotification records that the discovery service has sent an endpoint list entry to a dispatcher.
+func (env *environment) recordEndpointNotification(dispatcher int, entry discoveryserver.Entry) {
 	env.history.WorkerListed(history.Notification{
 		Dispatcher: dispatcher,
 		Worker:     entry.Worker,
@@ -201,10 +202,10 @@
 	})
 }
 
-// workerOverloaded lists an overloaded worker as gone. It stays down.
-func (env *environment) workerOverloaded(n int) { env.publish(n, discoveryserver.Gone) }
+// publishOverloadedWorker publishes worker n as gone after it has failed from overload. The worker is not restarted.
+func (env *environment) publishOverloadedWorker(n int) { env.publishWorker(n, discoveryserver.Gone) }
 
-// recordFailure records an error of a process or a stand-in for the result; nil is none.
+// recordFailure adds an error of a process or a stand-in to the failures of the result. It ignores nil.
 func (env *environment) recordFailure(err error) {
 	if err == nil {
 		return
@@ -214,17 +215,18 @@
 	env.failures = append(env.failures, err.Error())
 }
 
-// close ends all actions, processes and stand-ins.
+// close waits for all actions, compares the dispatchers' counters with the history, and stops all processes and
+// stand-ins.
 func (env *environment) close() error {
 	env.actions.Wait()
 	env.mu.Lock()
 	for n := range env.downSince {
-		env.history.AddOutage(history.Outage{Dispatcher: n, From: env.downSince[n], To: forever})
+		env.history.AddOutage(history.Outage{Dispatcher: n, From: env.downSince[n], To: openOutageEnd})
 	}
 	env.mu.Unlock()
 	env.compareCounters()
-	env.endProcesses(stopTimeout)
-	env.stop()
+	env.stopProcesses(stopTimeout)
+	env.stopBackground()
 	err := env.background.Wait()
 	if env.fleet != nil {
 		env.fleet.Close()
--- a/internal/testbed/experiment/experiment_test.go
+++ b/internal/testbed/experiment/experiment_test.go
@@ -13,7 +13,7 @@
 	"canvasroute/internal/daemon"
 )
 
-// minimalFile is an experiment file with what every experiment needs but a load.
+// minimalFile is an experiment file with all required keys except those of the load.
 const minimalFile = `[[fleet.kind]]
 name = "std"
 cores = 1
@@ -28,10 +28,10 @@
 share = 1
 `
 
-// onePhase is a load for minimalFile.
+// onePhase is a load to append to minimalFile.
 const onePhase = "[[load.phase]]\nshape=\"poisson\"\nrate=1\nfor=\"1s\"\n"
 
-// parseMinimal parses minimalFile with additional text.
+// parseMinimal parses minimalFile followed by additional text.
 func parseMinimal(t *testing.T, additional string) *Plan {
 	t.Helper()
 	plan, err := Parse("x.toml", []byte(minimalFile+additional), failOnRenamedKey(t))
@@ -55,29 +55,30 @@
 	assert.ErrorContains(t, err, "format 0, this program reads 1")
 }
 
-// A port that is in use by either protocol must not be assigned, nor one twice in a row.
-func TestTakenPortsAreNotAssigned(t *testing.T) {
+// A port that is in use by TCP or UDP must not be assigned, and no port may be assigned twice in a row.
+func TestPortsInUseAreNotAssigned(t *testing.T) {
 	for range maxPortAttempts {
 		reserved, err := freePort()
 		assert.NoError(t, err)
 		ln, err := net.Listen("tcp", reserved.String())
 		if err != nil {
-			continue // taken by another process meanwhile
+			continue // another process has bound the port meanwhile
 		}
 		defer ln.Close()
-		portsTaken.Add(^uint32(0)) // so that it is the next to be assigned again
+		portsAssigned.Add(^uint32(0)) // so that freePort tries the reserved port again
 		assigned, err := freePort()
 		assert.NoError(t, err)
 		assert.NotEqual(t, reserved, assigned)
 		next, err := freePort()
 		assert.NoError(t, err)
-		assert.NotEqual(t, assigned, next, "no port is assigned twice in a row")
+		assert.NotEqual(t, assigned, next, "a port was assigned twice in a row")
 		return
 	}
 	t.Fatal("no port could be opened")
 }
 
-// The dispatcher must read the configuration that the testbed writes, or an experiment would test the defaults.
+// Guards against a dispatcher that ignores settings of the testbed's configuration: an experiment would silently test
+// the defaults.
 func TestConfigurationIsReadByTheDispatcher(t *testing.T) {
 	plan := parseMinimal(t, `[[operation]]
 name = "keyed"
--- a/internal/testbed/experiment/link.go
+++ b/internal/testbed/experiment/link.go
@@ -13,8 +13,8 @@
 	"canvasroute/internal/testbed/network"
 )
 
-// startLink starts the network for messages between members, and gives each dispatcher a state folder and a file that
-// names the members.
+// startLink starts the network for messages between members. It assigns each dispatcher a state folder, and writes a
+// fleet configuration file with the members for it.
 func (env *environment) startLink(ctx context.Context, linkAddrs []netip.AddrPort) error {
 	links, err := network.New(network.Link, linkAddrs, env.linkConditions(), messaging.MaxDatagramBytes, env.seed)
 	if err != nil {
@@ -23,21 +23,21 @@
 	env.links = links
 	env.background.Go(func() error { return links.Run(ctx) })
 	for n, p := range env.processes {
-		if p.disk, err = filepath.Abs(filepath.Join(env.folder, p.name+".state")); err != nil {
+		if p.stateFolder, err = filepath.Abs(filepath.Join(env.folder, p.name+".state")); err != nil {
 			return err
 		}
-		p.fleet = filepath.Join(env.folder, p.name+".fleet.toml")
-		if err := os.WriteFile(p.fleet, env.fleetConfig(p, linkAddrs[n], links.View(n)), fileMode); err != nil {
+		p.fleetConfigPath = filepath.Join(env.folder, p.name+".fleet.toml")
+		if err := os.WriteFile(p.fleetConfigPath, env.fleetConfig(p, linkAddrs[n], links.View(n)), fileMode); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// fleetConfig returns the fleet's configuration file for a process: its state folder, its address and the members as it
-// sees them.
+// fleetConfig returns the content of the fleet configuration file for a process: its state folder, its own address, and
+// the addresses in view at which it reaches the members.
 func (env *environment) fleetConfig(p *process, listen netip.AddrPort, view []netip.AddrPort) []byte {
-	b := fmt.Appendf(nil, "[state]\nfolder = %q\nevery = %q\n\n[link]\nlisten = %q\n", p.disk,
+	b := fmt.Appendf(nil, "[state]\nfolder = %q\nevery = %q\n\n[link]\nlisten = %q\n", p.stateFolder,
 		env.plan.Dispatchers.StateInterval.Std().String(), listen.String())
 	for n, addr := range view {
 		b = fmt.Appendf(b, "\n[[member]]\nname = %q\naddress = %q\n", dispatcherName(n), addr.String())
@@ -45,7 +45,7 @@
 	return b
 }
 
-// linkConditions returns those of the plan, without any fault.
+// linkConditions returns the conditions of the link that the plan configures, without faults.
 func (env *environment) linkConditions() network.Conditions {
 	d := &env.plan.Dispatchers
 	return network.Conditions{
@@ -56,7 +56,7 @@
 	}
 }
 
-// applyToLink changes the conditions of the link, or its partitions.
+// applyToLink changes the loss or the partitions of the link. It does nothing if dispatchers persist no state.
 func (env *environment) applyToLink(action fault.Action) {
 	if env.links == nil {
 		return
@@ -73,7 +73,8 @@
 	}
 }
 
-// partitionLink cuts or heals the link between the targets and all other dispatchers, in the direction of the mode.
+// partitionLink cuts or heals the link between the targets and all other dispatchers, in the direction that the
+// action's mode selects, or in both directions.
 func (env *environment) partitionLink(action fault.Action) {
 	change := env.links.Heal
 	if action.Kind == fault.LinkCut {
--- a/internal/testbed/experiment/misbehaving_clients.go
+++ b/internal/testbed/experiment/misbehaving_clients.go
@@ -8,22 +8,22 @@
 )
 
 const (
-	connectTimeout  = time.Second            // of a misbehaving client
-	reconnectDelay  = 200 * time.Millisecond // from the end of its connection to the next
-	trickleInterval = 100 * time.Millisecond // between two bytes of a slow client
+	connectTimeout   = time.Second            // for a connection of a misbehaving client
+	reconnectDelay   = 200 * time.Millisecond // from the end of a connection to the next attempt
+	slowSendInterval = 100 * time.Millisecond // from one byte of a slow client to the next
 )
 
-// incompleteRequest is the beginning of a request that slow clients send.
+// incompleteRequest is the start of a request, which slow clients send and never complete.
 const incompleteRequest = "POST /api HTTP/1.1\r\nReq-Id: never\r\nReq-Kind: never\r\n"
 
-// openMisbehavingClients keeps a number of connections open until ctx ends, on which no request is ever complete. What
-// they send is up to the behaviour. A connection that ends is opened again.
-func (env *environment) openMisbehavingClients(ctx context.Context, connections int, behaviour func(net.Conn)) {
+// startMisbehavingClients keeps a number of connections open until ctx ends, and reopens connections that end. The
+// behaviour function sends on each connection, and never completes a request.
+func (env *environment) startMisbehavingClients(ctx context.Context, connections int, behaviour func(net.Conn)) {
 	for n := range connections {
 		addr := env.listenAddrs[n%len(env.listenAddrs)].String()
 		env.actions.Go(func() {
 			for ctx.Err() == nil {
-				keepConnected(ctx, addr, behaviour)
+				holdConnection(ctx, addr, behaviour)
 				select {
 				case <-time.After(reconnectDelay):
 				case <-ctx.Done():
@@ -33,8 +33,8 @@
 	}
 }
 
-// keepConnected opens a connection, and returns when either side or ctx has ended it.
-func keepConnected(ctx context.Context, addr string, behaviour func(net.Conn)) {
+// holdConnection opens a connection and runs the behaviour on it. It returns when the connection ends or ctx ends.
+func holdConnection(ctx context.Context, addr string, behaviour func(net.Conn)) {
 	conn, err := net.DialTimeout("tcp", addr, connectTimeout)
 	if err != nil {
 		return
@@ -45,15 +45,15 @@
 	_, _ = io.Copy(io.Discard, conn)
 }
 
-// stayIdle is the behaviour of a client that sends nothing.
-func stayIdle(net.Conn) {}
+// sendNothing is the behaviour of an idle client.
+func sendNothing(net.Conn) {}
 
-// trickle is the behaviour of a client that sends a byte at a time, until its connection ends.
-func trickle(conn net.Conn) {
+// sendSlowly is the behaviour of a slow client: it sends incompleteRequest byte by byte, until the connection fails.
+func sendSlowly(conn net.Conn) {
 	for _, b := range []byte(incompleteRequest) {
 		if _, err := conn.Write([]byte{b}); err != nil {
 			return
 		}
-		time.Sleep(trickleInterval)
+		time.Sleep(slowSendInterval)
 	}
 }
--- a/internal/testbed/experiment/operators.go
+++ b/internal/testbed/experiment/operators.go
@@ -9,9 +9,10 @@
 	"canvasroute/internal/testbed/fault"
 )
 
-// What operators do: commands to the admin server, new settings, upgrades.
+// Operator actions: commands to the admin server, configuration reloads and upgrades.
 
-// reconfigure gives dispatchers a configuration with another number of attempts, and has them reload it.
+// reconfigure writes a configuration with the given limit on attempts for each target, and signals the dispatcher to
+// reload it.
 func (env *environment) reconfigure(targets []int, maxAttempts int) {
 	for _, n := range targets {
 		config, err := env.dispatcherConfig(n, env.process(n).adminAddr, maxAttempts)
@@ -23,8 +24,8 @@
 	}
 }
 
-// applyOperators does what an operator would do, or a client that misbehaves.
-func (env *environment) applyOperators(ctx context.Context, action fault.Action) {
+// applyOperatorAction applies an action of an operator, or starts misbehaving clients.
+func (env *environment) applyOperatorAction(ctx context.Context, action fault.Action) {
 	switch action.Kind {
 	case fault.DispatcherLeave:
 		env.setDrained(action.Targets, commandDrain)
@@ -38,49 +39,49 @@
 		env.reconfigure(action.Targets, maxAttempts)
 	case fault.DispatcherUpgrade:
 		for _, n := range action.Targets {
-			env.actions.Go(func() { env.upgrade(ctx, n) })
+			env.actions.Go(func() { env.upgradeDispatcher(ctx, n) })
 		}
 	case fault.ClientsIdle, fault.ClientsTrickle:
-		behaviour := stayIdle
+		behaviour := sendNothing
 		if action.Kind == fault.ClientsTrickle {
-			behaviour = trickle
+			behaviour = sendSlowly
 		}
-		connected, stop := context.WithTimeout(ctx, action.Duration)
-		context.AfterFunc(connected, stop)
-		env.openMisbehavingClients(connected, int(action.Value), behaviour)
+		clientsCtx, stop := context.WithTimeout(ctx, action.Duration)
+		context.AfterFunc(clientsCtx, stop)
+		env.startMisbehavingClients(clientsCtx, int(action.Value), behaviour)
 	}
 }
 
-// setDrained sends commandDrain or commandAccept to dispatchers.
+// setDrained sends commandDrain or commandAccept to the targets, and records it as their last command.
 func (env *environment) setDrained(targets []int, command adminCommand) {
 	for _, n := range targets {
 		env.mu.Lock()
 		env.drainedByOperator[n] = command == commandDrain
 		env.mu.Unlock()
-		env.callOperators(n, command)
+		env.sendAdminCommand(n, command)
 	}
 }
 
-// drainCheckInterval is how often watchDrained polls a dispatcher's health.
+// drainCheckInterval is the interval at which watchDrained polls a dispatcher's health.
 const drainCheckInterval = 20 * time.Millisecond
 
-// watchDrained checks that a dispatcher that restarted after an operator's LEAVE accepts no client until JOIN. It
-// records a failure otherwise.
+// watchDrained polls a dispatcher that was restarted after an operator's LEAVE, and records a failure if the dispatcher
+// accepts clients before a JOIN.
 func (env *environment) watchDrained(ctx context.Context, n int) {
 	p := env.process(n)
-	for ctx.Err() == nil && p.running() && env.drainedBefore(n) {
-		// The second drainedBefore excludes an answer that a JOIN has overtaken.
+	for ctx.Err() == nil && p.running() && env.isDrainedByOperator(n) {
+		// The second check excludes a JOIN that was sent while the health command was in progress.
 		answer, err := callAdmin(p.adminAddr, commandHealth)
-		if err == nil && answer == answerDone && env.drainedBefore(n) {
-			env.recordFailure(fmt.Errorf("%s accepts clients again after a LEAVE without a JOIN", dispatcherName(n)))
+		if err == nil && answer == answerDone && env.isDrainedByOperator(n) {
+			env.recordFailure(fmt.Errorf("%s accepts clients after LEAVE without a JOIN", dispatcherName(n)))
 			return
 		}
 		time.Sleep(drainCheckInterval)
 	}
 }
 
-// drainedBefore reports whether the last command to a dispatcher was LEAVE.
-func (env *environment) drainedBefore(n int) bool {
+// isDrainedByOperator reports whether the last command to a dispatcher was LEAVE.
+func (env *environment) isDrainedByOperator(n int) bool {
 	env.mu.Lock()
 	defer env.mu.Unlock()
 	return env.drainedByOperator[n]
--- a/internal/testbed/experiment/plan.go
+++ b/internal/testbed/experiment/plan.go
@@ -1,5 +1,6 @@
-// Package experiment runs an experiment file. It starts real dispatcher processes with a stand-in fleet, discovery
-// service and peer network. It applies an open-loop load and a timeline of faults, and writes the result to a folder.
+// Package experiment runs experiments from experiment files. It starts real dispatcher processes with a stand-in fleet,
+// discovery service and peer network, applies an open-loop load and a timeline of faults, and writes the result to a
+// folder.
 package experiment
 
 import (
@@ -15,11 +16,11 @@
 	"canvasroute/internal/tomlconfig"
 )
 
-// Plan is an experiment file. The keys are the operators' interface.
+// Plan is a decoded experiment file. Its TOML keys are a public interface.
 type Plan struct {
 	Name        string               `toml:"name"`
 	Seed        uint64               `toml:"seed"`
-	Slack       unit.Duration        `toml:"slack"` // added to the time limits of the rules
+	Slack       unit.Duration        `toml:"slack"` // tolerance added to the time limits of the rules
 	Dispatchers Dispatchers          `toml:"dispatchers"`
 	Fleet       Fleet                `toml:"fleet"`
 	Operations  []workload.Operation `toml:"operation"`
@@ -27,73 +28,73 @@
 	Load        Load                 `toml:"load"`
 	Faults      []fault.Spec         `toml:"fault"`
 
-	schedule  *workload.Plan     // what the schedule is drawn from
-	timeline  *fault.Timeline    // for the plan's own seed
-	trace     []workload.Arrival // instead of a schedule; nil without a trace
-	directory string             // of the file; a trace's path is relative to it
+	workloadPlan *workload.Plan     // input of the random schedule
+	timeline     *fault.Timeline    // of faults, for Seed
+	trace        []workload.Arrival // arrivals of the trace, nil without a trace
+	directory    string             // of the experiment file, which the trace's path is relative to
 }
 
-// Dispatchers are the processes under test. Those of the keys that are settings of a dispatcher mean what they mean
-// there.
+// Dispatchers configures the processes under test. Keys that correspond to a dispatcher setting have the meaning of
+// that setting.
 type Dispatchers struct {
 	Count          int           `toml:"count"`        // number of processes
 	Policy         string        `toml:"policy"`       // canvasroute or one of the baselines
-	Fault          string        `toml:"fault"`        // of a baseline, one of baseline.Faults
-	Cores          float64       `toml:"cores"`        // limit in the configuration, which the testbed does not enforce
-	MemoryMB       int           `toml:"memory-mb"`    // likewise
-	Sockets        int           `toml:"sockets"`      // likewise
-	Peers          bool          `toml:"peers"`        // whether they may send each other datagrams
-	PeerLoss       float64       `toml:"peer-loss"`    // share of datagrams
+	Fault          string        `toml:"fault"`        // injected into a baseline, one of baseline.Faults; "": none
+	Cores          float64       `toml:"cores"`        // limit in the dispatcher's configuration; not enforced by the testbed
+	MemoryMB       int           `toml:"memory-mb"`    // limit like Cores
+	Sockets        int           `toml:"sockets"`      // limit like Cores
+	Peers          bool          `toml:"peers"`        // dispatchers may send each other datagrams
+	PeerLoss       float64       `toml:"peer-loss"`    // share of datagrams lost
 	PeerDelay      unit.Duration `toml:"peer-delay"`   // one way
-	PeerJitter     unit.Duration `toml:"peer-jitter"`  // up to this much more delay
+	PeerJitter     unit.Duration `toml:"peer-jitter"`  // maximum additional delay
 	MaxAttempts    int           `toml:"max-attempts"` // per request
 	Cancellation   bool          `toml:"cancellation"`
 	Hedging        bool          `toml:"hedging"`
 	MaxRetryAfter  unit.Duration `toml:"max-retry-after"` // longest Retry-After; 0: not allowed
-	FailureTimeout unit.Duration `toml:"failure-timeout"` // until the front tier removes a dispatcher that has died
-	DrainGrace     unit.Duration `toml:"drain-grace"`     // until a dispatcher must have stopped sending to a draining worker
-	Granularity    unit.Duration `toml:"granularity"`     // of times that decisions may rely on
-	PollInterval   unit.Duration `toml:"poll-interval"`   // longest time between two polls of the list
+	FailureTimeout unit.Duration `toml:"failure-timeout"` // until the front tier removes a dispatcher that has failed
+	DrainGrace     unit.Duration `toml:"drain-grace"`     // time in which a dispatcher must stop sending to a draining worker
+	Granularity    unit.Duration `toml:"granularity"`     // of the times that decisions may depend on
+	PollInterval   unit.Duration `toml:"poll-interval"`   // maximum time between two polls of the endpoint list
 	DialTimeout    unit.Duration `toml:"dial-timeout"`
-	OverQuotaValue float64       `toml:"over-quota-value"` // share of the value of requests over a tenant's quota
+	OverQuotaValue float64       `toml:"over-quota-value"` // share of their value that requests over a tenant's quota have
 	ValueByCount   bool          `toml:"value-by-count"`
 
-	Recovery       bool          `toml:"recovery"`        // each persists state and has a link to the others
-	StateInterval  unit.Duration `toml:"state-interval"`  // between two writes of the state
-	LinkLoss       float64       `toml:"link-loss"`       // share of messages
+	Recovery       bool          `toml:"recovery"`        // dispatchers persist state and exchange messages over the link
+	StateInterval  unit.Duration `toml:"state-interval"`  // time between two writes of the state
+	LinkLoss       float64       `toml:"link-loss"`       // share of messages lost
 	LinkDelay      unit.Duration `toml:"link-delay"`      // one way
-	LinkJitter     unit.Duration `toml:"link-jitter"`     // up to this much more delay
+	LinkJitter     unit.Duration `toml:"link-jitter"`     // maximum additional delay
 	LinkDuplicates float64       `toml:"link-duplicates"` // share of messages delivered twice
 }
 
 // Fleet configures the stand-in workers.
 type Fleet struct {
 	Zones              []string      `toml:"zones"`
-	CellSize           int           `toml:"cell-size"` // workers of one zone in a cell
+	CellSize           int           `toml:"cell-size"` // number of workers in a cell, all of one zone
 	Kinds              []worker.Kind `toml:"kind"`
-	InitialShare       float64       `toml:"warmup-initial-share"` // share of its capacity that a worker has at its start
-	WarmupDuration     unit.Duration `toml:"warmup-duration"`      // until a worker has its full capacity
-	OverloadMultiple   float64       `toml:"overload-multiple"`    // see worker.Warmup; 0: no budget
+	InitialShare       float64       `toml:"warmup-initial-share"` // share of its capacity that a worker has when it starts
+	WarmupDuration     unit.Duration `toml:"warmup-duration"`      // time from the start of a worker to its full capacity
+	OverloadMultiple   float64       `toml:"overload-multiple"`    // see worker.Warmup; 0: no warm-up budget
 	OverloadSpan       unit.Duration `toml:"overload-span"`        // see worker.Warmup
-	Idle               unit.Duration `toml:"idle"`                 // after which a worker closes a connection without a message
+	ConnIdleTimeout    unit.Duration `toml:"idle"`                 // after which a worker closes an idle connection
 	StartNotes         bool          `toml:"start-notes"`          // workers report when a job starts
-	AnnounceStartNotes bool          `toml:"announce-start-notes"` // whether the settings announce StartNotes
+	AnnounceStartNotes bool          `toml:"announce-start-notes"` // dispatcher settings announce StartNotes
 	Progress           bool          `toml:"progress"`             // workers report when half of a job is done
 	Probes             bool          `toml:"probes"`               // workers answer health checks and requests for their load
-	ListLag            unit.Duration `toml:"list-lag"`             // until a change is visible in the endpoint list
-	Instant            bool          `toml:"instant"`              // jobs take no time
+	ListLag            unit.Duration `toml:"list-lag"`             // time until a change is visible in the endpoint list
+	Instant            bool          `toml:"instant"`              // jobs complete immediately
 }
 
 // Load configures the load generator.
 type Load struct {
 	Phases    []workload.Phase `toml:"phase"`
 	Trace     string           `toml:"trace"`      // file with recorded arrivals, instead of phases
-	Retries   int              `toml:"retries"`    // per call, by the client
+	Retries   int              `toml:"retries"`    // by the client, per call
 	RetryWait unit.Duration    `toml:"retry-wait"` // before a retry, if the answer has no Retry-After
 	MaxOpen   int              `toml:"max-open"`   // concurrent calls
 }
 
-// defaults returns a plan with the values of the keys that a file leaves out.
+// defaults returns a plan with the default values of the keys.
 func defaults() Plan {
 	return Plan{
 		Seed:        1,
@@ -140,18 +141,18 @@
 		WarmupDuration:     unit.Duration(10 * time.Second),
 		OverloadMultiple:   4,
 		OverloadSpan:       unit.Duration(2 * time.Second),
-		Idle:               unit.Duration(10 * time.Second),
+		ConnIdleTimeout:    unit.Duration(10 * time.Second),
 		StartNotes:         true,
 		AnnounceStartNotes: true,
 		ListLag:            unit.Duration(time.Second),
 	}
 }
 
-// Canvasroute is the policy of the dispatcher under test. The others are those of package baseline.
+// Canvasroute is the policy that selects the dispatcher under test. Package baseline defines the other policies.
 const Canvasroute = "canvasroute"
 
-// Read reads and validates an experiment file. The error names the file, and the line or the key. onRenamedKey is
-// called for each former key that the file uses, also if the file turns out to be invalid.
+// Read reads and validates an experiment file. An error about its content includes the file, and the line or the key.
+// Read calls onRenamedKey for each former key that the file uses, also if the file is invalid otherwise.
 func Read(path string, onRenamedKey func(RenamedKey)) (*Plan, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -160,18 +161,18 @@
 	return Parse(path, text, onRenamedKey)
 }
 
-// Parse does what Read does, with the text of an experiment file. The path is used for errors and to find a trace.
+// Parse is like Read, with the text of the experiment file given. The path is used in errors and to locate a trace.
 func Parse(path string, text []byte, onRenamedKey func(RenamedKey)) (*Plan, error) {
-	present, err := usePresentNames(path, text)
+	current, err := replaceFormerKeys(path, text)
 	if err != nil {
 		return nil, err
 	}
-	for _, key := range present.renamed {
+	for _, key := range current.renamed {
 		onRenamedKey(key)
 	}
 	p := defaults()
 	p.directory = filepath.Dir(path)
-	if err := tomlconfig.Decode(path, present.text, &p); err != nil {
+	if err := tomlconfig.Decode(path, current.text, &p); err != nil {
 		return nil, err
 	}
 	if err := p.validate(); err != nil {
@@ -180,7 +181,7 @@
 	return &p, nil
 }
 
-// readTrace reads the trace that the file names.
+// readTrace reads the file that Load.Trace specifies.
 func (p *Plan) readTrace() ([]workload.Arrival, error) {
 	path := p.Load.Trace
 	if !filepath.IsAbs(path) {
@@ -191,23 +192,23 @@
 		return nil, fmt.Errorf("load.trace: %w", err)
 	}
 	defer file.Close()
-	return p.schedule.ReadTrace(path, file, p.Seed)
+	return p.workloadPlan.ReadTrace(path, file, p.Seed)
 }
 
-// Duration returns the length of the load: that of its phases, or the time to the last arrival of its trace.
+// Duration returns the duration of the load: the total of its phases, or the time until the last arrival of its trace.
 func (p *Plan) Duration() time.Duration {
 	if count := len(p.trace); count > 0 {
-		return p.trace[count-1].At + time.Millisecond // so that the last arrival is within it
+		return p.trace[count-1].At + time.Millisecond // so that the duration includes the last arrival
 	}
-	return workload.TotalDuration(p.schedule.Segments)
+	return workload.TotalDuration(p.workloadPlan.Segments)
 }
 
-// Schedule returns the arrivals for a seed. A trace is the same for all seeds.
+// Schedule returns the arrivals for a seed. If the plan has a trace, it returns the trace for every seed.
 func (p *Plan) Schedule(seed uint64) []workload.Arrival {
 	if p.trace != nil {
 		return p.trace
 	}
-	withFaults := *p.schedule
+	withFaults := *p.workloadPlan
 	withFaults.ExtraLoads = p.timeline.ExtraLoads
 	return withFaults.Schedule(seed)
 }
@@ -228,7 +229,8 @@
 	return names
 }
 
-// WithPolicy returns the plan with another policy, validated again.
+// WithPolicy returns a copy of the plan with another policy, and an error if the copy is invalid. A baseline's fault is
+// dropped for the policy Canvasroute.
 func (p *Plan) WithPolicy(policy string) (*Plan, error) {
 	changed := *p
 	changed.Dispatchers.Policy = policy
--- a/internal/testbed/experiment/power.go
+++ b/internal/testbed/experiment/power.go
@@ -7,9 +7,9 @@
 	"canvasroute/internal/testbed/fault"
 )
 
-// losePower kills dispatchers, all at once. Each starts again with the endpoint list of this time, as it learns of no
-// change while it has no power.
-func (env *environment) losePower(targets []int) {
+// cutPower kills the target dispatchers at the same time. It saves the endpoint list of each for the restart, because a
+// dispatcher receives no updates while it has no power.
+func (env *environment) cutPower(targets []int) {
 	var kills sync.WaitGroup
 	for _, n := range targets {
 		endpoints := env.discovery.CompleteList(n)
@@ -18,15 +18,15 @@
 			env.endpointsAtPowerLoss[n] = endpoints
 		}
 		env.mu.Unlock()
-		env.dispatcherDown(n)
+		env.recordOutageStart(n)
 		kills.Go(env.process(n).kill)
 	}
 	kills.Wait()
 }
 
-// returnPower starts dispatchers again. Their disks are in the state of the action's mode, and their clocks have moved
-// by its duration.
-func (env *environment) returnPower(ctx context.Context, action fault.Action) {
+// restorePower starts the target dispatchers again, with their state folders in the disk state that the action's mode
+// selects and their clocks shifted by the action's duration.
+func (env *environment) restorePower(ctx context.Context, action fault.Action) {
 	for _, n := range action.Targets {
 		if env.process(n).running() {
 			continue
@@ -34,16 +34,16 @@
 		if env.links != nil {
 			env.recordFailure(env.damageDisk(n, action))
 			if action.Duration != 0 {
-				env.recordFailure(shiftClock(env.process(n).disk, dispatcherName(n), action.Duration))
+				env.recordFailure(shiftClock(env.process(n).stateFolder, dispatcherName(n), action.Duration))
 			}
 		}
 		env.recordFailure(env.launchDispatcher(n))
-		if env.links != nil && action.Mode == fault.DiskIntact && env.drainedBefore(n) {
+		if env.links != nil && action.Mode == fault.DiskIntact && env.isDrainedByOperator(n) {
 			env.actions.Go(func() { env.watchDrained(ctx, n) })
 		}
 		env.mu.Lock()
 		delete(env.endpointsAtPowerLoss, n)
 		env.mu.Unlock()
-		env.dispatcherUp(n)
+		env.recordOutageEnd(n)
 	}
 }
--- a/internal/testbed/experiment/process.go
+++ b/internal/testbed/experiment/process.go
@@ -12,44 +12,44 @@
 	"time"
 )
 
-// process is a dispatcher's process over all its incarnations. Signals go only to the process started last.
+// process runs the successive incarnations of a dispatcher's process. Signals are sent to the most recent one only.
 type process struct {
-	name      string
-	folder    string   // of the result, for the log and the configuration
-	command   []string // the program and its arguments
-	directory string   // for temporary files, shared by both processes of an upgrade
-	adminAddr string   // address of the admin server
-	fleet     string   // path of the fleet's configuration file, "" for none
-	disk      string   // state folder, "" for none
-	log       *os.File
+	name            string
+	folder          string   // result folder, which holds the log and the configuration
+	command         []string // program and its arguments
+	tempFolder      string   // folder for temporary files, shared by both processes of an upgrade
+	adminAddr       string   // address of the admin server
+	fleetConfigPath string   // path of the fleet configuration file, "" for none
+	stateFolder     string   // state folder, "" for none
+	log             *os.File
 
 	mu              sync.Mutex
-	cmd             *exec.Cmd     // of the process started last, nil before the first start
-	exited          chan struct{} // closed when the process of cmd has ended
-	stopping        bool          // it was asked to end, or killed
-	incarnations    int           // started so far
-	unexpectedExits []string      // descriptions of exits without stopping
-	cpu             time.Duration // of all incarnations that have ended
+	cmd             *exec.Cmd     // most recent process, nil before the first start
+	exited          chan struct{} // closed when the process of cmd has exited
+	stopping        bool          // the process has been told to stop, or killed
+	incarnations    int           // number of processes started
+	unexpectedExits []string      // descriptions of exits that the testbed did not cause
+	cpu             time.Duration // CPU time of all incarnations that have exited
 	paused          bool
 }
 
-// Modes of files and folders that only the testbed and its dispatchers use.
+// Permissions of files and folders that only the testbed and its dispatchers use.
 const (
 	fileMode   = 0o600
 	folderMode = 0o700
 )
 
-// newProcess returns a process that is not started yet, and opens its log.
+// newProcess returns a process that has not been started. It creates the log and the folder for temporary files.
 func newProcess(name, folder string, command []string) (*process, error) {
 	log, err := os.Create(filepath.Join(folder, name+".log"))
 	if err != nil {
 		return nil, err
 	}
-	directory := filepath.Join(folder, name+".tmp")
-	if err := os.MkdirAll(directory, folderMode); err != nil {
+	tempFolder := filepath.Join(folder, name+".tmp")
+	if err := os.MkdirAll(tempFolder, folderMode); err != nil {
 		return nil, err
 	}
-	return &process{name: name, folder: folder, command: command, log: log, directory: directory}, nil
+	return &process{name: name, folder: folder, command: command, log: log, tempFolder: tempFolder}, nil
 }
 
 // writeConfig replaces the configuration file atomically.
@@ -64,8 +64,9 @@
 // configPath returns the path of the configuration file.
 func (p *process) configPath() string { return filepath.Join(p.folder, p.name+".json") }
 
-// absorb adds the CPU time and unexpected exits of another process of the same dispatcher, which has ended.
-func (p *process) absorb(old *process) {
+// mergeStatistics adds the CPU time and the unexpected exits of old, an earlier process of the same dispatcher that has
+// exited.
+func (p *process) mergeStatistics(old *process) {
 	old.mu.Lock()
 	defer old.mu.Unlock()
 	p.mu.Lock()
@@ -74,7 +75,7 @@
 	p.unexpectedExits = append(p.unexpectedExits, old.unexpectedExits...)
 }
 
-// start starts the program with a configuration.
+// start writes the configuration and starts the program.
 func (p *process) start(config []byte) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -82,9 +83,9 @@
 		return err
 	}
 	cmd := exec.Command(p.command[0], p.command[1:]...)
-	cmd.Env = append(os.Environ(), "LB_CONFIG="+p.configPath(), "TMPDIR="+p.directory)
-	if p.fleet != "" {
-		cmd.Env = append(cmd.Env, "LB_FLEET="+p.fleet)
+	cmd.Env = append(os.Environ(), "LB_CONFIG="+p.configPath(), "TMPDIR="+p.tempFolder)
+	if p.fleetConfigPath != "" {
+		cmd.Env = append(cmd.Env, "LB_FLEET="+p.fleetConfigPath)
 	}
 	cmd.Stdout = p.log
 	cmd.Stderr = p.log
@@ -101,7 +102,7 @@
 	return nil
 }
 
-// recordExit waits for the end of a process, records its CPU time and whether it was unexpected, and closes exited.
+// recordExit waits for cmd to exit, records its CPU time and whether the exit was unexpected, and closes exited.
 func (p *process) recordExit(cmd *exec.Cmd, exited chan<- struct{}) {
 	err := cmd.Wait()
 	p.mu.Lock()
@@ -113,7 +114,7 @@
 	close(exited)
 }
 
-// running reports whether the process runs.
+// running reports whether the process is running.
 func (p *process) running() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -128,28 +129,29 @@
 	}
 }
 
-// signal sends a signal after which the process continues.
+// signal sends a signal that does not end the process. It does nothing if the process is not running.
 func (p *process) signal(sig syscall.Signal) {
 	if !p.running() {
 		return
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	_ = p.cmd.Process.Signal(sig) // fails only if it has just ended, which Wait reports
+	_ = p.cmd.Process.Signal(sig) // fails only if the process has just exited, which Wait reports
 }
 
-// signalToEnd sends a signal that ends the process, so that its end is not unexpected.
-func (p *process) signalToEnd(sig syscall.Signal) {
+// sendStopSignal sends a signal that ends the process, and records that its exit is expected. It does nothing if the
+// process is not running.
+func (p *process) sendStopSignal(sig syscall.Signal) {
 	if !p.running() {
 		return
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.stopping = true
-	_ = p.cmd.Process.Signal(sig) // fails only if it has just ended, which Wait reports
+	_ = p.cmd.Process.Signal(sig) // fails only if the process has just exited, which Wait reports
 }
 
-// pause stops the process until resume.
+// pause suspends the process until resume.
 func (p *process) pause() {
 	p.signal(syscall.SIGSTOP)
 	p.mu.Lock()
@@ -157,7 +159,7 @@
 	p.mu.Unlock()
 }
 
-// resume ends a pause.
+// resume continues a paused process.
 func (p *process) resume() {
 	p.signal(syscall.SIGCONT)
 	p.mu.Lock()
@@ -165,25 +167,26 @@
 	p.mu.Unlock()
 }
 
-// kill kills the process and waits for its end.
+// kill kills the process and waits until it has exited.
 func (p *process) kill() {
-	p.signalToEnd(syscall.SIGKILL)
+	p.sendStopSignal(syscall.SIGKILL)
 	p.wait(context.Background())
 }
 
-// errStopTimeout means that a process did not end in time and was killed.
+// errStopTimeout is returned if a process did not exit within the timeout and was killed.
 var errStopTimeout = errors.New("did not end in time")
 
-// stop asks the process to end, and kills it after the timeout.
-func (p *process) stop(within time.Duration) error {
+// stop sends SIGTERM to the process, which it resumes first if paused. If the process does not exit within the timeout,
+// stop kills it and returns an error that wraps errStopTimeout.
+func (p *process) stop(timeout time.Duration) error {
 	p.mu.Lock()
 	paused := p.paused
 	p.mu.Unlock()
 	if paused {
 		p.resume()
 	}
-	p.signalToEnd(syscall.SIGTERM)
-	ctx, cancel := context.WithTimeout(context.Background(), within)
+	p.sendStopSignal(syscall.SIGTERM)
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	if p.wait(ctx) {
 		return nil
@@ -192,8 +195,8 @@
 	return fmt.Errorf("dispatcher %s: %w", p.name, errStopTimeout)
 }
 
-// wait waits for the end of the process or of ctx, and reports whether the process has ended. One that was never
-// started has.
+// wait waits until the process exits or ctx ends. It reports whether the process has exited, and returns true if the
+// process was never started.
 func (p *process) wait(ctx context.Context) bool {
 	p.mu.Lock()
 	exited := p.exited
--- a/internal/testbed/experiment/process_linux.go
+++ b/internal/testbed/experiment/process_linux.go
@@ -2,8 +2,8 @@
 
 import "syscall"
 
-// processGroup returns attributes that start a process in a group of its own, so that an interrupt at the terminal
-// reaches only the testbed. The kernel kills the process if the testbed dies.
+// processGroup returns attributes that start a process in its own process group, so that an interrupt from the terminal
+// is sent to the testbed only. The kernel kills the process if the testbed exits.
 func processGroup() *syscall.SysProcAttr {
 	return &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
 }
--- a/internal/testbed/experiment/process_other.go
+++ b/internal/testbed/experiment/process_other.go
@@ -4,6 +4,6 @@
 
 import "syscall"
 
-// processGroup returns attributes that start a process in a group of its own, so that an interrupt at the terminal
-// reaches only the testbed.
+// processGroup returns attributes that start a process in its own process group, so that an interrupt from the terminal
+// is sent to the testbed only.
 func processGroup() *syscall.SysProcAttr { return &syscall.SysProcAttr{Setpgid: true} }
--- a/internal/testbed/experiment/recovery.go
+++ b/internal/testbed/experiment/recovery.go
@@ -10,7 +10,7 @@
 	"canvasroute/internal/testbed/workload"
 )
 
-// PhaseResult is a phase of a dispatcher's recovery, from its log.
+// PhaseResult is a recovery phase that a dispatcher has entered, read from its log.
 type PhaseResult struct {
 	Dispatcher int     `json:"dispatcher"` // index
 	Phase      string  `json:"phase"`
@@ -22,7 +22,7 @@
 // recoveryMessage is the message of the log entry that a dispatcher writes when it enters a phase, see docs/oncall.md.
 const recoveryMessage = "returning"
 
-// readPhases reads the phases from the dispatchers' logs.
+// readPhases reads the recovery phases from the logs of all dispatchers.
 func readPhases(env *environment) (phases []PhaseResult) {
 	startedAt := time.Unix(0, env.startedAtNanos.Load())
 	for n, p := range env.processes {
@@ -49,7 +49,7 @@
 	return phases
 }
 
-// recoveries measures how the fleet recovered from each loss of power.
+// recoveries measures the recovery of the fleet from each power loss.
 func (p *Plan) recoveries(r *Result, timeline *fault.Timeline, schedule []workload.Arrival) (all []metrics.Recovery) {
 	calls := p.offeredCalls(schedule)
 	for index, mark := range timeline.Marks {
@@ -69,7 +69,7 @@
 	return all
 }
 
-// offeredCalls returns what each call of a schedule can earn.
+// offeredCalls returns the work and the value of each call of a schedule.
 func (p *Plan) offeredCalls(schedule []workload.Arrival) (calls []metrics.OfferedCall) {
 	for _, arrival := range schedule {
 		operation := &p.Operations[arrival.Operation]
@@ -85,7 +85,8 @@
 	return calls
 }
 
-// returningWorkers returns the workers, with the time at which the last restart of each by a fault is due.
+// returningWorkers returns the workers, each with the scheduled time of its last restart by the fault at index, or with
+// metrics.NoPowerLoss if the fault does not restart it.
 func (p *Plan) returningWorkers(timeline *fault.Timeline, index int) (workers []metrics.ReturningWorker) {
 	for n, place := range p.placeWorkers() {
 		returning := metrics.ReturningWorker{Cores: p.Fleet.Kinds[place.kind].Cores, BackAt: metrics.NoPowerLoss}
--- a/internal/testbed/experiment/renamed_keys.go
+++ b/internal/testbed/experiment/renamed_keys.go
@@ -9,8 +9,8 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// renamedKeys maps each former key of an experiment file to its present name. A former key is written with its path, in
-// which the keys above it have their present names.
+// renamedKeys maps each former key of an experiment file to its current name. A former key is given as its path, in
+// which the parent keys have their current names.
 var renamedKeys = map[string]string{
 	"customer": "tenants",
 	"trouble":  "fault",
@@ -47,62 +47,63 @@
 	"fault.workers-back": "workers-restore-after",
 }
 
-// ErrBothNames is returned for a file that uses both the former and the present name of a key.
+// ErrBothNames is returned for a file that uses both the former and the current name of a key.
 var ErrBothNames = errors.New("two names of the same key")
 
-// RenamedKey is a former key that an experiment file uses.
+// RenamedKey describes a former key that an experiment file uses.
 type RenamedKey struct {
 	File string
-	Line int    // of the key's first use, from 1
-	Old  string // path of the key as the file has it, such as "fault.customer"
-	New  string // path of the key with its present name
+	Line int    // of the first use of the key, from 1
+	Old  string // path of the key with its former name, such as "fault.customer"
+	New  string // path of the key with its current name
 }
 
-// String returns the warning that operators read.
+// String returns a warning that asks operators to rename the key.
 func (k RenamedKey) String() string {
 	return fmt.Sprintf("%s:%d: key %s is now called %s: please rename it", k.File, k.Line, k.Old, k.New)
 }
 
-// presentText is the text of an experiment file in which all keys have their present names.
-type presentText struct {
+// currentText is the text of an experiment file in which all keys have their current names.
+type currentText struct {
 	text    []byte
-	renamed []RenamedKey // former keys of the file, in the order of their first use
+	renamed []RenamedKey // former keys in the original file, in the order of their first use
 }
 
-// usePresentNames replaces all former keys of an experiment file. Lines keep their numbers. A text that is not TOML is
-// returned as it is: its decoder reports what is wrong. The error wraps ErrBothNames.
-func usePresentNames(file string, text []byte) (presentText, error) {
-	scan := keyScan{file: file, present: map[string]int{}}
+// replaceFormerKeys replaces all former keys of an experiment file with their current names, and preserves line
+// numbers. It returns text that is not valid TOML unchanged, because the decoder reports the error later. Errors wrap
+// ErrBothNames.
+func replaceFormerKeys(file string, text []byte) (currentText, error) {
+	scan := keyScan{file: file, currentKeys: map[string]int{}}
 	scan.parser.Reset(text)
 	for scan.parser.NextExpression() {
 		scan.addExpression(scan.parser.Expression())
 	}
 	if scan.parser.Error() != nil {
-		return presentText{text: text}, nil
+		return currentText{text: text}, nil
 	}
 	if err := scan.checkNames(); err != nil {
-		return presentText{}, err
+		return currentText{}, err
 	}
-	return presentText{text: scan.replace(text), renamed: scan.renamed}, nil
+	return currentText{text: scan.applyReplacements(text), renamed: scan.renamed}, nil
 }
 
-// keyScan finds the former keys in the text of an experiment file.
+// keyScan collects the former keys in the text of an experiment file.
 type keyScan struct {
 	parser       unstable.Parser
 	file         string
-	table        []string       // present path of the table that the scan is in
-	present      map[string]int // line of the first use of each key that has its present name, by path
+	table        []string       // path of the table being scanned, with current names
+	currentKeys  map[string]int // line of the first use of each key with its current name, by path
 	renamed      []RenamedKey
-	replacements []replacement // in the order of the text
+	replacements []replacement // in text order
 }
 
-// replacement is a range of the text that becomes a present name.
+// replacement is a range of the text, and the current key name that replaces it.
 type replacement struct {
-	from unstable.Range
-	to   string
+	textRange   unstable.Range
+	currentName string
 }
 
-// addExpression records the keys of a table's header, or of a key with its value.
+// addExpression records the keys of a table header or of a key-value pair.
 func (s *keyScan) addExpression(expression *unstable.Node) {
 	switch expression.Kind {
 	case unstable.Table, unstable.ArrayTable:
@@ -134,7 +135,7 @@
 	}
 }
 
-// addKey records a key of a table, part by part, and returns the key's present path.
+// addKey records each part of a key in a table, and returns the path of the key with current names.
 func (s *keyScan) addKey(table []string, parts unstable.Iterator) []string {
 	path := slices.Clone(table)
 	for parts.Next() {
@@ -143,34 +144,35 @@
 	return path
 }
 
-// addPart records one part of a key below the present path of the parts before it, and returns the part's present name.
+// addPart records one part of a key, and returns its current name. parent is the path of the preceding parts, with
+// current names.
 func (s *keyScan) addPart(parent []string, part *unstable.Node) string {
 	name := string(part.Data)
-	written := joinKey(parent, name)
+	writtenPath := joinKey(parent, name)
 	line := s.parser.Shape(part.Raw).Start.Line
-	newName, isFormer := renamedKeys[written]
+	newName, isFormer := renamedKeys[writtenPath]
 	if !isFormer {
-		if _, seen := s.present[written]; !seen {
-			s.present[written] = line
+		if _, seen := s.currentKeys[writtenPath]; !seen {
+			s.currentKeys[writtenPath] = line
 		}
 		return name
 	}
-	s.replacements = append(s.replacements, replacement{from: part.Raw, to: newName})
-	if !slices.ContainsFunc(s.renamed, func(k RenamedKey) bool { return k.Old == written }) {
-		s.renamed = append(s.renamed, RenamedKey{File: s.file, Line: line, Old: written, New: joinKey(parent, newName)})
+	s.replacements = append(s.replacements, replacement{textRange: part.Raw, currentName: newName})
+	if !slices.ContainsFunc(s.renamed, func(k RenamedKey) bool { return k.Old == writtenPath }) {
+		s.renamed = append(s.renamed, RenamedKey{File: s.file, Line: line, Old: writtenPath, New: joinKey(parent, newName)})
 	}
 	return newName
 }
 
-// joinKey returns the path of a key of a table, as operators write it.
+// joinKey returns the dotted path of a key in a table.
 func joinKey(table []string, name string) string {
 	return strings.Join(append(slices.Clone(table), name), ".")
 }
 
-// checkNames returns an error for the first key that the text has by both names.
+// checkNames returns an error that wraps ErrBothNames for the first key that the text uses with both names.
 func (s *keyScan) checkNames() error {
 	for _, key := range s.renamed {
-		if line, used := s.present[key.New]; used {
+		if line, used := s.currentKeys[key.New]; used {
 			return fmt.Errorf("%s:%d: %w: %s, and %s in line %d: use %s only", key.File, key.Line, ErrBothNames,
 				key.Old, key.New, line, key.New)
 		}
@@ -178,15 +180,15 @@
 	return nil
 }
 
-// replace returns the text with its replacements.
-func (s *keyScan) replace(text []byte) []byte {
+// applyReplacements returns the text with all replacements applied.
+func (s *keyScan) applyReplacements(text []byte) []byte {
 	var replaced []byte
-	copied := 0 // bytes of the text
+	copied := 0 // number of bytes of the text already copied or replaced
 	for _, r := range s.replacements {
-		start := int(r.from.Offset)
+		start := int(r.textRange.Offset)
 		replaced = append(replaced, text[copied:start]...)
-		replaced = append(replaced, r.to...)
-		copied = start + int(r.from.Length)
+		replaced = append(replaced, r.currentName...)
+		copied = start + int(r.textRange.Length)
 	}
 	return append(replaced, text[copied:]...)
 }
--- a/internal/testbed/experiment/renamed_keys_test.go
+++ b/internal/testbed/experiment/renamed_keys_test.go
@@ -16,14 +16,14 @@
 	"canvasroute/internal/tomlconfig"
 )
 
-// failOnRenamedKey returns a function that fails the test for each former key in a file.
+// failOnRenamedKey returns a callback that fails the test for each former key in a file.
 func failOnRenamedKey(t *testing.T) func(RenamedKey) {
 	t.Helper()
 	return func(key RenamedKey) { t.Error(key) }
 }
 
-// presentKeysFile has each key that has a former name, with a value other than the default.
-const presentKeysFile = `name = "keys"
+// currentKeysFile sets every key that has a former name, by its current name and to a value other than the default.
+const currentKeysFile = `name = "keys"
 [dispatchers]
 count = 3
 poll-interval = "7s"
@@ -82,7 +82,7 @@
 max-attempts = 9
 `
 
-// parseKeys parses a file, and returns the plan and the former keys in the file.
+// parseKeys parses the text of a file, and returns the plan and the former keys in the text.
 func parseKeys(t *testing.T, text string) (plan *Plan, renamed []RenamedKey) {
 	t.Helper()
 	plan, err := Parse("keys.toml", []byte(text), func(key RenamedKey) { renamed = append(renamed, key) })
@@ -90,8 +90,8 @@
 	return plan, renamed
 }
 
-func TestPresentKeysAreRead(t *testing.T) {
-	plan, renamed := parseKeys(t, presentKeysFile)
+func TestCurrentKeysAreRead(t *testing.T) {
+	plan, renamed := parseKeys(t, currentKeysFile)
 	assert.Empty(t, renamed)
 	dispatchers := defaults().Dispatchers
 	dispatchers.Count = 3
@@ -124,10 +124,10 @@
 	assert.Equal(t, 9, plan.Faults[2].MaxAttempts)
 }
 
-// formerKey is a line of presentKeysFile, and the same line with its former key.
+// formerKey holds the former and the current path of a key, and its line in currentKeysFile with either name.
 type formerKey struct {
-	old, new           string // paths of the key
-	oldLine, otherLine string
+	old, new         string // paths of the key
+	oldLine, newLine string
 }
 
 var formerKeys = []formerKey{
@@ -170,12 +170,12 @@
 }
 
 func TestFormerKeysAreReadWithAWarning(t *testing.T) {
-	want, _ := parseKeys(t, presentKeysFile)
+	want, _ := parseKeys(t, currentKeysFile)
 	for _, key := range formerKeys {
 		t.Run(key.old, func(t *testing.T) {
-			before, _, found := strings.Cut(presentKeysFile, "\n"+key.otherLine+"\n")
+			before, _, found := strings.Cut(currentKeysFile, "\n"+key.newLine+"\n")
 			assert.True(t, found)
-			plan, renamed := parseKeys(t, strings.ReplaceAll(presentKeysFile, "\n"+key.otherLine+"\n", "\n"+key.oldLine+"\n"))
+			plan, renamed := parseKeys(t, strings.ReplaceAll(currentKeysFile, "\n"+key.newLine+"\n", "\n"+key.oldLine+"\n"))
 			assert.Equal(t, want, plan)
 			line := strings.Count(before, "\n") + 2
 			assert.Equal(t, []RenamedKey{{File: "keys.toml", Line: line, Old: key.old, New: key.new}}, renamed)
@@ -191,8 +191,8 @@
 func TestFileWithBothNamesOfAKeyIsRejected(t *testing.T) {
 	for _, key := range formerKeys {
 		t.Run(key.old, func(t *testing.T) {
-			both := key.otherLine + "\n" + key.oldLine
-			_, err := Parse("keys.toml", []byte(strings.Replace(presentKeysFile, key.otherLine, both, 1)), failOnRenamedKey(t))
+			both := key.newLine + "\n" + key.oldLine
+			_, err := Parse("keys.toml", []byte(strings.Replace(currentKeysFile, key.newLine, both, 1)), failOnRenamedKey(t))
 			assert.ErrorIs(t, err, ErrBothNames)
 			assert.ErrorContains(t, err, ": "+key.old+", and "+key.new+" in line ")
 		})
@@ -210,36 +210,36 @@
 		{"not TOML", "[[trouble]]\nkind =\n", "[[trouble]]\nkind =\n"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			got, err := usePresentNames("keys.toml", []byte(c.text))
+			got, err := replaceFormerKeys("keys.toml", []byte(c.text))
 			assert.NoError(t, err)
 			assert.Equal(t, c.want, string(got.text))
 		})
 	}
 }
 
-func TestUnknownKeyBesideAFormerOneIsRejectedWithItsLine(t *testing.T) {
+func TestUnknownKeyNextToFormerKeyIsRejectedWithItsLine(t *testing.T) {
 	var renamed []RenamedKey
 	_, err := Parse("keys.toml", []byte("[[trouble]]\nkind = \"crash\"\nworker = 1\n"), func(key RenamedKey) {
 		renamed = append(renamed, key)
 	})
 	assert.ErrorIs(t, err, tomlconfig.ErrUnknownKey)
 	assert.EqualError(t, err, "keys.toml:3: unknown key fault.worker")
-	assert.Len(t, renamed, 1, "the warning explains the other name")
+	assert.Len(t, renamed, 1, "the former key was not reported, although the error contains its current name")
 }
 
-// formerText returns the text of a ready experiment file with all keys by their former names.
-func formerText(text string) string {
+// formerKeyText returns the text of an experiment file with all keys replaced by their former names.
+func formerKeyText(text string) string {
 	for _, key := range formerKeys {
 		oldName, _, _ := strings.Cut(key.oldLine, " =")
-		newName, _, _ := strings.Cut(key.otherLine, " =")
+		newName, _, _ := strings.Cut(key.newLine, " =")
 		line := regexp.MustCompile(`(?m)^( *)` + regexp.QuoteMeta(newName) + `( =|$)`)
 		text = line.ReplaceAllString(text, "${1}"+oldName+"${2}")
 	}
 	return text
 }
 
-// The ready experiment files must stay valid, as operators run them as they are, and mean what they meant with former
-// keys.
+// Operators run the supplied experiment files without changes. The files must be valid, and must give the same plan
+// with former keys.
 func TestReadyExperimentFilesAreValid(t *testing.T) {
 	paths, err := filepath.Glob("../../../deploy/testbed/*.toml")
 	assert.NoError(t, err)
@@ -251,7 +251,7 @@
 			plan, err := Read(path, failOnRenamedKey(t))
 			assert.NoError(t, err)
 			warnings := 0
-			former, err := Parse(path, []byte(formerText(string(text))), func(RenamedKey) { warnings++ })
+			former, err := Parse(path, []byte(formerKeyText(string(text))), func(RenamedKey) { warnings++ })
 			assert.NoError(t, err)
 			assert.Equal(t, plan, former)
 			assert.Positive(t, warnings)
--- a/internal/testbed/experiment/result.go
+++ b/internal/testbed/experiment/result.go
@@ -19,19 +19,19 @@
 	"canvasroute/internal/testbed/workload"
 )
 
-// resultName is the file in a result's folder that ReadResult reads.
+// resultName is the name of the file in a result folder that ReadResult reads.
 const resultName = "result.json"
 
 // formatVersion is the version of the format of result.json.
 const formatVersion = 1
 
-// Modes of results, which other users may read.
+// Permissions of results, which are readable by other users.
 const (
 	resultMode       = 0o644
 	resultFolderMode = 0o755
 )
 
-// Result is the result of a run. Its JSON keys are those of result.json.
+// Result is the result of a run, as stored in result.json.
 type Result struct {
 	Format          int                 `json:"format"`
 	Name            string              `json:"name"`
@@ -42,19 +42,19 @@
 	Partial         bool                `json:"partial"` // the run was interrupted
 	DurationSeconds float64             `json:"long_s"`
 	Cores           int                 `json:"machine_cores"`
-	Schedule        string              `json:"schedule"` // fingerprint of the schedule
+	Schedule        string              `json:"schedule"` // hash of the schedule
 	Planned         int                 `json:"planned_arrivals"`
 	Calls           metrics.Summary     `json:"calls"`
-	Rules           map[string]int      `json:"rules"` // number of violations by rule
+	Rules           map[string]int      `json:"rules"` // number of violations, by rule
 	Violations      []history.Violation `json:"breaches"`
 	Workers         []WorkerResult      `json:"workers"`
 	Dispatchers     []ProcessResult     `json:"dispatchers"`
 	Faults          []fault.Mark        `json:"troubles"`
-	Recoveries      []metrics.Recovery  `json:"backs,omitempty"`  // from each loss of power
-	Phases          []PhaseResult       `json:"phases,omitempty"` // of each dispatcher's recovery
+	Recoveries      []metrics.Recovery  `json:"backs,omitempty"`  // one for each power loss
+	Phases          []PhaseResult       `json:"phases,omitempty"` // recovery phases of all dispatchers
 	Peers           map[string]int      `json:"peer_datagrams,omitempty"`
 	Failures        []string            `json:"failures"` // errors of processes and stand-ins
-	Attempts        map[string]int64    `json:"forwards"` // by AttemptEnd
+	Attempts        map[string]int64    `json:"forwards"` // number of attempts, by name of AttemptEnd
 }
 
 // WorkerResult is the result of one worker.
@@ -73,12 +73,12 @@
 	Name         string          `json:"name"`
 	Incarnations int             `json:"lives"`
 	CPU          float64         `json:"cpu_s"`              // seconds
-	Tries        int64           `json:"tries"`              // requests that clients sent to it
-	Counters     json.RawMessage `json:"counters,omitempty"` // the counters that it logged last
+	Tries        int64           `json:"tries"`              // number of requests that clients sent to the dispatcher
+	Counters     json.RawMessage `json:"counters,omitempty"` // last counters in the dispatcher's log
 }
 
-// endNames are the names of attempt ends in results.
-var endNames = [...]string{
+// attemptEndNames maps each AttemptEnd to its name in results.
+var attemptEndNames = [...]string{
 	history.Running:       "running",
 	history.Done:          "done",
 	history.Failed:        "failed",
@@ -89,10 +89,10 @@
 	history.Deduplicated:  "repeat_dropped",
 }
 
-// maxViolations is how many violations a result lists.
+// maxViolations limits the violations that a result lists.
 const maxViolations = 200
 
-// result collects the result of a run from a closed environment.
+// result assembles the result of a run from a closed environment.
 func (p *Plan) result(env *environment, recorder *metrics.Recorder, timeline *fault.Timeline, schedule []workload.Arrival) *Result {
 	result := &Result{
 		Format:          formatVersion,
@@ -122,7 +122,7 @@
 	return result
 }
 
-// addViolations adds the number of violations of each rule that was checked, and the first violations.
+// addViolations adds the number of violations of each checked rule, and the first maxViolations violations.
 func (r *Result) addViolations(violations []history.Violation, keysPersisted bool) {
 	for _, rule := range history.Rules {
 		r.Rules[string(rule)] = 0
@@ -136,7 +136,7 @@
 	r.Violations = append(r.Violations, violations[:min(len(violations), maxViolations)]...)
 }
 
-// addWorkers adds the results of the workers, and the number of attempts by end.
+// addWorkers adds the results of the workers, and the number of attempts by AttemptEnd.
 func (r *Result) addWorkers(p *Plan, env *environment) {
 	for _, server := range env.servers {
 		identity := server.Identity()
@@ -151,7 +151,7 @@
 	slotLength := time.Duration(r.Calls.SlotSeconds * float64(time.Second))
 	for _, request := range env.history.Requests() {
 		for _, attempt := range request.Attempts {
-			r.Attempts[endNames[attempt.End]]++
+			r.Attempts[attemptEndNames[attempt.End]]++
 			worker := &r.Workers[attempt.Worker]
 			worker.Attempts++
 			if attempt.End != history.Done {
@@ -165,7 +165,7 @@
 	}
 }
 
-// addDispatchers adds the results of the dispatchers, and the failures of their processes.
+// addDispatchers adds the results of the dispatchers, and reports unexpected exits of their processes as failures.
 func (r *Result) addDispatchers(env *environment) {
 	for _, dispatcher := range env.processes {
 		r.Failures = append(r.Failures, dispatcher.unexpectedExits...)
@@ -181,7 +181,7 @@
 	}
 }
 
-// lastCounters returns the last counters in a dispatcher's log.
+// lastCounters returns the last counters in a dispatcher's log, or nil if there are none.
 func lastCounters(path string) (last json.RawMessage) {
 	scanLog(path, func(line []byte) {
 		if bytes.Contains(line, []byte(`"message":"counters"`)) && json.Valid(line) {
@@ -191,11 +191,11 @@
 	return last
 }
 
-// maxLogLineBytes bounds a line of a dispatcher's log.
+// maxLogLineBytes limits the length of a line that scanLog reads.
 const maxLogLineBytes = 1 << 20
 
-// scanLog passes each line of a dispatcher's log to a function, up to the first one that is too long. A log that cannot
-// be read has no lines.
+// scanLog calls handle for each line of a dispatcher's log, and stops before the first line longer than
+// maxLogLineBytes. If the log cannot be opened, scanLog does not call handle.
 func scanLog(path string, handle func(line []byte)) {
 	file, err := os.Open(path)
 	if err != nil {
@@ -209,7 +209,7 @@
 	}
 }
 
-// write writes the result to a folder atomically.
+// write atomically writes the result to resultName in a folder.
 func (r *Result) write(folder string) error {
 	text, err := json.MarshalIndent(r, "", " ")
 	if err != nil {
@@ -222,7 +222,7 @@
 	return os.Rename(path+".part", path)
 }
 
-// ReadResult reads a result from its folder.
+// ReadResult reads a result from its folder. It rejects a result of another format version.
 func ReadResult(folder string) (*Result, error) {
 	path := filepath.Join(folder, resultName)
 	text, err := os.ReadFile(path)
@@ -239,7 +239,8 @@
 	return result, nil
 }
 
-// ReadResults reads the result in a folder, or those in its subfolders, one for each seed.
+// ReadResults reads the result in a folder. If there is none, it reads the results in the subfolders, one for each
+// seed.
 func ReadResults(folder string) (results []*Result, err error) {
 	if result, err := ReadResult(folder); err == nil {
 		return []*Result{result}, nil
--- a/internal/testbed/experiment/run.go
+++ b/internal/testbed/experiment/run.go
@@ -18,32 +18,32 @@
 	"canvasroute/internal/testbed/workload"
 )
 
-// Options configure a run.
+// Options configures a run.
 type Options struct {
-	Folder   string // for the result; must not hold one yet
+	Folder   string // for the result; must not contain a result yet
 	Programs Programs
-	Progress func(Progress) // called now and then; nil: not called
+	Progress func(Progress) // called every progressInterval; nil: no progress reports
 }
 
-// Programs are the paths of the programs that a run starts.
+// Programs holds the paths of the programs that a run starts.
 type Programs struct {
-	Dispatcher string // the program under test
-	Self       string // this program, which also runs the baselines
+	Dispatcher string // program under test
+	Self       string // testbed itself, which also runs the baselines
 }
 
-// Progress is the state of a run.
+// Progress describes the state of a run.
 type Progress struct {
-	At    time.Duration // since the start
-	Of    time.Duration // length of the load
-	Calls metrics.CallCounts
-	Open  int // calls
+	At           time.Duration // since the start
+	LoadDuration time.Duration // duration of the load
+	Calls        metrics.CallCounts
+	Open         int // number of open calls
 }
 
-// maxSlots is the most time slots that a run is divided into.
-const maxSlots = 120
+// maxTimeSlots limits the time slots that a run is divided into.
+const maxTimeSlots = 120
 
-// Run runs the plan once with a seed, and writes the result to the folder. If ctx ends early, the result is partial. No
-// process is left running.
+// Run runs the plan once with a seed, and writes the result to the folder of the options. If ctx ends early, the result
+// is partial. All processes have exited when Run returns.
 func (p *Plan) Run(ctx context.Context, seed uint64, options Options) (*Result, error) {
 	if err := os.MkdirAll(options.Folder, resultFolderMode); err != nil {
 		return nil, err
@@ -61,7 +61,7 @@
 	if err != nil {
 		return nil, errors.Join(err, env.close())
 	}
-	recorder := metrics.NewRecorder(max(time.Second, p.Duration()/maxSlots), len(p.Operations), len(p.Tenants))
+	recorder := metrics.NewRecorder(max(time.Second, p.Duration()/maxTimeSlots), len(p.Operations), len(p.Tenants))
 	p.applyLoad(ctx, env, recorder, timeline, schedule, options.Progress)
 	closeError := env.close()
 	result := p.result(env, recorder, timeline, schedule)
@@ -73,11 +73,11 @@
 	return result, result.write(options.Folder)
 }
 
-// errLoadOver is why the context of the timeline ends, unless the experiment is interrupted.
-var errLoadOver = errors.New("all calls are over")
+// errLoadEnded is the cancellation cause of the timeline's context, unless the experiment is interrupted.
+var errLoadEnded = errors.New("all calls have ended")
 
-// applyLoad sends the schedule and applies the timeline meanwhile. It returns when all calls are over. Actions that are
-// still running end with the environment.
+// applyLoad sends the calls of the schedule while it applies the timeline in the background. It returns when all calls
+// have ended. The environment's close method waits for actions that are still running.
 func (p *Plan) applyLoad(ctx context.Context, env *environment, recorder *metrics.Recorder, timeline *fault.Timeline,
 	schedule []workload.Arrival, progress func(Progress),
 ) {
@@ -93,10 +93,10 @@
 		Recorder:   recorder,
 		Clock:      env.clock,
 	}
-	loading, stop := context.WithCancelCause(ctx)
-	defer stop(errLoadOver)
-	env.actions.Go(func() { env.applyTimeline(loading, timeline.Actions) })
-	env.actions.Go(func() { p.reportProgress(loading, generator, recorder, progress) })
+	loadCtx, stop := context.WithCancelCause(ctx)
+	defer stop(errLoadEnded)
+	env.actions.Go(func() { env.applyTimeline(loadCtx, timeline.Actions) })
+	env.actions.Go(func() { p.reportProgress(loadCtx, generator, recorder, progress) })
 	generator.Run(ctx, schedule)
 }
 
@@ -113,11 +113,11 @@
 	return command
 }
 
-// ErrNoDispatcher means that there is no dispatcher program to start.
+// ErrNoDispatcher is returned if the dispatcher program cannot be found.
 var ErrNoDispatcher = errors.New("no dispatcher to start")
 
-// FindPrograms returns the paths of the dispatcher program and of this program. The dispatcher is the one named, or for
-// "" the one beside this program.
+// FindPrograms returns the paths of the dispatcher program and of the testbed itself. dispatcher is a path or a name in
+// PATH; for "" it is the file canvasroute in the testbed's folder. The error wraps ErrNoDispatcher if there is none.
 func FindPrograms(dispatcher string) (programs Programs, err error) {
 	if programs.Self, err = os.Executable(); err != nil {
 		return Programs{}, err
@@ -126,8 +126,8 @@
 		dispatcher = filepath.Join(filepath.Dir(programs.Self), "canvasroute")
 	}
 	if dispatcher, err = exec.LookPath(dispatcher); err != nil {
-		return Programs{}, fmt.Errorf("%w: %w; build it beside this program with "+
-			"go build -o bin/ ./cmd/..., or name it with --dispatcher", ErrNoDispatcher, err)
+		return Programs{}, fmt.Errorf("%w: %w; build it into the testbed's folder with "+
+			"go build -o bin/ ./cmd/..., or give its path with --dispatcher", ErrNoDispatcher, err)
 	}
 	if programs.Dispatcher, err = filepath.Abs(dispatcher); err != nil {
 		return Programs{}, err
@@ -135,10 +135,10 @@
 	return programs, nil
 }
 
-// progressInterval is how often progress is reported.
+// progressInterval is the interval between progress reports.
 const progressInterval = 200 * time.Millisecond
 
-// reportProgress reports progress until ctx ends. Without a function to report to it does nothing.
+// reportProgress calls report every progressInterval until ctx ends. It does nothing if report is nil.
 func (p *Plan) reportProgress(ctx context.Context, generator *loadgen.Generator, recorder *metrics.Recorder, report func(Progress)) {
 	if report == nil {
 		return
@@ -151,11 +151,11 @@
 		case <-ctx.Done():
 			return
 		}
-		report(Progress{At: generator.Clock(), Of: p.Duration(), Calls: recorder.Counts(), Open: generator.Open()})
+		report(Progress{At: generator.Clock(), LoadDuration: p.Duration(), Calls: recorder.Counts(), Open: generator.Open()})
 	}
 }
 
-// ruleConfig returns what the rules depend on, for the workers of the environment.
+// ruleConfig returns the configuration of the rules for the plan and the workers of the environment.
 func (p *Plan) ruleConfig(env *environment) history.RuleConfig {
 	config := history.RuleConfig{
 		DrainGrace:    p.Dispatchers.DrainGrace.Std(),
@@ -177,10 +177,10 @@
 	return config
 }
 
-// fingerprintBytes is the length of a fingerprint before its encoding.
+// fingerprintBytes is the length of a fingerprint before hexadecimal encoding.
 const fingerprintBytes = 8
 
-// fingerprint returns a short hash of a schedule.
+// fingerprint returns a short hash of a schedule in hexadecimal.
 func fingerprint(schedule []workload.Arrival) string {
 	sum := sha256.Sum256(workload.Encode(schedule))
 	return hex.EncodeToString(sum[:fingerprintBytes])
--- a/internal/testbed/experiment/saturate.go
+++ b/internal/testbed/experiment/saturate.go
@@ -16,22 +16,22 @@
 
 // Saturation configures the search for the highest sustainable rate.
 type Saturation struct {
-	Policy        string        // of the dispatcher
-	Objective     time.Duration // limit of p99, counted from the intended time of sending
-	TrialDuration time.Duration // length of the load of each trial
+	Policy        string        // policy of the dispatcher
+	Objective     time.Duration // limit of p99, measured from the scheduled send time
+	TrialDuration time.Duration // duration of the load in each trial
 	Cores         float64       // of the dispatcher
 	Workers       int           // number of workers
 	FirstRate     float64       // first rate, per second
-	MaxRate       float64       // highest rate that is tried
+	MaxRate       float64       // highest rate to try, per second
 	Steps         int           // number of bisections
 	Seed          uint64
 }
 
-// Trial is the result for one rate.
+// Trial is the result of a trial at one rate.
 type Trial struct {
 	Rate          float64 `json:"rate"`          // calls per second
-	Holds         bool    `json:"holds"`         // the objective was reached, and the calls succeeded
-	Reason        string  `json:"why,omitempty"` // why it does not hold
+	Sustained     bool    `json:"holds"`         // p99 met the objective and enough calls succeeded
+	Reason        string  `json:"why,omitempty"` // why the rate is not sustained
 	GeneratorLate bool    `json:"generator_late"`
 	P50           float64 `json:"p50_ms"`
 	P99           float64 `json:"p99_ms"`
@@ -40,15 +40,16 @@
 	Bytes         float64 `json:"alloc_bytes_a_call"`
 }
 
-// minSuccessShare is the share of the calls that must succeed for a rate to hold.
+// minSuccessShare is the minimum share of successful calls for a rate to count as sustained.
 const minSuccessShare = 0.999
 
-// rateGrowth is the factor from one rate to the next while rates hold.
+// rateGrowth is the factor by which the rate increases until a rate is not sustained.
 const rateGrowth = 1.5
 
-// Saturate searches for the highest rate that holds. Each trial runs new processes, with workers that take no time.
+// Saturate searches for the highest sustained rate, and calls report after each trial. Each trial starts new processes,
+// and its workers complete jobs immediately.
 func Saturate(ctx context.Context, s Saturation, options Options, report func(Trial)) (best Trial, err error) {
-	low, high := 0.0, math.Inf(1) // the highest rate that holds, and the lowest that does not
+	low, high := 0.0, math.Inf(1) // highest rate that was sustained, lowest rate that was not
 	step := 0
 	for rate := s.FirstRate; step <= s.Steps && rate <= s.MaxRate; {
 		trial, err := s.runTrial(ctx, rate, options)
@@ -56,7 +57,7 @@
 			return best, err
 		}
 		report(trial)
-		if trial.Holds {
+		if trial.Sustained {
 			low = rate
 			best = trial
 		} else {
@@ -75,18 +76,19 @@
 	return best, ctx.Err()
 }
 
-// Sizes of everything but the dispatcher's cores in a trial, so that nothing else limits the rate.
+// Limits of a trial other than the dispatcher's cores. They are large enough that only the cores limit the rate.
 const (
 	trialMemoryMB    = 1024
 	trialSockets     = 8192
 	trialWorkerCores = 64
 	trialWorkerQueue = 4096
 	trialTimeout     = 2 * time.Second        // of clients
-	trialWork        = 100 * time.Microsecond // that a call stands for, which takes no time
+	trialWork        = 100 * time.Microsecond // nominal work of a call, which completes immediately
 )
 
-// planAt returns an experiment at a rate whose workers take no time, so that only the dispatcher limits it.
-func (s Saturation) planAt(rate float64) (*Plan, error) {
+// planForRate returns an experiment at the given rate. Its workers complete jobs immediately, so that only the
+// dispatcher limits the rate.
+func (s Saturation) planForRate(rate float64) (*Plan, error) {
 	plan := defaults()
 	plan.Name = "saturate"
 	plan.Seed = s.Seed
@@ -119,9 +121,9 @@
 	return &plan, plan.validate()
 }
 
-// runTrial runs one rate with new processes.
+// runTrial runs an experiment at one rate with new processes, and removes its folder.
 func (s Saturation) runTrial(ctx context.Context, rate float64, options Options) (Trial, error) {
-	plan, err := s.planAt(rate)
+	plan, err := s.planForRate(rate)
 	if err != nil {
 		return Trial{}, err
 	}
@@ -132,11 +134,11 @@
 	if err != nil {
 		return Trial{}, err
 	}
-	return s.judge(rate, result), os.RemoveAll(filepath.Clean(options.Folder))
+	return s.evaluateTrial(rate, result), os.RemoveAll(filepath.Clean(options.Folder))
 }
 
-// judge returns the trial of a rate, and decides from its result whether the rate holds.
-func (s Saturation) judge(rate float64, result *Result) Trial {
+// evaluateTrial returns the trial of a rate, and determines from the result whether the rate was sustained.
+func (s Saturation) evaluateTrial(rate float64, result *Result) Trial {
 	calls := float64(max(result.Calls.Total.Calls, 1))
 	trial := Trial{
 		Rate:          rate,
@@ -162,7 +164,7 @@
 	case time.Duration(trial.P99*float64(time.Millisecond)) > s.Objective:
 		trial.Reason = "p99 beyond the objective"
 	default:
-		trial.Holds = true
+		trial.Sustained = true
 	}
 	return trial
 }
--- a/internal/testbed/experiment/settings.go
+++ b/internal/testbed/experiment/settings.go
@@ -9,24 +9,24 @@
 	"canvasroute/internal/testbed/workload"
 )
 
-// jsonObject is an object of the platform's configuration.
+// jsonObject is a JSON object in the platform's configuration.
 type jsonObject map[string]any
 
-// idempotencyNames are the values of Operation.Idempotency in the platform's settings.
+// idempotencyNames maps the values of Operation.Idempotency to those in the platform's settings.
 var idempotencyNames = map[string]string{
 	workload.Idempotent:      "idempotent",
 	workload.IdempotentByKey: "deduplicated",
 	workload.NonIdempotent:   "at_most_once",
 }
 
-// Weights of the platform's goal. The testbed does not apply them.
+// Weights of the platform's goal in the settings. The testbed does not apply them itself.
 const (
-	goalTotal       = 0.8 // of the value of all requests
-	goalWorstWindow = 0.1 // of the worst window of time
-	goalWorstClass  = 0.1 // of the worst class of requests
+	goalTotal       = 0.8 // weight of the value of all requests
+	goalWorstWindow = 0.1 // weight of the worst time window
+	goalWorstClass  = 0.1 // weight of the worst class of requests
 )
 
-// settings returns the settings that the platform gives to the dispatcher at a position.
+// settings returns the settings of the dispatcher at a position, in the platform's format.
 func (p *Plan) settings(position int) jsonObject {
 	dispatchers, fleet := &p.Dispatchers, &p.Fleet
 	var operations, tenants []jsonObject
@@ -93,7 +93,7 @@
 	}
 }
 
-// limitSettings returns the settings of what a dispatcher is allowed to do.
+// limitSettings returns the policy limits: the features that a dispatcher may use, and their limits.
 func (p *Plan) limitSettings() jsonObject {
 	dispatchers, fleet := &p.Dispatchers, &p.Fleet
 	return jsonObject{
@@ -104,12 +104,13 @@
 		"peers":          dispatchers.Peers && dispatchers.Count > 1,
 		"retryAfter":     dispatchers.MaxRetryAfter > 0,
 		"maxRetryAfterS": dispatchers.MaxRetryAfter.Std().Seconds(),
-		"connIdleS":      fleet.Idle.Std().Seconds(),
+		"connIdleS":      fleet.ConnIdleTimeout.Std().Seconds(),
 		"dialTimeoutS":   dispatchers.DialTimeout.Std().Seconds(),
 	}
 }
 
-// dedupScope returns the scope in which workers deduplicate an operation, by default all of them.
+// dedupScope returns the scope in which workers deduplicate an operation. For an operation that is idempotent by key,
+// it defaults to all workers.
 func dedupScope(operation workload.Operation) string {
 	if operation.Idempotency == workload.IdempotentByKey && operation.DedupScope == "" {
 		return workload.ScopeAll
@@ -127,19 +128,19 @@
 	AdminAddr  string           `json:"mgmt"`
 	PeerListen string           `json:"peer_listen,omitempty"`
 	Peers      []netip.AddrPort `json:"peers,omitempty"`
-	Known      json.RawMessage  `json:"known,omitempty"` // endpoint list
+	Endpoints  json.RawMessage  `json:"known,omitempty"` // endpoint list at the start
 	Settings   jsonObject       `json:"settings"`
 }
 
-// dispatcherAddrs are the addresses in a dispatcher's configuration.
+// dispatcherAddrs holds the addresses in a dispatcher's configuration.
 type dispatcherAddrs struct {
 	listen    string           // for clients
 	admin     string           // of the admin server
 	discovery string           // of the discovery service
-	peers     []netip.AddrPort // of all dispatchers as this one sees them, nil if peers are off
+	peers     []netip.AddrPort // at which the dispatcher reaches all dispatchers, nil if peers are off
 }
 
-// dispatcherConfig returns the configuration of dispatcher n as JSON. endpoints is the list that it starts with.
+// dispatcherConfig returns the configuration of dispatcher n as JSON. endpoints is the endpoint list at its start.
 func (p *Plan) dispatcherConfig(n int, seed uint64, addrs dispatcherAddrs, endpoints []byte) ([]byte, error) {
 	d := &p.Dispatchers
 	file := dispatcherConfigFile{
@@ -149,7 +150,7 @@
 		Discovery: addrs.discovery,
 		Seed:      fmt.Sprintf("%016x", seed),
 		Limits:    jsonObject{"cores": d.Cores, "memory_mb": d.MemoryMB, "sockets": d.Sockets},
-		Known:     endpoints,
+		Endpoints: endpoints,
 		Settings:  p.settings(n),
 	}
 	if addrs.peers != nil {
--- a/internal/testbed/experiment/upgrade.go
+++ b/internal/testbed/experiment/upgrade.go
@@ -11,12 +11,12 @@
 )
 
 const (
-	upgradeTimeout     = 6 * time.Second // for the second process of an upgrade to accept clients
+	upgradeTimeout     = 6 * time.Second // until the second process of an upgrade must accept clients
 	healthPollInterval = 20 * time.Millisecond
 )
 
-// upgrade starts a second process of a dispatcher, and stops the first one once the second accepts clients.
-func (env *environment) upgrade(ctx context.Context, n int) {
+// upgradeDispatcher starts a second process of a dispatcher, and stops the first one once the second accepts clients.
+func (env *environment) upgradeDispatcher(ctx context.Context, n int) {
 	old := env.process(n)
 	next, err := env.startSuccessor(n, old)
 	if err != nil {
@@ -33,7 +33,7 @@
 	env.mu.Unlock()
 	env.recordFailure(old.stop(stopTimeout))
 	old.log.Close()
-	next.absorb(old)
+	next.mergeStatistics(old)
 }
 
 // startSuccessor starts the second process of an upgrade.
@@ -42,10 +42,10 @@
 	if err != nil {
 		return nil, err
 	}
-	next.directory = old.directory
+	next.tempFolder = old.tempFolder
 	next.incarnations = old.incarnations
-	next.fleet = old.fleet
-	next.disk = old.disk
+	next.fleetConfigPath = old.fleetConfigPath
+	next.stateFolder = old.stateFolder
 	adminAddr, err := freePort()
 	if err != nil {
 		return nil, err
@@ -58,16 +58,17 @@
 	return next, next.start(config)
 }
 
-// awaitSuccessor waits until the second process of an upgrade accepts clients, or has taken over a LEAVE. It waits for as
-// long as upgradeTimeout though all calls may be over before, and ends early only if the experiment is interrupted.
+// awaitSuccessor waits until the second process of an upgrade accepts clients, or until it reports a drain that it
+// inherits from an operator's LEAVE. It returns an error after upgradeTimeout or if the experiment is interrupted. It
+// does not stop waiting when the load ends before the upgrade is complete.
 func (env *environment) awaitSuccessor(ctx context.Context, n int, next *process) error {
 	for limit := time.Now().Add(upgradeTimeout); ; {
 		answer, err := callAdmin(next.adminAddr, commandHealth)
-		takesOverDrain := env.drainedBefore(n) && reportsDrain(answer)
-		if err == nil && (answer == answerDone || takesOverDrain) {
+		inheritedDrain := env.isDrainedByOperator(n) && reportsDrain(answer)
+		if err == nil && (answer == answerDone || inheritedDrain) {
 			return nil
 		}
-		if err := ctx.Err(); err != nil && !errors.Is(context.Cause(ctx), errLoadOver) {
+		if err := ctx.Err(); err != nil && !errors.Is(context.Cause(ctx), errLoadEnded) {
 			return fmt.Errorf("%s: waiting for its second process: %w", dispatcherName(n), err)
 		}
 		if time.Now().After(limit) {
@@ -77,8 +78,8 @@
 	}
 }
 
-// reportsDrain reports whether an answer to commandHealth says that the dispatcher is drained. Such a one never answers
-// done.
+// reportsDrain reports whether an answer to commandHealth is that of a draining or drained dispatcher, which never
+// returns answerDone.
 func reportsDrain(health string) bool {
 	return strings.Contains(health, lifecycle.Draining.String()) || strings.Contains(health, lifecycle.Drained.String())
 }
--- a/internal/testbed/experiment/upgrade_test.go
+++ b/internal/testbed/experiment/upgrade_test.go
@@ -10,8 +10,9 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// acceptAfter answers HEALTH with answerDone from some time on, and returns the address to ask.
-func acceptAfter(t *testing.T, delay time.Duration) string {
+// startAdminServer starts an admin server that answers HEALTH with an error until the delay has passed, and with
+// answerDone after that. It returns the server's address.
+func startAdminServer(t *testing.T, delay time.Duration) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NoError(t, err)
@@ -34,22 +35,22 @@
 	return listener.Addr().String()
 }
 
-// Regression test for an upgrade that began shortly before the last call: it failed as one that had not ended within
+// Regression test: an upgrade that started shortly before the last call ended was reported as not completed within
 // upgradeTimeout.
 func TestUpgradeIsAwaitedAfterTheLastCall(t *testing.T) {
 	env := &environment{drainedByOperator: map[int]bool{}}
-	loading, stop := context.WithCancelCause(context.Background())
-	stop(errLoadOver)
-	next := &process{adminAddr: acceptAfter(t, 300*time.Millisecond)}
-	assert.NoError(t, env.awaitSuccessor(loading, 0, next))
+	loadCtx, stop := context.WithCancelCause(context.Background())
+	stop(errLoadEnded)
+	next := &process{adminAddr: startAdminServer(t, 300*time.Millisecond)}
+	assert.NoError(t, env.awaitSuccessor(loadCtx, 0, next))
 }
 
 func TestInterruptedExperimentDoesNotAwaitAnUpgrade(t *testing.T) {
 	env := &environment{drainedByOperator: map[int]bool{}}
 	interrupted, interrupt := context.WithCancel(context.Background())
-	loading, stop := context.WithCancelCause(interrupted)
-	defer stop(errLoadOver)
+	loadCtx, stop := context.WithCancelCause(interrupted)
+	defer stop(errLoadEnded)
 	interrupt()
-	next := &process{adminAddr: acceptAfter(t, time.Hour)}
-	assert.ErrorIs(t, env.awaitSuccessor(loading, 0, next), context.Canceled)
+	next := &process{adminAddr: startAdminServer(t, time.Hour)}
+	assert.ErrorIs(t, env.awaitSuccessor(loadCtx, 0, next), context.Canceled)
 }
--- a/internal/testbed/experiment/validate.go
+++ b/internal/testbed/experiment/validate.go
@@ -15,7 +15,7 @@
 const (
 	maxDispatchers = 32
 	maxWorkers     = 1024
-	maxListeners   = 8192 // of the workers, one for each dispatcher
+	maxListeners   = 8192 // listeners of all workers; each worker has one for each dispatcher
 	maxDuration    = 6 * time.Hour
 
 	maxCores         = 64 // of a dispatcher
@@ -24,7 +24,7 @@
 	maxAttemptsLimit = 64 // per request
 )
 
-// validate checks the keys that the decoder cannot. The error begins with the key.
+// validate checks the constraints on keys that the decoder does not check. The error begins with the key.
 func (p *Plan) validate() error {
 	for _, check := range []func() error{
 		p.validateDispatchers, p.validateFleet, p.validateOperations, p.validateTenants, p.validateLoad, p.validateFaults,
@@ -73,8 +73,8 @@
 	}
 	workers := 0
 	for n, kind := range f.Kinds {
-		isSized := kind.Cores >= 1 && kind.Count >= 1 && kind.Queue >= 0
-		if kind.Name == "" || !isSized {
+		hasValidSize := kind.Cores >= 1 && kind.Count >= 1 && kind.Queue >= 0
+		if kind.Name == "" || !hasValidSize {
 			return fmt.Errorf("fleet.kind[%d]: must have a name, cores and a count from 1, and a queue from 0", n)
 		}
 		workers += kind.Count
@@ -115,9 +115,9 @@
 	return nil
 }
 
-// validateLoad checks the load, and prepares what the schedule is drawn from.
+// validateLoad checks the load. It reads the trace, or computes the segments that the schedule is generated from.
 func (p *Plan) validateLoad() (err error) {
-	p.schedule = &workload.Plan{Operations: p.Operations, Tenants: p.Tenants}
+	p.workloadPlan = &workload.Plan{Operations: p.Operations, Tenants: p.Tenants}
 	switch {
 	case p.Load.Retries < 0 || p.Load.MaxOpen < 1:
 		return errors.New("load.retries: must not be negative, and max-open at least 1")
@@ -128,7 +128,7 @@
 	case len(p.Load.Phases) == 0:
 		return errors.New("load.phase: there must be at least one, or a trace")
 	default:
-		p.schedule.Segments, err = workload.Segments(p.Load.Phases)
+		p.workloadPlan.Segments, err = workload.Segments(p.Load.Phases)
 	}
 	if err != nil {
 		return err
@@ -139,7 +139,7 @@
 	return nil
 }
 
-// validateFaults checks the faults by planning them for the plan's own seed.
+// validateFaults checks the faults by planning their timeline for the plan's seed.
 func (p *Plan) validateFaults() (err error) {
 	if p.timeline, err = fault.Plan(p.Faults, p.topology(), p.Seed); err != nil {
 		return err
--- a/internal/testbed/unit/unit.go
+++ b/internal/testbed/unit/unit.go
@@ -1,4 +1,4 @@
-// Package unit defines the value types of experiment files, and the named random streams that experiments draw from.
+// Package unit defines the value types of experiment files, and named streams of random numbers for experiments.
 package unit
 
 import (
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Duration is a non-negative time.Duration that a file gives as text with its unit, such as "250ms" or "1m30s".
+// Duration is a non-negative time.Duration, written in files as text with units, such as "250ms" or "1m30s".
 type Duration time.Duration
 
 // UnmarshalText parses a duration. The error quotes the text.
@@ -46,8 +46,8 @@
 // Std returns the signed duration as a time.Duration.
 func (d SignedDuration) Std() time.Duration { return time.Duration(d) }
 
-// RandomStream returns a random number generator (PCG) seeded by a seed and a stream name. Each use has a stream of
-// its own, so that more draws from one do not change the values of another.
+// RandomStream returns a PCG random number generator that is seeded with a seed and a stream name. Each use has its own
+// stream, so that additional draws from one stream do not change the values of another.
 func RandomStream(seed uint64, stream string) *rand.Rand {
 	hash := fnv.New64a()
 	hash.Write([]byte(stream))
