--- a/internal/balancer/arrivals_test.go
+++ b/internal/balancer/arrivals_test.go
@@ -21,7 +21,7 @@
 	assert.EqualValues(t, 1, weightOfLast(unlimitedTenant, 1000, 1), "no quota")
 	assert.EqualValues(t, 1, weightOfLast(twentyRPSTenant, 200, Second/10), "ten RPS are the quota at one dispatcher")
 	assert.InDelta(t, 0.1+0.9*1.5/4, weightOfLast(twentyRPSTenant, 400, Second/40), 0.02, "four times the quota")
-	assert.EqualValues(t, 1, weightOfLast(fifthOfRPSTenant, 4, Second), "too few requests to detect overuse")
+	assert.EqualValues(t, 1, weightOfLast(fifthOfRPSTenant, 4, Second), "beyond the quota, but too few requests to rule out random variation")
 }
 
 func TestIntervalsHoldEqualWork(t *testing.T) {
--- a/internal/balancer/attempt_events_test.go
+++ b/internal/balancer/attempt_events_test.go
@@ -7,7 +7,7 @@
 )
 
 // Guards against start notices that the configuration does not announce. After one attempt each worker appeared to have
-// an unstarted attempt permanently, and was sent no more.
+// an unstarted attempt permanently, and was sent no further attempts.
 func TestUnannouncedStartNoticesExcludeNoWorker(t *testing.T) {
 	config := testConfig
 	config.Attempts.StartNotices = false
--- a/internal/balancer/eligibility_test.go
+++ b/internal/balancer/eligibility_test.go
@@ -8,95 +8,95 @@
 
 const exclusionTarget WorkerID = 0
 
-// exclusionCases lists, by description, a change that excludes a worker, and the expected reason.
+// exclusionCases maps a description to a change that excludes a worker, and to the expected reason.
 var exclusionCases = map[string]struct {
 	change func(b *Balancer, req *request, filter *workerFilter)
 	want   exclusion
 }{
-	"nothing is against it": {func(*Balancer, *request, *workerFilter) {}, eligible},
-	"only workers of another zone are looked for": {func(b *Balancer, _ *request, filter *workerFilter) {
+	"no change": {func(*Balancer, *request, *workerFilter) {}, eligible},
+	"search limited to another zone": {func(b *Balancer, _ *request, filter *workerFilter) {
 		b.config.zone = 1
 		filter.sameZone = true
 	}, otherZone},
-	"its zone is ejected": {func(b *Balancer, _ *request, _ *workerFilter) {
+	"zone ejected": {func(b *Balancer, _ *request, _ *workerFilter) {
 		b.zones[0].health.EjectedUntil = b.now + 1
 	}, zoneEjected},
-	"the operation runs on another kind": {func(b *Balancer, req *request, _ *workerFilter) {
+	"operation requires another kind": {func(b *Balancer, req *request, _ *workerFilter) {
 		b.operations.byID[req.operation].kind = 1
 	}, wrongKind},
-	"only warming workers are looked for": {func(_ *Balancer, _ *request, filter *workerFilter) {
+	"search limited to warming workers": {func(_ *Balancer, _ *request, filter *workerFilter) {
 		filter.onlyWithCredit = true
 	}, notWarmingUp},
-	"an attempt that failed there may have run": {func(b *Balancer, req *request, _ *workerFilter) {
+	"failed attempt on the worker may have run": {func(b *Balancer, req *request, _ *workerFilter) {
 		req.operation = nonIdempotentOp
 		b.workers[exclusionTarget].health.ConsecutiveFailures = 1
 		b.workers[exclusionTarget].health.PossiblyExecuted = true
 		b.workers[exclusionTarget].health.ProbeAfter = b.now
 	}, awaitingIdempotentProbe},
-	"it is slow as it warms up": {func(b *Balancer, req *request, _ *workerFilter) {
+	"request would miss its objective because of the warm-up": {func(b *Balancer, req *request, _ *workerFilter) {
 		setSizes(b, Second)
 		req.size = Second
 		b.workers[exclusionTarget].warmup.startedAt = b.now
 	}, tooSlowWhileWarmingUp},
-	"its last slots are for others": {func(b *Balancer, req *request, _ *workerFilter) {
+	"remaining slots reserved for requests within quota": {func(b *Balancer, req *request, _ *workerFilter) {
 		req.quotaWeight = 0
 		b.slots.kinds[0].Estimate = 4
 		b.addInFlight(exclusionTarget, 2)
 	}, reservedForQuota},
-	"it drains": {func(b *Balancer, _ *request, _ *workerFilter) {
+	"worker draining": {func(b *Balancer, _ *request, _ *workerFilter) {
 		b.workers[exclusionTarget].state = Draining
 	}, notHealthy},
-	"an earlier attempt has not started": {func(b *Balancer, _ *request, _ *workerFilter) {
+	"unstarted attempt on the worker": {func(b *Balancer, _ *request, _ *workerFilter) {
 		b.workers[exclusionTarget].unstarted = 1
 	}, unstartedAttempt},
-	"its probe is in flight": {func(b *Balancer, _ *request, _ *workerFilter) {
+	"probe in flight": {func(b *Balancer, _ *request, _ *workerFilter) {
 		b.workers[exclusionTarget].health.ConsecutiveFailures = 1
 		b.addInFlight(exclusionTarget, 1)
 	}, probeInFlight},
-	"its slots are taken": {func(b *Balancer, _ *request, _ *workerFilter) {
+	"no free slot": {func(b *Balancer, _ *request, _ *workerFilter) {
 		b.slots.kinds[0].Estimate = 1.4
 		b.addInFlight(exclusionTarget, 1)
 	}, noFreeSlot},
-	"it is ejected": {func(b *Balancer, _ *request, _ *workerFilter) {
+	"worker ejected": {func(b *Balancer, _ *request, _ *workerFilter) {
 		b.workers[exclusionTarget].health.ProbeAfter = b.now + 1
 	}, backingOff},
-	"another dispatcher tries it first": {func(b *Balancer, _ *request, _ *workerFilter) {
+	"another dispatcher may send first": {func(b *Balancer, _ *request, _ *workerFilter) {
 		b.workers[exclusionTarget].notBefore = b.now + 1
 	}, backingOff},
-	"it has far more than the mean in flight": {func(b *Balancer, _ *request, _ *workerFilter) {
+	"load far above the mean": {func(b *Balancer, _ *request, _ *workerFilter) {
 		b.addInFlight(exclusionTarget, 4)
 	}, aboveMeanLoad},
-	"it warms up and has its budget": {func(b *Balancer, req *request, _ *workerFilter) {
+	"request exceeds the warm-up budget": {func(b *Balancer, req *request, _ *workerFilter) {
 		b.config.meanObjective = 1
 		b.workers[exclusionTarget].warmup.startedAt = b.now
 		req.size = 10 * Second
 	}, warmupBudgetExceeded},
-	"it warms up and this dispatcher has earned nothing": {func(b *Balancer, _ *request, _ *workerFilter) {
+	"no warm-up credit": {func(b *Balancer, _ *request, _ *workerFilter) {
 		b.config.dispatchers = 1000
 		b.workers[exclusionTarget].warmup.startedAt = b.now
 	}, noWarmupCredit},
-	"it warms up and its load is unknown": {func(b *Balancer, _ *request, _ *workerFilter) {
+	"load of the warming worker unknown": {func(b *Balancer, _ *request, _ *workerFilter) {
 		b.config.gossip = true
 		b.workers[exclusionTarget].warmup.startedAt = b.now
 		b.subsetting.subsets[allIntervals].positions[exclusionTarget] = notInSubset
 	}, loadUnknown},
-	"the request is closed": {func(_ *Balancer, req *request, _ *workerFilter) {
+	"request closed": {func(_ *Balancer, req *request, _ *workerFilter) {
 		req.closed = true
 	}, requestClosed},
-	"its client gives up": {func(b *Balancer, req *request, _ *workerFilter) {
+	"request deadline passed": {func(b *Balancer, req *request, _ *workerFilter) {
 		req.deadline = b.now
 	}, deadlinePassed},
-	"it has had its attempts": {func(_ *Balancer, req *request, _ *workerFilter) {
+	"attempt limit reached": {func(_ *Balancer, req *request, _ *workerFilter) {
 		req.attemptLimit = 0
 	}, attemptLimit},
-	"a second attempt is forbidden": {func(b *Balancer, req *request, _ *workerFilter) {
+	"hedging disabled": {func(b *Balancer, req *request, _ *workerFilter) {
 		b.config.hedging = false
 		req.inFlight = 1
 	}, hedgingDisabled},
-	"an attempt is in flight there": {func(_ *Balancer, req *request, _ *workerFilter) {
+	"attempt in flight on the same worker": {func(_ *Balancer, req *request, _ *workerFilter) {
 		req.attempts = []attempt{{worker: exclusionTarget, inFlight: true}}
 	}, alreadyOnWorker},
-	"an earlier attempt may have run": {func(_ *Balancer, req *request, _ *workerFilter) {
+	"earlier attempt may have run": {func(_ *Balancer, req *request, _ *workerFilter) {
 		req.operation = nonIdempotentOp
 		req.attempts = []attempt{{worker: 2, mayHaveRun: true}}
 	}, unsafeRepeat},
--- a/internal/balancer/hedging_test.go
+++ b/internal/balancer/hedging_test.go
@@ -16,8 +16,8 @@
 		otherLoad int // attempts of peers on the other worker
 		attempts  int
 	}{
-		{name: "more than half of its time", operation: idempotentOp, ran: 50 * Second, attempts: 2},
-		{name: "less than half of its time", operation: idempotentOp, ran: 40 * Second, attempts: 1},
+		{name: "ran for more than half of its timeout", operation: idempotentOp, ran: 50 * Second, attempts: 2},
+		{name: "ran for less than half of its timeout", operation: idempotentOp, ran: 40 * Second, attempts: 1},
 		{name: "other worker is busy", operation: idempotentOp, ran: 50 * Second, otherLoad: 4, attempts: 1},
 		{name: "not idempotent", operation: nonIdempotentOp, ran: 50 * Second, attempts: 1},
 	} {
--- a/internal/balancer/migration_test.go
+++ b/internal/balancer/migration_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// jsonRoundTrip returns the value that another process decodes.
+// jsonRoundTrip returns v as another process decodes it from JSON.
 func jsonRoundTrip[T any](t *testing.T, v T) (out T) {
 	t.Helper()
 	encoded, err := json.Marshal(v)
--- a/internal/balancer/outlier/outlier_test.go
+++ b/internal/balancer/outlier/outlier_test.go
@@ -15,10 +15,10 @@
 		failures []Failure
 		want     []bool // whether each failure ejects the worker
 	}{
-		"nobody there":              {[]Failure{NeverRan}, []bool{true}},
-		"cut off once":              {[]Failure{MayHaveRun}, []bool{false}},
-		"cut off twice":             {[]Failure{MayHaveRun, MayHaveRun}, []bool{false, true}},
-		"again during its ejection": {[]Failure{NeverRan, NeverRan}, []bool{true, false}},
+		"no connection":                      {[]Failure{NeverRan}, []bool{true}},
+		"one attempt that may have run":      {[]Failure{MayHaveRun}, []bool{false}},
+		"two attempts that may have run":     {[]Failure{MayHaveRun, MayHaveRun}, []bool{false, true}},
+		"second failure during the ejection": {[]Failure{NeverRan, NeverRan}, []bool{true, false}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var worker Worker
--- a/internal/balancer/overload_test.go
+++ b/internal/balancer/overload_test.go
@@ -41,7 +41,7 @@
 
 // If requests have no hints and none had run when they arrived, their mean size is 0. The backoff is then based on the
 // first run.
-func TestOverloadedWorkerBacksOffForTheFirstRunSeen(t *testing.T) {
+func TestOverloadedWorkerBacksOffForFirstObservedRun(t *testing.T) {
 	const runTime = Second / 2
 	balancer, _ := newWarmBalancer(2, 1)
 	balancer.config.startNotices = false
--- a/internal/balancer/pending_test.go
+++ b/internal/balancer/pending_test.go
@@ -29,5 +29,5 @@
 	assert.Equal(t, []RequestID{0, 2, 1}, balancer.pending.ids, "requests are ordered by value")
 	balancer.RequestArrived(3, Arrival{Timeout: 10 * Second, SizeHint: Second})
 	balancer.rejectOrFail(3)
-	assert.Equal(t, []RequestID{1, 0, 2}, balancer.pending.ids, "the operation with the largest loss is first")
+	assert.Equal(t, []RequestID{1, 0, 2}, balancer.pending.ids, "the operation with the largest loss comes first, or its low value would leave it unserved")
 }
--- a/internal/balancer/pick_worker_test.go
+++ b/internal/balancer/pick_worker_test.go
@@ -9,7 +9,7 @@
 	"canvasroute/internal/balancer/sizeinterval"
 )
 
-// setCutPoint observes enough sizes to cut the intervals at the given size.
+// setCutPoint replaces the sample with just enough sizes for a cut point, which is the given size.
 func setCutPoint(t *testing.T, balancer *Balancer, size Work) {
 	t.Helper()
 	setSizes(balancer, slices.Repeat([]Work{size}, sizeinterval.MinSample)...)
@@ -69,7 +69,7 @@
 	assert.False(t, balancer.isAvailable(0))
 	assert.True(t, balancer.isAvailable(1))
 	balancer.UpdateEndpoints([]Endpoint{{Worker: 0, ID: "w0"}}, AllEndpoints, FromDiscovery)
-	assert.True(t, balancer.isAvailable(0), "a worker that is listed again is available")
+	assert.True(t, balancer.isAvailable(0), "a draining worker that is listed as healthy again is available")
 	assert.False(t, balancer.isAvailable(1), "a worker that is absent from a list of all endpoints is gone")
 }
 
@@ -135,7 +135,7 @@
 
 // Guards against requests that use up their attempts in a full zone while another zone has free slots. Without gossip
 // each request has to find out on its own that the zone is full.
-func TestRetryLeavesTheZoneWithoutGossip(t *testing.T) {
+func TestRetryMayLeaveFullZoneWithoutGossip(t *testing.T) {
 	const (
 		seeds             = 20
 		nearZone   ZoneID = 0
--- a/internal/balancer/picker_test.go
+++ b/internal/balancer/picker_test.go
@@ -42,7 +42,7 @@
 	assert.False(t, handle.Report(decision.Attempt, Succeeded), "a second report has no effect")
 }
 
-func TestPickRejectsRequestWithoutWorkerBeforeItsDeadline(t *testing.T) {
+func TestPickRejectsRequestThatGetsNoWorkerInTime(t *testing.T) {
 	picker, now := newTestPicker(testConfig, 0)
 	handle := picker.Submit(Arrival{Timeout: 3 * Second})
 	*now += 3 * Second
@@ -58,7 +58,7 @@
 	assert.Equal(t, RespondFailed, pick(t, handle).Action)
 }
 
-func TestNonIdempotentRequestThatNeverRanIsSentAgain(t *testing.T) {
+func TestNonIdempotentRequestThatNeverRanIsRetried(t *testing.T) {
 	picker, _ := newTestPicker(testConfig, 4)
 	handle := picker.Submit(Arrival{Operation: nonIdempotentOp, Timeout: 3 * Second})
 	handle.Report(pick(t, handle).Attempt, NoConnection)
@@ -70,14 +70,14 @@
 	window := testConfig.Operations[zoneKeyedOp].DedupWindow
 	for name, c := range map[string]struct {
 		operation OperationID
-		ends      []Outcome // of the attempts before the last one, at intervals of step
-		left      Duration  // of the dedup window when the last attempt is decided on, 0 for no limit
+		ends      []Outcome // outcomes of the attempts before the last one, at intervals of step
+		left      Duration  // rest of the dedup window when the last attempt is decided on, 0 for no limit
 	}{
-		"the first attempt":                     {operation: zoneKeyedOp},
-		"after one that may have run":           {operation: zoneKeyedOp, ends: []Outcome{ConnectionReset}, left: window - step},
-		"after one that never ran":              {operation: zoneKeyedOp, ends: []Outcome{NoConnection}},
-		"after one that never ran, and another": {operation: zoneKeyedOp, ends: []Outcome{NoConnection, ConnectionReset}, left: window - step},
-		"where it may run again anyway":         {operation: idempotentOp, ends: []Outcome{ConnectionReset}},
+		"first attempt":                                             {operation: zoneKeyedOp},
+		"after an attempt that may have run":                        {operation: zoneKeyedOp, ends: []Outcome{ConnectionReset}, left: window - step},
+		"after an attempt that never ran":                           {operation: zoneKeyedOp, ends: []Outcome{NoConnection}},
+		"after an attempt that never ran and one that may have run": {operation: zoneKeyedOp, ends: []Outcome{NoConnection, ConnectionReset}, left: window - step},
+		"idempotent request":                                        {operation: idempotentOp, ends: []Outcome{ConnectionReset}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			picker, now := newTestPicker(testConfig, 8)
@@ -109,7 +109,7 @@
 	_, err := handle.Pick(clientLeft)
 	assert.ErrorIs(t, err, context.Canceled)
 	assert.ErrorIs(t, context.Cause(decision.Ctx), ErrAttemptCanceled)
-	assert.Equal(t, 1, picker.OpenRequests(), "its ID is not reused before the attempt is reported")
+	assert.Equal(t, 1, picker.OpenRequests(), "the ID is not reused before the attempt is reported")
 	handle.Report(decision.Attempt, Canceled)
 	assert.Equal(t, 0, picker.OpenRequests())
 }
@@ -124,7 +124,7 @@
 	assert.Equal(t, 0, picker.balancer.workers[0].inFlight+picker.balancer.workers[1].inFlight)
 }
 
-// Regression test for an attempt that was sent after the answer if cancellation is disabled.
+// Regression test: if cancellation was disabled, an attempt could be sent after the answer.
 func TestAttemptNotPickedBeforeTheAnswerIsNeverSent(t *testing.T) {
 	config := testConfig
 	config.Attempts.Cancellation = false
@@ -147,7 +147,7 @@
 	}
 }
 
-func TestStopAfterAnswersOpenRequestsBeforeTheProcessEnds(t *testing.T) {
+func TestStopAfterAnswersOpenRequestsBeforeTheProcessExits(t *testing.T) {
 	picker, now := newTestPicker(testConfig, 2)
 	idempotent := picker.Submit(Arrival{Timeout: 30 * Second})
 	nonIdempotent := picker.Submit(Arrival{Operation: nonIdempotentOp, Timeout: 30 * Second})
@@ -229,12 +229,12 @@
 	picker.ReportWatchEnded(WatchFailed)
 	*now += 5 * Second
 	picker.update(func(*Balancer) {})
-	assert.True(t, pollIsDue(), "and the signal is not received before the next failure")
+	assert.True(t, pollIsDue(), "a signal that is not received before the next failure")
 	picker.ReportWatchEnded(WatchFailed)
 	assert.False(t, pollIsDue())
 	picker.update(func(balancer *Balancer) { balancer.polling.PollNow(balancer.now) })
 	assert.True(t, pollIsDue())
-	for range 5 { // an established watch is cut: no backoff
+	for range 5 { // an established watch is disconnected: no backoff
 		<-picker.pollDue
 		picker.ReportWatchEnded(WatchDisconnected)
 		*now += 1300 * Second / 1000
--- a/internal/balancer/polling/polling_test.go
+++ b/internal/balancer/polling/polling_test.go
@@ -39,16 +39,16 @@
 	assert.False(t, schedule.EndpointsStale())
 }
 
-func TestWaitAfterAFailure(t *testing.T) {
+func TestWaitAfterFailureIsBounded(t *testing.T) {
 	for name, c := range map[string]struct {
 		ends    []WatchEnd
-		longest tick.Duration
+		maxWait tick.Duration
 	}{
-		"first failure":            {[]WatchEnd{WatchFailed}, tick.Second + 10*tick.Second/128},
-		"third failure":            {[]WatchEnd{WatchFailed, WatchFailed, WatchFailed}, 4 * tick.Second},
-		"rejected":                 {[]WatchEnd{WatchRejected, WatchRejected, WatchRejected, WatchRejected}, 8*tick.Second + 8*10*tick.Second/128},
-		"a watch that was cut":     {[]WatchEnd{WatchFailed, WatchFailed, WatchDisconnected}, tick.Second + 10*tick.Second/128},
-		"a watch that fell silent": {[]WatchEnd{WatchFailed, WatchFailed, WatchSilent}, tick.Second + 10*tick.Second/128},
+		"first failure":      {[]WatchEnd{WatchFailed}, tick.Second + 10*tick.Second/128},
+		"third failure":      {[]WatchEnd{WatchFailed, WatchFailed, WatchFailed}, 4 * tick.Second},
+		"fourth rejection":   {[]WatchEnd{WatchRejected, WatchRejected, WatchRejected, WatchRejected}, 8*tick.Second + 8*10*tick.Second/128},
+		"disconnected watch": {[]WatchEnd{WatchFailed, WatchFailed, WatchDisconnected}, tick.Second + 10*tick.Second/128},
+		"silent watch":       {[]WatchEnd{WatchFailed, WatchFailed, WatchSilent}, tick.Second + 10*tick.Second/128},
 	} {
 		t.Run(name, func(t *testing.T) {
 			schedule := newTestSchedule(1)
@@ -56,7 +56,7 @@
 				schedule.RecordWatchEnd(end)
 				schedule.RecordFailure(now, longWaitRandom)
 			}
-			assert.LessOrEqual(t, schedule.DueAt(), now.Add(c.longest))
+			assert.LessOrEqual(t, schedule.DueAt(), now.Add(c.maxWait))
 			shortest := schedule
 			shortest.RecordWatchEnd(c.ends[len(c.ends)-1])
 			shortest.RecordFailure(now, shortestWaitRandom)
--- a/internal/balancer/polling_test.go
+++ b/internal/balancer/polling_test.go
@@ -25,8 +25,8 @@
 	}
 }
 
-// Regression test: all dispatchers of a fleet started and polled at the same time. The polls timed out, and the
-// repeated polls kept the service busy with polls that had timed out already.
+// Regression test: all dispatchers of a fleet started and polled at the same time. Their polls timed out and were
+// repeated, which kept the service busy with polls that had already timed out.
 func TestStartingFleetDoesNotOverloadDiscovery(t *testing.T) {
 	const dispatchers = 80
 	for _, c := range []struct {
@@ -34,12 +34,12 @@
 		pollTime Duration // service time of one poll
 		starting int      // number of dispatchers that start
 		within   Duration // time limit for all dispatchers to get the list
-		maxPolls int      // maximum average number of polls of a dispatcher
+		maxPolls int      // upper bound of the mean number of polls per dispatcher
 	}{
 		{name: "all start", pollTime: 630, starting: dispatchers, within: 8 * Second, maxPolls: 3},
 		{name: "some start", pollTime: 800, starting: 56, within: 8 * Second, maxPolls: 3},
-		{name: "longer than polls are spread", pollTime: 800, starting: dispatchers, within: 15 * Second, maxPolls: 3},
-		{name: "twice as long", pollTime: 1250, starting: dispatchers, within: 30 * Second, maxPolls: 3},
+		{name: "all start, polls take longer than the spread", pollTime: 800, starting: dispatchers, within: 15 * Second, maxPolls: 3},
+		{name: "all start, twice the service time", pollTime: 1250, starting: dispatchers, within: 30 * Second, maxPolls: 3},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			service := &slowDiscovery{pollTime: c.pollTime, pollTimeout: 2 * Second}
@@ -61,9 +61,9 @@
 	assert.Less(t, fleet.lastListedAt(), testStart.Add(Second/4))
 }
 
-// Regression test: attempts were sent to a worker that had been removed while this dispatcher was down. A new process
-// must not send attempts based on an outdated list at any time.
-func TestNoAttemptByAStaleListBeforeTheFirstPollEnds(t *testing.T) {
+// Regression test: attempts were sent to a worker that had been removed while this dispatcher was down. A change must
+// be known to a new process from its start, so it sends no attempts based on an earlier list until its first poll ends.
+func TestNoAttemptIsBasedOnStaleListBeforeFirstPollEnds(t *testing.T) {
 	const removed, listed WorkerID = 0, 1
 	for name, c := range map[string]struct {
 		endPoll func(*Balancer)
@@ -140,7 +140,7 @@
 func TestFleetHasItsListInTimeAfterADiscoveryOutage(t *testing.T) {
 	for _, c := range []struct {
 		dispatchers int
-		maxPolls    float64 // maximum average number of polls of a dispatcher
+		maxPolls    float64 // upper bound of the mean number of polls per dispatcher
 	}{
 		{dispatchers: 3, maxPolls: 7},
 		{dispatchers: 30, maxPolls: 5},
@@ -172,7 +172,7 @@
 	for _, c := range []struct {
 		allPolls Duration // total service time of one poll of each dispatcher
 		within   Duration // time limit for all dispatchers to get the list
-		maxPolls float64  // maximum average number of polls of a dispatcher
+		maxPolls float64  // maximum of the mean number of polls per dispatcher
 	}{
 		{allPolls: 4 * Second, within: 6 * Second, maxPolls: 1.5},
 		{allPolls: 6 * Second, within: 16 * Second, maxPolls: 2},
@@ -180,7 +180,7 @@
 		{allPolls: 12 * Second, within: 90 * Second, maxPolls: 6},
 	} {
 		for _, dispatchers := range []int{30, 350} {
-			for _, reason := range []pollReason{listsFromBeforeStart, watchesEnded} {
+			for _, reason := range []pollReason{staleLists, watchesEnded} {
 				name := fmt.Sprintf("%d polls in %v, %s", dispatchers, c.allPolls.Standard(), reason)
 				service := &slowDiscovery{pollTime: c.allPolls / Duration(dispatchers), pollTimeout: 2 * Second}
 				fleet := newChangeDeadlineFleet(dispatchers, reason, service)
@@ -227,10 +227,10 @@
 }
 
 func (s *slowDiscovery) poll(now Time) pollAnswer {
-	givenUpAt := now.Add(s.pollTimeout)
+	timeoutAt := now.Add(s.pollTimeout)
 	s.idleAt = max(s.idleAt, now).Add(s.pollTime)
-	if s.idleAt > givenUpAt {
-		return pollAnswer{at: givenUpAt}
+	if s.idleAt > timeoutAt {
+		return pollAnswer{at: timeoutAt}
 	}
 	return pollAnswer{at: s.idleAt, hasList: true}
 }
@@ -303,8 +303,8 @@
 type pollReason string
 
 const (
-	listsFromBeforeStart pollReason = "all start with a list from before"
-	watchesEnded         pollReason = "all watches have ended"
+	staleLists   pollReason = "all start with a stale list"
+	watchesEnded pollReason = "all watches have ended"
 )
 
 // newChangeDeadlineFleet returns a fleet whose dispatchers use changeDeadlineConfig.
@@ -315,7 +315,7 @@
 	}}
 	for position := range dispatchers {
 		config := changeDeadlineConfig(dispatchers, position)
-		if reason == listsFromBeforeStart {
+		if reason == staleLists {
 			fleet.add(config, NotFromDiscovery)
 			continue
 		}
--- a/internal/balancer/process_exit_test.go
+++ b/internal/balancer/process_exit_test.go
@@ -73,7 +73,7 @@
 
 // Regression test for a zone that loses power while no endpoint list is available: this dispatcher observes refused
 // connections for only some of its workers.
-func TestOthersOfAZoneMayHaveExitedWhileNoListIsWatched(t *testing.T) {
+func TestOtherWorkersOfZoneAreSuspectedWhileListIsNotWatched(t *testing.T) {
 	for _, watched := range []bool{true, false} {
 		balancer, _ := newWarmBalancer(8, 1)
 		submitRequest(balancer, 7, Arrival{Operation: idempotentOp, Timeout: 20 * Second, SizeHint: 100})
--- a/internal/balancer/quota/quota_test.go
+++ b/internal/balancer/quota/quota_test.go
@@ -8,8 +8,8 @@
 	"canvasroute/internal/balancer/tick"
 )
 
-// weightAfter returns the weight of the last of a number of requests of a new tenant, which arrive at a rate per
-// second.
+// weightAfter returns the weight of the last of several requests of a new tenant, which arrive at the given rate in
+// requests per second.
 func weightAfter(requests int, rate, quota float64) (weight float64) {
 	var tenants Tenants
 	number := tenants.SetQuota("a", quota)
@@ -22,17 +22,17 @@
 }
 
 func TestWeightDropsBeyondQuota(t *testing.T) {
-	for name, c := range map[string]struct{ rate, quota, least, most float64 }{
-		"no quota":           {1000, Unlimited, 1, 1},
-		"within the quota":   {10, 10, 1, 1},
-		"a little beyond":    {12, 10, 1, 1},
-		"twice the quota":    {20, 10, 0.7, 0.9},
-		"many times as much": {1000, 10, 0.1, 0.15},
+	for name, c := range map[string]struct{ rate, quota, minWeight, maxWeight float64 }{
+		"no quota":                  {1000, Unlimited, 1, 1},
+		"within the quota":          {10, 10, 1, 1},
+		"within the tolerance":      {12, 10, 1, 1},
+		"twice the quota":           {20, 10, 0.7, 0.9},
+		"a hundred times the quota": {1000, 10, 0.1, 0.15},
 	} {
 		t.Run(name, func(t *testing.T) {
 			weight := weightAfter(2000, c.rate, c.quota)
-			assert.GreaterOrEqual(t, weight, c.least)
-			assert.LessOrEqual(t, weight, c.most)
+			assert.GreaterOrEqual(t, weight, c.minWeight)
+			assert.LessOrEqual(t, weight, c.maxWeight)
 		})
 	}
 }
--- a/internal/balancer/reconfigure_test.go
+++ b/internal/balancer/reconfigure_test.go
@@ -19,8 +19,8 @@
 	return config
 }
 
-// newBalancerWithOpenRequest returns a Balancer with namedConfig, two warm workers, and request 0 of the idempotent operation with
-// its first attempt in flight.
+// newBalancerWithOpenRequest returns a Balancer with namedConfig, two warm workers, and request 0 of the idempotent
+// operation with its first attempt in flight.
 func newBalancerWithOpenRequest(t *testing.T) (*Balancer, *recorder) {
 	t.Helper()
 	balancer, effects := newTestBalancer(namedConfig(), 1, []Endpoint{{Worker: 0, ID: "a"}, {Worker: 1, ID: "b"}})
@@ -36,13 +36,13 @@
 	balancer, effects := newBalancerWithOpenRequest(t)
 	stricter := namedConfig()
 	stricter.Operations[idempotentOp].Idempotency = NonIdempotent
-	numbers := balancer.Reconfigure(stricter).Operations
-	assert.Equal(t, []OperationID{replacement, 1, 2, 3, 4}, numbers, "unchanged operations keep their IDs")
+	ids := balancer.Reconfigure(stricter).Operations
+	assert.Equal(t, []OperationID{replacement, 1, 2, 3, 4}, ids, "unchanged operations keep their IDs")
 	submitRequest(balancer, 1, Arrival{Operation: replacement, Timeout: 5 * Second, SizeHint: 100})
 	endFirstAttempt(balancer, 1, ConnectionReset)
-	assert.Contains(t, effects.lines, "fail 1", "it may not run again")
+	assert.Contains(t, effects.lines, "fail 1", "the repeat is not permitted, because the operation is no longer idempotent")
 	endFirstAttempt(balancer, 0, ConnectionReset)
-	assert.Len(t, balancer.requests.byID[0].attempts, 2, "it may run again")
+	assert.Len(t, balancer.requests.byID[0].attempts, 2, "the repeat is permitted, because the operation was idempotent when the request arrived")
 	longestTimeout := func(id OperationID) Duration { return balancer.operations.byID[id].longestTimeout }
 	assert.Equal(t, longestTimeout(idempotentOp), longestTimeout(replacement), "statistics are kept")
 	restored := balancer.Reconfigure(namedConfig()).Operations
@@ -86,7 +86,7 @@
 	assert.Contains(t, effects.lines, "reject 0, retry after 20000")
 }
 
-func TestTenantsKeepTheirNumbersByName(t *testing.T) {
+func TestTenantsKeepTheirIDsByName(t *testing.T) {
 	first := namedConfig()
 	first.Quotas.Tenants = []TenantConfig{{Quota: 2, Name: "a"}, {Quota: 2, Name: "b"}}
 	balancer := New(first, 1, &recorder{})
@@ -95,10 +95,10 @@
 	}
 	second := first
 	second.Quotas.Tenants = []TenantConfig{{Quota: 2, Name: "b"}, {Quota: 2, Name: "c"}}
-	numbers := balancer.Reconfigure(second).Tenants
-	assert.Equal(t, []TenantID{1, 2}, numbers, "each name keeps its ID")
-	assert.Less(t, balancer.quotaWeight(numbers[0]), 1.0, "over its quota, although its position in the list has changed")
-	assert.Equal(t, 1.0, balancer.quotaWeight(numbers[1]))
+	ids := balancer.Reconfigure(second).Tenants
+	assert.Equal(t, []TenantID{1, 2}, ids, "each name keeps its ID")
+	assert.Less(t, balancer.quotaWeight(ids[0]), 1.0, "beyond its quota, although its position in the list has changed")
+	assert.Equal(t, 1.0, balancer.quotaWeight(ids[1]))
 	assert.Equal(t, 1.0, balancer.quotaWeight(0), "requests with an ID of the old configuration count for their own tenant")
 	onlyFirst := Config{
 		Dispatchers: 2,
--- a/internal/balancer/request_handle_test.go
+++ b/internal/balancer/request_handle_test.go
@@ -11,12 +11,12 @@
 
 // Regression test for an attempt that was sent after its client had left or was answered, because its connection was
 // established late. Disabled cancellation only protects attempts that have been sent.
-func TestUnsentAttemptIsCanceledWhateverTheConfiguration(t *testing.T) {
+func TestUnsentAttemptIsCanceledEvenIfCancellationIsDisabled(t *testing.T) {
 	config := testConfig
 	config.Attempts.Cancellation = false
 	for name, closeRequest := range map[string]func(*RequestHandle){
-		"left":     (*RequestHandle).clientLeft,
-		"answered": (*RequestHandle).RejectOrFail,
+		"client left": (*RequestHandle).clientLeft,
+		"answered":    (*RequestHandle).RejectOrFail,
 	} {
 		t.Run(name, func(t *testing.T) {
 			picker, _ := newTestPicker(config, 2)
@@ -54,7 +54,7 @@
 	shards.CancelAll()
 }
 
-// requestEvents are the events that may happen to a request in its goroutines. They can occur in any order.
+// requestEvents are the events that can happen to a request while its goroutines run, in any order.
 var requestEvents = []struct {
 	name  byte
 	apply func(*requestDriver)
@@ -167,8 +167,8 @@
 	config := testConfig
 	config.Attempts.StartNotices = true
 	order := make([]byte, 0, 5)
-	var all func(left int)
-	all = func(left int) {
+	var testOrders func(eventsLeft int)
+	testOrders = func(eventsLeft int) {
 		if t.Failed() {
 			return
 		}
@@ -183,19 +183,19 @@
 				assert.Zero(t, w.inFlight, "after %q", order)
 			}
 		}
-		for n := 0; left > 0 && n < len(requestEvents); n++ {
+		for n := 0; eventsLeft > 0 && n < len(requestEvents); n++ {
 			order = append(order, requestEvents[n].name)
-			all(left - 1)
+			testOrders(eventsLeft - 1)
 			order = order[:len(order)-1]
 		}
 	}
-	all(3)
+	testOrders(3)
 	order = append(order, 'p') // most requests have a first attempt that is picked
-	all(3)
+	testOrders(3)
 }
 
-// If the client leaves while a decision is made, Pick returns the error and nothing is sent.
-func TestClientThatLeavesDuringDecisionGetsNoAttempt(t *testing.T) {
+// If the client leaves before a decision is made, Pick returns the cause of its context and nothing is sent.
+func TestClientThatLeavesBeforeDecisionGetsNoAttempt(t *testing.T) {
 	picker, _ := newTestPicker(testConfig, 2)
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
--- a/internal/balancer/retry_test.go
+++ b/internal/balancer/retry_test.go
@@ -14,11 +14,11 @@
 	reject    bool // a rejection, after which the client may retry
 }
 
-func TestRetryRightsAfterEachOutcome(t *testing.T) {
+func TestPermittedRetriesAfterEachOutcome(t *testing.T) {
 	all := permittedRetries{sameZone: true, otherZone: true, reject: true}
 	neverRan := []Outcome{Overloaded, NoConnection, NotSent}
 	mayHaveRun := []Outcome{WorkerError, TimedOut, ConnectionReset, Canceled, ConnectionStale}
-	assertRights := func(operation OperationID, outcome Outcome, want permittedRetries) {
+	assertPermitted := func(operation OperationID, outcome Outcome, want permittedRetries) {
 		balancer, _ := newWarmBalancer(4, 1)
 		balancer.RequestArrived(0, Arrival{Operation: operation, Timeout: 10 * Second, SizeHint: 100})
 		req := &balancer.requests.byID[0]
@@ -34,15 +34,15 @@
 	}
 	for operation := range OperationID(len(testConfig.Operations)) {
 		for _, outcome := range neverRan {
-			assertRights(operation, outcome, all)
+			assertPermitted(operation, outcome, all)
 		}
 	}
 	for _, outcome := range mayHaveRun {
-		assertRights(idempotentOp, outcome, all)
-		assertRights(nonIdempotentOp, outcome, permittedRetries{})
-		assertRights(zoneKeyedOp, outcome, permittedRetries{sameZone: true})
-		assertRights(fleetKeyedOp, outcome, all)
-		assertRights(cellKeyedOp, outcome, permittedRetries{sameZone: true})
+		assertPermitted(idempotentOp, outcome, all)
+		assertPermitted(nonIdempotentOp, outcome, permittedRetries{})
+		assertPermitted(zoneKeyedOp, outcome, permittedRetries{sameZone: true})
+		assertPermitted(fleetKeyedOp, outcome, all)
+		assertPermitted(cellKeyedOp, outcome, permittedRetries{sameZone: true})
 	}
 }
 
--- a/internal/balancer/review_test.go
+++ b/internal/balancer/review_test.go
@@ -48,8 +48,8 @@
 	}, effects.lines)
 }
 
-// Guards against canceling the attempt of a client's retry that arrives after the objective as soon as it is sent. Such
-// a retry could never be served, however long its client would have waited.
+// Guards against a fault with clients that retry after the latency objective: the attempt was canceled as soon as it
+// was sent, so the retry could never be served, however long its client would have waited.
 func TestLateRetryIsGivenTimeToBeServed(t *testing.T) {
 	const (
 		firstTimeout = 20 * Second
@@ -62,15 +62,15 @@
 	balancer.AttemptEnded(0, 0, Succeeded, FinalAnswer)
 	submitRequest(balancer, 0, Arrival{Timeout: retryTimeout, SizeHint: 100})
 	assert.Equal(t, "attempt 0 to 0", effects.lines[1])
-	lastStart := balancer.now.Add(balancer.operations.byID[idempotentOp].latencyObjective)
-	for balancer.now < lastStart {
+	startWaitDeadline := balancer.now.Add(balancer.operations.byID[idempotentOp].latencyObjective)
+	for balancer.now < startWaitDeadline {
 		advance(balancer, balancer.config.startTimeout/2)
-		if balancer.now <= lastStart {
-			assert.Len(t, effects.lines, 2, "%d ticks before its last start", lastStart.Sub(balancer.now))
+		if balancer.now <= startWaitDeadline {
+			assert.Len(t, effects.lines, 2, "%d ticks before the end of the time to wait for a start", startWaitDeadline.Sub(balancer.now))
 		}
 	}
 	advance(balancer, balancer.config.startTimeout)
-	assert.Equal(t, []string{"reject 0, retry after 20000", "cancel 0.0"}, effects.lines[2:], "it waits in a queue")
+	assert.Equal(t, []string{"reject 0, retry after 20000", "cancel 0.0"}, effects.lines[2:], "it still waits in the worker's queue")
 
 	balancer.operations.byID[idempotentOp].lateShare = 0 // a late answer has no value: the request does not wait
 	balancer.RequestArrived(0, Arrival{Timeout: retryTimeout, SizeHint: 100})
@@ -102,7 +102,7 @@
 }
 
 // Guards against late requests that delay others beyond their objective.
-func TestLateRequestGoesBehindThoseInTime(t *testing.T) {
+func TestLateRequestIsOrderedBehindRequestsInTime(t *testing.T) {
 	const firstTimeout = 20 * Second
 	balancer, effects := newWarmBalancer(1, 1)
 	retried := &balancer.operations.byID[idempotentOp]
--- a/internal/balancer/shards_test.go
+++ b/internal/balancer/shards_test.go
@@ -29,9 +29,9 @@
 		assert.Equal(t, 1.0/6, picker.balancer.config.dispatcherShare, "budgets and quotas are divided among all shards")
 		assert.True(t, picker.balancer.config.gossip)
 	}
-	alone := newTestShards(testConfig, 1, 4)
-	assert.Equal(t, []int{2, 1}, []int{alone.pickers[0].balancer.config.dispatchers, alone.pickers[0].balancer.config.position})
-	assert.False(t, alone.pickers[0].balancer.config.gossip, "a single shard has no peers in its process")
+	single := newTestShards(testConfig, 1, 4)
+	assert.Equal(t, []int{2, 1}, []int{single.pickers[0].balancer.config.dispatchers, single.pickers[0].balancer.config.position})
+	assert.False(t, single.pickers[0].balancer.config.gossip, "a single shard has no peers in its process")
 	for range 6 {
 		s.Submit(Arrival{Timeout: 3 * Second})
 	}
@@ -47,19 +47,19 @@
 		config.Gossip.Enabled = gossip
 		s := newTestShards(config, 2, 1)
 		handle := s.pickers[0].Submit(Arrival{Timeout: 3 * Second})
-		c := pick(t, handle)
+		decision := pick(t, handle)
 		s.pickers[0].update(func(balancer *Balancer) { balancer.sendChangedLoads() }) // as if they were due
 		ctx, cancel := context.WithTimeout(context.Background(), 200*time.Millisecond)
 		updates, err := s.NextLoadUpdates(ctx, 0)
 		cancel()
-		assert.Equal(t, 1, s.pickers[1].balancer.workers[c.Worker].gossip.peerInFlight, "received within the process")
-		assert.Equal(t, 0, s.pickers[0].balancer.workers[c.Worker].gossip.peerInFlight, "not by the sender")
+		assert.Equal(t, 1, s.pickers[1].balancer.workers[decision.Worker].gossip.peerInFlight, "received within the process")
+		assert.Equal(t, 0, s.pickers[0].balancer.workers[decision.Worker].gossip.peerInFlight, "not by the sender")
 		if !gossip {
 			assert.Error(t, err, "no message may leave the process")
 			continue
 		}
-		for _, n := range updates {
-			assert.Less(t, int(n.To), 2, "a shard of the other process")
+		for _, loadUpdate := range updates {
+			assert.Less(t, int(loadUpdate.To), 2, "the receiver must be a shard of the other process")
 		}
 		assert.Len(t, updates, 2)
 	}
@@ -99,13 +99,13 @@
 		clients.Go(func() {
 			for range 300 {
 				handle := s.Submit(Arrival{Timeout: 3 * Second, SizeHint: 10})
-				c, err := handle.Pick(ctx)
+				decision, err := handle.Pick(ctx)
 				if !assert.NoError(t, err) {
 					return
 				}
 				handle.picker.update(func(balancer *Balancer) { balancer.sendChangedLoads() })
-				handle.ReportStarted(c.Attempt)
-				handle.Report(c.Attempt, Succeeded)
+				handle.ReportStarted(decision.Attempt)
+				handle.Report(decision.Attempt, Succeeded)
 				_, err = handle.Pick(ctx)
 				assert.NoError(t, err)
 			}
@@ -132,17 +132,17 @@
 		fleet[n].UpdateEndpoints(list, AllEndpoints, NotFromDiscovery)
 	}
 	for n, s := range fleet {
-		near := s.GossipPeers()
-		assert.Less(t, len(near), 30)
+		gossipPeers := s.GossipPeers()
+		assert.Less(t, len(gossipPeers), 30)
 		balancer := s.pickers[0].balancer
 		for _, w := range balancer.subsetting.subsets[allIntervals].workers {
 			for p := balancer.workers[w].gossip.peers.from; p < balancer.workers[w].gossip.peers.to; p++ {
 				if p%80 != n {
-					assert.Contains(t, near, p%80, "peer for worker %d", w)
+					assert.Contains(t, gossipPeers, p%80, "peer for worker %d", w)
 				}
 			}
 		}
-		for _, p := range near {
+		for _, p := range gossipPeers {
 			assert.Contains(t, fleet[p].GossipPeers(), n, "gossip peers must be symmetric")
 		}
 	}
--- a/internal/balancer/slow_start_release_test.go
+++ b/internal/balancer/slow_start_release_test.go
@@ -21,14 +21,14 @@
 		minUtilization = 0.4
 	)
 	for name, c := range map[string]releaseCase{
-		"no messages, no hints":              {},
-		"hints":                              {sizeHints: true},
-		"dispatchers restart":                {dispatchersRestart: true},
-		"warm workers leave":                 {warmWorkersLeave: true},
-		"warm workers leave, hints":          {warmWorkersLeave: true, sizeHints: true},
-		"messages and hints":                 {gossip: true, sizeHints: true},
-		"messages":                           {gossip: true},
-		"messages lost, hints, and restarts": {gossip: true, sizeHints: true, dispatchersRestart: true, messageLoss: 0.2},
+		"no gossip, no hints":               {},
+		"hints":                             {sizeHints: true},
+		"dispatchers restart":               {dispatchersRestart: true},
+		"warm workers removed":              {warmWorkersRemoved: true},
+		"warm workers removed, hints":       {warmWorkersRemoved: true, sizeHints: true},
+		"gossip and hints":                  {gossip: true, sizeHints: true},
+		"gossip":                            {gossip: true},
+		"lost messages, hints and restarts": {gossip: true, sizeHints: true, dispatchersRestart: true, messageLoss: 0.2},
 	} {
 		for _, dispatchers := range []int{3, 30, 300} {
 			t.Run(fmt.Sprint(name, " ", dispatchers), func(t *testing.T) {
@@ -49,7 +49,7 @@
 const (
 	releaseDuration = 15 * Second // duration of the simulation
 	releasedAt      = Time(105 * Second)
-	leaveAfter      = 4 * Second // delay after the release until the warm workers are removed
+	removalDelay    = 4 * Second // delay after the release until the warm workers are removed
 
 	slotsPerWorker = 4
 	meanWork       = Second / 5 // mean work of a request, in ticks of a warm slot
@@ -63,11 +63,11 @@
 	gossip             bool    // dispatchers share their load
 	messageLoss        float64 // share of the messages between dispatchers that is lost
 	dispatchersRestart bool    // some dispatchers restart twice a second after the release
-	warmWorkersLeave   bool    // all but one of the workers that were not replaced are removed some seconds after the release
+	warmWorkersRemoved bool    // after removalDelay, all but one of the workers that were not replaced are removed
 }
 
-// releaseSimulation simulates a fleet of dispatchers and their workers, six in ten of which are replaced at the same
-// time. The speed of the slots of a new worker depends on its age. An attempt that finds no free slot waits in the
+// releaseSimulation simulates a fleet of dispatchers and their workers. The release replaces six in ten workers at the
+// same time. The speed of the slots of a new worker depends on its age. An attempt that finds no free slot waits in the
 // worker's queue.
 type releaseSimulation struct {
 	releaseCase
@@ -191,7 +191,7 @@
 	return meanWork * math.Exp(workDeviation*s.rng.NormFloat64()-workDeviation*workDeviation/2)
 }
 
-// update makes a call on a dispatcher at the current time, and then runs the rules that are due.
+// update makes a call on a dispatcher at the current time, and then applies the rules that are due.
 func (s *releaseSimulation) update(balancer *Balancer, call func()) {
 	balancer.SetTime(s.now)
 	call()
@@ -254,7 +254,7 @@
 	worker.capacity += slotsPerWorker * s.warmupFactor(worker) * float64(simulationStep)
 }
 
-// warmupFactor returns the share of its full capacity that a worker of its age has.
+// warmupFactor returns the share of its full capacity that a worker has at its age.
 func (s *releaseSimulation) warmupFactor(worker *simulatedWorker) float64 {
 	if !worker.replaced {
 		return 1
@@ -294,17 +294,17 @@
 
 // removeWarmWorkers removes all but one of the workers that were not replaced.
 func (s *releaseSimulation) removeWarmWorkers() {
-	if !s.warmWorkersLeave || !s.released || s.now.Sub(releasedAt) != leaveAfter {
+	if !s.warmWorkersRemoved || !s.released || s.now.Sub(releasedAt) != removalDelay {
 		return
 	}
-	leaving := slices.Clone(s.endpoints[s.replacedWorkers()+1:])
-	for n := range leaving {
-		leaving[n].State = Gone
+	removed := slices.Clone(s.endpoints[s.replacedWorkers()+1:])
+	for n := range removed {
+		removed[n].State = Gone
 	}
-	s.updateEndpoints(leaving)
+	s.updateEndpoints(removed)
 }
 
-// replaceWorkers makes the release when it is due, and updates all dispatchers at the same time.
+// replaceWorkers performs the release when it is due, and updates all dispatchers at the same time.
 func (s *releaseSimulation) replaceWorkers() {
 	if s.released || s.now < releasedAt {
 		return
--- a/internal/balancer/slow_start_test.go
+++ b/internal/balancer/slow_start_test.go
@@ -37,49 +37,49 @@
 	size   Work
 	want   exclusion
 }{
-	"loads shared": {
+	"gossip, within limits": {
 		limits: gossipLimits,
 		worker: warmingWorker{load: 1, loadShared: true},
 		size:   Second,
 		want:   eligible,
 	},
-	"loads shared, slots taken": {
+	"gossip, no free slot": {
 		limits: gossipLimits,
 		worker: warmingWorker{load: 2, loadShared: true},
 		size:   Second,
 		want:   noFreeSlot,
 	},
-	"loads shared, but not here": {
+	"gossip, load unknown": {
 		limits: gossipLimits,
 		worker: warmingWorker{},
 		size:   Second,
 		want:   loadUnknown,
 	},
-	"loads shared, too large": {
+	"gossip, request too large": {
 		limits: gossipLimits,
 		worker: warmingWorker{loadShared: true},
 		size:   usableBudget/2 + 1,
 		want:   warmupBudgetExceeded,
 	},
-	"loads shared, budget spent": {
+	"gossip, budget used up": {
 		limits: gossipLimits,
 		worker: warmingWorker{loadShared: true, recentWork: usableBudget},
 		size:   1,
 		want:   warmupBudgetExceeded,
 	},
-	"own share": {
+	"own share, within limits": {
 		limits: fewDispatchersLimits,
 		worker: warmingWorker{load: 9},
 		size:   Second / 2,
 		want:   eligible,
 	},
-	"own share, spent": {
+	"own share, used up": {
 		limits: fewDispatchersLimits,
 		worker: warmingWorker{recentWork: Second / 2},
 		size:   Second / 5,
 		want:   warmupBudgetExceeded,
 	},
-	"own share, larger than that": {
+	"own share, request too large": {
 		limits: fewDispatchersLimits,
 		worker: warmingWorker{},
 		size:   Second,
--- a/internal/balancer/subsetting_test.go
+++ b/internal/balancer/subsetting_test.go
@@ -42,8 +42,8 @@
 				usedBy[id] = append(usedBy[id], position)
 			}
 			peersOf = nil
-			for _, known := range balancer.workers {
-				peersOf = append(peersOf, known.gossip.peers)
+			for _, worker := range balancer.workers {
+				peersOf = append(peersOf, worker.gossip.peers)
 			}
 		}
 		for id := range WorkerID(c.workers) {
@@ -105,8 +105,8 @@
 
 // usedWorkers returns the number of workers with an attempt in flight.
 func usedWorkers(balancer *Balancer) (used int) {
-	for _, known := range balancer.workers {
-		if known.inFlight > 0 {
+	for _, worker := range balancer.workers {
+		if worker.inFlight > 0 {
 			used++
 		}
 	}
--- a/internal/balancer/warm_up_test.go
+++ b/internal/balancer/warm_up_test.go
@@ -18,7 +18,7 @@
 	return balancer
 }
 
-// initialBudget returns the whole warm-up budget of a worker that has just started, in ticks of work.
+// initialBudget returns the whole warm-up budget of a worker with one slot that has just started, in ticks of work.
 func initialBudget() Work {
 	return Work(testConfig.Warmup.OverloadFactor * testConfig.Warmup.InitialShare * float64(testConfig.Warmup.Window))
 }
--- a/internal/balancer/warmup_credit_test.go
+++ b/internal/balancer/warmup_credit_test.go
@@ -57,7 +57,7 @@
 
 // Regression test: many dispatchers kept their credit until the round-robin order reached the worker, and all of them
 // spent it at once when other workers were removed.
-func TestWarmupCreditIsSpentAsItFallsDue(t *testing.T) {
+func TestWarmupCreditIsSpentOnceItReachesOneAttempt(t *testing.T) {
 	const warming WorkerID = 0
 	var warm []Endpoint
 	for id := WorkerID(1); id < 20; id++ {
@@ -84,5 +84,5 @@
 	assert.True(t, balancer.withinWarmupBudget(warming, 100))
 	balancer.recordProcessExit(warming)
 	balancer.workers[warming].warmup.exitedAt = noExit // as after the list reports the start of the next process
-	assert.False(t, balancer.withinWarmupBudget(warming, 100), "the credit is reset for the next process")
+	assert.False(t, balancer.withinWarmupBudget(warming, 100), "the credit for the next process starts below one attempt again, by the rank of the dispatcher")
 }
--- a/internal/balancer/worker_search_test.go
+++ b/internal/balancer/worker_search_test.go
@@ -110,8 +110,8 @@
 	}
 	d.inFlight[id] = slices.DeleteFunc(d.inFlight[id], func(other int) bool { return other == number })
 	outcome := Outcome(1 + d.rng.IntN(int(ConnectionStale)))
-	answers := outcome == Succeeded && !d.balancer.requests.byID[id].closed
-	d.balancer.AttemptEnded(id, number, outcome, answerOf(answers))
+	isAnswer := outcome == Succeeded && !d.balancer.requests.byID[id].closed
+	d.balancer.AttemptEnded(id, number, outcome, answerOf(isAnswer))
 }
 
 // pickInFlight returns a random attempt in flight, and whether one was selected.
