--- a/internal/balancer/attempt_events_test.go
+++ b/internal/balancer/attempt_events_test.go
@@ -6,8 +6,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// Guards against start notices that the configuration does not announce. After one attempt each worker appeared to have
-// an unstarted attempt permanently, and was sent no further attempts.
+// Regression test for start notices that the configuration does not announce. After one attempt each worker appeared to
+// have an unstarted attempt permanently, and was sent no further attempts.
 func TestUnannouncedStartNoticesExcludeNoWorker(t *testing.T) {
 	config := testConfig
 	config.Attempts.StartNotices = false
@@ -23,7 +23,7 @@
 	assert.Equal(t, []string{"attempt 0 to 0", "attempt 0 to 0", "attempt 0 to 0"}, effects.lines[len(effects.lines)-3:])
 }
 
-// Guards against counting a repeated start notice: it would count another attempt that is still unstarted as started.
+// Regression test for a repeated start notice: it counted another attempt that was still unstarted as started.
 func TestSecondStartNoticeChangesNothing(t *testing.T) {
 	balancer, _ := newWarmBalancer(1, 1)
 	for id := range RequestID(2) {
--- a/internal/balancer/ejection_test.go
+++ b/internal/balancer/ejection_test.go
@@ -149,7 +149,7 @@
 		}
 		restarted := []Endpoint{{Worker: 0, ID: "w0", StartedAt: balancer.now}}
 		balancer.UpdateEndpoints(restarted, ChangedEndpoints, FromDiscovery)
-		assert.False(t, balancer.workers[0].health.PossiblyExecuted, "reset for the new process")
+		assert.False(t, balancer.workers[0].health.PossiblyExecuted, "PossiblyExecuted is reset for the new process")
 	}
 }
 
--- a/internal/balancer/eligibility_test.go
+++ b/internal/balancer/eligibility_test.go
@@ -63,7 +63,7 @@
 	"another dispatcher may send first": {func(b *Balancer, _ *request, _ *workerFilter) {
 		b.workers[exclusionTarget].notBefore = b.now + 1
 	}, backingOff},
-	"load far above the mean": {func(b *Balancer, _ *request, _ *workerFilter) {
+	"more than twice the mean load": {func(b *Balancer, _ *request, _ *workerFilter) {
 		b.addInFlight(exclusionTarget, 4)
 	}, aboveMeanLoad},
 	"request exceeds the warm-up budget": {func(b *Balancer, req *request, _ *workerFilter) {
--- a/internal/balancer/hedging_test.go
+++ b/internal/balancer/hedging_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// Guards against a worker that reports a start and then never responds, so that the client waits until its deadline.
+// Regression test for a worker that reports a start and then never responds: the client waited until its deadline.
 func TestLongRunIsHedgedIfAnotherWorkerHasFreeSlots(t *testing.T) {
 	const timeout = 90 * Second
 	for _, c := range []struct {
--- a/internal/balancer/open_requests_test.go
+++ b/internal/balancer/open_requests_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// Guards against gaps that are never removed, and against wrong order indexes after their removal.
+// Regression test for gaps that were never removed, and for wrong order indexes after their removal.
 func TestOpenRequestsKeepTheirOrderAsGapsAreRemoved(t *testing.T) {
 	const arrivals = 1000
 	balancer, _ := newWarmBalancer(1, 1)
--- a/internal/balancer/operations_test.go
+++ b/internal/balancer/operations_test.go
@@ -6,7 +6,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// Guards against meaningless statistics of lost, requested and sent work if requests have no size hints.
+// Regression test for meaningless statistics of the work that was lost, requested, or sent to a worker if requests have
+// no size hints.
 func TestSizesWithoutHintsAreMeanRuns(t *testing.T) {
 	balancer, _ := newWarmBalancer(2, 1)
 	balancer.operations.byID[idempotentOp].meanRun = 500
@@ -25,7 +26,7 @@
 		balancer.rejectOrFail(2)
 		balancer.RequestArrived(2, Arrival{Operation: idempotentOp, Timeout: 20 * Second})
 	}
-	assert.Equal(t, nonIdempotentOp, balancer.operations.worst, "three lost of four are less than one of one")
+	assert.Equal(t, nonIdempotentOp, balancer.operations.worst, "a loss of three out of four requests is a smaller share than one out of one")
 }
 
 // recentlySentWork returns the work sent to all workers within the warm-up window.
--- a/internal/balancer/pick_worker_test.go
+++ b/internal/balancer/pick_worker_test.go
@@ -133,8 +133,8 @@
 	assert.Greater(t, len(effects.lines), sent)
 }
 
-// Guards against requests that use up their attempts in a full zone while another zone has free slots. Without gossip
-// each request has to find out on its own that the zone is full.
+// Regression test for requests that used up their attempts in a full zone while another zone had free slots. Without
+// gossip, each request has to find out on its own that the zone is full.
 func TestRetryMayLeaveFullZoneWithoutGossip(t *testing.T) {
 	const (
 		seeds             = 20
--- a/internal/balancer/picker_test.go
+++ b/internal/balancer/picker_test.go
@@ -229,7 +229,7 @@
 	picker.ReportWatchEnded(WatchFailed)
 	*now += 5 * Second
 	picker.update(func(*Balancer) {})
-	assert.True(t, pollIsDue(), "a signal that is not received before the next failure")
+	assert.True(t, pollIsDue(), "the poll is due, and its signal is still pending at the next failure")
 	picker.ReportWatchEnded(WatchFailed)
 	assert.False(t, pollIsDue())
 	picker.update(func(balancer *Balancer) { balancer.polling.PollNow(balancer.now) })
--- a/internal/balancer/review_test.go
+++ b/internal/balancer/review_test.go
@@ -48,8 +48,8 @@
 	}, effects.lines)
 }
 
-// Guards against a fault with clients that retry after the latency objective: the attempt was canceled as soon as it
-// was sent, so the retry could never be served, however long its client would have waited.
+// Regression test for clients that retry after the latency objective: the attempt was canceled as soon as it was sent,
+// so the retry could never be served, however long its client would have waited.
 func TestLateRetryIsGivenTimeToBeServed(t *testing.T) {
 	const (
 		firstTimeout = 20 * Second
@@ -101,7 +101,7 @@
 	assert.Contains(t, effects.lines, "reject 0, retry after 20000", "the attempt waits in the worker's queue")
 }
 
-// Guards against late requests that delay others beyond their objective.
+// Regression test for late requests that delayed others beyond their objective.
 func TestLateRequestIsOrderedBehindRequestsInTime(t *testing.T) {
 	const firstTimeout = 20 * Second
 	balancer, effects := newWarmBalancer(1, 1)
--- a/internal/balancer/subsetting_test.go
+++ b/internal/balancer/subsetting_test.go
@@ -56,7 +56,7 @@
 	}
 }
 
-// Guards against limits on the number of dispatchers or workers. With 1,024 of each, with and without gossip, every
+// Regression test for limits on the number of dispatchers or workers. With 1,024 of each, with and without gossip, every
 // worker is listed, in some dispatcher's subset, and used.
 func TestAllWorkersOfALargeFleetAreUsed(t *testing.T) {
 	const size = 1024 // number of workers, and of dispatchers
--- a/internal/balancer/unstarted_attempts_test.go
+++ b/internal/balancer/unstarted_attempts_test.go
@@ -24,8 +24,8 @@
 	assert.NotEqual(t, effects.lines[0], effects.lines[1], "the second attempt goes to the other worker")
 }
 
-// Guards against canceling attempts before their worker could have reported a start, because of which an operation with
-// a short objective was hardly ever served.
+// Regression test for an operation with a short objective that was hardly ever served, because its attempts were
+// canceled before their worker could have reported a start.
 func TestAttemptInDeliveryIsNotMigrated(t *testing.T) {
 	balancer, effects := newDeliveryNoticesBalancer()
 	submitRequest(balancer, 0, Arrival{Timeout: 10 * Second, SizeHint: 100})
@@ -40,8 +40,8 @@
 	assert.Equal(t, "cancel 0.0", effects.lines[2])
 }
 
-// Guards against attempts that are never migrated because their worker reports nothing at all, and against a mean
-// delivery time that undelivered attempts do not raise, or raise without limit.
+// Regression test for attempts that were never migrated because their worker reported nothing at all, and for a mean
+// delivery time that undelivered attempts did not raise. The mean must stay limited.
 func TestUndeliveredAttemptIsMigrated(t *testing.T) {
 	const nearDelivery = 100 // ticks until a worker in the zone receives an attempt
 	balancer, effects := newDeliveryNoticesBalancer()
--- a/internal/balancer/worker_search_test.go
+++ b/internal/balancer/worker_search_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// Guards against an index that misses a change: a worker with a free slot would get no more attempts.
+// Regression test for an index that missed a change: a worker with a free slot would get no more attempts.
 func TestIndexesMatchTheirWorkersAfterRandomSteps(t *testing.T) {
 	const (
 		workers        = 70 // more workers than bits in one word
