--- a/internal/balancer/subsetting_test.go
+++ b/internal/balancer/subsetting_test.go
@@ -42,8 +42,8 @@
 				usedBy[id] = append(usedBy[id], position)
 			}
 			peersOf = nil
-			for _, known := range balancer.workers {
-				peersOf = append(peersOf, known.gossip.subsetDispatchers)
+			for _, worker := range balancer.workers {
+				peersOf = append(peersOf, worker.gossip.subsetDispatchers)
 			}
 		}
 		for id := range WorkerID(c.workers) {
@@ -56,7 +56,7 @@
 	}
 }
 
-// Guards against limits on the number of dispatchers or workers. With 1,024 of each, with and without gossip, every
+// Regression test for limits on the number of dispatchers or workers. With 1,024 of each, with and without gossip, every
 // worker is listed, in some dispatcher's subset, and used.
 func TestAllWorkersOfALargeFleetAreUsed(t *testing.T) {
 	const size = 1024 // number of workers, and of dispatchers
@@ -105,8 +105,8 @@
 
 // usedWorkers returns the number of workers with an attempt in flight.
 func usedWorkers(balancer *Balancer) (used int) {
-	for _, known := range balancer.workers {
-		if known.inFlight > 0 {
+	for _, worker := range balancer.workers {
+		if worker.inFlight > 0 {
 			used++
 		}
 	}
