--- a/cmd/canvasroute/main.go
+++ b/cmd/canvasroute/main.go
@@ -1,5 +1,6 @@
-// Command canvasroute runs a dispatcher. LB_CONFIG names its configuration file. With arguments it runs a command
-// instead, such as `state show FOLDER`, and serves no requests. Exit codes and signals: docs/operating.md.
+// Command canvasroute runs a dispatcher. The environment variable LB_CONFIG holds the path of its configuration file.
+// With arguments it runs a command instead, such as `state show FOLDER`, and serves no requests. Exit codes and signals
+// are described in docs/operating.md.
 package main
 
 import (
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,5 +1,5 @@
-// Command simadapter runs dispatchers in the simulator. It reads batches of events from standard input and writes the
-// replies to standard output. It exits with 1 after an error, which it writes to standard error.
+// Command simadapter runs dispatchers in the simulator. It reads batches of events from standard input and writes
+// replies to standard output. On error it prints the error to standard error and exits with code 1.
 package main
 
 import (
--- a/cmd/testbed/main.go
+++ b/cmd/testbed/main.go
@@ -1,5 +1,5 @@
-// Command testbed runs experiments with canvasroute and stand-ins. It is a program of its own so that the libraries for
-// plots and command lines are not linked into the dispatcher.
+// Command testbed runs experiments with canvasroute and a simulated platform. It is a separate program, so that the
+// dispatcher is not linked with the libraries for plots and command lines.
 package main
 
 import (
--- a/internal/docscheck/code_test.go
+++ b/internal/docscheck/code_test.go
@@ -12,16 +12,16 @@
 	"unicode"
 )
 
-// root is the root of the module, from this package's directory.
+// root is the path of the module root, relative to this package.
 const root = "../.."
 
-// code is what the pages may name of the Go code, and the names of the files.
+// code holds the names in the Go code that pages may refer to, and the names of the files.
 type code struct {
 	names    map[string]bool // package-level names, fields and methods: "Name", "pkg.Name", "Type.Member", "pkg.Type.Member"
 	tests    map[string]bool // test functions: "TestName", "pkg.TestName"
-	literals map[string]bool // words of string literals: names on the wire, in settings and in the log
-	messages []string        // constant messages of the dispatcher's log
-	files    []string        // of the repository, by their paths from its root
+	literals map[string]bool // words in string literals: names on the wire, in settings and in the log
+	messages []string        // constant log messages of the dispatcher
+	files    []string        // paths of the repository's files, relative to its root
 }
 
 // readCode parses all Go code of the module.
@@ -58,7 +58,7 @@
 	return c
 }
 
-// addFile adds the declarations and literals of a file. Of test files only the test functions count.
+// addFile adds the declarations and literals of a file. From test files it adds only the test functions.
 func (c *code) addFile(file *ast.File, path string) {
 	if strings.HasSuffix(path, "_test.go") {
 		pkg := strings.TrimSuffix(file.Name.Name, "_test")
@@ -90,7 +90,7 @@
 	})
 }
 
-// addDeclaration adds the names that a declaration brings, with those of its fields.
+// addDeclaration adds the declared names, and the names of struct fields and interface methods.
 func (c *code) addDeclaration(pkg string, declaration ast.Decl) {
 	switch declaration := declaration.(type) {
 	case *ast.FuncDecl:
@@ -132,14 +132,14 @@
 	}
 }
 
-// add adds a name in each form in which a page may give it: the last elements of its path.
+// add adds each form of a name that a page may use: every suffix of its path.
 func (c *code) add(path ...string) {
 	for from := range path {
 		c.names[strings.Join(path[from:], ".")] = true
 	}
 }
 
-// receiverType returns the name of the type whose method a function is.
+// receiverType returns the name of a method's receiver type.
 func receiverType(function *ast.FuncDecl) string {
 	receiver := function.Recv.List[0].Type
 	if pointer, ok := receiver.(*ast.StarExpr); ok {
@@ -154,7 +154,7 @@
 	return ""
 }
 
-// logMessage returns the constant message of a call that writes a log line, "" for other calls.
+// logMessage returns the constant message of a call that writes a log line, or "" for other calls.
 func logMessage(call *ast.CallExpr) string {
 	method, ok := call.Fun.(*ast.SelectorExpr)
 	if !ok || method.Sel.Name != "Msg" || len(call.Args) != 1 {
@@ -167,12 +167,12 @@
 	return stringOf(literal)
 }
 
-// endsWord reports whether a character is none of a name.
+// endsWord reports whether a character cannot be part of a name.
 func endsWord(character rune) bool {
 	return character != '_' && !unicode.IsLetter(character) && !unicode.IsDigit(character)
 }
 
-// stringOf returns the value of a string literal, "" of other literals.
+// stringOf returns the value of a string literal, or "" for other literals.
 func stringOf(literal *ast.BasicLit) string {
 	if literal.Kind != token.STRING {
 		return ""
--- a/internal/docscheck/docscheck_test.go
+++ b/internal/docscheck/docscheck_test.go
@@ -1,6 +1,7 @@
-// Package docscheck keeps pages and code together. An engineer on call goes from a page to the code by a name, and from
-// a log line to its row in a table. So a name that a page gives in backticks has to exist, and each log message of the
-// dispatcher has to stand on a page. The package has tests alone: they fail when a name changes and the page does not.
+// Package docscheck keeps the documentation consistent with the code. An engineer on call looks up names from a page in
+// the code, and log messages in a table on a page. Therefore each name in backticks on a page must exist, and each log
+// message of the dispatcher must be documented. The package contains only tests: they fail if a name changes in the
+// code but not on the pages.
 package docscheck
 
 import (
@@ -24,10 +25,10 @@
 	"docs/scale.md",
 }
 
-// messagePages are the pages in one of which each log message has a row.
+// messagePages are the pages with tables of log messages. Each log message must have a row in one of them.
 var messagePages = []string{"docs/oncall.md", "docs/returning.md", "docs/operating.md"}
 
-// otherNames are names in backticks that are not in the code, and what they are.
+// otherNames describes the names in backticks that are not defined in the code.
 var otherNames = map[string]string{
 	"accepting":   "an old log message",
 	"facts.a":     "a file in the state folder",
@@ -46,7 +47,7 @@
 	testName   = regexp.MustCompile(`\b(?:[a-z]\w*\.)?Test[A-Z]\w*`)
 	goName     = regexp.MustCompile(`^[A-Za-z_]\w*(\.[A-Za-z_]\w*)*$`)
 	firstCells = regexp.MustCompile(`(?m)^\| [^|]*`)
-	// oldMessages is the section of messages that the code no longer has.
+	// oldMessages matches the section of log messages that no longer exist in the code.
 	oldMessages = regexp.MustCompile(`(?s)\n### Old log messages\n.*?\n## `)
 
 	fileName = regexp.MustCompile(`^[\w./-]+\.(go|toml|md|txt)$`)
@@ -64,7 +65,7 @@
 			}
 			for _, match := range backticked.FindAllStringSubmatch(text, -1) {
 				if name := match[1]; !code.has(name) {
-					t.Errorf("`%s` is neither in the code nor a file", name)
+					t.Errorf("`%s` is neither a name in the code nor a file", name)
 				}
 			}
 		})
@@ -88,13 +89,13 @@
 	slices.Sort(messages)
 	for _, message := range slices.Compact(messages) {
 		if !explained[message] {
-			t.Errorf("log message %q has a row in none of %v", message, messagePages)
+			t.Errorf("log message %q has no row in any of %v", message, messagePages)
 		}
 	}
 }
 
-// has reports whether a text in backticks names something that exists: a declaration, a test, a name in a string literal
-// (metric, settings key, log message and the like) or a file. Other texts, such as commands and values, are not checked.
+// has reports whether a text in backticks refers to an existing declaration, test, name in a string literal (metric,
+// settings key, log message and the like) or file. Other texts, such as commands and values, are not checked.
 func (c *code) has(text string) bool {
 	switch {
 	case fileName.MatchString(text):
@@ -107,8 +108,8 @@
 	return true
 }
 
-// isInLiterals reports whether a name stands as a word in a string literal of the code. Of a path, such as that of a
-// settings key, each element has to.
+// isInLiterals reports whether a name occurs as a word in a string literal of the code. For a path, such as that of a
+// settings key, each element must occur.
 func (c *code) isInLiterals(name string) bool {
 	for element := range strings.SplitSeq(name, ".") {
 		if !c.literals[element] {
--- a/internal/protocol/admin_command.go
+++ b/internal/protocol/admin_command.go
@@ -6,17 +6,17 @@
 	"fmt"
 )
 
-// Command is an operator's command, one line of text.
+// Command is a command of an operator, sent as one line of text.
 type Command string
 
-// MaxCommandBytes is the length of the longest line of a command, with its end.
+// MaxCommandBytes is the maximum length of a command line in bytes, including its line end.
 const MaxCommandBytes = 256
 
-// ErrIncompleteCommand reports a line of a command that has no end yet.
+// ErrIncompleteCommand is returned for a command without a line end.
 var ErrIncompleteCommand = errors.New("incomplete command")
 
-// ParseCommand parses the command in the first line of b and ignores later lines. The error is ErrIncompleteCommand while
-// the line has no end, or ErrMalformed, whose text is sent to the operator.
+// ParseCommand parses the command in the first line of b and ignores further lines. It returns ErrIncompleteCommand if
+// b has no line end yet, or ErrMalformed. The text of ErrMalformed is sent to the operator.
 func ParseCommand(b []byte) (Command, error) {
 	line, _, complete := bytes.Cut(b, []byte("\n"))
 	switch {
@@ -37,14 +37,14 @@
 		line)
 }
 
-// Metric is one number of a dump.
+// Metric is one value of a metrics dump.
 type Metric struct {
 	Name      string
-	Operation string // "" for a metric of the whole dispatcher
+	Operation string // or "" for a metric of the whole dispatcher
 	Value     int64
 }
 
-// AppendDump appends the response to CommandDump: a line for each metric, between a first and a last line.
+// AppendDump appends the response to CommandDump: a first line, one line for each metric, and a last line.
 func AppendDump(b []byte, metrics []Metric) []byte {
 	b = append(b, resultDone+"\n"...)
 	for _, m := range metrics {
@@ -59,8 +59,8 @@
 	return append(b, dumpEnd+"\n"...)
 }
 
-// AppendCommandResult appends the response to any other command, or to a malformed one. err says why the command failed;
-// it is nil after success.
+// AppendCommandResult appends the response to any command other than CommandDump, or to a malformed one. err is the
+// reason for the failure, or nil on success.
 func AppendCommandResult(b []byte, err error) []byte {
 	if err != nil {
 		return fmt.Appendf(b, "%s %v\n", resultError, err)
--- a/internal/protocol/body.go
+++ b/internal/protocol/body.go
@@ -7,22 +7,22 @@
 	"strings"
 )
 
-// Body takes a message's body out of its framing, piece by piece (RFC 9112, 6 and 7.1).
+// Body decodes the framing of a message body incrementally (RFC 9112, 6 and 7.1).
 type Body struct {
-	remaining   int64 // bytes that are still to come of the body, or of the present chunk
+	remaining   int64 // bytes left in the body, or in the current chunk
 	chunked     bool
 	untilClose  bool       // the body ends with the connection
 	strictLines bool       // chunk lines must end in CRLF
-	state       chunkState // of a chunked body
+	state       chunkState // state of a chunked body
 }
 
-// BodyPiece is the next piece of a body's input.
+// BodyPiece is the result of decoding the start of a body's input.
 type BodyPiece struct {
-	Data []byte // of the body, without framing; it may be empty
-	Used int    // bytes of the input that the piece takes, with its framing; 0 where more input is needed
+	Data []byte // body data without framing; may be empty
+	Used int    // bytes of input that were consumed, including framing; 0 if more input is needed
 }
 
-// chunkState says what comes next in a chunked body.
+// chunkState is the next expected element of a chunked body.
 type chunkState uint8
 
 const (
@@ -33,19 +33,19 @@
 	chunksDone
 )
 
-// maxChunkLineBytes is the length of the longest line with a chunk's size, and of the longest trailer field.
+// maxChunkLineBytes is the maximum length of a chunk size line, and of a trailer field.
 const maxChunkLineBytes = 1 << 10
 
-// The numbers in a body's framing.
+// Number formats of the framing.
 const (
 	contentLengthBase = 10
 	chunkSizeBase     = 16
-	lengthBits        = 62 // of the largest length or chunk size, so that it fits an int64
+	lengthBits        = 62 // maximum size of a length or chunk size in bits, so that it fits an int64
 )
 
-// RequestBody returns the body that a request's head announces. One without a length is empty.
+// RequestBody returns a decoder for the body of a request with the given head. A request without a length has no body.
 //
-// The error is ErrMalformed for framing that parsers read in different ways. That is two lengths, a length beside a
+// It returns ErrMalformed for framing that parsers interpret differently: two lengths, a length together with a
 // transfer coding (RFC 9112, 6.3), or a transfer coding in HTTP/1.0 (RFC 9112, 6.1).
 func RequestBody(h *Head) (Body, error) {
 	if len(h.values(fieldTransferEncoding)) > 0 && h.minorVersion == 0 {
@@ -56,8 +56,9 @@
 	return body, err
 }
 
-// ResponseBody returns the body that a response's head announces. One without a length ends with the connection, unless
-// the status allows no body (RFC 9112, 6.3). The error is ErrMalformed.
+// ResponseBody returns a decoder for the body of a response with the given head. The body of a response without a
+// length ends when the connection is closed, unless the status does not allow a body (RFC 9112, 6.3). It returns
+// ErrMalformed for invalid framing.
 func ResponseBody(h *Head) (Body, error) {
 	if allowsNoBody(h.Status) {
 		return Body{}, nil
@@ -67,12 +68,13 @@
 	return body, err
 }
 
-// allowsNoBody reports whether a response with a status has no body, whatever its fields say (RFC 9112, 6.3).
+// allowsNoBody reports whether a response with a status has no body, regardless of its header fields (RFC 9112, 6.3).
 func allowsNoBody(status int) bool {
 	return IsInterim(status) || status == StatusNoContent || status == StatusNotModified
 }
 
-// parseFraming returns the body that the fields of the framing announce, an empty one where there are none.
+// parseFraming returns a decoder for the body that Content-Length and Transfer-Encoding describe. The body is empty if
+// the head has neither field.
 func parseFraming(h *Head) (Body, error) {
 	lengths, codings := h.values(fieldContentLength), h.values(fieldTransferEncoding)
 	switch {
@@ -91,7 +93,7 @@
 	return Body{}, nil
 }
 
-// Length returns the announced length in bytes before the first call of Next, 0 where it isn't known.
+// Length returns the length of the body in bytes before the first call of Next, or 0 if it is unknown.
 func (b *Body) Length() int64 {
 	if b.chunked {
 		return 0
@@ -99,7 +101,7 @@
 	return b.remaining
 }
 
-// MaxRead returns how many bytes of memory the body takes at most, if it is no longer than MaxBodyBytes.
+// MaxRead returns the maximum number of bytes needed to buffer the body, if the body does not exceed MaxBodyBytes.
 func (b *Body) MaxRead() int64 {
 	if b.chunked {
 		return MaxBodyBytes
@@ -115,10 +117,10 @@
 	return !b.untilClose && b.remaining == 0
 }
 
-// EndsWithConnection reports whether the body is complete only when the connection is closed.
+// EndsWithConnection reports whether the end of the body is the close of the connection.
 func (b *Body) EndsWithConnection() bool { return b.untilClose }
 
-// Next takes the next piece from the start of the input. The error is ErrMalformed.
+// Next decodes the next piece from the start of the input. It returns ErrMalformed for invalid framing.
 func (b *Body) Next(input []byte) (BodyPiece, error) {
 	switch {
 	case b.untilClose:
@@ -137,7 +139,7 @@
 	return BodyPiece{Used: lineBytes}, err
 }
 
-// takeChunkLine takes one line of the framing between the chunks' data. It returns the line's length in bytes, 0 while
+// takeChunkLine parses the framing line at the start of the input. It returns the length of the line in bytes, or 0 if
 // the line is incomplete.
 func (b *Body) takeChunkLine(input []byte) (int, error) {
 	end := bytes.IndexByte(input, '\n')
@@ -157,8 +159,8 @@
 	return end + 1, nil
 }
 
-// parseChunkLine parses a line without its end: a chunk's size, the empty line after its data, or a trailer field,
-// which is ignored.
+// parseChunkLine parses a framing line without its line end: a chunk size, the empty line after the data of a chunk, or
+// a trailer field. Trailer fields are ignored.
 func (b *Body) parseChunkLine(line string) error {
 	switch b.state {
 	case chunkDataEnd:
@@ -171,7 +173,7 @@
 			b.state = chunksDone
 		}
 	case chunkSize:
-		digits, _, _ := strings.Cut(line, ";") // extensions are ignored
+		digits, _, _ := strings.Cut(line, ";") // chunk extensions are ignored
 		size, err := strconv.ParseUint(strings.TrimSpace(digits), chunkSizeBase, lengthBits)
 		if err != nil {
 			return fmt.Errorf("%w: chunk size %.40q", ErrMalformed, line)
--- a/internal/protocol/body_test.go
+++ b/internal/protocol/body_test.go
@@ -11,7 +11,7 @@
 
 var errIncomplete = errors.New("body incomplete")
 
-// readBody puts a body together from input that arrives in pieces of the given size.
+// readBody decodes a body from text that is received in pieces of the given size.
 func readBody(body Body, text string, pieceBytes int) (string, error) {
 	var content []byte
 	buffered := ""
@@ -40,7 +40,7 @@
 	return string(content), nil
 }
 
-// Two parsers could disagree on where such a body ends.
+// Parsers could disagree on the end of a body with ambiguous framing, which allows request smuggling.
 func TestAmbiguousFramingIsMalformed(t *testing.T) {
 	for _, tt := range []struct{ name, version, fieldLines string }{
 		{"two lengths", "HTTP/1.1", "Content-Length: 3\r\nContent-Length: 4"},
--- a/internal/protocol/endpoint_list.go
+++ b/internal/protocol/endpoint_list.go
@@ -5,14 +5,14 @@
 	"strconv"
 )
 
-// EndpointList is the discovery service's list of workers, or a change to it.
+// EndpointList is a list of workers from the discovery service, or a change to the last list.
 type EndpointList struct {
 	Version   int64
-	Complete  bool // it replaces the list; otherwise it has the endpoints that have changed
+	Complete  bool // the list replaces the last one; otherwise it holds only the changed endpoints
 	Endpoints []Endpoint
 }
 
-// Endpoint is one worker in a list. Its JSON form is that of stored data, not of the discovery service.
+// Endpoint is one worker in an endpoint list. The JSON form is used for stored data, not by the discovery service.
 type Endpoint struct {
 	ID              string  `json:"ID"`
 	Address         string  `json:"Address"` // IP address and port
@@ -20,16 +20,16 @@
 	Kind            string  `json:"Kind"`
 	Cell            int     `json:"Cell"`
 	State           string  `json:"State"`  // Ready, Terminating or Gone
-	StartedAtMillis float64 `json:"BornMs"` // start of the worker's process in Unix milliseconds; 0 for long ago
+	StartedAtMillis float64 `json:"BornMs"` // start time of the worker process in Unix milliseconds; 0 for long ago
 }
 
-// WatchTarget returns the request target of a watch of the changes after a version.
+// WatchTarget returns the request target that watches for changes after a version.
 func WatchTarget(version int64) string {
 	return PathEndpoints + "?" + queryWatch + "=1&" + queryVersion + "=" + strconv.FormatInt(version, 10)
 }
 
-// ParseEndpointList parses a list, or one line of a watch: a JSON object. Unknown keys are skipped. The error is
-// ErrMalformed; the list then has the endpoints that precede the fault.
+// ParseEndpointList parses an endpoint list, or one line of a watch, which hold a JSON object. Unknown keys are
+// ignored. If it returns ErrMalformed, the list holds the endpoints before the error.
 func ParseEndpointList(b []byte) (list EndpointList, err error) {
 	s := scanner{input: b}
 	hasVersion := false
@@ -60,7 +60,7 @@
 	return list, nil
 }
 
-// endpoint reads one worker. Its ID and a known state are required.
+// endpoint reads one worker. The ID and a known state are required.
 func (s *scanner) endpoint() (e Endpoint) {
 	s.object(func(key string) {
 		switch key {
--- a/internal/protocol/fuzz_test.go
+++ b/internal/protocol/fuzz_test.go
@@ -18,10 +18,10 @@
 		_, _ = ParseLoad(input, []string{"rif"})
 		_, _ = ParseLoads(input)
 		if head, _ := ParseRequestHead(input); head.Length > len(input) {
-			t.Fatal("more used than there is")
+			t.Fatal("head length exceeds the input")
 		}
 		if head, _ := ParseResponseHead(input); head.Length > len(input) {
-			t.Fatal("more used than there is")
+			t.Fatal("head length exceeds the input")
 		}
 	})
 }
--- a/internal/protocol/head.go
+++ b/internal/protocol/head.go
@@ -2,25 +2,26 @@
 
 import "strings"
 
-// fieldSet is the value of a field that is a mark.
+// fieldSet is the value of a header field that serves as a flag.
 const fieldSet = "1"
 
 // Head is the head of an HTTP/1.x message: its start line and its header fields.
 type Head struct {
-	Method       string // of a request
-	Target       string // of a request
-	Status       int    // of a response
-	minorVersion byte   // of HTTP/1.x: 0 or 1
+	Method       string // for requests only
+	Target       string // for requests only
+	Status       int    // for responses only
+	minorVersion byte   // minor version of HTTP/1.x: 0 or 1
 	fields       []field
 }
 
 // field is a header field.
 type field struct {
-	name  string // in lower case where it was parsed
+	name  string // in lower case if the head was parsed
 	value string
 }
 
-// Field returns the value of the first field of a name, which is in lower case; "" where there is none.
+// Field returns the value of the first field with a name, or "" if the head has no such field. The name must be in
+// lower case.
 func (h *Head) Field(name string) string {
 	for _, f := range h.fields {
 		if f.name == name {
@@ -30,10 +31,10 @@
 	return ""
 }
 
-// has reports whether there is a field of a name, even with an empty value.
+// has reports whether the head has a field with a name, even if its value is empty.
 func (h *Head) has(name string) bool { return h.count(name) > 0 }
 
-// count returns how many fields there are of a name.
+// count returns the number of fields with a name.
 func (h *Head) count(name string) (n int) {
 	for _, f := range h.fields {
 		if f.name == name {
@@ -43,7 +44,7 @@
 	return n
 }
 
-// values returns the values of all fields of a name.
+// values returns the values of all fields with a name.
 func (h *Head) values(name string) (values []string) {
 	for _, f := range h.fields {
 		if f.name == name {
@@ -53,14 +54,14 @@
 	return values
 }
 
-// Path returns the target without its query.
+// Path returns the target without its query string.
 func (h *Head) Path() string {
 	path, _, _ := strings.Cut(h.Target, "?")
 	return path
 }
 
-// CloseRequested reports whether the sender closes the connection after this message: with the option "close", or in
-// HTTP/1.0 without "keep-alive" (RFC 9112, 9.3).
+// CloseRequested reports whether the sender closes the connection after this message: the Connection field has the
+// option "close", or the message is HTTP/1.0 without the option "keep-alive" (RFC 9112, 9.3).
 func (h *Head) CloseRequested() bool {
 	persistent := h.minorVersion > 0
 	for _, value := range h.values(fieldConnection) {
@@ -76,22 +77,23 @@
 	return !persistent
 }
 
-// AcceptsInterim reports whether the sender understands interim (1xx) responses. Each sender of HTTP/1.1 does (RFC 9110,
+// AcceptsInterim reports whether the sender accepts interim (1xx) responses. Every HTTP/1.1 sender does (RFC 9110,
 // 15.2).
 func (h *Head) AcceptsInterim() bool { return h.minorVersion > 0 }
 
-// ExpectsContinue reports whether the sender waits for a 100 (Continue) before it sends the body (RFC 9110, 10.1.1).
+// ExpectsContinue reports whether the sender waits for a 100 (Continue) response before it sends the body (RFC 9110,
+// 10.1.1).
 func (h *Head) ExpectsContinue() bool {
 	return strings.EqualFold(h.Field(fieldExpect), "100-continue")
 }
 
-// Operation returns the name of the operation that a request is for, "" where it names none.
+// Operation returns the name of the requested operation, or "" if the request has none.
 func (h *Head) Operation() string { return h.Field(fieldOperation) }
 
-// IsRetry reports whether the client marks the request as one that it has sent before.
+// IsRetry reports whether the client marks the request as a retry.
 func (h *Head) IsRetry() bool { return h.Field(fieldRetry) == fieldSet }
 
-// Declined reports whether a worker's response says that the attempt was not executed.
+// Declined reports whether a worker's response indicates that the attempt was not executed.
 func Declined(h *Head) bool {
 	mayDecline := h.Status == StatusServiceUnavailable || h.Status == StatusGatewayTimeout
 	return mayDecline && h.Field(fieldDeclined) == fieldSet
--- a/internal/protocol/head_parser.go
+++ b/internal/protocol/head_parser.go
@@ -7,20 +7,20 @@
 	"strings"
 )
 
-// ParsedHead is a head at the start of some bytes.
+// ParsedHead is a head that was parsed from the start of a buffer.
 type ParsedHead struct {
 	Head
 
-	// Length of the head in bytes, with the empty line that ends it. It is 0 while the head is incomplete, and is set
-	// for a malformed head too.
+	// Length is the length of the head in bytes, including the empty line at its end. It is 0 while the head is
+	// incomplete, and is also set for a malformed head.
 	Length int
 }
 
-// ParseRequestHead parses a request's head at the start of b. The error is ErrMalformed, or ErrHeadTooLarge for a head
-// of more than MaxHeadBytes.
+// ParseRequestHead parses the head of a request at the start of b. It returns ErrMalformed, or ErrHeadTooLarge if the
+// head exceeds MaxHeadBytes.
 //
-// Bare LFs and control bytes are malformed. Parsers differ in how they read them, which allows request smuggling
-// (RFC 9112, 11.2).
+// Bare LFs and control bytes are rejected as malformed, because parsers interpret them differently, which allows
+// request smuggling (RFC 9112, 11.2).
 func ParseRequestHead(b []byte) (h ParsedHead, err error) {
 	text, err := cutHead(b)
 	h.Length = text.length
@@ -44,8 +44,8 @@
 // isTarget reports whether s is a request target in origin form (RFC 9112, 3.2.1). Other forms are not supported.
 func isTarget(s string) bool { return strings.HasPrefix(s, "/") && isPrintable(s) }
 
-// ParseResponseHead parses a response's head at the start of b. Its errors are those of ParseRequestHead, but lines may
-// end in a bare LF (RFC 9112, 2.2).
+// ParseResponseHead parses the head of a response at the start of b. It returns the same errors as ParseRequestHead,
+// but accepts lines that end in a bare LF (RFC 9112, 2.2).
 func ParseResponseHead(b []byte) (h ParsedHead, err error) {
 	text, err := cutHead(b)
 	h.Length = text.length
@@ -62,7 +62,7 @@
 	return h, err
 }
 
-// parseVersionAndFields parses what follows in a request as in a response.
+// parseVersionAndFields parses the HTTP version and the header fields, which requests and responses have in common.
 func (h *Head) parseVersionAndFields(version, fieldLines string) (err error) {
 	h.minorVersion, err = parseVersion(version)
 	if err != nil {
@@ -78,15 +78,15 @@
 	statusDigits     = 3
 )
 
-// headText is the text of a head.
+// headText is the text of a head, split into its parts.
 type headText struct {
 	startLine  string
-	fieldLines string // without the empty line that ends the head
-	length     int    // in bytes, with that empty line; 0 while the head is incomplete
+	fieldLines string // without the empty line at the end
+	length     int    // in bytes, including the empty line; 0 while the head is incomplete
 }
 
-// cutHead finds the head at the start of b. Empty lines before it are skipped, as some senders end a body with one
-// (RFC 9112, 2.2). The error is ErrHeadTooLarge.
+// cutHead returns the text of the head at the start of b. Empty lines before the head are skipped, because some senders
+// add one after a body (RFC 9112, 2.2). It returns ErrHeadTooLarge if the head exceeds MaxHeadBytes.
 func cutHead(b []byte) (headText, error) {
 	skipped := len(b) - len(bytes.TrimLeft(b, "\r\n"))
 	end, terminator := bytes.Index(b[skipped:], []byte("\n\r\n")), len("\n\r\n")
@@ -111,7 +111,7 @@
 	}, nil
 }
 
-// parseVersion returns the minor version of HTTP/1.x.
+// parseVersion returns the minor version of HTTP/1.x, or ErrMalformed for any other version.
 func parseVersion(version string) (byte, error) {
 	switch version {
 	case "HTTP/1.0":
@@ -122,7 +122,7 @@
 	return 0, fmt.Errorf("%w: version %.20q", ErrMalformed, version)
 }
 
-// parseFields parses the lines of header fields. The error is ErrMalformed with the first line that is none.
+// parseFields parses header field lines. It returns ErrMalformed with the first invalid line.
 func parseFields(text string) (fields []field, err error) {
 	fields = make([]field, 0, strings.Count(text, "\n")+1)
 	for line := range strings.SplitSeq(text, "\n") {
@@ -140,18 +140,18 @@
 	return fields, nil
 }
 
-// asciiDelete is the last character of ASCII, a control character.
+// asciiDelete is the code of the ASCII control character DEL, the last ASCII character.
 const asciiDelete = 0x7f
 
-// isForbiddenInValue reports whether r is a control character that a field value may not hold (RFC 9110, 5.5).
+// isForbiddenInValue reports whether r is a control character that is not allowed in a field value (RFC 9110, 5.5).
 func isForbiddenInValue(r rune) bool { return r < ' ' && r != '\t' || r == asciiDelete }
 
-// isPrintable reports whether s is not empty and has printable ASCII characters only, without spaces.
+// isPrintable reports whether s is not empty and consists of printable ASCII characters without spaces.
 func isPrintable(s string) bool {
 	return s != "" && !strings.ContainsFunc(s, func(r rune) bool { return r <= ' ' || r >= asciiDelete })
 }
 
-// isToken reports whether s is a token, as methods and field names are (RFC 9110, 5.6.2).
+// isToken reports whether s is a token, the syntax of methods and field names (RFC 9110, 5.6.2).
 func isToken(s string) bool {
 	for _, c := range []byte(s) {
 		if c <= ' ' || c >= asciiDelete || strings.IndexByte(`"(),/:;<=>?@[\]{}`, c) >= 0 {
--- a/internal/protocol/helpers_test.go
+++ b/internal/protocol/helpers_test.go
@@ -14,7 +14,7 @@
 	return &head.Head
 }
 
-// responseHead parses the head of a response, from its status line on.
+// responseHead parses the head of a response that starts with the given text.
 func responseHead(t *testing.T, text string) *Head {
 	t.Helper()
 	head, err := ParseResponseHead([]byte(text + "\r\n\r\n"))
--- a/internal/protocol/http_fields.go
+++ b/internal/protocol/http_fields.go
@@ -2,7 +2,7 @@
 
 import "strings"
 
-// Standard header fields, in lower case as Head has them. Those of the platform are in wire_names.go.
+// Standard HTTP header fields, in lower case as in Head. The header fields of the platform are in wire_names.go.
 const (
 	fieldConnection       = "connection"
 	fieldContentLength    = "content-length"
@@ -12,7 +12,7 @@
 	fieldTransferEncoding = "transfer-encoding"
 )
 
-// The platform's header fields that are sent or named in errors, in the case in which they are written there.
+// Header fields of the platform in the case in which they are sent and reported in errors.
 const (
 	sentID       = "Req-Id"
 	sentTimeout  = "Req-Deadline"
@@ -20,7 +20,7 @@
 	sentExtra    = "Req-Extra"
 )
 
-// lowerCaseNames maps field names in their usual case to lower case, which saves an allocation for each.
+// lowerCaseNames maps common spellings of field names to lower case, which avoids an allocation for each field.
 var lowerCaseNames = func() map[string]string {
 	lowerCaseOf := map[string]string{}
 	for _, name := range []string{
@@ -33,7 +33,7 @@
 	return lowerCaseOf
 }()
 
-// lowerCase returns a field name in lower case, as HTTP compares names without regard to case.
+// lowerCase returns a field name in lower case. HTTP field names are case-insensitive.
 func lowerCase(name string) string {
 	if lower, known := lowerCaseNames[name]; known {
 		return lower
--- a/internal/protocol/json_scanner.go
+++ b/internal/protocol/json_scanner.go
@@ -7,29 +7,29 @@
 	"unicode/utf8"
 )
 
-// scanner reads JSON from left to right. It keeps no values: callers take those that they need as they come. After the
-// first error it behaves as at the end of the input, so that callers check err once.
+// scanner reads JSON from left to right without building a tree: callers read each value as it occurs. After the first
+// error the scanner behaves as at the end of the input, so that callers need to check err only once.
 type scanner struct {
 	input    []byte
-	position int   // of the next byte in input
-	depth    int   // of nested objects and arrays
-	err      error // the first one, ErrMalformed
+	position int   // index of the next byte in input
+	depth    int   // nesting depth of objects and arrays
+	err      error // first error; wraps ErrMalformed
 }
 
-// maxDepth limits the nesting of values, as they are read by recursion.
+// maxDepth limits the nesting of values, because they are read recursively.
 const maxDepth = 32
 
-// unicodeEscapeStart precedes the digits of an escaped character.
+// unicodeEscapeStart is the prefix of a Unicode escape.
 const unicodeEscapeStart = `\u`
 
-// The digits of an escaped character, as in "\u00e9" (RFC 8259, 7).
+// Format of a Unicode escape, such as "\u00e9" (RFC 8259, 7).
 const (
 	escapeDigits    = 4
 	hexadecimal     = 16
 	escapeValueBits = 16
 )
 
-// fail records the first error.
+// fail records the first error and moves to the end of the input.
 func (s *scanner) fail(problem string) {
 	if s.err == nil {
 		s.err = fmt.Errorf("%w: %s at byte %d", ErrMalformed, problem, s.position)
@@ -37,7 +37,7 @@
 	s.position = len(s.input)
 }
 
-// peek skips white space (RFC 8259, 2) and returns the next byte, 0 at the end.
+// peek skips white space (RFC 8259, 2) and returns the next byte, or 0 at the end of the input.
 func (s *scanner) peek() byte {
 	for ; s.position < len(s.input); s.position++ {
 		switch c := s.input[s.position]; c {
@@ -49,7 +49,7 @@
 	return 0
 }
 
-// consume skips white space, and then c. It reports whether c came next.
+// consume skips white space, and then c if it is the next byte. It reports whether it skipped c.
 func (s *scanner) consume(c byte) bool {
 	if s.peek() != c {
 		return false
@@ -58,7 +58,7 @@
 	return true
 }
 
-// consumeWord skips white space, and then word. It reports whether word came next.
+// consumeWord skips white space, and then word if it is next. It reports whether it skipped word.
 func (s *scanner) consumeWord(word string) bool {
 	s.peek()
 	if !s.hasNext(word) {
@@ -68,13 +68,13 @@
 	return true
 }
 
-// hasNext reports whether text comes next.
+// hasNext reports whether the remaining input starts with text.
 func (s *scanner) hasNext(text string) bool {
 	end := s.position + len(text)
 	return end <= len(s.input) && string(s.input[s.position:end]) == text
 }
 
-// finish checks that nothing but white space is left, and returns the first error.
+// finish checks that only white space is left, and returns the first error.
 func (s *scanner) finish() error {
 	if s.err == nil && s.peek() != 0 {
 		s.fail("data after the value")
@@ -82,7 +82,7 @@
 	return s.err
 }
 
-// object reads an object. It calls member with each key; member reads the value.
+// object reads an object. It calls member for each key; member must read the value.
 func (s *scanner) object(member func(key string)) {
 	s.items('{', '}', func() {
 		key := s.string()
@@ -94,10 +94,10 @@
 	})
 }
 
-// array reads an array. It calls item for each element; item reads it.
+// array reads an array. It calls item for each element; item must read the element.
 func (s *scanner) array(item func()) { s.items('[', ']', item) }
 
-// items reads a list between brackets, separated by commas. item reads one entry.
+// items reads a comma-separated list between brackets. It calls item for each entry; item must read the entry.
 func (s *scanner) items(opening, closing byte, item func()) {
 	s.depth++
 	if s.depth > maxDepth || !s.consume(opening) {
@@ -119,7 +119,7 @@
 	}
 }
 
-// string reads a string. Most have no escapes, and are copied at once.
+// string reads a string. A string without escapes, the most common case, is copied in one step.
 func (s *scanner) string() string {
 	if !s.consume('"') {
 		s.fail("expected a string")
@@ -159,7 +159,7 @@
 	return ""
 }
 
-// appendEscape reads an escape sequence after its backslash, and appends what it stands for.
+// appendEscape reads an escape sequence after its backslash, and appends the character that it encodes.
 func (s *scanner) appendEscape(out []byte) []byte {
 	if s.position >= len(s.input) {
 		return out
@@ -186,8 +186,8 @@
 	return out
 }
 
-// unicodeEscape reads an escaped rune after its "\u", which may be a surrogate pair. Half of a pair is returned as it is;
-// utf8.AppendRune replaces it by utf8.RuneError.
+// unicodeEscape reads a Unicode escape after its "\u", or a surrogate pair of two escapes. An unpaired surrogate is
+// returned unchanged; utf8.AppendRune replaces it with utf8.RuneError.
 func (s *scanner) unicodeEscape() rune {
 	r := s.hexDigits()
 	if !utf16.IsSurrogate(r) || !s.hasNext(unicodeEscapeStart) {
@@ -202,7 +202,7 @@
 	return r
 }
 
-// hexDigits reads the four digits of an escape.
+// hexDigits reads the four digits of a Unicode escape.
 func (s *scanner) hexDigits() rune {
 	end := s.position + escapeDigits
 	if end > len(s.input) {
@@ -218,7 +218,7 @@
 	return rune(value)
 }
 
-// number reads a number in any form that strconv.ParseFloat accepts, which is a superset of JSON's.
+// number reads a number in any form that strconv.ParseFloat accepts, which is a superset of the JSON syntax.
 func (s *scanner) number() float64 {
 	s.peek()
 	start := s.position
@@ -232,7 +232,7 @@
 	return value
 }
 
-// isNumberByte reports whether c may be part of a number.
+// isNumberByte reports whether c can occur in a number.
 func isNumberByte(c byte) bool {
 	switch c {
 	case '0', '1', '2', '3', '4', '5', '6', '7', '8', '9', '-', '+', '.', 'e', 'E':
@@ -252,7 +252,7 @@
 	return false
 }
 
-// skip reads one value of any type.
+// skip reads and discards one value of any type.
 func (s *scanner) skip() {
 	switch s.peek() {
 	case '{':
--- a/internal/protocol/line_reader.go
+++ b/internal/protocol/line_reader.go
@@ -2,24 +2,26 @@
 
 import "bytes"
 
-// LineReader cuts a stream into lines that hold one JSON value each. A value may be indented: its line does not end while
-// brackets are open. The zero value is ready for use.
+// LineReader splits a stream into lines that hold one JSON value each. A value may be indented: a newline inside open
+// brackets does not end the line. The zero value is ready for use.
 type LineReader struct {
-	pending []byte // received, without the lines that were taken out
-	scanned int    // bytes of pending that were scanned
+	pending []byte // received bytes that Next has not returned yet
+	scanned int    // number of bytes of pending that are scanned
 
-	// The state after the scanned bytes.
-	depth    int // of open brackets
+	// Scanner state after the scanned bytes.
+	depth    int // number of open brackets
 	inString bool
-	escaped  bool // the next byte follows a backslash
+	escaped  bool // the last scanned byte is a backslash that starts an escape
 }
 
-// Write appends data that was received.
+// Write appends received data to the buffer.
 func (l *LineReader) Write(data []byte) { l.pending = append(l.pending, data...) }
 
-// Next takes out the next complete line, without white space around it. The line is valid until the next Write.
+// Next removes the next complete line from the buffer and returns it without surrounding white space. The line is valid
+// until the next call of Write.
 //
-// A newline within a string ends the line too. JSON allows none there, so that the value is malformed anyway.
+// A newline inside a string also ends the line. JSON does not allow newlines in strings, so the value is malformed in
+// any case.
 func (l *LineReader) Next() (line []byte, complete bool) {
 	for ; l.scanned < len(l.pending); l.scanned++ {
 		c := l.pending[l.scanned]
@@ -33,7 +35,7 @@
 	return nil, false
 }
 
-// scan updates the state by one more byte.
+// scan updates the scanner state with the next byte.
 func (l *LineReader) scan(c byte) {
 	switch {
 	case l.escaped:
@@ -50,5 +52,5 @@
 	}
 }
 
-// Remainder returns what was received of an incomplete line, without white space around it.
+// Remainder returns the received part of an incomplete line, without surrounding white space.
 func (l *LineReader) Remainder() []byte { return bytes.TrimSpace(l.pending) }
--- a/internal/protocol/load_datagram.go
+++ b/internal/protocol/load_datagram.go
@@ -9,49 +9,49 @@
 	"canvasroute/internal/settings"
 )
 
-// NoInstance stands for the only instance of a process, which its datagrams need not name.
+// NoInstance is the instance number for the only instance of a process. It is omitted from datagrams.
 const NoInstance = -1
 
-// The parts of a datagram, in bytes. All numbers are big-endian. A datagram without loads says that its sender has just
-// started.
+// Lengths of the parts of a datagram, in bytes. All numbers are big-endian. A datagram without loads is the hello of a
+// process that has just started.
 const (
-	timestampBytes = 2 // time of sending: the low bits of Unix milliseconds
-	instanceBytes  = 1 // the sender's instance, where its process has several
-	tagBytes       = 2 // the tag of a worker's name
-	inFlightBytes  = 1 // attempts in flight at that worker
+	timestampBytes = 2 // send time: the low bits of Unix milliseconds
+	instanceBytes  = 1 // instance number of the sender, if its process has several
+	tagBytes       = 2 // tag of a worker's name
+	inFlightBytes  = 1 // number of attempts in flight at that worker
 )
 
-// LoadBytes is the length of one load in a datagram.
+// LoadBytes is the length of one load in a datagram, in bytes.
 const LoadBytes = tagBytes + inFlightBytes
 
-// maxInFlight is the largest number of attempts in a datagram. It stands for any larger one.
+// maxInFlight is the maximum number of attempts in a datagram. Larger numbers are sent as maxInFlight.
 const maxInFlight = math.MaxUint8
 
-// MaxLoads is the number of loads that a datagram holds at most.
+// MaxLoads is the maximum number of loads in a datagram.
 const MaxLoads = (settings.MaxMessageBytes - timestampBytes - instanceBytes) / LoadBytes
 
-// ErrMalformedDatagram reports a datagram that is not of this protocol.
+// ErrMalformedDatagram is returned for a datagram with an invalid length.
 var ErrMalformedDatagram = errors.New("malformed datagram")
 
 // Load is the number of attempts that a dispatcher has in flight at one worker.
 type Load struct {
-	Tag      uint16 // of the worker's name
+	Tag      uint16 // tag of the worker's name
 	InFlight int
 }
 
-// tagBits is the size of a tag.
+// tagBits is the length of a tag in bits.
 const tagBits = 16
 
-// WorkerTag returns the short form of a worker's name in datagrams. Two names may have the same tag: the receiver then
-// counts the load for the worker that it knew first.
+// WorkerTag returns the hash of a worker's name that identifies the worker in datagrams. Two names may have the same
+// tag; the receiver then assigns the load to the worker that it learned of first.
 func WorkerTag(name string) uint16 {
 	hash := fnv.New32a()
 	hash.Write([]byte(name))
 	return uint16(hash.Sum32() ^ hash.Sum32()>>tagBits)
 }
 
-// AppendLoads appends a datagram with the first MaxLoads loads. timestamp is in Unix milliseconds modulo 2^16. instance
-// is the sender's number in its process, or NoInstance.
+// AppendLoads appends a datagram with at most the first MaxLoads loads. timestamp is in Unix milliseconds modulo 2^16.
+// instance is the number of the sender within its process, or NoInstance.
 func AppendLoads(b []byte, timestamp uint16, instance int, loads []Load) []byte {
 	b = binary.BigEndian.AppendUint16(b, timestamp)
 	if instance != NoInstance {
@@ -63,25 +63,25 @@
 	return b
 }
 
-// AppendLoad appends one load, of LoadBytes. More than 255 attempts in flight are sent as 255.
+// AppendLoad appends one load, which takes LoadBytes. More than 255 attempts in flight are sent as 255.
 func AppendLoad(b []byte, load Load) []byte {
 	b = binary.BigEndian.AppendUint16(b, load.Tag)
 	return append(b, byte(min(load.InFlight, maxInFlight)))
 }
 
-// DecodeLoad returns the load in the first LoadBytes of b, which has at least as many.
+// DecodeLoad decodes the load in the first LoadBytes of b. It panics if b is shorter.
 func DecodeLoad(b []byte) Load {
 	return Load{Tag: binary.BigEndian.Uint16(b), InFlight: int(b[tagBytes])}
 }
 
 // LoadDatagram is the content of a datagram between dispatchers.
 type LoadDatagram struct {
-	Timestamp uint16 // of sending, in Unix milliseconds modulo 2^16
-	Instance  int    // the sender's number in its process, 0 where none is named
-	Loads     []Load // none for a process that has just started
+	Timestamp uint16 // send time, in Unix milliseconds modulo 2^16
+	Instance  int    // number of the sender within its process, or 0 if omitted
+	Loads     []Load // empty in the hello of a process that has just started
 }
 
-// ParseLoads parses a datagram. The error is ErrMalformedDatagram.
+// ParseLoads parses a datagram. It returns ErrMalformedDatagram if the length is invalid.
 func ParseLoads(b []byte) (LoadDatagram, error) {
 	if len(b) < timestampBytes || len(b) > settings.MaxMessageBytes {
 		return LoadDatagram{}, ErrMalformedDatagram
@@ -89,7 +89,7 @@
 	datagram := LoadDatagram{Timestamp: binary.BigEndian.Uint16(b)}
 	b = b[timestampBytes:]
 	switch len(b) % LoadBytes {
-	case 0: // no instance is named
+	case 0: // the instance is omitted
 	case instanceBytes:
 		datagram.Instance = int(b[0])
 		b = b[instanceBytes:]
--- a/internal/protocol/load_datagram_test.go
+++ b/internal/protocol/load_datagram_test.go
@@ -24,12 +24,12 @@
 			assert.Equal(t, tt.wantInstance, datagram.Instance)
 			assert.Equal(t, []Load{{WorkerTag("s-1"), 3}, {WorkerTag("s-2"), 255}}, datagram.Loads)
 			largest := AppendLoads(nil, 0, tt.instance, make([]Load, 1000))
-			assert.LessOrEqual(t, len(largest), 256, "no longer datagram may be sent")
+			assert.LessOrEqual(t, len(largest), 256, "datagram exceeds the maximum length")
 		})
 	}
 }
 
-// 2 bytes are of a process that has just started; 3 and 6 name an instance.
+// A datagram of 2 bytes is a hello; datagrams of 3 and 6 bytes have an instance number.
 func TestDatagramsOfOtherLengthsAreMalformed(t *testing.T) {
 	for _, length := range []int{0, 1, 4, 7, 257} {
 		t.Run(strconv.Itoa(length), func(t *testing.T) {
--- a/internal/protocol/load_report.go
+++ b/internal/protocol/load_report.go
@@ -2,8 +2,8 @@
 
 import "fmt"
 
-// ParseLoad returns the values of a worker's load report in the order of names. The report is a JSON array in that order,
-// or an object with the names as keys. One in which a value is missing is ErrMalformed.
+// ParseLoad returns the values of a worker's load report in the order of names. The report is a JSON array in that
+// order, or an object with the names as keys. It returns ErrMalformed if a value is missing.
 func ParseLoad(b []byte, names []string) ([]float64, error) {
 	scan := scanner{input: b}
 	values := make([]float64, len(names))
--- a/internal/protocol/request.go
+++ b/internal/protocol/request.go
@@ -13,29 +13,30 @@
 	Method         string
 	Target         string
 	ID             string
-	Operation      string        // name of the operation, "" where the client names none
-	Tenant         string        // name of the tenant, "" where the client names none
-	Timeout        time.Duration // from arrival until the client gives up, 0 where it names none
-	SizeHint       time.Duration // the client's estimate of the work, 0 where it gives none
-	Slots          float64       // of a worker that the request takes, 0 where the client gives none
-	IdempotencyKey string        // by which workers recognize a repeated request, "" where there is none
+	Operation      string        // name of the operation, or "" if not given
+	Tenant         string        // name of the tenant, or "" if not given
+	Timeout        time.Duration // client timeout, from the arrival of the request; 0 if not given
+	SizeHint       time.Duration // the client's estimate of the work, or 0 if not given
+	Slots          float64       // worker slots that the request takes, or 0 if not given
+	IdempotencyKey string        // identifies repeated requests at workers; "" if not given
 	Body           []byte
 
-	forwarded []field // sent to workers unchanged
+	forwarded []field // fields that are sent to workers unchanged
 }
 
-// forwardedFields are the fields that workers get unchanged.
+// forwardedFields are the header fields that are forwarded to workers unchanged.
 var forwardedFields = []struct{ name, sentAs string }{
 	{fieldIdempotencyKey, "Idempotency-Key"},
 	{fieldContentType, "Content-Type"},
 }
 
-// singleFields may come at most once. Of two, a worker and the dispatcher could read different ones.
+// singleFields are the header fields that a request must not repeat. If a field were repeated, a worker and the
+// dispatcher could use different values.
 var singleFields = []string{
 	fieldID, fieldOperation, fieldTenant, fieldTimeout, fieldSizeHint, fieldExtra, fieldIdempotencyKey, fieldContentType,
 }
 
-// Limits of a request's fields. Those of numbers keep durations, and sums over requests, from overflowing.
+// Limits on request fields. The limits on numbers prevent overflow of durations and of sums over requests.
 const (
 	maxIDBytes        = 256
 	maxTimeoutSeconds = math.MaxInt32
@@ -43,8 +44,8 @@
 	maxSlots          = 1e6
 )
 
-// ParseRequest returns the request that a head announces, without its body. The error is ErrMalformed with the field that
-// is wrong.
+// ParseRequest parses a request from its head, without the body. It returns ErrMalformed with the name of the invalid
+// field.
 func ParseRequest(h *Head) (*Request, error) {
 	request := &Request{
 		Method:         h.Method,
@@ -59,7 +60,7 @@
 	}
 	for _, name := range singleFields {
 		if h.count(name) > 1 {
-			return nil, fmt.Errorf("%w: more than one field %s", ErrMalformed, name)
+			return nil, fmt.Errorf("%w: repeated field %s", ErrMalformed, name)
 		}
 	}
 	if h.has(fieldIdempotencyKey) && !isPrintable(request.IdempotencyKey) {
@@ -76,8 +77,8 @@
 	return request, nil
 }
 
-// parseNumbers parses the fields that are numbers: the timeout, the size hint and the slots. A timeout of 0 is malformed,
-// as the client would not wait for any response.
+// parseNumbers parses the numeric fields: the timeout, the size hint and the slots. A timeout of 0 is malformed,
+// because the client would not wait for any response.
 func (r *Request) parseNumbers(h *Head) error {
 	if h.has(fieldTimeout) {
 		seconds, valid := parseDecimal(h.Field(fieldTimeout), maxTimeoutSeconds)
@@ -96,7 +97,7 @@
 	return r.parseExtra(h.Field(fieldExtra))
 }
 
-// parseExtra parses a list of name=value, of which it reads the slots and skips other names.
+// parseExtra parses a list of name=value pairs. It reads the slots and ignores other names.
 func (r *Request) parseExtra(list string) error {
 	for pair := range strings.SplitSeq(list, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(pair), "=")
@@ -112,7 +113,7 @@
 	return nil
 }
 
-// parseDecimal parses a number from 0 to limit in plain decimals: without sign, exponent, infinity or another base.
+// parseDecimal parses a decimal number from 0 to limit. Signs, exponents, infinities, NaN and other bases are rejected.
 func parseDecimal(s string, limit float64) (value float64, valid bool) {
 	if strings.Trim(s, "0123456789.") != "" {
 		return 0, false
--- a/internal/protocol/request_json.go
+++ b/internal/protocol/request_json.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// migratedRequest is the JSON form of a request that a process passes to its successor. Other versions read these keys.
+// migratedRequest is the JSON form of a request that a process hands over to its successor during migration. The keys
+// must not change, because processes of other versions read them.
 type migratedRequest struct {
 	Method         string        `json:"Method"`
 	Target         string        `json:"Target"`
@@ -17,10 +18,10 @@
 	SizeHint       time.Duration `json:"Hint"`
 	Slots          float64       `json:"Slots"`
 	Body           []byte        `json:"Body"`
-	Forwarded      [][2]string   `json:"Passed"` // names and values
+	Forwarded      [][2]string   `json:"Passed"` // pairs of name and value
 }
 
-// MarshalJSON writes all of a request.
+// MarshalJSON encodes the request, including its forwarded fields.
 func (r *Request) MarshalJSON() ([]byte, error) {
 	migrated := migratedRequest{
 		Method:         r.Method,
@@ -40,7 +41,7 @@
 	return json.Marshal(migrated)
 }
 
-// UnmarshalJSON reads what MarshalJSON wrote.
+// UnmarshalJSON decodes a request that was encoded by MarshalJSON.
 func (r *Request) UnmarshalJSON(b []byte) error {
 	var migrated migratedRequest
 	if err := json.Unmarshal(b, &migrated); err != nil {
--- a/internal/protocol/response.go
+++ b/internal/protocol/response.go
@@ -25,24 +25,25 @@
 	StatusGatewayTimeout       = 504
 )
 
-// The first status codes of classes (RFC 9110, 15).
+// The first status codes of each class (RFC 9110, 15).
 const (
 	firstFinalStatus       = 200
 	firstClientErrorStatus = 400
 )
 
-// IsInterim reports whether a status is that of an interim response, which a final one follows (RFC 9110, 15.2).
+// IsInterim reports whether a status is that of an interim response, which precedes the final response (RFC 9110,
+// 15.2).
 func IsInterim(status int) bool { return status < firstFinalStatus }
 
-// Response is the response to a client.
+// Response is a response to a client.
 type Response struct {
 	Status     int
-	RetryAfter time.Duration // until the client should retry; 0 for no advice
-	Allow      string        // methods that are allowed, for StatusMethodNotAllowed
+	RetryAfter time.Duration // delay until the client should retry; 0 to send no Retry-After
+	Allow      string        // allowed methods, for StatusMethodNotAllowed
 	Body       []byte
 }
 
-// Persistence says whether a connection is kept for further requests after a response (RFC 9112, 9.3).
+// Persistence specifies whether a connection stays open for further requests after a response (RFC 9112, 9.3).
 type Persistence uint8
 
 // The values of Persistence.
@@ -51,14 +52,15 @@
 	CloseAfterResponse
 )
 
-// Migrated stands for the response to a request that another process of this dispatcher continues with. It is compared
-// by its address, and never sent.
+// Migrated is a placeholder for the response to a request that was migrated to another process of this dispatcher. It
+// is compared by address, and never sent.
 var Migrated = &Response{}
 
-// Continue is the interim response that asks a client for the body that it holds back (RFC 9110, 10.1.1 and 15.2.1).
+// Continue is the interim response that asks a client to send its body (RFC 9110, 10.1.1 and 15.2.1).
 const Continue = "HTTP/1.1 100 Continue\r\n\r\n"
 
-// IsClientError reports whether the request was rejected as the client's own fault, rather than throttled or failed.
+// IsClientError reports whether the response rejects the request because of an error of the client, rather than because
+// it was throttled or failed.
 func (r *Response) IsClientError() bool {
 	return r.Status >= firstClientErrorStatus && r.Status < StatusTooManyRequests
 }
@@ -77,8 +79,9 @@
 	StatusServiceUnavailable:   "Service Unavailable",
 }
 
-// AppendResponseHead appends a response's head, which announces the close of the connection (RFC 9112, 9.6). Retry-After
-// may be a fraction of a second, unlike in RFC 9110, 10.2.3, as the platform's clients expect.
+// AppendResponseHead appends the head of a response. If the connection closes after the response, the head has a
+// Connection field with the option "close" (RFC 9112, 9.6). Retry-After may be a fraction of a second, as the
+// platform's clients expect, which deviates from RFC 9110, 10.2.3.
 func AppendResponseHead(b []byte, r *Response, persistence Persistence) []byte {
 	b = append(b, "HTTP/1.1 "...)
 	b = strconv.AppendInt(b, int64(r.Status), 10)
@@ -100,8 +103,8 @@
 	return append(b, "\r\n\r\n"...)
 }
 
-// RejectionOf returns the response to a request that could not be read: 413, 431 and 400 for the errors of this package.
-// Any other error means that the request was not read in time, and is answered with 408.
+// RejectionOf returns the response to a request that could not be read: 413, 431 or 400 for the errors of this package.
+// Any other error means that the request was not received in time, and results in a 408.
 func RejectionOf(err error) *Response {
 	switch {
 	case errors.Is(err, ErrTooLarge):
--- a/internal/protocol/wire_names.go
+++ b/internal/protocol/wire_names.go
@@ -1,10 +1,10 @@
 package protocol
 
-// The names that the platform gives to header fields, paths, JSON keys and commands. Each comment is the term of the
-// field; a semicolon comes before the unit of a number. The table of wire names in docs/glossary.md has the same rows.
-// Standard names of HTTP are in http_fields.go.
+// Names of header fields, paths, JSON keys and commands, as the platform defines them. The comment of each constant
+// gives the term of the field; for a number, its unit follows after a semicolon. The table of wire names in
+// docs/glossary.md has the same rows. Standard names of HTTP are in http_fields.go.
 
-// Header fields of requests and responses, in lower case as Head has them.
+// Header fields of requests and responses, in lower case as in Head.
 const (
 	fieldID        = "req-id"       // request ID
 	fieldOperation = "req-kind"     // operation
@@ -28,7 +28,7 @@
 	hostName      = "origin.svc"       // Host field of requests to workers and to the discovery service
 )
 
-// Keys and words of endpoint lists.
+// Keys and values of endpoint lists.
 const (
 	keyListVersion   = "seq"         // version of an endpoint list
 	keyListComplete  = "whole"       // the endpoint list is complete, rather than a change to the last one
@@ -45,7 +45,7 @@
 	keyEndpointStart = "born_ms"     // start of a worker's process; Unix milliseconds, 0 for long ago
 )
 
-// Keys and words of the lines in a worker's response.
+// Keys and values of the lines in a worker's response.
 const (
 	keyLineID             = "id"       // request ID
 	keyLineState          = "state"    // state of an attempt
--- a/internal/protocol/wire_test.go
+++ b/internal/protocol/wire_test.go
@@ -8,10 +8,10 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// The tests of this file pin bytes and words on the wire by literals. Other programs have the same ones: a test that
-// fails here shows a change that would break them.
+// The tests in this file compare bytes and names on the wire with literals. Other programs depend on the same values,
+// so a failing test indicates an incompatible change.
 
-// TestLoadDatagramBytes checks what dispatchers send to each other about workers' load.
+// TestLoadDatagramBytes checks the datagrams by which dispatchers exchange the load of workers.
 func TestLoadDatagramBytes(t *testing.T) {
 	loads := []Load{{Tag: 0x0102, InFlight: 3}, {Tag: 0xfffe, InFlight: 300}}
 	for _, tt := range []struct {
@@ -34,17 +34,17 @@
 				[]any{datagram.Timestamp, datagram.Instance, len(datagram.Loads)})
 		})
 	}
-	assert.Len(t, AppendLoads(nil, 0, 5, make([]Load, 1000)), 255, "84 loads at the most")
+	assert.Len(t, AppendLoads(nil, 0, 5, make([]Load, 1000)), 255, "a datagram holds at most 84 loads")
 }
 
-// TestWorkerTagBytes checks the short form of a worker's name, which all dispatchers have to agree on.
+// TestWorkerTagBytes checks the hash of worker names, which must be the same in all dispatchers.
 func TestWorkerTagBytes(t *testing.T) {
 	for name, want := range map[string]uint16{"": 0x1cd9, "w": 0xcd3a, "s-1": 0xb53f, "s-00ffa1c2": 0xd52d} {
 		assert.Equal(t, want, WorkerTag(name), name)
 	}
 }
 
-// TestWorkerRequestBytes checks what goes to a worker.
+// TestWorkerRequestBytes checks the request that is sent to a worker.
 func TestWorkerRequestBytes(t *testing.T) {
 	all := requestHead(t, "Req-Id: 9b\r\nReq-Kind: render\r\nReq-Owner: acme\r\nReq-Deadline: 9\r\nReq-Cost: 1500\r\n"+
 		"Req-Extra: slots=2\r\nReq-Retry: 1\r\nIdempotency-Key: k1\r\nContent-Type: text/plain\r\nX-Other: y")
@@ -76,7 +76,7 @@
 	}
 }
 
-// TestGetRequestBytes checks the requests for the list of workers, and for a worker's load and health.
+// TestGetRequestBytes checks the requests for the endpoint list, and for the load and health of a worker.
 func TestGetRequestBytes(t *testing.T) {
 	for _, tt := range []struct{ name, target, want string }{
 		{
@@ -92,7 +92,7 @@
 	assert.Equal(t, "/api", PathRequest)
 }
 
-// TestResponseHeadBytes checks the head of each response that a client can get.
+// TestResponseHeadBytes checks the head of each response that can be sent to a client.
 func TestResponseHeadBytes(t *testing.T) {
 	for _, tt := range []struct {
 		name        string
@@ -135,7 +135,8 @@
 	assert.Equal(t, "HTTP/1.1 100 Continue\r\n\r\n", Continue)
 }
 
-// TestAttemptStates checks the words by which a worker reports the state of an attempt, and their numbers.
+// TestAttemptStates checks the names by which a worker reports the state of an attempt, and the values of the
+// constants.
 func TestAttemptStates(t *testing.T) {
 	for word, want := range map[string]AttemptState{
 		"started": 1, "running": 2, "done": 3, "failed": 4, "returned": 5, "lost": 6,
@@ -147,7 +148,7 @@
 	}
 }
 
-// TestEndpointStates checks the words by which an endpoint list states a worker's state.
+// TestEndpointStates checks the names of worker states in an endpoint list.
 func TestEndpointStates(t *testing.T) {
 	for _, word := range []string{"Ready", "Terminating", "Gone"} {
 		list, err := ParseEndpointList([]byte(`{"seq":1,"hosts":[{"host":"a","health":"` + word + `"}]}`))
@@ -156,7 +157,7 @@
 	}
 }
 
-// TestOperatorCommands checks the words of operators' commands, and the forms of the responses.
+// TestOperatorCommands checks the names of operator commands, and the format of the responses.
 func TestOperatorCommands(t *testing.T) {
 	for _, word := range []string{"HEALTH", "DUMP", "LEAVE", "JOIN"} {
 		command, err := ParseCommand([]byte(word + "\n"))
--- a/internal/protocol/worker_line.go
+++ b/internal/protocol/worker_line.go
@@ -2,18 +2,18 @@
 
 import "fmt"
 
-// AttemptState is the state of an attempt, as a line of its worker reports it.
+// AttemptState is the state of an attempt that a worker reports in a line.
 type AttemptState uint8
 
 // The values of AttemptState.
 const (
-	Unknown AttemptState = iota // a word that this version does not know; it has no effect
+	Unknown AttemptState = iota // state that this version does not support; ignored
 	Started
 	Running
 	Done
 	Failed
-	ReturnedUnstarted // the worker gave the attempt back before its start
-	Lost              // the worker does not know the outcome
+	ReturnedUnstarted // the worker returned the attempt without starting it
+	Lost              // the outcome is unknown to the worker
 )
 
 var attemptStates = map[string]AttemptState{
@@ -27,13 +27,13 @@
 
 // Line is one line of a worker's response.
 type Line struct {
-	ID     string // of the request
+	ID     string // request ID
 	State  AttemptState
-	Result string // of an attempt that is Done
+	Result string // result of an attempt in state Done
 }
 
-// ParseLine parses one line: a JSON object. Unknown keys are skipped. A line without a state, or one that is Done
-// without a result, is ErrMalformed.
+// ParseLine parses one line, which holds a JSON object. Unknown keys are ignored. It returns ErrMalformed if the line
+// has no state, or has the state Done without a result.
 func ParseLine(b []byte) (line Line, err error) {
 	s := scanner{input: b}
 	state := ""
@@ -56,7 +56,7 @@
 		return line, err
 	}
 	if state == "" || line.State == Done && !hasResult {
-		return line, fmt.Errorf("%w: worker's line without state or result", ErrMalformed)
+		return line, fmt.Errorf("%w: worker response line without state or result", ErrMalformed)
 	}
 	return line, nil
 }
--- a/internal/protocol/worker_request.go
+++ b/internal/protocol/worker_request.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// fixedRequestBytes is at least the length of what AppendWorkerRequest writes beside the request's own text.
+// fixedRequestBytes is an upper bound on the length of the fixed text that AppendWorkerRequest writes.
 const fixedRequestBytes = 160
 
-// timeoutDecimals is the number of decimals of the timeout in seconds that a worker gets.
+// timeoutDecimals is the number of decimals of the timeout, in seconds, that is sent to a worker.
 const timeoutDecimals = 3
 
-// AppendWorkerRequest appends a request as it is sent to a worker. timeout is what is left until the client gives up; a
-// negative one is sent as 0.
+// AppendWorkerRequest appends a request in the form that is sent to a worker. timeout is the remaining client timeout;
+// a negative timeout is sent as 0.
 func AppendWorkerRequest(b []byte, r *Request, timeout time.Duration) []byte {
 	size := fixedRequestBytes + len(r.Method) + len(r.Target) + len(r.ID) + len(r.Body)
 	for _, f := range r.forwarded {
@@ -43,7 +43,7 @@
 	return append(b, "\r\n\r\n"...)
 }
 
-// appendRequestLine appends the request line and the Host field, without the end of that field's line.
+// appendRequestLine appends the request line and the Host field, without the line end of the Host field.
 func appendRequestLine(b []byte, method, target string) []byte {
 	b = append(b, method...)
 	b = append(b, ' ')
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -7,7 +7,7 @@
 	"github.com/valyala/fastjson"
 )
 
-// nonNegativeSettings are the paths of the numbers that must not be negative.
+// nonNegativeSettings are the paths of numbers that must not be negative.
 var nonNegativeSettings = [][]string{
 	{keyGranularity},
 	{keyPolicyLimits, keyMaxRetryAfter},
@@ -21,7 +21,7 @@
 // nonNegativeOperationSettings are the keys of an operation whose numbers must not be negative.
 var nonNegativeOperationSettings = []string{keyLatencyObjective, keyClientTimeout, keyDedupWindow}
 
-// check returns a *KeyError for the first value that no dispatcher can work with, nil where there is none.
+// check returns a *KeyError for the first value that is invalid for every dispatcher, or nil if there is none.
 func check(root *fastjson.Value) error {
 	if len(root.GetArray(keyOperations)) == 0 {
 		return reject(keyOperations, "there must be at least one")
--- a/internal/settings/errors.go
+++ b/internal/settings/errors.go
@@ -2,13 +2,13 @@
 
 import "errors"
 
-// ErrNotObject reports settings that are missing, or are not a JSON object.
+// ErrNotObject is returned for settings that are missing or are not a JSON object.
 var ErrNotObject = errors.New("not an object")
 
-// KeyError reports an invalid value of one key of a configuration.
+// KeyError is returned for an invalid value of a configuration key.
 type KeyError struct {
 	Key     string // path of the key, such as "rules.coldFrom" or "operations[0].clientTimeoutS"
-	Problem string // what is wrong with the value, and what is accepted
+	Problem string // description of the problem and of the valid values
 }
 
 // Error returns the key and the problem.
--- a/internal/settings/operations.go
+++ b/internal/settings/operations.go
@@ -16,7 +16,7 @@
 	wordNonIdempotent:   balancer.NonIdempotent,
 }
 
-// dedupScopes has "" for an operation whose scope is left out.
+// dedupScopes has the entry "" for operations that do not set the scope.
 var dedupScopes = map[string]balancer.DedupScope{
 	"":            balancer.ScopeAll,
 	wordScopeAll:  balancer.ScopeAll,
@@ -24,10 +24,11 @@
 	wordScopeCell: balancer.ScopeCell,
 }
 
-// operationPath returns the path of a key of the n-th operation, as it stands in errors.
+// operationPath returns the path of a key of the n-th operation, as used in errors.
 func operationPath(n int, key string) string { return fmt.Sprintf("%s[%d].%s", keyOperations, n, key) }
 
-// parseOperations reads the operations. workload, which may be nil, has lists of further values in the same order.
+// parseOperations parses the operations. workload, which may be nil, has lists of further values in the order of the
+// operations.
 func parseOperations(list []*fastjson.Value, workload *fastjson.Value) ([]balancer.OperationConfig, error) {
 	var operations []balancer.OperationConfig
 	for n, fields := range list {
@@ -40,8 +41,8 @@
 	return operations, nil
 }
 
-// parseOperation reads the n-th operation. Its own stretch of the latency objective precedes that of the workload; its
-// attempts may go to any kind of worker where the workload names none.
+// parseOperation parses the n-th operation. A stretch in the operation takes precedence over the one in the workload.
+// If the workload does not specify a kind of worker, attempts may be sent to any kind.
 func parseOperation(n int, fields, workload *fastjson.Value) (balancer.OperationConfig, error) {
 	idempotency, err := parseChoice(n, fields, keyIdempotency, idempotencies)
 	if err != nil {
@@ -73,8 +74,8 @@
 	return operation, nil
 }
 
-// parseChoice reads a key of the n-th operation whose value is one of several words. The error is a *KeyError that names
-// them.
+// parseChoice parses a key of the n-th operation whose value must be one of several words. It returns a *KeyError that
+// lists the words if the value is invalid.
 func parseChoice[T any](n int, fields *fastjson.Value, key string, choices map[string]T) (T, error) {
 	word := string(fields.GetStringBytes(key))
 	choice, known := choices[word]
@@ -84,7 +85,7 @@
 	return choice, nil
 }
 
-// listWords returns the words of the choices in alphabetical order, without "", which stands for a key that is left out.
+// listWords returns the words of the choices in alphabetical order, without "", which represents an omitted key.
 func listWords[T any](choices map[string]T) string {
 	var words []string
 	for word := range choices {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,7 +1,7 @@
-// Package settings reads the platform's settings, which every dispatcher gets at its start, as the balancer's
-// configuration. Both the dispatcher on sockets and the simulator's adapter use it. It checks the values that the
-// balancer needs and sets their defaults. Unknown keys are ignored; package daemon reads the keys that only the
-// dispatcher on sockets needs.
+// Package settings parses the platform's settings, which every dispatcher receives at startup, into the balancer's
+// configuration. It is used by the dispatcher on sockets and by the adapter for the simulator. It validates the values
+// that the balancer needs, and sets their defaults. Unknown keys are ignored; package daemon reads the keys that only
+// the dispatcher on sockets needs.
 //
 // wire_names.go maps the platform's keys and words to the terms of this code.
 package settings
@@ -16,31 +16,31 @@
 
 // Sizes of gossip messages, in bytes.
 const (
-	MaxMessageBytes       = 256 // of the longest message; the platform's price is that of one
-	minPricedMessageBytes = 16  // a shorter message has the price of one of this size
+	MaxMessageBytes       = 256 // maximum length of a message, for which the platform states the price
+	minPricedMessageBytes = 16  // shorter messages have the price of a message of this length
 )
 
-// roundingSlack, in ticks of the balancer's clock, makes up for a product of floats that falls just short of a whole
-// number of ticks.
+// roundingSlack, in ticks of the balancer's clock, compensates for floating-point products that are slightly less than
+// a whole number of ticks.
 const roundingSlack = 1e-6
 
-// minObjectiveWeight keeps the relative weight of the worst operation finite where the other weights of the objective
-// function are 0 or left out.
+// minObjectiveWeight keeps the relative weight of the worst operation finite if the other weights of the objective
+// function are 0 or not set.
 const minObjectiveWeight = 0.01
 
-// TimeOf returns a moment in seconds as the balancer's time, rounded to the nearest tick.
+// TimeOf converts a timestamp in seconds to the balancer's time, rounded to the nearest tick.
 func TimeOf(seconds float64) balancer.Time {
 	return balancer.Time(math.Round(seconds * balancer.Second))
 }
 
-// DurationOf returns a span in seconds as the balancer's. It is rounded down, as a timeout must not be taken for a longer
-// one.
+// DurationOf converts a duration in seconds to the balancer's duration. It rounds down, so that a timeout is never
+// extended.
 func DurationOf(seconds float64) balancer.Duration {
 	return balancer.Duration(math.Floor(seconds*balancer.Second + roundingSlack))
 }
 
-// Parse returns the balancer's configuration for the platform's settings. The error is ErrNotObject, or a *KeyError for
-// the first value that no dispatcher can work with.
+// Parse returns the balancer's configuration for the platform's settings. It returns ErrNotObject, or a *KeyError for
+// the first value that is invalid for every dispatcher.
 func Parse(root *fastjson.Value) (balancer.Config, error) {
 	if root == nil || root.Type() != fastjson.TypeObject {
 		return balancer.Config{}, ErrNotObject
@@ -66,8 +66,8 @@
 	return config, nil
 }
 
-// parseTopology reads the number of dispatchers and this one's place among them, the kinds of workers, and how endpoint
-// lists come. Settings that name no kinds have one.
+// parseTopology parses the number of dispatchers, the position and zone of this dispatcher, the kinds of workers, and
+// the discovery mode. If the settings list no kinds, there is a single kind.
 func parseTopology(config *balancer.Config, root *fastjson.Value) {
 	config.Dispatchers = root.GetInt(keyDispatchers)
 	config.Position = root.GetInt(keyPosition)
@@ -77,8 +77,8 @@
 	config.Discovery.Poll = string(root.GetStringBytes(keyDiscoveryMode)) == wordPolledDiscovery
 }
 
-// parseObjective reads the value of requests and the prices of messages. Value is counted by request unless the settings
-// say that it is counted by work.
+// parseObjective parses the value of requests and the prices of messages. Value is counted per request unless the
+// settings specify that it is counted per unit of work.
 func parseObjective(config *balancer.Config, root *fastjson.Value) {
 	otherWeights := root.GetFloat64(keyGoal, keyGoalWholeRun) + root.GetFloat64(keyGoal, keyGoalWorstWindow)
 	config.Objective.WorstOperationWeight = root.GetFloat64(keyGoal, keyGoalWorstOperation) / max(otherWeights, minObjectiveWeight)
@@ -90,7 +90,7 @@
 	}
 }
 
-// parsePolicyLimits reads what a dispatcher may do.
+// parsePolicyLimits parses the limits on a dispatcher's actions.
 func parsePolicyLimits(config *balancer.Config, limits *fastjson.Value) {
 	config.Attempts.Max = limits.GetInt(keyMaxAttempts)
 	config.Rejections.MaxRetryAfter = DurationOf(limits.GetFloat64(keyMaxRetryAfter))
@@ -101,7 +101,7 @@
 	config.Rejections.RetryAfter = limits.GetBool(keyRetryAfter)
 }
 
-// parseRules reads what workers and the discovery service expect of a dispatcher.
+// parseRules parses the rules that workers and the discovery service impose on dispatchers.
 func parseRules(config *balancer.Config, rules *fastjson.Value) {
 	config.Discovery.MaxPollInterval = DurationOf(rules.GetFloat64(keyMaxPollInterval))
 	config.Warmup.Duration = DurationOf(rules.GetFloat64(keyWarmupDuration))
@@ -110,8 +110,8 @@
 	config.Warmup.OverloadFactor = rules.GetFloat64(keyOverloadFactor)
 }
 
-// parseLoadReports reads what workers report, and the index of each value that the balancer uses in a load report.
-// The value that is particular to the workload is used where it counts free slots.
+// parseLoadReports parses the contents of load reports, and the index of each value that the balancer uses. The
+// workload-specific value is used only if it is the number of free slots.
 func parseLoadReports(config *balancer.Config, report, workload *fastjson.Value) {
 	config.Attempts.StartNotices = workload.GetBool(keyStartNotices)
 	config.LoadReports.OnProbe = string(report.GetStringBytes(keyLoadReportSource)) == wordReportsOnProbe
@@ -134,13 +134,13 @@
 	}
 }
 
-// LoadReportLength returns how many values a worker's load report has by the settings.
+// LoadReportLength returns the number of values in a worker's load report according to the settings.
 func LoadReportLength(root *fastjson.Value) int {
 	return len(root.GetArray(keyLoadReport, keyLoadReportNames))
 }
 
-// parseTenants reads the tenants, or a single one without a quota where the settings name none. The balancer takes an
-// infinite quota for none.
+// parseTenants parses the tenants. If the settings list none, there is a single tenant without a quota. For the
+// balancer, an infinite quota means no quota.
 func parseTenants(list []*fastjson.Value) []balancer.TenantConfig {
 	if len(list) == 0 {
 		return []balancer.TenantConfig{{Quota: math.Inf(1)}}
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -13,7 +13,7 @@
 	"canvasroute/internal/balancer"
 )
 
-// allSettings has each key that Parse reads, with a value that is not its default.
+// allSettings has each key that Parse reads, with a value other than the default.
 const allSettings = `{
 "balancers": 5, "position": 2, "zone": 3, "shapes": ["std", "big"], "granularityS": 0.002,
 "prices": {"peer": 0.5, "crossZone": 0.25}, "surplusBilledValue": 0.125, "billedValueBasis": "invocation",
@@ -60,7 +60,7 @@
 	}
 }
 
-// wantConfig is what allSettings says.
+// wantConfig is the configuration that Parse returns for allSettings.
 func wantConfig() balancer.Config {
 	return balancer.Config{
 		Dispatchers: 5,
@@ -112,10 +112,10 @@
 	}
 }
 
-// notInSettings are the fields that package daemon sets itself.
+// notInSettings are the fields that package daemon sets instead of Parse.
 var notInSettings = []string{"EndpointChangeDeadline", "DeliveryNotices"}
 
-// TestEachSettingArrivesInItsField pins the keys of the settings.
+// TestEachSettingArrivesInItsField checks that each key of the settings sets its field of the configuration.
 func TestEachSettingArrivesInItsField(t *testing.T) {
 	read, err := Parse(fastjson.MustParse(allSettings))
 	assert.NoError(t, err)
@@ -124,11 +124,12 @@
 	for n := range config.NumField() {
 		name := config.Type().Field(n).Name
 		assert.Equal(t, slices.Contains(notInSettings, name), config.Field(n).IsZero(),
-			"%s: a field without a setting in this test", name)
+			"%s: field without a setting in this test", name)
 	}
 }
 
-// TestWordsOfSettings pins the words that settings choose from, with the numbers that they stand for in stored data.
+// TestWordsOfSettings checks the words of settings with a fixed set of values, and the numbers that represent them in
+// stored data.
 func TestWordsOfSettings(t *testing.T) {
 	for _, tt := range []struct {
 		word string
@@ -153,7 +154,7 @@
 	}
 }
 
-// TestDefaultsOfSettings pins what holds where the settings say nothing.
+// TestDefaultsOfSettings checks the configuration for keys that the settings omit.
 func TestDefaultsOfSettings(t *testing.T) {
 	read, err := Parse(fastjson.MustParse(
 		`{"balancers":1,"billedValueBasis":"work","operations":[{"repeat":"idempotent"}]}`))
@@ -174,7 +175,7 @@
 	assert.Equal(t, want, read)
 }
 
-// TestInvalidSettingsAreRejectedByKey pins the keys in the errors of settings that no dispatcher can work with.
+// TestInvalidSettingsAreRejectedByKey checks the keys and problems in the errors for invalid settings.
 func TestInvalidSettingsAreRejectedByKey(t *testing.T) {
 	const idempotent = `"operations":[{"repeat":"idempotent"}]`
 	for _, tt := range []struct{ name, settings, key, problem string }{
--- a/internal/settings/wire_names.go
+++ b/internal/settings/wire_names.go
@@ -1,9 +1,9 @@
 package settings
 
-// The keys and words of the platform's settings. Each comment is the term of the field; a semicolon comes before the
-// unit of a number. The table of wire names in docs/glossary.md has the same rows.
+// Keys and words of the platform's settings. The comment of each constant gives the term of the field; for a number,
+// its unit follows after a semicolon. The table of wire names in docs/glossary.md has the same rows.
 
-// Keys and words of the root.
+// Keys and words at the top level.
 const (
 	keyDispatchers      = "balancers"          // number of dispatchers
 	keyPosition         = "position"           // number of this dispatcher among all; index, from 0
@@ -43,7 +43,7 @@
 	keyRetryAfter    = "retryAfter"     // clients get a Retry-After
 )
 
-// Keys of the rules of workers and of the discovery service.
+// Keys of the rules that workers and the discovery service impose.
 const (
 	keyRules           = "rules"          // rules
 	keyMaxPollInterval = "askWithinS"     // maximum interval between polls of the endpoint list; seconds
@@ -73,7 +73,7 @@
 	wordScopeCell       = "cell"              // idempotency keys shared within a cell
 )
 
-// Keys and words of the load reports and of the facts of the workload.
+// Keys and words of load reports and of the properties of the workload.
 const (
 	keyLoadReport        = "report"       // load report
 	keyLoadReportNames   = "names"        // values of a load report, in their order
--- a/internal/settings/wire_names_test.go
+++ b/internal/settings/wire_names_test.go
@@ -27,10 +27,10 @@
 type wireName struct {
 	name string // on the wire
 	term string
-	unit string // "" for what is not a number, or needs no unit
+	unit string // unit of a number; "" if not a number or without a unit
 }
 
-// TestWireNamesAreInTheGlossary checks that the page and the code have the same wire names, terms and units.
+// TestWireNamesAreInTheGlossary checks that the glossary and the code have the same wire names, terms and units.
 func TestWireNamesAreInTheGlossary(t *testing.T) {
 	onPage := readGlossary(t)
 	for _, name := range edgePackages {
@@ -45,7 +45,7 @@
 	}
 }
 
-// TestWireNamesStandInOneFile checks that the other files of a package have no wire name as a literal of its own.
+// TestWireNamesStandInOneFile checks that only the file of wire names has wire names as string literals.
 func TestWireNamesStandInOneFile(t *testing.T) {
 	for _, name := range edgePackages {
 		t.Run(name, func(t *testing.T) {
@@ -67,7 +67,7 @@
 	}
 }
 
-// formatRows returns one line for each row, for a short difference.
+// formatRows formats one row per line, so that a failing comparison has a short diff.
 func formatRows(rows []wireName) string {
 	var lines []string
 	for _, row := range rows {
@@ -76,8 +76,8 @@
 	return strings.Join(lines, "\n")
 }
 
-// parseWireNames reads the constants of a package's file of wire names. The comment of each is its term, and after a
-// semicolon its unit.
+// parseWireNames parses the constants in a package's file of wire names. The comment of each constant holds its term,
+// and its unit after a semicolon.
 func parseWireNames(t *testing.T, packageName string) []wireName {
 	t.Helper()
 	var rows []wireName
@@ -99,7 +99,7 @@
 	return rows
 }
 
-// stringLiterals returns the values of a file's string literals, without struct tags and the paths of imports.
+// stringLiterals returns the values of a file's string literals, except for struct tags and import paths.
 func stringLiterals(t *testing.T, path string) []string {
 	t.Helper()
 	var literals []string
@@ -128,7 +128,7 @@
 	return file
 }
 
-// readGlossary reads the glossary's table of wire names, by package.
+// readGlossary parses the table of wire names in the glossary, and groups its rows by package.
 func readGlossary(t *testing.T) map[string][]wireName {
 	t.Helper()
 	page, err := os.ReadFile(glossaryPath)
--- a/internal/simadapter/discovery.go
+++ b/internal/simadapter/discovery.go
@@ -11,11 +11,11 @@
 	"canvasroute/internal/settings"
 )
 
-// workerTable numbers the workers of one instance. A worker keeps its number.
+// workerTable assigns numbers to the workers of one instance. A worker never changes its number.
 type workerTable struct {
-	ids    map[string]balancer.WorkerID // by name on the wire
-	quoted []string                     // names as JSON, by number
-	tags   []uint16                     // short forms of the names in gossip messages, by number
+	ids    map[string]balancer.WorkerID // number by name on the wire
+	quoted []string                     // names encoded as JSON, by number
+	tags   []uint16                     // tags of the names in gossip messages, by number
 	byTag  map[uint16]balancer.WorkerID
 }
 
@@ -23,7 +23,7 @@
 	return workerTable{ids: map[string]balancer.WorkerID{}, byTag: map[uint16]balancer.WorkerID{}}
 }
 
-// find returns the worker that an event names. The error is errUnknownWorker.
+// find returns the number of the worker in an event. It returns errUnknownWorker if the worker has no number.
 func (t *workerTable) find(fields *fastjson.Value) (balancer.WorkerID, error) {
 	name := string(fields.GetStringBytes(keyWorker))
 	id, known := t.ids[name]
@@ -33,8 +33,8 @@
 	return id, nil
 }
 
-// findOrAdd returns a worker's number, a new one where it has none yet. Where workers have the same tag, it stands for
-// the first of them.
+// findOrAdd returns the number of a worker, and assigns one if the worker has none. If several workers have the same
+// tag, the tag identifies the first of them.
 func (t *workerTable) findOrAdd(name string) balancer.WorkerID {
 	if id, known := t.ids[name]; known {
 		return id
@@ -53,7 +53,7 @@
 // listedWorker is an entry of an endpoint list.
 type listedWorker struct {
 	name     string
-	endpoint balancer.Endpoint // without its number, which differs between instances
+	endpoint balancer.Endpoint // without the worker's number, which differs between instances
 }
 
 var workerStates = map[string]balancer.WorkerState{
@@ -62,16 +62,16 @@
 	wordRemoved:  balancer.Gone,
 }
 
-// storeList stores an endpoint list by its number. It replaces an earlier one with the same number.
+// storeList stores an endpoint list by its number, and replaces any list with the same number.
 func (s *simulation) storeList(fields *fastjson.Value) error {
 	if !fields.Exists(keyListNumber) {
-		return errors.New("no " + keyListNumber)
+		return errors.New("missing " + keyListNumber)
 	}
 	var list []listedWorker
 	for _, entry := range fields.GetArray(keyEndpoints) {
 		name := string(entry.GetStringBytes(keyWorker))
 		if name == "" {
-			return errors.New("a worker without a name")
+			return errors.New("worker without a name")
 		}
 		state, known := workerStates[string(entry.GetStringBytes(keyWorkerState))]
 		if !known {
@@ -90,8 +90,8 @@
 	return nil
 }
 
-// updateEndpoints passes an endpoint list to an instance, or that the discovery service did not answer. A stale list is
-// one from before the instance's start, and answers no poll.
+// updateEndpoints passes an endpoint list to an instance, or reports that the discovery service is unavailable. A stale
+// list dates from before the start of the instance, and is not a response to a poll.
 func (s *simulation) updateEndpoints(in *instance, fields *fastjson.Value) error {
 	mode := string(fields.GetStringBytes(keyUpdateMode))
 	switch mode {
--- a/internal/simadapter/effects.go
+++ b/internal/simadapter/effects.go
@@ -2,7 +2,7 @@
 
 import "canvasroute/internal/balancer"
 
-// Each method here implements one of balancer.Effects, by a command in the reply.
+// The methods in this file implement balancer.Effects. Each of them adds a command to the reply.
 
 // SendAttempt implements balancer.Effects.
 func (in *instance) SendAttempt(id balancer.RequestID, worker balancer.WorkerID, within balancer.Duration) {
--- a/internal/simadapter/gossip.go
+++ b/internal/simadapter/gossip.go
@@ -8,8 +8,8 @@
 	"canvasroute/internal/protocol"
 )
 
-// SendLoad implements balancer.Effects. A gossip message in the simulator has loads as a datagram between processes has
-// them, but neither time nor instance.
+// SendLoad implements balancer.Effects. A gossip message in the simulator encodes loads in the same form as a datagram
+// between processes, but has neither a timestamp nor an instance number.
 func (in *instance) SendLoad(to balancer.PeerID, l balancer.WorkerLoad) {
 	message := protocol.AppendLoad(nil, protocol.Load{Tag: in.workers.tags[l.Worker], InFlight: l.InFlight})
 	in.reply.open(commandGossip, in.number)
@@ -18,8 +18,8 @@
 	in.reply.close()
 }
 
-// receiveLoads reads a peer's message, which is in hexadecimal digits. Loads of workers that this instance's endpoint
-// lists have not had so far are ignored.
+// receiveLoads decodes a message of a peer, which is in hexadecimal digits. Loads of workers that have not been in any
+// endpoint list of this instance are ignored.
 func (in *instance) receiveLoads(from balancer.PeerID, digits []byte) error {
 	message := make([]byte, hex.DecodedLen(len(digits)))
 	if _, err := hex.Decode(message, digits); err != nil {
--- a/internal/simadapter/instance.go
+++ b/internal/simadapter/instance.go
@@ -8,28 +8,28 @@
 	"canvasroute/internal/balancer"
 )
 
-// instance is one dispatcher: a balancer, and the numbers by which the balancer knows the workers and requests that the
-// wire names. It implements balancer.Effects, see effects.go.
+// instance is one dispatcher: a balancer, and tables that map the names of workers and requests on the wire to the
+// numbers that the balancer uses. It implements balancer.Effects in effects.go.
 type instance struct {
-	number       int // on the wire
-	operations   int // in the settings
-	tenants      int // in the settings
-	reportValues int // in a load report
+	number       int // number of the dispatcher on the wire
+	operations   int // number of operations in the settings
+	tenants      int // number of tenants in the settings
+	reportValues int // number of values in a load report
 	balancer     *balancer.Balancer
-	reply        *reply // of the batch at hand, shared by all instances
+	reply        *reply // reply to the current batch, shared by all instances
 
 	workers    workerTable
 	requests   requestTable
-	loadReport []float64 // of the event at hand; a buffer that is used again
-	failed     bool      // the balancer has panicked; events for it are ignored
+	loadReport []float64 // load report of the current event; the buffer is reused
+	failed     bool      // the balancer has panicked; further events are ignored
 }
 
 func newInstance(number int, r *reply) *instance {
 	return &instance{number: number, reply: r, workers: newWorkerTable(), requests: newRequestTable()}
 }
 
-// run sets the balancer's time, calls handle for an event, and then lets the balancer do what is due. A balancer that
-// panics has failed.
+// run sets the balancer's time, calls handle for an event, and then runs the balancer's due rules. A panic marks the
+// instance as failed.
 func (in *instance) run(now balancer.Time, handle func() error) error {
 	return in.reportPanic(func() error {
 		in.balancer.SetTime(now)
@@ -40,7 +40,8 @@
 	})
 }
 
-// reportPanic calls a function. A panic in it ends this instance alone, and is reported to the simulator.
+// reportPanic calls a function. If the function panics, reportPanic marks only this instance as failed and reports the
+// panic to the simulator.
 func (in *instance) reportPanic(call func() error) (err error) {
 	defer func() {
 		if cause := recover(); cause != nil {
@@ -51,7 +52,8 @@
 	return call()
 }
 
-// handle passes an event to the balancer. The error is errUnknownEvent, or says what is wrong with the event's fields.
+// handle passes an event to the balancer. It returns errUnknownEvent for an unknown event, or an error that describes
+// the invalid field.
 func (in *instance) handle(event string, fields *fastjson.Value) error {
 	switch event {
 	case eventRequestArrived:
@@ -76,7 +78,7 @@
 	return errUnknownEvent
 }
 
-// probeEnded passes on the load report that came with the response to a health check.
+// probeEnded passes the load report in the response to a health check to the balancer.
 func (in *instance) probeEnded(fields *fastjson.Value) error {
 	worker, err := in.workers.find(fields)
 	if err != nil {
@@ -86,8 +88,8 @@
 	return nil
 }
 
-// parseLoadReport reads the load report of an event, nil where there is none or a value is missing. It is valid until the
-// next event.
+// parseLoadReport returns the load report of an event, or nil if the event has none or the number of values is wrong.
+// The result is valid until the next event.
 func (in *instance) parseLoadReport(fields *fastjson.Value) []float64 {
 	values := fields.GetArray(keyLoadReport)
 	in.loadReport = in.loadReport[:0]
--- a/internal/simadapter/reply.go
+++ b/internal/simadapter/reply.go
@@ -7,17 +7,17 @@
 	"canvasroute/internal/balancer"
 )
 
-// decimal is the base of the numbers in a reply.
+// decimal is the base of numbers in a reply.
 const decimal = 10
 
-// reply is the line that answers a batch: a JSON object with the batch's number, and the commands in their order. It is
-// written into a buffer that is used again for the next reply.
+// reply is the response line to a batch: a JSON object with the number of the batch and the commands in order. The
+// buffer is reused for the next reply.
 type reply struct {
 	line     []byte
-	commands int // written so far
+	commands int // number of commands written so far
 }
 
-// start begins the reply to the batch of a number.
+// start starts the reply to the batch with the given number.
 func (r *reply) start(frame uint64) {
 	r.line = append(r.line[:0], `{"`+keyFrame+`":`...)
 	r.line = strconv.AppendUint(r.line, frame, decimal)
@@ -28,7 +28,7 @@
 // end completes the reply.
 func (r *reply) end() { r.line = append(r.line, "]}\n"...) }
 
-// open begins a command of a dispatcher. Its fields follow, and then close.
+// open starts a command of a dispatcher. The caller then writes the fields and calls close.
 func (r *reply) open(command string, dispatcher int) {
 	if r.commands > 0 {
 		r.line = append(r.line, ',')
@@ -43,7 +43,7 @@
 // close completes a command.
 func (r *reply) close() { r.line = append(r.line, "}}"...) }
 
-// writeRaw writes a field whose value is JSON already.
+// writeRaw writes a field whose value is already encoded as JSON.
 func (r *reply) writeRaw(key, value string) {
 	r.line = append(r.line, `,"`...)
 	r.line = append(r.line, key...)
@@ -51,30 +51,30 @@
 	r.line = append(r.line, value...)
 }
 
-// writeInt writes a field that is a number.
+// writeInt writes a numeric field.
 func (r *reply) writeInt(key string, n int64) {
 	r.writeRaw(key, "")
 	r.line = strconv.AppendInt(r.line, n, decimal)
 }
 
-// writeSeconds writes a field that is a span in seconds.
+// writeSeconds writes a field that holds a duration in seconds.
 func (r *reply) writeSeconds(key string, d balancer.Duration) {
 	r.writeRaw(key, "")
 	r.line = strconv.AppendFloat(r.line, float64(d)/balancer.Second, 'f', -1, 64)
 }
 
-// writeText writes a command whose only field is a text.
+// writeText writes a command with a text as its only field.
 func (r *reply) writeText(command string, dispatcher int, text string) {
 	r.open(command, dispatcher)
 	r.writeRaw(keyText, quoted(text))
 	r.close()
 }
 
-// quoted returns a string as JSON.
+// quoted returns a string encoded as JSON.
 func quoted(s string) string {
 	b, err := json.Marshal(s)
 	if err != nil {
-		panic(err) // cannot happen: each string has a JSON form
+		panic(err) // unreachable: every string can be encoded as JSON
 	}
 	return string(b)
 }
--- a/internal/simadapter/requests.go
+++ b/internal/simadapter/requests.go
@@ -13,34 +13,34 @@
 // progressStarted is the kind of progress that reports the start of an attempt.
 const progressStarted = 1
 
-// trackedRequest is a request until the last of its attempts has ended. Then its number is free for another one.
+// trackedRequest is a request with a number. The number is reused after the last attempt of the request has ended.
 type trackedRequest struct {
-	name     string // on the wire; "" while the number is free
-	quoted   string // the name as JSON
-	attempts int    // sent so far
-	inFlight int    // attempts that have not ended
-	ended    bool   // it was answered, or its client has left
+	name     string // name on the wire; "" while the number is free
+	quoted   string // the name encoded as JSON
+	attempts int    // number of attempts sent so far
+	inFlight int    // number of attempts that have not ended
+	ended    bool   // the request has a final response, or its client has left
 }
 
-// requestTable numbers the requests of one instance.
+// requestTable assigns numbers to the requests of one instance.
 type requestTable struct {
-	ids     map[string]balancer.RequestID // by name on the wire
-	tracked []trackedRequest              // by number
-	free    []balancer.RequestID          // numbers without a request
-	ending  []balancer.RequestID          // numbers to check after the event at hand, perhaps twice
+	ids     map[string]balancer.RequestID // number by name on the wire
+	tracked []trackedRequest              // requests by number
+	free    []balancer.RequestID          // unused numbers
+	ending  []balancer.RequestID          // numbers to check after the current event; may contain duplicates
 }
 
-// attemptRef names an attempt.
+// attemptRef identifies an attempt.
 type attemptRef struct {
 	request balancer.RequestID
-	number  int // among the request's attempts, from 0
+	number  int // index among the attempts of the request, from 0
 }
 
 func newRequestTable() requestTable { return requestTable{ids: map[string]balancer.RequestID{}} }
 
 func (t *requestTable) get(id balancer.RequestID) *trackedRequest { return &t.tracked[id] }
 
-// add numbers a request.
+// add assigns a number to a request.
 func (t *requestTable) add(name string) balancer.RequestID {
 	id := balancer.RequestID(len(t.tracked))
 	if last := len(t.free) - 1; last >= 0 {
@@ -54,14 +54,14 @@
 	return id
 }
 
-// end marks a request as ended. Its number is not freed before the event at hand was handled, as the balancer may still
-// use it.
+// end marks a request as ended. The number is not released until the current event has been handled, because the
+// balancer may still use it.
 func (t *requestTable) end(id balancer.RequestID) {
 	t.tracked[id].ended = true
 	t.ending = append(t.ending, id)
 }
 
-// releaseEnded frees the numbers of requests that have ended and have no attempt in flight. It is called after each
+// releaseEnded releases the numbers of requests that have ended and have no attempt in flight. It is called after each
 // event.
 func (t *requestTable) releaseEnded() {
 	for _, id := range t.ending {
@@ -75,7 +75,8 @@
 	t.ending = t.ending[:0]
 }
 
-// findAttempt returns the attempt that an event names. The error is errUnknownRequest or errUnknownAttempt.
+// findAttempt returns the attempt in an event. It returns errUnknownRequest or errUnknownAttempt if there is no such
+// attempt.
 func (t *requestTable) findAttempt(fields *fastjson.Value) (attemptRef, error) {
 	name := string(fields.GetStringBytes(keyRequestID))
 	id, known := t.ids[name]
@@ -89,11 +90,11 @@
 	return attemptRef{request: id, number: number}, nil
 }
 
-// requestArrived passes on that a client has sent a request.
+// requestArrived passes a new request of a client to the balancer.
 func (in *instance) requestArrived(fields *fastjson.Value) error {
 	name := string(fields.GetStringBytes(keyRequestID))
 	if name == "" {
-		return errors.New("no " + keyRequestID)
+		return errors.New("missing " + keyRequestID)
 	}
 	operation := fields.GetInt(keyOperation)
 	if operation < 0 || operation >= in.operations {
@@ -104,7 +105,7 @@
 		return fmt.Errorf("unknown tenant %d, there are %d", tenant, in.tenants)
 	}
 	if _, known := in.requests.ids[name]; known {
-		return fmt.Errorf("request %q is known already", name)
+		return fmt.Errorf("request %q already exists", name)
 	}
 	in.balancer.RequestArrived(in.requests.add(name), balancer.Arrival{
 		Operation: balancer.OperationID(operation),
@@ -116,7 +117,8 @@
 	return nil
 }
 
-// attemptProgressed passes on that a worker has started an attempt. The balancer uses no other kind of progress.
+// attemptProgressed notifies the balancer that a worker has started an attempt. The balancer does not use other kinds
+// of progress.
 func (in *instance) attemptProgressed(fields *fastjson.Value) error {
 	attempt, err := in.requests.findAttempt(fields)
 	if err != nil {
@@ -128,8 +130,8 @@
 	return nil
 }
 
-// attemptEnded passes on the outcome of an attempt, and the load report that came with it. The outcomes have the same
-// numbers on the wire as in the balancer.
+// attemptEnded passes the outcome of an attempt, and the load report in the response, to the balancer. Outcomes have
+// the same numbers on the wire as in the balancer.
 func (in *instance) attemptEnded(fields *fastjson.Value) error {
 	attempt, err := in.requests.findAttempt(fields)
 	if err != nil {
@@ -156,8 +158,8 @@
 	return nil
 }
 
-// responseStarted passes on that an attempt's response is being streamed to the client. For the balancer the client has
-// left but for this attempt: no other one is of use any more.
+// responseStarted handles the start of streaming an attempt's response to the client. It reports to the balancer that
+// the client has left except for this attempt, because the other attempts are no longer needed.
 func (in *instance) responseStarted(fields *fastjson.Value) error {
 	attempt, err := in.requests.findAttempt(fields)
 	if err != nil {
@@ -168,8 +170,8 @@
 	return nil
 }
 
-// clientLeft passes on that a client has left. The simulator may name a request that has ended earlier in the batch; such
-// an event is ignored.
+// clientLeft notifies the balancer that a client has left. The simulator may send this event for a request that ended
+// earlier in the same batch; such an event is ignored.
 func (in *instance) clientLeft(fields *fastjson.Value) {
 	id, known := in.requests.ids[string(fields.GetStringBytes(keyRequestID))]
 	if !known {
--- a/internal/simadapter/simadapter.go
+++ b/internal/simadapter/simadapter.go
@@ -1,5 +1,6 @@
-// Package simadapter runs dispatchers in the simulator. Each event on the simulator's wire becomes a call of a balancer,
-// and each of the balancer's effects a command in the reply. The package makes no decisions and has no clock of its own.
+// Package simadapter runs dispatchers in the simulator. It translates each event from the simulator into a call of a
+// balancer, and each effect of the balancer into a command in the reply. The package makes no decisions and has no
+// clock of its own.
 //
 // wire_names.go maps the names on the wire to the terms of this code.
 package simadapter
@@ -22,7 +23,7 @@
 	outputBufferBytes = 1 << 16
 )
 
-// Errors that end the run, as the batch contradicts what came before.
+// Errors that end the run, because a batch is inconsistent with earlier ones.
 var (
 	errMalformedBatch    = errors.New("malformed")
 	errUnknownDispatcher = errors.New("unknown dispatcher")
@@ -33,15 +34,15 @@
 	errUnknownList       = errors.New("unknown list")
 )
 
-// simulation is the state of one process.
+// simulation is the state of the process.
 type simulation struct {
-	instances map[int]*instance      // dispatchers by number
-	lists     map[int][]listedWorker // endpoint lists by number, which all dispatchers share
-	reply     reply                  // to the batch at hand
+	instances map[int]*instance      // dispatchers, by number
+	lists     map[int][]listedWorker // endpoint lists, by number; shared by all dispatchers
+	reply     reply                  // reply to the current batch
 }
 
-// Run reads batches, one a line, until the input ends, and answers each with one line. The error names the line, counted
-// from 1, and what is wrong with it.
+// Run reads batches, one per line, until the end of the input, and writes a one-line reply to each. An error includes
+// the line number, counted from 1, and a description of the problem.
 func Run(in io.Reader, out io.Writer) error {
 	input := bufio.NewReaderSize(in, inputBufferBytes)
 	output := bufio.NewWriterSize(out, outputBufferBytes)
@@ -73,7 +74,7 @@
 	}
 }
 
-// readLine appends a line with its end to a buffer. The line may be longer than the reader's buffer.
+// readLine appends a line, including its line end, to a buffer. The line may be longer than the reader's buffer.
 func readLine(r *bufio.Reader, line []byte) ([]byte, error) {
 	for {
 		fragment, err := r.ReadSlice('\n')
@@ -84,7 +85,7 @@
 	}
 }
 
-// runBatch handles the events of a batch, which all happen at the same time, and writes the reply.
+// runBatch handles the events of a batch, which all have the same timestamp, and writes the reply.
 func (s *simulation) runBatch(parsed *fastjson.Value) error {
 	received, err := parseBatch(parsed)
 	if err != nil {
@@ -100,14 +101,14 @@
 	return nil
 }
 
-// batch is one line of the simulator's.
+// batch is one line from the simulator.
 type batch struct {
-	frame  uint64 // its number, which the reply repeats
+	frame  uint64 // number of the batch, which is repeated in the reply
 	now    balancer.Time
 	events []*fastjson.Value
 }
 
-// parseBatch reads the parts of a batch, which all are required.
+// parseBatch parses a batch, in which all keys are required.
 func parseBatch(parsed *fastjson.Value) (batch, error) {
 	frame, now, events := parsed.Get(keyFrame), parsed.Get(keyNow), parsed.Get(keyEvents)
 	if frame == nil || now == nil || events == nil {
@@ -128,11 +129,12 @@
 	return batch{frame: number, now: settings.TimeOf(seconds), events: list}, nil
 }
 
-// runEvent handles the n-th event of a batch, counted from 0: an object whose only key is the event's name.
+// runEvent handles the n-th event of a batch, counted from 0. An event is an object whose only key is the name of the
+// event.
 func (s *simulation) runEvent(n int, event *fastjson.Value, now balancer.Time) error {
 	object, err := event.Object()
 	if err != nil || object.Len() != 1 {
-		return fmt.Errorf("event %d: not an object of one key", n)
+		return fmt.Errorf("event %d: not an object with exactly one key", n)
 	}
 	object.Visit(func(name []byte, fields *fastjson.Value) {
 		if err = s.dispatchEvent(string(name), fields, now); err != nil {
@@ -142,8 +144,8 @@
 	return err
 }
 
-// dispatchEvent handles the events about endpoint lists and dispatchers, and passes the others to their dispatcher.
-// Events for one that has failed are ignored.
+// dispatchEvent handles the events about endpoint lists and dispatchers, and passes other events to their dispatcher.
+// Events for a failed dispatcher are ignored.
 func (s *simulation) dispatchEvent(event string, fields *fastjson.Value, now balancer.Time) error {
 	if fields.Type() != fastjson.TypeObject {
 		return errors.New("fields are not an object")
@@ -152,7 +154,7 @@
 		return s.storeList(fields)
 	}
 	if !fields.Exists(keyDispatcher) {
-		return errors.New("no " + keyDispatcher)
+		return errors.New("missing " + keyDispatcher)
 	}
 	number := fields.GetInt(keyDispatcher)
 	if event == eventDispatcherStarted {
@@ -175,7 +177,7 @@
 	return in.run(now, func() error { return in.handle(event, fields) })
 }
 
-// startInstance starts a dispatcher. It replaces a running one with the same number.
+// startInstance starts a dispatcher, and replaces any running dispatcher with the same number.
 func (s *simulation) startInstance(number int, fields *fastjson.Value, now balancer.Time) error {
 	in := newInstance(number, &s.reply)
 	s.instances[number] = in
--- a/internal/simadapter/simadapter_test.go
+++ b/internal/simadapter/simadapter_test.go
@@ -20,7 +20,7 @@
 	clientLeftEvent = `{"TimedOutClient":{"dispatcher":4,"rid":"q\"1"}}`
 )
 
-// batchLine returns a batch of events as the simulator sends it.
+// batchLine returns a batch of events in the form that the simulator sends.
 func batchLine(events ...string) string {
 	return `{"wallS":5.5,"frame":9,"happened":[` + strings.Join(events, ",") + "]}\n"
 }
@@ -45,15 +45,15 @@
 	out, err := run(batchLine(startEvent, listEvents, arrivalEvent, `{"Destroy":{"dispatcher":4}}`,
 		startEvent, listEvents, arrivalEvent))
 	assert.NoError(t, err)
-	assert.Equal(t, 2, strings.Count(out, "Issue"), "the new instance knows no request of the old one")
+	assert.Equal(t, 2, strings.Count(out, "Issue"), "the new instance must not have requests of the old one")
 }
 
 func TestInvalidBatchEndsTheRun(t *testing.T) {
 	for _, tt := range []struct {
 		name      string
 		line      string
-		wantError error  // nil where only the text is checked
-		wantText  string // in the error
+		wantError error  // nil if only the text is checked
+		wantText  string // part of the error text
 	}{
 		{"malformed", "{\n", errMalformedBatch, "line 1: malformed"},
 		{"no frame", "{}\n", nil, "a batch needs frame, wallS and happened"},
--- a/internal/simadapter/wire_names.go
+++ b/internal/simadapter/wire_names.go
@@ -1,7 +1,7 @@
 package simadapter
 
-// The names on the simulator's wire. Each comment is the term of the field; a semicolon comes before the unit of a
-// number. The table of wire names in docs/glossary.md has the same rows.
+// Names on the simulator's wire. The comment of each constant gives the term of the field; for a number, its unit
+// follows after a semicolon. The table of wire names in docs/glossary.md has the same rows.
 
 // Keys of a batch and of its reply.
 const (
@@ -11,7 +11,7 @@
 	keyCommands = "cmds"     // commands
 )
 
-// Events, which the simulator sends. An event is an object whose only key is its name.
+// Events that the simulator sends. An event is an object whose only key is its name.
 const (
 	eventDispatcherStarted = "NewInstance"    // start of a dispatcher
 	eventDispatcherKilled  = "Destroy"        // kill of a dispatcher
@@ -27,7 +27,7 @@
 	eventGossip            = "Heard"          // gossip message from a peer
 )
 
-// Commands, with which a dispatcher answers.
+// Commands that a dispatcher sends in a reply.
 const (
 	commandSendAttempt   = "Issue"        // send an attempt
 	commandCancelAttempt = "AbortAttempt" // cancel an attempt
--- a/internal/simadapter/wire_test.go
+++ b/internal/simadapter/wire_test.go
@@ -8,7 +8,7 @@
 	"canvasroute/internal/balancer"
 )
 
-// commandCases have one effect each, and the command that the simulator reads.
+// commandCases are the commands for each effect, as the simulator reads them.
 var commandCases = []struct {
 	name    string
 	command func(in *instance, id balancer.RequestID, worker balancer.WorkerID)
@@ -64,7 +64,7 @@
 	},
 }
 
-// TestCommandBytes pins the text of each command that the simulator reads: its name, its fields and their order.
+// TestCommandBytes checks the text of each command that the simulator reads: its name, and its fields in order.
 func TestCommandBytes(t *testing.T) {
 	for _, tt := range commandCases {
 		t.Run(tt.name, func(t *testing.T) {
@@ -77,7 +77,7 @@
 	}
 }
 
-// textEvent is an event that is nothing but its text.
+// textEvent is an event that consists only of its text.
 type textEvent string
 
 func (e textEvent) String() string { return string(e) }
--- a/internal/tomlconfig/tomlconfig.go
+++ b/internal/tomlconfig/tomlconfig.go
@@ -1,5 +1,5 @@
-// Package tomlconfig decodes TOML files that people write. A key that is not known is an error, and each error names its
-// place in the file. The packages that own the files check the values.
+// Package tomlconfig decodes TOML files that are written by hand. An unknown key is an error, and each error gives its
+// position in the file. The packages that use the files validate the values.
 package tomlconfig
 
 import (
@@ -11,11 +11,12 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// ErrUnknownKey is returned for a key that the decoded type does not have.
+// ErrUnknownKey is returned for a key that does not exist in the decoded type.
 var ErrUnknownKey = errors.New("unknown key")
 
-// Decode decodes a text into the value that v points to. path is that of the file, for errors: each begins with the path,
-// the line and, if known, the column. Errors wrap ErrUnknownKey, or a *toml.DecodeError for other faults.
+// Decode decodes a TOML text into the value that v points to. path is the path of the file and is used in errors only:
+// each error starts with the path, the line and, if known, the column. Errors wrap ErrUnknownKey, or a
+// *toml.DecodeError for other faults.
 func Decode(path string, text []byte, v any) error {
 	err := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields().Decode(v)
 	var unknown *toml.StrictMissingError
@@ -34,5 +35,5 @@
 	return fmt.Errorf("%s: %w", path, err)
 }
 
-// dotted returns a key as it is written in a file, such as limit.requests.
+// dotted formats a key as it is written in a file, such as limit.requests.
 func dotted(key toml.Key) string { return strings.Join(key, ".") }
--- a/internal/tomlconfig/tomlconfig_test.go
+++ b/internal/tomlconfig/tomlconfig_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// testFile is a file with a table.
+// testFile is the decoded form of a file with one table.
 type testFile struct {
 	Name  string
 	Limit struct{ Requests int }
