--- a/internal/daemon/config_parse.go
+++ b/internal/daemon/config_parse.go
@@ -75,7 +75,7 @@
 func (r *configReader) setPollingDiscovery(c *Config) {
 	interval := r.seconds(pollIntervalKey)
 	c.Balancer.Discovery.Poll = true
-	c.Balancer.Discovery.MaxPollInterval = settings.DurationOf(interval.Seconds())
+	c.Balancer.Discovery.MaxPollInterval = settings.DurationFromSeconds(interval.Seconds())
 	c.Balancer.Discovery.ChangeDeadline = endpointChangeDeadline
 	c.Balancer.Attempts.DeliveryNotices = true
 }
--- a/internal/docscheck/code_test.go
+++ b/internal/docscheck/code_test.go
@@ -12,8 +12,8 @@
 	"unicode"
 )
 
-// root is the path of the module root, relative to this package.
-const root = "../.."
+// moduleRoot is the path of the module's root directory, relative to this package.
+const moduleRoot = "../.."
 
 // code holds the names in the Go code that pages may refer to, and the names of the files.
 type code struct {
@@ -28,7 +28,7 @@
 func readCode(t *testing.T) *code {
 	t.Helper()
 	c := &code{names: map[string]bool{}, tests: map[string]bool{}, literals: map[string]bool{}}
-	err := filepath.WalkDir(root, func(path string, entry fs.DirEntry, err error) error {
+	err := filepath.WalkDir(moduleRoot, func(path string, entry fs.DirEntry, err error) error {
 		switch {
 		case err != nil:
 			return err
@@ -37,7 +37,7 @@
 		case entry.IsDir():
 			return nil
 		}
-		relative, err := filepath.Rel(root, path)
+		relative, err := filepath.Rel(moduleRoot, path)
 		if err != nil {
 			return err
 		}
@@ -78,7 +78,7 @@
 	ast.Inspect(file, func(node ast.Node) bool {
 		switch node := node.(type) {
 		case *ast.BasicLit:
-			for _, word := range strings.FieldsFunc(stringOf(node), endsWord) {
+			for _, word := range strings.FieldsFunc(stringValue(node), isWordSeparator) {
 				c.literals[word] = true
 			}
 		case *ast.CallExpr:
@@ -95,19 +95,19 @@
 	switch declaration := declaration.(type) {
 	case *ast.FuncDecl:
 		if declaration.Recv == nil {
-			c.add(pkg, declaration.Name.Name)
+			c.addName(pkg, declaration.Name.Name)
 		} else {
-			c.add(pkg, receiverType(declaration), declaration.Name.Name)
+			c.addName(pkg, receiverType(declaration), declaration.Name.Name)
 		}
 	case *ast.GenDecl:
 		for _, spec := range declaration.Specs {
 			switch spec := spec.(type) {
 			case *ast.ValueSpec:
 				for _, name := range spec.Names {
-					c.add(pkg, name.Name)
+					c.addName(pkg, name.Name)
 				}
 			case *ast.TypeSpec:
-				c.add(pkg, spec.Name.Name)
+				c.addName(pkg, spec.Name.Name)
 				c.addMembers(pkg, spec)
 			}
 		}
@@ -127,13 +127,13 @@
 	}
 	for _, member := range members.List {
 		for _, name := range member.Names {
-			c.add(pkg, spec.Name.Name, name.Name)
+			c.addName(pkg, spec.Name.Name, name.Name)
 		}
 	}
 }
 
-// add adds each form of a name that a page may use: every suffix of its path.
-func (c *code) add(path ...string) {
+// addName adds each form of a name that a page may use: every suffix of its path.
+func (c *code) addName(path ...string) {
 	for from := range path {
 		c.names[strings.Join(path[from:], ".")] = true
 	}
@@ -164,16 +164,16 @@
 	if !ok {
 		return ""
 	}
-	return stringOf(literal)
+	return stringValue(literal)
 }
 
-// endsWord reports whether a character cannot be part of a name.
-func endsWord(character rune) bool {
+// isWordSeparator reports whether a character cannot be part of a name.
+func isWordSeparator(character rune) bool {
 	return character != '_' && !unicode.IsLetter(character) && !unicode.IsDigit(character)
 }
 
-// stringOf returns the value of a string literal, or "" for other literals.
-func stringOf(literal *ast.BasicLit) string {
+// stringValue returns the value of a string literal, or "" for other literals.
+func stringValue(literal *ast.BasicLit) string {
 	if literal.Kind != token.STRING {
 		return ""
 	}
--- a/internal/docscheck/docscheck_test.go
+++ b/internal/docscheck/docscheck_test.go
@@ -28,8 +28,8 @@
 // messagePages are the pages with tables of log messages. Each log message must have a row in one of them.
 var messagePages = []string{"docs/oncall.md", "docs/returning.md", "docs/operating.md"}
 
-// otherNames describes the names in backticks that are not defined in the code.
-var otherNames = map[string]string{
+// namesOutsideCode describes the names in backticks that are not defined in the code.
+var namesOutsideCode = map[string]string{
 	"accepting":   "an old log message",
 	"facts.a":     "a file in the state folder",
 	"facts.b":     "a file in the state folder",
@@ -43,12 +43,12 @@
 }
 
 var (
-	backticked = regexp.MustCompile("`([^`\n]+)`")
-	testName   = regexp.MustCompile(`\b(?:[a-z]\w*\.)?Test[A-Z]\w*`)
-	goName     = regexp.MustCompile(`^[A-Za-z_]\w*(\.[A-Za-z_]\w*)*$`)
-	firstCells = regexp.MustCompile(`(?m)^\| [^|]*`)
-	// oldMessages matches the section of log messages that no longer exist in the code.
-	oldMessages = regexp.MustCompile(`(?s)\n### Old log messages\n.*?\n## `)
+	backticked     = regexp.MustCompile("`([^`\n]+)`")
+	testName       = regexp.MustCompile(`\b(?:[a-z]\w*\.)?Test[A-Z]\w*`)
+	goName         = regexp.MustCompile(`^[A-Za-z_]\w*(\.[A-Za-z_]\w*)*$`)
+	firstCellOfRow = regexp.MustCompile(`(?m)^\| [^|]*`)
+	// oldMessagesSection matches the section of log messages that no longer exist in the code.
+	oldMessagesSection = regexp.MustCompile(`(?s)\n### Old log messages\n.*?\n## `)
 
 	fileName = regexp.MustCompile(`^[\w./-]+\.(go|toml|md|txt)$`)
 )
@@ -64,7 +64,7 @@
 				}
 			}
 			for _, match := range backticked.FindAllStringSubmatch(text, -1) {
-				if name := match[1]; !code.has(name) {
+				if name := match[1]; !code.exists(name) {
 					t.Errorf("`%s` is neither a name in the code nor a file", name)
 				}
 			}
@@ -72,11 +72,11 @@
 	}
 }
 
-func TestLogMessagesStandOnPages(t *testing.T) {
+func TestLogMessagesHaveRowsOnPages(t *testing.T) {
 	explained := map[string]bool{}
 	for _, page := range messagePages {
-		text := oldMessages.ReplaceAllString(readPage(t, page), "")
-		for _, firstCell := range firstCells.FindAllString(text, -1) {
+		text := oldMessagesSection.ReplaceAllString(readPage(t, page), "")
+		for _, firstCell := range firstCellOfRow.FindAllString(text, -1) {
 			for _, match := range backticked.FindAllStringSubmatch(firstCell, -1) {
 				explained[match[1]] = true
 			}
@@ -94,16 +94,16 @@
 	}
 }
 
-// has reports whether a text in backticks refers to an existing declaration, test, name in a string literal (metric,
+// exists reports whether a text in backticks refers to an existing declaration, test, name in a string literal (metric,
 // settings key, log message and the like) or file. Other texts, such as commands and values, are not checked.
-func (c *code) has(text string) bool {
+func (c *code) exists(text string) bool {
 	switch {
 	case fileName.MatchString(text):
 		return slices.ContainsFunc(c.files, func(file string) bool {
 			return file == text || strings.HasSuffix(file, "/"+text)
 		})
 	case goName.MatchString(text):
-		return otherNames[text] != "" || c.names[text] || c.tests[text] || c.isInLiterals(text)
+		return namesOutsideCode[text] != "" || c.names[text] || c.tests[text] || c.isInLiterals(text)
 	}
 	return true
 }
@@ -121,7 +121,7 @@
 
 func readPage(t *testing.T, page string) string {
 	t.Helper()
-	text, err := os.ReadFile(filepath.Join(root, page))
+	text, err := os.ReadFile(filepath.Join(moduleRoot, page))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -136,7 +136,7 @@
 		millis := millisOf(time.Now())
 		for process, all := range e.byProcess(updates) {
 			for loads := range slices.Chunk(all, protocol.MaxLoads) {
-				datagram = protocol.AppendLoads(datagram[:0], millis, sender, loads)
+				datagram = protocol.AppendLoadDatagram(datagram[:0], millis, sender, loads)
 				e.send(process, datagram)
 			}
 		}
@@ -159,7 +159,7 @@
 
 // helloAt returns the datagram of a hello.
 func helloAt(now time.Time) []byte {
-	return protocol.AppendLoads(nil, millisOf(now), protocol.NoInstance, nil)
+	return protocol.AppendLoadDatagram(nil, millisOf(now), protocol.NoInstance, nil)
 }
 
 // replyToHello sends a hello back while this process is isolated: it has heard from no older peer, and no poll of the
@@ -210,7 +210,7 @@
 // receive applies a datagram. One that is malformed, reordered or from a stranger is counted and dropped.
 func (e *Exchange) receive(from netip.AddrPort, datagram []byte) {
 	process := slices.Index(e.config.Peers, from)
-	message, err := protocol.ParseLoads(datagram)
+	message, err := protocol.ParseLoadDatagram(datagram)
 	switch {
 	case process < 0 || process == e.config.Position:
 		e.Counters.Strangers.Add(1)
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -53,12 +53,15 @@
 	return peer
 }
 
-func hello(millis uint16) []byte { return protocol.AppendLoads(nil, millis, protocol.NoInstance, nil) }
+func hello(millis uint16) []byte {
+	return protocol.AppendLoadDatagram(nil, millis, protocol.NoInstance, nil)
+}
 
 func TestDroppedDatagramsAreCounted(t *testing.T) {
 	e, peer := newExchange()
 	load := func(millis uint16) []byte {
-		return protocol.AppendLoads(nil, millis, protocol.NoInstance, []protocol.Load{{Tag: protocol.WorkerTag("w"), InFlight: 3}})
+		return protocol.AppendLoadDatagram(nil, millis, protocol.NoInstance,
+			[]protocol.Load{{Tag: protocol.WorkerTag("w"), InFlight: 3}})
 	}
 	e.receive(peer, load(5))
 	e.receive(peer, load(65530)) // reordered, across the wrap of the timestamp
@@ -92,7 +95,7 @@
 	assert.NoError(t, peer.SetReadDeadline(time.Now().Add(peertest.EventTimeout)))
 	length, err := peer.Read(datagram)
 	assert.NoError(t, err)
-	hello, err := protocol.ParseLoads(datagram[:length])
+	hello, err := protocol.ParseLoadDatagram(datagram[:length])
 	assert.NoError(t, err)
 	assert.Empty(t, hello.Loads)
 	cancel()
--- a/internal/protocol/body.go
+++ b/internal/protocol/body.go
@@ -18,8 +18,8 @@
 
 // BodyPiece is the result of decoding the start of a body's input.
 type BodyPiece struct {
-	Data []byte // body data without framing; may be empty
-	Used int    // bytes of input that were consumed, including framing; 0 if more input is needed
+	Data     []byte // body data without framing; may be empty
+	Consumed int    // bytes of input that were consumed, including framing; 0 if more input is needed
 }
 
 // chunkState is the next expected element of a chunked body.
@@ -30,7 +30,7 @@
 	chunkData
 	chunkDataEnd // the empty line after the data
 	chunkTrailer
-	chunksDone
+	chunkedBodyDone
 )
 
 // maxChunkLineBytes is the maximum length of a chunk size line, and of a trailer field.
@@ -60,7 +60,7 @@
 // length ends when the connection is closed, unless the status does not allow a body (RFC 9112, 6.3). It returns
 // ErrMalformed for invalid framing.
 func ResponseBody(h *Head) (Body, error) {
-	if allowsNoBody(h.Status) {
+	if forbidsBody(h.Status) {
 		return Body{}, nil
 	}
 	body, err := parseFraming(h)
@@ -68,8 +68,8 @@
 	return body, err
 }
 
-// allowsNoBody reports whether a response with a status has no body, regardless of its header fields (RFC 9112, 6.3).
-func allowsNoBody(status int) bool {
+// forbidsBody reports whether a response with a status has no body, regardless of its header fields (RFC 9112, 6.3).
+func forbidsBody(status int) bool {
 	return IsInterim(status) || status == StatusNoContent || status == StatusNotModified
 }
 
@@ -101,8 +101,9 @@
 	return b.remaining
 }
 
-// MaxRead returns the maximum number of bytes needed to buffer the body, if the body does not exceed MaxBodyBytes.
-func (b *Body) MaxRead() int64 {
+// MaxBufferBytes returns the maximum number of bytes needed to buffer the body, if the body does not exceed
+// MaxBodyBytes.
+func (b *Body) MaxBufferBytes() int64 {
 	if b.chunked {
 		return MaxBodyBytes
 	}
@@ -112,7 +113,7 @@
 // Done reports whether the body is complete.
 func (b *Body) Done() bool {
 	if b.chunked {
-		return b.state == chunksDone
+		return b.state == chunkedBodyDone
 	}
 	return !b.untilClose && b.remaining == 0
 }
@@ -124,24 +125,24 @@
 func (b *Body) Next(input []byte) (BodyPiece, error) {
 	switch {
 	case b.untilClose:
-		return BodyPiece{Data: input, Used: len(input)}, nil
+		return BodyPiece{Data: input, Consumed: len(input)}, nil
 	case !b.chunked || b.state == chunkData:
 		n := int(min(int64(len(input)), b.remaining))
 		b.remaining -= int64(n)
 		if b.remaining == 0 {
 			b.state = chunkDataEnd
 		}
-		return BodyPiece{Data: input[:n], Used: n}, nil
-	case b.state == chunksDone:
+		return BodyPiece{Data: input[:n], Consumed: n}, nil
+	case b.state == chunkedBodyDone:
 		return BodyPiece{}, nil
 	}
-	lineBytes, err := b.takeChunkLine(input)
-	return BodyPiece{Used: lineBytes}, err
+	lineBytes, err := b.consumeChunkLine(input)
+	return BodyPiece{Consumed: lineBytes}, err
 }
 
-// takeChunkLine parses the framing line at the start of the input. It returns the length of the line in bytes, or 0 if
-// the line is incomplete.
-func (b *Body) takeChunkLine(input []byte) (int, error) {
+// consumeChunkLine parses the framing line at the start of the input. It returns the length of the line in bytes, or 0
+// if the line is incomplete.
+func (b *Body) consumeChunkLine(input []byte) (int, error) {
 	end := bytes.IndexByte(input, '\n')
 	if end < 0 && len(input) > maxChunkLineBytes || end > maxChunkLineBytes {
 		return 0, fmt.Errorf("%w: chunk line of more than %d bytes", ErrMalformed, maxChunkLineBytes)
@@ -170,7 +171,7 @@
 		b.state = chunkSize
 	case chunkTrailer:
 		if line == "" {
-			b.state = chunksDone
+			b.state = chunkedBodyDone
 		}
 	case chunkSize:
 		digits, _, _ := strings.Cut(line, ";") // chunk extensions are ignored
--- a/internal/protocol/body_test.go
+++ b/internal/protocol/body_test.go
@@ -25,8 +25,8 @@
 				return "", err
 			}
 			content = append(content, piece.Data...)
-			buffered = buffered[piece.Used:]
-			if piece.Used == 0 {
+			buffered = buffered[piece.Consumed:]
+			if piece.Consumed == 0 {
 				break
 			}
 		}
@@ -59,14 +59,14 @@
 	}
 }
 
-func TestChunkLineOfARequestMayNotEndInABareLineFeed(t *testing.T) {
+func TestRequestChunkLineWithBareLFIsMalformed(t *testing.T) {
 	body, err := RequestBody(requestHead(t, "Transfer-Encoding: chunked"))
 	assert.NoError(t, err)
 	_, err = readBody(body, "1\n", 2)
 	assert.ErrorIs(t, err, ErrMalformed)
 }
 
-func TestChunkedBodyIsReadWhereverItIsSplit(t *testing.T) {
+func TestChunkedBodyIsReadInPiecesOfAnySize(t *testing.T) {
 	const text = "5;x=y\r\nhello\r\n1\r\n \r\nA\r\n0123456789\r\n0\r\nTrailer: 1\r\n\r\n"
 	for pieceBytes := 1; pieceBytes <= len(text); pieceBytes++ {
 		t.Run("pieces of "+strconv.Itoa(pieceBytes), func(t *testing.T) {
@@ -77,7 +77,7 @@
 	}
 }
 
-func TestMalformedChunks(t *testing.T) {
+func TestMalformedChunksAreRejected(t *testing.T) {
 	for _, tt := range []struct{ name, text string }{
 		{"no size", "x\r\n"},
 		{"negative size", "-1\r\n"},
@@ -92,7 +92,7 @@
 	}
 }
 
-func TestResponsesThatAllowNoBody(t *testing.T) {
+func TestResponsesWithoutBodyByStatus(t *testing.T) {
 	for _, status := range []int{100, 204, 304} {
 		t.Run(strconv.Itoa(status), func(t *testing.T) {
 			body, err := ResponseBody(&Head{Status: status})
--- a/internal/protocol/endpoint_list.go
+++ b/internal/protocol/endpoint_list.go
@@ -31,7 +31,7 @@
 // ParseEndpointList parses an endpoint list, or one line of a watch, which hold a JSON object. Unknown keys are
 // ignored. If it returns ErrMalformed, the list holds the endpoints before the error.
 func ParseEndpointList(b []byte) (list EndpointList, err error) {
-	s := scanner{input: b}
+	s := jsonScanner{input: b}
 	hasVersion := false
 	s.object(func(key string) {
 		switch key {
@@ -61,7 +61,7 @@
 }
 
 // endpoint reads one worker. The ID and a known state are required.
-func (s *scanner) endpoint() (e Endpoint) {
+func (s *jsonScanner) endpoint() (e Endpoint) {
 	s.object(func(key string) {
 		switch key {
 		case keyEndpointID:
--- a/internal/protocol/fuzz_test.go
+++ b/internal/protocol/fuzz_test.go
@@ -15,8 +15,8 @@
 			assert.Contains(t, string(input), "{")
 		}
 		_, _ = ParseEndpointList(input)
-		_, _ = ParseLoad(input, []string{"rif"})
-		_, _ = ParseLoads(input)
+		_, _ = ParseLoadReport(input, []string{"rif"})
+		_, _ = ParseLoadDatagram(input)
 		if head, _ := ParseRequestHead(input); head.Length > len(input) {
 			t.Fatal("head length exceeds the input")
 		}
--- a/internal/protocol/head.go
+++ b/internal/protocol/head.go
@@ -2,8 +2,8 @@
 
 import "strings"
 
-// fieldSet is the value of a header field that serves as a flag.
-const fieldSet = "1"
+// flagValue is the value of a header field that serves as a flag.
+const flagValue = "1"
 
 // Head is the head of an HTTP/1.x message: its start line and its header fields.
 type Head struct {
@@ -91,10 +91,10 @@
 func (h *Head) Operation() string { return h.Field(fieldOperation) }
 
 // IsRetry reports whether the client marks the request as a retry.
-func (h *Head) IsRetry() bool { return h.Field(fieldRetry) == fieldSet }
+func (h *Head) IsRetry() bool { return h.Field(fieldRetry) == flagValue }
 
-// Declined reports whether a worker's response indicates that the attempt was not executed.
-func Declined(h *Head) bool {
+// IsDeclined reports whether a worker's response indicates that the attempt was not executed.
+func IsDeclined(h *Head) bool {
 	mayDecline := h.Status == StatusServiceUnavailable || h.Status == StatusGatewayTimeout
-	return mayDecline && h.Field(fieldDeclined) == fieldSet
+	return mayDecline && h.Field(fieldDeclined) == flagValue
 }
--- a/internal/protocol/head_parser.go
+++ b/internal/protocol/head_parser.go
@@ -22,7 +22,7 @@
 // Bare LFs and control bytes are rejected as malformed, because parsers interpret them differently, which allows
 // request smuggling (RFC 9112, 11.2).
 func ParseRequestHead(b []byte) (h ParsedHead, err error) {
-	text, err := cutHead(b)
+	text, err := splitHead(b)
 	h.Length = text.length
 	if h.Length == 0 || err != nil {
 		return h, err
@@ -32,7 +32,7 @@
 		return h, fmt.Errorf("%w: line that ends in a bare LF", ErrMalformed)
 	}
 	words := strings.Split(text.startLine, " ")
-	if len(words) != requestLineWords || !isToken(words[0]) || !isTarget(words[1]) {
+	if len(words) != requestLineParts || !isToken(words[0]) || !isTarget(words[1]) {
 		return h, fmt.Errorf("%w: request line %.80q", ErrMalformed, text.startLine)
 	}
 	h.Method = words[0]
@@ -47,7 +47,7 @@
 // ParseResponseHead parses the head of a response at the start of b. It returns the same errors as ParseRequestHead,
 // but accepts lines that end in a bare LF (RFC 9112, 2.2).
 func ParseResponseHead(b []byte) (h ParsedHead, err error) {
-	text, err := cutHead(b)
+	text, err := splitHead(b)
 	h.Length = text.length
 	if h.Length == 0 || err != nil {
 		return h, err
@@ -74,7 +74,7 @@
 
 // Parts of start lines (RFC 9112, 3 and 4).
 const (
-	requestLineWords = 3 // method, target and version
+	requestLineParts = 3 // method, target and version
 	statusDigits     = 3
 )
 
@@ -85,9 +85,9 @@
 	length     int    // in bytes, including the empty line; 0 while the head is incomplete
 }
 
-// cutHead returns the text of the head at the start of b. Empty lines before the head are skipped, because some senders
-// add one after a body (RFC 9112, 2.2). It returns ErrHeadTooLarge if the head exceeds MaxHeadBytes.
-func cutHead(b []byte) (headText, error) {
+// splitHead returns the text of the head at the start of b. Empty lines before the head are skipped, because some
+// senders add one after a body (RFC 9112, 2.2). It returns ErrHeadTooLarge if the head exceeds MaxHeadBytes.
+func splitHead(b []byte) (headText, error) {
 	skipped := len(b) - len(bytes.TrimLeft(b, "\r\n"))
 	end, terminator := bytes.Index(b[skipped:], []byte("\n\r\n")), len("\n\r\n")
 	if bare := bytes.Index(b[skipped:], []byte("\n\n")); bare >= 0 && (end < 0 || bare < end) {
--- a/internal/protocol/head_test.go
+++ b/internal/protocol/head_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-func TestHeadIsParsedOnceComplete(t *testing.T) {
+func TestHeadIsParsedOnlyWhenComplete(t *testing.T) {
 	const text = "\r\nPOST /api?x=1 HTTP/1.1\r\nReq-Id: a\r\nX:  b \r\n\r\nrest"
 	for n := range strings.Index(text, "rest") {
 		head, err := ParseRequestHead([]byte(text[:n]))
@@ -61,7 +61,7 @@
 	}
 }
 
-func TestHeadOverTheLimitIsTooLarge(t *testing.T) {
+func TestHeadAboveTheLimitIsTooLarge(t *testing.T) {
 	_, err := ParseRequestHead([]byte(strings.Repeat("a", MaxHeadBytes)))
 	assert.ErrorIs(t, err, ErrHeadTooLarge)
 }
@@ -94,7 +94,7 @@
 		{"503 with another value", "HTTP/1.1 503 No\r\nSrv-Declined: 0", false},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			assert.Equal(t, tt.want, Declined(responseHead(t, tt.text)))
+			assert.Equal(t, tt.want, IsDeclined(responseHead(t, tt.text)))
 		})
 	}
 }
--- a/internal/protocol/http_fields.go
+++ b/internal/protocol/http_fields.go
@@ -14,18 +14,18 @@
 
 // Header fields of the platform in the case in which they are sent and reported in errors.
 const (
-	sentID       = "Req-Id"
-	sentTimeout  = "Req-Deadline"
-	sentSizeHint = "Req-Cost"
-	sentExtra    = "Req-Extra"
+	canonicalID       = "Req-Id"
+	canonicalTimeout  = "Req-Deadline"
+	canonicalSizeHint = "Req-Cost"
+	canonicalExtra    = "Req-Extra"
 )
 
 // lowerCaseNames maps common spellings of field names to lower case, which avoids an allocation for each field.
 var lowerCaseNames = func() map[string]string {
 	lowerCaseOf := map[string]string{}
 	for _, name := range []string{
-		"Host", sentID, "Req-Kind", "Req-Owner", "Req-Key", sentTimeout, sentSizeHint,
-		"Req-Retry", sentExtra, "Idempotency-Key", "Content-Length", "Content-Type", "Transfer-Encoding",
+		"Host", canonicalID, "Req-Kind", "Req-Owner", "Req-Key", canonicalTimeout, canonicalSizeHint,
+		"Req-Retry", canonicalExtra, "Idempotency-Key", "Content-Length", "Content-Type", "Transfer-Encoding",
 		"Connection", "Srv-Declined", "Date", "Accept", "User-Agent",
 	} {
 		lowerCaseOf[name] = strings.ToLower(name)
--- a/internal/protocol/json_scanner.go
+++ b/internal/protocol/json_scanner.go
@@ -7,9 +7,9 @@
 	"unicode/utf8"
 )
 
-// scanner reads JSON from left to right without building a tree: callers read each value as it occurs. After the first
-// error the scanner behaves as at the end of the input, so that callers need to check err only once.
-type scanner struct {
+// jsonScanner reads JSON from left to right without building a tree: callers read each value as it occurs. After the
+// first error the scanner behaves as at the end of the input, so that callers need to check err only once.
+type jsonScanner struct {
 	input    []byte
 	position int   // index of the next byte in input
 	depth    int   // nesting depth of objects and arrays
@@ -19,18 +19,18 @@
 // maxDepth limits the nesting of values, because they are read recursively.
 const maxDepth = 32
 
-// unicodeEscapeStart is the prefix of a Unicode escape.
-const unicodeEscapeStart = `\u`
+// unicodeEscapePrefix is the prefix of a Unicode escape.
+const unicodeEscapePrefix = `\u`
 
 // Format of a Unicode escape, such as "\u00e9" (RFC 8259, 7).
 const (
-	escapeDigits    = 4
-	hexadecimal     = 16
-	escapeValueBits = 16
+	unicodeEscapeDigits = 4
+	hexadecimal         = 16
+	unicodeEscapeBits   = 16
 )
 
 // fail records the first error and moves to the end of the input.
-func (s *scanner) fail(problem string) {
+func (s *jsonScanner) fail(problem string) {
 	if s.err == nil {
 		s.err = fmt.Errorf("%w: %s at byte %d", ErrMalformed, problem, s.position)
 	}
@@ -38,7 +38,7 @@
 }
 
 // peek skips white space (RFC 8259, 2) and returns the next byte, or 0 at the end of the input.
-func (s *scanner) peek() byte {
+func (s *jsonScanner) peek() byte {
 	for ; s.position < len(s.input); s.position++ {
 		switch c := s.input[s.position]; c {
 		case ' ', '\t', '\n', '\r':
@@ -50,7 +50,7 @@
 }
 
 // consume skips white space, and then c if it is the next byte. It reports whether it skipped c.
-func (s *scanner) consume(c byte) bool {
+func (s *jsonScanner) consume(c byte) bool {
 	if s.peek() != c {
 		return false
 	}
@@ -59,7 +59,7 @@
 }
 
 // consumeWord skips white space, and then word if it is next. It reports whether it skipped word.
-func (s *scanner) consumeWord(word string) bool {
+func (s *jsonScanner) consumeWord(word string) bool {
 	s.peek()
 	if !s.hasNext(word) {
 		return false
@@ -69,13 +69,13 @@
 }
 
 // hasNext reports whether the remaining input starts with text.
-func (s *scanner) hasNext(text string) bool {
+func (s *jsonScanner) hasNext(text string) bool {
 	end := s.position + len(text)
 	return end <= len(s.input) && string(s.input[s.position:end]) == text
 }
 
 // finish checks that only white space is left, and returns the first error.
-func (s *scanner) finish() error {
+func (s *jsonScanner) finish() error {
 	if s.err == nil && s.peek() != 0 {
 		s.fail("data after the value")
 	}
@@ -83,22 +83,22 @@
 }
 
 // object reads an object. It calls member for each key; member must read the value.
-func (s *scanner) object(member func(key string)) {
+func (s *jsonScanner) object(readMember func(key string)) {
 	s.items('{', '}', func() {
 		key := s.string()
 		if !s.consume(':') {
 			s.fail("no colon")
 			return
 		}
-		member(key)
+		readMember(key)
 	})
 }
 
 // array reads an array. It calls item for each element; item must read the element.
-func (s *scanner) array(item func()) { s.items('[', ']', item) }
+func (s *jsonScanner) array(readItem func()) { s.items('[', ']', readItem) }
 
 // items reads a comma-separated list between brackets. It calls item for each entry; item must read the entry.
-func (s *scanner) items(opening, closing byte, item func()) {
+func (s *jsonScanner) items(opening, closing byte, readItem func()) {
 	s.depth++
 	if s.depth > maxDepth || !s.consume(opening) {
 		s.fail("expected " + string(opening))
@@ -109,7 +109,7 @@
 		return
 	}
 	for s.err == nil {
-		item()
+		readItem()
 		if s.err == nil && s.consume(closing) {
 			return
 		}
@@ -120,7 +120,7 @@
 }
 
 // string reads a string. A string without escapes, the most common case, is copied in one step.
-func (s *scanner) string() string {
+func (s *jsonScanner) string() string {
 	if !s.consume('"') {
 		s.fail("expected a string")
 		return ""
@@ -139,7 +139,7 @@
 }
 
 // escapedString reads the rest of a string byte by byte.
-func (s *scanner) escapedString() string {
+func (s *jsonScanner) escapedString() string {
 	var out []byte
 	for s.position < len(s.input) {
 		c := s.input[s.position]
@@ -160,7 +160,7 @@
 }
 
 // appendEscape reads an escape sequence after its backslash, and appends the character that it encodes.
-func (s *scanner) appendEscape(out []byte) []byte {
+func (s *jsonScanner) appendEscape(out []byte) []byte {
 	if s.position >= len(s.input) {
 		return out
 	}
@@ -188,13 +188,13 @@
 
 // unicodeEscape reads a Unicode escape after its "\u", or a surrogate pair of two escapes. An unpaired surrogate is
 // returned unchanged; utf8.AppendRune replaces it with utf8.RuneError.
-func (s *scanner) unicodeEscape() rune {
+func (s *jsonScanner) unicodeEscape() rune {
 	r := s.hexDigits()
-	if !utf16.IsSurrogate(r) || !s.hasNext(unicodeEscapeStart) {
+	if !utf16.IsSurrogate(r) || !s.hasNext(unicodeEscapePrefix) {
 		return r
 	}
 	next := s.position
-	s.position += len(unicodeEscapeStart)
+	s.position += len(unicodeEscapePrefix)
 	if pair := utf16.DecodeRune(r, s.hexDigits()); pair != utf8.RuneError {
 		return pair
 	}
@@ -203,13 +203,13 @@
 }
 
 // hexDigits reads the four digits of a Unicode escape.
-func (s *scanner) hexDigits() rune {
-	end := s.position + escapeDigits
+func (s *jsonScanner) hexDigits() rune {
+	end := s.position + unicodeEscapeDigits
 	if end > len(s.input) {
 		s.fail("short escape")
 		return utf8.RuneError
 	}
-	value, err := strconv.ParseUint(string(s.input[s.position:end]), hexadecimal, escapeValueBits)
+	value, err := strconv.ParseUint(string(s.input[s.position:end]), hexadecimal, unicodeEscapeBits)
 	if err != nil {
 		s.fail("escape without digits")
 		return utf8.RuneError
@@ -219,7 +219,7 @@
 }
 
 // number reads a number in any form that strconv.ParseFloat accepts, which is a superset of the JSON syntax.
-func (s *scanner) number() float64 {
+func (s *jsonScanner) number() float64 {
 	s.peek()
 	start := s.position
 	for s.position < len(s.input) && isNumberByte(s.input[s.position]) {
@@ -242,7 +242,7 @@
 }
 
 // bool reads true or false.
-func (s *scanner) bool() bool {
+func (s *jsonScanner) bool() bool {
 	if s.consumeWord("true") {
 		return true
 	}
@@ -253,7 +253,7 @@
 }
 
 // skip reads and discards one value of any type.
-func (s *scanner) skip() {
+func (s *jsonScanner) skip() {
 	switch s.peek() {
 	case '{':
 		s.object(func(string) { s.skip() })
--- a/internal/protocol/line_reader.go
+++ b/internal/protocol/line_reader.go
@@ -30,13 +30,13 @@
 			*l = LineReader{pending: l.pending[l.scanned+1:]}
 			return line, true
 		}
-		l.scan(c)
+		l.scanByte(c)
 	}
 	return nil, false
 }
 
-// scan updates the scanner state with the next byte.
-func (l *LineReader) scan(c byte) {
+// scanByte updates the scanner state with the next byte.
+func (l *LineReader) scanByte(c byte) {
 	switch {
 	case l.escaped:
 		l.escaped = false
--- a/internal/protocol/line_reader_test.go
+++ b/internal/protocol/line_reader_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-func TestLineReaderCutsLinesWhereverTheyAreSplit(t *testing.T) {
+func TestLineReaderReturnsLinesForPiecesOfAnySize(t *testing.T) {
 	const text = "{\"a\":1}\r\n{\n  \"b\": [\n    \"}\\\"\"\n  ]\n}\n{\"broken\n{\"rest\""
 	want := []string{`{"a":1}`, "{\n  \"b\": [\n    \"}\\\"\"\n  ]\n}", `{"broken`}
 	for pieceBytes := 1; pieceBytes <= len(text); pieceBytes++ {
--- a/internal/protocol/load_datagram.go
+++ b/internal/protocol/load_datagram.go
@@ -50,9 +50,9 @@
 	return uint16(hash.Sum32() ^ hash.Sum32()>>tagBits)
 }
 
-// AppendLoads appends a datagram with at most the first MaxLoads loads. timestamp is in Unix milliseconds modulo 2^16.
-// instance is the number of the sender within its process, or NoInstance.
-func AppendLoads(b []byte, timestamp uint16, instance int, loads []Load) []byte {
+// AppendLoadDatagram appends a datagram with at most the first MaxLoads loads. timestamp is in Unix milliseconds modulo
+// 2^16. instance is the number of the sender within its process, or NoInstance.
+func AppendLoadDatagram(b []byte, timestamp uint16, instance int, loads []Load) []byte {
 	b = binary.BigEndian.AppendUint16(b, timestamp)
 	if instance != NoInstance {
 		b = append(b, byte(instance))
@@ -81,8 +81,8 @@
 	Loads     []Load // empty in the hello of a process that has just started
 }
 
-// ParseLoads parses a datagram. It returns ErrMalformedDatagram if the length is invalid.
-func ParseLoads(b []byte) (LoadDatagram, error) {
+// ParseLoadDatagram parses a datagram. It returns ErrMalformedDatagram if the length is invalid.
+func ParseLoadDatagram(b []byte) (LoadDatagram, error) {
 	if len(b) < timestampBytes || len(b) > settings.MaxMessageBytes {
 		return LoadDatagram{}, ErrMalformedDatagram
 	}
--- a/internal/protocol/load_report_test.go
+++ b/internal/protocol/load_report_test.go
@@ -9,7 +9,7 @@
 func TestLoadReports(t *testing.T) {
 	for _, text := range []string{`[3,0.5]`, `{"other":1,"busy":0.5,"rif":3}`} {
 		t.Run(text, func(t *testing.T) {
-			values, err := ParseLoad([]byte(text), []string{"rif", "busy"})
+			values, err := ParseLoadReport([]byte(text), []string{"rif", "busy"})
 			assert.NoError(t, err)
 			assert.Equal(t, []float64{3, 0.5}, values)
 		})
@@ -19,7 +19,7 @@
 func TestMalformedLoadReports(t *testing.T) {
 	for _, text := range []string{`[3]`, `[3,4,5]`, `{"rif":3}`, `{"rif":"x","busy":1}`, ""} {
 		t.Run(text, func(t *testing.T) {
-			_, err := ParseLoad([]byte(text), []string{"rif", "busy"})
+			_, err := ParseLoadReport([]byte(text), []string{"rif", "busy"})
 			assert.ErrorIs(t, err, ErrMalformed)
 		})
 	}
--- a/internal/protocol/request.go
+++ b/internal/protocol/request.go
@@ -30,9 +30,9 @@
 	{fieldContentType, "Content-Type"},
 }
 
-// singleFields are the header fields that a request must not repeat. If a field were repeated, a worker and the
+// nonRepeatableFields are the header fields that a request must not repeat. If a field were repeated, a worker and the
 // dispatcher could use different values.
-var singleFields = []string{
+var nonRepeatableFields = []string{
 	fieldID, fieldOperation, fieldTenant, fieldTimeout, fieldSizeHint, fieldExtra, fieldIdempotencyKey, fieldContentType,
 }
 
@@ -56,9 +56,9 @@
 		IdempotencyKey: h.Field(fieldIdempotencyKey),
 	}
 	if !isPrintable(request.ID) || len(request.ID) > maxIDBytes {
-		return nil, fmt.Errorf("%w: %s missing, not printable or longer than %d bytes", ErrMalformed, sentID, maxIDBytes)
+		return nil, fmt.Errorf("%w: %s missing, not printable or longer than %d bytes", ErrMalformed, canonicalID, maxIDBytes)
 	}
-	for _, name := range singleFields {
+	for _, name := range nonRepeatableFields {
 		if h.count(name) > 1 {
 			return nil, fmt.Errorf("%w: repeated field %s", ErrMalformed, name)
 		}
@@ -83,14 +83,14 @@
 	if h.has(fieldTimeout) {
 		seconds, valid := parseDecimal(h.Field(fieldTimeout), maxTimeoutSeconds)
 		if !valid || seconds == 0 {
-			return fmt.Errorf("%w: %s %.40q", ErrMalformed, sentTimeout, h.Field(fieldTimeout))
+			return fmt.Errorf("%w: %s %.40q", ErrMalformed, canonicalTimeout, h.Field(fieldTimeout))
 		}
 		r.Timeout = time.Duration(seconds * float64(time.Second))
 	}
 	if h.has(fieldSizeHint) {
 		micros, valid := parseDecimal(h.Field(fieldSizeHint), maxSizeHintMicros)
 		if !valid {
-			return fmt.Errorf("%w: %s %.40q", ErrMalformed, sentSizeHint, h.Field(fieldSizeHint))
+			return fmt.Errorf("%w: %s %.40q", ErrMalformed, canonicalSizeHint, h.Field(fieldSizeHint))
 		}
 		r.SizeHint = time.Duration(micros * float64(time.Microsecond))
 	}
@@ -106,7 +106,7 @@
 		}
 		slots, valid := parseDecimal(value, maxSlots)
 		if !valid {
-			return fmt.Errorf("%w: %s %.40q", ErrMalformed, sentExtra, pair)
+			return fmt.Errorf("%w: %s %.40q", ErrMalformed, canonicalExtra, pair)
 		}
 		r.Slots = slots
 	}
--- a/internal/protocol/response.go
+++ b/internal/protocol/response.go
@@ -103,9 +103,9 @@
 	return append(b, "\r\n\r\n"...)
 }
 
-// RejectionOf returns the response to a request that could not be read: 413, 431 or 400 for the errors of this package.
-// Any other error means that the request was not received in time, and results in a 408.
-func RejectionOf(err error) *Response {
+// RejectionForError returns the response to a request that could not be read: 413, 431 or 400 for the errors of this
+// package. Any other error means that the request was not received in time, and results in a 408.
+func RejectionForError(err error) *Response {
 	switch {
 	case errors.Is(err, ErrTooLarge):
 		return &Response{Status: StatusContentTooLarge}
--- a/internal/protocol/response_test.go
+++ b/internal/protocol/response_test.go
@@ -27,7 +27,7 @@
 		{errors.New("any other error"), 408},
 	} {
 		t.Run(tt.err.Error(), func(t *testing.T) {
-			assert.Equal(t, tt.status, RejectionOf(tt.err).Status)
+			assert.Equal(t, tt.status, RejectionForError(tt.err).Status)
 		})
 	}
 }
--- a/internal/protocol/wire_test.go
+++ b/internal/protocol/wire_test.go
@@ -26,15 +26,15 @@
 		{"last of several instances", 63, loads[:1], "abcd" + "3f" + "010203"},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			encoded := AppendLoads(nil, 0xabcd, tt.instance, tt.loads)
+			encoded := AppendLoadDatagram(nil, 0xabcd, tt.instance, tt.loads)
 			assert.Equal(t, tt.want, hex.EncodeToString(encoded))
-			datagram, err := ParseLoads(encoded)
+			datagram, err := ParseLoadDatagram(encoded)
 			assert.NoError(t, err)
 			assert.Equal(t, []any{uint16(0xabcd), max(tt.instance, 0), len(tt.loads)},
 				[]any{datagram.Timestamp, datagram.Instance, len(datagram.Loads)})
 		})
 	}
-	assert.Len(t, AppendLoads(nil, 0, 5, make([]Load, 1000)), 255, "a datagram holds at most 84 loads")
+	assert.Len(t, AppendLoadDatagram(nil, 0, 5, make([]Load, 1000)), 255, "a datagram holds at most 84 loads")
 }
 
 // TestWorkerTagBytes checks the hash of worker names, which must be the same in all dispatchers.
--- a/internal/protocol/worker_line.go
+++ b/internal/protocol/worker_line.go
@@ -35,7 +35,7 @@
 // ParseLine parses one line, which holds a JSON object. Unknown keys are ignored. It returns ErrMalformed if the line
 // has no state, or has the state Done without a result.
 func ParseLine(b []byte) (line Line, err error) {
-	s := scanner{input: b}
+	s := jsonScanner{input: b}
 	state := ""
 	hasResult := false
 	s.object(func(key string) {
--- a/internal/protocol/worker_request.go
+++ b/internal/protocol/worker_request.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// fixedRequestBytes is an upper bound on the length of the fixed text that AppendWorkerRequest writes.
-const fixedRequestBytes = 160
+// maxFixedRequestBytes is an upper bound on the length of the fixed text that AppendWorkerRequest writes.
+const maxFixedRequestBytes = 160
 
 // timeoutDecimals is the number of decimals of the timeout, in seconds, that is sent to a worker.
 const timeoutDecimals = 3
@@ -15,15 +15,15 @@
 // AppendWorkerRequest appends a request in the form that is sent to a worker. timeout is the remaining client timeout;
 // a negative timeout is sent as 0.
 func AppendWorkerRequest(b []byte, r *Request, timeout time.Duration) []byte {
-	size := fixedRequestBytes + len(r.Method) + len(r.Target) + len(r.ID) + len(r.Body)
+	size := maxFixedRequestBytes + len(r.Method) + len(r.Target) + len(r.ID) + len(r.Body)
 	for _, f := range r.forwarded {
 		size += len(f.name) + len(f.value) + len("\r\n: ")
 	}
 	b = slices.Grow(b, size)
 	b = appendRequestLine(b, r.Method, r.Target)
-	b = append(b, "\r\n"+sentID+": "...)
+	b = append(b, "\r\n"+canonicalID+": "...)
 	b = append(b, r.ID...)
-	b = append(b, "\r\n"+sentTimeout+": "...)
+	b = append(b, "\r\n"+canonicalTimeout+": "...)
 	b = strconv.AppendFloat(b, max(timeout, 0).Seconds(), 'f', timeoutDecimals, 64)
 	for _, f := range r.forwarded {
 		b = append(b, "\r\n"...)
--- a/internal/proxy/probe.go
+++ b/internal/proxy/probe.go
@@ -73,6 +73,6 @@
 	if err != nil || head.Status != http.StatusOK {
 		return loadReport{closeConnection: true}, err
 	}
-	values, err := protocol.ParseLoad(body, p.config.ReportFields)
+	values, err := protocol.ParseLoadReport(body, p.config.ReportFields)
 	return loadReport{values: values, closeConnection: head.CloseRequested() || frame.EndsWithConnection()}, err
 }
--- a/internal/proxy/responses.go
+++ b/internal/proxy/responses.go
@@ -11,7 +11,7 @@
 // except to health checks.
 //
 //   - 200: an attempt has succeeded. To a health check: there are workers, and the process serves.
-//   - 400: the request is malformed, or its operation or tenant is unknown. (408, 413 and 431: protocol.RejectionOf.)
+//   - 400: the request is malformed, or its operation or tenant is unknown. (408, 413 and 431: protocol.RejectionForError.)
 //   - 404: the path is unknown.
 //   - 405: the path does not have the method.
 //   - 409: another request with the same ID is open.
@@ -71,7 +71,7 @@
 
 // MalformedRequest returns the answer to a request that cannot be parsed.
 func (p *Proxy) MalformedRequest(err error) *protocol.Response {
-	return p.refuseInvalid(protocol.RejectionOf(err))
+	return p.refuseInvalid(protocol.RejectionForError(err))
 }
 
 // refuseDuplicateID answers a request whose ID another one has open. That one is not affected.
--- a/internal/proxy/worker_response.go
+++ b/internal/proxy/worker_response.go
@@ -52,7 +52,7 @@
 // unsuccessfulResponse returns a response with another status than 200.
 func unsuccessfulResponse(head *protocol.Head, body protocol.Body) workerResponse {
 	answer := workerResponse{outcome: balancer.WorkerError, body: body}
-	if protocol.Declined(head) {
+	if protocol.IsDeclined(head) {
 		answer.outcome = balancer.Overloaded
 	}
 	if head.CloseRequested() || body.EndsWithConnection() {
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -24,14 +24,14 @@
 // check returns a *KeyError for the first value that is invalid for every dispatcher, or nil if there is none.
 func check(root *fastjson.Value) error {
 	if len(root.GetArray(keyOperations)) == 0 {
-		return reject(keyOperations, "there must be at least one")
+		return newKeyError(keyOperations, "there must be at least one")
 	}
 	dispatchers := root.GetInt(keyDispatchers)
 	if dispatchers < 1 {
-		return reject(keyDispatchers, fmt.Sprintf("%d, must be at least 1", dispatchers))
+		return newKeyError(keyDispatchers, fmt.Sprintf("%d, must be at least 1", dispatchers))
 	}
 	if position := root.GetInt(keyPosition); position < 0 || position >= dispatchers {
-		return reject(keyPosition, fmt.Sprintf("%d, must be from 0 to %d, as there are %d balancers", position,
+		return newKeyError(keyPosition, fmt.Sprintf("%d, must be from 0 to %d, as there are %d balancers", position,
 			dispatchers-1, dispatchers))
 	}
 	for _, path := range nonNegativeSettings {
@@ -51,7 +51,7 @@
 
 func checkNotNegative(value float64, path string) error {
 	if value < 0 {
-		return reject(path, fmt.Sprintf("%v, must not be negative", value))
+		return newKeyError(path, fmt.Sprintf("%v, must not be negative", value))
 	}
 	return nil
 }
--- a/internal/settings/errors.go
+++ b/internal/settings/errors.go
@@ -14,4 +14,4 @@
 // Error returns the key and the problem.
 func (e *KeyError) Error() string { return e.Key + ": " + e.Problem }
 
-func reject(key, problem string) error { return &KeyError{Key: key, Problem: problem} }
+func newKeyError(key, problem string) error { return &KeyError{Key: key, Problem: problem} }
--- a/internal/settings/operations.go
+++ b/internal/settings/operations.go
@@ -44,18 +44,18 @@
 // parseOperation parses the n-th operation. A stretch in the operation takes precedence over the one in the workload.
 // If the workload does not specify a kind of worker, attempts may be sent to any kind.
 func parseOperation(n int, fields, workload *fastjson.Value) (balancer.OperationConfig, error) {
-	idempotency, err := parseChoice(n, fields, keyIdempotency, idempotencies)
+	idempotency, err := parseEnum(n, fields, keyIdempotency, idempotencies)
 	if err != nil {
 		return balancer.OperationConfig{}, err
 	}
-	scope, err := parseChoice(n, fields, keyDedupScope, dedupScopes)
+	scope, err := parseEnum(n, fields, keyDedupScope, dedupScopes)
 	if err != nil {
 		return balancer.OperationConfig{}, err
 	}
 	operation := balancer.OperationConfig{
 		Name:             string(fields.GetStringBytes(keyName)),
-		LatencyObjective: DurationOf(fields.GetFloat64(keyLatencyObjective)),
-		DedupWindow:      DurationOf(fields.GetFloat64(keyDedupWindow)),
+		LatencyObjective: DurationFromSeconds(fields.GetFloat64(keyLatencyObjective)),
+		DedupWindow:      DurationFromSeconds(fields.GetFloat64(keyDedupWindow)),
 		Value:            fields.GetFloat64(keyValue),
 		LateShare:        fields.GetFloat64(keyLateShare),
 		Idempotency:      idempotency,
@@ -74,13 +74,13 @@
 	return operation, nil
 }
 
-// parseChoice parses a key of the n-th operation whose value must be one of several words. It returns a *KeyError that
+// parseEnum parses a key of the n-th operation whose value must be one of several words. It returns a *KeyError that
 // lists the words if the value is invalid.
-func parseChoice[T any](n int, fields *fastjson.Value, key string, choices map[string]T) (T, error) {
+func parseEnum[T any](n int, fields *fastjson.Value, key string, choices map[string]T) (T, error) {
 	word := string(fields.GetStringBytes(key))
 	choice, known := choices[word]
 	if !known {
-		return choice, reject(operationPath(n, key), fmt.Sprintf("%q, must be one of %s", word, listWords(choices)))
+		return choice, newKeyError(operationPath(n, key), fmt.Sprintf("%q, must be one of %s", word, listWords(choices)))
 	}
 	return choice, nil
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -20,23 +20,23 @@
 	minPricedMessageBytes = 16  // shorter messages have the price of a message of this length
 )
 
-// roundingSlack, in ticks of the balancer's clock, compensates for floating-point products that are slightly less than
-// a whole number of ticks.
-const roundingSlack = 1e-6
+// roundingTolerance, in ticks of the balancer's clock, compensates for floating-point products that are slightly less
+// than a whole number of ticks.
+const roundingTolerance = 1e-6
 
 // minObjectiveWeight keeps the relative weight of the worst operation finite if the other weights of the objective
 // function are 0 or not set.
 const minObjectiveWeight = 0.01
 
-// TimeOf converts a timestamp in seconds to the balancer's time, rounded to the nearest tick.
-func TimeOf(seconds float64) balancer.Time {
+// TimeFromSeconds converts a timestamp in seconds to the balancer's time, rounded to the nearest tick.
+func TimeFromSeconds(seconds float64) balancer.Time {
 	return balancer.Time(math.Round(seconds * balancer.Second))
 }
 
-// DurationOf converts a duration in seconds to the balancer's duration. It rounds down, so that a timeout is never
-// extended.
-func DurationOf(seconds float64) balancer.Duration {
-	return balancer.Duration(math.Floor(seconds*balancer.Second + roundingSlack))
+// DurationFromSeconds converts a duration in seconds to the balancer's duration. It rounds down, so that a timeout is
+// never extended.
+func DurationFromSeconds(seconds float64) balancer.Duration {
+	return balancer.Duration(math.Floor(seconds*balancer.Second + roundingTolerance))
 }
 
 // Parse returns the balancer's configuration for the platform's settings. It returns ErrNotObject, or a *KeyError for
@@ -73,7 +73,7 @@
 	config.Position = root.GetInt(keyPosition)
 	config.Zone = balancer.ZoneID(root.GetInt(keyZone))
 	config.Kinds = max(len(root.GetArray(keyKinds)), 1)
-	config.Granularity = DurationOf(root.GetFloat64(keyGranularity))
+	config.Granularity = DurationFromSeconds(root.GetFloat64(keyGranularity))
 	config.Discovery.Poll = string(root.GetStringBytes(keyDiscoveryMode)) == wordPolledDiscovery
 }
 
@@ -93,7 +93,7 @@
 // parsePolicyLimits parses the limits on a dispatcher's actions.
 func parsePolicyLimits(config *balancer.Config, limits *fastjson.Value) {
 	config.Attempts.Max = limits.GetInt(keyMaxAttempts)
-	config.Rejections.MaxRetryAfter = DurationOf(limits.GetFloat64(keyMaxRetryAfter))
+	config.Rejections.MaxRetryAfter = DurationFromSeconds(limits.GetFloat64(keyMaxRetryAfter))
 	config.Attempts.Cancellation = limits.GetBool(keyCancellation)
 	config.Attempts.Hedging = limits.GetBool(keyHedging)
 	config.LoadReports.Probes = limits.GetBool(keyHealthChecks)
@@ -103,9 +103,9 @@
 
 // parseRules parses the rules that workers and the discovery service impose on dispatchers.
 func parseRules(config *balancer.Config, rules *fastjson.Value) {
-	config.Discovery.MaxPollInterval = DurationOf(rules.GetFloat64(keyMaxPollInterval))
-	config.Warmup.Duration = DurationOf(rules.GetFloat64(keyWarmupDuration))
-	config.Warmup.Window = DurationOf(rules.GetFloat64(keyWarmupWindow))
+	config.Discovery.MaxPollInterval = DurationFromSeconds(rules.GetFloat64(keyMaxPollInterval))
+	config.Warmup.Duration = DurationFromSeconds(rules.GetFloat64(keyWarmupDuration))
+	config.Warmup.Window = DurationFromSeconds(rules.GetFloat64(keyWarmupWindow))
 	config.Warmup.InitialShare = rules.GetFloat64(keyInitialWarmup)
 	config.Warmup.OverloadFactor = rules.GetFloat64(keyOverloadFactor)
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -115,8 +115,8 @@
 // notInSettings are the fields that package daemon sets instead of Parse.
 var notInSettings = []string{"EndpointChangeDeadline", "DeliveryNotices"}
 
-// TestEachSettingArrivesInItsField checks that each key of the settings sets its field of the configuration.
-func TestEachSettingArrivesInItsField(t *testing.T) {
+// TestEachSettingSetsItsConfigField checks that each key of the settings sets its field of the configuration.
+func TestEachSettingSetsItsConfigField(t *testing.T) {
 	read, err := Parse(fastjson.MustParse(allSettings))
 	assert.NoError(t, err)
 	assert.Equal(t, wantConfig(), read)
@@ -128,9 +128,9 @@
 	}
 }
 
-// TestWordsOfSettings checks the words of settings with a fixed set of values, and the numbers that represent them in
-// stored data.
-func TestWordsOfSettings(t *testing.T) {
+// TestEnumValuesOfSettings checks the words of settings with a fixed set of values, and the numbers that represent them
+// in stored data.
+func TestEnumValuesOfSettings(t *testing.T) {
 	for _, tt := range []struct {
 		word string
 		want balancer.Idempotency
@@ -154,8 +154,8 @@
 	}
 }
 
-// TestDefaultsOfSettings checks the configuration for keys that the settings omit.
-func TestDefaultsOfSettings(t *testing.T) {
+// TestOmittedSettingsHaveDefaults checks the configuration for keys that the settings omit.
+func TestOmittedSettingsHaveDefaults(t *testing.T) {
 	read, err := Parse(fastjson.MustParse(
 		`{"balancers":1,"billedValueBasis":"work","operations":[{"repeat":"idempotent"}]}`))
 	assert.NoError(t, err)
@@ -175,8 +175,8 @@
 	assert.Equal(t, want, read)
 }
 
-// TestInvalidSettingsAreRejectedByKey checks the keys and problems in the errors for invalid settings.
-func TestInvalidSettingsAreRejectedByKey(t *testing.T) {
+// TestInvalidSettingsAreRejectedWithTheirKey checks the keys and problems in the errors for invalid settings.
+func TestInvalidSettingsAreRejectedWithTheirKey(t *testing.T) {
 	const idempotent = `"operations":[{"repeat":"idempotent"}]`
 	for _, tt := range []struct{ name, settings, key, problem string }{
 		{"no operation", `{"balancers":1}`, "operations", "there must be at least one"},
--- a/internal/settings/wire_names_test.go
+++ b/internal/settings/wire_names_test.go
@@ -20,8 +20,8 @@
 	wireNamesFile   = "wire_names.go"
 )
 
-// edgePackages are the packages that map names on the wire to terms.
-var edgePackages = []string{"settings", "protocol", "simadapter"}
+// wireNamePackages are the packages that map names on the wire to terms.
+var wireNamePackages = []string{"settings", "protocol", "simadapter"}
 
 // wireName is a row of the table of wire names.
 type wireName struct {
@@ -33,7 +33,7 @@
 // TestWireNamesAreInTheGlossary checks that the glossary and the code have the same wire names, terms and units.
 func TestWireNamesAreInTheGlossary(t *testing.T) {
 	onPage := readGlossary(t)
-	for _, name := range edgePackages {
+	for _, name := range wireNamePackages {
 		t.Run(name, func(t *testing.T) {
 			inCode := parseWireNames(t, name)
 			assert.NotEmpty(t, inCode)
@@ -41,13 +41,13 @@
 		})
 	}
 	for name := range onPage {
-		assert.Contains(t, edgePackages, name, "the glossary has wire names of another package")
+		assert.Contains(t, wireNamePackages, name, "the glossary has wire names of another package")
 	}
 }
 
-// TestWireNamesStandInOneFile checks that only the file of wire names has wire names as string literals.
-func TestWireNamesStandInOneFile(t *testing.T) {
-	for _, name := range edgePackages {
+// TestWireNamesAreLiteralsInOneFileOnly checks that only the file of wire names has wire names as string literals.
+func TestWireNamesAreLiteralsInOneFileOnly(t *testing.T) {
+	for _, name := range wireNamePackages {
 		t.Run(name, func(t *testing.T) {
 			inCode := map[string]bool{}
 			for _, row := range parseWireNames(t, name) {
--- a/internal/simadapter/discovery.go
+++ b/internal/simadapter/discovery.go
@@ -50,8 +50,8 @@
 	return id
 }
 
-// listedWorker is an entry of an endpoint list.
-type listedWorker struct {
+// listEntry is an entry of an endpoint list.
+type listEntry struct {
 	name     string
 	endpoint balancer.Endpoint // without the worker's number, which differs between instances
 }
@@ -62,12 +62,12 @@
 	wordRemoved:  balancer.Gone,
 }
 
-// storeList stores an endpoint list by its number, and replaces any list with the same number.
-func (s *simulation) storeList(fields *fastjson.Value) error {
+// storeEndpointList stores an endpoint list by its number, and replaces any list with the same number.
+func (s *simulation) storeEndpointList(fields *fastjson.Value) error {
 	if !fields.Exists(keyListNumber) {
 		return errors.New("missing " + keyListNumber)
 	}
-	var list []listedWorker
+	var list []listEntry
 	for _, entry := range fields.GetArray(keyEndpoints) {
 		name := string(entry.GetStringBytes(keyWorker))
 		if name == "" {
@@ -77,13 +77,13 @@
 		if !known {
 			return fmt.Errorf("worker %q: unknown %s %q", name, keyWorkerState, entry.GetStringBytes(keyWorkerState))
 		}
-		list = append(list, listedWorker{name: name, endpoint: balancer.Endpoint{
+		list = append(list, listEntry{name: name, endpoint: balancer.Endpoint{
 			ID:        name,
 			Zone:      balancer.ZoneID(entry.GetInt(keyWorkerZone)),
 			Kind:      balancer.KindID(entry.GetInt(keyWorkerKind)),
 			Cell:      balancer.CellID(entry.GetInt(keyWorkerCell)),
 			State:     state,
-			StartedAt: settings.TimeOf(entry.GetFloat64(keyWorkerStart)),
+			StartedAt: settings.TimeFromSeconds(entry.GetFloat64(keyWorkerStart)),
 		}})
 	}
 	s.lists[fields.GetInt(keyListNumber)] = list
@@ -105,7 +105,7 @@
 	number := fields.GetInt(keyListNumber)
 	list, known := s.lists[number]
 	if !known {
-		return fmt.Errorf("%w %d", errUnknownList, number)
+		return fmt.Errorf("%w %d", errUnknownEndpointList, number)
 	}
 	endpoints := make([]balancer.Endpoint, 0, len(list))
 	for _, listed := range list {
--- a/internal/simadapter/effects.go
+++ b/internal/simadapter/effects.go
@@ -10,8 +10,8 @@
 	request.attempts++
 	request.inFlight++
 	in.reply.open(commandSendAttempt, in.number)
-	in.reply.writeRaw(keyRequestID, request.quoted)
-	in.reply.writeRaw(keyWorker, in.workers.quoted[worker])
+	in.reply.writeJSON(keyRequestID, request.quoted)
+	in.reply.writeJSON(keyWorker, in.workers.quoted[worker])
 	if within > 0 {
 		in.reply.writeSeconds(keyAttemptLimit, within)
 	}
@@ -21,7 +21,7 @@
 // CancelAttempt implements balancer.Effects.
 func (in *instance) CancelAttempt(id balancer.RequestID, attempt int) {
 	in.reply.open(commandCancelAttempt, in.number)
-	in.reply.writeRaw(keyRequestID, in.requests.get(id).quoted)
+	in.reply.writeJSON(keyRequestID, in.requests.get(id).quoted)
 	in.reply.writeInt(keyAttempt, int64(attempt))
 	in.reply.close()
 }
@@ -29,20 +29,20 @@
 // Reject implements balancer.Effects.
 func (in *instance) Reject(id balancer.RequestID, retryAfter balancer.Duration) {
 	in.reply.open(commandReject, in.number)
-	in.reply.writeRaw(keyRequestID, in.requests.get(id).quoted)
+	in.reply.writeJSON(keyRequestID, in.requests.get(id).quoted)
 	if retryAfter > 0 {
 		in.reply.writeSeconds(keyRetryAfter, retryAfter)
 	}
 	in.reply.close()
-	in.requests.end(id)
+	in.requests.markEnded(id)
 }
 
 // Fail implements balancer.Effects.
 func (in *instance) Fail(id balancer.RequestID) {
 	in.reply.open(commandFail, in.number)
-	in.reply.writeRaw(keyRequestID, in.requests.get(id).quoted)
+	in.reply.writeJSON(keyRequestID, in.requests.get(id).quoted)
 	in.reply.close()
-	in.requests.end(id)
+	in.requests.markEnded(id)
 }
 
 // Wake implements balancer.Effects.
@@ -56,18 +56,18 @@
 // PollEndpoints implements balancer.Effects.
 func (in *instance) PollEndpoints() {
 	in.reply.open(commandPoll, in.number)
-	in.reply.writeRaw(keySubscription, "true")
+	in.reply.writeJSON(keySubscription, "true")
 	in.reply.close()
 }
 
 // Probe implements balancer.Effects.
 func (in *instance) Probe(worker balancer.WorkerID) {
 	in.reply.open(commandProbe, in.number)
-	in.reply.writeRaw(keyWorker, in.workers.quoted[worker])
+	in.reply.writeJSON(keyWorker, in.workers.quoted[worker])
 	in.reply.close()
 }
 
 // Log implements balancer.Effects.
 func (in *instance) Log(event balancer.Event) {
-	in.reply.writeText(commandLog, in.number, event.String())
+	in.reply.writeTextCommand(commandLog, in.number, event.String())
 }
--- a/internal/simadapter/gossip.go
+++ b/internal/simadapter/gossip.go
@@ -14,13 +14,13 @@
 	message := protocol.AppendLoad(nil, protocol.Load{Tag: in.workers.tags[l.Worker], InFlight: l.InFlight})
 	in.reply.open(commandGossip, in.number)
 	in.reply.writeInt(keyPeerTo, int64(to))
-	in.reply.writeRaw(keyGossipContent, `"`+hex.EncodeToString(message)+`"`)
+	in.reply.writeJSON(keyGossipContent, `"`+hex.EncodeToString(message)+`"`)
 	in.reply.close()
 }
 
-// receiveLoads decodes a message of a peer, which is in hexadecimal digits. Loads of workers that have not been in any
+// handleGossip decodes a message of a peer, which is in hexadecimal digits. Loads of workers that have not been in any
 // endpoint list of this instance are ignored.
-func (in *instance) receiveLoads(from balancer.PeerID, digits []byte) error {
+func (in *instance) handleGossip(from balancer.PeerID, digits []byte) error {
 	message := make([]byte, hex.DecodedLen(len(digits)))
 	if _, err := hex.Decode(message, digits); err != nil {
 		return fmt.Errorf("%s: %w", keyGossipContent, err)
--- a/internal/simadapter/instance.go
+++ b/internal/simadapter/instance.go
@@ -11,12 +11,12 @@
 // instance is one dispatcher: a balancer, and tables that map the names of workers and requests on the wire to the
 // numbers that the balancer uses. It implements balancer.Effects in effects.go.
 type instance struct {
-	number       int // number of the dispatcher on the wire
-	operations   int // number of operations in the settings
-	tenants      int // number of tenants in the settings
-	reportValues int // number of values in a load report
-	balancer     *balancer.Balancer
-	reply        *reply // reply to the current batch, shared by all instances
+	number           int // number of the dispatcher on the wire
+	operationCount   int // number of operations in the settings
+	tenantCount      int // number of tenants in the settings
+	loadReportLength int // number of values in a load report
+	balancer         *balancer.Balancer
+	reply            *reply // reply to the current batch, shared by all instances
 
 	workers    workerTable
 	requests   requestTable
@@ -28,10 +28,10 @@
 	return &instance{number: number, reply: r, workers: newWorkerTable(), requests: newRequestTable()}
 }
 
-// run sets the balancer's time, calls handle for an event, and then runs the balancer's due rules. A panic marks the
-// instance as failed.
-func (in *instance) run(now balancer.Time, handle func() error) error {
-	return in.reportPanic(func() error {
+// handleAt sets the balancer's time, calls handle to process an event, and then runs the balancer's due rules. If any
+// of them panics, the instance is marked as failed.
+func (in *instance) handleAt(now balancer.Time, handle func() error) error {
+	return in.callReportingPanic(func() error {
 		in.balancer.SetTime(now)
 		err := handle()
 		in.balancer.RunDueRules()
@@ -40,46 +40,46 @@
 	})
 }
 
-// reportPanic calls a function. If the function panics, reportPanic marks only this instance as failed and reports the
-// panic to the simulator.
-func (in *instance) reportPanic(call func() error) (err error) {
+// callReportingPanic calls a function. If the function panics, only this instance is marked as failed, and the panic is
+// reported to the simulator.
+func (in *instance) callReportingPanic(call func() error) (err error) {
 	defer func() {
 		if cause := recover(); cause != nil {
 			in.failed = true
-			in.reply.writeText(commandFailed, in.number, fmt.Sprint(cause))
+			in.reply.writeTextCommand(commandFailed, in.number, fmt.Sprint(cause))
 		}
 	}()
 	return call()
 }
 
-// handle passes an event to the balancer. It returns errUnknownEvent for an unknown event, or an error that describes
-// the invalid field.
-func (in *instance) handle(event string, fields *fastjson.Value) error {
+// handleEvent passes an event to the balancer. It returns errUnknownEvent for an unknown event, or an error that
+// describes the invalid field.
+func (in *instance) handleEvent(event string, fields *fastjson.Value) error {
 	switch event {
 	case eventRequestArrived:
-		return in.requestArrived(fields)
+		return in.handleRequestArrived(fields)
 	case eventAttemptProgressed:
-		return in.attemptProgressed(fields)
+		return in.handleAttemptProgressed(fields)
 	case eventAttemptEnded:
-		return in.attemptEnded(fields)
+		return in.handleAttemptEnded(fields)
 	case eventResponseStarted:
-		return in.responseStarted(fields)
+		return in.handleResponseStarted(fields)
 	case eventClientLeft:
-		in.clientLeft(fields)
+		in.handleClientLeft(fields)
 		return nil
 	case eventTimerFired:
 		in.balancer.WakeFired(fields.GetUint64(keyTimer))
 		return nil
 	case eventProbeEnded:
-		return in.probeEnded(fields)
+		return in.handleProbeEnded(fields)
 	case eventGossip:
-		return in.receiveLoads(balancer.PeerID(fields.GetInt(keyPeerFrom)), fields.GetStringBytes(keyGossipContent))
+		return in.handleGossip(balancer.PeerID(fields.GetInt(keyPeerFrom)), fields.GetStringBytes(keyGossipContent))
 	}
 	return errUnknownEvent
 }
 
-// probeEnded passes the load report in the response to a health check to the balancer.
-func (in *instance) probeEnded(fields *fastjson.Value) error {
+// handleProbeEnded passes the load report in the response to a health check to the balancer.
+func (in *instance) handleProbeEnded(fields *fastjson.Value) error {
 	worker, err := in.workers.find(fields)
 	if err != nil {
 		return err
@@ -93,7 +93,7 @@
 func (in *instance) parseLoadReport(fields *fastjson.Value) []float64 {
 	values := fields.GetArray(keyLoadReport)
 	in.loadReport = in.loadReport[:0]
-	if !fields.Exists(keyLoadReport) || len(values) != in.reportValues {
+	if !fields.Exists(keyLoadReport) || len(values) != in.loadReportLength {
 		return nil
 	}
 	for _, value := range values {
--- a/internal/simadapter/reply.go
+++ b/internal/simadapter/reply.go
@@ -13,8 +13,8 @@
 // reply is the response line to a batch: a JSON object with the number of the batch and the commands in order. The
 // buffer is reused for the next reply.
 type reply struct {
-	line     []byte
-	commands int // number of commands written so far
+	line         []byte
+	commandCount int // number of commands written so far
 }
 
 // start starts the reply to the batch with the given number.
@@ -22,7 +22,7 @@
 	r.line = append(r.line[:0], `{"`+keyFrame+`":`...)
 	r.line = strconv.AppendUint(r.line, frame, decimal)
 	r.line = append(r.line, `,"`+keyCommands+`":[`...)
-	r.commands = 0
+	r.commandCount = 0
 }
 
 // end completes the reply.
@@ -30,10 +30,10 @@
 
 // open starts a command of a dispatcher. The caller then writes the fields and calls close.
 func (r *reply) open(command string, dispatcher int) {
-	if r.commands > 0 {
+	if r.commandCount > 0 {
 		r.line = append(r.line, ',')
 	}
-	r.commands++
+	r.commandCount++
 	r.line = append(r.line, `{"`...)
 	r.line = append(r.line, command...)
 	r.line = append(r.line, `":{"`+keyDispatcher+`":`...)
@@ -43,8 +43,8 @@
 // close completes a command.
 func (r *reply) close() { r.line = append(r.line, "}}"...) }
 
-// writeRaw writes a field whose value is already encoded as JSON.
-func (r *reply) writeRaw(key, value string) {
+// writeJSON writes a field whose value is already encoded as JSON.
+func (r *reply) writeJSON(key, value string) {
 	r.line = append(r.line, `,"`...)
 	r.line = append(r.line, key...)
 	r.line = append(r.line, `":`...)
@@ -53,20 +53,20 @@
 
 // writeInt writes a numeric field.
 func (r *reply) writeInt(key string, n int64) {
-	r.writeRaw(key, "")
+	r.writeJSON(key, "")
 	r.line = strconv.AppendInt(r.line, n, decimal)
 }
 
 // writeSeconds writes a field that holds a duration in seconds.
 func (r *reply) writeSeconds(key string, d balancer.Duration) {
-	r.writeRaw(key, "")
+	r.writeJSON(key, "")
 	r.line = strconv.AppendFloat(r.line, float64(d)/balancer.Second, 'f', -1, 64)
 }
 
-// writeText writes a command with a text as its only field.
-func (r *reply) writeText(command string, dispatcher int, text string) {
+// writeTextCommand writes a command with a text as its only field.
+func (r *reply) writeTextCommand(command string, dispatcher int, text string) {
 	r.open(command, dispatcher)
-	r.writeRaw(keyText, quoted(text))
+	r.writeJSON(keyText, quoted(text))
 	r.close()
 }
 
--- a/internal/simadapter/requests.go
+++ b/internal/simadapter/requests.go
@@ -24,10 +24,10 @@
 
 // requestTable assigns numbers to the requests of one instance.
 type requestTable struct {
-	ids     map[string]balancer.RequestID // number by name on the wire
-	tracked []trackedRequest              // requests by number
-	free    []balancer.RequestID          // unused numbers
-	ending  []balancer.RequestID          // numbers to check after the current event; may contain duplicates
+	ids               map[string]balancer.RequestID // number by name on the wire
+	tracked           []trackedRequest              // requests by number
+	unusedIDs         []balancer.RequestID          // numbers that are free for new requests
+	releaseCandidates []balancer.RequestID          // numbers to check after the current event; may contain duplicates
 }
 
 // attemptRef identifies an attempt.
@@ -43,9 +43,9 @@
 // add assigns a number to a request.
 func (t *requestTable) add(name string) balancer.RequestID {
 	id := balancer.RequestID(len(t.tracked))
-	if last := len(t.free) - 1; last >= 0 {
-		id = t.free[last]
-		t.free = t.free[:last]
+	if last := len(t.unusedIDs) - 1; last >= 0 {
+		id = t.unusedIDs[last]
+		t.unusedIDs = t.unusedIDs[:last]
 	} else {
 		t.tracked = append(t.tracked, trackedRequest{})
 	}
@@ -54,25 +54,25 @@
 	return id
 }
 
-// end marks a request as ended. The number is not released until the current event has been handled, because the
+// markEnded marks a request as ended. The number is not released until the current event has been handled, because the
 // balancer may still use it.
-func (t *requestTable) end(id balancer.RequestID) {
+func (t *requestTable) markEnded(id balancer.RequestID) {
 	t.tracked[id].ended = true
-	t.ending = append(t.ending, id)
+	t.releaseCandidates = append(t.releaseCandidates, id)
 }
 
 // releaseEnded releases the numbers of requests that have ended and have no attempt in flight. It is called after each
 // event.
 func (t *requestTable) releaseEnded() {
-	for _, id := range t.ending {
+	for _, id := range t.releaseCandidates {
 		request := t.get(id)
 		if request.ended && request.inFlight == 0 && request.name != "" {
 			delete(t.ids, request.name)
 			request.name = ""
-			t.free = append(t.free, id)
+			t.unusedIDs = append(t.unusedIDs, id)
 		}
 	}
-	t.ending = t.ending[:0]
+	t.releaseCandidates = t.releaseCandidates[:0]
 }
 
 // findAttempt returns the attempt in an event. It returns errUnknownRequest or errUnknownAttempt if there is no such
@@ -90,19 +90,19 @@
 	return attemptRef{request: id, number: number}, nil
 }
 
-// requestArrived passes a new request of a client to the balancer.
-func (in *instance) requestArrived(fields *fastjson.Value) error {
+// handleRequestArrived passes a new request of a client to the balancer.
+func (in *instance) handleRequestArrived(fields *fastjson.Value) error {
 	name := string(fields.GetStringBytes(keyRequestID))
 	if name == "" {
 		return errors.New("missing " + keyRequestID)
 	}
 	operation := fields.GetInt(keyOperation)
-	if operation < 0 || operation >= in.operations {
-		return fmt.Errorf("unknown operation %d, there are %d", operation, in.operations)
+	if operation < 0 || operation >= in.operationCount {
+		return fmt.Errorf("unknown operation %d, there are %d", operation, in.operationCount)
 	}
 	tenant := fields.GetInt(keyTenant)
-	if tenant < 0 || tenant >= in.tenants {
-		return fmt.Errorf("unknown tenant %d, there are %d", tenant, in.tenants)
+	if tenant < 0 || tenant >= in.tenantCount {
+		return fmt.Errorf("unknown tenant %d, there are %d", tenant, in.tenantCount)
 	}
 	if _, known := in.requests.ids[name]; known {
 		return fmt.Errorf("request %q already exists", name)
@@ -110,16 +110,16 @@
 	in.balancer.RequestArrived(in.requests.add(name), balancer.Arrival{
 		Operation: balancer.OperationID(operation),
 		Tenant:    balancer.TenantID(tenant),
-		Timeout:   settings.DurationOf(fields.GetFloat64(keyTimeout)),
-		SizeHint:  balancer.Work(settings.DurationOf(fields.GetFloat64(keySizeHint))),
+		Timeout:   settings.DurationFromSeconds(fields.GetFloat64(keyTimeout)),
+		SizeHint:  balancer.Work(settings.DurationFromSeconds(fields.GetFloat64(keySizeHint))),
 		Slots:     fields.GetFloat64(keySlots),
 	})
 	return nil
 }
 
-// attemptProgressed notifies the balancer that a worker has started an attempt. The balancer does not use other kinds
-// of progress.
-func (in *instance) attemptProgressed(fields *fastjson.Value) error {
+// handleAttemptProgressed notifies the balancer that a worker has started an attempt. The balancer does not use other
+// kinds of progress.
+func (in *instance) handleAttemptProgressed(fields *fastjson.Value) error {
 	attempt, err := in.requests.findAttempt(fields)
 	if err != nil {
 		return err
@@ -130,9 +130,9 @@
 	return nil
 }
 
-// attemptEnded passes the outcome of an attempt, and the load report in the response, to the balancer. Outcomes have
-// the same numbers on the wire as in the balancer.
-func (in *instance) attemptEnded(fields *fastjson.Value) error {
+// handleAttemptEnded passes the outcome of an attempt, and the load report in the response, to the balancer. Outcomes
+// have the same numbers on the wire as in the balancer.
+func (in *instance) handleAttemptEnded(fields *fastjson.Value) error {
 	attempt, err := in.requests.findAttempt(fields)
 	if err != nil {
 		return err
@@ -152,15 +152,15 @@
 		answer = balancer.FinalAnswer
 		request.ended = true
 	}
-	in.requests.ending = append(in.requests.ending, attempt.request)
+	in.requests.releaseCandidates = append(in.requests.releaseCandidates, attempt.request)
 	in.balancer.AttemptEnded(attempt.request, attempt.number, balancer.Outcome(outcome), answer)
 	in.balancer.ReceiveLoadReport(worker, in.parseLoadReport(fields))
 	return nil
 }
 
-// responseStarted handles the start of streaming an attempt's response to the client. It reports to the balancer that
-// the client has left except for this attempt, because the other attempts are no longer needed.
-func (in *instance) responseStarted(fields *fastjson.Value) error {
+// handleResponseStarted handles the start of streaming an attempt's response to the client. It reports to the balancer
+// that the client has left except for this attempt, because the other attempts are no longer needed.
+func (in *instance) handleResponseStarted(fields *fastjson.Value) error {
 	attempt, err := in.requests.findAttempt(fields)
 	if err != nil {
 		return err
@@ -170,13 +170,13 @@
 	return nil
 }
 
-// clientLeft notifies the balancer that a client has left. The simulator may send this event for a request that ended
-// earlier in the same batch; such an event is ignored.
-func (in *instance) clientLeft(fields *fastjson.Value) {
+// handleClientLeft notifies the balancer that a client has left. The simulator may send this event for a request that
+// ended earlier in the same batch; such an event is ignored.
+func (in *instance) handleClientLeft(fields *fastjson.Value) {
 	id, known := in.requests.ids[string(fields.GetStringBytes(keyRequestID))]
 	if !known {
 		return
 	}
-	in.requests.end(id)
+	in.requests.markEnded(id)
 	in.balancer.ClientLeft(id, balancer.NoAttempt)
 }
--- a/internal/simadapter/simadapter.go
+++ b/internal/simadapter/simadapter.go
@@ -25,20 +25,20 @@
 
 // Errors that end the run, because a batch is inconsistent with earlier ones.
 var (
-	errMalformedBatch    = errors.New("malformed")
-	errUnknownDispatcher = errors.New("unknown dispatcher")
-	errUnknownEvent      = errors.New("unknown message")
-	errUnknownRequest    = errors.New("unknown request")
-	errUnknownAttempt    = errors.New("has no attempt")
-	errUnknownWorker     = errors.New("unknown worker")
-	errUnknownList       = errors.New("unknown list")
+	errMalformedBatch      = errors.New("malformed")
+	errUnknownDispatcher   = errors.New("unknown dispatcher")
+	errUnknownEvent        = errors.New("unknown message")
+	errUnknownRequest      = errors.New("unknown request")
+	errUnknownAttempt      = errors.New("has no attempt")
+	errUnknownWorker       = errors.New("unknown worker")
+	errUnknownEndpointList = errors.New("unknown list")
 )
 
 // simulation is the state of the process.
 type simulation struct {
-	instances map[int]*instance      // dispatchers, by number
-	lists     map[int][]listedWorker // endpoint lists, by number; shared by all dispatchers
-	reply     reply                  // reply to the current batch
+	instances map[int]*instance   // dispatchers, by number
+	lists     map[int][]listEntry // endpoint lists, by number; shared by all dispatchers
+	reply     reply               // reply to the current batch
 }
 
 // Run reads batches, one per line, until the end of the input, and writes a one-line reply to each. An error includes
@@ -46,7 +46,7 @@
 func Run(in io.Reader, out io.Writer) error {
 	input := bufio.NewReaderSize(in, inputBufferBytes)
 	output := bufio.NewWriterSize(out, outputBufferBytes)
-	s := &simulation{instances: map[int]*instance{}, lists: map[int][]listedWorker{}}
+	s := &simulation{instances: map[int]*instance{}, lists: map[int][]listEntry{}}
 	var parser fastjson.Parser
 	var line []byte
 	for n := 1; ; n++ {
@@ -62,7 +62,7 @@
 		if err != nil {
 			return fmt.Errorf("line %d: %w: %w", n, errMalformedBatch, err)
 		}
-		if err := s.runBatch(parsed); err != nil {
+		if err := s.handleBatch(parsed); err != nil {
 			return fmt.Errorf("line %d: %w", n, err)
 		}
 		if _, err := output.Write(s.reply.line); err != nil {
@@ -85,15 +85,15 @@
 	}
 }
 
-// runBatch handles the events of a batch, which all have the same timestamp, and writes the reply.
-func (s *simulation) runBatch(parsed *fastjson.Value) error {
+// handleBatch handles the events of a batch, which all have the same timestamp, and writes the reply.
+func (s *simulation) handleBatch(parsed *fastjson.Value) error {
 	received, err := parseBatch(parsed)
 	if err != nil {
 		return err
 	}
 	s.reply.start(received.frame)
 	for n, event := range received.events {
-		if err := s.runEvent(n, event, received.now); err != nil {
+		if err := s.handleEvent(n, event, received.now); err != nil {
 			return err
 		}
 	}
@@ -126,12 +126,12 @@
 	if err != nil {
 		return batch{}, fmt.Errorf("%s: %w", keyEvents, err)
 	}
-	return batch{frame: number, now: settings.TimeOf(seconds), events: list}, nil
+	return batch{frame: number, now: settings.TimeFromSeconds(seconds), events: list}, nil
 }
 
-// runEvent handles the n-th event of a batch, counted from 0. An event is an object whose only key is the name of the
-// event.
-func (s *simulation) runEvent(n int, event *fastjson.Value, now balancer.Time) error {
+// handleEvent handles the n-th event of a batch, counted from 0. An event is an object whose only key is the name of
+// the event.
+func (s *simulation) handleEvent(n int, event *fastjson.Value, now balancer.Time) error {
 	object, err := event.Object()
 	if err != nil || object.Len() != 1 {
 		return fmt.Errorf("event %d: not an object with exactly one key", n)
@@ -151,7 +151,7 @@
 		return errors.New("fields are not an object")
 	}
 	if event == eventEndpointList {
-		return s.storeList(fields)
+		return s.storeEndpointList(fields)
 	}
 	if !fields.Exists(keyDispatcher) {
 		return errors.New("missing " + keyDispatcher)
@@ -172,23 +172,23 @@
 		return nil
 	}
 	if event == eventEndpointUpdate {
-		return in.run(now, func() error { return s.updateEndpoints(in, fields) })
+		return in.handleAt(now, func() error { return s.updateEndpoints(in, fields) })
 	}
-	return in.run(now, func() error { return in.handle(event, fields) })
+	return in.handleAt(now, func() error { return in.handleEvent(event, fields) })
 }
 
 // startInstance starts a dispatcher, and replaces any running dispatcher with the same number.
 func (s *simulation) startInstance(number int, fields *fastjson.Value, now balancer.Time) error {
 	in := newInstance(number, &s.reply)
 	s.instances[number] = in
-	return in.reportPanic(func() error {
+	return in.callReportingPanic(func() error {
 		config, err := settings.Parse(fields.Get(keySettings))
 		if err != nil {
 			return fmt.Errorf("%s: %w", keySettings, err)
 		}
-		in.operations = len(config.Operations)
-		in.tenants = len(config.Quotas.Tenants)
-		in.reportValues = settings.LoadReportLength(fields.Get(keySettings))
+		in.operationCount = len(config.Operations)
+		in.tenantCount = len(config.Quotas.Tenants)
+		in.loadReportLength = settings.LoadReportLength(fields.Get(keySettings))
 		in.balancer = balancer.New(config, fields.GetUint64(keySeed), in)
 		in.balancer.SetTime(now)
 		return nil
--- a/internal/simadapter/simadapter_test.go
+++ b/internal/simadapter/simadapter_test.go
@@ -25,15 +25,15 @@
 	return `{"wallS":5.5,"frame":9,"happened":[` + strings.Join(events, ",") + "]}\n"
 }
 
-// run returns the replies to lines of input.
-func run(lines ...string) (string, error) {
+// runAdapter returns the replies to lines of input.
+func runAdapter(lines ...string) (string, error) {
 	var out bytes.Buffer
 	err := Run(strings.NewReader(strings.Join(lines, "")), &out)
 	return out.String(), err
 }
 
-func TestAttemptKeepsNamesAsGiven(t *testing.T) {
-	out, err := run(batchLine(), batchLine(startEvent, listEvents, arrivalEvent), batchLine(endedEvent, clientLeftEvent))
+func TestAttemptCommandHasTheNamesOfTheEvents(t *testing.T) {
+	out, err := runAdapter(batchLine(), batchLine(startEvent, listEvents, arrivalEvent), batchLine(endedEvent, clientLeftEvent))
 	assert.NoError(t, err)
 	lines := strings.Split(out, "\n")
 	assert.Equal(t, `{"frame":9,"cmds":[]}`, lines[0])
@@ -42,7 +42,7 @@
 }
 
 func TestDispatcherIsKilledAndRestartedInOneBatch(t *testing.T) {
-	out, err := run(batchLine(startEvent, listEvents, arrivalEvent, `{"Destroy":{"dispatcher":4}}`,
+	out, err := runAdapter(batchLine(startEvent, listEvents, arrivalEvent, `{"Destroy":{"dispatcher":4}}`,
 		startEvent, listEvents, arrivalEvent))
 	assert.NoError(t, err)
 	assert.Equal(t, 2, strings.Count(out, "Issue"), "the new instance must not have requests of the old one")
@@ -74,7 +74,7 @@
 		},
 		{
 			"unknown list", batchLine(startEvent, `{"Discovery":{"dispatcher":4,"mode":"patch","rosterId":3}}`),
-			errUnknownList, "unknown list 3",
+			errUnknownEndpointList, "unknown list 3",
 		},
 		{"invalid settings", batchLine(strings.Replace(startEvent, `"balancers":1`, `"balancers":0`, 1)), nil, "balancers: 0"},
 		{
@@ -83,7 +83,7 @@
 		},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			_, err := run(tt.line)
+			_, err := runAdapter(tt.line)
 			assert.ErrorContains(t, err, tt.wantText)
 			if tt.wantError != nil {
 				assert.ErrorIs(t, err, tt.wantError)
@@ -93,24 +93,24 @@
 }
 
 func TestLateTimeoutAndUnknownTimerAreIgnored(t *testing.T) {
-	out, err := run(batchLine(startEvent, listEvents, clientLeftEvent, `{"Bell":{"dispatcher":4,"keyBack":3}}`))
+	out, err := runAdapter(batchLine(startEvent, listEvents, clientLeftEvent, `{"Bell":{"dispatcher":4,"keyBack":3}}`))
 	assert.NoError(t, err)
 	assert.NotContains(t, out, "Die")
 }
 
-func TestPanicIsReportedAsTheEndOfTheInstance(t *testing.T) {
+func TestPanicIsReportedAsFailureOfTheInstance(t *testing.T) {
 	in := &instance{number: 4, reply: &reply{}}
-	assert.NoError(t, in.reportPanic(func() error { panic("no such worker") }))
+	assert.NoError(t, in.callReportingPanic(func() error { panic("no such worker") }))
 	assert.Equal(t, `{"Die":{"dispatcher":4,"text":"no such worker"}}`, string(in.reply.line))
 }
 
-func TestMessagesFromUnknownPeersAreHarmless(t *testing.T) {
+func TestGossipFromUnknownPeersIsIgnored(t *testing.T) {
 	for _, octets := range []string{"", "ff", "ffff05", "0000ff0000ff00"} {
 		event := `{"Heard":{"dispatcher":4,"sender":99999,"octets":"` + octets + `"}}`
-		out, err := run(batchLine(startEvent, listEvents, event, arrivalEvent))
+		out, err := runAdapter(batchLine(startEvent, listEvents, event, arrivalEvent))
 		assert.NoError(t, err)
 		assert.Contains(t, out, "Issue")
 	}
-	_, err := run(batchLine(startEvent, `{"Heard":{"dispatcher":4,"sender":0,"octets":"xy"}}`))
+	_, err := runAdapter(batchLine(startEvent, `{"Heard":{"dispatcher":4,"sender":0,"octets":"xy"}}`))
 	assert.ErrorContains(t, err, "octets")
 }
--- a/internal/tomlconfig/tomlconfig.go
+++ b/internal/tomlconfig/tomlconfig.go
@@ -27,13 +27,13 @@
 	case errors.As(err, &unknown) && len(unknown.Errors) > 0:
 		first := unknown.Errors[0]
 		line, _ := first.Position()
-		return fmt.Errorf("%s:%d: %w %s", path, line, ErrUnknownKey, dotted(first.Key()))
+		return fmt.Errorf("%s:%d: %w %s", path, line, ErrUnknownKey, formatKey(first.Key()))
 	case errors.As(err, &malformed):
 		line, column := malformed.Position()
-		return fmt.Errorf("%s:%d:%d: %s: %w", path, line, column, dotted(malformed.Key()), err)
+		return fmt.Errorf("%s:%d:%d: %s: %w", path, line, column, formatKey(malformed.Key()), err)
 	}
 	return fmt.Errorf("%s: %w", path, err)
 }
 
-// dotted formats a key as it is written in a file, such as limit.requests.
-func dotted(key toml.Key) string { return strings.Join(key, ".") }
+// formatKey formats a key as it is written in a file, such as limit.requests.
+func formatKey(key toml.Key) string { return strings.Join(key, ".") }
--- a/internal/tomlconfig/tomlconfig_test.go
+++ b/internal/tomlconfig/tomlconfig_test.go
@@ -21,7 +21,7 @@
 	assert.Equal(t, want, file)
 }
 
-func TestErrorsNameTheirPlace(t *testing.T) {
+func TestDecodeErrorsNameTheirPosition(t *testing.T) {
 	t.Run("unknown key", func(t *testing.T) {
 		err := Decode("test.toml", []byte("name = \"n3\"\n[limit]\nrequest = 7\n"), &testFile{})
 		assert.ErrorIs(t, err, ErrUnknownKey)
--- a/internal/transport/exchange.go
+++ b/internal/transport/exchange.go
@@ -65,7 +65,7 @@
 // readBodyAndServe reads a request's body within the byte budget, and responds to the request. Its results are those of
 // exchange, as are those of the functions below.
 func (s *Server) readBodyAndServe(c *Conn, request *clientRequest, admission admissionResult) (CloseReason, error) {
-	reserved := request.body.MaxRead()
+	reserved := request.body.MaxBufferBytes()
 	if !s.bodyBudget.reserve(reserved) {
 		return s.reject(c, request, s.handler.OverBudget(&request.head), protocol.CloseAfterResponse)
 	}
--- a/internal/transport/helpers_test.go
+++ b/internal/transport/helpers_test.go
@@ -113,7 +113,7 @@
 }
 
 func (e *echoHandler) MalformedRequest(err error) *protocol.Response {
-	return protocol.RejectionOf(err)
+	return protocol.RejectionForError(err)
 }
 
 // gatedHandler is an echoHandler that holds requests to /gate until the test sends their response.
--- a/internal/transport/read.go
+++ b/internal/transport/read.go
@@ -68,11 +68,11 @@
 			return err
 		}
 		wantsMore := len(piece.Data) == 0 || consume(piece.Data)
-		c.readBuf.Discard(piece.Used)
+		c.readBuf.Discard(piece.Consumed)
 		if !wantsMore {
 			return nil
 		}
-		if piece.Used > 0 || body.Done() {
+		if piece.Consumed > 0 || body.Done() {
 			continue
 		}
 		err = c.fill()
