--- a/internal/docscheck/docscheck_test.go
+++ b/internal/docscheck/docscheck_test.go
@@ -1,6 +1,7 @@
-// Package docscheck keeps pages and code together. An engineer on call goes from a page to the code by a name, and from
-// a log line to its row in a table. So a name that a page gives in backticks has to exist, and each log message of the
-// dispatcher has to stand on a page. The package has tests alone: they fail when a name changes and the page does not.
+// Package docscheck keeps the documentation consistent with the code. An engineer on call looks up names from a page in
+// the code, and log messages in a table on a page. Therefore each name in backticks on a page must exist, and each log
+// message of the dispatcher must be documented. The package contains only tests: they fail if a name changes in the
+// code but not on the pages.
 package docscheck
 
 import (
@@ -24,11 +25,11 @@
 	"docs/scale.md",
 }
 
-// messagePages are the pages in one of which each log message has a row.
+// messagePages are the pages with tables of log messages. Each log message must have a row in one of them.
 var messagePages = []string{"docs/oncall.md", "docs/returning.md", "docs/operating.md"}
 
-// otherNames are names in backticks that are not in the code, and what they are.
-var otherNames = map[string]string{
+// namesOutsideCode describes the names in backticks that are not defined in the code.
+var namesOutsideCode = map[string]string{
 	"accepting":   "an old log message",
 	"facts.a":     "a file in the state folder",
 	"facts.b":     "a file in the state folder",
@@ -42,12 +43,12 @@
 }
 
 var (
-	backticked = regexp.MustCompile("`([^`\n]+)`")
-	testName   = regexp.MustCompile(`\b(?:[a-z]\w*\.)?Test[A-Z]\w*`)
-	goName     = regexp.MustCompile(`^[A-Za-z_]\w*(\.[A-Za-z_]\w*)*$`)
-	firstCells = regexp.MustCompile(`(?m)^\| [^|]*`)
-	// oldMessages is the section of messages that the code no longer has.
-	oldMessages = regexp.MustCompile(`(?s)\n### Old log messages\n.*?\n## `)
+	backticked     = regexp.MustCompile("`([^`\n]+)`")
+	testName       = regexp.MustCompile(`\b(?:[a-z]\w*\.)?Test[A-Z]\w*`)
+	goName         = regexp.MustCompile(`^[A-Za-z_]\w*(\.[A-Za-z_]\w*)*$`)
+	firstCellOfRow = regexp.MustCompile(`(?m)^\| [^|]*`)
+	// oldMessagesSection matches the section of log messages that no longer exist in the code.
+	oldMessagesSection = regexp.MustCompile(`(?s)\n### Old log messages\n.*?\n## `)
 
 	fileName = regexp.MustCompile(`^[\w./-]+\.(go|toml|md|txt)$`)
 )
@@ -63,19 +64,19 @@
 				}
 			}
 			for _, match := range backticked.FindAllStringSubmatch(text, -1) {
-				if name := match[1]; !code.has(name) {
-					t.Errorf("`%s` is neither in the code nor a file", name)
+				if name := match[1]; !code.exists(name) {
+					t.Errorf("`%s` is neither a name in the code nor a file", name)
 				}
 			}
 		})
 	}
 }
 
-func TestLogMessagesStandOnPages(t *testing.T) {
+func TestLogMessagesHaveRowsOnPages(t *testing.T) {
 	explained := map[string]bool{}
 	for _, page := range messagePages {
-		text := oldMessages.ReplaceAllString(readPage(t, page), "")
-		for _, firstCell := range firstCells.FindAllString(text, -1) {
+		text := oldMessagesSection.ReplaceAllString(readPage(t, page), "")
+		for _, firstCell := range firstCellOfRow.FindAllString(text, -1) {
 			for _, match := range backticked.FindAllStringSubmatch(firstCell, -1) {
 				explained[match[1]] = true
 			}
@@ -88,27 +89,27 @@
 	slices.Sort(messages)
 	for _, message := range slices.Compact(messages) {
 		if !explained[message] {
-			t.Errorf("log message %q has a row in none of %v", message, messagePages)
+			t.Errorf("log message %q has no row in any of %v", message, messagePages)
 		}
 	}
 }
 
-// has reports whether a text in backticks names something that exists: a declaration, a test, a name in a string literal
-// (metric, settings key, log message and the like) or a file. Other texts, such as commands and values, are not checked.
-func (c *code) has(text string) bool {
+// exists reports whether a text in backticks refers to an existing declaration, test, name in a string literal (metric,
+// settings key, log message and the like) or file. Other texts, such as commands and values, are not checked.
+func (c *code) exists(text string) bool {
 	switch {
 	case fileName.MatchString(text):
 		return slices.ContainsFunc(c.files, func(file string) bool {
 			return file == text || strings.HasSuffix(file, "/"+text)
 		})
 	case goName.MatchString(text):
-		return otherNames[text] != "" || c.names[text] || c.tests[text] || c.isInLiterals(text)
+		return namesOutsideCode[text] != "" || c.names[text] || c.tests[text] || c.isInLiterals(text)
 	}
 	return true
 }
 
-// isInLiterals reports whether a name stands as a word in a string literal of the code. Of a path, such as that of a
-// settings key, each element has to.
+// isInLiterals reports whether a name occurs as a word in a string literal of the code. For a path, such as that of a
+// settings key, each element must occur.
 func (c *code) isInLiterals(name string) bool {
 	for element := range strings.SplitSeq(name, ".") {
 		if !c.literals[element] {
@@ -120,7 +121,7 @@
 
 func readPage(t *testing.T, page string) string {
 	t.Helper()
-	text, err := os.ReadFile(filepath.Join(root, page))
+	text, err := os.ReadFile(filepath.Join(moduleRoot, page))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -138,7 +138,7 @@
 		millis := datagramTimestamp(time.Now())
 		for process, processLoads := range e.groupByProcess(updates) {
 			for loads := range slices.Chunk(processLoads, protocol.MaxLoads) {
-				datagram = protocol.AppendLoads(datagram[:0], millis, sender, loads)
+				datagram = protocol.AppendLoadDatagram(datagram[:0], millis, sender, loads)
 				e.send(process, datagram)
 			}
 		}
@@ -161,7 +161,7 @@
 
 // newHello returns a hello datagram with the timestamp of now.
 func newHello(now time.Time) []byte {
-	return protocol.AppendLoads(nil, datagramTimestamp(now), protocol.NoInstance, nil)
+	return protocol.AppendLoadDatagram(nil, datagramTimestamp(now), protocol.NoInstance, nil)
 }
 
 // replyToHello sends a hello back while this process is isolated: it has received load from no older peer, and no poll
@@ -213,7 +213,7 @@
 // receive applies a datagram. It counts and drops datagrams that are malformed, reordered or from unknown senders.
 func (e *Exchange) receive(sender netip.AddrPort, datagram []byte) {
 	process := slices.Index(e.config.Peers, sender)
-	message, err := protocol.ParseLoads(datagram)
+	message, err := protocol.ParseLoadDatagram(datagram)
 	switch {
 	case process < 0 || process == e.config.Position:
 		e.Counters.UnknownSenders.Add(1)
--- a/internal/protocol/body.go
+++ b/internal/protocol/body.go
@@ -7,59 +7,60 @@
 	"strings"
 )
 
-// Body takes a message's body out of its framing, piece by piece (RFC 9112, 6 and 7.1).
+// Body decodes the framing of a message body incrementally (RFC 9112, 6 and 7.1).
 type Body struct {
-	remaining   int64 // bytes that are still to come of the body, or of the present chunk
+	remaining   int64 // bytes left in the body, or in the current chunk
 	chunked     bool
-	untilClose  bool       // the body ends with the connection
-	strictLines bool       // chunk lines must end in CRLF
-	state       chunkState // of a chunked body
+	untilClose  bool       // the body ends when the connection is closed
+	requireCRLF bool       // chunk lines must end in CRLF
+	state       chunkState // state of a chunked body
 }
 
-// BodyPiece is the next piece of a body's input.
+// BodyPiece is the result of decoding the start of a body's input.
 type BodyPiece struct {
-	Data []byte // of the body, without framing; it may be empty
-	Used int    // bytes of the input that the piece takes, with its framing; 0 where more input is needed
+	Data     []byte // body data without framing; may be empty
+	Consumed int    // bytes of input that were consumed, including framing; 0 if more input is needed
 }
 
-// chunkState says what comes next in a chunked body.
+// chunkState is the next expected element of a chunked body.
 type chunkState uint8
 
 const (
 	chunkSize chunkState = iota
 	chunkData
-	chunkDataEnd // the empty line after the data
+	chunkDataEnd // empty line after the data of a chunk
 	chunkTrailer
-	chunksDone
+	chunkedBodyDone
 )
 
-// maxChunkLineBytes is the length of the longest line with a chunk's size, and of the longest trailer field.
+// maxChunkLineBytes is the maximum length of a chunk size line, and of a trailer field.
 const maxChunkLineBytes = 1 << 10
 
-// The numbers in a body's framing.
+// Number formats of the framing.
 const (
 	contentLengthBase = 10
 	chunkSizeBase     = 16
-	lengthBits        = 62 // of the largest length or chunk size, so that it fits an int64
+	maxLengthBits     = 62 // maximum size of a length or chunk size in bits, so that it fits an int64
 )
 
-// RequestBody returns the body that a request's head announces. One without a length is empty.
+// RequestBody returns a decoder for the body of a request with the given head. A request without a length has no body.
 //
-// The error is ErrMalformed for framing that parsers read in different ways. That is two lengths, a length beside a
+// It returns ErrMalformed for framing that parsers interpret differently: two lengths, a length together with a
 // transfer coding (RFC 9112, 6.3), or a transfer coding in HTTP/1.0 (RFC 9112, 6.1).
 func RequestBody(h *Head) (Body, error) {
 	if len(h.values(fieldTransferEncoding)) > 0 && h.minorVersion == 0 {
 		return Body{}, fmt.Errorf("%w: transfer-encoding in HTTP/1.0", ErrMalformed)
 	}
 	body, err := parseFraming(h)
-	body.strictLines = true
+	body.requireCRLF = true
 	return body, err
 }
 
-// ResponseBody returns the body that a response's head announces. One without a length ends with the connection, unless
-// the status allows no body (RFC 9112, 6.3). The error is ErrMalformed.
+// ResponseBody returns a decoder for the body of a response with the given head. The body of a response without a
+// length ends when the connection is closed, unless the status does not allow a body (RFC 9112, 6.3). It returns
+// ErrMalformed for invalid framing.
 func ResponseBody(h *Head) (Body, error) {
-	if allowsNoBody(h.Status) {
+	if forbidsBody(h.Status) {
 		return Body{}, nil
 	}
 	body, err := parseFraming(h)
@@ -67,12 +68,13 @@
 	return body, err
 }
 
-// allowsNoBody reports whether a response with a status has no body, whatever its fields say (RFC 9112, 6.3).
-func allowsNoBody(status int) bool {
+// forbidsBody reports whether a response with a status has no body, regardless of its header fields (RFC 9112, 6.3).
+func forbidsBody(status int) bool {
 	return IsInterim(status) || status == StatusNoContent || status == StatusNotModified
 }
 
-// parseFraming returns the body that the fields of the framing announce, an empty one where there are none.
+// parseFraming returns a decoder for the body that Content-Length and Transfer-Encoding describe. The body is empty if
+// the head has neither field.
 func parseFraming(h *Head) (Body, error) {
 	lengths, codings := h.values(fieldContentLength), h.values(fieldTransferEncoding)
 	switch {
@@ -82,7 +84,7 @@
 		}
 		return Body{chunked: true}, nil
 	case len(lengths) > 0:
-		length, err := strconv.ParseUint(lengths[0], contentLengthBase, lengthBits)
+		length, err := strconv.ParseUint(lengths[0], contentLengthBase, maxLengthBits)
 		if err != nil || len(lengths) > 1 {
 			return Body{}, fmt.Errorf("%w: content-length %.40q", ErrMalformed, lengths)
 		}
@@ -91,7 +93,7 @@
 	return Body{}, nil
 }
 
-// Length returns the announced length in bytes before the first call of Next, 0 where it isn't known.
+// Length returns the length of the body in bytes before the first call of Next, or 0 if it is unknown.
 func (b *Body) Length() int64 {
 	if b.chunked {
 		return 0
@@ -99,8 +101,9 @@
 	return b.remaining
 }
 
-// MaxRead returns how many bytes of memory the body takes at most, if it is no longer than MaxBodyBytes.
-func (b *Body) MaxRead() int64 {
+// MaxBufferBytes returns the maximum number of bytes needed to buffer the body, if the body does not exceed
+// MaxBodyBytes.
+func (b *Body) MaxBufferBytes() int64 {
 	if b.chunked {
 		return MaxBodyBytes
 	}
@@ -110,36 +113,36 @@
 // Done reports whether the body is complete.
 func (b *Body) Done() bool {
 	if b.chunked {
-		return b.state == chunksDone
+		return b.state == chunkedBodyDone
 	}
 	return !b.untilClose && b.remaining == 0
 }
 
-// EndsWithConnection reports whether the body is complete only when the connection is closed.
+// EndsWithConnection reports whether the end of the body is the close of the connection.
 func (b *Body) EndsWithConnection() bool { return b.untilClose }
 
-// Next takes the next piece from the start of the input. The error is ErrMalformed.
+// Next decodes the next piece from the start of the input. It returns ErrMalformed for invalid framing.
 func (b *Body) Next(input []byte) (BodyPiece, error) {
 	switch {
 	case b.untilClose:
-		return BodyPiece{Data: input, Used: len(input)}, nil
+		return BodyPiece{Data: input, Consumed: len(input)}, nil
 	case !b.chunked || b.state == chunkData:
 		n := int(min(int64(len(input)), b.remaining))
 		b.remaining -= int64(n)
 		if b.remaining == 0 {
 			b.state = chunkDataEnd
 		}
-		return BodyPiece{Data: input[:n], Used: n}, nil
-	case b.state == chunksDone:
+		return BodyPiece{Data: input[:n], Consumed: n}, nil
+	case b.state == chunkedBodyDone:
 		return BodyPiece{}, nil
 	}
-	lineBytes, err := b.takeChunkLine(input)
-	return BodyPiece{Used: lineBytes}, err
+	lineBytes, err := b.consumeChunkLine(input)
+	return BodyPiece{Consumed: lineBytes}, err
 }
 
-// takeChunkLine takes one line of the framing between the chunks' data. It returns the line's length in bytes, 0 while
-// the line is incomplete.
-func (b *Body) takeChunkLine(input []byte) (int, error) {
+// consumeChunkLine parses the framing line at the start of the input. It returns the length of the line in bytes, or 0
+// if the line is incomplete.
+func (b *Body) consumeChunkLine(input []byte) (int, error) {
 	end := bytes.IndexByte(input, '\n')
 	if end < 0 && len(input) > maxChunkLineBytes || end > maxChunkLineBytes {
 		return 0, fmt.Errorf("%w: chunk line of more than %d bytes", ErrMalformed, maxChunkLineBytes)
@@ -148,7 +151,7 @@
 		return 0, nil
 	}
 	line, hasCR := strings.CutSuffix(string(input[:end]), "\r")
-	if b.strictLines && !hasCR {
+	if b.requireCRLF && !hasCR {
 		return 0, fmt.Errorf("%w: chunk line that ends in a bare LF", ErrMalformed)
 	}
 	if err := b.parseChunkLine(line); err != nil {
@@ -157,8 +160,8 @@
 	return end + 1, nil
 }
 
-// parseChunkLine parses a line without its end: a chunk's size, the empty line after its data, or a trailer field,
-// which is ignored.
+// parseChunkLine parses a framing line without its line end: a chunk size, the empty line after the data of a chunk, or
+// a trailer field. Trailer fields are ignored.
 func (b *Body) parseChunkLine(line string) error {
 	switch b.state {
 	case chunkDataEnd:
@@ -168,11 +171,11 @@
 		b.state = chunkSize
 	case chunkTrailer:
 		if line == "" {
-			b.state = chunksDone
+			b.state = chunkedBodyDone
 		}
 	case chunkSize:
-		digits, _, _ := strings.Cut(line, ";") // extensions are ignored
-		size, err := strconv.ParseUint(strings.TrimSpace(digits), chunkSizeBase, lengthBits)
+		digits, _, _ := strings.Cut(line, ";") // chunk extensions are ignored
+		size, err := strconv.ParseUint(strings.TrimSpace(digits), chunkSizeBase, maxLengthBits)
 		if err != nil {
 			return fmt.Errorf("%w: chunk size %.40q", ErrMalformed, line)
 		}
--- a/internal/protocol/head_test.go
+++ b/internal/protocol/head_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-func TestHeadIsParsedOnceComplete(t *testing.T) {
+func TestHeadIsParsedOnlyWhenComplete(t *testing.T) {
 	const text = "\r\nPOST /api?x=1 HTTP/1.1\r\nReq-Id: a\r\nX:  b \r\n\r\nrest"
 	for n := range strings.Index(text, "rest") {
 		head, err := ParseRequestHead([]byte(text[:n]))
@@ -27,7 +27,7 @@
 	assert.NotZero(t, head.Length)
 }
 
-func TestMalformedRequestHeads(t *testing.T) {
+func TestMalformedRequestHeadsAreRejected(t *testing.T) {
 	for _, tt := range []struct{ name, text string }{
 		{"no version", "POST /api\r\n\r\n"},
 		{"relative target", "POST api HTTP/1.1\r\n\r\n"},
@@ -50,7 +50,7 @@
 	}
 }
 
-func TestMalformedResponseHeads(t *testing.T) {
+func TestMalformedResponseHeadsAreRejected(t *testing.T) {
 	for _, text := range []string{
 		"HTTP/1.1 2x0 OK\r\n\r\n", "HTTP/1.1\r\n\r\n", "GARBAGE\r\n\r\n", "HTTP/3 200\r\n\r\n",
 	} {
@@ -61,7 +61,7 @@
 	}
 }
 
-func TestHeadOverTheLimitIsTooLarge(t *testing.T) {
+func TestHeadAboveTheLimitIsTooLarge(t *testing.T) {
 	_, err := ParseRequestHead([]byte(strings.Repeat("a", MaxHeadBytes)))
 	assert.ErrorIs(t, err, ErrHeadTooLarge)
 }
@@ -82,7 +82,7 @@
 	}
 }
 
-func TestDeclined(t *testing.T) {
+func TestIsDeclined(t *testing.T) {
 	for _, tt := range []struct {
 		name, text string
 		want       bool
@@ -94,7 +94,7 @@
 		{"503 with another value", "HTTP/1.1 503 No\r\nSrv-Declined: 0", false},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			assert.Equal(t, tt.want, Declined(responseHead(t, tt.text)))
+			assert.Equal(t, tt.want, IsDeclined(responseHead(t, tt.text)))
 		})
 	}
 }
--- a/internal/protocol/json_scanner.go
+++ b/internal/protocol/json_scanner.go
@@ -7,38 +7,38 @@
 	"unicode/utf8"
 )
 
-// scanner reads JSON from left to right. It keeps no values: callers take those that they need as they come. After the
-// first error it behaves as at the end of the input, so that callers check err once.
-type scanner struct {
+// jsonScanner reads JSON from left to right without building a tree: callers read each value as it occurs. After the
+// first error the scanner behaves as at the end of the input, so that callers need to check err only once.
+type jsonScanner struct {
 	input    []byte
-	position int   // of the next byte in input
-	depth    int   // of nested objects and arrays
-	err      error // the first one, ErrMalformed
+	position int   // index of the next byte in input
+	depth    int   // nesting depth of objects and arrays
+	err      error // first error; wraps ErrMalformed
 }
 
-// maxDepth limits the nesting of values, as they are read by recursion.
+// maxDepth limits the nesting of values, because they are read recursively.
 const maxDepth = 32
 
-// unicodeEscapeStart precedes the digits of an escaped character.
-const unicodeEscapeStart = `\u`
+// unicodeEscapePrefix is the prefix of a Unicode escape.
+const unicodeEscapePrefix = `\u`
 
-// The digits of an escaped character, as in "\u00e9" (RFC 8259, 7).
+// Format of a Unicode escape, such as "\u00e9" (RFC 8259, 7).
 const (
-	escapeDigits    = 4
-	hexadecimal     = 16
-	escapeValueBits = 16
+	unicodeEscapeDigits = 4
+	hexadecimal         = 16
+	unicodeEscapeBits   = 16
 )
 
-// fail records the first error.
-func (s *scanner) fail(problem string) {
+// fail records the first error and moves to the end of the input.
+func (s *jsonScanner) fail(problem string) {
 	if s.err == nil {
 		s.err = fmt.Errorf("%w: %s at byte %d", ErrMalformed, problem, s.position)
 	}
 	s.position = len(s.input)
 }
 
-// peek skips white space (RFC 8259, 2) and returns the next byte, 0 at the end.
-func (s *scanner) peek() byte {
+// peek skips white space (RFC 8259, 2) and returns the next byte, or 0 at the end of the input.
+func (s *jsonScanner) peek() byte {
 	for ; s.position < len(s.input); s.position++ {
 		switch c := s.input[s.position]; c {
 		case ' ', '\t', '\n', '\r':
@@ -49,8 +49,8 @@
 	return 0
 }
 
-// consume skips white space, and then c. It reports whether c came next.
-func (s *scanner) consume(c byte) bool {
+// consume skips white space, and then c if it is the next byte. It reports whether it skipped c.
+func (s *jsonScanner) consume(c byte) bool {
 	if s.peek() != c {
 		return false
 	}
@@ -58,8 +58,8 @@
 	return true
 }
 
-// consumeWord skips white space, and then word. It reports whether word came next.
-func (s *scanner) consumeWord(word string) bool {
+// consumeWord skips white space, and then word if it is next. It reports whether it skipped word.
+func (s *jsonScanner) consumeWord(word string) bool {
 	s.peek()
 	if !s.hasNext(word) {
 		return false
@@ -68,37 +68,37 @@
 	return true
 }
 
-// hasNext reports whether text comes next.
-func (s *scanner) hasNext(text string) bool {
+// hasNext reports whether the remaining input starts with text.
+func (s *jsonScanner) hasNext(text string) bool {
 	end := s.position + len(text)
 	return end <= len(s.input) && string(s.input[s.position:end]) == text
 }
 
-// finish checks that nothing but white space is left, and returns the first error.
-func (s *scanner) finish() error {
+// finish checks that only white space is left, and returns the first error.
+func (s *jsonScanner) finish() error {
 	if s.err == nil && s.peek() != 0 {
 		s.fail("data after the value")
 	}
 	return s.err
 }
 
-// object reads an object. It calls member with each key; member reads the value.
-func (s *scanner) object(member func(key string)) {
+// object reads an object. It calls member for each key; member must read the value.
+func (s *jsonScanner) object(readMember func(key string)) {
 	s.items('{', '}', func() {
 		key := s.string()
 		if !s.consume(':') {
 			s.fail("no colon")
 			return
 		}
-		member(key)
+		readMember(key)
 	})
 }
 
-// array reads an array. It calls item for each element; item reads it.
-func (s *scanner) array(item func()) { s.items('[', ']', item) }
+// array reads an array. It calls item for each element; item must read the element.
+func (s *jsonScanner) array(readItem func()) { s.items('[', ']', readItem) }
 
-// items reads a list between brackets, separated by commas. item reads one entry.
-func (s *scanner) items(opening, closing byte, item func()) {
+// items reads a comma-separated list between brackets. It calls item for each entry; item must read the entry.
+func (s *jsonScanner) items(opening, closing byte, readItem func()) {
 	s.depth++
 	if s.depth > maxDepth || !s.consume(opening) {
 		s.fail("expected " + string(opening))
@@ -109,7 +109,7 @@
 		return
 	}
 	for s.err == nil {
-		item()
+		readItem()
 		if s.err == nil && s.consume(closing) {
 			return
 		}
@@ -119,8 +119,8 @@
 	}
 }
 
-// string reads a string. Most have no escapes, and are copied at once.
-func (s *scanner) string() string {
+// string reads a string. A string without escapes, the most common case, is copied in one step.
+func (s *jsonScanner) string() string {
 	if !s.consume('"') {
 		s.fail("expected a string")
 		return ""
@@ -139,7 +139,7 @@
 }
 
 // escapedString reads the rest of a string byte by byte.
-func (s *scanner) escapedString() string {
+func (s *jsonScanner) escapedString() string {
 	var out []byte
 	for s.position < len(s.input) {
 		c := s.input[s.position]
@@ -159,8 +159,8 @@
 	return ""
 }
 
-// appendEscape reads an escape sequence after its backslash, and appends what it stands for.
-func (s *scanner) appendEscape(out []byte) []byte {
+// appendEscape reads an escape sequence after its backslash, and appends the character that it encodes.
+func (s *jsonScanner) appendEscape(out []byte) []byte {
 	if s.position >= len(s.input) {
 		return out
 	}
@@ -186,15 +186,15 @@
 	return out
 }
 
-// unicodeEscape reads an escaped rune after its "\u", which may be a surrogate pair. Half of a pair is returned as it is;
-// utf8.AppendRune replaces it by utf8.RuneError.
-func (s *scanner) unicodeEscape() rune {
+// unicodeEscape reads a Unicode escape after its "\u", or a surrogate pair of two escapes. An unpaired surrogate is
+// returned unchanged; utf8.AppendRune replaces it with utf8.RuneError.
+func (s *jsonScanner) unicodeEscape() rune {
 	r := s.hexDigits()
-	if !utf16.IsSurrogate(r) || !s.hasNext(unicodeEscapeStart) {
+	if !utf16.IsSurrogate(r) || !s.hasNext(unicodeEscapePrefix) {
 		return r
 	}
 	next := s.position
-	s.position += len(unicodeEscapeStart)
+	s.position += len(unicodeEscapePrefix)
 	if pair := utf16.DecodeRune(r, s.hexDigits()); pair != utf8.RuneError {
 		return pair
 	}
@@ -202,14 +202,14 @@
 	return r
 }
 
-// hexDigits reads the four digits of an escape.
-func (s *scanner) hexDigits() rune {
-	end := s.position + escapeDigits
+// hexDigits reads the four digits of a Unicode escape.
+func (s *jsonScanner) hexDigits() rune {
+	end := s.position + unicodeEscapeDigits
 	if end > len(s.input) {
 		s.fail("short escape")
 		return utf8.RuneError
 	}
-	value, err := strconv.ParseUint(string(s.input[s.position:end]), hexadecimal, escapeValueBits)
+	value, err := strconv.ParseUint(string(s.input[s.position:end]), hexadecimal, unicodeEscapeBits)
 	if err != nil {
 		s.fail("escape without digits")
 		return utf8.RuneError
@@ -218,8 +218,8 @@
 	return rune(value)
 }
 
-// number reads a number in any form that strconv.ParseFloat accepts, which is a superset of JSON's.
-func (s *scanner) number() float64 {
+// number reads a number in any form that strconv.ParseFloat accepts, which is a superset of the JSON syntax.
+func (s *jsonScanner) number() float64 {
 	s.peek()
 	start := s.position
 	for s.position < len(s.input) && isNumberByte(s.input[s.position]) {
@@ -232,7 +232,7 @@
 	return value
 }
 
-// isNumberByte reports whether c may be part of a number.
+// isNumberByte reports whether c can occur in a number.
 func isNumberByte(c byte) bool {
 	switch c {
 	case '0', '1', '2', '3', '4', '5', '6', '7', '8', '9', '-', '+', '.', 'e', 'E':
@@ -242,7 +242,7 @@
 }
 
 // bool reads true or false.
-func (s *scanner) bool() bool {
+func (s *jsonScanner) bool() bool {
 	if s.consumeWord("true") {
 		return true
 	}
@@ -252,8 +252,8 @@
 	return false
 }
 
-// skip reads one value of any type.
-func (s *scanner) skip() {
+// skip reads and discards one value of any type.
+func (s *jsonScanner) skip() {
 	switch s.peek() {
 	case '{':
 		s.object(func(string) { s.skip() })
--- a/internal/protocol/response_test.go
+++ b/internal/protocol/response_test.go
@@ -16,7 +16,7 @@
 		string(AppendResponseHead(nil, &Response{Status: 200, Body: []byte("ab")}, KeepAlive)))
 }
 
-func TestRejectionOfErrors(t *testing.T) {
+func TestRejectionForError(t *testing.T) {
 	for _, tt := range []struct {
 		err    error
 		status int
@@ -27,7 +27,7 @@
 		{errors.New("any other error"), 408},
 	} {
 		t.Run(tt.err.Error(), func(t *testing.T) {
-			assert.Equal(t, tt.status, RejectionOf(tt.err).Status)
+			assert.Equal(t, tt.status, RejectionForError(tt.err).Status)
 		})
 	}
 }
--- a/internal/proxy/responses.go
+++ b/internal/proxy/responses.go
@@ -11,7 +11,7 @@
 // checks.
 //
 //   - 200: an attempt succeeded. For a health check: there are workers, and the process is serving.
-//   - 400: the request is malformed, or its operation or tenant is unknown. (408, 413 and 431: protocol.RejectionOf.)
+//   - 400: the request is malformed, or its operation or tenant is unknown. (408, 413 and 431: protocol.RejectionForError.)
 //   - 404: the path is unknown.
 //   - 405: the path does not support the method.
 //   - 409: another request with the same ID is open.
@@ -74,7 +74,7 @@
 
 // RejectMalformed returns the response to a request that cannot be parsed. err is the parse error.
 func (p *Proxy) RejectMalformed(err error) *protocol.Response {
-	return p.respondInvalid(protocol.RejectionOf(err))
+	return p.respondInvalid(protocol.RejectionForError(err))
 }
 
 // respondDuplicateID returns the response to a request with the ID of another open request, which is not affected.
--- a/internal/proxy/worker_response.go
+++ b/internal/proxy/worker_response.go
@@ -52,7 +52,7 @@
 // newUnsuccessfulResponse returns the workerResponse for a head with a status other than 200.
 func newUnsuccessfulResponse(head *protocol.Head, body protocol.Body) workerResponse {
 	response := workerResponse{outcome: balancer.WorkerError, body: body}
-	if protocol.Declined(head) {
+	if protocol.IsDeclined(head) {
 		response.outcome = balancer.Overloaded
 	}
 	if head.CloseRequested() || body.EndsWithConnection() {
--- a/internal/simadapter/simadapter.go
+++ b/internal/simadapter/simadapter.go
@@ -1,5 +1,6 @@
-// Package simadapter runs dispatchers in the simulator. Each event on the simulator's wire becomes a call of a balancer,
-// and each of the balancer's effects a command in the reply. The package makes no decisions and has no clock of its own.
+// Package simadapter runs dispatchers in the simulator. It translates each event from the simulator into a call of a
+// balancer, and each effect of the balancer into a command in the reply. The package makes no decisions and has no
+// clock of its own.
 //
 // wire_names.go maps the names on the wire to the terms of this code.
 package simadapter
@@ -22,30 +23,30 @@
 	outputBufferBytes = 1 << 16
 )
 
-// Errors that end the run, as the batch contradicts what came before.
+// Errors that end the run, because a batch is inconsistent with earlier ones.
 var (
-	errMalformedBatch    = errors.New("malformed")
-	errUnknownDispatcher = errors.New("unknown dispatcher")
-	errUnknownEvent      = errors.New("unknown message")
-	errUnknownRequest    = errors.New("unknown request")
-	errUnknownAttempt    = errors.New("has no attempt")
-	errUnknownWorker     = errors.New("unknown worker")
-	errUnknownList       = errors.New("unknown list")
+	errMalformedBatch      = errors.New("malformed")
+	errUnknownDispatcher   = errors.New("unknown dispatcher")
+	errUnknownEvent        = errors.New("unknown message")
+	errUnknownRequest      = errors.New("unknown request")
+	errUnknownAttempt      = errors.New("has no attempt")
+	errUnknownWorker       = errors.New("unknown worker")
+	errUnknownEndpointList = errors.New("unknown list")
 )
 
-// simulation is the state of one process.
+// simulation is the state of the process.
 type simulation struct {
-	instances map[int]*instance      // dispatchers by number
-	lists     map[int][]listedWorker // endpoint lists by number, which all dispatchers share
-	reply     reply                  // to the batch at hand
+	instances map[int]*instance   // dispatchers, by number
+	lists     map[int][]listEntry // endpoint lists, by number; shared by all dispatchers
+	reply     reply               // reply to the current batch
 }
 
-// Run reads batches, one a line, until the input ends, and answers each with one line. The error names the line, counted
-// from 1, and what is wrong with it.
+// Run reads batches, one per line, until the end of the input, and writes a one-line reply to each. An error includes
+// the line number, counted from 1, and a description of the problem.
 func Run(in io.Reader, out io.Writer) error {
 	input := bufio.NewReaderSize(in, inputBufferBytes)
 	output := bufio.NewWriterSize(out, outputBufferBytes)
-	s := &simulation{instances: map[int]*instance{}, lists: map[int][]listedWorker{}}
+	s := &simulation{instances: map[int]*instance{}, lists: map[int][]listEntry{}}
 	var parser fastjson.Parser
 	var line []byte
 	for n := 1; ; n++ {
@@ -61,7 +62,7 @@
 		if err != nil {
 			return fmt.Errorf("line %d: %w: %w", n, errMalformedBatch, err)
 		}
-		if err := s.runBatch(parsed); err != nil {
+		if err := s.handleBatch(parsed); err != nil {
 			return fmt.Errorf("line %d: %w", n, err)
 		}
 		if _, err := output.Write(s.reply.line); err != nil {
@@ -73,7 +74,7 @@
 	}
 }
 
-// readLine appends a line with its end to a buffer. The line may be longer than the reader's buffer.
+// readLine appends a line, including its line end, to a buffer. The line may be longer than the reader's buffer.
 func readLine(r *bufio.Reader, line []byte) ([]byte, error) {
 	for {
 		fragment, err := r.ReadSlice('\n')
@@ -84,15 +85,15 @@
 	}
 }
 
-// runBatch handles the events of a batch, which all happen at the same time, and writes the reply.
-func (s *simulation) runBatch(parsed *fastjson.Value) error {
+// handleBatch handles the events of a batch, which all have the same timestamp, and writes the reply.
+func (s *simulation) handleBatch(parsed *fastjson.Value) error {
 	received, err := parseBatch(parsed)
 	if err != nil {
 		return err
 	}
 	s.reply.start(received.frame)
 	for n, event := range received.events {
-		if err := s.runEvent(n, event, received.now); err != nil {
+		if err := s.handleEvent(n, event, received.now); err != nil {
 			return err
 		}
 	}
@@ -100,14 +101,14 @@
 	return nil
 }
 
-// batch is one line of the simulator's.
+// batch is one line from the simulator.
 type batch struct {
-	frame  uint64 // its number, which the reply repeats
+	frame  uint64 // number of the batch, which is repeated in the reply
 	now    balancer.Time
 	events []*fastjson.Value
 }
 
-// parseBatch reads the parts of a batch, which all are required.
+// parseBatch parses a batch, in which all keys are required.
 func parseBatch(parsed *fastjson.Value) (batch, error) {
 	frame, now, events := parsed.Get(keyFrame), parsed.Get(keyNow), parsed.Get(keyEvents)
 	if frame == nil || now == nil || events == nil {
@@ -125,14 +126,15 @@
 	if err != nil {
 		return batch{}, fmt.Errorf("%s: %w", keyEvents, err)
 	}
-	return batch{frame: number, now: settings.TimeOf(seconds), events: list}, nil
+	return batch{frame: number, now: settings.TimeFromSeconds(seconds), events: list}, nil
 }
 
-// runEvent handles the n-th event of a batch, counted from 0: an object whose only key is the event's name.
-func (s *simulation) runEvent(n int, event *fastjson.Value, now balancer.Time) error {
+// handleEvent handles the n-th event of a batch, counted from 0. An event is an object whose only key is the name of
+// the event.
+func (s *simulation) handleEvent(n int, event *fastjson.Value, now balancer.Time) error {
 	object, err := event.Object()
 	if err != nil || object.Len() != 1 {
-		return fmt.Errorf("event %d: not an object of one key", n)
+		return fmt.Errorf("event %d: not an object with exactly one key", n)
 	}
 	object.Visit(func(name []byte, fields *fastjson.Value) {
 		if err = s.dispatchEvent(string(name), fields, now); err != nil {
@@ -142,17 +144,17 @@
 	return err
 }
 
-// dispatchEvent handles the events about endpoint lists and dispatchers, and passes the others to their dispatcher.
-// Events for one that has failed are ignored.
+// dispatchEvent handles the events about endpoint lists and dispatchers, and passes other events to their dispatcher.
+// Events for a failed dispatcher are ignored.
 func (s *simulation) dispatchEvent(event string, fields *fastjson.Value, now balancer.Time) error {
 	if fields.Type() != fastjson.TypeObject {
 		return errors.New("fields are not an object")
 	}
 	if event == eventEndpointList {
-		return s.storeList(fields)
+		return s.storeEndpointList(fields)
 	}
 	if !fields.Exists(keyDispatcher) {
-		return errors.New("no " + keyDispatcher)
+		return errors.New("missing " + keyDispatcher)
 	}
 	number := fields.GetInt(keyDispatcher)
 	if event == eventDispatcherStarted {
@@ -170,23 +172,23 @@
 		return nil
 	}
 	if event == eventEndpointUpdate {
-		return in.run(now, func() error { return s.updateEndpoints(in, fields) })
+		return in.handleAt(now, func() error { return s.updateEndpoints(in, fields) })
 	}
-	return in.run(now, func() error { return in.handle(event, fields) })
+	return in.handleAt(now, func() error { return in.handleEvent(event, fields) })
 }
 
-// startInstance starts a dispatcher. It replaces a running one with the same number.
+// startInstance starts a dispatcher, and replaces any running dispatcher with the same number.
 func (s *simulation) startInstance(number int, fields *fastjson.Value, now balancer.Time) error {
 	in := newInstance(number, &s.reply)
 	s.instances[number] = in
-	return in.reportPanic(func() error {
+	return in.callReportingPanic(func() error {
 		config, err := settings.Parse(fields.Get(keySettings))
 		if err != nil {
 			return fmt.Errorf("%s: %w", keySettings, err)
 		}
-		in.operations = len(config.Operations)
-		in.tenants = len(config.Quotas.Tenants)
-		in.reportValues = settings.LoadReportLength(fields.Get(keySettings))
+		in.operationCount = len(config.Operations)
+		in.tenantCount = len(config.Quotas.Tenants)
+		in.loadReportLength = settings.LoadReportLength(fields.Get(keySettings))
 		in.balancer = balancer.New(config, fields.GetUint64(keySeed), in)
 		in.balancer.SetTime(now)
 		return nil
--- a/internal/tomlconfig/tomlconfig_test.go
+++ b/internal/tomlconfig/tomlconfig_test.go
@@ -7,13 +7,13 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// testFile is a file with a table.
+// testFile is the decoded form of a file with one table.
 type testFile struct {
 	Name  string
 	Limit struct{ Requests int }
 }
 
-func TestDecode(t *testing.T) {
+func TestDecodeReadsTablesAndValues(t *testing.T) {
 	var file testFile
 	assert.NoError(t, Decode("test.toml", []byte("name = \"n3\"\n[limit]\nrequests = 7\n"), &file))
 	want := testFile{Name: "n3"}
@@ -21,7 +21,7 @@
 	assert.Equal(t, want, file)
 }
 
-func TestErrorsNameTheirPlace(t *testing.T) {
+func TestDecodeErrorsNameTheirPosition(t *testing.T) {
 	t.Run("unknown key", func(t *testing.T) {
 		err := Decode("test.toml", []byte("name = \"n3\"\n[limit]\nrequest = 7\n"), &testFile{})
 		assert.ErrorIs(t, err, ErrUnknownKey)
--- a/internal/transport/exchange.go
+++ b/internal/transport/exchange.go
@@ -66,7 +66,7 @@
 // readBodyAndServe reads the body of a request within the byte budget, and responds to the request. Its results, and
 // those of the functions below, are the results of exchange.
 func (s *Server) readBodyAndServe(c *Conn, request *clientRequest, admission admissionResult) (CloseReason, error) {
-	reserved := request.body.MaxRead()
+	reserved := request.body.MaxBufferBytes()
 	if !s.bodyBudget.reserve(reserved) {
 		return s.reject(c, request, s.handler.RejectOverBudget(&request.head), protocol.CloseAfterResponse)
 	}
--- a/internal/transport/helpers_test.go
+++ b/internal/transport/helpers_test.go
@@ -113,7 +113,7 @@
 }
 
 func (e *echoHandler) RejectMalformed(err error) *protocol.Response {
-	return protocol.RejectionOf(err)
+	return protocol.RejectionForError(err)
 }
 
 // gatedHandler is an echoHandler that blocks requests to /gate until the test sends their response to release.
