--- a/internal/testbed/experiment/actions.go
+++ b/internal/testbed/experiment/actions.go
@@ -97,12 +97,12 @@
 	server := env.server(n)
 	switch action.Kind {
 	case fault.WorkerCrash, fault.WorkerStop:
-		if server.Running() {
+		if server.IsRunning() {
 			server.Crash()
 			env.publish(n, discoveryserver.Gone)
 		}
 	case fault.WorkerRestart:
-		if !server.Running() {
+		if !server.IsRunning() {
 			env.recordFailure(server.Start())
 			env.publish(n, discoveryserver.Ready)
 		}
@@ -121,7 +121,7 @@
 	case fault.WorkerHeal:
 		server.Heal()
 	case fault.WorkerDrain:
-		if server.Running() {
+		if server.IsRunning() {
 			server.Drain()
 			env.publish(n, discoveryserver.Terminating)
 		}
--- a/internal/testbed/experiment/dispatchers.go
+++ b/internal/testbed/experiment/dispatchers.go
@@ -109,7 +109,7 @@
 	workers := len(env.servers)
 	env.mu.Unlock()
 	for worker := range workers {
-		env.history.WorkerListed(history.Notification{Dispatcher: n, Worker: worker, Ready: true, At: env.clock()})
+		env.history.NotificationSent(history.Notification{Dispatcher: n, Worker: worker, Ready: true, At: env.clock()})
 	}
 	return p.start(config)
 }
@@ -178,7 +178,7 @@
 		return
 	}
 	env.recordFailure(env.launchDispatcher(n))
-	env.history.AddOutage(history.Outage{Dispatcher: n, Planned: true, From: from, To: env.clock()})
+	env.history.AddOutage(history.Outage{Dispatcher: n, Planned: true, Start: from, End: env.clock()})
 }
 
 // dispatcherDown records the start of an unplanned outage.
@@ -193,7 +193,7 @@
 	env.mu.Lock()
 	defer env.mu.Unlock()
 	if from, reported := env.downSince[n]; reported {
-		env.history.AddOutage(history.Outage{Dispatcher: n, From: from, To: env.clock() + resumeGrace})
+		env.history.AddOutage(history.Outage{Dispatcher: n, Start: from, End: env.clock() + resumeGrace})
 		delete(env.downSince, n)
 	}
 }
--- a/internal/testbed/experiment/environment.go
+++ b/internal/testbed/experiment/environment.go
@@ -138,9 +138,9 @@
 }
 
 // deduplications returns how workers deduplicate each operation.
-func (p *Plan) deduplications() (all []worker.Deduplication) {
+func (p *Plan) deduplications() (all []worker.DedupConfig) {
 	for _, operation := range p.Operations {
-		deduplication := worker.Deduplication{Window: operation.DedupWindow.Std()}
+		deduplication := worker.DedupConfig{Window: operation.DedupWindow.Std()}
 		if operation.Idempotency == workload.IdempotentByKey {
 			deduplication.Scope = dedupScope(operation)
 		}
@@ -193,7 +193,7 @@
 
 // endpointNotified records that an entry of the list has been written to a dispatcher.
 func (env *environment) endpointNotified(dispatcher int, entry discoveryserver.Entry) {
-	env.history.WorkerListed(history.Notification{
+	env.history.NotificationSent(history.Notification{
 		Dispatcher: dispatcher,
 		Worker:     entry.Worker,
 		Ready:      entry.State == discoveryserver.Ready,
@@ -219,7 +219,7 @@
 	env.actions.Wait()
 	env.mu.Lock()
 	for n := range env.downSince {
-		env.history.AddOutage(history.Outage{Dispatcher: n, From: env.downSince[n], To: forever})
+		env.history.AddOutage(history.Outage{Dispatcher: n, Start: env.downSince[n], End: forever})
 	}
 	env.mu.Unlock()
 	env.compareCounters()
--- a/internal/testbed/experiment/saturate.go
+++ b/internal/testbed/experiment/saturate.go
@@ -114,7 +114,7 @@
 		Share:            1,
 		Value:            1,
 	}}
-	plan.Load.Phases = []workload.Phase{{Shape: workload.ShapePoisson, Rate: rate, For: unit.Duration(s.TrialDuration)}}
+	plan.Load.Phases = []workload.Phase{{Shape: workload.ShapePoisson, Rate: rate, Length: unit.Duration(s.TrialDuration)}}
 	plan.Load.Retries = 0
 	return &plan, plan.validate()
 }
--- a/internal/testbed/fault/planner.go
+++ b/internal/testbed/fault/planner.go
@@ -177,7 +177,7 @@
 // addLoad multiplies the load of a tenant, or of workload.AllTenants, by the fault's factor.
 func (p *planner) addLoad(tenant int) {
 	p.timeline.ExtraLoads = append(p.timeline.ExtraLoads, workload.ExtraLoad{
-		From: p.start(), To: p.end(), Factor: p.spec.Factor - 1, Tenant: tenant,
+		Start: p.start(), End: p.end(), Factor: p.spec.Factor - 1, Tenant: tenant,
 	})
 }
 
--- a/internal/testbed/history/check.go
+++ b/internal/testbed/history/check.go
@@ -9,10 +9,10 @@
 	"canvasroute/internal/testbed/workload"
 )
 
-// Rule is the name of a rule that dispatchers must keep. Results use it as a key.
+// Rule is the name of a rule that dispatchers must keep. It is a key in result files.
 type Rule string
 
-// The values of Rule.
+// Values of Rule.
 const (
 	RuleNoRequestLost   Rule = "no invocation lost"
 	RuleNoDoubleEffect  Rule = "no effect twice"
@@ -23,35 +23,37 @@
 // Rules are the rules that are always checked.
 var Rules = [...]Rule{RuleNoRequestLost, RuleNoDoubleEffect, RuleDrainsRespected, RuleWarmupBudget}
 
-// Violation is one violation of a rule.
+// Violation is a violation of a rule.
 type Violation struct {
 	Rule        Rule          `json:"rule"`
 	ID          string        `json:"invocation,omitempty"`
 	Operation   string        `json:"operation,omitempty"`
-	Dispatcher  int           `json:"dispatcher"` // index
-	Worker      int           `json:"worker"`     // index, or noWorker
+	Dispatcher  int           `json:"dispatcher"` // index of the dispatcher
+	Worker      int           `json:"worker"`     // index of the worker, or noWorker
 	At          time.Duration `json:"at_ns"`      // since the start of the experiment
 	Description string        `json:"what"`
 }
 
-// noWorker is the Violation.Worker of a violation that concerns no single worker.
+// noWorker is the value of Violation.Worker if the violation does not concern a single worker.
 const noWorker = -1
 
-// Operation says when a request of an operation may run more than once. Its values are those of workload.Operation.
+// Operation defines under which conditions a request of an operation may run more than once. The values are those of
+// workload.Operation.
 type Operation struct {
 	Name        string
 	Idempotency string        // workload.Idempotent, IdempotentByKey or NonIdempotent
-	DedupScope  string        // the workers that deduplicate together: workload.ScopeAll, ScopeZone or ScopeCell
-	DedupWindow time.Duration // from the arrival of the first attempt
+	DedupScope  string        // workers that share a dedup group: workload.ScopeAll, ScopeZone or ScopeCell
+	DedupWindow time.Duration // from the time at which the first attempt was received
 }
 
-// mayRunAgainAnywhere reports whether a request that may have run is safe to send to any worker, within the dedup window.
-func (o *Operation) mayRunAgainAnywhere() bool {
+// canRunAgainOnAnyWorker reports whether a request that may have run can safely be sent to any worker within the dedup
+// window.
+func (o *Operation) canRunAgainOnAnyWorker() bool {
 	deduplicatedByAll := o.Idempotency == workload.IdempotentByKey && o.DedupScope == workload.ScopeAll
 	return o.Idempotency == workload.Idempotent || deduplicatedByAll
 }
 
-// deduplicatesAcross reports whether workers at two locations deduplicate the operation together.
+// deduplicatesAcross reports whether workers at two locations share a dedup group for the operation.
 func (o *Operation) deduplicatesAcross(a, b Location) bool {
 	switch o.DedupScope {
 	case workload.ScopeAll:
@@ -64,28 +66,28 @@
 	return false
 }
 
-// Location is where a worker runs.
+// Location is the location of a worker.
 type Location struct {
 	Zone int // index
-	Cell int // index among the cells of all zones
+	Cell int // index in the cells of all zones
 }
 
-// RuleConfig is what the rules depend on.
+// RuleConfig contains the parameters of the rules.
 type RuleConfig struct {
 	Operations    []Operation
-	Workers       []Location    // by worker
-	DrainGrace    time.Duration // until a dispatcher must have stopped sending to a draining worker
-	Slack         time.Duration // added to each time limit, for delays of the machine that runs the experiment
+	Workers       []Location    // by worker index
+	DrainGrace    time.Duration // time within which a dispatcher must stop sending to a draining worker
+	Slack         time.Duration // tolerance of time limits, for delays on the machine that runs the experiment
 	KeysPersisted bool          // dispatchers persist keys, so RuleKeysPersisted is checked
 }
 
-// Check returns all violations, ordered by time.
+// Check checks the record against the rules and returns all violations, ordered by time.
 func (l *Log) Check(config RuleConfig) []Violation {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	violations := slices.Clone(l.unknown)
+	violations := slices.Clone(l.unknownIDs)
 	for _, request := range l.requests {
-		violations = append(violations, l.checkLost(request)...)
+		violations = append(violations, l.checkRequestLost(request)...)
 		violations = append(violations, config.checkDoubleEffect(request)...)
 	}
 	violations = append(violations, l.checkDrains(config)...)
@@ -104,7 +106,7 @@
 	return violations
 }
 
-// violation returns the violation of RuleWarmupBudget that the overload is.
+// violation returns the violation of RuleWarmupBudget for an overload.
 func (o Overload) violation() Violation {
 	return Violation{
 		Rule:       RuleWarmupBudget,
@@ -117,17 +119,17 @@
 	}
 }
 
-// unavailable reports whether a dispatcher was down or paused, other than planned, at some time between from and to.
-func (l *Log) unavailable(dispatcher int, from, to time.Duration) bool {
+// wasUnavailable reports whether a dispatcher had an unplanned outage at any time between from and to.
+func (l *Log) wasUnavailable(dispatcher int, from, to time.Duration) bool {
 	return slices.ContainsFunc(l.outages, func(o Outage) bool {
-		overlaps := o.From <= to && o.To >= from
+		overlaps := o.Start <= to && o.End >= from
 		return o.Dispatcher == dispatcher && !o.Planned && overlaps
 	})
 }
 
-// checkLost checks rule 1. A request that a running dispatcher has accepted gets one complete answer in time. A success
-// carries a result that a worker produced for this request.
-func (l *Log) checkLost(request *Request) []Violation {
+// checkRequestLost checks RuleNoRequestLost. A request that an available dispatcher has accepted must get one complete
+// response in time. A successful response must contain a result that a worker has produced for this request.
+func (l *Log) checkRequestLost(request *Request) []Violation {
 	violation := func(reason string) []Violation {
 		return []Violation{{
 			Rule:        RuleNoRequestLost,
@@ -140,7 +142,7 @@
 	}
 	producedResult := func(attempt *Attempt) bool { return attempt.Result == request.Result && attempt.Result != "" }
 	lostOnConnection := func(attempt *Attempt) bool {
-		return attempt.FirstByteAt < request.ResentAt && !l.unavailable(request.Dispatcher, attempt.FirstByteAt, request.ResentAt)
+		return attempt.FirstByteAt < request.ResentAt && !l.wasUnavailable(request.Dispatcher, attempt.FirstByteAt, request.ResentAt)
 	}
 	switch {
 	case slices.ContainsFunc(request.Attempts, lostOnConnection):
@@ -149,7 +151,7 @@
 		return violation(fmt.Sprintf("answered with %.60q, which no worker produced for it", request.Result))
 	case request.SentAt == 0, request.Outcome == Interrupted:
 		return nil
-	case l.unavailable(request.Dispatcher, request.SentAt, max(request.EndedAt, request.SentAt)):
+	case l.wasUnavailable(request.Dispatcher, request.SentAt, max(request.EndedAt, request.SentAt)):
 		return nil
 	case request.Outcome == Broken:
 		return violation("its connection ended without a complete answer")
@@ -159,23 +161,23 @@
 	return nil
 }
 
-// checkDoubleEffect checks rule 2 for one request. An attempt may follow another that may have run only if the operation
-// allows it. A request that may have run must not be rejected, as its client would send it again.
+// checkDoubleEffect checks RuleNoDoubleEffect for one request. If an attempt may have run, another attempt is allowed
+// only if the operation permits it, and the request must not be rejected, because the client would send it again.
 func (c RuleConfig) checkDoubleEffect(request *Request) []Violation {
 	attempts := slices.Clone(request.Attempts)
 	slices.SortStableFunc(attempts, func(a, b *Attempt) int { return cmp.Compare(a.FirstByteAt, b.FirstByteAt) })
 	return append(c.checkRepeats(request, attempts), c.checkRejection(request, attempts)...)
 }
 
-// checkRepeats checks each attempt of a request against those before it. attempts are in the order of their first bytes.
+// checkRepeats checks each attempt of a request against all earlier ones. attempts must be ordered by FirstByteAt.
 func (c RuleConfig) checkRepeats(request *Request, attempts []*Attempt) (violations []Violation) {
 	operation := &c.Operations[request.Operation]
 	for n, attempt := range attempts {
 		for _, earlier := range attempts[:n] {
-			if request.resentBetween(earlier, attempt) {
-				continue // checkLost covers that
+			if request.wasResentBetween(earlier, attempt) {
+				continue // see checkRequestLost
 			}
-			if reason := c.forbiddenRepeat(operation, earlier, attempt); reason != "" {
+			if reason := c.repeatViolation(operation, earlier, attempt); reason != "" {
 				violations = append(violations, attempt.violation(RuleNoDoubleEffect, request.ID, attempt.ReceivedAt, reason))
 				break
 			}
@@ -184,17 +186,17 @@
 	return violations
 }
 
-// checkRejection checks that no attempt of a rejected request may have run. Attempts from before the client sent the
-// request again do not count: checkLost covers them, and a new process knows nothing of them.
+// checkRejection checks that no attempt of a rejected request may have run. It ignores attempts made before the client
+// sent the request again: checkRequestLost checks these, and a restarted dispatcher has no record of them.
 func (c RuleConfig) checkRejection(request *Request, attempts []*Attempt) []Violation {
-	if request.Outcome != Throttled || c.Operations[request.Operation].mayRunAgainAnywhere() {
+	if request.Outcome != Throttled || c.Operations[request.Operation].canRunAgainOnAnyWorker() {
 		return nil
 	}
 	for _, attempt := range attempts {
 		if attempt.FirstByteAt < request.ResentAt {
 			continue
 		}
-		if attempt.ReceivedAt < request.EndedAt && !attempt.provenUnstarted(request.EndedAt) {
+		if attempt.ReceivedAt < request.EndedAt && !attempt.wasReturnedBy(request.EndedAt) {
 			const reason = "rejected, though an attempt may have run"
 			return []Violation{attempt.violation(RuleNoDoubleEffect, request.ID, request.EndedAt, reason)}
 		}
@@ -202,12 +204,12 @@
 	return nil
 }
 
-// resentBetween reports whether the client sent the request again after one attempt and before another.
-func (r *Request) resentBetween(earlier, later *Attempt) bool {
+// wasResentBetween reports whether the client sent the request again after one attempt and before another.
+func (r *Request) wasResentBetween(earlier, later *Attempt) bool {
 	return earlier.FirstByteAt < r.ResentAt && later.FirstByteAt >= r.ResentAt
 }
 
-// violation returns a violation of a rule by an attempt of the request with an ID.
+// violation returns a violation of a rule by an attempt of request id.
 func (a *Attempt) violation(rule Rule, id string, at time.Duration, description string) Violation {
 	return Violation{
 		Rule:        rule,
@@ -219,9 +221,9 @@
 	}
 }
 
-// forbiddenRepeat returns why another attempt after an earlier one is forbidden, or "" if it is allowed.
-func (c RuleConfig) forbiddenRepeat(operation *Operation, earlier, attempt *Attempt) string {
-	if operation.Idempotency == workload.Idempotent || earlier.provenUnstarted(attempt.FirstByteAt) {
+// repeatViolation returns the reason why an attempt must not follow an earlier one, or "" if it may.
+func (c RuleConfig) repeatViolation(operation *Operation, earlier, attempt *Attempt) string {
+	if operation.Idempotency == workload.Idempotent || earlier.wasReturnedBy(attempt.FirstByteAt) {
 		return ""
 	}
 	if operation.Idempotency == workload.NonIdempotent {
@@ -236,13 +238,13 @@
 	return ""
 }
 
-// checkDrains checks rule 3: a dispatcher sends nothing to a worker from the grace after it was notified that the
-// worker is draining or gone.
+// checkDrains checks RuleDrainsRespected. After a dispatcher has been notified that a worker is draining or gone, it
+// must not send attempts to the worker once the grace period has ended.
 func (l *Log) checkDrains(config RuleConfig) (violations []Violation) {
 	byPair := l.notificationsByPair()
 	for _, request := range l.requests {
 		for _, attempt := range request.Attempts {
-			notifications := byPair[dispatcherWorker{attempt.Dispatcher, attempt.Worker}]
+			notifications := byPair[dispatcherWorkerPair{attempt.Dispatcher, attempt.Worker}]
 			since, notReady := notReadySince(notifications, attempt.FirstByteAt)
 			late := attempt.FirstByteAt - since
 			if !notReady || late <= config.DrainGrace+config.Slack {
@@ -256,17 +258,17 @@
 	return violations
 }
 
-// dispatcherWorker is a dispatcher and a worker, by their indexes.
-type dispatcherWorker struct {
+// dispatcherWorkerPair identifies a dispatcher and a worker by their indexes.
+type dispatcherWorkerPair struct {
 	dispatcher int
 	worker     int
 }
 
-// notificationsByPair returns the notifications of each dispatcher about each worker, ordered by time.
-func (l *Log) notificationsByPair() map[dispatcherWorker][]Notification {
-	byPair := map[dispatcherWorker][]Notification{}
+// notificationsByPair returns the notifications to each dispatcher about each worker, ordered by time.
+func (l *Log) notificationsByPair() map[dispatcherWorkerPair][]Notification {
+	byPair := map[dispatcherWorkerPair][]Notification{}
 	for _, notification := range l.notifications {
-		pair := dispatcherWorker{notification.Dispatcher, notification.Worker}
+		pair := dispatcherWorkerPair{notification.Dispatcher, notification.Worker}
 		byPair[pair] = append(byPair[pair], notification)
 	}
 	for _, notifications := range byPair {
@@ -275,12 +277,12 @@
 	return byPair
 }
 
-// notReadySince reports whether a worker was listed as not ready at a time, and since when. A repeated notification
-// does not restart the grace.
+// notReadySince reports whether the latest notification before a time listed the worker as not ready. since is the time
+// of the first of consecutive such notifications, because a repeated notification does not restart the grace period.
 func notReadySince(notifications []Notification, at time.Duration) (since time.Duration, notReady bool) {
 	for _, notification := range notifications {
 		switch {
-		case notification.At > at: // not yet
+		case notification.At > at: // sent after that time
 		case notification.Ready:
 			notReady = false
 		case !notReady:
--- a/internal/testbed/history/check_keys.go
+++ b/internal/testbed/history/check_keys.go
@@ -9,12 +9,13 @@
 	"canvasroute/internal/testbed/workload"
 )
 
-// RuleKeysPersisted is a rule for dispatchers that persist state. It concerns a marked retry under a key that was sent
-// to a worker before the dispatcher's outage. The retry goes to that worker's dedup group or nowhere.
+// RuleKeysPersisted is a rule for dispatchers that persist state. If an attempt with a key was sent to a worker before
+// an outage of the dispatcher, the dispatcher must not send a marked retry with that key to workers outside that
+// worker's dedup group.
 const RuleKeysPersisted Rule = "keys kept through an end"
 
-// checkKeys checks RuleKeysPersisted over all requests under one key. It does not apply to a dispatcher that had no
-// outage.
+// checkKeys checks RuleKeysPersisted for all requests with the same key. Attempts of a dispatcher that had no outage
+// are not checked.
 func (l *Log) checkKeys(config RuleConfig) (violations []Violation) {
 	byKey := map[uint64][]*Request{}
 	for _, request := range l.requests {
@@ -26,20 +27,20 @@
 		slices.SortStableFunc(sameKey, func(a, b *Request) int { return cmp.Compare(a.ID, b.ID) })
 		for n, later := range sameKey {
 			for _, earlier := range sameKey[:n] {
-				violations = append(violations, l.checkRepeat(config, earlier, later)...)
+				violations = append(violations, l.checkRetry(config, earlier, later)...)
 			}
 		}
 	}
 	return violations
 }
 
-// hasSeveralDedupGroups reports whether not all workers deduplicate the operation together.
+// hasSeveralDedupGroups reports whether the operation has a dedup group for each zone or cell.
 func (o *Operation) hasSeveralDedupGroups() bool {
 	return o.DedupScope == workload.ScopeZone || o.DedupScope == workload.ScopeCell
 }
 
-// checkRepeat checks the attempts of a retry against those of an earlier request under the same key.
-func (l *Log) checkRepeat(config RuleConfig, earlier, later *Request) (violations []Violation) {
+// checkRetry checks the attempts of a marked retry against the attempts of an earlier request with the same key.
+func (l *Log) checkRetry(config RuleConfig, earlier, later *Request) (violations []Violation) {
 	if !later.MarkedRetry {
 		return nil
 	}
@@ -47,10 +48,10 @@
 	for _, attempt := range later.Attempts {
 		for _, first := range earlier.Attempts {
 			expired := attempt.FirstByteAt > first.ReceivedAt+operation.DedupWindow-config.Slack
-			if expired || !l.outageBetween(first, attempt) {
+			if expired || !l.hadOutageBetween(first, attempt) {
 				continue
 			}
-			if reason := config.forbiddenRepeat(operation, first, attempt); reason != "" {
+			if reason := config.repeatViolation(operation, first, attempt); reason != "" {
 				description := fmt.Sprintf("%s, under the key of %s", reason, earlier.ID)
 				violations = append(violations, attempt.violation(RuleKeysPersisted, later.ID, attempt.FirstByteAt, description))
 			}
@@ -59,13 +60,13 @@
 	return violations
 }
 
-// outageBetween reports whether the dispatcher of the later attempt had an outage after the earlier one.
-func (l *Log) outageBetween(earlier, later *Attempt) bool {
+// hadOutageBetween reports whether the dispatcher of the later attempt had an outage between the two attempts.
+func (l *Log) hadOutageBetween(earlier, later *Attempt) bool {
 	return slices.ContainsFunc(l.outages, func(o Outage) bool {
-		isBetween := earlier.ReceivedAt < o.From && o.To-outageEndSlack <= later.FirstByteAt
+		isBetween := earlier.ReceivedAt < o.Start && o.End-outageEndSlack <= later.FirstByteAt
 		return o.Dispatcher == later.Dispatcher && isBetween
 	})
 }
 
-// outageEndSlack is by how much the recorded end of an outage may be later than the real one.
+// outageEndSlack is the maximum delay of the recorded end of an outage after the actual end.
 const outageEndSlack = 300 * time.Millisecond
--- a/internal/testbed/history/check_keys_test.go
+++ b/internal/testbed/history/check_keys_test.go
@@ -9,13 +9,13 @@
 	"canvasroute/internal/testbed/workload"
 )
 
-func TestMarkedRetryAfterAnOutageGoesToTheFirstDedupGroup(t *testing.T) {
+func TestMarkedRetryAfterAnOutageMustUseTheFirstDedupGroup(t *testing.T) {
 	second := time.Second
 	for _, c := range []struct {
 		name       string
 		marked     bool
-		dispatcher int // of the retry; 1 has an outage from 2 s to 3 s, 0 has none
-		worker     int // of the retry; the first went to 0
+		dispatcher int // of the retry; dispatcher 1 has an outage from 2 s to 3 s, dispatcher 0 has none
+		worker     int // of the retry; the first request was sent to worker 0
 		at         time.Duration
 		violated   bool
 	}{
@@ -30,7 +30,7 @@
 			first := log.RequestOpened("a0", 0, 0, 9*second)
 			log.SetKey(first, 7)
 			log.AttemptReceived("a0", Attempt{Worker: 0, Dispatcher: 0, FirstByteAt: second, ReceivedAt: second})
-			log.AddOutage(Outage{Dispatcher: 1, From: 2 * second, To: 3 * second})
+			log.AddOutage(Outage{Dispatcher: 1, Start: 2 * second, End: 3 * second})
 			retry := log.RequestOpened("a1", 0, c.dispatcher, 20*second)
 			log.SetKey(retry, 7)
 			if c.marked {
--- a/internal/testbed/history/check_test.go
+++ b/internal/testbed/history/check_test.go
@@ -21,8 +21,8 @@
 	Workers: []Location{{Zone: 0}, {Zone: 0}, {Zone: 1}}, DrainGrace: 500 * ms, Slack: 50 * ms,
 }
 
-// check records one request with its attempts, and returns the violated rules.
-func check(operation int, outcome Outcome, attempts ...Attempt) []Rule {
+// checkRequest records a request with its attempts, and returns the violated rules.
+func checkRequest(operation int, outcome Outcome, attempts ...Attempt) []Rule {
 	log := New()
 	request := log.RequestOpened("a", operation, 0, 1000*ms)
 	log.RequestSent(request, 5*ms)
@@ -37,7 +37,7 @@
 	return violatedRules(log)
 }
 
-// violatedRules returns the rule of each violation in a log.
+// violatedRules returns the rule of each violation in the log.
 func violatedRules(log *Log) (rules []Rule) {
 	for _, violation := range log.Check(config) {
 		rules = append(rules, violation.Rule)
@@ -45,7 +45,7 @@
 	return rules
 }
 
-// attemptAt returns an attempt at a worker. A done one has the result "made".
+// attemptAt returns an attempt on a worker. A done attempt has the result "made".
 func attemptAt(worker int, firstByteAt time.Duration, end AttemptEnd, endedAt time.Duration) Attempt {
 	attempt := Attempt{Worker: worker, FirstByteAt: firstByteAt, ReceivedAt: firstByteAt + ms, End: end, EndedAt: endedAt}
 	if end == Done {
@@ -54,7 +54,7 @@
 	return attempt
 }
 
-func TestRepeatsAreCheckedByOperation(t *testing.T) {
+func TestRepeatedAttemptsAreCheckedByOperation(t *testing.T) {
 	crashed, done := attemptAt(0, 10*ms, Crashed, 20*ms), attemptAt(1, 30*ms, Done, 60*ms)
 	otherZone, afterWindow := attemptAt(2, 30*ms, Done, 60*ms), attemptAt(1, 200*ms, Done, 260*ms)
 	returned := attemptAt(0, 10*ms, Returned, 20*ms)
@@ -77,27 +77,27 @@
 		{"deduplicated by all", 3, []Attempt{crashed, otherZone}, nil},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			assert.Equal(t, c.want, check(c.operation, Succeeded, c.attempts...))
+			assert.Equal(t, c.want, checkRequest(c.operation, Succeeded, c.attempts...))
 		})
 	}
 }
 
-func TestRejectionsAreCheckedByWhatMayHaveRun(t *testing.T) {
+func TestRejectionOfARequestThatMayHaveRunIsAViolation(t *testing.T) {
 	crashed := attemptAt(0, 10*ms, Crashed, 20*ms)
-	assert.Empty(t, check(0, Throttled, crashed))
-	assert.Equal(t, []Rule{RuleNoDoubleEffect}, check(1, Throttled, crashed))
-	assert.Equal(t, []Rule{RuleNoDoubleEffect}, check(2, Throttled, crashed))
-	assert.Empty(t, check(3, Throttled, crashed))
-	assert.Empty(t, check(1, Throttled, attemptAt(0, 10*ms, Returned, 20*ms)))
-	assert.Empty(t, check(1, Errored, crashed))
+	assert.Empty(t, checkRequest(0, Throttled, crashed))
+	assert.Equal(t, []Rule{RuleNoDoubleEffect}, checkRequest(1, Throttled, crashed))
+	assert.Equal(t, []Rule{RuleNoDoubleEffect}, checkRequest(2, Throttled, crashed))
+	assert.Empty(t, checkRequest(3, Throttled, crashed))
+	assert.Empty(t, checkRequest(1, Throttled, attemptAt(0, 10*ms, Returned, 20*ms)))
+	assert.Empty(t, checkRequest(1, Errored, crashed))
 }
 
-func TestLostRequestsAreFound(t *testing.T) {
+func TestLostRequestsAreReported(t *testing.T) {
 	lost := []Rule{RuleNoRequestLost}
-	assert.Equal(t, lost, check(0, Broken))
-	assert.Equal(t, lost, check(0, Succeeded), "no worker produced the result")
-	assert.Empty(t, check(0, Succeeded, attemptAt(0, 10*ms, Done, 20*ms)))
-	assert.Empty(t, check(0, Unanswered), "the client left before its deadline")
+	assert.Equal(t, lost, checkRequest(0, Broken))
+	assert.Equal(t, lost, checkRequest(0, Succeeded), "no worker produced the result")
+	assert.Empty(t, checkRequest(0, Succeeded, attemptAt(0, 10*ms, Done, 20*ms)))
+	assert.Empty(t, checkRequest(0, Unanswered), "the client disconnected before its deadline")
 	log := New()
 	for n, id := range []string{"dispatcher available", "dispatcher down", "never sent"} {
 		request := log.RequestOpened(id, 0, n, 100*ms)
@@ -106,31 +106,31 @@
 		}
 		log.RequestEnded(request, Unanswered, 0, "", 100*ms)
 	}
-	log.AddOutage(Outage{Dispatcher: 1, From: 50 * ms, To: 80 * ms})
-	log.AddOutage(Outage{Dispatcher: 0, Planned: true, From: 50 * ms, To: 80 * ms})
+	log.AddOutage(Outage{Dispatcher: 1, Start: 50 * ms, End: 80 * ms})
+	log.AddOutage(Outage{Dispatcher: 0, Planned: true, Start: 50 * ms, End: 80 * ms})
 	violations := log.Check(config)
 	assert.Len(t, violations, 1)
 	assert.Equal(t, "dispatcher available", violations[0].ID)
 	assert.Equal(t, "safe", violations[0].Operation)
 }
 
-func TestAttemptWithUnknownIDIsFound(t *testing.T) {
+func TestAttemptWithAnUnknownIDIsReported(t *testing.T) {
 	log := New()
 	log.AttemptReceived("nobody's", Attempt{Worker: 1})
 	assert.Equal(t, "nobody's", log.Check(config)[0].ID)
 }
 
-func TestDrainsAreCheckedByNotificationsOfTheDispatcher(t *testing.T) {
+func TestDrainsAreCheckedAgainstNotificationsToTheDispatcher(t *testing.T) {
 	log := New()
-	log.WorkerListed(Notification{Dispatcher: 0, Worker: 1, Ready: true, At: 0})
-	log.WorkerListed(Notification{Dispatcher: 0, Worker: 1, At: 1000 * ms})
-	log.WorkerListed(Notification{Dispatcher: 0, Worker: 1, At: 2000 * ms}) // a repetition does not restart the grace
-	log.WorkerListed(Notification{Dispatcher: 0, Worker: 1, Ready: true, At: 4000 * ms})
+	log.NotificationSent(Notification{Dispatcher: 0, Worker: 1, Ready: true, At: 0})
+	log.NotificationSent(Notification{Dispatcher: 0, Worker: 1, At: 1000 * ms})
+	log.NotificationSent(Notification{Dispatcher: 0, Worker: 1, At: 2000 * ms}) // does not restart the grace period
+	log.NotificationSent(Notification{Dispatcher: 0, Worker: 1, Ready: true, At: 4000 * ms})
 	for n, attempt := range []Attempt{
-		{Dispatcher: 0, FirstByteAt: 1540 * ms}, // within the grace
-		{Dispatcher: 0, FirstByteAt: 2100 * ms}, // beyond
-		{Dispatcher: 1, FirstByteAt: 2100 * ms}, // was not notified
-		{Dispatcher: 0, FirstByteAt: 4100 * ms}, // ready again
+		{Dispatcher: 0, FirstByteAt: 1540 * ms}, // within the grace period
+		{Dispatcher: 0, FirstByteAt: 2100 * ms}, // after the grace period
+		{Dispatcher: 1, FirstByteAt: 2100 * ms}, // the dispatcher was not notified
+		{Dispatcher: 0, FirstByteAt: 4100 * ms}, // the worker is ready again
 	} {
 		id := string(rune('a' + n))
 		log.RequestEnded(log.RequestOpened(id, 0, 0, 0), Errored, 502, "", 0)
@@ -143,7 +143,7 @@
 	assert.Equal(t, RuleDrainsRespected, violations[0].Rule)
 }
 
-func TestOverloadNamesTheAttemptThatCausedIt(t *testing.T) {
+func TestOverloadViolationNamesTheLastRequest(t *testing.T) {
 	log := New()
 	log.RequestOpened("heavy", 1, 0, 0)
 	log.WorkerOverloaded(Overload{
@@ -158,10 +158,10 @@
 	}, violations[0])
 }
 
-// An answer lost on an idle connection must not pass for a connection that was closed between two messages: the client
-// sends the request again, and the second effect follows from that loss.
-func TestIdleConnectionThatEndsAfterAnAttemptLosesTheRequest(t *testing.T) {
-	for _, attempted := range []bool{false, true} { // before the connection ended
+// If a reused connection ends after an attempt was sent, the response is lost. The check must not treat this as a
+// connection that was closed while idle: the client sends the request again, which can then take effect twice.
+func TestRequestIsLostIfAnIdleConnectionEndsAfterAnAttempt(t *testing.T) {
+	for _, attempted := range []bool{false, true} { // whether an attempt was sent before the connection ended
 		log := New()
 		request := log.RequestOpened("a", 1, 0, 1000*ms)
 		log.RequestSent(request, 5*ms)
@@ -180,15 +180,15 @@
 	}
 }
 
-// A loss of power ends a connection after an attempt of its request; the client, which got no answer, sends it again, and
-// the dispatcher's next incarnation rejects that. The incarnation that made the attempt is gone.
-func TestRejectionOfAResentRequestIsCheckedByAttemptsSince(t *testing.T) {
+// A power loss ends a connection after an attempt was sent. The client got no response and sends the request again, and
+// the dispatcher's next incarnation rejects it, because it has no record of the attempt of its previous incarnation.
+func TestRejectionOfAResentRequestIgnoresAttemptsBeforeTheResend(t *testing.T) {
 	for _, attemptedSince := range []bool{false, true} {
 		log := New()
 		request := log.RequestOpened("a", 1, 0, 9*time.Second)
 		log.RequestSent(request, 5*ms)
 		log.AttemptReceived("a", attemptAt(0, 10*ms, Crashed, 20*ms))
-		log.AddOutage(Outage{Dispatcher: 0, From: 20 * ms, To: 50 * ms})
+		log.AddOutage(Outage{Dispatcher: 0, Start: 20 * ms, End: 50 * ms})
 		log.RequestResent(request, 25*ms)
 		log.RequestSent(request, 60*ms)
 		if attemptedSince {
@@ -197,7 +197,7 @@
 		log.RequestEnded(request, Throttled, 503, "", 100*ms)
 		violations := log.Check(config)
 		if attemptedSince {
-			assert.Len(t, violations, 1, "what this incarnation sent may have run")
+			assert.Len(t, violations, 1, "an attempt of this incarnation may have run")
 			continue
 		}
 		assert.Empty(t, violations)
--- a/internal/testbed/loadgen/front_tier.go
+++ b/internal/testbed/loadgen/front_tier.go
@@ -1,5 +1,5 @@
-// Package loadgen is the testbed's load generator. It is open-loop: each call is sent at its time, however many are
-// open. Calls that could not be sent on time are reported.
+// Package loadgen is the testbed's load generator. It is open-loop: each call is sent at its scheduled time, regardless
+// of the number of open calls. Calls that could not be sent on time are reported.
 package loadgen
 
 import (
@@ -13,24 +13,24 @@
 	"time"
 )
 
-// FrontTier distributes calls over dispatchers as the platform's front tier does: round-robin over those whose health
-// check succeeded. A dispatcher that does not answer is removed only after a timeout.
+// FrontTier distributes calls to dispatchers like the platform's front tier: round-robin among the dispatchers whose
+// health check succeeded. A dispatcher that does not respond is removed after a timeout.
 type FrontTier struct {
 	addresses      []string      // by dispatcher
-	failureTimeout time.Duration // since the last successful health check
+	failureTimeout time.Duration // from the last successful health check to the removal
 	healthClient   *http.Client
 
-	mu          sync.Mutex
-	dispatchers []dispatcherState
-	last        int // index of the dispatcher chosen last
+	mu           sync.Mutex
+	dispatchers  []dispatcherState
+	lastSelected int // index of the last selected dispatcher
 }
 
-// dispatcherState is what the front tier knows of a dispatcher.
+// dispatcherState is the front tier's state of a dispatcher.
 type dispatcherState struct {
 	inRotation bool
-	healthyAt  time.Time // time of the last successful health check; zero: none counts
-	idle       []*conn
-	generation int // incremented when the dispatcher fails: connections of earlier generations are closed, not reused
+	healthyAt  time.Time // time of the last successful health check; zero if there was none or Remove was called
+	idleConns  []*conn
+	generation int // incremented when the dispatcher fails; connections of earlier generations are not reused
 }
 
 // Timing of health checks.
@@ -39,7 +39,8 @@
 	healthCheckTimeout  = time.Second
 )
 
-// NewFrontTier returns a front tier for dispatchers at these addresses. A dispatcher is added once it is healthy.
+// NewFrontTier returns a front tier for dispatchers at these addresses. A dispatcher is added to the rotation when its
+// first health check succeeds.
 func NewFrontTier(addresses []string, failureTimeout time.Duration) *FrontTier {
 	return &FrontTier{
 		addresses:      addresses,
@@ -53,15 +54,15 @@
 type conn struct {
 	net.Conn
 	reader     *bufio.Reader
-	generation int  // of the dispatcher when it was opened
-	used       bool // a request was answered on it
-	reusable   bool // the last answer is complete, and leaves the connection open
+	generation int  // of the dispatcher when the connection was opened
+	wasUsed    bool // a response was received on the connection
+	reusable   bool // the last response is complete and does not close the connection
 }
 
 // readBufferBytes is the size of a connection's read buffer.
 const readBufferBytes = 2048
 
-// Run checks the dispatchers' health until ctx ends.
+// Run checks the dispatchers' health until ctx ends, and then closes idle connections. It always returns nil.
 func (f *FrontTier) Run(ctx context.Context) error {
 	var checks sync.WaitGroup
 	for n := range f.addresses {
@@ -80,7 +81,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for n := range f.dispatchers {
-		f.dispatchers[n].closeIdle()
+		f.dispatchers[n].closeIdleConns()
 	}
 	return nil
 }
@@ -89,9 +90,9 @@
 type health uint8
 
 const (
-	noAnswer  health = iota // the dispatcher has failed or is unresponsive
-	healthy                 // it accepts clients
-	unhealthy               // it answers that it does not, as while it drains
+	noResponse health = iota // the dispatcher did not respond in time or refused the connection
+	healthy                  // the dispatcher accepts clients
+	unhealthy                // the dispatcher responds that it does not accept clients, for example while it drains
 )
 
 // checkHealth checks the health of dispatcher n.
@@ -100,11 +101,11 @@
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+f.addresses[n]+"/_health", nil)
 	if err != nil {
-		return noAnswer
+		return noResponse
 	}
 	response, err := f.healthClient.Do(request)
 	if err != nil {
-		return noAnswer
+		return noResponse
 	}
 	response.Body.Close()
 	if response.StatusCode != http.StatusOK {
@@ -113,8 +114,9 @@
 	return healthy
 }
 
-// updateHealth applies the result of a health check of dispatcher n. Clients of an unhealthy one continue to use their
-// open connections. One that does not answer is removed, with its connections, once the timeout has passed.
+// updateHealth updates the state of dispatcher n after a health check. An unhealthy dispatcher is removed from the
+// rotation at once, and clients continue to use their open connections. A dispatcher that does not respond is removed
+// after the failure timeout, and its connections are closed.
 func (f *FrontTier) updateHealth(n int, result health) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -127,7 +129,7 @@
 		dispatcher.inRotation = false
 	case dispatcher.inRotation && time.Since(dispatcher.healthyAt) > f.failureTimeout:
 		dispatcher.inRotation = false
-		dispatcher.closeIdle()
+		dispatcher.closeIdleConns()
 	}
 }
 
@@ -138,7 +140,7 @@
 	return !slices.ContainsFunc(f.dispatchers, func(d dispatcherState) bool { return !d.inRotation })
 }
 
-// Remove takes a dispatcher out of rotation at once, for a planned restart. Clients continue to use their open
+// Remove removes a dispatcher from the rotation at once, for a planned restart. Clients continue to use their open
 // connections.
 func (f *FrontTier) Remove(n int) {
 	f.mu.Lock()
@@ -147,48 +149,50 @@
 	f.dispatchers[n].healthyAt = time.Time{}
 }
 
-// closeIdle closes idle connections, and has open ones closed when they are released. The caller holds the lock.
-func (d *dispatcherState) closeIdle() {
-	for _, c := range d.idle {
+// closeIdleConns closes idle connections. Connections in use are closed when they are released. The caller holds the
+// lock.
+func (d *dispatcherState) closeIdleConns() {
+	for _, c := range d.idleConns {
 		c.Close()
 	}
-	d.idle = nil
+	d.idleConns = nil
 	d.generation++
 }
 
-// choose returns the next dispatcher in rotation. If there is none, it returns the next of all.
-func (f *FrontTier) choose() int {
+// selectDispatcher returns the next dispatcher in rotation. If none is in rotation, it returns the next of all
+// dispatchers.
+func (f *FrontTier) selectDispatcher() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for range f.dispatchers {
-		f.last = (f.last + 1) % len(f.dispatchers)
-		if f.dispatchers[f.last].inRotation {
-			return f.last
+		f.lastSelected = (f.lastSelected + 1) % len(f.dispatchers)
+		if f.dispatchers[f.lastSelected].inRotation {
+			return f.lastSelected
 		}
 	}
-	f.last = (f.last + 1) % len(f.dispatchers)
-	return f.last
+	f.lastSelected = (f.lastSelected + 1) % len(f.dispatchers)
+	return f.lastSelected
 }
 
-// idleConn returns an idle connection to dispatcher n, or opens one if there is none.
-func (f *FrontTier) idleConn(ctx context.Context, n int) (*conn, error) {
-	if c := f.takeIdle(n); c != nil {
+// getConn returns an idle connection to dispatcher n, or opens one if there is none.
+func (f *FrontTier) getConn(ctx context.Context, n int) (*conn, error) {
+	if c := f.takeIdleConn(n); c != nil {
 		return c, nil
 	}
 	return f.newConn(ctx, n)
 }
 
-// takeIdle returns the idle connection to dispatcher n that was released last, or nil.
-func (f *FrontTier) takeIdle(n int) *conn {
+// takeIdleConn removes and returns the most recently released idle connection to dispatcher n, or nil if there is none.
+func (f *FrontTier) takeIdleConn(n int) *conn {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	dispatcher := &f.dispatchers[n]
-	last := len(dispatcher.idle) - 1
+	last := len(dispatcher.idleConns) - 1
 	if last < 0 {
 		return nil
 	}
-	c := dispatcher.idle[last]
-	dispatcher.idle = dispatcher.idle[:last]
+	c := dispatcher.idleConns[last]
+	dispatcher.idleConns = dispatcher.idleConns[:last]
 	return c
 }
 
@@ -205,7 +209,8 @@
 	return &conn{Conn: opened, reader: bufio.NewReaderSize(opened, readBufferBytes), generation: generation}, nil
 }
 
-// release makes a connection to dispatcher n idle, or closes it if the dispatcher has failed since it was opened.
+// release makes a connection to dispatcher n idle, or closes the connection if the dispatcher has failed since it was
+// opened.
 func (f *FrontTier) release(n int, c *conn) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -214,6 +219,6 @@
 		c.Close()
 		return
 	}
-	c.used = true
-	dispatcher.idle = append(dispatcher.idle, c)
+	c.wasUsed = true
+	dispatcher.idleConns = append(dispatcher.idleConns, c)
 }
--- a/internal/testbed/loadgen/loadgen.go
+++ b/internal/testbed/loadgen/loadgen.go
@@ -23,23 +23,23 @@
 	Operations []workload.Operation
 	Tenants    []workload.Tenant
 	Seed       uint64
-	Retries    int           // per call, by the client
-	RetryWait  time.Duration // before a retry, if the answer has no Retry-After
-	MaxOpen    int           // concurrent calls; calls beyond are reported as unsent
+	Retries    int           // maximum number of retries per call
+	RetryWait  time.Duration // minimum wait before a retry if the response has no Retry-After
+	MaxOpen    int           // maximum number of concurrent calls; further calls are recorded as unsent
 	FrontTier  *FrontTier
 	History    *history.Log
 	Recorder   *metrics.Recorder
-	Clock      func() time.Duration // time since the start of the experiment
+	Clock      func() time.Duration // returns the time since the start of the experiment
 
 	open atomic.Int64
 }
 
-// Run sends each arrival at its time, and returns when all calls are over. When ctx ends, no more calls are sent, and
-// open ones count as interrupted.
+// Run sends each arrival at its scheduled time, and returns when all calls have ended. When ctx ends, Run sends no more
+// calls, and open calls are recorded as interrupted.
 func (g *Generator) Run(ctx context.Context, schedule []workload.Arrival) {
 	var calls sync.WaitGroup
 	defer calls.Wait()
-	timer := time.NewTimer(time.Hour) // waitUntil resets it
+	timer := time.NewTimer(time.Hour) // reset by waitUntil
 	defer timer.Stop()
 	for n, arrival := range schedule {
 		if !g.waitUntil(ctx, arrival.At, timer) {
@@ -57,7 +57,7 @@
 	}
 }
 
-// waitUntil waits until a time since the start of the experiment. It reports false if ctx has ended.
+// waitUntil waits until a time, given since the start of the experiment. It returns false if ctx has ended.
 func (g *Generator) waitUntil(ctx context.Context, at time.Duration, timer *time.Timer) bool {
 	wait := at - g.Clock()
 	if wait <= 0 {
@@ -72,7 +72,7 @@
 	}
 }
 
-// recordUnsent records a call that is not sent, as too many are open.
+// recordUnsent records a call that is not sent because MaxOpen calls are open.
 func (g *Generator) recordUnsent(arrival workload.Arrival) {
 	g.Recorder.Record(metrics.Call{
 		Operation:    arrival.Operation,
@@ -82,27 +82,27 @@
 		Ended:        arrival.At,
 		Work:         arrival.Work,
 		Outcome:      history.Unsent,
-		ValueOffered: g.valueOf(arrival),
+		ValueOffered: g.billedValue(arrival),
 	})
 }
 
-// valueOf returns the billed value of a call that succeeds in time.
-func (g *Generator) valueOf(arrival workload.Arrival) float64 {
+// billedValue returns the billed value of a call if it succeeds within its latency objective.
+func (g *Generator) billedValue(arrival workload.Arrival) float64 {
 	return g.Operations[arrival.Operation].Value * arrival.Work.Seconds()
 }
 
 // Open returns the number of open calls.
 func (g *Generator) Open() int { return int(g.open.Load()) }
 
-// answer is how one request ended.
-type answer struct {
+// requestResult is the outcome of a request, with the parts of its response that are recorded.
+type requestResult struct {
 	outcome    history.Outcome
-	status     int           // 0 if there was no answer
-	result     string        // body of a successful answer
-	retryAfter time.Duration // 0: the answer has no Retry-After
+	status     int           // 0 if there was no response
+	result     string        // body of a successful response
+	retryAfter time.Duration // 0 if the response has no Retry-After
 }
 
-// call sends a request and its retries, and records the call. Its number is n.
+// call sends the request of call n and its retries, and records the call.
 func (g *Generator) call(ctx context.Context, n int, arrival workload.Arrival) {
 	operation := &g.Operations[arrival.Operation]
 	call := metrics.Call{
@@ -111,13 +111,13 @@
 		Intended:     arrival.At,
 		Sent:         g.Clock(),
 		Work:         arrival.Work,
-		ValueOffered: g.valueOf(arrival),
+		ValueOffered: g.billedValue(arrival),
 	}
 	for try := 0; ; try++ {
 		last := g.sendRequest(ctx, n, try, arrival, operation)
 		call.Outcome = last.outcome
 		call.Tries = try + 1
-		if !mayRetry(last.outcome, operation) || try >= g.Retries || !g.waitBeforeRetry(ctx, n, try, last.retryAfter) {
+		if !canRetry(last.outcome, operation) || try >= g.Retries || !g.waitBeforeRetry(ctx, n, try, last.retryAfter) {
 			break
 		}
 	}
@@ -133,9 +133,9 @@
 	g.Recorder.Record(call)
 }
 
-// mayRetry reports whether a client retries: always if the request was rejected or not received, else only if the
-// operation may run again.
-func mayRetry(outcome history.Outcome, operation *workload.Operation) bool {
+// canRetry reports whether a client can retry a request: always if the request was rejected or not received, otherwise
+// only if the operation may run again.
+func canRetry(outcome history.Outcome, operation *workload.Operation) bool {
 	switch outcome {
 	case history.Throttled, history.Unreachable:
 		return true
@@ -145,8 +145,9 @@
 	return false
 }
 
-// waitBeforeRetry waits for the answer's Retry-After. Without one it waits for once to twice RetryWait, as jitter keeps
-// clients from retrying all at once. It reports false if ctx ends first.
+// waitBeforeRetry waits for the Retry-After of the response. If the response has none, it waits for RetryWait plus a
+// random jitter of up to RetryWait, which prevents simultaneous retries of many clients. It returns false if ctx ends
+// first.
 func (g *Generator) waitBeforeRetry(ctx context.Context, n, try int, retryAfter time.Duration) bool {
 	wait := retryAfter
 	if wait == 0 {
@@ -161,12 +162,12 @@
 	}
 }
 
-// sendRequest sends request number try of call n, under an ID of its own.
-func (g *Generator) sendRequest(ctx context.Context, n, try int, arrival workload.Arrival, operation *workload.Operation) answer {
+// sendRequest sends request number try of call n with a unique ID and records its outcome.
+func (g *Generator) sendRequest(ctx context.Context, n, try int, arrival workload.Arrival, operation *workload.Operation) requestResult {
 	id := RequestID(g.Seed, n, try)
 	timeout := operation.Timeout.Std()
 	deadline := g.Clock() + timeout
-	dispatcher := g.FrontTier.choose()
+	dispatcher := g.FrontTier.selectDispatcher()
 	request := g.History.RequestOpened(id, arrival.Operation, dispatcher, deadline)
 	if operation.Idempotency == workload.IdempotentByKey {
 		g.History.SetKey(request, arrival.Key)
@@ -178,7 +179,7 @@
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	message := g.encodeRequest(id, arrival, operation, markedRetry)
-	got, err := g.exchange(ctx, request, dispatcher, message, g.FrontTier.idleConn)
+	got, err := g.exchange(ctx, request, dispatcher, message, g.FrontTier.getConn)
 	if errors.Is(err, errIdleConnEnded) {
 		g.History.RequestResent(request, g.Clock())
 		got, _ = g.exchange(ctx, request, dispatcher, message, g.FrontTier.newConn)
@@ -194,10 +195,10 @@
 
 const (
 	typicalRequestBytes = 512 // size of a typical request
-	deadlineDecimals    = 3   // of the seconds in Req-Deadline
+	deadlineDecimals    = 3   // number of decimals of the seconds in Req-Deadline
 )
 
-// encodeRequest returns the request as sent. The body is a worker.Task.
+// encodeRequest returns the encoded HTTP request. Its body is a worker.Task.
 func (g *Generator) encodeRequest(id string, arrival workload.Arrival, operation *workload.Operation, markedRetry bool) []byte {
 	body := fmt.Appendf(nil, `{"operation":%d,"work_us":%d}`, arrival.Operation, arrival.Work.Microseconds())
 	b := make([]byte, 0, typicalRequestBytes)
@@ -221,25 +222,26 @@
 	return append(append(b, "\r\n\r\n"...), body...)
 }
 
-// errIdleConnEnded means that a connection that had been idle ended before any byte of the answer. From the client's
-// view the dispatcher closed it between two messages.
+// errIdleConnEnded is returned if a reused connection ended before the first byte of the response. The client assumes
+// that the dispatcher closed the connection while it was idle.
 var errIdleConnEnded = errors.New("idle connection has ended")
 
-// connector returns a connection to a dispatcher: FrontTier.idleConn or newConn.
-type connector func(ctx context.Context, dispatcher int) (*conn, error)
+// connectFunc returns a connection to a dispatcher: FrontTier.getConn or FrontTier.newConn.
+type connectFunc func(ctx context.Context, dispatcher int) (*conn, error)
 
-// exchange sends a message on a connection and returns its answer. The error is errIdleConnEnded or nil.
+// exchange sends a message on a connection from connect and returns the result of the request. The error is
+// errIdleConnEnded or nil.
 func (g *Generator) exchange(ctx context.Context, request *history.Request, dispatcher int, message []byte,
-	connect connector,
-) (answer, error) {
+	connect connectFunc,
+) (requestResult, error) {
 	c, err := connect(ctx, dispatcher)
 	if err != nil {
 		if ctx.Err() != nil {
-			return answer{outcome: outcomeOfEnd(ctx)}, nil
+			return requestResult{outcome: outcomeOfContextEnd(ctx)}, nil
 		}
-		return answer{outcome: history.Unreachable}, nil
+		return requestResult{outcome: history.Unreachable}, nil
 	}
-	stopInterrupt := context.AfterFunc(ctx, func() { c.SetDeadline(time.Unix(1, 0)) }) // ends the reading and writing
+	stopInterrupt := context.AfterFunc(ctx, func() { c.SetDeadline(time.Unix(1, 0)) }) // interrupts reads and writes
 	got, err := g.roundTrip(ctx, request, c, message)
 	if stopInterrupt() && c.reusable {
 		g.FrontTier.release(dispatcher, c)
@@ -249,8 +251,9 @@
 	return got, err
 }
 
-// roundTrip does what exchange does on an open connection. It sets whether the connection is reusable.
-func (g *Generator) roundTrip(ctx context.Context, request *history.Request, c *conn, message []byte) (answer, error) {
+// roundTrip sends a message on an open connection and returns the result of the request. It sets c.reusable. The error
+// is errIdleConnEnded or nil.
+func (g *Generator) roundTrip(ctx context.Context, request *history.Request, c *conn, message []byte) (requestResult, error) {
 	c.reusable = false
 	_, err := c.Write(message)
 	if err == nil {
@@ -260,51 +263,53 @@
 	switch {
 	case err == nil:
 	case ctx.Err() != nil, errors.Is(err, os.ErrDeadlineExceeded):
-		return answer{outcome: outcomeOfEnd(ctx)}, nil
-	case c.used:
-		return answer{outcome: history.Broken}, errIdleConnEnded
+		return requestResult{outcome: outcomeOfContextEnd(ctx)}, nil
+	case c.wasUsed:
+		return requestResult{outcome: history.Broken}, errIdleConnEnded
 	default:
-		return answer{outcome: history.Broken}, nil
+		return requestResult{outcome: history.Broken}, nil
 	}
-	got, err := c.readAnswer()
+	got, err := c.readResponse()
 	switch {
 	case err == nil:
 		return got, nil
 	case ctx.Err() != nil:
-		return answer{outcome: outcomeOfEnd(ctx)}, nil
+		return requestResult{outcome: outcomeOfContextEnd(ctx)}, nil
 	}
-	return answer{outcome: history.Broken}, nil
+	return requestResult{outcome: history.Broken}, nil
 }
 
-// readAnswer reads a complete answer, and sets whether the connection is reusable.
-func (c *conn) readAnswer() (answer, error) {
+// readResponse reads a complete response and sets c.reusable. It returns an error if the response is incomplete or
+// invalid.
+func (c *conn) readResponse() (requestResult, error) {
 	response, err := http.ReadResponse(c.reader, nil)
 	if err != nil {
-		return answer{}, err
+		return requestResult{}, err
 	}
 	defer response.Body.Close()
 	body, err := io.ReadAll(response.Body)
 	if err != nil {
-		return answer{}, err
+		return requestResult{}, err
 	}
 	c.reusable = !response.Close
-	return parseAnswer(response, body), nil
+	return parseResponse(response, body), nil
 }
 
-// outcomeOfEnd returns the outcome of a request whose context has ended: by its timeout, or with the experiment.
-func outcomeOfEnd(ctx context.Context) history.Outcome {
+// outcomeOfContextEnd returns the outcome of a request whose context has ended: Interrupted if the experiment has
+// ended, otherwise Unanswered.
+func outcomeOfContextEnd(ctx context.Context) history.Outcome {
 	if errors.Is(ctx.Err(), context.Canceled) {
 		return history.Interrupted
 	}
 	return history.Unanswered
 }
 
-// maxRetryAfterSeconds bounds the Retry-After that clients respect.
+// maxRetryAfterSeconds is the maximum Retry-After that clients respect. Longer ones are reduced to it.
 const maxRetryAfterSeconds = 3600
 
-// parseAnswer returns what a response says.
-func parseAnswer(response *http.Response, body []byte) answer {
-	got := answer{outcome: history.Errored, status: response.StatusCode}
+// parseResponse returns the result of a request from its response and the response's body.
+func parseResponse(response *http.Response, body []byte) requestResult {
+	got := requestResult{outcome: history.Errored, status: response.StatusCode}
 	switch response.StatusCode {
 	case http.StatusOK:
 		got.outcome = history.Succeeded
--- a/internal/testbed/loadgen/loadgen_test.go
+++ b/internal/testbed/loadgen/loadgen_test.go
@@ -21,7 +21,7 @@
 
 const ms = time.Millisecond
 
-// newTestGenerator returns a generator that sends to one address.
+// newTestGenerator returns a generator that sends calls to one address, by default for one operation.
 func newTestGenerator(address string, operations ...workload.Operation) *Generator {
 	startedAt := time.Now()
 	if len(operations) == 0 {
@@ -42,7 +42,7 @@
 	}
 }
 
-// summary returns what the generator has recorded.
+// summary returns the summary of the recorded calls.
 func (g *Generator) summary() metrics.Summary {
 	names := []string{}
 	for _, operation := range g.Operations {
@@ -51,7 +51,7 @@
 	return g.Recorder.Summary(names, nil)
 }
 
-// arrivalsEvery returns a schedule with a gap between arrivals.
+// arrivalsEvery returns a schedule with a constant gap between arrivals.
 func arrivalsEvery(gap, duration time.Duration) (schedule []workload.Arrival) {
 	for at := time.Duration(0); at < duration; at += gap {
 		schedule = append(schedule, workload.Arrival{At: at, Work: ms})
@@ -59,11 +59,11 @@
 	return schedule
 }
 
-// Checks that there is no coordinated omission: a server that pauses from 0.5 s to 1.5 s delays each of the 200 calls
-// due meanwhile to the end of the pause. By hand: of 400 calls in 2 s, 5 ms apart, call k of the pause waits 1000 - 5k
-// ms. p99 is the 396th in ascending order, which leaves four above it, so 980 ms; p90 the 360th, so 800 ms; p50 the
-// 200th, the last one that did not wait.
-func TestLatencyCountsFromTheIntendedTimeDuringAPause(t *testing.T) {
+// Guards against coordinated omission. A server pauses from 0.5 s to 1.5 s and delays each of the 200 calls scheduled
+// in that interval until the end of the pause. The schedule has 400 calls in 2 s, 5 ms apart, and call k of the pause
+// waits 1000 - 5k ms. p99 is the 396th latency in ascending order; four latencies are higher, so it is 980 ms. p90 is
+// the 360th, 800 ms. p50 is the 200th, which is the highest latency of a call that was not delayed.
+func TestLatencyIsMeasuredFromTheIntendedTimeDuringAPause(t *testing.T) {
 	startedAt := time.Now()
 	from, to := startedAt.Add(500*ms), startedAt.Add(1500*ms)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -84,9 +84,10 @@
 	assert.EqualValues(t, 400, got.Total.Answers["succeeded"])
 }
 
-// A paused dispatcher must still get calls, and each that it does not answer counts with the whole time waited.
+// Calls to a paused dispatcher must be sent and recorded with the full client timeout as latency. Otherwise, a pause
+// would not show in the latencies.
 func TestPausedDispatcherStillReceivesCalls(t *testing.T) {
-	ln, err := net.Listen("tcp", "127.0.0.1:0") // never accepted from: the kernel completes connections
+	ln, err := net.Listen("tcp", "127.0.0.1:0") // Accept is never called: the kernel establishes the connections
 	assert.NoError(t, err)
 	defer ln.Close()
 	generator := newTestGenerator(ln.Addr().String(), workload.Operation{
@@ -97,8 +98,8 @@
 	got := generator.summary()
 	assert.EqualValues(t, 200, got.Total.Answers["unanswered"])
 	assert.Zero(t, got.Generator.Unsent)
-	assert.GreaterOrEqual(t, got.All.P50, 299.0, "none is abandoned before its timeout")
-	assert.Len(t, generator.History.Check(history.RuleConfig{Operations: []history.Operation{{}}}), 200, "each one is lost")
+	assert.GreaterOrEqual(t, got.All.P50, 299.0, "no call ends before its timeout")
+	assert.Len(t, generator.History.Check(history.RuleConfig{Operations: []history.Operation{{}}}), 200, "each request is lost")
 }
 
 func TestOverloadedGeneratorIsReported(t *testing.T) {
@@ -117,20 +118,20 @@
 	assert.Equal(t, "1 of 1 calls were sent more than 10ms late", late.Generator.Reason)
 }
 
-func TestClientsRetryWhatTheOperationAllows(t *testing.T) {
-	answers := map[string][]int{"safe": {502, 200}, "once": {502, 200}, "rejected": {503, 503, 200}}
+func TestClientsRetryAsTheOperationAllows(t *testing.T) {
+	statuses := map[string][]int{"safe": {502, 200}, "once": {502, 200}, "rejected": {503, 503, 200}}
 	received, keys := map[string]*atomic.Int32{}, make(chan string, 10)
-	for name := range answers {
+	for name := range statuses {
 		received[name] = &atomic.Int32{}
 	}
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		name := r.Header.Get("Req-Kind")
 		retry := int(received[name].Add(1)) - 1
 		assert.Equal(t, retry > 0, r.Header.Get("Req-Retry") == "1")
-		if keys <- r.Header.Get("Idempotency-Key"); answers[name][retry] == 503 {
+		if keys <- r.Header.Get("Idempotency-Key"); statuses[name][retry] == 503 {
 			w.Header().Set("Retry-After", "0.05")
 		}
-		w.WriteHeader(answers[name][retry])
+		w.WriteHeader(statuses[name][retry])
 	}))
 	defer server.Close()
 	var operations []workload.Operation
@@ -149,13 +150,13 @@
 	got := generator.summary()
 	assert.Equal(t, map[string]int64{"succeeded": 2, "errored": 1}, got.Total.Answers)
 	assert.EqualValues(t, 1, received["once"].Load(), "a request that may have run is not retried")
-	assert.GreaterOrEqual(t, got.Operations[2].Latency.Max, 100.0, "both retries waited for Retry-After")
+	assert.GreaterOrEqual(t, got.Operations[2].Latency.Max, 100.0, "both retries wait for Retry-After")
 	close(keys)
 	seen := map[string]int{}
 	for key := range keys {
 		seen[key]++
 	}
-	assert.Equal(t, map[string]int{"": 3, "0000000000000009": 3}, seen, "retries carry the key of the first request")
+	assert.Equal(t, map[string]int{"": 3, "0000000000000009": 3}, seen, "retries have the key of the first request")
 }
 
 func TestRequestOnAClosedIdleConnectionIsSentAgainOnce(t *testing.T) {
@@ -169,7 +170,7 @@
 				return
 			}
 			c.Read(make([]byte, 1024))
-			if n < 2 { // answers once and closes on the next message; a third connection is closed at once
+			if n < 2 { // responds once, then closes; later connections close after the first message
 				io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 				c.Read(make([]byte, 1024))
 			}
@@ -177,14 +178,14 @@
 		}
 	}()
 	generator := newTestGenerator(ln.Addr().String())
-	for range 4 { // one after the other: on a busy machine the second could otherwise start before the first has ended
+	for range 4 { // sequentially: on a busy machine, the second call could otherwise start before the first has ended
 		generator.Run(context.Background(), []workload.Arrival{{}})
 	}
 	assert.Equal(t, map[string]int64{"succeeded": 2, "broken": 2}, generator.summary().Total.Answers,
-		"first; second on a new connection; third on a new one that ends; fourth on another that ends")
+		"call 1 succeeds; call 2 succeeds on a new connection; calls 3 and 4 fail on new connections that end")
 }
 
-func TestInterruptEndsOpenCallsAtOnce(t *testing.T) {
+func TestCancelledContextInterruptsOpenCallsAtOnce(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NoError(t, err)
 	defer ln.Close()
@@ -197,17 +198,17 @@
 	got := generator.summary()
 	assert.Equal(t, got.Total.Calls, got.Total.Answers["interrupted"])
 	assert.Positive(t, got.Total.Calls)
-	assert.Empty(t, generator.History.Check(history.RuleConfig{Operations: []history.Operation{{}}}), "an interrupted call violates no rule")
+	assert.Empty(t, generator.History.Check(history.RuleConfig{Operations: []history.Operation{{}}}), "interrupted calls violate no rule")
 }
 
-func TestFrontTierDetectsAFailureLateAndARecoveryAtOnce(t *testing.T) {
-	var answers, unhealthy atomic.Bool
-	answers.Store(true)
+func TestFrontTierDetectsAFailureAfterTheTimeoutAndARecoveryAtOnce(t *testing.T) {
+	var responds, unhealthy atomic.Bool
+	responds.Store(true)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		switch {
 		case unhealthy.Load():
 			w.WriteHeader(503)
-		case !answers.Load():
+		case !responds.Load():
 			panic(http.ErrAbortHandler)
 		}
 	}))
@@ -218,15 +219,15 @@
 	go func() { done <- frontTier.Run(ctx) }()
 	assert.Eventually(t, frontTier.Ready, 5*time.Second, ms)
 	failedAt := time.Now()
-	answers.Store(false)
+	responds.Store(false)
 	assert.Eventually(t, func() bool { return !frontTier.Ready() }, 5*time.Second, ms)
 	assert.GreaterOrEqual(t, time.Since(failedAt), 300*ms)
-	answers.Store(true)
+	responds.Store(true)
 	assert.Eventually(t, frontTier.Ready, 5*time.Second, ms)
 	unhealthy.Store(true)
 	failedAt = time.Now()
 	assert.Eventually(t, func() bool { return !frontTier.Ready() }, 5*time.Second, ms)
-	assert.Less(t, time.Since(failedAt), 300*ms, "a dispatcher that answers 503 is removed at once")
+	assert.Less(t, time.Since(failedAt), 300*ms, "a dispatcher that responds with 503 is removed at once")
 	cancel()
 	assert.NoError(t, <-done)
 }
--- a/internal/testbed/worker/dedup.go
+++ b/internal/testbed/worker/dedup.go
@@ -5,48 +5,48 @@
 	"time"
 )
 
-// DedupGroup deduplicates jobs among the workers that share it. Within the window from the start of the first job under a
-// key, other jobs under that key do not run. It is safe for concurrent use.
+// DedupGroup deduplicates jobs by idempotency key among the workers that share it. A key's dedup window begins when its
+// first job starts. Until it ends, other jobs with the key do not run. DedupGroup is safe for concurrent use.
 type DedupGroup struct {
 	window time.Duration
 
-	mu        sync.Mutex
-	firsts    map[string]*firstRun // by key
-	expiredAt time.Duration        // when expired keys were last removed
+	mu            sync.Mutex
+	firstJobs     map[string]*firstJob // by key
+	lastCleanupAt time.Duration        // time of the last removal of expired keys
 }
 
-// firstRun is the first job under a key.
-type firstRun struct {
-	id        string        // of the job
+// firstJob is the first job with a key.
+type firstJob struct {
+	id        string        // ID of the job
 	startedAt time.Duration // since the start of the experiment
 	done      bool
-	result    string // once it is done
+	result    string // valid if done
 }
 
-// keyState is what a dedup group knows of a key.
+// keyState is the state of a key in a dedup group.
 type keyState uint8
 
 const (
-	keyUnused  keyState = iota // no job has run within the window
-	keyRunning                 // the first job runs
+	keyUnused  keyState = iota // no job has started within the window
+	keyRunning                 // the first job is running
 	keyDone                    // the first job is done
 )
 
-// NewDedupGroup returns a group with a dedup window.
+// NewDedupGroup returns an empty group with the given dedup window.
 func NewDedupGroup(window time.Duration) *DedupGroup {
-	return &DedupGroup{window: window, firsts: map[string]*firstRun{}}
+	return &DedupGroup{window: window, firstJobs: map[string]*firstJob{}}
 }
 
-// start decides whether a job under a key runs. For keyUnused it must run; for keyDone the result is that of the first
-// job.
+// start returns the state of a key before the start of a job. For keyUnused, it records the job as the first job with
+// the key, and the caller must run the job. For keyDone, it also returns the result of the first job.
 func (g *DedupGroup) start(key, id string, now time.Duration) (result string, state keyState) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.expire(now)
-	first := g.firsts[key]
+	g.removeExpired(now)
+	first := g.firstJobs[key]
 	switch {
-	case first == nil || g.expired(first, now):
-		g.firsts[key] = &firstRun{id: id, startedAt: now}
+	case first == nil || g.isExpired(first, now):
+		g.firstJobs[key] = &firstJob{id: id, startedAt: now}
 		return "", keyUnused
 	case first.done:
 		return first.result, keyDone
@@ -54,39 +54,40 @@
 	return "", keyRunning
 }
 
-// expired reports whether the window of a job that is done has passed. The caller holds the lock.
-func (g *DedupGroup) expired(first *firstRun, now time.Duration) bool {
+// isExpired reports whether a job is done and its dedup window has passed. The caller holds the lock.
+func (g *DedupGroup) isExpired(first *firstJob, now time.Duration) bool {
 	return first.done && now >= first.startedAt+g.window
 }
 
-// complete records that the job with an ID, if it is the first under its key, is done.
+// complete records the result of a job if the job holds the key.
 func (g *DedupGroup) complete(key, id, result string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if first := g.firsts[key]; first != nil && first.id == id {
+	if first := g.firstJobs[key]; first != nil && first.id == id {
 		first.done = true
 		first.result = result
 	}
 }
 
-// release frees the key of a job that ended before it was done, so that the next one runs.
+// release frees the key of a job that ended before it was done, so that the next job with the key can run.
 func (g *DedupGroup) release(key, id string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if first := g.firsts[key]; first != nil && first.id == id && !first.done {
-		delete(g.firsts, key)
+	if first := g.firstJobs[key]; first != nil && first.id == id && !first.done {
+		delete(g.firstJobs, key)
 	}
 }
 
-// expire removes keys whose window has passed, once per window, to bound the memory. The caller holds the lock.
-func (g *DedupGroup) expire(now time.Duration) {
-	if now < g.expiredAt+g.window {
+// removeExpired removes keys whose window has passed, at most once per window, to limit memory use. The caller holds
+// the lock.
+func (g *DedupGroup) removeExpired(now time.Duration) {
+	if now < g.lastCleanupAt+g.window {
 		return
 	}
-	g.expiredAt = now
-	for key, first := range g.firsts {
-		if g.expired(first, now) {
-			delete(g.firsts, key)
+	g.lastCleanupAt = now
+	for key, first := range g.firstJobs {
+		if g.isExpired(first, now) {
+			delete(g.firstJobs, key)
 		}
 	}
 }
--- a/internal/testbed/worker/exchange.go
+++ b/internal/testbed/worker/exchange.go
@@ -14,27 +14,27 @@
 	"canvasroute/internal/testbed/history"
 )
 
-// Task is the body of a request in the testbed: the work that it stands for.
+// Task is the JSON body of a testbed request. It describes the work that the request simulates.
 type Task struct {
-	Operation int   `json:"operation"` // index
+	Operation int   `json:"operation"` // index of the operation
 	WorkUs    int64 `json:"work_us"`   // core time on a worker of standard speed, in microseconds
 }
 
-// Sizes of messages, in bytes.
+// Sizes of messages, in bytes, and the format of chunk lengths.
 const (
-	maxTaskBytes       = 64 << 10 // of the body of a request
-	typicalAnswerBytes = 512      // of an answer in chunks
-	hexadecimal        = 16       // base of the length of a chunk
+	maxTaskBytes         = 64 << 10 // body of a request
+	typicalResponseBytes = 512      // chunked response
+	chunkLengthBase      = 16       // base in which the length of a chunk is written
 )
 
-// Paths of the workers' protocol.
+// URL paths of the workers' protocol.
 const (
 	pathTask   = "/api"
 	pathHealth = "/ping"
 	pathLoad   = "/_load"
 )
 
-// The states of a job in the lines of an answer.
+// States of a job in response lines.
 const (
 	stateStarted  = "started"
 	stateRunning  = "running" // half of the work is done
@@ -42,55 +42,55 @@
 	stateReturned = "returned" // the job was never started
 )
 
-// exchange is an accepted attempt. Its lines are written to the connection that it came on.
+// exchange is an accepted attempt. Its response lines are written to the connection on which the attempt was received.
 type exchange struct {
-	lines   chan line
+	lines   chan responseLine
 	attempt *history.Attempt
-	muted   bool // nothing more is reported; guarded by the server's lock
+	muted   bool // no further lines are written; guarded by the server's lock
 }
 
-// line is a line of an answer.
-type line struct {
+// responseLine is a line of a response.
+type responseLine struct {
 	state  string
-	result string // of a job that is done
-	last   bool   // the answer ends with this line
+	result string // result of the job, for stateDone
+	last   bool   // the response ends with this line
 }
 
-// dispatcherConn is a connection of a dispatcher. While an attempt runs, a goroutine waits for what comes next: the end
-// of the connection, by which a dispatcher cancels the attempt, or the next message.
+// dispatcherConn is a connection from a dispatcher. While an attempt runs, a goroutine peeks at the connection. It
+// detects the next message, and also the end of the connection, by which a dispatcher cancels the attempt.
 type dispatcherConn struct {
 	net.Conn
-	reader         *bufio.Reader
-	next           chan error // result of the goroutine that waits; nil if there is none
-	messageStarted bool       // the first byte of the next message is there
+	reader       *bufio.Reader
+	peekResult   chan error // result of the peeking goroutine; nil if none is running
+	hasFirstByte bool       // the first byte of the next message has been received
 }
 
-// watch starts the goroutine that waits for what comes next, unless it runs.
-func (c *dispatcherConn) watch() {
-	if c.next == nil {
-		c.next = make(chan error, 1)
+// startPeek starts a goroutine that waits for the next byte or the end of the connection, unless one is running.
+func (c *dispatcherConn) startPeek() {
+	if c.peekResult == nil {
+		c.peekResult = make(chan error, 1)
 		go func() {
 			_, err := c.reader.Peek(1)
-			c.next <- err
+			c.peekResult <- err
 		}()
 	}
 }
 
-// awaitMessage waits for the first byte of the next message.
+// awaitMessage waits for the first byte of the next message. It returns an error if the connection ends first.
 func (c *dispatcherConn) awaitMessage() (err error) {
 	switch {
-	case c.messageStarted:
-	case c.next != nil:
-		err = <-c.next
+	case c.hasFirstByte:
+	case c.peekResult != nil:
+		err = <-c.peekResult
 	default:
 		_, err = c.reader.Peek(1)
 	}
-	c.next = nil
-	c.messageStarted = false
+	c.peekResult = nil
+	c.hasFirstByte = false
 	return err
 }
 
-// serveConn serves the attempts on one connection until it ends.
+// serveConn serves the attempts on one connection until the connection ends.
 func (s *Server) serveConn(conn net.Conn, dispatcher int, process *incarnation) {
 	defer process.removeConn(conn)
 	c := &dispatcherConn{Conn: conn, reader: bufio.NewReader(conn)}
@@ -111,22 +111,22 @@
 		}
 		c.SetReadDeadline(time.Time{})
 		attempt.ReceivedAt = s.fleet.clock()
-		if reusable := s.handle(c, received, attempt, process); !reusable || received.Close {
+		if reusable := s.handleMessage(c, received, attempt, process); !reusable || received.Close {
 			return
 		}
 	}
 }
 
-// errTaskTooLong means that the body of a request is longer than maxTaskBytes.
+// errTaskTooLong is returned if the body of a request is longer than maxTaskBytes.
 var errTaskTooLong = errors.New("task is too long")
 
-// message is a request of a dispatcher with its body.
+// message is an HTTP request from a dispatcher, with its body.
 type message struct {
 	*http.Request
 	body []byte
 }
 
-// readMessage reads a request and its body.
+// readMessage reads a request and its body. It returns errTaskTooLong if the body exceeds maxTaskBytes.
 func readMessage(reader *bufio.Reader) (message, error) {
 	request, err := http.ReadRequest(reader)
 	if err != nil {
@@ -139,23 +139,23 @@
 	return message{Request: request, body: body}, err
 }
 
-// handle answers one message. It reports whether the connection can be used for the next.
-func (s *Server) handle(c *dispatcherConn, request message, attempt history.Attempt, process *incarnation) bool {
+// handleMessage responds to one message. It reports whether the connection can be used for the next message.
+func (s *Server) handleMessage(c *dispatcherConn, request message, attempt history.Attempt, process *incarnation) bool {
 	id := request.Header.Get("Req-Id")
 	isProbe := request.Method == http.MethodGet && s.fleet.config.Probes
 	switch path := request.URL.Path; {
 	case isProbe && path == pathHealth:
-		return s.writeSimple(c, process, http.StatusOK, "", nil)
+		return s.writeResponse(c, process, http.StatusOK, "", nil)
 	case isProbe && path == pathLoad:
-		return s.writeSimple(c, process, http.StatusOK, "", s.loadReport())
+		return s.writeResponse(c, process, http.StatusOK, "", s.loadReport())
 	case path != pathTask, id == "":
-		return s.writeSimple(c, process, http.StatusNotFound, "", nil)
+		return s.writeResponse(c, process, http.StatusNotFound, "", nil)
 	}
 	record := s.fleet.history.AttemptReceived(id, attempt)
 	task, ok := s.parseTask(request.body)
 	if !ok {
 		s.fleet.history.AttemptEnded(record, history.Failed, "", s.fleet.clock())
-		return s.writeSimple(c, process, http.StatusBadRequest, "", nil)
+		return s.writeResponse(c, process, http.StatusBadRequest, "", nil)
 	}
 	if !process.waitWhilePaused() {
 		return false
@@ -163,25 +163,27 @@
 	if s.fleet.config.Instant {
 		return s.finishInstantly(c, id, record, process)
 	}
-	accepted, err := s.offer(s.job(id, request.Header.Get("Idempotency-Key"), task), record, process)
+	accepted, err := s.offerJob(s.newJob(id, request.Header.Get("Idempotency-Key"), task), record, process)
 	switch {
 	case errors.Is(err, errDeclined):
 		s.fleet.history.AttemptEnded(record, history.Returned, "", s.fleet.clock())
-		return s.writeSimple(c, process, http.StatusServiceUnavailable, "Srv-Declined: 1\r\n", nil)
+		return s.writeResponse(c, process, http.StatusServiceUnavailable, "Srv-Declined: 1\r\n", nil)
 	case err != nil:
 		return false
 	}
-	return s.stream(c, id, accepted, process)
+	return s.streamResponse(c, id, accepted, process)
 }
 
-// finishInstantly answers an attempt whose job takes no time.
+// finishInstantly writes the complete response to an attempt whose job takes no time. It reports whether the connection
+// can be used for the next message.
 func (s *Server) finishInstantly(c net.Conn, id string, record *history.Attempt, process *incarnation) bool {
-	done := line{state: stateDone, result: id, last: true}
+	done := responseLine{state: stateDone, result: id, last: true}
 	s.fleet.history.AttemptStarted(record, s.fleet.clock())
-	return s.finish(c, appendLine([]byte(responseHead), id, s.name, done), &exchange{attempt: record}, done, process)
+	return s.finishResponse(c, appendLine([]byte(responseHead), id, s.name, done), &exchange{attempt: record}, done, process)
 }
 
-// parseTask parses a body. ok is false if the operation is unknown or there is no work.
+// parseTask parses the body of a request. ok is false if the JSON is invalid, the operation is unknown or the work is
+// not positive.
 func (s *Server) parseTask(body []byte) (task Task, ok bool) {
 	if err := json.Unmarshal(body, &task); err != nil {
 		return task, false
@@ -190,9 +192,9 @@
 	return task, isKnown && task.WorkUs > 0
 }
 
-// writeSimple writes an answer that is not chunked, with additional header fields. It reports whether the connection
+// writeResponse writes a response that is not chunked, with additional header fields. It reports whether the connection
 // can be used for the next message.
-func (s *Server) writeSimple(c net.Conn, process *incarnation, status int, fields string, body []byte) bool {
+func (s *Server) writeResponse(c net.Conn, process *incarnation, status int, fields string, body []byte) bool {
 	if !process.waitWhilePaused() {
 		return false
 	}
@@ -202,25 +204,25 @@
 	return err == nil
 }
 
-// responseHead is the head of an answer in chunks.
+// responseHead is the status line and the header of a chunked response.
 const responseHead = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n"
 
-// stream writes the lines of an exchange as chunks until the last one, or until the dispatcher cancels. It reports
-// whether the connection can be used for the next message.
-func (s *Server) stream(c *dispatcherConn, id string, accepted *exchange, process *incarnation) bool {
-	defer func() { // covers a process that ended before the last line was written: only the first end counts
+// streamResponse writes the lines of an exchange as chunks until the last line, or until the dispatcher cancels the
+// attempt. It reports whether the connection can be used for the next message.
+func (s *Server) streamResponse(c *dispatcherConn, id string, accepted *exchange, process *incarnation) bool {
+	defer func() { // if the process ended before the last line was written; a later end of an attempt is ignored
 		if !process.waitWhilePaused() {
 			s.fleet.history.AttemptEnded(accepted.attempt, history.Crashed, "", s.fleet.clock())
 		}
 	}()
-	c.watch()
-	next := c.next
-	out := append(make([]byte, 0, typicalAnswerBytes), responseHead...)
+	c.startPeek()
+	peekResult := c.peekResult
+	out := append(make([]byte, 0, typicalResponseBytes), responseHead...)
 	for {
 		select {
-		case l := <-accepted.lines: // lines that are ready are written together
+		case l := <-accepted.lines: // available lines are written together
 			if out = appendLine(out, id, s.name, l); l.last {
-				return s.finish(c, out, accepted, l, process)
+				return s.finishResponse(c, out, accepted, l, process)
 			}
 			continue
 		default:
@@ -230,7 +232,7 @@
 				return false
 			}
 			if _, err := c.Write(out); err != nil {
-				s.abandon(id, accepted, process)
+				s.cancelJob(id, accepted, process)
 				return false
 			}
 			out = out[:0]
@@ -238,26 +240,27 @@
 		select {
 		case l := <-accepted.lines:
 			if out = appendLine(out, id, s.name, l); l.last {
-				return s.finish(c, out, accepted, l, process)
+				return s.finishResponse(c, out, accepted, l, process)
 			}
-		case err := <-next:
+		case err := <-peekResult:
 			if err != nil {
-				s.abandon(id, accepted, process)
+				s.cancelJob(id, accepted, process)
 				return false
 			}
-			c.messageStarted = true
-			c.next = nil
-			next = nil
+			c.hasFirstByte = true
+			c.peekResult = nil
+			peekResult = nil
 		case <-process.ended:
 			return false
 		}
 	}
 }
 
-// finish writes the last line and the end of the chunks. It reports whether the connection can be used for the next
-// message. A result is recorded before it is sent, as the client's answer could otherwise be recorded first. A return
-// is recorded once it has been sent, as only then it proves that the attempt never ran.
-func (s *Server) finish(c net.Conn, out []byte, accepted *exchange, l line, process *incarnation) bool {
+// finishResponse writes the buffered lines and the last chunk. It reports whether the connection can be used for the
+// next message. A result is recorded before it is sent; otherwise, the client's response could be recorded first. A
+// returned attempt is recorded after the line has been sent, because only then does the dispatcher have proof that the
+// attempt never ran.
+func (s *Server) finishResponse(c net.Conn, out []byte, accepted *exchange, l responseLine, process *incarnation) bool {
 	if !process.waitWhilePaused() {
 		return false
 	}
@@ -271,8 +274,8 @@
 	return err == nil
 }
 
-// appendLine appends a line of the answer to a request, as a chunk. from is the worker's name.
-func appendLine(b []byte, id, from string, l line) []byte {
+// appendLine appends a line of the response to request id, encoded as a chunk. from is the worker's name.
+func appendLine(b []byte, id, from string, l responseLine) []byte {
 	var text []byte
 	text = append(append(append(text, `{"id":"`...), id...), `","from":"`...)
 	text = append(append(append(text, from...), `","state":"`...), l.state...)
@@ -284,11 +287,12 @@
 	default:
 		text = append(text, `"}`...)
 	}
-	b = strconv.AppendInt(b, int64(len(text)+1), hexadecimal)
+	b = strconv.AppendInt(b, int64(len(text)+1), chunkLengthBase)
 	return append(append(append(b, "\r\n"...), text...), "\n\r\n"...)
 }
 
-// loadReport returns the load report under the names that the settings announce: in flight, queued, free slots.
+// loadReport returns the load report as JSON: the requests in flight, the queued requests and the free slots, under the
+// names declared in the dispatchers' settings. It returns nil if the worker is down.
 func (s *Server) loadReport() []byte {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/testbed/worker/fleet.go
+++ b/internal/testbed/worker/fleet.go
@@ -9,48 +9,49 @@
 	"canvasroute/internal/testbed/workload"
 )
 
-// Config is what all workers of a fleet have in common.
+// Config is the configuration that all workers of a fleet share.
 type Config struct {
 	Warmup      Warmup
-	IdleTimeout time.Duration // after which a connection without a message is closed
-	StartNotes  bool          // workers write a line when a job starts
-	Progress    bool          // workers write a line when half of a job is done
-	Probes      bool          // workers answer health checks and requests for their load
-	Instant     bool          // jobs take no time, to measure the dispatcher alone
+	IdleTimeout time.Duration // a connection that receives no message for this long is closed
+	StartNotes  bool          // workers write a response line when a job starts
+	Progress    bool          // workers write a response line when half of a job is done
+	Probes      bool          // workers respond to health checks and load requests
+	Instant     bool          // jobs complete immediately, to measure the dispatcher's own cost
 }
 
-// Deduplication is how workers deduplicate an operation.
-type Deduplication struct {
-	Scope  string        // workload.ScopeAll, ScopeZone or ScopeCell; "" for none
-	Window time.Duration // from the start of the first job
+// DedupConfig configures how workers deduplicate an operation.
+type DedupConfig struct {
+	Scope  string        // workload.ScopeAll, ScopeZone or ScopeCell; "" if the operation is not deduplicated
+	Window time.Duration // dedup window, from the start of the first job
 }
 
-// Fleet is all workers and what they share.
+// Fleet holds all workers of an experiment and their shared state.
 type Fleet struct {
 	config     Config
-	operations []Deduplication // by index of the operation
+	operations []DedupConfig // by operation index
 	history    *history.Log
 	clock      func() time.Duration // returns the time since the start of the experiment
-	overloaded func(worker int)     // called when a worker has crashed by overload; nil: nobody is notified
+	onOverload func(worker int)     // called when a worker has crashed by overload; may be nil
 
-	mu      sync.Mutex
-	groups  map[string]*DedupGroup // by operation and scope
-	servers []*Server              // by index
-	running sync.WaitGroup         // goroutines of all workers
+	mu          sync.Mutex
+	dedupGroups map[string]*DedupGroup // by operation and zone or cell
+	servers     []*Server              // by index
+	goroutines  sync.WaitGroup         // goroutines of all workers
 }
 
-// NewFleet returns an empty fleet. clock returns the time since the start of the experiment. overloaded is called, in a
-// goroutine of its own, when a warming-up worker has crashed because it was sent too much work.
-func NewFleet(config Config, operations []Deduplication, log *history.Log, clock func() time.Duration,
-	overloaded func(worker int),
+// NewFleet returns an empty fleet. clock returns the time since the start of the experiment. onOverload, unless nil, is
+// called in a separate goroutine when a warming-up worker has crashed because it was sent more work than its warm-up
+// budget.
+func NewFleet(config Config, operations []DedupConfig, log *history.Log, clock func() time.Duration,
+	onOverload func(worker int),
 ) *Fleet {
 	return &Fleet{
-		config: config, operations: operations, history: log, clock: clock, overloaded: overloaded,
-		groups: map[string]*DedupGroup{},
+		config: config, operations: operations, history: log, clock: clock, onOverload: onOverload,
+		dedupGroups: map[string]*DedupGroup{},
 	}
 }
 
-// Add adds a worker, which is down until it is started. It has an address for each of a number of dispatchers.
+// Add adds a worker, which is down until it is started. The worker listens on a separate address for each dispatcher.
 func (f *Fleet) Add(name string, kind Kind, zone, cell, dispatchers int) *Server {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -68,11 +69,11 @@
 	return s
 }
 
-// group returns the dedup group of an operation that a worker belongs to, nil if the operation is not deduplicated.
-func (f *Fleet) group(operation int, s *Server) *DedupGroup {
-	deduplication := f.operations[operation]
+// dedupGroup returns the dedup group of a worker for an operation, or nil if the operation is not deduplicated.
+func (f *Fleet) dedupGroup(operation int, s *Server) *DedupGroup {
+	config := f.operations[operation]
 	name := fmt.Sprint(operation, "/")
-	switch deduplication.Scope {
+	switch config.Scope {
 	case "":
 		return nil
 	case workload.ScopeZone:
@@ -82,12 +83,12 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	group := f.groups[name]
-	if group == nil {
-		group = NewDedupGroup(deduplication.Window)
-		f.groups[name] = group
+	dedupGroup := f.dedupGroups[name]
+	if dedupGroup == nil {
+		dedupGroup = NewDedupGroup(config.Window)
+		f.dedupGroups[name] = dedupGroup
 	}
-	return group
+	return dedupGroup
 }
 
 // Close crashes all workers and waits for their goroutines.
@@ -98,5 +99,5 @@
 	for _, s := range servers {
 		s.Crash()
 	}
-	f.running.Wait()
+	f.goroutines.Wait()
 }
--- a/internal/testbed/worker/incarnation.go
+++ b/internal/testbed/worker/incarnation.go
@@ -5,14 +5,14 @@
 	"sync"
 )
 
-// incarnation is one process of a worker: its machine and its connections. While it is paused or partitioned, nothing is
-// read or written.
+// incarnation is one process of a worker: its machine and its connections. While the process is paused or partitioned,
+// it neither reads nor writes on its connections.
 type incarnation struct {
 	number    int                  // from 0
 	machine   *Machine             // guarded by the server's lock
-	exchanges map[string]*exchange // by ID of the request; guarded by the server's lock
-	ended     chan struct{}        // closed at the end of the process
-	wake      chan struct{}        // has the timer look for the next event again
+	exchanges map[string]*exchange // by request ID; guarded by the server's lock
+	ended     chan struct{}        // closed when the process ends
+	wake      chan struct{}        // signals the timer goroutine that the machine's next event may have changed
 	listeners []net.Listener       // by dispatcher
 
 	mu      sync.Mutex
@@ -21,15 +21,15 @@
 	resumed chan struct{} // nil unless paused; closed on resume
 }
 
-// wakeUp has the timer look for the machine's next event again, as it may be earlier now.
-func (p *incarnation) wakeUp() {
+// wakeTimer makes the timer goroutine recompute the time of the machine's next event, which may now be earlier.
+func (p *incarnation) wakeTimer() {
 	select {
 	case p.wake <- struct{}{}:
 	default:
 	}
 }
 
-// waitWhilePaused waits until the process is not paused, and reports whether it still runs.
+// waitWhilePaused blocks while the process is paused. It reports whether the process is still running.
 func (p *incarnation) waitWhilePaused() bool {
 	p.mu.Lock()
 	resumed, closed := p.resumed, p.closed
@@ -45,7 +45,7 @@
 	}
 }
 
-// pause makes waitWhilePaused wait.
+// pause pauses the process: waitWhilePaused blocks until resume.
 func (p *incarnation) pause() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -54,7 +54,7 @@
 	}
 }
 
-// resume ends a pause, if there is one.
+// resume ends a pause. It does nothing if the process is not paused.
 func (p *incarnation) resume() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -64,7 +64,7 @@
 	}
 }
 
-// addConn adds a connection that close will reset. It reports false if the process has ended.
+// addConn registers a connection, which close resets. It returns false if the process has ended.
 func (p *incarnation) addConn(conn net.Conn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -74,7 +74,7 @@
 	return !p.closed
 }
 
-// removeConn closes a connection.
+// removeConn unregisters and closes a connection.
 func (p *incarnation) removeConn(conn net.Conn) {
 	p.mu.Lock()
 	delete(p.conns, conn)
@@ -82,7 +82,7 @@
 	conn.Close()
 }
 
-// close ends the process: it resets its connections and listens no longer.
+// close ends the process: it closes the listeners and resets the connections.
 func (p *incarnation) close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -96,7 +96,7 @@
 	}
 	for conn := range p.conns {
 		if tcp, ok := conn.(*net.TCPConn); ok {
-			_ = tcp.SetLinger(0) // reset, as the kernel does for a killed process
+			_ = tcp.SetLinger(0) // sends a reset, as the kernel does for a killed process
 		}
 		conn.Close()
 	}
--- a/internal/testbed/worker/machine.go
+++ b/internal/testbed/worker/machine.go
@@ -1,5 +1,5 @@
-// Package worker is a stand-in for the platform's workers. Machine, which does no I/O and gets the time as an argument,
-// simulates the execution of jobs. Server puts machines on sockets and speaks the workers' protocol.
+// Package worker simulates the platform's workers. Machine simulates the execution of jobs; it does no I/O and takes
+// the time as an argument. Server makes machines available on TCP sockets and implements the workers' protocol.
 package worker
 
 import (
@@ -14,20 +14,21 @@
 // Kind is one [[fleet.kind]] of an experiment file.
 type Kind struct {
 	Name  string `toml:"name"`
-	Cores int    `toml:"cores"` // jobs that run at once
-	Queue int    `toml:"queue"` // jobs that wait; more are declined
+	Cores int    `toml:"cores"` // number of jobs that run concurrently
+	Queue int    `toml:"queue"` // number of jobs that can wait; further jobs are declined
 	Count int    `toml:"count"`
 }
 
-// Warmup is how a worker behaves after its start, with the parameters that dispatchers get in their settings.
+// Warmup describes how a worker's capacity grows after its start. Dispatchers get the same parameters in their
+// settings.
 type Warmup struct {
-	InitialShare     float64       // share of its capacity at the start, above 0
-	Duration         time.Duration // until it has its full capacity; 0: at once
-	OverloadMultiple float64       // of its current capacity: a worker that is sent more work within the span crashes; 0: none does
-	OverloadSpan     time.Duration // over which sent work is summed
+	InitialShare     float64       // share of the full capacity at the start, above 0
+	Duration         time.Duration // from the start to the full capacity; 0: full capacity at the start
+	OverloadMultiple float64       // warm-up budget as a multiple of the current capacity; 0: workers have no budget
+	OverloadSpan     time.Duration // time over which sent work is summed; above its budget, a worker crashes
 }
 
-// Factor returns the share of its capacity that a worker has at an age. It grows linearly.
+// Factor returns the share of its full capacity that a worker has at an age. The share grows linearly.
 func (w Warmup) Factor(age time.Duration) float64 {
 	if w.Duration <= 0 || age >= w.Duration {
 		return 1
@@ -35,79 +36,79 @@
 	return w.InitialShare + (1-w.InitialShare)*age.Seconds()/w.Duration.Seconds()
 }
 
-// budget returns the work that a worker with a number of cores may be sent within the span, at a warm-up factor.
+// budget returns the work that may be sent to a worker within the overload span, at a warm-up factor.
 func (w Warmup) budget(factor float64, cores int) time.Duration {
 	return time.Duration(w.OverloadMultiple * factor * float64(cores) * float64(w.OverloadSpan))
 }
 
-// Job is an attempt at a worker.
+// Job is the work of an attempt on a worker.
 type Job struct {
 	ID    string
 	Work  time.Duration // core time on a worker of standard speed
 	Key   string        // idempotency key, "" for none
-	Group *DedupGroup   // that deduplicates by the key, nil for none
+	Group *DedupGroup   // deduplicates by the key; nil if the job is not deduplicated
 }
 
 // Verdict is the machine's decision on an offered job.
 type Verdict uint8
 
-// The values of Verdict.
+// Values of Verdict.
 const (
 	Accepted   Verdict = iota
-	Declined           // full or draining: the job never runs
+	Declined           // the worker is full or draining: the job never runs
 	Overloaded         // the job exceeds the warm-up budget: the process crashes
 )
 
-// EventKind is what happened to a job.
+// EventKind is the kind of an Event.
 type EventKind uint8
 
-// The values of EventKind.
+// Values of EventKind.
 const (
 	Started EventKind = iota + 1
 	Halfway
 	Finished
-	Deduplicated // another job under the same key has run; Result is that job's
+	Deduplicated // another job with the same key has run; Result is the result of that job
 )
 
-// Event is something that happened to a job.
+// Event is a state change of a job.
 type Event struct {
 	ID     string
 	Kind   EventKind
 	Result string
 }
 
-// acceptedJob is a job that waits or runs, and its progress.
+// acceptedJob is a waiting or running job and its progress.
 type acceptedJob struct {
 	Job
 	remaining    time.Duration // work left
 	halfReported bool          // Halfway has been reported
 }
 
-// Machine is one incarnation of a worker's process: cores that run jobs, and a FIFO queue before them. Times are since
-// the start of the experiment.
+// Machine simulates one incarnation of a worker's process: cores that run jobs, and a FIFO queue. Times are since the
+// start of the experiment. Machine is not safe for concurrent use.
 type Machine struct {
-	kind            Kind
-	warmup          Warmup
-	now             time.Duration // up to which it is simulated
-	startedAt       time.Duration // so long ago that it is warm, for a worker that starts warm
-	speed           float64       // factor of the normal speed; 0 while paused
-	draining        bool
-	running         []*acceptedJob // at most one a core
-	queue           []*acceptedJob
-	waitingForFirst []*acceptedJob         // for a job under the same key that runs elsewhere
-	recent          []recentJob            // sent within the overload span, while warming up
-	result          func(id string) string // returns the result of a job
+	kind          Kind
+	warmup        Warmup
+	now           time.Duration // time up to which the machine has been simulated
+	startedAt     time.Duration // for a worker that starts warm, one warm-up duration before the actual start
+	speed         float64       // factor of the normal speed; 0 while paused
+	draining      bool
+	running       []*acceptedJob // at most one per core
+	queue         []*acceptedJob
+	waitingForKey []*acceptedJob         // jobs that wait for the running job with the same key
+	recent        []recentJob            // jobs sent within the overload span, while warming up
+	result        func(id string) string // returns the result of a job
 }
 
-// recentJob is a job that a warming-up worker was sent.
+// recentJob is a job that was sent to a warming-up worker.
 type recentJob struct {
-	at   time.Duration
-	work time.Duration
-	id   string
+	sentAt time.Duration
+	work   time.Duration
+	id     string
 }
 
-// HeaviestRecent describes the jobs sent within the warm-up span, up to limit of them, largest first.
-func (m *Machine) HeaviestRecent(limit int) string {
+// DescribeRecentJobs returns a text that lists up to limit of the jobs sent within the overload span, largest first.
+func (m *Machine) DescribeRecentJobs(limit int) string {
 	all := slices.Clone(m.recent)
 	slices.SortStableFunc(all, func(a, b recentJob) int { return cmp.Compare(b.work, a.work) })
 	var words []string
@@ -117,25 +118,25 @@
 	return fmt.Sprintf("%d sent: %s", len(all), strings.Join(words, ", "))
 }
 
-// NewMachine starts a process that warms up. result returns the result of a job.
+// NewMachine returns a machine whose warm-up begins now. result returns the result of a job.
 func NewMachine(kind Kind, warmup Warmup, now time.Duration, result func(id string) string) *Machine {
 	return &Machine{kind: kind, warmup: warmup, now: now, startedAt: now, speed: 1, result: result}
 }
 
-// NewWarmMachine starts a process that has its full capacity at once.
+// NewWarmMachine returns a machine that has its full capacity from the start. result returns the result of a job.
 func NewWarmMachine(kind Kind, warmup Warmup, now time.Duration, result func(id string) string) *Machine {
 	machine := NewMachine(kind, warmup, now, result)
 	machine.startedAt = now - warmup.Duration
 	return machine
 }
 
-// WarmupFactor returns the share of its capacity that the machine has at a time.
+// WarmupFactor returns the share of its full capacity that the machine has at the time now.
 func (m *Machine) WarmupFactor(now time.Duration) float64 {
 	return m.warmup.Factor(now - m.startedAt)
 }
 
-// workByAge returns the work that one core at normal speed does from the start to an age: the integral of the warm-up
-// factor. Both are in seconds.
+// workByAge returns the work that one core at normal speed does from the start until an age, which is the integral of
+// the warm-up factor. Work and age are in seconds.
 func (m *Machine) workByAge(age float64) float64 {
 	ramp := m.warmup.Duration.Seconds()
 	within := min(age, ramp)
@@ -146,32 +147,34 @@
 	return done
 }
 
-// ageAfterWork returns the age at which one core at normal speed has done some work. It is the inverse of workByAge.
+// ageAfterWork returns the age at which one core at normal speed has done an amount of work. It is the inverse of
+// workByAge, with work and age in seconds.
 func (m *Machine) ageAfterWork(done float64) float64 {
-	ramp, from := m.warmup.Duration.Seconds(), m.warmup.InitialShare
+	ramp, initialShare := m.warmup.Duration.Seconds(), m.warmup.InitialShare
 	rampWork := m.workByAge(ramp)
 	if ramp <= 0 || done >= rampWork {
 		return ramp + done - rampWork
 	}
-	slope := (1 - from) / ramp
+	slope := (1 - initialShare) / ramp
 	if slope <= 0 {
-		return done / from
+		return done / initialShare
 	}
-	return 2 * done / (from + math.Sqrt(from*from+2*slope*done))
+	return 2 * done / (initialShare + math.Sqrt(initialShare*initialShare+2*slope*done))
 }
 
-// workBetween returns the work that a core does between two times at the current speed, in seconds.
+// workBetween returns the work, in seconds, that a core does between two times at the current speed.
 func (m *Machine) workBetween(from, to time.Duration) float64 {
 	return m.speed * (m.workByAge((to - m.startedAt).Seconds()) - m.workByAge((from - m.startedAt).Seconds()))
 }
 
-// never is a time after all others.
+// never is the time of an event that does not occur. It is later than all other times.
 const never = time.Duration(math.MaxInt64)
 
-// maxAge is the age in seconds beyond which work counts as never done, as its time would overflow.
+// maxAge is the highest finish age of work, in seconds. Work with a higher finish age never finishes, because the
+// finish time would overflow.
 const maxAge = 1e9
 
-// finishTime returns when work that runs from now on will be done, or never.
+// finishTime returns the time at which the work left of a running job will be done, or never.
 func (m *Machine) finishTime(left time.Duration) time.Duration {
 	if m.speed <= 0 {
 		return never
@@ -183,41 +186,42 @@
 	return m.startedAt + time.Duration(math.Ceil(age*float64(time.Second)))
 }
 
-// SetSpeed sets the factor of the normal speed from now on. It is less than 1 for a slow or shared machine, and 0 for a
-// paused one.
+// SetSpeed sets the factor of the normal speed from the time now on, and returns the events until then. The factor is
+// less than 1 for a slow or shared machine, and 0 for a paused one.
 func (m *Machine) SetSpeed(now time.Duration, speed float64) []Event {
 	events := m.Advance(now)
 	m.speed = speed
 	return events
 }
 
-// Drain makes the machine decline new jobs. Running jobs continue. It returns the IDs of the waiting jobs, which never
-// run.
+// Drain makes the machine decline new jobs. Running jobs continue. Drain returns the events until now and the IDs of
+// the waiting jobs, which it removes without running them.
 func (m *Machine) Drain(now time.Duration) (events []Event, unstarted []string) {
 	events = m.Advance(now)
 	m.draining = true
-	for _, waiting := range append(m.queue, m.waitingForFirst...) {
+	for _, waiting := range append(m.queue, m.waitingForKey...) {
 		unstarted = append(unstarted, waiting.ID)
 	}
 	m.queue = nil
-	m.waitingForFirst = nil
+	m.waitingForKey = nil
 	return events, unstarted
 }
 
-// OfferResult is the outcome of an offer. SentWork and Budget are 0 for a worker that does not warm up.
+// OfferResult is the result of Machine.Offer. SentWork and Budget are 0 unless the worker is warming up and has a
+// budget.
 type OfferResult struct {
 	Verdict  Verdict
 	Events   []Event
-	SentWork time.Duration // core time sent within the span, this job included
-	Budget   time.Duration // core time allowed within the span
+	SentWork time.Duration // core time sent within the overload span, including this job
+	Budget   time.Duration // core time allowed within the overload span
 }
 
-// Offer decides on a job that a dispatcher sends, and queues or starts an accepted one. A declined job counts against the
-// warm-up budget as well.
+// Offer accepts or declines a job that a dispatcher sends. It starts an accepted job, or queues it if the job cannot
+// start yet. Declined jobs count against the warm-up budget too.
 func (m *Machine) Offer(now time.Duration, job Job) OfferResult {
 	result := OfferResult{Events: m.Advance(now)}
 	if factor := m.WarmupFactor(now); factor < 1 && m.warmup.OverloadMultiple > 0 {
-		result.SentWork = m.countRecent(now, job)
+		result.SentWork = m.addRecentJob(now, job)
 		result.Budget = m.warmup.budget(factor, m.kind.Cores)
 		if result.SentWork > result.Budget {
 			result.Verdict = Overloaded
@@ -235,17 +239,17 @@
 	return result
 }
 
-// countRecent adds a job to those sent within the overload span, and returns their work.
-func (m *Machine) countRecent(now time.Duration, job Job) (sentWork time.Duration) {
-	expired := func(r recentJob) bool { return r.at <= now-m.warmup.OverloadSpan }
-	m.recent = append(slices.DeleteFunc(m.recent, expired), recentJob{at: now, work: job.Work, id: job.ID})
+// addRecentJob adds a job to the jobs sent within the overload span, and returns the sum of their work.
+func (m *Machine) addRecentJob(now time.Duration, job Job) (sentWork time.Duration) {
+	expired := func(r recentJob) bool { return r.sentAt <= now-m.warmup.OverloadSpan }
+	m.recent = append(slices.DeleteFunc(m.recent, expired), recentJob{sentAt: now, work: job.Work, id: job.ID})
 	for _, recent := range m.recent {
 		sentWork += recent.work
 	}
 	return sentWork
 }
 
-// Cancel removes a job. Its work is lost, and another job under its key may run.
+// Cancel removes a job. Its work is lost, and another job with its key can run. Cancel returns the events until now.
 func (m *Machine) Cancel(now time.Duration, id string) []Event {
 	events := m.Advance(now)
 	isCancelled := func(job *acceptedJob) bool { return job.ID == id }
@@ -256,21 +260,22 @@
 	}
 	m.running = slices.DeleteFunc(m.running, isCancelled)
 	m.queue = slices.DeleteFunc(m.queue, isCancelled)
-	m.waitingForFirst = slices.DeleteFunc(m.waitingForFirst, isCancelled)
+	m.waitingForKey = slices.DeleteFunc(m.waitingForKey, isCancelled)
 	return m.startQueued(events)
 }
 
-// Stop ends the process. Other jobs under the keys of running ones may run elsewhere.
+// Stop ends the process and removes all jobs. Other jobs with the keys of the running jobs can then run on other
+// workers.
 func (m *Machine) Stop() {
 	for _, job := range m.running {
 		job.releaseKey()
 	}
 	m.running = nil
 	m.queue = nil
-	m.waitingForFirst = nil
+	m.waitingForKey = nil
 }
 
-// releaseKey lets another job under the same key run, if the job has one.
+// releaseKey lets another job with the same key run. It does nothing for a job that is not deduplicated.
 func (j *acceptedJob) releaseKey() {
 	if j.Group != nil {
 		j.Group.release(j.Key, j.ID)
@@ -280,7 +285,7 @@
 // Load returns the number of running and queued jobs.
 func (m *Machine) Load() (running, queued int) { return len(m.running), len(m.queue) }
 
-// Advance simulates up to a time, and returns the events until then.
+// Advance simulates the machine up to the time now, and returns the events until then.
 func (m *Machine) Advance(now time.Duration) (events []Event) {
 	for {
 		next, due := now, false
@@ -297,7 +302,7 @@
 	}
 }
 
-// workUntilEvent returns the work left until the job's next event.
+// workUntilEvent returns the work left until the job's next event: Halfway or Finished.
 func (j *acceptedJob) workUntilEvent() time.Duration {
 	if half := j.remaining - j.Work/2; !j.halfReported && half > 0 {
 		return half
@@ -305,13 +310,13 @@
 	return j.remaining
 }
 
-// roundingError bounds the error of times and work that are rounded. Work below it counts as done.
+// roundingError is the maximum error of rounded times and work. Work left up to this limit counts as done.
 const roundingError = time.Microsecond
 
-// finished reports whether the job's work is done.
-func (j *acceptedJob) finished() bool { return j.remaining <= roundingError }
+// isFinished reports whether the job's work is done.
+func (j *acceptedJob) isFinished() bool { return j.remaining <= roundingError }
 
-// step does the work up to a time that is not after the next event.
+// step simulates running jobs up to a time, which must not be later than the next event. It appends to events.
 func (m *Machine) step(at time.Duration, events []Event) []Event {
 	workDone := time.Duration(math.Round(m.workBetween(m.now, at) * float64(time.Second)))
 	m.now = at
@@ -321,7 +326,7 @@
 			job.halfReported = true
 			events = append(events, Event{ID: job.ID, Kind: Halfway})
 		}
-		if job.finished() {
+		if job.isFinished() {
 			result := m.result(job.ID)
 			if job.Group != nil {
 				job.Group.complete(job.Key, job.ID, result)
@@ -329,17 +334,17 @@
 			events = append(events, Event{ID: job.ID, Kind: Finished, Result: result})
 		}
 	}
-	m.running = slices.DeleteFunc(m.running, (*acceptedJob).finished)
+	m.running = slices.DeleteFunc(m.running, (*acceptedJob).isFinished)
 	return m.startQueued(events)
 }
 
-// startQueued starts waiting jobs in order while cores are free. Deduplicated jobs need no core.
+// startQueued starts waiting jobs in FIFO order while cores are free. It appends to events.
 func (m *Machine) startQueued(events []Event) []Event {
 	if m.speed <= 0 {
 		return events
 	}
-	waiting := m.waitingForFirst
-	m.waitingForFirst = nil
+	waiting := m.waitingForKey
+	m.waitingForKey = nil
 	for _, job := range waiting {
 		events = m.start(job, events)
 	}
@@ -351,12 +356,13 @@
 	return events
 }
 
-// start starts a job on a core, unless another job under its key runs or has run.
+// start starts a job on a core, unless another job with its key is running or has run. In the first case the job waits
+// for that job; in the second case it gets the result of that job and needs no core.
 func (m *Machine) start(job *acceptedJob, events []Event) []Event {
 	if job.Group != nil {
 		switch result, state := job.Group.start(job.Key, job.ID, m.now); state {
 		case keyRunning:
-			m.waitingForFirst = append(m.waitingForFirst, job)
+			m.waitingForKey = append(m.waitingForKey, job)
 			return events
 		case keyDone:
 			return append(events, Event{ID: job.ID, Kind: Deduplicated, Result: result})
@@ -366,16 +372,16 @@
 	return append(events, Event{ID: job.ID, Kind: Started})
 }
 
-// duplicateCheckInterval is how often a job checks whether another one under its key has ended.
+// duplicateCheckInterval is the interval at which a waiting job checks whether the running job with its key has ended.
 const duplicateCheckInterval = 5 * time.Millisecond
 
-// NextEvent returns the time of the next event without further calls. found is false if there is none.
+// NextEvent returns the time of the next event if no other method is called before. found is false if there is none.
 func (m *Machine) NextEvent() (at time.Duration, found bool) {
 	at = never
 	for _, job := range m.running {
 		at = min(at, m.finishTime(job.workUntilEvent()))
 	}
-	if len(m.waitingForFirst) > 0 && m.speed > 0 {
+	if len(m.waitingForKey) > 0 && m.speed > 0 {
 		at = min(at, m.now+duplicateCheckInterval)
 	}
 	return at, at < never
--- a/internal/testbed/worker/server.go
+++ b/internal/testbed/worker/server.go
@@ -11,7 +11,7 @@
 	"canvasroute/internal/testbed/history"
 )
 
-// Server is a worker on sockets. It has a listener for each dispatcher, so that it knows which one sends.
+// Server is a worker with TCP listeners. It has a listener for each dispatcher, to identify the sender of an attempt.
 type Server struct {
 	fleet *Fleet
 	index int
@@ -21,17 +21,17 @@
 	cell  int // index
 
 	mu            sync.Mutex
-	current       *incarnation  // nil while it is down
-	incarnations  int           // started so far
-	startedAt     time.Duration // of the current or last process, since the start of the experiment; 0 if it started warm
+	current       *incarnation  // nil while the worker is down
+	incarnations  int           // number of processes started so far
+	startedAt     time.Duration // see StartedAt
 	addresses     []string      // by dispatcher; "" before the first start
 	speed         float64       // factor of the normal speed
-	muted         bool          // jobs that start from now on are not reported
+	muted         bool          // jobs that start while this is set report neither progress nor results
 	maxWarmupLoad float64       // see MaxWarmupLoad
 }
 
-// Start starts a process that warms up, unless one runs. It listens on the addresses of the process before, or on new
-// ones if those are taken.
+// Start starts a process that warms up, unless one is running. The process listens on the addresses of the previous
+// process. An address that is in use is replaced by a new one.
 func (s *Server) Start() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -45,7 +45,7 @@
 	return nil
 }
 
-// StartWarm does what Start does, with a process that has its full capacity at once.
+// StartWarm is like Start, but the process has its full capacity from the start.
 func (s *Server) StartWarm() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -62,7 +62,8 @@
 // machineConstructor is the type of NewMachine and NewWarmMachine.
 type machineConstructor func(kind Kind, warmup Warmup, now time.Duration, result func(id string) string) *Machine
 
-// startProcess starts a process with a new machine. The caller holds the lock.
+// startProcess starts a process with a new machine. It returns an error if the process cannot listen. The caller holds
+// the lock.
 func (s *Server) startProcess(construct machineConstructor) error {
 	number := s.incarnations
 	result := func(id string) string { return fmt.Sprintf("%s by %s.%d", id, s.name, number) }
@@ -87,13 +88,13 @@
 	s.current = process
 	s.incarnations++
 	for dispatcher, ln := range process.listeners {
-		s.fleet.running.Go(func() { s.acceptConns(ln, dispatcher, process) })
+		s.fleet.goroutines.Go(func() { s.acceptConns(ln, dispatcher, process) })
 	}
-	s.fleet.running.Go(func() { s.runTimer(process) })
+	s.fleet.goroutines.Go(func() { s.runTimer(process) })
 	return nil
 }
 
-// listen listens on an address, or on a new one if it is empty or taken.
+// listen listens on an address, or on a new one if the address is empty or in use.
 func listen(address string) (net.Listener, error) {
 	if address != "" {
 		if ln, err := net.Listen("tcp", address); err == nil {
@@ -105,7 +106,7 @@
 	return net.Listen("tcp", "127.0.0.1:0")
 }
 
-// acceptConns accepts the connections of a dispatcher until the process ends.
+// acceptConns accepts connections from a dispatcher until the process ends.
 func (s *Server) acceptConns(ln net.Listener, dispatcher int, process *incarnation) {
 	for {
 		conn, err := ln.Accept()
@@ -116,23 +117,23 @@
 			conn.Close()
 			return
 		}
-		s.fleet.running.Go(func() { s.serveConn(conn, dispatcher, process) })
+		s.fleet.goroutines.Go(func() { s.serveConn(conn, dispatcher, process) })
 	}
 }
 
-// idleTimer is how long the timer waits while no event is due.
-const idleTimer = time.Hour
+// idleTimerWait is the wait of the timer goroutine if the machine has no next event.
+const idleTimerWait = time.Hour
 
-// runTimer advances the machine when its next event is due, until the process ends.
+// runTimer advances the machine at the time of each event until the process ends.
 func (s *Server) runTimer(process *incarnation) {
-	timer := time.NewTimer(idleTimer)
+	timer := time.NewTimer(idleTimerWait)
 	defer timer.Stop()
 	for {
 		s.mu.Lock()
-		s.deliver(process, process.machine.Advance(s.fleet.clock()))
+		s.deliverEvents(process, process.machine.Advance(s.fleet.clock()))
 		nextAt, found := process.machine.NextEvent()
 		s.mu.Unlock()
-		wait := idleTimer
+		wait := idleTimerWait
 		if found {
 			wait = max(nextAt-s.fleet.clock(), 0)
 		}
@@ -146,8 +147,8 @@
 	}
 }
 
-// deliver passes events to their exchanges. The caller holds the lock.
-func (s *Server) deliver(process *incarnation, events []Event) {
+// deliverEvents records events and sends response lines to their exchanges. The caller holds the lock.
+func (s *Server) deliverEvents(process *incarnation, events []Event) {
 	for _, event := range events {
 		accepted := process.exchanges[event.ID]
 		if accepted == nil {
@@ -157,12 +158,12 @@
 		case Started:
 			s.fleet.history.AttemptStarted(accepted.attempt, s.fleet.clock())
 			if s.fleet.config.StartNotes {
-				accepted.lines <- line{state: stateStarted}
+				accepted.lines <- responseLine{state: stateStarted}
 			}
 			accepted.muted = s.muted
 		case Halfway:
 			if s.fleet.config.Progress && !accepted.muted {
-				accepted.lines <- line{state: stateRunning}
+				accepted.lines <- responseLine{state: stateRunning}
 			}
 		case Finished, Deduplicated:
 			delete(process.exchanges, event.ID)
@@ -171,7 +172,7 @@
 	}
 }
 
-// deliverResult passes the result of a job to its exchange, unless the worker is muted. The caller holds the lock.
+// deliverResult sends the result of a job to its exchange, unless the exchange is muted. The caller holds the lock.
 func (s *Server) deliverResult(accepted *exchange, event Event) {
 	if accepted.muted {
 		s.fleet.history.AttemptEnded(accepted.attempt, history.NeverReported, event.Result, s.fleet.clock())
@@ -180,13 +181,13 @@
 	if event.Kind == Deduplicated {
 		s.fleet.history.AttemptEnded(accepted.attempt, history.Deduplicated, event.Result, s.fleet.clock())
 	}
-	accepted.lines <- line{state: stateDone, result: event.Result, last: true}
+	accepted.lines <- responseLine{state: stateDone, result: event.Result, last: true}
 }
 
-// maxReportedJobs is how many recent jobs the report of an overload lists.
+// maxReportedJobs is the maximum number of recent jobs that the report of an overload lists.
 const maxReportedJobs = 12
 
-// maxLines is the most lines that an exchange can have, so that writing to its channel never blocks.
+// maxLines is the capacity of an exchange's line channel. No exchange has more lines, so that sending never blocks.
 const maxLines = 4
 
 // errDeclined means that the worker is full or draining, or runs another attempt of the same request.
@@ -195,8 +196,8 @@
 // errProcessEnded means that the worker's process has ended, perhaps because of the offered job.
 var errProcessEnded = errors.New("process has ended")
 
-// offer offers a job to the machine. It returns errDeclined or errProcessEnded if the job was not accepted.
-func (s *Server) offer(job Job, attempt *history.Attempt, process *incarnation) (*exchange, error) {
+// offerJob offers a job to the machine. It returns errDeclined or errProcessEnded if the job was not accepted.
+func (s *Server) offerJob(job Job, attempt *history.Attempt, process *incarnation) (*exchange, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.current != process {
@@ -205,13 +206,13 @@
 	if process.exchanges[job.ID] != nil {
 		return nil, errDeclined
 	}
-	accepted := &exchange{lines: make(chan line, maxLines), attempt: attempt}
+	accepted := &exchange{lines: make(chan responseLine, maxLines), attempt: attempt}
 	process.exchanges[job.ID] = accepted
 	result := process.machine.Offer(s.fleet.clock(), job)
 	if result.Verdict != Accepted {
 		delete(process.exchanges, job.ID)
 	}
-	s.deliver(process, result.Events)
+	s.deliverEvents(process, result.Events)
 	if result.Budget > 0 {
 		s.maxWarmupLoad = max(s.maxWarmupLoad, result.SentWork.Seconds()/result.Budget.Seconds())
 	}
@@ -219,24 +220,25 @@
 	case Declined:
 		return nil, errDeclined
 	case Overloaded:
-		s.overload(job.ID, attempt.Dispatcher, result, process.machine)
+		s.crashOverloaded(job.ID, attempt.Dispatcher, result, process.machine)
 		return nil, errProcessEnded
 	}
-	process.wakeUp()
+	process.wakeTimer()
 	return accepted, nil
 }
 
-// job returns the job that a task stands for. A key of an operation that is not deduplicated has no effect.
-func (s *Server) job(id, key string, task Task) Job {
-	job := Job{ID: id, Key: key, Work: time.Duration(task.WorkUs) * time.Microsecond}
+// newJob returns the job of a task. The key has no effect if the operation is not deduplicated.
+func (s *Server) newJob(id, key string, task Task) Job {
+	newJob := Job{ID: id, Key: key, Work: time.Duration(task.WorkUs) * time.Microsecond}
 	if key != "" {
-		job.Group = s.fleet.group(task.Operation, s)
+		newJob.Group = s.fleet.dedupGroup(task.Operation, s)
 	}
-	return job
+	return newJob
 }
 
-// overload crashes a worker that was sent more than its warm-up budget. The caller holds the lock.
-func (s *Server) overload(id string, dispatcher int, result OfferResult, machine *Machine) {
+// crashOverloaded records the overload of a worker that was sent more work than its warm-up budget, and crashes it. The
+// caller holds the lock.
+func (s *Server) crashOverloaded(id string, dispatcher int, result OfferResult, machine *Machine) {
 	s.fleet.history.WorkerOverloaded(history.Overload{
 		Worker:     s.index,
 		Dispatcher: dispatcher,
@@ -244,23 +246,23 @@
 		At:         s.fleet.clock(),
 		SentWork:   result.SentWork,
 		Budget:     result.Budget,
-		RecentJobs: machine.HeaviestRecent(maxReportedJobs),
+		RecentJobs: machine.DescribeRecentJobs(maxReportedJobs),
 	})
-	s.crash()
-	if s.fleet.overloaded != nil {
-		go s.fleet.overloaded(s.index)
+	s.crashLocked()
+	if s.fleet.onOverload != nil {
+		go s.fleet.onOverload(s.index)
 	}
 }
 
-// abandon removes a job that its dispatcher has cancelled.
-func (s *Server) abandon(id string, accepted *exchange, process *incarnation) {
+// cancelJob removes a job whose attempt was cancelled by the dispatcher.
+func (s *Server) cancelJob(id string, accepted *exchange, process *incarnation) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.fleet.history.AttemptEnded(accepted.attempt, history.Abandoned, "", s.fleet.clock())
 	if s.current == process && process.exchanges[id] == accepted {
 		delete(process.exchanges, id)
-		s.deliver(process, process.machine.Cancel(s.fleet.clock(), id))
-		process.wakeUp()
+		s.deliverEvents(process, process.machine.Cancel(s.fleet.clock(), id))
+		process.wakeTimer()
 	}
 }
 
@@ -271,7 +273,7 @@
 	return append([]string(nil), s.addresses...)
 }
 
-// Identity is what does not change about a worker.
+// Identity holds the constant properties of a worker.
 type Identity struct {
 	Name string
 	Kind string // name of the kind
@@ -279,29 +281,29 @@
 	Cell int    // index
 }
 
-// Identity returns the worker's name, kind and place.
+// Identity returns the worker's name, kind, zone and cell.
 func (s *Server) Identity() Identity {
 	return Identity{Name: s.name, Kind: s.kind.Name, Zone: s.zone, Cell: s.cell}
 }
 
-// MaxWarmupLoad returns the highest ratio of work sent within the overload span to the warm-up budget. Above 1 the worker
-// crashed.
+// MaxWarmupLoad returns the highest ratio of the work sent within the overload span to the warm-up budget. Above 1,
+// the worker has crashed.
 func (s *Server) MaxWarmupLoad() float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.maxWarmupLoad
 }
 
-// StartedAt returns the start time of the current or last process since the start of the experiment. It is 0 for a
-// process that started warm.
+// StartedAt returns the start time of the current or last process, since the start of the experiment. It returns 0 if
+// the process started warm.
 func (s *Server) StartedAt() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.startedAt
 }
 
-// Running reports whether a process runs.
-func (s *Server) Running() bool {
+// IsRunning reports whether the worker has a running process.
+func (s *Server) IsRunning() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.current != nil
--- a/internal/testbed/worker/server_faults.go
+++ b/internal/testbed/worker/server_faults.go
@@ -8,17 +8,17 @@
 	"canvasroute/internal/testbed/history"
 )
 
-// What the faults of an experiment do to a worker.
+// This file implements the faults that an experiment injects into a worker.
 
-// Crash ends the process at once. Its connections are reset, and new ones are refused.
+// Crash ends the process immediately. Its connections are reset, and new connections are refused.
 func (s *Server) Crash() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.crash()
+	s.crashLocked()
 }
 
-// crash does what Crash does. The caller holds the lock.
-func (s *Server) crash() {
+// crashLocked implements Crash. The caller holds the lock.
+func (s *Server) crashLocked() {
 	process := s.current
 	if process == nil {
 		return
@@ -40,35 +40,35 @@
 		return
 	}
 	events, unstarted := process.machine.Drain(s.fleet.clock())
-	s.deliver(process, events)
+	s.deliverEvents(process, events)
 	for _, id := range unstarted {
 		if accepted := process.exchanges[id]; accepted != nil {
 			delete(process.exchanges, id)
-			accepted.lines <- line{state: stateReturned, last: true}
+			accepted.lines <- responseLine{state: stateReturned, last: true}
 		}
 	}
-	process.wakeUp()
+	process.wakeTimer()
 }
 
-// SetSpeed sets the worker's factor of the normal speed, also for later processes.
+// SetSpeed sets the worker's factor of the normal speed, for the current process and later ones.
 func (s *Server) SetSpeed(speed float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.speed = speed
 	if process := s.current; process != nil {
-		s.deliver(process, process.machine.SetSpeed(s.fleet.clock(), speed))
-		process.wakeUp()
+		s.deliverEvents(process, process.machine.SetSpeed(s.fleet.clock(), speed))
+		process.wakeTimer()
 	}
 }
 
-// Pause pauses the process, if one runs: it neither works nor reads nor writes until Resume.
+// Pause pauses the process, if one is running: it neither runs jobs nor reads nor writes until Resume.
 func (s *Server) Pause() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if process := s.current; process != nil {
-		s.deliver(process, process.machine.SetSpeed(s.fleet.clock(), 0))
+		s.deliverEvents(process, process.machine.SetSpeed(s.fleet.clock(), 0))
 		process.pause()
-		process.wakeUp()
+		process.wakeTimer()
 	}
 }
 
@@ -77,14 +77,14 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if process := s.current; process != nil {
-		s.deliver(process, process.machine.SetSpeed(s.fleet.clock(), s.speed))
+		s.deliverEvents(process, process.machine.SetSpeed(s.fleet.clock(), s.speed))
 		process.resume()
-		process.wakeUp()
+		process.wakeTimer()
 	}
 }
 
-// Partition cuts the process, if one runs, off the network until Heal. It works, but nothing passes on open connections
-// and new ones are not established.
+// Partition disconnects the process, if one is running, from the network until Heal. Jobs continue to run, but no data
+// is transferred on open connections and new connections are not established.
 func (s *Server) Partition() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -95,7 +95,7 @@
 	process.pause()
 	for _, ln := range process.listeners {
 		setBacklog(ln, 0)
-		s.fleet.running.Go(func() { process.fillBacklog(ln) })
+		s.fleet.goroutines.Go(func() { process.fillBacklog(ln) })
 	}
 }
 
@@ -113,21 +113,21 @@
 	}
 }
 
-// setBacklog sets how many connections the kernel establishes before they are accepted.
+// setBacklog sets the number of connections that the kernel establishes before they are accepted.
 func setBacklog(ln net.Listener, length int) {
 	if raw, err := ln.(*net.TCPListener).SyscallConn(); err == nil {
-		_ = raw.Control(func(fd uintptr) { _ = syscall.Listen(int(fd), length) }) // fails only for a closed listener
+		_ = raw.Control(func(fd uintptr) { _ = syscall.Listen(int(fd), length) }) // fails only if the listener is closed
 	}
 }
 
-// backlogFillers is the number of connections that fill a backlog of 0. It holds one, and the accepting goroutine
-// another.
+// backlogFillers is the number of connections that fill a backlog of 0. One is in the backlog, and another has been
+// accepted by acceptConns, which blocks while the process is paused.
 const backlogFillers = 2
 
-// fillTimeout bounds how long the establishment of a connection that fills the backlog may take.
+// fillTimeout limits the time to establish a connection that fills the backlog.
 const fillTimeout = 100 * time.Millisecond
 
-// fillBacklog occupies the backlog, so that no connection is established until the partition heals.
+// fillBacklog fills the backlog, so that no connection is established until the partition ends.
 func (p *incarnation) fillBacklog(ln net.Listener) {
 	for range backlogFillers {
 		if conn, err := net.DialTimeout("tcp", ln.Addr().String(), fillTimeout); err == nil {
@@ -137,14 +137,14 @@
 	p.waitWhilePaused()
 }
 
-// Mute makes the worker report nothing about jobs that start from now on, until Unmute.
+// Mute makes the worker write neither the progress nor the results of jobs that start before Unmute.
 func (s *Server) Mute() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.muted = true
 }
 
-// Unmute makes the worker report about jobs that start from now on.
+// Unmute ends the effect of Mute for jobs that start from now on.
 func (s *Server) Unmute() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/testbed/worker/server_test.go
+++ b/internal/testbed/worker/server_test.go
@@ -17,12 +17,12 @@
 	"canvasroute/internal/testbed/history"
 )
 
-// startWorker starts a worker of two cores and a queue of one, for one dispatcher.
+// startWorker starts a warm worker with two cores and a queue of one, for one dispatcher.
 func startWorker(t *testing.T, config Config) (*Server, *history.Log) {
 	t.Helper()
 	startedAt, log := time.Now(), history.New()
 	config.IdleTimeout = 5 * time.Second
-	fleet := NewFleet(config, []Deduplication{{}, {Scope: "zone", Window: 10 * second}}, log,
+	fleet := NewFleet(config, []DedupConfig{{}, {Scope: "zone", Window: 10 * second}}, log,
 		func() time.Duration { return time.Since(startedAt) }, nil)
 	server := fleet.Add("w0", twoCores, 0, 0, 1)
 	assert.NoError(t, server.StartWarm())
@@ -30,14 +30,14 @@
 	return server, log
 }
 
-// client is one connection of a dispatcher.
+// client is a dispatcher's connection to a worker.
 type client struct {
 	net.Conn
 	reader *bufio.Reader
 	t      *testing.T
 }
 
-// connect opens a connection to a worker, which the end of the test closes.
+// connect opens a connection to a worker, which is closed at the end of the test.
 func connect(t *testing.T, server *Server) *client {
 	t.Helper()
 	conn, err := net.Dial("tcp", server.Addresses()[0])
@@ -47,7 +47,7 @@
 	return &client{conn, bufio.NewReader(conn), t}
 }
 
-// send sends an attempt of a request that it records as opened.
+// send records a request as opened and sends an attempt for it.
 func (c *client) send(log *history.Log, id string, work time.Duration) {
 	log.RequestOpened(id, 0, 0, 0)
 	body := fmt.Sprintf(`{"operation":0,"work_us":%d}`, work.Microseconds())
@@ -56,7 +56,7 @@
 	assert.NoError(c.t, err)
 }
 
-// read reads a complete answer.
+// read reads a complete response.
 func (c *client) read() (status int, body string, err error) {
 	response, err := http.ReadResponse(c.reader, nil)
 	if err != nil {
@@ -67,13 +67,13 @@
 	return response.StatusCode, string(b), err
 }
 
-// endedWith returns a condition: the request has one attempt, which ended in a way.
-func endedWith(log *history.Log, id string, end history.AttemptEnd) func() bool {
+// hasEnded returns a condition that holds if the request has one attempt and the attempt ended as given.
+func hasEnded(log *history.Log, id string, end history.AttemptEnd) func() bool {
 	return func() bool { return assert.ObjectsAreEqual([]history.AttemptEnd{end}, log.AttemptEnds(id)) }
 }
 
-// jobs returns the number of running and queued jobs.
-func jobs(server *Server) int {
+// jobCount returns the number of running and queued jobs.
+func jobCount(server *Server) int {
 	server.mu.Lock()
 	defer server.mu.Unlock()
 	running, queued := server.current.machine.Load()
@@ -108,13 +108,13 @@
 	assert.GreaterOrEqual(t, attempt.EndedAt-attempt.StartedAt, 20*time.Millisecond)
 }
 
-func TestFullWorkerDeclinesAndDrainReturnsWaitingJobs(t *testing.T) {
+func TestFullWorkerDeclinesJobsAndDrainReturnsWaitingOnes(t *testing.T) {
 	server, log := startWorker(t, Config{})
 	conns := []*client{connect(t, server), connect(t, server), connect(t, server), connect(t, server)}
 	for n, c := range conns[:3] {
 		c.send(log, fmt.Sprint("a", n), 300*time.Millisecond)
 	}
-	eventually(t, func() bool { return jobs(server) == 3 })
+	eventually(t, func() bool { return jobCount(server) == 3 })
 	conns[3].send(log, "a3", time.Second)
 	status, _, err := conns[3].read()
 	assert.NoError(t, err)
@@ -130,12 +130,12 @@
 	assert.Equal(t, []int{1, 2}, []int{returned, done})
 }
 
-func TestCrashResetsConnectionsAndRefusesNewOnesUntilTheRestart(t *testing.T) {
+func TestCrashResetsConnectionsAndRefusesNewOnesUntilRestart(t *testing.T) {
 	server, log := startWorker(t, Config{StartNotes: true})
 	c, address := connect(t, server), server.Addresses()[0]
 	c.send(log, "a", time.Minute)
 	_, err := c.reader.Peek(1)
-	assert.NoError(t, err, "the start note")
+	assert.NoError(t, err, "peek at the start line")
 	server.Crash()
 	_, _, err = c.read()
 	assert.True(t, errors.Is(err, syscall.ECONNRESET), err)
@@ -151,8 +151,8 @@
 	assert.Contains(t, text, "b by w0.1", "the second incarnation")
 }
 
-// Another program may take the port while the worker is down.
-func TestRestartUsesAnotherPortIfItsOwnIsTaken(t *testing.T) {
+// Another process may bind the worker's port while the worker is down.
+func TestRestartUsesAnotherPortIfItsOwnIsInUse(t *testing.T) {
 	server, _ := startWorker(t, Config{})
 	address := server.Addresses()[0]
 	server.Crash()
@@ -163,15 +163,15 @@
 	assert.NotEqual(t, address, server.Addresses()[0])
 }
 
-func TestCancelledAttemptStopsItsJob(t *testing.T) {
+func TestClosedConnectionCancelsTheJob(t *testing.T) {
 	server, log := startWorker(t, Config{})
 	c := connect(t, server)
 	c.send(log, "a", time.Minute)
 	_, err := c.reader.Peek(1)
 	assert.NoError(t, err)
 	c.Close()
-	eventually(t, endedWith(log, "a", history.Abandoned))
-	eventually(t, func() bool { return jobs(server) == 0 })
+	eventually(t, hasEnded(log, "a", history.Abandoned))
+	eventually(t, func() bool { return jobCount(server) == 0 })
 }
 
 func TestMutedWorkerRunsJobsWithoutReporting(t *testing.T) {
@@ -179,14 +179,14 @@
 	server.Mute()
 	c := connect(t, server)
 	c.send(log, "a", 5*time.Millisecond)
-	eventually(t, endedWith(log, "a", history.NeverReported))
+	eventually(t, hasEnded(log, "a", history.NeverReported))
 	c.SetDeadline(time.Now().Add(50 * time.Millisecond))
 	_, text, err := c.read()
 	assert.Error(t, err)
 	assert.NotContains(t, text, "done")
 }
 
-func TestPartitionedWorkerIsSilentAndAcceptsNoConnection(t *testing.T) {
+func TestPartitionedWorkerSendsNothingAndAcceptsNoConnection(t *testing.T) {
 	server, log := startWorker(t, Config{})
 	c := connect(t, server)
 	c.send(log, "a", time.Millisecond)
@@ -230,6 +230,6 @@
 		assert.Equal(t, want, status, text)
 	}
 	violations := log.Check(history.RuleConfig{})
-	assert.Len(t, violations, 1, "an id that no client sent")
+	assert.Len(t, violations, 1, "violation for an ID that no client sent")
 	assert.Equal(t, "z", violations[0].ID)
 }
--- a/internal/testbed/workload/mix.go
+++ b/internal/testbed/workload/mix.go
@@ -1,5 +1,5 @@
-// Package workload generates the schedule of an experiment: which request arrives when. It does no I/O except
-// reading a trace from the reader it is given. The same plan and seed give the same schedule, byte for byte.
+// Package workload generates the schedule of an experiment: the requests and their arrival times. It does no I/O except
+// reading a trace from a reader. The same plan and seed result in the same schedule, byte for byte.
 package workload
 
 import (
@@ -17,42 +17,42 @@
 type Operation struct {
 	Name             string        `toml:"name"`
 	Idempotency      string        `toml:"idempotency"`  // idempotent, deduplicated or non-idempotent
-	DedupScope       string        `toml:"dedup-scope"`  // all, zone or cell: the workers that deduplicate together
-	DedupWindow      unit.Duration `toml:"dedup-window"` // how long a key is remembered
+	DedupScope       string        `toml:"dedup-scope"`  // all, zone or cell: workers that share a dedup group
+	DedupWindow      unit.Duration `toml:"dedup-window"` // how long workers remember a key
 	LatencyObjective unit.Duration `toml:"objective"`    // fixed part of the latency objective
-	Stretch          float64       `toml:"stretch"`      // added to the objective: this many times the request's own work
+	Stretch          float64       `toml:"stretch"`      // multiple of the request's work, added to the objective
 	Timeout          unit.Duration `toml:"timeout"`      // client timeout of each request
 	Work             unit.Duration `toml:"work"`         // mean core time on a worker of standard speed
 	Tail             string        `toml:"tail"`         // constant, exponential, lognormal or pareto
 	Spread           float64       `toml:"spread"`       // lognormal: sigma of the logarithm; pareto: the exponent
 	Share            float64       `toml:"share"`        // relative to the other shares
 	Value            float64       `toml:"value"`        // billed value per second of work
-	LateShare        float64       `toml:"late-value"`   // share of the value that a late answer still earns
-	HintError        float64       `toml:"hint-error"`   // sigma of the logarithm of hint over work; below 0: no hint
+	LateShare        float64       `toml:"late-value"`   // share of the value that a late response earns
+	HintError        float64       `toml:"hint-error"`   // sigma of the logarithm of hint/work; below 0: no hint
 }
 
-// Tenant is one of the [[tenants]] of an experiment file.
+// Tenant is one [[tenants]] entry of an experiment file.
 type Tenant struct {
 	Name  string  `toml:"name"`
 	Share float64 `toml:"share"` // relative to the other shares
 	Quota float64 `toml:"quota"` // requests per second that earn their full value; 0: unlimited
 }
 
-// The values of Operation.Idempotency.
+// Values of Operation.Idempotency.
 const (
 	Idempotent      = "idempotent"
 	IdempotentByKey = "deduplicated"
 	NonIdempotent   = "non-idempotent"
 )
 
-// The values of Operation.DedupScope.
+// Values of Operation.DedupScope.
 const (
 	ScopeAll  = "all"
 	ScopeZone = "zone"
 	ScopeCell = "cell"
 )
 
-// The values of Operation.Tail: the distribution of the work of requests.
+// Values of Operation.Tail: the distribution of the work of requests.
 const (
 	TailConstant    = "constant"
 	TailExponential = "exponential"
@@ -60,17 +60,17 @@
 	TailPareto      = "pareto"
 )
 
-// Bounds of one draw of work, in multiples of the mean. A draw from a heavy tail without a cap could outlast the
-// experiment.
+// Limits of the work of a request, in multiples of the mean. Without a maximum, a request drawn from a heavy tail could
+// take longer than the experiment.
 const (
 	minWorkMeans = 1e-3
 	maxWorkMeans = 200
 )
 
-// maxLognormalSpread bounds the sigma of a lognormal tail.
+// maxLognormalSpread is the maximum sigma of a lognormal tail.
 const maxLognormalSpread = 4
 
-// Validate returns the first invalid key of an operation. The error text begins with the key.
+// Validate returns an error for the first invalid key of an operation. The error text begins with the key.
 func (o *Operation) Validate() error {
 	if o.Name == "" {
 		return errors.New("name: must not be empty")
@@ -124,7 +124,8 @@
 	return nil
 }
 
-// drawWork draws the work of one request from the operation's distribution, in whole microseconds and at least one.
+// drawWork draws the work of a request from the operation's distribution. The work is a whole number of microseconds,
+// and at least 1 µs.
 func (o *Operation) drawWork(rng *rand.Rand) time.Duration {
 	means := 1.0 // multiple of the mean
 	switch o.Tail {
@@ -139,9 +140,9 @@
 	return max(time.Duration(work*float64(time.Second)).Round(time.Microsecond), time.Microsecond)
 }
 
-// drawHint draws the client's estimate of a request's work; 0 means that the client sends none.
+// drawHint draws the client's estimate of a request's work, or returns 0 if the client sends no hint.
 func (o *Operation) drawHint(work time.Duration, rng *rand.Rand) time.Duration {
-	deviation := rng.NormFloat64() // drawn even when unused, so that later draws do not depend on HintError
+	deviation := rng.NormFloat64() // drawn even if unused, so that later draws do not depend on HintError
 	if o.HintError < 0 {
 		return 0
 	}
@@ -149,9 +150,9 @@
 		time.Microsecond)
 }
 
-// weightedChoice draws an index with probability proportional to its share.
+// weightedChoice draws indexes with probabilities proportional to their shares.
 type weightedChoice struct {
-	cumulative []float64 // by index, the sum of the shares up to and including this one
+	cumulative []float64 // by index: the sum of the shares up to and including that index
 }
 
 func newWeightedChoice[T any](items []T, share func(T) float64) weightedChoice {
@@ -163,7 +164,7 @@
 	return choice
 }
 
-// draw returns an index, or 0 if there is nothing to choose from.
+// draw returns a random index, or 0 if there are no items.
 func (c weightedChoice) draw(rng *rand.Rand) int {
 	if len(c.cumulative) == 0 {
 		return 0
--- a/internal/testbed/workload/schedule.go
+++ b/internal/testbed/workload/schedule.go
@@ -8,37 +8,37 @@
 	"canvasroute/internal/testbed/unit"
 )
 
-// Arrival is one request that a client is due to send.
+// Arrival is a request of a schedule, which a client sends at a scheduled time.
 type Arrival struct {
 	At        time.Duration // since the start of the experiment
 	Operation int           // index into Plan.Operations
 	Tenant    int           // index into Plan.Tenants, 0 if there are none
 	Work      time.Duration // core time on a worker of standard speed
-	Hint      time.Duration // the client's estimate of Work; 0: the client sends none
+	Hint      time.Duration // the client's estimate of Work; 0: the client sends no hint
 	Key       uint64        // idempotency key, for operations that use one
-	Retry     bool          // the trace marks it as a client's retry
+	Retry     bool          // the trace marks the request as a client's retry
 }
 
-// Plan is everything that determines a schedule except the seed.
+// Plan contains all parameters of a schedule except the seed.
 type Plan struct {
-	Segments   []Segment // the base load, one after the other
+	Segments   []Segment // the base load, in order
 	Operations []Operation
 	Tenants    []Tenant
 	ExtraLoads []ExtraLoad // added to the base load
 }
 
-// ExtraLoad adds arrivals for a while: a burst over all tenants, or one tenant far above its share.
+// ExtraLoad adds arrivals during an interval: a burst of all tenants, or of one tenant that far exceeds its share.
 type ExtraLoad struct {
-	From   time.Duration // since the start of the experiment
-	To     time.Duration // since the start of the experiment
-	Factor float64       // of the base rate at that time, added to it
-	Tenant int           // index of the tenant that sends it, or AllTenants
+	Start  time.Duration // since the start of the experiment
+	End    time.Duration // since the start of the experiment
+	Factor float64       // multiple of the current base rate that is added to it
+	Tenant int           // index of the sending tenant, or AllTenants
 }
 
-// AllTenants stands for all tenants together, each with its share.
+// AllTenants is the ExtraLoad.Tenant of a load that all tenants send, each with its share.
 const AllTenants = -1
 
-// Schedule returns the arrivals for a seed, ordered by time.
+// Schedule draws the arrivals for a seed and returns them ordered by time.
 func (p *Plan) Schedule(seed uint64) []Arrival {
 	schedule := p.drawArrivals(p.Segments, seed, "load", AllTenants)
 	for n, load := range p.ExtraLoads {
@@ -46,7 +46,7 @@
 		if load.Tenant != AllTenants {
 			factor *= p.tenantShare(load.Tenant)
 		}
-		extra := ScaleWithin(p.Segments, load.From, load.To, factor)
+		extra := ScaleWithin(p.Segments, load.Start, load.End, factor)
 		stream := "extra " + string(rune('a'+n))
 		schedule = append(schedule, p.drawArrivals(extra, seed, stream, load.Tenant)...)
 	}
@@ -63,8 +63,9 @@
 	return p.Tenants[tenant].Share / sum
 }
 
-// drawArrivals draws arrivals for the rates of the segments, from streams whose names begin with the one given. All are
-// of one tenant, or of AllTenants. As the tenant is drawn in either case, the other draws do not depend on it.
+// drawArrivals draws arrivals at the rates of the segments, from random streams whose names begin with stream. All
+// arrivals belong to the given tenant, unless it is AllTenants. The tenant is drawn in both cases, so that the other
+// draws do not depend on it.
 func (p *Plan) drawArrivals(segments []Segment, seed uint64, stream string, tenant int) (arrivals []Arrival) {
 	operations := newWeightedChoice(p.Operations, func(o Operation) float64 { return o.Share })
 	tenants := newWeightedChoice(p.Tenants, func(t Tenant) float64 { return t.Share })
@@ -83,7 +84,7 @@
 	return arrivals
 }
 
-// Encode returns a schedule in a canonical binary form, for comparing and hashing.
+// Encode returns a canonical binary encoding of a schedule, for comparison and hashing.
 func Encode(schedule []Arrival) (b []byte) {
 	for _, a := range schedule {
 		b = binary.BigEndian.AppendUint64(b, uint64(a.At))
--- a/internal/testbed/workload/trace.go
+++ b/internal/testbed/workload/trace.go
@@ -19,18 +19,18 @@
 	"canvasroute/internal/testbed/unit"
 )
 
-// traceRow is one row of a trace. Times are in seconds.
+// traceRow is one row of a trace. Times and durations are in seconds.
 type traceRow struct {
 	Time      *float64 `json:"time"` // since the start of the experiment; required
 	Operation string   `json:"operation"`
-	Hint      float64  `json:"hint"`     // 0: the client sends none
-	Work      float64  `json:"work"`     // 0: derived from the hint, or the operation's mean
+	Hint      float64  `json:"hint"`     // 0: the client sends no hint
+	Work      float64  `json:"work"`     // 0: derived from the hint, or else the operation's mean
 	Tenant    string   `json:"customer"` // empty if the experiment has no tenants
-	Key       string   `json:"key"`      // empty: a random one
+	Key       string   `json:"key"`      // empty: a random key
 	Retry     bool     `json:"retry"`
 }
 
-// Names of the columns of a CSV trace. They are also the keys of a trace of JSON objects.
+// Column names of a CSV trace, and keys of the objects of a JSON trace.
 const (
 	columnTime      = "time"
 	columnOperation = "operation"
@@ -41,23 +41,23 @@
 	columnRetry     = "retry"
 )
 
-// traceColumns are the columns that the header of a CSV trace may have, in any order.
+// traceColumns are the columns that the header of a CSV trace may contain, in any order.
 var traceColumns = []string{
 	columnTime, columnOperation, columnHint, columnWork, columnTenant, columnKey, columnRetry,
 }
 
-// requiredColumns are the columns that the header of a CSV trace must have.
+// requiredColumns are the columns that the header of a CSV trace must contain.
 var requiredColumns = []string{columnTime, columnOperation}
 
 // Limits of a trace.
 const (
-	maxTraceSeconds = 7 * 24 * 3600 // latest time
-	maxWorkSeconds  = 1_000_000     // of the work and the hint of a row
-	maxLineBytes    = 1 << 20       // of one JSON object
+	maxTraceSeconds = 7 * 24 * 3600 // latest arrival time
+	maxWorkSeconds  = 1_000_000     // maximum work and hint of a row
+	maxLineBytes    = 1 << 20       // maximum size of a JSON object
 )
 
-// ReadTrace reads recorded arrivals: CSV with a header if the name ends in .csv, else one JSON object per line. It
-// fails on the first invalid row; the error names the file, the line and the column.
+// ReadTrace reads recorded arrivals. The format is CSV with a header if the name ends in .csv, otherwise one JSON
+// object per line. ReadTrace returns an error at the first invalid row, which names the file, the line and the column.
 func (p *Plan) ReadTrace(name string, in io.Reader, seed uint64) ([]Arrival, error) {
 	reader := &traceReader{plan: p, rng: unit.RandomStream(seed, "trace"), lastTime: math.Inf(-1)}
 	read := reader.readJSONLines
@@ -76,8 +76,8 @@
 // traceReader collects the arrivals of a trace.
 type traceReader struct {
 	plan     *Plan
-	rng      *rand.Rand // of missing work and keys
-	lastTime float64    // of the row before, in seconds
+	rng      *rand.Rand // source of missing work and keys
+	lastTime float64    // time of the previous row, in seconds
 	arrivals []Arrival
 }
 
@@ -98,25 +98,25 @@
 	if err != nil {
 		return err
 	}
-	if !isWork(r.Hint) || !isWork(r.Work) {
+	if !isValidWork(r.Hint) || !isValidWork(r.Work) {
 		return fmt.Errorf("hint, work: must be seconds, from 0 to %d", maxWorkSeconds)
 	}
 	t.arrivals = append(t.arrivals, Arrival{
-		At:        seconds(*r.Time),
+		At:        toDuration(*r.Time),
 		Operation: operation,
 		Tenant:    tenant,
-		Hint:      seconds(r.Hint),
-		Work:      t.work(r, &t.plan.Operations[operation]),
+		Hint:      toDuration(r.Hint),
+		Work:      t.rowWork(r, &t.plan.Operations[operation]),
 		Retry:     r.Retry,
-		Key:       t.key(r),
+		Key:       t.rowKey(r),
 	})
 	return nil
 }
 
-// isWork reports whether a number of seconds is allowed as work or hint.
-func isWork(seconds float64) bool { return seconds >= 0 && seconds <= maxWorkSeconds }
+// isValidWork reports whether a number of seconds is within the limits of work and hints.
+func isValidWork(seconds float64) bool { return seconds >= 0 && seconds <= maxWorkSeconds }
 
-// operationIndex returns the index of a named operation.
+// operationIndex returns the index of the operation with the given name, or an error if there is none.
 func (t *traceReader) operationIndex(name string) (int, error) {
 	index := slices.IndexFunc(t.plan.Operations, func(o Operation) bool { return o.Name == name })
 	if index < 0 {
@@ -125,7 +125,8 @@
 	return index, nil
 }
 
-// tenantIndex returns the index of a named tenant. Without tenants in the experiment it is 0 for the empty name.
+// tenantIndex returns the index of the tenant with the given name, or an error if there is none. If the experiment has
+// no tenants, the index for the empty name is 0.
 func (t *traceReader) tenantIndex(name string) (int, error) {
 	if name == "" && len(t.plan.Tenants) == 0 {
 		return 0, nil
@@ -137,33 +138,33 @@
 	return index, nil
 }
 
-// work returns a row's work. Without one it follows from the hint, to which the hint's error is applied in reverse.
-// Without either it is the operation's mean.
-func (t *traceReader) work(r traceRow, o *Operation) time.Duration {
+// rowWork returns the work of a row. If the row has none, the work is drawn from the hint and the inverse of the hint
+// error. If the row has no hint either, the work is the operation's mean.
+func (t *traceReader) rowWork(r traceRow, o *Operation) time.Duration {
 	switch {
 	case r.Work > 0:
-		return seconds(r.Work)
+		return toDuration(r.Work)
 	case r.Hint > 0:
-		return max(seconds(r.Hint*math.Exp(-t.rng.NormFloat64()*max(o.HintError, 0))), time.Microsecond)
+		return max(toDuration(r.Hint*math.Exp(-t.rng.NormFloat64()*max(o.HintError, 0))), time.Microsecond)
 	}
 	return o.Work.Std()
 }
 
-// key returns the hash of a row's key, or a random one. One is drawn for each row, so that the draws of other rows do not
-// depend on which rows have a key.
-func (t *traceReader) key(r traceRow) uint64 {
+// rowKey returns the hash of a row's key, or a random key if the row has none. A key is drawn for each row, so that the
+// draws for other rows do not depend on which rows have keys.
+func (t *traceReader) rowKey(r traceRow) uint64 {
 	random := t.rng.Uint64()
 	if r.Key == "" {
 		return random
 	}
 	hash := fnv.New64a()
-	_, _ = io.WriteString(hash, r.Key) // a hash returns no error
+	_, _ = io.WriteString(hash, r.Key) // Write of a hash never returns an error
 	return hash.Sum64()
 }
 
-func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
+func toDuration(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// readJSONLines reads one JSON object per line. With an error it returns the number of the invalid line.
+// readJSONLines reads one JSON object per line. If it returns an error, line is the number of the invalid line.
 func (t *traceReader) readJSONLines(in io.Reader) (line int, err error) {
 	scanner := bufio.NewScanner(in)
 	scanner.Buffer(nil, maxLineBytes)
@@ -173,7 +174,7 @@
 		if len(text) == 0 {
 			continue
 		}
-		row, err := parseObject(text)
+		row, err := parseRow(text)
 		if err == nil {
 			err = t.addRow(row)
 		}
@@ -184,8 +185,8 @@
 	return line + 1, scanner.Err()
 }
 
-// parseObject parses the JSON object of a row.
-func parseObject(text []byte) (row traceRow, err error) {
+// parseRow parses the JSON object of a row. It returns an error for unknown keys and for more than one object.
+func parseRow(text []byte) (row traceRow, err error) {
 	decoder := json.NewDecoder(bytes.NewReader(text))
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(&row); err != nil {
@@ -197,7 +198,7 @@
 	return row, nil
 }
 
-// readCSV reads CSV with a header. With an error it returns the number of the invalid line.
+// readCSV reads CSV with a header. If it returns an error, line is the number of the invalid line, or 0 if unknown.
 func (t *traceReader) readCSV(in io.Reader) (line int, err error) {
 	rows := csv.NewReader(in)
 	names, err := rows.Read()
@@ -230,8 +231,8 @@
 	}
 }
 
-// validateHeader trims the names of the columns. It checks that each is known, that none is double and that no required
-// one is missing.
+// validateHeader trims the column names in place. It returns an error if a name is unknown or repeated, or if a
+// required column is missing.
 func validateHeader(names []string) error {
 	for n, name := range names {
 		names[n] = strings.TrimSpace(name)
@@ -247,7 +248,7 @@
 	return nil
 }
 
-// parseCells converts the cells of a CSV row. The error names the column.
+// parseCells parses the cells of a CSV row. If a cell is invalid, the error names its column.
 func parseCells(names, cells []string) (row traceRow, err error) {
 	for n, name := range names {
 		cell := strings.TrimSpace(cells[n])
@@ -261,7 +262,7 @@
 	return row, nil
 }
 
-// setCell parses one cell. The error names the column.
+// setCell parses a cell and sets the field of its column. If the cell is invalid, the error names the column.
 func (r *traceRow) setCell(name, cell string) (err error) {
 	switch name {
 	case columnTime:
--- a/internal/testbed/workload/workload_test.go
+++ b/internal/testbed/workload/workload_test.go
@@ -14,7 +14,7 @@
 
 func duration(d time.Duration) unit.Duration { return unit.Duration(d) }
 
-// newTestPlan returns a plan with two operations, two tenants and the phases.
+// newTestPlan returns a plan with two operations, two tenants and the given phases.
 func newTestPlan(t *testing.T, phases ...Phase) *Plan {
 	t.Helper()
 	segments, err := Segments(phases)
@@ -26,16 +26,16 @@
 }
 
 func TestScheduleIsDeterministicForASeed(t *testing.T) {
-	plan := newTestPlan(t, Phase{Shape: "poisson", Rate: 200, For: duration(5 * second)})
+	plan := newTestPlan(t, Phase{Shape: "poisson", Rate: 200, Length: duration(5 * second)})
 	assert.Equal(t, Encode(plan.Schedule(7)), Encode(plan.Schedule(7)))
 	assert.NotEqual(t, Encode(plan.Schedule(7)), Encode(plan.Schedule(8)))
 }
 
-// Two plans can be compared only if extra load does not change the draws of the other arrivals.
+// If extra load changed the draws of the other arrivals, runs with and without it could not be compared.
 func TestExtraLoadDoesNotChangeOtherArrivals(t *testing.T) {
-	plan := newTestPlan(t, Phase{Shape: "poisson", Rate: 200, For: duration(5 * second)})
+	plan := newTestPlan(t, Phase{Shape: "poisson", Rate: 200, Length: duration(5 * second)})
 	plain := plan.Schedule(7)
-	plan.ExtraLoads = []ExtraLoad{{From: 2 * second, To: 3 * second, Factor: 4, Tenant: 1}}
+	plan.ExtraLoads = []ExtraLoad{{Start: 2 * second, End: 3 * second, Factor: 4, Tenant: 1}}
 	unchanged, extra := 0, 0
 	for _, arrival := range plan.Schedule(7) {
 		if unchanged < len(plain) && arrival == plain[unchanged] {
@@ -46,10 +46,10 @@
 		assert.True(t, arrival.At >= 2*second && arrival.At < 3*second && arrival.Tenant == 1, arrival)
 	}
 	assert.Len(t, plain, unchanged)
-	assert.InDelta(t, 200*4*0.75, extra, 100, "four times the tenant's three quarters of 200")
+	assert.InDelta(t, 200*4*0.75, extra, 100, "four times the tenant's 3/4 of 200 per second")
 }
 
-func TestShapesHaveTheirRates(t *testing.T) {
+func TestShapesProduceTheConfiguredRates(t *testing.T) {
 	count := func(phase Phase, from, to time.Duration) (arrivals int) {
 		phase.Even = true
 		for _, arrival := range newTestPlan(t, phase).Schedule(1) {
@@ -59,21 +59,21 @@
 		}
 		return arrivals
 	}
-	ramp := Phase{Shape: "ramp", Rate: 0, To: 100, For: duration(10 * second)}
-	assert.InDelta(t, 125, count(ramp, 0, 5*second), 1, "a quarter of the area under the line")
+	ramp := Phase{Shape: "ramp", Rate: 0, EndRate: 100, Length: duration(10 * second)}
+	assert.InDelta(t, 125, count(ramp, 0, 5*second), 1, "a quarter of the 500 arrivals, which is the area under the first half of the ramp")
 	assert.InDelta(t, 500, count(ramp, 0, 10*second), 1)
-	step := Phase{Shape: "step", Rate: 10, To: 30, Steps: 3, For: duration(9 * second)}
+	step := Phase{Shape: "step", Rate: 10, EndRate: 30, Steps: 3, Length: duration(9 * second)}
 	assert.InDelta(t, 60, count(step, 3*second, 6*second), 1)
-	burst := Phase{Shape: "burst", Rate: 10, To: 200, Every: duration(4 * second), Width: duration(second), For: duration(8 * second)}
+	burst := Phase{Shape: "burst", Rate: 10, EndRate: 200, Interval: duration(4 * second), Width: duration(second), Length: duration(8 * second)}
 	assert.InDelta(t, 200, count(burst, 3*second, 4*second), 1)
 	assert.InDelta(t, 30, count(burst, 4*second, 7*second), 1)
-	even := newTestPlan(t, Phase{Shape: "constant", Rate: 100, For: duration(second)}).Schedule(1)
+	even := newTestPlan(t, Phase{Shape: "constant", Rate: 100, Length: duration(second)}).Schedule(1)
 	assert.Equal(t, []time.Duration{5 * time.Millisecond, 15 * time.Millisecond},
 		[]time.Duration{even[0].At, even[1].At})
 }
 
 func TestPoissonArrivalsHaveExponentialGaps(t *testing.T) {
-	schedule := newTestPlan(t, Phase{Shape: "poisson", Rate: 1000, For: duration(20 * second)}).Schedule(3)
+	schedule := newTestPlan(t, Phase{Shape: "poisson", Rate: 1000, Length: duration(20 * second)}).Schedule(3)
 	assert.InDelta(t, 20000, len(schedule), 500)
 	mean, square := 0.0, 0.0
 	for n := 1; n < len(schedule); n++ {
@@ -81,10 +81,10 @@
 		mean, square = mean+gap, square+gap*gap
 	}
 	mean, square = mean/float64(len(schedule)), square/float64(len(schedule))
-	assert.InDelta(t, 2, square/(mean*mean), 0.1, "of exponential gaps, twice the mean squared")
+	assert.InDelta(t, 2, square/(mean*mean), 0.1, "exponential gaps have a mean square of twice the squared mean")
 }
 
-func TestTailsHaveTheirMeanAndHintsTheirError(t *testing.T) {
+func TestTailsHaveTheConfiguredMeanAndHintsTheConfiguredError(t *testing.T) {
 	rng := unit.RandomStream(1, "test")
 	for _, o := range []Operation{
 		{Tail: "constant"},
@@ -104,13 +104,13 @@
 	assert.Equal(t, second, (&Operation{}).drawHint(second, rng))
 }
 
-func TestInvalidPhasesAndOperationsAreRejectedByKey(t *testing.T) {
+func TestErrorsOfInvalidPhasesAndOperationsNameTheKey(t *testing.T) {
 	for want, phase := range map[string]Phase{
-		"load.phase[0].shape": {Shape: "square", For: 1},
+		"load.phase[0].shape": {Shape: "square", Length: 1},
 		"load.phase[0].for":   {Shape: "poisson"},
-		"load.phase[0].rate":  {Shape: "poisson", For: 1, Rate: -1},
-		"load.phase[0].steps": {Shape: "step", For: 1, Steps: 1},
-		"load.phase[0].every": {Shape: "burst", For: 9, Every: 1, Width: 1},
+		"load.phase[0].rate":  {Shape: "poisson", Length: 1, Rate: -1},
+		"load.phase[0].steps": {Shape: "step", Length: 1, Steps: 1},
+		"load.phase[0].every": {Shape: "burst", Length: 9, Interval: 1, Width: 1},
 	} {
 		t.Run(want, func(t *testing.T) {
 			_, err := Segments([]Phase{phase})
@@ -136,13 +136,13 @@
 	}
 }
 
-// readTrace reads a trace for the operations and tenants of newTestPlan.
+// readTrace reads a trace with the operations and tenants of newTestPlan.
 func readTrace(t *testing.T, name, text string) ([]Arrival, error) {
 	t.Helper()
 	return newTestPlan(t).ReadTrace(name, strings.NewReader(text), 1)
 }
 
-func TestCSVAndJSONTracesReadTheSame(t *testing.T) {
+func TestCSVAndJSONTracesProduceTheSameArrivals(t *testing.T) {
 	fromCSV, err := readTrace(t, "t.CSV", "operation,time,key,customer,hint,retry\nstatus,0.5,k,uni,0.25,\n"+
 		"choices,0.75,k,polit,,true\n")
 	assert.NoError(t, err)
@@ -154,7 +154,7 @@
 		[]any{fromCSV[0].At, fromCSV[0].Hint, fromCSV[0].Key, fromCSV[1].Retry, fromCSV[1].Work})
 }
 
-func TestInvalidTracesAreRejectedWithFileAndLine(t *testing.T) {
+func TestErrorsOfInvalidTracesNameFileAndLine(t *testing.T) {
 	header := "time,operation,customer\n0.1,status,uni\n"
 	for text, want := range map[string]string{
 		header + "0.05,status,uni\n":   "t.csv:3: time: 0.05 comes after 0.1",
