--- a/internal/testbed/worker/exchange.go
+++ b/internal/testbed/worker/exchange.go
@@ -210,7 +210,9 @@
 // streamResponse writes the lines of an exchange as chunks until the last line, or until the dispatcher cancels the
 // attempt. It reports whether the connection can be used for the next message.
 func (s *Server) streamResponse(c *dispatcherConn, id string, accepted *exchange, process *incarnation) bool {
-	defer func() { // if the process ended before the last line was written; a later end of an attempt is ignored
+	// Records the crash of a process that ended before the last line was written. AttemptEnded ignores it if the end of
+	// the attempt has been recorded before.
+	defer func() {
 		if !process.waitWhilePaused() {
 			s.fleet.history.AttemptEnded(accepted.attempt, history.Crashed, "", s.fleet.clock())
 		}
--- a/internal/testbed/worker/machine.go
+++ b/internal/testbed/worker/machine.go
@@ -375,7 +375,8 @@
 // duplicateCheckInterval is the interval at which a waiting job checks whether the running job with its key has ended.
 const duplicateCheckInterval = 5 * time.Millisecond
 
-// NextEvent returns the time of the next event if no other method is called before. found is false if there is none.
+// NextEvent returns the time of the next event, provided that no other method changes the machine before. found is
+// false if there is none.
 func (m *Machine) NextEvent() (at time.Duration, found bool) {
 	at = never
 	for _, job := range m.running {
--- a/internal/testbed/worker/server.go
+++ b/internal/testbed/worker/server.go
@@ -190,10 +190,10 @@
 // maxLines is the capacity of an exchange's line channel. No exchange has more lines, so that sending never blocks.
 const maxLines = 4
 
-// errDeclined means that the worker is full or draining, or runs another attempt of the same request.
+// errDeclined is returned if the worker is full or draining, or has another attempt of the same request.
 var errDeclined = errors.New("declined")
 
-// errProcessEnded means that the worker's process has ended, perhaps because of the offered job.
+// errProcessEnded is returned if the worker's process has ended, or if the offered job has crashed it by overload.
 var errProcessEnded = errors.New("process has ended")
 
 // offerJob offers a job to the machine. It returns errDeclined or errProcessEnded if the job was not accepted.
