--- a/internal/testbed/experiment/environment.go
+++ b/internal/testbed/experiment/environment.go
@@ -139,9 +139,9 @@
 }
 
 // deduplications returns the deduplication settings of workers, by operation.
-func (p *Plan) deduplications() (all []worker.Deduplication) {
+func (p *Plan) deduplications() (all []worker.DedupConfig) {
 	for _, operation := range p.Operations {
-		deduplication := worker.Deduplication{Window: operation.DedupWindow.Std()}
+		deduplication := worker.DedupConfig{Window: operation.DedupWindow.Std()}
 		if operation.Idempotency == workload.IdempotentByKey {
 			deduplication.Scope = dedupScope(operation)
 		}
@@ -194,7 +194,7 @@
 
 // recordEndpointNotification records that the discovery service has sent an endpoint list entry to a dispatcher.
 func (env *environment) recordEndpointNotification(dispatcher int, entry discoveryserver.Entry) {
-	env.history.WorkerListed(history.Notification{
+	env.history.NotificationSent(history.Notification{
 		Dispatcher: dispatcher,
 		Worker:     entry.Worker,
 		Ready:      entry.State == discoveryserver.Ready,
@@ -221,7 +221,7 @@
 	env.actions.Wait()
 	env.mu.Lock()
 	for n := range env.downSince {
-		env.history.AddOutage(history.Outage{Dispatcher: n, From: env.downSince[n], To: openOutageEnd})
+		env.history.AddOutage(history.Outage{Dispatcher: n, Start: env.downSince[n], End: openOutageEnd})
 	}
 	env.mu.Unlock()
 	env.compareCounters()
