--- a/internal/fleet/recovery/identity.go
+++ b/internal/fleet/recovery/identity.go
@@ -86,33 +86,33 @@
 // must use a higher number. If the peer received it later, another process runs under the same name, and the process
 // with the lower incarnation or nonce is superseded.
 func (s *StateMachine) checkOwnIncarnation(reply *messaging.Message) {
-	nothingReceived := reply.YourIncarnation == 0
-	if nothingReceived || reply.YourNonce == s.identity.nonce {
+	nothingReceived := reply.ReceiverIncarnation == 0
+	if nothingReceived || reply.ReceiverNonce == s.identity.nonce {
 		return
 	}
 	if s.identity.previous.isOlderThanReport(reply) {
 		s.markKeysSuspect() // the disk was reset to an earlier state without the keys sent since
 	}
-	if reply.YourIncarnation < s.identity.incarnation {
+	if reply.ReceiverIncarnation < s.identity.incarnation {
 		return
 	}
 	receivedAgo := time.Duration(reply.ReceivedAgoMillis) * time.Millisecond
 	switch {
 	case receivedAgo >= s.now:
-		s.actions.RaiseIncarnation = max(s.actions.RaiseIncarnation, reply.YourIncarnation+1)
-	case reply.YourIncarnation > s.identity.incarnation || reply.YourNonce > s.identity.nonce:
+		s.actions.RaiseIncarnation = max(s.actions.RaiseIncarnation, reply.ReceiverIncarnation+1)
+	case reply.ReceiverIncarnation > s.identity.incarnation || reply.ReceiverNonce > s.identity.nonce:
 		s.enterPhase(Superseded, fmt.Sprintf("another process under this name: incarnation %d, last message %v ago",
-			reply.YourIncarnation, receivedAgo))
+			reply.ReceiverIncarnation, receivedAgo))
 	}
 }
 
 // isOlderThanReport reports whether a peer has received a later incarnation than the disk held, or more keys of the
 // same one.
 func (p *PreviousIncarnation) isOlderThanReport(reply *messaging.Message) bool {
-	if reply.YourIncarnation == p.Incarnation {
-		return reply.YourPersistedKeys > p.PersistedKeys
+	if reply.ReceiverIncarnation == p.Incarnation {
+		return reply.ReceiverPersistedKeys > p.PersistedKeys
 	}
-	return reply.YourIncarnation > p.Incarnation
+	return reply.ReceiverIncarnation > p.Incarnation
 }
 
 // markKeysSuspect records that previous keys may be missing. The mark is durable so that later incarnations inherit it.
--- a/internal/fleet/simulate/schedule.go
+++ b/internal/fleet/simulate/schedule.go
@@ -5,26 +5,26 @@
 	"time"
 )
 
-// schedule holds the events to come. Those of one time are handled in the order in which they were added.
+// schedule holds the pending events. Events with the same time are handled in the order in which they were added.
 type schedule struct {
-	queue eventQueue
-	added int // events so far
+	queue      eventQueue
+	addedCount int // number of events added so far
 }
 
-// event is something that happens at a time.
+// event is a function to be called at a simulated time.
 type event struct {
-	at     time.Duration // since the start of the history
-	number int           // by the order of adding
-	handle func()
+	at       time.Duration // since the start of the history
+	sequence int           // sequence number in the order of adding
+	handle   func()
 }
 
 // add adds an event.
 func (s *schedule) add(at time.Duration, handle func()) {
-	s.added++
-	heap.Push(&s.queue, event{at: at, number: s.added, handle: handle})
+	s.addedCount++
+	heap.Push(&s.queue, event{at: at, sequence: s.addedCount, handle: handle})
 }
 
-// next removes the first event. found is false if there is none.
+// next removes and returns the earliest event. found is false if there is none.
 func (s *schedule) next() (first event, found bool) {
 	if len(s.queue) == 0 {
 		return event{}, false
@@ -32,7 +32,7 @@
 	return heap.Pop(&s.queue).(event), true
 }
 
-// eventQueue is a heap.Interface.
+// eventQueue implements heap.Interface, ordered by time and sequence number.
 type eventQueue []event
 
 func (q eventQueue) Len() int      { return len(q) }
@@ -43,7 +43,7 @@
 	if q[a].at != q[b].at {
 		return q[a].at < q[b].at
 	}
-	return q[a].number < q[b].number
+	return q[a].sequence < q[b].sequence
 }
 
 func (q *eventQueue) Pop() any {
