--- a/internal/fleet/incarnation.go
+++ b/internal/fleet/incarnation.go
@@ -17,7 +17,7 @@
 	errDiskTimeout    = errors.New("the disk did not respond within identity-within")
 )
 
-// currentResources returns the currentResources that this process owns.
+// currentResources returns the resources that this process owns.
 func (n *Node) currentResources() ownedResources {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/fleet/keys.go
+++ b/internal/fleet/keys.go
@@ -23,7 +23,7 @@
 }
 
 // PriorExecution returns where a request under the same key may have run in a previous incarnation of any dispatcher,
-// or nil if it has not run. It fails with proxy.ErrOutcomeUnknown if this cannot be determined.
+// or nil if there is no record of one. It fails with proxy.ErrOutcomeUnknown in the cases in which Keys.Find fails.
 func (n *Node) PriorExecution(request proxy.KeyedRequest) (*proxy.PriorExecution, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -45,8 +45,8 @@
 	return &proxy.PriorExecution{Worker: found.Worker, Zone: found.Zone, Cell: found.Cell, SentAtMillis: found.SentAt}, nil
 }
 
-// PersistKey returns nil once a key is durable, so that its request may be sent. It fails with a KeyTimeoutError after
-// the key timeout.
+// PersistKey returns nil once a key is durable, so that its request may be sent. It fails if the key cannot be written
+// or ctx ends, and with a KeyTimeoutError after the key timeout.
 func (n *Node) PersistKey(ctx context.Context, record proxy.KeyRecord) error {
 	now := time.Now().UnixMilli()
 	return n.keyWriter.persist(ctx, store.Key{
--- a/internal/fleet/keywriter.go
+++ b/internal/fleet/keywriter.go
@@ -38,8 +38,8 @@
 	return &keyWriter{timeout: timeout, queue: make(chan pendingKey, keyQueueLength)}
 }
 
-// persist returns nil once a key is durable, and a KeyTimeoutError after the timeout. The key may still become durable
-// after the timeout, which is harmless.
+// persist returns nil once a key is durable. It fails if the key cannot be written or ctx ends, and with a
+// KeyTimeoutError after the timeout. The key may still become durable after the timeout, which is harmless.
 func (w *keyWriter) persist(ctx context.Context, key store.Key) error {
 	pending := pendingKey{key: key, persisted: make(chan error, 1)}
 	ctx, cancel := context.WithTimeoutCause(ctx, w.timeout, &KeyTimeoutError{Timeout: w.timeout})
--- a/internal/fleet/keywriter_test.go
+++ b/internal/fleet/keywriter_test.go
@@ -31,7 +31,7 @@
 		others.Go(func() error {
 			err := w.persist(ctx, store.Key{Sum: uint64(2 + n)})
 			if !errors.Is(err, errDisk) {
-				t.Errorf("key %d: %v, want the error of its batch", 2+n, err)
+				t.Errorf("key %d: got error %v, want the error of its batch", 2+n, err)
 			}
 			return nil
 		})
--- a/internal/fleet/messaging/message.go
+++ b/internal/fleet/messaging/message.go
@@ -21,7 +21,7 @@
 // The values of Kind.
 const (
 	Query     Kind = iota + 1 // requests a reply from the receiver
-	Reply                     // one part of the sender's keys, workers and recovery progress
+	Reply                     // one part of the sender's data that the receiver may lack
 	Heartbeat                 // the sender's progress, which peers report back if its disk loses it
 )
 
@@ -137,7 +137,7 @@
 	return true
 }
 
-// The maximum sizes in bytes of the parts of a message in CBOR, without the names that they contain.
+// The maximum sizes in bytes of the elements of a message in CBOR, without the names that they contain.
 const (
 	maxOtherFieldBytes    = 400 // all fields except those below
 	maxWorkerBytes        = 48  // a Worker
--- a/internal/fleet/metrics.go
+++ b/internal/fleet/metrics.go
@@ -15,8 +15,8 @@
 	keysPersisted    int64
 	keysNotPersisted int64 // keys that could not be persisted
 	repeatsRouted    int64 // requests sent to the dedup group of an earlier attempt
-	repeatsFailed    int64 // requests failed because the worker of an earlier attempt is unknown
-	requestsRejected int64 // rejected during recovery
+	repeatsFailed    int64 // requests failed because it is unknown whether or where they have run
+	requestsRejected int64 // requests rejected by the state machine
 }
 
 // Metrics returns the metrics in the answer to DUMP. Operators rely on their names and order.
--- a/internal/fleet/node.go
+++ b/internal/fleet/node.go
@@ -61,7 +61,7 @@
 	keys           *recovery.Keys
 	owned          ownedResources
 	recovered      store.Recovered      // data in the folder when this process acquired it
-	successor      bool                 // this process takes over from a predecessor
+	successor      bool                 // this process takes over from its predecessor, or from a successor that exited
 	replies        []recovery.PeerReply // not yet merged
 	restoreStarted bool                 // restoring the recovered state has started
 	restored       bool                 // the recovered state has been restored, so requests may be admitted
--- a/internal/fleet/peers.go
+++ b/internal/fleet/peers.go
@@ -132,7 +132,7 @@
 const minObservedCapacity = 1
 
 // observedCapacity returns the highest number of requests that workers of each kind have processed concurrently. Until
-// the stored state is restored, the result includes the stored values.
+// the stored state is restored, the result includes the stored values if they are trusted.
 func (n *Node) observedCapacity() map[string]float64 {
 	capacity := map[string]float64{}
 	for kind, observed := range n.balancer.MaxObserved() {
--- a/internal/fleet/recovery/admission.go
+++ b/internal/fleet/recovery/admission.go
@@ -130,7 +130,7 @@
 }
 
 // isDemandWithinCapacity reports whether, for at least lowDemandDuration, no request has been rejected and demand has
-// stayed below fullServiceDemandShare of this dispatcher's share of the workers' current capacity.
+// not exceeded fullServiceDemandShare of this dispatcher's share of the workers' current capacity.
 func (s *StateMachine) isDemandWithinCapacity() bool {
 	a := &s.admission
 	limit := fullServiceDemandShare * a.capacity.Current / float64(s.countActiveDispatchers())
--- a/internal/fleet/recovery/identity.go
+++ b/internal/fleet/recovery/identity.go
@@ -22,7 +22,7 @@
 // PreviousIncarnation holds what the disk recorded of the incarnation before the current one.
 type PreviousIncarnation struct {
 	Incarnation   uint64                  // 0 if there is none
-	PersistedKeys uint64                  // readable keys of that incarnation
+	PersistedKeys uint64                  // keys persisted in that incarnation, up to the last one read
 	KeysSuspect   bool                    // persisted keys may be missing
 	Peers         map[string]PeerProgress // by peer name
 }
--- a/internal/fleet/recovery/keys.go
+++ b/internal/fleet/recovery/keys.go
@@ -92,9 +92,9 @@
 	Uptime       time.Duration // since the process started
 }
 
-// Find returns the record of where a request under a key may have run in a previous incarnation, or nil if it has not
-// run. It fails with ErrKeysPending, ErrClockImplausible or ErrMultipleGroups if the request may have run, but the
-// worker or the expiry of the key cannot be determined.
+// Find returns the unexpired record of a request that may have run under a key in a previous incarnation, or nil if
+// there is none. It fails with ErrKeysPending if there is no record of a marked repeat, but some keys may be missing;
+// with ErrMultipleGroups if the dedup group is unknown; and with ErrClockImplausible if the expiry is uncertain.
 func (k *Keys) Find(lookup KeyLookup) (*messaging.Key, error) {
 	key, known := k.previous[lookup.Sum]
 	if !known {
--- a/internal/fleet/recovery/peers.go
+++ b/internal/fleet/recovery/peers.go
@@ -13,7 +13,7 @@
 	incarnation   uint64       // highest incarnation received, 0 if none
 	nonce         uint64       // nonce of that incarnation
 	persistedKeys uint64       // keys persisted in that incarnation, from its heartbeats
-	previous      PeerProgress // the incarnation before that one, which the peer's queries may ask for
+	previous      PeerProgress // the incarnation before that one, to be reported in replies to the peer
 
 	received       bool          // a message has arrived since this process started
 	lastReceivedAt time.Duration // time since this process started; only valid if received is true
@@ -56,13 +56,13 @@
 // current.
 func (p *peer) recordMessage(msg *messaging.Message, now time.Duration) bool {
 	sameIncarnation := msg.Incarnation == p.incarnation
-	same := sameIncarnation && msg.Nonce == p.nonce
+	sameProcess := sameIncarnation && msg.Nonce == p.nonce
 	newer := msg.Incarnation > p.incarnation || sameIncarnation && msg.Nonce > p.nonce
-	if p.incarnation > 0 && !newer && !same {
+	if p.incarnation > 0 && !newer && !sameProcess {
 		return false
 	}
 	if newer {
-		p.recordRestart(msg)
+		p.recordIncarnation(msg)
 	}
 	p.received = true
 	p.lastReceivedAt = now
@@ -70,8 +70,9 @@
 	return true
 }
 
-// recordRestart records a restart of the peer. Its earlier answers remain valid.
-func (p *peer) recordRestart(msg *messaging.Message) {
+// recordIncarnation records a newer incarnation of the peer, and keeps the one before. Answers of the earlier
+// incarnation remain valid.
+func (p *peer) recordIncarnation(msg *messaging.Message) {
 	if p.incarnation > 0 {
 		p.previous = p.currentProgress()
 	}
@@ -164,8 +165,8 @@
 }
 
 // countActiveDispatchers returns how many dispatchers share the workers, including this one. All members count up to
-// the end of QueryingPeers, because peers may still answer until then. After that a peer counts only if this process has
-// received a message from it.
+// the end of QueryingPeers, because peers may still answer until then. After that a peer counts only if this process
+// has received a message from it.
 func (s *StateMachine) countActiveDispatchers() int {
 	if s.phase <= QueryingPeers {
 		return len(s.peers.members)
--- a/internal/fleet/recovery/phase.go
+++ b/internal/fleet/recovery/phase.go
@@ -38,7 +38,7 @@
 const (
 	admitNone   admissionRule = iota
 	admitProbes               // at most probeLimit requests concurrently
-	admitAll                  // all requests; the balancer queues them by value and rejects those that are too late
+	admitAll                  // all requests; the balancer queues them by value and rejects those that cannot end in time
 )
 
 // phaseRules holds the rule of each phase. Nothing is sent before the incarnation is durable.
@@ -106,8 +106,8 @@
 }
 
 // advancePhase makes all transitions that are due. A phase ends when its condition is met; the timeout only limits the
-// wait for it. Two transitions are made elsewhere: checkOwnIncarnation enters Superseded from any phase, and TakeOver
-// enters Serving directly.
+// wait for it. Two transitions are made elsewhere: checkOwnIncarnation enters Superseded from any phase, which is the
+// only way in which Serving ends, and TakeOver enters Serving directly.
 func (s *StateMachine) advancePhase() {
 	for {
 		phase := s.phase
@@ -129,8 +129,8 @@
 	}
 }
 
-// advanceFromEstablishingIdentity ends the phase once the caller has reported the incarnation, at the latest after
-// IdentityTimeout.
+// advanceFromEstablishingIdentity ends the phase once the caller has reported the incarnation. The caller enforces
+// IdentityTimeout: if the incarnation is not durable by then, it reports one that is not.
 func (s *StateMachine) advanceFromEstablishingIdentity() {
 	if s.identity.established {
 		s.enterPhase(AwaitingEndpoints, fmt.Sprintf("incarnation %d", s.identity.incarnation))
--- a/internal/fleet/recovery/queries.go
+++ b/internal/fleet/recovery/queries.go
@@ -21,14 +21,15 @@
 const (
 	// maxBackoffDoublings limits the backoff between two queries to a peer to 16 times QueryInterval.
 	maxBackoffDoublings = 4
-	// minFinalAnswerDoublings sets the minimum delay after a reply that is not final: 8 times QueryInterval.
-	minFinalAnswerDoublings = 3
+	// minRequeryDoublings sets the minimum delay until the next query after a complete reply: 8 times QueryInterval.
+	minRequeryDoublings = 3
 	// workerQueryPeers is how many ring successors are queried about workers. All peers have much the same worker data,
 	// and it is large.
 	workerQueryPeers = 3
 )
 
-// sendQueries queries each peer that is due and whose answer is not final. The delay doubles with each query.
+// sendQueries queries each peer that is due and whose answer is not final. The delay doubles with each query, up to a
+// limit.
 func (s *StateMachine) sendQueries() {
 	if !s.phase.rule().sendsQueries {
 		return
@@ -52,7 +53,7 @@
 
 // queryBackoff returns the maximum delay until a peer is queried again.
 func (s *StateMachine) queryBackoff(p *peer) time.Duration {
-	if p.answered { // the answer becomes final once the peer can tell whether its keys are complete
+	if p.answered { // it takes time until the peer can tell whether its keys are complete, and its answer is final
 		return s.config.QueryInterval << maxBackoffDoublings
 	}
 	return s.config.QueryInterval << min(p.query.sentCount, maxBackoffDoublings)
@@ -81,9 +82,9 @@
 	return false
 }
 
-// queryWorkersOfServingPeer queries a peer again if its reply shows that it serves, because a serving peer has more
-// recent worker data than ring successors that were down. It does nothing after QueryingPeers, because this dispatcher
-// then observes the workers itself.
+// queryWorkersOfServingPeer queries a peer again, now about workers, if its reply shows that it serves, because a
+// serving peer has more recent worker data than ring successors that were down. At most workerQueryPeers peers are
+// queried for this reason, and none after QueryingPeers, because this dispatcher then observes the workers itself.
 func (s *StateMachine) queryWorkersOfServingPeer(p *peer) {
 	mayKnowMore := p.phase == Serving && !p.query.wantWorkers
 	enoughQueried := s.peers.servingPeersQueried >= workerQueryPeers
--- a/internal/fleet/recovery/receive.go
+++ b/internal/fleet/recovery/receive.go
@@ -52,7 +52,8 @@
 	return isSender && knownPhase
 }
 
-// receiveQuery handles a query. The query shows that the peer is up, so the backoff of queries to that peer is reset.
+// receiveQuery handles a query. The query shows that the peer is up, so if it has not answered yet, the backoff of
+// queries to it is reset.
 // The peer is not queried immediately, because two dispatchers that answered queries with queries would never stop.
 func (s *StateMachine) receiveQuery(from int, p *peer, query *messaging.Message) {
 	s.actions.Queries = append(s.actions.Queries, Query{
@@ -73,7 +74,8 @@
 	return Phase(reply.Phase) > QueryingPeers && !reply.KeysUnconfirmed
 }
 
-// receiveReply handles one part of a reply. Replies to any query but the last one are ignored.
+// receiveReply handles one part of a reply. It ignores replies to any query but the last one, and replies after a final
+// answer.
 func (s *StateMachine) receiveReply(from int, p *peer, reply *messaging.Message) {
 	if reply.Number != p.query.number || p.answerFinal {
 		return
@@ -83,7 +85,7 @@
 	if p.recordReplyPart(reply) {
 		p.answered = true
 		p.answerFinal = isFinalReply(reply)
-		p.query.nextAt = max(p.query.nextAt, s.now+s.config.QueryInterval<<minFinalAnswerDoublings)
+		p.query.nextAt = max(p.query.nextAt, s.now+s.config.QueryInterval<<minRequeryDoublings)
 		s.queryWorkersOfServingPeer(p)
 	}
 	s.advancePhase()
--- a/internal/fleet/recovery/reply.go
+++ b/internal/fleet/recovery/reply.go
@@ -9,8 +9,9 @@
 	Keys        []messaging.Key    // sent to every peer that queries
 }
 
-// receivedBeforeStartMillis is the reported age of a message that was received before this process started. It is
-// longer than any process runs.
+// receivedBeforeStartMillis is the age that a reply reports for a message whose time of receipt is not recorded: one
+// received before this process started, or one from a previous incarnation of the peer. It is longer than any process
+// runs, so the receiver of the reply attributes the message to a process before its own.
 const receivedBeforeStartMillis = 1 << 40
 
 // Reply returns the messages that answer a query with the data of this dispatcher.
@@ -26,8 +27,8 @@
 	return messaging.Split(first, local.Workers, local.Keys)
 }
 
-// addReceivedIncarnation adds to a reply the last incarnation received from an earlier process of the querying peer. If
-// the query itself started a new incarnation of that peer, the incarnation before it is reported.
+// addReceivedIncarnation adds to a reply the last incarnation received under the name of the querying peer from another
+// process. If the querying process is the last one received, that is the incarnation before it.
 func (s *StateMachine) addReceivedIncarnation(reply *messaging.Message, query Query) {
 	p := &s.peers.members[query.From]
 	if p.incarnation == 0 {
--- a/internal/fleet/recovery/statemachine.go
+++ b/internal/fleet/recovery/statemachine.go
@@ -1,5 +1,5 @@
 // Package recovery decides how a dispatcher returns to service after an outage: which incarnation it is, how much of
-// the stored state it trusts, what it queries peers for, and in which phases it admits requests.
+// the stored state it trusts, which data it queries peers for, and in which phases it admits requests.
 //
 // The package does no I/O, reads no clock and starts no goroutines. Callers pass in events with the current time and
 // get back actions, which package fleet executes. Times are relative to the start of the process, unless documented as
--- a/internal/fleet/restore.go
+++ b/internal/fleet/restore.go
@@ -156,7 +156,7 @@
 	if !found || len(snapshot.Learned) == 0 {
 		return capacity
 	}
-	for kind, stats := range snapshot.Learned[0].Kinds { // the value is the same in all shards
+	for kind, stats := range snapshot.Learned[0].Kinds { // the first shard represents all shards
 		if kind < len(snapshot.Kinds) && stats.MaxObserved > minObservedCapacity {
 			capacity[snapshot.Kinds[kind]] = stats.MaxObserved
 		}
--- a/internal/fleet/settings.go
+++ b/internal/fleet/settings.go
@@ -11,7 +11,7 @@
 	"canvasroute/internal/tomlconfig"
 )
 
-// Duration is a time.Duration that the fleet file gives as text, such as "250ms".
+// Duration is a time.Duration that is written as text in the fleet file, such as "250ms".
 type Duration time.Duration
 
 // UnmarshalText parses a number with a unit.
@@ -44,7 +44,7 @@
 		PeersTimeout     Duration `toml:"others-within"`   // for the peers to reply
 		ProbeTimeout     Duration `toml:"trickle-within"`  // for the first request to succeed
 		QueryInterval    Duration `toml:"ask-every"`       // initial interval between queries to a silent peer
-		KeyTimeout       Duration `toml:"keep-within"`     // for a key to be persisted before its request is rejected
+		KeyTimeout       Duration `toml:"keep-within"`     // for a key to be persisted; after that its request is not sent
 	} `toml:"recovery"`
 
 	ownAddress      netip.AddrPort   // parsed from Link.Listen
@@ -75,7 +75,7 @@
 const (
 	minSettingDuration = time.Millisecond
 	maxSettingDuration = time.Hour
-	maxMemberNameBytes = 128 // bytes
+	maxMemberNameBytes = 128
 )
 
 // The defaults of keys that the fleet file omits. deploy/fleet.toml sets the same values.
--- a/internal/fleet/simulate/clients.go
+++ b/internal/fleet/simulate/clients.go
@@ -10,14 +10,14 @@
 
 const (
 	meanRequestInterval = 60 * time.Millisecond // mean interval for at most baseFleetSize dispatchers
-	baseFleetSize      = 6                     // dispatchers; a larger fleet receives proportionally more requests
-	requestSize     = 200 * time.Millisecond
-	minRequestTime  = 50 * time.Millisecond // duration of a request
-	maxRequestTime  = 400 * time.Millisecond
-	repeatShare     = 0.3 // of the requests
-	keyedShare      = 0.3 // of the requests
-	recentKeyCount     = 120 // number of most recent keys from which repeats are drawn
-	zoneCount       = 3
+	baseFleetSize       = 6                     // dispatchers; a larger fleet receives proportionally more requests
+	requestSize         = 200 * time.Millisecond
+	minRequestTime      = 50 * time.Millisecond // duration of a request
+	maxRequestTime      = 400 * time.Millisecond
+	repeatShare         = 0.3 // of the requests
+	keyedShare          = 0.3 // of the requests
+	recentKeyCount      = 120 // number of most recent keys from which repeats are drawn
+	zoneCount           = 3
 )
 
 // sendRequests sends a request to a random dispatcher, with a new key, as a repeat of an earlier key or without a key,
--- a/internal/fleet/simulate/faults.go
+++ b/internal/fleet/simulate/faults.go
@@ -126,7 +126,7 @@
 }
 
 // schedulePowerLoss schedules a power loss of some or all dispatchers, possibly with an outage of the workers or the
-// discovery service. It returns the time at which the last of them restarts.
+// discovery service. It returns the time at which the last of these outages ends.
 func (w *world) schedulePowerLoss(at time.Duration, plan *faultPlan) time.Duration {
 	share := 1.0 // of the dispatchers
 	if !w.plan.FleetOutageOnly && w.drawBool(partialOutageProbability) {
--- a/internal/fleet/simulate/invariants.go
+++ b/internal/fleet/simulate/invariants.go
@@ -29,7 +29,8 @@
 	}
 }
 
-// checkPeersServe checks that all peers serve, or stopped so recently that their replies may predate the stop.
+// checkPeersServe checks that all peers serve. A peer that is down is accepted if it last started so recently that its
+// reply may predate its stop.
 func (n *node) checkPeersServe() {
 	for _, peer := range n.world.nodes {
 		if peer == n || peer.up && peer.machine.Phase() == recovery.Serving {
--- a/internal/fleet/simulate/network.go
+++ b/internal/fleet/simulate/network.go
@@ -108,7 +108,7 @@
 	}
 }
 
-// partition cuts all links between the first dispatchers, a random number of them, and the others.
+// partition splits the dispatchers by position into two groups of random size, and cuts all links between them.
 func (w *world) partition() {
 	size := w.rng.IntN(len(w.nodes)) + 1
 	for from := range w.nodes {
--- a/internal/fleet/simulate/node.go
+++ b/internal/fleet/simulate/node.go
@@ -22,7 +22,7 @@
 	powerLosses    []time.Duration // times of its power losses
 
 	up        bool
-	runNumber       int           // number of starts and stops, so that events of an exited process are ignored
+	runNumber int           // number of starts and stops, so that events of an exited process are ignored
 	startedAt time.Duration // time of the last start
 
 	// State of the running process.
@@ -253,20 +253,20 @@
 
 // reply replies to a peer's query with this dispatcher's keys, observed concurrency and, if requested, workers.
 func (n *node) reply(query recovery.Query) {
-	known := recovery.LocalState{
+	local := recovery.LocalState{
 		Keys:        n.keys.ForPeers(n.wallClock(), n.uptime()),
 		MaxObserved: map[string]float64{"std": observedSlots},
 	}
 	// The keys are sorted so that the contents of each part of the reply, and thus of lost parts, depend only on the
 	// seed.
-	slices.SortFunc(known.Keys, func(a, b messaging.Key) int { return cmp.Compare(a.Sum, b.Sum) })
+	slices.SortFunc(local.Keys, func(a, b messaging.Key) int { return cmp.Compare(a.Sum, b.Sum) })
 	if query.WantWorkers {
 		for worker := range n.world.plan.Workers {
 			id := string(rune('a'+worker%letterCount)) + "-worker"
-			known.Workers = append(known.Workers, messaging.Worker{ID: id, StartedAt: workerStart})
+			local.Workers = append(local.Workers, messaging.Worker{ID: id, StartedAt: workerStart})
 		}
 	}
-	for _, msg := range n.machine.Reply(query, known) {
+	for _, msg := range n.machine.Reply(query, local) {
 		n.world.send(n.position, query.From, &msg)
 	}
 }
--- a/internal/fleet/simulate/simulate.go
+++ b/internal/fleet/simulate/simulate.go
@@ -41,7 +41,7 @@
 	coldCapacityShare = 0.12                   // capacity of a cold worker as a share of a warm worker's
 	warmWorkerSlots   = 3                      // requests that a warm worker processes at once
 	settleDuration    = 25 * time.Second       // from the last fault to the end of the history
-	maxStartDelay        = 200 * time.Millisecond // maximum delay of the first start of a dispatcher
+	maxStartDelay     = 200 * time.Millisecond // maximum delay of the first start of a dispatcher
 	firstRequestAt    = time.Second
 	// maxViolations limits the violations in a result, because later ones are often consequences of the first.
 	maxViolations = 20
@@ -74,7 +74,7 @@
 type sentKey struct {
 	sum            uint64
 	zone           string        // zone of the dedup group
-	sentAt             time.Duration // time at which it was sent
+	sentAt         time.Duration // time at which it was sent
 	sender         int           // position of the dispatcher
 	unknownToPeers bool          // the sender's disk was reset, and no peer has received the key
 }
--- a/internal/fleet/store/disk.go
+++ b/internal/fleet/store/disk.go
@@ -29,7 +29,7 @@
 	fileMode   fs.FileMode = 0o600
 )
 
-// Folder is a Disk in the file system. Only one process can lock it at the same time.
+// Folder is a Disk in the file system. Only one process at a time can lock it.
 type Folder struct {
 	path     string
 	lockFile *os.File // nil if the folder is read-only
--- a/internal/fleet/store/journal.go
+++ b/internal/fleet/store/journal.go
@@ -54,7 +54,8 @@
 	j.persistedCount = 0
 }
 
-// keyCount returns the number of keys of an incarnation that were read, or 0 if it is not the last incarnation read.
+// keyCount returns the number of keys that an incarnation had persisted, up to the last key read. It returns 0 unless
+// that key is of this incarnation.
 func (j *keyJournal) keyCount(incarnation uint64) uint64 {
 	if incarnation != j.incarnation {
 		return 0
@@ -71,7 +72,8 @@
 	return number, found && err == nil && number > 0
 }
 
-// read returns the keys of all intact batches. The returned error lists the damaged or missing records.
+// read returns the keys of each segment up to its first damaged batch. The returned error lists the damaged or missing
+// records.
 func (j *keyJournal) read() (keys []Key, readErr error) {
 	files, err := j.disk.Names()
 	if err != nil {
--- a/internal/fleet/store/record.go
+++ b/internal/fleet/store/record.go
@@ -37,8 +37,7 @@
 // formatVersion is the format version of all records. A record with a higher version was written by a later release.
 const formatVersion = 1
 
-// The errors for records that cannot be used. `canvasroute state show` prints their texts, which operators' scripts
-// read.
+// The errors for records that cannot be used. Their texts are part of the output of `canvasroute state show`.
 var (
 	ErrTruncated     = errors.New("torn: the record is cut off")
 	ErrChecksum      = errors.New("damaged: the checksum does not match")
--- a/internal/fleet/store/recovered.go
+++ b/internal/fleet/store/recovered.go
@@ -18,7 +18,8 @@
 }
 
 // The errors in Recovered.Errors that concern several records. The errors for a single record are ErrTruncated,
-// ErrChecksum, ErrUnknownRecord and ErrNewerVersion. `canvasroute state show` prints the texts of both.
+// ErrChecksum, ErrUnknownRecord and ErrNewerVersion. The texts of both are part of the output of
+// `canvasroute state show`.
 var (
 	ErrForeignState = errors.New("state of another dispatcher")
 	ErrOutdated     = errors.New("the incarnation on disk is older than the state")
--- a/internal/fleet/store/store.go
+++ b/internal/fleet/store/store.go
@@ -23,7 +23,7 @@
 	KeysSuspect   bool   `cbor:"8,keyasint"` // keys of previous incarnations may be missing, for one dedup window
 }
 
-// State is the learned state of a dispatcher at one time.
+// State is a snapshot of the learned state of a dispatcher.
 type State struct {
 	Name         string                  `cbor:"1,keyasint"` // of the dispatcher
 	Incarnation  uint64                  `cbor:"2,keyasint"` // the incarnation that wrote the state
@@ -92,7 +92,7 @@
 }
 
 // RaiseIncarnation increases the number of the incarnation to at least number and persists it. It is called if a peer
-// has received a higher number than the one on this disk.
+// has received the number of this incarnation, or a higher one, from an earlier process of the same name.
 func (s *Store) RaiseIncarnation(number uint64) error {
 	return s.updateIncarnation(func(i *Incarnation) { i.Number = max(i.Number, number) })
 }
--- a/internal/fleet/store/store_test.go
+++ b/internal/fleet/store/store_test.go
@@ -73,8 +73,8 @@
 	return records, recovered
 }
 
-// Guards against torn or lost writes: whichever operation the power loss precedes, and however many bytes of the last
-// write reached the disk, each file must hold its old or its new record, and acknowledged writes must be readable.
+// Guards against torn or lost writes. Power is lost before each operation in turn, with any number of bytes of the last
+// write on disk. Each file must hold its old or its new record, and acknowledged writes must be readable.
 func TestPowerLostBeforeOperationKeepsOldOrNewRecord(t *testing.T) {
 	const (
 		maxTail   = 140
@@ -177,7 +177,7 @@
 	assert.Nil(t, recovered.State, "the state of another dispatcher is not used")
 	assert.Len(t, recovered.Errors, 1)
 	assert.ErrorIs(t, recovered.Errors[0], ErrForeignState)
-	assert.Len(t, recovered.Keys, 3, "keys are valid whichever dispatcher wrote them")
+	assert.Len(t, recovered.Keys, 3, "keys written by another dispatcher are valid")
 	assert.True(t, recovered.KeysSuspect, "the keys of this dispatcher are not on this disk")
 	incarnation, err := s.Begin(BeginOptions{Previous: recovered.Incarnation, Nonce: 5, At: 2000})
 	assert.NoError(t, err)
@@ -265,7 +265,7 @@
 		recovered      Recovered
 		unreliableDisk bool
 		wantMin        uint64
-		wantMissing    bool
+		wantSuspect    bool
 	}{
 		{"an empty disk", Recovered{}, true, 1, false},
 		{"a state", Recovered{State: &State{Incarnation: 7}}, false, 8, false},
@@ -283,7 +283,7 @@
 			if c.unreliableDisk {
 				c.recovered.SuspectUnreliableDisk()
 			}
-			assert.Equal(t, c.wantMissing, c.recovered.KeysSuspect)
+			assert.Equal(t, c.wantSuspect, c.recovered.KeysSuspect)
 		})
 	}
 }
