--- a/internal/fleet/hot_restart.go
+++ b/internal/fleet/hot_restart.go
@@ -20,7 +20,7 @@
 // first.
 func (n *Node) runIncarnations(ctx context.Context) error {
 	for {
-		if n.isSuccessor() && !n.serveUntilAcquired(ctx) {
+		if n.isTakingOver() && !n.serveUntilAcquired(ctx) {
 			return nil
 		}
 		n.beginIncarnation()
@@ -32,15 +32,15 @@
 			return nil
 		}
 		n.mu.Lock()
-		n.successor = true
+		n.takingOver = true
 		n.mu.Unlock()
 	}
 }
 
-func (n *Node) isSuccessor() bool {
+func (n *Node) isTakingOver() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.successor
+	return n.takingOver
 }
 
 // serveUntilAcquired serves without the folder and the address until the predecessor has yielded them. It returns false
--- a/internal/fleet/incarnation.go
+++ b/internal/fleet/incarnation.go
@@ -92,7 +92,7 @@
 		n.counters.stateFailures++
 		number = max(recovered.MinNextIncarnation(), recovered.Incarnation.Number+1)
 	}
-	if n.successor {
+	if n.takingOver {
 		n.machine.IncarnationRaised(n.uptime(), number)
 		n.machine.TakeOver(n.uptime(), number, nonce)
 	} else {
--- a/internal/fleet/node.go
+++ b/internal/fleet/node.go
@@ -61,7 +61,7 @@
 	keys           *recovery.Keys
 	owned          ownedResources
 	recovered      store.Recovered      // data in the folder when this process acquired it
-	successor      bool                 // this process takes over from its predecessor, or from a successor that exited
+	takingOver     bool                 // this process takes over from its predecessor, or from a successor that exited
 	replies        []recovery.PeerReply // not yet merged
 	restoreStarted bool                 // restoring the recovered state has started
 	restored       bool                 // the recovered state has been restored, so requests may be admitted
@@ -70,7 +70,7 @@
 }
 
 // ownedResources are the resources that only one process of a name may own. While another process owns them, folder and
-// store are nil and socket is closed.
+// store are nil, and socket is closed, or nil if this process has not owned them before.
 type ownedResources struct {
 	folder *store.Folder // also nil if the folder is unusable
 	store  *store.Store  // nil if folder is nil
@@ -105,10 +105,10 @@
 		ownerChanges: make(chan resourceOwner, maxOwnerChanges),
 		machine:      newStateMachine(settings, &config),
 		keys:         recovery.NewKeys(config.DedupWindow),
-		successor:    config.IsSuccessor,
+		takingOver:   config.IsSuccessor,
 	}
 	n.storedCapacity = sync.OnceValue(n.readStoredCapacity)
-	if n.successor {
+	if n.takingOver {
 		return n, nil
 	}
 	deadline := time.Now().Add(settings.Recovery.IdentityTimeout.Std())
--- a/internal/fleet/phases.go
+++ b/internal/fleet/phases.go
@@ -127,7 +127,7 @@
 func (n *Node) collectReplies(received []recovery.PeerReply) (replies []recovery.PeerReply, restoreNow bool) {
 	n.replies = append(n.replies, received...)
 	if n.machine.Phase().AdmitsRequests() {
-		restoreNow = !n.restoreStarted && !n.successor
+		restoreNow = !n.restoreStarted && !n.takingOver
 		n.restoreStarted = true
 	}
 	if n.restoreStarted {
--- a/internal/fleet/recovery/outage.go
+++ b/internal/fleet/recovery/outage.go
@@ -9,7 +9,7 @@
 const (
 	Undecided          Outage = iota
 	ThisDispatcherOnly        // every peer serves: their state is more recent than this dispatcher's disk
-	Partial                   // some peers serve
+	Partial                   // some peers serve, but not all
 	FleetWide                 // no peer serves: the newest data from all disks is used, in doubt the more cautious value
 )
 
