--- a/internal/fleet/keys.go
+++ b/internal/fleet/keys.go
@@ -28,11 +28,11 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	found, err := n.keys.Find(recovery.KeyLookup{
-		Sum:          keyChecksum(request.Operation, request.Key),
-		MarkedRepeat: request.MarkedRepeat,
-		KeysPending:  n.machine.MayLackKeys(n.uptime()),
-		Now:          time.Now().UnixMilli(),
-		Uptime:       n.uptime(),
+		Sum:            keyChecksum(request.Operation, request.Key),
+		MarkedRepeat:   request.MarkedRepeat,
+		KeysIncomplete: n.machine.MayLackKeys(n.uptime()),
+		Now:            time.Now().UnixMilli(),
+		Uptime:         n.uptime(),
 	})
 	switch {
 	case err != nil:
--- a/internal/fleet/recovery/keys.go
+++ b/internal/fleet/recovery/keys.go
@@ -76,30 +76,30 @@
 	return keys
 }
 
-// The reasons why Find cannot determine where a request may have run.
+// The reasons why Find cannot determine whether or where a request may have run.
 var (
-	ErrKeysPending      = errors.New("peers that may have the key have not answered")
+	ErrKeysIncomplete   = errors.New("the key is unknown, and keys of previous incarnations may be missing")
 	ErrClockImplausible = errors.New("the wall clock is inconsistent with the send time of the key")
 	ErrMultipleGroups   = errors.New("the key was sent to two dedup groups")
 )
 
 // KeyLookup holds the parameters of Keys.Find.
 type KeyLookup struct {
-	Sum          uint64        // checksum of the operation and the key
-	MarkedRepeat bool          // the client marked the request as a repeat
-	KeysPending  bool          // requests may have run under keys that this dispatcher does not have
-	Now          int64         // Unix time in ms
-	Uptime       time.Duration // since the process started
+	Sum            uint64        // checksum of the operation and the key
+	MarkedRepeat   bool          // the client marked the request as a repeat
+	KeysIncomplete bool          // requests may have run under keys that this dispatcher does not have
+	Now            int64         // Unix time in ms
+	Uptime         time.Duration // since the process started
 }
 
 // Find returns the unexpired record of a request that may have run under a key in a previous incarnation, or nil if
-// there is none. It fails with ErrKeysPending if there is no record of a marked repeat, but some keys may be missing;
+// there is none. It fails with ErrKeysIncomplete if there is no record of a marked repeat, but keys may be missing;
 // with ErrMultipleGroups if the dedup group is unknown; and with ErrClockImplausible if the expiry is uncertain.
 func (k *Keys) Find(lookup KeyLookup) (*messaging.Key, error) {
 	key, known := k.previous[lookup.Sum]
 	if !known {
-		if lookup.MarkedRepeat && lookup.KeysPending {
-			return nil, ErrKeysPending
+		if lookup.MarkedRepeat && lookup.KeysIncomplete {
+			return nil, ErrKeysIncomplete
 		}
 		return nil, nil
 	}
--- a/internal/fleet/recovery/keys_test.go
+++ b/internal/fleet/recovery/keys_test.go
@@ -28,11 +28,11 @@
 		{"a key expired by the clock alone", KeyLookup{Sum: 3, MarkedRepeat: true, Uptime: time.Second}, false, ErrClockImplausible},
 		{"a key sent in the future", KeyLookup{Sum: 4, MarkedRepeat: true, Uptime: time.Second}, false, ErrClockImplausible},
 		{
-			"an unknown key while keys are pending",
-			KeyLookup{Sum: 9, MarkedRepeat: true, KeysPending: true, Uptime: time.Second},
-			false, ErrKeysPending,
+			"an unknown key while keys may be missing",
+			KeyLookup{Sum: 9, MarkedRepeat: true, KeysIncomplete: true, Uptime: time.Second},
+			false, ErrKeysIncomplete,
 		},
-		{"an unknown key without the client's mark", KeyLookup{Sum: 9, KeysPending: true, Uptime: time.Second}, false, nil},
+		{"an unknown key without the client's mark", KeyLookup{Sum: 9, KeysIncomplete: true, Uptime: time.Second}, false, nil},
 		{"an expired key after a dedup window", KeyLookup{Sum: 3, MarkedRepeat: true, Uptime: 41 * time.Second}, false, nil},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/fleet/simulate/clients.go
+++ b/internal/fleet/simulate/clients.go
@@ -91,11 +91,11 @@
 // sent before this dispatcher started, its repeat must be sent to the same dedup group or fail, for one dedup window.
 func (n *node) sendRepeat(key sentKey) {
 	found, err := n.keys.Find(recovery.KeyLookup{
-		Sum:          key.sum,
-		MarkedRepeat: true,
-		KeysPending:  n.machine.MayLackKeys(n.uptime()),
-		Now:          n.wallClock(),
-		Uptime:       n.uptime(),
+		Sum:            key.sum,
+		MarkedRepeat:   true,
+		KeysIncomplete: n.machine.MayLackKeys(n.uptime()),
+		Now:            n.wallClock(),
+		Uptime:         n.uptime(),
 	})
 	outcome := repeatAnywhere
 	switch {
