--- a/internal/fleet/incarnation.go
+++ b/internal/fleet/incarnation.go
@@ -17,7 +17,7 @@
 	errDiskTimeout    = errors.New("the disk did not respond within identity-within")
 )
 
-// currentResources returns the currentResources that this process owns.
+// currentResources returns the resources that this process owns.
 func (n *Node) currentResources() ownedResources {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -92,7 +92,7 @@
 		n.counters.stateFailures++
 		number = max(recovered.MinNextIncarnation(), recovered.Incarnation.Number+1)
 	}
-	if n.successor {
+	if n.takingOver {
 		n.machine.IncarnationRaised(n.uptime(), number)
 		n.machine.TakeOver(n.uptime(), number, nonce)
 	} else {
