--- a/internal/admission/controller.go
+++ b/internal/admission/controller.go
@@ -110,7 +110,8 @@
 	c.minDelay = noSample
 }
 
-// decreaseShare lowers the share in proportion to the delay, to at least minShare.
+// decreaseShare multiplies the share by the ratio of Target to the minimum delay, but at least by minDecreaseFactor.
+// The share stays at minShare or above.
 func (c *Controller) decreaseShare() {
 	factor := max(float64(Target)/float64(c.minDelay), minDecreaseFactor)
 	c.setShare(max(c.AdmittedShare()*factor, minShare))
--- a/internal/discovery/table.go
+++ b/internal/discovery/table.go
@@ -19,9 +19,9 @@
 	kinds          map[string]int // kind numbers by name, from the settings
 	log            zerolog.Logger
 
-	// mu guards the fields below. It is held during calls of fromUnixMillis, log and the function passed to Find.
+	// mu guards the fields below. It is held during calls of fromUnixMillis, log and the function passed to FindWorker.
 	mu          sync.Mutex
-	zones       map[string]int               // zone numbers by name; zones in the settings come first
+	zones       map[string]int               // zone numbers by name: those in the settings first, then others as added
 	numberByID  map[string]balancer.WorkerID // worker numbers by ID
 	workers     []worker                     // by worker number
 	numberByTag map[uint16]balancer.WorkerID // worker numbers by tag; the first one if several workers share a tag
@@ -215,7 +215,7 @@
 }
 
 // WorkerByTag returns the number of the worker with a tag, and whether there is one. If several workers share the tag,
-// it returns the one that was listed first.
+// it returns the number of the worker listed first.
 func (t *Table) WorkerByTag(tag uint16) (balancer.WorkerID, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -115,10 +115,10 @@
 	return nil
 }
 
-// applyTruncatedLine applies the complete worker entries of a line that was cut off by a failure of the connection.
-// Otherwise a drain would be applied too late if the watches of a service are cut off repeatedly. The version of the
-// table is unchanged, so that the next watch starts with the complete list again, and no missing worker is marked as
-// gone.
+// applyTruncatedLine applies the complete worker entries of a line that was cut off by a read error, such as a closed
+// connection or a timeout. Otherwise a drain would be applied too late if the watches of a service are cut off
+// repeatedly. The version of the table is unchanged, so that the next watch starts with the complete list again, and no
+// missing worker is marked as gone.
 func (w *Watcher) applyTruncatedLine(line []byte) {
 	list, _ := protocol.ParseEndpointList(line)
 	w.log.Warn().Int("bytes", len(line)).Int("workers", len(list.Endpoints)).Msg("endpoint watch cut within a line")
--- a/internal/discovery/watch_end.go
+++ b/internal/discovery/watch_end.go
@@ -65,7 +65,8 @@
 // the next poll.
 //
 //   - WatchRejected: the service responded with 503 after at least minOverloadedWait. It has too many clients.
-//   - WatchFailed: no watch was opened, because dialing, sending or receiving failed or because of any other status.
+//   - WatchFailed: no watch was opened for any other reason: dialing, sending or receiving failed, the response was
+//     malformed, or its status was neither 200 nor such a 503.
 //   - WatchSilent: the watch was open, and firstLineTimeout or lineTimeout expired.
 //   - WatchDisconnected: the watch was open and ended for any other reason.
 func classifyPollEnd(opened bool, err error) balancer.WatchEnd {
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -17,7 +17,7 @@
 	"canvasroute/internal/protocol"
 )
 
-// watchOnce polls a service that answers with respond, and returns the Watcher and the error of the ended watch.
+// watchOnce polls a service that responds by respond, and returns the Watcher and the error of the ended watch.
 func watchOnce(t *testing.T, respond peertest.Responder) (*Watcher, error) {
 	t.Helper()
 	targets := make(chan string, 1)
@@ -78,8 +78,8 @@
 		wait time.Duration
 		want balancer.WatchEnd
 	}{
-		"at once":      {0, balancer.WatchFailed},
-		"after a wait": {minOverloadedWait + 50*time.Millisecond, balancer.WatchRejected},
+		"immediate": {0, balancer.WatchFailed},
+		"slow":      {minOverloadedWait + 50*time.Millisecond, balancer.WatchRejected},
 	} {
 		t.Run(name, func(t *testing.T) {
 			w := newWatcher(peertest.StartServer(t, func(conn net.Conn, _ *http.Request) {
@@ -117,7 +117,7 @@
 		respond peertest.Responder
 		want    string
 	}{
-		"cut": {
+		"closed": {
 			respond: peertest.RespondAndClose(chunkStart +
 				`{"seq":9,"whole":true,"hosts":[{"host":"w","health":"Terminating"},{"host":"v","dial":"127.0.0.1:2","hea`),
 			want: "within a message",
@@ -147,7 +147,7 @@
 
 // Bytes that never complete a line must not keep a watch open: the service assumes that every dispatcher has applied a
 // change 6 s after it.
-func TestWatchThatBringsBytesButNoLinesTimesOut(t *testing.T) {
+func TestWatchWithBytesButNoLinesTimesOut(t *testing.T) {
 	for name, first := range map[string]string{
 		"from the start": peertest.ChunkedHead,
 		"after a line":   peertest.Chunked(emptyList(9)),
@@ -163,10 +163,10 @@
 					time.Sleep(100 * time.Millisecond)
 				}
 			}))
-			began := time.Now()
+			startedAt := time.Now()
 			_, err := w.watch(context.Background(), nil)
 			assert.ErrorContains(t, err, "timeout")
-			assert.Less(t, time.Since(began), 4500*time.Millisecond)
+			assert.Less(t, time.Since(startedAt), 4500*time.Millisecond)
 		})
 	}
 }
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -72,8 +72,8 @@
 	return &Watcher{config: c, table: table, balancer: b, pool: pool, log: log, address: c.Address}
 }
 
-// SetAddress changes the address of the discovery service. It cancels a watch at the previous address, and the new
-// address is polled immediately. The table keeps its workers.
+// SetAddress changes the address of the discovery service. It cancels a poll or watch of the previous address, and the
+// new address is polled immediately. The table keeps its workers.
 func (w *Watcher) SetAddress(address string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -160,7 +160,8 @@
 	return nil
 }
 
-// poll opens a watch, reads it until it ends, and reports its end to the balancer and the observer.
+// poll opens a watch, reads it until it ends, and reports its end to the balancer. If the poll or watch has failed,
+// poll also notifies the observer.
 func (w *Watcher) poll(ctx context.Context) {
 	watchCtx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -38,7 +38,7 @@
 
 // SIGHUP changes the address, to another one and back, between the end of a watch and its report. The last address must
 // be polled immediately, and no watch may remain at the previous one.
-func TestAddressChangeWhileWatchIsLostTakesEffectAtOnce(t *testing.T) {
+func TestAddressChangeWhileWatchIsLostTakesEffectImmediately(t *testing.T) {
 	next, polled := startService(t, peertest.Chunked(emptyList(9)))
 	w := newWatcher(peertest.StartServer(t, peertest.RespondAndClose(unavailable)))
 	changed := make(chan bool)
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -2,9 +2,9 @@
 // flight at each worker.
 //
 // A datagram without loads is a hello. Its sender has just started, or still has no information about the time before
-// its start. Datagrams may be lost. A datagram that arrives after a later one is dropped because of its timestamp. The
-// balancer decides which loads are sent to which peer, and receives the loads of the peers. The package identifies
-// workers only by their tags.
+// its start. Datagrams may be lost. Loads that arrive after a datagram with a later timestamp are dropped. The balancer
+// decides which loads are sent to which peer, and receives the loads of the peers. The package identifies workers only
+// by their tags.
 //
 // A peer is a shard of a process; a process with one shard is one peer.
 package gossip
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -126,13 +126,13 @@
 		millis uint16
 		want   bool
 	}{
-		"the first one":          {timestamp{}, 5, false},
-		"the same millisecond":   {timestamp{5, true}, 5, false},
-		"later":                  {timestamp{5, true}, 6, false},
-		"earlier":                {timestamp{5, true}, 4, true},
-		"earlier, over the wrap": {timestamp{5, true}, 65530, true},
-		"as old as may be":       {timestamp{5000, true}, 5000 - maxReorderMillis + 1, true},
-		"older: a restart":       {timestamp{5000, true}, 5000 - maxReorderMillis, false},
+		"first datagram":              {timestamp{}, 5, false},
+		"same millisecond":            {timestamp{5, true}, 5, false},
+		"later":                       {timestamp{5, true}, 6, false},
+		"earlier":                     {timestamp{5, true}, 4, true},
+		"earlier, across the wrap":    {timestamp{5, true}, 65530, true},
+		"oldest that is reordered":    {timestamp{5000, true}, 5000 - maxReorderMillis + 1, true},
+		"too old: the peer restarted": {timestamp{5000, true}, 5000 - maxReorderMillis, false},
 	} {
 		t.Run(name, func(t *testing.T) { assert.Equal(t, test.want, test.latest.isAfter(test.millis)) })
 	}
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -9,23 +9,23 @@
 	"canvasroute/internal/transport"
 )
 
-// responseEndTimeout limits the wait for the end of a response after the line with the result was received.
+// responseEndTimeout limits the time for reading the rest of a response whose outcome is already decided.
 const responseEndTimeout = 250 * time.Millisecond
 
 // attempt is one attempt of a request at a worker. It is owned by the goroutine that runs it, except for the field
 // pause. While the attempt is paused, the goroutine that migrates its request may read it.
 type attempt struct {
-	proxy     *Proxy
-	request   *protocol.Request
-	settings  *settings // settings of the request
-	number    int       // index among the request's attempts
-	deadline  time.Time // when the client times out
-	sendBy    time.Time // end of the dedup window of an earlier attempt, zero for no limit
-	freshness transport.ReusePolicy
-	reused    bool // the connection had been used before this attempt
-	migrated  bool // the sibling process continues the attempt
-	events    attemptEvents
-	pause     *readPause
+	proxy       *Proxy
+	request     *protocol.Request
+	settings    *settings // settings of the request
+	number      int       // index among the request's attempts
+	deadline    time.Time // when the client times out
+	sendBy      time.Time // when the dedup window of an earlier attempt closes, zero for no limit
+	reusePolicy transport.ReusePolicy
+	reused      bool // the connection had been used before this attempt
+	migrated    bool // the sibling process continues the attempt
+	events      attemptEvents
+	pause       *readPause
 }
 
 // attemptEvents are callbacks that report the progress of an attempt to the balancer.
@@ -45,10 +45,12 @@
 	finish func()
 }
 
-// requiredFreshness maps the idempotency of an operation to the freshness that its connections need, which is how
-// certain it must be that a connection is still open. An operation that must not be executed twice needs the most. An
-// operation that only a group of workers deduplicates must not take the close of an old connection for a response.
-var requiredFreshness = map[balancer.Idempotency]transport.ReusePolicy{
+// reusePolicies maps the idempotency of an operation to the policy for reusing idle connections, which determines how
+// certain it must be that a reused connection is still open. An operation that must not be executed twice has the
+// strictest policy. If the worker closed an old connection during an attempt of an operation that only a group of
+// workers deduplicates, it would be unknown whether the attempt was executed, and retries would be limited to that
+// group.
+var reusePolicies = map[balancer.Idempotency]transport.ReusePolicy{
 	balancer.Idempotent:      transport.AnyConnection,
 	balancer.IdempotentByKey: transport.Settled,
 	balancer.NonIdempotent:   transport.SettledUnlessSuspect,
@@ -57,14 +59,14 @@
 func (p *Proxy) newAttempt(r *inFlightRequest, decision balancer.Decision) *attempt {
 	number := decision.Attempt
 	return &attempt{
-		proxy:     p,
-		request:   r.request,
-		settings:  r.settings,
-		number:    number,
-		deadline:  r.deadline,
-		sendBy:    decision.SendBy,
-		freshness: requiredFreshness[decision.Idempotency],
-		pause:     newReadPause(),
+		proxy:       p,
+		request:     r.request,
+		settings:    r.settings,
+		number:      number,
+		deadline:    r.deadline,
+		sendBy:      decision.SendBy,
+		reusePolicy: reusePolicies[decision.Idempotency],
+		pause:       newReadPause(),
 		events: attemptEvents{
 			sent:         func() { r.handle.ReportSent(number) },
 			delivered:    func() { r.handle.ReportDelivered(number) },
@@ -99,7 +101,7 @@
 		return
 	}
 	p.counters.countOutcome(res.outcome)
-	if answersClient := r.handle.Report(a.number, res.outcome); answersClient {
+	if respondsToClient := r.handle.Report(a.number, res.outcome); respondsToClient {
 		r.result <- res.result
 	}
 	if res.finish != nil {
@@ -161,8 +163,7 @@
 	return a.awaitResponse(ctx, conn, stop)
 }
 
-// connect returns a connection to a worker. It waits at most until the dial timeout or the end of the dedup window,
-// whichever is earlier.
+// connect returns a connection to a worker. It waits at most until the dial timeout expires or the dedup window closes.
 func (a *attempt) connect(ctx context.Context, worker balancer.WorkerID) (*transport.Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, a.settings.dialTimeout)
 	defer cancel()
@@ -171,7 +172,7 @@
 		ctx, cancelDeadline = context.WithDeadline(ctx, a.sendBy)
 		defer cancelDeadline()
 	}
-	return a.proxy.pool.Get(ctx, a.proxy.endpoints.Endpoint(worker).Address, a.freshness)
+	return a.proxy.pool.Get(ctx, a.proxy.endpoints.Endpoint(worker).Address, a.reusePolicy)
 }
 
 // canStillSend reports whether the balancer's decision is still valid. Opening the connection and persisting the key
@@ -189,7 +190,7 @@
 // send sends the message. If it returns an error, the last byte was not written, so the worker cannot have executed the
 // attempt.
 func (a *attempt) send(conn *transport.Conn, message []byte) error {
-	if a.reused && a.freshness != transport.AnyConnection {
+	if a.reused && a.reusePolicy != transport.AnyConnection {
 		return conn.SendOnReused(a.settings.dialTimeout, message)
 	}
 	return conn.Send(a.settings.dialTimeout, message)
--- a/internal/proxy/attempt_test.go
+++ b/internal/proxy/attempt_test.go
@@ -58,29 +58,29 @@
 		respond peertest.Responder
 		want    balancer.Outcome
 	}{
-		"done":                  {peertest.RespondWith(peertest.Complete(startedLine, doneLine)), balancer.Succeeded},
-		"done, then broken":     {peertest.RespondAndClose(peertest.Chunked(startedLine, doneLine)), balancer.Succeeded},
-		"done without line end": {peertest.RespondWith("HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\n" + doneLine), balancer.Succeeded},
-		"done until the end":    {peertest.RespondAndClose("HTTP/1.0 200 OK\r\n\r\n" + startedLine + "\n" + doneLine + "\n"), balancer.Succeeded},
-		"failed":                {peertest.RespondWith(peertest.Complete(startedLine, line("failed"))), balancer.WorkerError},
-		"500":                   {peertest.RespondWith("HTTP/1.1 500 No\r\nContent-Length: 2\r\n\r\nno"), balancer.WorkerError},
-		"returned":              {peertest.RespondWith(peertest.Complete(line("returned"))), balancer.Overloaded},
-		"declined":              {peertest.RespondWith(declinedText), balancer.Overloaded},
+		"done":                 {peertest.RespondWith(peertest.Complete(startedLine, doneLine)), balancer.Succeeded},
+		"done, then closed":    {peertest.RespondAndClose(peertest.Chunked(startedLine, doneLine)), balancer.Succeeded},
+		"done without newline": {peertest.RespondWith("HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\n" + doneLine), balancer.Succeeded},
+		"done, body until EOF": {peertest.RespondAndClose("HTTP/1.0 200 OK\r\n\r\n" + startedLine + "\n" + doneLine + "\n"), balancer.Succeeded},
+		"failed":               {peertest.RespondWith(peertest.Complete(startedLine, line("failed"))), balancer.WorkerError},
+		"500":                  {peertest.RespondWith("HTTP/1.1 500 No\r\nContent-Length: 2\r\n\r\nno"), balancer.WorkerError},
+		"returned":             {peertest.RespondWith(peertest.Complete(line("returned"))), balancer.Overloaded},
+		"declined":             {peertest.RespondWith(declinedText), balancer.Overloaded},
 		"declined and closed": {
 			peertest.RespondAndClose("HTTP/1.1 504 No\r\nSrv-Declined: 1\r\nConnection: close\r\n\r\n"), balancer.Overloaded,
 		},
-		"503 of another sort":  {peertest.RespondWith("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"), balancer.WorkerError},
-		"lost":                 {peertest.RespondWith(peertest.Complete(startedLine, line("lost"))), balancer.ConnectionReset},
-		"broken before a head": {peertest.RespondAndClose(""), balancer.ConnectionReset},
-		"broken in the head":   {peertest.RespondAndClose("HTTP/1.1 200"), balancer.ConnectionReset},
-		"broken after a start": {peertest.RespondAndClose(peertest.Chunked(startedLine)), balancer.ConnectionReset},
-		"ended without a last": {peertest.RespondWith(peertest.Complete(startedLine, line("running"))), balancer.ConnectionReset},
-		"no HTTP":              {peertest.RespondWith("SSH-2.0-x\r\n\r\n"), balancer.WorkerError},
-		"bad chunk":            {peertest.RespondWith(peertest.ChunkedHead + "zz\r\n"), balancer.WorkerError},
-		"no JSON":              {peertest.RespondWith(peertest.Complete("<html>")), balancer.WorkerError},
-		"of another request":   {peertest.RespondWith(peertest.Complete(strings.Replace(doneLine, "a1", "b2", 1))), balancer.WorkerError},
-		"endless head":         {peertest.RespondWith("HTTP/1.1 200 OK\r\nA: " + strings.Repeat("a", 20000)), balancer.WorkerError},
-		"endless line":         {peertest.RespondWith(peertest.Chunked(strings.Repeat("a", protocol.MaxLineBytes))), balancer.WorkerError},
+		"503 without decline": {peertest.RespondWith("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"), balancer.WorkerError},
+		"lost":                {peertest.RespondWith(peertest.Complete(startedLine, line("lost"))), balancer.ConnectionReset},
+		"closed before head":  {peertest.RespondAndClose(""), balancer.ConnectionReset},
+		"closed within head":  {peertest.RespondAndClose("HTTP/1.1 200"), balancer.ConnectionReset},
+		"closed after start":  {peertest.RespondAndClose(peertest.Chunked(startedLine)), balancer.ConnectionReset},
+		"no final state":      {peertest.RespondWith(peertest.Complete(startedLine, line("running"))), balancer.ConnectionReset},
+		"not HTTP":            {peertest.RespondWith("SSH-2.0-x\r\n\r\n"), balancer.WorkerError},
+		"malformed chunk":     {peertest.RespondWith(peertest.ChunkedHead + "zz\r\n"), balancer.WorkerError},
+		"not JSON":            {peertest.RespondWith(peertest.Complete("<html>")), balancer.WorkerError},
+		"other request ID":    {peertest.RespondWith(peertest.Complete(strings.Replace(doneLine, "a1", "b2", 1))), balancer.WorkerError},
+		"endless head":        {peertest.RespondWith("HTTP/1.1 200 OK\r\nA: " + strings.Repeat("a", 20000)), balancer.WorkerError},
+		"endless line":        {peertest.RespondWith(peertest.Chunked(strings.Repeat("a", protocol.MaxLineBytes))), balancer.WorkerError},
 	} {
 		t.Run(name, func(t *testing.T) {
 			ended := runTestAttempt(context.Background(), t, peertest.StartServer(t, test.respond))
@@ -175,12 +175,12 @@
 			address, received := startHangingWorker(t)
 			p := newProxy(address)
 			p.config.MigratesRequests = migrates
-			answers := startServe(context.Background(), p, requestHead("once"))
+			responses := startServe(context.Background(), p, requestHead("once"))
 			peertest.Receive(t, received)
-			began := time.Now()
-			updateWorker(t, p, restartFields(began.Add(time.Second)))
-			assert.Equal(t, 502, peertest.Receive(t, answers).Status)
-			assert.Less(t, time.Since(began), time.Second, "must not wait for the client's timeout")
+			startedAt := time.Now()
+			updateWorker(t, p, restartFields(startedAt.Add(time.Second)))
+			assert.Equal(t, 502, peertest.Receive(t, responses).Status)
+			assert.Less(t, time.Since(startedAt), time.Second, "must not wait for the client's timeout")
 			assert.EqualValues(t, 1, outcomeCount(p, balancer.ConnectionReset))
 		})
 	}
@@ -226,9 +226,9 @@
 		time.Sleep(50 * time.Millisecond)
 		remaining <- time.Until(arrivedAt.Add(2 * time.Second)) // the client's timeout is 2 s
 	}
-	answers := make(chan *protocol.Response, 1)
-	go func() { answers <- p.Serve(context.Background(), requestHead("idem"), nil, arrivedAt) }()
-	assert.Equal(t, 200, peertest.Receive(t, answers).Status)
+	responses := make(chan *protocol.Response, 1)
+	go func() { responses <- p.Serve(context.Background(), requestHead("idem"), nil, arrivedAt) }()
+	assert.Equal(t, 200, peertest.Receive(t, responses).Status)
 	awaitAttempts(t, p)
 	assert.Len(t, timeouts, 2)
 	for range 2 {
--- a/internal/proxy/counters.go
+++ b/internal/proxy/counters.go
@@ -16,7 +16,7 @@
 // which are kept for operators.
 type counters struct {
 	// Requests. An admitted request is also counted by one of the next five counters when it ends. A request that is
-	// not admitted is counted by one of the last three.
+	// not admitted is counted by one of the last three, unless its head is rejected because the process is drained.
 	admitted           atomic.Int64 // the head is valid and the ID was free
 	succeeded          atomic.Int64
 	rejected           atomic.Int64
@@ -29,7 +29,7 @@
 
 	sent     atomic.Int64              // attempts whose last byte was written
 	outcomes [numOutcomes]atomic.Int64 // attempts that have ended, by outcome
-	probes   atomic.Int64              // probes of workers for load reports, with or without a response
+	probes   atomic.Int64              // probes of workers that got a connection, with or without a response
 }
 
 // outcomeNames are the keys of the outcomes in the log line; an outcome without a name is omitted.
--- a/internal/proxy/format_test.go
+++ b/internal/proxy/format_test.go
@@ -31,11 +31,11 @@
 	snapshot, counts, request := fullSnapshot(), fullSiblingUpdate(), fullMigratedRequest(t)
 	return []documentFormat{
 		{name: "snapshot", golden: "snapshot.json", value: &snapshot, filled: true},
-		{name: "running counts", golden: "running_counts.json", value: &counts, filled: true},
+		{name: "sibling update", golden: "running_counts.json", value: &counts, filled: true},
 		{name: "migrated request", golden: "migrated_request.json", value: &request, filled: true},
 		{name: "empty snapshot", golden: "snapshot_empty.json", value: &Snapshot{}},
 		{name: "snapshot with empty parts", golden: "snapshot_sparse.json", value: sparseSnapshot()},
-		{name: "empty running counts", golden: "running_counts_empty.json", value: &SiblingUpdate{}},
+		{name: "empty sibling update", golden: "running_counts_empty.json", value: &SiblingUpdate{}},
 		{name: "empty migrated request", golden: "migrated_request_empty.json", value: sparseMigratedRequest()},
 	}
 }
--- a/internal/proxy/helpers_test.go
+++ b/internal/proxy/helpers_test.go
@@ -162,10 +162,10 @@
 
 // startServe calls p.Serve on a new goroutine. The returned channel receives the response.
 func startServe(ctx context.Context, p *Proxy, h *protocol.Head) <-chan *protocol.Response {
-	answers := make(chan *protocol.Response, 1)
+	responses := make(chan *protocol.Response, 1)
 	arrivedAt := time.Now()
-	go func() { answers <- p.Serve(ctx, h, nil, arrivedAt) }()
-	return answers
+	go func() { responses <- p.Serve(ctx, h, nil, arrivedAt) }()
+	return responses
 }
 
 // awaitAttempts waits until no attempt is in flight.
--- a/internal/proxy/idempotency_keys.go
+++ b/internal/proxy/idempotency_keys.go
@@ -11,7 +11,7 @@
 // attempt must then be on disk, so that it is still known after a power loss.
 func (o *Operation) persistsKeys() bool { return o.RequiresKey && o.DedupScope != balancer.ScopeAll }
 
-// isInDedupGroup reports whether a worker belongs to the group that deduplicates a request after the prior execution.
+// isInDedupGroup reports whether a worker belongs to the group that deduplicates a request with the prior execution.
 func (o *Operation) isInDedupGroup(worker *protocol.Endpoint, prior *PriorExecution) bool {
 	switch o.DedupScope {
 	case balancer.ScopeZone:
@@ -49,9 +49,9 @@
 
 // persistKey persists which worker an attempt is sent to, if the operation requires that (persistsKeys). It returns
 // after the record is on disk, or when ctx ends.
-func (p *Proxy) persistKey(ctx context.Context, current *settings, request *protocol.Request, worker balancer.WorkerID,
+func (p *Proxy) persistKey(ctx context.Context, requestSettings *settings, request *protocol.Request, worker balancer.WorkerID,
 ) error {
-	op := current.operations[request.Operation]
+	op := requestSettings.operations[request.Operation]
 	if p.config.Recovery == nil || !op.persistsKeys() {
 		return nil
 	}
@@ -62,7 +62,7 @@
 		Worker:      endpoint.ID,
 		DedupWindow: op.DedupWindow,
 	}
-	if op.DedupScope == balancer.ScopeZone { // one field only: with both, records of one group would differ
+	if op.DedupScope == balancer.ScopeZone { // one field only: with both, records of the same group would differ
 		record.Zone = endpoint.Zone
 	} else {
 		record.Cell = endpoint.Cell
--- a/internal/proxy/in_flight_request.go
+++ b/internal/proxy/in_flight_request.go
@@ -20,8 +20,8 @@
 	closeRequested bool      // the client's connection closes after the response
 	acceptsInterim bool      // the client accepts interim responses
 
-	// result receives the result of the attempt whose result the balancer selected for the response. It is buffered for
-	// one value, so that the attempt's goroutine never blocks.
+	// result receives the result of the attempt that the balancer selected for the response. It is buffered for one
+	// value, so that the attempt's goroutine never blocks.
 	result chan string
 
 	// mu guards the fields below, which are also used by the attempts' goroutines and the caller of ExportAll. The
--- a/internal/proxy/interleaving_test.go
+++ b/internal/proxy/interleaving_test.go
@@ -22,21 +22,21 @@
 
 // The tests in this file force an order of events that rarely occurs by itself (docs/crossings.md).
 
-func TestClientThatLeavesDuringConnectGetsNoAttempt(t *testing.T) {
+func TestClientThatDisconnectsDuringConnectGetsNoAttempt(t *testing.T) {
 	for _, operation := range []string{"idem", "once"} {
 		t.Run(operation, func(t *testing.T) {
 			address, attempts := startCountingWorker(t)
 			p := newProxyWith(address, withoutCancellation)
 			ctx, disconnect := context.WithCancel(context.Background())
-			var answers <-chan *protocol.Response
+			var responses <-chan *protocol.Response
 			serving, disconnected := make(chan bool), make(chan bool)
 			p.hooks.beforeSend = func() { // the connection is established
 				<-serving
 				disconnect()
-				assert.Nil(t, peertest.Receive(t, answers))
+				assert.Nil(t, peertest.Receive(t, responses))
 				close(disconnected)
 			}
-			answers = startServe(ctx, p, requestHead(operation))
+			responses = startServe(ctx, p, requestHead(operation))
 			close(serving)
 			peertest.Receive(t, disconnected)
 			awaitAttempts(t, p)
@@ -51,7 +51,7 @@
 // isDialing reports whether the pool is opening a connection, which already counts against the connection limit.
 func isDialing(p *Proxy) bool { return p.pool.OpenConnections() == 1 }
 
-func TestClientThatLeavesEndsTheWaitForAConnection(t *testing.T) {
+func TestClientDisconnectEndsWaitForConnection(t *testing.T) {
 	withLongDial := func(balancing *balancer.Config, config *Config) {
 		withoutCancellation(balancing, config)
 		config.DialTimeout = time.Minute
@@ -59,18 +59,18 @@
 	disconnectWhile := func(t *testing.T, p *Proxy, waiting func() bool) {
 		t.Helper()
 		ctx, disconnect := context.WithCancel(context.Background())
-		answers := startServe(ctx, p, requestHead("idem"))
+		responses := startServe(ctx, p, requestHead("idem"))
 		assert.Eventually(t, waiting, peertest.EventTimeout, peertest.PollInterval)
 		disconnect()
-		assert.Nil(t, peertest.Receive(t, answers))
+		assert.Nil(t, peertest.Receive(t, responses))
 		awaitAttempts(t, p)
 		assert.Zero(t, p.counters.sent.Load())
 	}
-	t.Run("the dial is slow", func(t *testing.T) {
+	t.Run("slow dial", func(t *testing.T) {
 		p := newProxyWith(unresponsiveAddress(t), withLongDial)
 		disconnectWhile(t, p, func() bool { return isDialing(p) })
 	})
-	t.Run("the limit is reached", func(t *testing.T) {
+	t.Run("connection limit reached", func(t *testing.T) {
 		p := newProxyWith(unresponsiveAddress(t), withLongDial)
 		p.pool = transport.NewPool(1, time.Minute, zerolog.Nop())
 		other := unresponsiveAddress(t)
@@ -87,18 +87,18 @@
 	})
 }
 
-func TestClientThatLeavesWhileKeyIsPersistedGetsNoAttempt(t *testing.T) {
+func TestClientThatDisconnectsWhileKeyIsPersistedGetsNoAttempt(t *testing.T) {
 	address, attempts := startCountingWorker(t)
 	ctx, disconnect := context.WithCancel(context.Background())
-	answers, disconnected := make(chan *protocol.Response, 1), make(chan bool)
+	responses, disconnected := make(chan *protocol.Response, 1), make(chan bool)
 	recovery := &fakeRecovery{priorExecution: func() {}, persistKey: func() error {
 		disconnect()
-		assert.Nil(t, peertest.Receive(t, answers))
+		assert.Nil(t, peertest.Receive(t, responses))
 		close(disconnected)
 		return nil // the key is on disk, and the client has disconnected
 	}}
 	p := newProxyWith(address, withPersistedKeys(recovery))
-	go func() { answers <- p.Serve(ctx, keyedHead(), nil, time.Now()) }()
+	go func() { responses <- p.Serve(ctx, keyedHead(), nil, time.Now()) }()
 	peertest.Receive(t, disconnected)
 	awaitAttempts(t, p)
 	assert.Zero(t, attempts.Load())
@@ -106,12 +106,12 @@
 }
 
 // An update of the endpoint list is received after the balancer's decision and before the attempt is sent: the worker
-// drains, was removed, or has a new address, so that another worker may use the old one.
+// drains, is gone, or has a new address, so that another worker may use the old one.
 func TestListReceivedDuringConnectPreventsSending(t *testing.T) {
 	for name, fields := range map[string]string{
-		"worker drains":    `"health":"Terminating"`,
-		"worker is gone":   `"health":"Gone"`,
-		"worker has moved": `"health":"Ready","dial":"127.0.0.1:1"`,
+		"worker drains":  `"health":"Terminating"`,
+		"worker is gone": `"health":"Gone"`,
+		"new address":    `"health":"Ready","dial":"127.0.0.1:1"`,
 	} {
 		t.Run(name, func(t *testing.T) {
 			address, attempts := startCountingWorker(t)
@@ -261,12 +261,12 @@
 	stopped := make(chan error, 1)
 	go func() { stopped <- p.Run(ctx) }()
 	client, disconnect := context.WithCancel(context.Background())
-	answers := startServe(client, p, parseHead("Req-Id: a1\r\nReq-Kind: idem\r\nReq-Deadline: 600\r\n"))
+	responses := startServe(client, p, parseHead("Req-Id: a1\r\nReq-Kind: idem\r\nReq-Deadline: 600\r\n"))
 	peertest.Receive(t, received)
 	isSent := func() bool { return p.counters.sent.Load() == 1 } // earlier, a disconnect prevents sending
 	assert.Eventually(t, isSent, peertest.EventTimeout, peertest.PollInterval)
 	disconnect()
-	assert.Nil(t, peertest.Receive(t, answers))
+	assert.Nil(t, peertest.Receive(t, responses))
 	assert.Equal(t, 1, p.balancer.OpenRequests(), "the attempt must continue")
 	stop()
 	assert.NoError(t, peertest.Receive(t, stopped))
@@ -295,10 +295,10 @@
 					_, err = io.WriteString(conn, test.repeated)
 				}
 			}))
-			began := time.Now()
+			startedAt := time.Now()
 			response := serve(p, parseHead("Req-Id: a1\r\nReq-Kind: once\r\nReq-Deadline: 0.3\r\n"))
 			assert.Equal(t, test.succeeds, response.Status == 200)
-			assert.Less(t, time.Since(began), 800*time.Millisecond)
+			assert.Less(t, time.Since(startedAt), 800*time.Millisecond)
 			awaitAttempts(t, p)
 			assert.Zero(t, p.pool.OpenConnections())
 			assert.Equal(t, 0, p.balancer.OpenRequests())
--- a/internal/proxy/migration_export.go
+++ b/internal/proxy/migration_export.go
@@ -17,7 +17,7 @@
 	Balancing      balancer.MigratedRequest `json:"Decided"`
 	Workers        []string                 `json:"Hosts"`   // IDs of the attempts' workers
 	Pipelined      []byte                   `json:"Early"`   // bytes that the client has sent after the request
-	Received       [][]byte                 `json:"Came"`    // bytes received from the worker, for each attempt
+	Received       [][]byte                 `json:"Came"`    // bytes received since the attempt was sent, for each attempt
 	Reused         []bool                   `json:"Used"`    // the connection had been used before, for each attempt
 	CloseRequested bool                     `json:"Closes"`  // the client's connection closes after the response
 	AcceptsInterim bool                     `json:"Interim"` // the client accepts interim responses
--- a/internal/proxy/migration_import.go
+++ b/internal/proxy/migration_import.go
@@ -39,7 +39,7 @@
 }
 
 // renumberWorkers replaces the sibling's worker numbers of the attempts with those of this process. It returns an error
-// if a worker is not in the endpoint list.
+// if a worker is not in this process's endpoint table.
 func (p *Proxy) renumberWorkers(migrated *MigratedRequest) error {
 	for number := range migrated.Balancing.Attempts {
 		id := migrated.Workers[number]
--- a/internal/proxy/migration_test.go
+++ b/internal/proxy/migration_test.go
@@ -30,11 +30,11 @@
 	}))
 	p.config.MigratesRequests = true
 	ignore := func(*MigratedRequest, syscall.Conn, map[int]syscall.Conn) error { return nil }
-	answers := startServe(context.Background(), p, requestHead("idem"))
+	responses := startServe(context.Background(), p, requestHead("idem"))
 	for pauses := 0; ; pauses++ {
 		pauseAndResumeAll(p)
 		select {
-		case response := <-answers:
+		case response := <-responses:
 			assert.Equal(t, []any{200, "r"}, []any{response.Status, string(response.Body)})
 			assert.Greater(t, pauses, 3)
 			p.ExportAll(ignore)
@@ -60,13 +60,13 @@
 func TestRequestFailsWhenMigrationFails(t *testing.T) {
 	p := newProxy(peertest.StartServer(t, peertest.RespondWith(peertest.Chunked(startedLine))))
 	p.config.MigratesRequests = true
-	answers := startServe(context.Background(), p, requestHead("once"))
+	responses := startServe(context.Background(), p, requestHead("once"))
 	assert.Eventually(t, func() bool { return p.counters.sent.Load() == 1 }, peertest.EventTimeout, peertest.PollInterval)
 	refuse := func(*MigratedRequest, syscall.Conn, map[int]syscall.Conn) error { return errors.New("refused") }
 	for {
 		p.ExportAll(refuse)
 		select {
-		case response := <-answers:
+		case response := <-responses:
 			assert.Equal(t, 502, response.Status, "the request may have been executed")
 			assert.NoError(t, p.background.Wait())
 			assert.Equal(t, 0, p.balancer.OpenRequests())
--- a/internal/proxy/operators_test.go
+++ b/internal/proxy/operators_test.go
@@ -100,12 +100,12 @@
 		name, method, target string
 		want                 *protocol.Response
 	}{
-		{"health", "GET", "/_health", &protocol.Response{Status: 200}},
-		{"head of health", "HEAD", "/_health", &protocol.Response{Status: 200}},
-		{"wrong method of health", "POST", "/_health", &protocol.Response{Status: 405, Allow: "GET, HEAD"}},
-		{"wrong method of a request", "GET", "/api", &protocol.Response{Status: 405, Allow: "POST"}},
+		{"health check", "GET", "/_health", &protocol.Response{Status: 200}},
+		{"health check by HEAD", "HEAD", "/_health", &protocol.Response{Status: 200}},
+		{"health check with a wrong method", "POST", "/_health", &protocol.Response{Status: 405, Allow: "GET, HEAD"}},
+		{"request with a wrong method", "GET", "/api", &protocol.Response{Status: 405, Allow: "POST"}},
 		{"unknown path", "GET", "/metrics", &protocol.Response{Status: 404}},
-		{"a request", "POST", "/api?q=1", nil},
+		{"request", "POST", "/api?q=1", nil},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			assert.Equal(t, test.want, p.RespondToHead(&protocol.Head{Method: test.method, Target: test.target}))
--- a/internal/proxy/peers.go
+++ b/internal/proxy/peers.go
@@ -8,13 +8,14 @@
 // The methods below provide and apply the state that dispatchers exchange while one of them recovers. Workers are
 // identified by their IDs, because each dispatcher assigns its own worker numbers.
 
-// Endpoints returns the version of the endpoint list and the workers, indexed by number and including removed ones.
+// Endpoints returns the version of the endpoint list and the workers, indexed by worker number and including workers
+// that are gone.
 func (p *Proxy) Endpoints() (version int64, endpoints []protocol.Endpoint) {
 	contents := p.endpoints.Contents()
 	return contents.Version, contents.Endpoints
 }
 
-// MergeEndpoints applies newer starts and drains of workers that peers have received.
+// MergeEndpoints applies more recent starts and drains of workers reported by peers.
 func (p *Proxy) MergeEndpoints(endpoints []protocol.Endpoint) {
 	p.discovery.MergePeerEndpoints(endpoints)
 }
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -46,14 +46,14 @@
 	Kinds               []string                       // kinds of workers, indexed by kind number
 	ReportFields        []string                       // fields of the workers' load reports that the balancer uses
 	DialTimeout         time.Duration                  // timeout for connecting to a worker
-	MaxRetryAfter       time.Duration                  // Retry-After of 503 responses, 0 to omit it
+	MaxRetryAfter       time.Duration                  // Retry-After of 503 responses outside recovery, 0 to omit it
 	DiscoveryAddress    string                         // host and port of the discovery service
 	Peers               []netip.AddrPort               // all dispatchers by position, including this one
 	Position            int                            // index of this dispatcher in Peers
 	InitialEndpoints    *protocol.EndpointList         // endpoint list at startup, nil if there is none
 	PredecessorSnapshot json.RawMessage                // JSON of a Snapshot, nil if there is no predecessor
 	MigratesRequests    bool                           // requests in flight may be exported to a sibling process
-	FromUnix            func(ms float64) balancer.Time // converts Unix time in milliseconds
+	FromUnix            func(ms float64) balancer.Time // converts Unix time in milliseconds to the balancer's time
 	Recovery            Recovery                       // nil if recovery is disabled
 }
 
@@ -83,9 +83,9 @@
 	hooks testHooks
 }
 
-// testHooks are functions that tests set to run code between two steps.
+// testHooks are functions that tests set to run code between two steps. Each may be nil.
 type testHooks struct {
-	beforeApplySettings func() // runs after the balancer has applied new settings
+	beforeApplySettings func() // runs when the balancer uses new settings and names are looked up in the previous ones
 	beforeSend          func() // runs when an attempt has a connection and has not been sent
 }
 
--- a/internal/proxy/queueing_test.go
+++ b/internal/proxy/queueing_test.go
@@ -19,18 +19,18 @@
 	defer heads.Stop()
 	stopped := make(chan error, 1)
 	go func() { stopped <- p.sampleQueueingDelay(ctx) }()
-	for overloaded := 0; ; {
+	for sampledTicks := 0; ; {
 		select {
 		case <-heads.C:
 			for range 10 {
 				p.admission.Admit()
 			}
 			if p.admission.ShouldSample() {
-				overloaded++
+				sampledTicks++
 			}
 		case err := <-stopped:
 			assert.NoError(t, err)
-			assert.Positive(t, overloaded)
+			assert.Positive(t, sampledTicks)
 			assert.Equal(t, 1.0, p.admission.AdmittedShare())
 			assert.Less(t, p.admission.IntervalRequests(), int64(1000), "samples start new intervals")
 			return
--- a/internal/proxy/recovery.go
+++ b/internal/proxy/recovery.go
@@ -13,14 +13,14 @@
 type Recovery interface {
 	// Ready returns nil if clients may connect, and an error with the reason otherwise.
 	Ready() error
-	// EndpointsReceived is called after each endpoint list or update of it was received.
+	// EndpointsReceived is called after each complete endpoint list or list of changes has been applied.
 	EndpointsReceived()
-	// EndpointsUnavailable is called after each poll or watch of the discovery service that failed.
+	// EndpointsUnavailable is called after each failed poll or watch of the discovery service.
 	EndpointsUnavailable()
 	// Admit decides whether a request may be admitted in the current recovery phase.
 	Admit(arrival balancer.Arrival) RecoveryAdmission
-	// PriorExecution returns the earlier execution that may have used the request's key, or nil if there is none. The
-	// error is ErrOutcomeUnknown if that cannot be determined.
+	// PriorExecution returns where and when a request with the same key may have been executed before, or nil if none
+	// was. The error is ErrOutcomeUnknown if that cannot be determined.
 	PriorExecution(request KeyedRequest) (*PriorExecution, error)
 	// PersistKey persists that a request may be executed at a worker. It returns after the record is on disk.
 	PersistKey(ctx context.Context, k KeyRecord) error
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -42,8 +42,9 @@
 	return p.serveCounted(request.Operation, func() *protocol.Response { return p.admit(ctx, r, arrival) })
 }
 
-// admit rejects a valid request if the process is stopping or recovering, and submits it to the balancer otherwise.
-// Overload is checked before admit, from the request head alone (RespondToHead), and after it by the balancer.
+// admit rejects a valid request if this process cannot finish it (canFinish) or the recovery does not admit it, and
+// submits it to the balancer otherwise. Overload is checked before admit, from the request head alone (RespondToHead),
+// and after it by the balancer.
 func (p *Proxy) admit(ctx context.Context, r *inFlightRequest, arrival balancer.Arrival) *protocol.Response {
 	if !p.canFinish(arrival) {
 		return p.respondUnavailable(r.settings.maxRetryAfter)
--- a/internal/proxy/request_test.go
+++ b/internal/proxy/request_test.go
@@ -44,14 +44,14 @@
 // Workers identify a request by its ID alone, so a second request with the ID of an open one must not reach them.
 func TestRequestWithOpenIDIsRefused(t *testing.T) {
 	var p *Proxy
-	second := 0
+	secondStatus := 0
 	p = newProxy(peertest.StartServer(t, func(conn net.Conn, _ *http.Request) {
-		second = serve(p, requestHead("idem")).Status
+		secondStatus = serve(p, requestHead("idem")).Status
 		io.WriteString(conn, succeededText())
 	}))
 	for range 2 { // an ID can be reused after its request has ended
 		response := serve(p, requestHead("idem"))
-		assert.Equal(t, []int{200, 409}, []int{response.Status, second})
+		assert.Equal(t, []int{200, 409}, []int{response.Status, secondStatus})
 		assert.NoError(t, p.background.Wait())
 	}
 }
@@ -68,7 +68,7 @@
 	assert.Equal(t, 200, serve(p, requestHead("once")).Status)
 }
 
-func TestClientThatLeavesGetsNoResponse(t *testing.T) {
+func TestClientThatDisconnectsGetsNoResponse(t *testing.T) {
 	for _, operation := range []string{"idem", "once"} {
 		t.Run(operation, func(t *testing.T) {
 			ctx, disconnect := context.WithCancel(context.Background())
--- a/internal/proxy/answer_by_head.go
+++ b/internal/proxy/respond_to_head.go
@@ -14,7 +14,7 @@
 	case protocol.PathHealth:
 		return p.respondHealthCheck(h)
 	case protocol.PathRequest:
-		return p.shedByHead(h)
+		return p.respondToRequestHead(h)
 	}
 	return p.respondUnknownPath()
 }
@@ -30,9 +30,9 @@
 	return respondHealthy()
 }
 
-// shedByHead rejects a request if this process no longer accepts requests or is overloaded. It returns nil if the
-// request may continue to Serve.
-func (p *Proxy) shedByHead(h *protocol.Head) *protocol.Response {
+// respondToRequestHead returns the response to a request with a method other than POST, and to a request that is rejected
+// because the process is drained or overloaded. It returns nil if Serve must handle the request.
+func (p *Proxy) respondToRequestHead(h *protocol.Head) *protocol.Response {
 	if h.Method != http.MethodPost {
 		return p.respondMethodNotAllowed("POST")
 	}
--- a/internal/proxy/responses.go
+++ b/internal/proxy/responses.go
@@ -19,8 +19,8 @@
 //     idempotent in the whole fleet.
 //   - 502: the request failed, and its outcome is unknown.
 //   - 503: the request was rejected before it was submitted to the balancer. The process is drained, recovering or
-//     overloaded, has too many connections, or stops before the request would complete. For a health check: there are
-//     no workers, or the process is draining or stopping.
+//     overloaded, has too many connections or too little memory for bodies, or stops before the request would complete.
+//     For a health check: there is no endpoint list or no worker, or the process is recovering, draining or stopping.
 //
 // There is no response to a client that has disconnected, and none from this process if the sibling process continues
 // the request.
@@ -99,8 +99,8 @@
 	return response
 }
 
-// RejectOverBudget returns the response to a request that exceeds the connection limit or the memory limit for bodies. The
-// request was not sent to any worker. h is nil if no head was read.
+// RejectOverBudget returns the response to a request that exceeds the connection limit or the memory limit for bodies.
+// The request was not sent to any worker. h is nil if no head was read.
 func (p *Proxy) RejectOverBudget(h *protocol.Head) *protocol.Response {
 	p.counters.overBudget.Add(1)
 	return p.rejectByHead(h)
--- a/internal/proxy/settings.go
+++ b/internal/proxy/settings.go
@@ -22,7 +22,7 @@
 // operation is an Operation with its ID in the balancer.
 type operation struct {
 	Operation
-	number balancer.OperationID
+	id balancer.OperationID
 }
 
 // Reconfigure replaces all settings at once. Requests in flight keep the settings at their arrival. Later requests for
@@ -84,7 +84,7 @@
 		request.Timeout = op.DefaultTimeout
 	}
 	return balancer.Arrival{
-		Operation: op.number,
+		Operation: op.id,
 		Tenant:    tenant,
 		Timeout:   balancer.DurationOf(request.Timeout),
 		SizeHint:  balancer.Work(balancer.DurationOf(request.SizeHint)),
--- a/internal/proxy/sibling.go
+++ b/internal/proxy/sibling.go
@@ -13,8 +13,8 @@
 	WorkerConnections int                      `json:"Workers"`          // upper bound of open connections to workers
 }
 
-// SiblingUpdate returns the next update for the sibling process, without the numbers of connections. It covers the
-// changes since the previous call. Calls must not be concurrent.
+// SiblingUpdate returns the next update for the sibling process, without the numbers of connections. RecentSends,
+// Opened and Closed cover the time since the previous call. Calls must not be concurrent.
 func (p *Proxy) SiblingUpdate(recipient balancer.SiblingRole) SiblingUpdate {
 	u := SiblingUpdate{InFlight: p.inFlightFor(recipient), RecentSends: map[string]balancer.Work{}}
 	now := p.balancer.Now()
@@ -58,7 +58,7 @@
 }
 
 // ForgetSibling removes the attempts in flight and the request IDs of a sibling process that has exited.
-func (p *Proxy) ForgetSibling(sender balancer.SiblingRole) {
-	p.balancer.UpdateSibling(sender, nil)
+func (p *Proxy) ForgetSibling(sibling balancer.SiblingRole) {
+	p.balancer.UpdateSibling(sibling, nil)
 	p.requestIDs.forgetSibling()
 }
--- a/internal/proxy/snapshot.go
+++ b/internal/proxy/snapshot.go
@@ -15,7 +15,7 @@
 // numbers.
 type Snapshot struct {
 	Version   int64               `json:"Version"` // version of the endpoint list
-	Endpoints []protocol.Endpoint `json:"Workers"` // indexed by worker number, including removed workers
+	Endpoints []protocol.Endpoint `json:"Workers"` // indexed by worker number, including workers that are gone
 	Zones     []string            `json:"Zones"`   // names, indexed by zone number
 	Kinds     []string            `json:"Kinds"`
 	Tenants   []string            `json:"Owners"` // names, indexed by tenant ID, including those of earlier settings
@@ -44,8 +44,8 @@
 	return s
 }
 
-// restoreFromPredecessor applies the Snapshot of a predecessor. It does nothing and returns false if snapshotJSON
-// is nil or the snapshot lists no endpoints.
+// restoreFromPredecessor applies the Snapshot of a predecessor. It does nothing and returns false if snapshotJSON is
+// nil or malformed, or if the snapshot lists no endpoints. Only malformed JSON is an error.
 func (p *Proxy) restoreFromPredecessor(snapshotJSON json.RawMessage) (restored bool, err error) {
 	if snapshotJSON == nil {
 		return false, nil
