--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -147,7 +147,7 @@
 
 // Bytes that never complete a line must not keep a watch open: the service assumes that every dispatcher has applied a
 // change 6 s after it.
-func TestWatchWithBytesButNoLinesTimesOut(t *testing.T) {
+func TestWatchThatBringsBytesButNoLinesTimesOut(t *testing.T) {
 	for name, first := range map[string]string{
 		"from the start": peertest.ChunkedHead,
 		"after a line":   peertest.Chunked(emptyList(9)),
--- a/internal/proxy/format_test.go
+++ b/internal/proxy/format_test.go
@@ -28,10 +28,10 @@
 // documentFormats lists the JSON documents that this package exchanges with other processes and other releases.
 func documentFormats(t *testing.T) []documentFormat {
 	t.Helper()
-	snapshot, counts, request := fullSnapshot(), fullSiblingUpdate(), fullMigratedRequest(t)
+	snapshot, update, request := fullSnapshot(), fullSiblingUpdate(), fullMigratedRequest(t)
 	return []documentFormat{
 		{name: "snapshot", golden: "snapshot.json", value: &snapshot, filled: true},
-		{name: "sibling update", golden: "running_counts.json", value: &counts, filled: true},
+		{name: "sibling update", golden: "running_counts.json", value: &update, filled: true},
 		{name: "migrated request", golden: "migrated_request.json", value: &request, filled: true},
 		{name: "empty snapshot", golden: "snapshot_empty.json", value: &Snapshot{}},
 		{name: "snapshot with empty parts", golden: "snapshot_sparse.json", value: sparseSnapshot()},
--- a/internal/proxy/interleaving_test.go
+++ b/internal/proxy/interleaving_test.go
@@ -22,7 +22,7 @@
 
 // The tests in this file force an order of events that rarely occurs by itself (docs/crossings.md).
 
-func TestClientThatDisconnectsDuringConnectGetsNoAttempt(t *testing.T) {
+func TestClientThatLeavesDuringConnectGetsNoAttempt(t *testing.T) {
 	for _, operation := range []string{"idem", "once"} {
 		t.Run(operation, func(t *testing.T) {
 			address, attempts := startCountingWorker(t)
@@ -51,7 +51,7 @@
 // isDialing reports whether the pool is opening a connection, which already counts against the connection limit.
 func isDialing(p *Proxy) bool { return p.pool.OpenConnections() == 1 }
 
-func TestClientDisconnectEndsWaitForConnection(t *testing.T) {
+func TestClientThatLeavesEndsTheWaitForAConnection(t *testing.T) {
 	withLongDial := func(balancing *balancer.Config, config *Config) {
 		withoutCancellation(balancing, config)
 		config.DialTimeout = time.Minute
@@ -87,7 +87,7 @@
 	})
 }
 
-func TestClientThatDisconnectsWhileKeyIsPersistedGetsNoAttempt(t *testing.T) {
+func TestClientThatLeavesWhileKeyIsPersistedGetsNoAttempt(t *testing.T) {
 	address, attempts := startCountingWorker(t)
 	ctx, disconnect := context.WithCancel(context.Background())
 	responses, disconnected := make(chan *protocol.Response, 1), make(chan bool)
--- a/internal/proxy/migration_export.go
+++ b/internal/proxy/migration_export.go
@@ -73,7 +73,7 @@
 // exportFromBalancer exports a request from the balancer and sets its migration. It returns false if the balancer
 // refuses, because the request has a response or has attempts that are not paused. Both steps are done with mu held,
 // because the balancer wakes the request's goroutine, which needs the migration.
-func (p *Proxy) exportFromBalancer(r *inFlightRequest, paused map[int]*attempt, toSibling Migrator) (taken bool) {
+func (p *Proxy) exportFromBalancer(r *inFlightRequest, paused map[int]*attempt, toSibling Migrator) (ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	balancing, exported := r.handle.Export(len(paused))
--- a/internal/proxy/probe.go
+++ b/internal/proxy/probe.go
@@ -65,14 +65,14 @@
 	if err != nil {
 		return loadReport{}, err
 	}
-	frame, err := protocol.ResponseBody(&head)
+	framing, err := protocol.ResponseBody(&head)
 	if err != nil {
 		return loadReport{}, err
 	}
-	body, err := conn.ReadBody(frame, protocol.MaxBodyBytes)
+	body, err := conn.ReadBody(framing, protocol.MaxBodyBytes)
 	if err != nil || head.Status != http.StatusOK {
 		return loadReport{closeConnection: true}, err
 	}
 	values, err := protocol.ParseLoad(body, p.config.ReportFields)
-	return loadReport{values: values, closeConnection: head.CloseRequested() || frame.EndsWithConnection()}, err
+	return loadReport{values: values, closeConnection: head.CloseRequested() || framing.EndsWithConnection()}, err
 }
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -105,8 +105,8 @@
 	}
 	p.discovery = discovery.NewWatcher(p.watcherConfig(), p.endpoints, shards, pool, log)
 	p.applySettings(c, initialIDs(c))
-	successor := p.seedEndpoints()
-	p.gossip = gossip.New(gossip.Config{Peers: c.Peers, Position: c.Position, IsSuccessor: successor},
+	isSuccessor := p.seedEndpoints()
+	p.gossip = gossip.New(gossip.Config{Peers: c.Peers, Position: c.Position, IsSuccessor: isSuccessor},
 		shards, p.endpoints, datagrams)
 	return p
 }
@@ -123,15 +123,15 @@
 }
 
 // seedEndpoints applies the initial endpoints, and reports whether they are from a predecessor's snapshot.
-func (p *Proxy) seedEndpoints() (successor bool) {
-	successor, err := p.restoreFromPredecessor(p.config.PredecessorSnapshot)
+func (p *Proxy) seedEndpoints() (isSuccessor bool) {
+	isSuccessor, err := p.restoreFromPredecessor(p.config.PredecessorSnapshot)
 	if err != nil {
 		p.log.Warn().Err(err).Msg("snapshot not restored")
 	}
-	if p.config.InitialEndpoints != nil && !successor {
+	if p.config.InitialEndpoints != nil && !isSuccessor {
 		p.discovery.Seed(p.config.InitialEndpoints, nil)
 	}
-	return successor
+	return isSuccessor
 }
 
 // initialIDs returns the IDs of operations and tenants at startup: their positions in c, as in the balancer.
--- a/internal/proxy/queueing.go
+++ b/internal/proxy/queueing.go
@@ -48,10 +48,10 @@
 // wait in the kernel's ready list for the next poll, in the order in which they became readable. A byte in a pipe waits
 // in the same list.
 type delayPipe struct {
-	reader   *os.File
-	writer   *os.File
-	arrivals chan time.Time // read times of the bytes; buffered for one
-	ended    chan struct{}  // closed when the reading goroutine has exited
+	reader       *os.File
+	writer       *os.File
+	arrivals     chan time.Time // read times of the bytes; buffered for one
+	readerExited chan struct{}  // closed when the reading goroutine has exited
 }
 
 func newDelayPipe() (*delayPipe, error) {
@@ -60,10 +60,10 @@
 		return nil, err
 	}
 	pipe := &delayPipe{
-		reader:   reader,
-		writer:   writer,
-		arrivals: make(chan time.Time, 1),
-		ended:    make(chan struct{}),
+		reader:       reader,
+		writer:       writer,
+		arrivals:     make(chan time.Time, 1),
+		readerExited: make(chan struct{}),
 	}
 	go pipe.timestampReads()
 	return pipe, nil
@@ -86,7 +86,7 @@
 // timestampReads sends the read time of each byte to arrivals until the writer is closed. sendByte writes the next byte
 // only after it has received that time.
 func (d *delayPipe) timestampReads() {
-	defer close(d.ended)
+	defer close(d.readerExited)
 	buffer := make([]byte, 1)
 	for {
 		if _, err := d.reader.Read(buffer); err != nil {
@@ -99,6 +99,6 @@
 // close stops the reading goroutine and closes the pipe.
 func (d *delayPipe) close() {
 	d.writer.Close()
-	<-d.ended
+	<-d.readerExited
 	d.reader.Close()
 }
--- a/internal/proxy/recovery.go
+++ b/internal/proxy/recovery.go
@@ -19,8 +19,8 @@
 	EndpointsUnavailable()
 	// Admit decides whether a request may be admitted in the current recovery phase.
 	Admit(arrival balancer.Arrival) RecoveryAdmission
-	// PriorExecution returns where and when a request with the same key may have been executed before, or nil if none
-	// was. The error is ErrOutcomeUnknown if that cannot be determined.
+	// PriorExecution returns where and when an earlier request with the same key may have been executed, or nil if there
+	// was none. The error is ErrOutcomeUnknown if that cannot be determined.
 	PriorExecution(request KeyedRequest) (*PriorExecution, error)
 	// PersistKey persists that a request may be executed at a worker. It returns after the record is on disk.
 	PersistKey(ctx context.Context, k KeyRecord) error
--- a/internal/proxy/request_test.go
+++ b/internal/proxy/request_test.go
@@ -68,7 +68,7 @@
 	assert.Equal(t, 200, serve(p, requestHead("once")).Status)
 }
 
-func TestClientThatDisconnectsGetsNoResponse(t *testing.T) {
+func TestClientThatLeavesGetsNoResponse(t *testing.T) {
 	for _, operation := range []string{"idem", "once"} {
 		t.Run(operation, func(t *testing.T) {
 			ctx, disconnect := context.WithCancel(context.Background())
--- a/internal/proxy/respond_to_head.go
+++ b/internal/proxy/respond_to_head.go
@@ -30,8 +30,8 @@
 	return respondHealthy()
 }
 
-// respondToRequestHead returns the response to a request with a method other than POST, and to a request that is rejected
-// because the process is drained or overloaded. It returns nil if Serve must handle the request.
+// respondToRequestHead returns the response to a request with a method other than POST, and to a request that is
+// rejected because the process is drained or overloaded. It returns nil if Serve must handle the request.
 func (p *Proxy) respondToRequestHead(h *protocol.Head) *protocol.Response {
 	if h.Method != http.MethodPost {
 		return p.respondMethodNotAllowed("POST")
--- a/internal/proxy/snapshot_test.go
+++ b/internal/proxy/snapshot_test.go
@@ -40,8 +40,8 @@
 		"a new name":     {[]int{1}, []string{"a"}, []string{"b", "a"}, []int{0, 1}},
 		"a removed name": {[]int{1, 2}, []string{"a", "b"}, []string{"b"}, []int{2}},
 		"fewer values":   {[]int{1}, []string{"a", "b"}, []string{"a", "b"}, []int{1, 0}},
-		"first names":    {[]int{1}, nil, []string{"a"}, []int{0}},
-		"last name gone": {[]int{1}, []string{"a"}, nil, []int{}},
+		"names added":    {[]int{1}, nil, []string{"a"}, []int{0}},
+		"names removed":  {[]int{1}, []string{"a"}, nil, []int{}},
 	} {
 		t.Run(name, func(t *testing.T) { assert.Equal(t, test.want, align(test.values, test.previous, test.current)) })
 	}
