--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -46,14 +46,14 @@
 	Kinds               []string                       // kinds of workers, indexed by kind number
 	ReportFields        []string                       // fields of the workers' load reports that the balancer uses
 	DialTimeout         time.Duration                  // timeout for connecting to a worker
-	MaxRetryAfter       time.Duration                  // Retry-After of 503 responses, 0 to omit it
+	MaxRetryAfter       time.Duration                  // Retry-After of 503 responses outside recovery, 0 to omit it
 	DiscoveryAddress    string                         // host and port of the discovery service
 	Peers               []netip.AddrPort               // all dispatchers by position, including this one
 	Position            int                            // index of this dispatcher in Peers
 	InitialEndpoints    *protocol.EndpointList         // endpoint list at startup, nil if there is none
 	PredecessorSnapshot json.RawMessage                // JSON of a Snapshot, nil if there is no predecessor
 	MigratesRequests    bool                           // requests in flight may be exported to a sibling process
-	FromUnix            func(ms float64) balancer.Time // converts Unix time in milliseconds
+	FromUnix            func(ms float64) balancer.Time // converts Unix time in milliseconds to the balancer's time
 	Recovery            Recovery                       // nil if recovery is disabled
 }
 
@@ -83,9 +83,9 @@
 	hooks testHooks
 }
 
-// testHooks are functions that tests set to run code between two steps.
+// testHooks are functions that tests set to run code between two steps. Each may be nil.
 type testHooks struct {
-	beforeApplySettings func() // runs after the balancer has applied new settings
+	beforeApplySettings func() // runs when the balancer uses new settings and names are looked up in the previous ones
 	beforeSend          func() // runs when an attempt has a connection and has not been sent
 }
 
@@ -105,8 +105,8 @@
 	}
 	p.discovery = discovery.NewWatcher(p.watcherConfig(), p.endpoints, shards, pool, log)
 	p.applySettings(c, initialIDs(c))
-	successor := p.seedEndpoints()
-	p.gossip = gossip.New(gossip.Config{Peers: c.Peers, Position: c.Position, IsSuccessor: successor},
+	isSuccessor := p.seedEndpoints()
+	p.gossip = gossip.New(gossip.Config{Peers: c.Peers, Position: c.Position, IsSuccessor: isSuccessor},
 		shards, p.endpoints, datagrams)
 	return p
 }
@@ -123,15 +123,15 @@
 }
 
 // seedEndpoints applies the initial endpoints, and reports whether they are from a predecessor's snapshot.
-func (p *Proxy) seedEndpoints() (successor bool) {
-	successor, err := p.restoreFromPredecessor(p.config.PredecessorSnapshot)
+func (p *Proxy) seedEndpoints() (isSuccessor bool) {
+	isSuccessor, err := p.restoreFromPredecessor(p.config.PredecessorSnapshot)
 	if err != nil {
 		p.log.Warn().Err(err).Msg("snapshot not restored")
 	}
-	if p.config.InitialEndpoints != nil && !successor {
+	if p.config.InitialEndpoints != nil && !isSuccessor {
 		p.discovery.Seed(p.config.InitialEndpoints, nil)
 	}
-	return successor
+	return isSuccessor
 }
 
 // initialIDs returns the IDs of operations and tenants at startup: their positions in c, as in the balancer.
--- a/internal/proxy/responses.go
+++ b/internal/proxy/responses.go
@@ -19,8 +19,8 @@
 //     idempotent in the whole fleet.
 //   - 502: the request failed, and its outcome is unknown.
 //   - 503: the request was rejected before it was submitted to the balancer. The process is drained, recovering or
-//     overloaded, has too many connections, or stops before the request would complete. For a health check: there are
-//     no workers, or the process is draining or stopping.
+//     overloaded, has too many connections or too little memory for bodies, or stops before the request would complete.
+//     For a health check: there is no endpoint list or no worker, or the process is recovering, draining or stopping.
 //
 // There is no response to a client that has disconnected, and none from this process if the sibling process continues
 // the request.
