--- a/internal/admin/command.go
+++ b/internal/admin/command.go
@@ -28,7 +28,7 @@
 func (s *Server) serve(c *connection) {
 	command, readErr := readCommand(c.conn)
 	s.slots.pin(c)
-	response := s.run(command, readErr)
+	response := s.runCommand(command, readErr)
 	s.log.Info().Str("addr", c.conn.RemoteAddr().String()).Str("call", string(command)).AnErr("cause", readErr).
 		Msg("operator command")
 	c.conn.SetWriteDeadline(time.Now().Add(responseTimeout))
@@ -64,8 +64,8 @@
 	}
 }
 
-// run runs the command and returns the response, or the error response if readCommand has failed.
-func (s *Server) run(command protocol.Command, readErr error) []byte {
+// runCommand runs the command and returns the response, or the error response if readCommand has failed.
+func (s *Server) runCommand(command protocol.Command, readErr error) []byte {
 	if readErr != nil {
 		return protocol.AppendCommandResult(nil, readErr)
 	}
@@ -86,8 +86,8 @@
 // closeWrite shuts down the sending side of a connection, so that the caller reads the end of the response. It reports
 // whether it succeeded.
 func closeWrite(conn net.Conn) bool {
-	half, ok := conn.(interface{ CloseWrite() error })
-	return ok && half.CloseWrite() == nil
+	writeCloser, ok := conn.(interface{ CloseWrite() error })
+	return ok && writeCloser.CloseWrite() == nil
 }
 
 // discardUnread reads and discards the bytes that the caller sends after its command, until the caller closes the
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -2,8 +2,8 @@
 // response. Handler runs the commands. The server shares no connection slots or file descriptors with clients, so that
 // it responds even if clients use all of theirs. Three limits prevent a caller from blocking others:
 //
-//   - At most MaxConnections are open at once. When all are in use, a new caller replaces a connection that waits for
-//     its caller, see connectionSlots.
+//   - At most MaxConnections are open at once. When all are in use, the server evicts a connection that is waiting for
+//     its caller in order to accept a new one, see connectionSlots.
 //   - The command line must arrive within commandTimeout of the accept.
 //   - The caller must receive the response within responseTimeout and then close the connection within lingerTimeout.
 package admin
--- a/internal/admin/server_test.go
+++ b/internal/admin/server_test.go
@@ -74,9 +74,9 @@
 
 func readAll(t *testing.T, conn net.Conn) string {
 	t.Helper()
-	answer, err := io.ReadAll(conn)
+	response, err := io.ReadAll(conn)
 	assert.NoError(t, err)
-	return string(answer)
+	return string(response)
 }
 
 func TestEachCommandIsAnswered(t *testing.T) {
@@ -85,11 +85,11 @@
 	for _, c := range []struct{ name, text, want string }{
 		{"dump", "DUMP\n", "done\nsvc.succeeded.C=812\nsvc.outstanding=14\nend\n"},
 		{"health with CRLF", "HEALTH\r\n", "error takes no clients: leaving\n"},
-		{"only the first line counts", "LEAVE\nJOIN\nJOIN\n", "done\n"},
+		{"lines after the first are ignored", "LEAVE\nJOIN\nJOIN\n", "done\n"},
 		{"join", "JOIN\n", "error the process ends\n"},
 		{"empty line", "\n", "error malformed: an empty line, " + accepted},
-		{"small letters", "leave\n", `error malformed: unknown call "leave", ` + accepted},
-		{"no line end", strings.Repeat("x", 100000), "error malformed: a line of more than 256 bytes\n"},
+		{"lowercase command", "leave\n", `error malformed: unknown call "leave", ` + accepted},
+		{"long line without a newline", strings.Repeat("x", 100000), "error malformed: a line of more than 256 bytes\n"},
 		{"long line", strings.Repeat("HEALTH ", 40) + "\n", "error malformed: a line of more than 256 bytes\n"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/daemon/admin_handler.go
+++ b/internal/daemon/admin_handler.go
@@ -21,8 +21,8 @@
 type adminHandler struct {
 	proxy   *proxy.Proxy
 	state   *lifecycle.State
-	restart *hotRestart // nil without an admin address
-	node    *fleet.Node // nil without LB_FLEET
+	restart *hotRestart // nil if there is no admin address
+	node    *fleet.Node // nil if LB_FLEET is not set
 
 	// Counters since the process started.
 	reloadsApplied  atomic.Int64
@@ -33,7 +33,8 @@
 func (a *adminHandler) Health() error { return a.proxy.Ready() }
 
 // Drain starts draining the dispatcher; the drain lasts until Rejoin. With LB_FLEET the drain is persisted so that it
-// survives restarts. If that fails, Drain returns the error, but this process drains anyway.
+// survives restarts. If that fails, Drain returns the error, but this process drains anyway. Drain also returns the
+// error from forwarding the command.
 func (a *adminHandler) Drain() error {
 	if forwarded, err := a.restart.forwardCommand(commandLeave); forwarded {
 		return err
@@ -45,8 +46,8 @@
 	return a.node.PersistDrain()
 }
 
-// Rejoin ends a drain. It returns lifecycle.ErrStopping if the process is stopping, or the error from persisting the
-// end of the drain.
+// Rejoin ends a drain. It returns lifecycle.ErrStopping if the process is stopping, or the error from forwarding the
+// command or from persisting the end of the drain.
 func (a *adminHandler) Rejoin() error {
 	if a.state.PhaseAt(time.Now()).IsStopping() {
 		return lifecycle.ErrStopping
--- a/internal/daemon/command.go
+++ b/internal/daemon/command.go
@@ -150,29 +150,29 @@
 // writeText writes the summary as lines of text.
 func writeText(out io.Writer, summary stateSummary) error {
 	lines := &lineWriter{out: out}
-	lines.line("dispatcher %q, life %d (token %s), began %s", summary.Name, summary.Incarnation, summary.Nonce,
+	lines.writeLine("dispatcher %q, life %d (token %s), began %s", summary.Name, summary.Incarnation, summary.Nonce,
 		summary.StartedAt.Format(time.RFC3339))
 	if summary.Drained {
-		lines.line("told to leave by hand: it takes no clients until JOIN")
+		lines.writeLine("told to leave by hand: it takes no clients until JOIN")
 	}
 	if summary.CleanShutdown {
-		lines.line("ended in order")
+		lines.writeLine("ended in order")
 	}
 	if summary.SavedAt.IsZero() {
-		lines.line("facts: none")
+		lines.writeLine("facts: none")
 	} else {
-		lines.line("facts of %s, settings %s: list %d, %d workers", summary.SavedAt.Format(time.RFC3339),
+		lines.writeLine("facts of %s, settings %s: list %d, %d workers", summary.SavedAt.Format(time.RFC3339),
 			summary.SettingsHash, summary.EndpointVersion, summary.Workers)
 	}
 	for _, capacity := range summary.Capacities {
-		lines.line("  bears %s", capacity)
+		lines.writeLine("  bears %s", capacity)
 	}
-	lines.line("keys that may have run: %d", summary.Keys)
+	lines.writeLine("keys that may have run: %d", summary.Keys)
 	if summary.KeysSuspect {
-		lines.line("  some that had been acknowledged may be missing: marked repeats of unknown keys would be errors")
+		lines.writeLine("  some that had been acknowledged may be missing: marked repeats of unknown keys would be errors")
 	}
-	for _, why := range summary.Rejected {
-		lines.line("not believed: %s", why)
+	for _, reason := range summary.Rejected {
+		lines.writeLine("not believed: %s", reason)
 	}
 	return lines.err
 }
@@ -183,7 +183,7 @@
 	err error
 }
 
-func (w *lineWriter) line(format string, args ...any) {
+func (w *lineWriter) writeLine(format string, args ...any) {
 	if w.err == nil {
 		_, w.err = fmt.Fprintf(w.out, format+"\n", args...)
 	}
--- a/internal/daemon/compatibility_test.go
+++ b/internal/daemon/compatibility_test.go
@@ -36,8 +36,8 @@
 "policyLimits":{"peers":true,"maxForwards":3,"mayCancel":true,"connIdleS":8,"dialTimeoutS":0.2,"retryAfter":true,
 "maxRetryAfterS":2}}}`
 
-// TestEachKeyOfTheConfiguration checks that the keys of the configuration file do not change.
-func TestEachKeyOfTheConfiguration(t *testing.T) {
+// TestConfigurationReadsEachKey checks that the names of the keys in the configuration file do not change.
+func TestConfigurationReadsEachKey(t *testing.T) {
 	read, err := parseConfig([]byte(configWithEachKey), fakeEnv())
 	assert.NoError(t, err)
 	want := &Config{
@@ -77,13 +77,13 @@
 	assert.Equal(t, []string{"Fleet"}, unset, "the fleet settings are in a separate file")
 }
 
-// TestOperatingPageShowsNumbersOfTheConfiguration checks that docs/operating.md has the same default and range of each
+// TestOperatingPageMatchesNumbersOfConfiguration checks that docs/operating.md has the same default and range of each
 // number as config_table.go.
-func TestOperatingPageShowsNumbersOfTheConfiguration(t *testing.T) {
+func TestOperatingPageMatchesNumbersOfConfiguration(t *testing.T) {
 	page, err := os.ReadFile("../../docs/operating.md")
 	assert.NoError(t, err)
 	decimal := func(number float64) string { return strconv.FormatFloat(number, 'f', -1, 64) }
-	rowOf := func(key string) string {
+	tableRow := func(key string) string {
 		for line := range strings.Lines(string(page)) {
 			if strings.HasPrefix(line, "| `"+key+"` |") {
 				return line
@@ -93,24 +93,24 @@
 	}
 	for _, key := range []numberKey{coresKey, memoryKey, socketsKey} {
 		want := fmt.Sprintf("| %s | %s to %s |", decimal(key.defaultValue), decimal(key.min), decimal(key.max))
-		assert.Contains(t, rowOf(key.path.String()), want)
+		assert.Contains(t, tableRow(key.path.String()), want)
 	}
 	for _, key := range []durationKey{workerIdleTimeoutKey, dialTimeoutKey, pollIntervalKey} {
 		want := fmt.Sprintf("| seconds | %s, also for 0 | 0 to %d |", decimal(key.defaultValue.Seconds()), math.MaxInt32)
-		assert.Contains(t, rowOf(key.path.String()), want)
+		assert.Contains(t, tableRow(key.path.String()), want)
 	}
 }
 
-// TestSettingsHash checks that the settings hash in the state folder does not change. State with another hash was
-// learned under other settings.
-func TestSettingsHash(t *testing.T) {
+// TestSettingsHashIsStable checks that the settings hash in the state folder does not change. State with another hash
+// was learned under other settings.
+func TestSettingsHashIsStable(t *testing.T) {
 	read, err := parseConfig([]byte(configWithEachKey), fakeEnv())
 	assert.NoError(t, err)
 	assert.Equal(t, "8aeee8ff73cee782", read.settingsHash)
 }
 
-// TestEachVariableOfTheEnvironment checks the environment variables, which override the file.
-func TestEachVariableOfTheEnvironment(t *testing.T) {
+// TestEnvironmentVariablesOverrideFile checks the environment variables, which override the file.
+func TestEnvironmentVariablesOverrideFile(t *testing.T) {
 	dir := t.TempDir()
 	config := writeFile(t, filepath.Join(dir, "config.json"), testConfiguration)
 	fleetPath := writeFile(t, filepath.Join(dir, "fleet.toml"), strings.Replace(testFleetFile, `"n3"`, `"n9"`, 1))
@@ -139,9 +139,9 @@
 		name, config string
 		want         int
 	}{
-		{"no configuration", "", 2},
-		{"a configuration that is not there", filepath.Join(t.TempDir(), "none"), 2},
-		{"an address that another program has", write(taken.Addr().String()), 1},
+		{"LB_CONFIG not set", "", 2},
+		{"configuration file missing", filepath.Join(t.TempDir(), "none"), 2},
+		{"address in use by another program", write(taken.Addr().String()), 1},
 		{"stopped by SIGTERM", write(free), 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -162,13 +162,13 @@
 		})
 	}
 	var stdout, stderr bytes.Buffer
-	assert.Equal(t, 1, RunCommand([]string{"serve"}, &stdout, &stderr), "an unknown command")
+	assert.Equal(t, 1, RunCommand([]string{"serve"}, &stdout, &stderr), "unknown command")
 	assert.Equal(t, 0, RunCommand([]string{"--help"}, &stdout, &stderr))
 }
 
-// TestStateShowOfEarlierRelease reads a state folder, including its snapshot, that an earlier release wrote. The output
-// must be the same as in that release.
-func TestStateShowOfEarlierRelease(t *testing.T) {
+// TestStateShowOutputMatchesEarlierRelease reads a state folder, including its snapshot, that an earlier release wrote.
+// The output must be the same as in that release.
+func TestStateShowOutputMatchesEarlierRelease(t *testing.T) {
 	const folder = "../fleet/store/testdata/folder"
 	for golden, args := range map[string][]string{
 		"state_show.json": {"state", "show", folder, "--json"},
@@ -182,8 +182,8 @@
 	}
 }
 
-// TestStateShowOfCorruptFolder checks the key under which errors are shown, and the exit code.
-func TestStateShowOfCorruptFolder(t *testing.T) {
+// TestStateShowReportsCorruptFolder checks the key under which errors are shown, and the exit code.
+func TestStateShowReportsCorruptFolder(t *testing.T) {
 	folder := t.TempDir()
 	writeFile(t, filepath.Join(folder, "life.a"), "x")
 	var stdout, stderr bytes.Buffer
@@ -191,8 +191,9 @@
 	assert.Contains(t, stdout.String(), "\n \"not_believed\": [\n  \"life.a: ")
 }
 
-// TestHotRestartControlSocketPath checks the path of the control socket. All releases must derive the same one.
-func TestHotRestartControlSocketPath(t *testing.T) {
+// TestControlSocketIsDerivedFromConfiguration checks the path of the control socket. All releases must derive the same
+// one.
+func TestControlSocketIsDerivedFromConfiguration(t *testing.T) {
 	dir := t.TempDir()
 	t.Setenv("TMPDIR", dir)
 	config, err := parseConfig([]byte(configWithEachKey), fakeEnv())
--- a/internal/daemon/config.go
+++ b/internal/daemon/config.go
@@ -37,7 +37,7 @@
 	Sockets           int             // limit on open file descriptors
 	WorkerIdleTimeout time.Duration   // workers close connections that have been idle for this duration
 	MaxClientTimeout  time.Duration   // longest default client timeout of all operations
-	Balancer          balancer.Config // read by package settings, then adjusted by setPollingDiscovery
+	Balancer          balancer.Config // read by package settings, then adjusted by setProcessOptions
 	Proxy             proxy.Config
 	Fleet             *fleet.Settings // nil if LB_FLEET is not set
 
@@ -46,8 +46,9 @@
 }
 
 // ReadConfig reads the configuration file that LB_CONFIG names. The other environment variables override the name and
-// the addresses in the file. It returns a *settings.KeyError if the value of a key is invalid, errConfigNotSet,
-// errNotJSON or errNotObject, or the error from reading a file.
+// the addresses in the file. It returns a *settings.KeyError if the value of a key is invalid. Other errors are
+// errConfigNotSet, errNotJSON, errNotObject, settings.ErrNotObject, and the errors of os.ReadFile, fleet.Read and
+// protocol.ParseEndpointList.
 func ReadConfig(getenv func(string) string) (*Config, error) {
 	path := getenv(envConfig)
 	if path == "" {
--- a/internal/daemon/config_parse.go
+++ b/internal/daemon/config_parse.go
@@ -48,7 +48,7 @@
 		return nil, fmt.Errorf("settings: %w", err)
 	}
 	r := &configReader{root: root, getenv: getenv}
-	r.setPollingDiscovery(c)
+	r.setProcessOptions(c)
 	r.readIdentity(c)
 	r.readLimits(c)
 	c.WorkerIdleTimeout = r.duration(workerIdleTimeoutKey)
@@ -70,9 +70,9 @@
 	return fmt.Sprintf("%x", sha256.Sum256(v.MarshalTo(nil)))[:settingsHashDigits]
 }
 
-// setPollingDiscovery sets the balancer options that are fixed for a dispatcher process: it polls the discovery
-// service, and its proxy reports when a worker has received an attempt.
-func (r *configReader) setPollingDiscovery(c *Config) {
+// setProcessOptions sets the balancer options that package settings does not read, because they apply to a dispatcher
+// process only: it polls the discovery service, and its proxy reports when a worker has received an attempt.
+func (r *configReader) setProcessOptions(c *Config) {
 	interval := r.duration(pollIntervalKey)
 	c.Balancer.Discovery.Poll = true
 	c.Balancer.Discovery.MaxPollInterval = settings.DurationOf(interval.Seconds())
@@ -151,8 +151,8 @@
 	c.Proxy.ReportFields = r.names("settings", "report", "names")
 }
 
-// operation reads the name and the default timeout of the n-th operation. The other values are copied from
-// balanced, the operations that package settings has read, in the same order.
+// operation reads the name and the default timeout of the n-th operation. The other values are copied from balanced,
+// the operations that package settings has read, in the same order.
 func (r *configReader) operation(n int, v *fastjson.Value, balanced []balancer.OperationConfig) proxy.Operation {
 	operation := proxy.Operation{DefaultTimeout: defaultClientTimeout}
 	if n < len(balanced) {
--- a/internal/daemon/config_reader.go
+++ b/internal/daemon/config_reader.go
@@ -37,8 +37,8 @@
 // String returns the path in the form used in error messages, such as "limits.cores".
 func (path keyPath) String() string { return strings.Join(path, ".") }
 
-// text returns the value of an environment variable or, if it is not set, the string at a key of the file,
-// which must not be empty. An empty variable name means that no variable overrides the key.
+// text returns the value of an environment variable or, if it is not set, the string at a key of the file, which must
+// not be empty. An empty variable name means that no variable overrides the key.
 func (r *configReader) text(variable, key string) string {
 	if s := r.envOverride(variable); s != "" {
 		return s
@@ -59,8 +59,8 @@
 	return r.getenv(variable)
 }
 
-// address parses the value that text returns as an IP address with a port. If the value comes from the
-// environment, the error names the variable instead of the key.
+// address parses the value that text returns as an IP address with a port. If the value comes from the environment, the
+// error names the variable instead of the key.
 func (r *configReader) address(variable, key string) netip.AddrPort {
 	text := r.text(variable, key)
 	addr, err := netip.ParseAddrPort(text)
--- a/internal/daemon/config_table.go
+++ b/internal/daemon/config_table.go
@@ -5,7 +5,7 @@
 // The keys of the configuration file that this package reads. docs/operating.md has the same table for operators and
 // describes the effect of a reload on each key. Package settings reads the other keys under "settings".
 //
-// Strings and lists are required unless their row says "optional". An address is an IP address with a port.
+// Strings and lists are required unless their row is marked "optional". An address is an IP address with a port.
 //
 //	name                     unique among the dispatchers; overridden by LB_NAME.
 //	listen                   address for clients; overridden by LB_LISTEN.
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -46,7 +46,7 @@
 // have been answered or handed over. reload reads the configuration again.
 func serve(config *Config, reload func() (*Config, error), received *signals, log zerolog.Logger) error {
 	p := &process{config: config, readConfig: reload, signals: received, log: log}
-	defer p.disconnect()
+	defer p.disconnectPredecessor()
 	if err := p.start(); err != nil {
 		return err
 	}
--- a/internal/daemon/helpers_test.go
+++ b/internal/daemon/helpers_test.go
@@ -190,9 +190,9 @@
 	defer conn.Close()
 	conn.SetDeadline(time.Now().Add(time.Second))
 	fmt.Fprintln(conn, command)
-	answer, err := io.ReadAll(conn)
+	response, err := io.ReadAll(conn)
 	assert.NoError(t, err)
-	return string(answer)
+	return string(response)
 }
 
 // client is a client connection.
--- a/internal/daemon/hot_restart.go
+++ b/internal/daemon/hot_restart.go
@@ -32,9 +32,9 @@
 //  2. When its parts are running, the successor notifies the predecessor that it is serving. The predecessor then stops
 //     accepting connections, stops gossip, and releases the state folder and the address of the fleet node
 //     (handOffToSuccessor). Open connections stay with the predecessor.
-//  3. Each process sends the other an update every siblingUpdateInterval: its requests in flight, its recent sends, and
-//     the number of connections that it needs. With the updates both processes together stay within the resource limits
-//     (hot_restart_limits.go), and each rejects a request whose ID is in flight at the other.
+//  3. Each process sends the other an update every siblingUpdateInterval: its attempts and requests in flight, its
+//     recent sends, and the number of connections that it needs. With the updates both processes together stay within
+//     the resource limits (hot_restart_limits.go), and each rejects a request whose ID is in flight at the other.
 //  4. The predecessor forwards LEAVE and JOIN to the successor.
 //  5. After SIGTERM the predecessor hands over each request in flight, with the connections of its client and its
 //     attempts (exportRequests). It tries immediately, and retries with each update for requests that could not be
@@ -42,8 +42,8 @@
 //  6. When the predecessor has exited, the successor gets all of the resource limits. If the successor exits first, the
 //     predecessor resumes serving (handleSuccessorExit), unless it is stopping.
 //
-// Hot restarts require an admin address: newHotRestart returns nil without one. The methods that other files call
-// accept a nil *hotRestart and then behave as if there were no predecessor and no successor.
+// Hot restarts require an admin address: newHotRestart returns nil without one. Except for attach and run, the methods
+// that other types call accept a nil *hotRestart and then behave as if there were no predecessor and no successor.
 type hotRestart struct {
 	controlSocket hotrestart.ControlSocket
 	predecessor   *hotrestart.Handover // nil if there is none
--- a/internal/daemon/hot_restart_limits.go
+++ b/internal/daemon/hot_restart_limits.go
@@ -31,8 +31,8 @@
 	}
 }
 
-// allConnections returns the share of a process without a sibling.
-func (h *hotRestart) allConnections() connectionShare {
+// fullConnectionShare returns the share of a process without a sibling.
+func (h *hotRestart) fullConnectionShare() connectionShare {
 	return connectionShare{clients: h.limits.clientConnections, workers: h.limits.workerConnections}
 }
 
@@ -55,6 +55,7 @@
 // removeSibling reverts addSibling.
 func (h *hotRestart) removeSibling() { h.changeSiblingCount(-1) }
 
+// changeSiblingCount divides the memory limit of the garbage collector evenly among the new number of processes.
 func (h *hotRestart) changeSiblingCount(change int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/daemon/hot_restart_predecessor.go
+++ b/internal/daemon/hot_restart_predecessor.go
@@ -16,7 +16,7 @@
 // two processes exits. If the successor exits, this process resumes serving.
 func (h *hotRestart) handleSuccessor(ctx context.Context, link *hotrestart.Link) {
 	h.addSibling()
-	share := h.openConnectionShare().midpoint(h.allConnections())
+	share := h.openConnectionShare().midpoint(h.fullConnectionShare())
 	stop := h.sendUpdates(ctx, link, func() proxy.SiblingUpdate {
 		if h.isStopping() {
 			h.exportRequests()
@@ -43,48 +43,48 @@
 	h.log.Info().AnErr("cause", err).Stringer("phase", h.state.PhaseAt(time.Now())).Msg("successor ended")
 }
 
-// handOffToSuccessor stops accepting connections and releases the datagram sockets after a successor has started to
+// handOffToSuccessor stops accepting connections and yields the other shared resources after a successor has started to
 // serve.
 func (h *hotRestart) handOffToSuccessor(link *hotrestart.Link) {
 	if err := h.state.HandOff(time.Now()); err != nil {
 		h.log.Warn().Err(err).Msg("successor serves, but this process cannot hand off")
 		return
 	}
-	h.yieldSockets()
+	h.yieldResources()
 	h.mu.Lock()
 	h.successor = link
 	h.mu.Unlock()
 	h.log.Info().Msg("successor serves")
 }
 
-// handleSuccessorExit resumes serving after the successor has exited. A process that is stopping releases the datagram
-// sockets instead, because it does not need them any more.
+// handleSuccessorExit resumes serving after the successor has exited. A process that is stopping yields the shared
+// resources instead, because it does not need them any more.
 func (h *hotRestart) handleSuccessorExit() {
 	h.proxy.ForgetSibling(balancer.Successor)
 	h.removeSibling()
-	h.setConnectionLimits(h.allConnections())
+	h.setConnectionLimits(h.fullConnectionShare())
 	h.mu.Lock()
 	h.successor = nil
 	h.mu.Unlock()
 	h.state.ResumeServing(time.Now())
 	if h.isStopping() {
-		h.yieldSockets()
+		h.yieldResources()
 	} else {
-		h.reclaimSockets()
+		h.reclaimResources()
 	}
 }
 
-// yieldSockets stops gossip and releases the state folder and the address of the fleet node, so that a successor can
-// use them.
-func (h *hotRestart) yieldSockets() {
+// yieldResources stops gossip and releases the state folder and the address of the fleet node, so that a successor can
+// use the gossip socket, the folder and the address.
+func (h *hotRestart) yieldResources() {
 	h.proxy.YieldDatagrams()
 	if h.node != nil {
 		h.node.YieldResources()
 	}
 }
 
-// reclaimSockets reverts yieldSockets.
-func (h *hotRestart) reclaimSockets() {
+// reclaimResources reverts yieldResources.
+func (h *hotRestart) reclaimResources() {
 	h.proxy.ReclaimDatagrams()
 	if h.node != nil {
 		h.node.ReclaimResources()
--- a/internal/daemon/hot_restart_successor.go
+++ b/internal/daemon/hot_restart_successor.go
@@ -17,27 +17,28 @@
 	"canvasroute/internal/transport"
 )
 
-// errNoClientSocket is returned for a request that was handed over without its client's connection.
+// errNoClientSocket is logged for a request that was handed over without its client's connection.
 var errNoClientSocket = errors.New("migrated request: no client socket")
 
-// socket returns a socket that the predecessor has handed over, or nil if there is none with that name.
-func (h *hotRestart) socket(name string) *os.File {
+// predecessorSocket returns the socket that the predecessor has handed over under a name, or nil if there is none.
+func (h *hotRestart) predecessorSocket(name string) *os.File {
 	if h == nil || h.predecessor == nil {
 		return nil
 	}
 	return h.predecessor.Sockets[name]
 }
 
-// snapshot returns the encoded proxy.Snapshot that the predecessor has handed over, or nil if there is no predecessor.
-func (h *hotRestart) snapshot() json.RawMessage {
+// predecessorSnapshot returns the encoded proxy.Snapshot that the predecessor has handed over, or nil if there is no
+// predecessor.
+func (h *hotRestart) predecessorSnapshot() json.RawMessage {
 	if h == nil || h.predecessor == nil {
 		return nil
 	}
 	return h.predecessor.Snapshot
 }
 
-// disconnect closes the link to the predecessor, which the predecessor handles as the exit of this process.
-func (h *hotRestart) disconnect() {
+// disconnectPredecessor closes the link to the predecessor, which the predecessor handles as the exit of this process.
+func (h *hotRestart) disconnectPredecessor() {
 	if h != nil && h.predecessor != nil {
 		h.predecessor.Link.Close()
 	}
@@ -48,7 +49,7 @@
 func (h *hotRestart) handlePredecessor(ctx context.Context) {
 	link := h.predecessor.Link
 	h.addSibling()
-	h.setConnectionLimits(h.allConnections().half()) // until the predecessor's first update
+	h.setConnectionLimits(h.fullConnectionShare().half()) // until the predecessor's first update
 	stop := h.sendUpdates(ctx, link, func() proxy.SiblingUpdate { return h.proxy.SiblingUpdate(balancer.Predecessor) })
 	defer stop()
 	if err := link.SendServing(); err != nil {
@@ -61,26 +62,26 @@
 	})
 	h.proxy.ForgetSibling(balancer.Predecessor)
 	h.removeSibling()
-	h.setConnectionLimits(h.allConnections())
+	h.setConnectionLimits(h.fullConnectionShare())
 	h.log.Info().AnErr("cause", err).Msg("predecessor ended")
 }
 
-// receivePredecessorUpdate records the predecessor's requests in flight, and sets this process's connection limits to
-// the connections that the predecessor does not need.
+// receivePredecessorUpdate applies an update from the predecessor, and sets this process's connection limits to the
+// connections that the predecessor does not need.
 func (h *hotRestart) receivePredecessorUpdate(text json.RawMessage) {
 	update, ok := h.parseSiblingUpdate(text)
 	if !ok {
 		return
 	}
 	h.proxy.ReceiveSiblingUpdate(balancer.Predecessor, update)
-	all := h.allConnections()
+	all := h.fullConnectionShare()
 	h.setConnectionLimits(connectionShare{
 		clients: all.clients - update.ClientConnections,
 		workers: all.workers - update.WorkerConnections,
 	})
 }
 
-// runForwardedCommand runs LEAVE or JOIN, forwarded by the predecessor because this process is the one that serves.
+// runForwardedCommand runs LEAVE or JOIN, which the predecessor forwards because this process serves in its place.
 // Unlike adminHandler, it does not persist the drain or its end, even with LB_FLEET.
 func (h *hotRestart) runForwardedCommand(command string) {
 	h.log.Info().Str("call", command).Msg("operator command forwarded by predecessor")
@@ -96,7 +97,8 @@
 
 // importRequest continues a request that the predecessor has handed over. sockets holds the client's connection, and
 // the connections to workers under the numbers of their attempts. A request that cannot be continued gets status 502,
-// because a worker may have executed an attempt.
+// because a worker may have executed an attempt. There is no response if the request cannot be parsed or the client's
+// connection is missing.
 func (h *hotRestart) importRequest(text json.RawMessage, sockets map[string]*os.File) {
 	client, attempts := h.importConnections(sockets)
 	request, err := h.proxy.Import(text, attempts)
--- a/internal/daemon/hot_restart_test.go
+++ b/internal/daemon/hot_restart_test.go
@@ -26,11 +26,11 @@
 // startProcess starts a dispatcher and waits until it serves.
 func startProcess(t *testing.T, config Config) *testProcess {
 	t.Helper()
-	return startProcessWith(t, config, nil)
+	return startProcessWithReload(t, config, nil)
 }
 
-// startProcessWith starts a dispatcher with a function that reloads its configuration.
-func startProcessWith(t *testing.T, config Config, reload func() (*Config, error)) *testProcess {
+// startProcessWithReload starts a dispatcher with a function that reloads its configuration.
+func startProcessWithReload(t *testing.T, config Config, reload func() (*Config, error)) *testProcess {
 	t.Helper()
 	d := &testProcess{
 		signals: newSignals(),
@@ -49,8 +49,8 @@
 // awaitResponse repeats a command until its response contains a text.
 func (d *testProcess) awaitResponse(t *testing.T, command, want string) {
 	t.Helper()
-	answered := func() bool { return strings.Contains(runAdminCommand(t, d.admin, command), want) }
-	assert.Eventually(t, answered, 5*time.Second, time.Millisecond, want)
+	containsText := func() bool { return strings.Contains(runAdminCommand(t, d.admin, command), want) }
+	assert.Eventually(t, containsText, 5*time.Second, time.Millisecond, want)
 }
 
 // stop sends SIGTERM and waits for the exit.
--- a/internal/daemon/process.go
+++ b/internal/daemon/process.go
@@ -56,9 +56,9 @@
 //  2. The balancer and the pool need the limits and the clock.
 //  3. The predecessor hands over its state and sockets before the steps that use them.
 //  4. The fleet node does not use its state folder and address while a predecessor does. Its stored endpoint list may
-//     replace the configured one that the proxy starts with.
+//     replace the configured list with which the proxy starts.
 //  5. The gossip socket is inherited from the predecessor, or a new one. The proxy sends and receives on it.
-//  6. The proxy answers the clients that connect to the listener.
+//  6. The proxy handles the requests of the clients that connect to the listener.
 //  7. The client listener is inherited from the predecessor, or a new one. It is the last part that the hot restart
 //     needs.
 //  8. The admin server runs commands that use all other parts. If its address is in use, the start fails and a
@@ -115,13 +115,13 @@
 // if there is one.
 func (p *process) connectToPredecessor() {
 	p.restart = newHotRestart(p.config, p.log)
-	p.config.Proxy.PredecessorSnapshot = p.restart.snapshot()
+	p.config.Proxy.PredecessorSnapshot = p.restart.predecessorSnapshot()
 	p.config.Proxy.MigratesRequests = p.restart != nil
 }
 
-// disconnect closes the link to the predecessor. A predecessor that was not notified of a serving successor continues
-// to serve.
-func (p *process) disconnect() { p.restart.disconnect() }
+// disconnectPredecessor closes the link to the predecessor. A predecessor that was not notified of a serving successor
+// continues to serve.
+func (p *process) disconnectPredecessor() { p.restart.disconnectPredecessor() }
 
 // openPeerSocket opens or inherits the gossip socket. It does nothing if gossip is disabled.
 func (p *process) openPeerSocket() error {
@@ -138,7 +138,7 @@
 
 // listenOptions returns the options for opening a socket that the processes of a hot restart share under a name.
 func (p *process) listenOptions(socketName string) transport.ListenOptions {
-	return transport.ListenOptions{Inherited: p.restart.socket(socketName), ReusePort: p.restart != nil}
+	return transport.ListenOptions{Inherited: p.restart.predecessorSocket(socketName), ReusePort: p.restart != nil}
 }
 
 // buildProxy creates the proxy, and attaches the parts whose state the fleet node restores.
--- a/internal/daemon/process_test.go
+++ b/internal/daemon/process_test.go
@@ -33,7 +33,7 @@
 	config.PeerListen = ""
 	path := filepath.Join(t.TempDir(), "config.json")
 	return &reloadableProcess{
-		testProcess: startProcessWith(t, config, func() (*Config, error) {
+		testProcess: startProcessWithReload(t, config, func() (*Config, error) {
 			return ReloadConfig(fakeEnv("LB_CONFIG", path))
 		}),
 		url:  url,
@@ -103,8 +103,8 @@
 	successor.stop(t)
 }
 
-// A drain must neither abort a long request nor admit one that is not completely received in time. A client must be
-// able to tell that a pipelined request was not processed.
+// A drain must neither abort a long request nor admit a request that is not completely received in time. A client must
+// be able to detect that a pipelined request was not processed.
 func TestDrainOfOpenConnections(t *testing.T) {
 	dispatcher := startReloadable(t, 4*time.Second, 1)
 	long := dialClient(t, dispatcher.url)
@@ -116,11 +116,11 @@
 	pipelining.send("t2")
 	dispatcher.awaitResponse(t, "DUMP", "svc.outstanding=2\n")
 	assert.Equal(t, "done\n", runAdminCommand(t, dispatcher.admin, "LEAVE"))
-	incomplete.assertResponse(t, 408, true, "it was never complete")
+	incomplete.assertResponse(t, 408, true, "the request was not received completely")
 	for _, c := range []*client{long, pipelining} {
 		c.assertResponse(t, 200, true)
 		_, err := c.in.ReadByte()
-		assert.ErrorIs(t, err, io.EOF, "the second request was not processed, and the connection is closed")
+		assert.ErrorIs(t, err, io.EOF, "the connection is closed without a response to a second request")
 	}
 	dispatcher.awaitResponse(t, "DUMP", "svc.outstanding=0\n")
 	assert.Contains(t, runAdminCommand(t, dispatcher.admin, "DUMP"), "svc.forwards=2\n")
@@ -151,9 +151,9 @@
 		conns = append(conns, conn)
 	}
 	for range 50 {
-		askedAt := time.Now()
+		sentAt := time.Now()
 		assert.Contains(t, runAdminCommand(t, dispatcher.admin, "DUMP"), "end\n")
-		assert.Less(t, time.Since(askedAt), time.Second)
+		assert.Less(t, time.Since(sentAt), time.Second)
 	}
 	for _, conn := range conns {
 		conn.Close()
--- a/internal/daemon/recovery.go
+++ b/internal/daemon/recovery.go
@@ -14,7 +14,7 @@
 
 // openNode opens the dispatcher's fleet node if LB_FLEET is set. The proxy then waits for the node's recovery.
 func (p *process) openNode() error {
-	isSuccessor := p.restart.snapshot() != nil
+	isSuccessor := p.restart.predecessorSnapshot() != nil
 	node, err := newNode(p.config, p.clock, isSuccessor, p.log)
 	if err != nil || node == nil {
 		return err
--- a/internal/daemon/recovery_test.go
+++ b/internal/daemon/recovery_test.go
@@ -16,7 +16,7 @@
 )
 
 // Without LB_FLEET no fleet node may be created, and therefore no file, listener or goroutine of one.
-func TestWithoutFleetFileThereIsNoNode(t *testing.T) {
+func TestNoNodeIsCreatedWithoutFleetFile(t *testing.T) {
 	c, err := parseConfig([]byte(testConfiguration), fakeEnv())
 	assert.NoError(t, err)
 	assert.Nil(t, c.Fleet)
@@ -94,7 +94,7 @@
 	assert.ErrorContains(t, node.Ready(), "identity")
 }
 
-func TestStateShowOfFolderAndOfTruncatedFile(t *testing.T) {
+func TestStateShowReportsContentAndTruncatedFile(t *testing.T) {
 	path := t.TempDir()
 	folder, err := store.OpenFolder(path)
 	assert.NoError(t, err)
--- a/internal/daemon/reload.go
+++ b/internal/daemon/reload.go
@@ -69,8 +69,8 @@
 	merged.keys = next.keys
 	merged.MaxClientTimeout = next.MaxClientTimeout
 
-	// The balancer gets all new values, except its place in the fleet and the options for messages from workers and
-	// peers.
+	// The balancer gets all new values, except its place in the fleet, the kinds of workers, and the options for messages
+	// from workers and peers.
 	merged.Balancer = next.Balancer
 	merged.Balancer.Dispatchers = c.Balancer.Dispatchers
 	merged.Balancer.Position = c.Balancer.Position
--- a/internal/daemon/reload_test.go
+++ b/internal/daemon/reload_test.go
@@ -15,8 +15,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// sighupWith replaces the configuration file and sends SIGHUP to the test process.
-func sighupWith(t *testing.T, path, text string) {
+// reloadWithSighup replaces the configuration file and sends SIGHUP to the test process.
+func reloadWithSighup(t *testing.T, path, text string) {
 	t.Helper()
 	writeFile(t, path, text)
 	assert.NoError(t, syscall.Kill(os.Getpid(), syscall.SIGHUP))
@@ -43,10 +43,10 @@
 		status, body := sendRequest(t, url)
 		assert.Equal(t, []any{200, "made"}, []any{status, body}, "requests in flight are not affected")
 	}()
-	sighupWith(t, path, `{"name":`)
+	reloadWithSighup(t, path, `{"name":`)
 	rejected := func() bool { return strings.Contains(log.String(), "invalid configuration, keeping the current one") }
 	assert.Eventually(t, rejected, 5*time.Second, time.Millisecond)
-	sighupWith(t, path, strings.NewReplacer("127.0.0.1:8500", strings.TrimPrefix(discovery.URL, "http://"),
+	reloadWithSighup(t, path, strings.NewReplacer("127.0.0.1:8500", strings.TrimPrefix(discovery.URL, "http://"),
 		`"sockets":1024`, `"sockets":512`, "127.0.0.1:8080", strings.TrimPrefix(url, "http://")).Replace(testConfiguration))
 	select {
 	case target := <-polled:
@@ -54,7 +54,7 @@
 	case <-time.After(time.Second):
 		t.Fatal("new discovery address was not polled within 1 s")
 	}
-	assert.Contains(t, log.String(), `"at_next_start":["limits",`, "more keys follow, which the test had changed")
+	assert.Contains(t, log.String(), `"at_next_start":["limits",`, "followed by the keys that startDispatcher changed")
 	<-answered
 	assert.NoError(t, syscall.Kill(os.Getpid(), syscall.SIGTERM))
 	assert.NoError(t, <-dispatcher.ended)
@@ -72,11 +72,11 @@
 	valid := standaloneConfiguration(strings.TrimPrefix(dispatcher.url, "http://"))
 	reloadUntil := func(t *testing.T, text, metric string) {
 		t.Helper()
-		sighupWith(t, path, text)
+		reloadWithSighup(t, path, text)
 		counted := func() bool { return strings.Contains(runAdminCommand(t, admin, "DUMP"), metric+"\n") }
 		assert.Eventually(t, counted, time.Second, 5*time.Millisecond, metric)
 	}
-	statusOf := func(operation string) int {
+	sendOperation := func(operation string) int {
 		request, err := http.NewRequest("POST", dispatcher.url+"/api", nil)
 		assert.NoError(t, err)
 		request.Header.Set("Req-Id", operation)
@@ -89,32 +89,32 @@
 		return response.StatusCode
 	}
 	for n, c := range []struct{ name, text string }{
-		{"empty", ""},
+		{"empty file", ""},
 		{"truncated file", valid[:len(valid)/2]},
-		{"no object", "[]"},
+		{"not an object", "[]"},
 		{"key missing", strings.Replace(valid, `"maxForwards":3,`, "", 1)},
 		{"negative timeout", strings.Replace(valid, `"clientTimeoutS":2.5`, `"clientTimeoutS":-1`, 1)},
-		{"operation without a key", strings.Replace(valid, `"clientTimeoutS":2.5,`, "", 1)},
-		{"another dispatcher's", strings.Replace(valid, `"name":"n3"`, `"name":"n4"`, 1)},
+		{"operation key missing", strings.Replace(valid, `"clientTimeoutS":2.5,`, "", 1)},
+		{"name of another dispatcher", strings.Replace(valid, `"name":"n3"`, `"name":"n4"`, 1)},
 		{
-			"one change valid and one not",
+			"one valid and one invalid change",
 			strings.Replace(strings.Replace(valid, "render", "other", 1), `"maxForwards":3`, `"maxForwards":0`, 1),
 		},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			reloadUntil(t, c.text, fmt.Sprintf("svc.sighup_rejected=%d", n+1))
-			assert.Equal(t, 400, statusOf("other"), "no part of the file is applied")
+			assert.Equal(t, 400, sendOperation("other"), "no part of the file is applied")
 		})
 	}
 	inFlight := make(chan int)
-	go func() { inFlight <- statusOf("render") }()
+	go func() { inFlight <- sendOperation("render") }()
 	sent := func() bool { return strings.Contains(runAdminCommand(t, admin, "DUMP"), "svc.forwards=1\n") }
 	assert.Eventually(t, sent, time.Second, time.Millisecond)
 	reloadUntil(t, strings.Replace(valid, "render", "other", 1), "svc.sighup_applied=1")
-	assert.Equal(t, []int{200, 400, 200}, []int{statusOf("other"), statusOf("render"), <-inFlight},
+	assert.Equal(t, []int{200, 400, 200}, []int{sendOperation("other"), sendOperation("render"), <-inFlight},
 		"requests in flight are not affected")
 	reloadUntil(t, valid, "svc.sighup_applied=2")
-	assert.Equal(t, 200, statusOf("render"))
+	assert.Equal(t, 200, sendOperation("render"))
 	assert.Contains(t, runAdminCommand(t, admin, "DUMP"), "svc.succeeded.render=2\n", "its counters were not reset")
 	assert.NoError(t, syscall.Kill(os.Getpid(), syscall.SIGTERM))
 	assert.NoError(t, <-dispatcher.ended)
--- a/internal/daemon/resource_limits.go
+++ b/internal/daemon/resource_limits.go
@@ -13,8 +13,8 @@
 	clientShare         = 0.6      // fraction of the connections for clients
 	rejectedClientShare = 1.0 / 16 // additional connections for rejecting clients, as a fraction of clients
 
-	reservedDescriptors = 24                       // listener, gossip, discovery, standard streams, poller, temporary ones
-	adminDescriptors    = admin.MaxConnections + 2 // plus the listener, and an accepted connection that waits for a slot
+	reservedDescriptors = 24                       // listener, gossip, discovery, stdio, poller, temporary files
+	adminDescriptors    = admin.MaxConnections + 2 // plus the listener and a spare
 
 	maxShards = 64 // a shard number is encoded in one byte in messages between dispatchers
 )
--- a/internal/daemon/shutdown.go
+++ b/internal/daemon/shutdown.go
@@ -6,11 +6,11 @@
 )
 
 // Time limits of the shutdown, counted from SIGTERM or SIGINT. The platform sends SIGKILL 700 ms after the longest
-// client timeout or 3 s, whichever is shorter. A state folder that does not respond may delay the exit beyond these
-// limits (fleet.Node.Run).
+// client timeout, or after 3.7 s if that timeout exceeds 3 s. A state folder that does not respond may delay the exit
+// beyond these limits (fleet.Node.Run).
 const (
-	acceptDuration           = 500 * time.Millisecond // clients learn with a delay that the process is stopping
-	maxShutdownClientTimeout = 3 * time.Second        // upper limit on the longest client timeout
+	acceptDuration           = 500 * time.Millisecond // to accept connections of clients that learn late of the shutdown
+	maxShutdownClientTimeout = 3 * time.Second        // upper limit on the longest client timeout to wait for
 	responseMargin           = 450 * time.Millisecond // added to the longest client timeout for responses
 	closeMargin              = 100 * time.Millisecond // time for clients to read the last responses
 )
@@ -26,7 +26,7 @@
 //     exit of this process.
 //  4. After acceptDuration, or when a part of the process has failed, shutDown returns. Its caller stops accepting, and
 //     transport.Server.Run closes idle connections and waits for the others.
-//  5. After responseTime and closeMargin the server closes all remaining connections.
+//  5. After responseTime and closeMargin the server closes all remaining connections, regardless of their state.
 //
 // When the last connection is closed, the other parts stop, see process.run. Step 5 precedes the platform's SIGKILL.
 func (p *process) shutDown(failed context.Context) {
--- a/internal/daemon/signals.go
+++ b/internal/daemon/signals.go
@@ -7,9 +7,9 @@
 	"syscall"
 )
 
-// signals holds the signals that have not been handled yet, at most one of each kind, because a repeated signal
-// requests nothing new. Each kind has a channel of its own, so that many signals of one kind cannot displace another
-// kind.
+// signals holds the received signals that have not been handled yet. Each action has a channel of its own, so that many
+// signals for one action cannot displace a signal for another. A channel holds at most one signal, because a repeated
+// signal requests nothing new.
 type signals struct {
 	logCounters chan os.Signal // SIGUSR1
 	reload      chan os.Signal // SIGHUP
--- a/internal/hotrestart/control_socket.go
+++ b/internal/hotrestart/control_socket.go
@@ -68,7 +68,7 @@
 	return ln, nil
 }
 
-// stat returns the file info of the control socket, or nil if it does not exist.
+// stat returns the file info of the control socket, or nil if it cannot be read, for example if there is no socket.
 func (s ControlSocket) stat() os.FileInfo {
 	info, err := os.Stat(s.path(s.file))
 	if err != nil {
--- a/internal/hotrestart/format_test.go
+++ b/internal/hotrestart/format_test.go
@@ -30,13 +30,13 @@
 	update := json.RawMessage(`{"Clients":3}`)
 	request := json.RawMessage(`{"Hosts":["w1"]}`)
 	return []messageCase{
-		{"greeting", message{Version: 1}, func(l *Link) error { return l.send(message{Version: 1}) }},
+		{"handshake of the successor", message{Version: 1}, func(l *Link) error { return l.send(message{Version: 1}) }},
 		{
-			"greeting with sockets and state",
+			"handshake of the predecessor with sockets and snapshot",
 			message{Version: 1, Sockets: []string{"clients", "peers"}, Snapshot: snapshot},
 			func(l *Link) error { return l.send(message{Version: 1, Snapshot: snapshot}, sockets...) },
 		},
-		{"successor serves", message{Serving: true}, func(l *Link) error { return l.SendServing() }},
+		{"successor is serving", message{Serving: true}, func(l *Link) error { return l.SendServing() }},
 		{"sibling update", message{Update: update}, func(l *Link) error { return l.SendSiblingUpdate(update) }},
 		{
 			"migrated request",
@@ -61,24 +61,24 @@
 
 // TestWritesMessagesThatEarlierReleaseReads checks the bytes that each message has on the socket.
 func TestWritesMessagesThatEarlierReleaseReads(t *testing.T) {
-	here, there := newSocketPair(t)
-	sockets := []Socket{{Name: ClientSocket, Conn: here}, {Name: PeerSocket, Conn: here}}
+	sender, receiver := newSocketPair(t)
+	sockets := []Socket{{Name: ClientSocket, Conn: sender}, {Name: PeerSocket, Conn: sender}}
 	lines := goldenLines(t)
 	assert.Len(t, messageCases(nil), len(lines))
 	for n, c := range messageCases(sockets) {
 		t.Run(c.name, func(t *testing.T) {
-			assert.NoError(t, c.send(newLink(here)))
+			assert.NoError(t, c.send(newLink(sender)))
 			written := make([]byte, 1<<10)
-			size, err := there.Read(written)
+			size, err := receiver.Read(written)
 			assert.NoError(t, err)
 			assert.Equal(t, lines[n], string(written[:size]))
 		})
 	}
 }
 
-// TestMessageFixturesSetEachField checks that the tests above cover every field: a new field needs a message case that
+// TestMessageCasesSetEachField checks that the tests above cover every field: a new field needs a message case that
 // sets it, and a decision on how an earlier release reads it.
-func TestMessageFixturesSetEachField(t *testing.T) {
+func TestMessageCasesSetEachField(t *testing.T) {
 	set := map[string]bool{}
 	for _, c := range messageCases(nil) {
 		fields := reflect.ValueOf(c.message)
@@ -87,8 +87,8 @@
 			set[name] = set[name] || !fields.Field(n).IsZero()
 		}
 	}
-	for name, anywhere := range set {
-		assert.True(t, anywhere, name)
+	for name, isSet := range set {
+		assert.True(t, isSet, name)
 	}
 }
 
@@ -101,7 +101,7 @@
 }
 
 // newSocketPair returns two Unix sockets that are connected to each other.
-func newSocketPair(t *testing.T) (here, there *net.UnixConn) {
+func newSocketPair(t *testing.T) (first, second *net.UnixConn) {
 	t.Helper()
 	fds, err := unix.Socketpair(unix.AF_UNIX, unix.SOCK_STREAM, 0)
 	assert.NoError(t, err)
--- a/internal/hotrestart/handover.go
+++ b/internal/hotrestart/handover.go
@@ -53,7 +53,7 @@
 		return nil, err
 	}
 	if err := first.checkVersion(); err != nil {
-		closeAll(first.files)
+		closeFiles(first.files)
 		return nil, err
 	}
 	conn.SetReadDeadline(time.Time{})
@@ -70,7 +70,7 @@
 	return newLink(conn), nil
 }
 
-func closeAll(files map[string]*os.File) {
+func closeFiles(files map[string]*os.File) {
 	for _, file := range files {
 		file.Close()
 	}
--- a/internal/hotrestart/hotrestart_test.go
+++ b/internal/hotrestart/hotrestart_test.go
@@ -82,29 +82,29 @@
 
 // A file that another process has left at the path of the control socket must neither fail nor delay a start.
 func TestStartWithoutPredecessor(t *testing.T) {
-	startsAlone := func(t *testing.T, socket ControlSocket) {
+	assertNoPredecessor := func(t *testing.T, socket ControlSocket) {
 		t.Helper()
 		handover, err := Connect(socket)
 		assert.Nil(t, handover)
 		assert.NoError(t, err)
 	}
 	socket := NewControlSocket(t.TempDir(), "n3")
-	t.Run("no file", func(t *testing.T) { startsAlone(t, socket) })
+	t.Run("no file", func(t *testing.T) { assertNoPredecessor(t, socket) })
 	t.Run("socket of a killed process", func(t *testing.T) {
 		listener, err := socket.listen()
 		assert.NoError(t, err)
 		listener.Close()
-		startsAlone(t, socket)
+		assertNoPredecessor(t, socket)
 	})
 	t.Run("ordinary file", func(t *testing.T) {
 		assert.NoError(t, os.Remove(socket.path(socket.file)))
 		assert.NoError(t, os.WriteFile(socket.path(socket.file), []byte("x"), 0o600))
-		startsAlone(t, socket)
+		assertNoPredecessor(t, socket)
 		startPredecessor(t, socket, make(chan *Link, 1)) // replaces it
 	})
 	t.Run("no such directory", func(t *testing.T) {
 		none := NewControlSocket(filepath.Join(t.TempDir(), "none"), "n3")
-		startsAlone(t, none)
+		assertNoPredecessor(t, none)
 		listener := Listener{ControlSocket: none, Log: zerolog.Nop(), IsStopping: func() bool { return false }}
 		assert.NoError(t, listener.Run(context.Background()), "it serves without successors")
 	})
@@ -119,7 +119,7 @@
 	conn.SetDeadline(time.Now().Add(5 * time.Second))
 	assert.NoError(t, newLink(conn).send(message{Version: protocolVersion + 1}))
 	_, err = newLink(conn).receive()
-	assert.Error(t, err, "it receives nothing")
+	assert.Error(t, err, "the connection is closed without a response")
 	assert.ErrorIs(t, (&message{Version: protocolVersion + 1}).checkVersion(), ErrVersionMismatch)
 	_, err = parseMessage([]byte(`{"v":`))
 	assert.ErrorIs(t, err, ErrVersionMismatch)
--- a/internal/hotrestart/link.go
+++ b/internal/hotrestart/link.go
@@ -85,11 +85,11 @@
 	defer l.sendMu.Unlock()
 	l.conn.SetWriteDeadline(time.Now().Add(sendTimeout))
 	descriptors := make([]int, len(sockets))
-	return withDescriptors(sockets, descriptors, func() error { return l.write(line, descriptors) })
+	return withDescriptors(sockets, descriptors, func() error { return l.writeLine(line, descriptors) })
 }
 
-// write writes a line, and sends the descriptors with its first byte. The caller must hold sendMu.
-func (l *Link) write(line []byte, descriptors []int) error {
+// writeLine writes a line, and sends the descriptors with its first byte. The caller must hold sendMu.
+func (l *Link) writeLine(line []byte, descriptors []int) error {
 	if len(descriptors) > 0 {
 		n, _, err := l.conn.WriteMsgUnix(line, unix.UnixRights(descriptors...), nil)
 		if err != nil {
@@ -104,7 +104,7 @@
 }
 
 // withDescriptors fills descriptors, one for each socket, and calls use. Until use returns, no socket is closed and no
-// descriptor is reused. SyscallConn guarantees this for only one socket at a time, hence the recursion.
+// descriptor is reused. SyscallConn guarantees this only for its own socket, hence the recursion.
 func withDescriptors(sockets []Socket, descriptors []int, use func() error) error {
 	if len(sockets) == 0 {
 		return use()
@@ -113,12 +113,12 @@
 	if err != nil {
 		return fmt.Errorf("hot restart: %w", err)
 	}
-	var used error
+	var useErr error
 	controlErr := raw.Control(func(fd uintptr) {
 		descriptors[0] = int(fd)
-		used = withDescriptors(sockets[1:], descriptors[1:], use)
+		useErr = withDescriptors(sockets[1:], descriptors[1:], use)
 	})
-	return errors.Join(controlErr, used)
+	return errors.Join(controlErr, useErr)
 }
 
 // receivedMessage is a message with the sockets that were sent with it.
@@ -166,7 +166,7 @@
 	}
 }
 
-// SendSiblingUpdate sends the requests in flight at this process, encoded in JSON.
+// SendSiblingUpdate sends an update on this process, such as its requests in flight, encoded in JSON.
 func (l *Link) SendSiblingUpdate(v any) error {
 	text, err := marshal(v)
 	if err != nil {
@@ -193,7 +193,7 @@
 // Handler has a function for each kind of message that a link receives. Messages without a function are ignored.
 type Handler struct {
 	Serving       func()                // the successor has started to serve
-	SiblingUpdate func(json.RawMessage) // requests in flight at the other process
+	SiblingUpdate func(json.RawMessage) // an update on the other process, such as its requests in flight
 	Command       func(string)          // an operator's command, forwarded by the predecessor
 
 	// Request receives a request in flight that the predecessor hands over, and its sockets by name: ClientSocket, and
@@ -213,6 +213,7 @@
 	}
 }
 
+// handle calls the functions for the fields that a message has set. It closes the files unless Request receives them.
 func (h Handler) handle(m receivedMessage) {
 	if m.Serving && h.Serving != nil {
 		h.Serving()
@@ -227,5 +228,5 @@
 		h.Request(m.Request, m.files)
 		return
 	}
-	closeAll(m.files)
+	closeFiles(m.files)
 }
--- a/internal/hotrestart/listener.go
+++ b/internal/hotrestart/listener.go
@@ -33,9 +33,9 @@
 	Serve func(ctx context.Context, l *Link)
 }
 
-// Run serves one successor after another until ctx is done, so that another one may connect if one fails to start. If
-// this process cannot listen on the control socket, Run logs the error and returns nil. A later process then starts
-// without the state of this one.
+// Run serves one successor after another, so that another one may connect if one fails to start. It returns when ctx is
+// done, or when a successor has replaced the control socket and this process is stopping. If this process cannot listen
+// on the control socket, Run logs the error and returns nil. A later process then starts without the state of this one.
 func (l *Listener) Run(ctx context.Context) error {
 	for ctx.Err() == nil && !l.IsStopping() {
 		ln, err := l.ControlSocket.listen() // listens again if a successor had replaced the socket and exited
@@ -64,16 +64,16 @@
 			time.Sleep(acceptRetryDelay)
 			continue
 		}
-		if err := l.serve(ctx, conn); err != nil {
+		if err := l.serveSuccessor(ctx, conn); err != nil {
 			l.Log.Warn().Err(err).Msg("successor rejected")
 		}
 		conn.Close()
 	}
 }
 
-// serve performs the handshake of a predecessor and then passes the link to Serve. It returns ErrOtherUser,
+// serveSuccessor performs the handshake of a predecessor and then passes the link to Serve. It returns ErrOtherUser,
 // ErrVersionMismatch or the error of the connection.
-func (l *Listener) serve(ctx context.Context, conn *net.UnixConn) error {
+func (l *Listener) serveSuccessor(ctx context.Context, conn *net.UnixConn) error {
 	link, err := newHandshakeLink(conn)
 	if err != nil {
 		return err
--- a/internal/hotrestart/message.go
+++ b/internal/hotrestart/message.go
@@ -6,7 +6,8 @@
 //
 //  1. The successor connects (Connect) and sends its protocol version.
 //  2. The predecessor (Listener) replies with its version, its snapshot and the sockets that both processes share.
-//  3. The successor reports that it is serving (Link.SendServing). Until then it may exit without any effect.
+//  3. The successor reports that it is serving (Link.SendServing). If it exits earlier, the predecessor continues to
+//     serve.
 //  4. Both send updates at intervals (Link.SendSiblingUpdate). The predecessor may forward commands (Link.SendCommand)
 //     and hand over requests in flight (Link.SendRequest), until one of the two exits.
 //
@@ -43,7 +44,7 @@
 	Sockets  []string        `json:"sockets,omitempty"` // names, in the order of the file descriptors
 	Snapshot json.RawMessage `json:"legacy,omitempty"`  // state of the predecessor
 	Serving  bool            `json:"serving,omitempty"` // the successor has started to accept connections
-	Update   json.RawMessage `json:"twin,omitempty"`    // requests in flight at the sender
+	Update   json.RawMessage `json:"twin,omitempty"`    // an update on the sender, such as its requests in flight
 	Request  json.RawMessage `json:"open,omitempty"`    // a request in flight, to be continued by the successor
 	Command  string          `json:"call,omitempty"`    // an operator's command, forwarded to the successor
 }
--- a/internal/lifecycle/phase.go
+++ b/internal/lifecycle/phase.go
@@ -10,13 +10,13 @@
 //     StoppingHandedOff.
 //   - BeginClosing: from any phase to Closing.
 //
-// In any other phase a method changes nothing. A process that is stopping never serves again.
+// In a phase that its line does not name, a method changes nothing. A process that is stopping never serves again.
 type Phase uint8
 
 // The values of Phase, in the order of phaseNames. The quoted names are those that operators read.
 const (
 	Serving           Phase = iota // "serving"
-	Draining                       // "leaving": health checks fail; requests on open connections are still served
+	Draining                       // "leaving": health checks fail; connections are still accepted, and requests served
 	Drained                        // "away": new requests are rejected; admitted ones are completed
 	HandedOff                      // "relieved": a successor accepts connections; this process serves its open ones
 	Stopping                       // "ending": the process is stopping; it still accepts connections and serves requests
@@ -38,8 +38,9 @@
 // determines the response to health checks on the client address.
 func (p Phase) Healthy() bool { return p == Serving || p == HandedOff || p == StoppingHandedOff }
 
-// AcceptsConnections reports whether this process accepts connections. If not, a successor accepts them. A drained
-// process accepts connections to reject their requests, because they would otherwise wait in the listen queue.
+// AcceptsConnections reports whether this process accepts connections. If not, a successor accepts them. Without a
+// successor no other process accepts the connections in the listen queue: a drained process therefore accepts them to
+// reject their requests, and a closing process still accepts them.
 func (p Phase) AcceptsConnections() bool { return p != HandedOff && p != StoppingHandedOff }
 
 // ClosesAfterResponse reports whether each response closes its connection, so that the client connects to another
--- a/internal/lifecycle/state.go
+++ b/internal/lifecycle/state.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// DrainGrace is the time after Drain during which requests on open connections are still served. The platform allows
-// two seconds after LEAVE: after that a dispatcher must not admit a request or keep an idle connection open.
+// DrainGrace is the time after Drain during which requests are still admitted. The platform allows two seconds after
+// LEAVE: after that a dispatcher must not admit a request or keep an idle connection open.
 const DrainGrace = 1800 * time.Millisecond
 
 // ErrStopping is returned by changes that are not possible while the process is stopping. Operators read its text.
@@ -25,7 +25,7 @@
 	changed    chan struct{} // closed at the next change; nil if no caller waits for it
 }
 
-// PhaseAt returns the phase at a time that must not be before the last change.
+// PhaseAt returns the phase at now, which must not be before the last change.
 func (s *State) PhaseAt(now time.Time) Phase {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -40,7 +40,7 @@
 	return s.phase
 }
 
-// Drain starts draining the process, as an operator requested. A second call does not extend DrainGrace. Drain has no
+// Drain starts draining the process at an operator's request. A second call does not extend DrainGrace. Drain has no
 // effect if a successor is serving or the process is stopping.
 func (s *State) Drain(now time.Time) {
 	s.mu.Lock()
@@ -64,7 +64,7 @@
 }
 
 // HandOff stops accepting connections, because a successor accepts them. A draining process continues to drain, because
-// it should not get clients anyway. HandOff returns ErrStopping in Closing, when accepting has already ended.
+// it should not get clients anyway. HandOff returns ErrStopping in Closing, which is the final phase.
 func (s *State) HandOff(now time.Time) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -88,8 +88,8 @@
 	}
 }
 
-// Stop starts the shutdown of the process. A drained process changes to Closing directly, because Stopping would admit
-// requests again.
+// Stop starts the shutdown of the process. A drained process changes to Closing directly, because Stopping would keep
+// idle connections open again.
 func (s *State) Stop(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -104,7 +104,7 @@
 	}
 }
 
-// BeginClosing starts the last phase, after accepting has ended.
+// BeginClosing starts the final phase, after the time for accepting connections has ended.
 func (s *State) BeginClosing(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/lifecycle/state_test.go
+++ b/internal/lifecycle/state_test.go
@@ -57,7 +57,7 @@
 	assert.False(t, s.PhaseAt(after(DrainGrace)).KeepsIdleConnections())
 }
 
-func TestNextChangeByTimeAndByCall(t *testing.T) {
+func TestNextChangeReportsGracePeriodAndSignalsCalls(t *testing.T) {
 	var s State
 	wait, changed := s.NextChange(startTime)
 	assert.Zero(t, wait)
@@ -69,7 +69,7 @@
 	<-changed
 }
 
-func TestHandOffAndResumeServing(t *testing.T) {
+func TestResumeServingRevertsHandOffUnlessStopping(t *testing.T) {
 	var s State
 	assert.NoError(t, s.HandOff(startTime))
 	assert.Equal(t, HandedOff, s.PhaseAt(startTime))
