--- a/internal/daemon/resource_limits.go
+++ b/internal/daemon/resource_limits.go
@@ -2,7 +2,8 @@
 
 import "canvasroute/internal/admin"
 
-// Division of the memory and file descriptor limits. The rest of the memory is for stacks and files.
+// Division of the memory and file descriptor limits. Connections and request bodies use part of the heap. The memory
+// beyond the heap limit is for stacks and files.
 const (
 	heapShare             = 0.75     // fraction of the memory limit that is the limit of the garbage collector
 	connectionMemoryShare = 0.5      // fraction of the memory limit for connections
