--- a/internal/daemon/resource_limits.go
+++ b/internal/daemon/resource_limits.go
@@ -2,7 +2,8 @@
 
 import "canvasroute/internal/admin"
 
-// Division of the memory and file descriptor limits. The rest of the memory is for stacks and files.
+// Division of the memory and file descriptor limits. Connections and request bodies use part of the heap. The memory
+// beyond the heap limit is for stacks and files.
 const (
 	heapShare             = 0.75     // fraction of the memory limit that is the limit of the garbage collector
 	connectionMemoryShare = 0.5      // fraction of the memory limit for connections
@@ -13,8 +14,8 @@
 	clientShare         = 0.6      // fraction of the connections for clients
 	rejectedClientShare = 1.0 / 16 // additional connections for rejecting clients, as a fraction of clients
 
-	reservedDescriptors = 24                       // listener, gossip, discovery, standard streams, poller, temporary ones
-	adminDescriptors    = admin.MaxConnections + 2 // plus the listener, and an accepted connection that waits for a slot
+	reservedDescriptors = 24                       // listener, gossip, discovery, stdio, poller, temporary files
+	adminDescriptors    = admin.MaxConnections + 2 // plus the listener and a spare
 
 	maxShards = 64 // a shard number is encoded in one byte in messages between dispatchers
 )
