--- a/internal/transport/client_eviction.go
+++ b/internal/transport/client_eviction.go
@@ -3,8 +3,9 @@
 // evictionRank is the eviction priority of a connection. Connections with the lowest rank, whose loss costs least, are
 // evicted first.
 //
-// A connection is useful once a request on it was accepted. Therefore a client can't block others by opening many
-// connections on which it sends nothing, only invalid requests, or a request byte by byte.
+// A connection is useful once a request on it was accepted, and unused until then, even if requests on it were
+// rejected. Therefore a client can't block others by opening many connections on which it sends nothing, only invalid
+// requests, or a request byte by byte.
 type evictionRank int
 
 // The ranks, lowest first.
@@ -57,8 +58,8 @@
 }
 
 // evictOne evicts one connection and reports whether one could be evicted. Among the connections with the lowest rank,
-// it selects the one that has been in its state longest. It sets a read deadline that allows time for a request in
-// transit; the owner closes the connection when the deadline passes. The caller must hold the lock.
+// it selects the connection that has been in its state longest. It sets a read deadline that allows time for a request
+// in transit; the owner closes the connection when the deadline passes. The caller must hold the lock.
 func (l *clientLimiter) evictOne() bool {
 	for _, queue := range l.evictable {
 		if queue.Len() == 0 {
--- a/internal/transport/client_limits.go
+++ b/internal/transport/client_limits.go
@@ -28,12 +28,12 @@
 
 // clientSlot is the state of one client connection.
 type clientSlot struct {
-	state         clientState
-	stateSince    time.Time // time of the last change of state
-	awaitingFirst bool      // no response has been sent yet
-	useful        bool      // a request was accepted: its response was not a client error
-	admission     admissionResult
-	evicted       bool // it is being closed in favor of another connection
+	state                 clientState
+	stateSince            time.Time // time of the last change of state
+	awaitingFirstResponse bool      // no response has been sent yet
+	useful                bool      // a request was accepted: its response was not a client error
+	admission             admissionResult
+	evicted               bool // it is being closed in favor of another connection
 
 	queue   *list.List    // the queue of clientLimiter.evictable that contains it, nil if not evictable
 	element *list.Element // the connection's element in queue
@@ -48,7 +48,7 @@
 
 const (
 	admitted  admissionResult = iota
-	overLimit                 // the connection is closed after one overload response
+	overLimit                 // the connection is closed after one response, from Handler.RejectOverBudget
 )
 
 // clientState is the stage of the request cycle that a client connection is in.
@@ -80,7 +80,7 @@
 func spareSlots(limit int) int { return max(limit/spareDivisor, 1) }
 
 // waitForCapacity waits until a slot, regular or spare, is free for one more connection, or until ctx ends. While it
-// waits, it evicts connections. Connections in spare slots are being closed already.
+// waits, it evicts connections. Spare slots are freed without eviction, because their connections are being closed.
 func (l *clientLimiter) waitForCapacity(ctx context.Context) {
 	for {
 		l.mu.Lock()
@@ -101,8 +101,8 @@
 	}
 }
 
-// setLimit changes the limit. If more connections are open, idle ones are evicted at once, and others when new
-// connections are accepted.
+// setLimit changes the limit. If more connections are open, it evicts connections at once, as long as idle ones are
+// left. Others are evicted when new connections are accepted.
 func (l *clientLimiter) setLimit(limit int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -129,7 +129,7 @@
 	if l.counted >= l.limit && !l.evictOne() {
 		admission = overLimit
 	}
-	slot := &clientSlot{stateSince: time.Now(), awaitingFirst: true, admission: admission}
+	slot := &clientSlot{stateSince: time.Now(), awaitingFirstResponse: true, admission: admission}
 	l.slots[c] = slot
 	l.countSlot(slot)
 	l.enqueue(c, slot)
@@ -180,7 +180,7 @@
 	l.uncountSlot(slot)
 	slot.state = stateIdle
 	slot.stateSince = time.Now()
-	slot.awaitingFirst = false
+	slot.awaitingFirstResponse = false
 	slot.evicted = false
 	l.countSlot(slot)
 	l.enqueue(c, slot)
@@ -204,7 +204,7 @@
 	case slot.evicted: // its deadline is unchanged
 	case l.closesIdle():
 		c.SetReadTimeout(finalRequestTimeout)
-	case slot.awaitingFirst: // its deadline is unchanged
+	case slot.awaitingFirstResponse: // its deadline is unchanged
 	case slot.useful:
 		c.SetReadTimeout(requestReadTimeout)
 	default:
@@ -212,7 +212,8 @@
 	}
 }
 
-// markServing records that a complete request was read. The connection can't be evicted until its response was sent.
+// markServing records that a complete request was read. The connection can't be evicted until the response has been
+// sent.
 func (l *clientLimiter) markServing(c *Conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/transport/client_limits_test.go
+++ b/internal/transport/client_limits_test.go
@@ -63,9 +63,9 @@
 		if !slot.evicted && slot.admission == admitted {
 			counted++
 		}
-		rank, ok := slot.evictionRank()
-		assert.Equal(t, ok, slot.queue != nil)
-		if ok {
+		rank, isEvictable := slot.evictionRank()
+		assert.Equal(t, isEvictable, slot.queue != nil)
+		if isEvictable {
 			queued++
 			assert.Same(t, limiter.evictable[rank], slot.queue)
 			assert.Same(t, conn, slot.element.Value)
--- a/internal/transport/close_reason.go
+++ b/internal/transport/close_reason.go
@@ -28,7 +28,7 @@
 	ClientClosed       CloseReason = "client_left"   // the client closed it before its response was ready
 	IdleTimeout        CloseReason = "idle_retired"  // the idle timeout expired
 	Stale              CloseReason = "stale_retired" // its peer moved, drains, exited, restarted or may be dead
-	AttemptCanceled    CloseReason = "called_off"    // its attempt was canceled, or the attempt or probe timed out
+	AttemptCanceled    CloseReason = "called_off"    // attempt canceled, client's deadline passed, or probe timed out
 	CloseRequested     CloseReason = "asked"         // one side announced this message as the last one
 	Evicted            CloseReason = "over_budget"   // it was evicted in favor of another connection
 	WatchTimeout       CloseReason = "silent"        // no line was received on an endpoint watch for too long
--- a/internal/transport/close_watch.go
+++ b/internal/transport/close_watch.go
@@ -10,8 +10,8 @@
 	"canvasroute/internal/protocol"
 )
 
-// maxUnreadBytes is a lower bound of the kernel's receive buffer. If more bytes than this are unread, the receive
-// window may be closed, and a FIN of the client may not have been received.
+// maxUnreadBytes is a lower bound of the size of the kernel's receive buffer. If more bytes than this are unread, the
+// receive window may be closed, and a FIN of the client may not have been received.
 const maxUnreadBytes = 32 << 10
 
 // errClosedBehindUnread reports that a client closed the connection after it had sent more data than the read buffer
@@ -100,8 +100,8 @@
 // closedWhileQueued reports whether a client closed its connection while the connection waited in the listener's queue.
 // The request of such a client must not be sent to a worker.
 //
-// A client whose request was received less than queuedThreshold ago isn't probed: if it has closed the connection,
-// WatchForClose detects that in time.
+// A client whose request was received less than queuedThreshold ago isn't probed: it can't have closed the connection
+// long ago, and WatchForClose detects a recent close in time.
 func (c *Conn) closedWhileQueued() bool {
 	socket, ok := c.nc.(syscall.Conn)
 	if !ok || timeSinceLastData(socket) < queuedThreshold {
--- a/internal/transport/close_watch_test.go
+++ b/internal/transport/close_watch_test.go
@@ -91,8 +91,8 @@
 	assert.ErrorIs(t, peertest.Receive(t, closed), errClosedBehindUnread)
 }
 
-// A client that half-closes its connection and closes it later doesn't send a reset until it is sent data after the
-// close.
+// The reset of a client may be delayed. A client that has half-closed its connection first sends a reset only when it
+// receives data after the full close.
 func TestCloseAfterHalfCloseIsDetectedInTime(t *testing.T) {
 	conn, peer, _ := connPair(t)
 	conn.acceptsInterim = true
@@ -114,7 +114,7 @@
 	}{
 		{"close at once", func(*net.TCPConn) error { return nil }},
 		{"half-close first", (*net.TCPConn).CloseWrite},
-		{"more sent than is buffered", func(peer *net.TCPConn) error {
+		{"more data sent than is buffered", func(peer *net.TCPConn) error {
 			_, err := peer.Write(make([]byte, 3*readBufferBytes))
 			return err
 		}},
--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -19,7 +19,7 @@
 	writeBufferBytes = 2 << 10               // flushed whenever the buffer is full
 )
 
-// PeerRole is the kind of peer of a connection. Its values appear in the log field "side".
+// PeerRole is the role of a connection's peer. Its values appear in the log field "side".
 type PeerRole string
 
 // The values of PeerRole.
--- a/internal/transport/doc.go
+++ b/internal/transport/doc.go
@@ -1,6 +1,6 @@
 // Package transport implements the network connections between the dispatcher and its clients, its workers, the
 // discovery service and other dispatchers. It handles only the framing of messages, which package protocol parses.
-// Handler and package proxy interpret requests, select workers and retry.
+// Package proxy implements Handler: it interprets requests, selects workers and retries.
 //
 // # Ownership of connections
 //
@@ -18,8 +18,8 @@
 // # Limits
 //
 //   - Server limits the number of client connections (SetLimit). A new connection beyond the limit evicts the
-//     connection with the lowest rank, see clientLimiter. If none can be evicted, the new connection gets one overload
-//     response.
+//     connection with the lowest rank, see clientLimiter. If none can be evicted, the new connection is closed after
+//     one response, which Handler.RejectOverBudget returns.
 //   - Spare slots, a sixteenth of the limit, are reserved for connections that are being rejected or evicted. When
 //     these are used up too, the server stops accepting, and clients wait in the listener's queue.
 //   - If the process runs out of file descriptors nevertheless, accept is retried after acceptRetryDelay.
--- a/internal/transport/exchange.go
+++ b/internal/transport/exchange.go
@@ -19,7 +19,7 @@
 }
 
 // persistenceFor returns the persistence to announce in a response. isLast means that the connection is closed after
-// it.
+// the response.
 func persistenceFor(isLast bool) protocol.Persistence {
 	if isLast {
 		return protocol.CloseAfterResponse
@@ -114,7 +114,7 @@
 }
 
 // reject sends response to a request that is not served. It reads and discards the body, so that the connection can be
-// used for the next request. If the body can't be read because it is malformed, too large or delayed by the client
+// used for the next request. If the body can't be read because it is malformed, too large or withheld by the client
 // until a 100 (Continue), the connection is closed (RFC 9110, 10.1.1; RFC 9112, 9.3).
 func (s *Server) reject(c *Conn, request *clientRequest, response *protocol.Response, persistence protocol.Persistence,
 ) (CloseReason, error) {
@@ -136,7 +136,8 @@
 	return reason, err
 }
 
-// respond sends a response. It then closes the connection if persistence or the lifecycle phase requires that.
+// respond sends a response. If persistence or the lifecycle phase requires that the connection is closed after it,
+// respond announces this in the response and returns CloseRequested.
 //
 // A stopping process keeps a connection open while pipelined requests are buffered (RFC 9112, 9.3.2). The client has
 // sent these requests already, and no other process can respond to them.
--- a/internal/transport/exchange_test.go
+++ b/internal/transport/exchange_test.go
@@ -32,8 +32,8 @@
 		status        int
 	}{
 		{"no request line", "NONSENSE\r\n\r\n", 400},
-		{"content length", "POST /api HTTP/1.1\r\nContent-Length: x\r\n\r\n", 400},
-		{"chunk size", "POST /api HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n", 400},
+		{"malformed content length", "POST /api HTTP/1.1\r\nContent-Length: x\r\n\r\n", 400},
+		{"malformed chunk size", "POST /api HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n", 400},
 		{"large body", "POST /api HTTP/1.1\r\nContent-Length: 70000\r\n\r\n", 413},
 		{"large body to an unknown path", "POST /none HTTP/1.1\r\nContent-Length: 70000\r\n\r\n", 404},
 		{"large head", "POST /api HTTP/1.1\r\nA: " + strings.Repeat("a", 9000) + "\r\n\r\n", 431},
--- a/internal/transport/lingering_close.go
+++ b/internal/transport/lingering_close.go
@@ -6,7 +6,7 @@
 	"canvasroute/internal/protocol"
 )
 
-// maxDrainReads limits the number of reads of a drain to the size of two bodies of maximum length.
+// maxDrainReads is the maximum number of reads of a drain. They discard at most twice the maximum length of a body.
 const maxDrainReads = 2 * protocol.MaxBodyBytes / readBufferBytes
 
 // halfCloseAndDrain is the first part of a lingering close (RFC 9112, 9.6). It closes the sending side, and then reads
--- a/internal/transport/migration.go
+++ b/internal/transport/migration.go
@@ -30,7 +30,7 @@
 	Pipelined []byte // data received after the request
 }
 
-// Detach prepares a client connection for migration to another process, and stops the watch for its close. ctx is the
+// Detach prepares a client connection for migration to another process, and stops its close watch. ctx is the
 // context of the Handler.Serve call for the current request, which must then return protocol.Migrated. The only error
 // is ErrNoSocket.
 func Detach(ctx context.Context) (DetachedClient, error) {
--- a/internal/transport/pool.go
+++ b/internal/transport/pool.go
@@ -116,7 +116,7 @@
 	return c, nil
 }
 
-// finishDial removes a pending dial. Its fields are not modified afterwards.
+// finishDial removes a pending dial. Its fields are not modified afterwards, so they can be read without the lock.
 func (p *Pool) finishDial(pending *pendingDial) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -141,7 +141,7 @@
 	return c
 }
 
-// Put returns a connection on which a complete response was read to the pool. The first waiter that the connection
+// Put returns a connection to the pool after a complete response was read on it. The first waiter that the connection
 // satisfies gets it. If there are waiters but the connection satisfies none of them, it is closed to free its slot. If
 // there are no waiters, it becomes idle.
 func (p *Pool) Put(c *Conn) {
--- a/internal/transport/pool_idle.go
+++ b/internal/transport/pool_idle.go
@@ -46,7 +46,8 @@
 	return oldest
 }
 
-// removeIdle removes and returns the idle connection to an address with index n. The caller must hold the lock.
+// removeIdle removes and returns the connection with index n in the list of idle connections to addr. The caller must
+// hold the lock.
 func (p *Pool) removeIdle(addr string, n int) *Conn {
 	conns := p.idle[addr]
 	c := conns[n]
@@ -79,8 +80,8 @@
 	return removed
 }
 
-// closeIdleConn closes a connection that was removed from the idle ones. If the worker closed it before it expired,
-// reused connections become suspect.
+// closeIdleConn closes a connection that was removed from the idle ones or has just been put back. If the worker has
+// closed it already, reused connections become suspect.
 func (p *Pool) closeIdleConn(c *Conn) {
 	if !c.readable() {
 		c.CloseFor(IdleTimeout, nil)
--- a/internal/transport/pool_slots_test.go
+++ b/internal/transport/pool_slots_test.go
@@ -52,10 +52,10 @@
 		policy ReusePolicy
 		reused bool
 	}{
-		{"the same address", addr, AnyConnection, true},
+		{"same address", addr, AnyConnection, true},
 		{"another address", otherAddr, AnyConnection, false},
-		{"a verified one is needed", addr, SettledUnlessSuspect, false},
-		{"a settled one is needed", addr, Settled, false},
+		{"policy SettledUnlessSuspect", addr, SettledUnlessSuspect, false},
+		{"policy Settled", addr, Settled, false},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			pool := NewPool(1, time.Minute, zerolog.Nop())
--- a/internal/transport/pool_stale.go
+++ b/internal/transport/pool_stale.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// markReuseSuspect makes reused connections suspect, or extends the time for which they are. The caller must hold the
-// lock.
+// markReuseSuspect makes reused connections suspect for suspectFactor times the idle timeout of the workers, starting
+// now. The caller must hold the lock.
 func (p *Pool) markReuseSuspect() {
 	p.suspectUntil = time.Now().Add(suspectFactor * idleDivisor * p.maxIdle)
 }
@@ -52,9 +52,9 @@
 	}
 }
 
-// CloseOpenedBefore interrupts the connections in use to addr that were opened before the given time, because the
-// worker process at addr has ended. A host that fails sends no reset, so without the interrupt an attempt could wait on
-// its connection forever.
+// CloseOpenedBefore interrupts the connections in use to addr that were opened before the given time, by which the
+// previous worker process at addr had ended. A host that fails sends no reset, so without the interrupt an attempt
+// could wait on its connection forever.
 func (p *Pool) CloseOpenedBefore(addr string, before time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/transport/pool_stale_test.go
+++ b/internal/transport/pool_stale_test.go
@@ -35,7 +35,7 @@
 	conn := mustGet(t, pool, addr)
 	assert.Contains(t, log.String(), "stale_retired")
 	first := peertest.Receive(t, accepted)
-	assert.NotEqual(t, first.RemoteAddr(), conn.nc.LocalAddr(), "it may lead to a previous worker process")
+	assert.NotEqual(t, first.RemoteAddr(), conn.nc.LocalAddr(), "the first may lead to a previous worker process")
 	assert.Equal(t, 1, pool.OpenConnections())
 	pool.Put(conn)
 	assert.Same(t, conn, mustGet(t, pool, addr), "the second connection is reused")
--- a/internal/transport/ring_buffer.go
+++ b/internal/transport/ring_buffer.go
@@ -23,11 +23,11 @@
 	if r.length == 0 {
 		r.start = 0
 	}
-	back := r.start + r.length
-	if back >= len(r.buf) {
-		return r.buf[back-len(r.buf) : r.start]
+	end := r.start + r.length
+	if end >= len(r.buf) {
+		return r.buf[end-len(r.buf) : r.start]
 	}
-	return r.buf[back:]
+	return r.buf[end:]
 }
 
 // Fill reads once from a reader into the contiguous free space, and returns the results of that read.
--- a/internal/transport/ring_buffer_test.go
+++ b/internal/transport/ring_buffer_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-func TestRingReturnsWrappedBytesInOnePiece(t *testing.T) {
+func TestRingBufferReturnsWrappedBytesAsOneSlice(t *testing.T) {
 	ring := NewRingBuffer(8)
 	assert.Equal(t, 6, ring.Write([]byte("abcdef")))
 	ring.Discard(4)
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -19,11 +19,11 @@
 	// closes the connection, ctx is canceled and Serve returns nil. Serve returns protocol.Migrated if another process
 	// sends the response.
 	Serve(ctx context.Context, head *protocol.Head, body []byte, received time.Time) *protocol.Response
-	// RespondToHead returns the response to a request that is rejected by its head or whose body isn't needed. It
-	// returns nil if the body is to be read and the request served.
+	// RespondToHead returns the response to a request that is rejected because of its head or whose body isn't needed.
+	// It returns nil if the body is to be read and the request served.
 	RespondToHead(head *protocol.Head) *protocol.Response
 	// RejectOverBudget returns the response for a connection that is over the limit or evicted, and for a request whose
-	// body exceeds the byte budget. head is nil if no head was read.
+	// body doesn't fit in the rest of the byte budget. head is nil if no head was read.
 	RejectOverBudget(head *protocol.Head) *protocol.Response
 	// RejectMalformed returns the response to a request that could not be read because of err.
 	RejectMalformed(err error) *protocol.Response
@@ -42,9 +42,9 @@
 }
 
 // NewServer returns a server for a listener, which Run closes. limit is the maximum number of connections, to which a
-// sixteenth is added for connections that are being rejected or closed. bodyBytes limits the total size of the request
-// bodies in memory; the minimum is protocol.MaxBodyBytes. The phase of state determines whether connections are
-// accepted, kept idle, and closed after a response.
+// sixteenth is added as spare slots for connections that are being rejected or closed. bodyBytes limits the total size
+// of the request bodies in memory; the minimum is protocol.MaxBodyBytes. The phase of state determines whether
+// connections are accepted, kept idle, and closed after a response.
 func NewServer(ln *net.TCPListener, limit int, bodyBytes int64, handler Handler, state *lifecycle.State,
 	log zerolog.Logger,
 ) *Server {
@@ -65,18 +65,19 @@
 // SetLimit changes the maximum number of connections.
 func (s *Server) SetLimit(limit int) { s.clients.setLimit(limit) }
 
-// OpenConnections returns the number of open connections, including those over the limit.
+// OpenConnections returns the number of open connections, including those in spare slots.
 func (s *Server) OpenConnections() int { return s.clients.openCount() }
 
 // CloseAllAfter closes all connections that are still open after a delay, regardless of their state. This ensures that
 // the process stops even if a client doesn't read its response, or pipelines requests continuously. stop cancels the
-// close.
+// close and reports whether it had not started yet.
 func (s *Server) CloseAllAfter(after time.Duration) (stop func() bool) {
 	return time.AfterFunc(after, s.clients.interruptAll).Stop
 }
 
-// Run accepts connections until ctx ends, and then the connections that remain in the listener's queue. It closes idle
-// connections and waits for the others, which are closed after their pending responses. Run always returns nil.
+// Run accepts connections until ctx ends, and then the connections that remain in the listener's queue, unless a
+// successor accepts them. It closes idle connections and waits for the others, which are closed after their pending
+// responses. Run always returns nil.
 func (s *Server) Run(ctx context.Context) error {
 	deadlineSet := make(chan struct{})
 	stop := context.AfterFunc(ctx, func() {
--- a/internal/transport/shutdown_test.go
+++ b/internal/transport/shutdown_test.go
@@ -77,9 +77,9 @@
 	server, _, _ := startServer(t, 4)
 	server.lifecycle.Drain(time.Now().Add(-lifecycle.DrainGrace))
 	server.lifecycle.Stop(time.Now())
-	applied, cancel := context.WithCancel(context.Background())
+	canceledCtx, cancel := context.WithCancel(context.Background())
 	cancel()
-	assert.NoError(t, server.FollowLifecycle(applied)) // it applies the current phase before it checks the context
+	assert.NoError(t, server.FollowLifecycle(canceledCtx)) // applies the current phase before it checks the context
 	client, reader := connect(t, server)
 	assert.Equal(t, clientResponse{200, "ab", true}, roundTrip(t, client, reader, echoRequest))
 }
--- a/internal/transport/socket_state.go
+++ b/internal/transport/socket_state.go
@@ -24,8 +24,8 @@
 	return raw.Control(func(fd uintptr) { use(int(fd)) })
 }
 
-// tcpState returns the state of a TCP socket and the number of received bytes that have not been read. The state is
-// tcpClosed if it can't be determined, and the number is maxUnreadBytes+1 if it can't be determined.
+// tcpState returns the state of a TCP socket and the number of received bytes that have not been read. If the state
+// can't be determined, it is tcpClosed. If only the number can't be determined, it is maxUnreadBytes+1.
 func tcpState(socket syscall.Conn) (state uint8, unread int) {
 	state = tcpClosed
 	_ = withDescriptor(socket, func(fd int) {
--- a/internal/transport/timeouts_test.go
+++ b/internal/transport/timeouts_test.go
@@ -45,7 +45,7 @@
 }
 
 // A client whose requests were all rejected must not occupy its slot for the regular idle timeout.
-func TestConnectionWithoutAUsefulRequestHasAShortIdleTimeout(t *testing.T) {
+func TestConnectionWithoutAnAcceptedRequestHasAShortIdleTimeout(t *testing.T) {
 	server, _, _ := startServer(t, 8)
 	client, reader := connect(t, server)
 	assert.Equal(t, clientResponse{404, "", false}, roundTrip(t, client, reader, "POST /none HTTP/1.1\r\n\r\n"))
--- a/internal/transport/write_test.go
+++ b/internal/transport/write_test.go
@@ -24,8 +24,8 @@
 // sent.
 func TestDataBeforeAMessagesLastByteIsUnsolicited(t *testing.T) {
 	for _, tt := range []struct {
-		name string
-		act  func(peer *net.TCPConn) error
+		name       string
+		peerAction func(peer *net.TCPConn) error
 	}{
 		{"late second response", func(peer *net.TCPConn) error {
 			_, err := io.WriteString(peer, "HTTP/1.1 503 No\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n")
@@ -40,7 +40,7 @@
 				part := make([]byte, len(echoRequest)-1)
 				_, err := io.ReadFull(peer, part)
 				received <- err
-				assert.NoError(t, tt.act(peer))
+				assert.NoError(t, tt.peerAction(peer))
 				assert.Eventually(t, conn.readable, testTimeout, time.Millisecond)
 			}
 			assert.ErrorIs(t, conn.SendOnReused(time.Second, []byte(echoRequest)), ErrUnsolicitedData)
