--- a/internal/transport/exchange_test.go
+++ b/internal/transport/exchange_test.go
@@ -59,8 +59,8 @@
 	assert.Equal(t, clientResponse{200, "ab", false}, response)
 }
 
-// A client that expects a 100 (Continue) delays its body until then, so the server must not wait for the body.
-func TestServerRejectsWithoutWaitingForADelayedBody(t *testing.T) {
+// A client that expects a 100 (Continue) withholds its body until then, so the server must not wait for the body.
+func TestServerRejectsWithoutWaitingForAWithheldBody(t *testing.T) {
 	server, _, _ := startServer(t, 4)
 	client, reader := connect(t, server)
 	response := roundTrip(t, client, reader, "POST /none HTTP/1.1\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n")
