--- a/.ci/mutants/main.go
+++ b/.ci/mutants/main.go
@@ -1,5 +1,6 @@
-// Command mutants takes one guard after the other out of a copy of the tree, and fails unless the test named
-// beside it fails then. It is no part of CI: it takes minutes. With -check it only holds that each guard is found.
+// Command mutants removes the guards that list.toml lists, one at a time, by means of a build overlay, and fails unless
+// the test listed for each guard fails without it. It is not part of CI because it takes minutes. With -check, it only
+// verifies that each guard is found in the source tree.
 package main
 
 import (
@@ -19,18 +20,18 @@
 //go:embed list.toml
 var list []byte
 
-// mutant is one guard, and what catches its absence.
+// mutant describes a change that removes a guard, and the test that must detect it.
 type mutant struct {
 	Name string `toml:"name"`
 	File string `toml:"file"`
 	Old  string `toml:"old"`
 	New  string `toml:"new"`
-	Test string `toml:"test"` // a pattern for go test -run
-	In   string `toml:"in"`   // the package
+	Test string `toml:"test"` // pattern for go test -run
+	In   string `toml:"in"`   // package of the test
 }
 
 func main() {
-	check := flag.Bool("check", false, "only hold that each guard is found in the tree")
+	check := flag.Bool("check", false, "only verify that each guard is found in the source tree")
 	flag.Parse()
 	if err := run(*check); err != nil {
 		fmt.Fprintln(os.Stderr, err)
@@ -52,25 +53,25 @@
 			return fmt.Errorf("%s: %w", m.Name, err)
 		}
 		if n := strings.Count(string(text), m.Old); n != 1 {
-			return fmt.Errorf("%s: its guard stands %d times in %s", m.Name, n, m.File)
+			return fmt.Errorf("%s: guard found %d times in %s, want 1", m.Name, n, m.File)
 		}
 		if check {
 			continue
 		}
-		caught, err := m.try(strings.Replace(string(text), m.Old, m.New, 1))
+		caught, err := m.runTest(strings.Replace(string(text), m.Old, m.New, 1))
 		if err != nil {
 			return fmt.Errorf("%s: %w", m.Name, err)
 		}
 		fmt.Printf("%-60s caught %v by %s %s\n", m.Name, caught, m.In, m.Test)
 		if !caught {
-			survived = errors.Join(survived, fmt.Errorf("%s: survives", m.Name))
+			survived = errors.Join(survived, fmt.Errorf("%s: not detected by its test", m.Name))
 		}
 	}
 	return survived
 }
 
-// try runs the named test with the file overlaid by the mutant's.
-func (m mutant) try(text string) (caught bool, err error) {
+// runTest runs the mutant's test with the mutated text in place of the file, and reports whether the test fails.
+func (m mutant) runTest(text string) (caught bool, err error) {
 	dir, err := os.MkdirTemp("", "mutant")
 	if err != nil {
 		return false, err
@@ -98,7 +99,7 @@
 		return false, err
 	}
 	if bytes.Contains(out, []byte("no tests to run")) {
-		return false, errors.New("its test is not there")
+		return false, errors.New("test not found")
 	}
 	return err != nil, nil
 }
