--- a/.ci/mutants/main.go
+++ b/.ci/mutants/main.go
@@ -31,7 +31,7 @@
 }
 
 func main() {
-	check := flag.Bool("check", false, "only verify that each guard is found in the source tree")
+	check := flag.Bool("check", false, "only hold that each guard is found in the tree")
 	flag.Parse()
 	if err := run(*check); err != nil {
 		fmt.Fprintln(os.Stderr, err)
--- a/internal/testbed/baseline/baseline.go
+++ b/internal/testbed/baseline/baseline.go
@@ -1,5 +1,6 @@
-// Package baseline has the dispatchers that the testbed compares canvasroute with: simple policies and the standard
-// library's reverse proxy. Some violate a rule on purpose, to show that the checks find it. Only the testbed uses it.
+// Package baseline implements the dispatchers with which the testbed compares canvasroute: simple policies, and the
+// reverse proxy of the standard library. Some of them violate a rule on purpose, to show that the testbed's checks
+// detect the violation. The package is only used by the testbed.
 package baseline
 
 import (
@@ -26,22 +27,22 @@
 	Random           = "random"
 	RoundRobin       = "round-robin"
 	LeastOutstanding = "least-outstanding" // the worker with the fewest attempts in flight
-	ReverseProxy     = "reverse-proxy"     // the standard library's, to compare cost only
-	NullServer       = "null-server"       // answers without any worker, to measure the load generator
+	ReverseProxy     = "reverse-proxy"     // httputil.ReverseProxy, used only to compare the cost per request
+	NullServer       = "null-server"       // answers without a worker, used to measure the load generator
 )
 
-// Policies are all policies.
+// Policies lists all policies.
 var Policies = []string{Random, RoundRobin, LeastOutstanding, ReverseProxy, NullServer}
 
-// The faults by which a baseline violates a rule.
+// The faults with which a baseline violates a rule.
 const (
 	FaultRepeatedAttempt  = "double-forward" // sends non-idempotent requests to a second worker
-	FaultLostAnswer       = "lost-answer"    // closes some connections instead of answering
+	FaultLostAnswer       = "lost-answer"    // closes some connections instead of sending an answer
 	FaultIgnoredDrain     = "drain-ignored"  // sends to draining workers
-	FaultOverloadedWarmup = "cold-push"      // sends everything to the worker that started last
+	FaultOverloadedWarmup = "cold-push"      // sends all requests to the worker that started last
 )
 
-// Faults are all faults.
+// Faults lists all faults.
 var Faults = []string{FaultRepeatedAttempt, FaultLostAnswer, FaultIgnoredDrain, FaultOverloadedWarmup}
 
 // Config selects a baseline.
@@ -51,15 +52,16 @@
 }
 
 const (
-	drainTimeout          = 3 * time.Second // for open requests, after a signal to end
-	readHeaderTimeout     = 5 * time.Second // for the head of a client's request
+	drainTimeout          = 3 * time.Second // for requests in flight, after a signal to exit
+	readHeaderTimeout     = 5 * time.Second // for the header of a client's request
 	maxIdleConnsPerWorker = 512
-	// idleTimeoutDivisor keeps the idle timeout of connections well below that of the workers, so that no attempt
-	// crosses the end of its connection.
+	// idleTimeoutDivisor keeps the idle timeout of connections well below the workers' own idle timeout. Otherwise a
+	// worker could close a connection at the same time as an attempt is sent on it.
 	idleTimeoutDivisor = 4
 )
 
-// Main runs a baseline with the platform's configuration, and returns the exit code of the process.
+// Main runs a baseline with the platform's configuration until it is stopped by a signal, and returns the exit code of
+// the process.
 func Main(config Config) int {
 	log := zerolog.New(os.Stderr).With().Timestamp().Logger()
 	settings, err := daemon.ReadConfig(os.Getenv)
@@ -73,16 +75,16 @@
 	return 0
 }
 
-// backend is a worker as a baseline knows it.
+// backend holds a baseline's state for a worker. It is protected by dispatcher.mu.
 type backend struct {
 	name      string
 	address   string
-	state     string    // of the endpoint list; protocol.Gone if it is not listed
-	startedAt time.Time // zero: long ago
-	inFlight  int       // attempts
+	state     string    // state in the endpoint list; protocol.Gone if a complete list does not contain the worker
+	startedAt time.Time // zero if the list does not give a start time
+	inFlight  int       // number of attempts in flight
 }
 
-// dispatcher is a baseline.
+// dispatcher is a baseline dispatcher.
 type dispatcher struct {
 	config    Config
 	settings  *daemon.Config
@@ -90,13 +92,13 @@
 	transport *http.Transport
 	log       zerolog.Logger
 
-	answered  atomic.Int64 // requests
-	succeeded atomic.Int64 // requests
+	answered  atomic.Int64 // number of requests
+	succeeded atomic.Int64 // number of requests
 
-	mu         sync.Mutex
-	version    int64 // of the endpoint list
-	backends   []*backend
-	roundRobin int // number of picks in turn so far
+	mu              sync.Mutex
+	version         int64 // version of the endpoint list
+	backends        []*backend
+	roundRobinPicks int // number of round-robin picks so far
 }
 
 func newDispatcher(config Config, settings *daemon.Config, log zerolog.Logger) *dispatcher {
@@ -115,10 +117,10 @@
 	}
 }
 
-// handler returns the handler of the health check and of requests.
+// handler returns the handler for health checks and requests.
 func (d *dispatcher) handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("/_health", d.health)
+	mux.HandleFunc("/_health", d.serveHealth)
 	switch d.config.Policy {
 	case ReverseProxy:
 		mux.Handle("/api", d.reverseProxy())
@@ -130,7 +132,7 @@
 	return mux
 }
 
-// run serves until SIGTERM or SIGINT, drains, and logs the counters.
+// run serves until it receives SIGTERM or SIGINT, then drains and logs the counters.
 func (d *dispatcher) run() error {
 	runtime.GOMAXPROCS(max(1, int(math.Ceil(d.settings.Cores))))
 	if d.settings.Proxy.InitialEndpoints != nil {
@@ -139,27 +141,28 @@
 	server := &http.Server{Addr: d.settings.Listen, Handler: d.handler(), ReadHeaderTimeout: readHeaderTimeout}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	watching, endWatch := context.WithCancel(context.Background())
+	watchContext, cancelWatch := context.WithCancel(context.Background())
 	var watch sync.WaitGroup
-	watch.Go(func() { d.followEndpoints(watching) })
-	drained := make(chan error, 1)
+	watch.Go(func() { d.watchEndpoints(watchContext) })
+	shutdownErr := make(chan error, 1)
 	go func() {
 		<-ctx.Done()
 		timeout, cancel := context.WithTimeout(context.Background(), drainTimeout)
 		defer cancel()
-		drained <- server.Shutdown(timeout)
+		shutdownErr <- server.Shutdown(timeout)
 	}()
 	err := server.ListenAndServe()
 	if errors.Is(err, http.ErrServerClosed) {
-		err = <-drained
+		err = <-shutdownErr
 	}
-	endWatch()
+	cancelWatch()
 	watch.Wait()
 	d.logCounters()
 	return err
 }
 
-// logCounters logs the counters under the names of canvasroute's own, which package experiment reads.
+// logCounters logs the counters under the same names as canvasroute, because package experiment reads them from the
+// log.
 func (d *dispatcher) logCounters() {
 	var memory runtime.MemStats
 	runtime.ReadMemStats(&memory)
--- a/internal/testbed/baseline/dispatch.go
+++ b/internal/testbed/baseline/dispatch.go
@@ -19,17 +19,17 @@
 	"canvasroute/internal/proxy"
 )
 
-// Bounds of the handling of a request.
+// Limits and timing of request handling.
 const (
 	maxAttempts        = 4
-	answerMargin       = 30 * time.Millisecond // an answer is sent this long before the client's timeout
-	lostAnswerInterval = 20                    // FaultLostAnswer loses one in this many
+	answerTimeMargin   = 30 * time.Millisecond // from the end of attempts to the client's timeout
+	lostAnswerInterval = 20                    // FaultLostAnswer drops every n-th answer
 	retryAfterSeconds  = "0.5"
 )
 
-// pick returns an eligible worker that has not been tried, chosen by the policy, and counts an attempt in flight to it.
-// It returns nil if there is none. The attempt's end is release.
-func (d *dispatcher) pick(tried []*backend) *backend {
+// pickWorker selects an eligible worker that is not in tried, and counts an attempt in flight to it. It returns nil if
+// there is no such worker. The caller must call releaseWorker when the attempt ends.
+func (d *dispatcher) pickWorker(tried []*backend) *backend {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	var eligible []*backend
@@ -41,42 +41,43 @@
 	if len(eligible) == 0 {
 		return nil
 	}
-	picked := d.pickAmong(eligible)
+	picked := d.pickByPolicy(eligible)
 	picked.inFlight++
 	return picked
 }
 
-// pickAmong applies the policy, or the fault, to eligible workers. The caller holds the lock.
-func (d *dispatcher) pickAmong(eligible []*backend) *backend {
+// pickByPolicy selects one of the eligible workers by the policy or the fault. The caller must hold d.mu.
+func (d *dispatcher) pickByPolicy(eligible []*backend) *backend {
 	switch {
 	case d.config.Fault == FaultOverloadedWarmup:
 		return slices.MaxFunc(eligible, func(a, b *backend) int { return a.startedAt.Compare(b.startedAt) })
 	case d.config.Policy == Random:
 		return eligible[rand.IntN(len(eligible))]
 	case d.config.Policy == LeastOutstanding:
-		d.roundRobin++ // so that ties are broken in turn
-		first := d.roundRobin % len(eligible)
+		d.roundRobinPicks++ // workers with equally few attempts are selected in turn
+		first := d.roundRobinPicks % len(eligible)
 		inTurn := slices.Concat(eligible[first:], eligible[:first])
 		return slices.MinFunc(inTurn, func(a, b *backend) int { return cmp.Compare(a.inFlight, b.inFlight) })
 	}
-	d.roundRobin++
-	return eligible[d.roundRobin%len(eligible)]
+	d.roundRobinPicks++
+	return eligible[d.roundRobinPicks%len(eligible)]
 }
 
-// release ends the attempt in flight that pick has counted.
-func (d *dispatcher) release(worker *backend) {
+// releaseWorker decrements the number of attempts in flight that pickWorker incremented.
+func (d *dispatcher) releaseWorker(worker *backend) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	worker.inFlight--
 }
 
-// eligible reports whether a worker may be picked. FaultIgnoredDrain also admits draining ones.
+// eligible reports whether a worker may be picked. With FaultIgnoredDrain, workers in any listed state may be picked,
+// including draining ones.
 func (d *dispatcher) eligible(worker *backend) bool {
 	ignoresDrain := d.config.Fault == FaultIgnoredDrain && worker.state != ""
 	return worker.state == protocol.Ready || ignoresDrain
 }
 
-// serve handles one request. Its retries are conservative, so that without a fault the four rules are kept.
+// serve handles one request. It retries conservatively, so that the four rules are kept unless a fault is configured.
 func (d *dispatcher) serve(w http.ResponseWriter, request *http.Request) {
 	body, err := io.ReadAll(io.LimitReader(request.Body, protocol.MaxBodyBytes))
 	if err != nil {
@@ -92,7 +93,7 @@
 	if err != nil {
 		timeout = d.settings.Proxy.Operations[operation].DefaultTimeout.Seconds()
 	}
-	ctx, cancel := context.WithTimeout(request.Context(), time.Duration(timeout*float64(time.Second))-answerMargin)
+	ctx, cancel := context.WithTimeout(request.Context(), time.Duration(timeout*float64(time.Second))-answerTimeMargin)
 	defer cancel()
 	idempotency := d.settings.Balancer.Operations[operation].Idempotency
 	status, result := d.dispatch(ctx, clientRequest{header: request.Header, body: body, idempotency: idempotency})
@@ -111,26 +112,27 @@
 	_, _ = io.WriteString(w, result)
 }
 
-// clientRequest is a client's request as it is sent to workers.
+// clientRequest holds the parts of a client's request that are needed to send it to workers.
 type clientRequest struct {
 	header      http.Header
 	body        []byte
 	idempotency balancer.Idempotency
 }
 
-// dispatch makes attempts until one succeeds or no further one is safe, and returns the status and body of the answer.
+// dispatch makes attempts until one succeeds, no further attempt is safe, no worker is left, or maxAttempts is reached.
+// It returns the status and body of the answer.
 func (d *dispatcher) dispatch(ctx context.Context, request clientRequest) (status int, result string) {
 	var tried []*backend
 	possiblyExecuted := false
 	for range maxAttempts {
-		worker := d.pick(tried)
+		worker := d.pickWorker(tried)
 		if worker == nil {
 			break
 		}
 		tried = append(tried, worker)
 		outcome, result := d.attempt(ctx, worker, request)
 		if d.config.Fault == FaultRepeatedAttempt && request.idempotency == balancer.NonIdempotent {
-			if other := d.pick(tried); other != nil {
+			if other := d.pickWorker(tried); other != nil {
 				d.attempt(ctx, other, request)
 			}
 		}
@@ -151,12 +153,13 @@
 	return http.StatusTooManyRequests, ""
 }
 
-// forwardedFields are the header fields of a client's request that workers get.
+// forwardedFields lists the header fields of a client's request that are forwarded to workers.
 var forwardedFields = []string{"Req-Id", "Req-Deadline", "Idempotency-Key", "Content-Type"}
 
-// attempt sends the request to a worker that was picked, and returns the outcome, and the result if it succeeded.
+// attempt sends the request to a worker that pickWorker returned, and releases the worker. It returns the outcome,
+// and the result if the attempt succeeded.
 func (d *dispatcher) attempt(ctx context.Context, worker *backend, request clientRequest) (outcome balancer.Outcome, result string) {
-	defer d.release(worker)
+	defer d.releaseWorker(worker)
 	d.mu.Lock()
 	target := "http://" + worker.address + "/api"
 	d.mu.Unlock()
@@ -164,16 +167,16 @@
 	if err != nil {
 		return balancer.NoConnection, ""
 	}
-	outbound.GetBody = nil // the transport must not retry by itself
+	outbound.GetBody = nil // prevents automatic retries by the transport
 	for _, name := range forwardedFields {
 		if value := request.header.Get(name); value != "" {
 			outbound.Header.Set(name, value)
 		}
 	}
 	response, err := d.client.Do(outbound)
-	var connecting *net.OpError
+	var opError *net.OpError
 	switch {
-	case errors.As(err, &connecting) && connecting.Op == "dial":
+	case errors.As(err, &opError) && opError.Op == "dial":
 		return balancer.NoConnection, ""
 	case err != nil:
 		return balancer.ConnectionReset, ""
@@ -185,7 +188,7 @@
 	return readOutcome(response.Body, request.header.Get("Req-Id"))
 }
 
-// readOutcome reads a worker's lines about the request with an ID up to the one that ends it.
+// readOutcome reads the lines of a worker's response, up to the line that ends the request with the given ID.
 func readOutcome(body io.Reader, id string) (outcome balancer.Outcome, result string) {
 	lines := bufio.NewScanner(body)
 	lines.Buffer(nil, protocol.MaxLineBytes)
@@ -196,7 +199,7 @@
 		}
 		switch line.State {
 		case protocol.Done:
-			lines.Scan() // reads to the end of the body, so that the connection can be reused
+			lines.Scan() // reads the rest of the body, so that the connection can be reused
 			return balancer.Succeeded, line.Result
 		case protocol.ReturnedUnstarted:
 			return balancer.Overloaded, ""
--- a/internal/testbed/baseline/endpoints.go
+++ b/internal/testbed/baseline/endpoints.go
@@ -12,14 +12,14 @@
 	"canvasroute/internal/protocol"
 )
 
-// Bounds of the endpoint watch.
+// Limits and timing of the endpoint watch.
 const (
-	watchRetryDelay = 500 * time.Millisecond // from the end of a watch to the next
-	maxListBytes    = 8 << 20                // of one line
+	watchRetryDelay = 500 * time.Millisecond // delay between the end of a watch and the next one
+	maxListBytes    = 8 << 20                // maximum length of a line
 )
 
-// health answers 200 once a worker is ready.
-func (d *dispatcher) health(w http.ResponseWriter, _ *http.Request) {
+// serveHealth handles health checks. The status is 200 if a worker is ready, and 503 otherwise.
+func (d *dispatcher) serveHealth(w http.ResponseWriter, _ *http.Request) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if !slices.ContainsFunc(d.backends, func(b *backend) bool { return b.state == protocol.Ready }) {
@@ -27,10 +27,10 @@
 	}
 }
 
-// followEndpoints watches the endpoint list until ctx ends.
-func (d *dispatcher) followEndpoints(ctx context.Context) {
+// watchEndpoints watches the endpoint list until ctx is done. It restarts the watch when it ends.
+func (d *dispatcher) watchEndpoints(ctx context.Context) {
 	for ctx.Err() == nil {
-		if err := d.watch(ctx); err != nil && ctx.Err() == nil {
+		if err := d.runWatch(ctx); err != nil && ctx.Err() == nil {
 			d.log.Warn().Err(err).Msg("endpoint watch failed")
 		}
 		select {
@@ -40,8 +40,8 @@
 	}
 }
 
-// watch applies the lines of one watch until it ends.
-func (d *dispatcher) watch(ctx context.Context) error {
+// runWatch opens a watch of the endpoint list, and applies its lines until it ends.
+func (d *dispatcher) runWatch(ctx context.Context) error {
 	d.mu.Lock()
 	target := "http://" + d.settings.Proxy.DiscoveryAddress + protocol.WatchTarget(d.version)
 	d.mu.Unlock()
@@ -72,7 +72,7 @@
 	return lines.Err()
 }
 
-// updateEndpoints applies a list, or the changes to one.
+// updateEndpoints applies a complete endpoint list or changes to it.
 func (d *dispatcher) updateEndpoints(list *protocol.EndpointList) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -80,7 +80,7 @@
 	listed := map[string]bool{}
 	for _, endpoint := range list.Endpoints {
 		listed[endpoint.ID] = true
-		worker := d.backendNamed(endpoint.ID)
+		worker := d.findOrAddBackend(endpoint.ID)
 		worker.state = endpoint.State
 		if endpoint.Address != "" {
 			worker.address = endpoint.Address
@@ -96,8 +96,8 @@
 	}
 }
 
-// backendNamed returns the worker with a name, which it adds if it is new. The caller holds the lock.
-func (d *dispatcher) backendNamed(name string) *backend {
+// findOrAddBackend returns the worker with the given name, and adds it if it is unknown. The caller must hold d.mu.
+func (d *dispatcher) findOrAddBackend(name string) *backend {
 	index := slices.IndexFunc(d.backends, func(b *backend) bool { return b.name == name })
 	if index >= 0 {
 		return d.backends[index]
--- a/internal/testbed/baseline/reverse_proxy.go
+++ b/internal/testbed/baseline/reverse_proxy.go
@@ -6,15 +6,15 @@
 	"net/url"
 )
 
-// reverseProxy returns the standard library's reverse proxy over the listed workers in turn. It does not retry, and
-// passes the workers' lines through unchanged, as it serves to compare cost only.
+// reverseProxy returns a reverse proxy of the standard library that uses the ready workers in turn. It is only used to
+// compare the cost per request: it does not retry, and forwards the workers' lines unchanged.
 func (d *dispatcher) reverseProxy() http.Handler {
 	return &httputil.ReverseProxy{Transport: d.transport, Rewrite: func(request *httputil.ProxyRequest) {
-		worker := d.pick(nil)
+		worker := d.pickWorker(nil)
 		if worker == nil {
 			return
 		}
-		d.release(worker) // nothing in flight is counted
+		d.releaseWorker(worker) // this policy does not use the number of attempts in flight
 		d.mu.Lock()
 		target := &url.URL{Scheme: "http", Host: worker.address}
 		d.mu.Unlock()
--- a/internal/testbed/command/command_test.go
+++ b/internal/testbed/command/command_test.go
@@ -166,7 +166,7 @@
 			t.Parallel()
 			result := runShortExperiment(t, policy, "")
 			assert.Empty(t, result.Violations)
-			assert.Greater(t, result.Calls.Total.Answers["succeeded"], result.Calls.Total.Calls*8/10)
+			assert.Greater(t, result.Calls.Total.Outcomes["succeeded"], result.Calls.Total.Calls*8/10)
 		})
 	}
 }
@@ -180,7 +180,7 @@
 			text := fmt.Sprintf(shortExperiment, experiment.Canvasroute, "")
 			result := runExperiment(t, strings.Replace(text, "count = 2\n", "count = 2\ncores = 3\n"+peers, 1))
 			assert.Empty(t, result.Violations)
-			assert.Greater(t, result.Calls.Total.Answers["succeeded"], result.Calls.Total.Calls*8/10)
+			assert.Greater(t, result.Calls.Total.Outcomes["succeeded"], result.Calls.Total.Calls*8/10)
 		})
 	}
 }
@@ -234,7 +234,7 @@
 	result, err := experiment.ReadResult(folder)
 	assert.NoError(t, err)
 	assert.True(t, result.Partial)
-	assert.Positive(t, result.Calls.Total.Answers["succeeded"])
+	assert.Positive(t, result.Calls.Total.Outcomes["succeeded"])
 	assert.Empty(t, result.Violations)
 	assert.FileExists(t, filepath.Join(folder, "report.html"))
 }
@@ -303,7 +303,7 @@
 `)
 	assert.Empty(t, result.Violations)
 	assert.Equal(t, 2, result.Dispatchers[0].Incarnations)
-	assert.Greater(t, float64(result.Calls.Total.Answers["succeeded"]), 0.95*float64(result.Planned))
+	assert.Greater(t, float64(result.Calls.Total.Outcomes["succeeded"]), 0.95*float64(result.Planned))
 }
 
 // awaitHealth waits until the answer of an admin server to HEALTH has the wanted prefix.
--- a/internal/testbed/discoveryserver/server.go
+++ b/internal/testbed/discoveryserver/server.go
@@ -14,46 +14,46 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// Outage is a failure mode of the discovery service.
+// Outage is a failure mode of the discovery service, or Healthy.
 type Outage uint8
 
 // The values of Outage.
 const (
 	Healthy     Outage = iota
-	Down               // watches end, connections are reset
-	Unavailable        // watches end, calls are answered with 503
+	Down               // watches are closed, and connections are reset
+	Unavailable        // watches are closed, and requests get the status 503
 )
 
-// Timing of the service.
+// Intervals and timeouts of the service.
 const (
-	pollInterval      = 20 * time.Millisecond // from one look of a watch for changes to the next
-	keepAliveInterval = 2 * time.Second       // after which a watch writes an empty line if nothing has changed
+	pollInterval      = 20 * time.Millisecond // interval at which a watch checks for changes
+	keepAliveInterval = 2 * time.Second       // a watch without changes writes an empty line after this time
 	readHeaderTimeout = 5 * time.Second
 )
 
-// Server is the discovery service.
+// Server is the simulated discovery service.
 type Server struct {
 	clock     func() time.Duration              // returns the time since the start of the experiment
-	notified  func(dispatcher int, entry Entry) // called for each entry that is written to a dispatcher
+	notify    func(dispatcher int, entry Entry) // called for each entry that is sent to a dispatcher
 	servers   []*http.Server                    // by dispatcher
 	listeners []net.Listener                    // by dispatcher
 
-	mu         sync.Mutex
-	catalog    *Catalog
-	outage     Outage
-	watches    context.Context // of all watches
-	endWatches context.CancelFunc
+	mu            sync.Mutex
+	catalog       *Catalog
+	outage        Outage
+	watchContext  context.Context // canceled to close all watches
+	cancelWatches context.CancelFunc
 }
 
-// New opens a listener for each dispatcher. notified is called for each entry that is written to a dispatcher.
-func New(catalog *Catalog, dispatchers int, clock func() time.Duration, notified func(int, Entry)) (*Server, error) {
-	s := &Server{catalog: catalog, clock: clock, notified: notified}
-	s.watches, s.endWatches = context.WithCancel(context.Background())
+// New opens a listener for each dispatcher. notify is called for each entry that is sent to a dispatcher.
+func New(catalog *Catalog, dispatchers int, clock func() time.Duration, notify func(int, Entry)) (*Server, error) {
+	s := &Server{catalog: catalog, clock: clock, notify: notify}
+	s.watchContext, s.cancelWatches = context.WithCancel(context.Background())
 	for dispatcher := range dispatchers {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			s.close()
-			return nil, fmt.Errorf("list service: %w", err)
+			return nil, fmt.Errorf("discovery service: %w", err)
 		}
 		mux := http.NewServeMux()
 		mux.HandleFunc("GET /catalog/members", func(w http.ResponseWriter, r *http.Request) { s.serve(w, r, dispatcher) })
@@ -63,31 +63,31 @@
 	return s, nil
 }
 
-// Address returns the address of the list for a dispatcher.
+// Address returns the address at which the service listens for a dispatcher.
 func (s *Server) Address(dispatcher int) string { return s.listeners[dispatcher].Addr().String() }
 
-// Run serves until ctx ends.
+// Run serves requests until ctx is done.
 func (s *Server) Run(ctx context.Context) error {
-	running, ctx := errgroup.WithContext(ctx)
+	group, ctx := errgroup.WithContext(ctx)
 	for dispatcher, server := range s.servers {
-		running.Go(func() error {
+		group.Go(func() error {
 			if err := server.Serve(s.listeners[dispatcher]); !errors.Is(err, http.ErrServerClosed) {
-				return fmt.Errorf("list service: %w", err)
+				return fmt.Errorf("discovery service: %w", err)
 			}
 			return nil
 		})
 	}
-	running.Go(func() error {
+	group.Go(func() error {
 		<-ctx.Done()
 		s.close()
 		return nil
 	})
-	return running.Wait()
+	return group.Wait()
 }
 
-// close ends all watches and connections, and listens no longer.
+// close closes all watches, connections and listeners.
 func (s *Server) close() {
-	s.endWatches()
+	s.cancelWatches()
 	for _, server := range s.servers {
 		server.Close()
 	}
@@ -96,30 +96,30 @@
 	}
 }
 
-// Update adds or changes an entry.
+// Update adds or replaces the entry of a worker.
 func (s *Server) Update(entry Entry) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.catalog.Update(s.clock(), entry)
 }
 
-// SetLag sets the lag for changes that are not visible yet.
+// SetLag sets the lag. Changes that are already visible stay visible.
 func (s *Server) SetLag(lag time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.catalog.SetLag(s.clock(), lag)
 }
 
-// SetOutage changes the failure mode, and ends all watches.
+// SetOutage sets the failure mode and closes all watches.
 func (s *Server) SetOutage(outage Outage) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.outage = outage
-	s.endWatches()
-	s.watches, s.endWatches = context.WithCancel(context.Background())
+	s.cancelWatches()
+	s.watchContext, s.cancelWatches = context.WithCancel(context.Background())
 }
 
-// CompleteList returns the visible list as a dispatcher sees it, as JSON.
+// CompleteList returns the visible list as JSON, with the addresses for the given dispatcher.
 func (s *Server) CompleteList(dispatcher int) []byte {
 	return encode(s.complete(), dispatcher)
 }
@@ -131,17 +131,17 @@
 	return s.catalog.Complete(s.clock())
 }
 
-// changesSince returns what has changed after a version, see Catalog.ChangesSince.
+// changesSince returns the changes after a version. See Catalog.ChangesSince.
 func (s *Server) changesSince(version int) List {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.catalog.ChangesSince(s.clock(), version)
 }
 
-// serve answers a poll of the list, or a watch of it.
+// serve handles a poll or watch request.
 func (s *Server) serve(w http.ResponseWriter, r *http.Request, dispatcher int) {
 	s.mu.Lock()
-	outage, watches := s.outage, s.watches
+	outage, watchContext := s.outage, s.watchContext
 	s.mu.Unlock()
 	switch outage {
 	case Down:
@@ -159,40 +159,40 @@
 		http.Error(w, "index: must be a version", http.StatusBadRequest)
 		return
 	}
-	s.watch(w, r, dispatcher, version, watches)
+	s.watch(w, r, dispatcher, version, watchContext)
 }
 
-// serveList answers a poll of the list.
+// serveList handles a poll request.
 func (s *Server) serveList(w http.ResponseWriter, dispatcher int) {
 	list := s.complete()
 	s.notifyReady(dispatcher, list.Entries)
-	_, _ = w.Write(append(encode(list, dispatcher), '\n')) // fails only if the client has left
+	_, _ = w.Write(append(encode(list, dispatcher), '\n')) // fails only if the client has disconnected
 	s.notifyNotReady(dispatcher, list.Entries)
 }
 
-// notifyReady reports the ready ones of the entries that are about to be written to a dispatcher. If they were reported
-// afterwards, a dispatcher that reacts before that would seem to violate a drain.
+// notifyReady reports the ready entries before they are sent to a dispatcher. If they were reported afterwards, a
+// dispatcher that uses the worker before the report would appear to violate a drain.
 func (s *Server) notifyReady(dispatcher int, entries []Entry) {
 	for _, entry := range entries {
 		if entry.State == Ready {
-			s.notified(dispatcher, entry)
+			s.notify(dispatcher, entry)
 		}
 	}
 }
 
-// notifyNotReady reports the other ones of the entries that have been written to a dispatcher.
+// notifyNotReady reports the entries that are not ready, after they were sent to a dispatcher.
 func (s *Server) notifyNotReady(dispatcher int, entries []Entry) {
 	for _, entry := range entries {
 		if entry.State != Ready {
-			s.notified(dispatcher, entry)
+			s.notify(dispatcher, entry)
 		}
 	}
 }
 
-// watch writes a line at its start and for each change, until the client leaves or the watches end.
-func (s *Server) watch(w http.ResponseWriter, r *http.Request, dispatcher, version int, watches context.Context) {
+// watch writes a line at its start and for each change, until the client disconnects or all watches are closed.
+func (s *Server) watch(w http.ResponseWriter, r *http.Request, dispatcher, version int, watchContext context.Context) {
 	out := http.NewResponseController(w)
-	wroteAt := time.Time{} // never: the first line is due at once, also where nothing has changed
+	wroteAt := time.Time{} // zero: the first line is written immediately, even if nothing has changed
 	poll := time.NewTicker(pollInterval)
 	defer poll.Stop()
 	for {
@@ -218,13 +218,13 @@
 		case <-poll.C:
 		case <-r.Context().Done():
 			return
-		case <-watches.Done():
+		case <-watchContext.Done():
 			panic(http.ErrAbortHandler)
 		}
 	}
 }
 
-// wireEndpoint is a worker in the protocol of the discovery service.
+// wireEndpoint is the JSON encoding of a worker in the protocol of the discovery service.
 type wireEndpoint struct {
 	Name            string  `json:"host"`
 	Address         string  `json:"dial"`
@@ -236,18 +236,18 @@
 	StartedAtMillis int64   `json:"born_ms"`
 }
 
-// wireList is a list in the protocol of the discovery service.
+// wireList is the JSON encoding of a list in the protocol of the discovery service.
 type wireList struct {
 	Version  int            `json:"seq"`
 	Complete bool           `json:"whole"`
 	Workers  []wireEndpoint `json:"hosts"`
 }
 
-// fullShare is the share of the load that a listed worker takes, relative to the others: all take the same.
+// fullShare is the share of the load for a worker, relative to other workers. It is the same for all workers.
 const fullShare = 1
 
-// encode returns a list in the protocol of the discovery service, as one dispatcher sees it. A complete list leaves out
-// workers that are gone.
+// encode encodes a list in the protocol of the discovery service, with the addresses for the given dispatcher. It omits
+// workers that are gone from a complete list.
 func encode(list List, dispatcher int) []byte {
 	encoded := wireList{Version: list.Version, Complete: list.Complete, Workers: []wireEndpoint{}}
 	for _, entry := range list.Entries {
@@ -269,7 +269,7 @@
 		encoded.Workers = append(encoded.Workers, endpoint)
 	}
 	b, err := json.Marshal(encoded)
-	if err != nil { // the fields are text and numbers, which can always be encoded
+	if err != nil { // cannot happen: all fields are text or numbers
 		panic(err)
 	}
 	return b
--- a/internal/testbed/discoveryserver/server_test.go
+++ b/internal/testbed/discoveryserver/server_test.go
@@ -20,12 +20,12 @@
 	assert.Equal(t, 0, catalog.Version(900*time.Millisecond))
 	assert.Equal(t, 1, catalog.Version(1100*time.Millisecond))
 	catalog.SetLag(1100*time.Millisecond, 10*time.Second)
-	assert.Equal(t, 1, catalog.Version(2*time.Second), "the second is delayed, the first stays visible")
+	assert.Equal(t, 1, catalog.Version(2*time.Second), "the second change is delayed, the first stays visible")
 	catalog.SetLag(2*time.Second, 0)
 	assert.Equal(t, 2, catalog.Version(2*time.Second))
 }
 
-func TestWatchersGetChangesSinceTheirVersion(t *testing.T) {
+func TestChangesSinceReturnsLatestEntries(t *testing.T) {
 	catalog := NewCatalog(0)
 	for n := range 3 {
 		catalog.Update(0, Entry{Worker: n, State: Ready})
@@ -44,7 +44,7 @@
 	assert.NotContains(t, string(encode(gone, 0)), "w1")
 }
 
-// runServer runs a server until the end of the test, or until the function that it returns is called.
+// runServer runs a server until the end of the test, or until the returned function is called.
 func runServer(t *testing.T, server *Server) (stop func()) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -58,7 +58,7 @@
 	return stop
 }
 
-// startServer runs a server that lists one worker, and returns a function for the states reported so far.
+// startServer runs a server that lists one worker. The returned function returns the states reported so far.
 func startServer(t *testing.T) (*Server, func() []State) {
 	t.Helper()
 	startedAt, states, mu := time.Now(), []State{}, sync.Mutex{}
@@ -78,20 +78,20 @@
 	}
 }
 
-// listOnWire has the protocol's names of a list, so that a test finds another name in wireList.
-type listOnWire struct {
+// protocolList decodes a list by the field names of the protocol, so that a test detects a changed name in wireList.
+type protocolList struct {
 	Seq   int
 	Whole bool
 	Hosts []wireEndpoint
 }
 
-func TestWatchHasTheDispatchersAddressesAndEndsInAnOutage(t *testing.T) {
+func TestWatchSendsAddressesForItsDispatcherAndEndsInAnOutage(t *testing.T) {
 	server, notified := startServer(t)
 	watch, err := http.Get("http://" + server.Address(1) + "/catalog/members?stream=1&index=0")
 	assert.NoError(t, err)
 	defer watch.Body.Close()
 	lines := bufio.NewScanner(watch.Body)
-	read := func() (list listOnWire) {
+	read := func() (list protocolList) {
 		assert.True(t, lines.Scan())
 		assert.NoError(t, json.Unmarshal(lines.Bytes(), &list))
 		return list
@@ -105,7 +105,7 @@
 	assert.Eventually(t, func() bool { return len(notified()) == 2 }, time.Second, time.Millisecond)
 	assert.Equal(t, []State{Ready, Terminating}, notified())
 	server.SetOutage(Down)
-	assert.False(t, lines.Scan(), "the watch ends")
+	assert.False(t, lines.Scan(), "the watch is closed")
 	_, err = http.Get("http://" + server.Address(0) + "/catalog/members")
 	assert.Error(t, err)
 	server.SetOutage(Unavailable)
@@ -120,13 +120,13 @@
 	answer.Body.Close()
 }
 
-func TestReadyIsReportedBeforeItIsWritten(t *testing.T) {
+func TestReadyEntryIsReportedBeforeItIsSent(t *testing.T) {
 	var read atomic.Bool
-	readBefore := make(chan bool, 1) // whether the line had been read when its entry was reported
+	readBefore := make(chan bool, 1) // whether the client had read the line when its entry was reported
 	catalog := NewCatalog(0)
 	catalog.Update(0, Entry{Worker: 0, Name: "w0", Addresses: []string{"127.0.0.1:1"}, State: Ready})
 	server, err := New(catalog, 1, func() time.Duration { return 0 }, func(int, Entry) {
-		time.Sleep(50 * time.Millisecond) // longer than a line takes to arrive
+		time.Sleep(50 * time.Millisecond) // longer than the transmission of a line takes
 		readBefore <- read.Load()
 	})
 	assert.NoError(t, err)
--- a/internal/testbed/experiment/actions.go
+++ b/internal/testbed/experiment/actions.go
@@ -34,7 +34,7 @@
 		env.addWorkers(int(action.Value))
 	case fault.PowerLoss:
 		env.cutPower(action.Targets)
-	case fault.PowerReturn:
+	case fault.PowerRestore:
 		env.restorePower(ctx, action)
 	case fault.DispatcherKill, fault.DispatcherStart, fault.DispatcherPause, fault.DispatcherResume,
 		fault.DispatcherRestart:
--- a/internal/testbed/experiment/environment.go
+++ b/internal/testbed/experiment/environment.go
@@ -109,7 +109,7 @@
 			return err
 		}
 	}
-	env.catalog.ShowAll()
+	env.catalog.MakeAllVisible()
 	env.background.Go(func() error { return env.discovery.Run(ctx) })
 	return nil
 }
--- a/internal/testbed/experiment/recovery.go
+++ b/internal/testbed/experiment/recovery.go
@@ -52,7 +52,7 @@
 // recoveries measures the recovery of the fleet from each power loss.
 func (p *Plan) recoveries(r *Result, timeline *fault.Timeline, schedule []workload.Arrival) (all []metrics.Recovery) {
 	calls := p.offeredCalls(schedule)
-	for index, mark := range timeline.Marks {
+	for index, mark := range timeline.Intervals {
 		if p.Faults[index].Kind != fault.KindPowerLoss {
 			continue
 		}
@@ -87,13 +87,13 @@
 
 // returningWorkers returns the workers, each with the scheduled time of its last restart by the fault at index, or with
 // metrics.NoPowerLoss if the fault does not restart it.
-func (p *Plan) returningWorkers(timeline *fault.Timeline, index int) (workers []metrics.ReturningWorker) {
+func (p *Plan) returningWorkers(timeline *fault.Timeline, index int) (workers []metrics.RestartedWorker) {
 	for n, place := range p.placeWorkers() {
-		returning := metrics.ReturningWorker{Cores: p.Fleet.Kinds[place.kind].Cores, BackAt: metrics.NoPowerLoss}
+		returning := metrics.RestartedWorker{Cores: p.Fleet.Kinds[place.kind].Cores, RestartAt: metrics.NoPowerLoss}
 		for _, action := range timeline.Actions {
 			restarts := action.Fault == index && action.Kind == fault.WorkerRestart
 			if restarts && slices.Contains(action.Targets, n) {
-				returning.BackAt = max(returning.BackAt, action.At)
+				returning.RestartAt = max(returning.RestartAt, action.At)
 			}
 		}
 		workers = append(workers, returning)
--- a/internal/testbed/experiment/result.go
+++ b/internal/testbed/experiment/result.go
@@ -49,7 +49,7 @@
 	Violations      []history.Violation `json:"breaches"`
 	Workers         []WorkerResult      `json:"workers"`
 	Dispatchers     []ProcessResult     `json:"dispatchers"`
-	Faults          []fault.Mark        `json:"troubles"`
+	Faults          []fault.Interval    `json:"troubles"`
 	Recoveries      []metrics.Recovery  `json:"backs,omitempty"`  // one for each power loss
 	Phases          []PhaseResult       `json:"phases,omitempty"` // recovery phases of all dispatchers
 	Peers           map[string]int      `json:"peer_datagrams,omitempty"`
@@ -107,7 +107,7 @@
 		Calls:           recorder.Summary(p.operationNames(), p.tenantNames()),
 		Rules:           map[string]int{},
 		Violations:      []history.Violation{},
-		Faults:          timeline.Marks,
+		Faults:          timeline.Intervals,
 		Failures:        append([]string{}, env.failures...),
 		Attempts:        map[string]int64{},
 	}
--- a/internal/testbed/experiment/saturate.go
+++ b/internal/testbed/experiment/saturate.go
@@ -155,7 +155,7 @@
 		trial.Mallocs = float64(counters.Mallocs) / calls
 		trial.Bytes = float64(counters.Bytes) / calls
 	}
-	succeeded := float64(result.Calls.Total.Answers["succeeded"]) / calls
+	succeeded := float64(result.Calls.Total.Outcomes["succeeded"]) / calls
 	switch {
 	case trial.GeneratorLate:
 		trial.Reason = "generator: " + result.Calls.Generator.Reason
--- a/internal/testbed/fault/planner.go
+++ b/internal/testbed/fault/planner.go
@@ -9,104 +9,104 @@
 	"canvasroute/internal/testbed/workload"
 )
 
-// defaultGap is the time between two dispatchers of a rolling restart or upgrade.
-const defaultGap = 2 * time.Second
+// defaultRollingGap is the default interval between two dispatchers of a rolling restart or upgrade.
+const defaultRollingGap = 2 * time.Second
 
-// planner adds the actions of one fault to the timeline.
+// planner plans one fault by adding its actions to the timeline.
 type planner struct {
 	topology Topology
-	rng      *rand.Rand // of this fault
+	rng      *rand.Rand // random stream of this fault
 	spec     Spec
-	index    int // of the spec, among all faults
+	index    int // index of the spec in the experiment file
 	timeline *Timeline
 }
 
-// faultKind is a kind of fault that experiment files can name.
+// faultKind describes a kind of fault that an experiment file can specify.
 type faultKind struct {
 	requiredKeys []string
-	plan         func(*planner) (description string) // adds the actions, and describes the fault for reports
+	plan         func(*planner) (description string) // adds the actions, and returns a description for reports
 }
 
-// KindPowerLoss is the kind of a fault for which experiments measure the recovery.
+// KindPowerLoss is the kind of fault for which experiments measure the recovery time.
 const KindPowerLoss = "power-loss"
 
-// kinds are the kinds of faults by name.
+// kinds maps the names of the kinds of faults to their descriptions.
 var kinds = map[string]faultKind{
-	"crash":       {[]string{"workers"}, (*planner).crash},
-	"slow":        {[]string{"workers", "factor", "for"}, (*planner).slow},
-	"pause":       {[]string{"workers", "for"}, workersDuring("%d workers paused", WorkerPause, WorkerResume)},
-	"silence":     {[]string{"workers", "for"}, workersDuring("%d workers unresponsive", WorkerMute, WorkerUnmute)},
-	"neighbour":   {[]string{"workers", "share", "every", "width", "for"}, (*planner).neighbour},
-	"zone-cut":    {[]string{"zone", "for"}, (*planner).zoneCut},
-	"drain":       {[]string{"workers", "for"}, (*planner).drain},
-	"grow":        {[]string{"workers"}, (*planner).grow},
-	"burst":       {[]string{"factor", "for"}, (*planner).burst},
-	"flood":       {[]string{"tenant", "factor", "for"}, (*planner).flood},
-	"list-lag":    {[]string{"lag", "for"}, (*planner).lag},
-	"list-outage": {[]string{"for"}, serviceDuring("list service down", ListDown, ListRecover)},
-	"list-503":    {[]string{"for"}, serviceDuring("list service answers 503", ListUnavailable, ListRecover)},
-	"peer-cut":    {[]string{"for"}, serviceDuring("peer network down", PeersCut, PeersRecover)},
-	"peer-loss":   {[]string{"share", "for"}, serviceDuring("peer network loses datagrams", PeersLoss, PeersRecover)},
+	"crash":       {[]string{"workers"}, (*planner).planCrash},
+	"slow":        {[]string{"workers", "factor", "for"}, (*planner).planSlowdown},
+	"pause":       {[]string{"workers", "for"}, planWorkerState("%d workers paused", WorkerPause, WorkerResume)},
+	"silence":     {[]string{"workers", "for"}, planWorkerState("%d workers unresponsive", WorkerMute, WorkerUnmute)},
+	"neighbour":   {[]string{"workers", "share", "every", "width", "for"}, (*planner).planNoisyNeighbour},
+	"zone-cut":    {[]string{"zone", "for"}, (*planner).planZoneCut},
+	"drain":       {[]string{"workers", "for"}, (*planner).planDrain},
+	"grow":        {[]string{"workers"}, (*planner).planGrowth},
+	"burst":       {[]string{"factor", "for"}, (*planner).planBurst},
+	"flood":       {[]string{"tenant", "factor", "for"}, (*planner).planFlood},
+	"list-lag":    {[]string{"lag", "for"}, (*planner).planListLag},
+	"list-outage": {[]string{"for"}, planServiceState("list service down", ListDown, ListRecover)},
+	"list-503":    {[]string{"for"}, planServiceState("list service answers 503", ListUnavailable, ListRecover)},
+	"peer-cut":    {[]string{"for"}, planServiceState("peer network down", PeersCut, PeersRecover)},
+	"peer-loss":   {[]string{"share", "for"}, planServiceState("peer network loses datagrams", PeersLoss, PeersRecover)},
 	"dispatcher-kill": {
 		[]string{"dispatchers"},
-		dispatchersDuring("%d dispatchers killed", DispatcherKill, DispatcherStart),
+		planDispatcherState("%d dispatchers killed", DispatcherKill, DispatcherStart),
 	},
 	"dispatcher-stall": {
 		[]string{"dispatchers", "for"},
-		dispatchersDuring("%d dispatchers paused", DispatcherPause, DispatcherResume),
+		planDispatcherState("%d dispatchers paused", DispatcherPause, DispatcherResume),
 	},
-	"rolling-restart": {nil, oneAfterAnother("rolling restart of dispatchers", DispatcherRestart)},
-	"upgrade":         {nil, oneAfterAnother("rolling upgrade of dispatchers", DispatcherUpgrade)},
+	"rolling-restart": {nil, planRollingAction("rolling restart of dispatchers", DispatcherRestart)},
+	"upgrade":         {nil, planRollingAction("rolling upgrade of dispatchers", DispatcherUpgrade)},
 	"leave": {
 		[]string{"dispatchers", "for"},
-		dispatchersDuring("%d dispatchers drained", DispatcherLeave, DispatcherJoin),
+		planDispatcherState("%d dispatchers drained", DispatcherLeave, DispatcherJoin),
 	},
-	"new-settings":      {[]string{"max-attempts"}, (*planner).reconfigure},
-	"silent-clients":    {[]string{"connections", "for"}, misbehavingClients("%d idle clients", ClientsIdle)},
-	"piecemeal-clients": {[]string{"connections", "for"}, misbehavingClients("%d slow clients", ClientsTrickle)},
-	"link-cut":          {[]string{"dispatchers", "for", "way"}, (*planner).linkCut},
-	"link-loss":         {[]string{"share", "for"}, serviceDuring("link loses messages", LinkLoss, LinkRecover)},
-	KindPowerLoss:       {[]string{"restore-after", "disk", "never-restored"}, (*planner).powerLoss},
+	"new-settings":      {[]string{"max-attempts"}, (*planner).planReconfiguration},
+	"silent-clients":    {[]string{"connections", "for"}, planMisbehavingClients("%d idle clients", ClientsIdle)},
+	"piecemeal-clients": {[]string{"connections", "for"}, planMisbehavingClients("%d slow clients", ClientsTrickle)},
+	"link-cut":          {[]string{"dispatchers", "for", "way"}, (*planner).planLinkCut},
+	"link-loss":         {[]string{"share", "for"}, planServiceState("link loses messages", LinkLoss, LinkRecover)},
+	KindPowerLoss:       {[]string{"restore-after", "disk", "never-restored"}, (*planner).planPowerLoss},
 }
 
 func (p *planner) start() time.Duration { return p.spec.At.Std() }
 func (p *planner) end() time.Duration   { return p.spec.At.Std() + p.spec.For.Std() }
 
-// add adds an action. The value's meaning depends on the kind; 0 means that the kind has none.
+// add adds an action to the timeline. The meaning of value depends on the kind; it is 0 for kinds that do not use it.
 func (p *planner) add(at time.Duration, kind ActionKind, targets []int, value float64) {
 	p.timeline.Actions = append(p.timeline.Actions, Action{
 		At:       at,
 		Kind:     kind,
 		Targets:  targets,
 		Value:    value,
-		Duration: p.spec.Lag.Std(), // of a ListLag; other kinds that are added here have none
+		Duration: p.spec.Lag.Std(), // only ListLag uses it; it is 0 for the other kinds that are added by this method
 		Fault:    p.index,
 	})
 }
 
-// addDuring adds a state of targets that begins and ends with the fault.
-func (p *planner) addDuring(targets []int, beginKind, endKind ActionKind) {
+// addBeginAndEnd adds two actions: beginKind at the start of the fault, and endKind at its end.
+func (p *planner) addBeginAndEnd(targets []int, beginKind, endKind ActionKind) {
 	p.add(p.start(), beginKind, targets, 0)
 	p.add(p.end(), endKind, targets, 0)
 }
 
-// pickRandom draws count of the numbers below total, and returns them in ascending order.
+// pickRandom draws count different numbers from [0, total), and returns them in ascending order.
 func (p *planner) pickRandom(count, total int) []int {
 	picked := p.rng.Perm(total)[:count]
 	slices.Sort(picked)
 	return picked
 }
 
-// pickWorkers draws as many workers as the fault affects.
+// pickWorkers draws the workers that the fault affects.
 func (p *planner) pickWorkers() []int { return p.pickRandom(p.spec.Workers, p.topology.Workers) }
 
-// pickDispatchers draws as many dispatchers as the fault affects.
+// pickDispatchers draws the dispatchers that the fault affects.
 func (p *planner) pickDispatchers() []int {
 	return p.pickRandom(p.spec.Dispatchers, p.topology.Dispatchers)
 }
 
-// crash plans workers that crash. With a duration they restart at its end.
-func (p *planner) crash() string {
+// planCrash plans a crash of some workers. If the fault has a duration, the workers restart at its end.
+func (p *planner) planCrash() string {
 	targets := p.pickWorkers()
 	p.add(p.start(), WorkerCrash, targets, 0)
 	if p.spec.For > 0 {
@@ -115,16 +115,17 @@
 	return fmt.Sprintf("%d workers crash", p.spec.Workers)
 }
 
-// slow plans workers that take the fault's factor longer for their work.
-func (p *planner) slow() string {
+// planSlowdown plans a slowdown of some workers by the fault's factor.
+func (p *planner) planSlowdown() string {
 	targets := p.pickWorkers()
 	p.add(p.start(), WorkerSpeed, targets, 1/p.spec.Factor)
 	p.add(p.end(), WorkerSpeed, targets, 1)
 	return fmt.Sprintf("%d workers %v times slower", p.spec.Workers, p.spec.Factor)
 }
 
-// neighbour plans workers whose machines run other programs periodically, each time for the fault's width.
-func (p *planner) neighbour() string {
+// planNoisyNeighbour plans noisy neighbours: other programs use a share of the machines of some workers in periodic
+// busy periods.
+func (p *planner) planNoisyNeighbour() string {
 	targets := p.pickWorkers()
 	for at := p.start(); at < p.end(); at += p.spec.Every.Std() {
 		p.add(at, WorkerSpeed, targets, 1-p.spec.Share)
@@ -133,8 +134,8 @@
 	return fmt.Sprintf("%d workers share their machines", p.spec.Workers)
 }
 
-// zoneCut plans a network partition of all workers of a zone.
-func (p *planner) zoneCut() string {
+// planZoneCut plans a network partition that isolates all workers of a zone.
+func (p *planner) planZoneCut() string {
 	var targets []int
 	partitioned := slices.Index(p.topology.Zones, p.spec.Zone)
 	for worker, zone := range p.topology.WorkerZones {
@@ -142,34 +143,35 @@
 			targets = append(targets, worker)
 		}
 	}
-	p.addDuring(targets, WorkerCut, WorkerHeal)
+	p.addBeginAndEnd(targets, WorkerCut, WorkerHeal)
 	return "zone " + p.spec.Zone + " cut off"
 }
 
-// drain plans workers that drain and stop. With a gap they restart that much later.
-func (p *planner) drain() string {
+// planDrain plans a drain of some workers, which stop at the end of the fault. If the fault has a gap, they restart
+// after it.
+func (p *planner) planDrain() string {
 	targets := p.pickWorkers()
-	p.addDuring(targets, WorkerDrain, WorkerStop)
+	p.addBeginAndEnd(targets, WorkerDrain, WorkerStop)
 	if p.spec.Gap > 0 {
 		p.add(p.end()+p.spec.Gap.Std(), WorkerRestart, targets, 0)
 	}
 	return fmt.Sprintf("%d workers drain", p.spec.Workers)
 }
 
-// grow plans additional workers.
-func (p *planner) grow() string {
+// planGrowth plans the addition of workers.
+func (p *planner) planGrowth() string {
 	p.add(p.start(), WorkerAdd, nil, float64(p.spec.Workers))
 	return fmt.Sprintf("%d workers added", p.spec.Workers)
 }
 
-// burst plans extra load of all tenants.
-func (p *planner) burst() string {
+// planBurst plans extra load from all tenants.
+func (p *planner) planBurst() string {
 	p.addLoad(workload.AllTenants)
 	return fmt.Sprintf("burst: %v times the load", p.spec.Factor)
 }
 
-// flood plans extra load of one tenant.
-func (p *planner) flood() string {
+// planFlood plans extra load from one tenant.
+func (p *planner) planFlood() string {
 	p.addLoad(slices.Index(p.topology.Tenants, p.spec.Tenant))
 	return fmt.Sprintf("%s sends %v times its share", p.spec.Tenant, p.spec.Factor)
 }
@@ -181,15 +183,15 @@
 	})
 }
 
-// lag plans a list that shows what was true some time ago.
-func (p *planner) lag() string {
-	p.addDuring(nil, ListLag, ListLagEnd)
+// planListLag plans an endpoint list whose changes become visible with a delay.
+func (p *planner) planListLag() string {
+	p.addBeginAndEnd(nil, ListLag, ListLagEnd)
 	return fmt.Sprintf("list %v behind", p.spec.Lag.Std())
 }
 
-// reconfigure plans new settings at all dispatchers. With a duration the experiment's own settings apply again at its
-// end.
-func (p *planner) reconfigure() string {
+// planReconfiguration plans new settings for all dispatchers. If the fault has a duration, the original settings of the
+// experiment are restored at its end.
+func (p *planner) planReconfiguration() string {
 	targets := p.pickRandom(p.topology.Dispatchers, p.topology.Dispatchers)
 	p.add(p.start(), DispatcherReconfigure, targets, float64(p.spec.MaxAttempts))
 	if p.spec.For > 0 {
@@ -198,8 +200,8 @@
 	return fmt.Sprintf("new settings: %d attempts", p.spec.MaxAttempts)
 }
 
-// linkCut plans a cut of the link between some dispatchers and the others, in one direction or both.
-func (p *planner) linkCut() string {
+// planLinkCut plans a partition of the link between some dispatchers and all others, in one direction or both.
+func (p *planner) planLinkCut() string {
 	targets := p.pickDispatchers()
 	cut := Action{At: p.start(), Kind: LinkCut, Targets: targets, Mode: p.spec.Direction, Fault: p.index}
 	heal := cut
@@ -209,12 +211,12 @@
 	return fmt.Sprintf("link of %d dispatchers cut", len(targets))
 }
 
-// oneAfterAnother returns a plan that applies an action to each dispatcher in turn.
-func oneAfterAnother(description string, kind ActionKind) func(*planner) string {
+// planRollingAction returns a plan function that applies an action to each dispatcher in turn.
+func planRollingAction(description string, kind ActionKind) func(*planner) string {
 	return func(p *planner) string {
 		gap := p.spec.Gap.Std()
 		if gap <= 0 {
-			gap = defaultGap
+			gap = defaultRollingGap
 		}
 		for dispatcher := range p.topology.Dispatchers {
 			p.add(p.start()+time.Duration(dispatcher)*gap, kind, []int{dispatcher}, 0)
@@ -223,8 +225,8 @@
 	}
 }
 
-// misbehavingClients returns a plan of clients that hold connections without completing a request.
-func misbehavingClients(description string, kind ActionKind) func(*planner) string {
+// planMisbehavingClients returns a plan function for clients that hold connections open without completing a request.
+func planMisbehavingClients(description string, kind ActionKind) func(*planner) string {
 	return func(p *planner) string {
 		p.timeline.Actions = append(p.timeline.Actions, Action{
 			At: p.start(), Kind: kind, Value: float64(p.spec.Connections), Duration: p.spec.For.Std(), Fault: p.index,
@@ -233,16 +235,17 @@
 	}
 }
 
-// workersDuring returns a plan of a state of some workers that begins and ends.
-func workersDuring(description string, beginKind, endKind ActionKind) func(*planner) string {
+// planWorkerState returns a plan function for a state of some workers that lasts as long as the fault.
+func planWorkerState(description string, beginKind, endKind ActionKind) func(*planner) string {
 	return func(p *planner) string {
-		p.addDuring(p.pickWorkers(), beginKind, endKind)
+		p.addBeginAndEnd(p.pickWorkers(), beginKind, endKind)
 		return fmt.Sprintf(description, p.spec.Workers)
 	}
 }
 
-// dispatchersDuring returns a plan of a state of some dispatchers. Without a duration it lasts to the end.
-func dispatchersDuring(description string, beginKind, endKind ActionKind) func(*planner) string {
+// planDispatcherState returns a plan function for a state of some dispatchers that lasts as long as the fault. If the
+// fault has no duration, the state lasts until the end of the experiment.
+func planDispatcherState(description string, beginKind, endKind ActionKind) func(*planner) string {
 	return func(p *planner) string {
 		targets := p.pickDispatchers()
 		p.add(p.start(), beginKind, targets, 0)
@@ -253,8 +256,9 @@
 	}
 }
 
-// serviceDuring returns a plan of a state of a service that all dispatchers share.
-func serviceDuring(description string, beginKind, endKind ActionKind) func(*planner) string {
+// planServiceState returns a plan function for a state of a service that all dispatchers share. The state lasts as long
+// as the fault.
+func planServiceState(description string, beginKind, endKind ActionKind) func(*planner) string {
 	return func(p *planner) string {
 		p.add(p.start(), beginKind, nil, p.spec.Share)
 		p.add(p.end(), endKind, nil, 0)
--- a/internal/testbed/fault/power.go
+++ b/internal/testbed/fault/power.go
@@ -6,25 +6,25 @@
 	"time"
 )
 
-// The states of a dispatcher's disk after a loss of power.
+// The states of a dispatcher's disk after a power loss.
 const (
 	DiskIntact   = "kept"
 	DiskMissing  = "gone"
-	DiskLostSync = "lost-sync" // the newest data that was reported as written is missing
-	DiskTorn     = "torn"      // a file ends early
-	DiskOld      = "old"       // an earlier copy
-	DiskSwapped  = "swapped"   // that of another dispatcher
+	DiskLostSync = "lost-sync" // the most recent data that was reported as synced is missing
+	DiskTorn     = "torn"      // a file is truncated
+	DiskOld      = "old"       // an earlier copy of the disk is restored
+	DiskSwapped  = "swapped"   // it is the disk of another dispatcher
 	DiskFull     = "full"
 	DiskReadOnly = "read-only"
-	DiskRandom   = "drawn" // drawn from DiskStates for each dispatcher
+	DiskRandom   = "drawn" // drawn at random from DiskStates for each dispatcher
 )
 
-// DiskStates are the states that DiskRandom draws from.
+// DiskStates lists the states from which DiskRandom draws.
 var DiskStates = []string{DiskIntact, DiskMissing, DiskLostSync, DiskTorn, DiskOld, DiskSwapped, DiskFull, DiskReadOnly}
 
-// powerLoss plans one or several losses of power. They affect everything, a zone, or dispatchers and workers drawn at
-// random. Power is restored to each of them at a time of its own.
-func (p *planner) powerLoss() string {
+// planPowerLoss plans one or more power losses. They affect all dispatchers and workers, those of a zone, or a random
+// subset. Power is restored to each dispatcher and worker after an individual delay.
+func (p *planner) planPowerLoss() string {
 	dispatchers, workers := p.powerLossTargets()
 	neverRestored := p.rng.Perm(len(dispatchers))[:min(p.spec.NeverRestored, len(dispatchers))]
 	clockJumps := make([]bool, len(dispatchers))
@@ -34,11 +34,11 @@
 	for n := range max(p.spec.Times, 1) {
 		lostAt := p.start() + time.Duration(n)*p.spec.Every.Std()
 		p.add(lostAt, PowerLoss, dispatchers, 0)
-		p.addOutage(lostAt, p.spec.ListRestoreAfter.Std(), ListDown, ListRecover)
-		p.addOutage(lostAt, p.spec.PeersRestoreAfter.Std(), PeersCut, PeersRecover)
+		p.addServiceOutage(lostAt, p.spec.ListRestoreAfter.Std(), ListDown, ListRecover)
+		p.addServiceOutage(lostAt, p.spec.PeersRestoreAfter.Std(), PeersCut, PeersRecover)
 		for index, dispatcher := range dispatchers {
 			if !slices.Contains(neverRestored, index) {
-				p.addReturn(lostAt, dispatcher, clockJumps[index])
+				p.addPowerRestore(lostAt, dispatcher, clockJumps[index])
 			}
 		}
 		p.addWorkerOutage(lostAt, workers)
@@ -46,20 +46,21 @@
 	return fmt.Sprintf("power lost: %d dispatchers, %d workers", len(dispatchers), len(workers))
 }
 
-// addWorkerOutage plans the outage of workers that lose power at a time, unless workers keep their power.
+// addWorkerOutage plans an outage of the workers that lose power at lostAt. It plans nothing if the fault does not
+// affect the power of workers.
 func (p *planner) addWorkerOutage(lostAt time.Duration, workers []int) {
 	if p.spec.WorkersRestoreAfter <= 0 {
 		return
 	}
 	p.add(lostAt, WorkerCrash, workers, 0)
 	for _, worker := range workers {
-		restartAt := lostAt + p.spec.WorkersRestoreAfter.Std() + p.randomSpread()
+		restartAt := lostAt + p.spec.WorkersRestoreAfter.Std() + p.randomDelay()
 		p.add(restartAt, WorkerRestart, []int{worker}, 0)
 	}
 }
 
-// addReturn plans the return of one dispatcher after a loss of power at a time.
-func (p *planner) addReturn(lostAt time.Duration, dispatcher int, clockJumps bool) {
+// addPowerRestore plans the restart of one dispatcher after the power loss at lostAt.
+func (p *planner) addPowerRestore(lostAt time.Duration, dispatcher int, clockJumps bool) {
 	disk := p.spec.Disk
 	switch disk {
 	case "":
@@ -68,8 +69,8 @@
 		disk = DiskStates[p.rng.IntN(len(DiskStates))]
 	}
 	action := Action{
-		At:      lostAt + p.spec.RestoreAfter.Std() + p.randomSpread(),
-		Kind:    PowerReturn,
+		At:      lostAt + p.spec.RestoreAfter.Std() + p.randomDelay(),
+		Kind:    PowerRestore,
 		Targets: []int{dispatcher},
 		Mode:    disk,
 		Fault:   p.index,
@@ -80,21 +81,21 @@
 	p.timeline.Actions = append(p.timeline.Actions, action)
 }
 
-// addOutage plans an outage of a service that loses power at a time. A duration of 0 means that it keeps its power.
-func (p *planner) addOutage(lostAt, duration time.Duration, beginKind, endKind ActionKind) {
+// addServiceOutage plans an outage of a service that loses power at lostAt. It plans nothing if the duration is 0.
+func (p *planner) addServiceOutage(lostAt, duration time.Duration, beginKind, endKind ActionKind) {
 	if duration > 0 {
 		p.add(lostAt, beginKind, nil, 0)
 		p.add(lostAt+duration, endKind, nil, 0)
 	}
 }
 
-// randomSpread draws a delay of up to the fault's spread.
-func (p *planner) randomSpread() time.Duration {
+// randomDelay draws a random delay of up to the fault's spread.
+func (p *planner) randomDelay() time.Duration {
 	return time.Duration(p.rng.Float64() * float64(p.spec.Spread.Std()))
 }
 
 // powerLossTargets returns the dispatchers and workers that lose power: all, or those of the fault's zone. If the fault
-// gives a number of them, only as many, drawn at random.
+// limits their number, it draws that many at random.
 func (p *planner) powerLossTargets() (dispatchers, workers []int) {
 	zone := slices.Index(p.topology.Zones, p.spec.Zone)
 	everywhere := zone < 0
@@ -108,11 +109,12 @@
 			workers = append(workers, worker)
 		}
 	}
-	return p.pickAmong(dispatchers, p.spec.Dispatchers), p.pickAmong(workers, p.spec.Workers)
+	return p.pickUpTo(dispatchers, p.spec.Dispatchers), p.pickUpTo(workers, p.spec.Workers)
 }
 
-// pickAmong draws up to limit of the numbers, and returns them in ascending order. A limit of 0 means all.
-func (p *planner) pickAmong(all []int, limit int) []int {
+// pickUpTo draws up to limit of the given numbers, and returns them in ascending order. A limit of 0 means all. It may
+// reorder the slice that it is given.
+func (p *planner) pickUpTo(all []int, limit int) []int {
 	if limit <= 0 || limit >= len(all) {
 		return all
 	}
--- a/internal/testbed/fault/timeline.go
+++ b/internal/testbed/fault/timeline.go
@@ -1,5 +1,5 @@
-// Package fault turns the faults of an experiment file into a timeline of single actions. It does no I/O: it draws the
-// workers and dispatchers that a fault affects from the seed, and package experiment applies the actions.
+// Package fault expands the faults of an experiment file into a timeline of actions. It selects the affected workers
+// and dispatchers at random from the seed, and does no I/O. Package experiment applies the actions.
 package fault
 
 import (
@@ -14,14 +14,14 @@
 	"canvasroute/internal/testbed/workload"
 )
 
-// ActionKind is what an action does.
+// ActionKind identifies the effect of an action.
 type ActionKind uint8
 
 // The values of ActionKind.
 const (
 	WorkerCrash ActionKind = iota + 1
 	WorkerRestart
-	WorkerSpeed // Value is this fault's factor of the worker's speed
+	WorkerSpeed // Value is the factor by which this fault changes the worker's speed
 	WorkerPause
 	WorkerResume
 	WorkerMute
@@ -29,9 +29,9 @@
 	WorkerCut
 	WorkerHeal
 	WorkerDrain
-	WorkerStop // ends a worker that has drained
+	WorkerStop // stops a drained worker
 	WorkerAdd  // adds Value workers
-	ListLag    // by Duration
+	ListLag    // Duration is the delay until changes of the list are visible
 	ListLagEnd
 	ListDown
 	ListUnavailable
@@ -40,25 +40,25 @@
 	DispatcherStart
 	DispatcherPause
 	DispatcherResume
-	DispatcherRestart // planned: asked to end, then started again
-	DispatcherLeave   // asked to drain
+	DispatcherRestart // graceful: stops the process, and starts it again
+	DispatcherLeave   // drains the dispatcher
 	DispatcherJoin
-	DispatcherUpgrade     // by a second process beside it
-	DispatcherReconfigure // to Value attempts per request, 0 for the experiment's own number
-	ClientsIdle           // Value connections for Duration
+	DispatcherUpgrade     // replaces the process by a new one, which is started while the old one still runs
+	DispatcherReconfigure // Value is the number of attempts per request; 0 restores the experiment's setting
+	ClientsIdle           // opens Value connections for Duration
 	ClientsTrickle
 	PeersCut
 	PeersLoss // Value is the share of datagrams lost
 	PeersRecover
-	LinkCut // between the targets and all other dispatchers, in the direction Mode, "" for both
+	LinkCut // between the targets and all other dispatchers; Mode is the direction, "" for both
 	LinkHeal
 	LinkLoss // Value is the share of messages lost
 	LinkRecover
-	PowerLoss   // of all targets at once
-	PowerReturn // of one dispatcher: Mode is the state of its disk, Duration the jump of its clock
+	PowerLoss    // affects all targets at once
+	PowerRestore // restarts one dispatcher; Mode is the state of its disk, Duration its clock jump
 )
 
-// Action is one step of a fault. The meaning of Value, Duration and Mode is that of the kind.
+// Action is a step of a fault. The meaning of Value, Duration and Mode depends on Kind.
 type Action struct {
 	At       time.Duration // since the start of the experiment
 	Kind     ActionKind
@@ -69,22 +69,23 @@
 	Fault    int // index of the fault's Spec
 }
 
-// Mark is the time of a fault as reports show it, since the start of the experiment.
-type Mark struct {
+// Interval is the period of a fault with its description, for reports. Times are since the start of the experiment.
+type Interval struct {
 	From        time.Duration `json:"from_ns"`
 	To          time.Duration `json:"to_ns"`
 	Description string        `json:"what"`
 }
 
-// Timeline is the outcome of planning all faults: actions ordered by time, extra load, and a mark for each fault.
+// Timeline is the plan of all faults: the actions in order of time, the extra load, and the interval of each
+// fault.
 type Timeline struct {
 	Actions    []Action
 	ExtraLoads []workload.ExtraLoad
-	Marks      []Mark
+	Intervals  []Interval
 }
 
-// Plan returns the timeline of all faults. The same specs, topology and seed give the same timeline. The error names the
-// fault and the key.
+// Plan returns the timeline of all faults. It is deterministic for the same specs, topology and seed. An error names
+// the invalid fault and key.
 func Plan(specs []Spec, topology Topology, seed uint64) (*Timeline, error) {
 	timeline := &Timeline{}
 	for n, spec := range specs {
@@ -99,15 +100,15 @@
 			}
 		}
 		p := &planner{topology: topology, rng: randomStream(seed, n), spec: spec, index: n, timeline: timeline}
-		mark := Mark{From: p.start(), To: p.end(), Description: kind.plan(p)}
-		timeline.Marks = append(timeline.Marks, mark)
+		interval := Interval{From: p.start(), To: p.end(), Description: kind.plan(p)}
+		timeline.Intervals = append(timeline.Intervals, interval)
 	}
 	slices.SortStableFunc(timeline.Actions, func(a, b Action) int { return int(a.At - b.At) })
 	return timeline, nil
 }
 
-// randomStream returns the random stream of the fault with index n. The stream's name is the former key of faults: with
-// another name the same seed would draw other targets.
+// randomStream returns the random stream of the fault with index n. The name of the stream contains a former key of
+// experiment files and must not change, because the same seed would select other targets.
 func randomStream(seed uint64, n int) *rand.Rand {
 	return unit.RandomStream(seed, fmt.Sprint("trouble ", n))
 }
--- a/internal/testbed/fault/timeline_test.go
+++ b/internal/testbed/fault/timeline_test.go
@@ -35,22 +35,22 @@
 		differs = differs || !assert.ObjectsAreEqual(one.Actions, other.Actions)
 	}
 	assert.True(t, differs, "another seed picks other workers")
-	crash, restart := find(one, WorkerCrash)[0], find(one, WorkerRestart)[0]
+	crash, restart := actionsOfKind(one, WorkerCrash)[0], actionsOfKind(one, WorkerRestart)[0]
 	assert.Equal(t, crash.Targets, restart.Targets)
 	assert.Len(t, crash.Targets, 2)
 	assert.Equal(t, []time.Duration{2 * time.Second, 5 * time.Second}, []time.Duration{crash.At, restart.At})
-	speeds := find(one, WorkerSpeed)
+	speeds := actionsOfKind(one, WorkerSpeed)
 	assert.Equal(t, []float64{0.75, 1, 0.75, 1}, []float64{
 		speeds[0].Value, speeds[1].Value, speeds[2].Value,
 		speeds[3].Value,
 	})
-	restarts := find(one, DispatcherRestart)
-	assert.Equal(t, defaultGap, restarts[1].At-restarts[0].At)
+	restarts := actionsOfKind(one, DispatcherRestart)
+	assert.Equal(t, defaultRollingGap, restarts[1].At-restarts[0].At)
 	assert.Len(t, restarts, 3)
 }
 
-// find returns the timeline's actions of a kind.
-func find(timeline *Timeline, kind ActionKind) (found []Action) {
+// actionsOfKind returns the timeline's actions of a kind.
+func actionsOfKind(timeline *Timeline, kind ActionKind) (found []Action) {
 	for _, action := range timeline.Actions {
 		if action.Kind == kind {
 			found = append(found, action)
@@ -102,11 +102,11 @@
 		{Kind: "silent-clients", For: second, Connections: 7},
 	}, topology, 1)
 	assert.NoError(t, err)
-	assert.Len(t, find(timeline, DispatcherUpgrade), 3, "in turn")
-	assert.Equal(t, find(timeline, DispatcherLeave)[0].Targets, find(timeline, DispatcherJoin)[0].Targets)
-	settings := find(timeline, DispatcherReconfigure)
+	assert.Len(t, actionsOfKind(timeline, DispatcherUpgrade), 3, "in turn")
+	assert.Equal(t, actionsOfKind(timeline, DispatcherLeave)[0].Targets, actionsOfKind(timeline, DispatcherJoin)[0].Targets)
+	settings := actionsOfKind(timeline, DispatcherReconfigure)
 	assert.Equal(t, []any{1.0, 0.0, 3}, []any{settings[0].Value, settings[1].Value, len(settings[0].Targets)})
-	silent := find(timeline, ClientsIdle)[0]
+	silent := actionsOfKind(timeline, ClientsIdle)[0]
 	assert.Equal(t, []any{7.0, time.Second}, []any{silent.Value, silent.Duration})
 	_, err = Plan([]Spec{{Kind: "silent-clients", For: second}}, topology, 1)
 	assert.ErrorContains(t, err, "fault[0].connections: 0, must be from 1")
--- a/internal/testbed/loadgen/loadgen.go
+++ b/internal/testbed/loadgen/loadgen.go
@@ -116,7 +116,7 @@
 	for try := 0; ; try++ {
 		last := g.sendRequest(ctx, n, try, arrival, operation)
 		call.Outcome = last.outcome
-		call.Tries = try + 1
+		call.Requests = try + 1
 		if !mayRetry(last.outcome, operation) || try >= g.Retries || !g.waitBeforeRetry(ctx, n, try, last.retryAfter) {
 			break
 		}
--- a/internal/testbed/loadgen/loadgen_test.go
+++ b/internal/testbed/loadgen/loadgen_test.go
@@ -81,7 +81,7 @@
 	assert.InDelta(t, 800, got.All.P90, 100)
 	assert.Less(t, got.All.P50, 60.0)
 	assert.InDelta(t, 1000, got.All.Max, 100)
-	assert.EqualValues(t, 400, got.Total.Answers["succeeded"])
+	assert.EqualValues(t, 400, got.Total.Outcomes["succeeded"])
 }
 
 // A paused dispatcher must still get calls, and each that it does not answer counts with the whole time waited.
@@ -95,7 +95,7 @@
 	})
 	generator.Run(context.Background(), arrivalsEvery(2*ms, 400*ms))
 	got := generator.summary()
-	assert.EqualValues(t, 200, got.Total.Answers["unanswered"])
+	assert.EqualValues(t, 200, got.Total.Outcomes["unanswered"])
 	assert.Zero(t, got.Generator.Unsent)
 	assert.GreaterOrEqual(t, got.All.P50, 299.0, "none is abandoned before its timeout")
 	assert.Len(t, generator.History.Check(history.RuleConfig{Operations: []history.Operation{{}}}), 200, "each one is lost")
@@ -147,7 +147,7 @@
 	generator.Retries = 2
 	generator.Run(context.Background(), []workload.Arrival{{Operation: 0}, {Operation: 1}, {Operation: 2, Key: 9}})
 	got := generator.summary()
-	assert.Equal(t, map[string]int64{"succeeded": 2, "errored": 1}, got.Total.Answers)
+	assert.Equal(t, map[string]int64{"succeeded": 2, "errored": 1}, got.Total.Outcomes)
 	assert.EqualValues(t, 1, received["once"].Load(), "a request that may have run is not retried")
 	assert.GreaterOrEqual(t, got.Operations[2].Latency.Max, 100.0, "both retries waited for Retry-After")
 	close(keys)
@@ -180,7 +180,7 @@
 	for range 4 { // one after the other: on a busy machine the second could otherwise start before the first has ended
 		generator.Run(context.Background(), []workload.Arrival{{}})
 	}
-	assert.Equal(t, map[string]int64{"succeeded": 2, "broken": 2}, generator.summary().Total.Answers,
+	assert.Equal(t, map[string]int64{"succeeded": 2, "broken": 2}, generator.summary().Total.Outcomes,
 		"first; second on a new connection; third on a new one that ends; fourth on another that ends")
 }
 
@@ -195,7 +195,7 @@
 	generator.Run(ctx, arrivalsEvery(10*ms, time.Minute))
 	assert.Less(t, time.Since(startedAt), 2*time.Second)
 	got := generator.summary()
-	assert.Equal(t, got.Total.Calls, got.Total.Answers["interrupted"])
+	assert.Equal(t, got.Total.Calls, got.Total.Outcomes["interrupted"])
 	assert.Positive(t, got.Total.Calls)
 	assert.Empty(t, generator.History.Check(history.RuleConfig{Operations: []history.Operation{{}}}), "an interrupted call violates no rule")
 }
--- a/internal/testbed/metrics/recorder.go
+++ b/internal/testbed/metrics/recorder.go
@@ -1,6 +1,6 @@
-// Package metrics aggregates the calls of an experiment. A call is a client's request with its retries. Latency counts
-// from the intended time of sending, not from the actual one. A generator that waits for a slow dispatcher would
-// otherwise hide the delay that it causes (coordinated omission).
+// Package metrics aggregates the calls of an experiment. A call is a client's request including its retries. Latency is
+// measured from the intended time of sending, not from the actual time. Otherwise a load generator that waits for a
+// slow dispatcher would hide the delay that the dispatcher causes (coordinated omission).
 package metrics
 
 import (
@@ -17,28 +17,28 @@
 	minMicros             = 1
 	maxMicros             = int64(10 * time.Minute / time.Microsecond)
 	significantDigits     = 3
-	slotSignificantDigits = 2 // of the histogram of a slot
+	slotSignificantDigits = 2 // for the histogram of a slot
 )
 
-// Limits of the generator's own lateness, beyond which its results are not trusted.
+// Limits of the load generator's lateness. The results of a run that exceeds them are not trusted.
 const (
-	LateAfter    = 10 * time.Millisecond // a call that is sent later than this is late
-	maxLateShare = 0.01                  // of the calls
+	LateThreshold = 10 * time.Millisecond // a call is late if it is sent more than this after its intended time
+	maxLateShare  = 0.01                  // maximum share of late calls
 )
 
-// Call is a call that is over. Times are since the start of the experiment.
+// Call is a completed call. Times are since the start of the experiment.
 type Call struct {
 	Operation    int             // index
 	Tenant       int             // index
-	Intended     time.Duration   // when it was due
+	Intended     time.Duration   // intended time of sending
 	Sent         time.Duration   // start of its first request
 	Ended        time.Duration   // end of its last request
-	Work         time.Duration   // core time that it stands for
+	Work         time.Duration   // core time that the call needs at a worker
 	Outcome      history.Outcome // of the last request
-	Tries        int             // number of requests
+	Requests     int             // including retries
 	InTime       bool            // succeeded within the latency objective
-	ValueOffered float64         // billed value of a success in time
-	ValueEarned  float64         // billed value
+	ValueOffered float64         // billed value if the call succeeds in time
+	ValueEarned  float64         // value that was billed
 }
 
 // Recorder aggregates calls. It is safe for concurrent use.
@@ -47,30 +47,30 @@
 
 	mu         sync.Mutex
 	succeeded  *hdrhistogram.Histogram // latency of successful calls
-	all        *hdrhistogram.Histogram // latency of all calls; one without an answer counts with the time waited
+	all        *hdrhistogram.Histogram // latency of all calls; for a call without an answer, the time that the client waited
 	lateness   *hdrhistogram.Histogram // from the intended to the actual time of sending
 	operations []*groupTally           // by index
 	tenants    []*groupTally           // by index
 	slots      []*slotTally            // by time
 	total      groupTally
-	lateCalls  int64 // calls that were sent more than LateAfter late
+	lateCalls  int64 // calls sent more than LateThreshold after their intended time
 }
 
-// outcomeCounts are numbers of calls by history.Outcome.
+// outcomeCounts holds the number of calls for each history.Outcome.
 type outcomeCounts [history.Unsent + 1]int64
 
-// groupTally aggregates the calls of a group.
+// groupTally aggregates a group of calls: all calls, or those of an operation or a tenant.
 type groupTally struct {
 	outcomes     outcomeCounts
 	calls        int64
 	inTime       int64 // calls that succeeded within their latency objective
-	tries        int64 // requests
+	requests     int64 // including retries
 	valueOffered float64
 	valueEarned  float64
 	latency      *hdrhistogram.Histogram // of successful calls; nil: not recorded
 }
 
-// slotTally aggregates the calls that were due in a time slot.
+// slotTally aggregates the calls whose intended time is in a time slot.
 type slotTally struct {
 	arrivals     int64
 	outcomes     outcomeCounts
@@ -79,12 +79,13 @@
 	latency      *hdrhistogram.Histogram // of successful calls
 }
 
-// newHistogram returns a histogram of microseconds.
+// newHistogram returns an empty histogram of durations in microseconds.
 func newHistogram() *hdrhistogram.Histogram {
 	return hdrhistogram.New(minMicros, maxMicros, significantDigits)
 }
 
-// NewRecorder returns a recorder that also aggregates by time slots of a length.
+// NewRecorder returns a recorder for the given numbers of operations and tenants. It also aggregates the calls by time
+// slots of slotLength.
 func NewRecorder(slotLength time.Duration, operations, tenants int) *Recorder {
 	r := &Recorder{
 		slotLength: slotLength,
@@ -101,9 +102,10 @@
 	return r
 }
 
-// recordValue records a value that clampMicros has returned, so that it is within the histogram's range.
+// recordValue records a value in a histogram. The value must be a result of clampMicros, and is therefore within the
+// histogram's range.
 func recordValue(h *hdrhistogram.Histogram, value int64) {
-	_ = h.RecordValue(value) // fails only outside the range
+	_ = h.RecordValue(value) // fails only for values outside the range
 }
 
 // clampMicros converts a duration to microseconds within the range of the histograms.
@@ -111,7 +113,7 @@
 	return min(max(int64(d/time.Microsecond), minMicros), maxMicros)
 }
 
-// Record adds a call that is over.
+// Record adds a completed call.
 func (r *Recorder) Record(call Call) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -121,7 +123,7 @@
 	if call.Tenant < len(r.tenants) {
 		r.tenants[call.Tenant].add(call, latency)
 	}
-	r.slotAt(call.Intended).add(call, latency)
+	r.slotFor(call.Intended).add(call, latency)
 	if call.Outcome == history.Unsent {
 		return
 	}
@@ -131,13 +133,13 @@
 	}
 	lateness := call.Sent - call.Intended
 	recordValue(r.lateness, clampMicros(lateness))
-	if lateness > LateAfter {
+	if lateness > LateThreshold {
 		r.lateCalls++
 	}
 }
 
-// slotAt returns the slot of a time, and adds those up to it that are missing. The caller holds the lock.
-func (r *Recorder) slotAt(at time.Duration) *slotTally {
+// slotFor returns the slot that contains a time. It appends missing slots up to that one. The caller must hold r.mu.
+func (r *Recorder) slotFor(at time.Duration) *slotTally {
 	index := int(at / r.slotLength)
 	for len(r.slots) <= index {
 		r.slots = append(r.slots, &slotTally{latency: hdrhistogram.New(minMicros, maxMicros, slotSignificantDigits)})
@@ -145,7 +147,7 @@
 	return r.slots[index]
 }
 
-// add adds a call. Its latency is in microseconds.
+// add adds a call. The latency is in microseconds.
 func (s *slotTally) add(call Call, latency int64) {
 	s.arrivals++
 	s.outcomes[call.Outcome]++
@@ -156,11 +158,11 @@
 	}
 }
 
-// add adds a call. Its latency is in microseconds.
+// add adds a call. The latency is in microseconds.
 func (t *groupTally) add(call Call, latency int64) {
 	t.outcomes[call.Outcome]++
 	t.calls++
-	t.tries += int64(call.Tries)
+	t.requests += int64(call.Requests)
 	t.valueOffered += call.ValueOffered
 	t.valueEarned += call.ValueEarned
 	if call.InTime {
@@ -171,7 +173,7 @@
 	}
 }
 
-// CallCounts are numbers of calls by outcome.
+// CallCounts holds numbers of calls by outcome.
 type CallCounts struct {
 	Total     int64
 	Succeeded int64
@@ -179,7 +181,7 @@
 	Other     int64 // any other outcome
 }
 
-// Counts returns the numbers of calls so far.
+// Counts returns the numbers of calls recorded so far.
 func (r *Recorder) Counts() CallCounts {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/testbed/metrics/recovery.go
+++ b/internal/testbed/metrics/recovery.go
@@ -6,108 +6,111 @@
 	"canvasroute/internal/testbed/worker"
 )
 
-// ReturningWorker is a worker that may have lost power.
-type ReturningWorker struct {
-	Cores  int
-	BackAt time.Duration // when it starts again, or NoPowerLoss
+// RestartedWorker describes a worker and its restart after a power loss.
+type RestartedWorker struct {
+	Cores     int
+	RestartAt time.Duration // time of its restart, or NoPowerLoss
 }
 
-// NoPowerLoss is the ReturningWorker.BackAt of a worker that did not lose power.
+// NoPowerLoss is the value of RestartedWorker.RestartAt for a worker that did not lose power.
 const NoPowerLoss time.Duration = -1
 
-// OfferedCall is a planned call and what it can earn.
+// OfferedCall is a planned call and the value that it can earn.
 type OfferedCall struct {
 	At        time.Duration // since the start of the experiment
 	Work      time.Duration // core time
 	Objective time.Duration // fixed part of the latency objective
-	Stretch   float64       // added to the objective: this many times Work
+	Stretch   float64       // multiple of Work that is added to Objective
 	Value     float64       // billed value per second of work
-	LateShare float64       // share of the value that a late answer earns
+	LateShare float64       // share of the value that is earned by a late answer
 }
 
-// PowerLoss is a loss of power and what is known about the time around it.
+// PowerLoss holds the data that is needed to measure the recovery from a power loss.
 type PowerLoss struct {
 	At         time.Duration // since the start of the experiment
-	Slots      []Slot        // of the run, by intended time of the calls
+	Slots      []Slot        // all slots of the run, by intended time of the calls
 	SlotLength time.Duration
-	Calls      []OfferedCall // of the whole schedule
-	Workers    []ReturningWorker
+	Calls      []OfferedCall // all calls of the schedule
+	Workers    []RestartedWorker
 	Warmup     worker.Warmup
 }
 
-// Recovery is how a fleet recovered from a loss of power. Times are in seconds.
+// Recovery describes how fast a fleet recovered from a power loss. Times are in seconds.
 type Recovery struct {
-	LostAt           float64 `json:"lost_s"`
-	LastWorkerBackAt float64 `json:"last_worker_back_s"`
-	ShareBefore      float64 `json:"share_before"` // earned of the offered value before the loss
-
-	// UntilRecovered is the time from the last worker's return until recoveredShare of ShareBefore is earned again, or
-	// neverRecovered. UntilRecoveredAtBest is the same for bestValueShare.
-	UntilRecovered       float64 `json:"until_90_s"`
-	UntilRecoveredAtBest float64 `json:"until_best_s"`
-
-	// RatioToBest is UntilRecovered to UntilRecoveredAtBest, each plus one slot. It is 0 if either is neverRecovered.
+	LostAt              float64 `json:"lost_s"`
+	LastWorkerRestartAt float64 `json:"last_worker_back_s"`
+	ValueShareBefore    float64 `json:"share_before"` // earned share of the offered value before the loss
+
+	// RecoveryTime is the time from the last worker's restart until the earned share reaches recoveredFraction of
+	// ValueShareBefore again, or neverRecovered. BestRecoveryTime is the same time for the upper bound that
+	// bestValueShare computes.
+	RecoveryTime     float64 `json:"until_90_s"`
+	BestRecoveryTime float64 `json:"until_best_s"`
+
+	// RatioToBest is the ratio of RecoveryTime to BestRecoveryTime, after one slot length is added to both. It is 0 if
+	// either is neverRecovered.
 	RatioToBest float64 `json:"until_to_best"`
 }
 
-// neverRecovered is the Recovery.UntilRecovered of a fleet that did not recover within the run.
+// neverRecovered is the value of Recovery.RecoveryTime if the fleet did not recover within the run.
 const neverRecovered = -1
 
-// recoveredShare is the part of the earned share before a loss at which the fleet counts as recovered.
-const recoveredShare = 0.9
+// recoveredFraction is the fraction of the earned share before the loss at which the fleet counts as recovered.
+const recoveredFraction = 0.9
 
-// minOffered and minWork keep quotients over an empty slot finite.
+// minOffered and minWork are lower bounds of divisors. They prevent a division by zero for an empty slot.
 const (
 	minOffered = 1e-9
 	minWork    = 1e-9
 )
 
-// warmupFactor returns the share of its capacity that a worker has at a time.
-func (w ReturningWorker) warmupFactor(warmup worker.Warmup, at time.Duration) float64 {
+// warmupFactor returns the share of its full capacity that the worker has at the given time.
+func (w RestartedWorker) warmupFactor(warmup worker.Warmup, at time.Duration) float64 {
 	switch {
-	case w.BackAt == NoPowerLoss || warmup.Duration <= 0:
+	case w.RestartAt == NoPowerLoss || warmup.Duration <= 0:
 		return 1
-	case at < w.BackAt:
+	case at < w.RestartAt:
 		return 0
 	}
-	return warmup.Factor(at - w.BackAt)
+	return warmup.Factor(at - w.RestartAt)
 }
 
-// Recovery compares the time that the fleet needed to recover with the shortest that any dispatcher could reach.
+// Recovery measures the time that the fleet took to recover, and compares it with the shortest time that any dispatcher
+// could achieve.
 func (l *PowerLoss) Recovery() Recovery {
-	lastBackAt := l.At
+	lastRestartAt := l.At
 	for _, w := range l.Workers {
-		lastBackAt = max(lastBackAt, w.BackAt)
+		lastRestartAt = max(lastRestartAt, w.RestartAt)
 	}
 	recovery := Recovery{
-		LostAt:               l.At.Seconds(),
-		LastWorkerBackAt:     lastBackAt.Seconds(),
-		UntilRecovered:       neverRecovered,
-		UntilRecoveredAtBest: neverRecovered,
+		LostAt:              l.At.Seconds(),
+		LastWorkerRestartAt: lastRestartAt.Seconds(),
+		RecoveryTime:        neverRecovered,
+		BestRecoveryTime:    neverRecovered,
 	}
-	before, known := l.shareBefore()
+	before, known := l.valueShareBefore()
 	if !known {
 		return recovery
 	}
-	recovery.ShareBefore = before
+	recovery.ValueShareBefore = before
 	actual := make([]float64, len(l.Slots))
 	best := make([]float64, len(l.Slots))
 	for n, slot := range l.Slots {
 		actual[n] = slot.ValueEarned / max(slot.ValueOffered, minOffered)
 		best[n] = l.bestValueShare(time.Duration(n) * l.SlotLength)
 	}
-	recovery.UntilRecovered = l.timeToRecovery(lastBackAt, before, actual)
-	recovery.UntilRecoveredAtBest = l.timeToRecovery(lastBackAt, before, best)
-	if recovery.UntilRecovered >= 0 && recovery.UntilRecoveredAtBest >= 0 {
-		resolution := l.SlotLength.Seconds() // times are no finer than a slot
-		recovery.RatioToBest = (recovery.UntilRecovered + resolution) / (recovery.UntilRecoveredAtBest + resolution)
+	recovery.RecoveryTime = l.recoveryTime(lastRestartAt, before, actual)
+	recovery.BestRecoveryTime = l.recoveryTime(lastRestartAt, before, best)
+	if recovery.RecoveryTime >= 0 && recovery.BestRecoveryTime >= 0 {
+		resolution := l.SlotLength.Seconds() // the resolution of recovery times is one slot
+		recovery.RatioToBest = (recovery.RecoveryTime + resolution) / (recovery.BestRecoveryTime + resolution)
 	}
 	return recovery
 }
 
-// shareBefore returns the earned share of the offered value in the slots before the loss. It is unknown if nothing was
-// offered.
-func (l *PowerLoss) shareBefore() (share float64, known bool) {
+// valueShareBefore returns the earned share of the offered value in the slots before the loss. known is false if no
+// value was offered in them.
+func (l *PowerLoss) valueShareBefore() (share float64, known bool) {
 	offered, earned := 0.0, 0.0
 	for _, slot := range l.Slots {
 		if slot.From+l.SlotLength.Seconds() <= l.At.Seconds() {
@@ -121,26 +124,29 @@
 	return earned / offered, true
 }
 
-// timeToRecovery returns the time in seconds from the last return to the first of two consecutive slots whose share
-// counts as recovered, or neverRecovered. The last slot needs no second one.
-func (l *PowerLoss) timeToRecovery(lastBackAt time.Duration, before float64, shares []float64) float64 {
+// recoveryTime returns the time in seconds from the last worker's restart to the first of two consecutive slots whose
+// shares count as recovered, or neverRecovered. The last slot of the run does not need a second
+// one.
+func (l *PowerLoss) recoveryTime(lastRestartAt time.Duration, before float64, shares []float64) float64 {
 	const rounding = 1e-9
-	recovered := func(n int) bool { return n >= len(shares) || shares[n] >= recoveredShare*before }
+	recovered := func(n int) bool { return n >= len(shares) || shares[n] >= recoveredFraction*before }
 	for n, slot := range l.Slots {
-		if slot.From+rounding < lastBackAt.Seconds() {
+		if slot.From+rounding < lastRestartAt.Seconds() {
 			continue
 		}
 		if recovered(n) && recovered(n+1) {
-			return slot.From - lastBackAt.Seconds()
+			return slot.From - lastRestartAt.Seconds()
 		}
 	}
 	return neverRecovered
 }
 
-// bestValueShare returns an upper bound of the value share of the slot that begins at a time. Each call starts at its
-// intended time, at a worker of the mean warm-up factor in the middle of the slot. It takes its work divided by that
-// factor. It earns its full value within its objective, and LateShare of it later. All calls together do no more work
-// than the cores can in the slot. No dispatcher does better by more than the spread of warm-up factors between workers.
+// bestValueShare returns an upper bound of the earned share of the value offered in the slot that begins at from. It
+// assumes that each call starts at its intended time, and that its worker has the mean warm-up factor of all workers in
+// the middle of the slot, so that the call takes its work divided by this factor. A call earns its full value if it
+// ends within its latency objective, and LateShare of it otherwise. The total work is limited by the capacity of all
+// cores in the slot. The warm-up factors of the workers differ, so a dispatcher can exceed the bound by at most their
+// spread.
 func (l *PowerLoss) bestValueShare(from time.Duration) float64 {
 	cores, capacity := 0.0, 0.0
 	for _, w := range l.Workers {
--- a/internal/testbed/metrics/summary.go
+++ b/internal/testbed/metrics/summary.go
@@ -8,7 +8,7 @@
 	"canvasroute/internal/testbed/history"
 )
 
-// Latency holds percentiles in milliseconds.
+// Latency holds statistics of a latency in milliseconds.
 type Latency struct {
 	Count int64   `json:"count"`
 	Mean  float64 `json:"mean_ms"`
@@ -19,22 +19,22 @@
 	Max   float64 `json:"max_ms"`
 }
 
-// Tally aggregates the calls of a group.
+// Tally holds the results of a group of calls: all calls, or those of an operation or a tenant.
 type Tally struct {
 	Name       string           `json:"name,omitempty"`
 	Calls      int64            `json:"calls"`
-	Answers    map[string]int64 `json:"answers"` // by outcome
+	Outcomes   map[string]int64 `json:"answers"` // number of calls by outcome
 	InTime     int64            `json:"in_time"`
-	Tries      int64            `json:"tries"`       // requests
-	ValueShare float64          `json:"value_share"` // earned of the offered value
+	Requests   int64            `json:"tries"`       // including retries
+	ValueShare float64          `json:"value_share"` // earned share of the offered value
 	Latency    *Latency         `json:"latency,omitempty"`
 }
 
-// Slot aggregates the calls that were due in one time slot.
+// Slot holds the results of the calls whose intended time is in a time slot.
 type Slot struct {
 	From         float64          `json:"from_s"` // seconds since the start of the experiment
 	Arrivals     int64            `json:"arrivals"`
-	Answers      map[string]int64 `json:"answers"`
+	Outcomes     map[string]int64 `json:"answers"`
 	ValueOffered float64          `json:"asked_value"`
 	ValueEarned  float64          `json:"earned_value"`
 	P50          float64          `json:"p50_ms"`
@@ -42,20 +42,20 @@
 	P99          float64          `json:"p99_ms"`
 }
 
-// Generator is how closely the load generator kept to its schedule.
+// Generator describes how closely the load generator kept to its schedule.
 type Generator struct {
-	Late      Latency `json:"late"` // from the intended to the actual time of sending
+	Lateness  Latency `json:"late"` // from the intended to the actual time of sending
 	LateCalls int64   `json:"late_calls"`
-	Unsent    int64   `json:"unsent"`        // calls
-	Trusted   bool    `json:"trusted"`       // latencies are those of the dispatchers
-	Reason    string  `json:"why,omitempty"` // why they are not
+	Unsent    int64   `json:"unsent"`        // calls that were never sent
+	Trusted   bool    `json:"trusted"`       // the latencies measure the dispatchers rather than the generator
+	Reason    string  `json:"why,omitempty"` // why Trusted is false
 }
 
-// Summary is everything that a recorder has aggregated.
+// Summary holds all results of a recorder.
 type Summary struct {
 	Total       Tally     `json:"total"`
 	Succeeded   Latency   `json:"latency_succeeded"`
-	All         Latency   `json:"latency_all"` // a call without an answer counts with the time waited
+	All         Latency   `json:"latency_all"` // for a call without an answer, the time that the client waited
 	Generator   Generator `json:"generator"`
 	Operations  []Tally   `json:"operations"`
 	Tenants     []Tally   `json:"customers,omitempty"`
@@ -63,7 +63,7 @@
 	Slots       []Slot    `json:"slots"`
 }
 
-// Summary returns the aggregates, with the names of operations and tenants.
+// Summary returns the results so far. The arguments are the names of the operations and tenants, by index.
 func (r *Recorder) Summary(operations, tenants []string) Summary {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -86,31 +86,31 @@
 	return summary
 }
 
-// generator judges whether the load generator kept to its schedule. The caller holds the lock.
+// generator assesses whether the load generator kept to its schedule. The caller must hold r.mu.
 func (r *Recorder) generator() Generator {
 	generator := Generator{
-		Late:      percentiles(r.lateness),
+		Lateness:  percentiles(r.lateness),
 		LateCalls: r.lateCalls,
 		Unsent:    r.total.outcomes[history.Unsent],
 	}
 	switch {
 	case generator.Unsent > 0:
 		generator.Reason = fmt.Sprintf("%d calls were never sent: too many were open", generator.Unsent)
-	case float64(generator.LateCalls) > maxLateShare*float64(generator.Late.Count):
+	case float64(generator.LateCalls) > maxLateShare*float64(generator.Lateness.Count):
 		generator.Reason = fmt.Sprintf("%d of %d calls were sent more than %v late", generator.LateCalls,
-			generator.Late.Count, LateAfter)
+			generator.Lateness.Count, LateThreshold)
 	default:
 		generator.Trusted = true
 	}
 	return generator
 }
 
-// export returns the slot as it stands in results. from is its start in seconds.
+// export returns the slot in the format of results. from is the start of the slot in seconds.
 func (s *slotTally) export(from float64) Slot {
 	return Slot{
 		From:         from,
 		Arrivals:     s.arrivals,
-		Answers:      s.outcomes.byName(),
+		Outcomes:     s.outcomes.countsByName(),
 		ValueOffered: s.valueOffered,
 		ValueEarned:  s.valueEarned,
 		P50:          percentile(s.latency, 50),
@@ -119,9 +119,9 @@
 	}
 }
 
-// export returns the tally as it stands in results.
+// export returns the tally in the format of results.
 func (t *groupTally) export(name string) Tally {
-	exported := Tally{Name: name, Calls: t.calls, Answers: t.outcomes.byName(), InTime: t.inTime, Tries: t.tries}
+	exported := Tally{Name: name, Calls: t.calls, Outcomes: t.outcomes.countsByName(), InTime: t.inTime, Requests: t.requests}
 	if t.valueOffered > 0 {
 		exported.ValueShare = t.valueEarned / t.valueOffered
 	}
@@ -132,8 +132,8 @@
 	return exported
 }
 
-// byName returns the counts above 0 by the name of the outcome.
-func (c outcomeCounts) byName() map[string]int64 {
+// countsByName returns the counts that are greater than 0, by the name of the outcome.
+func (c outcomeCounts) countsByName() map[string]int64 {
 	counts := map[string]int64{}
 	for outcome, count := range c {
 		if count > 0 {
@@ -143,7 +143,7 @@
 	return counts
 }
 
-// microsPerMilli converts the unit of the histograms to that of results.
+// microsPerMilli is the number of microseconds, the unit of the histograms, in a millisecond, the unit of results.
 const microsPerMilli = 1000
 
 // percentile returns a percentile of a histogram in milliseconds.
@@ -151,7 +151,7 @@
 	return float64(histogram.ValueAtQuantile(percent)) / microsPerMilli
 }
 
-// percentiles returns the percentiles of a histogram that stand in results.
+// percentiles returns the statistics of a histogram that results contain.
 func percentiles(histogram *hdrhistogram.Histogram) Latency {
 	count := histogram.TotalCount()
 	if count == 0 {
--- a/internal/testbed/network/network.go
+++ b/internal/testbed/network/network.go
@@ -1,5 +1,5 @@
-// Package network is a stand-in for the network between dispatchers. It relays datagrams, and loses, delays, duplicates
-// or blocks them as configured. Each pair of dispatchers has addresses of its own.
+// Package network simulates the network between dispatchers for the testbed. It relays datagrams, and drops, delays,
+// duplicates or blocks them as configured. Each ordered pair of dispatchers has its own relay address.
 package network
 
 import (
@@ -17,19 +17,19 @@
 	"canvasroute/internal/testbed/unit"
 )
 
-// Conditions are how the network treats datagrams.
+// Conditions configure the loss, delay and duplication of datagrams.
 type Conditions struct {
 	Loss           float64       // share of datagrams lost
 	Delay          time.Duration // one way
-	Jitter         time.Duration // up to this much more, uniformly distributed
+	Jitter         time.Duration // maximum additional delay, uniformly distributed
 	Partitioned    bool          // nothing is delivered
-	DuplicateShare float64       // share delivered twice, the second time after up to maxDuplicateDelay times the delay
+	DuplicateShare float64       // share of datagrams delivered twice, see maxDuplicateDelay
 }
 
-// maxDuplicateDelay bounds the delay of a duplicate, in multiples of that of the datagram.
+// maxDuplicateDelay is the maximum delay of a duplicate, as a multiple of the delay of the original datagram.
 const maxDuplicateDelay = 10
 
-// direction is the way from one dispatcher to another, by their indexes.
+// direction identifies the path from one dispatcher to another by their indexes.
 type direction struct {
 	from int
 	to   int
@@ -37,51 +37,51 @@
 
 // Network relays datagrams between dispatchers.
 type Network struct {
-	listenAddrs []netip.AddrPort   // by dispatcher
-	sockets     [][]*net.UDPConn   // [of][by]: the socket that represents dispatcher of to dispatcher by
-	views       [][]netip.AddrPort // [by][of]: the address of dispatcher of as dispatcher by sees it
+	listenAddrs  []netip.AddrPort   // by dispatcher
+	relaySockets [][]*net.UDPConn   // [target][viewer]: represents the target to the viewer
+	views        [][]netip.AddrPort // [viewer][target]: the target's address for the viewer
 
-	maxBytes int // size of the largest datagram that is relayed
+	maxBytes int // maximum size of a datagram that is relayed
 
 	mu         sync.Mutex
-	partitions map[direction]int // number of faults that cut a direction
+	cutCounts  map[direction]int // number of faults that currently cut each direction
 	rng        *rand.Rand
 	conditions Conditions
-	Forwarded  int // number of datagrams; to be read once Run has returned
-	Discarded  int // number of datagrams; to be read once Run has returned
+	Forwarded  int // number of datagrams; may be read after Run has returned
+	Discarded  int // number of datagrams; may be read after Run has returned
 }
 
-// Kind is what a network connects dispatchers for. It names the network's random stream.
+// Kind is the purpose of a network. It is also the name of the network's random stream.
 type Kind string
 
-// The values of Kind. Another text would draw other losses for the same seed.
+// The values of Kind. Changing a text would change which datagrams are lost for the same seed.
 const (
-	Peers Kind = "peers" // datagrams of the platform's network
-	Link  Kind = "link"  // messages between the members of a fleet that persists state
+	Peers Kind = "peers" // the platform's network between dispatchers
+	Link  Kind = "link"  // messages between the members of a fleet that persists its state
 )
 
-// PlatformDatagramBytes is the size of the largest datagram that the platform's network delivers.
+// PlatformDatagramBytes is the maximum size of a datagram that the platform's network delivers.
 const PlatformDatagramBytes = 256
 
-// New opens the sockets of a network between dispatchers that listen at these addresses, for datagrams of up to
-// maxBytes.
+// New opens the sockets of a network between dispatchers that listen at listenAddrs. The network discards datagrams
+// that are larger than maxBytes.
 func New(kind Kind, listenAddrs []netip.AddrPort, conditions Conditions, maxBytes int, seed uint64) (*Network, error) {
 	n := &Network{
 		listenAddrs: listenAddrs,
 		conditions:  conditions,
 		maxBytes:    maxBytes,
-		partitions:  map[direction]int{},
+		cutCounts:   map[direction]int{},
 		rng:         unit.RandomStream(seed, string(kind)),
 	}
 	if err := n.openSockets(); err != nil {
 		n.close()
 		return nil, fmt.Errorf("peer network: %w", err)
 	}
-	for by := range listenAddrs {
+	for viewer := range listenAddrs {
 		view := slices.Clone(listenAddrs)
-		for of := range listenAddrs {
-			if of != by {
-				view[of] = n.sockets[of][by].LocalAddr().(*net.UDPAddr).AddrPort()
+		for target := range listenAddrs {
+			if target != viewer {
+				view[target] = n.relaySockets[target][viewer].LocalAddr().(*net.UDPAddr).AddrPort()
 			}
 		}
 		n.views = append(n.views, view)
@@ -91,13 +91,13 @@
 
 // openSockets opens a socket for each ordered pair of dispatchers.
 func (n *Network) openSockets() (err error) {
-	for of := range n.listenAddrs {
-		n.sockets = append(n.sockets, make([]*net.UDPConn, len(n.listenAddrs)))
-		for by := range n.listenAddrs {
-			if by == of {
+	for target := range n.listenAddrs {
+		n.relaySockets = append(n.relaySockets, make([]*net.UDPConn, len(n.listenAddrs)))
+		for viewer := range n.listenAddrs {
+			if viewer == target {
 				continue
 			}
-			if n.sockets[of][by], err = net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)}); err != nil {
+			if n.relaySockets[target][viewer], err = net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)}); err != nil {
 				return err
 			}
 		}
@@ -105,31 +105,32 @@
 	return nil
 }
 
-// View returns the addresses of all dispatchers as one of them sees them. Its own is the real one.
-func (n *Network) View(by int) []netip.AddrPort { return n.views[by] }
+// View returns the addresses that a dispatcher has to use for all dispatchers: relay addresses for the others, and the
+// real address for itself.
+func (n *Network) View(viewer int) []netip.AddrPort { return n.views[viewer] }
 
-// SetConditions changes the conditions for datagrams that arrive from now on.
+// SetConditions sets the conditions for all datagrams that arrive after the call.
 func (n *Network) SetConditions(conditions Conditions) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.conditions = conditions
 }
 
-// Cut cuts the direction from one dispatcher to another. A direction that was cut twice has to be healed twice.
+// Cut blocks datagrams from one dispatcher to another. Each call of Cut requires a call of Heal.
 func (n *Network) Cut(from, to int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.partitions[direction{from, to}]++
+	n.cutCounts[direction{from, to}]++
 }
 
-// Heal takes back one Cut of the direction from one dispatcher to another.
+// Heal reverts one call of Cut for the same direction.
 func (n *Network) Heal(from, to int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.partitions[direction{from, to}]--
+	n.cutCounts[direction{from, to}]--
 }
 
-// Run relays datagrams until ctx ends.
+// Run relays datagrams until ctx is done, and then closes the sockets.
 func (n *Network) Run(ctx context.Context) error {
 	relays, ctx := errgroup.WithContext(ctx)
 	defer context.AfterFunc(ctx, n.close)()
@@ -143,51 +144,51 @@
 	return relays.Wait()
 }
 
-// relay receives what dispatcher from sends to the address that represents dispatcher to. It forwards that from the
-// address that represents the sender to the receiver.
+// relay receives the datagrams that dispatcher from sends to the socket that represents dispatcher to, and forwards
+// them to the real address of dispatcher to. The receiver gets them from the address that represents the sender.
 func (n *Network) relay(ctx context.Context, from, to int) error {
-	b := make([]byte, n.maxBytes+1) // one more, to recognize datagrams that are too long
+	b := make([]byte, n.maxBytes+1) // one byte more, to detect datagrams that are too long
 	for {
-		size, err := n.sockets[to][from].Read(b)
+		size, err := n.relaySockets[to][from].Read(b)
 		if ctx.Err() != nil {
 			return nil
 		}
-		if err != nil { // an ICMP refusal by a dispatcher that is down
+		if err != nil { // an ICMP error, because a dispatcher is down
 			continue
 		}
-		drawn := n.draw(size, from, to)
-		if !drawn.arrives {
+		delivery := n.drawDelivery(size, from, to)
+		if !delivery.isDelivered {
 			continue
 		}
 		datagram := append([]byte(nil), b[:size]...)
-		send := func() { _, _ = n.sockets[from][to].WriteToUDPAddrPort(datagram, n.listenAddrs[to]) }
-		if drawn.duplicateDelay > 0 {
-			time.AfterFunc(drawn.duplicateDelay, send)
+		send := func() { _, _ = n.relaySockets[from][to].WriteToUDPAddrPort(datagram, n.listenAddrs[to]) }
+		if delivery.duplicateDelay > 0 {
+			time.AfterFunc(delivery.duplicateDelay, send)
 		}
-		if drawn.delay == 0 {
+		if delivery.delay == 0 {
 			send()
 			continue
 		}
-		time.AfterFunc(drawn.delay, send)
+		time.AfterFunc(delivery.delay, send)
 	}
 }
 
-// fate is what happens to a datagram.
-type fate struct {
-	arrives        bool
+// delivery specifies whether and when a datagram is delivered.
+type delivery struct {
+	isDelivered    bool
 	delay          time.Duration
-	duplicateDelay time.Duration // 0: there is no duplicate
+	duplicateDelay time.Duration // 0: no duplicate
 }
 
-// draw draws what happens to a datagram from one dispatcher to another, and counts it.
-func (n *Network) draw(size, from, to int) fate {
+// drawDelivery decides at random how a datagram is delivered, and counts it.
+func (n *Network) drawDelivery(size, from, to int) delivery {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	lossDraw, jitterDraw := n.rng.Float64(), n.rng.Float64()
-	isCut := n.conditions.Partitioned || n.partitions[direction{from, to}] > 0
+	isCut := n.conditions.Partitioned || n.cutCounts[direction{from, to}] > 0
 	if isCut || lossDraw < n.conditions.Loss || size > n.maxBytes {
 		n.Discarded++
-		return fate{}
+		return delivery{}
 	}
 	n.Forwarded++
 	delay := n.conditions.Delay + time.Duration(jitterDraw*float64(n.conditions.Jitter))
@@ -195,12 +196,12 @@
 	if n.conditions.DuplicateShare > 0 && n.rng.Float64() < n.conditions.DuplicateShare {
 		duplicateDelay = time.Nanosecond + time.Duration(n.rng.Float64()*maxDuplicateDelay*float64(delay))
 	}
-	return fate{arrives: true, delay: delay, duplicateDelay: duplicateDelay}
+	return delivery{isDelivered: true, delay: delay, duplicateDelay: duplicateDelay}
 }
 
 // close closes all sockets.
 func (n *Network) close() {
-	for _, row := range n.sockets {
+	for _, row := range n.relaySockets {
 		for _, socket := range row {
 			if socket != nil {
 				socket.Close()
--- a/internal/testbed/network/network_test.go
+++ b/internal/testbed/network/network_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// openSockets opens UDP sockets on the loopback interface, which the end of the test closes.
+// openSockets opens UDP sockets on the loopback interface, and closes them at the end of the test.
 func openSockets(t *testing.T, count int) (sockets []*net.UDPConn, listenAddrs []netip.AddrPort) {
 	t.Helper()
 	for range count {
@@ -23,7 +23,7 @@
 	return sockets, listenAddrs
 }
 
-func TestDatagramsComeFromTheAddressOfTheirSender(t *testing.T) {
+func TestDatagramsArriveFromTheAddressOfTheirSender(t *testing.T) {
 	sockets, listenAddrs := openSockets(t, 2)
 	n, err := New(Peers, listenAddrs, Conditions{Delay: 20 * time.Millisecond}, PlatformDatagramBytes, 1)
 	assert.NoError(t, err)
@@ -53,7 +53,7 @@
 	send(string(make([]byte, PlatformDatagramBytes+1)))
 	n.SetConditions(Conditions{Partitioned: true})
 	send("cut")
-	time.Sleep(50 * time.Millisecond) // until it has been read and discarded
+	time.Sleep(50 * time.Millisecond) // until the datagram has been read and discarded
 	n.SetConditions(Conditions{})
 	send("healed")
 	text, _ = receive(2 * time.Second)
@@ -68,7 +68,7 @@
 		n, err := New(Peers, nil, Conditions{Loss: 0.5}, PlatformDatagramBytes, seed)
 		assert.NoError(t, err)
 		for range 64 {
-			arrivals = append(arrivals, n.draw(10, 0, 1).arrives)
+			arrivals = append(arrivals, n.drawDelivery(10, 0, 1).isDelivered)
 		}
 		return arrivals
 	}
--- a/internal/testbed/report/charts.go
+++ b/internal/testbed/report/charts.go
@@ -1,5 +1,5 @@
-// Package report renders results: an HTML page with charts, a table for the terminal, and a comparison of two sets of
-// runs.
+// Package report renders the results of experiments as an HTML page with charts, as a table for the terminal, and as a
+// comparison of two sets of runs.
 package report
 
 import (
@@ -23,30 +23,30 @@
 	"canvasroute/internal/testbed/metrics"
 )
 
-// Sizes of a chart and its parts.
+// Dimensions of charts and their elements.
 const (
-	chartWidth        = 24 * vg.Centimeter
-	chartHeight       = 8 * vg.Centimeter
-	faultLabelOffset  = vg.Length(-12) // of a fault's number from the top of its band
-	minFaultBand      = 1.0 / 200      // width of the band of a fault without a duration, as a share of the run
-	headroom          = 1.15           // top of the chart of answers, in multiples of the highest rate
-	latencyHeadroom   = 1.5            // top of the chart of latencies, in multiples of the highest one
-	latencyFootroom   = 1.3            // the lowest latency, in multiples of the bottom of its chart
-	latencyTickDigits = 3              // significant digits of a latency beside the axis
-	barShare          = 0.7            // of the width of the chart that bars fill
-	maxBarNames       = 30             // number of bars up to which each has its name
-	maxWorkerNames    = 20             // number of workers up to which each has its name
-	workShades        = 9              // number of shades of the chart of work
-	rowMargin         = 0.5            // of a chart with a row for each worker
+	chartWidth          = 24 * vg.Centimeter
+	chartHeight         = 8 * vg.Centimeter
+	faultLabelOffset    = vg.Length(-12) // from the top of a fault's band to its number
+	minFaultBandShare   = 1.0 / 200      // width of the band of a fault without a duration, as a fraction of the run
+	rateTopFactor       = 1.15           // upper end of the rate axis, as a multiple of the highest rate
+	latencyTopFactor    = 1.5            // upper end of the latency axis, as a multiple of the highest latency
+	latencyBottomFactor = 1.3            // the lowest latency, as a multiple of the lower end of the latency axis
+	latencyTickDigits   = 3              // significant digits of the labels on the latency axis
+	barWidthShare       = 0.7            // fraction of the chart's width that is filled by bars
+	maxLabeledBars      = 30             // largest number of bars that are labeled
+	maxLabeledWorkers   = 20             // largest number of workers that are labeled
+	workShadeCount      = 9              // number of shades in the work chart
+	rowMargin           = 0.5            // margin above and below the rows of the work chart, in rows
 )
 
-// Strokes of lines.
+// Line styles.
 var (
-	lineWidth = vg.Points(1.6)
-	dashes    = []vg.Length{vg.Points(5), vg.Points(3)}
+	lineWidth   = vg.Points(1.6)
+	dashPattern = []vg.Length{vg.Points(5), vg.Points(3)}
 )
 
-// Names of the lines of charts that are no outcomes.
+// Names of chart lines that do not represent an outcome.
 const (
 	lineArrivals = "arrivals"
 	lineP50      = "p50"
@@ -54,7 +54,7 @@
 	lineP99      = "p99"
 )
 
-// colours are the colours of lines by name, the same in all charts.
+// colours maps the names of lines to their colours, which are the same in all charts.
 var colours = map[string]color.Color{
 	lineArrivals:                              color.Gray{90},
 	history.OutcomeNames[history.Succeeded]:   color.RGBA{44, 140, 80, 255},
@@ -76,7 +76,7 @@
 	barColour   = colours[lineP50]
 )
 
-// newChart returns an empty chart over the time of a run.
+// newChart returns an empty chart whose X axis is the time since the start of the run.
 func newChart(r *experiment.Result, title, unit string) *plot.Plot {
 	chart := plot.New()
 	chart.Title.Text = title
@@ -90,12 +90,12 @@
 	return chart
 }
 
-// shadeFaults adds a numbered band for the time of each fault, from the bottom to the top of a chart. One without a
-// duration gets a narrow band.
+// shadeFaults adds a numbered band for each fault, which covers its duration and extends from the bottom to the top of
+// the chart. A fault without a duration gets a narrow band.
 func shadeFaults(chart *plot.Plot, r *experiment.Result, bottom, top float64) {
-	for n, mark := range r.Faults {
-		from := mark.From.Seconds()
-		to := max(mark.To.Seconds(), from+r.DurationSeconds*minFaultBand)
+	for n, interval := range r.Faults {
+		from := interval.From.Seconds()
+		to := max(interval.To.Seconds(), from+r.DurationSeconds*minFaultBandShare)
 		band, err := newBand(from, to, bottom, top)
 		if err != nil {
 			continue
@@ -128,7 +128,7 @@
 	return band, nil
 }
 
-// addLine adds a line with its name in the legend, and returns it. It returns nil if there are no points to draw.
+// addLine adds a line and its legend entry to the chart, and returns the line. It returns nil if there are no points.
 func addLine(chart *plot.Plot, name string, points plotter.XYs) *plotter.Line {
 	if len(points) == 0 {
 		return nil
@@ -153,28 +153,28 @@
 		return "", fmt.Errorf("drawing %q: %w", chart.Title.Text, err)
 	}
 	text := b.String()
-	if start := strings.Index(text, "<svg"); start >= 0 { // HTML has no place for the XML prologue
+	if start := strings.Index(text, "<svg"); start >= 0 { // HTML does not allow the XML prologue
 		text = text[start:]
 	}
 	return template.HTML(text), nil
 }
 
-// answersChart shows arrivals and outcomes per second.
-func answersChart(r *experiment.Result) *plot.Plot {
+// outcomesChart returns a chart of arrivals and outcomes per second.
+func outcomesChart(r *experiment.Result) *plot.Plot {
 	chart := newChart(r, "Arrivals and answers", "per second")
 	arrivals := ratePoints(r, func(s metrics.Slot) int64 { return s.Arrivals })
 	top := 1.0
 	for _, point := range arrivals {
 		top = max(top, point.Y)
 	}
-	top *= headroom
+	top *= rateTopFactor
 	shadeFaults(chart, r, 0, top)
 	if line := addLine(chart, lineArrivals, arrivals); line != nil {
-		line.Dashes = dashes
+		line.Dashes = dashPattern
 	}
 	for outcome := history.Succeeded; outcome <= history.Unsent; outcome++ {
 		name := history.OutcomeNames[outcome]
-		points := ratePoints(r, func(s metrics.Slot) int64 { return s.Answers[name] })
+		points := ratePoints(r, func(s metrics.Slot) int64 { return s.Outcomes[name] })
 		if slices.ContainsFunc(points, func(point plotter.XY) bool { return point.Y > 0 }) {
 			addLine(chart, name, points)
 		}
@@ -184,20 +184,20 @@
 	return chart
 }
 
-// ratePoints returns a point in the middle of each time slot: the slot's count per second.
+// ratePoints returns a point for each time slot: the middle of the slot and its count per second.
 func ratePoints(r *experiment.Result, count func(metrics.Slot) int64) (points plotter.XYs) {
 	for _, slot := range r.Calls.Slots {
-		points = append(points, plotter.XY{X: middleOf(r, slot), Y: float64(count(slot)) / r.Calls.SlotSeconds})
+		points = append(points, plotter.XY{X: slotMiddle(r, slot), Y: float64(count(slot)) / r.Calls.SlotSeconds})
 	}
 	return points
 }
 
-// middleOf returns the middle of a time slot in seconds.
-func middleOf(r *experiment.Result, slot metrics.Slot) float64 {
+// slotMiddle returns the middle of a time slot, in seconds since the start of the run.
+func slotMiddle(r *experiment.Result, slot metrics.Slot) float64 {
 	return slot.From + r.Calls.SlotSeconds/2
 }
 
-// latencyChart shows percentiles of the latency of successful calls, by intended time.
+// latencyChart returns a chart of latency percentiles of successful calls, by their intended time of sending.
 func latencyChart(r *experiment.Result) *plot.Plot {
 	chart := newChart(r, "Latency of successful calls, from the intended time of sending", "ms")
 	lowest, highest := math.Inf(1), 1.0
@@ -207,7 +207,7 @@
 			continue
 		}
 		for name, latency := range map[string]float64{lineP50: slot.P50, lineP95: slot.P95, lineP99: slot.P99} {
-			lines[name] = append(lines[name], plotter.XY{X: middleOf(r, slot), Y: latency})
+			lines[name] = append(lines[name], plotter.XY{X: slotMiddle(r, slot), Y: latency})
 			lowest = min(lowest, latency)
 			highest = max(highest, latency)
 		}
@@ -215,7 +215,7 @@
 	if len(lines) == 0 {
 		return chart
 	}
-	bottom, top := lowest/latencyFootroom, highest*latencyHeadroom
+	bottom, top := lowest/latencyBottomFactor, highest*latencyTopFactor
 	shadeFaults(chart, r, bottom, top)
 	for _, name := range []string{lineP50, lineP95, lineP99} {
 		addLine(chart, name, lines[name])
@@ -227,7 +227,8 @@
 	return chart
 }
 
-// workGrid is the work finished by worker (row) and time slot (column). It implements plotter.GridXYZ.
+// workGrid holds the number of requests finished by each worker (row) in each time slot (column). It implements
+// plotter.GridXYZ.
 type workGrid struct {
 	result *experiment.Result
 }
@@ -237,24 +238,25 @@
 	return len(g.result.Calls.Slots), len(g.result.Workers)
 }
 
-// X returns the middle of a time slot in seconds.
+// X returns the middle of a column's time slot, in seconds since the start of the run.
 func (g workGrid) X(column int) float64 {
 	return (float64(column) + 0.5) * g.result.Calls.SlotSeconds
 }
 
-// Y returns the place of a worker.
+// Y returns the vertical position of a worker's row.
 func (g workGrid) Y(row int) float64 { return float64(row) }
 
-// Z returns the number of requests that a worker finished per second of a time slot.
+// Z returns the number of requests per second that a worker finished in a time slot.
 func (g workGrid) Z(column, row int) float64 { return g.result.Workers[row].BySlot[column] }
 
-// workChart shows the work that each worker finished per second. A crash appears as a gap, warming up as a pale area.
+// workChart returns a heat map of the requests that each worker finished per second. A crash appears as a gap, a
+// warm-up as a pale area.
 func workChart(r *experiment.Result) *plot.Plot {
 	chart := newChart(r, "Requests finished by worker over time (darker: more per second)", "worker")
-	shades, err := brewer.GetPalette(brewer.TypeSequential, "Blues", workShades)
+	shades, err := brewer.GetPalette(brewer.TypeSequential, "Blues", workShadeCount)
 	grid := workGrid{result: r}
 	if columns, rows := grid.Dims(); err != nil || columns < 2 || rows < 2 {
-		return chart // a heat map needs two of each
+		return chart // a heat map requires at least two columns and two rows
 	}
 	chart.Add(plotter.NewHeatMap(grid, shades))
 	chart.Y.Min = -rowMargin
@@ -264,9 +266,9 @@
 	return chart
 }
 
-// workerTicks returns a tick for each worker, of which at most maxWorkerNames have a name.
+// workerTicks returns a tick for each worker. At most maxLabeledWorkers of them are labeled.
 func workerTicks(workers []experiment.WorkerResult) (ticks []plot.Tick) {
-	workersPerName := (len(workers) + maxWorkerNames - 1) / maxWorkerNames
+	workersPerName := (len(workers) + maxLabeledWorkers - 1) / maxLabeledWorkers
 	for n, worker := range workers {
 		tick := plot.Tick{Value: float64(n)}
 		if n%workersPerName == 0 {
@@ -277,8 +279,8 @@
 	return ticks
 }
 
-// sharesChart shows the total number of requests that each worker finished.
-func sharesChart(r *experiment.Result) *plot.Plot {
+// workerTotalsChart returns a bar chart of the total number of requests that each worker finished.
+func workerTotalsChart(r *experiment.Result) *plot.Plot {
 	chart := plot.New()
 	chart.Title.Text = "Requests finished by worker"
 	chart.Y.Label.Text = "requests"
@@ -290,14 +292,14 @@
 	if len(values) == 0 || slices.Max(values) == 0 {
 		return chart
 	}
-	bars, err := plotter.NewBarChart(values, chartWidth*barShare/vg.Length(len(values)))
+	bars, err := plotter.NewBarChart(values, chartWidth*barWidthShare/vg.Length(len(values)))
 	if err != nil {
 		return chart
 	}
 	bars.Color = barColour
 	bars.LineStyle.Width = 0
 	chart.Add(bars)
-	if len(names) <= maxBarNames {
+	if len(names) <= maxLabeledBars {
 		chart.NominalX(names...)
 	}
 	chart.Y.Min = 0
--- a/internal/testbed/report/compare.go
+++ b/internal/testbed/report/compare.go
@@ -10,14 +10,14 @@
 	"canvasroute/internal/testbed/history"
 )
 
-// metric is a value of a run by which two sets of runs are compared.
+// metric is a measurement of a run that is compared between two sets of runs.
 type metric struct {
 	name   string
 	value  func(*experiment.Result) float64
 	better direction
 }
 
-// direction says which values of a metric are better.
+// direction specifies whether higher or lower values of a metric are better.
 type direction uint8
 
 const (
@@ -25,15 +25,15 @@
 	lowerIsBetter
 )
 
-// comparedMetrics are the metrics of a comparison, the most important first.
+// comparedMetrics lists the metrics of a comparison, the most important first.
 var comparedMetrics = []metric{
 	{"rules broken", violationCount, lowerIsBetter},
 	{"billed value %", func(r *experiment.Result) float64 { return percent * r.Calls.Total.ValueShare }, higherIsBetter},
 	{"in time %", func(r *experiment.Result) float64 { return percentOfCalls(r, r.Calls.Total.InTime) }, higherIsBetter},
-	{"succeeded %", percentWith(history.Succeeded), higherIsBetter},
-	{"throttled %", percentWith(history.Throttled), lowerIsBetter},
-	{"errored %", percentWith(history.Errored), lowerIsBetter},
-	{"unanswered %", percentWith(history.Unanswered), lowerIsBetter},
+	{"succeeded %", percentWithOutcome(history.Succeeded), higherIsBetter},
+	{"throttled %", percentWithOutcome(history.Throttled), lowerIsBetter},
+	{"errored %", percentWithOutcome(history.Errored), lowerIsBetter},
+	{"unanswered %", percentWithOutcome(history.Unanswered), lowerIsBetter},
 	{"latency p50 ms", func(r *experiment.Result) float64 { return r.Calls.Succeeded.P50 }, lowerIsBetter},
 	{"latency p99 ms", func(r *experiment.Result) float64 { return r.Calls.Succeeded.P99 }, lowerIsBetter},
 	{"latency max ms", func(r *experiment.Result) float64 { return r.Calls.Succeeded.Max }, lowerIsBetter},
@@ -42,13 +42,13 @@
 	{"CPU us per call", func(r *experiment.Result) float64 { return perCall(r, microsPerSecond*r.CPU()) }, lowerIsBetter},
 }
 
-// Factors from a share and from seconds to the units of the tables.
+// Conversion factors from fractions and seconds to the units of the tables.
 const (
 	percent         = 100
 	microsPerSecond = 1e6
 )
 
-// violationCount returns the number of violations of all rules.
+// violationCount returns the total number of rule violations.
 func violationCount(r *experiment.Result) (count float64) {
 	for _, violations := range r.Rules {
 		count += float64(violations)
@@ -56,34 +56,36 @@
 	return count
 }
 
-// perCall returns a total divided by the number of calls. Without any call it is the total.
+// perCall returns a total divided by the number of calls. If there are no calls, it returns the total.
 func perCall(r *experiment.Result, total float64) float64 {
 	return total / float64(max(r.Calls.Total.Calls, 1))
 }
 
-// requestsPerCall returns the mean number of requests of a call.
-func requestsPerCall(r *experiment.Result) float64 { return perCall(r, float64(r.Calls.Total.Tries)) }
+// requestsPerCall returns the mean number of requests per call.
+func requestsPerCall(r *experiment.Result) float64 {
+	return perCall(r, float64(r.Calls.Total.Requests))
+}
 
-// percentOfCalls returns how many percent of the calls a number is.
+// percentOfCalls returns a number of calls as a percentage of all calls.
 func percentOfCalls(r *experiment.Result, count int64) float64 {
 	return perCall(r, percent*float64(count))
 }
 
-// percentWith returns the metric of the calls with an outcome, in percent.
-func percentWith(outcome history.Outcome) func(*experiment.Result) float64 {
+// percentWithOutcome returns a metric: the percentage of calls with the given outcome.
+func percentWithOutcome(outcome history.Outcome) func(*experiment.Result) float64 {
 	name := history.OutcomeNames[outcome]
-	return func(r *experiment.Result) float64 { return percentOfCalls(r, r.Calls.Total.Answers[name]) }
+	return func(r *experiment.Result) float64 { return percentOfCalls(r, r.Calls.Total.Outcomes[name]) }
 }
 
-// sample is the distribution of a metric over runs.
+// sample holds statistics of a metric over a set of runs.
 type sample struct {
-	runs      int
-	mean      float64
-	deviation float64 // standard deviation of a single run; 0 for a single one
+	runs   int
+	mean   float64
+	stdDev float64 // standard deviation between runs; 0 if there is only one run
 }
 
-// sampleOf returns the distribution of a metric over runs.
-func sampleOf(runs []*experiment.Result, m metric) sample {
+// newSample computes the statistics of a metric over a set of runs.
+func newSample(runs []*experiment.Result, m metric) sample {
 	s := sample{runs: len(runs)}
 	for _, r := range runs {
 		s.mean += m.value(r) / float64(len(runs))
@@ -95,26 +97,26 @@
 	for _, r := range runs {
 		squares += (m.value(r) - s.mean) * (m.value(r) - s.mean)
 	}
-	s.deviation = math.Sqrt(squares / float64(s.runs-1))
+	s.stdDev = math.Sqrt(squares / float64(s.runs-1))
 	return s
 }
 
-// minStandardErrors is by how many standard errors two means must differ for a verdict.
+// minStandardErrors is the number of standard errors by which two means must differ to be reported as better or worse.
 const minStandardErrors = 2
 
-// differs reports whether two means differ by more than minStandardErrors. With a single run on either side the error is
-// unknown, so it reports false.
-func (s sample) differs(other sample) bool {
+// differsSignificantly reports whether the two means differ by more than minStandardErrors. It reports false if either
+// sample has only one run, because the standard error is unknown in that case.
+func (s sample) differsSignificantly(other sample) bool {
 	if s.runs < 2 || other.runs < 2 {
 		return false
 	}
-	variance := s.deviation*s.deviation/float64(s.runs) + other.deviation*other.deviation/float64(other.runs)
+	variance := s.stdDev*s.stdDev/float64(s.runs) + other.stdDev*other.stdDev/float64(other.runs)
 	return math.Abs(s.mean-other.mean) > minStandardErrors*math.Sqrt(variance) && s.mean != other.mean
 }
 
-// verdict returns which of two sets of runs is better by a metric, or "" if they do not differ.
+// verdict returns whether set B is better or worse than set A by a metric, or "" if the difference is not significant.
 func verdict(m metric, a, b sample) string {
-	if !a.differs(b) {
+	if !a.differsSignificantly(b) {
 		return ""
 	}
 	if higher := b.mean > a.mean; higher == (m.better == higherIsBetter) {
@@ -123,7 +125,7 @@
 	return "  B worse"
 }
 
-// Compare returns a table of two sets of runs side by side. Neither may be empty.
+// Compare returns a table that compares two sets of runs side by side. Neither set may be empty.
 func Compare(nameA, nameB string, runsA, runsB []*experiment.Result) string {
 	var out strings.Builder
 	fmt.Fprintf(&out, "A: %s, %s, %d runs\nB: %s, %s, %d runs\n\n", nameA, runsA[0].Policy, len(runsA), nameB,
@@ -133,8 +135,8 @@
 	}
 	fmt.Fprintf(&out, "%-18s %20s %20s %12s\n", "", "A", "B", "B - A")
 	for _, m := range comparedMetrics {
-		a, b := sampleOf(runsA, m), sampleOf(runsB, m)
-		fmt.Fprintf(&out, "%-18s %11.3f ±%7.3f %11.3f ±%7.3f %+12.3f%s\n", m.name, a.mean, a.deviation, b.mean, b.deviation,
+		a, b := newSample(runsA, m), newSample(runsB, m)
+		fmt.Fprintf(&out, "%-18s %11.3f ±%7.3f %11.3f ±%7.3f %+12.3f%s\n", m.name, a.mean, a.stdDev, b.mean, b.stdDev,
 			b.mean-a.mean, verdict(m, a, b))
 	}
 	out.WriteString("\n± is the standard deviation of single runs; a verdict is given where means differ by more " +
@@ -142,7 +144,7 @@
 	return out.String()
 }
 
-// warnings returns reasons that make a comparison unreliable.
+// warnings returns the reasons why a comparison is unreliable, if any.
 func warnings(runsA, runsB []*experiment.Result) (reasons []string) {
 	if len(runsA) < 2 || len(runsB) < 2 {
 		reasons = append(reasons, "a single run on a side has no spread: run several seeds for a verdict")
--- a/internal/testbed/report/page.go
+++ b/internal/testbed/report/page.go
@@ -16,10 +16,10 @@
 	"canvasroute/internal/testbed/metrics"
 )
 
-// pageFile is the name of the page in a result's folder.
+// pageFile is the file name of the HTML page in a result folder.
 const pageFile = "report.html"
 
-// pageData is what the page's template shows.
+// pageData is the input of pageTemplate.
 type pageData struct {
 	*experiment.Result
 	Charts []template.HTML
@@ -27,10 +27,10 @@
 	Rules  []Row
 }
 
-// Write writes the page with charts to a folder, and returns its path.
+// Write writes the HTML page of a result to a folder, and returns the path of the page.
 func Write(r *experiment.Result, folder string) (string, error) {
 	data := pageData{Result: r, Table: Figures(r), Rules: ruleRows(r)}
-	charts := []*plot.Plot{answersChart(r), latencyChart(r), workChart(r), sharesChart(r)}
+	charts := []*plot.Plot{outcomesChart(r), latencyChart(r), workChart(r), workerTotalsChart(r)}
 	if phases := phasesChart(r); phases != nil {
 		charts = append(charts, phases)
 	}
@@ -53,14 +53,14 @@
 	return path, file.Close()
 }
 
-// Row is one line of a table.
+// Row is a row of a table.
 type Row struct {
 	Name  string
 	Value string
-	Bad   bool // emphasized
+	Bad   bool // highlighted, because the value indicates a failure
 }
 
-// ruleRows returns the number of violations of each rule that was checked.
+// ruleRows returns a row for each rule that was checked, with its number of violations.
 func ruleRows(r *experiment.Result) (rows []Row) {
 	for _, rule := range append(slices.Clone(history.Rules[:]), history.RuleKeysPersisted) {
 		if _, checked := r.Rules[string(rule)]; !checked {
@@ -76,13 +76,13 @@
 	return rows
 }
 
-// Figures returns the main figures of a run as a table.
+// Figures returns the main results of a run as table rows.
 func Figures(r *experiment.Result) []Row {
 	calls := &r.Calls
 	rows := []Row{{Name: "calls", Value: fmt.Sprintf("%d of %d planned", calls.Total.Calls, r.Planned)}}
 	for outcome, name := range history.OutcomeNames {
 		isBad := outcome == int(history.Broken) || outcome == int(history.Unsent)
-		if count := calls.Total.Answers[name]; count > 0 {
+		if count := calls.Total.Outcomes[name]; count > 0 {
 			rows = append(rows, Row{Name: name, Value: formatShare(r, count), Bad: isBad})
 		}
 	}
@@ -101,19 +101,19 @@
 	return append(rows, generatorRow(calls.Generator))
 }
 
-// recoveryRow returns how fast the fleet recovered from a loss of power.
+// recoveryRow returns a row with the time that the fleet took to recover from a power loss.
 func recoveryRow(recovery metrics.Recovery) Row {
 	row := Row{Name: "recovery after power loss"}
-	if recovery.UntilRecovered < 0 {
-		row.Value = fmt.Sprintf("not within the run, at best %.0f s", recovery.UntilRecoveredAtBest)
+	if recovery.RecoveryTime < 0 {
+		row.Value = fmt.Sprintf("not within the run, at best %.0f s", recovery.BestRecoveryTime)
 		return row
 	}
-	row.Value = fmt.Sprintf("%.0f s after the last worker, at best %.0f s (%.2f)", recovery.UntilRecovered,
-		recovery.UntilRecoveredAtBest, recovery.RatioToBest)
+	row.Value = fmt.Sprintf("%.0f s after the last worker, at best %.0f s (%.2f)", recovery.RecoveryTime,
+		recovery.BestRecoveryTime, recovery.RatioToBest)
 	return row
 }
 
-// generatorRow returns whether the load generator kept to its schedule.
+// generatorRow returns a row that states whether the load generator kept to its schedule.
 func generatorRow(generator metrics.Generator) Row {
 	if !generator.Trusted {
 		return Row{Name: "generator", Value: "NOT TO BE TRUSTED: " + generator.Reason, Bad: true}
@@ -121,7 +121,7 @@
 	return Row{Name: "generator", Value: "kept to its schedule"}
 }
 
-// formatShare returns a number of calls, and how many percent of all calls it is.
+// formatShare formats a number of calls and its percentage of all calls.
 func formatShare(r *experiment.Result, count int64) string {
 	return fmt.Sprintf("%d (%.1f%%)", count, percentOfCalls(r, count))
 }
@@ -129,15 +129,15 @@
 // latencyRounding is the unit to which latencies are rounded.
 const latencyRounding = 10 * time.Microsecond
 
-// formatMillis returns a number of milliseconds as a duration with its unit.
+// formatMillis formats a number of milliseconds as a duration with a unit.
 func formatMillis(millis float64) string {
 	return time.Duration(millis * float64(time.Millisecond)).Round(latencyRounding).String()
 }
 
-// maxTextViolations is how many violations Text lists.
+// maxTextViolations is the maximum number of violations that Text lists.
 const maxTextViolations = 5
 
-// Text returns the table of a run for a terminal.
+// Text returns the main results, violations and failures of a run as plain text for a terminal.
 func Text(r *experiment.Result) string {
 	var b strings.Builder
 	for _, row := range append(Figures(r), ruleRows(r)...) {
@@ -162,7 +162,7 @@
 	return b.String()
 }
 
-// pageTemplate is the page, of a pageData.
+// pageTemplate is the template of the HTML page. Its input is a pageData.
 var pageTemplate = template.Must(template.New("page").Funcs(template.FuncMap{
 	"s":   func(d time.Duration) string { return fmt.Sprintf("%.1f s", d.Seconds()) },
 	"pct": func(share float64) string { return fmt.Sprintf("%.1f%%", percent*share) },
--- a/internal/testbed/report/phases.go
+++ b/internal/testbed/report/phases.go
@@ -9,7 +9,7 @@
 	"canvasroute/internal/testbed/experiment"
 )
 
-// phaseColours are the colours of the phases of a recovery, by the names that dispatchers log.
+// phaseColours maps the recovery phases, under the names that dispatchers log, to their colours.
 var phaseColours = map[string]color.Color{
 	"identity":   color.RGBA{90, 90, 90, 255},
 	"list":       color.RGBA{200, 60, 60, 255},
@@ -20,10 +20,12 @@
 	"superseded": color.RGBA{0, 0, 0, 255},
 }
 
-// bandShare is how much of its row a band fills, to each side of the middle.
-const bandShare = 0.35
+// bandHalfHeight is the distance from the middle of a row to either edge of its band, as a fraction of the row's
+// height.
+const bandHalfHeight = 0.35
 
-// phaseEnd returns the end of phase n in seconds: the start of the same dispatcher's next phase, or the end of the run.
+// phaseEnd returns the end of r.Phases[n] in seconds since the start of the run: the start of the same dispatcher's
+// next phase, or the end of the run if there is none.
 func phaseEnd(r *experiment.Result, n int) float64 {
 	next := n + 1
 	if next < len(r.Phases) && r.Phases[next].Dispatcher == r.Phases[n].Dispatcher {
@@ -32,7 +34,7 @@
 	return r.DurationSeconds
 }
 
-// phasesChart shows the recovery phases of each dispatcher as bands over time. It returns nil if no phase was logged.
+// phasesChart returns a chart of each dispatcher's recovery phases over time, or nil if no phase was logged.
 func phasesChart(r *experiment.Result) *plot.Plot {
 	if len(r.Phases) == 0 {
 		return nil
@@ -48,7 +50,7 @@
 			continue
 		}
 		row := float64(phase.Dispatcher)
-		band, err := newBand(from, to, row-bandShare, row+bandShare)
+		band, err := newBand(from, to, row-bandHalfHeight, row+bandHalfHeight)
 		if err != nil {
 			continue
 		}
--- a/internal/testbed/report/report_test.go
+++ b/internal/testbed/report/report_test.go
@@ -14,13 +14,13 @@
 	"canvasroute/internal/testbed/metrics"
 )
 
-// newTestResult returns a result of 100 calls, inTime of which succeeded within their objective.
+// newTestResult returns the result of a run with 100 calls, of which inTime succeeded within their latency objective.
 func newTestResult(seed uint64, inTime int) *experiment.Result {
 	recorder := metrics.NewRecorder(time.Second, 1, 0)
 	for n := range 100 {
 		recorder.Record(metrics.Call{
 			Intended: time.Duration(n) * 30 * time.Millisecond, Outcome: history.Succeeded,
-			Ended: time.Duration(n+1) * 30 * time.Millisecond, InTime: n < inTime, Tries: 1, ValueOffered: 1,
+			Ended: time.Duration(n+1) * 30 * time.Millisecond, InTime: n < inTime, Requests: 1, ValueOffered: 1,
 		})
 	}
 	return &experiment.Result{
@@ -36,11 +36,11 @@
 			{Name: "w1", BySlot: []float64{0, 0, 1}, Done: 1},
 		},
 		Dispatchers: []experiment.ProcessResult{{Name: "d0", CPU: 0.5}},
-		Faults:      []fault.Mark{{From: time.Second, To: 2 * time.Second, Description: "1 workers crash"}},
+		Faults:      []fault.Interval{{From: time.Second, To: 2 * time.Second, Description: "1 workers crash"}},
 	}
 }
 
-// writePage writes the page of a result, and returns it.
+// writePage writes the HTML page of a result to a temporary folder, and returns its content.
 func writePage(t *testing.T, result *experiment.Result) string {
 	t.Helper()
 	path, err := Write(result, t.TempDir())
@@ -50,8 +50,9 @@
 	return string(page)
 }
 
-// results returns results of the seeds 1, 2 and so on, with the numbers of calls in time given.
-func results(inTime ...int) (all []*experiment.Result) {
+// newTestResults returns a result for each argument, which is its number of calls in time. The seeds are numbered from
+// 1.
+func newTestResults(inTime ...int) (all []*experiment.Result) {
 	for n, calls := range inTime {
 		all = append(all, newTestResult(uint64(n+1), calls))
 	}
@@ -71,13 +72,13 @@
 	assert.Contains(t, Text(result), "request deadbeef")
 }
 
-// The page binds fields by name, which the compiler does not check.
+// Guards against renamed or removed fields in the page's template, which the compiler does not check.
 func TestPageShowsTenantsRecoveriesAndPhases(t *testing.T) {
 	result := newTestResult(7, 90)
 	recorder := metrics.NewRecorder(time.Second, 1, 1)
-	recorder.Record(metrics.Call{Outcome: history.Succeeded, Ended: time.Millisecond, InTime: true, Tries: 1, ValueOffered: 1})
+	recorder.Record(metrics.Call{Outcome: history.Succeeded, Ended: time.Millisecond, InTime: true, Requests: 1, ValueOffered: 1})
 	result.Calls = recorder.Summary([]string{"safe"}, []string{"uni"})
-	result.Recoveries = []metrics.Recovery{{UntilRecovered: 3, UntilRecoveredAtBest: 2, RatioToBest: 4.0 / 3}}
+	result.Recoveries = []metrics.Recovery{{RecoveryTime: 3, BestRecoveryTime: 2, RatioToBest: 4.0 / 3}}
 	result.Phases = []experiment.PhaseResult{{Phase: "identity", From: 1}, {Phase: "full", From: 2}}
 	result.Failures = []string{"d0 ended by itself"}
 	page := writePage(t, result)
@@ -87,8 +88,8 @@
 	assert.Equal(t, 5, strings.Count(page, "<svg"), "one more chart for the phases")
 }
 
-func TestCompareGivesAVerdictOnlyBeyondTheSpread(t *testing.T) {
-	different := Compare("a", "b", results(50, 52), results(90, 92))
+func TestCompareGivesVerdictOnlyForSignificantDifferences(t *testing.T) {
+	different := Compare("a", "b", newTestResults(50, 52), newTestResults(90, 92))
 	lineOf := func(table, name string) string {
 		for line := range strings.Lines(table) {
 			if strings.HasPrefix(line, name) {
@@ -100,9 +101,9 @@
 	assert.Contains(t, lineOf(different, "in time %"), "B better")
 	assert.Contains(t, lineOf(different, "in time %"), "+40.000")
 	assert.NotContains(t, lineOf(different, "succeeded %"), "B ")
-	overlapping := Compare("a", "b", results(10, 90), results(50, 70))
+	overlapping := Compare("a", "b", newTestResults(10, 90), newTestResults(50, 70))
 	assert.NotContains(t, lineOf(overlapping, "in time %"), "B better")
-	single := Compare("a", "b", results(10), results(90))
+	single := Compare("a", "b", newTestResults(10), newTestResults(90))
 	assert.Contains(t, single, "a single run on a side has no spread")
 	assert.NotContains(t, lineOf(single, "in time %"), "B better")
 }
