--- a/internal/docscheck/code_test.go
+++ b/internal/docscheck/code_test.go
@@ -134,8 +134,8 @@
 
 // addName adds each form of a name that a page may use: every suffix of its path.
 func (c *code) addName(path ...string) {
-	for from := range path {
-		c.names[strings.Join(path[from:], ".")] = true
+	for start := range path {
+		c.names[strings.Join(path[start:], ".")] = true
 	}
 }
 
--- a/internal/docscheck/docscheck_test.go
+++ b/internal/docscheck/docscheck_test.go
@@ -73,12 +73,12 @@
 }
 
 func TestLogMessagesHaveRowsOnPages(t *testing.T) {
-	explained := map[string]bool{}
+	documented := map[string]bool{}
 	for _, page := range messagePages {
 		text := oldMessagesSection.ReplaceAllString(readPage(t, page), "")
 		for _, firstCell := range firstCellOfRow.FindAllString(text, -1) {
 			for _, match := range backticked.FindAllStringSubmatch(firstCell, -1) {
-				explained[match[1]] = true
+				documented[match[1]] = true
 			}
 		}
 	}
@@ -88,7 +88,7 @@
 	}
 	slices.Sort(messages)
 	for _, message := range slices.Compact(messages) {
-		if !explained[message] {
+		if !documented[message] {
 			t.Errorf("log message %q has no row in any of %v", message, messagePages)
 		}
 	}
--- a/internal/protocol/admin_command.go
+++ b/internal/protocol/admin_command.go
@@ -40,7 +40,7 @@
 // Metric is one value of a metrics dump.
 type Metric struct {
 	Name      string
-	Operation string // or "" for a metric of the whole dispatcher
+	Operation string // name of the operation; "" for a metric of the whole dispatcher
 	Value     int64
 }
 
--- a/internal/protocol/body.go
+++ b/internal/protocol/body.go
@@ -19,7 +19,7 @@
 // BodyPiece is the result of decoding the start of a body's input.
 type BodyPiece struct {
 	Data     []byte // body data without framing; may be empty
-	Consumed int    // bytes of input that were consumed, including framing; 0 if more input is needed
+	Consumed int    // consumed bytes of input, including framing; 0 if more input is needed or the body is complete
 }
 
 // chunkState is the next expected element of a chunked body.
@@ -68,7 +68,8 @@
 	return body, err
 }
 
-// forbidsBody reports whether a response with a status has no body, regardless of its header fields (RFC 9112, 6.3).
+// forbidsBody reports whether a response with the given status has no body, regardless of its header fields (RFC 9112,
+// 6.3).
 func forbidsBody(status int) bool {
 	return IsInterim(status) || status == StatusNoContent || status == StatusNotModified
 }
@@ -93,7 +94,8 @@
 	return Body{}, nil
 }
 
-// Length returns the length of the body in bytes before the first call of Next, or 0 if it is unknown.
+// Length returns the length of the body in bytes, or 0 if it is unknown. It must be called before the first call of
+// Next, which reduces it.
 func (b *Body) Length() int64 {
 	if b.chunked {
 		return 0
@@ -101,8 +103,8 @@
 	return b.remaining
 }
 
-// MaxBufferBytes returns the maximum number of bytes needed to buffer the body, if the body does not exceed
-// MaxBodyBytes.
+// MaxBufferBytes returns the maximum number of bytes needed to buffer a body of at most MaxBodyBytes. It returns 0 for
+// a body that ends when the connection is closed. It must be called before the first call of Next.
 func (b *Body) MaxBufferBytes() int64 {
 	if b.chunked {
 		return MaxBodyBytes
@@ -118,7 +120,7 @@
 	return !b.untilClose && b.remaining == 0
 }
 
-// EndsWithConnection reports whether the end of the body is the close of the connection.
+// EndsWithConnection reports whether the body ends when the connection is closed.
 func (b *Body) EndsWithConnection() bool { return b.untilClose }
 
 // Next decodes the next piece from the start of the input. It returns ErrMalformed for invalid framing.
--- a/internal/protocol/body_test.go
+++ b/internal/protocol/body_test.go
@@ -45,10 +45,10 @@
 	for _, tt := range []struct{ name, version, fieldLines string }{
 		{"two lengths", "HTTP/1.1", "Content-Length: 3\r\nContent-Length: 4"},
 		{"negative length", "HTTP/1.1", "Content-Length: -1"},
-		{"length and chunks", "HTTP/1.1", "Content-Length: 3\r\nTransfer-Encoding: chunked"},
-		{"other coding", "HTTP/1.1", "Transfer-Encoding: gzip"},
-		{"length with a letter", "HTTP/1.1", "Content-Length: 3x"},
-		{"chunks in HTTP/1.0", "HTTP/1.0", "Transfer-Encoding: chunked"},
+		{"length and chunked coding", "HTTP/1.1", "Content-Length: 3\r\nTransfer-Encoding: chunked"},
+		{"unsupported transfer coding", "HTTP/1.1", "Transfer-Encoding: gzip"},
+		{"non-numeric length", "HTTP/1.1", "Content-Length: 3x"},
+		{"chunked coding in HTTP/1.0", "HTTP/1.0", "Transfer-Encoding: chunked"},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			head, err := ParseRequestHead([]byte("POST /api " + tt.version + "\r\n" + tt.fieldLines + "\r\n\r\n"))
@@ -79,7 +79,7 @@
 
 func TestMalformedChunksAreRejected(t *testing.T) {
 	for _, tt := range []struct{ name, text string }{
-		{"no size", "x\r\n"},
+		{"non-numeric size", "x\r\n"},
 		{"negative size", "-1\r\n"},
 		{"data longer than its size", "2\r\nabc\r\n0\r\n\r\n"},
 		{"size too large", "ffffffffffffffffff\r\n"},
--- a/internal/protocol/doc.go
+++ b/internal/protocol/doc.go
@@ -2,7 +2,7 @@
 //
 //   - HTTP/1.1 messages and their framing (RFC 9110 and 9112).
 //   - Requests and responses of the platform.
-//   - Status lines and load reports of workers.
+//   - Lines of workers' responses, and load reports of workers.
 //   - Endpoint lists of the discovery service.
 //   - Commands of operators.
 //   - Load datagrams between dispatchers.
--- a/internal/protocol/endpoint_list.go
+++ b/internal/protocol/endpoint_list.go
@@ -20,7 +20,7 @@
 	Kind            string  `json:"Kind"`
 	Cell            int     `json:"Cell"`
 	State           string  `json:"State"`  // Ready, Terminating or Gone
-	StartedAtMillis float64 `json:"BornMs"` // start time of the worker process in Unix milliseconds; 0 for long ago
+	StartedAtMillis float64 `json:"BornMs"` // start time of the worker process in Unix milliseconds; 0 if long ago
 }
 
 // WatchTarget returns the request target that watches for changes after a version.
--- a/internal/protocol/endpoint_list_test.go
+++ b/internal/protocol/endpoint_list_test.go
@@ -22,9 +22,9 @@
 	for _, tt := range []struct{ name, text string }{
 		{"no version", `{"whole":true,"hosts":[]}`},
 		{"unknown state", `{"seq":1,"hosts":[{"host":"a","health":"Odd"}]}`},
-		{"endpoint without name", `{"seq":1,"hosts":[{"health":"Ready"}]}`},
-		{"hosts that are no array", `{"seq":1,"hosts":{}}`},
-		{"no JSON", "not a list"},
+		{"endpoint without ID", `{"seq":1,"hosts":[{"health":"Ready"}]}`},
+		{"hosts that are not an array", `{"seq":1,"hosts":{}}`},
+		{"not JSON", "not a list"},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			_, err := ParseEndpointList([]byte(tt.text))
--- a/internal/protocol/fuzz_test.go
+++ b/internal/protocol/fuzz_test.go
@@ -11,7 +11,7 @@
 	f.Add([]byte(`{"seq":1,"whole":true,"hosts":[{"host":"a","health":"Ready"}]}`))
 	f.Add([]byte("HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n"))
 	f.Fuzz(func(t *testing.T, input []byte) {
-		if _, err := ParseLine(input); err == nil {
+		if _, err := ParseWorkerLine(input); err == nil {
 			assert.Contains(t, string(input), "{")
 		}
 		_, _ = ParseEndpointList(input)
--- a/internal/protocol/head_parser.go
+++ b/internal/protocol/head_parser.go
@@ -89,9 +89,9 @@
 // senders add one after a body (RFC 9112, 2.2). It returns ErrHeadTooLarge if the head exceeds MaxHeadBytes.
 func splitHead(b []byte) (headText, error) {
 	skipped := len(b) - len(bytes.TrimLeft(b, "\r\n"))
-	end, terminator := bytes.Index(b[skipped:], []byte("\n\r\n")), len("\n\r\n")
-	if bare := bytes.Index(b[skipped:], []byte("\n\n")); bare >= 0 && (end < 0 || bare < end) {
-		end, terminator = bare, len("\n\n")
+	end, terminatorBytes := bytes.Index(b[skipped:], []byte("\n\r\n")), len("\n\r\n")
+	if bareEnd := bytes.Index(b[skipped:], []byte("\n\n")); bareEnd >= 0 && (end < 0 || bareEnd < end) {
+		end, terminatorBytes = bareEnd, len("\n\n")
 	}
 	if end < 0 {
 		if len(b) >= MaxHeadBytes {
@@ -99,7 +99,7 @@
 		}
 		return headText{}, nil
 	}
-	if end+terminator > MaxHeadBytes {
+	if end+terminatorBytes > MaxHeadBytes {
 		return headText{}, ErrHeadTooLarge
 	}
 	text := string(b[skipped : skipped+end])
@@ -107,7 +107,7 @@
 	return headText{
 		startLine:  strings.TrimSuffix(startLine, "\r"),
 		fieldLines: fieldLines,
-		length:     skipped + end + terminator,
+		length:     skipped + end + terminatorBytes,
 	}, nil
 }
 
--- a/internal/protocol/head_test.go
+++ b/internal/protocol/head_test.go
@@ -31,17 +31,17 @@
 	for _, tt := range []struct{ name, text string }{
 		{"no version", "POST /api\r\n\r\n"},
 		{"relative target", "POST api HTTP/1.1\r\n\r\n"},
-		{"method that is no token", "P(ST / HTTP/1.1\r\n\r\n"},
-		{"other version", "GET / HTTP/2.0\r\n\r\n"},
+		{"method that is not a token", "P(ST / HTTP/1.1\r\n\r\n"},
+		{"unsupported version", "GET / HTTP/2.0\r\n\r\n"},
 		{"bare LF on all lines", "GET / HTTP/1.1\nA: b\n\n"},
 		{"bare LF on one line", "GET / HTTP/1.1\r\nA: b\nC: d\r\n\r\n"},
 		{"control byte in the target", "GET /\x01 HTTP/1.1\r\n\r\n"},
-		{"target beyond ASCII", "GET /\xc3\xa9 HTTP/1.1\r\n\r\n"},
-		{"control byte in a value", "GET / HTTP/1.1\r\nA: b\x07\r\n\r\n"},
+		{"non-ASCII target", "GET /\xc3\xa9 HTTP/1.1\r\n\r\n"},
+		{"control byte in a field value", "GET / HTTP/1.1\r\nA: b\x07\r\n\r\n"},
 		{"bare CR", "GET / HTTP/1.1\r\nA: b\rC: d\r\n\r\n"},
 		{"field without colon", "GET / HTTP/1.1\r\nno colon\r\n\r\n"},
-		{"name with a space", "GET / HTTP/1.1\r\nA b: c\r\n\r\n"},
-		{"empty name", "GET / HTTP/1.1\r\n : c\r\n\r\n"},
+		{"field name with a space", "GET / HTTP/1.1\r\nA b: c\r\n\r\n"},
+		{"empty field name", "GET / HTTP/1.1\r\n : c\r\n\r\n"},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			_, err := ParseRequestHead([]byte(tt.text))
--- a/internal/protocol/http_fields.go
+++ b/internal/protocol/http_fields.go
@@ -22,15 +22,15 @@
 
 // lowerCaseNames maps common spellings of field names to lower case, which avoids an allocation for each field.
 var lowerCaseNames = func() map[string]string {
-	lowerCaseOf := map[string]string{}
+	names := map[string]string{}
 	for _, name := range []string{
 		"Host", canonicalID, "Req-Kind", "Req-Owner", "Req-Key", canonicalTimeout, canonicalSizeHint,
 		"Req-Retry", canonicalExtra, "Idempotency-Key", "Content-Length", "Content-Type", "Transfer-Encoding",
 		"Connection", "Srv-Declined", "Date", "Accept", "User-Agent",
 	} {
-		lowerCaseOf[name] = strings.ToLower(name)
+		names[name] = strings.ToLower(name)
 	}
-	return lowerCaseOf
+	return names
 }()
 
 // lowerCase returns a field name in lower case. HTTP field names are case-insensitive.
--- a/internal/protocol/json_scanner.go
+++ b/internal/protocol/json_scanner.go
@@ -82,7 +82,7 @@
 	return s.err
 }
 
-// object reads an object. It calls member for each key; member must read the value.
+// object reads an object. It calls readMember for each key; readMember must read the value.
 func (s *jsonScanner) object(readMember func(key string)) {
 	s.items('{', '}', func() {
 		key := s.string()
@@ -94,10 +94,10 @@
 	})
 }
 
-// array reads an array. It calls item for each element; item must read the element.
+// array reads an array. It calls readItem for each element; readItem must read the element.
 func (s *jsonScanner) array(readItem func()) { s.items('[', ']', readItem) }
 
-// items reads a comma-separated list between brackets. It calls item for each entry; item must read the entry.
+// items reads a comma-separated list between brackets. It calls readItem for each entry; readItem must read the entry.
 func (s *jsonScanner) items(opening, closing byte, readItem func()) {
 	s.depth++
 	if s.depth > maxDepth || !s.consume(opening) {
--- a/internal/protocol/line_reader.go
+++ b/internal/protocol/line_reader.go
@@ -6,7 +6,7 @@
 // brackets does not end the line. The zero value is ready for use.
 type LineReader struct {
 	buffered []byte // received bytes that Next has not returned yet
-	scanned  int    // number of bytes of pending that are scanned
+	scanned  int    // number of bytes of buffered that are scanned
 
 	// Scanner state after the scanned bytes.
 	depth    int // number of open brackets
--- a/internal/protocol/load_datagram_test.go
+++ b/internal/protocol/load_datagram_test.go
@@ -24,7 +24,7 @@
 			assert.Equal(t, tt.wantInstance, datagram.Instance)
 			assert.Equal(t, []Load{{WorkerTag("s-1"), 3}, {WorkerTag("s-2"), 255}}, datagram.Loads)
 			largest := AppendLoadDatagram(nil, 0, tt.instance, make([]Load, 1000))
-			assert.LessOrEqual(t, len(largest), 256, "datagram exceeds the maximum length")
+			assert.LessOrEqual(t, len(largest), 256, "the datagram must not exceed the maximum length")
 		})
 	}
 }
--- a/internal/protocol/load_report.go
+++ b/internal/protocol/load_report.go
@@ -3,7 +3,8 @@
 import "fmt"
 
 // ParseLoadReport returns the values of a worker's load report in the order of names. The report is a JSON array in
-// that order, or an object with the names as keys. It returns ErrMalformed if a value is missing.
+// that order, or an object with the names as keys. It returns ErrMalformed for any other number of
+// values.
 func ParseLoadReport(b []byte, names []string) ([]float64, error) {
 	s := jsonScanner{input: b}
 	values := make([]float64, len(names))
--- a/internal/protocol/request.go
+++ b/internal/protocol/request.go
@@ -18,7 +18,7 @@
 	Timeout        time.Duration // client timeout, from the arrival of the request; 0 if not given
 	SizeHint       time.Duration // the client's estimate of the work, or 0 if not given
 	Slots          float64       // worker slots that the request takes, or 0 if not given
-	IdempotencyKey string        // identifies repeated requests at workers; "" if not given
+	IdempotencyKey string        // key by which workers recognize a repeated request; "" if not given
 	Body           []byte
 
 	forwarded []field // fields that are sent to workers unchanged
--- a/internal/protocol/request_test.go
+++ b/internal/protocol/request_test.go
@@ -23,13 +23,13 @@
 
 func TestMalformedRequestsAreRejected(t *testing.T) {
 	for _, tt := range []struct{ name, fieldLines string }{
-		{"no id", "Req-Kind: a"},
-		{"empty id", "Req-Id: "},
-		{"two ids", "Req-Id: a\r\nReq-Id: b"},
-		{"id with a space", "Req-Id: a b"},
-		{"id beyond ASCII", "Req-Id: \xe9"},
-		{"long id", "Req-Id: " + strings.Repeat("a", 300)},
-		{"timeout that is no number", "Req-Id: a\r\nReq-Deadline: x"},
+		{"no ID", "Req-Kind: a"},
+		{"empty ID", "Req-Id: "},
+		{"two IDs", "Req-Id: a\r\nReq-Id: b"},
+		{"ID with a space", "Req-Id: a b"},
+		{"non-ASCII ID", "Req-Id: \xe9"},
+		{"ID longer than the limit", "Req-Id: " + strings.Repeat("a", 300)},
+		{"non-numeric timeout", "Req-Id: a\r\nReq-Deadline: x"},
 		{"empty timeout", "Req-Id: a\r\nReq-Deadline: "},
 		{"timeout with an exponent", "Req-Id: a\r\nReq-Deadline: 1e1"},
 		{"hexadecimal timeout", "Req-Id: a\r\nReq-Deadline: 0x1p3"},
@@ -41,7 +41,7 @@
 		{"infinite size hint", "Req-Id: a\r\nReq-Cost: Inf"},
 		{"size hint with an exponent", "Req-Id: a\r\nReq-Cost: 1e15"},
 		{"empty idempotency key", "Req-Id: a\r\nIdempotency-Key: "},
-		{"slots that are no number", "Req-Id: a\r\nReq-Extra: slots=x"},
+		{"non-numeric slots", "Req-Id: a\r\nReq-Extra: slots=x"},
 		{"slots with an exponent", "Req-Id: a\r\nReq-Extra: slots=1e9"},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
--- a/internal/protocol/response.go
+++ b/internal/protocol/response.go
@@ -25,7 +25,7 @@
 	StatusGatewayTimeout       = 504
 )
 
-// The first status codes of each class (RFC 9110, 15).
+// The first status codes of final responses and of client errors (RFC 9110, 15).
 const (
 	firstFinalStatus       = 200
 	firstClientErrorStatus = 400
@@ -59,8 +59,8 @@
 // Continue is the interim response that asks a client to send its body (RFC 9110, 10.1.1 and 15.2.1).
 const Continue = "HTTP/1.1 100 Continue\r\n\r\n"
 
-// IsClientError reports whether the response rejects the request because of an error of the client, rather than because
-// it was throttled or failed.
+// IsClientError reports whether the response rejects the request because of an error of the client (status 400 to 428),
+// rather than because it was throttled or failed.
 func (r *Response) IsClientError() bool {
 	return r.Status >= firstClientErrorStatus && r.Status < StatusTooManyRequests
 }
--- a/internal/protocol/wire_test.go
+++ b/internal/protocol/wire_test.go
@@ -62,7 +62,7 @@
 				"Idempotency-Key: k1\r\nContent-Type: text/plain\r\nContent-Length: 4\r\n\r\nbody",
 		},
 		{
-			"fewest fields, no time left", requestHead(t, "Req-Id: 9c\r\nReq-Kind: render"), "", -time.Second,
+			"required fields only, no time left", requestHead(t, "Req-Id: 9c\r\nReq-Kind: render"), "", -time.Second,
 			"POST /api?q=1 HTTP/1.1\r\nHost: origin.svc\r\nReq-Id: 9c\r\nReq-Deadline: 0.000\r\n" +
 				"Content-Length: 0\r\n\r\n",
 		},
@@ -80,12 +80,12 @@
 func TestGetRequestBytes(t *testing.T) {
 	for _, tt := range []struct{ name, target, want string }{
 		{
-			"watch of the list", WatchTarget(9007199254740993),
+			"watch of the endpoint list", WatchTarget(9007199254740993),
 			"GET /catalog/members?stream=1&index=9007199254740993 HTTP/1.1\r\nHost: origin.svc\r\n\r\n",
 		},
-		{"list", PathEndpoints, "GET /catalog/members HTTP/1.1\r\nHost: origin.svc\r\n\r\n"},
-		{"load", PathLoad, "GET /_load HTTP/1.1\r\nHost: origin.svc\r\n\r\n"},
-		{"health", PathHealth, "GET /_health HTTP/1.1\r\nHost: origin.svc\r\n\r\n"},
+		{"endpoint list", PathEndpoints, "GET /catalog/members HTTP/1.1\r\nHost: origin.svc\r\n\r\n"},
+		{"load report", PathLoad, "GET /_load HTTP/1.1\r\nHost: origin.svc\r\n\r\n"},
+		{"health check", PathHealth, "GET /_health HTTP/1.1\r\nHost: origin.svc\r\n\r\n"},
 	} {
 		assert.Equal(t, tt.want, string(AppendGet(nil, tt.target)), tt.name)
 	}
@@ -104,13 +104,13 @@
 		{"malformed", Response{Status: 400}, CloseAfterResponse, "400 Bad Request\r\nContent-Length: 0\r\nConnection: close"},
 		{"unknown path", Response{Status: 404}, KeepAlive, "404 Not Found\r\nContent-Length: 0"},
 		{
-			"wrong method",
+			"method not allowed",
 			Response{Status: 405, Allow: "GET, HEAD"},
 			KeepAlive,
 			"405 Method Not Allowed\r\nContent-Length: 0\r\nAllow: GET, HEAD",
 		},
-		{"too slow", Response{Status: 408}, CloseAfterResponse, "408 Request Timeout\r\nContent-Length: 0\r\nConnection: close"},
-		{"id in use", Response{Status: 409}, KeepAlive, "409 Conflict\r\nContent-Length: 0"},
+		{"request timeout", Response{Status: 408}, CloseAfterResponse, "408 Request Timeout\r\nContent-Length: 0\r\nConnection: close"},
+		{"ID in use", Response{Status: 409}, KeepAlive, "409 Conflict\r\nContent-Length: 0"},
 		{"large body", Response{Status: 413}, KeepAlive, "413 Content Too Large\r\nContent-Length: 0"},
 		{
 			"throttled",
@@ -118,9 +118,9 @@
 			KeepAlive,
 			"429 Too Many Requests\r\nContent-Length: 0\r\nRetry-After: 1.5",
 		},
-		{"throttled without advice", Response{Status: 429}, KeepAlive, "429 Too Many Requests\r\nContent-Length: 0"},
+		{"throttled without Retry-After", Response{Status: 429}, KeepAlive, "429 Too Many Requests\r\nContent-Length: 0"},
 		{"large head", Response{Status: 431}, KeepAlive, "431 Request Header Fields Too Large\r\nContent-Length: 0"},
-		{"error", Response{Status: 502}, KeepAlive, "502 Bad Gateway\r\nContent-Length: 0"},
+		{"bad gateway", Response{Status: 502}, KeepAlive, "502 Bad Gateway\r\nContent-Length: 0"},
 		{
 			"not ready",
 			Response{Status: 503, RetryAfter: 2 * time.Second},
@@ -142,9 +142,9 @@
 		"started": 1, "running": 2, "done": 3, "failed": 4, "returned": 5, "lost": 6,
 		"Done": 0, "resting": 0,
 	} {
-		line, err := ParseLine([]byte(`{"id":"a","state":"` + word + `","result":"r"}`))
+		line, err := ParseWorkerLine([]byte(`{"id":"a","state":"` + word + `","result":"r"}`))
 		assert.NoError(t, err)
-		assert.Equal(t, Line{ID: "a", State: want, Result: "r"}, line, word)
+		assert.Equal(t, WorkerLine{ID: "a", State: want, Result: "r"}, line, word)
 	}
 }
 
--- a/internal/protocol/worker_line.go
+++ b/internal/protocol/worker_line.go
@@ -7,34 +7,34 @@
 
 // The values of AttemptState.
 const (
-	Unknown AttemptState = iota // state that this version does not support; ignored
-	Started
-	Running
-	Done
-	Failed
-	ReturnedUnstarted // the worker returned the attempt without starting it
-	Lost              // the outcome is unknown to the worker
+	AttemptUnknown AttemptState = iota // state that this version does not support; ignored
+	AttemptStarted
+	AttemptRunning
+	AttemptDone
+	AttemptFailed
+	AttemptReturnedUnstarted // the worker returned the attempt without starting it
+	AttemptLost              // the outcome is unknown to the worker
 )
 
 var attemptStates = map[string]AttemptState{
-	wordStarted:           Started,
-	wordRunning:           Running,
-	wordDone:              Done,
-	wordFailed:            Failed,
-	wordReturnedUnstarted: ReturnedUnstarted,
-	wordLost:              Lost,
+	wordStarted:           AttemptStarted,
+	wordRunning:           AttemptRunning,
+	wordDone:              AttemptDone,
+	wordFailed:            AttemptFailed,
+	wordReturnedUnstarted: AttemptReturnedUnstarted,
+	wordLost:              AttemptLost,
 }
 
-// Line is one line of a worker's response.
-type Line struct {
+// WorkerLine is one line of a worker's response.
+type WorkerLine struct {
 	ID     string // request ID
 	State  AttemptState
-	Result string // result of an attempt in state Done
+	Result string // result of an attempt in state AttemptDone
 }
 
-// ParseLine parses one line, which holds a JSON object. Unknown keys are ignored. It returns ErrMalformed if the line
-// has no state, or has the state Done without a result.
-func ParseLine(b []byte) (line Line, err error) {
+// ParseWorkerLine parses one line, which holds a JSON object. Unknown keys are ignored. It returns ErrMalformed for
+// invalid JSON, for a line without a state, or for one in state AttemptDone without a result.
+func ParseWorkerLine(b []byte) (line WorkerLine, err error) {
 	s := jsonScanner{input: b}
 	state := ""
 	hasResult := false
@@ -55,7 +55,7 @@
 	if err := s.finish(); err != nil {
 		return line, err
 	}
-	if state == "" || line.State == Done && !hasResult {
+	if state == "" || line.State == AttemptDone && !hasResult {
 		return line, fmt.Errorf("%w: worker response line without state or result", ErrMalformed)
 	}
 	return line, nil
--- a/internal/proxy/worker_response.go
+++ b/internal/proxy/worker_response.go
@@ -129,7 +129,7 @@
 	if len(text) == 0 {
 		return
 	}
-	line, err := protocol.ParseLine(text)
+	line, err := protocol.ParseWorkerLine(text)
 	if err != nil {
 		p.err = fmt.Errorf("%w: %w", errMalformedResponse, err)
 		return
@@ -139,16 +139,16 @@
 		return
 	}
 	switch line.State {
-	case protocol.Started:
+	case protocol.AttemptStarted:
 		p.attempt.events.started()
-	case protocol.Done:
+	case protocol.AttemptDone:
 		p.outcome = balancer.Succeeded
 		p.result = line.Result
-	case protocol.Failed:
+	case protocol.AttemptFailed:
 		p.outcome = balancer.WorkerError
-	case protocol.ReturnedUnstarted:
+	case protocol.AttemptReturnedUnstarted:
 		p.outcome = balancer.Overloaded
-	case protocol.Lost:
+	case protocol.AttemptLost:
 		p.outcome = balancer.ConnectionReset
 	}
 }
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -18,7 +18,7 @@
 	{keyRules, keyInitialWarmup},
 }
 
-// nonNegativeOperationSettings are the keys of an operation whose numbers must not be negative.
+// nonNegativeOperationSettings are the keys of operations whose values must not be negative.
 var nonNegativeOperationSettings = []string{keyLatencyObjective, keyClientTimeout, keyDedupWindow}
 
 // check returns a *KeyError for the first value that is invalid for every dispatcher, or nil if there is none.
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -16,7 +16,7 @@
 
 // Sizes of gossip messages, in bytes.
 const (
-	MaxMessageBytes       = 256 // maximum length of a message, for which the platform states the price
+	MaxMessageBytes       = 256 // maximum length of a message; the platform's price is that of a message of this length
 	minPricedMessageBytes = 16  // shorter messages have the price of a message of this length
 )
 
@@ -66,8 +66,8 @@
 	return config, nil
 }
 
-// parseTopology parses the number of dispatchers, the position and zone of this dispatcher, the kinds of workers, and
-// the discovery mode. If the settings list no kinds, there is a single kind.
+// parseTopology parses the number of dispatchers, the position and zone of this dispatcher, the number of kinds of
+// workers, the scheduling granularity and the discovery mode. If the settings list no kinds, there is a single kind.
 func parseTopology(config *balancer.Config, root *fastjson.Value) {
 	config.Dispatchers = root.GetInt(keyDispatchers)
 	config.Position = root.GetInt(keyPosition)
@@ -77,8 +77,9 @@
 	config.Discovery.Poll = string(root.GetStringBytes(keyDiscoveryMode)) == wordPolledDiscovery
 }
 
-// parseObjective parses the value of requests and the prices of messages. Value is counted per request unless the
-// settings specify that it is counted per unit of work.
+// parseObjective parses the weight of the worst operation, the weight of requests beyond a tenant's quota, and the
+// prices of gossip messages and of attempts in other zones. Value is counted per request unless the settings specify
+// that it is counted per unit of work.
 func parseObjective(config *balancer.Config, root *fastjson.Value) {
 	otherWeights := root.GetFloat64(keyGoal, keyGoalWholeRun) + root.GetFloat64(keyGoal, keyGoalWorstWindow)
 	config.Objective.WorstOperationWeight = root.GetFloat64(keyGoal, keyGoalWorstOperation) / max(otherWeights, minObjectiveWeight)
@@ -90,7 +91,7 @@
 	}
 }
 
-// parsePolicyLimits parses the limits on a dispatcher's actions.
+// parsePolicyLimits parses the limits on the actions of a dispatcher, and the optional actions that are allowed.
 func parsePolicyLimits(config *balancer.Config, limits *fastjson.Value) {
 	config.Attempts.Max = limits.GetInt(keyMaxAttempts)
 	config.Rejections.MaxRetryAfter = DurationFromSeconds(limits.GetFloat64(keyMaxRetryAfter))
@@ -110,8 +111,9 @@
 	config.Warmup.OverloadFactor = rules.GetFloat64(keyOverloadFactor)
 }
 
-// parseLoadReports parses the contents of load reports, and the index of each value that the balancer uses. The
-// workload-specific value is used only if it is the number of free slots.
+// parseLoadReports parses whether workers report the start of attempts, whether only responses to health checks hold
+// load reports, and the index in a load report of each value that the balancer uses. The workload-specific value is
+// used only if it is the number of free slots.
 func parseLoadReports(config *balancer.Config, report, workload *fastjson.Value) {
 	config.Attempts.StartNotices = workload.GetBool(keyStartNotices)
 	config.LoadReports.OnProbe = string(report.GetStringBytes(keyLoadReportSource)) == wordReportsOnProbe
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -117,9 +117,9 @@
 
 // TestEachSettingSetsItsConfigField checks that each key of the settings sets its field of the configuration.
 func TestEachSettingSetsItsConfigField(t *testing.T) {
-	read, err := Parse(fastjson.MustParse(allSettings))
+	got, err := Parse(fastjson.MustParse(allSettings))
 	assert.NoError(t, err)
-	assert.Equal(t, wantConfig(), read)
+	assert.Equal(t, wantConfig(), got)
 	config := reflect.ValueOf(wantConfig())
 	for n := range config.NumField() {
 		name := config.Type().Field(n).Name
@@ -128,17 +128,17 @@
 	}
 }
 
-// TestEnumValuesOfSettings checks the words of settings with a fixed set of values, and the numbers that represent them
-// in stored data.
+// TestEnumValuesOfSettings checks the words that are valid for each enumerated setting, and the numbers that represent
+// them in stored data.
 func TestEnumValuesOfSettings(t *testing.T) {
 	for _, tt := range []struct {
 		word string
 		want balancer.Idempotency
 	}{{"idempotent", 0}, {"deduplicated", 1}, {"at_most_once", 2}} {
 		t.Run("repeat "+tt.word, func(t *testing.T) {
-			read, err := Parse(fastjson.MustParse(fmt.Sprintf(`{"balancers":1,"operations":[{"repeat":%q}]}`, tt.word)))
+			got, err := Parse(fastjson.MustParse(fmt.Sprintf(`{"balancers":1,"operations":[{"repeat":%q}]}`, tt.word)))
 			assert.NoError(t, err)
-			assert.Equal(t, tt.want, read.Operations[0].Idempotency)
+			assert.Equal(t, tt.want, got.Operations[0].Idempotency)
 		})
 	}
 	for _, tt := range []struct {
@@ -146,17 +146,17 @@
 		want balancer.DedupScope
 	}{{"", 0}, {"all", 0}, {"zone", 1}, {"cell", 2}} {
 		t.Run("dedupScope "+tt.word, func(t *testing.T) {
-			read, err := Parse(fastjson.MustParse(
+			got, err := Parse(fastjson.MustParse(
 				fmt.Sprintf(`{"balancers":1,"operations":[{"repeat":"idempotent","dedupScope":%q}]}`, tt.word)))
 			assert.NoError(t, err)
-			assert.Equal(t, tt.want, read.Operations[0].DedupScope)
+			assert.Equal(t, tt.want, got.Operations[0].DedupScope)
 		})
 	}
 }
 
 // TestOmittedSettingsHaveDefaults checks the configuration for keys that the settings omit.
 func TestOmittedSettingsHaveDefaults(t *testing.T) {
-	read, err := Parse(fastjson.MustParse(
+	got, err := Parse(fastjson.MustParse(
 		`{"balancers":1,"billedValueBasis":"work","operations":[{"repeat":"idempotent"}]}`))
 	assert.NoError(t, err)
 	want := balancer.Config{
@@ -172,41 +172,41 @@
 			FreeSlots: balancer.NotReported,
 		},
 	}
-	assert.Equal(t, want, read)
+	assert.Equal(t, want, got)
 }
 
 // TestInvalidSettingsAreRejectedWithTheirKey checks the keys and problems in the errors for invalid settings.
 func TestInvalidSettingsAreRejectedWithTheirKey(t *testing.T) {
 	const idempotent = `"operations":[{"repeat":"idempotent"}]`
 	for _, tt := range []struct{ name, settings, key, problem string }{
-		{"no operation", `{"balancers":1}`, "operations", "there must be at least one"},
-		{"no dispatcher", `{"balancers":0,` + idempotent + `}`, "balancers", "0, must be at least 1"},
+		{"no operations", `{"balancers":1}`, "operations", "there must be at least one"},
+		{"no dispatchers", `{"balancers":0,` + idempotent + `}`, "balancers", "0, must be at least 1"},
 		{
-			"position", `{"balancers":2,"position":2,` + idempotent + `}`,
+			"position out of range", `{"balancers":2,"position":2,` + idempotent + `}`,
 			"position", "2, must be from 0 to 1, as there are 2 balancers",
 		},
 		{
-			"repeat", `{"balancers":1,"operations":[{"repeat":"never","dedupScope":"moon"}]}`,
+			"unknown repeat", `{"balancers":1,"operations":[{"repeat":"never","dedupScope":"moon"}]}`,
 			"operations[0].repeat", `"never", must be one of at_most_once, deduplicated, idempotent`,
 		},
 		{
-			"dedupScope", `{"balancers":1,"operations":[{"repeat":"idempotent","dedupScope":"moon"}]}`,
+			"unknown dedupScope", `{"balancers":1,"operations":[{"repeat":"idempotent","dedupScope":"moon"}]}`,
 			"operations[0].dedupScope", `"moon", must be one of all, cell, zone`,
 		},
 		{
-			"client timeout", `{"balancers":1,"operations":[{"repeat":"idempotent","clientTimeoutS":-1}]}`,
+			"negative client timeout", `{"balancers":1,"operations":[{"repeat":"idempotent","clientTimeoutS":-1}]}`,
 			"operations[0].clientTimeoutS", "-1, must not be negative",
 		},
 		{
-			"deduplication window", `{"balancers":1,"operations":[{"repeat":"idempotent","dedupWindowS":-1}]}`,
+			"negative deduplication window", `{"balancers":1,"operations":[{"repeat":"idempotent","dedupWindowS":-1}]}`,
 			"operations[0].dedupWindowS", "-1, must not be negative",
 		},
 		{
-			"rule", `{"balancers":1,` + idempotent + `,"rules":{"drainGraceS":-2}}`,
+			"negative rule", `{"balancers":1,` + idempotent + `,"rules":{"drainGraceS":-2}}`,
 			"rules.drainGraceS", "-2, must not be negative",
 		},
 		{
-			"policy limit", `{"balancers":1,` + idempotent + `,"policyLimits":{"maxRetryAfterS":-2}}`,
+			"negative policy limit", `{"balancers":1,` + idempotent + `,"policyLimits":{"maxRetryAfterS":-2}}`,
 			"policyLimits.maxRetryAfterS", "-2, must not be negative",
 		},
 	} {
--- a/internal/settings/wire_names_test.go
+++ b/internal/settings/wire_names_test.go
@@ -25,42 +25,42 @@
 
 // wireName is a row of the table of wire names.
 type wireName struct {
-	name string // on the wire
+	name string // name on the wire
 	term string
 	unit string // unit of a number; "" if not a number or without a unit
 }
 
 // TestWireNamesAreInTheGlossary checks that the glossary and the code have the same wire names, terms and units.
 func TestWireNamesAreInTheGlossary(t *testing.T) {
-	onPage := readGlossary(t)
-	for _, name := range wireNamePackages {
-		t.Run(name, func(t *testing.T) {
-			inCode := parseWireNames(t, name)
-			assert.NotEmpty(t, inCode)
-			assert.Equal(t, formatRows(inCode), formatRows(onPage[name]))
+	glossaryRows := readGlossary(t)
+	for _, packageName := range wireNamePackages {
+		t.Run(packageName, func(t *testing.T) {
+			codeRows := parseWireNames(t, packageName)
+			assert.NotEmpty(t, codeRows)
+			assert.Equal(t, formatRows(codeRows), formatRows(glossaryRows[packageName]))
 		})
 	}
-	for name := range onPage {
-		assert.Contains(t, wireNamePackages, name, "the glossary has wire names of another package")
+	for packageName := range glossaryRows {
+		assert.Contains(t, wireNamePackages, packageName, "the glossary has wire names of another package")
 	}
 }
 
 // TestWireNamesAreLiteralsInOneFileOnly checks that only the file of wire names has wire names as string literals.
 func TestWireNamesAreLiteralsInOneFileOnly(t *testing.T) {
-	for _, name := range wireNamePackages {
-		t.Run(name, func(t *testing.T) {
-			inCode := map[string]bool{}
-			for _, row := range parseWireNames(t, name) {
-				inCode[row.name] = true
+	for _, packageName := range wireNamePackages {
+		t.Run(packageName, func(t *testing.T) {
+			wireNames := map[string]bool{}
+			for _, row := range parseWireNames(t, packageName) {
+				wireNames[row.name] = true
 			}
-			paths, err := filepath.Glob(filepath.Join("..", name, "*.go"))
+			paths, err := filepath.Glob(filepath.Join("..", packageName, "*.go"))
 			require.NoError(t, err)
 			for _, path := range paths {
 				if strings.HasSuffix(path, "_test.go") || filepath.Base(path) == wireNamesFile {
 					continue
 				}
 				for _, literal := range stringLiterals(t, path) {
-					assert.False(t, inCode[literal], "%s has %q as a literal", path, literal)
+					assert.False(t, wireNames[literal], "%s has the wire name %q as a literal", path, literal)
 				}
 			}
 		})
@@ -86,7 +86,7 @@
 		if !ok {
 			return true
 		}
-		require.Len(t, constant.Values, 1, "%s: one name a line", constant.Names[0])
+		require.Len(t, constant.Values, 1, "%s: want exactly one value per declaration", constant.Names[0])
 		literal, ok := constant.Values[0].(*ast.BasicLit)
 		require.True(t, ok, "%s is not a literal", constant.Names[0])
 		name, err := strconv.Unquote(literal.Value)
@@ -142,7 +142,7 @@
 			continue
 		}
 		cells := strings.Split(strings.Trim(line, "|"), "|")
-		require.Len(t, cells, 4, "a row has wire name, term, unit and package: %s", line)
+		require.Len(t, cells, 4, "want wire name, term, unit and package in row: %s", line)
 		for n := range cells {
 			cells[n] = strings.Trim(strings.TrimSpace(cells[n]), "`")
 		}
--- a/internal/simadapter/discovery.go
+++ b/internal/simadapter/discovery.go
@@ -16,14 +16,15 @@
 	ids    map[string]balancer.WorkerID // number by name on the wire
 	quoted []string                     // names encoded as JSON, by number
 	tags   []uint16                     // tags of the names in gossip messages, by number
-	byTag  map[uint16]balancer.WorkerID
+	byTag  map[uint16]balancer.WorkerID // number by tag; the first worker if several have the same tag
 }
 
 func newWorkerTable() workerTable {
 	return workerTable{ids: map[string]balancer.WorkerID{}, byTag: map[uint16]balancer.WorkerID{}}
 }
 
-// find returns the number of the worker in an event. It returns errUnknownWorker if the worker has no number.
+// find returns the number of the worker that the fields of an event refer to. It returns errUnknownWorker if the worker
+// has no number.
 func (t *workerTable) find(fields *fastjson.Value) (balancer.WorkerID, error) {
 	name := string(fields.GetStringBytes(keyWorker))
 	id, known := t.ids[name]
@@ -108,9 +109,9 @@
 		return fmt.Errorf("%w %d", errUnknownEndpointList, number)
 	}
 	endpoints := make([]balancer.Endpoint, 0, len(list))
-	for _, listed := range list {
-		endpoint := listed.endpoint
-		endpoint.Worker = in.workers.findOrAdd(listed.name)
+	for _, entry := range list {
+		endpoint := entry.endpoint
+		endpoint.Worker = in.workers.findOrAdd(entry.name)
 		endpoints = append(endpoints, endpoint)
 	}
 	extent := balancer.AllEndpoints
--- a/internal/simadapter/effects.go
+++ b/internal/simadapter/effects.go
@@ -2,18 +2,19 @@
 
 import "canvasroute/internal/balancer"
 
-// The methods in this file implement balancer.Effects. Each of them adds a command to the reply.
+// The methods in this file, and SendLoad in gossip.go, implement balancer.Effects. Each of them adds a command to the
+// reply.
 
 // SendAttempt implements balancer.Effects.
-func (in *instance) SendAttempt(id balancer.RequestID, worker balancer.WorkerID, within balancer.Duration) {
+func (in *instance) SendAttempt(id balancer.RequestID, worker balancer.WorkerID, timeout balancer.Duration) {
 	request := in.requests.get(id)
 	request.attempts++
 	request.inFlight++
 	in.reply.open(commandSendAttempt, in.number)
 	in.reply.writeJSON(keyRequestID, request.quoted)
 	in.reply.writeJSON(keyWorker, in.workers.quoted[worker])
-	if within > 0 {
-		in.reply.writeSeconds(keyAttemptLimit, within)
+	if timeout > 0 {
+		in.reply.writeSeconds(keyAttemptTimeout, timeout)
 	}
 	in.reply.close()
 }
@@ -46,10 +47,10 @@
 }
 
 // Wake implements balancer.Effects.
-func (in *instance) Wake(key uint64, after balancer.Duration) {
+func (in *instance) Wake(key uint64, delay balancer.Duration) {
 	in.reply.open(commandSetTimer, in.number)
 	in.reply.writeInt(keyTimer, int64(key))
-	in.reply.writeSeconds(keyTimerDelay, after)
+	in.reply.writeSeconds(keyTimerDelay, delay)
 	in.reply.close()
 }
 
--- a/internal/simadapter/instance.go
+++ b/internal/simadapter/instance.go
@@ -9,7 +9,7 @@
 )
 
 // instance is one dispatcher: a balancer, and tables that map the names of workers and requests on the wire to the
-// numbers that the balancer uses. It implements balancer.Effects in effects.go.
+// numbers that the balancer uses. It implements balancer.Effects in effects.go and gossip.go.
 type instance struct {
 	number           int // number of the dispatcher on the wire
 	operationCount   int // number of operations in the settings
--- a/internal/simadapter/reply.go
+++ b/internal/simadapter/reply.go
@@ -63,7 +63,7 @@
 	r.line = strconv.AppendFloat(r.line, float64(d)/balancer.Second, 'f', -1, 64)
 }
 
-// writeTextCommand writes a command with a text as its only field.
+// writeTextCommand writes a command whose only field, apart from the dispatcher, is a text.
 func (r *reply) writeTextCommand(command string, dispatcher int, text string) {
 	r.open(command, dispatcher)
 	r.writeJSON(keyText, quoted(text))
--- a/internal/simadapter/requests.go
+++ b/internal/simadapter/requests.go
@@ -13,13 +13,13 @@
 // progressStarted is the kind of progress that reports the start of an attempt.
 const progressStarted = 1
 
-// trackedRequest is a request with a number. The number is reused after the last attempt of the request has ended.
+// trackedRequest is a request with a number. The number is reused after the request and all of its attempts have ended.
 type trackedRequest struct {
 	name     string // name on the wire; "" while the number is free
 	quoted   string // the name encoded as JSON
 	attempts int    // number of attempts sent so far
 	inFlight int    // number of attempts that have not ended
-	ended    bool   // the request has a final response, or its client has left
+	ended    bool   // a response to the client has started or been sent, or the client has left
 }
 
 // requestTable assigns numbers to the requests of one instance.
@@ -75,8 +75,8 @@
 	t.releaseCandidates = t.releaseCandidates[:0]
 }
 
-// findAttempt returns the attempt in an event. It returns errUnknownRequest or errUnknownAttempt if there is no such
-// attempt.
+// findAttempt returns the attempt that the fields of an event refer to. It returns errUnknownRequest or
+// errUnknownAttempt if there is no such attempt.
 func (t *requestTable) findAttempt(fields *fastjson.Value) (attemptRef, error) {
 	name := string(fields.GetStringBytes(keyRequestID))
 	id, known := t.ids[name]
@@ -158,8 +158,8 @@
 	return nil
 }
 
-// handleResponseStarted handles the start of streaming an attempt's response to the client. It reports to the balancer
-// that the client has left except for this attempt, because the other attempts are no longer needed.
+// handleResponseStarted handles the start of streaming an attempt's response to the client. It closes the request in
+// the balancer except for this attempt, because the other attempts are no longer needed.
 func (in *instance) handleResponseStarted(fields *fastjson.Value) error {
 	attempt, err := in.requests.findAttempt(fields)
 	if err != nil {
--- a/internal/simadapter/simadapter.go
+++ b/internal/simadapter/simadapter.go
@@ -23,15 +23,15 @@
 	outputBufferBytes = 1 << 16
 )
 
-// Errors that end the run, because a batch is inconsistent with earlier ones.
+// Errors that end the run, because a batch is malformed or inconsistent with earlier ones.
 var (
 	errMalformedBatch      = errors.New("malformed")
 	errUnknownDispatcher   = errors.New("unknown dispatcher")
-	errUnknownEvent        = errors.New("unknown message")
+	errUnknownEvent        = errors.New("unknown event")
 	errUnknownRequest      = errors.New("unknown request")
 	errUnknownAttempt      = errors.New("has no attempt")
 	errUnknownWorker       = errors.New("unknown worker")
-	errUnknownEndpointList = errors.New("unknown list")
+	errUnknownEndpointList = errors.New("unknown endpoint list")
 )
 
 // simulation is the state of the process.
@@ -41,8 +41,8 @@
 	reply     reply               // reply to the current batch
 }
 
-// Run reads batches, one per line, until the end of the input, and writes a one-line reply to each. An error includes
-// the line number, counted from 1, and a description of the problem.
+// Run reads batches, one per line, until the end of the input, and writes a one-line reply to each. An error in the
+// input includes the line number, counted from 1, and a description of the problem.
 func Run(in io.Reader, out io.Writer) error {
 	input := bufio.NewReaderSize(in, inputBufferBytes)
 	output := bufio.NewWriterSize(out, outputBufferBytes)
--- a/internal/simadapter/simadapter_test.go
+++ b/internal/simadapter/simadapter_test.go
@@ -60,7 +60,7 @@
 		{"unknown dispatcher", batchLine(`{"Nonsense":{"dispatcher":4}}`), errUnknownDispatcher, "unknown dispatcher 4"},
 		{
 			"unknown event", batchLine(startEvent, `{"Nonsense":{"dispatcher":4}}`),
-			errUnknownEvent, "event 1, Nonsense: unknown message",
+			errUnknownEvent, "event 1, Nonsense: unknown event",
 		},
 		{"unknown request", batchLine(startEvent, endedEvent), errUnknownRequest, `unknown request "q\"1"`},
 		{
@@ -73,8 +73,8 @@
 			errUnknownWorker, `unknown worker "b:1"`,
 		},
 		{
-			"unknown list", batchLine(startEvent, `{"Discovery":{"dispatcher":4,"mode":"patch","rosterId":3}}`),
-			errUnknownEndpointList, "unknown list 3",
+			"unknown endpoint list", batchLine(startEvent, `{"Discovery":{"dispatcher":4,"mode":"patch","rosterId":3}}`),
+			errUnknownEndpointList, "unknown endpoint list 3",
 		},
 		{"invalid settings", batchLine(strings.Replace(startEvent, `"balancers":1`, `"balancers":0`, 1)), nil, "balancers: 0"},
 		{
--- a/internal/simadapter/wire_names.go
+++ b/internal/simadapter/wire_names.go
@@ -43,38 +43,38 @@
 
 // Keys of events and commands.
 const (
-	keyDispatcher    = "dispatcher"  // dispatcher; index, from 0
-	keySettings      = "setup"       // settings
-	keySeed          = "nonce64"     // seed of a dispatcher's random choices
-	keyListNumber    = "rosterId"    // number of an endpoint list
-	keyEndpoints     = "hosts"       // endpoints
-	keyUpdateMode    = "mode"        // kind of an update of the endpoints
-	keyWorker        = "worker"      // worker ID
-	keyWorkerState   = "readiness"   // state of a worker
-	keyWorkerZone    = "dc"          // zone of a worker; index, from 0
-	keyWorkerKind    = "shape"       // kind of a worker; index, from 0
-	keyWorkerCell    = "pod"         // cell of a worker; index, from 0
-	keyWorkerStart   = "bornS"       // start of a worker's process; seconds, 0 for long ago
-	keyRequestID     = "rid"         // request ID
-	keyOperation     = "band"        // operation; index, from 0
-	keyTenant        = "project"     // tenant; index, from 0
-	keyTimeout       = "graceS"      // client timeout; seconds
-	keySizeHint      = "costGuessS"  // size hint: the client's estimate of the work; seconds
-	keySlots         = "coresNeeded" // slots of a worker that a request takes; slots
-	keyAttempt       = "hop"         // attempt of a request; index, from 0
-	keyAttemptLimit  = "withinS"     // timeout of an attempt; seconds
-	keyProgress      = "what"        // kind of progress; number, 1 for the start
-	keyOutcome       = "reason"      // outcome of an attempt; number, from 1 for success
-	keyRequestEnded  = "closed"      // the request has ended
-	keyLoadReport    = "telemetry"   // load report
-	keyRetryAfter    = "comeBackS"   // Retry-After; seconds
-	keyTimer         = "keyBack"     // timer
-	keyTimerDelay    = "offsetS"     // delay of a timer; seconds
-	keySubscription  = "want"        // subscription to the endpoint list
-	keyPeerFrom      = "sender"      // sender of a gossip message; index, from 0
-	keyPeerTo        = "dst"         // receiver of a gossip message; index, from 0
-	keyGossipContent = "octets"      // content of a gossip message, in hexadecimal digits
-	keyText          = "text"        // text
+	keyDispatcher     = "dispatcher"  // dispatcher; index, from 0
+	keySettings       = "setup"       // settings
+	keySeed           = "nonce64"     // seed of a dispatcher's random choices
+	keyListNumber     = "rosterId"    // number of an endpoint list
+	keyEndpoints      = "hosts"       // endpoints
+	keyUpdateMode     = "mode"        // kind of an update of the endpoints
+	keyWorker         = "worker"      // worker ID
+	keyWorkerState    = "readiness"   // state of a worker
+	keyWorkerZone     = "dc"          // zone of a worker; index, from 0
+	keyWorkerKind     = "shape"       // kind of a worker; index, from 0
+	keyWorkerCell     = "pod"         // cell of a worker; index, from 0
+	keyWorkerStart    = "bornS"       // start of a worker's process; seconds, 0 for long ago
+	keyRequestID      = "rid"         // request ID
+	keyOperation      = "band"        // operation; index, from 0
+	keyTenant         = "project"     // tenant; index, from 0
+	keyTimeout        = "graceS"      // client timeout; seconds
+	keySizeHint       = "costGuessS"  // size hint: the client's estimate of the work; seconds
+	keySlots          = "coresNeeded" // slots of a worker that a request takes; slots
+	keyAttempt        = "hop"         // attempt of a request; index, from 0
+	keyAttemptTimeout = "withinS"     // timeout of an attempt; seconds
+	keyProgress       = "what"        // kind of progress; number, 1 for the start
+	keyOutcome        = "reason"      // outcome of an attempt; number, from 1 for success
+	keyRequestEnded   = "closed"      // the request has ended
+	keyLoadReport     = "telemetry"   // load report
+	keyRetryAfter     = "comeBackS"   // Retry-After; seconds
+	keyTimer          = "keyBack"     // timer
+	keyTimerDelay     = "offsetS"     // delay of a timer; seconds
+	keySubscription   = "want"        // subscription to the endpoint list
+	keyPeerFrom       = "sender"      // sender of a gossip message; index, from 0
+	keyPeerTo         = "dst"         // receiver of a gossip message; index, from 0
+	keyGossipContent  = "octets"      // content of a gossip message, in hexadecimal digits
+	keyText           = "text"        // text
 )
 
 // States of a worker.
--- a/internal/simadapter/wire_test.go
+++ b/internal/simadapter/wire_test.go
@@ -8,24 +8,24 @@
 	"canvasroute/internal/balancer"
 )
 
-// commandCases are the commands for each effect, as the simulator reads them.
+// commandCases lists the command that the simulator reads for each effect.
 var commandCases = []struct {
-	name    string
-	command func(in *instance, id balancer.RequestID, worker balancer.WorkerID)
-	want    string
+	name   string
+	effect func(in *instance, id balancer.RequestID, worker balancer.WorkerID)
+	want   string
 }{
 	{
 		"attempt", func(in *instance, id balancer.RequestID, worker balancer.WorkerID) { in.SendAttempt(id, worker, 0) },
 		`{"Issue":{"dispatcher":4,"rid":"q\"1","worker":"a:1"}}`,
 	},
 	{
-		"attempt with a limit", func(in *instance, id balancer.RequestID, worker balancer.WorkerID) {
+		"attempt with a timeout", func(in *instance, id balancer.RequestID, worker balancer.WorkerID) {
 			in.SendAttempt(id, worker, 12_500)
 		},
 		`{"Issue":{"dispatcher":4,"rid":"q\"1","worker":"a:1","withinS":1.25}}`,
 	},
 	{
-		"canceled attempt", func(in *instance, id balancer.RequestID, _ balancer.WorkerID) { in.CancelAttempt(id, 3) },
+		"cancellation of an attempt", func(in *instance, id balancer.RequestID, _ balancer.WorkerID) { in.CancelAttempt(id, 3) },
 		`{"AbortAttempt":{"dispatcher":4,"rid":"q\"1","hop":3}}`,
 	},
 	{
@@ -33,7 +33,7 @@
 		`{"Bounce":{"dispatcher":4,"rid":"q\"1"}}`,
 	},
 	{
-		"rejection with a retry time", func(in *instance, id balancer.RequestID, _ balancer.WorkerID) { in.Reject(id, 5_000) },
+		"rejection with Retry-After", func(in *instance, id balancer.RequestID, _ balancer.WorkerID) { in.Reject(id, 5_000) },
 		`{"Bounce":{"dispatcher":4,"rid":"q\"1","comeBackS":0.5}}`,
 	},
 	{
@@ -41,7 +41,7 @@
 		`{"DropRequest":{"dispatcher":4,"rid":"q\"1"}}`,
 	},
 	{
-		"wake-up", func(in *instance, _ balancer.RequestID, _ balancer.WorkerID) { in.Wake(77, 20_000) },
+		"timer", func(in *instance, _ balancer.RequestID, _ balancer.WorkerID) { in.Wake(77, 20_000) },
 		`{"WakeMe":{"dispatcher":4,"keyBack":77,"offsetS":2}}`,
 	},
 	{
@@ -53,13 +53,13 @@
 		`{"HealthCheck":{"dispatcher":4,"worker":"a:1"}}`,
 	},
 	{
-		"load", func(in *instance, _ balancer.RequestID, worker balancer.WorkerID) {
+		"gossip message", func(in *instance, _ balancer.RequestID, worker balancer.WorkerID) {
 			in.SendLoad(2, balancer.WorkerLoad{Worker: worker, InFlight: 300})
 		},
 		`{"Signal":{"dispatcher":4,"dst":2,"octets":"e5d4ff"}}`,
 	},
 	{
-		"remark", func(in *instance, _ balancer.RequestID, _ balancer.WorkerID) { in.Log(textEvent("a \"b\"")) },
+		"log event", func(in *instance, _ balancer.RequestID, _ balancer.WorkerID) { in.Log(textEvent("a \"b\"")) },
 		`{"Remark":{"dispatcher":4,"text":"a \"b\""}}`,
 	},
 }
@@ -71,7 +71,7 @@
 			in := newInstance(4, &reply{})
 			id := in.requests.add(`q"1`)
 			worker := in.workers.findOrAdd("a:1")
-			tt.command(in, id, worker)
+			tt.effect(in, id, worker)
 			assert.Equal(t, tt.want, string(in.reply.line))
 		})
 	}
--- a/internal/testbed/baseline/dispatch.go
+++ b/internal/testbed/baseline/dispatch.go
@@ -190,17 +190,17 @@
 	lines := bufio.NewScanner(body)
 	lines.Buffer(nil, protocol.MaxLineBytes)
 	for lines.Scan() {
-		line, err := protocol.ParseLine(lines.Bytes())
+		line, err := protocol.ParseWorkerLine(lines.Bytes())
 		if err != nil || line.ID != id {
 			return balancer.WorkerError, ""
 		}
 		switch line.State {
-		case protocol.Done:
+		case protocol.AttemptDone:
 			lines.Scan() // reads to the end of the body, so that the connection can be reused
 			return balancer.Succeeded, line.Result
-		case protocol.ReturnedUnstarted:
+		case protocol.AttemptReturnedUnstarted:
 			return balancer.Overloaded, ""
-		case protocol.Failed, protocol.Lost:
+		case protocol.AttemptFailed, protocol.AttemptLost:
 			return balancer.WorkerError, ""
 		}
 	}
