--- a/internal/protocol/body_test.go
+++ b/internal/protocol/body_test.go
@@ -92,7 +92,7 @@
 	}
 }
 
-func TestResponseStatusesWithoutBody(t *testing.T) {
+func TestResponseBodyIsEmptyIfStatusForbidsBody(t *testing.T) {
 	for _, status := range []int{100, 204, 304} {
 		t.Run(strconv.Itoa(status), func(t *testing.T) {
 			body, err := ResponseBody(&Head{Status: status})
--- a/internal/protocol/response_test.go
+++ b/internal/protocol/response_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-func TestResponseHeadText(t *testing.T) {
+func TestResponseHeadHasOptionalFieldsOnlyIfSet(t *testing.T) {
 	assert.Equal(t,
 		"HTTP/1.1 429 Too Many Requests\r\nContent-Length: 0\r\nRetry-After: 0.25\r\nConnection: close\r\n\r\n",
 		string(AppendResponseHead(nil, &Response{Status: 429, RetryAfter: 250 * time.Millisecond}, CloseAfterResponse)))
--- a/internal/simadapter/simadapter_test.go
+++ b/internal/simadapter/simadapter_test.go
@@ -32,7 +32,7 @@
 	return out.String(), err
 }
 
-func TestAttemptCommandHasTheNamesOfTheEvents(t *testing.T) {
+func TestAttemptCommandRepeatsNamesFromEvents(t *testing.T) {
 	out, err := runAdapter(batchLine(), batchLine(startEvent, listEvents, arrivalEvent), batchLine(endedEvent, clientLeftEvent))
 	assert.NoError(t, err)
 	lines := strings.Split(out, "\n")
@@ -92,7 +92,7 @@
 	}
 }
 
-func TestLateTimeoutAndUnknownTimerAreIgnored(t *testing.T) {
+func TestTimeoutOfUnknownRequestAndUnknownTimerAreIgnored(t *testing.T) {
 	out, err := runAdapter(batchLine(startEvent, listEvents, clientLeftEvent, `{"Bell":{"dispatcher":4,"keyBack":3}}`))
 	assert.NoError(t, err)
 	assert.NotContains(t, out, "Die")
