--- a/.ci/linked/main.go
+++ b/.ci/linked/main.go
@@ -22,7 +22,8 @@
 	}
 }
 
-// checkLinking returns an error unless the program at path is linked dynamically with the C library.
+// checkLinking returns an error unless the program at path is linked dynamically against the C library and names a
+// program interpreter.
 func checkLinking(path string) error {
 	f, err := elf.Open(path)
 	if err != nil {
--- a/.ci/mutants/main.go
+++ b/.ci/mutants/main.go
@@ -1,5 +1,5 @@
-// Command mutants removes the guards that list.toml lists, one at a time, by means of a build overlay, and fails unless
-// the test listed for each guard fails without it. It is not part of CI because it takes minutes. With -check, it only
+// Command mutants removes the guards that list.toml lists, one at a time, with a build overlay, and fails unless the
+// test listed for each guard fails without it. It is not part of CI because it takes minutes. With -check, it only
 // verifies that each guard is found in the source tree.
 package main
 
@@ -22,12 +22,12 @@
 
 // mutant describes a change that removes a guard, and the test that must detect it.
 type mutant struct {
-	Name string `toml:"name"`
-	File string `toml:"file"`
-	Old  string `toml:"old"`
-	New  string `toml:"new"`
-	Test string `toml:"test"` // pattern for go test -run
-	In   string `toml:"in"`   // package of the test
+	Name    string `toml:"name"`
+	File    string `toml:"file"`
+	Old     string `toml:"old"`
+	New     string `toml:"new"`
+	Test    string `toml:"test"` // pattern for go test -run
+	Package string `toml:"in"`   // package of the test
 }
 
 func main() {
@@ -39,6 +39,8 @@
 	}
 }
 
+// run tests each mutant of list.toml, and returns an error that names each mutant that its test does not detect. If
+// check is set, it only verifies that each guard is found exactly once in its file.
 func run(check bool) error {
 	var all struct {
 		Mutants []mutant `toml:"mutant"`
@@ -62,7 +64,7 @@
 		if err != nil {
 			return fmt.Errorf("%s: %w", m.Name, err)
 		}
-		fmt.Printf("%-60s caught %v by %s %s\n", m.Name, caught, m.In, m.Test)
+		fmt.Printf("%-60s caught %v by %s %s\n", m.Name, caught, m.Package, m.Test)
 		if !caught {
 			survived = errors.Join(survived, fmt.Errorf("%s: not detected by its test", m.Name))
 		}
@@ -89,11 +91,11 @@
 	if err := os.WriteFile(overlay, []byte(replace), 0o600); err != nil {
 		return false, err
 	}
-	if out, err := exec.Command("go", "vet", "-overlay", overlay, m.In).CombinedOutput(); err != nil {
+	if out, err := exec.Command("go", "vet", "-overlay", overlay, m.Package).CombinedOutput(); err != nil {
 		return false, fmt.Errorf("does not build: %s", out)
 	}
 	out, err := exec.Command("go", "test", "-overlay", overlay, "-count=1", "-timeout=60s", "-run", m.Test,
-		m.In).CombinedOutput()
+		m.Package).CombinedOutput()
 	var failed *exec.ExitError
 	if err != nil && !errors.As(err, &failed) {
 		return false, err
--- a/internal/testbed/baseline/dispatch.go
+++ b/internal/testbed/baseline/dispatch.go
@@ -22,7 +22,7 @@
 // Limits and timing of request handling.
 const (
 	maxAttempts        = 4
-	answerTimeMargin   = 30 * time.Millisecond // from the end of attempts to the client's timeout
+	answerTimeMargin   = 30 * time.Millisecond // attempts end this long before the client's timeout
 	lostAnswerInterval = 20                    // FaultLostAnswer drops every n-th answer
 	retryAfterSeconds  = "0.5"
 )
@@ -70,14 +70,14 @@
 	worker.inFlight--
 }
 
-// eligible reports whether a worker may be picked. With FaultIgnoredDrain, workers in any listed state may be picked,
-// including draining ones.
+// eligible reports whether a worker may be picked. With FaultIgnoredDrain, workers in any known state may be picked,
+// including those that are draining or gone.
 func (d *dispatcher) eligible(worker *backend) bool {
 	ignoresDrain := d.config.Fault == FaultIgnoredDrain && worker.state != ""
 	return worker.state == protocol.Ready || ignoresDrain
 }
 
-// serve handles one request. It retries conservatively, so that the four rules are kept unless a fault is configured.
+// serve handles one request. It retries conservatively, so that history.Rules are kept unless a fault is configured.
 func (d *dispatcher) serve(w http.ResponseWriter, request *http.Request) {
 	body, err := io.ReadAll(io.LimitReader(request.Body, protocol.MaxBodyBytes))
 	if err != nil {
@@ -119,8 +119,8 @@
 	idempotency balancer.Idempotency
 }
 
-// dispatch makes attempts until one succeeds, no further attempt is safe, no worker is left, or maxAttempts is reached.
-// It returns the status and body of the answer.
+// dispatch makes attempts until one succeeds, no further attempt is safe, no worker is left, maxAttempts is reached, or
+// ctx is done after an attempt that may have been executed. It returns the status and body of the answer.
 func (d *dispatcher) dispatch(ctx context.Context, request clientRequest) (status int, result string) {
 	var tried []*backend
 	possiblyExecuted := false
--- a/internal/testbed/baseline/endpoints.go
+++ b/internal/testbed/baseline/endpoints.go
@@ -27,7 +27,7 @@
 	}
 }
 
-// watchEndpoints watches the endpoint list until ctx is done. It restarts the watch when it ends.
+// watchEndpoints watches the endpoint list until ctx is done. It restarts a watch watchRetryDelay after it has ended.
 func (d *dispatcher) watchEndpoints(ctx context.Context) {
 	for ctx.Err() == nil {
 		if err := d.runWatch(ctx); err != nil && ctx.Err() == nil {
--- a/internal/testbed/discoveryserver/catalog.go
+++ b/internal/testbed/discoveryserver/catalog.go
@@ -27,7 +27,7 @@
 	StartedAt time.Time // zero if the worker started long before the experiment
 }
 
-// change is an entry that was added or changed.
+// change is an update of a worker's entry.
 type change struct {
 	at    time.Duration // since the start of the experiment
 	entry Entry
--- a/internal/testbed/discoveryserver/server.go
+++ b/internal/testbed/discoveryserver/server.go
@@ -20,15 +20,15 @@
 // The values of Outage.
 const (
 	Healthy     Outage = iota
-	Down               // watches are closed, and connections are reset
+	Down               // watches are closed, and requests get no response
 	Unavailable        // watches are closed, and requests get the status 503
 )
 
 // Intervals and timeouts of the service.
 const (
-	pollInterval      = 20 * time.Millisecond // interval at which a watch checks for changes
-	keepAliveInterval = 2 * time.Second       // a watch without changes writes an empty line after this time
-	readHeaderTimeout = 5 * time.Second
+	changeCheckInterval = 20 * time.Millisecond // interval at which a watch checks for changes
+	keepAliveInterval   = 2 * time.Second       // a watch without changes writes an empty line after this time
+	readHeaderTimeout   = 5 * time.Second
 )
 
 // Server is the simulated discovery service.
@@ -145,7 +145,7 @@
 	s.mu.Unlock()
 	switch outage {
 	case Down:
-		panic(http.ErrAbortHandler) // resets the connection
+		panic(http.ErrAbortHandler) // closes the connection without a response
 	case Unavailable:
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
@@ -189,12 +189,13 @@
 	}
 }
 
-// watch writes a line at its start and for each change, until the client disconnects or all watches are closed.
+// watch writes a line at its start and after changes, and an empty line after each keepAliveInterval without a change.
+// It ends when the client disconnects or all watches are closed.
 func (s *Server) watch(w http.ResponseWriter, r *http.Request, dispatcher, version int, watchContext context.Context) {
 	out := http.NewResponseController(w)
 	wroteAt := time.Time{} // zero: the first line is written immediately, even if nothing has changed
-	poll := time.NewTicker(pollInterval)
-	defer poll.Stop()
+	changeCheck := time.NewTicker(changeCheckInterval)
+	defer changeCheck.Stop()
 	for {
 		list := s.changesSince(version)
 		var line []byte
@@ -215,7 +216,7 @@
 			wroteAt = time.Now()
 		}
 		select {
-		case <-poll.C:
+		case <-changeCheck.C:
 		case <-r.Context().Done():
 			return
 		case <-watchContext.Done():
--- a/internal/testbed/experiment/recovery.go
+++ b/internal/testbed/experiment/recovery.go
@@ -87,9 +87,9 @@
 
 // returningWorkers returns the workers, each with the scheduled time of its last restart by the fault at index, or with
 // metrics.NoPowerLoss if the fault does not restart it.
-func (p *Plan) returningWorkers(timeline *fault.Timeline, index int) (workers []metrics.RestartedWorker) {
+func (p *Plan) returningWorkers(timeline *fault.Timeline, index int) (workers []metrics.Worker) {
 	for n, place := range p.placeWorkers() {
-		returning := metrics.RestartedWorker{Cores: p.Fleet.Kinds[place.kind].Cores, RestartAt: metrics.NoPowerLoss}
+		returning := metrics.Worker{Cores: p.Fleet.Kinds[place.kind].Cores, RestartAt: metrics.NoPowerLoss}
 		for _, action := range timeline.Actions {
 			restarts := action.Fault == index && action.Kind == fault.WorkerRestart
 			if restarts && slices.Contains(action.Targets, n) {
--- a/internal/testbed/fault/planner.go
+++ b/internal/testbed/fault/planner.go
@@ -79,7 +79,7 @@
 		Kind:     kind,
 		Targets:  targets,
 		Value:    value,
-		Duration: p.spec.Lag.Std(), // only ListLag uses it; it is 0 for the other kinds that are added by this method
+		Duration: p.spec.Lag.Std(), // used only by ListLag; the other kinds that are added by this method ignore it
 		Fault:    p.index,
 	})
 }
@@ -123,8 +123,8 @@
 	return fmt.Sprintf("%d workers %v times slower", p.spec.Workers, p.spec.Factor)
 }
 
-// planNoisyNeighbour plans noisy neighbours: other programs use a share of the machines of some workers in periodic
-// busy periods.
+// planNoisyNeighbour plans noisy neighbours: at intervals of Spec.Every, other programs use a share of the
+// machines of some workers for the duration Spec.Width.
 func (p *planner) planNoisyNeighbour() string {
 	targets := p.pickWorkers()
 	for at := p.start(); at < p.end(); at += p.spec.Every.Std() {
@@ -137,9 +137,9 @@
 // planZoneCut plans a network partition that isolates all workers of a zone.
 func (p *planner) planZoneCut() string {
 	var targets []int
-	partitioned := slices.Index(p.topology.Zones, p.spec.Zone)
+	partitionedZone := slices.Index(p.topology.Zones, p.spec.Zone)
 	for worker, zone := range p.topology.WorkerZones {
-		if zone == partitioned {
+		if zone == partitionedZone {
 			targets = append(targets, worker)
 		}
 	}
@@ -148,7 +148,7 @@
 }
 
 // planDrain plans a drain of some workers, which stop at the end of the fault. If the fault has a gap, they restart
-// after it.
+// that long after the stop.
 func (p *planner) planDrain() string {
 	targets := p.pickWorkers()
 	p.addBeginAndEnd(targets, WorkerDrain, WorkerStop)
@@ -211,7 +211,8 @@
 	return fmt.Sprintf("link of %d dispatchers cut", len(targets))
 }
 
-// planRollingAction returns a plan function that applies an action to each dispatcher in turn.
+// planRollingAction returns a plan function that applies an action to each dispatcher in turn, at intervals of the
+// fault's gap, or of defaultRollingGap if it has none.
 func planRollingAction(description string, kind ActionKind) func(*planner) string {
 	return func(p *planner) string {
 		gap := p.spec.Gap.Std()
--- a/internal/testbed/fault/power.go
+++ b/internal/testbed/fault/power.go
@@ -23,7 +23,8 @@
 var DiskStates = []string{DiskIntact, DiskMissing, DiskLostSync, DiskTorn, DiskOld, DiskSwapped, DiskFull, DiskReadOnly}
 
 // planPowerLoss plans one or more power losses. They affect all dispatchers and workers, those of a zone, or a random
-// subset. Power is restored to each dispatcher and worker after an individual delay.
+// subset. Power is restored to each dispatcher and worker after an individual delay, except to as many dispatchers as
+// Spec.NeverRestored specifies, which are drawn at random.
 func (p *planner) planPowerLoss() string {
 	dispatchers, workers := p.powerLossTargets()
 	neverRestored := p.rng.Perm(len(dispatchers))[:min(p.spec.NeverRestored, len(dispatchers))]
--- a/internal/testbed/fault/spec.go
+++ b/internal/testbed/fault/spec.go
@@ -14,29 +14,29 @@
 	Kind        string        `toml:"kind"`
 	At          unit.Duration `toml:"at"`          // since the start of the experiment
 	For         unit.Duration `toml:"for"`         // duration of the fault
-	Workers     int           `toml:"workers"`     // number of workers affected
+	Workers     int           `toml:"workers"`     // number of workers affected; grow: number added
 	Dispatchers int           `toml:"dispatchers"` // number of dispatchers affected
 	Zone        string        `toml:"zone"`
 	Tenant      string        `toml:"tenant"`
 	Factor      float64       `toml:"factor"`       // slow: slowdown factor; burst, flood: multiple of the base load
-	Share       float64       `toml:"share"`        // neighbour: share of the machine; peer-loss: share of datagrams
+	Share       float64       `toml:"share"`        // neighbour: share of the machine; peer-loss, link-loss: share lost
 	Every       unit.Duration `toml:"every"`        // neighbour: interval between the starts of busy periods
 	Width       unit.Duration `toml:"width"`        // neighbour: length of a busy period
 	Lag         unit.Duration `toml:"lag"`          // list-lag: delay until a change of the list is visible
-	Gap         unit.Duration `toml:"gap"`          // between dispatchers; drain: until the restart
+	Gap         unit.Duration `toml:"gap"`          // rolling-restart, upgrade: interval; drain: delay of the restart
 	MaxAttempts int           `toml:"max-attempts"` // new-settings: attempts per request
-	Connections int           `toml:"connections"`  // silent-clients, piecemeal-clients
+	Connections int           `toml:"connections"`  // silent-clients, piecemeal-clients: number of connections
 
 	// power-loss: the time from the loss until power is restored. Each dispatcher and worker starts after an
 	// additional random delay of up to Spread.
 	RestoreAfter        unit.Duration       `toml:"restore-after"`         // for dispatchers
 	WorkersRestoreAfter unit.Duration       `toml:"workers-restore-after"` // 0: workers keep their power
-	ListRestoreAfter    unit.Duration       `toml:"list-restore-after"`    // 0: the service keeps its power
-	PeersRestoreAfter   unit.Duration       `toml:"peers-restore-after"`   // 0: the network keeps its power
+	ListRestoreAfter    unit.Duration       `toml:"list-restore-after"`    // 0: the discovery service keeps its power
+	PeersRestoreAfter   unit.Duration       `toml:"peers-restore-after"`   // 0: the peer network keeps its power
 	Spread              unit.Duration       `toml:"spread"`
-	NeverRestored       int                 `toml:"never-restored"` // dispatchers that stay without power
+	NeverRestored       int                 `toml:"never-restored"` // number of dispatchers that stay without power
 	Times               int                 `toml:"times"`          // number of losses, at intervals of Every; 0: 1
-	Disk                string              `toml:"disk"`           // one of DiskStates; "": DiskIntact
+	Disk                string              `toml:"disk"`           // DiskRandom, or one of DiskStates; "": DiskIntact
 	Clock               unit.SignedDuration `toml:"clock"`          // clock jump of a random dispatcher; 0: none
 
 	// link-cut: the direction that is cut for the dispatchers affected: receiving ("hear"), sending ("heard"), or both
@@ -44,7 +44,7 @@
 	Direction string `toml:"way"`
 }
 
-// Topology describes the fleet, dispatchers and tenants that faults can affect.
+// Topology describes the workers, zones, dispatchers and tenants that faults can affect.
 type Topology struct {
 	Workers     int      // number at the start of the experiment
 	Zones       []string // names
--- a/internal/testbed/fault/timeline.go
+++ b/internal/testbed/fault/timeline.go
@@ -76,8 +76,7 @@
 	Description string        `json:"what"`
 }
 
-// Timeline is the plan of all faults: the actions in order of time, the extra load, and the interval of each
-// fault.
+// Timeline is the plan of all faults: the actions in order of time, the extra load, and the interval of each fault.
 type Timeline struct {
 	Actions    []Action
 	ExtraLoads []workload.ExtraLoad
@@ -108,7 +107,7 @@
 }
 
 // randomStream returns the random stream of the fault with index n. The name of the stream contains a former key of
-// experiment files and must not change, because the same seed would select other targets.
+// experiment files. It must not change: with another name, the same seed would select other targets.
 func randomStream(seed uint64, n int) *rand.Rand {
 	return unit.RandomStream(seed, fmt.Sprint("trouble ", n))
 }
--- a/internal/testbed/fault/timeline_test.go
+++ b/internal/testbed/fault/timeline_test.go
@@ -34,7 +34,7 @@
 		assert.NoError(t, err)
 		differs = differs || !assert.ObjectsAreEqual(one.Actions, other.Actions)
 	}
-	assert.True(t, differs, "another seed picks other workers")
+	assert.True(t, differs, "all seeds give the same actions")
 	crash, restart := actionsOfKind(one, WorkerCrash)[0], actionsOfKind(one, WorkerRestart)[0]
 	assert.Equal(t, crash.Targets, restart.Targets)
 	assert.Len(t, crash.Targets, 2)
@@ -102,7 +102,7 @@
 		{Kind: "silent-clients", For: second, Connections: 7},
 	}, topology, 1)
 	assert.NoError(t, err)
-	assert.Len(t, actionsOfKind(timeline, DispatcherUpgrade), 3, "in turn")
+	assert.Len(t, actionsOfKind(timeline, DispatcherUpgrade), 3, "one upgrade for each dispatcher")
 	assert.Equal(t, actionsOfKind(timeline, DispatcherLeave)[0].Targets, actionsOfKind(timeline, DispatcherJoin)[0].Targets)
 	settings := actionsOfKind(timeline, DispatcherReconfigure)
 	assert.Equal(t, []any{1.0, 0.0, 3}, []any{settings[0].Value, settings[1].Value, len(settings[0].Targets)})
--- a/internal/testbed/metrics/recorder.go
+++ b/internal/testbed/metrics/recorder.go
@@ -20,7 +20,8 @@
 	slotSignificantDigits = 2 // for the histogram of a slot
 )
 
-// Limits of the load generator's lateness. The results of a run that exceeds them are not trusted.
+// Limits of the load generator's lateness. The results of a run whose share of late calls exceeds maxLateShare are not
+// trusted.
 const (
 	LateThreshold = 10 * time.Millisecond // a call is late if it is sent more than this after its intended time
 	maxLateShare  = 0.01                  // maximum share of late calls
--- a/internal/testbed/metrics/recovery.go
+++ b/internal/testbed/metrics/recovery.go
@@ -6,8 +6,8 @@
 	"canvasroute/internal/testbed/worker"
 )
 
-// RestartedWorker describes a worker and its restart after a power loss.
-type RestartedWorker struct {
+// Worker describes a worker of the fleet, and its restart if it lost power.
+type Worker struct {
 	Cores     int
 	RestartAt time.Duration // time of its restart, or NoPowerLoss
 }
@@ -31,15 +31,15 @@
 	Slots      []Slot        // all slots of the run, by intended time of the calls
 	SlotLength time.Duration
 	Calls      []OfferedCall // all calls of the schedule
-	Workers    []RestartedWorker
+	Workers    []Worker
 	Warmup     worker.Warmup
 }
 
 // Recovery describes how fast a fleet recovered from a power loss. Times are in seconds.
 type Recovery struct {
 	LostAt              float64 `json:"lost_s"`
-	LastWorkerRestartAt float64 `json:"last_worker_back_s"`
-	ValueShareBefore    float64 `json:"share_before"` // earned share of the offered value before the loss
+	LastWorkerRestartAt float64 `json:"last_worker_back_s"` // LostAt if no worker lost power
+	ValueShareBefore    float64 `json:"share_before"`       // earned share of the offered value before the loss
 
 	// RecoveryTime is the time from the last worker's restart until the earned share reaches recoveredFraction of
 	// ValueShareBefore again, or neverRecovered. BestRecoveryTime is the same time for the upper bound that
@@ -52,7 +52,8 @@
 	RatioToBest float64 `json:"until_to_best"`
 }
 
-// neverRecovered is the value of Recovery.RecoveryTime if the fleet did not recover within the run.
+// neverRecovered is the value of Recovery.RecoveryTime and Recovery.BestRecoveryTime if the share did not reach the
+// threshold within the run, or if no value was offered before the loss.
 const neverRecovered = -1
 
 // recoveredFraction is the fraction of the earned share before the loss at which the fleet counts as recovered.
@@ -65,7 +66,7 @@
 )
 
 // warmupFactor returns the share of its full capacity that the worker has at the given time.
-func (w RestartedWorker) warmupFactor(warmup worker.Warmup, at time.Duration) float64 {
+func (w Worker) warmupFactor(warmup worker.Warmup, at time.Duration) float64 {
 	switch {
 	case w.RestartAt == NoPowerLoss || warmup.Duration <= 0:
 		return 1
@@ -125,8 +126,7 @@
 }
 
 // recoveryTime returns the time in seconds from the last worker's restart to the first of two consecutive slots whose
-// shares count as recovered, or neverRecovered. The last slot of the run does not need a second
-// one.
+// shares count as recovered, or neverRecovered. The last slot of the run does not need a second one.
 func (l *PowerLoss) recoveryTime(lastRestartAt time.Duration, before float64, shares []float64) float64 {
 	const rounding = 1e-9
 	recovered := func(n int) bool { return n >= len(shares) || shares[n] >= recoveredFraction*before }
--- a/internal/testbed/metrics/recovery_test.go
+++ b/internal/testbed/metrics/recovery_test.go
@@ -28,7 +28,7 @@
 		}
 		slots = append(slots, slot)
 	}
-	workers := []RestartedWorker{{1, 3 * second}, {1, 4 * second}}
+	workers := []Worker{{1, 3 * second}, {1, 4 * second}}
 	loss := PowerLoss{
 		At: 2 * second, Slots: slots, SlotLength: second, Calls: calls, Workers: workers,
 		Warmup: worker.Warmup{InitialShare: 0.1, Duration: 9 * second},
--- a/internal/testbed/metrics/summary.go
+++ b/internal/testbed/metrics/summary.go
@@ -8,7 +8,7 @@
 	"canvasroute/internal/testbed/history"
 )
 
-// Latency holds statistics of a latency in milliseconds.
+// Latency holds statistics of latencies, or of the lateness of calls, in milliseconds.
 type Latency struct {
 	Count int64   `json:"count"`
 	Mean  float64 `json:"mean_ms"`
@@ -37,7 +37,7 @@
 	Outcomes     map[string]int64 `json:"answers"`
 	ValueOffered float64          `json:"asked_value"`
 	ValueEarned  float64          `json:"earned_value"`
-	P50          float64          `json:"p50_ms"`
+	P50          float64          `json:"p50_ms"` // of the latency of successful calls, as are P95 and P99
 	P95          float64          `json:"p95_ms"`
 	P99          float64          `json:"p99_ms"`
 }
@@ -69,8 +69,8 @@
 	defer r.mu.Unlock()
 	summary := Summary{
 		Total:       r.total.export(""),
-		Succeeded:   percentiles(r.succeeded),
-		All:         percentiles(r.all),
+		Succeeded:   latencyStatistics(r.succeeded),
+		All:         latencyStatistics(r.all),
 		SlotSeconds: r.slotLength.Seconds(),
 	}
 	for n, operation := range r.operations {
@@ -89,7 +89,7 @@
 // generator assesses whether the load generator kept to its schedule. The caller must hold r.mu.
 func (r *Recorder) generator() Generator {
 	generator := Generator{
-		Lateness:  percentiles(r.lateness),
+		Lateness:  latencyStatistics(r.lateness),
 		LateCalls: r.lateCalls,
 		Unsent:    r.total.outcomes[history.Unsent],
 	}
@@ -126,7 +126,7 @@
 		exported.ValueShare = t.valueEarned / t.valueOffered
 	}
 	if t.latency != nil {
-		latency := percentiles(t.latency)
+		latency := latencyStatistics(t.latency)
 		exported.Latency = &latency
 	}
 	return exported
@@ -151,8 +151,8 @@
 	return float64(histogram.ValueAtQuantile(percent)) / microsPerMilli
 }
 
-// percentiles returns the statistics of a histogram that results contain.
-func percentiles(histogram *hdrhistogram.Histogram) Latency {
+// latencyStatistics returns the statistics of a histogram, or all zeros if it is empty.
+func latencyStatistics(histogram *hdrhistogram.Histogram) Latency {
 	count := histogram.TotalCount()
 	if count == 0 {
 		return Latency{}
--- a/internal/testbed/network/network.go
+++ b/internal/testbed/network/network.go
@@ -23,7 +23,7 @@
 	Delay          time.Duration // one way
 	Jitter         time.Duration // maximum additional delay, uniformly distributed
 	Partitioned    bool          // nothing is delivered
-	DuplicateShare float64       // share of datagrams delivered twice, see maxDuplicateDelay
+	DuplicateShare float64       // share of datagrams delivered twice; for the second delivery, see maxDuplicateDelay
 }
 
 // maxDuplicateDelay is the maximum delay of a duplicate, as a multiple of the delay of the original datagram.
--- a/internal/testbed/report/charts.go
+++ b/internal/testbed/report/charts.go
@@ -28,7 +28,7 @@
 	chartWidth          = 24 * vg.Centimeter
 	chartHeight         = 8 * vg.Centimeter
 	faultLabelOffset    = vg.Length(-12) // from the top of a fault's band to its number
-	minFaultBandShare   = 1.0 / 200      // width of the band of a fault without a duration, as a fraction of the run
+	minFaultBandShare   = 1.0 / 200      // minimum width of a fault's band, as a fraction of the run
 	rateTopFactor       = 1.15           // upper end of the rate axis, as a multiple of the highest rate
 	latencyTopFactor    = 1.5            // upper end of the latency axis, as a multiple of the highest latency
 	latencyBottomFactor = 1.3            // the lowest latency, as a multiple of the lower end of the latency axis
@@ -37,7 +37,7 @@
 	maxLabeledBars      = 30             // largest number of bars that are labeled
 	maxLabeledWorkers   = 20             // largest number of workers that are labeled
 	workShadeCount      = 9              // number of shades in the work chart
-	rowMargin           = 0.5            // margin above and below the rows of the work chart, in rows
+	rowMargin           = 0.5            // from the middle of an outer row to the edge of the work chart, in rows
 )
 
 // Line styles.
@@ -90,8 +90,8 @@
 	return chart
 }
 
-// shadeFaults adds a numbered band for each fault, which covers its duration and extends from the bottom to the top of
-// the chart. A fault without a duration gets a narrow band.
+// shadeFaults adds a numbered band for each fault, which covers the fault's duration and extends from the bottom to the
+// top of the chart. A fault without a duration, or a very short one, gets a band with a width of minFaultBandShare.
 func shadeFaults(chart *plot.Plot, r *experiment.Result, bottom, top float64) {
 	for n, interval := range r.Faults {
 		from := interval.From.Seconds()
@@ -227,8 +227,8 @@
 	return chart
 }
 
-// workGrid holds the number of requests finished by each worker (row) in each time slot (column). It implements
-// plotter.GridXYZ.
+// workGrid holds the number of requests per second that each worker (row) finished in each time slot (column). It
+// implements plotter.GridXYZ.
 type workGrid struct {
 	result *experiment.Result
 }
@@ -268,10 +268,10 @@
 
 // workerTicks returns a tick for each worker. At most maxLabeledWorkers of them are labeled.
 func workerTicks(workers []experiment.WorkerResult) (ticks []plot.Tick) {
-	workersPerName := (len(workers) + maxLabeledWorkers - 1) / maxLabeledWorkers
+	workersPerLabel := (len(workers) + maxLabeledWorkers - 1) / maxLabeledWorkers
 	for n, worker := range workers {
 		tick := plot.Tick{Value: float64(n)}
-		if n%workersPerName == 0 {
+		if n%workersPerLabel == 0 {
 			tick.Label = worker.Name
 		}
 		ticks = append(ticks, tick)
--- a/internal/testbed/report/compare.go
+++ b/internal/testbed/report/compare.go
@@ -81,7 +81,7 @@
 type sample struct {
 	runs   int
 	mean   float64
-	stdDev float64 // standard deviation between runs; 0 if there is only one run
+	stdDev float64 // sample standard deviation of the runs; 0 if there is only one run
 }
 
 // newSample computes the statistics of a metric over a set of runs.
@@ -101,11 +101,12 @@
 	return s
 }
 
-// minStandardErrors is the number of standard errors by which two means must differ to be reported as better or worse.
+// minStandardErrors is the number of standard errors that the difference of two means must exceed to be reported as
+// better or worse.
 const minStandardErrors = 2
 
-// differsSignificantly reports whether the two means differ by more than minStandardErrors. It reports false if either
-// sample has only one run, because the standard error is unknown in that case.
+// differsSignificantly reports whether the difference of the means is greater than minStandardErrors of its standard
+// errors. It reports false if either sample has only one run, because the standard error is unknown in that case.
 func (s sample) differsSignificantly(other sample) bool {
 	if s.runs < 2 || other.runs < 2 {
 		return false
--- a/internal/testbed/report/phases.go
+++ b/internal/testbed/report/phases.go
@@ -25,7 +25,7 @@
 const bandHalfHeight = 0.35
 
 // phaseEnd returns the end of r.Phases[n] in seconds since the start of the run: the start of the same dispatcher's
-// next phase, or the end of the run if there is none.
+// next phase, or the end of the run if there is none. r.Phases is ordered by dispatcher, and then by time.
 func phaseEnd(r *experiment.Result, n int) float64 {
 	next := n + 1
 	if next < len(r.Phases) && r.Phases[next].Dispatcher == r.Phases[n].Dispatcher {
--- a/internal/testbed/report/report_test.go
+++ b/internal/testbed/report/report_test.go
@@ -73,7 +73,7 @@
 }
 
 // Guards against renamed or removed fields in the page's template, which the compiler does not check.
-func TestPageShowsTenantsRecoveriesAndPhases(t *testing.T) {
+func TestPageShowsTenantsRecoveriesPhasesAndFailures(t *testing.T) {
 	result := newTestResult(7, 90)
 	recorder := metrics.NewRecorder(time.Second, 1, 1)
 	recorder.Record(metrics.Call{Outcome: history.Succeeded, Ended: time.Millisecond, InTime: true, Requests: 1, ValueOffered: 1})
