--- a/internal/testbed/fault/planner.go
+++ b/internal/testbed/fault/planner.go
@@ -176,7 +176,8 @@
 	return fmt.Sprintf("%s sends %v times its share", p.spec.Tenant, p.spec.Factor)
 }
 
-// addLoad multiplies the load of a tenant, or of workload.AllTenants, by the fault's factor.
+// addLoad multiplies the load of a tenant, or of all tenants for workload.AllTenants, by the fault's factor for the
+// duration of the fault.
 func (p *planner) addLoad(tenant int) {
 	p.timeline.ExtraLoads = append(p.timeline.ExtraLoads, workload.ExtraLoad{
 		Start: p.start(), End: p.end(), Factor: p.spec.Factor - 1, Tenant: tenant,
--- a/internal/testbed/fault/power.go
+++ b/internal/testbed/fault/power.go
@@ -13,7 +13,7 @@
 	DiskLostSync = "lost-sync" // the most recent data that was reported as synced is missing
 	DiskTorn     = "torn"      // a file is truncated
 	DiskOld      = "old"       // an earlier copy of the disk is restored
-	DiskSwapped  = "swapped"   // it is the disk of another dispatcher
+	DiskSwapped  = "swapped"   // replaced by a copy of another dispatcher's disk
 	DiskFull     = "full"
 	DiskReadOnly = "read-only"
 	DiskRandom   = "drawn" // drawn at random from DiskStates for each dispatcher
--- a/internal/testbed/fault/timeline.go
+++ b/internal/testbed/fault/timeline.go
@@ -22,11 +22,11 @@
 	WorkerCrash ActionKind = iota + 1
 	WorkerRestart
 	WorkerSpeed // Value is the factor by which this fault changes the worker's speed
-	WorkerPause
+	WorkerPause // suspends the process until WorkerResume
 	WorkerResume
-	WorkerMute
+	WorkerMute // jobs that start before WorkerUnmute run, but write no progress and no result
 	WorkerUnmute
-	WorkerCut
+	WorkerCut // disconnects the worker from the network until WorkerHeal; its jobs continue to run
 	WorkerHeal
 	WorkerDrain
 	WorkerStop // stops a drained worker
@@ -40,13 +40,13 @@
 	DispatcherStart
 	DispatcherPause
 	DispatcherResume
-	DispatcherRestart // graceful: stops the process, and starts it again
-	DispatcherLeave   // drains the dispatcher
-	DispatcherJoin
+	DispatcherRestart     // graceful: stops the process, and starts it again
+	DispatcherLeave       // drains the dispatcher
+	DispatcherJoin        // ends the drain
 	DispatcherUpgrade     // replaces the process by a new one, which is started while the old one still runs
 	DispatcherReconfigure // Value is the number of attempts per request; 0 restores the experiment's setting
-	ClientsIdle           // opens Value connections for Duration
-	ClientsTrickle
+	ClientsIdle           // opens Value connections for Duration, and sends nothing
+	ClientsTrickle        // as ClientsIdle, but the clients send an incomplete request byte by byte
 	PeersCut
 	PeersLoss // Value is the share of datagrams lost
 	PeersRecover
--- a/internal/testbed/network/network.go
+++ b/internal/testbed/network/network.go
@@ -75,7 +75,7 @@
 	}
 	if err := n.openSockets(); err != nil {
 		n.close()
-		return nil, fmt.Errorf("peer network: %w", err)
+		return nil, fmt.Errorf("network between dispatchers: %w", err)
 	}
 	for viewer := range listenAddrs {
 		view := slices.Clone(listenAddrs)
--- a/internal/testbed/report/charts.go
+++ b/internal/testbed/report/charts.go
@@ -27,7 +27,7 @@
 const (
 	chartWidth          = 24 * vg.Centimeter
 	chartHeight         = 8 * vg.Centimeter
-	faultLabelOffset    = vg.Length(-12) // from the top of a fault's band to its number
+	faultLabelOffset    = vg.Length(-12) // from the top of a fault's band to its number; negative: downwards
 	minFaultBandShare   = 1.0 / 200      // minimum width of a fault's band, as a fraction of the run
 	rateTopFactor       = 1.15           // upper end of the rate axis, as a multiple of the highest rate
 	latencyTopFactor    = 1.5            // upper end of the latency axis, as a multiple of the highest latency
