--- a/internal/testbed/fault/power.go
+++ b/internal/testbed/fault/power.go
@@ -13,7 +13,7 @@
 	DiskLostSync = "lost-sync" // the most recent data that was reported as synced is missing
 	DiskTorn     = "torn"      // a file is truncated
 	DiskOld      = "old"       // an earlier copy of the disk is restored
-	DiskSwapped  = "swapped"   // it is the disk of another dispatcher
+	DiskSwapped  = "swapped"   // replaced by a copy of another dispatcher's disk
 	DiskFull     = "full"
 	DiskReadOnly = "read-only"
 	DiskRandom   = "drawn" // drawn at random from DiskStates for each dispatcher
@@ -23,7 +23,8 @@
 var DiskStates = []string{DiskIntact, DiskMissing, DiskLostSync, DiskTorn, DiskOld, DiskSwapped, DiskFull, DiskReadOnly}
 
 // planPowerLoss plans one or more power losses. They affect all dispatchers and workers, those of a zone, or a random
-// subset. Power is restored to each dispatcher and worker after an individual delay.
+// subset. Power is restored to each dispatcher and worker after an individual delay, except to as many dispatchers as
+// Spec.NeverRestored specifies, which are drawn at random.
 func (p *planner) planPowerLoss() string {
 	dispatchers, workers := p.powerLossTargets()
 	neverRestored := p.rng.Perm(len(dispatchers))[:min(p.spec.NeverRestored, len(dispatchers))]
--- a/internal/testbed/fault/timeline.go
+++ b/internal/testbed/fault/timeline.go
@@ -22,11 +22,11 @@
 	WorkerCrash ActionKind = iota + 1
 	WorkerRestart
 	WorkerSpeed // Value is the factor by which this fault changes the worker's speed
-	WorkerPause
+	WorkerPause // suspends the process until WorkerResume
 	WorkerResume
-	WorkerMute
+	WorkerMute // jobs that start before WorkerUnmute run, but write no progress and no result
 	WorkerUnmute
-	WorkerCut
+	WorkerCut // disconnects the worker from the network until WorkerHeal; its jobs continue to run
 	WorkerHeal
 	WorkerDrain
 	WorkerStop // stops a drained worker
@@ -40,13 +40,13 @@
 	DispatcherStart
 	DispatcherPause
 	DispatcherResume
-	DispatcherRestart // graceful: stops the process, and starts it again
-	DispatcherLeave   // drains the dispatcher
-	DispatcherJoin
+	DispatcherRestart     // graceful: stops the process, and starts it again
+	DispatcherLeave       // drains the dispatcher
+	DispatcherJoin        // ends the drain
 	DispatcherUpgrade     // replaces the process by a new one, which is started while the old one still runs
 	DispatcherReconfigure // Value is the number of attempts per request; 0 restores the experiment's setting
-	ClientsIdle           // opens Value connections for Duration
-	ClientsTrickle
+	ClientsIdle           // opens Value connections for Duration, and sends nothing
+	ClientsTrickle        // as ClientsIdle, but the clients send an incomplete request byte by byte
 	PeersCut
 	PeersLoss // Value is the share of datagrams lost
 	PeersRecover
@@ -76,8 +76,7 @@
 	Description string        `json:"what"`
 }
 
-// Timeline is the plan of all faults: the actions in order of time, the extra load, and the interval of each
-// fault.
+// Timeline is the plan of all faults: the actions in order of time, the extra load, and the interval of each fault.
 type Timeline struct {
 	Actions    []Action
 	ExtraLoads []workload.ExtraLoad
@@ -108,7 +107,7 @@
 }
 
 // randomStream returns the random stream of the fault with index n. The name of the stream contains a former key of
-// experiment files and must not change, because the same seed would select other targets.
+// experiment files. It must not change: with another name, the same seed would select other targets.
 func randomStream(seed uint64, n int) *rand.Rand {
 	return unit.RandomStream(seed, fmt.Sprint("trouble ", n))
 }
--- a/internal/testbed/network/network.go
+++ b/internal/testbed/network/network.go
@@ -23,7 +23,7 @@
 	Delay          time.Duration // one way
 	Jitter         time.Duration // maximum additional delay, uniformly distributed
 	Partitioned    bool          // nothing is delivered
-	DuplicateShare float64       // share of datagrams delivered twice, see maxDuplicateDelay
+	DuplicateShare float64       // share of datagrams delivered twice; for the second delivery, see maxDuplicateDelay
 }
 
 // maxDuplicateDelay is the maximum delay of a duplicate, as a multiple of the delay of the original datagram.
@@ -75,7 +75,7 @@
 	}
 	if err := n.openSockets(); err != nil {
 		n.close()
-		return nil, fmt.Errorf("peer network: %w", err)
+		return nil, fmt.Errorf("network between dispatchers: %w", err)
 	}
 	for viewer := range listenAddrs {
 		view := slices.Clone(listenAddrs)
