--- a/internal/balancer/arrivals.go
+++ b/internal/balancer/arrivals.go
@@ -11,11 +11,11 @@
 	sinceFirstTry := op.longestTimeout - arrival.Timeout // a retry has a shorter timeout than the first try
 	*arrived = request{
 		operation:    arrival.Operation,
-		deadline:     b.now.Add(arrival.Timeout - b.config.margin),
+		deadline:     b.now.Add(arrival.Timeout - b.config.timingMargin),
 		attemptLimit: b.config.maxAttempts,
 		attempts:     arrived.attempts[:0],
 		latestStart:  b.now.Add(op.latencyObjective - sinceFirstTry),
-		quotaWeight:  b.quotaWeight(arrival.Tenant),
+		quotaWeight:  b.recordQuotaUsage(arrival.Tenant),
 	}
 	arrived.size = cmp.Or(b.observeSize(arrival.size()), Work(op.meanRun)) // without size hints, the mean observed run
 	arrived.late = b.now > arrived.latestStart
@@ -43,9 +43,9 @@
 	return latestStart
 }
 
-// quotaWeight records a request of a tenant that arrives now, and returns its weight: see package quota.
-func (b *Balancer) quotaWeight(id TenantID) float64 {
-	return b.tenants.RecordRequest(int(id), b.now, b.config.overQuotaShare)
+// recordQuotaUsage counts a request that arrives now as usage of its tenant, and returns its weight: see package quota.
+func (b *Balancer) recordQuotaUsage(id TenantID) float64 {
+	return b.tenants.RecordRequest(int(id), b.now, b.config.overQuotaWeight)
 }
 
 // observeSize records the hinted size of a request and returns the size to assume for it. Without a hint, that is the
--- a/internal/balancer/arrivals_test.go
+++ b/internal/balancer/arrivals_test.go
@@ -14,7 +14,7 @@
 		balancer, _ := newWarmBalancer(2, 1)
 		for range arrivals {
 			balancer.now = balancer.now.Add(gap)
-			weight = balancer.quotaWeight(tenant)
+			weight = balancer.recordQuotaUsage(tenant)
 		}
 		return weight
 	}
--- a/internal/balancer/attempt_events.go
+++ b/internal/balancer/attempt_events.go
@@ -71,6 +71,8 @@
 	}
 }
 
-// ClientLeft closes a request whose client has disconnected. streaming is the number of the attempt whose response is
-// being streamed and which therefore stays in flight, or NoAttempt.
-func (b *Balancer) ClientLeft(id RequestID, streaming int) { b.closeRequestExcept(id, streaming) }
+// ClientDisconnected closes a request whose client has disconnected. streaming is the number of the attempt whose
+// response is being streamed and which therefore stays in flight, or NoAttempt.
+func (b *Balancer) ClientDisconnected(id RequestID, streaming int) {
+	b.closeRequestExcept(id, streaming)
+}
--- a/internal/balancer/derived_config.go
+++ b/internal/balancer/derived_config.go
@@ -9,8 +9,8 @@
 	// marginGranules is the safety margin before a deadline in multiples of the platform's scheduling granularity, in
 	// addition to one millisecond.
 	marginGranules = 2
-	// worstOperationShare is the part of its weight in the objective that the operation with the largest loss gets. Losses
-	// occur in bursts, and one burst must not dominate priorities for long.
+	// worstOperationShare is the part of its weight in the objective function that the operation with the largest loss
+	// gets. Losses occur in bursts, and one burst must not dominate priorities for long.
 	worstOperationShare = 0.5
 )
 
@@ -41,18 +41,18 @@
 	// Limits, costs and weights.
 	maxAttempts          int
 	startTimeout         Duration // how long an attempt may stay unstarted; also the maximum review interval
-	margin               Duration // safety margin before deadlines
-	overQuotaShare       float64  // weight of a request beyond its tenant's quota
+	timingMargin         Duration // kept before deadlines and for messages in transit, because both may be late
+	overQuotaWeight      float64  // weight of a request beyond its tenant's quota
 	crossZoneCost        float64  // cost of an attempt in another zone
 	worstOperationWeight float64  // added to the value of the operation with the largest loss
 	valuePerRequest      float64  // 1 if value is billed by request, 0 if by unit of work
 	meanObjective        float64  // mean latency objective of the operations, in ticks: estimates the work of a request
 
 	// Warm-up of workers.
-	initialWarmup  float64 // share of its capacity that a worker has when it starts
-	overloadFactor float64 // a worker breaks down when it is sent this multiple of its current capacity
-	warmupDuration Duration
-	warmupWindow   Duration // period over which the work sent to a warming worker is summed
+	initialWarmupFactor float64 // share of its capacity that a worker has when it starts
+	overloadFactor      float64 // a worker breaks down when it is sent this multiple of its current capacity
+	warmupDuration      Duration
+	warmupWindow        Duration // period over which the work sent to a warming worker is summed
 
 	// Polling of the endpoint list.
 	polling polling.Config
@@ -78,16 +78,16 @@
 
 		maxAttempts:          config.Attempts.Max,
 		startTimeout:         forever,
-		margin:               marginGranules*config.Granularity + tick.Millisecond,
-		overQuotaShare:       config.Quotas.OverQuotaWeight,
+		timingMargin:         marginGranules*config.Granularity + tick.Millisecond,
+		overQuotaWeight:      config.Quotas.OverQuotaWeight,
 		crossZoneCost:        config.Objective.CrossZoneCost,
 		worstOperationWeight: config.Objective.WorstOperationWeight * worstOperationShare,
 		valuePerRequest:      config.Objective.ValuePerRequest,
 
-		initialWarmup:  config.Warmup.InitialShare,
-		overloadFactor: config.Warmup.OverloadFactor,
-		warmupDuration: config.Warmup.Duration,
-		warmupWindow:   config.Warmup.Window,
+		initialWarmupFactor: config.Warmup.InitialShare,
+		overloadFactor:      config.Warmup.OverloadFactor,
+		warmupDuration:      config.Warmup.Duration,
+		warmupWindow:        config.Warmup.Window,
 
 		polling: polling.Config{
 			Dispatchers:    config.Dispatchers,
--- a/internal/balancer/doc.go
+++ b/internal/balancer/doc.go
@@ -31,11 +31,11 @@
 //   - slots of a worker: package slotestimate, slot_estimation.go.
 //   - order of pending requests: priority.go, pending.go; quotas of tenants: package quota.
 //   - retries: retry.go; rejection and Retry-After: rejection.go; time limits: review.go.
-//   - hedged requests: hedging.go; migration of unstarted attempts: unstarted_attempts.go.
+//   - hedged requests: hedging.go; redispatch of unstarted attempts: unstarted_attempts.go.
 //   - polling of the endpoint list and its backoff: package polling.
 //   - exchange of load between dispatchers: gossip.go; load reports of workers: load_probes.go.
-//   - hot restart: snapshot.go, migration.go, sibling.go; configuration changes: reconfigure.go; power loss:
-//     fleet_restart.go.
+//   - hot restart: snapshot.go, migration.go (requests), sibling.go; configuration changes: reconfigure.go; power
+//     loss: fleet_restart.go.
 //
 // Time, Duration and Work are measured in ticks of 0.1 ms; see package tick.
 package balancer
--- a/internal/balancer/effects.go
+++ b/internal/balancer/effects.go
@@ -9,10 +9,10 @@
 	SendAttempt(id RequestID, worker WorkerID, timeout Duration)
 	// CancelAttempt cancels an attempt that is in flight. Its outcome must still be reported.
 	CancelAttempt(id RequestID, number int)
-	// Reject tells the client to retry after retryAfter; 0 gives no advice. The request either had no effect or can
-	// safely be repeated.
+	// Reject sends the client a rejection with the advice to retry after retryAfter, or without advice if it is 0. The
+	// request either had no effect or can safely be repeated.
 	Reject(id RequestID, retryAfter Duration)
-	// Fail tells the client that the request failed. The request may have been executed.
+	// Fail sends the client a failure as the answer. The request may have been executed.
 	Fail(id RequestID)
 	// Wake requests a call of WakeFired with key after delay. It replaces any earlier request.
 	Wake(key uint64, delay Duration)
--- a/internal/balancer/ejection.go
+++ b/internal/balancer/ejection.go
@@ -12,7 +12,7 @@
 	if outcome != WorkerError { // a response from the worker proves that its zone is reachable
 		b.recordZoneFailure(failed.worker)
 	}
-	if w.health.RecordFailure(b.now, outcome.failureKind()) {
+	if w.health.RecordFailure(b.now, outcome.failureClass()) {
 		b.effects.Log(WorkerEjected{Worker: failed.worker, ConsecutiveFailures: w.health.ConsecutiveFailures})
 	}
 }
--- a/internal/balancer/ejection_test.go
+++ b/internal/balancer/ejection_test.go
@@ -160,6 +160,6 @@
 		balancer.SetTime(max(balancer.now, health.ProbeAfter))
 		submitRequest(balancer, id, Arrival{Timeout: 20 * Second, SizeHint: 100})
 		balancer.AttemptEnded(id, 0, outcome, NoAnswer)
-		balancer.ClientLeft(id, NoAttempt)
+		balancer.ClientDisconnected(id, NoAttempt)
 	}
 }
--- a/internal/balancer/eligibility.go
+++ b/internal/balancer/eligibility.go
@@ -9,7 +9,7 @@
 
 	// The worker is not suitable for the request.
 	otherZone               // the search is limited to this dispatcher's zone
-	zoneEjected             // attempts could not connect to the workers of its zone
+	zoneEjected             // attempts got no connection to the workers of its zone, or lost it
 	wrongKind               // the operation requires another kind of worker
 	notWarmingUp            // the search is limited to workers that are warming up
 	awaitingIdempotentProbe // it failed, and must be probed by a request that may run again
@@ -28,7 +28,7 @@
 	noWarmupCredit       // it is warming up, and this dispatcher has no credit for an attempt
 
 	// The request may have no further attempt, or none on this worker.
-	requestClosed   // it has been answered, or its client has left
+	requestClosed   // it has been answered or exported, or its client has disconnected
 	deadlinePassed  // its deadline has passed
 	attemptLimit    // it has reached its maximum number of attempts
 	hedgingDisabled // an attempt is in flight, and the platform allows only one at a time
@@ -46,8 +46,9 @@
 // are several reasons, it returns the first one. From slowStartExclusion on the order matters, because that check
 // accrues credit when it is called.
 //
-// The callers skip workers outside the subset, and those that maybeFreeWorkers has found to be full. While attempts
-// based on the endpoint list are forbidden (EndpointsStale), dispatchDueAt prevents any search for pending requests.
+// The callers skip workers outside the subset, and those that scanMaybeFree has found to be persistently unavailable.
+// While attempts based on the endpoint list are forbidden (EndpointsStale), dispatchDueAt prevents any search for
+// pending requests.
 func (b *Balancer) exclusionOf(req *request, id WorkerID, candidates *subset, filter workerFilter) exclusion {
 	if reason := b.suitabilityExclusion(req, id, filter); reason != eligible {
 		return reason
--- a/internal/balancer/endpoints.go
+++ b/internal/balancer/endpoints.go
@@ -25,7 +25,7 @@
 	if source == FromDiscovery {
 		b.polling.RecordAnswer(b.now)
 	} else if len(entries) > 0 {
-		b.polling.RecordInitialList(b.now)
+		b.polling.RecordNonDiscoveryList(b.now)
 	}
 	if extent == AllEndpoints {
 		for n := range b.workers {
--- a/internal/balancer/fleet_restart.go
+++ b/internal/balancer/fleet_restart.go
@@ -8,7 +8,7 @@
 }
 
 // SubmitWithPriorAttempt submits a request that may have run before. The request is sent to a worker in the dedup scope
-// of the prior attempt. If that is not possible, it is rejected or fails at once.
+// of the prior attempt. If no healthy worker may repeat it, the request is rejected or fails at once.
 func (p *Picker) SubmitWithPriorAttempt(arrival Arrival, prior PriorAttempt) *RequestHandle {
 	return p.submit(arrival, func(b *Balancer, h *RequestHandle) {
 		req := b.requests.get(h.id)
@@ -22,7 +22,7 @@
 	})
 }
 
-// delayWarmingWorkers sends nothing to workers that are warming up and started before the given time, until one
+// delayWarmingWorkers prevents attempts at workers that are warming up and started before the given time, until one
 // warm-up window after that time. An earlier process of this dispatcher may have sent them work that counts against
 // their budget.
 func (b *Balancer) delayWarmingWorkers(cutoff Time) {
@@ -42,7 +42,7 @@
 	s.updateAll(func(b *Balancer) { b.warmup.fleetRestartAt = since })
 }
 
-// DelayWarmingWorkers sends nothing to workers that are warming up and started before the given time, until one
+// DelayWarmingWorkers prevents attempts at workers that are warming up and started before the given time, until one
 // warm-up window after that time. An earlier process of this dispatcher may have sent them work that counts against
 // their budget.
 func (s *Shards) DelayWarmingWorkers(cutoff Time) {
--- a/internal/balancer/gossip.go
+++ b/internal/balancer/gossip.go
@@ -18,8 +18,8 @@
 	meanSizesPerResend    = 3
 	resendsUntilExpiry    = 2
 
-	// notSent is the value of workerGossip.lastSentLoad that forces the load to be sent, whatever it is.
-	notSent = -1
+	// forceResend is the value of workerGossip.lastSentLoad that forces the load to be sent even if it is unchanged.
+	forceResend = -1
 )
 
 // gossip holds the relative ages of peers, and the times at which they are sent the loads of this dispatcher. The loads
@@ -38,7 +38,7 @@
 type workerGossip struct {
 	peerInFlight      int // sum of peerLoads
 	peerLoads         []peerLoad
-	lastSentLoad      int             // number in flight as last sent to peers, or notSent
+	lastSentLoad      int             // number in flight as last sent to peers, or forceResend
 	subsetDispatchers dispatcherRange // dispatchers that have the worker in their subset
 }
 
@@ -170,12 +170,12 @@
 	return peers
 }
 
-// markLoadChanged schedules sending the load of a worker to its peers. The delay is the margin: if a rejection arrives
-// within it, there may be no change to send.
+// markLoadChanged schedules sending the load of a worker to its peers. The delay is the timing margin: if a rejection
+// arrives within it, there may be no change to send.
 func (b *Balancer) markLoadChanged(id WorkerID) {
 	if b.config.gossip {
 		b.gossip.changedLoads = append(b.gossip.changedLoads, id)
-		b.gossip.sendLoadsAt = min(b.gossip.sendLoadsAt, b.now.Add(b.config.margin))
+		b.gossip.sendLoadsAt = min(b.gossip.sendLoadsAt, b.now.Add(b.config.timingMargin))
 	}
 }
 
@@ -209,7 +209,7 @@
 // resendLoad schedules resending the load of a worker if it has attempts in flight.
 func (b *Balancer) resendLoad(id WorkerID) {
 	if b.workers[id].inFlight > 0 {
-		b.workers[id].gossip.lastSentLoad = notSent
+		b.workers[id].gossip.lastSentLoad = forceResend
 		b.markLoadChanged(id)
 	}
 }
--- a/internal/balancer/migration.go
+++ b/internal/balancer/migration.go
@@ -24,7 +24,7 @@
 	LatestStart         Time              `json:"Latest"`
 	Size                Work              `json:"Size"`
 	QuotaWeight         float64           `json:"Counts"`
-	UnavailableAttempts int               `json:"Beyond"` // number of MaxAttempts that this request may not use
+	UnavailableAttempts int               `json:"Beyond"` // how many of MaxAttempts the request may not use
 	MaxAttempts         int               `json:"Most"`   // configured limit
 	Attempts            []MigratedAttempt `json:"Forwards"`
 }
@@ -120,7 +120,7 @@
 	imported := b.requests.reserve(id)
 	*imported = request{
 		operation:         operationID,
-		deadline:          b.now.Add(remaining - b.config.margin),
+		deadline:          b.now.Add(remaining - b.config.timingMargin),
 		latestStart:       migrated.LatestStart,
 		startWaitDeadline: b.startWaitDeadline(&b.operations.byID[operationID], migrated.LatestStart),
 		late:              b.now > migrated.LatestStart,
--- a/internal/balancer/migration_test.go
+++ b/internal/balancer/migration_test.go
@@ -61,7 +61,7 @@
 		assert.NoError(t, contexts[0].Err())
 		adopted.Report(0, ConnectionReset)
 		got := pick(t, adopted)
-		assert.Equal(t, c.want, got.Action, "its operation is not configured in this process")
+		assert.Equal(t, c.want, got.Action, "the exported operation is not configured in this process")
 		if got.Action == SendAttempt {
 			assert.Equal(t, 1, got.Attempt)
 			adopted.Report(1, Succeeded)
--- a/internal/balancer/open_requests.go
+++ b/internal/balancer/open_requests.go
@@ -11,7 +11,7 @@
 	size      Work
 	interval  int // size interval, or allIntervals
 
-	closed bool // it has been answered, or its client has disconnected
+	closed bool // it has been answered or exported, or its client has disconnected
 	queued bool // it is pending: it waits for a worker
 	late   bool // it can no longer meet its objective
 
--- a/internal/balancer/outcome.go
+++ b/internal/balancer/outcome.go
@@ -28,8 +28,8 @@
 	return false
 }
 
-// failureKind returns whether an attempt that failed because of its worker may have been executed.
-func (o Outcome) failureKind() outlier.Failure {
+// failureClass returns whether an attempt that failed because of its worker may have been executed.
+func (o Outcome) failureClass() outlier.Failure {
 	if o.neverRan() {
 		return outlier.NeverRan
 	}
--- a/internal/balancer/overload.go
+++ b/internal/balancer/overload.go
@@ -1,7 +1,7 @@
 package balancer
 
-// backOff sends nothing to a worker for the given duration. If peers do not report their load on the worker to this
-// dispatcher, it sends nothing to any such worker, because those may be full as well.
+// backOff prevents attempts at a worker for the given duration. If peers do not report their load on the worker to this
+// dispatcher, it does the same for all workers with unreported load, because those may be full as well.
 func (b *Balancer) backOff(id WorkerID, duration Duration) {
 	until := b.now.Add(duration)
 	b.workers[id].health.BackOff(until)
--- a/internal/balancer/pending_test.go
+++ b/internal/balancer/pending_test.go
@@ -13,7 +13,7 @@
 		balancer.now += 10
 		balancer.RequestArrived(RequestID(id), Arrival{Operation: operation, Timeout: 10 * Second, SizeHint: 100})
 	}
-	balancer.requests.byID[0].quotaWeight = balancer.config.overQuotaShare
+	balancer.requests.byID[0].quotaWeight = balancer.config.overQuotaWeight
 	balancer.updateCutPoints()
 	assert.Equal(t, []RequestID{2, 1, 0}, balancer.pending.ids)
 }
--- a/internal/balancer/picker.go
+++ b/internal/balancer/picker.go
@@ -14,8 +14,8 @@
 const (
 	SendAttempt      Action = iota + 1 // send an attempt to Worker with Ctx, and report its outcome by its number
 	RespondResult                      // send the client the result of the attempt
-	RespondRejected                    // tell the client to retry
-	RespondFailed                      // tell the client that the request failed
+	RespondRejected                    // send the client a rejection, after which it may retry
+	RespondFailed                      // send the client a failure; the request may have been executed
 	RespondElsewhere                   // send no response: another process continues the request
 )
 
@@ -162,7 +162,7 @@
 func (p *Picker) StopAfter(remaining Duration) {
 	p.update(func(b *Balancer) {
 		p.stopAt = min(p.stopAt, b.now.Add(remaining))
-		b.limitDeadlines(p.stopAt.Add(-b.config.margin))
+		b.limitDeadlines(p.stopAt.Add(-b.config.timingMargin))
 	})
 }
 
@@ -285,10 +285,10 @@
 	p.openCount--
 }
 
-// sendBy returns the time when the dedup window closes for the latest attempt of a request, or zero for no limit.
+// sendDeadline returns the time when the dedup window closes for the latest attempt of a request, or zero for no limit.
 // Without this limit, an attempt that is decided on within the window could be sent after it if its connection is
 // established late.
-func (p *Picker) sendBy(id RequestID) time.Time {
+func (p *Picker) sendDeadline(id RequestID) time.Time {
 	var noLimit time.Time
 	b := p.balancer
 	req := b.requests.get(id)
--- a/internal/balancer/picker_bench_test.go
+++ b/internal/balancer/picker_bench_test.go
@@ -77,7 +77,7 @@
 	}
 }
 
-// BenchmarkArrivalWithPendingRequests measures the arrival of a request and the departure of its client while all 256
+// BenchmarkArrivalWithPendingRequests measures the arrival of a request and the disconnect of its client while all 256
 // workers are full and 10,000 requests are pending.
 func BenchmarkArrivalWithPendingRequests(b *testing.B) {
 	const slots = 8
@@ -86,11 +86,11 @@
 	for n := range 10000 {
 		picker.Submit(Arrival{Timeout: 1000 * Second, SizeHint: Work(100 + n%50)})
 	}
-	clientLeft, leave := context.WithCancel(context.Background())
-	leave()
+	disconnected, disconnect := context.WithCancel(context.Background())
+	disconnect()
 	for b.Loop() {
 		handle := picker.Submit(Arrival{Timeout: 3 * Second, SizeHint: 100})
-		if _, err := handle.Pick(clientLeft); err == nil {
+		if _, err := handle.Pick(disconnected); err == nil {
 			b.Fatal("the request was not pending")
 		}
 	}
--- a/internal/balancer/picker_effects.go
+++ b/internal/balancer/picker_effects.go
@@ -27,7 +27,7 @@
 		Ctx:         ctx,
 		Attempt:     len(h.cancels) - 1,
 		Idempotency: op.idempotency,
-		SendBy:      p.sendBy(id),
+		SendBy:      p.sendDeadline(id),
 	})
 }
 
--- a/internal/balancer/picker_test.go
+++ b/internal/balancer/picker_test.go
@@ -94,19 +94,19 @@
 				assert.Zero(t, decision.SendBy)
 				return
 			}
-			left := (c.left - picker.balancer.config.margin).Standard()
+			left := (c.left - picker.balancer.config.timingMargin).Standard()
 			assert.WithinRange(t, decision.SendBy, before.Add(left), time.Now().Add(left))
 		})
 	}
 }
 
-func TestClientThatLeavesCancelsItsAttempts(t *testing.T) {
+func TestClientDisconnectCancelsAttempts(t *testing.T) {
 	picker, _ := newTestPicker(testConfig, 2)
 	handle := picker.Submit(Arrival{Timeout: 3 * Second})
 	decision := pick(t, handle)
-	clientLeft, leave := context.WithCancel(context.Background())
-	leave()
-	_, err := handle.Pick(clientLeft)
+	disconnected, disconnect := context.WithCancel(context.Background())
+	disconnect()
+	_, err := handle.Pick(disconnected)
 	assert.ErrorIs(t, err, context.Canceled)
 	assert.ErrorIs(t, context.Cause(decision.Ctx), ErrAttemptCanceled)
 	assert.Equal(t, 1, picker.OpenRequests(), "the ID is not reused before the attempt is reported")
@@ -116,10 +116,10 @@
 
 // Regression test for request IDs that were never freed because the outcome of an attempt that was not picked was not
 // reported.
-func TestUnpickedAttemptIsReportedWhenTheClientLeaves(t *testing.T) {
+func TestUnpickedAttemptIsReportedWhenClientDisconnects(t *testing.T) {
 	picker, _ := newTestPicker(testConfig, 2)
 	handle := picker.Submit(Arrival{Timeout: 3 * Second})
-	handle.clientLeft()
+	handle.clientDisconnected()
 	assert.Equal(t, 0, picker.OpenRequests())
 	assert.Equal(t, 0, picker.balancer.workers[0].inFlight+picker.balancer.workers[1].inFlight)
 }
--- a/internal/balancer/polling/polling.go
+++ b/internal/balancer/polling/polling.go
@@ -151,10 +151,10 @@
 	}
 }
 
-// RecordInitialList records that a list from before the start, or from a peer, is in use, and schedules the next poll.
-// Workers may have been drained or removed since that list. Dispatchers that start together poll in the order of their
-// positions.
-func (s *Schedule) RecordInitialList(now tick.Time) {
+// RecordNonDiscoveryList records that a list is in use that did not come from the discovery service: it is from before
+// the start, or from a peer or the predecessor. It schedules the next poll, because workers may have been drained or
+// removed since that list. Dispatchers that start together poll in the order of their positions.
+func (s *Schedule) RecordNonDiscoveryList(now tick.Time) {
 	c := &s.config
 	s.nextPoll = now.Add(c.initialSpread() * tick.Duration(c.Position) / tick.Duration(c.Dispatchers))
 	s.endpointsStale = c.AwaitFirstPoll && !s.answered && s.failures == 0
--- a/internal/balancer/polling/polling_test.go
+++ b/internal/balancer/polling/polling_test.go
@@ -27,10 +27,10 @@
 	})
 }
 
-func TestFirstPollIsDueAtOnceOrByPositionWithAnInitialList(t *testing.T) {
+func TestFirstPollIsDueAtOnceOrByPositionWithNonDiscoveryList(t *testing.T) {
 	schedule := newTestSchedule(4)
 	assert.LessOrEqual(t, schedule.DueAt(), now)
-	schedule.RecordInitialList(now)
+	schedule.RecordNonDiscoveryList(now)
 	spread := tick.Duration(10 * tick.Second * 4 / 128)
 	assert.Equal(t, now.Add(spread*3/4), schedule.DueAt())
 	assert.True(t, schedule.EndpointsStale())
--- a/internal/balancer/polling_test.go
+++ b/internal/balancer/polling_test.go
@@ -53,7 +53,7 @@
 	}
 }
 
-func TestFewDispatchersPollAtOnce(t *testing.T) {
+func TestSmallFleetPollsWithoutDelay(t *testing.T) {
 	const dispatchers = 2
 	fleet := newStartingFleet(dispatchers, dispatchers, &slowDiscovery{pollTime: 600, pollTimeout: 2 * Second})
 	fleet.run(startingFleetEnd)
--- a/internal/balancer/priority.go
+++ b/internal/balancer/priority.go
@@ -14,8 +14,8 @@
 }
 
 // priority returns the value that a unit of the request's work yields. A late answer yields only a share of the value.
-// The operation that lost the largest share of its work also gets the weight that the objective assigns to that loss.
-// Requests beyond their tenant's quota weigh less.
+// The operation that lost the largest share of its work also gets a part of the weight that the objective function
+// assigns to that loss. Requests beyond their tenant's quota weigh less.
 func (b *Balancer) priority(req *request) float64 {
 	op := &b.operations.byID[req.operation]
 	density := op.valueDensity
--- a/internal/balancer/process_exit_test.go
+++ b/internal/balancer/process_exit_test.go
@@ -16,7 +16,7 @@
 
 // halfWarmedUp returns the warm-up factor after half of the warm-up duration.
 func halfWarmedUp(balancer *Balancer) float64 {
-	initial := balancer.config.initialWarmup
+	initial := balancer.config.initialWarmupFactor
 	return initial + (1-initial)/2
 }
 
@@ -31,7 +31,7 @@
 func TestWorkerWarmsUpFromItsFirstResponseAfterAnExit(t *testing.T) {
 	balancer, _ := newWarmBalancer(1, 1)
 	exited := refuseConnection(balancer)
-	initial := balancer.config.initialWarmup
+	initial := balancer.config.initialWarmupFactor
 	assert.Equal(t, initial, balancer.warmupFactor(exited), "before its first response")
 	initialBudget := Work(4 * initial * float64(balancer.config.warmupWindow))
 	assert.False(t, balancer.withinWarmupBudget(exited, initialBudget), "this much work would overload it")
@@ -68,7 +68,7 @@
 	balancer, _ := newWarmBalancer(1, 1)
 	exited := refuseConnection(balancer)
 	balancer.UpdateEndpoints(startedHalfWarmupAgo(balancer, exited), ChangedEndpoints, FromDiscovery)
-	assert.Equal(t, balancer.config.initialWarmup, balancer.warmupFactor(exited))
+	assert.Equal(t, balancer.config.initialWarmupFactor, balancer.warmupFactor(exited))
 }
 
 // Regression test for a zone that loses power while no endpoint list is available: this dispatcher observes refused
--- a/internal/balancer/reconfigure_test.go
+++ b/internal/balancer/reconfigure_test.go
@@ -91,15 +91,15 @@
 	first.Quotas.Tenants = []TenantConfig{{Quota: 2, Name: "a"}, {Quota: 2, Name: "b"}}
 	balancer := New(first, 1, &recorder{})
 	for range 100 {
-		balancer.quotaWeight(1)
+		balancer.recordQuotaUsage(1)
 	}
 	second := first
 	second.Quotas.Tenants = []TenantConfig{{Quota: 2, Name: "b"}, {Quota: 2, Name: "c"}}
 	ids := balancer.Reconfigure(second).Tenants
 	assert.Equal(t, []TenantID{1, 2}, ids, "each name keeps its ID")
-	assert.Less(t, balancer.quotaWeight(ids[0]), 1.0, "beyond its quota, although its position in the list has changed")
-	assert.Equal(t, 1.0, balancer.quotaWeight(ids[1]))
-	assert.Equal(t, 1.0, balancer.quotaWeight(0), "requests with an ID of the old configuration count for their own tenant")
+	assert.Less(t, balancer.recordQuotaUsage(ids[0]), 1.0, "beyond its quota, although its position in the list has changed")
+	assert.Equal(t, 1.0, balancer.recordQuotaUsage(ids[1]))
+	assert.Equal(t, 1.0, balancer.recordQuotaUsage(0), "requests with an ID of the old configuration count for their own tenant")
 	onlyFirst := Config{
 		Dispatchers: 2,
 		Quotas: QuotaConfig{
--- a/internal/balancer/request_handle.go
+++ b/internal/balancer/request_handle.go
@@ -17,15 +17,15 @@
 	reported  []bool // by attempt number: its outcome was reported
 	sent      []bool // by attempt number: it was sent completely
 	inFlight  int    // number of attempts whose outcome has not been reported
-	closed    bool   // answered, or the client has left; the Balancer closes its request in the same call
+	closed    bool   // answered, exported, or disconnected; the Balancer closes its request in the same call
 }
 
 func (p *Picker) newHandle(deadline time.Time) *RequestHandle {
 	return &RequestHandle{picker: p, ready: make(chan struct{}, 1), deadline: deadline}
 }
 
-// Pick blocks until the next decision for the request. If ctx is done first, the client has left: Pick closes the
-// request and returns the cause of ctx.
+// Pick blocks until the next decision for the request. If ctx is done first, the client has disconnected: Pick closes
+// the request and returns the cause of ctx.
 func (h *RequestHandle) Pick(ctx context.Context) (Decision, error) {
 	for {
 		if decision, ok := h.nextDecision(); ok {
@@ -34,18 +34,18 @@
 		select {
 		case <-h.ready:
 		case <-ctx.Done():
-			h.clientLeft()
+			h.clientDisconnected()
 			return Decision{}, context.Cause(ctx)
 		}
 	}
 }
 
-// clientLeft closes the request without an answer.
-func (h *RequestHandle) clientLeft() {
+// clientDisconnected closes the request without an answer.
+func (h *RequestHandle) clientDisconnected() {
 	h.picker.update(func(b *Balancer) {
 		if !h.closed {
 			h.closed = true
-			b.ClientLeft(h.id, NoAttempt)
+			b.ClientDisconnected(h.id, NoAttempt)
 			h.cancelUnsent()
 		}
 		for _, decision := range h.decisions { // these attempts will not be sent
@@ -79,7 +79,7 @@
 }
 
 // cancelUnsent cancels the attempts that have not been sent completely, even if cancellation is disabled: they have not
-// run. Otherwise an attempt could be sent after its client has left or was answered, because its connection was
+// run. Otherwise an attempt could be sent after its client has disconnected or was answered, because its connection was
 // established late or a disk was slow.
 func (h *RequestHandle) cancelUnsent() {
 	for number, sent := range h.sent {
--- a/internal/balancer/request_handle_test.go
+++ b/internal/balancer/request_handle_test.go
@@ -9,14 +9,14 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// Regression test for an attempt that was sent after its client had left or was answered, because its connection was
-// established late. Disabled cancellation only protects attempts that have been sent.
+// Regression test for an attempt that was sent after its client had disconnected or was answered, because its
+// connection was established late. Disabled cancellation only protects attempts that have been sent.
 func TestUnsentAttemptIsCanceledEvenIfCancellationIsDisabled(t *testing.T) {
 	config := testConfig
 	config.Attempts.Cancellation = false
 	for name, closeRequest := range map[string]func(*RequestHandle){
-		"client left": (*RequestHandle).clientLeft,
-		"answered":    (*RequestHandle).RejectOrFail,
+		"client disconnected": (*RequestHandle).clientDisconnected,
+		"answered":            (*RequestHandle).RejectOrFail,
 	} {
 		t.Run(name, func(t *testing.T) {
 			picker, _ := newTestPicker(config, 2)
@@ -47,7 +47,7 @@
 		handle := shards.Submit(Arrival{Timeout: 3600 * Second})
 		decision := pick(t, handle)
 		handle.ReportSent(decision.Attempt)
-		handle.clientLeft()
+		handle.clientDisconnected()
 		assert.NoError(t, decision.Ctx.Err())
 		defer func() { assert.ErrorIs(t, context.Cause(decision.Ctx), ErrAttemptCanceled) }()
 	}
@@ -68,22 +68,22 @@
 	{'r', func(r *requestDriver) { r.report(Succeeded) }},
 	{'f', func(r *requestDriver) { r.report(Overloaded) }},
 	{'c', func(r *requestDriver) { r.report(Canceled) }},
-	{'l', (*requestDriver).leave},
+	{'l', (*requestDriver).disconnect},
 	{'e', func(r *requestDriver) { r.handle.RejectOrFail() }},
 	{'b', func(r *requestDriver) { r.picker.StopAfter(0) }}, // the process exits, so no more answers are possible
 }
 
 // requestDriver applies events to a request if its goroutines could cause them.
 type requestDriver struct {
-	t             *testing.T
-	picker        *Picker
-	handle        *RequestHandle
-	inFlight      []Decision // picked attempts that have not been reported
-	hasClientLeft bool       // the client has left
-	answers       int        // number of answers to the client
+	t              *testing.T
+	picker         *Picker
+	handle         *RequestHandle
+	inFlight       []Decision // picked attempts that have not been reported
+	isDisconnected bool       // the client has disconnected
+	answers        int        // number of answers to the client
 }
 
-func (r *requestDriver) isDone() bool { return r.hasClientLeft || r.answers > 0 }
+func (r *requestDriver) isDone() bool { return r.isDisconnected || r.answers > 0 }
 
 func (r *requestDriver) pick() {
 	if r.isDone() {
@@ -114,7 +114,7 @@
 	})
 }
 
-// export hands the request over to another process. Afterwards, no attempt may be in flight in this process.
+// export exports the request to another process. Afterwards, no attempt may be in flight in this process.
 func (r *requestDriver) export() {
 	r.t.Helper()
 	if _, ok := r.handle.Export(len(r.inFlight)); !ok {
@@ -126,10 +126,10 @@
 	r.inFlight = nil
 }
 
-func (r *requestDriver) leave() {
+func (r *requestDriver) disconnect() {
 	if !r.isDone() {
-		r.hasClientLeft = true
-		r.handle.clientLeft()
+		r.isDisconnected = true
+		r.handle.clientDisconnected()
 	}
 }
 
@@ -140,7 +140,7 @@
 		r.pick()
 		r.report(Overloaded)
 		if n > 10 {
-			r.leave()
+			r.disconnect()
 		}
 	}
 }
@@ -194,8 +194,8 @@
 	testOrders(3)
 }
 
-// If the client leaves before a decision is made, Pick returns the cause of its context and nothing is sent.
-func TestClientThatLeavesBeforeDecisionGetsNoAttempt(t *testing.T) {
+// If the client disconnects before a decision is made, Pick returns the cause of its context and nothing is sent.
+func TestClientDisconnectBeforeDecisionPreventsAttempt(t *testing.T) {
 	picker, _ := newTestPicker(testConfig, 2)
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
--- a/internal/balancer/retry.go
+++ b/internal/balancer/retry.go
@@ -48,7 +48,7 @@
 
 // dedupExpiresAt returns the time from which workers may have forgotten the key of an attempt, less a safety margin.
 func (b *Balancer) dedupExpiresAt(op *operation, earlier *attempt) Time {
-	return earlier.sentAt.Add(op.dedupWindow - b.config.margin)
+	return earlier.sentAt.Add(op.dedupWindow - b.config.timingMargin)
 }
 
 // sharesKeys reports whether the second worker has the keys of the requests that the first one has executed.
--- a/internal/balancer/review.go
+++ b/internal/balancer/review.go
@@ -1,8 +1,8 @@
 package balancer
 
-// reviewOpenRequests reviews the open requests, newest first, because those have the most time to gain. An expired
-// request is rejected or fails. An attempt that waits in a worker's queue is migrated, and an attempt that has run for
-// very long is hedged.
+// reviewOpenRequests reviews the open requests, newest first, because those have the most time left in which
+// another attempt can succeed. An expired request is rejected or fails. An attempt that waits in a worker's queue is
+// redispatched, and an attempt that has run for very long is hedged.
 func (b *Balancer) reviewOpenRequests() {
 	b.due.reviewAt = b.now.Add(b.config.startTimeout)
 	b.due.capacityChanged = true
@@ -30,12 +30,12 @@
 func (b *Balancer) reviewRequest(id RequestID, req *request) {
 	waiting := b.unstartedAttempt(req)
 	switch {
-	case b.isFinalAnswerDue(req), b.isHopelessInQueue(req, waiting):
+	case b.isFinalAnswerDue(req), b.shouldRejectUnstarted(req, waiting):
 		b.rejectOrFail(id)
 	case len(b.pending.ids) > 0: // no action: slots are scarce
 	case waiting != nil:
-		if b.shouldMigrate(req, waiting) {
-			b.migrateUnstarted(id, waiting)
+		if b.shouldRedispatch(req, waiting) {
+			b.redispatchUnstarted(id, waiting)
 		}
 	case b.shouldHedge(req):
 		b.hedge(id)
--- a/internal/balancer/review_test.go
+++ b/internal/balancer/review_test.go
@@ -15,7 +15,7 @@
 	balancer.RunDueRules()
 	assert.Equal(t, []string{"attempt 0 to 0", "fail 0", "cancel 0.0"}, effects.lines)
 	balancer.AttemptEnded(0, 0, Succeeded, FinalAnswer) // after the request was closed: no effect
-	balancer.ClientLeft(0, NoAttempt)
+	balancer.ClientDisconnected(0, NoAttempt)
 	balancer.RunDueRules()
 	assert.Len(t, effects.lines, 3)
 }
@@ -30,7 +30,7 @@
 	assert.ElementsMatch(t, []string{"reject 0, retry after 20000", "reject 1, retry after 0"}, effects.lines)
 }
 
-func TestHopelesslyQueuedAttemptIsRejected(t *testing.T) {
+func TestUnstartedAttemptThatCannotMeetObjectiveIsRejected(t *testing.T) {
 	balancer, effects := newWarmBalancer(1, 1)
 	balancer.operations.byID[idempotentOp].slack = 2
 	balancer.operations.byID[nonIdempotentOp].slack = 2
@@ -96,7 +96,7 @@
 	balancer.AttemptDelivered(0, 0)
 	reviewNow(balancer)
 	assert.Equal(t, 1, len(effects.lines), "the start notice may not have arrived yet")
-	balancer.SetTime(balancer.now.Add(balancer.config.margin))
+	balancer.SetTime(balancer.now.Add(balancer.config.timingMargin))
 	reviewNow(balancer)
 	assert.Contains(t, effects.lines, "reject 0, retry after 20000", "the attempt waits in the worker's queue")
 }
--- a/internal/balancer/shards.go
+++ b/internal/balancer/shards.go
@@ -58,7 +58,7 @@
 	return s.pickers[s.roundRobin.Add(1)%uint32(len(s.pickers))]
 }
 
-// firstPicker returns the first shard, which represents the process where a single shard is queried or updated.
+// firstPicker returns the first shard, which represents the process if only one shard is queried or updated.
 func (s *Shards) firstPicker() *Picker { return s.pickers[0] }
 
 // updateAll runs call on the Balancer of each shard in turn, and applies the rules that are due.
--- a/internal/balancer/slow_start.go
+++ b/internal/balancer/slow_start.go
@@ -73,7 +73,7 @@
 }
 
 // usesCredit reports whether dispatchers do not share their load and are so many that one dispatcher's share of the
-// budget is too small for a request. If so, each dispatcher earns its attempts one at a time: see warmupCredit.
+// budget is too small for a request. If so, each dispatcher earns single attempts: see warmupCredit.
 func (s *slowStartLimits) usesCredit(w warmingWorker) bool {
 	return !s.gossip && s.ownShare(w) < s.minUsefulShare
 }
--- a/internal/balancer/slow_start_release_test.go
+++ b/internal/balancer/slow_start_release_test.go
@@ -261,7 +261,7 @@
 	}
 	config := &s.dispatchers[0].config
 	age := float64(s.now.Sub(releasedAt))
-	return min(1, config.initialWarmup+(1-config.initialWarmup)*age/float64(config.warmupDuration))
+	return min(1, config.initialWarmupFactor+(1-config.initialWarmupFactor)*age/float64(config.warmupDuration))
 }
 
 func (s *releaseSimulation) deliverMessages() {
--- a/internal/balancer/snapshot.go
+++ b/internal/balancer/snapshot.go
@@ -162,7 +162,7 @@
 	if len(state.Sample) > 0 {
 		b.updateCutPoints()
 	}
-	for _, stats := range state.Operations { // the last one wins if several configurations have the same name
+	for _, stats := range state.Operations { // if several have the same name, the last one applies
 		b.operations.restore(stats)
 	}
 	var usage []quota.Usage
--- a/internal/balancer/snapshot_test.go
+++ b/internal/balancer/snapshot_test.go
@@ -48,7 +48,7 @@
 		balancer.observeSize(Work(100 + n))
 	}
 	balancer.ReceiveLoad(1, WorkerLoad{Worker: 3, InFlight: 2})
-	balancer.quotaWeight(0)
+	balancer.recordQuotaUsage(0)
 	balancer.operations.byID[nonIdempotentOp].requestedWork = 700
 	balancer.operations.byID[nonIdempotentOp].longestTimeout = 9 * Second
 }
--- a/internal/balancer/subsetting.go
+++ b/internal/balancer/subsetting.go
@@ -24,9 +24,9 @@
 }
 
 // subset is an ordered set of workers with a round-robin position. Its index finds workers that may have a free slot
-// without visiting all of them. A bit of maybeFree is cleared when the worker at that position is found to have no free
-// slot until its state changes. Each such change sets the bit again. The passage of time, which warms a worker up or
-// ends its ejection, never makes a worker available whose bit is cleared.
+// without visiting all of them. A bit of maybeFree is cleared when the worker at that position is found to accept no
+// attempt until its state changes: see persistentExclusion. Each such change sets the bit again. The passage of time,
+// which warms a worker up or ends its ejection, never makes a worker available whose bit is cleared.
 type subset struct {
 	workers    []WorkerID
 	roundRobin int      // position at which the next search begins, modulo the number of workers
--- a/internal/balancer/subsetting_test.go
+++ b/internal/balancer/subsetting_test.go
@@ -88,7 +88,7 @@
 			last.RequestArrived(id, Arrival{Timeout: 20 * Second, SizeHint: 100})
 		}
 		last.RunDueRules()
-		last.SetTime(last.now.Add(last.config.margin))
+		last.SetTime(last.now.Add(last.config.timingMargin))
 		last.RunDueRules()
 		assert.Equal(t, size, usedWorkers(last), "each worker accepts one unstarted attempt")
 		peers := 0
--- a/internal/balancer/unstarted_attempts.go
+++ b/internal/balancer/unstarted_attempts.go
@@ -12,8 +12,8 @@
 // unreachable, every attempt sent there would count as in delivery.
 var maxDeliveryShare = tick.Ratio{Numerator: 1, Denominator: 8}
 
-// unstartedAttempt returns the only attempt in flight if its start has not been reported although its worker reports
-// starts. Otherwise it returns nil.
+// unstartedAttempt returns the only attempt in flight of a request if workers report starts and its start has not been
+// reported. Otherwise it returns nil.
 func (b *Balancer) unstartedAttempt(req *request) *attempt {
 	if !b.config.startNotices || req.inFlight != 1 {
 		return nil
@@ -25,8 +25,9 @@
 	return latest
 }
 
-// queueingTime returns how long an attempt has been waiting at its worker for its start, at least. Until the delivery
-// is reported, a multiple of the mean delivery time is deducted.
+// queueingTime returns a lower bound of the time that an attempt has waited at its worker for its start. Until its
+// delivery is reported, it is the time since the attempt was sent less a multiple of the mean delivery time. Without
+// delivery notices, it is the whole time since the attempt was sent.
 func (b *Balancer) queueingTime(waiting *attempt) Duration {
 	switch {
 	case waiting.deliveredAt != notYet:
@@ -37,18 +38,18 @@
 	return b.now.Sub(waiting.sentAt)
 }
 
-// shouldMigrate reports whether an attempt has waited longer than a worker with a free slot takes to start it, while
+// shouldRedispatch reports whether an attempt has waited longer than a worker with a free slot takes to start it, while
 // its request can still meet its objective on another worker.
-func (b *Balancer) shouldMigrate(req *request, waiting *attempt) bool {
+func (b *Balancer) shouldRedispatch(req *request, waiting *attempt) bool {
 	return b.queueingTime(waiting) >= b.config.startTimeout && b.now <= req.latestStart
 }
 
-// migrateUnstarted moves an attempt from the queue of its worker, which is full despite its estimated slots, to a
+// redispatchUnstarted moves an attempt from the queue of its worker, which is full despite its estimated slots, to a
 // worker with a free slot. The wait counts in the slot estimate of the first worker, whether or not another worker is
 // found. If delivery notices are configured but the delivery has not been reported, the wait counts in the mean delivery
 // time of the worker's zone instead. The new attempt is sent before the first one is canceled, so the platform must
 // allow a second attempt.
-func (b *Balancer) migrateUnstarted(id RequestID, waiting *attempt) {
+func (b *Balancer) redispatchUnstarted(id RequestID, waiting *attempt) {
 	req := b.requests.get(id)
 	if waiting.deliveredAt != notYet || !b.config.deliveryNotices {
 		b.observeAttemptStart(waiting.worker, b.load(waiting.worker), slotestimate.Waited)
@@ -69,23 +70,23 @@
 	}
 }
 
-// isHopelessInQueue reports whether the only attempt of a request waits at its worker with no chance to meet the
-// objective, and may be removed from that queue. If it has waited for less than the margin, a start notice may still be
-// on its way.
-func (b *Balancer) isHopelessInQueue(req *request, waiting *attempt) bool {
+// shouldRejectUnstarted reports whether the only attempt of a request waits at its worker with no chance to meet the
+// objective, and may be removed from that queue. If it has waited for less than the timing margin, a start notice may
+// still be on its way.
+func (b *Balancer) shouldRejectUnstarted(req *request, waiting *attempt) bool {
 	if waiting == nil || !b.config.cancellation {
 		return false
 	}
 	slack := b.operations.byID[req.operation].slack
 	certainSlack := Duration(hintConfidence * slack * float64(req.size))
-	hopelessAfter := max(req.latestStart.Add(certainSlack), req.startWaitDeadline)
-	return b.now > hopelessAfter && b.queueingTime(waiting) >= b.config.margin && b.mayReject(req)
+	latestUsefulStart := max(req.latestStart.Add(certainSlack), req.startWaitDeadline)
+	return b.now > latestUsefulStart && b.queueingTime(waiting) >= b.config.timingMargin && b.mayReject(req)
 }
 
 // AttemptDelivered records that a worker has received an attempt, whether started or not. Delivery to another zone, or
 // over a connection that is being established, may take far longer than a worker with a free slot takes to start the
-// attempt. Without this notice every attempt would be migrated as if it were queued, until the request has no attempts
-// left.
+// attempt. Without this notice every attempt would be redispatched as if it were queued, until the request has no
+// attempts left.
 func (b *Balancer) AttemptDelivered(id RequestID, number int) {
 	delivered := &b.requests.get(id).attempts[number]
 	if delivered.inFlight && delivered.deliveredAt == notYet {
--- a/internal/balancer/unstarted_attempts_test.go
+++ b/internal/balancer/unstarted_attempts_test.go
@@ -14,7 +14,7 @@
 	return newTestBalancer(config, 1, []Endpoint{{Worker: 0, ID: "w0"}, {Worker: 1, ID: "w1"}})
 }
 
-func TestUnstartedAttemptIsMigrated(t *testing.T) {
+func TestUnstartedAttemptIsRedispatched(t *testing.T) {
 	balancer, effects := newWarmBalancer(2, 1)
 	submitRequest(balancer, 0, Arrival{Timeout: 10 * Second, SizeHint: 100})
 	balancer.now = balancer.now.Add(balancer.config.startTimeout)
@@ -26,7 +26,7 @@
 
 // Regression test for an operation with a short objective that was hardly ever served, because its attempts were
 // canceled before their worker could have reported a start.
-func TestAttemptInDeliveryIsNotMigrated(t *testing.T) {
+func TestAttemptInDeliveryIsNotRedispatched(t *testing.T) {
 	balancer, effects := newDeliveryNoticesBalancer()
 	submitRequest(balancer, 0, Arrival{Timeout: 10 * Second, SizeHint: 100})
 	assert.Len(t, effects.lines, 1)
@@ -40,9 +40,9 @@
 	assert.Equal(t, "cancel 0.0", effects.lines[2])
 }
 
-// Regression test for attempts that were never migrated because their worker reported nothing at all, and for a mean
-// delivery time that undelivered attempts did not raise. The mean must stay limited.
-func TestUndeliveredAttemptIsMigrated(t *testing.T) {
+// Regression test for attempts that were never redispatched because their worker reported nothing at all, and for a
+// mean delivery time that undelivered attempts did not raise. The mean must stay limited.
+func TestUndeliveredAttemptIsRedispatched(t *testing.T) {
 	const nearDelivery = 100 // ticks until a worker in the zone receives an attempt
 	balancer, effects := newDeliveryNoticesBalancer()
 	balancer.zones[0].deliveryTime = nearDelivery
--- a/internal/balancer/warm_up.go
+++ b/internal/balancer/warm_up.go
@@ -33,12 +33,12 @@
 const noFleetRestart Time = 0
 
 // warmupFactorAt returns the warm-up factor of a worker of a given age, which is the share of its full capacity that is
-// available. It grows linearly from initialWarmup to 1 within warmupDuration.
+// available. It grows linearly from initialWarmupFactor to 1 within warmupDuration.
 func (c *derivedConfig) warmupFactorAt(age Duration) float64 {
 	if c.warmupDuration == 0 || age >= c.warmupDuration {
 		return 1
 	}
-	return c.initialWarmup + (1-c.initialWarmup)*float64(max(age, 0))/float64(c.warmupDuration)
+	return c.initialWarmupFactor + (1-c.initialWarmupFactor)*float64(max(age, 0))/float64(c.warmupDuration)
 }
 
 // warmupFactor returns a lower bound of a worker's warm-up factor by its age. If its process was observed to exit, the
@@ -66,11 +66,11 @@
 }
 
 // confirmedWarmupFactor returns a lower bound of a worker's warm-up factor for work of a given size. It is at most
-// initialWarmup if a restart is suspected.
+// initialWarmupFactor if a restart is suspected.
 func (b *Balancer) confirmedWarmupFactor(id WorkerID, size Work) float64 {
 	factor := b.warmupFactor(id)
 	if b.restartSuspected(&b.workers[id].warmup, size) {
-		return min(factor, b.config.initialWarmup)
+		return min(factor, b.config.initialWarmupFactor)
 	}
 	return factor
 }
--- a/internal/balancer/warmup_credit.go
+++ b/internal/balancer/warmup_credit.go
@@ -9,7 +9,7 @@
 // factor, and sends the worker that share of its own requests. All dispatchers together therefore use half of the
 // worker's budget, however traffic is distributed among them.
 type warmupCredit struct {
-	attempts        float64 // at most 1
+	attempts        float64 // attempts earned and not yet sent, at most 1
 	countedRequests int     // value of warmup.newRequests when attempts was last updated
 	initialized     bool    // the credit has been initialized for the current worker process
 }
--- a/internal/simadapter/requests.go
+++ b/internal/simadapter/requests.go
@@ -166,7 +166,7 @@
 		return err
 	}
 	in.requests.get(attempt.request).ended = true
-	in.balancer.ClientLeft(attempt.request, attempt.number)
+	in.balancer.ClientDisconnected(attempt.request, attempt.number)
 	return nil
 }
 
@@ -178,5 +178,5 @@
 		return
 	}
 	in.requests.markEnded(id)
-	in.balancer.ClientLeft(id, balancer.NoAttempt)
+	in.balancer.ClientDisconnected(id, balancer.NoAttempt)
 }
