--- a/internal/balancer/arrivals.go
+++ b/internal/balancer/arrivals.go
@@ -32,9 +32,9 @@
 	b.due.scheduleReview(min(b.now.Add(b.config.startTimeout), arrived.deadline))
 }
 
-// startWaitDeadline returns the time until which a request waits for its start, usually the latest start that may keep
+// startWaitDeadline returns the time until which a request waits for its start, usually the latest start that may meet
 // the latency objective. If neither gossip nor load reports show free slots, a worker that appears to be full may still
-// have one. Then a client's retry waits as long as a first try does, provided that a late answer has value.
+// have one. In that case a client's retry waits as long as a first try does, provided that a late answer has value.
 func (b *Balancer) startWaitDeadline(op *operation, latestStart Time) Time {
 	freeSlotsKnown := b.config.gossip || b.config.reportFree != NotReported
 	if op.lateShare > 0 && !freeSlotsKnown {
--- a/internal/balancer/attempt_events.go
+++ b/internal/balancer/attempt_events.go
@@ -60,7 +60,7 @@
 		b.workers[ended.worker].health.RecordSuccess()
 		b.recordZoneSuccess(ended.worker)
 		b.recordResponse(ended)
-		b.observeSuccess(ended.worker, req, ended.runDuration(b.now))
+		b.observeSuccess(ended.worker, req, ended.runTime(b.now))
 	case Overloaded:
 		b.recordResponse(ended)
 		loadBefore := b.load(ended.worker) + 1 // including the rejected attempt
--- a/internal/balancer/attempt_events_test.go
+++ b/internal/balancer/attempt_events_test.go
@@ -6,9 +6,9 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// Regression test for start notices that the configuration does not announce. After one attempt each worker appeared to
-// have an unstarted attempt permanently, and was sent no further attempts.
-func TestUnannouncedStartNoticesExcludeNoWorker(t *testing.T) {
+// Regression test for workers that send start notices although these are not configured. After one attempt each worker
+// appeared to have an unstarted attempt permanently, and was sent no further attempts.
+func TestUnconfiguredStartNoticesExcludeNoWorker(t *testing.T) {
 	config := testConfig
 	config.Attempts.StartNotices = false
 	balancer, effects := newTestBalancer(config, 1, []Endpoint{{Worker: 0, ID: "w0"}})
@@ -24,7 +24,7 @@
 }
 
 // Regression test for a repeated start notice: it counted another attempt that was still unstarted as started.
-func TestSecondStartNoticeChangesNothing(t *testing.T) {
+func TestRepeatedStartNoticeIsIgnored(t *testing.T) {
 	balancer, _ := newWarmBalancer(1, 1)
 	for id := range RequestID(2) {
 		balancer.RequestArrived(id, Arrival{Timeout: 3 * Second})
--- a/internal/balancer/attempts.go
+++ b/internal/balancer/attempts.go
@@ -17,6 +17,6 @@
 // mayRun reports whether the attempt may have been executed or may still be executed.
 func (a *attempt) mayRun() bool { return a.inFlight || a.mayHaveRun }
 
-// runDuration returns the run time of an attempt that succeeds now, measured from its reported start, or from its send
+// runTime returns the run time of an attempt that succeeds now, measured from its reported start, or from its send
 // time if no start was reported.
-func (a *attempt) runDuration(now Time) Duration { return now.Sub(max(a.sentAt, a.startedAt)) }
+func (a *attempt) runTime(now Time) Duration { return now.Sub(max(a.sentAt, a.startedAt)) }
--- a/internal/balancer/eligibility.go
+++ b/internal/balancer/eligibility.go
@@ -27,12 +27,12 @@
 	warmupBudgetExceeded // it is warming up, and the budget of all dispatchers is used up
 	noWarmupCredit       // it is warming up, and this dispatcher has no credit for an attempt
 
-	// The request may have no further attempt, or none on this worker.
+	// The request may have no further attempt, or none at this worker.
 	requestClosed   // it has been answered or exported, or its client has disconnected
 	deadlinePassed  // its deadline has passed
 	attemptLimit    // it has reached its maximum number of attempts
 	hedgingDisabled // an attempt is in flight, and the platform allows only one at a time
-	alreadyOnWorker // an attempt of the request is in flight on the worker
+	alreadyOnWorker // an attempt of the request is in flight at the worker
 	unsafeRepeat    // an earlier attempt may have run, and the worker would not deduplicate the repeat
 )
 
--- a/internal/balancer/eligibility_test.go
+++ b/internal/balancer/eligibility_test.go
@@ -27,7 +27,7 @@
 	"search limited to warming workers": {func(_ *Balancer, _ *request, filter *workerFilter) {
 		filter.onlyWithCredit = true
 	}, notWarmingUp},
-	"failed attempt on the worker may have run": {func(b *Balancer, req *request, _ *workerFilter) {
+	"failed attempt at the worker may have run": {func(b *Balancer, req *request, _ *workerFilter) {
 		req.operation = nonIdempotentOp
 		b.workers[exclusionTarget].health.ConsecutiveFailures = 1
 		b.workers[exclusionTarget].health.PossiblyExecuted = true
@@ -46,7 +46,7 @@
 	"worker draining": {func(b *Balancer, _ *request, _ *workerFilter) {
 		b.workers[exclusionTarget].state = Draining
 	}, notHealthy},
-	"unstarted attempt on the worker": {func(b *Balancer, _ *request, _ *workerFilter) {
+	"unstarted attempt at the worker": {func(b *Balancer, _ *request, _ *workerFilter) {
 		b.workers[exclusionTarget].unstarted = 1
 	}, unstartedAttempt},
 	"probe in flight": {func(b *Balancer, _ *request, _ *workerFilter) {
@@ -93,7 +93,7 @@
 		b.config.hedging = false
 		req.inFlight = 1
 	}, hedgingDisabled},
-	"attempt in flight on the same worker": {func(_ *Balancer, req *request, _ *workerFilter) {
+	"attempt in flight at the same worker": {func(_ *Balancer, req *request, _ *workerFilter) {
 		req.attempts = []attempt{{worker: exclusionTarget, inFlight: true}}
 	}, alreadyOnWorker},
 	"earlier attempt may have run": {func(_ *Balancer, req *request, _ *workerFilter) {
--- a/internal/balancer/hedging_test.go
+++ b/internal/balancer/hedging_test.go
@@ -13,7 +13,7 @@
 		name      string
 		operation OperationID
 		ran       Duration
-		otherLoad int // attempts of peers on the other worker
+		otherLoad int // attempts of peers at the other worker
 		attempts  int
 	}{
 		{name: "ran for more than half of its timeout", operation: idempotentOp, ran: 50 * Second, attempts: 2},
--- a/internal/balancer/migration_test.go
+++ b/internal/balancer/migration_test.go
@@ -56,16 +56,16 @@
 		_, ok = handle.Export(0)
 		assert.False(t, ok, "a request is exported once")
 
-		adopted, contexts := next.Import(jsonRoundTrip(t, migrated))
+		imported, contexts := next.Import(jsonRoundTrip(t, migrated))
 		assert.Equal(t, []WorkerLoad{{first.Worker, 1}}, next.InFlightFor(Predecessor))
 		assert.NoError(t, contexts[0].Err())
-		adopted.Report(0, ConnectionReset)
-		got := pick(t, adopted)
+		imported.Report(0, ConnectionReset)
+		got := pick(t, imported)
 		assert.Equal(t, c.want, got.Action, "the exported operation is not configured in this process")
 		if got.Action == SendAttempt {
 			assert.Equal(t, 1, got.Attempt)
-			adopted.Report(1, Succeeded)
-			pick(t, adopted)
+			imported.Report(1, Succeeded)
+			pick(t, imported)
 		}
 		assert.Equal(t, 0, next.OpenRequests())
 	}
--- a/internal/balancer/picker_test.go
+++ b/internal/balancer/picker_test.go
@@ -65,7 +65,7 @@
 	assert.Equal(t, SendAttempt, pick(t, handle).Action)
 }
 
-func TestRepeatHasToBeSentBeforeTheDedupWindowCloses(t *testing.T) {
+func TestRepeatMustBeSentBeforeDedupWindowCloses(t *testing.T) {
 	const step = Second / 4
 	window := testConfig.Operations[zoneKeyedOp].DedupWindow
 	for name, c := range map[string]struct {
--- a/internal/balancer/retry.go
+++ b/internal/balancer/retry.go
@@ -7,7 +7,7 @@
 	return b.attemptExclusion(req, id) == eligible
 }
 
-// attemptExclusion returns why a request may have no more attempts, or none on a worker, or eligible. A non-idempotent
+// attemptExclusion returns why a request may have no more attempts, or none at a worker, or eligible. A non-idempotent
 // request is never executed twice: after an attempt that may have run, only workers that would deduplicate the repeat
 // remain eligible.
 func (b *Balancer) attemptExclusion(req *request, id WorkerID) exclusion {
@@ -34,7 +34,7 @@
 	return eligible
 }
 
-// isRepeatSafe reports whether an attempt on a worker has no second effect if an earlier attempt has run.
+// isRepeatSafe reports whether an attempt at a worker has no second effect if an earlier attempt has run.
 func (b *Balancer) isRepeatSafe(op *operation, earlier *attempt, id WorkerID) bool {
 	switch op.idempotency {
 	case Idempotent:
--- a/internal/balancer/retry_test.go
+++ b/internal/balancer/retry_test.go
@@ -7,10 +7,10 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// permittedRetries lists which retries are permitted after an attempt on worker 0.
+// permittedRetries lists which retries are permitted after an attempt at worker 0.
 type permittedRetries struct {
-	sameZone  bool // another attempt on worker 0, which is the only one in its cell
-	otherZone bool // another attempt on worker 1
+	sameZone  bool // another attempt at worker 0, which is the only one in its cell
+	otherZone bool // another attempt at worker 1
 	reject    bool // a rejection, after which the client may retry
 }
 
--- a/internal/balancer/review.go
+++ b/internal/balancer/review.go
@@ -1,7 +1,7 @@
 package balancer
 
-// reviewOpenRequests reviews the open requests, newest first, because those have the most time left in which
-// another attempt can succeed. An expired request is rejected or fails. An attempt that waits in a worker's queue is
+// reviewOpenRequests reviews the open requests, newest first, because those have the most time left to
+// benefit from another attempt. An expired request is rejected or fails. An attempt that waits in a worker's queue is
 // redispatched, and an attempt that has run for very long is hedged.
 func (b *Balancer) reviewOpenRequests() {
 	b.due.reviewAt = b.now.Add(b.config.startTimeout)
--- a/internal/balancer/review_test.go
+++ b/internal/balancer/review_test.go
@@ -50,7 +50,7 @@
 
 // Regression test for clients that retry after the latency objective: the attempt was canceled as soon as it was sent,
 // so the retry could never be served, however long its client would have waited.
-func TestLateRetryIsGivenTimeToBeServed(t *testing.T) {
+func TestLateRetryWaitsForStartIfFreeSlotsAreUnknown(t *testing.T) {
 	const (
 		firstTimeout = 20 * Second
 		retryTimeout = 18 * Second // one second after the objective
@@ -102,7 +102,7 @@
 }
 
 // Regression test for late requests that delayed others beyond their objective.
-func TestLateRequestIsOrderedBehindRequestsInTime(t *testing.T) {
+func TestLateRequestIsOrderedBehindTimelyRequests(t *testing.T) {
 	const firstTimeout = 20 * Second
 	balancer, effects := newWarmBalancer(1, 1)
 	retried := &balancer.operations.byID[idempotentOp]
--- a/internal/balancer/slow_start_fleet_test.go
+++ b/internal/balancer/slow_start_fleet_test.go
@@ -9,8 +9,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// Regression test for two faults. A worker that only one of many dispatchers may use is hardly used until it is warm. A
-// worker to which all dispatchers send as soon as it has a free slot breaks down.
+// Regression test for two faults. A worker that only one of many dispatchers was allowed to use was hardly used until
+// it was warm. A worker to which all dispatchers sent as soon as it had a free slot broke down.
 func TestWarmingWorkerIsUsedByGossipingDispatchersAndNotOverloaded(t *testing.T) {
 	for _, dispatchers := range []int{2, 10, 40} {
 		simulation := newWarmingSimulation(dispatchers)
@@ -20,8 +20,8 @@
 	}
 }
 
-// Regression test for wrong hints, and for dispatchers that each find out on their own that the worker is full: the
-// attempts that it rejects count as sent.
+// Regression test for a worker that was overloaded because hints were wrong, or because each dispatcher found out on
+// its own that the worker was full: the attempts that it rejects count against its budget.
 func TestWarmingWorkerIsNotOverloadedByWrongHints(t *testing.T) {
 	const errorDeviation = 0.4 // standard deviation of the logarithm of the error
 	for _, dispatchers := range []int{2, 6, 10} {
--- a/internal/balancer/slow_start_release_test.go
+++ b/internal/balancer/slow_start_release_test.go
@@ -337,9 +337,10 @@
 	return releaseResult{maxBudgetUse: maxUse, utilization: workDone / capacity}
 }
 
-// countSend counts an attempt sent to a replaced worker against its budget. The limit is the number of requests of mean
-// size that fill the budget, plus two standard deviations and two requests to allow for random variation.
-func (s *releaseSimulation) countSend(worker *simulatedWorker, config *derivedConfig) {
+// recordBudgetUse updates the maximum budget use of a replaced worker after an attempt was sent to it. The limit is the
+// number of requests of mean size that fill the budget, plus two standard deviations and two requests to allow for
+// random variation.
+func (s *releaseSimulation) recordBudgetUse(worker *simulatedWorker, config *derivedConfig) {
 	windowStart := s.now.Add(-config.warmupWindow)
 	worker.sentAt = slices.DeleteFunc(worker.sentAt, func(at Time) bool { return at <= windowStart })
 	budget := config.overloadFactor * s.warmupFactor(worker) * slotsPerWorker * float64(config.warmupWindow) / meanWork
@@ -371,7 +372,7 @@
 	})
 	worker.sentAt = append(worker.sentAt, s.now)
 	if worker.replaced {
-		s.countSend(worker, &e.balancer.config)
+		s.recordBudgetUse(worker, &e.balancer.config)
 	}
 }
 
--- a/internal/balancer/slow_start_test.go
+++ b/internal/balancer/slow_start_test.go
@@ -102,18 +102,18 @@
 
 func TestWarmupBudgetIsSharedAmongDispatchers(t *testing.T) {
 	const (
-		warming, warm  WorkerID = 0, 1
-		overloadFactor          = 4
-		initialWarmup           = 0.2
-		slots                   = 1 // initial value of MaxObserved
-		window                  = 2 * Second
-		dispatchers             = 2
+		warming, warm       WorkerID = 0, 1
+		overloadFactor               = 4
+		initialWarmupFactor          = 0.2
+		slots                        = 1 // initial value of MaxObserved
+		window                       = 2 * Second
+		dispatchers                  = 2
 	)
 	balancer, _ := newWarmBalancer(2, 1)
 	balancer.now += Second
 	restarted := []Endpoint{{Worker: warming, ID: "w0", StartedAt: balancer.now}}
 	balancer.UpdateEndpoints(restarted, ChangedEndpoints, FromDiscovery)
-	share := overloadFactor * initialWarmup * slots * float64(window) * (1 - warmupReserve) / dispatchers
+	share := overloadFactor * initialWarmupFactor * slots * float64(window) * (1 - warmupReserve) / dispatchers
 	balancer.config.meanObjective = share // a share has room for exactly one request
 	assert.True(t, balancer.withinWarmupBudget(warming, Work(share)))
 	assert.False(t, balancer.withinWarmupBudget(warming, Work(share)+1))
--- a/internal/balancer/subsetting.go
+++ b/internal/balancer/subsetting.go
@@ -32,7 +32,7 @@
 	roundRobin int      // position at which the next search begins, modulo the number of workers
 	positions  []int32  // position in workers by WorkerID, or notInSubset
 	maybeFree  []uint64 // one bit per position
-	inFlight   int      // sum of the attempts in flight on all workers of the subset
+	inFlight   int      // sum of the attempts in flight at all workers of the subset
 }
 
 const (
--- a/internal/balancer/types.go
+++ b/internal/balancer/types.go
@@ -86,7 +86,7 @@
 // size returns the work of the whole request according to its hint, or 0 without a hint.
 func (a *Arrival) size() Work { return Work(float64(a.SizeHint) * max(a.Slots, 1)) }
 
-// WorkerLoad is the number of attempts that one dispatcher has in flight on a worker.
+// WorkerLoad is the number of attempts that one dispatcher has in flight at a worker.
 type WorkerLoad struct {
 	Worker   WorkerID
 	InFlight int // attempts
