--- a/internal/balancer/attempt_events.go
+++ b/internal/balancer/attempt_events.go
@@ -60,7 +60,7 @@
 		b.workers[ended.worker].health.RecordSuccess()
 		b.recordZoneSuccess(ended.worker)
 		b.recordResponse(ended)
-		b.observeSuccess(ended.worker, req, ended.runDuration(b.now))
+		b.observeSuccess(ended.worker, req, ended.runTime(b.now))
 	case Overloaded:
 		b.recordResponse(ended)
 		loadBefore := b.load(ended.worker) + 1 // including the rejected attempt
@@ -71,6 +71,8 @@
 	}
 }
 
-// ClientLeft closes a request whose client has disconnected. streaming is the number of the attempt whose response is
-// being streamed and which therefore stays in flight, or NoAttempt.
-func (b *Balancer) ClientLeft(id RequestID, streaming int) { b.closeRequestExcept(id, streaming) }
+// ClientDisconnected closes a request whose client has disconnected. streaming is the number of the attempt whose
+// response is being streamed and which therefore stays in flight, or NoAttempt.
+func (b *Balancer) ClientDisconnected(id RequestID, streaming int) {
+	b.closeRequestExcept(id, streaming)
+}
