--- a/internal/testbed/command/command_test.go
+++ b/internal/testbed/command/command_test.go
@@ -242,7 +242,7 @@
 func TestExitCodesAndMessages(t *testing.T) {
 	t.Parallel()
 	file := filepath.Join(t.TempDir(), "x.toml")
-	good := fmt.Sprintf(shortExperiment, experiment.Canvasroute, "")
+	validFile := fmt.Sprintf(shortExperiment, experiment.Canvasroute, "")
 	check, run := []string{"check", file}, []string{"run", file}
 	for _, c := range []struct {
 		name string
@@ -251,22 +251,22 @@
 		want string // in the output
 		code int
 	}{
-		{"valid file", good, check, "x.toml: good; ", 0},
-		{"unknown key", strings.Replace(good, "queue", "cue", 1), check, "x.toml:14: unknown key fleet.kind.cue", 2},
-		{"not a duration", strings.Replace(good, `"500ms"`, `"soon"`, 1), run, `"soon" is not a time`, 2},
-		{"worker without a core", strings.Replace(good, "cores = 2", "cores = 0", 1), run, "x.toml: fleet.kind[0]", 2},
-		{"too many workers", strings.Replace(good, "workers = 1", "workers = 9", 1), run, "x.toml: fault[0].workers: 9", 2},
-		{"no dispatcher", good, append(run, "--dispatcher", "/nowhere"), "no dispatcher to start", 2},
-		{"unknown flag", good, append(run, "--fast"), "unknown flag: --fast", 2},
-		{"unknown policy", good, append(run, "--policy", "best"), `dispatchers.policy: "best"`, 2},
-		{"no result", good, []string{"compare", filepath.Dir(file), filepath.Dir(file)}, "holds no result", 2},
+		{"valid file", validFile, check, "x.toml: good; ", 0},
+		{"unknown key", strings.Replace(validFile, "queue", "cue", 1), check, "x.toml:14: unknown key fleet.kind.cue", 2},
+		{"not a duration", strings.Replace(validFile, `"500ms"`, `"soon"`, 1), run, `"soon" is not a time`, 2},
+		{"worker without a core", strings.Replace(validFile, "cores = 2", "cores = 0", 1), run, "x.toml: fleet.kind[0]", 2},
+		{"too many workers", strings.Replace(validFile, "workers = 1", "workers = 9", 1), run, "x.toml: fault[0].workers: 9", 2},
+		{"no dispatcher", validFile, append(run, "--dispatcher", "/nowhere"), "no dispatcher to start", 2},
+		{"unknown flag", validFile, append(run, "--fast"), "unknown flag: --fast", 2},
+		{"unknown policy", validFile, append(run, "--policy", "best"), `dispatchers.policy: "best"`, 2},
+		{"no result", validFile, []string{"compare", filepath.Dir(file), filepath.Dir(file)}, "holds no result", 2},
 		{"no file", "", []string{"check", file + "x"}, "no such file", 2},
 		{
-			"former key", strings.ReplaceAll(good, "[[fault]]", "[[trouble]]"), check,
+			"former key", strings.ReplaceAll(validFile, "[[fault]]", "[[trouble]]"), check,
 			"testbed: warning: " + file + ":42: key trouble is now called fault: please rename it\n" + file + ": good; ", 0,
 		},
 		{
-			"both names of a key", strings.Replace(good, "[[fault]]", "[[trouble]]", 1), run,
+			"both names of a key", strings.Replace(validFile, "[[fault]]", "[[trouble]]", 1), run,
 			"trouble, and fault in line 47", 2,
 		},
 	} {
@@ -280,7 +280,7 @@
 }
 
 // The two processes of an upgrade must count as one dispatcher. The testbed compares a dispatcher's counters with the
-// outcomes that clients observed only if the dispatcher was not upgraded.
+// outcomes that clients observed only if the dispatcher had a single process.
 func TestOperatorActionsUnderLoadViolateNoRule(t *testing.T) {
 	result := runExperiment(t, fmt.Sprintf(shortExperiment, experiment.Canvasroute, "")+`[[fault]]
 kind = "upgrade"
--- a/internal/testbed/command/dispatcher_process_test.go
+++ b/internal/testbed/command/dispatcher_process_test.go
@@ -219,12 +219,12 @@
 // a short time.
 func listen(t *testing.T, address string) net.Listener {
 	t.Helper()
-	for limit := time.Now().Add(time.Second); ; {
+	for deadline := time.Now().Add(time.Second); ; {
 		ln, err := net.Listen("tcp", address)
 		if err == nil {
 			return ln
 		}
-		if !errors.Is(err, syscall.EADDRINUSE) || time.Now().After(limit) {
+		if !errors.Is(err, syscall.EADDRINUSE) || time.Now().After(deadline) {
 			assert.NoError(t, err)
 			t.FailNow()
 		}
--- a/internal/testbed/command/endpoints_test.go
+++ b/internal/testbed/command/endpoints_test.go
@@ -47,7 +47,7 @@
 			}
 		})
 	}
-	t.Run("no list known, service up late", func(t *testing.T) {
+	t.Run("no initial list, service starts late", func(t *testing.T) {
 		t.Parallel()
 		dispatcher := newTestDispatcherWithoutList(t, 128)
 		dispatcher.start(t, 128)
@@ -73,7 +73,7 @@
 	upSince := time.Now()
 	dispatcher.serveDiscovery(t, &calls, dispatcher.serveWatch)
 	assert.Eventually(t, func() bool { return calls.Load() > 0 }, 6*time.Second, time.Millisecond, "the endpoint list was not polled")
-	t.Logf("polled %v after the discovery service is up, %d descriptors open, %d connections refused",
+	t.Logf("polled %v after the discovery service started, %d descriptors open, %d connections refused",
 		time.Since(upSince).Round(time.Millisecond), dispatcher.countDescriptors(t), refused.Load())
 	dispatcher.sendAll(t, "up-", 20)
 	dispatcher.awaitReady(t, time.Second)
@@ -147,6 +147,6 @@
 	upSince := time.Now()
 	time.Sleep(6*time.Second + grace)
 	sentFor := time.Unix(0, lastRequestAt.Load()).Sub(upSince)
-	t.Logf("the last request reached it %v after the discovery services are up", sentFor.Round(time.Millisecond))
+	t.Logf("the last request reached the draining worker %v after the discovery services started", sentFor.Round(time.Millisecond))
 	assert.Less(t, sentFor, 6*time.Second)
 }
--- a/internal/testbed/command/power_test.go
+++ b/internal/testbed/command/power_test.go
@@ -72,19 +72,19 @@
 
 func TestFleetThatLosesPowerKeepsTheRulesWithFaultsBetweenItsProcesses(t *testing.T) {
 	for name, keys := range map[string]string{
-		"one never returns": "never-restored = 1",
-		"three times":       "times = 3\nevery = \"1200ms\"",
+		"one dispatcher never returns": "never-restored = 1",
+		"three power losses":           "times = 3\nevery = \"1200ms\"",
 		"one receives nothing from the others": "[[fault]]\nkind = \"link-cut\"\nat = \"3s\"\nfor = \"2s\"\n" +
 			"dispatchers = 1\nway = \"hear\"",
-		"two reach no others": "[[fault]]\nkind = \"link-cut\"\nat = \"3s\"\nfor = \"2s\"\n" +
+		"two send nothing to the others": "[[fault]]\nkind = \"link-cut\"\nat = \"3s\"\nfor = \"2s\"\n" +
 			"dispatchers = 2\nway = \"heard\"",
-		"a partition in halves":   "[[fault]]\nkind = \"link-cut\"\nat = \"3s\"\nfor = \"4s\"\ndispatchers = 2",
-		"a zone alone":            "zone = \"south\"",
-		"an upgrade meanwhile":    "[[fault]]\nkind = \"upgrade\"\nat = \"4300ms\"\ngap = \"200ms\"",
-		"a drain by hand before":  "[[fault]]\nkind = \"leave\"\nat = \"1s\"\nfor = \"5s\"\ndispatchers = 2",
-		"a clock an hour ahead":   "clock = \"1h\"",
-		"a clock an hour behind":  "clock = \"-1h\"",
-		"without persisted state": "",
+		"a partition into halves":         "[[fault]]\nkind = \"link-cut\"\nat = \"3s\"\nfor = \"4s\"\ndispatchers = 2",
+		"a power loss in one zone":        "zone = \"south\"",
+		"an upgrade after the power loss": "[[fault]]\nkind = \"upgrade\"\nat = \"4300ms\"\ngap = \"200ms\"",
+		"a drain by an operator before":   "[[fault]]\nkind = \"leave\"\nat = \"1s\"\nfor = \"5s\"\ndispatchers = 2",
+		"a clock an hour ahead":           "clock = \"1h\"",
+		"a clock an hour behind":          "clock = \"-1h\"",
+		"without persisted state":         "",
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
--- a/internal/testbed/command/run.go
+++ b/internal/testbed/command/run.go
@@ -164,10 +164,10 @@
 	bar := progressbar.NewOptions64(duration.Milliseconds(), progressbar.OptionSetWriter(status),
 		progressbar.OptionSetWidth(progressWidth), progressbar.OptionThrottle(progressInterval),
 		progressbar.OptionSetPredictTime(true), progressbar.OptionClearOnFinish())
-	update = func(g experiment.Progress) {
-		bar.Describe(fmt.Sprintf("%d calls: %d succeeded, %d throttled, %d other, %d open", g.Calls.Total,
-			g.Calls.Succeeded, g.Calls.Throttled, g.Calls.Other, g.Open))
-		_ = bar.Set64(min(g.At, g.LoadDuration).Milliseconds())
+	update = func(progress experiment.Progress) {
+		bar.Describe(fmt.Sprintf("%d calls: %d succeeded, %d throttled, %d other, %d open", progress.Calls.Total,
+			progress.Calls.Succeeded, progress.Calls.Throttled, progress.Calls.Other, progress.OpenCalls))
+		_ = bar.Set64(min(progress.At, progress.LoadDuration).Milliseconds())
 	}
 	return update, func() { _ = bar.Finish() }
 }
--- a/internal/testbed/experiment/actions.go
+++ b/internal/testbed/experiment/actions.go
@@ -155,7 +155,7 @@
 		p.resume()
 		env.recordOutageEnd(n)
 	case fault.DispatcherStart:
-		if !p.running() {
+		if !p.isRunning() {
 			env.recordFailure(env.launchDispatcher(n))
 			env.recordOutageEnd(n)
 		}
--- a/internal/testbed/experiment/counters.go
+++ b/internal/testbed/experiment/counters.go
@@ -25,7 +25,7 @@
 }
 
 // uncertainOutcomes are the outcomes of requests that a dispatcher may or may not have counted, because their clients
-// received no answer.
+// received no complete response.
 var uncertainOutcomes = []history.Outcome{history.Unanswered, history.Broken, history.Unreachable, history.Interrupted}
 
 // compareCounters compares the counters of each dispatcher with the outcomes of its requests. It skips baselines,
@@ -33,7 +33,7 @@
 func (env *environment) compareCounters() {
 	for n := range env.listenAddrs {
 		p := env.process(n)
-		if env.plan.Dispatchers.Policy != Canvasroute || p.incarnations != 1 || !p.running() {
+		if env.plan.Dispatchers.Policy != Canvasroute || p.incarnations != 1 || !p.isRunning() {
 			continue
 		}
 		dump, err := callAdmin(p.adminAddr, commandCounters)
--- a/internal/testbed/experiment/disk.go
+++ b/internal/testbed/experiment/disk.go
@@ -62,7 +62,8 @@
 	return nil
 }
 
-// damageDisk puts the state folder of a dispatcher without power into the disk state that the action's mode selects.
+// damageDisk changes the state folder of a dispatcher that has no power to the disk state that the action's mode
+// selects.
 func (env *environment) damageDisk(n int, action fault.Action) error {
 	stateFolder := env.process(n).stateFolder
 	switch action.Mode {
@@ -108,14 +109,14 @@
 )
 
 // diskFiles returns the paths of the store's files in a state folder, or nil if the folder cannot be read.
-func diskFiles(disk string) (paths []string) {
-	folder, err := store.ReadFolder(disk)
+func diskFiles(stateFolder string) (paths []string) {
+	folder, err := store.ReadFolder(stateFolder)
 	if err != nil {
 		return nil
 	}
 	names, _ := folder.Names() // returns an error for files left by an earlier DiskFull fault
 	for _, name := range names {
-		paths = append(paths, filepath.Join(disk, name))
+		paths = append(paths, filepath.Join(stateFolder, name))
 	}
 	return paths
 }
@@ -147,17 +148,17 @@
 }
 
 // replaceDisk replaces a state folder with a copy of another folder.
-func replaceDisk(disk, source string) error {
-	if err := os.RemoveAll(disk); err != nil {
+func replaceDisk(stateFolder, source string) error {
+	if err := os.RemoveAll(stateFolder); err != nil {
 		return err
 	}
-	return copyDisk(source, disk)
+	return copyDisk(source, stateFolder)
 }
 
 // diskCopyPath returns the path of the copy of a state folder that copyDisks makes.
-func diskCopyPath(disk string) string { return disk + ".old" }
+func diskCopyPath(stateFolder string) string { return stateFolder + ".old" }
 
-// wasModifiedAfter reports whether file a was modified after file b.
+// wasModifiedAfter reports whether file a was modified after file b. It returns false if either file cannot be read.
 func wasModifiedAfter(a, b string) bool {
 	infoA, errA := os.Stat(a)
 	infoB, errB := os.Stat(b)
@@ -166,8 +167,8 @@
 
 // blockNewFiles makes every later write to a new file in a state folder fail. It occupies the names of the next files
 // with symbolic links to target, which is a full device or a file that cannot be written.
-func blockNewFiles(disk, target string) error {
-	last, err := lastKeyFileNumber(disk)
+func blockNewFiles(stateFolder, target string) error {
+	last, err := lastKeyFileNumber(stateFolder)
 	if err != nil {
 		return err
 	}
@@ -176,7 +177,7 @@
 		names = append(names, fmt.Sprintf(keyFileFormat, last+1+n))
 	}
 	for _, name := range names {
-		if err := os.Symlink(target, filepath.Join(disk, name)); err != nil && !errors.Is(err, os.ErrExist) {
+		if err := os.Symlink(target, filepath.Join(stateFolder, name)); err != nil && !errors.Is(err, os.ErrExist) {
 			return err
 		}
 	}
@@ -184,8 +185,8 @@
 }
 
 // lastKeyFileNumber returns the highest number of a key file in a state folder, or 0 if there is none.
-func lastKeyFileNumber(disk string) (last int, err error) {
-	entries, err := os.ReadDir(disk)
+func lastKeyFileNumber(stateFolder string) (last int, err error) {
+	entries, err := os.ReadDir(stateFolder)
 	if err != nil && !errors.Is(err, os.ErrNotExist) {
 		return 0, err
 	}
--- a/internal/testbed/experiment/dispatchers.go
+++ b/internal/testbed/experiment/dispatchers.go
@@ -98,9 +98,9 @@
 	return network.Conditions{Loss: d.PeerLoss, Delay: d.PeerDelay.Std(), Jitter: d.PeerJitter.Std()}
 }
 
-// launchDispatcher starts the process of one dispatcher. The history records all workers as listed ready for it until
-// the discovery service reports otherwise: the new process is not bound by drains that only the previous process was
-// notified of.
+// launchDispatcher starts the process of one dispatcher. In the history, it records all workers as listed ready for the
+// dispatcher until the discovery service sends another state, because the new process need not respect drains of which
+// only the previous process was notified.
 func (env *environment) launchDispatcher(n int) error {
 	p := env.process(n)
 	config, err := env.dispatcherConfig(n, p.adminAddr, env.plan.Dispatchers.MaxAttempts)
@@ -148,14 +148,14 @@
 // awaitReady waits until the front tier has all dispatchers in rotation. It returns an error that wraps errNotReady if
 // a process exits or after readyTimeout.
 func (env *environment) awaitReady(ctx context.Context) error {
-	limit := time.Now().Add(readyTimeout)
-	for !env.frontTier.Ready() {
+	deadline := time.Now().Add(readyTimeout)
+	for !env.frontTier.IsReady() {
 		for _, p := range env.processes {
-			if !p.running() {
+			if !p.isRunning() {
 				return fmt.Errorf("%s %w: see its log %s", p.name, errNotReady, p.log.Name())
 			}
 		}
-		if time.Now().After(limit) {
+		if time.Now().After(deadline) {
 			return fmt.Errorf("dispatchers %w within %v", errNotReady, readyTimeout)
 		}
 		select {
@@ -170,7 +170,7 @@
 // restartDispatcher stops dispatcher n in the same way as the platform does for a planned restart, and starts it again.
 func (env *environment) restartDispatcher(ctx context.Context, n int) {
 	p, from := env.process(n), env.clock()
-	if !p.running() {
+	if !p.isRunning() {
 		return
 	}
 	removal := time.AfterFunc(removalDelay, func() { env.frontTier.Remove(n) })
@@ -207,7 +207,7 @@
 	var ending sync.WaitGroup
 	for _, p := range env.processes {
 		ending.Go(func() {
-			if p.running() {
+			if p.isRunning() {
 				env.recordFailure(p.stop(timeout))
 			}
 			p.log.Close()
--- a/internal/testbed/experiment/environment.go
+++ b/internal/testbed/experiment/environment.go
@@ -24,7 +24,7 @@
 // assigned port meanwhile.
 const maxStartAttempts = 3
 
-// environment holds everything in a run except the load: the stand-ins and the dispatcher processes.
+// environment holds everything in a run except the load: the simulated platform and the dispatcher processes.
 type environment struct {
 	plan              *Plan
 	seed              uint64
@@ -41,7 +41,7 @@
 	frontTier *loadgen.FrontTier
 
 	listenAddrs    []netip.AddrPort // by dispatcher
-	background     *errgroup.Group  // goroutines of the stand-ins, which run until stopBackground
+	background     *errgroup.Group  // goroutines of the simulated platform, which run until stopBackground
 	stopBackground context.CancelFunc
 	actions        sync.WaitGroup // running actions of the timeline
 
@@ -60,7 +60,8 @@
 	return time.Duration(time.Now().UnixNano() - env.startedAtNanos.Load())
 }
 
-// openEnvironment starts the stand-ins and the dispatchers. The caller must close the environment, also after an error.
+// openEnvironment starts the simulated platform and the dispatchers. The caller must close the environment, also after
+// an error.
 func openEnvironment(ctx context.Context, p *Plan, seed uint64, folder string, command []string) (*environment, error) {
 	env := &environment{
 		plan:                 p,
@@ -76,7 +77,7 @@
 	backgroundCtx, cancel := context.WithCancel(context.Background())
 	env.background, backgroundCtx = errgroup.WithContext(backgroundCtx)
 	env.stopBackground = cancel
-	if err := env.startStandIns(backgroundCtx); err != nil {
+	if err := env.startPlatform(backgroundCtx); err != nil {
 		return env, err
 	}
 	err := errors.New("no attempt was made to start the dispatchers")
@@ -95,10 +96,10 @@
 	return env, err
 }
 
-// startStandIns starts the discovery service and the workers. All workers start warm.
-func (env *environment) startStandIns(ctx context.Context) (err error) {
+// startPlatform starts the simulated discovery service and workers. All workers start warm.
+func (env *environment) startPlatform(ctx context.Context) (err error) {
 	fleet := &env.plan.Fleet
-	env.fleet = worker.NewFleet(env.plan.workerConfig(), env.plan.deduplications(), env.history, env.clock, env.publishOverloadedWorker)
+	env.fleet = worker.NewFleet(env.plan.workerConfig(), env.plan.dedupConfigs(), env.history, env.clock, env.publishOverloadedWorker)
 	env.catalog = discoveryserver.NewCatalog(fleet.ListLag.Std())
 	env.discovery, err = discoveryserver.New(env.catalog, env.plan.Dispatchers.Count, env.clock, env.recordEndpointNotification)
 	if err != nil {
@@ -138,14 +139,14 @@
 	}
 }
 
-// deduplications returns the deduplication settings of workers, by operation.
-func (p *Plan) deduplications() (all []worker.DedupConfig) {
+// dedupConfigs returns the deduplication settings of workers, by operation.
+func (p *Plan) dedupConfigs() (all []worker.DedupConfig) {
 	for _, operation := range p.Operations {
-		deduplication := worker.DedupConfig{Window: operation.DedupWindow.Std()}
+		config := worker.DedupConfig{Window: operation.DedupWindow.Std()}
 		if operation.Idempotency == workload.IdempotentByKey {
-			deduplication.Scope = dedupScope(operation)
+			config.Scope = dedupScope(operation)
 		}
-		all = append(all, deduplication)
+		all = append(all, config)
 	}
 	return all
 }
@@ -202,10 +203,10 @@
 	})
 }
 
-// publishOverloadedWorker publishes worker n as gone after it has failed from overload. The worker is not restarted.
+// publishOverloadedWorker publishes worker n as gone after it has crashed from overload. The worker is not restarted.
 func (env *environment) publishOverloadedWorker(n int) { env.publishWorker(n, discoveryserver.Gone) }
 
-// recordFailure adds an error of a process or a stand-in to the failures of the result. It ignores nil.
+// recordFailure adds an error of a process or of the simulated platform to the failures of the result. It ignores nil.
 func (env *environment) recordFailure(err error) {
 	if err == nil {
 		return
@@ -215,8 +216,8 @@
 	env.failures = append(env.failures, err.Error())
 }
 
-// close waits for all actions, compares the dispatchers' counters with the history, and stops all processes and
-// stand-ins.
+// close waits for all actions, compares the dispatchers' counters with the history, and stops all processes and the
+// simulated platform.
 func (env *environment) close() error {
 	env.actions.Wait()
 	env.mu.Lock()
--- a/internal/testbed/experiment/operators.go
+++ b/internal/testbed/experiment/operators.go
@@ -69,7 +69,7 @@
 // accepts clients before a JOIN.
 func (env *environment) watchDrained(ctx context.Context, n int) {
 	p := env.process(n)
-	for ctx.Err() == nil && p.running() && env.isDrainedByOperator(n) {
+	for ctx.Err() == nil && p.isRunning() && env.isDrainedByOperator(n) {
 		// The second check excludes a JOIN that was sent while the health command was in progress.
 		answer, err := callAdmin(p.adminAddr, commandHealth)
 		if err == nil && answer == answerDone && env.isDrainedByOperator(n) {
--- a/internal/testbed/experiment/plan.go
+++ b/internal/testbed/experiment/plan.go
@@ -1,6 +1,6 @@
-// Package experiment runs experiments from experiment files. It starts real dispatcher processes with a stand-in fleet,
-// discovery service and peer network, applies an open-loop load and a timeline of faults, and writes the result to a
-// folder.
+// Package experiment runs experiments from experiment files. It starts real dispatcher processes with a simulated
+// platform (workers, discovery service and peer network), applies an open-loop load and a timeline of faults, and
+// writes the result to a folder.
 package experiment
 
 import (
@@ -52,7 +52,7 @@
 	Hedging        bool          `toml:"hedging"`
 	MaxRetryAfter  unit.Duration `toml:"max-retry-after"` // longest Retry-After; 0: not allowed
 	FailureTimeout unit.Duration `toml:"failure-timeout"` // until the front tier removes a dispatcher that has failed
-	DrainGrace     unit.Duration `toml:"drain-grace"`     // time in which a dispatcher must stop sending to a draining worker
+	DrainGrace     unit.Duration `toml:"drain-grace"`     // time within which a dispatcher must stop sending to a draining worker
 	Granularity    unit.Duration `toml:"granularity"`     // of the times that decisions may depend on
 	PollInterval   unit.Duration `toml:"poll-interval"`   // maximum time between two polls of the endpoint list
 	DialTimeout    unit.Duration `toml:"dial-timeout"`
@@ -67,7 +67,7 @@
 	LinkDuplicates float64       `toml:"link-duplicates"` // share of messages delivered twice
 }
 
-// Fleet configures the stand-in workers.
+// Fleet configures the simulated workers.
 type Fleet struct {
 	Zones              []string      `toml:"zones"`
 	CellSize           int           `toml:"cell-size"` // number of workers in a cell, all of one zone
@@ -80,7 +80,7 @@
 	StartNotes         bool          `toml:"start-notes"`          // workers report when a job starts
 	AnnounceStartNotes bool          `toml:"announce-start-notes"` // dispatcher settings announce StartNotes
 	Progress           bool          `toml:"progress"`             // workers report when half of a job is done
-	Probes             bool          `toml:"probes"`               // workers answer health checks and requests for their load
+	Probes             bool          `toml:"probes"`               // workers respond to health checks and load requests
 	ListLag            unit.Duration `toml:"list-lag"`             // time until a change is visible in the endpoint list
 	Instant            bool          `toml:"instant"`              // jobs complete immediately
 }
@@ -90,7 +90,7 @@
 	Phases    []workload.Phase `toml:"phase"`
 	Trace     string           `toml:"trace"`      // file with recorded arrivals, instead of phases
 	Retries   int              `toml:"retries"`    // by the client, per call
-	RetryWait unit.Duration    `toml:"retry-wait"` // before a retry, if the answer has no Retry-After
+	RetryWait unit.Duration    `toml:"retry-wait"` // before a retry, if the response has no Retry-After
 	MaxOpen   int              `toml:"max-open"`   // concurrent calls
 }
 
--- a/internal/testbed/experiment/power.go
+++ b/internal/testbed/experiment/power.go
@@ -28,7 +28,7 @@
 // selects and their clocks shifted by the action's duration.
 func (env *environment) restorePower(ctx context.Context, action fault.Action) {
 	for _, n := range action.Targets {
-		if env.process(n).running() {
+		if env.process(n).isRunning() {
 			continue
 		}
 		if env.links != nil {
--- a/internal/testbed/experiment/process.go
+++ b/internal/testbed/experiment/process.go
@@ -26,7 +26,7 @@
 	mu              sync.Mutex
 	cmd             *exec.Cmd     // most recent process, nil before the first start
 	exited          chan struct{} // closed when the process of cmd has exited
-	stopping        bool          // the process has been told to stop, or killed
+	stopping        bool          // a signal that ends the process has been sent to it
 	incarnations    int           // number of processes started
 	unexpectedExits []string      // descriptions of exits that the testbed did not cause
 	cpu             time.Duration // CPU time of all incarnations that have exited
@@ -114,8 +114,8 @@
 	close(exited)
 }
 
-// running reports whether the process is running.
-func (p *process) running() bool {
+// isRunning reports whether the process is isRunning.
+func (p *process) isRunning() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.cmd == nil {
@@ -131,7 +131,7 @@
 
 // signal sends a signal that does not end the process. It does nothing if the process is not running.
 func (p *process) signal(sig syscall.Signal) {
-	if !p.running() {
+	if !p.isRunning() {
 		return
 	}
 	p.mu.Lock()
@@ -142,7 +142,7 @@
 // sendStopSignal sends a signal that ends the process, and records that its exit is expected. It does nothing if the
 // process is not running.
 func (p *process) sendStopSignal(sig syscall.Signal) {
-	if !p.running() {
+	if !p.isRunning() {
 		return
 	}
 	p.mu.Lock()
--- a/internal/testbed/experiment/result.go
+++ b/internal/testbed/experiment/result.go
@@ -53,7 +53,7 @@
 	Recoveries      []metrics.Recovery  `json:"backs,omitempty"`  // one for each power loss
 	Phases          []PhaseResult       `json:"phases,omitempty"` // recovery phases of all dispatchers
 	Peers           map[string]int      `json:"peer_datagrams,omitempty"`
-	Failures        []string            `json:"failures"` // errors of processes and stand-ins
+	Failures        []string            `json:"failures"` // errors of processes and of the simulated platform
 	Attempts        map[string]int64    `json:"forwards"` // number of attempts, by name of AttemptEnd
 }
 
--- a/internal/testbed/experiment/run.go
+++ b/internal/testbed/experiment/run.go
@@ -36,7 +36,7 @@
 	At           time.Duration // since the start
 	LoadDuration time.Duration // duration of the load
 	Calls        metrics.CallCounts
-	Open         int // number of open calls
+	OpenCalls    int // number of open calls
 }
 
 // maxTimeSlots limits the time slots that a run is divided into.
@@ -151,7 +151,7 @@
 		case <-ctx.Done():
 			return
 		}
-		report(Progress{At: generator.Clock(), LoadDuration: p.Duration(), Calls: recorder.Counts(), Open: generator.Open()})
+		report(Progress{At: generator.Clock(), LoadDuration: p.Duration(), Calls: recorder.Counts(), OpenCalls: generator.OpenCalls()})
 	}
 }
 
--- a/internal/testbed/experiment/saturate.go
+++ b/internal/testbed/experiment/saturate.go
@@ -27,10 +27,10 @@
 	Seed          uint64
 }
 
-// Trial is the result of a trial at one rate.
+// Trial is the result of sending calls at one rate.
 type Trial struct {
 	Rate          float64 `json:"rate"`          // calls per second
-	Sustained     bool    `json:"holds"`         // p99 met the objective and enough calls succeeded
+	Sustained     bool    `json:"holds"`         // p99 met the objective, enough calls succeeded, generator trusted
 	Reason        string  `json:"why,omitempty"` // why the rate is not sustained
 	GeneratorLate bool    `json:"generator_late"`
 	P50           float64 `json:"p50_ms"`
--- a/internal/testbed/experiment/upgrade.go
+++ b/internal/testbed/experiment/upgrade.go
@@ -62,7 +62,7 @@
 // inherits from an operator's LEAVE. It returns an error after upgradeTimeout or if the experiment is interrupted. It
 // does not stop waiting when the load ends before the upgrade is complete.
 func (env *environment) awaitSuccessor(ctx context.Context, n int, next *process) error {
-	for limit := time.Now().Add(upgradeTimeout); ; {
+	for deadline := time.Now().Add(upgradeTimeout); ; {
 		answer, err := callAdmin(next.adminAddr, commandHealth)
 		inheritedDrain := env.isDrainedByOperator(n) && reportsDrain(answer)
 		if err == nil && (answer == answerDone || inheritedDrain) {
@@ -71,7 +71,7 @@
 		if err := ctx.Err(); err != nil && !errors.Is(context.Cause(ctx), errLoadEnded) {
 			return fmt.Errorf("%s: waiting for its second process: %w", dispatcherName(n), err)
 		}
-		if time.Now().After(limit) {
+		if time.Now().After(deadline) {
 			return fmt.Errorf("%s: its second process does not accept clients within %v", dispatcherName(n), upgradeTimeout)
 		}
 		time.Sleep(healthPollInterval)
--- a/internal/testbed/history/check.go
+++ b/internal/testbed/history/check.go
@@ -128,7 +128,9 @@
 }
 
 // checkRequestLost checks RuleNoRequestLost. A request that an available dispatcher has accepted must get one complete
-// response in time. A successful response must contain a result that a worker has produced for this request.
+// response before its deadline. A successful response must contain a result that a worker has produced for this request.
+// A request whose reused connection ended after an attempt had been sent is lost, even if the client then sends it again
+// with success.
 func (l *Log) checkRequestLost(request *Request) []Violation {
 	violation := func(reason string) []Violation {
 		return []Violation{{
@@ -246,12 +248,12 @@
 		for _, attempt := range request.Attempts {
 			notifications := byPair[dispatcherWorkerPair{attempt.Dispatcher, attempt.Worker}]
 			since, notReady := notReadySince(notifications, attempt.FirstByteAt)
-			late := attempt.FirstByteAt - since
-			if !notReady || late <= config.DrainGrace+config.Slack {
+			elapsed := attempt.FirstByteAt - since
+			if !notReady || elapsed <= config.DrainGrace+config.Slack {
 				continue
 			}
 			description := fmt.Sprintf("sent %v after the dispatcher was notified that the worker drains or is gone",
-				late.Round(time.Millisecond))
+				elapsed.Round(time.Millisecond))
 			violations = append(violations, attempt.violation(RuleDrainsRespected, request.ID, attempt.FirstByteAt, description))
 		}
 	}
@@ -277,12 +279,13 @@
 	return byPair
 }
 
-// notReadySince reports whether the latest notification before a time listed the worker as not ready. since is the time
-// of the first of consecutive such notifications, because a repeated notification does not restart the grace period.
+// notReadySince reports whether the latest of the notifications sent until at listed the worker as not ready. since is
+// the time of the first of consecutive such notifications, because a repeated notification does not restart the grace
+// period.
 func notReadySince(notifications []Notification, at time.Duration) (since time.Duration, notReady bool) {
 	for _, notification := range notifications {
 		switch {
-		case notification.At > at: // sent after that time
+		case notification.At > at: // not sent yet
 		case notification.Ready:
 			notReady = false
 		case !notReady:
--- a/internal/testbed/history/check_test.go
+++ b/internal/testbed/history/check_test.go
@@ -95,9 +95,9 @@
 func TestLostRequestsAreReported(t *testing.T) {
 	lost := []Rule{RuleNoRequestLost}
 	assert.Equal(t, lost, checkRequest(0, Broken))
-	assert.Equal(t, lost, checkRequest(0, Succeeded), "no worker produced the result")
+	assert.Equal(t, lost, checkRequest(0, Succeeded), "a result that no worker produced was accepted")
 	assert.Empty(t, checkRequest(0, Succeeded, attemptAt(0, 10*ms, Done, 20*ms)))
-	assert.Empty(t, checkRequest(0, Unanswered), "the client disconnected before its deadline")
+	assert.Empty(t, checkRequest(0, Unanswered), "a request whose client disconnected before its deadline was reported")
 	log := New()
 	for n, id := range []string{"dispatcher available", "dispatcher down", "never sent"} {
 		request := log.RequestOpened(id, 0, n, 100*ms)
@@ -197,7 +197,7 @@
 		log.RequestEnded(request, Throttled, 503, "", 100*ms)
 		violations := log.Check(config)
 		if attemptedSince {
-			assert.Len(t, violations, 1, "an attempt of this incarnation may have run")
+			assert.Len(t, violations, 1, "an attempt of this incarnation that may have run was ignored")
 			continue
 		}
 		assert.Empty(t, violations)
--- a/internal/testbed/history/history.go
+++ b/internal/testbed/history/history.go
@@ -16,8 +16,8 @@
 const (
 	Pending Outcome = iota
 	Succeeded
-	Throttled
-	Errored
+	Throttled   // rejected with status 429 or 503
+	Errored     // any other status except 200
 	Unanswered  // the client's timeout expired
 	Broken      // the connection ended without a complete response
 	Unreachable // no dispatcher accepted the connection
--- a/internal/testbed/loadgen/front_tier.go
+++ b/internal/testbed/loadgen/front_tier.go
@@ -116,7 +116,7 @@
 
 // updateHealth updates the state of dispatcher n after a health check. An unhealthy dispatcher is removed from the
 // rotation at once, and clients continue to use their open connections. A dispatcher that does not respond is removed
-// after the failure timeout, and its connections are closed.
+// after the failure timeout: its idle connections are closed at once, and those in use when they are released.
 func (f *FrontTier) updateHealth(n int, result health) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -133,8 +133,8 @@
 	}
 }
 
-// Ready reports whether all dispatchers are in rotation.
-func (f *FrontTier) Ready() bool {
+// IsReady reports whether all dispatchers are in rotation.
+func (f *FrontTier) IsReady() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return !slices.ContainsFunc(f.dispatchers, func(d dispatcherState) bool { return !d.inRotation })
--- a/internal/testbed/loadgen/loadgen.go
+++ b/internal/testbed/loadgen/loadgen.go
@@ -18,7 +18,7 @@
 	"canvasroute/internal/testbed/workload"
 )
 
-// Generator sends the calls of a schedule.
+// Generator sends the calls of a schedule. A call is the request of an arrival, together with its retries.
 type Generator struct {
 	Operations []workload.Operation
 	Tenants    []workload.Tenant
@@ -31,7 +31,7 @@
 	Recorder   *metrics.Recorder
 	Clock      func() time.Duration // returns the time since the start of the experiment
 
-	open atomic.Int64
+	openCalls atomic.Int64
 }
 
 // Run sends each arrival at its scheduled time, and returns when all calls have ended. When ctx ends, Run sends no more
@@ -45,19 +45,19 @@
 		if !g.waitUntil(ctx, arrival.At, timer) {
 			return
 		}
-		if g.open.Add(1) > int64(g.MaxOpen) {
-			g.open.Add(-1)
+		if g.openCalls.Add(1) > int64(g.MaxOpen) {
+			g.openCalls.Add(-1)
 			g.recordUnsent(arrival)
 			continue
 		}
 		calls.Go(func() {
-			defer g.open.Add(-1)
+			defer g.openCalls.Add(-1)
 			g.call(ctx, n, arrival)
 		})
 	}
 }
 
-// waitUntil waits until a time, given since the start of the experiment. It returns false if ctx has ended.
+// waitUntil waits until at, which is since the start of the experiment. It returns false if ctx has ended.
 func (g *Generator) waitUntil(ctx context.Context, at time.Duration, timer *time.Timer) bool {
 	wait := at - g.Clock()
 	if wait <= 0 {
@@ -91,8 +91,8 @@
 	return g.Operations[arrival.Operation].Value * arrival.Work.Seconds()
 }
 
-// Open returns the number of open calls.
-func (g *Generator) Open() int { return int(g.open.Load()) }
+// OpenCalls returns the number of open calls.
+func (g *Generator) OpenCalls() int { return int(g.openCalls.Load()) }
 
 // requestResult is the outcome of a request, with the parts of its response that are recorded.
 type requestResult struct {
@@ -114,10 +114,10 @@
 		ValueOffered: g.billedValue(arrival),
 	}
 	for try := 0; ; try++ {
-		last := g.sendRequest(ctx, n, try, arrival, operation)
-		call.Outcome = last.outcome
+		result := g.sendRequest(ctx, n, try, arrival, operation)
+		call.Outcome = result.outcome
 		call.Tries = try + 1
-		if !canRetry(last.outcome, operation) || try >= g.Retries || !g.waitBeforeRetry(ctx, n, try, last.retryAfter) {
+		if !canRetry(result.outcome, operation) || try >= g.Retries || !g.waitBeforeRetry(ctx, n, try, result.retryAfter) {
 			break
 		}
 	}
--- a/internal/testbed/loadgen/loadgen_test.go
+++ b/internal/testbed/loadgen/loadgen_test.go
@@ -98,8 +98,8 @@
 	got := generator.summary()
 	assert.EqualValues(t, 200, got.Total.Answers["unanswered"])
 	assert.Zero(t, got.Generator.Unsent)
-	assert.GreaterOrEqual(t, got.All.P50, 299.0, "no call ends before its timeout")
-	assert.Len(t, generator.History.Check(history.RuleConfig{Operations: []history.Operation{{}}}), 200, "each request is lost")
+	assert.GreaterOrEqual(t, got.All.P50, 299.0, "a call ended before its timeout")
+	assert.Len(t, generator.History.Check(history.RuleConfig{Operations: []history.Operation{{}}}), 200, "not every request was reported as lost")
 }
 
 func TestOverloadedGeneratorIsReported(t *testing.T) {
@@ -111,7 +111,7 @@
 	got := generator.summary()
 	assert.False(t, got.Generator.Trusted)
 	assert.Positive(t, got.Generator.Unsent)
-	assert.EqualValues(t, 100, got.Total.Calls, "every call is counted")
+	assert.EqualValues(t, 100, got.Total.Calls, "not every call was counted")
 	recorder := metrics.NewRecorder(time.Second, 1, 0)
 	recorder.Record(metrics.Call{Outcome: history.Succeeded, Sent: 20 * ms, Ended: 21 * ms})
 	late := recorder.Summary([]string{"status"}, nil)
@@ -149,14 +149,14 @@
 	generator.Run(context.Background(), []workload.Arrival{{Operation: 0}, {Operation: 1}, {Operation: 2, Key: 9}})
 	got := generator.summary()
 	assert.Equal(t, map[string]int64{"succeeded": 2, "errored": 1}, got.Total.Answers)
-	assert.EqualValues(t, 1, received["once"].Load(), "a request that may have run is not retried")
-	assert.GreaterOrEqual(t, got.Operations[2].Latency.Max, 100.0, "both retries wait for Retry-After")
+	assert.EqualValues(t, 1, received["once"].Load(), "a request that may have run was retried")
+	assert.GreaterOrEqual(t, got.Operations[2].Latency.Max, 100.0, "a retry did not wait for Retry-After")
 	close(keys)
 	seen := map[string]int{}
 	for key := range keys {
 		seen[key]++
 	}
-	assert.Equal(t, map[string]int{"": 3, "0000000000000009": 3}, seen, "retries have the key of the first request")
+	assert.Equal(t, map[string]int{"": 3, "0000000000000009": 3}, seen, "retries must have the key of the first request")
 }
 
 func TestRequestOnAClosedIdleConnectionIsSentAgainOnce(t *testing.T) {
@@ -198,7 +198,7 @@
 	got := generator.summary()
 	assert.Equal(t, got.Total.Calls, got.Total.Answers["interrupted"])
 	assert.Positive(t, got.Total.Calls)
-	assert.Empty(t, generator.History.Check(history.RuleConfig{Operations: []history.Operation{{}}}), "interrupted calls violate no rule")
+	assert.Empty(t, generator.History.Check(history.RuleConfig{Operations: []history.Operation{{}}}), "interrupted calls were reported as violations")
 }
 
 func TestFrontTierDetectsAFailureAfterTheTimeoutAndARecoveryAtOnce(t *testing.T) {
@@ -217,17 +217,17 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error)
 	go func() { done <- frontTier.Run(ctx) }()
-	assert.Eventually(t, frontTier.Ready, 5*time.Second, ms)
+	assert.Eventually(t, frontTier.IsReady, 5*time.Second, ms)
 	failedAt := time.Now()
 	responds.Store(false)
-	assert.Eventually(t, func() bool { return !frontTier.Ready() }, 5*time.Second, ms)
+	assert.Eventually(t, func() bool { return !frontTier.IsReady() }, 5*time.Second, ms)
 	assert.GreaterOrEqual(t, time.Since(failedAt), 300*ms)
 	responds.Store(true)
-	assert.Eventually(t, frontTier.Ready, 5*time.Second, ms)
+	assert.Eventually(t, frontTier.IsReady, 5*time.Second, ms)
 	unhealthy.Store(true)
 	failedAt = time.Now()
-	assert.Eventually(t, func() bool { return !frontTier.Ready() }, 5*time.Second, ms)
-	assert.Less(t, time.Since(failedAt), 300*ms, "a dispatcher that responds with 503 is removed at once")
+	assert.Eventually(t, func() bool { return !frontTier.IsReady() }, 5*time.Second, ms)
+	assert.Less(t, time.Since(failedAt), 300*ms, "a dispatcher that responds with 503 was not removed at once")
 	cancel()
 	assert.NoError(t, <-done)
 }
--- a/internal/testbed/worker/exchange.go
+++ b/internal/testbed/worker/exchange.go
@@ -53,7 +53,7 @@
 type responseLine struct {
 	state  string
 	result string // result of the job, for stateDone
-	last   bool   // the response ends with this line
+	isLast bool   // the response ends with this line
 }
 
 // dispatcherConn is a connection from a dispatcher. While an attempt runs, a goroutine peeks at the connection. It
@@ -177,7 +177,7 @@
 // finishInstantly writes the complete response to an attempt whose job takes no time. It reports whether the connection
 // can be used for the next message.
 func (s *Server) finishInstantly(c net.Conn, id string, record *history.Attempt, process *incarnation) bool {
-	done := responseLine{state: stateDone, result: id, last: true}
+	done := responseLine{state: stateDone, result: id, isLast: true}
 	s.fleet.history.AttemptStarted(record, s.fleet.clock())
 	return s.finishResponse(c, appendLine([]byte(responseHead), id, s.name, done), &exchange{attempt: record}, done, process)
 }
@@ -223,7 +223,7 @@
 	for {
 		select {
 		case l := <-accepted.lines: // available lines are written together
-			if out = appendLine(out, id, s.name, l); l.last {
+			if out = appendLine(out, id, s.name, l); l.isLast {
 				return s.finishResponse(c, out, accepted, l, process)
 			}
 			continue
@@ -241,7 +241,7 @@
 		}
 		select {
 		case l := <-accepted.lines:
-			if out = appendLine(out, id, s.name, l); l.last {
+			if out = appendLine(out, id, s.name, l); l.isLast {
 				return s.finishResponse(c, out, accepted, l, process)
 			}
 		case err := <-peekResult:
--- a/internal/testbed/worker/machine.go
+++ b/internal/testbed/worker/machine.go
@@ -95,7 +95,7 @@
 	draining      bool
 	running       []*acceptedJob // at most one per core
 	queue         []*acceptedJob
-	waitingForKey []*acceptedJob         // jobs that wait for the running job with the same key
+	waitingForKey []*acceptedJob         // jobs that wait for a running job with the same key, on this or another worker
 	recent        []recentJob            // jobs sent within the overload span, while warming up
 	result        func(id string) string // returns the result of a job
 }
@@ -170,8 +170,8 @@
 // never is the time of an event that does not occur. It is later than all other times.
 const never = time.Duration(math.MaxInt64)
 
-// maxAge is the highest finish age of work, in seconds. Work with a higher finish age never finishes, because the
-// finish time would overflow.
+// maxAge is the maximum age of a worker, in seconds, at which a job can finish. A job that would finish later never
+// finishes, because the finish time could overflow.
 const maxAge = 1e9
 
 // finishTime returns the time at which the work left of a running job will be done, or never.
@@ -316,7 +316,7 @@
 // isFinished reports whether the job's work is done.
 func (j *acceptedJob) isFinished() bool { return j.remaining <= roundingError }
 
-// step simulates running jobs up to a time, which must not be later than the next event. It appends to events.
+// step simulates running jobs until at, which must not be later than the next event. It appends to events.
 func (m *Machine) step(at time.Duration, events []Event) []Event {
 	workDone := time.Duration(math.Round(m.workBetween(m.now, at) * float64(time.Second)))
 	m.now = at
@@ -338,7 +338,8 @@
 	return m.startQueued(events)
 }
 
-// startQueued starts waiting jobs in FIFO order while cores are free. It appends to events.
+// startQueued first tries to start the jobs in waitingForKey, regardless of free cores, and then starts queued jobs in
+// FIFO order while cores are free. It appends to events.
 func (m *Machine) startQueued(events []Event) []Event {
 	if m.speed <= 0 {
 		return events
@@ -372,7 +373,8 @@
 	return append(events, Event{ID: job.ID, Kind: Started})
 }
 
-// duplicateCheckInterval is the interval at which a waiting job checks whether the running job with its key has ended.
+// duplicateCheckInterval is the interval at which the machine checks whether a job that waits for a key can start. It
+// has to poll, because it receives no event when a job with the key ends on another worker.
 const duplicateCheckInterval = 5 * time.Millisecond
 
 // NextEvent returns the time of the next event, provided that no other method changes the machine before. found is
--- a/internal/testbed/worker/machine_test.go
+++ b/internal/testbed/worker/machine_test.go
@@ -75,17 +75,17 @@
 	// The budget at the start is 4 * 0.2 * 2 cores * 2 s = 3.2 s of work.
 	assert.Equal(t, Accepted, offer(machine, 0, "a", 3*second))
 	assert.Equal(t, Overloaded, offer(machine, 0, "b", 300*time.Millisecond))
-	assert.Equal(t, Accepted, offer(warmTwoCoreMachine(), 0, "c", 300*second), "a warm worker has no budget")
+	assert.Equal(t, Accepted, offer(warmTwoCoreMachine(), 0, "c", 300*second), "a budget was applied to a warm worker")
 	machine = NewMachine(twoCores, slowWarmup, 0, resultOf)
 	assert.Equal(t, Accepted, offer(machine, 0, "a", 3*second))
-	assert.Equal(t, Accepted, offer(machine, 2*second, "b", 3*second), "work sent before the overload span does not count")
+	assert.Equal(t, Accepted, offer(machine, 2*second, "b", 3*second), "work sent before the overload span was counted")
 }
 
 func TestCancelFreesTheCoreAndTheKeyOfAJob(t *testing.T) {
 	group, machine := NewDedupGroup(10*second), warmTwoCoreMachine()
 	machine.Offer(0, Job{ID: "a", Work: second, Key: "k", Group: group})
 	events := machine.Offer(0, Job{ID: "b", Work: second, Key: "k", Group: group}).Events
-	assert.Empty(t, events, "a job waits for the first job with its key")
+	assert.Empty(t, events, "a job did not wait for the first job with its key")
 	events = machine.Cancel(second/4, "a")
 	assert.Equal(t, []Event{{ID: "b", Kind: Started}}, events)
 	assert.Equal(t, []string{"b"}, finishedIDs(machine.Advance(2*second)))
@@ -100,7 +100,7 @@
 	events := two.Offer(9*second, Job{ID: "c", Work: second, Key: "k", Group: group}).Events
 	assert.Equal(t, Deduplicated, events[0].Kind)
 	events = two.Offer(11*second, Job{ID: "d", Work: second, Key: "k", Group: group}).Events
-	assert.Equal(t, Started, events[0].Kind, "the window has passed")
+	assert.Equal(t, Started, events[0].Kind, "a job was deduplicated after the window")
 	assert.Len(t, group.firstJobs, 1)
 }
 
--- a/internal/testbed/worker/server.go
+++ b/internal/testbed/worker/server.go
@@ -181,7 +181,7 @@
 	if event.Kind == Deduplicated {
 		s.fleet.history.AttemptEnded(accepted.attempt, history.Deduplicated, event.Result, s.fleet.clock())
 	}
-	accepted.lines <- responseLine{state: stateDone, result: event.Result, last: true}
+	accepted.lines <- responseLine{state: stateDone, result: event.Result, isLast: true}
 }
 
 // maxReportedJobs is the maximum number of recent jobs that the report of an overload lists.
--- a/internal/testbed/worker/server_faults.go
+++ b/internal/testbed/worker/server_faults.go
@@ -44,7 +44,7 @@
 	for _, id := range unstarted {
 		if accepted := process.exchanges[id]; accepted != nil {
 			delete(process.exchanges, id)
-			accepted.lines <- responseLine{state: stateReturned, last: true}
+			accepted.lines <- responseLine{state: stateReturned, isLast: true}
 		}
 	}
 	process.wakeTimer()
@@ -137,7 +137,7 @@
 	p.waitWhilePaused()
 }
 
-// Mute makes the worker write neither the progress nor the results of jobs that start before Unmute.
+// Mute makes the worker write neither the progress nor the results of jobs that start between Mute and Unmute.
 func (s *Server) Mute() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/testbed/worker/server_test.go
+++ b/internal/testbed/worker/server_test.go
@@ -135,7 +135,7 @@
 	c, address := connect(t, server), server.Addresses()[0]
 	c.send(log, "a", time.Minute)
 	_, err := c.reader.Peek(1)
-	assert.NoError(t, err, "peek at the start line")
+	assert.NoError(t, err, "no start line was received")
 	server.Crash()
 	_, _, err = c.read()
 	assert.True(t, errors.Is(err, syscall.ECONNRESET), err)
@@ -148,7 +148,7 @@
 	c.send(log, "b", time.Millisecond)
 	_, text, err := c.read()
 	assert.NoError(t, err)
-	assert.Contains(t, text, "b by w0.1", "the second incarnation")
+	assert.Contains(t, text, "b by w0.1", "the result is not from the second incarnation")
 }
 
 // Another process may bind the worker's port while the worker is down.
@@ -230,6 +230,6 @@
 		assert.Equal(t, want, status, text)
 	}
 	violations := log.Check(history.RuleConfig{})
-	assert.Len(t, violations, 1, "violation for an ID that no client sent")
+	assert.Len(t, violations, 1, "the ID that no client sent must be the only violation")
 	assert.Equal(t, "z", violations[0].ID)
 }
--- a/internal/testbed/workload/shape.go
+++ b/internal/testbed/workload/shape.go
@@ -41,7 +41,7 @@
 	Even     bool          `toml:"even"`  // arrivals are evenly spaced instead of Poisson
 }
 
-// Segment is a time interval in which the rate changes linearly.
+// Segment is an interval in which the rate changes linearly.
 type Segment struct {
 	StartRate float64 // rate at the start, in requests per second
 	EndRate   float64 // rate at the end, in requests per second
--- a/internal/testbed/workload/workload_test.go
+++ b/internal/testbed/workload/workload_test.go
@@ -117,11 +117,11 @@
 			assert.ErrorContains(t, err, want)
 		})
 	}
-	good := Operation{
+	valid := Operation{
 		Name: "a", Idempotency: Idempotent, Work: 1, LatencyObjective: 1, Timeout: 2, Share: 1,
 		Tail: "constant",
 	}
-	assert.NoError(t, good.Validate())
+	assert.NoError(t, valid.Validate())
 	for want, change := range map[string]func(*Operation){
 		"idempotency:": func(o *Operation) { o.Idempotency = "sometimes" }, "timeout:": func(o *Operation) { o.Timeout = 0 },
 		"dedup-window:": func(o *Operation) { o.Idempotency = IdempotentByKey },
@@ -129,7 +129,7 @@
 		"tail:":         func(o *Operation) { o.Tail = "long" }, "share:": func(o *Operation) { o.Share = 0 },
 	} {
 		t.Run(want, func(t *testing.T) {
-			operation := good
+			operation := valid
 			change(&operation)
 			assert.ErrorContains(t, operation.Validate(), want)
 		})
@@ -177,14 +177,14 @@
 			assert.ErrorContains(t, err, want)
 		})
 	}
-	good := `{"time":1,"operation":"status","customer":"uni"}` + "\n"
+	validRow := `{"time":1,"operation":"status","customer":"uni"}` + "\n"
 	for text, want := range map[string]string{
-		good + `{"time":2,`:                           "t.jsonl:2: not an arrival",
-		good + `{"time":2,"opera":"x"}`:               `t.jsonl:2: not an arrival: json: unknown field "opera"`,
-		good + strings.TrimSpace(good)[1:]:            "t.jsonl:2: not an arrival",
-		good + strings.TrimSpace(good) + " {}":        "t.jsonl:2: more than one object",
-		good + `{"operation":"status"}`:               "t.jsonl:2: time: must be seconds",
-		good + strings.Replace(good, ":1,", ":0,", 1): "t.jsonl:2: time: 0 comes after 1",
+		validRow + `{"time":2,`:                               "t.jsonl:2: not an arrival",
+		validRow + `{"time":2,"opera":"x"}`:                   `t.jsonl:2: not an arrival: json: unknown field "opera"`,
+		validRow + strings.TrimSpace(validRow)[1:]:            "t.jsonl:2: not an arrival",
+		validRow + strings.TrimSpace(validRow) + " {}":        "t.jsonl:2: more than one object",
+		validRow + `{"operation":"status"}`:                   "t.jsonl:2: time: must be seconds",
+		validRow + strings.Replace(validRow, ":1,", ":0,", 1): "t.jsonl:2: time: 0 comes after 1",
 	} {
 		t.Run(want, func(t *testing.T) {
 			_, err := readTrace(t, "t.jsonl", text)
