--- a/internal/testbed/command/command_test.go
+++ b/internal/testbed/command/command_test.go
@@ -338,10 +338,10 @@
 	assert.NoError(t, first.Process.Kill())
 	_ = first.Wait() // returns the error for a killed process
 	for range 20 {
-		answer, err := http.Get("http://" + dispatcher.listen + "/_health")
+		response, err := http.Get("http://" + dispatcher.listen + "/_health")
 		if assert.NoError(t, err) {
-			answer.Body.Close()
-			assert.Equal(t, 200, answer.StatusCode)
+			response.Body.Close()
+			assert.Equal(t, 200, response.StatusCode)
 		}
 	}
 	third, _ := start()
--- a/internal/testbed/command/dispatcher_process_test.go
+++ b/internal/testbed/command/dispatcher_process_test.go
@@ -28,7 +28,7 @@
 	listen       string // address for clients
 	discovery    string // address of the discovery service
 	worker       string // address of the worker
-	config       string // path of the configuration file
+	configPath   string // path of the configuration file
 	otherWorkers string // further entries of the endpoint list, as JSON
 	cmd          *exec.Cmd
 }
@@ -68,10 +68,10 @@
 	ln := listen(t, "127.0.0.1:0")
 	serve(t, ln, answerDone)
 	d := &testDispatcher{
-		listen:    freeAddress(t),
-		discovery: freeAddress(t),
-		worker:    ln.Addr().String(),
-		config:    filepath.Join(t.TempDir(), "c.json"),
+		listen:     freeAddress(t),
+		discovery:  freeAddress(t),
+		worker:     ln.Addr().String(),
+		configPath: filepath.Join(t.TempDir(), "c.json"),
 	}
 	d.writeConfig(t, sockets, "")
 	return d
@@ -80,7 +80,7 @@
 // writeConfig writes the configuration file, with additional keys as JSON.
 func (d *testDispatcher) writeConfig(t *testing.T, sockets int, additional string) {
 	t.Helper()
-	assert.NoError(t, os.WriteFile(d.config, fmt.Appendf(nil, `{"name":"n","listen":%q,"discovery":%q,"seed":"1",%s
+	assert.NoError(t, os.WriteFile(d.configPath, fmt.Appendf(nil, `{"name":"n","listen":%q,"discovery":%q,"seed":"1",%s
 "limits":{"sockets":%d},"settings":{"balancers":1,"policyLimits":{"maxForwards":2},
 "operations":[{"name":"a","repeat":"idempotent","latencyObjectiveS":1,"clientTimeoutS":3,"billedValue":1}]}}`,
 		d.listen, d.discovery, additional, sockets), 0o600))
@@ -90,7 +90,7 @@
 func (d *testDispatcher) start(t *testing.T, sockets int, variables ...string) (startedAt time.Time) {
 	t.Helper()
 	cmd := exec.Command("sh", "-c", fmt.Sprintf("ulimit -n %d && exec %s", sockets, os.Args[0]))
-	cmd.Env = append(os.Environ(), "LB_CONFIG="+d.config, "TMPDIR="+filepath.Dir(d.config))
+	cmd.Env = append(os.Environ(), "LB_CONFIG="+d.configPath, "TMPDIR="+filepath.Dir(d.configPath))
 	cmd.Env = append(cmd.Env, variables...)
 	assert.NoError(t, cmd.Start())
 	t.Cleanup(func() {
@@ -101,21 +101,21 @@
 	return time.Now()
 }
 
-// awaitReady waits until a health check succeeds, and fails the test otherwise.
-func (d *testDispatcher) awaitReady(t *testing.T, within time.Duration) {
+// awaitReady waits until a health check succeeds, and fails the test if none does within the timeout.
+func (d *testDispatcher) awaitReady(t *testing.T, timeout time.Duration) {
 	t.Helper()
 	client := http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	assert.Eventually(t, func() bool {
-		answer, err := client.Get("http://" + d.listen + "/_health")
+		response, err := client.Get("http://" + d.listen + "/_health")
 		if err != nil {
 			return false
 		}
-		defer answer.Body.Close()
-		return answer.StatusCode == 200
-	}, within, 20*time.Millisecond, "the process is not ready")
+		defer response.Body.Close()
+		return response.StatusCode == 200
+	}, timeout, 20*time.Millisecond, "the process is not ready")
 }
 
-// send sends one request over a new connection, and returns the status code of the answer.
+// send sends one request over a new connection, and returns the status code of the response.
 func (d *testDispatcher) send(id string) (status int, err error) {
 	c, err := net.DialTimeout("tcp", d.listen, time.Second)
 	if err != nil {
@@ -133,11 +133,11 @@
 }
 
 // serveDiscovery starts the discovery service with a handler, and counts its calls in calls.
-func (d *testDispatcher) serveDiscovery(t *testing.T, calls *atomic.Int64, answer http.HandlerFunc) {
+func (d *testDispatcher) serveDiscovery(t *testing.T, calls *atomic.Int64, handler http.HandlerFunc) {
 	t.Helper()
 	serve(t, listen(t, d.discovery), func(w http.ResponseWriter, r *http.Request) {
 		calls.Add(1)
-		answer(w, r)
+		handler(w, r)
 	})
 }
 
@@ -232,7 +232,7 @@
 	}
 }
 
-// answerDone is the handler of a worker that answers immediately.
+// answerDone is the handler of a worker that responds immediately.
 func answerDone(w http.ResponseWriter, r *http.Request) {
 	json.NewEncoder(w).Encode(map[string]string{"id": r.Header.Get("Req-Id"), "state": "done", "result": "made"})
 }
--- a/internal/testbed/command/endpoints_test.go
+++ b/internal/testbed/command/endpoints_test.go
@@ -146,7 +146,7 @@
 	}
 	upSince := time.Now()
 	time.Sleep(6*time.Second + grace)
-	sentFor := time.Unix(0, lastRequestAt.Load()).Sub(upSince)
-	t.Logf("the last request reached the draining worker %v after the discovery services started", sentFor.Round(time.Millisecond))
-	assert.Less(t, sentFor, 6*time.Second)
+	lastRequestAfter := time.Unix(0, lastRequestAt.Load()).Sub(upSince)
+	t.Logf("the last request reached the draining worker %v after the discovery services started", lastRequestAfter.Round(time.Millisecond))
+	assert.Less(t, lastRequestAfter, 6*time.Second)
 }
--- a/internal/testbed/experiment/clock.go
+++ b/internal/testbed/experiment/clock.go
@@ -8,8 +8,8 @@
 
 // shiftClock simulates a clock jump of a dispatcher that has no power. The clock of a single process cannot be changed,
 // so shiftClock shifts all timestamps in the dispatcher's state folder in the opposite direction.
-func shiftClock(folder, name string, shift time.Duration) error {
-	disk, err := store.OpenFolder(folder)
+func shiftClock(stateFolder, name string, shift time.Duration) error {
+	disk, err := store.OpenFolder(stateFolder)
 	if err != nil || disk.ReadOnly() {
 		return err
 	}
--- a/internal/testbed/experiment/dispatchers.go
+++ b/internal/testbed/experiment/dispatchers.go
@@ -169,7 +169,7 @@
 
 // restartDispatcher stops dispatcher n in the same way as the platform does for a planned restart, and starts it again.
 func (env *environment) restartDispatcher(ctx context.Context, n int) {
-	p, from := env.process(n), env.clock()
+	p, start := env.process(n), env.clock()
 	if !p.isRunning() {
 		return
 	}
@@ -182,7 +182,7 @@
 		return
 	}
 	env.recordFailure(env.launchDispatcher(n))
-	env.history.AddOutage(history.Outage{Dispatcher: n, Planned: true, Start: from, End: env.clock()})
+	env.history.AddOutage(history.Outage{Dispatcher: n, Planned: true, Start: start, End: env.clock()})
 }
 
 // recordOutageStart records the start of an unplanned outage of dispatcher n.
@@ -196,8 +196,8 @@
 func (env *environment) recordOutageEnd(n int) {
 	env.mu.Lock()
 	defer env.mu.Unlock()
-	if from, isDown := env.downSince[n]; isDown {
-		env.history.AddOutage(history.Outage{Dispatcher: n, Start: from, End: env.clock() + resumeGrace})
+	if start, isDown := env.downSince[n]; isDown {
+		env.history.AddOutage(history.Outage{Dispatcher: n, Start: start, End: env.clock() + resumeGrace})
 		delete(env.downSince, n)
 	}
 }
--- a/internal/testbed/experiment/plan.go
+++ b/internal/testbed/experiment/plan.go
@@ -56,7 +56,7 @@
 	Granularity    unit.Duration `toml:"granularity"`     // of the times that decisions may depend on
 	PollInterval   unit.Duration `toml:"poll-interval"`   // maximum time between two polls of the endpoint list
 	DialTimeout    unit.Duration `toml:"dial-timeout"`
-	OverQuotaValue float64       `toml:"over-quota-value"` // share of their value that requests over a tenant's quota have
+	OverQuotaValue float64       `toml:"over-quota-value"` // share of their value that requests over a tenant's quota earn
 	ValueByCount   bool          `toml:"value-by-count"`
 
 	Recovery       bool          `toml:"recovery"`        // dispatchers persist state and exchange messages over the link
--- a/internal/testbed/history/check.go
+++ b/internal/testbed/history/check.go
@@ -129,8 +129,8 @@
 
 // checkRequestLost checks RuleNoRequestLost. A request that an available dispatcher has accepted must get one complete
 // response before its deadline. A successful response must contain a result that a worker has produced for this request.
-// A request whose reused connection ended after an attempt had been sent is lost, even if the client then sends it again
-// with success.
+// If the dispatcher was available, a request whose reused connection ended after an attempt had been sent is lost, even
+// if the client then sends it again with success.
 func (l *Log) checkRequestLost(request *Request) []Violation {
 	violation := func(reason string) []Violation {
 		return []Violation{{
--- a/internal/testbed/loadgen/loadgen.go
+++ b/internal/testbed/loadgen/loadgen.go
@@ -57,7 +57,7 @@
 	}
 }
 
-// waitUntil waits until at, which is since the start of the experiment. It returns false if ctx has ended.
+// waitUntil waits until at, measured from the start of the experiment. It returns false if ctx has ended.
 func (g *Generator) waitUntil(ctx context.Context, at time.Duration, timer *time.Timer) bool {
 	wait := at - g.Clock()
 	if wait <= 0 {
