--- a/internal/testbed/command/command.go
+++ b/internal/testbed/command/command.go
@@ -21,7 +21,7 @@
 // Exit codes, which docs/testbed-guide.md documents.
 const (
 	exitOK     = 0
-	exitFailed = 1   // a rule was violated, or an operation failed
+	exitFailed = 1   // a rule was violated, or the command failed
 	exitUsage  = 2   // an argument or an experiment file is invalid
 	exitSignal = 130 // interrupted
 )
--- a/internal/testbed/command/command_test.go
+++ b/internal/testbed/command/command_test.go
@@ -95,7 +95,7 @@
 }
 
 // memoryFolder returns a temporary folder, in memory if possible. With a dozen parallel experiments, writes to a disk
-// can take seconds, which would disturb the tests: experiments simulate disk faults themselves.
+// can take seconds. The tests do not cover slow disks, because experiments simulate disk faults themselves.
 func memoryFolder(t *testing.T) string {
 	t.Helper()
 	folder, err := os.MkdirTemp("/dev/shm", "testbed-")
--- a/internal/testbed/loadgen/loadgen_test.go
+++ b/internal/testbed/loadgen/loadgen_test.go
@@ -170,7 +170,7 @@
 				return
 			}
 			c.Read(make([]byte, 1024))
-			if n < 2 { // responds once, then closes; later connections close after the first message
+			if n < 2 { // responds once and closes after the next message; later connections close after the first
 				io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 				c.Read(make([]byte, 1024))
 			}
--- a/internal/testbed/worker/dedup.go
+++ b/internal/testbed/worker/dedup.go
@@ -6,7 +6,8 @@
 )
 
 // DedupGroup deduplicates jobs by idempotency key among the workers that share it. A key's dedup window begins when its
-// first job starts. Until it ends, other jobs with the key do not run. DedupGroup is safe for concurrent use.
+// first job starts. Other jobs with the key do not run until the window has ended and the first job is done, or until
+// the first job ends before it is done. DedupGroup is safe for concurrent use.
 type DedupGroup struct {
 	window time.Duration
 
--- a/internal/testbed/worker/machine.go
+++ b/internal/testbed/worker/machine.go
@@ -93,7 +93,7 @@
 	startedAt     time.Duration // for a worker that starts warm, one warm-up duration before the actual start
 	speed         float64       // factor of the normal speed; 0 while paused
 	draining      bool
-	running       []*acceptedJob // at most one per core
+	running       []*acceptedJob // at most one per core, not counting jobs from waitingForKey
 	queue         []*acceptedJob
 	waitingForKey []*acceptedJob         // jobs that wait for a running job with the same key, on this or another worker
 	recent        []recentJob            // jobs sent within the overload span, while warming up
