--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -17,7 +17,7 @@
 	"canvasroute/internal/protocol"
 )
 
-// watchOnce polls a service that responds by respond, and returns the Watcher and the error of the ended watch.
+// watchOnce polls a service that responds with respond, and returns the Watcher and the error of the ended watch.
 func watchOnce(t *testing.T, respond peertest.Responder) (*Watcher, error) {
 	t.Helper()
 	targets := make(chan string, 1)
@@ -31,7 +31,7 @@
 }
 
 func TestWatchAppliesLinesUntilItEnds(t *testing.T) {
-	lines := peertest.Chunked(`{"seq":9,"whole":false,"hosts":[{"host":"v","dial":"127.0.0.1:2","health":"Ready"}]}`, "")
+	lines := peertest.ResponseStart(`{"seq":9,"whole":false,"hosts":[{"host":"v","dial":"127.0.0.1:2","health":"Ready"}]}`, "")
 	w, err := watchOnce(t, peertest.RespondWith(lines+peertest.LastChunk))
 	assert.ErrorIs(t, err, errWatchEnded)
 	assert.Equal(t, int64(9), w.table.Version())
@@ -40,7 +40,7 @@
 }
 
 func TestWatchAppliesIndentedLists(t *testing.T) {
-	w, err := watchOnce(t, peertest.RespondWith(peertest.Complete("{\n  \"seq\": 9,\n  \"whole\": false,\n  \"hosts\": [\n\n    {\n"+
+	w, err := watchOnce(t, peertest.RespondWith(peertest.CompleteResponse("{\n  \"seq\": 9,\n  \"whole\": false,\n  \"hosts\": [\n\n    {\n"+
 		"      \"host\": \"v\",\n      \"dial\": \"127.0.0.1:2\",\n      \"health\": \"Ready\"\n    }\n  ]\n}", "",
 		`{"seq":10,"whole":false,"hosts":[{"host":"v","health":"Terminating"}]}`)))
 	assert.ErrorIs(t, err, errWatchEnded)
@@ -59,7 +59,7 @@
 		}
 		return fmt.Sprintf(`{"seq":%d,"whole":%t,"hosts":[%s]}`, version, complete, strings.Join(hosts, ","))
 	}
-	text := peertest.Complete(line(8, true, "Ready"), line(9, false, "Terminating"))
+	text := peertest.CompleteResponse(line(8, true, "Ready"), line(9, false, "Terminating"))
 	w, err := watchOnce(t, peertest.RespondWith(text))
 	assert.ErrorIs(t, err, errWatchEnded)
 	contents := w.table.Contents()
@@ -97,10 +97,10 @@
 func TestFailedWatchKeepsVersion(t *testing.T) {
 	for name, test := range map[string]struct{ text, want string }{
 		"503":                  {unavailable, "status 503"},
-		"malformed list":       {peertest.Chunked(`{"seq":x}`), "malformed"},
-		"end within a list":    {peertest.Chunked(`{"seq":`), "within a message"}, // a list may span several lines
+		"malformed list":       {peertest.ResponseStart(`{"seq":x}`), "malformed"},
+		"end within a list":    {peertest.ResponseStart(`{"seq":`), "within a message"}, // a list may span several lines
 		"end without response": {"", "EOF"},
-		"end within a chunk":   {peertest.Chunked("") + "1", "within a message"},
+		"end within a chunk":   {peertest.ResponseStart("") + "1", "within a message"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			w, err := watchOnce(t, peertest.RespondAndClose(test.text))
@@ -140,17 +140,17 @@
 
 func TestSilentWatchTimesOut(t *testing.T) {
 	startedAt := time.Now()
-	_, err := watchOnce(t, peertest.RespondWith(peertest.Chunked(emptyList(9))))
+	_, err := watchOnce(t, peertest.RespondWith(peertest.ResponseStart(emptyList(9))))
 	assert.ErrorContains(t, err, "timeout")
 	assert.InDelta(t, lineTimeout.Seconds(), time.Since(startedAt).Seconds(), 1)
 }
 
 // Bytes that never complete a line must not keep a watch open: the service assumes that every dispatcher has applied a
 // change 6 s after it.
-func TestWatchThatBringsBytesButNoLinesTimesOut(t *testing.T) {
+func TestWatchWithoutCompleteLinesTimesOut(t *testing.T) {
 	for name, first := range map[string]string{
 		"from the start": peertest.ChunkedHead,
-		"after a line":   peertest.Chunked(emptyList(9)),
+		"after a line":   peertest.ResponseStart(emptyList(9)),
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -39,7 +39,7 @@
 // SIGHUP changes the address, to another one and back, between the end of a watch and its report. The last address must
 // be polled immediately, and no watch may remain at the previous one.
 func TestAddressChangeWhileWatchIsLostTakesEffectImmediately(t *testing.T) {
-	next, polled := startService(t, peertest.Chunked(emptyList(9)))
+	next, polled := startService(t, peertest.ResponseStart(emptyList(9)))
 	w := newWatcher(peertest.StartServer(t, peertest.RespondAndClose(unavailable)))
 	changed := make(chan bool)
 	w.hooks.beforeReport = func() {
@@ -65,7 +65,7 @@
 func TestAddressChangeTakesEffectDuringPollAndUpdate(t *testing.T) {
 	t.Run("during a poll", func(t *testing.T) {
 		previous, _ := startService(t, "HTTP/1.1 200 OK\r\nTransfer-")
-		next, polled := startService(t, peertest.Chunked(emptyList(9)))
+		next, polled := startService(t, peertest.ResponseStart(emptyList(9)))
 		w := newWatcher(previous)
 		runWatcher(t, w)
 		assert.Eventually(t, func() bool {
@@ -78,8 +78,8 @@
 		awaitVersion(t, w, 9)
 	})
 	t.Run("during an update", func(t *testing.T) {
-		previous, _ := startService(t, peertest.Chunked(emptyList(8)))
-		next, polled := startService(t, peertest.Chunked(emptyList(9)))
+		previous, _ := startService(t, peertest.ResponseStart(emptyList(8)))
+		next, polled := startService(t, peertest.ResponseStart(emptyList(9)))
 		w := newWatcher(previous)
 		w.hooks.beforeUpdate = func() {
 			w.hooks.beforeUpdate = nil
--- a/internal/fleet/keys.go
+++ b/internal/fleet/keys.go
@@ -29,7 +29,7 @@
 	defer n.mu.Unlock()
 	found, err := n.keys.Find(recovery.KeyLookup{
 		Sum:            keyChecksum(request.Operation, request.Key),
-		MarkedRepeat:   request.MarkedRepeat,
+		MarkedRepeat:   request.MarkedRetry,
 		KeysIncomplete: n.machine.MayLackKeys(n.uptime()),
 		Now:            time.Now().UnixMilli(),
 		Uptime:         n.uptime(),
--- a/internal/peertest/peertest.go
+++ b/internal/peertest/peertest.go
@@ -30,8 +30,8 @@
 // Chunk returns a line, including a newline, as one chunk of a body.
 func Chunk(line string) string { return fmt.Sprintf("%x\r\n%s\n\r\n", len(line)+1, line) }
 
-// Chunked returns the start of a chunked response: the head, and the lines as the first chunks of the body.
-func Chunked(lines ...string) string {
+// ResponseStart returns the start of a chunked response: the head, and the lines as the first chunks of the body.
+func ResponseStart(lines ...string) string {
 	text := ChunkedHead
 	for _, line := range lines {
 		text += Chunk(line)
@@ -39,8 +39,8 @@
 	return text
 }
 
-// Complete returns a complete chunked response: the head, and a body with the lines.
-func Complete(lines ...string) string { return Chunked(lines...) + LastChunk }
+// CompleteResponse returns a complete chunked response: the head, and a body with the lines.
+func CompleteResponse(lines ...string) string { return ResponseStart(lines...) + LastChunk }
 
 // A Responder responds to a request after its body has been read. It may write any bytes to conn, and may close it.
 type Responder func(conn net.Conn, request *http.Request)
--- a/internal/proxy/attempt_test.go
+++ b/internal/proxy/attempt_test.go
@@ -58,29 +58,29 @@
 		respond peertest.Responder
 		want    balancer.Outcome
 	}{
-		"done":                 {peertest.RespondWith(peertest.Complete(startedLine, doneLine)), balancer.Succeeded},
-		"done, then closed":    {peertest.RespondAndClose(peertest.Chunked(startedLine, doneLine)), balancer.Succeeded},
+		"done":                 {peertest.RespondWith(peertest.CompleteResponse(startedLine, doneLine)), balancer.Succeeded},
+		"done, then closed":    {peertest.RespondAndClose(peertest.ResponseStart(startedLine, doneLine)), balancer.Succeeded},
 		"done without newline": {peertest.RespondWith("HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\n" + doneLine), balancer.Succeeded},
 		"done, body until EOF": {peertest.RespondAndClose("HTTP/1.0 200 OK\r\n\r\n" + startedLine + "\n" + doneLine + "\n"), balancer.Succeeded},
-		"failed":               {peertest.RespondWith(peertest.Complete(startedLine, line("failed"))), balancer.WorkerError},
+		"failed":               {peertest.RespondWith(peertest.CompleteResponse(startedLine, line("failed"))), balancer.WorkerError},
 		"500":                  {peertest.RespondWith("HTTP/1.1 500 No\r\nContent-Length: 2\r\n\r\nno"), balancer.WorkerError},
-		"returned":             {peertest.RespondWith(peertest.Complete(line("returned"))), balancer.Overloaded},
+		"returned":             {peertest.RespondWith(peertest.CompleteResponse(line("returned"))), balancer.Overloaded},
 		"declined":             {peertest.RespondWith(declinedText), balancer.Overloaded},
 		"declined and closed": {
 			peertest.RespondAndClose("HTTP/1.1 504 No\r\nSrv-Declined: 1\r\nConnection: close\r\n\r\n"), balancer.Overloaded,
 		},
 		"503 without decline": {peertest.RespondWith("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"), balancer.WorkerError},
-		"lost":                {peertest.RespondWith(peertest.Complete(startedLine, line("lost"))), balancer.ConnectionReset},
+		"lost":                {peertest.RespondWith(peertest.CompleteResponse(startedLine, line("lost"))), balancer.ConnectionReset},
 		"closed before head":  {peertest.RespondAndClose(""), balancer.ConnectionReset},
 		"closed within head":  {peertest.RespondAndClose("HTTP/1.1 200"), balancer.ConnectionReset},
-		"closed after start":  {peertest.RespondAndClose(peertest.Chunked(startedLine)), balancer.ConnectionReset},
-		"no final state":      {peertest.RespondWith(peertest.Complete(startedLine, line("running"))), balancer.ConnectionReset},
+		"closed after start":  {peertest.RespondAndClose(peertest.ResponseStart(startedLine)), balancer.ConnectionReset},
+		"no final state":      {peertest.RespondWith(peertest.CompleteResponse(startedLine, line("running"))), balancer.ConnectionReset},
 		"not HTTP":            {peertest.RespondWith("SSH-2.0-x\r\n\r\n"), balancer.WorkerError},
 		"malformed chunk":     {peertest.RespondWith(peertest.ChunkedHead + "zz\r\n"), balancer.WorkerError},
-		"not JSON":            {peertest.RespondWith(peertest.Complete("<html>")), balancer.WorkerError},
-		"other request ID":    {peertest.RespondWith(peertest.Complete(strings.Replace(doneLine, "a1", "b2", 1))), balancer.WorkerError},
+		"not JSON":            {peertest.RespondWith(peertest.CompleteResponse("<html>")), balancer.WorkerError},
+		"other request ID":    {peertest.RespondWith(peertest.CompleteResponse(strings.Replace(doneLine, "a1", "b2", 1))), balancer.WorkerError},
 		"endless head":        {peertest.RespondWith("HTTP/1.1 200 OK\r\nA: " + strings.Repeat("a", 20000)), balancer.WorkerError},
-		"endless line":        {peertest.RespondWith(peertest.Chunked(strings.Repeat("a", protocol.MaxLineBytes))), balancer.WorkerError},
+		"endless line":        {peertest.RespondWith(peertest.ResponseStart(strings.Repeat("a", protocol.MaxLineBytes))), balancer.WorkerError},
 	} {
 		t.Run(name, func(t *testing.T) {
 			ended := runTestAttempt(context.Background(), t, peertest.StartServer(t, test.respond))
@@ -91,7 +91,7 @@
 }
 
 func TestStartIsReported(t *testing.T) {
-	worker := peertest.StartServer(t, peertest.RespondWith(peertest.Complete(startedLine, doneLine)))
+	worker := peertest.StartServer(t, peertest.RespondWith(peertest.CompleteResponse(startedLine, doneLine)))
 	assert.Equal(t, 1, runTestAttempt(context.Background(), t, worker).starts)
 }
 
@@ -167,9 +167,9 @@
 // A machine that crashes and restarts has lost its attempts without closing their connections.
 func TestAttemptAtRestartedWorkerIsReset(t *testing.T) {
 	for name, migrates := range map[string]bool{
-		"alone": false,
+		"without migration": false,
 		// If requests can be migrated, reads may be stopped and resumed.
-		"during a hot restart": true,
+		"with migration": true,
 	} {
 		t.Run(name, func(t *testing.T) {
 			address, received := startHangingWorker(t)
--- a/internal/proxy/counters.go
+++ b/internal/proxy/counters.go
@@ -17,7 +17,7 @@
 type counters struct {
 	// Requests. An admitted request is also counted by one of the next five counters when it ends. A request that is
 	// not admitted is counted by one of the last three, unless its head is rejected because the process is drained.
-	admitted           atomic.Int64 // the head is valid and the ID was free
+	admitted           atomic.Int64 // passed to rejectOrSubmit: the head is valid and the ID was free
 	succeeded          atomic.Int64
 	rejected           atomic.Int64
 	failed             atomic.Int64
--- a/internal/proxy/helpers_test.go
+++ b/internal/proxy/helpers_test.go
@@ -31,7 +31,7 @@
 )
 
 // succeededText returns the response to an attempt that succeeds immediately.
-func succeededText() string { return peertest.Complete(doneLine) }
+func succeededText() string { return peertest.CompleteResponse(doneLine) }
 
 // startCountingWorker starts a worker at which all attempts succeed. attempts counts the attempts received completely.
 func startCountingWorker(t *testing.T) (address string, attempts *atomic.Int32) {
--- a/internal/proxy/idempotency_keys.go
+++ b/internal/proxy/idempotency_keys.go
@@ -31,9 +31,9 @@
 		return nil, nil
 	}
 	prior, err := p.config.Recovery.PriorExecution(KeyedRequest{
-		Operation:    r.request.Operation,
-		Key:          r.request.IdempotencyKey,
-		MarkedRepeat: r.markedRepeat,
+		Operation:   r.request.Operation,
+		Key:         r.request.IdempotencyKey,
+		MarkedRetry: r.markedRetry,
 	})
 	if prior == nil || err != nil {
 		return nil, err
@@ -49,7 +49,8 @@
 
 // persistKey persists which worker an attempt is sent to, if the operation requires that (persistsKeys). It returns
 // after the record is on disk, or when ctx ends.
-func (p *Proxy) persistKey(ctx context.Context, requestSettings *settings, request *protocol.Request, worker balancer.WorkerID,
+func (p *Proxy) persistKey(ctx context.Context, requestSettings *settings, request *protocol.Request,
+	worker balancer.WorkerID,
 ) error {
 	op := requestSettings.operations[request.Operation]
 	if p.config.Recovery == nil || !op.persistsKeys() {
--- a/internal/proxy/in_flight_request.go
+++ b/internal/proxy/in_flight_request.go
@@ -16,7 +16,7 @@
 	settings       *settings // settings when the request arrived
 	handle         *balancer.RequestHandle
 	deadline       time.Time // when the client times out
-	markedRepeat   bool      // the client marked the request as a retry
+	markedRetry    bool      // the client marked the request as a retry
 	closeRequested bool      // the client's connection closes after the response
 	acceptsInterim bool      // the client accepts interim responses
 
--- a/internal/proxy/interleaving_test.go
+++ b/internal/proxy/interleaving_test.go
@@ -22,7 +22,7 @@
 
 // The tests in this file force an order of events that rarely occurs by itself (docs/crossings.md).
 
-func TestClientThatLeavesDuringConnectGetsNoAttempt(t *testing.T) {
+func TestNoAttemptIsSentAfterDisconnectDuringConnect(t *testing.T) {
 	for _, operation := range []string{"idem", "once"} {
 		t.Run(operation, func(t *testing.T) {
 			address, attempts := startCountingWorker(t)
@@ -51,7 +51,7 @@
 // isDialing reports whether the pool is opening a connection, which already counts against the connection limit.
 func isDialing(p *Proxy) bool { return p.pool.OpenConnections() == 1 }
 
-func TestClientThatLeavesEndsTheWaitForAConnection(t *testing.T) {
+func TestDisconnectEndsTheWaitForAConnection(t *testing.T) {
 	withLongDial := func(balancing *balancer.Config, config *Config) {
 		withoutCancellation(balancing, config)
 		config.DialTimeout = time.Minute
@@ -87,7 +87,7 @@
 	})
 }
 
-func TestClientThatLeavesWhileKeyIsPersistedGetsNoAttempt(t *testing.T) {
+func TestNoAttemptIsSentAfterDisconnectWhileKeyIsPersisted(t *testing.T) {
 	address, attempts := startCountingWorker(t)
 	ctx, disconnect := context.WithCancel(context.Background())
 	responses, disconnected := make(chan *protocol.Response, 1), make(chan bool)
@@ -238,7 +238,7 @@
 }
 
 // The operation of a request is removed from the settings while the request is in flight.
-func TestRequestEndsUnderTheSettingsAtArrival(t *testing.T) {
+func TestRequestUsesSettingsAtItsArrival(t *testing.T) {
 	address, attempts := startCountingWorker(t)
 	recovery := &fakeRecovery{persistKey: func() error { return nil }}
 	r := newReconfigurableProxy(address, withPersistedKeys(recovery))
@@ -254,7 +254,7 @@
 }
 
 // The client of an attempt at a hanging worker has disconnected, and the settings do not allow cancellation.
-func TestRunEndsWithAttemptsOfDisconnectedClients(t *testing.T) {
+func TestRunReturnsDespiteAttemptsOfDisconnectedClients(t *testing.T) {
 	address, received := startHangingWorker(t)
 	p := newProxyWith(address, withoutCancellation)
 	ctx, stop := context.WithCancel(context.Background())
@@ -278,11 +278,11 @@
 		succeeds        bool
 	}{
 		"interim heads":         {"", "HTTP/1.1 103 Early\r\n\r\n", false},
-		"empty lines":           {peertest.Chunked(), "1\r\n\n\r\n", false},
-		"running":               {peertest.Chunked(), peertest.Chunk(`{"id":"a1","state":"running"}`), false},
-		"bytes":                 {peertest.Chunked(), "1\r\n \r\n", false},
-		"trailers after done":   {peertest.Chunked(doneLine) + "0\r\n", "A: b\r\n", true},
-		"chunks after done":     {peertest.Chunked(doneLine), "1\r\n\n\r\n", true},
+		"empty lines":           {peertest.ResponseStart(), "1\r\n\n\r\n", false},
+		"running":               {peertest.ResponseStart(), peertest.Chunk(`{"id":"a1","state":"running"}`), false},
+		"bytes":                 {peertest.ResponseStart(), "1\r\n \r\n", false},
+		"trailers after done":   {peertest.ResponseStart(doneLine) + "0\r\n", "A: b\r\n", true},
+		"chunks after done":     {peertest.ResponseStart(doneLine), "1\r\n\n\r\n", true},
 		"a body after a 500":    {"HTTP/1.1 500 No\r\nContent-Length: 9999999\r\n\r\n", "b", false},
 		"a body after declined": {"HTTP/1.1 503 No\r\nSrv-Declined: 1\r\nTransfer-Encoding: chunked\r\n\r\n", "1\r\nb\r\n", false},
 	} {
--- a/internal/proxy/migration_export.go
+++ b/internal/proxy/migration_export.go
@@ -36,21 +36,21 @@
 
 // ExportAll starts to migrate the requests in flight whose attempts are all waiting for their workers. Other requests
 // continue in this process; the caller repeats ExportAll until no request is in flight.
-func (p *Proxy) ExportAll(toSibling Migrator) {
+func (p *Proxy) ExportAll(siblingMigrator Migrator) {
 	p.inFlight.Range(func(key, _ any) bool {
-		p.export(key.(*inFlightRequest), toSibling)
+		p.export(key.(*inFlightRequest), siblingMigrator)
 		return true
 	})
 }
 
 // export pauses the attempts of a request and exports the request from the balancer. The request's own goroutine then
 // passes it to the sibling process (migrate). If either step fails, export resumes the attempts without losing data.
-func (p *Proxy) export(r *inFlightRequest, toSibling Migrator) {
+func (p *Proxy) export(r *inFlightRequest, siblingMigrator Migrator) {
 	if r.isMigrating() {
 		return
 	}
 	paused, allPaused := r.pauseAttempts()
-	if !allPaused || !p.exportFromBalancer(r, paused, toSibling) {
+	if !allPaused || !p.exportFromBalancer(r, paused, siblingMigrator) {
 		for _, a := range paused {
 			a.pause.resumeReader()
 		}
@@ -73,7 +73,7 @@
 // exportFromBalancer exports a request from the balancer and sets its migration. It returns false if the balancer
 // refuses, because the request has a response or has attempts that are not paused. Both steps are done with mu held,
 // because the balancer wakes the request's goroutine, which needs the migration.
-func (p *Proxy) exportFromBalancer(r *inFlightRequest, paused map[int]*attempt, toSibling Migrator) (ok bool) {
+func (p *Proxy) exportFromBalancer(r *inFlightRequest, paused map[int]*attempt, siblingMigrator Migrator) (ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	balancing, exported := r.handle.Export(len(paused))
@@ -89,7 +89,7 @@
 	for _, a := range balancing.Attempts {
 		migrated.Workers = append(migrated.Workers, p.endpoints.Endpoint(a.Worker).ID)
 	}
-	r.migration = &migration{request: migrated, attempts: paused, migrator: toSibling}
+	r.migration = &migration{request: migrated, attempts: paused, migrator: siblingMigrator}
 	return true
 }
 
--- a/internal/proxy/migration_test.go
+++ b/internal/proxy/migration_test.go
@@ -21,7 +21,7 @@
 
 // Bytes that arrive during a pause must be read as if there had been no pause, regardless of where the data is split.
 func TestPausedRequestResumesAndSucceeds(t *testing.T) {
-	text := peertest.Complete(startedLine, doneLine)
+	text := peertest.CompleteResponse(startedLine, doneLine)
 	p := newProxy(peertest.StartServer(t, func(conn net.Conn, _ *http.Request) {
 		for _, next := range []byte(text) {
 			time.Sleep(time.Millisecond)
@@ -58,7 +58,7 @@
 
 // When a migration fails, the client must not wait forever, and the connection to the worker must not be reused.
 func TestRequestFailsWhenMigrationFails(t *testing.T) {
-	p := newProxy(peertest.StartServer(t, peertest.RespondWith(peertest.Chunked(startedLine))))
+	p := newProxy(peertest.StartServer(t, peertest.RespondWith(peertest.ResponseStart(startedLine))))
 	p.config.MigratesRequests = true
 	responses := startServe(context.Background(), p, requestHead("once"))
 	assert.Eventually(t, func() bool { return p.counters.sent.Load() == 1 }, peertest.EventTimeout, peertest.PollInterval)
--- a/internal/proxy/recovery.go
+++ b/internal/proxy/recovery.go
@@ -35,9 +35,9 @@
 
 // KeyedRequest identifies a request by its idempotency key.
 type KeyedRequest struct {
-	Operation    string
-	Key          string
-	MarkedRepeat bool // the client marked the request as a retry
+	Operation   string
+	Key         string
+	MarkedRetry bool // the client marked the request as a retry
 }
 
 // ErrOutcomeUnknown is returned for a key that may have been used at an unknown worker.
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -10,8 +10,9 @@
 	"canvasroute/internal/protocol"
 )
 
-// The lifecycle of a request: Serve validates it, admit rejects it or submits it to the balancer, and execute follows
-// the balancer's decisions until there is a response. Each attempt runs on a goroutine of its own (attempt.go).
+// The lifecycle of a request: Serve validates and counts it, rejectOrSubmit rejects it or submits it to the balancer,
+// and execute follows the balancer's decisions until there is a response. Each attempt runs on a goroutine of its own
+// (attempt.go).
 
 // Serve handles one request, whose last byte was read at arrivedAt, and returns the response. It returns nil if the
 // client disconnected or ctx ended before the response, and protocol.Migrated if the sibling process will respond.
@@ -34,18 +35,18 @@
 		request:        request,
 		settings:       current,
 		deadline:       arrivedAt.Add(request.Timeout),
-		markedRepeat:   h.IsRetry(),
+		markedRetry:    h.IsRetry(),
 		closeRequested: h.CloseRequested(),
 		acceptsInterim: h.AcceptsInterim(),
 		result:         newResultChannel(),
 	}
-	return p.serveCounted(request.Operation, func() *protocol.Response { return p.admit(ctx, r, arrival) })
+	return p.serveCounted(request.Operation, func() *protocol.Response { return p.rejectOrSubmit(ctx, r, arrival) })
 }
 
-// admit rejects a valid request if this process cannot finish it (canFinish) or the recovery does not admit it, and
-// submits it to the balancer otherwise. Overload is checked before admit, from the request head alone (RespondToHead),
-// and after it by the balancer.
-func (p *Proxy) admit(ctx context.Context, r *inFlightRequest, arrival balancer.Arrival) *protocol.Response {
+// rejectOrSubmit rejects a valid request if this process cannot finish it (canFinish) or Recovery does not admit it,
+// and submits it to the balancer otherwise. Overload is checked before this, from the request head alone
+// (RespondToHead), and afterwards by the balancer.
+func (p *Proxy) rejectOrSubmit(ctx context.Context, r *inFlightRequest, arrival balancer.Arrival) *protocol.Response {
 	if !p.canFinish(arrival) {
 		return p.respondUnavailable(r.settings.maxRetryAfter)
 	}
--- a/internal/proxy/request_test.go
+++ b/internal/proxy/request_test.go
@@ -68,7 +68,7 @@
 	assert.Equal(t, 200, serve(p, requestHead("once")).Status)
 }
 
-func TestClientThatLeavesGetsNoResponse(t *testing.T) {
+func TestDisconnectedClientGetsNoResponse(t *testing.T) {
 	for _, operation := range []string{"idem", "once"} {
 		t.Run(operation, func(t *testing.T) {
 			ctx, disconnect := context.WithCancel(context.Background())
@@ -113,7 +113,7 @@
 	rng := rand.New(rand.NewPCG(3, 4))
 	var mu sync.Mutex
 	texts := []string{
-		peertest.Complete(`{"id":"a100","state":"done","result":"r"}`), "", peertest.Chunked(startedLine), failedText, declinedText,
+		peertest.CompleteResponse(`{"id":"a100","state":"done","result":"r"}`), "", peertest.ResponseStart(startedLine), failedText, declinedText,
 	}
 	p := newProxy(peertest.StartServer(t, func(conn net.Conn, request *http.Request) {
 		mu.Lock()
--- a/internal/proxy/responses.go
+++ b/internal/proxy/responses.go
@@ -11,7 +11,8 @@
 // checks.
 //
 //   - 200: an attempt succeeded. For a health check: there are workers, and the process is serving.
-//   - 400: the request is malformed, or its operation or tenant is unknown. (408, 413 and 431: protocol.RejectionForError.)
+//   - 400: the request is malformed, or its operation or tenant is unknown.
+//   - 408, 413 and 431: the request could not be read, see protocol.RejectionForError.
 //   - 404: the path is unknown.
 //   - 405: the path does not support the method.
 //   - 409: another request with the same ID is open.
@@ -99,8 +100,8 @@
 	return response
 }
 
-// RejectOverBudget returns the response to a request that exceeds the connection limit or the memory limit for bodies. The
-// request was not sent to any worker. h is nil if no head was read.
+// RejectOverBudget returns the response to a request that exceeds the connection limit or the memory limit for bodies.
+// The request was not sent to any worker. h is nil if no head was read.
 func (p *Proxy) RejectOverBudget(h *protocol.Head) *protocol.Response {
 	p.counters.overBudget.Add(1)
 	return p.rejectByHead(h)
--- a/internal/proxy/settings.go
+++ b/internal/proxy/settings.go
@@ -78,7 +78,7 @@
 	}
 	tenant, known := s.tenants[request.Tenant]
 	if !known && len(s.tenants) > 0 {
-		return balancer.Arrival{}, fmt.Errorf("%w: unknown owner %.40q", protocol.ErrMalformed, request.Tenant)
+		return balancer.Arrival{}, fmt.Errorf("%w: unknown tenant %.40q", protocol.ErrMalformed, request.Tenant)
 	}
 	if request.Timeout == 0 {
 		request.Timeout = op.DefaultTimeout
--- a/internal/proxy/snapshot.go
+++ b/internal/proxy/snapshot.go
@@ -17,9 +17,9 @@
 	Version   int64               `json:"Version"` // version of the endpoint list
 	Endpoints []protocol.Endpoint `json:"Workers"` // indexed by worker number, including workers that are gone
 	Zones     []string            `json:"Zones"`   // names, indexed by zone number
-	Kinds     []string            `json:"Kinds"`
-	Tenants   []string            `json:"Owners"` // names, indexed by tenant ID, including those of earlier settings
-	Learned   []balancer.Snapshot `json:"Learnt"` // by shard
+	Kinds     []string            `json:"Kinds"`   // names, indexed by kind number
+	Tenants   []string            `json:"Owners"`  // names, indexed by tenant ID, including those of earlier settings
+	Learned   []balancer.Snapshot `json:"Learnt"`  // by shard
 	Sibling   SiblingUpdate       `json:"Twin"`
 	Drained   bool                `json:"Left"` // operators drained this dispatcher; a successor is drained too
 }
--- a/internal/transport/client_limits.go
+++ b/internal/transport/client_limits.go
@@ -20,7 +20,7 @@
 
 	mu        sync.Mutex                // guards the fields below
 	limit     int                       // maximum number of admitted connections
-	spare     int                       // additional slots for connections that are being rejected or closed
+	spare     int                       // additional slots for connections that are being rejected or evicted
 	slots     map[*Conn]*clientSlot     // the slots of the open connections
 	counted   int                       // number of slots that count toward limit
 	evictable [evictionRanks]*list.List // queues of *Conn by eviction rank, longest in its state first
@@ -76,7 +76,7 @@
 	return l
 }
 
-// spareSlots returns the number of spare slots for a limit.
+// spareSlots returns the number of spare slots for a limit. It is at least 1.
 func spareSlots(limit int) int { return max(limit/spareDivisor, 1) }
 
 // waitForCapacity waits until a slot, regular or spare, is free for one more connection, or until ctx ends. While it
--- a/internal/transport/close_watch.go
+++ b/internal/transport/close_watch.go
@@ -14,9 +14,9 @@
 // receive window may be closed, and a FIN of the client may not have been received.
 const maxUnreadBytes = 32 << 10
 
-// errClosedBehindUnread reports that a client closed the connection after it had sent more data than the read buffer
+// errClosedAfterUnreadData reports that a client closed the connection after it had sent more data than the read buffer
 // holds.
-var errClosedBehindUnread = errors.New("connection closed after more data than is buffered")
+var errClosedAfterUnreadData = errors.New("connection closed after more data than is buffered")
 
 // WatchForClose starts a goroutine that calls onClose once with the cause when the peer closes the connection. Data
 // that is received meanwhile is buffered. stop ends the watch and waits for the goroutine to return. The caller must
@@ -52,13 +52,14 @@
 			return err
 		}
 	}
-	return c.probeForClose(stopped, errClosedBehindUnread)
+	return c.probeForClose(stopped, errClosedAfterUnreadData)
 }
 
 // probeForClose detects a close by a client when reads can't detect it. Either the client has half-closed the
 // connection and may still be waiting for its response, or it has sent more data than the read buffer holds, so that
 // the end of the stream can't be read. probeForClose returns cause once the client has closed the connection, and nil
-// if stopped earlier.
+// if stopped earlier. A connection that isn't a socket can't be probed: the result is cause if it is io.EOF, and nil
+// otherwise.
 //
 // Only sending data shows whether the client still reads. probeForClose therefore sends interim responses (RFC 9110,
 // 15.2) periodically. A client that reads ignores them; if the client has closed the connection, its kernel replies
--- a/internal/transport/close_watch_test.go
+++ b/internal/transport/close_watch_test.go
@@ -15,8 +15,9 @@
 	"canvasroute/internal/protocol"
 )
 
-// detectWithin is the maximum time to detect a client's close. After it nothing may be sent to a worker for the client.
-const detectWithin = 100 * time.Millisecond
+// maxDetectionTime is the maximum time to detect a client's close. After this time, nothing may be sent to a worker for
+// the client.
+const maxDetectionTime = 100 * time.Millisecond
 
 // watchClose watches a connection until the test ends, and returns a channel that receives the cause of its close.
 func watchClose(t *testing.T, conn *Conn) <-chan error {
@@ -58,7 +59,7 @@
 	assert.Equal(t, "GET", head.Method)
 }
 
-func TestCloseBehindUnreadDataIsDetected(t *testing.T) {
+func TestCloseAfterUnreadDataIsDetected(t *testing.T) {
 	conn, peer, _ := connPair(t)
 	conn.acceptsInterim = true
 	_, err := peer.Write(make([]byte, 3*readBufferBytes))
@@ -68,7 +69,7 @@
 	assert.Error(t, peertest.Receive(t, closed))
 }
 
-func TestCloseBehindMoreDataThanTheKernelBuffersIsDetected(t *testing.T) {
+func TestCloseAfterMoreDataThanTheKernelBuffersIsDetected(t *testing.T) {
 	conn, peer, _ := connPair(t)
 	conn.acceptsInterim = true
 	go func() {
@@ -82,13 +83,13 @@
 }
 
 // Interim responses must not be sent to an HTTP/1.0 client, so the close has to be detected without probing.
-func TestCloseBehindUnreadDataOfAnHTTP10ClientIsDetected(t *testing.T) {
+func TestCloseAfterUnreadDataOfAnHTTP10ClientIsDetected(t *testing.T) {
 	conn, peer, _ := connPair(t)
 	_, err := peer.Write(make([]byte, 3*readBufferBytes))
 	assert.NoError(t, err)
 	closed := watchClose(t, conn)
 	peer.Close()
-	assert.ErrorIs(t, peertest.Receive(t, closed), errClosedBehindUnread)
+	assert.ErrorIs(t, peertest.Receive(t, closed), errClosedAfterUnreadData)
 }
 
 // The reset of a client may be delayed. A client that has half-closed its connection first sends a reset only when it
@@ -103,7 +104,7 @@
 	peer.Close()
 	closedAt := time.Now()
 	assert.ErrorIs(t, peertest.Receive(t, closed), io.EOF)
-	assert.Less(t, time.Since(closedAt), detectWithin)
+	assert.Less(t, time.Since(closedAt), maxDetectionTime)
 }
 
 // A close must be detected in time regardless of its time between two probes and of the data sent before it.
@@ -135,7 +136,7 @@
 				peer.Close()
 				closedAt := time.Now()
 				assert.Error(t, peertest.Receive(t, closed))
-				if time.Since(closedAt) > detectWithin {
+				if time.Since(closedAt) > maxDetectionTime {
 					late++
 				}
 			}
--- a/internal/transport/doc.go
+++ b/internal/transport/doc.go
@@ -20,8 +20,8 @@
 //   - Server limits the number of client connections (SetLimit). A new connection beyond the limit evicts the
 //     connection with the lowest rank, see clientLimiter. If none can be evicted, the new connection is closed after
 //     one response, which Handler.RejectOverBudget returns.
-//   - Spare slots, a sixteenth of the limit, are reserved for connections that are being rejected or evicted. When
-//     these are used up too, the server stops accepting, and clients wait in the listener's queue.
+//   - Spare slots, a sixteenth of the limit but at least one, are reserved for connections that are being rejected or
+//     evicted. When these are used up too, the server stops accepting, and clients wait in the listener's queue.
 //   - If the process runs out of file descriptors nevertheless, accept is retried after acceptRetryDelay.
 //   - Pool limits the number of worker connections (SetLimit). At the limit, Get closes the connection that has been
 //     idle longest and waits in FIFO order for a slot. It returns ErrPoolExhausted if its context ends first.
--- a/internal/transport/exchange.go
+++ b/internal/transport/exchange.go
@@ -75,7 +75,7 @@
 	if err != nil {
 		return s.handleReadError(c, err)
 	}
-	received := time.Now()
+	receivedAt := time.Now()
 	s.bodyBudget.release(reserved - int64(len(content))) // the reservation for a chunked body is its maximum length
 	reserved = int64(len(content))
 	s.clients.markServing(c)
@@ -87,7 +87,7 @@
 	}
 	persistence := persistenceFor(request.head.CloseRequested())
 	return s.serveAndRespond(c, persistence, func(ctx context.Context) *protocol.Response {
-		return s.handler.Serve(ctx, &request.head, content, received)
+		return s.handler.Serve(ctx, &request.head, content, receivedAt)
 	})
 }
 
--- a/internal/transport/helpers_test.go
+++ b/internal/transport/helpers_test.go
@@ -127,10 +127,10 @@
 	return &gatedHandler{requested: make(chan *Conn, 2), release: make(chan *protocol.Response, 2)}
 }
 
-func (g *gatedHandler) Serve(ctx context.Context, head *protocol.Head, body []byte, received time.Time,
+func (g *gatedHandler) Serve(ctx context.Context, head *protocol.Head, body []byte, receivedAt time.Time,
 ) *protocol.Response {
 	if head.Path() != "/gate" {
-		return g.echoHandler.Serve(ctx, head, body, received)
+		return g.echoHandler.Serve(ctx, head, body, receivedAt)
 	}
 	g.requested <- ctx.Value(clientConnKey{}).(*Conn)
 	return <-g.release
--- a/internal/transport/migration_test.go
+++ b/internal/transport/migration_test.go
@@ -21,10 +21,10 @@
 	detached chan []byte // receives the pipelined data of each detached connection
 }
 
-func (d *detachingHandler) Serve(ctx context.Context, head *protocol.Head, body []byte, received time.Time,
+func (d *detachingHandler) Serve(ctx context.Context, head *protocol.Head, body []byte, receivedAt time.Time,
 ) *protocol.Response {
 	if head.Path() != "/migrate" {
-		return d.echoHandler.Serve(ctx, head, body, received)
+		return d.echoHandler.Serve(ctx, head, body, receivedAt)
 	}
 	client, err := Detach(ctx)
 	if err != nil {
--- a/internal/transport/pool_idle.go
+++ b/internal/transport/pool_idle.go
@@ -3,7 +3,7 @@
 import "time"
 
 // takeReusable returns the most recently used idle connection to an address that satisfies policy, or nil if there is
-// none. It closes connections that the worker has closed or that have expired.
+// none. It closes connections that have expired, or that the worker has closed or sent unsolicited data on.
 func (p *Pool) takeReusable(addr string, policy ReusePolicy) *Conn {
 	for {
 		c := p.takeLatestIdle(addr, policy)
@@ -60,7 +60,8 @@
 	return c
 }
 
-// removeExpired removes and returns the connections that have expired or that the worker has closed.
+// removeExpired removes and returns the connections that have expired, or that the worker has closed or sent
+// unsolicited data on.
 func (p *Pool) removeExpired() []*Conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -81,7 +82,7 @@
 }
 
 // closeIdleConn closes a connection that was removed from the idle ones or has just been put back. If the worker has
-// closed it already, reused connections become suspect.
+// already closed it or sent unsolicited data on it, reused connections become suspect.
 func (p *Pool) closeIdleConn(c *Conn) {
 	if !c.readable() {
 		c.CloseFor(IdleTimeout, nil)
--- a/internal/transport/pool_slots_test.go
+++ b/internal/transport/pool_slots_test.go
@@ -43,7 +43,7 @@
 	assert.Empty(t, pool.slots)
 }
 
-func TestPutConnectionGoesToAWaiter(t *testing.T) {
+func TestPutGrantsConnectionOnlyToMatchingWaiter(t *testing.T) {
 	addr, _ := startWorker(t)
 	otherAddr, _ := startWorker(t)
 	for _, tt := range []struct {
--- a/internal/transport/pool_stale.go
+++ b/internal/transport/pool_stale.go
@@ -52,14 +52,14 @@
 	}
 }
 
-// CloseOpenedBefore interrupts the connections in use to addr that were opened before the given time, by which the
-// previous worker process at addr had ended. A host that fails sends no reset, so without the interrupt an attempt
-// could wait on its connection forever.
-func (p *Pool) CloseOpenedBefore(addr string, before time.Time) {
+// CloseOpenedBefore interrupts the connections in use to addr that were opened before cutoff. The previous worker process
+// at addr had ended by then. A host that fails sends no reset, so without the interrupt an attempt could wait on its
+// connection forever.
+func (p *Pool) CloseOpenedBefore(addr string, cutoff time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for c, inUseAddr := range p.inUse {
-		if inUseAddr == addr && c.openedAt.Before(before) {
+		if inUseAddr == addr && c.openedAt.Before(cutoff) {
 			c.peerProcessEnded.Store(true)
 			c.Interrupt()
 		}
--- a/internal/transport/read.go
+++ b/internal/transport/read.go
@@ -28,7 +28,7 @@
 }
 
 // ReadResponseHead reads the head of a final response and skips interim responses (RFC 9110, 15.2). It returns the
-// errors of ReadRequestHead. After an error the head may be incomplete.
+// errors of ReadRequestHead. After an error the head may be empty or incomplete.
 func (c *Conn) ReadResponseHead() (head protocol.Head, err error) {
 	for protocol.IsInterim(head.Status) && err == nil {
 		head, err = c.readHead(protocol.ParseResponseHead, nil)
--- a/internal/transport/ring_buffer.go
+++ b/internal/transport/ring_buffer.go
@@ -31,8 +31,8 @@
 }
 
 // Fill reads once from a reader into the contiguous free space, and returns the results of that read.
-func (r *RingBuffer) Fill(from io.Reader) (int, error) {
-	n, err := from.Read(r.space())
+func (r *RingBuffer) Fill(reader io.Reader) (int, error) {
+	n, err := reader.Read(r.space())
 	r.length += n
 	return n, err
 }
@@ -68,9 +68,9 @@
 }
 
 // Drain writes all buffered bytes to a writer and removes them. It stops at the first error and returns it.
-func (r *RingBuffer) Drain(to io.Writer) error {
+func (r *RingBuffer) Drain(writer io.Writer) error {
 	for r.length > 0 {
-		n, err := to.Write(r.buf[r.start:min(r.start+r.length, len(r.buf))])
+		n, err := writer.Write(r.buf[r.start:min(r.start+r.length, len(r.buf))])
 		r.Discard(n)
 		if err != nil {
 			return err
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -15,10 +15,10 @@
 
 // Handler responds to requests of clients. Its methods are called concurrently.
 type Handler interface {
-	// Serve returns the response to a complete request, whose last byte was read at the time received. If the client
-	// closes the connection, ctx is canceled and Serve returns nil. Serve returns protocol.Migrated if another process
-	// sends the response.
-	Serve(ctx context.Context, head *protocol.Head, body []byte, received time.Time) *protocol.Response
+	// Serve returns the response to a complete request, whose last byte was read at receivedAt. If the client closes the
+	// connection, ctx is canceled and Serve returns nil. Serve returns protocol.Migrated if another process sends the
+	// response.
+	Serve(ctx context.Context, head *protocol.Head, body []byte, receivedAt time.Time) *protocol.Response
 	// RespondToHead returns the response to a request that is rejected because of its head or whose body isn't needed.
 	// It returns nil if the body is to be read and the request served.
 	RespondToHead(head *protocol.Head) *protocol.Response
@@ -41,10 +41,10 @@
 	listenerShared bool           // another process may accept from the same listener queue
 }
 
-// NewServer returns a server for a listener, which Run closes. limit is the maximum number of connections, to which a
-// sixteenth is added as spare slots for connections that are being rejected or closed. bodyBytes limits the total size
-// of the request bodies in memory; the minimum is protocol.MaxBodyBytes. The phase of state determines whether
-// connections are accepted, kept idle, and closed after a response.
+// NewServer returns a server for a listener, which Run closes. limit is the maximum number of connections, to which
+// spareSlots are added for connections that are being rejected or evicted. bodyBytes limits the total size of the
+// request bodies in memory; the minimum is protocol.MaxBodyBytes. The phase of state determines whether connections are
+// accepted, kept idle, and closed after a response.
 func NewServer(ln *net.TCPListener, limit int, bodyBytes int64, handler Handler, state *lifecycle.State,
 	log zerolog.Logger,
 ) *Server {
@@ -71,8 +71,8 @@
 // CloseAllAfter closes all connections that are still open after a delay, regardless of their state. This ensures that
 // the process stops even if a client doesn't read its response, or pipelines requests continuously. stop cancels the
 // close and reports whether it had not started yet.
-func (s *Server) CloseAllAfter(after time.Duration) (stop func() bool) {
-	return time.AfterFunc(after, s.clients.interruptAll).Stop
+func (s *Server) CloseAllAfter(delay time.Duration) (stop func() bool) {
+	return time.AfterFunc(delay, s.clients.interruptAll).Stop
 }
 
 // Run accepts connections until ctx ends, and then the connections that remain in the listener's queue, unless a
