--- a/internal/admission/controller_test.go
+++ b/internal/admission/controller_test.go
@@ -14,25 +14,25 @@
 	rejectedCost = 25 * time.Microsecond
 )
 
-// simulateCore simulates a core that serves one queue. Requests arrive at rate per second until the time to. It returns
-// the number of admitted requests and the longest delay, both counted from the time from.
-func simulateCore(c *Controller, rate float64, from, to time.Duration) (admitted int, longest time.Duration) {
+// simulateCore simulates a core that serves one queue. Requests arrive at rate per second until the time end. It returns
+// the number of admitted requests and the longest delay, both counted from the time measureFrom.
+func simulateCore(c *Controller, rate float64, measureFrom, end time.Duration) (admitted int, longest time.Duration) {
 	idleAt := time.Duration(0)
 	gap := time.Duration(float64(time.Second) / rate)
 	sampleAt := SampleInterval
-	for now := time.Duration(0); now < to; now += gap {
+	for now := time.Duration(0); now < end; now += gap {
 		for ; sampleAt <= now; sampleAt += SampleInterval {
 			c.ObserveDelay(sampleAt, max(idleAt-sampleAt, 0))
 		}
 		cost := rejectedCost
 		if c.Admit() {
 			cost = admittedCost
-			if now >= from {
+			if now >= measureFrom {
 				admitted++
 			}
 		}
 		idleAt = max(idleAt, now) + cost
-		if now >= from {
+		if now >= measureFrom {
 			longest = max(longest, idleAt-now)
 		}
 	}
--- a/internal/discovery/helpers_test.go
+++ b/internal/discovery/helpers_test.go
@@ -19,7 +19,7 @@
 	"canvasroute/internal/transport"
 )
 
-const unavailable = "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"
+const unavailableResponse = "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"
 
 // startService starts a discovery service that responds to each poll with text and leaves the connection open. polled
 // receives a value for each poll.
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -22,7 +22,7 @@
 	defer context.AfterFunc(ctx, conn.Interrupt)()
 	body, err := w.openWatch(conn)
 	if err != nil {
-		conn.CloseFor(openCloseReason(err), err)
+		conn.CloseFor(closeReasonForOpenError(err), err)
 		return false, fmt.Errorf("poll of %s: %w", address, err)
 	}
 	end := w.readWatch(ctx, conn, body)
--- a/internal/discovery/watch_end.go
+++ b/internal/discovery/watch_end.go
@@ -82,8 +82,8 @@
 	return balancer.WatchDisconnected
 }
 
-// openCloseReason returns the reason for closing a connection on which opening a watch failed with err.
-func openCloseReason(err error) transport.CloseReason {
+// closeReasonForOpenError returns the reason for closing a connection on which opening a watch failed with err.
+func closeReasonForOpenError(err error) transport.CloseReason {
 	var statusErr *statusError
 	if errors.As(err, &statusErr) {
 		return transport.UnexpectedResponse
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -36,7 +36,7 @@
 	assert.ErrorIs(t, err, errWatchEnded)
 	assert.Equal(t, int64(9), w.table.Version())
 	assert.Equal(t, "127.0.0.1:2", w.table.Endpoint(1).Address)
-	assert.True(t, w.FirstPollDone())
+	assert.True(t, w.FirstPollWaitEnded())
 }
 
 func TestWatchAppliesIndentedLists(t *testing.T) {
@@ -84,7 +84,7 @@
 		t.Run(name, func(t *testing.T) {
 			w := newWatcher(peertest.StartServer(t, func(conn net.Conn, _ *http.Request) {
 				time.Sleep(test.wait)
-				io.WriteString(conn, unavailable)
+				io.WriteString(conn, unavailableResponse)
 			}))
 			opened, err := w.watch(context.Background(), nil)
 			assert.False(t, opened)
@@ -96,7 +96,7 @@
 
 func TestFailedWatchKeepsVersion(t *testing.T) {
 	for name, test := range map[string]struct{ text, want string }{
-		"503":                  {unavailable, "status 503"},
+		"503":                  {unavailableResponse, "status 503"},
 		"malformed list":       {peertest.ResponseStart(`{"seq":x}`), "malformed"},
 		"end within a list":    {peertest.ResponseStart(`{"seq":`), "within a message"}, // a list may span several lines
 		"end without response": {"", "EOF"},
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -45,12 +45,12 @@
 type Watcher struct {
 	Counters Counters
 
-	config        Config
-	table         *Table
-	balancer      *balancer.Shards
-	pool          *transport.Pool
-	log           zerolog.Logger
-	firstPollDone atomic.Bool // the first poll was answered, failed, or is no longer waited for
+	config             Config
+	table              *Table
+	balancer           *balancer.Shards
+	pool               *transport.Pool
+	log                zerolog.Logger
+	firstPollWaitEnded atomic.Bool // the first poll was answered, failed, or is no longer waited for
 
 	// mu guards address and cancelWatch. It is also held while the end of a watch or a change of the address is
 	// reported to the balancer, so that the reports stay in order.
@@ -88,9 +88,9 @@
 	w.balancer.ReportDiscoveryAddressChanged()
 }
 
-// FirstPollDone reports whether the wait for the first poll is over: the poll was answered, failed, or took longer than
-// maxFirstPollWait in a process that already has a list.
-func (w *Watcher) FirstPollDone() bool { return w.firstPollDone.Load() }
+// FirstPollWaitEnded reports whether the wait for the first poll is over: the poll was answered, failed, or took longer
+// than maxFirstPollWait in a process that already has a list.
+func (w *Watcher) FirstPollWaitEnded() bool { return w.firstPollWaitEnded.Load() }
 
 // Seed applies a complete list that was obtained before the first poll. zones are the names of its zones in the order
 // of their numbers, or nil if the zones may be numbered anew.
@@ -100,8 +100,8 @@
 	w.balancer.UpdateEndpoints(endpoints, balancer.AllEndpoints, balancer.NotFromDiscovery)
 }
 
-// SkipFirstPollWait makes FirstPollDone report whether any worker is listed. The first poll is sent regardless.
-func (w *Watcher) SkipFirstPollWait() { w.firstPollDone.Store(w.table.HasWorkers()) }
+// SkipFirstPollWait makes FirstPollWaitEnded report whether any worker is listed. The first poll is sent regardless.
+func (w *Watcher) SkipFirstPollWait() { w.firstPollWaitEnded.Store(w.table.HasWorkers()) }
 
 // MergePeerEndpoints applies more recent starts and drains of workers reported by peers. The version of the list is
 // unchanged.
@@ -123,7 +123,7 @@
 		w.hooks.beforeUpdate()
 	}
 	w.balancer.UpdateEndpoints(endpoints, listExtent(list), balancer.FromDiscovery)
-	w.firstPollDone.Store(true)
+	w.firstPollWaitEnded.Store(true)
 	if w.config.Observer != nil {
 		w.config.Observer.EndpointsReceived()
 	}
@@ -178,7 +178,7 @@
 	}
 	w.Counters.WatchesLost.Add(1)
 	w.log.Warn().Err(err).Msg("endpoint watch lost")
-	w.firstPollDone.Store(true)
+	w.firstPollWaitEnded.Store(true)
 	if w.config.Observer != nil {
 		w.config.Observer.EndpointsUnavailable()
 	}
@@ -187,9 +187,9 @@
 // endFirstPollWait ends the wait for the first poll in a process that has a list from before its start, because a
 // service that is down or overloaded may respond late or never. Later polls are not affected.
 func (w *Watcher) endFirstPollWait() {
-	if !w.firstPollDone.Load() && w.table.HasWorkers() {
+	if !w.firstPollWaitEnded.Load() && w.table.HasWorkers() {
 		w.balancer.ReportFirstPollSlow()
-		w.firstPollDone.Store(true)
+		w.firstPollWaitEnded.Store(true)
 	}
 }
 
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -40,7 +40,7 @@
 // be polled immediately, and no watch may remain at the previous one.
 func TestAddressChangeWhileWatchIsLostTakesEffectImmediately(t *testing.T) {
 	next, polled := startService(t, peertest.ResponseStart(emptyList(9)))
-	w := newWatcher(peertest.StartServer(t, peertest.RespondAndClose(unavailable)))
+	w := newWatcher(peertest.StartServer(t, peertest.RespondAndClose(unavailableResponse)))
 	changed := make(chan bool)
 	w.hooks.beforeReport = func() {
 		w.hooks.beforeReport = nil
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -107,7 +107,7 @@
 }
 
 // Two dispatchers that restart at the same time must not each treat the other as an older one.
-func TestHelloIsAnsweredUntilOlderPeerSendsLoad(t *testing.T) {
+func TestRepliesToHellosEndWithLoadOfOlderPeer(t *testing.T) {
 	e, _ := newExchange()
 	connectPeer(t, e)
 	peer := e.config.Peers[1]
--- a/internal/proxy/attempt_test.go
+++ b/internal/proxy/attempt_test.go
@@ -90,7 +90,7 @@
 	}
 }
 
-func TestStartIsReported(t *testing.T) {
+func TestAttemptStartIsReported(t *testing.T) {
 	worker := peertest.StartServer(t, peertest.RespondWith(peertest.CompleteResponse(startedLine, doneLine)))
 	assert.Equal(t, 1, runTestAttempt(context.Background(), t, worker).starts)
 }
--- a/internal/proxy/interleaving_test.go
+++ b/internal/proxy/interleaving_test.go
@@ -107,7 +107,7 @@
 
 // An update of the endpoint list is received after the balancer's decision and before the attempt is sent: the worker
 // drains, is gone, or has a new address, so that another worker may use the old one.
-func TestListReceivedDuringConnectPreventsSending(t *testing.T) {
+func TestEndpointListUpdateDuringConnectPreventsSending(t *testing.T) {
 	for name, fields := range map[string]string{
 		"worker drains":  `"health":"Terminating"`,
 		"worker is gone": `"health":"Gone"`,
--- a/internal/proxy/peers.go
+++ b/internal/proxy/peers.go
@@ -37,7 +37,7 @@
 // dispatcher's position in Config.Peers. Unknown workers are ignored.
 func (p *Proxy) ReceiveLoad(position int, workerID string, inFlight int) {
 	if worker, known := p.endpoints.WorkerByID(workerID); known {
-		peer := balancer.PeerID(position * p.balancer.Count())
+		peer := balancer.PeerID(position * p.balancer.Count()) // the dispatcher's first shard
 		p.balancer.ReceiveLoad(peer, balancer.WorkerLoad{Worker: worker, InFlight: inFlight})
 	}
 }
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -1,9 +1,10 @@
 // Package proxy forwards requests from clients to workers and returns the responses.
 //
 // A Proxy admits requests, sends the attempts that the balancer decides on, and reads the workers' responses. During a
-// hot restart it migrates requests in flight to a sibling process. The balancer makes all decisions on worker
-// selection, retries, rejections and cancellations; the Proxy executes them and reports events to the balancer. Other
-// packages parse the endpoint list (discovery), exchange load with peers (gossip) and accept connections (transport).
+// hot restart it migrates requests in flight to a sibling process. After a request is submitted to the balancer, the
+// balancer makes all decisions on worker selection, retries, rejection and cancellation; the Proxy executes them and
+// reports events to the balancer. Other packages parse the endpoint list (discovery), exchange load with peers (gossip)
+// and accept connections (transport).
 //
 // The lifecycle of a request is in request.go, that of an attempt in attempt.go, and the responses to clients are in
 // responses.go.
@@ -99,7 +100,7 @@
 		balancer:  shards,
 		pool:      pool,
 		endpoints: discovery.NewTable(c.Zones, c.Kinds, c.FromUnix, log),
-		admission: admission.New(float64(shards.Count())),
+		admission: admission.New(float64(shards.Count())), // one shard for each core that the process uses
 		lifecycle: state,
 		log:       log,
 	}
--- a/internal/proxy/queueing.go
+++ b/internal/proxy/queueing.go
@@ -14,7 +14,7 @@
 func (p *Proxy) sampleQueueingDelay(ctx context.Context) error {
 	pipe, err := newDelayPipe()
 	if err != nil {
-		return fmt.Errorf("queueing delay: %w", err)
+		return fmt.Errorf("measuring the queueing delay: %w", err)
 	}
 	defer pipe.close()
 	startedAt := time.Now()
@@ -36,7 +36,7 @@
 		case err != nil && ctx.Err() != nil:
 			return nil
 		case err != nil:
-			return fmt.Errorf("queueing delay: %w", err)
+			return fmt.Errorf("measuring the queueing delay: %w", err)
 		}
 		p.admission.ObserveDelay(sentAt.Sub(startedAt), arrivedAt.Sub(sentAt))
 	}
--- a/internal/proxy/readiness.go
+++ b/internal/proxy/readiness.go
@@ -27,7 +27,7 @@
 // and includes the reason.
 func (p *Proxy) checkWorkers() error {
 	switch {
-	case !p.discovery.FirstPollDone():
+	case !p.discovery.FirstPollWaitEnded():
 		return fmt.Errorf("%w: no list of workers yet", errNotReady)
 	case !p.endpoints.HasWorkers():
 		return fmt.Errorf("%w: no worker is listed", errNotReady)
--- a/internal/proxy/snapshot.go
+++ b/internal/proxy/snapshot.go
@@ -52,7 +52,7 @@
 	}
 	var s Snapshot
 	if err := json.Unmarshal(snapshotJSON, &s); err != nil {
-		return false, fmt.Errorf("snapshot of the predecessor: %w", err)
+		return false, fmt.Errorf("parsing the predecessor's snapshot: %w", err)
 	}
 	if len(s.Endpoints) == 0 {
 		return false, nil
--- a/internal/proxy/worker_response.go
+++ b/internal/proxy/worker_response.go
@@ -135,7 +135,7 @@
 		return
 	}
 	if line.ID != p.attempt.request.ID { // the result of another request must not reach this client
-		p.err = fmt.Errorf("%w: line for request ID %.40q", errMalformedResponse, line.ID)
+		p.err = fmt.Errorf("%w: line has the ID of another request: %.40q", errMalformedResponse, line.ID)
 		return
 	}
 	switch line.State {
--- a/internal/transport/pool_stale.go
+++ b/internal/transport/pool_stale.go
@@ -52,9 +52,9 @@
 	}
 }
 
-// CloseOpenedBefore interrupts the connections in use to addr that were opened before cutoff. The previous worker process
-// at addr had ended by then. A host that fails sends no reset, so without the interrupt an attempt could wait on its
-// connection forever.
+// CloseOpenedBefore interrupts the connections in use to addr that were opened before cutoff. The previous worker
+// process at addr had ended by then. A host that fails sends no reset, so without the interrupt an attempt could wait
+// on its connection forever.
 func (p *Pool) CloseOpenedBefore(addr string, cutoff time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
