--- a/internal/daemon/config_check.go
+++ b/internal/daemon/config_check.go
@@ -22,7 +22,7 @@
 		}
 		name := string(operation.GetStringBytes("name"))
 		if previous, repeated := first[name]; repeated {
-			r.reject(path+".name", "%q is that of settings.operations[%d] too", name, previous)
+			r.reject(path+".name", "%q is already the name of settings.operations[%d]", name, previous)
 		}
 		first[name] = n
 	}
--- a/internal/daemon/config_parse.go
+++ b/internal/daemon/config_parse.go
@@ -113,7 +113,7 @@
 		c.Proxy.Peers = append(c.Proxy.Peers, peer)
 	}
 	if n := len(c.Proxy.Peers); n != c.Balancer.Dispatchers {
-		r.reject("peers", "%d addresses for settings.balancers %d, must be as many", n, c.Balancer.Dispatchers)
+		r.reject("peers", "%d addresses, but settings.balancers is %d", n, c.Balancer.Dispatchers)
 	}
 }
 
@@ -152,13 +152,13 @@
 }
 
 // operation reads the name and the default timeout of the n-th operation. The other values are copied from
-// balanced, the operations that package settings has read, in the same order.
-func (r *configReader) operation(n int, v *fastjson.Value, balanced []balancer.OperationConfig) proxy.Operation {
+// parsed, which holds the operations that package settings has read, in the same order.
+func (r *configReader) operation(n int, v *fastjson.Value, parsed []balancer.OperationConfig) proxy.Operation {
 	operation := proxy.Operation{DefaultTimeout: defaultClientTimeout}
-	if n < len(balanced) {
-		operation.RequiresKey = balanced[n].Idempotency == balancer.IdempotentByKey
-		operation.DedupScope = balanced[n].DedupScope
-		operation.DedupWindow = balanced[n].DedupWindow.Standard()
+	if n < len(parsed) {
+		operation.RequiresKey = parsed[n].Idempotency == balancer.IdempotentByKey
+		operation.DedupScope = parsed[n].DedupScope
+		operation.DedupWindow = parsed[n].DedupWindow.Standard()
 	}
 	if s := v.GetFloat64("clientTimeoutS"); s > 0 {
 		operation.DefaultTimeout = time.Duration(s * float64(time.Second))
--- a/internal/daemon/config_test.go
+++ b/internal/daemon/config_test.go
@@ -47,7 +47,7 @@
 		{"descriptors", `"sockets":1024`, `"sockets":"many"`, `limits.sockets: "many"`},
 		{"cores", `"cores":1.0`, `"cores":0`, "limits.cores: 0"},
 		{"peer_listen", `"peer_listen":"127.0.0.1:7946"`, `"peer_listen":""`, "peer_listen: must be a non-empty string"},
-		{"peer missing", `,"127.0.0.2:7946"`, ``, "peers: 1 addresses for settings.balancers 2"},
+		{"peer missing", `,"127.0.0.2:7946"`, ``, "peers: 1 addresses, but settings.balancers is 2"},
 		{"peer", `,"127.0.0.2:7946"`, `,"x"`, `peers[1]: "x" is not`},
 		{"initial endpoints", `"seq":41`, `"seq":"x"`, "known:"},
 		{"idle timeout", `"connIdleS":8`, `"connIdleS":-1`, "settings.policyLimits.connIdleS: -1"},
@@ -73,7 +73,7 @@
 		{"fractional attempts", `"maxForwards":3`, `"maxForwards":1.5`, "maxForwards: 1.5, must be a whole"},
 		{
 			"repeated operation", `"operations":[`, `"operations":[{"name":"render","repeat":"idempotent"},`,
-			"operations[1].name: \"render\" is",
+			"operations[1].name: \"render\" is already the name of settings.operations[0]",
 		},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/daemon/process_test.go
+++ b/internal/daemon/process_test.go
@@ -105,7 +105,7 @@
 
 // A drain must neither abort a long request nor admit a request that is not completely received in time. A client must
 // be able to detect that a pipelined request was not processed.
-func TestDrainOfOpenConnections(t *testing.T) {
+func TestDrainCompletesAdmittedRequestsAndClosesConnections(t *testing.T) {
 	dispatcher := startReloadable(t, 4*time.Second, 1)
 	long := dialClient(t, dispatcher.url)
 	incomplete := dialClient(t, dispatcher.url)
--- a/internal/daemon/recovery_test.go
+++ b/internal/daemon/recovery_test.go
@@ -54,10 +54,16 @@
 		{"interval of zero", `[link]`, "every = \"0s\"\n[link]", "state.every: 0s, must be from 1ms"},
 		{"interval without a unit", `[link]`, "every = 7\n[link]", "state.every: 7ns"},
 		{"listen", `listen = "127.0.0.1:7950"`, `listen = "here"`, `link.listen: "here"`},
-		{"repeated name", `name = "n4"`, `name = "n3"`, `member[1].name: "n3" is that of member[0] too`},
-		{"another position's name", `name = "n3"`, `name = "n9"`, `member[0].name: "n9", the dispatcher at that position is "n3"`},
-		{"repeated address", `address = "127.0.0.2:7950"`, `address = "127.0.0.1:7950"`, "member[1].address: 127.0.0.1:7950 is that"},
-		{"member missing", "[[member]]\nname = \"n4\"\naddress = \"127.0.0.2:7950\"\n", "", "member: 1 of them, settings.balancers says 2"},
+		{"repeated name", `name = "n4"`, `name = "n3"`, `member[1].name: "n3" is already the name of member[0]`},
+		{
+			"another position's name", `name = "n3"`, `name = "n9"`,
+			`member[0].name: "n9", but the dispatcher at that position is "n3"`,
+		},
+		{
+			"repeated address", `address = "127.0.0.2:7950"`, `address = "127.0.0.1:7950"`,
+			"member[1].address: 127.0.0.1:7950 is already the address of member[0]",
+		},
+		{"member missing", "[[member]]\nname = \"n4\"\naddress = \"127.0.0.2:7950\"\n", "", "member: 1 entries, but settings.balancers is 2"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			assert.Contains(t, testFleetFile, c.old)
@@ -82,7 +88,7 @@
 	c, err := ReadConfig(fakeEnv("LB_CONFIG", config, "LB_FLEET", fleetPath))
 	assert.NoError(t, err)
 	_, err = newNode(c, nil, false, nopLog)
-	assert.ErrorContains(t, err, `two that go under the name "n3"`, "the address is in use")
+	assert.ErrorContains(t, err, `another process uses the dispatcher name "n3"`, "the address is in use")
 	socket.Close()
 	folder, err := store.OpenFolder(filepath.Join(dir, "state"))
 	assert.NoError(t, err)
--- a/internal/daemon/reload.go
+++ b/internal/daemon/reload.go
@@ -46,7 +46,7 @@
 // dispatcher, or lacks a key that the current one has.
 func (c *Config) checkReload(next *Config) error {
 	if key := firstMissingKey(c.keys, next.keys); key != "" {
-		return &settings.KeyError{Key: key, Problem: "missing; the configuration in force has it"}
+		return &settings.KeyError{Key: key, Problem: "missing, but set in the current configuration"}
 	}
 	for _, identity := range []struct{ key, current, next string }{
 		{"name", c.Name, next.Name},
--- a/internal/daemon/signals_test.go
+++ b/internal/daemon/signals_test.go
@@ -58,7 +58,7 @@
 	assertExitsBeforeKill(t, signalledAt, ended)
 }
 
-func TestSigtermWhileTheConfigurationIsReloaded(t *testing.T) {
+func TestSigtermDuringReloadAnswersRequestsAndExits(t *testing.T) {
 	for name, reloadError := range map[string]error{"valid": nil, "invalid": errors.New("truncated file")} {
 		t.Run(name, func(t *testing.T) {
 			config, url := newTestConfig(t, 300*time.Millisecond)
--- a/internal/fleet/incarnation.go
+++ b/internal/fleet/incarnation.go
@@ -133,7 +133,7 @@
 
 // raiseIncarnation persists a higher incarnation before the next message is sent.
 func (n *Node) raiseIncarnation(number uint64) {
-	n.log.Warn().Uint64("incarnation", number).Msg("peers know a later incarnation: raised")
+	n.log.Warn().Uint64("incarnation", number).Msg("incarnation raised above the one received by peers")
 	if s := n.currentResources().store; s != nil {
 		n.logUpdateError(s.RaiseIncarnation(number))
 	}
--- a/internal/fleet/keys.go
+++ b/internal/fleet/keys.go
@@ -23,13 +23,13 @@
 }
 
 // PriorExecution returns where a request under the same key may have run in a previous incarnation of any dispatcher,
-// or nil if there is no record of one. It fails with proxy.ErrOutcomeUnknown in the cases in which Keys.Find fails.
+// or nil if there is no record of one. It fails with proxy.ErrOutcomeUnknown if Keys.Find fails.
 func (n *Node) PriorExecution(request proxy.KeyedRequest) (*proxy.PriorExecution, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	found, err := n.keys.Find(recovery.KeyLookup{
 		Sum:            keyChecksum(request.Operation, request.Key),
-		MarkedRepeat:   request.MarkedRepeat,
+		MarkedRetry:    request.MarkedRepeat,
 		KeysIncomplete: n.machine.MayLackKeys(n.uptime()),
 		Now:            time.Now().UnixMilli(),
 		Uptime:         n.uptime(),
--- a/internal/fleet/metrics.go
+++ b/internal/fleet/metrics.go
@@ -15,7 +15,7 @@
 	keysPersisted    int64
 	keysNotPersisted int64 // keys that could not be persisted
 	repeatsRouted    int64 // requests sent to the dedup group of an earlier attempt
-	repeatsFailed    int64 // requests failed because it is unknown whether or where they have run
+	repeatsFailed    int64 // requests failed because it is unknown whether or where an earlier attempt has run
 	requestsRejected int64 // requests rejected by the state machine
 }
 
--- a/internal/fleet/node.go
+++ b/internal/fleet/node.go
@@ -86,7 +86,7 @@
 
 // Error returns a message with the name and the underlying error.
 func (e *NameConflictError) Error() string {
-	return fmt.Sprintf("two that go under the name %q: %v", e.Name, e.Err)
+	return fmt.Sprintf("another process uses the dispatcher name %q: %v", e.Name, e.Err)
 }
 
 // Unwrap returns the underlying error.
--- a/internal/fleet/recovery/identity.go
+++ b/internal/fleet/recovery/identity.go
@@ -8,7 +8,7 @@
 	"canvasroute/internal/fleet/store"
 )
 
-// identity holds the current incarnation of this dispatcher and what its disk held of the previous one.
+// identity holds the current incarnation of this dispatcher, and the data on its disk about the previous one.
 type identity struct {
 	established   bool          // the fields below are set
 	incarnation   uint64        // number of the current incarnation
@@ -19,7 +19,7 @@
 	persistedKeys uint64 // keys persisted in this incarnation
 }
 
-// PreviousIncarnation holds what the disk recorded of the incarnation before the current one.
+// PreviousIncarnation holds the data on disk about the incarnation before the current one.
 type PreviousIncarnation struct {
 	Incarnation   uint64                  // 0 if there is none
 	PersistedKeys uint64                  // keys persisted in that incarnation, up to the last one read
@@ -74,7 +74,8 @@
 // SetPersistedKeys records how many keys of this incarnation are durable. Heartbeats include this number.
 func (s *StateMachine) SetPersistedKeys(keys uint64) { s.identity.persistedKeys = keys }
 
-// IncarnationRaised records that a higher incarnation is durable, and queries the peers that are due with it.
+// IncarnationRaised records a higher incarnation, once the store has persisted it or has failed to do so, and sends it
+// in queries to the peers that are due.
 func (s *StateMachine) IncarnationRaised(now time.Duration, incarnation uint64) {
 	s.now = now
 	s.identity.incarnation = max(s.identity.incarnation, incarnation)
@@ -138,7 +139,7 @@
 }
 
 // MayLackKeys reports whether requests may have run under keys that this dispatcher does not have. This is the case
-// if this dispatcher or a peer may have lost keys, or if the final answer of a peer is missing, but never after one
+// if this dispatcher or a peer may have lost keys, or if the final reply of a peer is missing, but never after one
 // dedup window since the start.
 func (s *StateMachine) MayLackKeys(now time.Duration) bool {
 	if s.identity.established && now >= s.identity.establishedAt+s.config.DedupWindow {
@@ -148,7 +149,7 @@
 		return true
 	}
 	for _, p := range s.peers.others() {
-		if !p.answerFinal || p.keysSuspect {
+		if !p.hasFinalReply || p.keysSuspect {
 			return true
 		}
 	}
--- a/internal/fleet/recovery/identity_test.go
+++ b/internal/fleet/recovery/identity_test.go
@@ -117,8 +117,8 @@
 	assert.False(t, unconfirmed(), "a dedup window has passed")
 }
 
-// A peer may answer before it can tell whether its own disk was reset. Its answer may then lack keys that it has sent.
-func TestKeysArePendingUntilPeersConfirmTheirOwnKeys(t *testing.T) {
+// A peer may reply before it has found out whether its own disk was reset. Its reply may then lack keys of its requests.
+func TestKeysMayBeMissingUntilPeersConfirmTheirOwnKeys(t *testing.T) {
 	s := newTestMachine(2, PreviousIncarnation{Incarnation: 1})
 	peers := []int{1, 2, 3}
 	for _, peer := range peers {
--- a/internal/fleet/recovery/keys.go
+++ b/internal/fleet/recovery/keys.go
@@ -86,19 +86,19 @@
 // KeyLookup holds the parameters of Keys.Find.
 type KeyLookup struct {
 	Sum            uint64        // checksum of the operation and the key
-	MarkedRepeat   bool          // the client marked the request as a repeat
+	MarkedRetry    bool          // the client marked the request as a retry
 	KeysIncomplete bool          // requests may have run under keys that this dispatcher does not have
 	Now            int64         // Unix time in ms
 	Uptime         time.Duration // since the process started
 }
 
 // Find returns the unexpired record of a request that may have run under a key in a previous incarnation, or nil if
-// there is none. It fails with ErrKeysIncomplete if there is no record of a marked repeat, but keys may be missing;
+// there is none. It fails with ErrKeysIncomplete if a marked retry has no record, but keys may be missing;
 // with ErrMultipleGroups if the dedup group is unknown; and with ErrClockImplausible if the expiry is uncertain.
 func (k *Keys) Find(lookup KeyLookup) (*messaging.Key, error) {
 	key, known := k.previous[lookup.Sum]
 	if !known {
-		if lookup.MarkedRepeat && lookup.KeysIncomplete {
+		if lookup.MarkedRetry && lookup.KeysIncomplete {
 			return nil, ErrKeysIncomplete
 		}
 		return nil, nil
--- a/internal/fleet/recovery/keys_test.go
+++ b/internal/fleet/recovery/keys_test.go
@@ -24,16 +24,16 @@
 		wantErr   error
 	}{
 		{"a known key without the client's mark", KeyLookup{Sum: 1}, true, nil},
-		{"a key sent to two groups", KeyLookup{Sum: 2, MarkedRepeat: true}, false, ErrMultipleGroups},
-		{"a key expired by the clock alone", KeyLookup{Sum: 3, MarkedRepeat: true, Uptime: time.Second}, false, ErrClockImplausible},
-		{"a key sent in the future", KeyLookup{Sum: 4, MarkedRepeat: true, Uptime: time.Second}, false, ErrClockImplausible},
+		{"a key sent to two groups", KeyLookup{Sum: 2, MarkedRetry: true}, false, ErrMultipleGroups},
+		{"a key expired by the clock alone", KeyLookup{Sum: 3, MarkedRetry: true, Uptime: time.Second}, false, ErrClockImplausible},
+		{"a key sent in the future", KeyLookup{Sum: 4, MarkedRetry: true, Uptime: time.Second}, false, ErrClockImplausible},
 		{
 			"an unknown key while keys may be missing",
-			KeyLookup{Sum: 9, MarkedRepeat: true, KeysIncomplete: true, Uptime: time.Second},
+			KeyLookup{Sum: 9, MarkedRetry: true, KeysIncomplete: true, Uptime: time.Second},
 			false, ErrKeysIncomplete,
 		},
 		{"an unknown key without the client's mark", KeyLookup{Sum: 9, KeysIncomplete: true, Uptime: time.Second}, false, nil},
-		{"an expired key after a dedup window", KeyLookup{Sum: 3, MarkedRepeat: true, Uptime: 41 * time.Second}, false, nil},
+		{"an expired key after a dedup window", KeyLookup{Sum: 3, MarkedRetry: true, Uptime: 41 * time.Second}, false, nil},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			c.lookup.Now = now
--- a/internal/fleet/recovery/peers.go
+++ b/internal/fleet/recovery/peers.go
@@ -19,13 +19,13 @@
 	lastReceivedAt time.Duration // time since this process started; only valid if received is true
 	phase          Phase         // highest phase in a message of that incarnation
 
-	query       queryState
-	answered    bool // a complete reply has arrived, and no further reply about workers is needed
-	answerFinal bool // that reply was final, so the peer is not queried again
-	keysSuspect bool // the peer may have lost keys
+	query         queryState
+	answered      bool // a complete reply has arrived, and no further reply about workers is needed
+	hasFinalReply bool // that reply was final, so the peer is not queried again
+	keysSuspect   bool // the peer may have lost keys
 }
 
-// restore sets the fields that the disk held of a peer.
+// restore sets the fields of a peer from its stored progress.
 func (p *peer) restore(progress PeerProgress) {
 	p.incarnation = progress.Incarnation
 	p.nonce = progress.Nonce
@@ -37,7 +37,7 @@
 	}
 }
 
-// progress returns the fields of a peer to be stored.
+// progress returns the progress of a peer to be stored.
 func (p *peer) progress() PeerProgress {
 	progress := p.currentProgress()
 	progress.PreviousIncarnation = p.previous.Incarnation
@@ -70,8 +70,8 @@
 	return true
 }
 
-// recordIncarnation records a newer incarnation of the peer, and keeps the one before. Answers of the earlier
-// incarnation remain valid.
+// recordIncarnation records a newer incarnation of the peer, and keeps the preceding one as previous. Replies of the
+// preceding incarnation remain valid.
 func (p *peer) recordIncarnation(msg *messaging.Message) {
 	if p.incarnation > 0 {
 		p.previous = p.currentProgress()
--- a/internal/fleet/recovery/phase.go
+++ b/internal/fleet/recovery/phase.go
@@ -26,7 +26,7 @@
 // it answers queries of peers.
 type phaseRule struct {
 	name            string // used in logs and answers to operators
-	sendsQueries    bool   // to peers whose answer is not final
+	sendsQueries    bool   // to peers that have not sent a final reply
 	sendsHeartbeats bool   // to the next members in the ring
 	usesCapacity    bool   // the end of the phase or its admission limit depends on the workers' capacity
 	admission       admissionRule
@@ -41,7 +41,7 @@
 	admitAll                  // all requests; the balancer queues them by value and rejects those that cannot end in time
 )
 
-// phaseRules holds the rule of each phase. Nothing is sent before the incarnation is durable.
+// phaseRules holds the rule of each phase. Nothing is sent before the incarnation is established.
 var phaseRules = [...]phaseRule{
 	EstablishingIdentity: {name: "identity"},
 	AwaitingEndpoints:    {name: "list", sendsQueries: true},
@@ -130,7 +130,7 @@
 }
 
 // advanceFromEstablishingIdentity ends the phase once the caller has reported the incarnation. The caller enforces
-// IdentityTimeout: if the incarnation is not durable by then, it reports one that is not.
+// IdentityTimeout: if the incarnation is not durable by then, the caller reports it anyway.
 func (s *StateMachine) advanceFromEstablishingIdentity() {
 	if s.identity.established {
 		s.enterPhase(AwaitingEndpoints, fmt.Sprintf("incarnation %d", s.identity.incarnation))
@@ -146,7 +146,7 @@
 	case s.endpoints.current:
 		s.enterPhase(QueryingPeers, "endpoint list received")
 	case s.endpoints.known && (s.endpoints.serviceUnavailable || s.phaseTimedOut()):
-		s.enterPhase(QueryingPeers, "list service unavailable: stored endpoint list used, its workers taken for cold")
+		s.enterPhase(QueryingPeers, "discovery service unavailable: stored endpoint list used, its workers treated as cold")
 	}
 }
 
--- a/internal/fleet/recovery/queries.go
+++ b/internal/fleet/recovery/queries.go
@@ -28,14 +28,14 @@
 	workerQueryPeers = 3
 )
 
-// sendQueries queries each peer that is due and whose answer is not final. The delay doubles with each query, up to a
+// sendQueries queries each peer that is due and has not sent a final reply. The delay doubles with each query, up to a
 // limit.
 func (s *StateMachine) sendQueries() {
 	if !s.phase.rule().sendsQueries {
 		return
 	}
 	for position, p := range s.peers.others() {
-		if p.answerFinal || s.now < p.query.nextAt {
+		if p.hasFinalReply || s.now < p.query.nextAt {
 			continue
 		}
 		s.peers.lastQueryNumber++
@@ -53,7 +53,7 @@
 
 // queryBackoff returns the maximum delay until a peer is queried again.
 func (s *StateMachine) queryBackoff(p *peer) time.Duration {
-	if p.answered { // it takes time until the peer can tell whether its keys are complete, and its answer is final
+	if p.answered { // the reply is not final: the peer needs time to find out whether its disk has lost keys
 		return s.config.QueryInterval << maxBackoffDoublings
 	}
 	return s.config.QueryInterval << min(p.query.sentCount, maxBackoffDoublings)
@@ -86,15 +86,15 @@
 // serving peer has more recent worker data than ring successors that were down. At most workerQueryPeers peers are
 // queried for this reason, and none after QueryingPeers, because this dispatcher then observes the workers itself.
 func (s *StateMachine) queryWorkersOfServingPeer(p *peer) {
-	mayKnowMore := p.phase == Serving && !p.query.wantWorkers
+	mayHaveNewerData := p.phase == Serving && !p.query.wantWorkers
 	enoughQueried := s.peers.servingPeersQueried >= workerQueryPeers
-	if !mayKnowMore || enoughQueried || s.phase > QueryingPeers {
+	if !mayHaveNewerData || enoughQueried || s.phase > QueryingPeers {
 		return
 	}
 	s.peers.servingPeersQueried++
 	p.query.wantWorkers = true
 	p.answered = false
-	p.answerFinal = false
+	p.hasFinalReply = false
 	p.query.nextAt = s.now
 	s.sendQueries()
 }
--- a/internal/fleet/recovery/receive.go
+++ b/internal/fleet/recovery/receive.go
@@ -41,8 +41,8 @@
 	}
 }
 
-// isValidMessage reports whether the message is valid for the member at a position. Before the incarnation is durable
-// no message is accepted, because none may be answered.
+// isValidMessage reports whether the message is valid for the member at a position. Before the incarnation is
+// established no message is accepted, because none may be answered.
 func (s *StateMachine) isValidMessage(from int, msg *messaging.Message) bool {
 	if !s.identity.established || !s.peers.isPeer(from) {
 		return false
@@ -53,8 +53,8 @@
 }
 
 // receiveQuery handles a query. The query shows that the peer is up, so if it has not answered yet, the backoff of
-// queries to it is reset.
-// The peer is not queried immediately, because two dispatchers that answered queries with queries would never stop.
+// queries to it is reset. The peer is not queried immediately, because two dispatchers that answered queries with
+// queries would never stop.
 func (s *StateMachine) receiveQuery(from int, p *peer, query *messaging.Message) {
 	s.actions.Queries = append(s.actions.Queries, Query{
 		From:        from,
@@ -68,23 +68,23 @@
 	}
 }
 
-// isFinalReply reports whether the sender of a reply can tell whether its own disk has lost keys. This is the case once
-// it has left QueryingPeers, and the receivers of its heartbeats have answered or a dedup window has passed.
+// isFinalReply reports whether the sender of a reply had found out whether its own disk has lost keys. This is the case
+// once it has left QueryingPeers, and the receivers of its heartbeats have answered or a dedup window has passed.
 func isFinalReply(reply *messaging.Message) bool {
 	return Phase(reply.Phase) > QueryingPeers && !reply.KeysUnconfirmed
 }
 
-// receiveReply handles one part of a reply. It ignores replies to any query but the last one, and replies after a final
-// answer.
+// receiveReply handles one part of a reply. It ignores replies to any query but the last one, and all replies after a
+// final one.
 func (s *StateMachine) receiveReply(from int, p *peer, reply *messaging.Message) {
-	if reply.Number != p.query.number || p.answerFinal {
+	if reply.Number != p.query.number || p.hasFinalReply {
 		return
 	}
 	s.checkOwnIncarnation(reply)
 	s.actions.Replies = append(s.actions.Replies, PeerReply{Member: from, Message: reply})
 	if p.recordReplyPart(reply) {
 		p.answered = true
-		p.answerFinal = isFinalReply(reply)
+		p.hasFinalReply = isFinalReply(reply)
 		p.query.nextAt = max(p.query.nextAt, s.now+s.config.QueryInterval<<minRequeryDoublings)
 		s.queryWorkersOfServingPeer(p)
 	}
--- a/internal/fleet/recovery/statemachine.go
+++ b/internal/fleet/recovery/statemachine.go
@@ -39,7 +39,7 @@
 }
 
 // Actions are to be executed by the caller in the order of the fields. No message may be sent before KeysMarkChange and
-// RaiseIncarnation are durable.
+// RaiseIncarnation have been written to disk, or the write has failed.
 type Actions struct {
 	Transitions      []Transition       // to report
 	KeysMarkChange   KeysMarkChange     // to persist
@@ -153,7 +153,7 @@
 		next = min(next, max(deadline, now+minTickInterval))
 	}
 	for _, p := range s.peers.others() {
-		if !p.answerFinal {
+		if !p.hasFinalReply {
 			next = min(next, max(p.query.nextAt, now+minTickInterval))
 		}
 	}
--- a/internal/fleet/recovery/statemachine_test.go
+++ b/internal/fleet/recovery/statemachine_test.go
@@ -45,7 +45,7 @@
 func TestOutageFollowsFromReplies(t *testing.T) {
 	for _, c := range []struct {
 		name   string
-		phases []Phase // of d1, d2 and d3; a missing entry means no answer
+		phases []Phase // of d1, d2 and d3; a missing entry means no reply
 		want   Outage
 	}{
 		{"all serve", []Phase{Serving, Serving, Serving}, ThisDispatcherOnly},
--- a/internal/fleet/settings.go
+++ b/internal/fleet/settings.go
@@ -134,13 +134,13 @@
 	}
 	s.ownAddress = own
 	if len(s.Members) != dispatchers {
-		return settingError("member", "%d of them, settings.balancers says %d", len(s.Members), dispatchers)
+		return settingError("member", "%d entries, but settings.balancers is %d", len(s.Members), dispatchers)
 	}
 	if err := s.validateMembers(); err != nil {
 		return err
 	}
 	if found := s.Members[position].Name; found != name {
-		return settingError(fmt.Sprintf("member[%d].name", position), "%q, the dispatcher at that position is %q", found, name)
+		return settingError(fmt.Sprintf("member[%d].name", position), "%q, but the dispatcher at that position is %q", found, name)
 	}
 	return nil
 }
@@ -181,10 +181,10 @@
 			return settingError(nameKey, "must be a text of up to %d bytes", maxMemberNameBytes)
 		}
 		if other, taken := names[member.Name]; taken {
-			return settingError(nameKey, "%q is that of member[%d] too", member.Name, other)
+			return settingError(nameKey, "%q is already the name of member[%d]", member.Name, other)
 		}
 		if other, taken := addresses[address]; taken {
-			return settingError(addressKey, "%v is that of member[%d] too", address, other)
+			return settingError(addressKey, "%v is already the address of member[%d]", address, other)
 		}
 		names[member.Name] = position
 		addresses[address] = position
--- a/internal/fleet/simulate/clients.go
+++ b/internal/fleet/simulate/clients.go
@@ -60,7 +60,7 @@
 		} else {
 			n.machine.RequestFailed(n.uptime())
 		}
-		n.performActions()
+		n.executeActions()
 	})
 }
 
@@ -80,24 +80,24 @@
 	return true
 }
 
-// The outcomes of a marked repeat.
+// The outcomes of a marked retry of a request with a key.
 const (
-	repeatAnywhere = "anywhere" // it may run again, in another dedup group
-	repeatFailed   = "error"
-	repeatToGroup  = "group"
+	repeatToAnyGroup = "anywhere" // it may run again, in another dedup group
+	repeatFailed     = "error"
+	repeatToGroup    = "group"
 )
 
-// sendRepeat sends a marked repeat of a request, and checks the dedup group to which it is sent. If the request was
+// sendRepeat sends a marked retry of a request, and checks the dedup group to which it is sent. If the request was
 // sent before this dispatcher started, its repeat must be sent to the same dedup group or fail, for one dedup window.
 func (n *node) sendRepeat(key sentKey) {
 	found, err := n.keys.Find(recovery.KeyLookup{
 		Sum:            key.sum,
-		MarkedRepeat:   true,
+		MarkedRetry:    true,
 		KeysIncomplete: n.machine.MayLackKeys(n.uptime()),
 		Now:            n.wallClock(),
 		Uptime:         n.uptime(),
 	})
-	outcome := repeatAnywhere
+	outcome := repeatToAnyGroup
 	switch {
 	case err != nil:
 		outcome = repeatFailed
@@ -111,9 +111,9 @@
 		n.world.result.Repeats[outcome]++
 	}
 	switch {
-	case isProtected && outcome == repeatAnywhere:
-		n.world.reportViolation("%d: a repeat of key %d, sent at %v, goes anywhere", n.position, key.sum, key.sentAt)
+	case isProtected && outcome == repeatToAnyGroup:
+		n.world.reportViolation("%d: a repeat of key %d, sent at %v, may go to any dedup group", n.position, key.sum, key.sentAt)
 	case found != nil && found.Zone != key.zone:
-		n.world.reportViolation("%d: a repeat of key %d goes to %s, the request went to %s", n.position, key.sum, found.Zone, key.zone)
+		n.world.reportViolation("%d: a repeat of key %d goes to %s, but the request was sent to %s", n.position, key.sum, found.Zone, key.zone)
 	}
 }
--- a/internal/fleet/simulate/invariants.go
+++ b/internal/fleet/simulate/invariants.go
@@ -7,8 +7,8 @@
 	"canvasroute/internal/fleet/recovery"
 )
 
-// checkTransition checks that phases only advance, and that an outage is classified as one of a single dispatcher only
-// if no other dispatcher was down. It also checks that no dispatcher admits requests before its peers have replied or
+// checkTransition checks that phases only advance, and that an outage is classified as ThisDispatcherOnly only if all
+// peers serve. It also checks that no dispatcher admits requests before its peers have replied or
 // the timeout for their replies has passed.
 func (n *node) checkTransition(transition recovery.Transition) {
 	if transition.Phase < n.phase {
@@ -37,7 +37,7 @@
 			continue
 		}
 		if peer.up || n.world.now-peer.startedAt > peersTimeout+n.uptime() {
-			n.world.reportViolation("%d: takes itself for the only one that was down, and %d does not serve", n.position, peer.position)
+			n.world.reportViolation("%d: classifies the outage as its own only, but %d does not serve", n.position, peer.position)
 		}
 	}
 }
--- a/internal/fleet/simulate/node.go
+++ b/internal/fleet/simulate/node.go
@@ -10,7 +10,7 @@
 	"canvasroute/internal/fleet/store"
 )
 
-// node is one dispatcher across its incarnations. It performs the actions of the state machine with a simulated disk
+// node is one dispatcher across its incarnations. It executes the actions of the state machine with a simulated disk
 // and network, in the same order as fleet.Node.
 type node struct {
 	world          *world
@@ -108,7 +108,7 @@
 	})
 	n.openStore()
 	n.machine.StoredEndpointsLoaded(n.uptime())
-	n.performActions()
+	n.executeActions()
 	n.tick(n.runNumber)
 	n.saveState(n.runNumber)
 	n.pollDiscovery(n.runNumber)
@@ -158,7 +158,7 @@
 	}
 	n.machine.SetPersistedKeys(n.store.PersistedKeys())
 	next := n.machine.Tick(n.uptime())
-	n.performActions()
+	n.executeActions()
 	wait := min(max(next-n.uptime(), minTick), maxTick)
 	n.world.after(wait, func() { n.tick(runNumber) })
 }
@@ -170,11 +170,11 @@
 	}
 	if n.world.discoveryUp {
 		n.machine.EndpointsReceived(n.uptime())
-		n.performActions()
+		n.executeActions()
 		return
 	}
 	n.machine.EndpointsUnavailable(n.uptime())
-	n.performActions()
+	n.executeActions()
 	n.world.after(n.world.drawDuration(minPollInterval, maxPollInterval), func() { n.pollDiscovery(runNumber) })
 }
 
@@ -193,12 +193,12 @@
 // receive passes a message from a member to the state machine.
 func (n *node) receive(from int, msg *messaging.Message) {
 	n.machine.Receive(n.uptime(), from, msg)
-	n.performActions()
+	n.executeActions()
 }
 
-// performActions performs the pending actions of the state machine, and checks the invariants of phase transitions and
+// executeActions executes the pending actions of the state machine, and checks the invariants of phase transitions and
 // messages.
-func (n *node) performActions() {
+func (n *node) executeActions() {
 	actions := n.machine.TakeActions()
 	for _, transition := range actions.Transitions {
 		n.checkTransition(transition)
--- a/internal/fleet/simulate/simulate.go
+++ b/internal/fleet/simulate/simulate.go
@@ -31,7 +31,7 @@
 	MaxMessages  int                     // highest number of messages sent by one dispatcher
 	RecoveryTime time.Duration           // from the end of the last fault until the last dispatcher serves
 	Outages      map[recovery.Outage]int // number of dispatchers by their final outage classification
-	Repeats      map[string]int          // marked repeats of keys sent before a restart, by outcome
+	Repeats      map[string]int          // marked retries of requests sent before a restart, by outcome
 	FinalPhases  map[recovery.Phase]int  // number of dispatchers by their final phase
 }
 
--- a/internal/fleet/store/format_test.go
+++ b/internal/fleet/store/format_test.go
@@ -19,7 +19,7 @@
 
 // wantIncarnation is the incarnation in the golden folder.
 var wantIncarnation = Incarnation{
-	Name: "n3", Number: 8, Nonce: 0xfedcba9876543210, StartedAt: 1_700_000_000_000, Drained: true, Keys: 3,
+	Name: "n3", Number: 8, Nonce: 0xfedcba9876543210, StartedAt: 1_700_000_000_000, Drained: true, PersistedKeys: 3,
 	CleanShutdown: true, KeysSuspect: true,
 }
 
@@ -41,7 +41,7 @@
 			Incarnation: 5, Nonce: 6, PersistedKeys: 7, PreviousIncarnation: 4,
 			PreviousNonce: 0x8000000000000000, PreviousPersistedKeys: 9,
 		}},
-		Keys: 3,
+		PersistedKeys: 3,
 	}
 }
 
@@ -90,7 +90,7 @@
 	_, recovered := Open(disk, "n3")
 	assert.Equal(t, &State{
 		Name: "n3", Incarnation: 8, WrittenAt: 1_700_000_000_000, SettingsHash: "earlier", Learned: []byte("{}"),
-		Keys: 2,
+		PersistedKeys: 2,
 	}, recovered.State)
 }
 
--- a/internal/fleet/store/recovered.go
+++ b/internal/fleet/store/recovered.go
@@ -92,10 +92,10 @@
 func (r *Recovered) checkKeyCount(journal *keyJournal) {
 	persisted := uint64(0)
 	if r.State != nil && r.State.Incarnation == r.Incarnation.Number {
-		persisted = r.State.Keys
+		persisted = r.State.PersistedKeys
 	}
 	if r.Incarnation.CleanShutdown {
-		persisted = max(persisted, r.Incarnation.Keys)
+		persisted = max(persisted, r.Incarnation.PersistedKeys)
 	}
 	r.PersistedKeys = journal.keyCount(r.Incarnation.Number)
 	if persisted > r.PersistedKeys {
--- a/internal/fleet/store/store.go
+++ b/internal/fleet/store/store.go
@@ -18,20 +18,20 @@
 	Nonce         uint64 `cbor:"3,keyasint"` // random, distinguishes processes of one name and number
 	StartedAt     int64  `cbor:"4,keyasint"` // Unix time in ms
 	Drained       bool   `cbor:"5,keyasint"` // an operator has drained the dispatcher
-	Keys          uint64 `cbor:"6,keyasint"` // number of keys persisted in this incarnation; set at a clean shutdown
+	PersistedKeys uint64 `cbor:"6,keyasint"` // number of keys persisted in this incarnation; set at a clean shutdown
 	CleanShutdown bool   `cbor:"7,keyasint"` // false after a crash
 	KeysSuspect   bool   `cbor:"8,keyasint"` // keys of previous incarnations may be missing, for one dedup window
 }
 
 // State is a snapshot of the learned state of a dispatcher.
 type State struct {
-	Name         string                  `cbor:"1,keyasint"` // of the dispatcher
-	Incarnation  uint64                  `cbor:"2,keyasint"` // the incarnation that wrote the state
-	WrittenAt    int64                   `cbor:"3,keyasint"` // Unix time in ms
-	SettingsHash string                  `cbor:"4,keyasint"` // of the settings in use
-	Learned      []byte                  `cbor:"5,keyasint"` // a proxy.Snapshot in JSON, as in a hot restart
-	Peers        map[string]PeerProgress `cbor:"6,keyasint"` // by name of the peer
-	Keys         uint64                  `cbor:"7,keyasint"` // number of keys persisted in this incarnation so far
+	Name          string                  `cbor:"1,keyasint"` // of the dispatcher
+	Incarnation   uint64                  `cbor:"2,keyasint"` // the incarnation that wrote the state
+	WrittenAt     int64                   `cbor:"3,keyasint"` // Unix time in ms
+	SettingsHash  string                  `cbor:"4,keyasint"` // of the settings in use
+	Learned       []byte                  `cbor:"5,keyasint"` // a proxy.Snapshot in JSON, as in a hot restart
+	Peers         map[string]PeerProgress `cbor:"6,keyasint"` // by name of the peer
+	PersistedKeys uint64                  `cbor:"7,keyasint"` // number of keys persisted in this incarnation so far
 }
 
 // PeerProgress records the current and the previous incarnation of a peer, and how many keys it persisted in each.
@@ -122,7 +122,7 @@
 func (s *Store) MarkCleanShutdown() error {
 	return s.updateIncarnation(func(i *Incarnation) {
 		i.CleanShutdown = true
-		i.Keys = s.journal.persistedCount
+		i.PersistedKeys = s.journal.persistedCount
 	})
 }
 
@@ -162,7 +162,7 @@
 	s.mu.Lock()
 	state.Name = s.name
 	state.Incarnation = s.incarnation.Number
-	state.Keys = s.journal.persistedCount
+	state.PersistedKeys = s.journal.persistedCount
 	s.mu.Unlock()
 	s.stateMu.Lock()
 	defer s.stateMu.Unlock()
--- a/internal/hotrestart/hotrestart_test.go
+++ b/internal/hotrestart/hotrestart_test.go
@@ -81,7 +81,7 @@
 }
 
 // A file that another process has left at the path of the control socket must neither fail nor delay a start.
-func TestStartWithoutPredecessor(t *testing.T) {
+func TestStartSucceedsWithoutPredecessor(t *testing.T) {
 	assertNoPredecessor := func(t *testing.T, socket ControlSocket) {
 		t.Helper()
 		handover, err := Connect(socket)
--- a/internal/lifecycle/phase.go
+++ b/internal/lifecycle/phase.go
@@ -40,7 +40,7 @@
 
 // AcceptsConnections reports whether this process accepts connections. If not, a successor accepts them. Without a
 // successor no other process accepts the connections in the listen queue: a drained process therefore accepts them to
-// reject their requests, and a closing process still accepts them.
+// reject their requests, and a closing process accepts those that remain in the queue.
 func (p Phase) AcceptsConnections() bool { return p != HandedOff && p != StoppingHandedOff }
 
 // ClosesAfterResponse reports whether each response closes its connection, so that the client connects to another
--- a/internal/testbed/experiment/clock_test.go
+++ b/internal/testbed/experiment/clock_test.go
@@ -35,5 +35,5 @@
 	incarnation.StartedAt, incarnation.Drained = now-hour, true
 	assert.Equal(t, incarnation, found.Incarnation)
 	assert.Equal(t, []store.Key{{Sum: 9, Worker: "w3", SentAt: now - hour, ExpiresAt: now + 1000 - hour}}, found.Keys)
-	assert.Equal(t, []any{now - hour, "abc", uint64(1)}, []any{found.State.WrittenAt, found.State.SettingsHash, found.State.Keys})
+	assert.Equal(t, []any{now - hour, "abc", uint64(1)}, []any{found.State.WrittenAt, found.State.SettingsHash, found.State.PersistedKeys})
 }
