--- a/internal/fleet/admission.go
+++ b/internal/fleet/admission.go
@@ -14,7 +14,7 @@
 	Reason string // why the phase started
 }
 
-// Error returns the message in the answer to HEALTH.
+// Error returns the message in the response to HEALTH.
 func (e *NotReadyError) Error() string { return fmt.Sprintf("returning, %v: %s", e.Phase, e.Reason) }
 
 // Ready returns nil if requests may be sent to this dispatcher, and a NotReadyError otherwise.
--- a/internal/fleet/hot_restart.go
+++ b/internal/fleet/hot_restart.go
@@ -28,7 +28,7 @@
 		if err != nil || ctx.Err() != nil {
 			return err
 		}
-		if !n.waitForSuccessorEnd(ctx) {
+		if !n.waitForSuccessorExit(ctx) {
 			return nil
 		}
 		n.mu.Lock()
@@ -59,8 +59,8 @@
 	return true
 }
 
-// waitForSuccessorEnd waits until a successor has exited. It returns false if ctx ends first.
-func (n *Node) waitForSuccessorEnd(ctx context.Context) bool {
+// waitForSuccessorExit waits until a successor has exited. It returns false if ctx ends first.
+func (n *Node) waitForSuccessorExit(ctx context.Context) bool {
 	return n.waitForOwner(ctx, ownedByThisProcess)
 }
 
--- a/internal/fleet/keys.go
+++ b/internal/fleet/keys.go
@@ -22,8 +22,8 @@
 	return hash.Sum64()
 }
 
-// PriorExecution returns where a request under the same key may have run in a previous incarnation of any dispatcher,
-// or nil if there is no record of one. It fails with proxy.ErrOutcomeUnknown if Keys.Find fails.
+// PriorExecution returns where a request under the same key may have run that a previous incarnation or a peer sent, or
+// nil if there is no record of one. It fails with proxy.ErrOutcomeUnknown if Keys.Find fails.
 func (n *Node) PriorExecution(request proxy.KeyedRequest) (*proxy.PriorExecution, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/fleet/metrics.go
+++ b/internal/fleet/metrics.go
@@ -19,7 +19,7 @@
 	requestsRejected int64 // requests rejected by the state machine
 }
 
-// Metrics returns the metrics in the answer to DUMP. Operators rely on their names and order.
+// Metrics returns the metrics in the response to DUMP. Operators rely on their names and order.
 func (n *Node) Metrics() []protocol.Metric {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/fleet/node.go
+++ b/internal/fleet/node.go
@@ -65,7 +65,7 @@
 	replies        []recovery.PeerReply // not yet merged
 	restoreStarted bool                 // restoring the recovered state has started
 	restored       bool                 // the recovered state has been restored, so requests may be admitted
-	phaseReason    string               // why the phase started, for logs and answers to operators
+	phaseReason    string               // why the phase started, for logs and responses to operators
 	counters       counters
 }
 
--- a/internal/fleet/operators_test.go
+++ b/internal/fleet/operators_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// TestMetricNamesInDump checks the names and the order of the metrics in the answer to DUMP, which operators rely on.
+// TestMetricNamesInDump checks the names and the order of the metrics in the response to DUMP, which operators rely on.
 func TestMetricNamesInDump(t *testing.T) {
 	node, _ := newNodeOnHungDisk(t)
 	defer func() { assert.NoError(t, node.owned.socket.Close()) }()
--- a/internal/fleet/recovery/admission.go
+++ b/internal/fleet/recovery/admission.go
@@ -9,7 +9,7 @@
 type Capacity struct {
 	Workers int     // number of workers that accept requests
 	Warm    float64 // concurrent requests of all workers once they are warm; 0 if unknown
-	Current float64 // the same at the current warm-up level; n slots process n seconds of work per second
+	Current float64 // the same at the current warm-up level; one slot processes one second of work per second
 }
 
 // isWarm reports whether the current capacity is at least warmCapacityShare of the warm capacity.
--- a/internal/fleet/recovery/keys.go
+++ b/internal/fleet/recovery/keys.go
@@ -7,12 +7,12 @@
 	"canvasroute/internal/fleet/messaging"
 )
 
-// Keys holds the idempotency keys under which requests may have run. Keys of previous incarnations, from this
-// dispatcher's disk and from peers, decide where repeats are sent. Keys sent in this incarnation are only reported to
-// peers.
+// Keys holds the idempotency keys under which requests may have run. Keys of this dispatcher's previous incarnations,
+// read from its disk, and keys reported by peers decide where repeats are sent. Keys sent in this incarnation are only
+// reported to peers.
 type Keys struct {
 	dedupWindow time.Duration
-	previous    map[uint64]messaging.Key // by checksum; keys of all dispatchers
+	previous    map[uint64]messaging.Key // by checksum; keys of previous incarnations and of peers
 	restored    map[uint64]messaging.Key // by checksum; the subset of previous from this dispatcher's own disk
 	sent        map[uint64]messaging.Key // by checksum; keys sent in this incarnation
 }
@@ -37,8 +37,8 @@
 	k.AddFromPeer(key)
 }
 
-// AddFromPeer adds a key of a previous incarnation of any dispatcher. If there are two records of a key, the one that
-// expires later is kept. A key that was sent to two dedup groups is recorded with ambiguousWorker.
+// AddFromPeer adds a key that a peer reports. If there are two records of a key, the one that expires later is kept. A
+// key that was sent to two dedup groups is recorded with ambiguousWorker.
 func (k *Keys) AddFromPeer(key messaging.Key) {
 	previous, known := k.previous[key.Sum]
 	switch {
@@ -55,7 +55,7 @@
 // AddSent adds a key sent in this incarnation.
 func (k *Keys) AddSent(key messaging.Key) { k.sent[key.Sum] = key }
 
-// Count returns the number of keys from previous incarnations.
+// Count returns the number of keys of previous incarnations and of peers.
 func (k *Keys) Count() int { return len(k.previous) }
 
 // ForPeers returns the unexpired keys of this dispatcher's own disk and incarnation, and deletes the expired ones. Keys
@@ -92,9 +92,10 @@
 	Uptime         time.Duration // since the process started
 }
 
-// Find returns the unexpired record of a request that may have run under a key in a previous incarnation, or nil if
-// there is none. It fails with ErrKeysIncomplete if a marked retry has no record, but keys may be missing;
-// with ErrMultipleGroups if the dedup group is unknown; and with ErrClockImplausible if the expiry is uncertain.
+// Find returns the unexpired record of a request that may have run under a key, sent by a previous incarnation or a
+// peer, or nil if there is none. It fails with ErrKeysIncomplete if a marked retry has no record, but keys may be
+// missing; with ErrMultipleGroups if the dedup group is unknown; and with ErrClockImplausible if the expiry is
+// uncertain.
 func (k *Keys) Find(lookup KeyLookup) (*messaging.Key, error) {
 	key, known := k.previous[lookup.Sum]
 	if !known {
--- a/internal/fleet/recovery/phase.go
+++ b/internal/fleet/recovery/phase.go
@@ -11,7 +11,7 @@
 
 // The values of Phase, in the order in which a dispatcher enters them. phaseRules defines the permitted operations of
 // each phase, the advanceFrom methods define when it ends, and phaseDeadline when it times out. The quoted words are
-// the names in logs and answers to operators.
+// the names in logs and responses to operators.
 const (
 	EstablishingIdentity Phase = iota // "identity": the store persists the incarnation
 	AwaitingEndpoints                 // "list": the discovery service is polled for the endpoint list
@@ -25,7 +25,7 @@
 // phaseRule lists the operations that a dispatcher may perform in a phase. In every phase except EstablishingIdentity
 // it answers queries of peers.
 type phaseRule struct {
-	name            string // used in logs and answers to operators
+	name            string // used in logs and responses to operators
 	sendsQueries    bool   // to peers that have not sent a final reply
 	sendsHeartbeats bool   // to the next members in the ring
 	usesCapacity    bool   // the end of the phase or its admission limit depends on the workers' capacity
@@ -58,7 +58,7 @@
 
 func (p Phase) rule() phaseRule { return phaseRules[p] }
 
-// String returns the name of the phase as it appears in logs and answers to operators.
+// String returns the name of the phase as it appears in logs and responses to operators.
 func (p Phase) String() string { return p.rule().name }
 
 // AdmitsRequests reports whether a dispatcher in this phase may admit requests.
--- a/internal/fleet/store/store.go
+++ b/internal/fleet/store/store.go
@@ -66,7 +66,7 @@
 	MinNumber   uint64      // the lowest valid number of the new incarnation; 0 for no limit
 	Nonce       uint64      // random, generated for this process
 	KeysSuspect bool        // keys of previous incarnations may be missing; persisted for later incarnations
-	At          int64       // Unix time in ms
+	At          int64       // start time of the incarnation, Unix time in ms
 }
 
 // Begin persists the next incarnation of the dispatcher and returns it. Its number is at least options.MinNumber, and
