--- a/internal/fleet/recovery/trust.go
+++ b/internal/fleet/recovery/trust.go
@@ -48,7 +48,7 @@
 func (r *TrustRule) survivesPowerLoss() bool { return r.Stored != neverStored }
 
 // TrustRules holds the rule for each kind of fact, indexed by Fact: whether it survives a power loss, and when it is
-// trusted. docs/recovery.md shows the same table.
+// trusted. docs/recovery.md has a row for each rule, in the same order.
 //
 // fleet.Node applies CheckTrust to the facts that it restores into the balancer: capacity, sizes, backoffs and quotas.
 // The other rules are applied by the readers of the facts, such as checkOwnIncarnation for the identity and Keys.Find
