--- a/internal/fleet/keys.go
+++ b/internal/fleet/keys.go
@@ -22,14 +22,14 @@
 	return hash.Sum64()
 }
 
-// PriorExecution returns where a request under the same key may have run in a previous incarnation of any dispatcher,
-// or nil if there is no record of one. It fails with proxy.ErrOutcomeUnknown in the cases in which Keys.Find fails.
+// PriorExecution returns where a request under the same key may have run that a previous incarnation or a peer sent, or
+// nil if there is no record of one. It fails with proxy.ErrOutcomeUnknown if Keys.Find fails.
 func (n *Node) PriorExecution(request proxy.KeyedRequest) (*proxy.PriorExecution, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	found, err := n.keys.Find(recovery.KeyLookup{
 		Sum:            keyChecksum(request.Operation, request.Key),
-		MarkedRepeat:   request.MarkedRetry,
+		MarkedRetry:    request.MarkedRetry,
 		KeysIncomplete: n.machine.MayLackKeys(n.uptime()),
 		Now:            time.Now().UnixMilli(),
 		Uptime:         n.uptime(),
--- a/internal/fleet/node.go
+++ b/internal/fleet/node.go
@@ -65,7 +65,7 @@
 	replies        []recovery.PeerReply // not yet merged
 	restoreStarted bool                 // restoring the recovered state has started
 	restored       bool                 // the recovered state has been restored, so requests may be admitted
-	phaseReason    string               // why the phase started, for logs and answers to operators
+	phaseReason    string               // why the phase started, for logs and responses to operators
 	counters       counters
 }
 
@@ -86,7 +86,7 @@
 
 // Error returns a message with the name and the underlying error.
 func (e *NameConflictError) Error() string {
-	return fmt.Sprintf("two that go under the name %q: %v", e.Name, e.Err)
+	return fmt.Sprintf("another process uses the dispatcher name %q: %v", e.Name, e.Err)
 }
 
 // Unwrap returns the underlying error.
--- a/internal/fleet/recovery/phase.go
+++ b/internal/fleet/recovery/phase.go
@@ -11,7 +11,7 @@
 
 // The values of Phase, in the order in which a dispatcher enters them. phaseRules defines the permitted operations of
 // each phase, the advanceFrom methods define when it ends, and phaseDeadline when it times out. The quoted words are
-// the names in logs and answers to operators.
+// the names in logs and responses to operators.
 const (
 	EstablishingIdentity Phase = iota // "identity": the store persists the incarnation
 	AwaitingEndpoints                 // "list": the discovery service is polled for the endpoint list
@@ -25,8 +25,8 @@
 // phaseRule lists the operations that a dispatcher may perform in a phase. In every phase except EstablishingIdentity
 // it answers queries of peers.
 type phaseRule struct {
-	name            string // used in logs and answers to operators
-	sendsQueries    bool   // to peers whose answer is not final
+	name            string // used in logs and responses to operators
+	sendsQueries    bool   // to peers that have not sent a final reply
 	sendsHeartbeats bool   // to the next members in the ring
 	usesCapacity    bool   // the end of the phase or its admission limit depends on the workers' capacity
 	admission       admissionRule
@@ -41,7 +41,7 @@
 	admitAll                  // all requests; the balancer queues them by value and rejects those that cannot end in time
 )
 
-// phaseRules holds the rule of each phase. Nothing is sent before the incarnation is durable.
+// phaseRules holds the rule of each phase. Nothing is sent before the incarnation is established.
 var phaseRules = [...]phaseRule{
 	EstablishingIdentity: {name: "identity"},
 	AwaitingEndpoints:    {name: "list", sendsQueries: true},
@@ -58,7 +58,7 @@
 
 func (p Phase) rule() phaseRule { return phaseRules[p] }
 
-// String returns the name of the phase as it appears in logs and answers to operators.
+// String returns the name of the phase as it appears in logs and responses to operators.
 func (p Phase) String() string { return p.rule().name }
 
 // AdmitsRequests reports whether a dispatcher in this phase may admit requests.
@@ -130,7 +130,7 @@
 }
 
 // advanceFromEstablishingIdentity ends the phase once the caller has reported the incarnation. The caller enforces
-// IdentityTimeout: if the incarnation is not durable by then, it reports one that is not.
+// IdentityTimeout: if the incarnation is not durable by then, the caller reports it anyway.
 func (s *StateMachine) advanceFromEstablishingIdentity() {
 	if s.identity.established {
 		s.enterPhase(AwaitingEndpoints, fmt.Sprintf("incarnation %d", s.identity.incarnation))
