--- a/internal/fleet/incarnation.go
+++ b/internal/fleet/incarnation.go
@@ -53,7 +53,8 @@
 	return nil
 }
 
-// recordRecovered records the resources and the data recovered from the folder, and logs the records that were lost.
+// recordRecovered records the resources and the data recovered from the folder, and logs the errors of the recovery. An
+// error may concern the folder itself, or a record that is used despite it.
 func (n *Node) recordRecovered(owned ownedResources, recovered store.Recovered) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -96,7 +97,7 @@
 		n.machine.IncarnationRaised(n.uptime(), number)
 		n.machine.TakeOver(n.uptime(), number, nonce)
 	} else {
-		n.machine.IdentityStored(n.uptime(), number, nonce, recovery.NewPreviousIncarnation(recovered))
+		n.machine.IdentityEstablished(n.uptime(), number, nonce, recovery.NewPreviousIncarnation(recovered))
 	}
 	n.mu.Unlock()
 	n.executeActions()
--- a/internal/fleet/keys.go
+++ b/internal/fleet/keys.go
@@ -22,8 +22,9 @@
 	return hash.Sum64()
 }
 
-// PriorExecution returns where a request under the same key may have run that a previous incarnation or a peer sent, or
-// nil if there is no record of one. It fails with proxy.ErrOutcomeUnknown if Keys.Find fails.
+// PriorExecution returns the destination of an earlier request under the same key that may have run. Only requests sent
+// by a previous incarnation or a peer are considered. It returns nil if there is no record of one, and fails with
+// proxy.ErrOutcomeUnknown if Keys.Find fails.
 func (n *Node) PriorExecution(request proxy.KeyedRequest) (*proxy.PriorExecution, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -31,7 +32,7 @@
 		Sum:            keyChecksum(request.Operation, request.Key),
 		MarkedRetry:    request.MarkedRetry,
 		KeysIncomplete: n.machine.MayLackKeys(n.uptime()),
-		Now:            time.Now().UnixMilli(),
+		UnixMillis:     time.Now().UnixMilli(),
 		Uptime:         n.uptime(),
 	})
 	switch {
--- a/internal/fleet/node.go
+++ b/internal/fleet/node.go
@@ -51,10 +51,10 @@
 	proxy    *proxy.Proxy     // set by Attach
 	balancer *balancer.Shards // set by Attach
 
-	keyWriter      *keyWriter
-	tickRequests   chan struct{}             // wakes runTicks
-	ownerChanges   chan resourceOwner        // sent by YieldResources and ReclaimResources
-	storedCapacity func() map[string]float64 // by kind of worker, from the recovered state; decoded on the first call
+	keyWriter         *keyWriter
+	tickRequests      chan struct{}             // wakes runTicks
+	ownerChanges      chan resourceOwner        // sent by YieldResources and ReclaimResources
+	storedMaxObserved func() map[string]float64 // by kind of worker, from the recovered state; decoded on the first call
 
 	mu             sync.Mutex // guards the fields below; never held during a disk write
 	machine        *recovery.StateMachine
@@ -107,7 +107,7 @@
 		keys:         recovery.NewKeys(config.DedupWindow),
 		takingOver:   config.IsSuccessor,
 	}
-	n.storedCapacity = sync.OnceValue(n.readStoredCapacity)
+	n.storedMaxObserved = sync.OnceValue(n.readStoredMaxObserved)
 	if n.takingOver {
 		return n, nil
 	}
@@ -161,8 +161,9 @@
 var errShutdownTimeout = errors.New("the disk did not respond in time")
 
 // Run recovers the dispatcher and persists its state until ctx ends. If the disk hangs at shutdown, Run returns after
-// the identity timeout and leaves the goroutine that waits for the disk running until the process exits. Otherwise
-// operators would have to kill the process. In both cases the next incarnation treats this one as crashed.
+// the identity timeout, so that operators do not have to kill the process. The goroutine that waits for the disk then
+// runs until the process exits. The clean shutdown is not persisted in this case, so the next incarnation treats this
+// one as crashed.
 func (n *Node) Run(ctx context.Context) error {
 	ended := make(chan error, 1)
 	go func() { ended <- n.runIncarnations(ctx) }()
--- a/internal/fleet/peers.go
+++ b/internal/fleet/peers.go
@@ -48,7 +48,8 @@
 	}
 }
 
-// endpointMerge collects updates of the listed workers from peers that are more recent than the endpoint list.
+// endpointMerge collects the updates of listed workers from peers' replies: starts that are later than in the endpoint
+// list, and drains that the list lacks.
 type endpointMerge struct {
 	endpoints []protocol.Endpoint // including the merged updates
 	positions map[string]int      // indexes of endpoints, by worker ID
@@ -93,10 +94,10 @@
 
 // answerQueries sends the data of this dispatcher to the peers that have queried it.
 func (n *Node) answerQueries(socket *messaging.Socket, queries []recovery.Query) {
-	local := recovery.LocalState{MaxObserved: n.observedCapacity(), Workers: n.workersForPeers()}
+	local := recovery.LocalState{MaxObserved: n.maxObservedByKind(), Workers: n.workersForPeers()}
 	var messages []recovery.AddressedMessage
 	n.mu.Lock()
-	local.Keys = n.keys.ForPeers(time.Now().UnixMilli(), n.uptime())
+	local.Keys = n.keys.UnexpiredOwnKeys(time.Now().UnixMilli(), n.uptime())
 	for _, query := range queries {
 		for _, msg := range n.machine.Reply(query, local) {
 			messages = append(messages, recovery.AddressedMessage{To: query.From, Message: &msg})
@@ -131,13 +132,13 @@
 // minObservedCapacity is the concurrency of a worker that needs no observation: every worker can process one request.
 const minObservedCapacity = 1
 
-// observedCapacity returns the highest number of requests that workers of each kind have processed concurrently. Until
+// maxObservedByKind returns the highest number of requests that a worker of each kind has processed concurrently. Until
 // the stored state is restored, the result includes the stored values if they are trusted.
-func (n *Node) observedCapacity() map[string]float64 {
-	capacity := map[string]float64{}
+func (n *Node) maxObservedByKind() map[string]float64 {
+	maxObserved := map[string]float64{}
 	for kind, observed := range n.balancer.MaxObserved() {
 		if kind < len(n.config.Kinds) && observed > minObservedCapacity {
-			capacity[n.config.Kinds[kind]] = observed
+			maxObserved[n.config.Kinds[kind]] = observed
 		}
 	}
 	n.mu.Lock()
@@ -145,14 +146,14 @@
 	state := n.recovered.State
 	n.mu.Unlock()
 	if isRestored || state == nil {
-		return capacity
+		return maxObserved
 	}
 	age := recovery.NewRecordAge(state.WrittenAt, time.Now().UnixMilli())
 	if recovery.CheckTrust(recovery.FactCapacity, age, recovery.FleetWide) != nil {
-		return capacity
+		return maxObserved
 	}
-	for kind, observed := range n.storedCapacity() {
-		capacity[kind] = max(capacity[kind], observed)
+	for kind, observed := range n.storedMaxObserved() {
+		maxObserved[kind] = max(maxObserved[kind], observed)
 	}
-	return capacity
+	return maxObserved
 }
--- a/internal/fleet/recovery/admission.go
+++ b/internal/fleet/recovery/admission.go
@@ -5,11 +5,12 @@
 	"time"
 )
 
-// Capacity is the balancer's estimate of how many requests the workers can process concurrently.
+// Capacity is the balancer's estimate of how many requests the workers can process concurrently, in slots. A slot
+// processes one second of work per second.
 type Capacity struct {
 	Workers int     // number of workers that accept requests
-	Warm    float64 // concurrent requests of all workers once they are warm; 0 if unknown
-	Current float64 // the same at the current warm-up level; one slot processes one second of work per second
+	Warm    float64 // slots of all workers once they are warm; 0 if unknown
+	Current float64 // slots of all workers at their current warm-up level
 }
 
 // isWarm reports whether the current capacity is at least warmCapacityShare of the warm capacity.
@@ -23,8 +24,9 @@
 	RetryAfter time.Duration // delay after which the client of a rejected request should retry, 0 for no advice
 }
 
-// admission tracks the load that this dispatcher admits before it enters Serving.
-type admission struct {
+// loadTracker tracks the requests that this dispatcher has admitted and the demand that it has received, before it
+// enters Serving.
+type loadTracker struct {
 	capacity       Capacity
 	inFlight       int           // admitted requests that are still in progress
 	succeeded      int           // admitted requests that succeeded
@@ -32,7 +34,7 @@
 
 	demand           time.Duration // processing time of all received requests, decaying over demandWindow
 	demandUpdatedAt  time.Duration // when demand was last updated
-	lastOverloadedAt time.Duration // when a request was last rejected or demand last exceeded the limit for Serving
+	lastOverloadedAt time.Duration // when isDemandWithinCapacity last found too much demand or a recent rejection
 }
 
 const (
@@ -53,7 +55,7 @@
 // SetCapacity records the current capacity of the workers.
 func (s *StateMachine) SetCapacity(now time.Duration, capacity Capacity) {
 	s.now = now
-	s.admission.capacity = capacity
+	s.load.capacity = capacity
 	s.advancePhase()
 }
 
@@ -64,12 +66,12 @@
 	if s.phase == Serving {
 		return Admission{Admitted: true}
 	}
-	s.admission.addDemand(now, size)
+	s.load.addDemand(now, size)
 	if s.canAdmit() {
-		s.admission.inFlight++
+		s.load.inFlight++
 		return Admission{Admitted: true}
 	}
-	s.admission.lastRejectedAt = now
+	s.load.lastRejectedAt = now
 	return Admission{RetryAfter: s.randomRetryAfter()}
 }
 
@@ -77,7 +79,7 @@
 func (s *StateMachine) canAdmit() bool {
 	switch s.phase.rule().admission {
 	case admitProbes:
-		return s.admission.inFlight < s.probeLimit()
+		return s.load.inFlight < s.probeLimit()
 	case admitAll:
 		return true
 	}
@@ -87,7 +89,7 @@
 // probeLimit returns how many requests may be in flight while it is unknown whether workers respond: one per worker,
 // divided by the number of active dispatchers, but at least one.
 func (s *StateMachine) probeLimit() int {
-	return max(1, s.admission.capacity.Workers/s.countActiveDispatchers())
+	return max(1, s.load.capacity.Workers/s.countActiveDispatchers())
 }
 
 // randomRetryAfter returns a random delay between MaxRetryAfter/minRetryAfterDivisor and MaxRetryAfter, which keeps
@@ -100,7 +102,7 @@
 
 // RequestSucceeded records that a request admitted before Serving has completed with a result.
 func (s *StateMachine) RequestSucceeded(now time.Duration) {
-	s.admission.succeeded++
+	s.load.succeeded++
 	s.recordRequestEnd(now)
 }
 
@@ -109,19 +111,19 @@
 
 func (s *StateMachine) recordRequestEnd(now time.Duration) {
 	s.now = now
-	s.admission.inFlight--
+	s.load.inFlight--
 	s.advancePhase()
 }
 
 // addDemand adds the processing time of a received request, whether it was admitted or rejected.
-func (a *admission) addDemand(now, size time.Duration) {
-	a.demand = time.Duration(float64(a.demand)*demandDecay(now-a.demandUpdatedAt)) + size
-	a.demandUpdatedAt = now
+func (t *loadTracker) addDemand(now, size time.Duration) {
+	t.demand = time.Duration(float64(t.demand)*demandDecay(now-t.demandUpdatedAt)) + size
+	t.demandUpdatedAt = now
 }
 
 // demandRate returns the average demand in seconds of processing time per second.
-func (a *admission) demandRate(now time.Duration) float64 {
-	return float64(a.demand) * demandDecay(now-a.demandUpdatedAt) / demandWindow.Seconds() / float64(time.Second)
+func (t *loadTracker) demandRate(now time.Duration) float64 {
+	return float64(t.demand) * demandDecay(now-t.demandUpdatedAt) / demandWindow.Seconds() / float64(time.Second)
 }
 
 // demandDecay returns the fraction of demand that remains after the elapsed time.
@@ -132,13 +134,13 @@
 // isDemandWithinCapacity reports whether, for at least lowDemandDuration, no request has been rejected and demand has
 // not exceeded fullServiceDemandShare of this dispatcher's share of the workers' current capacity.
 func (s *StateMachine) isDemandWithinCapacity() bool {
-	a := &s.admission
-	limit := fullServiceDemandShare * a.capacity.Current / float64(s.countActiveDispatchers())
-	overloaded := a.capacity.Current <= 0 || a.demandRate(s.now) > limit
-	rejectedRecently := s.now-a.lastRejectedAt < lowDemandDuration
+	load := &s.load
+	limit := fullServiceDemandShare * load.capacity.Current / float64(s.countActiveDispatchers())
+	overloaded := load.capacity.Current <= 0 || load.demandRate(s.now) > limit
+	rejectedRecently := s.now-load.lastRejectedAt < lowDemandDuration
 	if overloaded || rejectedRecently {
-		a.lastOverloadedAt = s.now
+		load.lastOverloadedAt = s.now
 		return false
 	}
-	return s.now-max(a.lastOverloadedAt, s.phaseStartedAt) >= lowDemandDuration
+	return s.now-max(load.lastOverloadedAt, s.phaseStartedAt) >= lowDemandDuration
 }
--- a/internal/fleet/recovery/heartbeats.go
+++ b/internal/fleet/recovery/heartbeats.go
@@ -11,8 +11,8 @@
 	heartbeatReceivers = 2 // number of ring successors that receive heartbeats
 )
 
-// sendHeartbeats sends the incarnation and the number of its persisted keys to the next members in the ring. A disk
-// that was reset to an earlier state cannot detect the reset by itself, but those members can.
+// sendHeartbeats sends the incarnation and the number of its persisted keys to the next members in the ring. If this
+// dispatcher's disk is later reset to an earlier state, the disk alone does not show it, but those members' records do.
 func (s *StateMachine) sendHeartbeats() {
 	if !s.phase.rule().sendsHeartbeats || s.now < s.nextHeartbeatAt {
 		return
--- a/internal/fleet/recovery/identity.go
+++ b/internal/fleet/recovery/identity.go
@@ -50,9 +50,9 @@
 	return previous
 }
 
-// IdentityStored records the number of this incarnation, once the store has persisted it or has failed to do so within
-// IdentityTimeout. Only the first call has an effect.
-func (s *StateMachine) IdentityStored(now time.Duration, incarnation, nonce uint64, previous PreviousIncarnation) {
+// IdentityEstablished records the number of this incarnation, once the store has persisted it or has failed to do so
+// within IdentityTimeout. Only the first call has an effect.
+func (s *StateMachine) IdentityEstablished(now time.Duration, incarnation, nonce uint64, previous PreviousIncarnation) {
 	s.now = now
 	if s.identity.established {
 		return
@@ -138,9 +138,9 @@
 	return s.now >= s.identity.establishedAt+s.config.DedupWindow
 }
 
-// MayLackKeys reports whether requests may have run under keys that this dispatcher does not have. This is the case
-// if this dispatcher or a peer may have lost keys, or if the final reply of a peer is missing, but never after one
-// dedup window since the start.
+// MayLackKeys reports whether requests may have run under keys that this dispatcher does not have. It returns true until
+// the incarnation is established, and false once a dedup window has passed since then. During that window it returns
+// true if this dispatcher or a peer may have lost keys, or if the final reply of a peer is missing.
 func (s *StateMachine) MayLackKeys(now time.Duration) bool {
 	if s.identity.established && now >= s.identity.establishedAt+s.config.DedupWindow {
 		return false
--- a/internal/fleet/recovery/keys.go
+++ b/internal/fleet/recovery/keys.go
@@ -37,8 +37,9 @@
 	k.AddFromPeer(key)
 }
 
-// AddFromPeer adds a key that a peer reports. If there are two records of a key, the one that expires later is kept. A
-// key that was sent to two dedup groups is recorded with ambiguousWorker.
+// AddFromPeer adds a key that a peer reports. Restore also calls it, for keys from this dispatcher's own disk. If there
+// are two records of a key, the one that expires later is kept. A key that was sent to two dedup groups is recorded
+// with ambiguousWorker.
 func (k *Keys) AddFromPeer(key messaging.Key) {
 	previous, known := k.previous[key.Sum]
 	switch {
@@ -58,12 +59,12 @@
 // Count returns the number of keys of previous incarnations and of peers.
 func (k *Keys) Count() int { return len(k.previous) }
 
-// ForPeers returns the unexpired keys of this dispatcher's own disk and incarnation, and deletes the expired ones. Keys
-// from peers are omitted, because a recovering dispatcher queries all members.
+// UnexpiredOwnKeys returns the unexpired keys of this dispatcher's own disk and incarnation, to be sent to peers, and
+// deletes the expired ones. Keys from peers are omitted, because a recovering dispatcher queries all members.
 //
 // now is Unix time in ms, and uptime is the time since the process started. The wall clock may have jumped, so no key
 // expires before the process has run for a whole dedup window.
-func (k *Keys) ForPeers(now int64, uptime time.Duration) (keys []messaging.Key) {
+func (k *Keys) UnexpiredOwnKeys(now int64, uptime time.Duration) (keys []messaging.Key) {
 	for _, own := range []map[uint64]messaging.Key{k.restored, k.sent} {
 		for sum, key := range own {
 			if key.ExpiresAt < now && uptime > k.dedupWindow {
@@ -78,9 +79,9 @@
 
 // The reasons why Find cannot determine whether or where a request may have run.
 var (
-	ErrKeysIncomplete   = errors.New("the key is unknown, and keys of previous incarnations may be missing")
-	ErrClockImplausible = errors.New("the wall clock is inconsistent with the send time of the key")
-	ErrMultipleGroups   = errors.New("the key was sent to two dedup groups")
+	ErrKeysIncomplete  = errors.New("the key is unknown, and keys of previous incarnations may be missing")
+	ErrExpiryUncertain = errors.New("it is uncertain whether the key has expired, because the wall clock may have jumped")
+	ErrMultipleGroups  = errors.New("the key was sent to two dedup groups")
 )
 
 // KeyLookup holds the parameters of Keys.Find.
@@ -88,14 +89,14 @@
 	Sum            uint64        // checksum of the operation and the key
 	MarkedRetry    bool          // the client marked the request as a retry
 	KeysIncomplete bool          // requests may have run under keys that this dispatcher does not have
-	Now            int64         // Unix time in ms
+	UnixMillis     int64         // current time as Unix time in ms
 	Uptime         time.Duration // since the process started
 }
 
 // Find returns the unexpired record of a request that may have run under a key, sent by a previous incarnation or a
 // peer, or nil if there is none. It fails with ErrKeysIncomplete if a marked retry has no record, but keys may be
-// missing; with ErrMultipleGroups if the dedup group is unknown; and with ErrClockImplausible if the expiry is
-// uncertain.
+// missing; with ErrMultipleGroups if the dedup group is unknown; and with ErrExpiryUncertain if the key may or may not
+// have expired.
 func (k *Keys) Find(lookup KeyLookup) (*messaging.Key, error) {
 	key, known := k.previous[lookup.Sum]
 	if !known {
@@ -105,7 +106,7 @@
 		return nil, nil
 	}
 	window := key.ExpiresAt - key.SentAt
-	remaining := key.ExpiresAt - lookup.Now
+	remaining := key.ExpiresAt - lookup.UnixMillis
 	switch {
 	case remaining <= 0 && lookup.Uptime > k.dedupWindow:
 		delete(k.previous, lookup.Sum)
@@ -113,7 +114,7 @@
 	case key.Worker == ambiguousWorker:
 		return nil, ErrMultipleGroups
 	case remaining <= 0, remaining > window:
-		return nil, ErrClockImplausible
+		return nil, ErrExpiryUncertain
 	}
 	return &key, nil
 }
--- a/internal/fleet/recovery/keys_test.go
+++ b/internal/fleet/recovery/keys_test.go
@@ -25,8 +25,8 @@
 	}{
 		{"a known key without the client's mark", KeyLookup{Sum: 1}, true, nil},
 		{"a key sent to two groups", KeyLookup{Sum: 2, MarkedRetry: true}, false, ErrMultipleGroups},
-		{"a key expired by the clock alone", KeyLookup{Sum: 3, MarkedRetry: true, Uptime: time.Second}, false, ErrClockImplausible},
-		{"a key sent in the future", KeyLookup{Sum: 4, MarkedRetry: true, Uptime: time.Second}, false, ErrClockImplausible},
+		{"a key expired by the clock alone", KeyLookup{Sum: 3, MarkedRetry: true, Uptime: time.Second}, false, ErrExpiryUncertain},
+		{"a key sent in the future", KeyLookup{Sum: 4, MarkedRetry: true, Uptime: time.Second}, false, ErrExpiryUncertain},
 		{
 			"an unknown key while keys may be missing",
 			KeyLookup{Sum: 9, MarkedRetry: true, KeysIncomplete: true, Uptime: time.Second},
@@ -36,11 +36,11 @@
 		{"an expired key after a dedup window", KeyLookup{Sum: 3, MarkedRetry: true, Uptime: 41 * time.Second}, false, nil},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			c.lookup.Now = now
+			c.lookup.UnixMillis = now
 			key, err := keys.Find(c.lookup)
 			assert.ErrorIs(t, err, c.wantErr)
 			assert.Equal(t, c.wantFound, key != nil)
 		})
 	}
-	assert.Len(t, keys.ForPeers(now, time.Second), 1, "keys from peers must not be forwarded")
+	assert.Len(t, keys.UnexpiredOwnKeys(now, time.Second), 1, "keys from peers must not be forwarded")
 }
--- a/internal/fleet/recovery/outage.go
+++ b/internal/fleet/recovery/outage.go
@@ -10,7 +10,7 @@
 	Undecided          Outage = iota
 	ThisDispatcherOnly        // every peer serves: their state is more recent than this dispatcher's disk
 	Partial                   // some peers serve, but not all
-	FleetWide                 // no peer serves: the newest data from all disks is used, or the more cautious of two values
+	FleetWide                 // no peer serves: all data is from disks; conflicts resolve to the more cautious value
 )
 
 // outageNames are the names in log messages.
--- a/internal/fleet/recovery/peers.go
+++ b/internal/fleet/recovery/peers.go
@@ -70,8 +70,8 @@
 	return true
 }
 
-// recordIncarnation records a newer incarnation of the peer, and keeps the preceding one as previous. Replies of the
-// preceding incarnation remain valid.
+// recordIncarnation records a newer incarnation of the peer, and keeps the preceding one as previous. Replies already
+// received from the preceding incarnation remain valid.
 func (p *peer) recordIncarnation(msg *messaging.Message) {
 	if p.incarnation > 0 {
 		p.previous = p.currentProgress()
--- a/internal/fleet/recovery/phase.go
+++ b/internal/fleet/recovery/phase.go
@@ -106,8 +106,8 @@
 }
 
 // advancePhase makes all transitions that are due. A phase ends when its condition is met; the timeout only limits the
-// wait for it. Two transitions are made elsewhere: checkOwnIncarnation enters Superseded from any phase, which is the
-// only way in which Serving ends, and TakeOver enters Serving directly.
+// wait for it. Two transitions are made elsewhere: TakeOver enters Serving directly, and checkOwnIncarnation enters
+// Superseded from any phase after EstablishingIdentity. No other transition ends Serving.
 func (s *StateMachine) advancePhase() {
 	for {
 		phase := s.phase
@@ -164,7 +164,7 @@
 // succeeded or all peers serve, or when the phase times out.
 func (s *StateMachine) advanceFromProbing() {
 	switch {
-	case s.admission.succeeded > 0:
+	case s.load.succeeded > 0:
 		s.enterPhase(SlowStart, "a request succeeded")
 	case s.outage == ThisDispatcherOnly:
 		s.enterPhase(SlowStart, "all peers serve")
@@ -177,7 +177,7 @@
 // out.
 func (s *StateMachine) advanceFromSlowStart() {
 	switch {
-	case s.admission.capacity.isWarm():
+	case s.load.capacity.isWarm():
 		s.enterPhase(Serving, "workers are warm")
 	case s.isDemandWithinCapacity():
 		s.enterPhase(Serving, "demand is within the workers' capacity")
--- a/internal/fleet/recovery/receive.go
+++ b/internal/fleet/recovery/receive.go
@@ -47,9 +47,9 @@
 	if !s.identity.established || !s.peers.isPeer(from) {
 		return false
 	}
-	isSender := msg.From == s.config.Members[from]
+	nameMatches := msg.From == s.config.Members[from]
 	knownPhase := msg.Phase <= uint8(Superseded)
-	return isSender && knownPhase
+	return nameMatches && knownPhase
 }
 
 // receiveQuery handles a query. The query shows that the peer is up, so if it has not answered yet, the backoff of
--- a/internal/fleet/recovery/statemachine.go
+++ b/internal/fleet/recovery/statemachine.go
@@ -63,7 +63,7 @@
 	identity  identity
 	endpoints endpointStatus
 	peers     peerTable
-	admission admission
+	load      loadTracker
 
 	nextHeartbeatAt time.Duration // 0 before the first heartbeat
 }
--- a/internal/fleet/recovery/statemachine_test.go
+++ b/internal/fleet/recovery/statemachine_test.go
@@ -19,7 +19,7 @@
 		SlowStartDuration: 13 * time.Second, QueryInterval: 100 * ms, DedupWindow: 40 * time.Second,
 		MaxRetryAfter: 2 * time.Second,
 	})
-	s.IdentityStored(0, incarnation, 100, previous)
+	s.IdentityEstablished(0, incarnation, 100, previous)
 	return s
 }
 
@@ -38,7 +38,7 @@
 	actions := s.TakeActions()
 	assert.Empty(t, actions.Messages)
 	assert.Empty(t, actions.Queries)
-	s.IdentityStored(700*ms, 1, 2, PreviousIncarnation{})
+	s.IdentityEstablished(700*ms, 1, 2, PreviousIncarnation{})
 	assert.Len(t, s.TakeActions().Messages, 1)
 }
 
--- a/internal/fleet/restore.go
+++ b/internal/fleet/restore.go
@@ -149,17 +149,18 @@
 	}
 }
 
-// readStoredCapacity returns, for each kind of worker, the highest number of concurrent requests in the stored state.
-func (n *Node) readStoredCapacity() map[string]float64 {
-	capacity := map[string]float64{}
+// readStoredMaxObserved returns, for each kind of worker, the highest number of concurrent requests of one worker that
+// the stored state records.
+func (n *Node) readStoredMaxObserved() map[string]float64 {
+	maxObserved := map[string]float64{}
 	snapshot, found := n.decodeStoredSnapshot()
 	if !found || len(snapshot.Learned) == 0 {
-		return capacity
+		return maxObserved
 	}
 	for kind, stats := range snapshot.Learned[0].Kinds { // the first shard represents all shards
 		if kind < len(snapshot.Kinds) && stats.MaxObserved > minObservedCapacity {
-			capacity[snapshot.Kinds[kind]] = stats.MaxObserved
+			maxObserved[snapshot.Kinds[kind]] = stats.MaxObserved
 		}
 	}
-	return capacity
+	return maxObserved
 }
--- a/internal/fleet/settings.go
+++ b/internal/fleet/settings.go
@@ -178,7 +178,7 @@
 			return settingError(addressKey, "%q is not an address with a port", member.Address)
 		}
 		if member.Name == "" || len(member.Name) > maxMemberNameBytes {
-			return settingError(nameKey, "must be a text of up to %d bytes", maxMemberNameBytes)
+			return settingError(nameKey, "must be 1 to %d bytes long", maxMemberNameBytes)
 		}
 		if other, taken := names[member.Name]; taken {
 			return settingError(nameKey, "%q is already the name of member[%d]", member.Name, other)
--- a/internal/fleet/simulate/clients.go
+++ b/internal/fleet/simulate/clients.go
@@ -33,7 +33,7 @@
 	}
 	switch draw := w.rng.Float64(); {
 	case draw < repeatShare && len(w.keys) > 0:
-		n.sendRepeat(w.keys[max(0, len(w.keys)-1-w.rng.IntN(recentKeyCount))])
+		n.checkRepeat(w.keys[max(0, len(w.keys)-1-w.rng.IntN(recentKeyCount))])
 	case draw < repeatShare+keyedShare:
 		zone := string(rune('a' + w.rng.IntN(zoneCount)))
 		key := sentKey{sum: uint64(len(w.keys) + 1), zone: zone, sentAt: w.now, sender: n.position}
@@ -87,14 +87,14 @@
 	repeatToGroup    = "group"
 )
 
-// sendRepeat sends a marked retry of a request, and checks the dedup group to which it is sent. If the request was
+// checkRepeat checks the dedup group to which a dispatcher would send a marked retry of a request. If the request was
 // sent before this dispatcher started, its repeat must be sent to the same dedup group or fail, for one dedup window.
-func (n *node) sendRepeat(key sentKey) {
+func (n *node) checkRepeat(key sentKey) {
 	found, err := n.keys.Find(recovery.KeyLookup{
 		Sum:            key.sum,
 		MarkedRetry:    true,
 		KeysIncomplete: n.machine.MayLackKeys(n.uptime()),
-		Now:            n.wallClock(),
+		UnixMillis:     n.wallClock(),
 		Uptime:         n.uptime(),
 	})
 	outcome := repeatToAnyGroup
--- a/internal/fleet/simulate/faults.go
+++ b/internal/fleet/simulate/faults.go
@@ -80,7 +80,7 @@
 func (w *world) scheduleFaults() time.Duration {
 	plan := w.drawFaultPlan()
 	plan.snapshots = make([]*store.Memory, len(w.nodes))
-	// The first fault comes after a dedup window, because until then the keys of a new fleet are suspect in any case.
+	// The first power loss occurs after a dedup window, because until then the keys of a new fleet are suspect anyway.
 	w.at(snapshotTime, func() {
 		for position, n := range w.nodes {
 			plan.snapshots[position] = n.disk.AfterPowerLoss(0)
--- a/internal/fleet/simulate/node.go
+++ b/internal/fleet/simulate/node.go
@@ -135,7 +135,7 @@
 	})
 	n.diskFailed = err != nil
 	n.incarnation = incarnation.Number
-	n.machine.IdentityStored(n.uptime(), incarnation.Number, nonce, recovery.NewPreviousIncarnation(recovered))
+	n.machine.IdentityEstablished(n.uptime(), incarnation.Number, nonce, recovery.NewPreviousIncarnation(recovered))
 }
 
 // losePower ends the process.
@@ -254,7 +254,7 @@
 // reply replies to a peer's query with this dispatcher's keys, observed concurrency and, if requested, workers.
 func (n *node) reply(query recovery.Query) {
 	local := recovery.LocalState{
-		Keys:        n.keys.ForPeers(n.wallClock(), n.uptime()),
+		Keys:        n.keys.UnexpiredOwnKeys(n.wallClock(), n.uptime()),
 		MaxObserved: map[string]float64{"std": observedSlots},
 	}
 	// The keys are sorted so that the contents of each part of the reply, and thus of lost parts, depend only on the
--- a/internal/fleet/store/journal.go
+++ b/internal/fleet/store/journal.go
@@ -32,7 +32,7 @@
 
 // keyBatch is a batch of keys that one sync makes durable.
 type keyBatch struct {
-	Incarnation uint64 `cbor:"1,keyasint"` // the incarnation that wrote the batch
+	Incarnation uint64 `cbor:"1,keyasint"` // number of the incarnation that wrote the batch, before RaiseIncarnation
 	First       uint64 `cbor:"2,keyasint"` // number of keys that the incarnation had persisted before this batch
 	Keys        []Key  `cbor:"3,keyasint"`
 }
