--- a/internal/admin/slots.go
+++ b/internal/admin/slots.go
@@ -87,7 +87,8 @@
 	return c
 }
 
-// pin prevents the eviction of a connection while its command is run and answered.
+// pin prevents the eviction of a connection, either while its command is run and answered or because its slot is being
+// released.
 func (s *connectionSlots) pin(c *connection) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/daemon/config.go
+++ b/internal/daemon/config.go
@@ -25,7 +25,8 @@
 var errConfigNotSet = errors.New(envConfig + ": not set; must be the path of the configuration file")
 
 // Config is the configuration of a dispatcher process. config_table.go lists the keys of its fields with their units,
-// defaults and ranges. A running process never modifies its Config: a reload replaces it, see process.
+// defaults and ranges. process.start sets the fields of Proxy that depend on the clock, the predecessor or the fleet
+// node. After that the process does not modify its Config: a reload replaces it, see process.
 type Config struct {
 	Name              string          // unique among the dispatchers
 	Listen            string          // address for clients
--- a/internal/daemon/config_check.go
+++ b/internal/daemon/config_check.go
@@ -10,9 +10,9 @@
 // Checks of settings that package settings accepts because the simulator may use such values, but that a dispatcher
 // with real connections must reject.
 
-// checkOperations rejects timeouts that are not positive and duplicate operation names.
+// checkOperations rejects latency objectives and client timeouts that are not positive, and duplicate operation names.
 func (r *configReader) checkOperations() {
-	first := map[string]int{}
+	indexByName := map[string]int{}
 	for n, operation := range r.root.GetArray("settings", "operations") {
 		path := fmt.Sprintf("settings.operations[%d]", n)
 		for _, key := range []string{"latencyObjectiveS", "clientTimeoutS"} {
@@ -21,10 +21,10 @@
 			}
 		}
 		name := string(operation.GetStringBytes("name"))
-		if previous, repeated := first[name]; repeated {
+		if previous, repeated := indexByName[name]; repeated {
 			r.reject(path+".name", "%q is already the name of settings.operations[%d]", name, previous)
 		}
-		first[name] = n
+		indexByName[name] = n
 	}
 }
 
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -25,8 +25,8 @@
 // Main runs a dispatcher until a signal stops it, and returns the exit code of the process.
 func Main() int {
 	// This must be the first step: a signal without a handler would kill the process.
-	received := notifySignals()
-	defer received.close()
+	pendingSignals := notifySignals()
+	defer pendingSignals.close()
 	zerolog.TimeFieldFormat = zerolog.TimeFormatUnixMs
 	log := zerolog.New(os.Stderr).With().Timestamp().Logger()
 	config, err := ReadConfig(os.Getenv)
@@ -35,7 +35,7 @@
 		return exitBadConfig
 	}
 	reload := func() (*Config, error) { return ReloadConfig(os.Getenv) }
-	if err := serve(config, reload, received, log.With().Str("name", config.Name).Logger()); err != nil {
+	if err := serve(config, reload, pendingSignals, log.With().Str("name", config.Name).Logger()); err != nil {
 		log.Error().Err(err).Msg("process failed")
 		return exitFailure
 	}
@@ -44,8 +44,8 @@
 
 // serve runs a dispatcher until a signal stops it or one of its parts fails. It returns after all admitted requests
 // have been answered or handed over. reload reads the configuration again.
-func serve(config *Config, reload func() (*Config, error), received *signals, log zerolog.Logger) error {
-	p := &process{config: config, readConfig: reload, signals: received, log: log}
+func serve(config *Config, reload func() (*Config, error), pendingSignals *signals, log zerolog.Logger) error {
+	p := &process{config: config, readConfig: reload, signals: pendingSignals, log: log}
 	defer p.disconnectPredecessor()
 	if err := p.start(); err != nil {
 		return err
--- a/internal/daemon/hot_restart.go
+++ b/internal/daemon/hot_restart.go
@@ -102,12 +102,12 @@
 // done.
 func (h *hotRestart) run(ctx context.Context) error {
 	listener := hotrestart.Listener{
-		ControlSocket: h.controlSocket,
-		Sockets:       h.sharedSockets,
-		Snapshot:      func() any { return h.proxy.Snapshot() },
-		Serve:         h.handleSuccessor,
-		IsStopping:    h.isStopping,
-		Log:           h.log,
+		ControlSocket:   h.controlSocket,
+		Sockets:         h.sharedSockets,
+		Snapshot:        func() any { return h.proxy.Snapshot() },
+		HandleSuccessor: h.handleSuccessor,
+		IsStopping:      h.isStopping,
+		Log:             h.log,
 	}
 	var g errgroup.Group
 	g.Go(func() error { return listener.Run(ctx) })
--- a/internal/daemon/process.go
+++ b/internal/daemon/process.go
@@ -49,8 +49,8 @@
 	adminServer  *admin.Server // set by step 8; nil if there is no admin address
 }
 
-// start opens the sockets and creates the parts. It starts none of the goroutines that run starts. The order of the
-// steps is fixed, because each one uses the results of earlier ones:
+// start opens the sockets and creates the parts; run starts their goroutines. The order of the steps is fixed, because
+// each one uses the results of earlier ones:
 //
 //  1. The resource limits apply to the pool, the server and the heap.
 //  2. The balancer and the pool need the limits and the clock.
@@ -178,30 +178,31 @@
 }
 
 // run runs each part in a goroutine until a signal stops the process or a part fails. Two contexts stop the parts in
-// order: canceling accepting stops the server from accepting connections; canceling working stops the other parts.
-// working is canceled when the server has closed its last connection, because requests in flight need the other parts
-// until then. If a part fails, handleSignals cancels accepting, and the process stops.
+// order: canceling acceptContext stops the server from accepting connections; canceling partsContext stops the other
+// parts. partsContext is canceled when the server has closed its last connection, because requests in flight need the
+// other parts until then. If a part fails, failureContext is canceled, handleSignals cancels acceptContext, and the
+// process stops.
 func (p *process) run() error {
-	accepting, stopAccepting := context.WithCancel(context.Background())
-	working, stopWorking := context.WithCancel(context.Background())
+	acceptContext, stopAccepting := context.WithCancel(context.Background())
+	partsContext, stopWorking := context.WithCancel(context.Background())
 	defer stopAccepting()
 	defer stopWorking()
-	g, failed := errgroup.WithContext(context.Background())
+	g, failureContext := errgroup.WithContext(context.Background())
 	g.Go(func() error {
 		defer stopWorking()
-		return p.server.Run(accepting)
+		return p.server.Run(acceptContext)
 	})
-	g.Go(func() error { return p.proxy.Run(working) })
-	g.Go(func() error { return p.pool.Run(working) })
-	g.Go(func() error { return p.server.FollowLifecycle(working) })
+	g.Go(func() error { return p.proxy.Run(partsContext) })
+	g.Go(func() error { return p.pool.Run(partsContext) })
+	g.Go(func() error { return p.server.FollowLifecycle(partsContext) })
 	if p.node != nil {
-		g.Go(func() error { return p.node.Run(working) })
+		g.Go(func() error { return p.node.Run(partsContext) })
 	}
 	if p.adminServer != nil {
-		g.Go(func() error { return p.adminServer.Run(working) })
-		g.Go(func() error { return p.restart.run(working) })
+		g.Go(func() error { return p.adminServer.Run(partsContext) })
+		g.Go(func() error { return p.restart.run(partsContext) })
 	}
-	g.Go(func() error { return p.handleSignals(failed, working, stopAccepting) })
+	g.Go(func() error { return p.handleSignals(failureContext, partsContext, stopAccepting) })
 	err := g.Wait() // the error of the first part that failed
 	p.proxy.LogCounters("exit")
 	return err
--- a/internal/daemon/recovery.go
+++ b/internal/daemon/recovery.go
@@ -59,9 +59,9 @@
 }
 
 // attachNode attaches the parts whose state the node restores. It must be called before any part runs.
-func attachNode(node *fleet.Node, requests *proxy.Proxy, shards *balancer.Shards, state *lifecycle.State) {
-	node.Attach(requests, shards)
-	if _, endpoints := requests.Endpoints(); len(endpoints) > 0 {
+func attachNode(node *fleet.Node, requestProxy *proxy.Proxy, shards *balancer.Shards, state *lifecycle.State) {
+	node.Attach(requestProxy, shards)
+	if _, endpoints := requestProxy.Endpoints(); len(endpoints) > 0 {
 		node.StoredEndpointsLoaded()
 	}
 	if node.Drained() { // a drain by LEAVE persists across restarts until JOIN
--- a/internal/daemon/shutdown.go
+++ b/internal/daemon/shutdown.go
@@ -29,19 +29,19 @@
 //  5. After responseTime and closeMargin the server closes all remaining connections, regardless of their state.
 //
 // When the last connection is closed, the other parts stop, see process.run. Step 5 precedes the platform's SIGKILL.
-func (p *process) shutDown(failed context.Context) {
+func (p *process) shutDown(failureContext context.Context) {
 	responseTime := min(p.config.MaxClientTimeout, maxShutdownClientTimeout) + responseMargin
 	p.state.Stop(time.Now())
 	p.server.CloseAllAfter(responseTime + closeMargin)
-	migrates := p.restart.exportRequests()
-	if !migrates {
+	hasSuccessor := p.restart.exportRequests()
+	if !hasSuccessor {
 		p.proxy.SetStopTimeout(responseTime)
 	}
 	select {
 	case <-time.After(acceptDuration):
-	case <-failed.Done():
+	case <-failureContext.Done():
 	}
-	if migrates {
+	if hasSuccessor {
 		p.proxy.SetStopTimeout(responseTime - acceptDuration)
 	}
 }
--- a/internal/daemon/signals.go
+++ b/internal/daemon/signals.go
@@ -40,14 +40,14 @@
 }
 
 // handleSignals handles signals sequentially, in the goroutine that owns the configuration. It returns after the first
-// SIGTERM or SIGINT, when a part of the process has failed, or when working is done. stopAccepting stops the server
-// from accepting client connections.
-func (p *process) handleSignals(failed, working context.Context, stopAccepting context.CancelFunc) error {
+// SIGTERM or SIGINT, when failureContext is done because a part of the process has failed, or when partsContext is done.
+// stopAccepting stops the server from accepting client connections.
+func (p *process) handleSignals(failureContext, partsContext context.Context, stopAccepting context.CancelFunc) error {
 	for {
 		select {
-		case <-working.Done():
+		case <-partsContext.Done():
 			return nil
-		case <-failed.Done():
+		case <-failureContext.Done():
 			stopAccepting()
 			return nil
 		case <-p.signals.logCounters:
@@ -56,7 +56,7 @@
 			p.reload()
 		case s := <-p.signals.stop:
 			p.log.Info().Str("signal", s.String()).Msg("draining")
-			p.shutDown(failed)
+			p.shutDown(failureContext)
 			stopAccepting()
 			return nil
 		}
--- a/internal/discovery/helpers_test.go
+++ b/internal/discovery/helpers_test.go
@@ -54,7 +54,7 @@
 	config := Config{Address: address, DialTimeout: func() time.Duration { return time.Second }}
 	w := NewWatcher(config, newTable(), shards, pool, zerolog.Nop())
 	endpoint := protocol.Endpoint{ID: "w", Address: workerAddress, State: protocol.Ready}
-	w.Seed(&protocol.EndpointList{Version: 7, Complete: true, Endpoints: []protocol.Endpoint{endpoint}}, nil)
+	w.ApplyInitialList(&protocol.EndpointList{Version: 7, Complete: true, Endpoints: []protocol.Endpoint{endpoint}}, nil)
 	return w
 }
 
--- a/internal/discovery/table.go
+++ b/internal/discovery/table.go
@@ -31,7 +31,7 @@
 // worker is a row of the table.
 type worker struct {
 	tag       uint16            // identifies the worker in messages between dispatchers
-	startedAt balancer.Time     // the latest listed start time; 0 means long ago
+	startedAt balancer.Time     // the latest listed start time; 0 if none was listed
 	endpoint  protocol.Endpoint // as last listed, with the last known address
 }
 
@@ -40,8 +40,8 @@
 // OutdatedAddress is an address whose idle connections must no longer be used.
 type OutdatedAddress struct {
 	Address string // host and port
-	// StartedAt is the start time of the process that now listens at the address. Earlier connections, including those
-	// in use, were opened to its predecessor. StartedAt is zero if the process is the same.
+	// StartedAt is the worker's start time if it is later than the one listed before, and zero otherwise. Connections
+	// that were opened earlier, including those in use, belong to a previous process of the worker.
 	StartedAt time.Time
 }
 
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -87,7 +87,7 @@
 	if line := reader.Remainder(); readErr != nil && applyErr == nil && len(line) > 0 {
 		w.applyTruncatedLine(line)
 	}
-	return classifyWatchEnd(ctx, readErr, applyErr)
+	return newWatchOutcome(ctx, readErr, applyErr)
 }
 
 // applyLines applies the complete lines received so far and stops at the first malformed one. Only a complete line
--- a/internal/discovery/watch_end.go
+++ b/internal/discovery/watch_end.go
@@ -97,9 +97,9 @@
 	err         error                 // nil if this process ended the watch
 }
 
-// classifyWatchEnd classifies the end of an open watch, whose context is ctx. readErr is the error of reading from the
+// newWatchOutcome classifies the end of an open watch, whose context is ctx. readErr is the error of reading from the
 // connection, or nil after a complete response. applyErr is nil unless a line was malformed or too long.
-func classifyWatchEnd(ctx context.Context, readErr, applyErr error) watchOutcome {
+func newWatchOutcome(ctx context.Context, readErr, applyErr error) watchOutcome {
 	switch {
 	case errors.Is(context.Cause(ctx), errAddressChanged):
 		return watchOutcome{closeReason: transport.Stale}
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -92,9 +92,9 @@
 // than maxFirstPollWait in a process that already has a list.
 func (w *Watcher) FirstPollWaitEnded() bool { return w.firstPollWaitEnded.Load() }
 
-// Seed applies a complete list that was obtained before the first poll. zones are the names of its zones in the order
-// of their numbers, or nil if the zones may be numbered anew.
-func (w *Watcher) Seed(list *protocol.EndpointList, zones []string) {
+// ApplyInitialList applies a complete list that was obtained before the first poll. zones are the names of its zones in
+// the order of their numbers, or nil if the zones may be numbered anew.
+func (w *Watcher) ApplyInitialList(list *protocol.EndpointList, zones []string) {
 	w.table.addZones(zones)
 	endpoints, _ := w.table.Update(list)
 	w.balancer.UpdateEndpoints(endpoints, balancer.AllEndpoints, balancer.NotFromDiscovery)
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -1,10 +1,11 @@
 // Package gossip exchanges load between dispatchers in datagrams: the number of attempts that each dispatcher has in
 // flight at each worker.
 //
-// A datagram without loads is a hello. Its sender has just started, or still has no information about the time before
-// its start. Datagrams may be lost. Loads that arrive after a datagram with a later timestamp are dropped. The balancer
-// decides which loads are sent to which peer, and receives the loads of the peers. The package identifies workers only
-// by their tags.
+// A datagram without loads is a hello. A process sends hellos when it starts, unless it replaces a predecessor. It also
+// replies to a hello with a hello while it is isolated, which means that since its start it has received no load from
+// an older peer and no answer to a poll of the endpoint list. Datagrams may be lost. Loads that arrive after a datagram
+// with a later timestamp are dropped. The balancer decides which loads are sent to which peer, and receives the loads
+// of the peers. The package identifies workers only by their tags.
 //
 // A peer is a shard of a process; a process with one shard is one peer.
 package gossip
@@ -24,8 +25,9 @@
 )
 
 const (
-	// maxReorderMillis is the age, relative to the latest datagram, from which a datagram no longer counts as
-	// reordered. Timestamps have 16 bits, so a greater age means that the sender restarted or was silent.
+	// maxReorderMillis is the age, relative to the latest datagram, below which loads are dropped as reordered. Loads
+	// that appear to be older are accepted: timestamps have 16 bits and wrap around, so a greater age means that the
+	// sender restarted or was silent.
 	maxReorderMillis = 4000
 	// helloReplyInterval is the minimum interval between two replies to hellos from the same process.
 	helloReplyInterval = time.Second
--- a/internal/hotrestart/hotrestart_test.go
+++ b/internal/hotrestart/hotrestart_test.go
@@ -28,7 +28,7 @@
 		IsStopping:    func() bool { return false },
 		Sockets:       func() []Socket { return []Socket{{ClientSocket, shared}} },
 		Snapshot:      func() any { return "known" },
-		Serve: func(ctx context.Context, l *Link) {
+		HandleSuccessor: func(ctx context.Context, l *Link) {
 			defer context.AfterFunc(ctx, l.Close)()
 			connected <- l
 			_ = l.Receive(Handler{SiblingUpdate: func(b json.RawMessage) { _ = l.SendSiblingUpdate(b) }})
--- a/internal/hotrestart/link.go
+++ b/internal/hotrestart/link.go
@@ -93,12 +93,12 @@
 	if len(descriptors) > 0 {
 		n, _, err := l.conn.WriteMsgUnix(line, unix.UnixRights(descriptors...), nil)
 		if err != nil {
-			return fmt.Errorf("hot restart: %w", err)
+			return fmt.Errorf("hot restart: sending sockets: %w", err)
 		}
 		line = line[n:]
 	}
 	if _, err := l.conn.Write(line); err != nil {
-		return fmt.Errorf("hot restart: %w", err)
+		return fmt.Errorf("hot restart: sending a message: %w", err)
 	}
 	return nil
 }
@@ -111,7 +111,7 @@
 	}
 	raw, err := sockets[0].Conn.SyscallConn()
 	if err != nil {
-		return fmt.Errorf("hot restart: %w", err)
+		return fmt.Errorf("hot restart: accessing a socket to send: %w", err)
 	}
 	var useErr error
 	controlErr := raw.Control(func(fd uintptr) {
@@ -159,7 +159,7 @@
 		case err == nil:
 			return line, nil
 		case !errors.Is(err, bufio.ErrBufferFull):
-			return nil, fmt.Errorf("hot restart: %w", err)
+			return nil, fmt.Errorf("hot restart: receiving a message: %w", err)
 		case len(line) > maxMessageBytes:
 			return nil, fmt.Errorf("%w: line longer than %d bytes", ErrVersionMismatch, maxMessageBytes)
 		}
@@ -196,8 +196,8 @@
 	SiblingUpdate func(json.RawMessage) // an update on the other process, such as its requests in flight
 	Command       func(string)          // an operator's command, forwarded by the predecessor
 
-	// Request receives a request in flight that the predecessor hands over, and its sockets by name: ClientSocket, and
-	// the numbers of the attempts. It must close the files.
+	// Request receives a request in flight that the predecessor hands over, and its sockets by name: ClientSocket for
+	// the client's connection, and the numbers of the attempts. It must close the files.
 	Request func(json.RawMessage, map[string]*os.File)
 }
 
--- a/internal/hotrestart/listener.go
+++ b/internal/hotrestart/listener.go
@@ -28,14 +28,15 @@
 	IsStopping    func() bool     // reports whether this process is stopping and must not listen again
 	Log           zerolog.Logger
 
-	// Serve is called with the link to each successor that has received the sockets and the snapshot. It must return
-	// when the link ends, and close the link when ctx is done.
-	Serve func(ctx context.Context, l *Link)
+	// HandleSuccessor is called with the link to each successor that has received the sockets and the snapshot. It must
+	// return when the link ends, and close the link when ctx is done.
+	HandleSuccessor func(ctx context.Context, l *Link)
 }
 
-// Run serves one successor after another, so that another one may connect if one fails to start. It returns when ctx is
-// done, or when a successor has replaced the control socket and this process is stopping. If this process cannot listen
-// on the control socket, Run logs the error and returns nil. A later process then starts without the state of this one.
+// Run accepts one successor after another, so that another one may connect if one fails to start. It returns when ctx
+// is done, or when a successor has replaced the control socket and this process is stopping. If this process cannot
+// listen on the control socket, Run logs the error and returns nil. A later process then starts without the state of
+// this one.
 func (l *Listener) Run(ctx context.Context) error {
 	for ctx.Err() == nil && !l.IsStopping() {
 		ln, err := l.ControlSocket.listen() // listens again if a successor had replaced the socket and exited
@@ -48,8 +49,8 @@
 	return nil
 }
 
-// acceptSuccessors serves successors until ctx is done, or until another process has replaced the control socket: a
-// serving successor listens there itself.
+// acceptSuccessors accepts successors and handles them sequentially. It returns when ctx is done, or when another
+// process has replaced the control socket: a successor that is serving listens on the control socket itself.
 func (l *Listener) acceptSuccessors(ctx context.Context, ln *net.UnixListener) {
 	defer context.AfterFunc(ctx, func() { ln.Close() })()
 	defer ln.Close()
@@ -64,16 +65,16 @@
 			time.Sleep(acceptRetryDelay)
 			continue
 		}
-		if err := l.serveSuccessor(ctx, conn); err != nil {
+		if err := l.handleSuccessor(ctx, conn); err != nil {
 			l.Log.Warn().Err(err).Msg("successor rejected")
 		}
 		conn.Close()
 	}
 }
 
-// serveSuccessor performs the handshake of a predecessor and then passes the link to Serve. It returns ErrOtherUser,
-// ErrVersionMismatch or the error of the connection.
-func (l *Listener) serveSuccessor(ctx context.Context, conn *net.UnixConn) error {
+// handleSuccessor performs the handshake of a predecessor and then passes the link to HandleSuccessor. It returns
+// ErrOtherUser, ErrVersionMismatch or the error of the connection.
+func (l *Listener) handleSuccessor(ctx context.Context, conn *net.UnixConn) error {
 	link, err := newHandshakeLink(conn)
 	if err != nil {
 		return err
@@ -93,6 +94,6 @@
 	if err := link.send(message{Version: protocolVersion, Snapshot: snapshot}, l.Sockets()...); err != nil {
 		return err
 	}
-	l.Serve(ctx, link)
+	l.HandleSuccessor(ctx, link)
 	return nil
 }
--- a/internal/hotrestart/message.go
+++ b/internal/hotrestart/message.go
@@ -33,8 +33,11 @@
 
 // Names of the sockets that are handed over. The socket of an attempt is named by the number of the attempt.
 const (
+	// ClientSocket is the name of the client listener in the message with the snapshot, and of the client's connection
+	// in a message with a request.
 	ClientSocket = "clients"
-	PeerSocket   = "peers"
+	// PeerSocket is the name of the gossip socket.
+	PeerSocket = "peers"
 )
 
 // message is one line of the protocol. The keys on the wire keep older terms than the fields. A field that is not sent
@@ -88,7 +91,7 @@
 func marshal(v any) (json.RawMessage, error) {
 	text, err := json.Marshal(v)
 	if err != nil {
-		return nil, fmt.Errorf("hot restart: %w", err)
+		return nil, fmt.Errorf("hot restart: encoding a message: %w", err)
 	}
 	return text, nil
 }
--- a/internal/lifecycle/phase.go
+++ b/internal/lifecycle/phase.go
@@ -10,7 +10,7 @@
 //     StoppingHandedOff.
 //   - BeginClosing: from any phase to Closing.
 //
-// In a phase that its line does not name, a method changes nothing. A process that is stopping never serves again.
+// A method has no effect in phases that its line does not list. A process that is stopping never returns to Serving.
 type Phase uint8
 
 // The values of Phase, in the order of phaseNames. The quoted names are those that operators read.
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -130,7 +130,7 @@
 		p.log.Warn().Err(err).Msg("snapshot not restored")
 	}
 	if p.config.InitialEndpoints != nil && !isSuccessor {
-		p.discovery.Seed(p.config.InitialEndpoints, nil)
+		p.discovery.ApplyInitialList(p.config.InitialEndpoints, nil)
 	}
 	return isSuccessor
 }
--- a/internal/proxy/snapshot.go
+++ b/internal/proxy/snapshot.go
@@ -58,7 +58,7 @@
 		return false, nil
 	}
 	list := protocol.EndpointList{Version: s.Version, Complete: true, Endpoints: s.Endpoints}
-	p.discovery.Seed(&list, s.Zones)
+	p.discovery.ApplyInitialList(&list, s.Zones)
 	p.alignValues(s)
 	if !p.balancer.RestoreFromPredecessor(s.Learned) {
 		p.log.Warn().Int("instances", len(s.Learned)).Msg("snapshot not restored: number of shards differs")
