--- a/internal/balancer/attempt_events.go
+++ b/internal/balancer/attempt_events.go
@@ -3,7 +3,8 @@
 import "canvasroute/internal/balancer/slotestimate"
 
 // AttemptStarted records that a worker has started an attempt. It has no effect if start notices are not configured:
-// the attempt was never counted as unstarted, so counting it as started would exclude its worker permanently.
+// the attempt was not counted as unstarted when it was sent, so the number of unstarted attempts would become negative.
+// Such a miscount once excluded every worker permanently after its first attempt.
 func (b *Balancer) AttemptStarted(id RequestID, number int) {
 	started := &b.requests.get(id).attempts[number]
 	if !b.config.startNotices || !started.inFlight || started.startedAt != notYet {
@@ -51,9 +52,9 @@
 	}
 }
 
-// observeOutcome updates the state of the worker from an outcome. Other outcomes are ignored because they show nothing
-// about the worker: a timeout or a cancellation may be due to the request, and a reused connection may close although
-// its worker is healthy.
+// observeOutcome updates the state of the worker from an outcome. TimedOut, Canceled, NotSent and ConnectionStale are
+// ignored because they show nothing about the worker: a timeout or a cancellation may be due to the request, and a
+// reused connection may close although its worker is healthy.
 func (b *Balancer) observeOutcome(req *request, ended *attempt, outcome Outcome) {
 	switch outcome {
 	case Succeeded:
--- a/internal/balancer/capacity.go
+++ b/internal/balancer/capacity.go
@@ -1,13 +1,14 @@
 package balancer
 
-// Capacity describes how many attempts the healthy workers that are not ejected can run at once.
+// Capacity describes how many attempts the healthy workers that are not individually ejected can run at once. It
+// includes the workers of an ejected zone, which WorkerCounts counts as ejected.
 type Capacity struct {
-	Workers      int     // healthy workers that are not ejected
+	Workers      int     // healthy workers that are not individually ejected
 	WarmSlots    float64 // their slots once all of them are warm
 	CurrentSlots float64 // their slots at the current warm-up factors
 }
 
-// capacity returns the capacity of the healthy workers that are not ejected.
+// capacity returns the capacity of the healthy workers that are not individually ejected.
 func (b *Balancer) capacity() (total Capacity) {
 	for _, id := range b.subsetting.ring {
 		w := &b.workers[id]
@@ -22,13 +23,14 @@
 	return total
 }
 
-// MaxObserved returns the most attempts that the first shard has observed running at once at a worker, by KindID.
-func (s *Shards) MaxObserved() (slots []float64) {
+// MaxObservedSlots returns the most attempts that the first shard has observed running at once at a worker, by KindID.
+func (s *Shards) MaxObservedSlots() (slots []float64) {
 	s.firstPicker().read(func(b *Balancer) { slots = b.maxObserved() })
 	return slots
 }
 
-// Capacity returns the capacity of the healthy workers that are not ejected, by the state of the first shard.
+// Capacity returns the capacity of the healthy workers that are not individually ejected, according to the first
+// shard.
 func (s *Shards) Capacity() (total Capacity) {
 	s.firstPicker().read(func(b *Balancer) { total = b.capacity() })
 	return total
--- a/internal/balancer/config.go
+++ b/internal/balancer/config.go
@@ -21,14 +21,15 @@
 	LoadReports LoadReportConfig
 }
 
-// OperationConfig is the configuration of one operation.
+// OperationConfig is the configuration of one operation. The latency objective of a request is LatencyObjective plus
+// Stretch times its size. An answer that takes longer is late.
 type OperationConfig struct {
 	Name             string   // identifies it across configurations
-	LatencyObjective Duration // an answer that takes longer is late
+	LatencyObjective Duration // latency objective of a request of size 0
 	DedupWindow      Duration // duration for which workers remember the key of a request; 0 if they do not
 	Value            float64  // of an answer that meets the objective
 	LateShare        float64  // share of the value that a late answer has, 0 to 1
-	Stretch          float64  // the objective grows by this multiple of the size: 1 for the run itself; less counts as 1
+	Stretch          float64  // multiple of the size that is added to LatencyObjective; less than 1 counts as 1
 	Idempotency      Idempotency
 	DedupScope       DedupScope
 	Kind             KindID // the kind of worker that runs it, or AnyKind
@@ -42,7 +43,7 @@
 
 // TenantConfig is the configuration of one tenant.
 type TenantConfig struct {
-	Quota float64 // requests per second over all dispatchers that have full weight; infinite for no quota
+	Quota float64 // rate of requests that have full weight, per second, summed over all dispatchers; infinite for no quota
 	Name  string  // identifies it across configurations
 }
 
--- a/internal/balancer/derived_config.go
+++ b/internal/balancer/derived_config.go
@@ -6,11 +6,11 @@
 )
 
 const (
-	// marginGranules is the safety margin before a deadline in multiples of the platform's scheduling granularity, in
-	// addition to one millisecond.
-	marginGranules = 2
-	// worstOperationShare is the part of its weight in the objective function that the operation with the largest loss
-	// gets. Losses occur in bursts, and one burst must not dominate priorities for long.
+	// marginGranularities is the safety margin before a deadline in multiples of the platform's scheduling granularity,
+	// in addition to one millisecond.
+	marginGranularities = 2
+	// worstOperationShare is the share of ObjectiveConfig.WorstOperationWeight that is applied to priorities. Losses
+	// occur in bursts, and one burst must not dominate priorities for long.
 	worstOperationShare = 0.5
 )
 
@@ -41,7 +41,7 @@
 	// Limits, costs and weights.
 	maxAttempts          int
 	startTimeout         Duration // how long an attempt may stay unstarted; also the maximum review interval
-	timingMargin         Duration // kept before deadlines and for messages in transit, because both may be late
+	timingMargin         Duration // before deadlines, and for messages in transit: timers and messages may be late
 	overQuotaWeight      float64  // weight of a request beyond its tenant's quota
 	crossZoneCost        float64  // cost of an attempt in another zone
 	worstOperationWeight float64  // added to the value of the operation with the largest loss
@@ -78,7 +78,7 @@
 
 		maxAttempts:          config.Attempts.Max,
 		startTimeout:         forever,
-		timingMargin:         marginGranules*config.Granularity + tick.Millisecond,
+		timingMargin:         marginGranularities*config.Granularity + tick.Millisecond,
 		overQuotaWeight:      config.Quotas.OverQuotaWeight,
 		crossZoneCost:        config.Objective.CrossZoneCost,
 		worstOperationWeight: config.Objective.WorstOperationWeight * worstOperationShare,
@@ -106,7 +106,7 @@
 }
 
 // dispatchersPerWorker returns the number of dispatchers that use the same worker: all of them, unless gossip messages
-// to all of them about each attempt would cost more than they are worth.
+// to all of them about each attempt would cost more than maxGossipShare of the value of a request.
 func dispatchersPerWorker(config Config, gossiping bool) int {
 	if !gossiping || config.Gossip.MessageCost <= 0 {
 		return config.Dispatchers
--- a/internal/balancer/eligibility.go
+++ b/internal/balancer/eligibility.go
@@ -101,7 +101,7 @@
 	if req.late || b.sizes.Median() == 0 {
 		return false
 	}
-	extraShare := 1/b.warmupFactor(id) - 1 - op.slack // additional run time, as a share of the size
+	extraShare := 1/b.warmupFactor(id) - 1 - op.slack // run time beyond Stretch times the size, as a share of the size
 	inTime := float64(req.size)*extraShare <= float64(op.latencyObjective)
 	return !inTime
 }
--- a/internal/balancer/gossip.go
+++ b/internal/balancer/gossip.go
@@ -65,8 +65,8 @@
 	g.seniorPeers[from] = false
 }
 
-// recordPeer records any other message from a peer. It marks the peer as senior unless the peer is known to have
-// started later than this dispatcher.
+// recordPeer records that a peer is running. It marks the peer as senior unless recordJuniorPeer has recorded that the
+// peer started later than this dispatcher.
 func (g *gossip) recordPeer(from PeerID) {
 	g.ensurePeer(from)
 	g.seniorPeers[from] = !g.juniorPeers[from]
--- a/internal/balancer/hints.go
+++ b/internal/balancer/hints.go
@@ -7,7 +7,8 @@
 	// worker is warm.
 	verifiedPace = 0.7
 
-	// hintConfidence is the share of the additional waiting time allowed by a hint that is treated as certain.
+	// hintConfidence is the share of the slack implied by a hint (operation.slack times the size) that is relied on: a
+	// request may wait at a worker for this much longer than its latest start before it is rejected.
 	hintConfidence = 0.5
 
 	// stopConfidence is the share of the time left until the process exits that a request may need according to its hint.
--- a/internal/balancer/migration.go
+++ b/internal/balancer/migration.go
@@ -179,8 +179,8 @@
 // operation is assigned an ID at all shards: otherwise the shards would assign different IDs to the operations of the
 // next configuration.
 func (s *Shards) Import(migrated MigratedRequest) (*RequestHandle, []context.Context) {
-	s.reconfiguring.Lock()
-	defer s.reconfiguring.Unlock()
+	s.operationIDsMu.Lock()
+	defer s.operationIDsMu.Unlock()
 	s.updateAll(func(b *Balancer) { b.operations.findOrAdd(migrated.operation()) })
 	return s.nextPicker().Import(migrated)
 }
--- a/internal/balancer/open_requests.go
+++ b/internal/balancer/open_requests.go
@@ -16,7 +16,7 @@
 	late   bool // it can no longer meet its objective
 
 	quotaWeight       float64 // 1 within its tenant's quota, less beyond it
-	latestStart       Time    // latest start that may meet the latency objective, which grows by the run time
+	latestStart       Time    // latest start that meets the objective without slack: LatencyObjective after the first try
 	startWaitDeadline Time    // latest start that the request waits for: see Balancer.startWaitDeadline
 	deadline          Time    // latest time of the final answer
 
--- a/internal/balancer/operations.go
+++ b/internal/balancer/operations.go
@@ -27,7 +27,7 @@
 	dedupWindow      Duration
 	retryAfter       Duration // Retry-After for rejected clients, 0 for none
 	value            float64  // of an answer that meets the objective
-	slack            float64  // in addition to the run time, the objective grows by this multiple of the size
+	slack            float64  // OperationConfig.Stretch minus 1, at least 0
 	idempotency      Idempotency
 	dedupScope       DedupScope
 	kind             KindID // the kind of worker that runs it, or AnyKind
--- a/internal/balancer/outlier/outlier.go
+++ b/internal/balancer/outlier/outlier.go
@@ -8,8 +8,9 @@
 import "canvasroute/internal/balancer/tick"
 
 const (
-	// initialEjection is the duration of an ejection at the first counted failure. Each further failure doubles it, and
-	// so does a first failure that causes no ejection: a worker ejected at its second failure is ejected for 2 seconds.
+	// initialEjection is the duration of an ejection of a worker at its first consecutive failure, and of a zone at the
+	// failure that reaches ZoneThreshold. Each further counted failure doubles the duration. A worker's first failure
+	// counts even if it causes no ejection, so an ejection at the second failure always lasts 2 seconds.
 	initialEjection      = tick.Duration(tick.Second)
 	maxEjectionDoublings = 3
 
--- a/internal/balancer/picker.go
+++ b/internal/balancer/picker.go
@@ -19,7 +19,8 @@
 	RespondElsewhere                   // send no response: another process continues the request
 )
 
-// Decision is the result of a call to Pick.
+// Decision is the result of a call to Pick. Each field except Action is set only for the actions that its comment
+// names.
 type Decision struct {
 	Action      Action
 	Worker      WorkerID        // of SendAttempt
@@ -51,13 +52,13 @@
 	clock    func() Time
 	log      func(Event)
 
-	handles   []*RequestHandle // by RequestID; nil if the ID is free
-	freeIDs   []RequestID
-	openCount int
-	siblings  [siblingRoleCount]inFlightByWorker // attempts in flight as last reported by each sibling
-	stopAt    Time                               // latest time for an answer; never, unless the process is stopping
-	lifetime  context.Context
-	cancelAll context.CancelCauseFunc
+	handles         []*RequestHandle // by RequestID; nil if the ID is free
+	freeIDs         []RequestID
+	openCount       int
+	siblingInFlight [siblingRoleCount]inFlightByWorker // attempts in flight as last reported by each sibling
+	stopAt          Time                               // latest time for an answer; never, unless the process is stopping
+	lifetime        context.Context
+	cancelAll       context.CancelCauseFunc
 
 	wakeKey     uint64
 	wakeAt      Time
@@ -179,8 +180,9 @@
 // longer needed. Otherwise the process would keep running until the deadlines of its clients.
 func (p *Picker) CancelAll() { p.cancelAll(ErrAttemptCanceled) }
 
-// WouldMissStopDeadline reports whether a request that arrives now may not complete before the process exits: according
-// to its size hint, or to the median size without one, it needs more than stopConfidence of the time that is left.
+// WouldMissStopDeadline reports whether a request that arrives now might not complete before the process exits:
+// according to its size hint, or to the median size without one, it needs more than stopConfidence of the time that is
+// left.
 func (p *Picker) WouldMissStopDeadline(arrival Arrival) (misses bool) {
 	p.read(func(b *Balancer) {
 		size := arrival.size()
@@ -209,8 +211,8 @@
 	}
 }
 
-// NextProbe blocks until a worker is due to be probed. It returns the error of ctx if that is done first.
-func (p *Picker) NextProbe(ctx context.Context) (WorkerID, error) {
+// NextLoadProbe blocks until a worker is due to be probed. It returns the error of ctx if that is done first.
+func (p *Picker) NextLoadProbe(ctx context.Context) (WorkerID, error) {
 	select {
 	case id := <-p.probes:
 		return id, nil
@@ -285,9 +287,9 @@
 	p.openCount--
 }
 
-// sendDeadline returns the time when the dedup window closes for the latest attempt of a request, or zero for no limit.
-// Without this limit, an attempt that is decided on within the window could be sent after it if its connection is
-// established late.
+// sendDeadline returns the time by which the latest attempt of a request must be sent, or zero for no limit: the time
+// when the dedup window of the first earlier attempt that may run closes. Without this limit, an attempt that is decided
+// on within the window could be sent after it if its connection is established late.
 func (p *Picker) sendDeadline(id RequestID) time.Time {
 	var noLimit time.Time
 	b := p.balancer
--- a/internal/balancer/picker_bench_test.go
+++ b/internal/balancer/picker_bench_test.go
@@ -61,7 +61,7 @@
 		b.Fatal("no attempt: ", decision, err)
 	}
 	handle.ReportStarted(decision.Attempt)
-	handle.Report(decision.Attempt, Succeeded)
+	handle.ReportOutcome(decision.Attempt, Succeeded)
 	decision, err = handle.Pick(context.Background())
 	if err != nil || decision.Action != RespondResult {
 		b.Fatal("no answer: ", decision, err)
--- a/internal/balancer/picker_test.go
+++ b/internal/balancer/picker_test.go
@@ -36,10 +36,10 @@
 	assert.Equal(t, Idempotent, decision.Idempotency)
 	assert.Equal(t, NonIdempotent, pick(t, picker.Submit(Arrival{Operation: nonIdempotentOp, Timeout: 3 * Second})).Idempotency)
 	assert.NoError(t, decision.Ctx.Err())
-	assert.True(t, handle.Report(decision.Attempt, Succeeded))
+	assert.True(t, handle.ReportOutcome(decision.Attempt, Succeeded))
 	assert.Equal(t, Decision{Action: RespondResult, Attempt: decision.Attempt}, pick(t, handle))
 	assert.Equal(t, 1, picker.OpenRequests(), "the other request")
-	assert.False(t, handle.Report(decision.Attempt, Succeeded), "a second report has no effect")
+	assert.False(t, handle.ReportOutcome(decision.Attempt, Succeeded), "a second report has no effect")
 }
 
 func TestPickRejectsRequestThatGetsNoWorkerInTime(t *testing.T) {
@@ -54,14 +54,14 @@
 func TestNonIdempotentRequestThatMayHaveRunFails(t *testing.T) {
 	picker, _ := newTestPicker(testConfig, 4)
 	handle := picker.Submit(Arrival{Operation: nonIdempotentOp, Timeout: 3 * Second})
-	handle.Report(pick(t, handle).Attempt, ConnectionReset)
+	handle.ReportOutcome(pick(t, handle).Attempt, ConnectionReset)
 	assert.Equal(t, RespondFailed, pick(t, handle).Action)
 }
 
 func TestNonIdempotentRequestThatNeverRanIsRetried(t *testing.T) {
 	picker, _ := newTestPicker(testConfig, 4)
 	handle := picker.Submit(Arrival{Operation: nonIdempotentOp, Timeout: 3 * Second})
-	handle.Report(pick(t, handle).Attempt, NoConnection)
+	handle.ReportOutcome(pick(t, handle).Attempt, NoConnection)
 	assert.Equal(t, SendAttempt, pick(t, handle).Action)
 }
 
@@ -87,7 +87,7 @@
 			for _, outcome := range c.ends {
 				*now += step
 				before = time.Now()
-				handle.Report(decision.Attempt, outcome)
+				handle.ReportOutcome(decision.Attempt, outcome)
 				decision = pick(t, handle)
 			}
 			if c.left == 0 {
@@ -110,7 +110,7 @@
 	assert.ErrorIs(t, err, context.Canceled)
 	assert.ErrorIs(t, context.Cause(decision.Ctx), ErrAttemptCanceled)
 	assert.Equal(t, 1, picker.OpenRequests(), "the ID is not reused before the attempt is reported")
-	handle.Report(decision.Attempt, Canceled)
+	handle.ReportOutcome(decision.Attempt, Canceled)
 	assert.Equal(t, 0, picker.OpenRequests())
 }
 
@@ -132,7 +132,7 @@
 	handle := picker.Submit(Arrival{Timeout: 3 * Second})
 	first := pick(t, handle)
 	picker.update(func(balancer *Balancer) { balancer.startAttempt(handle.id, 1-first.Worker) })
-	assert.True(t, handle.Report(first.Attempt, Succeeded))
+	assert.True(t, handle.ReportOutcome(first.Attempt, Succeeded))
 	assert.Equal(t, Decision{Action: RespondResult, Attempt: first.Attempt}, pick(t, handle))
 	assert.Equal(t, 0, picker.OpenRequests())
 }
@@ -142,7 +142,7 @@
 	for range 3 {
 		handle := picker.Submit(Arrival{Timeout: 3 * Second})
 		assert.Equal(t, RequestID(0), handle.id)
-		handle.Report(pick(t, handle).Attempt, Succeeded)
+		handle.ReportOutcome(pick(t, handle).Attempt, Succeeded)
 		pick(t, handle)
 	}
 }
@@ -189,7 +189,8 @@
 					return
 				}
 				handle.ReportStarted(decision.Attempt)
-				handle.Report(decision.Attempt, []Outcome{Succeeded, Overloaded, Succeeded, WorkerError}[(n+decision.Attempt)%4])
+				handle.ReportOutcome(decision.Attempt,
+					[]Outcome{Succeeded, Overloaded, Succeeded, WorkerError}[(n+decision.Attempt)%4])
 				picker.ReceiveLoad(1, WorkerLoad{Worker: decision.Worker, InFlight: n % 3})
 			}
 		})
--- a/internal/balancer/polling/polling.go
+++ b/internal/balancer/polling/polling.go
@@ -2,7 +2,7 @@
 //
 // A successful poll starts a watch: the service pushes changes of the list until the watch ends. The discovery service
 // serves many dispatchers, and a poll that times out costs it as much as a poll that it answers. Therefore dispatchers
-// that start together poll one after the other, and after a failure they poll, all together, no faster than at a start.
+// that start together poll one after the other, and after a failure their total poll rate is no higher than at a start.
 package polling
 
 import "canvasroute/internal/balancer/tick"
--- a/internal/balancer/process_exit.go
+++ b/internal/balancer/process_exit.go
@@ -36,9 +36,9 @@
 	w.verifiedSize = 0
 }
 
-// mayHaveRestarted reports whether a worker's process may be newer than its start time in the endpoint list. A watched
-// list reports a start within the maximum poll interval.
-func (b *Balancer) mayHaveRestarted(w *workerWarmup) bool {
+// mayHaveRestartedAfterExit reports whether a worker's process may be newer than its start time in the endpoint list. A
+// watched list reports a start within the maximum poll interval.
+func (b *Balancer) mayHaveRestartedAfterExit(w *workerWarmup) bool {
 	return w.exitedAt != noExit && !b.polling.WatchedSince(w.exitedAt, b.now)
 }
 
--- a/internal/balancer/quota/quota.go
+++ b/internal/balancer/quota/quota.go
@@ -65,8 +65,8 @@
 	window := max(minWindowSeconds, sampleRequests/user.quota)
 	user.usage = user.usage*math.Exp(-float64(now.Sub(user.usageAt))/tick.Second/window) + 1
 	user.usageAt = now
-	within := min(1, tolerance*user.quota*window/user.usage)
-	return within + (1-within)*overQuotaWeight
+	shareWithinQuota := min(1, tolerance*user.quota*window/user.usage)
+	return shareWithinQuota + (1-shareWithinQuota)*overQuotaWeight
 }
 
 // Usage returns the recent usage of all tenants by their numbers.
--- a/internal/balancer/reconfigure.go
+++ b/internal/balancer/reconfigure.go
@@ -53,8 +53,8 @@
 // Reconfigure applies a new configuration to all shards, and returns the IDs of its operations and tenants, which are
 // the same at all of them. As in NewShards, config.Dispatchers and config.Position are in units of processes.
 func (s *Shards) Reconfigure(config Config) (assigned AssignedIDs) {
-	s.reconfiguring.Lock()
-	defer s.reconfiguring.Unlock()
+	s.operationIDsMu.Lock()
+	defer s.operationIDsMu.Unlock()
 	s.updateAll(func(b *Balancer) { assigned = b.Reconfigure(config) })
 	return assigned
 }
--- a/internal/balancer/request_handle.go
+++ b/internal/balancer/request_handle.go
@@ -114,9 +114,9 @@
 	})
 }
 
-// Report records the outcome of an attempt; only the first call for an attempt has an effect. It reports whether the
-// result of this attempt is the answer to the client.
-func (h *RequestHandle) Report(number int, outcome Outcome) (isAnswer bool) {
+// ReportOutcome records the outcome of an attempt; only the first call for an attempt has an effect. It reports whether
+// the result of this attempt is the answer to the client.
+func (h *RequestHandle) ReportOutcome(number int, outcome Outcome) (isAnswer bool) {
 	h.picker.update(func(*Balancer) {
 		if h.reported[number] {
 			return
--- a/internal/balancer/request_handle_test.go
+++ b/internal/balancer/request_handle_test.go
@@ -29,8 +29,8 @@
 			closeRequest(sent)
 			assert.ErrorIs(t, context.Cause(unsentAttempt.Ctx), ErrAttemptCanceled)
 			assert.NoError(t, sentAttempt.Ctx.Err(), "a sent attempt may not be canceled")
-			unsent.Report(unsentAttempt.Attempt, NotSent)
-			sent.Report(sentAttempt.Attempt, TimedOut)
+			unsent.ReportOutcome(unsentAttempt.Attempt, NotSent)
+			sent.ReportOutcome(sentAttempt.Attempt, TimedOut)
 			unsent.nextDecision()
 			sent.nextDecision()
 			assert.Equal(t, 0, picker.OpenRequests())
@@ -108,8 +108,8 @@
 	r.t.Helper()
 	r.withFirstInFlight(func(ended Decision) {
 		r.inFlight = r.inFlight[1:]
-		r.handle.Report(ended.Attempt, outcome)
-		assert.False(r.t, r.handle.Report(ended.Attempt, Succeeded), "a second report for an attempt has no effect")
+		r.handle.ReportOutcome(ended.Attempt, outcome)
+		assert.False(r.t, r.handle.ReportOutcome(ended.Attempt, Succeeded), "a second report for an attempt has no effect")
 		assert.Error(r.t, ended.Ctx.Err())
 	})
 }
--- a/internal/balancer/shards.go
+++ b/internal/balancer/shards.go
@@ -18,7 +18,7 @@
 	gossipEnabled bool   // whether loads may be sent to other processes
 	roundRobin    atomic.Uint32
 
-	reconfiguring sync.Mutex // held while operation IDs are assigned: they must be the same at all shards
+	operationIDsMu sync.Mutex // held while operation IDs are assigned: they must be the same at all shards
 }
 
 // NewShards returns count shards for a process. config.Dispatchers and config.Position are in units of processes. clock
@@ -106,7 +106,7 @@
 	}
 }
 
-// WouldMissStopDeadline reports whether a request that arrives now may not complete before the process exits: see
+// WouldMissStopDeadline reports whether a request that arrives now might not complete before the process exits: see
 // Picker.WouldMissStopDeadline.
 func (s *Shards) WouldMissStopDeadline(arrival Arrival) bool {
 	return s.firstPicker().WouldMissStopDeadline(arrival)
@@ -126,9 +126,9 @@
 // AwaitPoll blocks until the endpoint list is due to be polled. It returns the error of ctx if that is done first.
 func (s *Shards) AwaitPoll(ctx context.Context) error { return s.firstPicker().AwaitPoll(ctx) }
 
-// NextProbe blocks until a worker is due to be probed. It returns the error of ctx if that is done first.
-func (s *Shards) NextProbe(ctx context.Context) (WorkerID, error) {
-	return s.firstPicker().NextProbe(ctx)
+// NextLoadProbe blocks until a worker is due to be probed. It returns the error of ctx if that is done first.
+func (s *Shards) NextLoadProbe(ctx context.Context) (WorkerID, error) {
+	return s.firstPicker().NextLoadProbe(ctx)
 }
 
 // NextLoadUpdates blocks until a shard has loads to send to other processes. It returns the error of ctx if that is
@@ -178,7 +178,7 @@
 	s.updateAll((*Balancer).acceptStaleEndpoints)
 }
 
-// ReportDiscoveryAddressChanged records that the address of the endpoint service has changed. The service is polled at
+// ReportDiscoveryAddressChanged records that the address of the discovery service has changed. The service is polled at
 // once, regardless of the current delay.
 func (s *Shards) ReportDiscoveryAddressChanged() {
 	s.updateAll(func(b *Balancer) { b.polling.PollNow(b.now) })
--- a/internal/balancer/shards_test.go
+++ b/internal/balancer/shards_test.go
@@ -105,7 +105,7 @@
 				}
 				handle.picker.update(func(balancer *Balancer) { balancer.sendChangedLoads() })
 				handle.ReportStarted(decision.Attempt)
-				handle.Report(decision.Attempt, Succeeded)
+				handle.ReportOutcome(decision.Attempt, Succeeded)
 				_, err = handle.Pick(ctx)
 				assert.NoError(t, err)
 			}
--- a/internal/balancer/sibling.go
+++ b/internal/balancer/sibling.go
@@ -48,13 +48,13 @@
 	return loads
 }
 
-// InFlightFor returns the loads to send to a sibling: the attempts in flight at each worker, except those that this
+// LoadsForSibling returns the loads to send to a sibling: the attempts in flight at each worker, except those that this
 // sibling reported itself.
-func (p *Picker) InFlightFor(to SiblingRole) []WorkerLoad {
+func (p *Picker) LoadsForSibling(to SiblingRole) []WorkerLoad {
 	var inFlight inFlightByWorker
 	p.read(func(b *Balancer) {
 		for n := range b.workers {
-			inFlight = append(inFlight, b.workers[n].inFlight-p.siblings[to].get(WorkerID(n)))
+			inFlight = append(inFlight, b.workers[n].inFlight-p.siblingInFlight[to].get(WorkerID(n)))
 		}
 	})
 	return inFlight.loads()
@@ -64,14 +64,14 @@
 // processes are one dispatcher, and its peers are sent the sum.
 func (p *Picker) UpdateSibling(from SiblingRole, loads []WorkerLoad) {
 	p.update(func(b *Balancer) {
-		previous := p.siblings[from]
+		previous := p.siblingInFlight[from]
 		var current inFlightByWorker
 		for _, load := range loads {
 			if int(load.Worker) < len(b.workers) {
 				current = current.set(load)
 			}
 		}
-		p.siblings[from] = current
+		p.siblingInFlight[from] = current
 		for n := range b.workers {
 			id := WorkerID(n)
 			if change := current.get(id) - previous.get(id); change != 0 {
@@ -111,12 +111,12 @@
 	return sends
 }
 
-// InFlightFor returns the loads to send to a sibling: the attempts in flight at each worker from all shards, except
+// LoadsForSibling returns the loads to send to a sibling: the attempts in flight at each worker from all shards, except
 // those that this sibling reported itself.
-func (s *Shards) InFlightFor(to SiblingRole) []WorkerLoad {
+func (s *Shards) LoadsForSibling(to SiblingRole) []WorkerLoad {
 	var sum inFlightByWorker
 	for _, picker := range s.pickers {
-		for _, load := range picker.InFlightFor(to) {
+		for _, load := range picker.LoadsForSibling(to) {
 			sum = sum.add(load)
 		}
 	}
--- a/internal/balancer/sibling_test.go
+++ b/internal/balancer/sibling_test.go
@@ -20,8 +20,8 @@
 	})
 	assert.Equal(t, []int{4, 2}, []int{picker.balancer.load(used), picker.balancer.load(other)})
 	ownLoad := []WorkerLoad{{Worker: used, InFlight: 1}}
-	assert.Equal(t, ownLoad, picker.InFlightFor(Predecessor), "without the predecessor's load")
-	assert.Len(t, picker.InFlightFor(Successor), 2, "a successor gets both loads")
+	assert.Equal(t, ownLoad, picker.LoadsForSibling(Predecessor), "without the predecessor's load")
+	assert.Len(t, picker.LoadsForSibling(Successor), 2, "a successor gets both loads")
 	picker.UpdateSibling(Predecessor, []WorkerLoad{{Worker: used, InFlight: 1}})
 	assert.Equal(t, []int{2, 0}, []int{picker.balancer.load(used), picker.balancer.load(other)})
 	picker.UpdateSibling(Predecessor, nil)
--- a/internal/balancer/sizeinterval/sizeinterval.go
+++ b/internal/balancer/sizeinterval/sizeinterval.go
@@ -92,8 +92,8 @@
 // Observed returns the number of sizes observed since the start, including those of a restored sample.
 func (s *Intervals) Observed() int { return s.observed }
 
-// Restore replaces the sample by an earlier one, for which observed sizes had been recorded. Update is then due unless
-// the sample is empty.
+// Restore replaces the sample with an earlier one, and the number of observed sizes with the number at the time of that
+// sample. Update is then due unless the sample is empty.
 func (s *Intervals) Restore(sample []tick.Work, observed int) {
 	s.sample = sample
 	s.observed = observed
--- a/internal/balancer/slotestimate/slotestimate.go
+++ b/internal/balancer/slotestimate/slotestimate.go
@@ -1,8 +1,8 @@
 // Package slotestimate estimates how many attempts a worker of a kind runs at once.
 //
-// Workers do not report their number of slots. An attempt that starts at once at a load of n is a vote for at least n
-// slots, and an attempt that waits is a vote against it. If workers send load reports with their free slots, the
-// reports are used instead of votes: see Kind.Report.
+// The number of slots is learned from the start of attempts: an attempt that starts at once at a load of n is a vote for
+// at least n slots, and an attempt that waits is a vote against it. If workers send load reports with their free slots,
+// the reports are used instead of votes: see Kind.Report.
 package slotestimate
 
 import "math"
--- a/internal/balancer/slow_start.go
+++ b/internal/balancer/slow_start.go
@@ -49,9 +49,9 @@
 // were sent within the window, and the worker has also completed as much work as its capacity allows. A dispatcher that
 // does not receive the load of its peers sends nothing.
 func (s *slowStartLimits) exclusionWithGossip(w warmingWorker, size Work) exclusion {
-	ownCapacity := 1 / s.overloadFactor // as a share of the budget
+	capacityShare := 1 / s.overloadFactor // as a share of the budget
 	budget := s.budget(w)
-	budget *= 1 - ownCapacity - gossipReserve
+	budget *= 1 - capacityShare - gossipReserve
 	switch {
 	case !w.loadShared:
 		return loadUnknown
--- a/internal/balancer/snapshot.go
+++ b/internal/balancer/snapshot.go
@@ -225,7 +225,7 @@
 }
 
 // RestoreFromDisk applies the learned states of the shards of an earlier process. If that process had a different
-// number of shards, each shard gets the state of its first one. It reports whether there was any state.
+// number of shards, each shard gets the state of that process's first shard. It reports whether there was any state.
 func (s *Shards) RestoreFromDisk(all []Snapshot) bool {
 	if len(all) == 0 {
 		return false
--- a/internal/balancer/warm_up.go
+++ b/internal/balancer/warm_up.go
@@ -46,7 +46,7 @@
 func (b *Balancer) warmupFactor(id WorkerID) float64 {
 	w := &b.workers[id].warmup
 	startedAt := w.startedAt
-	if b.mayHaveRestarted(w) {
+	if b.mayHaveRestartedAfterExit(w) {
 		startedAt = max(startedAt, min(w.firstResponseAt, b.now))
 	}
 	if startedAt == DistantPast {
--- a/internal/fleet/peers.go
+++ b/internal/fleet/peers.go
@@ -135,7 +135,7 @@
 // the stored state is restored, the result includes the stored values if they are trusted.
 func (n *Node) observedCapacity() map[string]float64 {
 	capacity := map[string]float64{}
-	for kind, observed := range n.balancer.MaxObserved() {
+	for kind, observed := range n.balancer.MaxObservedSlots() {
 		if kind < len(n.config.Kinds) && observed > minObservedCapacity {
 			capacity[n.config.Kinds[kind]] = observed
 		}
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -101,7 +101,7 @@
 		return
 	}
 	p.counters.countOutcome(res.outcome)
-	if respondsToClient := r.handle.Report(a.number, res.outcome); respondsToClient {
+	if respondsToClient := r.handle.ReportOutcome(a.number, res.outcome); respondsToClient {
 		r.result <- res.result
 	}
 	if res.finish != nil {
--- a/internal/proxy/peers.go
+++ b/internal/proxy/peers.go
@@ -27,7 +27,7 @@
 // has reported.
 func (p *Proxy) inFlightFor(sibling balancer.SiblingRole) map[string]int {
 	byWorker := map[string]int{}
-	for _, load := range p.balancer.InFlightFor(sibling) {
+	for _, load := range p.balancer.LoadsForSibling(sibling) {
 		byWorker[p.endpoints.Endpoint(load.Worker).ID] = load.InFlight
 	}
 	return byWorker
--- a/internal/proxy/probe.go
+++ b/internal/proxy/probe.go
@@ -18,7 +18,7 @@
 // probeWorkers requests load reports from the workers that the balancer selects, until ctx ends.
 func (p *Proxy) probeWorkers(ctx context.Context) error {
 	for {
-		worker, err := p.balancer.NextProbe(ctx)
+		worker, err := p.balancer.NextLoadProbe(ctx)
 		if err != nil { // ctx has ended
 			return nil
 		}
