--- a/internal/fleet/peers.go
+++ b/internal/fleet/peers.go
@@ -136,7 +136,7 @@
 // the stored state is restored, the result includes the stored values if they are trusted.
 func (n *Node) maxObservedByKind() map[string]float64 {
 	maxObserved := map[string]float64{}
-	for kind, observed := range n.balancer.MaxObserved() {
+	for kind, observed := range n.balancer.MaxObservedSlots() {
 		if kind < len(n.config.Kinds) && observed > minObservedCapacity {
 			maxObserved[n.config.Kinds[kind]] = observed
 		}
