--- a/internal/daemon/compatibility_test.go
+++ b/internal/daemon/compatibility_test.go
@@ -50,7 +50,7 @@
 				DedupWindow: time.Minute,
 			}},
 			Tenants: []string{"acme"}, Zones: []string{"a", "b"}, Kinds: []string{"m"}, ReportFields: []string{"rif"},
-			DialTimeout: 200 * time.Millisecond, MaxRetryAfter: 2 * time.Second, DiscoveryAddress: "127.0.0.1:8500",
+			DialTimeout: 200 * time.Millisecond, UnavailableRetryAfter: 2 * time.Second, DiscoveryAddress: "127.0.0.1:8500",
 			Peers: []netip.AddrPort{
 				netip.MustParseAddrPort("127.0.0.1:7946"),
 				netip.MustParseAddrPort("127.0.0.2:7946"),
--- a/internal/daemon/config_parse.go
+++ b/internal/daemon/config_parse.go
@@ -136,7 +136,7 @@
 	c.Proxy.Position = c.Balancer.Position
 	c.Proxy.DialTimeout = r.duration(dialTimeoutKey)
 	if c.Balancer.Rejections.RetryAfter {
-		c.Proxy.MaxRetryAfter = c.Balancer.Rejections.MaxRetryAfter.Standard()
+		c.Proxy.UnavailableRetryAfter = c.Balancer.Rejections.MaxRetryAfter.Standard()
 	}
 	for n, v := range r.root.GetArray("settings", "operations") {
 		operation := r.operation(n, v, c.Balancer.Operations)
--- a/internal/daemon/config_test.go
+++ b/internal/daemon/config_test.go
@@ -22,7 +22,7 @@
 	assert.Equal(t, 8*time.Second, c.WorkerIdleTimeout)
 	assert.Equal(t, 200*time.Millisecond, c.Proxy.DialTimeout)
 	assert.Equal(t, 2500*time.Millisecond, c.MaxClientTimeout)
-	assert.Equal(t, 2*time.Second, c.Proxy.MaxRetryAfter)
+	assert.Equal(t, 2*time.Second, c.Proxy.UnavailableRetryAfter)
 	assert.Len(t, c.Proxy.Peers, 2)
 	assert.Equal(t, int64(41), c.Proxy.InitialEndpoints.Version)
 
--- a/internal/daemon/hot_restart_predecessor.go
+++ b/internal/daemon/hot_restart_predecessor.go
@@ -25,7 +25,7 @@
 			share = share.shrinkTo(h.openConnectionShare())
 		}
 		h.setConnectionLimits(share)
-		update := h.proxy.SiblingUpdate(balancer.Successor)
+		update := h.proxy.NextSiblingUpdate(balancer.Successor)
 		update.ClientConnections = share.clients
 		update.WorkerConnections = share.workers
 		return update
--- a/internal/daemon/hot_restart_successor.go
+++ b/internal/daemon/hot_restart_successor.go
@@ -50,7 +50,7 @@
 	link := h.predecessor.Link
 	h.addSibling()
 	h.setConnectionLimits(h.fullConnectionShare().half()) // until the predecessor's first update
-	stop := h.sendUpdates(ctx, link, func() proxy.SiblingUpdate { return h.proxy.SiblingUpdate(balancer.Predecessor) })
+	stop := h.sendUpdates(ctx, link, func() proxy.SiblingUpdate { return h.proxy.NextSiblingUpdate(balancer.Predecessor) })
 	defer stop()
 	if err := link.SendServing(); err != nil {
 		h.log.Warn().Err(err).Msg("predecessor not notified")
--- a/internal/daemon/recovery.go
+++ b/internal/daemon/recovery.go
@@ -38,7 +38,7 @@
 		SettingsHash:   c.settingsHash,
 		Kinds:          c.Proxy.Kinds,
 		WarmupDuration: c.Balancer.Warmup.Duration.Standard(),
-		MaxRetryAfter:  c.Proxy.MaxRetryAfter,
+		MaxRetryAfter:  c.Proxy.UnavailableRetryAfter,
 		DedupWindow:    maxPartialDedupWindow(c.Balancer.Operations),
 		IsSuccessor:    isSuccessor,
 		Now:            now,
--- a/internal/daemon/reload.go
+++ b/internal/daemon/reload.go
@@ -84,7 +84,7 @@
 	merged.Proxy.Operations = next.Proxy.Operations
 	merged.Proxy.Tenants = next.Proxy.Tenants
 	merged.Proxy.DialTimeout = next.Proxy.DialTimeout
-	merged.Proxy.MaxRetryAfter = next.Proxy.MaxRetryAfter
+	merged.Proxy.UnavailableRetryAfter = next.Proxy.UnavailableRetryAfter
 	return &merged
 }
 
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -76,7 +76,7 @@
 func (w *Watcher) readWatch(ctx context.Context, conn *transport.Conn, body protocol.Body) watchOutcome {
 	var reader protocol.LineReader
 	var applyErr error
-	readErr := conn.ReadChunks(&body, func(data []byte) (more bool) {
+	readErr := conn.ReadPieces(&body, func(data []byte) (more bool) {
 		reader.Write(data)
 		applyErr = w.applyLines(&reader, conn)
 		if len(reader.Remainder()) > maxLineBytes {
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -141,9 +141,9 @@
 // address, it also closes the connections in use that were opened to the previous process.
 func (w *Watcher) closeOutdatedConnections(outdated []OutdatedAddress) {
 	for _, previous := range outdated {
-		w.pool.CloseIdle(previous.Address)
+		w.pool.Invalidate(previous.Address)
 		if !previous.StartedAt.IsZero() {
-			w.pool.CloseOpenedBefore(previous.Address, previous.StartedAt)
+			w.pool.InterruptOpenedBefore(previous.Address, previous.StartedAt)
 		}
 	}
 }
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -13,19 +13,19 @@
 const responseEndTimeout = 250 * time.Millisecond
 
 // attempt is one attempt of a request at a worker. It is owned by the goroutine that runs it, except for the field
-// pause. While the attempt is paused, the goroutine that migrates its request may read it.
+// pause. While the attempt is paused, the goroutine that migrates its request may also read the other fields.
 type attempt struct {
-	proxy       *Proxy
-	request     *protocol.Request
-	settings    *settings // settings of the request
-	number      int       // index among the request's attempts
-	deadline    time.Time // when the client times out
-	sendBy      time.Time // when the dedup window of an earlier attempt closes, zero for no limit
-	reusePolicy transport.ReusePolicy
-	reused      bool // the connection had been used before this attempt
-	migrated    bool // the sibling process continues the attempt
-	events      attemptEvents
-	pause       *readPause
+	proxy           *Proxy
+	request         *protocol.Request
+	settings        *settings // settings of the request
+	number          int       // index among the request's attempts
+	deadline        time.Time // when the client times out
+	sendBy          time.Time // when the dedup window of an earlier attempt closes, zero for no limit
+	reusePolicy     transport.ReusePolicy
+	reused          bool // the connection had been used before this attempt
+	endedByExporter bool // the attempt ended without an outcome, see endReader
+	events          attemptEvents
+	pause           *readPause
 }
 
 // attemptEvents are callbacks that report the progress of an attempt to the balancer.
@@ -45,11 +45,14 @@
 	finish func()
 }
 
-// reusePolicies maps the idempotency of an operation to the policy for reusing idle connections, which determines how
-// certain it must be that a reused connection is still open. An operation that must not be executed twice has the
-// strictest policy. If the worker closed an old connection during an attempt of an operation that only a group of
-// workers deduplicates, it would be unknown whether the attempt was executed, and retries would be limited to that
-// group.
+// reusePolicies maps the idempotency of an operation to the policy for reusing idle connections. If a worker closes a
+// reused connection during an attempt, it is unknown whether the attempt was executed. The policy depends on the
+// consequences:
+//   - Idempotent: the request can be retried at any worker, so any idle connection may be used.
+//   - IdempotentByKey: retries would be limited to the group of workers that deduplicates the request, so an idle
+//     connection must be settled.
+//   - NonIdempotent: the request could not be retried, because it must not be executed twice. Its policy is therefore
+//     the strictest.
 var reusePolicies = map[balancer.Idempotency]transport.ReusePolicy{
 	balancer.Idempotent:      transport.AnyConnection,
 	balancer.IdempotentByKey: transport.Settled,
@@ -91,12 +94,13 @@
 	})
 }
 
-// runAttempt runs an attempt and reports its outcome exactly once, unless the sibling process continues the attempt.
+// runAttempt runs an attempt and reports its outcome exactly once, unless the exporter has ended the attempt without an
+// outcome (endReader).
 func (p *Proxy) runAttempt(r *inFlightRequest, a *attempt, run func() attemptResult) {
 	r.addAttempt(a)
 	res := run()
 	r.removeAttempt(a)
-	if a.migrated {
+	if a.endedByExporter {
 		res.finish()
 		return
 	}
@@ -156,7 +160,7 @@
 	a.reused = conn.Reused()
 	if err := a.send(conn, protocol.AppendWorkerRequest(nil, a.request, time.Until(a.deadline))); err != nil {
 		stop()
-		return attemptResult{outcome: a.sendOutcome(ctx, conn, err)}
+		return attemptResult{outcome: a.closeAfterSendError(ctx, conn, err)}
 	}
 	a.events.sent()
 	a.proxy.counters.sent.Add(1)
@@ -210,8 +214,8 @@
 	response := a.receiveResponse(ctx, conn)
 	interrupted := !stop()
 	conn.StopRecording()
-	a.migrated = response.migrated
-	if a.migrated {
+	a.endedByExporter = response.endedByExporter
+	if a.endedByExporter {
 		return attemptResult{finish: func() { conn.CloseFor(transport.Migrated, nil) }}
 	}
 	return attemptResult{
@@ -228,7 +232,7 @@
 	err := response.err
 	if err == nil {
 		conn.SetReadTimeout(responseEndTimeout)
-		err = conn.ReadChunks(&response.body, func([]byte) bool { return true })
+		err = conn.ReadPieces(&response.body, func([]byte) bool { return true })
 	}
 	switch {
 	case err != nil:
--- a/internal/proxy/attempt_outcome.go
+++ b/internal/proxy/attempt_outcome.go
@@ -10,9 +10,10 @@
 	"canvasroute/internal/transport"
 )
 
-// The outcome of a failed attempt depends on its progress: connectOutcome applies without a connection, sendOutcome
-// before the last byte was written, and lostOutcome after it. The balancer derives from the outcome whether the attempt
-// may have been executed, and whether it counts as a failure of the worker.
+// The outcome of a failed attempt depends on its progress: connectOutcome returns it if no connection was obtained,
+// closeAfterSendError if the last byte could not be written, and lostOutcome if the response could not be read. The
+// balancer derives from the outcome whether the attempt may have been executed, and whether it counts as a failure of
+// the worker.
 
 // connectOutcome returns the outcome of an attempt that got no connection. It logs connection failures of the worker.
 func (a *attempt) connectOutcome(ctx context.Context, worker balancer.WorkerID, err error) balancer.Outcome {
@@ -32,9 +33,9 @@
 	return balancer.NoConnection
 }
 
-// sendOutcome closes the connection of an attempt whose last byte could not be written, and returns the outcome. On a
-// new connection, the outcome is NoConnection, because the worker could not be reached.
-func (a *attempt) sendOutcome(ctx context.Context, conn *transport.Conn, err error) balancer.Outcome {
+// closeAfterSendError closes the connection of an attempt whose last byte could not be written, and returns the
+// outcome. On a new connection, the outcome is NoConnection, because the worker could not be reached.
+func (a *attempt) closeAfterSendError(ctx context.Context, conn *transport.Conn, err error) balancer.Outcome {
 	conn.CloseFor(closeReason(err, ctx.Err() != nil), err)
 	if ctx.Err() != nil {
 		return balancer.NotSent
--- a/internal/proxy/counters.go
+++ b/internal/proxy/counters.go
@@ -15,9 +15,10 @@
 // counters count requests, attempts and probes since the process started. The keys in the log line are older names,
 // which are kept for operators.
 type counters struct {
-	// Requests. An admitted request is also counted by one of the next five counters when it ends. A request that is
-	// not admitted is counted by one of the last three, unless its head is rejected because the process is drained.
-	admitted           atomic.Int64 // passed to rejectOrSubmit: the head is valid and the ID was free
+	// Requests. A validated request is also counted by one of the next five counters when it ends. Any other request
+	// that gets a response is counted by one of the last three, except health checks with a supported method and
+	// requests whose head is rejected because the process is drained.
+	validated          atomic.Int64 // valid with an ID that was free, or imported from the sibling process
 	succeeded          atomic.Int64
 	rejected           atomic.Int64
 	failed             atomic.Int64
@@ -55,7 +56,7 @@
 	runtime.ReadMemStats(&memory)
 	p.log.Info().Str("why", reason).
 		Int("open", p.balancer.OpenRequests()).
-		Int64("taken", requests.admitted.Load()).
+		Int64("taken", requests.validated.Load()).
 		Int64("succeeded", requests.succeeded.Load()).
 		Int64("throttled", requests.rejected.Load()).
 		Int64("errored", requests.failed.Load()).
--- a/internal/proxy/idempotency_keys.go
+++ b/internal/proxy/idempotency_keys.go
@@ -7,8 +7,9 @@
 	"canvasroute/internal/protocol"
 )
 
-// persistsKeys reports whether only a part of the fleet deduplicates requests of an operation. The worker of the first
-// attempt must then be on disk, so that it is still known after a power loss.
+// persistsKeys reports whether the worker of an attempt is recorded on disk with the request's key before the attempt
+// is sent. This is required if only a part of the fleet deduplicates requests of the operation: the worker of the first
+// attempt must still be known after a power loss. Without Config.Recovery, nothing is recorded.
 func (o *Operation) persistsKeys() bool { return o.RequiresKey && o.DedupScope != balancer.ScopeAll }
 
 // isInDedupGroup reports whether a worker belongs to the group that deduplicates a request with the prior execution.
--- a/internal/proxy/in_flight_request.go
+++ b/internal/proxy/in_flight_request.go
@@ -9,7 +9,7 @@
 	"canvasroute/internal/protocol"
 )
 
-// inFlightRequest is an admitted request that has no response yet. It is owned by the goroutine that responds to the
+// inFlightRequest is a validated request that has no response yet. It is owned by the goroutine that responds to the
 // client; each attempt has a goroutine of its own.
 type inFlightRequest struct {
 	request        *protocol.Request
--- a/internal/proxy/operation_counters.go
+++ b/internal/proxy/operation_counters.go
@@ -16,8 +16,9 @@
 	byName map[string]*operationCounts
 }
 
-// operationCounts are the counts of one operation. An admitted request counts as outstanding until it ends, and as one
-// of the others afterwards. A request that is rejected from its head alone never counts as outstanding.
+// operationCounts are the counts of one operation. A validated request (counters.validated) counts as outstanding until
+// it ends. It then counts as one of the others, unless the sibling process continues it. A request that is rejected
+// from its head alone counts as declined and never as outstanding.
 type operationCounts struct {
 	outstanding atomic.Int64
 	succeeded   atomic.Int64
@@ -40,10 +41,10 @@
 	}
 }
 
-// serveCounted calls serve for an admitted request and returns the response. It counts the request as outstanding
+// serveCounted calls serve for a validated request and returns the response. It counts the request as outstanding
 // during the call, and by its response afterwards.
 func (p *Proxy) serveCounted(operationName string, serve func() *protocol.Response) *protocol.Response {
-	p.counters.admitted.Add(1)
+	p.counters.validated.Add(1)
 	counts := p.operations.get(operationName)
 	counts.outstanding.Add(1)
 	defer counts.outstanding.Add(-1)
--- a/internal/proxy/operators_test.go
+++ b/internal/proxy/operators_test.go
@@ -46,7 +46,7 @@
 	p, log := newProxy(peertest.ClosedAddress), &bytes.Buffer{}
 	p.log = zerolog.New(log)
 	counts := &p.counters
-	counts.admitted.Store(11)
+	counts.validated.Store(11)
 	counts.succeeded.Store(12)
 	counts.rejected.Store(13)
 	counts.failed.Store(14)
--- a/internal/proxy/pause.go
+++ b/internal/proxy/pause.go
@@ -11,9 +11,9 @@
 // pauseTimeout limits the wait for an attempt's goroutine to stop reading.
 const pauseTimeout = 100 * time.Millisecond
 
-// readPause lets another goroutine, the exporter, pause the goroutine that reads a response. The exporter then either
-// resumes the reader or takes over the connection. A resumed reader reads the response again from its first byte, so
-// that a pause loses no data.
+// readPause lets the goroutines that export a request, called the exporter, pause the goroutine that reads a response.
+// The exporter then either resumes the reader or ends it. A resumed reader reads the response again from its first
+// byte, so that a pause loses no data.
 //
 // The exporter calls tryPause and, if that returns true, either resumeReader or endReader exactly once. The reader
 // calls enable, awaitDecision and disable.
@@ -24,13 +24,13 @@
 	conn      *transport.Conn // set while the attempt waits for its worker, nil otherwise
 	requested bool            // the exporter waits for the reader to stop
 
-	paused   chan struct{} // receives a value when the reader has stopped and waits for takeOver
-	takeOver chan bool     // true: the sibling process continues to read; false: the reader continues
-	ended    chan struct{} // closed when the attempt no longer waits for its worker
+	paused    chan struct{} // receives a value when the reader has stopped and waits for shouldEnd
+	shouldEnd chan bool     // true: the reader returns without an outcome (endReader); false: it continues
+	ended     chan struct{} // closed when the attempt no longer waits for its worker
 }
 
 func newReadPause() *readPause {
-	return &readPause{paused: make(chan struct{}, 1), takeOver: make(chan bool, 1), ended: make(chan struct{})}
+	return &readPause{paused: make(chan struct{}, 1), shouldEnd: make(chan bool, 1), ended: make(chan struct{})}
 }
 
 // tryPause stops the reader and reports whether it has stopped. It returns false if the attempt is not waiting for its
@@ -63,11 +63,11 @@
 }
 
 // resumeReader lets the paused reader continue.
-func (p *readPause) resumeReader() { p.takeOver <- false }
+func (p *readPause) resumeReader() { p.shouldEnd <- false }
 
 // endReader makes the paused reader return without an outcome, because the sibling process has taken over the
-// connection or the migration was abandoned.
-func (p *readPause) endReader() { p.takeOver <- true }
+// connection, or because the migration failed or was abandoned.
+func (p *readPause) endReader() { p.shouldEnd <- true }
 
 // enable allows pauses from now on. It is called before conn is read.
 func (p *readPause) enable(conn *transport.Conn) {
@@ -84,8 +84,8 @@
 }
 
 // awaitDecision is called by the reader after it was stopped. It waits for the exporter's decision, and reports whether
-// the sibling process takes over the connection.
-func (p *readPause) awaitDecision() (takenOver bool) {
+// the reader must return without an outcome (endReader). It returns false at once if tryPause has timed out.
+func (p *readPause) awaitDecision() (shouldEnd bool) {
 	p.mu.Lock()
 	if !p.requested { // the call of tryPause has timed out
 		p.mu.Unlock()
@@ -94,7 +94,7 @@
 	p.requested = false
 	p.paused <- struct{}{} // never blocks: the channel is buffered
 	p.mu.Unlock()
-	return <-p.takeOver
+	return <-p.shouldEnd
 }
 
 // receiveResponse reads a worker's response. The exporter may pause it.
@@ -107,8 +107,8 @@
 			a.pause.disable()
 			return response
 		}
-		if takenOver := a.pause.awaitDecision(); takenOver {
-			return workerResponse{migrated: true}
+		if shouldEnd := a.pause.awaitDecision(); shouldEnd {
+			return workerResponse{endedByExporter: true}
 		}
 		if err := conn.Rewind(); err != nil {
 			return workerResponse{outcome: a.lostOutcome(ctx, err), err: err}
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -39,27 +39,28 @@
 	DedupWindow    time.Duration       // how long the group stores a key
 }
 
-// Config configures a Proxy. Reconfigure may change Operations, Tenants, DialTimeout and MaxRetryAfter later.
+// Config configures a Proxy. Reconfigure may change Operations, Tenants, DialTimeout and UnavailableRetryAfter
+// later.
 type Config struct {
-	Operations          []Operation
-	Tenants             []string                       // initial names, indexed by tenant ID; empty for a single tenant
-	Zones               []string                       // names, indexed by zone number
-	Kinds               []string                       // kinds of workers, indexed by kind number
-	ReportFields        []string                       // fields of the workers' load reports that the balancer uses
-	DialTimeout         time.Duration                  // timeout for connecting to a worker
-	MaxRetryAfter       time.Duration                  // Retry-After of 503 responses outside recovery, 0 to omit it
-	DiscoveryAddress    string                         // host and port of the discovery service
-	Peers               []netip.AddrPort               // all dispatchers by position, including this one
-	Position            int                            // index of this dispatcher in Peers
-	InitialEndpoints    *protocol.EndpointList         // endpoint list at startup, nil if there is none
-	PredecessorSnapshot json.RawMessage                // JSON of a Snapshot, nil if there is no predecessor
-	MigratesRequests    bool                           // requests in flight may be exported to a sibling process
-	FromUnix            func(ms float64) balancer.Time // converts Unix time in milliseconds to the balancer's time
-	Recovery            Recovery                       // nil if recovery is disabled
+	Operations            []Operation
+	Tenants               []string                       // initial names, indexed by tenant ID; empty for a single tenant
+	Zones                 []string                       // names, indexed by zone number
+	Kinds                 []string                       // kinds of workers, indexed by kind number
+	ReportFields          []string                       // fields of the workers' load reports that the balancer uses
+	DialTimeout           time.Duration                  // timeout for connecting to a worker
+	UnavailableRetryAfter time.Duration                  // Retry-After of 503 responses outside recovery, 0 to omit it
+	DiscoveryAddress      string                         // host and port of the discovery service
+	Peers                 []netip.AddrPort               // all dispatchers by position, including this one
+	Position              int                            // index of this dispatcher in Peers
+	InitialEndpoints      *protocol.EndpointList         // endpoint list at startup, nil if there is none
+	PredecessorSnapshot   json.RawMessage                // JSON of a Snapshot, nil if there is no predecessor
+	MigratesRequests      bool                           // requests in flight may be exported to a sibling process
+	FromUnix              func(ms float64) balancer.Time // converts Unix time in milliseconds to the balancer's time
+	Recovery              Recovery                       // nil if recovery is disabled
 }
 
-// Proxy serves requests by sending attempts to workers. Its methods are safe for concurrent use, except SiblingUpdate
-// and Snapshot.
+// Proxy serves requests by sending attempts to workers. Its methods are safe for concurrent use, except
+// NextSiblingUpdate and Snapshot.
 type Proxy struct {
 	config    Config
 	balancer  *balancer.Shards
@@ -86,7 +87,7 @@
 
 // testHooks are functions that tests set to run code between two steps. Each may be nil.
 type testHooks struct {
-	beforeApplySettings func() // runs when the balancer uses new settings and names are looked up in the previous ones
+	beforeApplySettings func() // runs when the balancer has new settings but the Proxy still has the previous ones
 	beforeSend          func() // runs when an attempt has a connection and has not been sent
 }
 
--- a/internal/proxy/readiness.go
+++ b/internal/proxy/readiness.go
@@ -14,18 +14,18 @@
 	if phase := p.lifecycle.PhaseAt(time.Now()); !phase.AcceptsNewClients() {
 		return fmt.Errorf("%w: %v", errNotReady, phase)
 	}
-	return p.checkWorkers()
+	return p.checkCanServe()
 }
 
 // isHealthy reports whether load balancers may send clients to this dispatcher. During a hot restart, either of its two
 // processes may serve them.
 func (p *Proxy) isHealthy() bool {
-	return p.checkWorkers() == nil && p.lifecycle.PhaseAt(time.Now()).Healthy()
+	return p.checkCanServe() == nil && p.lifecycle.PhaseAt(time.Now()).Healthy()
 }
 
-// checkWorkers returns nil if there are workers to send requests to, and otherwise an error that wraps errNotReady
-// and includes the reason.
-func (p *Proxy) checkWorkers() error {
+// checkCanServe returns nil if there are workers to send requests to and Recovery, if there is one, is ready. Otherwise
+// it returns an error that wraps errNotReady and includes the reason.
+func (p *Proxy) checkCanServe() error {
 	switch {
 	case !p.discovery.FirstPollWaitEnded():
 		return fmt.Errorf("%w: no list of workers yet", errNotReady)
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -48,7 +48,7 @@
 // (RespondToHead), and afterwards by the balancer.
 func (p *Proxy) rejectOrSubmit(ctx context.Context, r *inFlightRequest, arrival balancer.Arrival) *protocol.Response {
 	if !p.canFinish(arrival) {
-		return p.respondUnavailable(r.settings.maxRetryAfter)
+		return p.respondUnavailable(r.settings.unavailableRetryAfter)
 	}
 	if p.config.Recovery == nil {
 		return p.submit(ctx, r, arrival)
--- a/internal/proxy/request_test.go
+++ b/internal/proxy/request_test.go
@@ -35,7 +35,7 @@
 			p := newProxy(peertest.ClosedAddress)
 			test.change(p)
 			assert.Equal(t, 400, serve(p, test.head).Status)
-			assert.Equal(t, int64(0), p.counters.admitted.Load())
+			assert.Equal(t, int64(0), p.counters.validated.Load())
 			assert.Equal(t, int64(1), p.counters.invalid.Load())
 		})
 	}
@@ -60,7 +60,7 @@
 // exit cannot always be rejected. It still serves requests that can complete in time.
 func TestStoppingProcessRejectsOnlyRequestsItCannotFinish(t *testing.T) {
 	p := newProxy(peertest.StartServer(t, peertest.RespondWith(succeededText())))
-	p.settings.Load().maxRetryAfter = 2 * time.Second
+	p.settings.Load().unavailableRetryAfter = 2 * time.Second
 	p.lifecycle.Stop(time.Now())
 	p.SetStopTimeout(2 * time.Second)
 	long := parseHead("Req-Id: a2\r\nReq-Kind: once\r\nReq-Cost: 1500000\r\n")
@@ -126,14 +126,14 @@
 		}
 	}))
 	var wg sync.WaitGroup
-	admitted, invalid := 0, 0
+	validated, invalid := 0, 0
 	for n := range 120 {
 		operation := []string{"idem", "once", "unknown"}[n%3]
 		head := parseHead(fmt.Sprintf("Req-Id: i%03d\r\nReq-Deadline: 0.3\r\nReq-Kind: %s\r\n", n, operation))
 		if operation == "unknown" {
 			invalid++
 		} else {
-			admitted++
+			validated++
 		}
 		if n == 90 {
 			p.lifecycle.Drain(time.Now().Add(-time.Hour)) // later requests are rejected
@@ -144,12 +144,12 @@
 			p.Serve(ctx, head, nil, time.Now())
 		})
 		time.Sleep(time.Millisecond)
-		assert.LessOrEqual(t, sumEndedRequests(sumMetrics(p)), int64(admitted))
+		assert.LessOrEqual(t, sumEndedRequests(sumMetrics(p)), int64(validated))
 	}
 	wg.Wait()
 	assert.NoError(t, p.background.Wait())
 	sum := sumMetrics(p)
-	assert.Equal(t, int64(admitted), sumEndedRequests(sum))
+	assert.Equal(t, int64(validated), sumEndedRequests(sum))
 	assert.Zero(t, sum["outstanding"])
 	assert.Equal(t, int64(invalid), p.counters.invalid.Load())
 	for _, name := range []string{"succeeded", "declined", "aborted"} {
--- a/internal/proxy/respond_to_head_test.go
+++ b/internal/proxy/respond_to_head_test.go
@@ -39,7 +39,7 @@
 
 func TestOverloadRejectsByHeadWithRetryAfter(t *testing.T) {
 	p := newProxy(peertest.ClosedAddress)
-	p.settings.Load().maxRetryAfter = 2 * time.Second
+	p.settings.Load().unavailableRetryAfter = 2 * time.Second
 	p.discovery.SkipFirstPollWait()
 	for at := time.Duration(0); at < time.Second; at += admission.SampleInterval {
 		for range 100 {
--- a/internal/proxy/responses.go
+++ b/internal/proxy/responses.go
@@ -7,8 +7,9 @@
 	"canvasroute/internal/protocol"
 )
 
-// Responses to clients, by status. The functions below count the responses that they return, except those to health
-// checks.
+// Responses to clients, by status. The functions below also count the requests, except health checks. Requests rejected
+// because the process is drained are counted only for their operation (rejectByHead). respondDisconnected and
+// respondMigrated count requests to which this process sends no response.
 //
 //   - 200: an attempt succeeded. For a health check: there are workers, and the process is serving.
 //   - 400: the request is malformed, or its operation or tenant is unknown.
@@ -73,7 +74,8 @@
 	return &protocol.Response{Status: http.StatusServiceUnavailable}
 }
 
-// RejectMalformed returns the response to a request that cannot be parsed. err is the parse error.
+// RejectMalformed returns the response to a request that could not be read or is invalid. err is the reason, such as a
+// read timeout, a parse error or an unknown operation.
 func (p *Proxy) RejectMalformed(err error) *protocol.Response {
 	return p.respondInvalid(protocol.RejectionForError(err))
 }
@@ -101,7 +103,8 @@
 }
 
 // RejectOverBudget returns the response to a request that exceeds the connection limit or the memory limit for bodies.
-// The request was not sent to any worker. h is nil if no head was read.
+// The request was not sent to any worker. h is nil if the connection was evicted before the request was read
+// completely, even if its head was read.
 func (p *Proxy) RejectOverBudget(h *protocol.Head) *protocol.Response {
 	p.counters.overBudget.Add(1)
 	return p.rejectByHead(h)
@@ -110,7 +113,10 @@
 // rejectByHead returns the response to a request that is rejected before its body is read. If h names a known
 // operation, the response is counted for the operation.
 func (p *Proxy) rejectByHead(h *protocol.Head) *protocol.Response {
-	response := &protocol.Response{Status: http.StatusServiceUnavailable, RetryAfter: p.settings.Load().maxRetryAfter}
+	response := &protocol.Response{
+		Status:     http.StatusServiceUnavailable,
+		RetryAfter: p.settings.Load().unavailableRetryAfter,
+	}
 	if h == nil {
 		return response
 	}
--- a/internal/proxy/settings.go
+++ b/internal/proxy/settings.go
@@ -12,11 +12,11 @@
 // settings is the part of the configuration that may change while a Proxy is running. A settings value is immutable and
 // replaced as a whole: a request uses the settings at its arrival until it ends.
 type settings struct {
-	operations    map[string]operation         // by name
-	tenants       map[string]balancer.TenantID // by name; empty if all requests belong to a single tenant
-	tenantNames   []string                     // indexed by tenant ID, including those of earlier settings
-	dialTimeout   time.Duration                // timeout for connecting to a worker
-	maxRetryAfter time.Duration                // see Config.MaxRetryAfter
+	operations            map[string]operation         // by name
+	tenants               map[string]balancer.TenantID // by name; empty if all requests belong to a single tenant
+	tenantNames           []string                     // indexed by tenant ID, including those of earlier settings
+	dialTimeout           time.Duration                // timeout for connecting to a worker
+	unavailableRetryAfter time.Duration                // see Config.UnavailableRetryAfter
 }
 
 // operation is an Operation with its ID in the balancer.
@@ -39,10 +39,10 @@
 // applySettings replaces the settings. ids are the balancer's IDs of the operations and tenants in c.
 func (p *Proxy) applySettings(c Config, ids balancer.AssignedIDs) {
 	next := &settings{
-		operations:    map[string]operation{},
-		tenants:       map[string]balancer.TenantID{},
-		dialTimeout:   c.DialTimeout,
-		maxRetryAfter: c.MaxRetryAfter,
+		operations:            map[string]operation{},
+		tenants:               map[string]balancer.TenantID{},
+		dialTimeout:           c.DialTimeout,
+		unavailableRetryAfter: c.UnavailableRetryAfter,
 	}
 	if previous := p.settings.Load(); previous != nil {
 		next.tenantNames = slices.Clone(previous.tenantNames)
--- a/internal/proxy/sibling.go
+++ b/internal/proxy/sibling.go
@@ -13,9 +13,9 @@
 	WorkerConnections int                      `json:"Workers"`          // upper bound of open connections to workers
 }
 
-// SiblingUpdate returns the next update for the sibling process, without the numbers of connections. RecentSends,
+// NextSiblingUpdate returns the next update for the sibling process, without the numbers of connections. RecentSends,
 // Opened and Closed cover the time since the previous call. Calls must not be concurrent.
-func (p *Proxy) SiblingUpdate(recipient balancer.SiblingRole) SiblingUpdate {
+func (p *Proxy) NextSiblingUpdate(recipient balancer.SiblingRole) SiblingUpdate {
 	u := SiblingUpdate{InFlight: p.inFlightFor(recipient), RecentSends: map[string]balancer.Work{}}
 	now := p.balancer.Now()
 	for _, send := range p.balancer.RecentSendsSince(p.sendsReportedAt) {
--- a/internal/proxy/snapshot.go
+++ b/internal/proxy/snapshot.go
@@ -24,11 +24,12 @@
 	Drained   bool                `json:"Left"` // operators drained this dispatcher; a successor is drained too
 }
 
-// Snapshot returns the state for a successor. Later calls of SiblingUpdate return the changes of open request IDs.
+// Snapshot returns the state for a successor. Later calls of NextSiblingUpdate return the changes of open
+// request IDs.
 func (p *Proxy) Snapshot() Snapshot {
 	s := p.SnapshotForDisk()
 	p.requestIDs.startTracking()
-	s.Sibling = p.SiblingUpdate(balancer.Successor)
+	s.Sibling = p.NextSiblingUpdate(balancer.Successor)
 	return s
 }
 
--- a/internal/proxy/worker_response.go
+++ b/internal/proxy/worker_response.go
@@ -20,11 +20,11 @@
 
 // workerResponse is a worker's response, read up to the line that decides the outcome of the attempt.
 type workerResponse struct {
-	outcome  balancer.Outcome
-	result   string        // result text if the attempt succeeded
-	body     protocol.Body // the rest of the body must still be read unless err is set
-	err      error         // nil if the connection can be reused after the rest of the body was read
-	migrated bool          // the sibling process continues to read; the other fields are not set
+	outcome         balancer.Outcome
+	result          string        // result text if the attempt succeeded
+	body            protocol.Body // the rest of the body must still be read unless err is set
+	err             error         // nil if the connection can be reused after the rest of the body was read
+	endedByExporter bool          // the exporter has ended the reader (endReader); the other fields are not set
 }
 
 // readResponse reads a worker's response up to the line that decides the outcome of the attempt. ctx is the context of
@@ -65,7 +65,7 @@
 func (a *attempt) readLines(ctx context.Context, conn *transport.Conn, head *protocol.Head, body protocol.Body,
 ) workerResponse {
 	lines := lineParser{attempt: a}
-	err := conn.ReadChunks(&body, lines.write)
+	err := conn.ReadPieces(&body, lines.write)
 	if err == nil {
 		lines.finish()
 	}
--- a/internal/transport/client_limits.go
+++ b/internal/transport/client_limits.go
@@ -48,7 +48,7 @@
 
 const (
 	admitted  admissionResult = iota
-	overLimit                 // the connection is closed after one response, from Handler.RejectOverBudget
+	overLimit                 // the connection is closed after one response, see Server.exchange
 )
 
 // clientState is the stage of the request cycle that a client connection is in.
@@ -171,8 +171,8 @@
 }
 
 // markIdle records that a response was sent, and sets the idle timeout. The state change and the check of the lifecycle
-// phase happen under the same lock, so that a connection can't miss a phase change: either closeIdle finds it idle, or
-// markIdle finds the new phase.
+// phase happen under the same lock, so that a connection can't miss a phase change: either shortenDeadlines finds it
+// idle, or markIdle finds the new phase.
 func (l *clientLimiter) markIdle(c *Conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -259,9 +259,9 @@
 	}
 }
 
-// closeIdle sets short read deadlines for the connections that are idle or reading a request. Their owners close them
-// when the deadlines pass. Connections on which a request is being served are closed after the response.
-func (l *clientLimiter) closeIdle() {
+// shortenDeadlines sets short read deadlines for the connections that are idle or reading a request. Their owners close
+// them when the deadlines pass. Connections on which a request is being served are closed after the response.
+func (l *clientLimiter) shortenDeadlines() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for c, slot := range l.slots {
--- a/internal/transport/close_watch_test.go
+++ b/internal/transport/close_watch_test.go
@@ -179,7 +179,7 @@
 	limiter.mu.Lock()
 	assert.False(t, limiter.evictOne(), "a connection is not evicted while its request is served")
 	limiter.mu.Unlock()
-	limiter.closeIdle()
+	limiter.shortenDeadlines()
 	closed := watchClose(t, conn)
 	peer.Close()
 	assert.ErrorIs(t, peertest.Receive(t, closed), io.EOF)
--- a/internal/transport/doc.go
+++ b/internal/transport/doc.go
@@ -19,7 +19,7 @@
 //
 //   - Server limits the number of client connections (SetLimit). A new connection beyond the limit evicts the
 //     connection with the lowest rank, see clientLimiter. If none can be evicted, the new connection is closed after
-//     one response, which Handler.RejectOverBudget returns.
+//     one response: that of Handler.RespondToHead if it returns one, otherwise that of Handler.RejectOverBudget.
 //   - Spare slots, a sixteenth of the limit but at least one, are reserved for connections that are being rejected or
 //     evicted. When these are used up too, the server stops accepting, and clients wait in the listener's queue.
 //   - If the process runs out of file descriptors nevertheless, accept is retried after acceptRetryDelay.
--- a/internal/transport/exchange.go
+++ b/internal/transport/exchange.go
@@ -131,7 +131,7 @@
 	}
 	reason, err := s.respond(c, response, persistence)
 	if bodyUnread && err == nil {
-		c.halfCloseAndDrain(lingerTimeout)
+		c.halfCloseAndDiscard(lingerTimeout)
 	}
 	return reason, err
 }
@@ -153,7 +153,7 @@
 	}
 	if persistence == protocol.CloseAfterResponse {
 		if c.readable() { // the client has sent more data: a reset caused by it could discard the response
-			c.halfCloseAndDrain(transitGrace)
+			c.halfCloseAndDiscard(transitGrace)
 		}
 		return CloseRequested, nil
 	}
@@ -183,7 +183,7 @@
 	switch {
 	case evicted && partial:
 		if _, sendErr := s.respond(c, s.handler.RejectOverBudget(nil), protocol.CloseAfterResponse); sendErr == nil {
-			c.halfCloseAndDrain(transitGrace) // no longer than this, because the slot is needed
+			c.halfCloseAndDiscard(transitGrace) // no longer than this, because the slot is needed
 		}
 		return Evicted, nil
 	case partial:
@@ -201,9 +201,9 @@
 }
 
 // respondMalformed sends the error response for a request that could not be read. It then half-closes the connection
-// and drains it.
+// and discards what the client still sends.
 func (s *Server) respondMalformed(c *Conn, err error) {
 	if _, sendErr := s.respond(c, s.handler.RejectMalformed(err), protocol.CloseAfterResponse); sendErr == nil {
-		c.halfCloseAndDrain(lingerTimeout)
+		c.halfCloseAndDiscard(lingerTimeout)
 	}
 }
--- a/internal/transport/migration.go
+++ b/internal/transport/migration.go
@@ -18,10 +18,11 @@
 	return socket
 }
 
-// clientConnKey is the context key under which Handler.Serve gets the *Conn of the client.
+// clientConnKey is the context key of the client's *Conn in the context of a request. Detach reads it.
 type clientConnKey struct{}
 
-// ErrNoSocket is returned by Detach if the context has no client connection, or if the connection is not a socket.
+// ErrNoSocket is the error for a connection that cannot be migrated because it is not a socket. Detach also returns it
+// if the context has no client connection.
 var ErrNoSocket = errors.New("connection has no socket")
 
 // DetachedClient is a client connection that is about to be migrated to another process.
--- a/internal/transport/pool.go
+++ b/internal/transport/pool.go
@@ -14,7 +14,8 @@
 // ErrPoolExhausted is returned by Get if its context ended before a connection or a slot became available.
 var ErrPoolExhausted = errors.New("connection pool exhausted")
 
-// errDialInvalidated is returned by dial if CloseIdle was called for the address while the connection was being opened.
+// errDialInvalidated is returned by dial if Invalidate was called for the address while the connection was being
+// opened.
 var errDialInvalidated = errors.New("address invalidated while connecting")
 
 // ReusePolicy determines which connections may be used for an attempt.
@@ -41,7 +42,7 @@
 	closeOnPut   map[*Conn]bool     // stale connections in use
 	dialing      map[*pendingDial]bool
 	waiters      []*waiter // goroutines waiting for a slot, in FIFO order
-	suspectUntil time.Time // until this time, workers may close reused connections while a message is being sent
+	suspectUntil time.Time // time until which reused connections are suspect, see isReuseSuspect
 
 	testHooks poolTestHooks
 }
@@ -54,7 +55,7 @@
 // pendingDial is a connection that is being opened.
 type pendingDial struct {
 	addr        string
-	invalidated bool // CloseIdle was called for addr: the connection may lead to a previous process at that address
+	invalidated bool // Invalidate was called for addr: the connection may lead to a previous process at that address
 }
 
 // NewPool returns a pool of at most limit connections to workers that close idle connections after workerIdleTimeout.
@@ -92,7 +93,7 @@
 }
 
 // dial opens a connection in a slot that the caller has acquired. It releases the slot after an error. It returns
-// errDialInvalidated if CloseIdle was called for the address meanwhile.
+// errDialInvalidated if Invalidate was called for the address meanwhile.
 func (p *Pool) dial(ctx context.Context, addr string) (*Conn, error) {
 	pending := &pendingDial{addr: addr}
 	p.mu.Lock()
@@ -141,9 +142,10 @@
 	return c
 }
 
-// Put returns a connection to the pool after a complete response was read on it. The first waiter that the connection
-// satisfies gets it. If there are waiters but the connection satisfies none of them, it is closed to free its slot. If
-// there are no waiters, it becomes idle.
+// Put returns a connection to the pool. Since Get, either nothing was sent on it or a complete response was read. A
+// connection that can't be reused is closed (reasonToClose). Otherwise the first waiter that the connection satisfies
+// gets it. If there are waiters but the connection satisfies none of them, it is closed to free its slot. If there are
+// no waiters, it becomes idle.
 func (p *Pool) Put(c *Conn) {
 	c.clearDeadlines()
 	p.mu.Lock()
@@ -171,7 +173,7 @@
 	switch {
 	case p.closeOnPut[c]:
 		return Stale
-	case c.Interrupted(): // perhaps by CloseOpenedBefore
+	case c.Interrupted(): // perhaps by InterruptOpenedBefore
 		return AttemptCanceled
 	case c.readBuf.Len() > 0:
 		return Malformed
--- a/internal/transport/pool_stale.go
+++ b/internal/transport/pool_stale.go
@@ -8,7 +8,8 @@
 	p.suspectUntil = time.Now().Add(suspectFactor * idleDivisor * p.maxIdle)
 }
 
-// isReuseSuspect reports whether workers may close reused connections while a message is being sent.
+// isReuseSuspect reports whether reused connections are suspect: a worker has recently closed a connection that the
+// pool would have kept, so others may be closed while a message is being sent (markReuseSuspect).
 func (p *Pool) isReuseSuspect() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -27,9 +28,9 @@
 	closeStale(conns)
 }
 
-// CloseIdle closes the idle connections to addr. Connections in use are closed by Put, and those being opened are
+// Invalidate closes the idle connections to addr. Connections in use are closed by Put, and those being opened are
 // discarded.
-func (p *Pool) CloseIdle(addr string) {
+func (p *Pool) Invalidate(addr string) {
 	p.mu.Lock()
 	conns := p.idle[addr]
 	delete(p.idle, addr)
@@ -52,10 +53,10 @@
 	}
 }
 
-// CloseOpenedBefore interrupts the connections in use to addr that were opened before cutoff. The previous worker
+// InterruptOpenedBefore interrupts the connections in use to addr that were opened before cutoff. The previous worker
 // process at addr had ended by then. A host that fails sends no reset, so without the interrupt an attempt could wait
 // on its connection forever.
-func (p *Pool) CloseOpenedBefore(addr string, cutoff time.Time) {
+func (p *Pool) InterruptOpenedBefore(addr string, cutoff time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for c, inUseAddr := range p.inUse {
--- a/internal/transport/pool_stale_test.go
+++ b/internal/transport/pool_stale_test.go
@@ -12,13 +12,13 @@
 	"canvasroute/internal/peertest"
 )
 
-func TestCloseIdleClosesConnectionsInUseOncePut(t *testing.T) {
+func TestInvalidateClosesConnectionsInUseOncePut(t *testing.T) {
 	addr, _ := startWorker(t)
 	var log bytes.Buffer
 	pool := NewPool(2, time.Minute, zerolog.New(&log))
 	idle, inUse := mustGet(t, pool, addr), mustGet(t, pool, addr)
 	pool.Put(idle)
-	pool.CloseIdle(addr)
+	pool.Invalidate(addr)
 	pool.Put(inUse)
 	assert.Empty(t, pool.idle)
 	assert.Equal(t, 2, bytes.Count(log.Bytes(), []byte("stale_retired")))
@@ -31,7 +31,7 @@
 	var log bytes.Buffer
 	pool := NewPool(2, time.Minute, zerolog.New(&log))
 	var once sync.Once
-	pool.testHooks.afterDial = func() { once.Do(func() { pool.CloseIdle(addr) }) }
+	pool.testHooks.afterDial = func() { once.Do(func() { pool.Invalidate(addr) }) }
 	conn := mustGet(t, pool, addr)
 	assert.Contains(t, log.String(), "stale_retired")
 	first := peertest.Receive(t, accepted)
@@ -42,13 +42,13 @@
 	assert.Empty(t, pool.dialing)
 }
 
-func TestCloseOpenedBeforeInterruptsOlderConnections(t *testing.T) {
+func TestInterruptOpenedBeforeInterruptsOlderConnections(t *testing.T) {
 	addr, _ := startWorker(t)
 	var log bytes.Buffer
 	pool := NewPool(2, time.Minute, zerolog.New(&log))
 	older, newer := mustGet(t, pool, addr), mustGet(t, pool, addr)
 	older.openedAt = time.Now().Add(-time.Minute)
-	pool.CloseOpenedBefore(addr, time.Now().Add(-time.Second))
+	pool.InterruptOpenedBefore(addr, time.Now().Add(-time.Second))
 	_, err := older.ReadResponseHead()
 	assert.Equal(t, TimedOut, CloseReasonOf(err), "the read is interrupted")
 	older.CloseFor(CloseReasonOf(err), err)
@@ -63,7 +63,7 @@
 	addr, _ := startWorker(t)
 	pool := NewPool(2, time.Minute, zerolog.Nop())
 	conn := mustGet(t, pool, addr)
-	pool.CloseOpenedBefore(addr, time.Now().Add(time.Hour))
+	pool.InterruptOpenedBefore(addr, time.Now().Add(time.Hour))
 	pool.Put(conn)
 	assert.Empty(t, pool.idle)
 	assert.NotSame(t, conn, mustGet(t, pool, addr))
--- a/internal/transport/read.go
+++ b/internal/transport/read.go
@@ -59,10 +59,10 @@
 	}
 }
 
-// ReadChunks passes a body to consume in pieces, until the body is complete or consume returns false. The error is
+// ReadPieces passes a body to consume in pieces, until the body is complete or consume returns false. The error is
 // ErrTruncated if the connection is closed before the body is complete, protocol.ErrMalformed or an error of the
 // connection.
-func (c *Conn) ReadChunks(body *protocol.Body, consume func([]byte) bool) error {
+func (c *Conn) ReadPieces(body *protocol.Body, consume func([]byte) bool) error {
 	for !body.Done() {
 		piece, err := body.Next(c.readBuf.Bytes())
 		if err != nil {
@@ -91,7 +91,7 @@
 }
 
 // ReadBody reads a body of at most limit bytes. It returns protocol.ErrTooLarge for a longer body, or an error of
-// ReadChunks with the content read so far.
+// ReadPieces with the content read so far.
 func (c *Conn) ReadBody(body protocol.Body, limit int) ([]byte, error) {
 	content := make([]byte, 0, min(body.Length(), readBufferBytes)) // a client can announce more than it sends
 	err := c.readLimited(body, limit, func(data []byte) { content = append(content, data...) })
@@ -112,7 +112,7 @@
 		return protocol.ErrTooLarge
 	}
 	total := 0
-	err := c.ReadChunks(&body, func(data []byte) bool {
+	err := c.ReadPieces(&body, func(data []byte) bool {
 		total += len(data)
 		if total > limit {
 			return false
--- a/internal/transport/ring_buffer.go
+++ b/internal/transport/ring_buffer.go
@@ -67,8 +67,8 @@
 	return written
 }
 
-// Drain writes all buffered bytes to a writer and removes them. It stops at the first error and returns it.
-func (r *RingBuffer) Drain(writer io.Writer) error {
+// FlushTo writes all buffered bytes to a writer and removes them. It stops at the first error and returns it.
+func (r *RingBuffer) FlushTo(writer io.Writer) error {
 	for r.length > 0 {
 		n, err := writer.Write(r.buf[r.start:min(r.start+r.length, len(r.buf))])
 		r.Discard(n)
--- a/internal/transport/ring_buffer_test.go
+++ b/internal/transport/ring_buffer_test.go
@@ -18,7 +18,7 @@
 	var out bytes.Buffer
 	ring.Discard(1)
 	assert.Equal(t, 1, ring.Write([]byte("m")))
-	assert.NoError(t, ring.Drain(&out))
+	assert.NoError(t, ring.FlushTo(&out))
 	assert.Equal(t, "fghijklm", out.String())
 	_, err := ring.Fill(strings.NewReader("xyz"))
 	assert.NoError(t, err)
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -23,7 +23,8 @@
 	// It returns nil if the body is to be read and the request served.
 	RespondToHead(head *protocol.Head) *protocol.Response
 	// RejectOverBudget returns the response for a connection that is over the limit or evicted, and for a request whose
-	// body doesn't fit in the rest of the byte budget. head is nil if no head was read.
+	// body doesn't fit in the rest of the byte budget. head is nil if the connection was evicted before a request was
+	// read completely, even if its head was read.
 	RejectOverBudget(head *protocol.Head) *protocol.Response
 	// RejectMalformed returns the response to a request that could not be read because of err.
 	RejectMalformed(err error) *protocol.Response
@@ -95,7 +96,7 @@
 		s.acceptQueued()
 	}
 	s.ln.Close()
-	s.clients.closeIdle()
+	s.clients.shortenDeadlines()
 	return s.conns.Wait()
 }
 
@@ -106,7 +107,7 @@
 		wait, changed := s.lifecycle.NextChange(time.Now())
 		phase := s.lifecycle.PhaseAt(time.Now())
 		if !phase.KeepsIdleConnections() {
-			s.clients.closeIdle()
+			s.clients.shortenDeadlines()
 		}
 		if !phase.AcceptsConnections() {
 			s.ln.SetDeadline(pastDeadline)
--- a/internal/transport/write.go
+++ b/internal/transport/write.go
@@ -67,7 +67,7 @@
 
 // flush writes all buffered data to the connection.
 func (c *Conn) flush() error {
-	if err := c.writeBuf.Drain(&c.stream); err != nil {
+	if err := c.writeBuf.FlushTo(&c.stream); err != nil {
 		return fmt.Errorf("sending: %w", err)
 	}
 	return nil
