--- a/internal/testbed/workload/trace.go
+++ b/internal/testbed/workload/trace.go
@@ -138,8 +138,8 @@
 	return index, nil
 }
 
-// rowWork returns the work of a row. If the row has none, the work is the hint divided by a randomly drawn hint error. If
-// the row has no hint either, the work is the operation's mean.
+// rowWork returns the work of a row. If the row has none, the work is the hint divided by a randomly drawn hint error.
+// If the row has no hint either, the work is the operation's mean.
 func (t *traceReader) rowWork(r traceRow, o *Operation) time.Duration {
 	switch {
 	case r.Work > 0:
